--- a/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
@@ -5,15 +5,6 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-
-import vetchpost.core.Admission;
-import vetchpost.core.ClientRequest;
-import vetchpost.core.Fields;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
-import vetchpost.decision.Balancer.RequestClass;
-import vetchpost.decision.Balancer.Settings;
-import vetchpost.decision.Balancer.Tenant;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -27,6 +18,14 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
+import vetchpost.core.Admission;
+import vetchpost.core.ClientRequest;
+import vetchpost.core.Fields;
+import vetchpost.decision.Balancer.Group;
+import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.RequestClass;
+import vetchpost.decision.Balancer.Settings;
+import vetchpost.decision.Balancer.Tenant;
 
 /**
  * One request at a door that is asked for twice what goes out, with its part of the sweeps: what it costs with
@@ -62,7 +61,7 @@
         }
 
         @Override
-        public void forEach(BiConsumer<String, String> action) { }
+        public void forEach(BiConsumer<String, String> action) {}
     }
 
     private final class Entrant implements Admission.Entrant {
@@ -77,7 +76,7 @@
         }
 
         @Override
-        public void refused(long retryAfterUs) { }
+        public void refused(long retryAfterUs) {}
     }
 
     /** A door before a module that has its servers full. */
@@ -103,8 +102,23 @@
         now += GAP_US;
         int client = random.nextInt(clients);
         Entrant entrant = new Entrant();
-        entrant.entry = door.arrive(now, new ClientRequest(++numbers, random.nextInt(3), client % TENANTS, 1_000_000,
-                0, false, "GET", "/", keys[client], new byte[0]), 0, 0, now + 1_000_000, entrant);
+        entrant.entry = door.arrive(
+                now,
+                new ClientRequest(
+                        ++numbers,
+                        random.nextInt(3),
+                        client % TENANTS,
+                        1_000_000,
+                        0,
+                        false,
+                        "GET",
+                        "/",
+                        keys[client],
+                        new byte[0]),
+                0,
+                0,
+                now + 1_000_000,
+                entrant);
         door.advance(now);
         odd = !odd;
         if (odd && !out.isEmpty()) {
@@ -131,7 +145,7 @@
     @TearDown(Level.Trial)
     public void tell() {
         int[] kept = door.kept();
-        System.out.println(clients + " clients: " + kept[0] + " flows, " + kept[1] + " bookings, "
-                + door.waiting() + " waiting");
+        System.out.println(
+                clients + " clients: " + kept[0] + " flows, " + kept[1] + " bookings, " + door.waiting() + " waiting");
     }
 }
--- a/benchmarks/src/main/java/vetchpost/decision/DecisionBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/decision/DecisionBenchmark.java
@@ -1,8 +1,6 @@
 package vetchpost.decision;
 
 import java.util.concurrent.TimeUnit;
-
-import vetchpost.decision.Balancer.ListKind;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -14,6 +12,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
+import vetchpost.decision.Balancer.ListKind;
 
 /** What one request costs the module, with the ends of its attempts, by the size of the fleet. */
 @State(Scope.Thread)
--- a/benchmarks/src/main/java/vetchpost/decision/ListBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/decision/ListBenchmark.java
@@ -5,10 +5,6 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
-
-import vetchpost.decision.Balancer.ListKind;
-import vetchpost.decision.Balancer.ServerEntry;
-import vetchpost.decision.Balancer.ServerState;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -21,6 +17,9 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
+import vetchpost.decision.Balancer.ListKind;
+import vetchpost.decision.Balancer.ServerEntry;
+import vetchpost.decision.Balancer.ServerState;
 
 /** What a list costs the module: new to it, the same again, the same in another order, and ten changes. */
 @State(Scope.Thread)
--- a/benchmarks/src/main/java/vetchpost/node/PlainProxy.java
+++ b/benchmarks/src/main/java/vetchpost/node/PlainProxy.java
@@ -1,11 +1,5 @@
 package vetchpost.node;
 
-import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Deque;
-import java.util.List;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -25,6 +19,11 @@
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpServerCodec;
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
 
 /**
  * What the node is measured beside: a proxy of Netty's own parts on one loop, which sends each request to the
@@ -38,7 +37,7 @@
     private final List<Deque<Channel>> idle = new ArrayList<>();
     private int turn;
 
-    private PlainProxy() { }
+    private PlainProxy() {}
 
     /** Listens on the port given first, before servers on the ports after it. */
     public static void main(String[] args) throws InterruptedException {
@@ -51,15 +50,21 @@
     }
 
     private void listen(int port) throws InterruptedException {
-        new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
+        new ServerBootstrap()
+                .group(group)
+                .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel client) {
-                        client.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST),
-                                new Front());
+                        client.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST), new Front());
                     }
-                }).bind("127.0.0.1", port).sync().channel().closeFuture().sync();
+                })
+                .bind("127.0.0.1", port)
+                .sync()
+                .channel()
+                .closeFuture()
+                .sync();
     }
 
     /** A client's connection: one request at a time. */
@@ -73,15 +78,19 @@
                 send(server, request, ctx.channel());
                 return;
             }
-            new Bootstrap().group(group).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+            new Bootstrap()
+                    .group(group)
+                    .channel(NioSocketChannel.class)
+                    .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel fresh) {
-                            fresh.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST),
-                                    new Back(to));
+                            fresh.pipeline()
+                                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST), new Back(to));
                         }
-                    }).connect(servers.get(to)).addListener((ChannelFutureListener) done ->
-                            send(done.channel(), request, ctx.channel()));
+                    })
+                    .connect(servers.get(to))
+                    .addListener((ChannelFutureListener) done -> send(done.channel(), request, ctx.channel()));
         }
 
         private void send(Channel server, FullHttpRequest request, Channel client) {
--- a/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
+++ b/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
@@ -1,12 +1,6 @@
 package vetchpost.routes;
 
 import java.util.concurrent.TimeUnit;
-
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
-import vetchpost.decision.Balancer.RequestClass;
-import vetchpost.decision.Balancer.Settings;
-import vetchpost.routes.file.RouteFile;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -18,6 +12,11 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
+import vetchpost.decision.Balancer.Group;
+import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.RequestClass;
+import vetchpost.decision.Balancer.Settings;
+import vetchpost.routes.file.RouteFile;
 
 /** The cost of finding a request's route, by how many there are. */
 @State(Scope.Thread)
@@ -41,13 +40,19 @@
     public void prove() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < routes; i++) {
-            text.append("[[route]]\nname = \"r").append(i).append("\"\npath = \"/view-page/school-").append(i / 100)
-                    .append("/{page}/part-").append(i % 100).append("\"\nattempts = 2\n");
+            text.append("[[route]]\nname = \"r")
+                    .append(i)
+                    .append("\"\npath = \"/view-page/school-")
+                    .append(i / 100)
+                    .append("/{page}/part-")
+                    .append(i % 100)
+                    .append("\"\nattempts = 2\n");
         }
         Settings settings = new Settings();
-        settings.classes.add(new RequestClass("view-page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, Group.ALL, 0,
-                false));
-        table = Prover.prove(RouteFile.parse("bench.toml", text.toString()).sections(), settings).table();
+        settings.classes.add(
+                new RequestClass("view-page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+        table = Prover.prove(RouteFile.parse("bench.toml", text.toString()).sections(), settings)
+                .table();
         for (int i = 0; i < PATHS; i++) {
             int route = (int) (i * 7_919L % routes);
             targets[i] = "/view-page/school-" + route / 100 + "/page-" + i + "/part-" + route % 100 + "?size=2";
--- a/clients/java/src/main/java/vetchpost/client/Client.java
+++ b/clients/java/src/main/java/vetchpost/client/Client.java
@@ -24,7 +24,6 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-
 import vetchpost.client.core.Action;
 import vetchpost.client.core.Answers;
 import vetchpost.client.core.Caller;
@@ -93,7 +92,7 @@
         private String tenant;
         private String session;
 
-        private Builder() { }
+        private Builder() {}
 
         /** A node, by scheme, host and port: {@code http://127.0.0.1:8080}. */
         public Builder node(String node) {
@@ -175,8 +174,11 @@
             return thread;
         });
         loop.setRemoveOnCancelPolicy(true);
-        http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(made.connectWithin).followRedirects(HttpClient.Redirect.NEVER).build();
+        http = HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .connectTimeout(made.connectWithin)
+                .followRedirects(HttpClient.Redirect.NEVER)
+                .build();
         caller = new Caller(made.settings, () -> ThreadLocalRandom.current().nextDouble());
         builder.nodes.forEach((node, local) -> caller.addNode(0, node, local));
     }
@@ -188,8 +190,12 @@
 
     private static String checked(String node) {
         URI uri = URI.create(node);
-        boolean plain = uri.getHost() != null && uri.getPort() > 0 && uri.getRawPath().isEmpty()
-                && uri.getRawQuery() == null && uri.getRawFragment() == null && uri.getRawUserInfo() == null;
+        boolean plain = uri.getHost() != null
+                && uri.getPort() > 0
+                && uri.getRawPath().isEmpty()
+                && uri.getRawQuery() == null
+                && uri.getRawFragment() == null
+                && uri.getRawUserInfo() == null;
         if (!plain || !"http".equals(uri.getScheme()) && !"https".equals(uri.getScheme())) {
             throw new IllegalArgumentException("'" + node + "' is no node, as http://127.0.0.1:8080 is");
         }
@@ -261,8 +267,12 @@
                 onLoop(() -> perform(caller.cancel(nowMs(), number)));
             }
         });
-        perform(caller.begin(nowMs(), number, call.request.repeat(),
-                call.request.within().orElse(made.within).toMillis(), call.request.window().toMillis()));
+        perform(caller.begin(
+                nowMs(),
+                number,
+                call.request.repeat(),
+                call.request.within().orElse(made.within).toMillis(),
+                call.request.window().toMillis()));
     }
 
     private void onLoop(Runnable task) {
@@ -296,10 +306,15 @@
                 wake.cancel(false);
             }
             wakeMs = next;
-            wake = next == Caller.NEVER || loop.isShutdown() ? null : loop.schedule(() -> {
-                wakeMs = Caller.NEVER;
-                perform(caller.wake(nowMs()));
-            }, next * NS_PER_MS - (System.nanoTime() - beganNs), TimeUnit.NANOSECONDS);
+            wake = next == Caller.NEVER || loop.isShutdown()
+                    ? null
+                    : loop.schedule(
+                            () -> {
+                                wakeMs = Caller.NEVER;
+                                perform(caller.wake(nowMs()));
+                            },
+                            next * NS_PER_MS - (System.nanoTime() - beganNs),
+                            TimeUnit.NANOSECONDS);
         }
     }
 
@@ -333,7 +348,8 @@
             wire.setHeader("Cookie", "key=" + made.session);
         }
         call.request.headers().forEach(wire::setHeader);
-        wire.setHeader("X-Request-Id", call.id).setHeader("X-Txn", ids.narrow())
+        wire.setHeader("X-Request-Id", call.id)
+                .setHeader("X-Txn", ids.narrow())
                 .setHeader("X-Remaining-Ms", Long.toString(send.remainingMs()));
         if (made.tenant != null) {
             wire.setHeader("X-Org", made.tenant);
@@ -349,34 +365,47 @@
 
     private Ending ending(Open call, HttpResponse<byte[]> answer) {
         HttpHeaders headers = answer.headers();
-        boolean bodiless = answer.statusCode() == NO_CONTENT || answer.statusCode() == NOT_MODIFIED
+        boolean bodiless = answer.statusCode() == NO_CONTENT
+                || answer.statusCode() == NOT_MODIFIED
                 || call.request.method().equals("HEAD");
-        if (!bodiless && headers.firstValue("Content-Length").isEmpty()
+        if (!bodiless
+                && headers.firstValue("Content-Length").isEmpty()
                 && headers.firstValue("Transfer-Encoding").isEmpty()) {
             // It ends where its connection does, so nobody can tell whether that is all of it.
             return Ending.silent(Ending.Kind.MAY_HAVE_RUN, "an answer that does not say how long it is");
         }
-        return Answers.of(answer.statusCode(), headers.firstValue(Answers.RAN).orElse(null),
-                headers.firstValue("Retry-After").orElse(null), headers.firstValue("Date").orElse(null),
-                System.currentTimeMillis(), made.plainRefusals);
+        return Answers.of(
+                answer.statusCode(),
+                headers.firstValue(Answers.RAN).orElse(null),
+                headers.firstValue("Retry-After").orElse(null),
+                headers.firstValue("Date").orElse(null),
+                System.currentTimeMillis(),
+                made.plainRefusals);
     }
 
     private static Ending ending(Throwable e) {
         Throwable cause = e instanceof CompletionException && e.getCause() != null ? e.getCause() : e;
-        boolean never = cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException
+        boolean never = cause instanceof ConnectException
+                || cause instanceof HttpConnectTimeoutException
                 || cause instanceof UnresolvedAddressException
                 || cause.getCause() instanceof UnresolvedAddressException;
-        return Ending.silent(never ? Ending.Kind.NEVER_RAN : Ending.Kind.MAY_HAVE_RUN,
+        return Ending.silent(
+                never ? Ending.Kind.NEVER_RAN : Ending.Kind.MAY_HAVE_RUN,
                 cause.getMessage() == null ? cause.getClass().getSimpleName() : cause.getMessage());
     }
 
     private void end(Open call, Outcome how) {
-        Optional<Duration> comeBack = how.comeBackMs() < 0 ? Optional.empty()
-                : Optional.of(Duration.ofMillis(how.comeBackMs()));
+        Optional<Duration> comeBack =
+                how.comeBackMs() < 0 ? Optional.empty() : Optional.of(Duration.ofMillis(how.comeBackMs()));
         Optional<String> key = Optional.ofNullable(call.key);
         Result result = switch (how.kind()) {
-            case SERVED -> new Result.Served(call.id, call.answer.statusCode(), call.answer.headers().map(),
-                    call.answer.body(), call.sendings);
+            case SERVED ->
+                new Result.Served(
+                        call.id,
+                        call.answer.statusCode(),
+                        call.answer.headers().map(),
+                        call.answer.body(),
+                        call.sendings);
             case REFUSED -> new Result.Refused(call.id, comeBack, how.cause());
             case NEVER_RAN -> new Result.NeverRan(call.id, how.cause());
             case MAY_HAVE_RUN -> new Result.MayHaveRun(call.id, key, comeBack, how.cause());
--- a/clients/java/src/main/java/vetchpost/client/Request.java
+++ b/clients/java/src/main/java/vetchpost/client/Request.java
@@ -9,7 +9,6 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-
 import vetchpost.client.core.Repeat;
 
 /**
@@ -20,9 +19,20 @@
  */
 public final class Request {
     /** Fields that the client sets itself, or that belong to a connection. */
-    private static final Set<String> OWN = Set.of("x-txn", "x-request-id", "x-remaining-ms", "x-resent",
-            "x-org", "idempotency-key", "connection", "content-length", "expect", "host", "transfer-encoding",
+    private static final Set<String> OWN = Set.of(
+            "x-txn",
+            "x-request-id",
+            "x-remaining-ms",
+            "x-resent",
+            "x-org",
+            "idempotency-key",
+            "connection",
+            "content-length",
+            "expect",
+            "host",
+            "transfer-encoding",
             "upgrade");
+
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
     private static final String TEXT = "[\\x21-\\x7e]([\\x20-\\x7e\\t]*[\\x21-\\x7e])?";
 
@@ -35,8 +45,15 @@
     private final byte[] body;
     private final String key;
 
-    private Request(String method, String target, Repeat repeat, Duration window, Duration within,
-            Map<String, String> headers, byte[] body, String key) {
+    private Request(
+            String method,
+            String target,
+            Repeat repeat,
+            Duration window,
+            Duration within,
+            Map<String, String> headers,
+            byte[] body,
+            String key) {
         this.method = method;
         this.target = target;
         this.repeat = repeat;
@@ -52,8 +69,8 @@
             throw new IllegalArgumentException("'" + method + "' is no method");
         }
         if (!isTarget(target)) {
-            throw new IllegalArgumentException("'" + target + "' is no path that begins with /, with what is"
-                    + " special in it escaped");
+            throw new IllegalArgumentException(
+                    "'" + target + "' is no path that begins with /, with what is" + " special in it escaped");
         }
         return new Request(method, target, repeat, window, null, Map.of(), new byte[0], null);
     }
--- a/clients/java/src/main/java/vetchpost/client/Result.java
+++ b/clients/java/src/main/java/vetchpost/client/Result.java
@@ -33,10 +33,10 @@
      *
      * @param comeBack when to ask again, counted from now, if anybody has said
      */
-    record Refused(String id, Optional<Duration> comeBack, String cause) implements Result { }
+    record Refused(String id, Optional<Duration> comeBack, String cause) implements Result {}
 
     /** Failed, and surely has not run. */
-    record NeverRan(String id, String cause) implements Result { }
+    record NeverRan(String id, String cause) implements Result {}
 
     /**
      * Failed, and nobody here can know whether it has run.
@@ -44,14 +44,13 @@
      * @param key of a keyed call: one sent with it before its window ends has its effect once
      * @param comeBack when to ask again, counted from now, if a node has said
      */
-    record MayHaveRun(String id, Optional<String> key, Optional<Duration> comeBack, String cause)
-            implements Result { }
+    record MayHaveRun(String id, Optional<String> key, Optional<Duration> comeBack, String cause) implements Result {}
 
     /** Given up by whoever made it, or by the client's end. */
-    record Cancelled(String id, boolean mayHaveRun) implements Result { }
+    record Cancelled(String id, boolean mayHaveRun) implements Result {}
 
     /** Its deadline has passed. @param key as of {@link MayHaveRun} */
-    record Late(String id, boolean mayHaveRun, Optional<String> key) implements Result { }
+    record Late(String id, boolean mayHaveRun, Optional<String> key) implements Result {}
 
     /** What to do with each of the six. */
     interface Cases<T> {
--- a/clients/java/src/main/java/vetchpost/client/core/Answers.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Answers.java
@@ -18,7 +18,7 @@
             "(Mon|Tue|Wed|Thu|Fri|Sat|Sun), [0-9]{2} [A-Z][a-z]{2} [0-9]{4} [0-9]{2}:[0-9]{2}:[0-9]{2} GMT");
     private static final double MS = 1_000;
 
-    private Answers() { }
+    private Answers() {}
 
     /**
      * The ending of an attempt that was answered, whole.
@@ -29,13 +29,13 @@
      * @param unixMs the time by this machine's wall clock, which counts where the node names none of its own
      * @param plainRefusals whether every 429 and 503 is a node's refusal, as on the platform
      */
-    public static Ending of(int status, String ran, String retryAfter, String date, long unixMs,
-            boolean plainRefusals) {
+    public static Ending of(
+            int status, String ran, String retryAfter, String date, long unixMs, boolean plainRefusals) {
         boolean never = "no".equals(ran);
         if (status == 429 || status == 503) {
             if (never || plainRefusals) {
-                return new Ending(Ending.Kind.REFUSED, true, retryAfterMs(retryAfter, date, unixMs),
-                        "refused with " + status);
+                return new Ending(
+                        Ending.Kind.REFUSED, true, retryAfterMs(retryAfter, date, unixMs), "refused with " + status);
             }
             return new Ending(Ending.Kind.MAY_HAVE_RUN, true, -1, "answered " + status);
         }
@@ -72,8 +72,12 @@
             return -1;
         }
         try {
-            Instant at = ZonedDateTime.parse(date, DateTimeFormatter.RFC_1123_DATE_TIME
-                    .withLocale(Locale.ROOT).withResolverStyle(ResolverStyle.STRICT)).toInstant();
+            Instant at = ZonedDateTime.parse(
+                            date,
+                            DateTimeFormatter.RFC_1123_DATE_TIME
+                                    .withLocale(Locale.ROOT)
+                                    .withResolverStyle(ResolverStyle.STRICT))
+                    .toInstant();
             return Math.max(-1, at.toEpochMilli());
         } catch (DateTimeException e) {
             return -1;
--- a/clients/java/src/main/java/vetchpost/client/core/Call.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Call.java
@@ -28,6 +28,7 @@
     long secondMs = -1;
     /** The one time at which it wants to be woken. */
     long wakeMs = Long.MAX_VALUE;
+
     boolean over;
     Ending last;
     private final long windowMs;
--- a/clients/java/src/main/java/vetchpost/client/core/Caller.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Caller.java
@@ -38,7 +38,7 @@
     private List<Action> actions = new ArrayList<>();
 
     /** A call's wake-up; stale if the call has another one since. */
-    private record Timer(long atMs, long number, Call call) { }
+    private record Timer(long atMs, long number, Call call) {}
 
     /**
      * A client without nodes.
@@ -142,8 +142,9 @@
 
     /** When {@link #wake} is due, or {@link #NEVER}. */
     public long nextWakeMs() {
-        while (!timers.isEmpty() && (timers.peek().call().over
-                || timers.peek().call().wakeMs != timers.peek().atMs())) {
+        while (!timers.isEmpty()
+                && (timers.peek().call().over
+                        || timers.peek().call().wakeMs != timers.peek().atMs())) {
             timers.poll();
         }
         long next = timers.isEmpty() ? NEVER : timers.peek().atMs();
@@ -227,8 +228,7 @@
         }
         node.sent();
         Call.Attempt attempt = call.sent(node, nowMs);
-        actions.add(new Action.Send(call.id, attempt.number, node.name, call.untilMs() - nowMs,
-                attempt.number > 0));
+        actions.add(new Action.Send(call.id, attempt.number, node.name, call.untilMs() - nowMs, attempt.number > 0));
         if (call.repeat == Repeat.SAFE && attempt.number == 0 && settings.secondCopyPerMille() > 0) {
             long usual = latencies.quantile(settings.secondCopyPerMille());
             call.secondMs = usual < 0 ? -1 : nowMs + usual;
@@ -321,8 +321,7 @@
     /** Full jitter (Brooker, "Exponential Backoff And Jitter", 2015); none where nothing was reached and
      * another node can be asked. */
     private long waitMs(Call call) {
-        if (call.last.kind() == Ending.Kind.NEVER_RAN
-                && nodes.hasFree(nowMs, n -> !call.hasTried(n))) {
+        if (call.last.kind() == Ending.Kind.NEVER_RAN && nodes.hasFree(nowMs, n -> !call.hasTried(n))) {
             return 0;
         }
         long most = settings.backoffMs();
--- a/clients/java/src/main/java/vetchpost/client/core/Nodes.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Nodes.java
@@ -45,7 +45,11 @@
 
     /** The first time at which a node that is left out is tried again; -1 if none is. */
     long nextTrialMs(long nowMs) {
-        return nodes.stream().mapToLong(n -> n.trialMs(nowMs)).filter(t -> t >= 0).min().orElse(-1);
+        return nodes.stream()
+                .mapToLong(n -> n.trialMs(nowMs))
+                .filter(t -> t >= 0)
+                .min()
+                .orElse(-1);
     }
 
     /** Whether one of these may get a call now. */
--- a/clients/java/src/main/java/vetchpost/client/core/Settings.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Settings.java
@@ -19,13 +19,24 @@
  * @param ejectMs for how long the first time; it doubles each time that a trial fails; at least 1
  * @param ejectMostMs where it stops doubling; at least {@code ejectMs}
  */
-public record Settings(int attempts, long backoffMs, long backoffMostMs, int budget, int budgetPerMille,
-        long perAttemptMs, int secondCopyPerMille, int limit, int limitMost, int waiting, int ejectAfter,
-        long ejectMs, long ejectMostMs) {
+public record Settings(
+        int attempts,
+        long backoffMs,
+        long backoffMostMs,
+        int budget,
+        int budgetPerMille,
+        long perAttemptMs,
+        int secondCopyPerMille,
+        int limit,
+        int limitMost,
+        int waiting,
+        int ejectAfter,
+        long ejectMs,
+        long ejectMostMs) {
 
     /** The settings that fit most callers. */
-    public static final Settings DEFAULT = new Settings(3, 50, 2_000, 10, 100, 0, 950, 16, 256, 1_000, 5,
-            1_000, 30_000);
+    public static final Settings DEFAULT =
+            new Settings(3, 50, 2_000, 10, 100, 0, 950, 16, 256, 1_000, 5, 1_000, 30_000);
 
     private static final int MILLE = 1_000;
     private static final int MILLION = 1_000_000;
--- a/clients/java/src/main/java/vetchpost/client/testing/ScriptedNode.java
+++ b/clients/java/src/main/java/vetchpost/client/testing/ScriptedNode.java
@@ -38,7 +38,11 @@
     /** What is done with a request. */
     public interface Play {
         /** When it happens. */
-        enum Moment { ACCEPTED, HEAD_READ, READ }
+        enum Moment {
+            ACCEPTED,
+            HEAD_READ,
+            READ
+        }
 
         /** Does it. The connection is kept afterwards unless this closes it. */
         void on(Socket socket) throws IOException;
@@ -50,7 +54,7 @@
     }
 
     /** A request as it came; names of fields in lower case. */
-    public record Seen(String method, String target, Map<String, String> headers, String body) { }
+    public record Seen(String method, String target, Map<String, String> headers, String body) {}
 
     /** Listens at once. */
     public ScriptedNode(Play... plays) throws IOException {
@@ -98,7 +102,7 @@
 
     /** The connection is kept, and nothing comes. */
     public static Play silent() {
-        return socket -> { };
+        return socket -> {};
     }
 
     /** Closes the connection at this moment: before anything of the request is read, in it, or after it. */
@@ -214,7 +218,8 @@
         Map<String, String> headers = new LinkedHashMap<>();
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
-            headers.put(lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
+            headers.put(
+                    lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
                     lines[i].substring(colon + 1).trim());
         }
         String[] first = lines[0].split(" ");
--- a/clients/java/src/test/java/vetchpost/client/RequestTest.java
+++ b/clients/java/src/test/java/vetchpost/client/RequestTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.time.Duration;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/main/java/vetchpost/admission/AdmissionProver.java
+++ b/src/main/java/vetchpost/admission/AdmissionProver.java
@@ -5,7 +5,6 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
 import vetchpost.routes.Position;
@@ -17,8 +16,8 @@
 
 /** Reads the table of an operator's file that speaks of the door. It does no I/O. */
 public final class AdmissionProver {
-    static final List<String> KEYS = List.of("waiting", "lines", "unsent", "patience", "longest-advice",
-            "bookings", "weights");
+    static final List<String> KEYS =
+            List.of("waiting", "lines", "unsent", "patience", "longest-advice", "bookings", "weights");
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(ms|s|m)");
     private static final int WAITING = 1_000;
     private static final int MOST_WAITING = 100_000;
@@ -40,7 +39,7 @@
      *
      * @param settings null if there is no table, or any violation
      */
-    public record Proof(AdmissionSettings settings, List<Violation> violations) { }
+    public record Proof(AdmissionSettings settings, List<Violation> violations) {}
 
     private AdmissionProver(Settings settings) {
         this.settings = settings;
@@ -58,15 +57,15 @@
 
     /** What holds where the table says nothing. */
     public static AdmissionSettings defaults(Settings settings) {
-        return new AdmissionSettings(WAITING, LINES, UNSENT, 0, settings.maxRetryAfterUs, BOOKINGS,
-                weights(settings, Map.of()));
+        return new AdmissionSettings(
+                WAITING, LINES, UNSENT, 0, settings.maxRetryAfterUs, BOOKINGS, weights(settings, Map.of()));
     }
 
     private Proof read(Section section) {
         section.entries().forEach((key, entry) -> {
             if (!KEYS.contains(key)) {
-                violated(entry.at(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'", "one of "
-                        + String.join(", ", KEYS));
+                violated(
+                        entry.at(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'", "one of " + String.join(", ", KEYS));
             }
         });
         int waiting = whole(section, "waiting", WAITING, 1, MOST_WAITING);
@@ -74,19 +73,26 @@
         int unsent = whole(section, "unsent", UNSENT, 1, MOST_UNSENT);
         int bookings = whole(section, "bookings", BOOKINGS, LEAST_BOOKINGS, MOST_BOOKINGS);
         if (Integer.bitCount(bookings) != 1) {
-            violated(section.entries().get("bookings").at(), Rule.OUT_OF_RANGE, "bookings = " + bookings
-                    + " is no power of two", Integer.toString(Integer.highestOneBit(bookings)));
+            violated(
+                    section.entries().get("bookings").at(),
+                    Rule.OUT_OF_RANGE,
+                    "bookings = " + bookings + " is no power of two",
+                    Integer.toString(Integer.highestOneBit(bookings)));
         }
         long patience = duration(section, "patience", 0);
         long longest = duration(section, "longest-advice", settings.maxRetryAfterUs);
         if (longest > settings.maxRetryAfterUs) {
-            violated(section.entries().get("longest-advice").at(), Rule.NOT_ALLOWED,
-                    "longest-advice is over the " + settings.maxRetryAfterUs / 1_000
-                    + "ms that the settings allow", settings.maxRetryAfterUs / 1_000 + "ms");
+            violated(
+                    section.entries().get("longest-advice").at(),
+                    Rule.NOT_ALLOWED,
+                    "longest-advice is over the " + settings.maxRetryAfterUs / 1_000 + "ms that the settings allow",
+                    settings.maxRetryAfterUs / 1_000 + "ms");
         }
         List<Double> weights = weights(section);
-        return new Proof(violations.isEmpty()
-                ? new AdmissionSettings(waiting, lines, unsent, patience, longest, bookings, weights) : null,
+        return new Proof(
+                violations.isEmpty()
+                        ? new AdmissionSettings(waiting, lines, unsent, patience, longest, bookings, weights)
+                        : null,
                 List.copyOf(violations));
     }
 
@@ -120,11 +126,12 @@
             violated(entry.at(), Rule.WRONG_UNIT, key + " is no time with its unit", "\"500ms\"");
             return otherwise;
         }
-        long us = (long) (Double.parseDouble(m.group(1)) * switch (m.group(2)) {
-            case "ms" -> 1e3;
-            case "s" -> 1e6;
-            default -> 60e6;
-        });
+        long us = (long) (Double.parseDouble(m.group(1))
+                * switch (m.group(2)) {
+                    case "ms" -> 1e3;
+                    case "s" -> 1e6;
+                    default -> 60e6;
+                });
         if (us > HOUR_US) {
             violated(entry.at(), Rule.OUT_OF_RANGE, key + " is over an hour", "\"60m\"");
             return otherwise;
@@ -144,14 +151,21 @@
         List<String> names = settings.tenants.stream().map(Tenant::name).toList();
         table.forEach((name, value) -> {
             if (!names.contains(name)) {
-                violated(entry.at(), Rule.UNKNOWN_TENANT, "there is no tenant '" + name + "'",
-                        names.isEmpty() ? "" : "one of " + String.join(", ",
-                        names.subList(0, Math.min(names.size(), 20))));
+                violated(
+                        entry.at(),
+                        Rule.UNKNOWN_TENANT,
+                        "there is no tenant '" + name + "'",
+                        names.isEmpty()
+                                ? ""
+                                : "one of " + String.join(", ", names.subList(0, Math.min(names.size(), 20))));
             } else if (!(value instanceof Number)) {
                 violated(entry.at(), Rule.WRONG_UNIT, "the weight of " + name + " is no number", "1.0");
             } else if (!(((Number) value).doubleValue() >= 1 / MOST_WEIGHT)) {
-                violated(entry.at(), Rule.STARVES, name + " weighs " + value + ": it would get nothing while "
-                        + "others wait", "from " + 1 / MOST_WEIGHT + " on");
+                violated(
+                        entry.at(),
+                        Rule.STARVES,
+                        name + " weighs " + value + ": it would get nothing while " + "others wait",
+                        "from " + 1 / MOST_WEIGHT + " on");
             } else if (((Number) value).doubleValue() > MOST_WEIGHT) {
                 violated(entry.at(), Rule.OUT_OF_RANGE, name + " weighs " + value, "to " + MOST_WEIGHT);
             }
@@ -164,14 +178,19 @@
      * What the file says comes first. Requests of no tenant weigh as the usual one.
      */
     private static List<Double> weights(Settings settings, Map<?, ?> said) {
-        double mean = settings.tenants.stream().mapToDouble(Tenant::quotaPerS).filter(q -> q > 0).average()
+        double mean = settings.tenants.stream()
+                .mapToDouble(Tenant::quotaPerS)
+                .filter(q -> q > 0)
+                .average()
                 .orElse(1);
         List<Double> weights = new ArrayList<>();
         weights.add(1.0);
         for (Tenant tenant : settings.tenants) {
             double share = tenant.quotaPerS() > 0 ? tenant.quotaPerS() / mean : 1;
-            weights.add(said.get(tenant.name()) instanceof Number number ? number.doubleValue()
-                    : Math.min(MOST_WEIGHT, Math.max(1 / MOST_WEIGHT, share)));
+            weights.add(
+                    said.get(tenant.name()) instanceof Number number
+                            ? number.doubleValue()
+                            : Math.min(MOST_WEIGHT, Math.max(1 / MOST_WEIGHT, share)));
         }
         return weights;
     }
--- a/src/main/java/vetchpost/admission/AdmissionSettings.java
+++ b/src/main/java/vetchpost/admission/AdmissionSettings.java
@@ -14,8 +14,8 @@
  * @param bookings places in the table of bookings, a power of two
  * @param weights by tenant, first that of requests of no tenant
  */
-public record AdmissionSettings(int waiting, int lines, int unsent, long patienceUs, long longestUs,
-        int bookings, List<Double> weights) {
+public record AdmissionSettings(
+        int waiting, int lines, int unsent, long patienceUs, long longestUs, int bookings, List<Double> weights) {
     /** Lists don't change once they are here. */
     public AdmissionSettings {
         weights = List.copyOf(weights);
--- a/src/main/java/vetchpost/admission/Branch.java
+++ b/src/main/java/vetchpost/admission/Branch.java
@@ -16,9 +16,11 @@
      * crowd.
      */
     double credit;
+
     private final PriorityQueue<Flow> queue = new PriorityQueue<>(BY_START);
     /** What has nothing waiting but a finish that lies ahead: to forget that would be to let it go first. */
     private final PriorityQueue<Flow> idle = new PriorityQueue<>(BY_FINISH);
+
     private double virtual;
     private double mostFinish;
 
@@ -109,8 +111,7 @@
      * credit.
      */
     double lag(Flow child) {
-        return ((child.ready ? child.start : Math.max(virtual - credit, child.finish)) - virtual)
-                * child.weight;
+        return ((child.ready ? child.start : Math.max(virtual - credit, child.finish)) - virtual) * child.weight;
     }
 
     /** A child has nothing waiting any more, and was not served for it. */
--- a/src/main/java/vetchpost/admission/ClientIdentity.java
+++ b/src/main/java/vetchpost/admission/ClientIdentity.java
@@ -1,9 +1,8 @@
 package vetchpost.admission;
 
 import java.nio.charset.StandardCharsets;
-
-import vetchpost.core.ClientRequest;
 import org.apache.commons.codec.digest.MurmurHash3;
+import vetchpost.core.ClientRequest;
 
 /**
  * Whose a request is, as a number: its cookie {@code key}'s, else its connection's. A client can give
@@ -22,8 +21,8 @@
     /** The same for the same client of a tenant. */
     long of(ClientRequest request, long connection) {
         String key = key(request.fields().get("Cookie"));
-        byte[] name = ((request.tenant() + (key == null ? "#" : "=")) + (key == null
-                ? Long.toString(connection) : key)).getBytes(StandardCharsets.ISO_8859_1);
+        byte[] name = ((request.tenant() + (key == null ? "#" : "=")) + (key == null ? Long.toString(connection) : key))
+                .getBytes(StandardCharsets.ISO_8859_1);
         return MurmurHash3.hash128x64(name, 0, name.length, seed)[0];
     }
 
--- a/src/main/java/vetchpost/admission/ExpectedWork.java
+++ b/src/main/java/vetchpost/admission/ExpectedWork.java
@@ -28,8 +28,7 @@
         answers[cls] = Math.min(Integer.MAX_VALUE - 1, answers[cls] + 1);
         usualUs[cls] += Math.max(GAIN, 1.0 / answers[cls]) * (latencyUs - usualUs[cls]);
         if (answers[cls] >= ENOUGH) {
-            leastUs[cls] = leastUs[cls] == 0 ? usualUs[cls]
-                    : Math.min(leastUs[cls] * DRIFT, usualUs[cls]);
+            leastUs[cls] = leastUs[cls] == 0 ? usualUs[cls] : Math.min(leastUs[cls] * DRIFT, usualUs[cls]);
         }
     }
 
--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -9,7 +9,6 @@
 import java.util.NavigableSet;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-
 import vetchpost.admission.Contention.Contender;
 import vetchpost.core.Admission;
 import vetchpost.core.ClientRequest;
@@ -30,6 +29,7 @@
     private static final long SWEEP_US = 10_000;
     /** Let in and passed over by so many, or unsent for so long, a request waits for something of its own. */
     private static final int PASSED_OVER = 8;
+
     private static final long STUCK_US = 50_000;
     /** At most this share of a wait is for the answer itself; the module gives up later than that. */
     private static final double MOST_FOR_ANSWER = 0.8;
@@ -78,8 +78,9 @@
      * Those that came back when they were told, by when they must go: they go before all others, and what
      * they take counts as their flows'.
      */
-    private final NavigableSet<Waiter> returned = new TreeSet<>(
-            Comparator.<Waiter>comparingLong(w -> w.latestUs).thenComparingLong(w -> w.number));
+    private final NavigableSet<Waiter> returned =
+            new TreeSet<>(Comparator.<Waiter>comparingLong(w -> w.latestUs).thenComparingLong(w -> w.number));
+
     private final TenantBook[] tenants;
     private final boolean[] closed;
     private final Deque<Waiter> unsent = new ArrayDeque<>();
@@ -90,6 +91,7 @@
     private final Contention contention = new Contention();
     /** Those classes of tenants of which some was turned away lately, and their part of what goes out. */
     private final Contention shorts = new Contention();
+
     private final DrainRate ofShort = new DrainRate();
     private final Ledger allBooked = new Ledger();
     private AdmissionSettings set;
@@ -100,6 +102,7 @@
     private double drained;
     /** What goes out while something has waited for a while, and what goes out at all. */
     private final DrainRate rate = new DrainRate();
+
     private final DrainRate steadyRate = new DrainRate();
     private final DrainRate through = new DrainRate();
     private long busyUs;
@@ -126,8 +129,8 @@
     // ---------------------------------------------------------------- arrivals
 
     @Override
-    public Entry arrive(long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs,
-            Entrant entrant) {
+    public Entry arrive(
+            long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Entrant entrant) {
         now = nowUs;
         int tenant = request.tenant() + 1;
         int c = request.classIndex();
@@ -163,8 +166,7 @@
         waiter.dueAt = isBack ? 0 : book.drained(c, waiter.inShare) + ahead(cls, line);
         double waitUs = isBack ? 0 : waitUs(waiter, cls);
         if (now + waitUs > waiter.latestUs || root.waiting >= set.waiting() && !pushOut(waiter, line)) {
-            counts.count(now + waitUs > waiter.latestUs ? AdmissionCounts.Why.TOO_LATE
-                    : AdmissionCounts.Why.FULL);
+            counts.count(now + waitUs > waiter.latestUs ? AdmissionCounts.Why.TOO_LATE : AdmissionCounts.Why.FULL);
             counts.missed += isBack ? 1 : 0;
             long advice = book(waiter);
             prune(isBack ? cls : line);
@@ -176,35 +178,38 @@
         return waiter;
     }
 
-    private Waiter waiter(ClientRequest request, long fingerprint, long waitedUs, long deadlineUs,
-            Entrant entrant) {
+    private Waiter waiter(ClientRequest request, long fingerprint, long waitedUs, long deadlineUs, Entrant entrant) {
         RequestClass cls = platform.classes.get(request.classIndex());
         // Without the mark nothing tells a repeat from a first try with less time.
-        long elapsedUs = platform.marksRetry && request.retry()
-                ? Math.max(0, cls.deadlineUs() - request.remainingUs()) : 0;
+        long elapsedUs =
+                platform.marksRetry && request.retry() ? Math.max(0, cls.deadlineUs() - request.remainingUs()) : 0;
         long aimUs = Math.min(cls.deadlineUs(), cls.aimUs() + (long) (cls.aimStretch() * request.workUs()));
-        long inTimeUs = cls.lateWorth() > 0 ? deadlineUs
-                : Math.min(deadlineUs, now - waitedUs + aimUs - elapsedUs);
+        long inTimeUs = cls.lateWorth() > 0 ? deadlineUs : Math.min(deadlineUs, now - waitedUs + aimUs - elapsedUs);
         long leftUs = inTimeUs - now;
-        long latestUs = inTimeUs - (long) Math.min(MOST_FOR_ANSWER * leftUs,
-                FOR_ANSWER * work.usualUs(request.classIndex()));
-        long patienceUs = now - waitedUs - elapsedUs
-                + (set.patienceUs() > 0 ? set.patienceUs() : cls.deadlineUs());
-        return new Waiter(this, entrant, request.tenant() + 1, request.classIndex(), fingerprint, now,
-                latestUs, patienceUs, work.costUs(request.classIndex()));
+        long latestUs =
+                inTimeUs - (long) Math.min(MOST_FOR_ANSWER * leftUs, FOR_ANSWER * work.usualUs(request.classIndex()));
+        long patienceUs = now - waitedUs - elapsedUs + (set.patienceUs() > 0 ? set.patienceUs() : cls.deadlineUs());
+        return new Waiter(
+                this,
+                entrant,
+                request.tenant() + 1,
+                request.classIndex(),
+                fingerprint,
+                now,
+                latestUs,
+                patienceUs,
+                work.costUs(request.classIndex()));
     }
 
     private TenantBook tenantBook(int tenant) {
         TenantBook book = tenants[tenant];
         if (book == null) {
-            double quota = tenant == 0 ? 0
-                    : platform.tenants.get(tenant - 1).quotaPerS() / platform.nodes;
+            double quota = tenant == 0 ? 0 : platform.tenants.get(tenant - 1).quotaPerS() / platform.nodes;
             double[] worths = new double[closed.length];
             for (int c = 0; c < worths.length; c++) {
                 worths[c] = worth(c);
             }
-            book = new TenantBook(new double[] {weight(2 * tenant), weight(2 * tenant + 1)}, worths, quota,
-                    now);
+            book = new TenantBook(new double[] {weight(2 * tenant), weight(2 * tenant + 1)}, worths, quota, now);
             tenants[tenant] = book;
         }
         book.seenUs = now;
@@ -261,8 +266,7 @@
 
     /** The line of a client: its own if it is heavy, else one that its number names and the crowd shares. */
     private Line line(Branch cls, long client, int place) {
-        return line(cls, place >= 0 ? set.lines() + place
-                : (int) Long.remainderUnsigned(client, set.lines()));
+        return line(cls, place >= 0 ? set.lines() + place : (int) Long.remainderUnsigned(client, set.lines()));
     }
 
     private static Line line(Branch cls, int key) {
@@ -271,8 +275,13 @@
 
     /** What was made for a request that did not stay is not kept. */
     private void prune(Flow unused) {
-        for (Flow flow = unused; flow.parent != null && !flow.ready && flow.waiting == 0 && flow.finish == 0
-                && !(flow instanceof Branch branch && !branch.children.isEmpty()); flow = flow.parent) {
+        for (Flow flow = unused;
+                flow.parent != null
+                        && !flow.ready
+                        && flow.waiting == 0
+                        && flow.finish == 0
+                        && !(flow instanceof Branch branch && !branch.children.isEmpty());
+                flow = flow.parent) {
             flow.parent.children.remove(flow.key, flow);
         }
     }
@@ -324,7 +333,8 @@
      */
     private double part(Waiter of) {
         TenantBook book = tenants[of.tenant];
-        return Math.max(partOfTenant(of) * book.share(of.cls, of.inShare, now),
+        return Math.max(
+                partOfTenant(of) * book.share(of.cls, of.inShare, now),
                 ofShort.rate(LEAST_SHARE_MEMORY / 2) * shorts.share(book.leaf(of.cls, of.inShare), now));
     }
 
@@ -358,8 +368,7 @@
         }
         double left = Math.max(0, of.dueAt - tenants[of.tenant].drained(of.cls, of.inShare));
         double part = part(of);
-        double us = Math.max(0, left / (all * part)
-                + root.lag(cls.parent) / (all * Math.max(part, partOfTenant(of))));
+        double us = Math.max(0, left / (all * part) + root.lag(cls.parent) / (all * Math.max(part, partOfTenant(of))));
         return Math.min(us, (isSettled() ? OVERTAKEN : 1) * root.backlog / all);
     }
 
@@ -526,9 +535,10 @@
         TenantBook book = tenantBook(waiter.tenant);
         double allUs = allBooked.lastsUs(all, now);
         double leastUs = SOONEST_US + Math.max(allUs, book.booked[waiter.cls].lastsUs(perUs, now));
-        long inUs = (long) (leastUs + waiter.cost / perUs * JITTER * random.nextDouble()
-                + SOONEST_US * random.nextDouble());
-        if (inUs > longestUs || now + inUs + work.usualUs(waiter.cls) > waiter.patienceUs
+        long inUs = (long)
+                (leastUs + waiter.cost / perUs * JITTER * random.nextDouble() + SOONEST_US * random.nextDouble());
+        if (inUs > longestUs
+                || now + inUs + work.usualUs(waiter.cls) > waiter.patienceUs
                 || !bookings.add(waiter.fingerprint, now + inUs, waiter.inShare, now)) {
             // One that has as many as it may is told of the first.
             int first = bookings.find(waiter.fingerprint, now);
--- a/src/main/java/vetchpost/admission/Flow.java
+++ b/src/main/java/vetchpost/admission/Flow.java
@@ -10,8 +10,9 @@
  */
 abstract class Flow {
     /** The next to be served first; of equal ones the one that has waited longer. */
-    static final Comparator<Flow> BY_START = Comparator.<Flow>comparingDouble(f -> f.start)
-            .thenComparingLong(f -> f.turn);
+    static final Comparator<Flow> BY_START =
+            Comparator.<Flow>comparingDouble(f -> f.start).thenComparingLong(f -> f.turn);
+
     static final Comparator<Flow> BY_FINISH = Comparator.comparingDouble(f -> f.finish);
 
     final Branch parent;
@@ -23,6 +24,7 @@
     boolean ready;
     /** Cost of all that waits in it, and how many requests that is. */
     double backlog;
+
     int waiting;
 
     Flow(Branch parent, int key, double weight) {
--- a/src/main/java/vetchpost/admission/HeavyHitters.java
+++ b/src/main/java/vetchpost/admission/HeavyHitters.java
@@ -12,6 +12,7 @@
     private static final double HEAVY = 1.0 / 32;
     /** Of so little nobody can be told heavy, in requests. */
     private static final double LEAST = 8;
+
     private static final long HALF_LIFE_US = 1_000_000;
 
     private final long[] clients = new long[PLACES];
--- a/src/main/java/vetchpost/admission/Line.java
+++ b/src/main/java/vetchpost/admission/Line.java
@@ -4,6 +4,7 @@
 final class Line extends Flow {
     /** The one that goes first, and the one that came last; null if nobody waits. */
     Waiter head;
+
     Waiter tail;
 
     Line(Branch parent, int key) {
--- a/src/main/java/vetchpost/admission/TenantBook.java
+++ b/src/main/java/vetchpost/admission/TenantBook.java
@@ -12,10 +12,12 @@
     final Ledger[] booked;
     /** What lies within its share, and what beyond, among those of all tenants; and in each its classes. */
     final Contender[] shares = new Contender[2];
+
     private final Contention[] among = {new Contention(), new Contention()};
     private final Contender[][] classes;
     /** The classes again, among those of all tenants. */
     private final Contender[][] leaves;
+
     private final double[] drained;
     private final double quotaPerS;
     private double shareLeft;
--- a/src/main/java/vetchpost/admission/Waiter.java
+++ b/src/main/java/vetchpost/admission/Waiter.java
@@ -23,31 +23,44 @@
     final int cls;
     /** Of its client and class. */
     final long fingerprint;
+
     final long arrivedUs;
     /** Let in later than this it would be late. */
     final long latestUs;
     /** The client comes back no later than this. */
     final long patienceUs;
+
     final double cost;
     /** Whether it counts as within its tenant's share. */
     boolean inShare;
     /** Whether it has used up a part of that, which it gives back if it is turned away. */
     boolean tookShare;
+
     Stage stage = Stage.TURNED_AWAY;
     long adviceUs;
     /** It goes when this much has gone out of its class of its tenant, as it looked when it came. */
     double dueAt;
     /** Its line, or null if it goes before all lines. */
     Line line;
+
     long number;
     Waiter before;
     Waiter behind;
     /** When it was let in, and how many had been sent by then. */
     long admittedUs;
+
     long sentBefore;
 
-    Waiter(FairAdmission door, Entrant entrant, int tenant, int cls, long fingerprint, long arrivedUs,
-            long latestUs, long patienceUs, double cost) {
+    Waiter(
+            FairAdmission door,
+            Entrant entrant,
+            int tenant,
+            int cls,
+            long fingerprint,
+            long arrivedUs,
+            long latestUs,
+            long patienceUs,
+            double cost) {
         this.door = door;
         this.entrant = entrant;
         this.tenant = tenant;
--- a/src/main/java/vetchpost/changes/Catalog.java
+++ b/src/main/java/vetchpost/changes/Catalog.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.replication.Index;
 import vetchpost.routes.Position;
@@ -50,10 +49,10 @@
      *
      * @param catalog null if there is any violation
      */
-    public record Outcome(Catalog catalog, List<Violation> violations) { }
+    public record Outcome(Catalog catalog, List<Violation> violations) {}
 
-    private Catalog(Settings settings, VersionedStore store, RouteTable routes, PackedTree byTenant,
-            boolean limitsChanged) {
+    private Catalog(
+            Settings settings, VersionedStore store, RouteTable routes, PackedTree byTenant, boolean limitsChanged) {
         this.limitsChanged = limitsChanged;
         this.settings = settings;
         this.store = store;
@@ -67,8 +66,12 @@
      * @param settings its tenants are those that requests can have; those that routes may name are entries
      */
     public static Catalog empty(Settings settings) {
-        return new Catalog(settings, VersionedStore.EMPTY, Prover.proveAlone(List.of(), settings).table(),
-                PackedTree.EMPTY, false);
+        return new Catalog(
+                settings,
+                VersionedStore.EMPTY,
+                Prover.proveAlone(List.of(), settings).table(),
+                PackedTree.EMPTY,
+                false);
     }
 
     /** The entries, with their versions. */
@@ -100,18 +103,21 @@
         List<Violation> violations = new ArrayList<>();
         Map<Key, Change> last = new LinkedHashMap<>();
         if (batch.size() > MOST_BATCH) {
-            violations.add(new Violation(at(MOST_BATCH), "batch", Rule.OUT_OF_RANGE,
-                    batch.size() + " changes",
-                    MOST_BATCH + " or fewer"));
+            violations.add(new Violation(
+                    at(MOST_BATCH), "batch", Rule.OUT_OF_RANGE, batch.size() + " changes", MOST_BATCH + " or fewer"));
             return new Outcome(null, violations);
         }
         for (int i = 0; i < batch.size(); i++) {
             Change change = batch.get(i);
-            boolean there = last.containsKey(change.key()) ? last.get(change.key()).value() != null
+            boolean there = last.containsKey(change.key())
+                    ? last.get(change.key()).value() != null
                     : store.get(change.key()) != null;
             if (there != (change.op() != Op.PUT)) {
-                violations.add(new Violation(at(i), change.key().toString(), there ? Rule.SAME_NAME
-                        : Rule.UNKNOWN_ENTRY, there ? "it is there already" : "it is not there",
+                violations.add(new Violation(
+                        at(i),
+                        change.key().toString(),
+                        there ? Rule.SAME_NAME : Rule.UNKNOWN_ENTRY,
+                        there ? "it is there already" : "it is not there",
                         there ? "a replace" : "a put"));
             }
             last.remove(change.key());
@@ -135,7 +141,7 @@
                 case TENANT -> tenant(change, at(i), violations);
                 case SERVICE -> service(change, at(i), violations);
                 case ROUTE -> owned = owned(owned, change.key().bytes(), change.value());
-                default -> { }
+                default -> {}
             }
         }
         for (int i = 0; i < changes.size(); i++) {
@@ -145,9 +151,9 @@
             }
         }
         violations.addAll(proof.violations());
-        return violations.isEmpty() ? new Outcome(new Catalog(settings, after,
-                proof.table().over(after.live()), owned, false),
-                violations) : new Outcome(null, violations);
+        return violations.isEmpty()
+                ? new Outcome(new Catalog(settings, after, proof.table().over(after.live()), owned, false), violations)
+                : new Outcome(null, violations);
     }
 
     /** Where a change stands in its batch, as messages have it. */
@@ -155,8 +161,7 @@
         return new Position("batch", change + 1, 1);
     }
 
-    private Proof proof(List<Change> changes, VersionedStore after, long version,
-            List<Violation> violations) {
+    private Proof proof(List<Change> changes, VersionedStore after, long version, List<Violation> violations) {
         Prover.Tenants tenants = new Prover.Tenants() {
             @Override
             public boolean has(String name) {
@@ -165,9 +170,10 @@
 
             @Override
             public Iterable<String> all() {
-                return () -> after.live().range(TENANTS, null,
-                        1_001).stream().filter(i -> i.key()[0] == TENANTS[0])
-                        .map(i -> Key.of(i.key()).name()).iterator();
+                return () -> after.live().range(TENANTS, null, 1_001).stream()
+                        .filter(i -> i.key()[0] == TENANTS[0])
+                        .map(i -> Key.of(i.key()).name())
+                        .iterator();
             }
         };
         if (changes.stream().anyMatch(c -> c.key().kind() == Kind.LIMITS)) {
@@ -179,17 +185,19 @@
             if (change.key().kind() == Kind.ROUTE) {
                 Section section = null;
                 try {
-                    section = change.value() == null ? null : named(change.key().name(),
-                            RouteCodec.section(change.value(), at(i)));
+                    section = change.value() == null
+                            ? null
+                            : named(change.key().name(), RouteCodec.section(change.value(), at(i)));
                 } catch (IllegalArgumentException e) {
-                    violations.add(new Violation(at(i), change.key().toString(), Rule.SYNTAX, e.getMessage(),
-                            ""));
+                    violations.add(new Violation(at(i), change.key().toString(), Rule.SYNTAX, e.getMessage(), ""));
                 }
                 if (section != null || change.value() == null) {
                     // Whether it was there has been looked at, whatever came of it within the batch.
-                    ofRoutes.add(new RouteChange(store.get(change.key()) == null
-                            ? Op.PUT : change.op() == Op.PUT
-                            ? Op.REPLACE : change.op(), change.key().name(), section, at(i)));
+                    ofRoutes.add(new RouteChange(
+                            store.get(change.key()) == null ? Op.PUT : change.op() == Op.PUT ? Op.REPLACE : change.op(),
+                            change.key().name(),
+                            section,
+                            at(i)));
                 }
             }
         }
@@ -202,17 +210,16 @@
         if (name.equals(RouteCodec.nameOf(route))) {
             return route;
         }
-        throw new IllegalArgumentException("the entry of route " + name + " has the name "
-                + RouteCodec.nameOf(route));
+        throw new IllegalArgumentException("the entry of route " + name + " has the name " + RouteCodec.nameOf(route));
     }
 
     /** Defaults or a class have changed: all routes are proved by them. */
-    private Proof whole(VersionedStore after, long version, Prover.Tenants tenants,
-            List<Violation> violations) {
+    private Proof whole(VersionedStore after, long version, Prover.Tenants tenants, List<Violation> violations) {
         List<Section> others = limits(after.live(), violations);
         Prover prover = Prover.begin(others, settings, true, routes, version, tenants);
         byte[] first = new Key(Kind.ROUTE, "").bytes();
-        for (Item route = after.live().ceiling(first); route != null && route.key()[0] == first[0];
+        for (Item route = after.live().ceiling(first);
+                route != null && route.key()[0] == first[0];
                 route = after.live().ceiling(PackedTree.after(route.key()))) {
             String name = Key.of(route.key()).name();
             Position at = new Position("route " + name, 1, 1);
@@ -236,15 +243,15 @@
                 }
             });
         } catch (IllegalArgumentException e) {
-            violations.add(new Violation(at, change.key().toString(), Rule.OUT_OF_RANGE, e.getMessage(),
-                    "a share from 0 to " + MOST_SHARE));
+            violations.add(new Violation(
+                    at, change.key().toString(), Rule.OUT_OF_RANGE, e.getMessage(), "a share from 0 to " + MOST_SHARE));
         }
     }
 
     private static void service(Change change, Position at, List<Violation> violations) {
         try {
             if (change.value() != null) {
-                Fields.read(change.value(), (number, value) -> { });
+                Fields.read(change.value(), (number, value) -> {});
             }
         } catch (IllegalArgumentException e) {
             violations.add(new Violation(at, change.key().toString(), Rule.SYNTAX, e.getMessage(), ""));
@@ -254,11 +261,14 @@
     private static void unowned(PackedTree owned, String tenant, Position at, List<Violation> violations) {
         byte[] prefix = ownedKey(tenant, NOTHING);
         Item item = owned.ceiling(prefix);
-        if (item != null && Arrays.equals(prefix, 0, prefix.length, item.key(), 0, Math.min(prefix.length,
-                item.key().length))) {
-            violations.add(new Violation(at, "tenant " + tenant, Rule.UNKNOWN_TENANT, "route "
-                    + Fields.text(Arrays.copyOfRange(item.key(), prefix.length,
-                            item.key().length)) + " is its",
+        if (item != null
+                && Arrays.equals(prefix, 0, prefix.length, item.key(), 0, Math.min(prefix.length, item.key().length))) {
+            violations.add(new Violation(
+                    at,
+                    "tenant " + tenant,
+                    Rule.UNKNOWN_TENANT,
+                    "route " + Fields.text(Arrays.copyOfRange(item.key(), prefix.length, item.key().length))
+                            + " is its",
                     "without that route"));
         }
     }
@@ -293,9 +303,8 @@
         if (of.kind() != Kind.ROUTE) {
             return this;
         }
-        return new Catalog(settings, store, routes.settled(of.name(), value, live), owned(byTenant, key,
-                value),
-                limitsChanged);
+        return new Catalog(
+                settings, store, routes.settled(of.name(), value, live), owned(byTenant, key, value), limitsChanged);
     }
 
     /** With an entry of a tree that all of it is read from already; for a start from what was kept. */
@@ -305,29 +314,40 @@
             return of.kind() == Kind.LIMITS ? new Catalog(settings, store, routes, byTenant, true) : this;
         }
         String tenant = RouteCodec.tenantOf(value);
-        return new Catalog(settings, store, routes.taken(of.name(), value), tenant == null ? byTenant
-                : byTenant.put(ownedKey(tenant, Arrays.copyOfRange(key, 1, key.length)), NOTHING, 0),
-                        limitsChanged);
+        return new Catalog(
+                settings,
+                store,
+                routes.taken(of.name(), value),
+                tenant == null
+                        ? byTenant
+                        : byTenant.put(ownedKey(tenant, Arrays.copyOfRange(key, 1, key.length)), NOTHING, 0),
+                limitsChanged);
     }
 
     @Override
     public Catalog over(PackedTree live) {
         RouteTable table = routes.over(live);
-        return new Catalog(settings, VersionedStore.of(live, live.newest()), limitsChanged
-                ? Prover.by(table, limits(live, null)) : table, byTenant, false);
+        return new Catalog(
+                settings,
+                VersionedStore.of(live, live.newest()),
+                limitsChanged ? Prover.by(table, limits(live, null)) : table,
+                byTenant,
+                false);
     }
 
     /** What holds for all and for classes. */
     private static List<Section> limits(PackedTree live, List<Violation> violations) {
         List<Section> sections = new ArrayList<>();
-        for (Item item : live.range(new Key(Kind.LIMITS, "").bytes(), new Key(Kind.SERVICE, "").bytes(),
-                Integer.MAX_VALUE)) {
+        for (Item item :
+                live.range(new Key(Kind.LIMITS, "").bytes(), new Key(Kind.SERVICE, "").bytes(), Integer.MAX_VALUE)) {
             Key key = Key.of(item.key());
             Position at = new Position(key.toString(), 1, 1);
             try {
-                sections.add(new Section(key.name().isEmpty() ? Section.Kind.DEFAULTS : Section.Kind.CLASS,
+                sections.add(new Section(
+                        key.name().isEmpty() ? Section.Kind.DEFAULTS : Section.Kind.CLASS,
                         key.name(),
-                        at, RouteCodec.section(item.value(), at).entries()));
+                        at,
+                        RouteCodec.section(item.value(), at).entries()));
             } catch (IllegalArgumentException e) {
                 if (violations == null) {
                     throw e;
--- a/src/main/java/vetchpost/changes/ChangesProver.java
+++ b/src/main/java/vetchpost/changes/ChangesProver.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
-
 import vetchpost.routes.Section;
 import vetchpost.routes.Section.Kind;
 import vetchpost.routes.SectionReader;
@@ -16,18 +15,19 @@
     private static final int MOST = 1_024;
     private static final String ADDRESS = "\\[?[0-9a-fA-F.:]+\\]?:[0-9]{1,5}";
 
-    private ChangesProver() { }
+    private ChangesProver() {}
 
     /**
      * What the table comes to.
      *
      * @param settings null if there is no table, or any violation
      */
-    public record Proof(ChangesSettings settings, List<Violation> violations) { }
+    public record Proof(ChangesSettings settings, List<Violation> violations) {}
 
     /** Looks at the tables of a file that are no routes. */
     public static Proof prove(List<Section> file) {
-        Section changes = file.stream().filter(s -> s.kind() == Kind.CHANGES).findFirst().orElse(null);
+        Section changes =
+                file.stream().filter(s -> s.kind() == Kind.CHANGES).findFirst().orElse(null);
         List<Violation> violations = new ArrayList<>();
         if (changes == null) {
             return new Proof(null, violations);
@@ -36,34 +36,41 @@
         own.knows(KEYS);
         List<String> publishers = own.texts("publishers", List.of());
         if (publishers.isEmpty() || publishers.size() > MOST) {
-            own.violated("publishers", Rule.INCOMPLETE, publishers.size() + " publishers",
+            own.violated(
+                    "publishers",
+                    Rule.INCOMPLETE,
+                    publishers.size() + " publishers",
                     "publishers = [\"10.0.0.1:9100\"]");
         }
         for (String each : publishers) {
             if (!each.matches(ADDRESS)) {
-                own.violated("publishers", Rule.BAD_PATTERN, each + " is no address with a port",
-                        "\"10.0.0.1:9100\"");
+                own.violated("publishers", Rule.BAD_PATTERN, each + " is no address with a port", "\"10.0.0.1:9100\"");
             }
         }
         if (new HashSet<>(publishers).size() < publishers.size()) {
             own.violated("publishers", Rule.SAME_MATCH, "a publisher is named twice", "each once");
         }
         if (!own.has("secret-file")) {
-            own.violated("secret-file", Rule.INCOMPLETE, "it does not say secret-file",
+            own.violated(
+                    "secret-file",
+                    Rule.INCOMPLETE,
+                    "it does not say secret-file",
                     "secret-file = \"/etc/vetchpost/secret\"");
         }
         String name = own.text("name", "");
         if (name.length() > 64) {
-            own.violated("name", Rule.OUT_OF_RANGE, "a name of " + name.length() + " characters",
-                    "64 or fewer");
+            own.violated("name", Rule.OUT_OF_RANGE, "a name of " + name.length() + " characters", "64 or fewer");
         }
         for (Section section : file) {
             if (section.kind() == Kind.DEFAULTS || section.kind() == Kind.CLASS) {
-                violations.add(new Violation(section.at(), section.name(), Rule.UNREACHABLE,
-                        "limits come from [changes]", "no such table"));
+                violations.add(new Violation(
+                        section.at(), section.name(), Rule.UNREACHABLE, "limits come from [changes]", "no such table"));
             }
         }
-        return new Proof(violations.isEmpty() ? new ChangesSettings(publishers, own.text("secret-file", ""),
-                own.text("file", ""), name) : null, violations);
+        return new Proof(
+                violations.isEmpty()
+                        ? new ChangesSettings(publishers, own.text("secret-file", ""), own.text("file", ""), name)
+                        : null,
+                violations);
     }
 }
--- a/src/main/java/vetchpost/changes/ChangesSettings.java
+++ b/src/main/java/vetchpost/changes/ChangesSettings.java
@@ -11,4 +11,4 @@
  * @param name by which control machines know the node, and by which it has its own order of them; empty to
  * draw one
  */
-public record ChangesSettings(List<String> publishers, String secretFile, String file, String name) { }
+public record ChangesSettings(List<String> publishers, String secretFile, String file, String name) {}
--- a/src/main/java/vetchpost/changes/Writer.java
+++ b/src/main/java/vetchpost/changes/Writer.java
@@ -1,7 +1,6 @@
 package vetchpost.changes;
 
 import java.util.List;
-
 import vetchpost.changes.Catalog.Outcome;
 import vetchpost.routes.Violation;
 import vetchpost.store.Change;
@@ -24,8 +23,8 @@
      */
     public Writer(Catalog catalog, long epoch) {
         if (epoch < Version.epoch(catalog.store().version())) {
-            throw new IllegalArgumentException("epoch " + epoch + " after "
-                    + Version.text(catalog.store().version()));
+            throw new IllegalArgumentException(
+                    "epoch " + epoch + " after " + Version.text(catalog.store().version()));
         }
         this.catalog = catalog;
         this.epoch = epoch;
@@ -38,8 +37,7 @@
      */
     public List<Violation> submit(List<Change> batch) {
         long before = catalog.store().version();
-        Outcome outcome = catalog.prove(batch, Version.epoch(before) == epoch
-                ? before + 1 : Version.of(epoch, 1));
+        Outcome outcome = catalog.prove(batch, Version.epoch(before) == epoch ? before + 1 : Version.of(epoch, 1));
         catalog = outcome.catalog() == null ? catalog : outcome.catalog();
         return outcome.violations();
     }
--- a/src/main/java/vetchpost/conductor/Conductor.java
+++ b/src/main/java/vetchpost/conductor/Conductor.java
@@ -1,5 +1,7 @@
 package vetchpost.conductor;
 
+import io.netty.channel.EventLoop;
+import io.netty.util.concurrent.ScheduledFuture;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -13,7 +15,6 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-
 import vetchpost.core.Answer;
 import vetchpost.core.ServerList;
 import vetchpost.core.Witness;
@@ -27,8 +28,6 @@
 import vetchpost.sources.Named;
 import vetchpost.sources.Overrule;
 import vetchpost.standalone.Standalone;
-import io.netty.channel.EventLoop;
-import io.netty.util.concurrent.ScheduledFuture;
 
 /**
  * Keeps a node's list of servers: asks the sources, has servers checked, hears what real requests tell, and
@@ -40,6 +39,7 @@
     private static final long GATHER_US = 10_000;
     /** Checks that may be under way at once: they are counted against no limit of sockets. */
     private static final int MOST_CHECKS = 32;
+
     private static final int MOST_LOGGED = 20;
 
     private final EventLoop loop;
@@ -136,9 +136,11 @@
         for (Declared source : declared) {
             if (source.kind() != Declared.Kind.ITSELF && !watches.containsKey(source)) {
                 Listener listener = listener(source);
-                watches.put(source, source.kind() == Declared.Kind.FILE
-                        ? new FileWatch(source, files(), loop, listener)
-                        : new NameWatch(source, loop, network, listener));
+                watches.put(
+                        source,
+                        source.kind() == Declared.Kind.FILE
+                                ? new FileWatch(source, files(), loop, listener)
+                                : new NameWatch(source, loop, network, listener));
             }
         }
     }
@@ -164,8 +166,13 @@
                     String trouble = membership.trouble(index);
                     membership.said(index, servers, nowUs());
                     if (servers.isEmpty() ? trouble.isEmpty() : !trouble.isEmpty()) {
-                        LOG.log(Level.INFO, "source {0} {1}", source.name(), servers.isEmpty()
-                                ? "names no server; what it said last holds for a while" : "is well again");
+                        LOG.log(
+                                Level.INFO,
+                                "source {0} {1}",
+                                source.name(),
+                                servers.isEmpty()
+                                        ? "names no server; what it said last holds for a while"
+                                        : "is well again");
                     }
                     soon();
                 }
@@ -176,8 +183,11 @@
                 int index = settings.sources().indexOf(source);
                 if (index >= 0 && !closed) {
                     if (membership.trouble(index).isEmpty()) {
-                        LOG.log(Level.WARNING, "source {0} can''t be used, and what it said last holds for a"
-                                + " while: {1}", source.name(), why);
+                        LOG.log(
+                                Level.WARNING,
+                                "source {0} can''t be used, and what it said last holds for a" + " while: {1}",
+                                source.name(),
+                                why);
                     }
                     membership.silent(index, why, nowUs());
                     soon();
@@ -189,7 +199,9 @@
     @Override
     public void ended(String serverId, Result result, Answer answer, boolean stalled, long unusedUs) {
         String drain = settings.drainHeader();
-        if (answer != null && !drain.isEmpty() && answer.fields() != null
+        if (answer != null
+                && !drain.isEmpty()
+                && answer.fields() != null
                 && answer.fields().get(drain) != null) {
             composer.drains(serverId, nowUs());
             soon();
@@ -209,7 +221,7 @@
                     soon();
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -226,10 +238,13 @@
             next.cancel(false);
         }
         nextUs = atUs;
-        next = loop.schedule(() -> {
-            nextUs = Long.MAX_VALUE;
-            settle();
-        }, Math.max(0, atUs - nowUs()), TimeUnit.MICROSECONDS);
+        next = loop.schedule(
+                () -> {
+                    nextUs = Long.MAX_VALUE;
+                    settle();
+                },
+                Math.max(0, atUs - nowUs()),
+                TimeUnit.MICROSECONDS);
     }
 
     private void settle() {
@@ -266,8 +281,11 @@
         for (ServerList.Target change : changes.subList(0, Math.min(MOST_LOGGED, changes.size()))) {
             words.add(change.id() + " " + change.state().name().toLowerCase(Locale.ROOT));
         }
-        LOG.log(Level.INFO, "servers: {0}{1}", String.join(", ", words), changes.size() > MOST_LOGGED
-                ? " and " + (changes.size() - MOST_LOGGED) + " more" : "");
+        LOG.log(
+                Level.INFO,
+                "servers: {0}{1}",
+                String.join(", ", words),
+                changes.size() > MOST_LOGGED ? " and " + (changes.size() - MOST_LOGGED) + " more" : "");
     }
 
     private void check(long now) {
@@ -276,7 +294,12 @@
         }
         for (String id : checks.due(now, MOST_CHECKS - checking)) {
             checking++;
-            HealthCheck.start(loop, network, addresses.get(id), settings.checks(), settings.limits().mark(),
+            HealthCheck.start(
+                    loop,
+                    network,
+                    addresses.get(id),
+                    settings.checks(),
+                    settings.limits().mark(),
                     finding -> {
                         checking--;
                         checks.checked(id, finding, nowUs());
--- a/src/main/java/vetchpost/conductor/FileWatch.java
+++ b/src/main/java/vetchpost/conductor/FileWatch.java
@@ -1,5 +1,8 @@
 package vetchpost.conductor;
 
+import com.google.gson.Gson;
+import com.google.gson.JsonParseException;
+import com.google.gson.reflect.TypeToken;
 import java.io.IOException;
 import java.nio.charset.CharacterCodingException;
 import java.nio.file.Files;
@@ -12,17 +15,13 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-
-import vetchpost.sources.Declared;
-import vetchpost.sources.Named;
-import vetchpost.standalone.ServerWords;
-import com.google.gson.Gson;
-import com.google.gson.JsonParseException;
-import com.google.gson.reflect.TypeToken;
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlTable;
+import vetchpost.sources.Declared;
+import vetchpost.sources.Named;
+import vetchpost.standalone.ServerWords;
 
 /**
  * Watches a file of servers. It is looked at once in a while, on a thread of its own, and read when it looks
--- a/src/main/java/vetchpost/conductor/HealthCheck.java
+++ b/src/main/java/vetchpost/conductor/HealthCheck.java
@@ -1,12 +1,5 @@
 package vetchpost.conductor;
 
-import java.net.InetSocketAddress;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
-
-import vetchpost.net.Network;
-import vetchpost.sources.CheckPlan.Finding;
-import vetchpost.sources.CheckRules;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -25,6 +18,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.ScheduledFuture;
+import java.net.InetSocketAddress;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import vetchpost.net.Network;
+import vetchpost.sources.CheckPlan.Finding;
+import vetchpost.sources.CheckRules;
 
 /** One check of one server: a connection, and where a path is named, a request and the head of its answer. */
 final class HealthCheck extends ChannelInboundHandlerAdapter {
@@ -49,7 +48,11 @@
      *
      * @param mark the field that every answer of this application has; empty for none
      */
-    static void start(EventLoop loop, Network network, InetSocketAddress address, CheckRules rules,
+    static void start(
+            EventLoop loop,
+            Network network,
+            InetSocketAddress address,
+            CheckRules rules,
             String mark,
             Consumer<Finding> report) {
         HealthCheck check = new HealthCheck(rules, mark, report);
@@ -63,14 +66,19 @@
             return;
         }
         check.channel = fresh;
-        new Bootstrap().group(loop).channelFactory(() -> fresh).disableResolver()
+        new Bootstrap()
+                .group(loop)
+                .channelFactory(() -> fresh)
+                .disableResolver()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, rules.withinUs() / 1_000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel to) {
                         to.pipeline().addLast(new HttpClientCodec(MOST_LINE, MOST_HEADERS, MOST_LINE), check);
                     }
-                }).connect(address).addListener(done -> check.connected(done.isSuccess()));
+                })
+                .connect(address)
+                .addListener(done -> check.connected(done.isSuccess()));
     }
 
     private void connected(boolean is) {
@@ -78,8 +86,7 @@
             end(is ? Finding.WELL : Finding.ILL);
             return;
         }
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                rules.path());
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, rules.path());
         request.headers().set(HttpHeaderNames.HOST, rules.host());
         request.headers().set(HttpHeaderNames.USER_AGENT, "vetchpost-check");
         request.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -91,11 +98,16 @@
         try {
             if (message instanceof HttpResponse response
                     && (response.decoderResult().isFailure()
-                    || response.status().codeClass() != HttpStatusClass.INFORMATIONAL)) {
+                            || response.status().codeClass() != HttpStatusClass.INFORMATIONAL)) {
                 int status = response.status().code();
-                end(response.decoderResult().isFailure() ? Finding.ILL
-                        : !mark.isEmpty() && !response.headers().contains(mark) ? Finding.STRANGER
-                        : status >= rules.least() && status <= rules.most() ? Finding.WELL : Finding.ILL);
+                end(
+                        response.decoderResult().isFailure()
+                                ? Finding.ILL
+                                : !mark.isEmpty() && !response.headers().contains(mark)
+                                        ? Finding.STRANGER
+                                        : status >= rules.least() && status <= rules.most()
+                                                ? Finding.WELL
+                                                : Finding.ILL);
             }
         } finally {
             ReferenceCountUtil.release(message);
--- a/src/main/java/vetchpost/conductor/Listener.java
+++ b/src/main/java/vetchpost/conductor/Listener.java
@@ -1,7 +1,6 @@
 package vetchpost.conductor;
 
 import java.util.List;
-
 import vetchpost.sources.Named;
 
 /** Hears what a source says; on the node's loop. */
--- a/src/main/java/vetchpost/conductor/NameWatch.java
+++ b/src/main/java/vetchpost/conductor/NameWatch.java
@@ -1,17 +1,5 @@
 package vetchpost.conductor;
 
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.UnknownHostException;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
-
-import vetchpost.net.Network;
-import vetchpost.sources.Declared;
-import vetchpost.sources.Named;
-import vetchpost.sources.Named.Word;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.EventLoop;
@@ -31,6 +19,17 @@
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.ScheduledFuture;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import vetchpost.net.Network;
+import vetchpost.sources.Declared;
+import vetchpost.sources.Named;
+import vetchpost.sources.Named.Word;
 
 /**
  * Asks for a name's addresses (RFC 1035, A and, where there is none, AAAA) or its servers (RFC 2782), again
@@ -42,6 +41,7 @@
     private static final long LEAST_S = 1;
     /** Beyond, records are passed over: a name of thousands of servers is none that was meant. */
     private static final int MOST_RECORDS = 5_000;
+
     private static final int MOST_TARGETS = 1_000;
 
     private final Declared source;
@@ -52,24 +52,27 @@
     private boolean closed;
 
     /** One server of a service, before its name is looked up. */
-    private record Service(String target, int port, int priority, int weight) { }
+    private record Service(String target, int port, int priority, int weight) {}
 
     /** What an answer has come to. */
-    private record Found(List<InetAddress> addresses, long ttlS, Throwable failure) { }
+    private record Found(List<InetAddress> addresses, long ttlS, Throwable failure) {}
 
     /** Begins at once. */
     NameWatch(Declared source, EventLoop loop, Network network, Listener listener) {
         this.source = source;
         this.loop = loop;
         this.listener = listener;
-        resolver = new DnsNameResolverBuilder(loop).datagramChannelFactory(network::datagrams)
+        resolver = new DnsNameResolverBuilder(loop)
+                .datagramChannelFactory(network::datagrams)
                 .socketChannelFactory(() -> (SocketChannel) network.connecting(), true)
-                .queryTimeoutMillis(QUERY_MS).resolveCache(NoopDnsCache.INSTANCE)
+                .queryTimeoutMillis(QUERY_MS)
+                .resolveCache(NoopDnsCache.INSTANCE)
                 .cnameCache(NoopDnsCnameCache.INSTANCE)
                 .authoritativeDnsServerCache(NoopAuthoritativeDnsServerCache.INSTANCE)
-                .nameServerProvider(source.resolvers().isEmpty()
-                        ? DnsServerAddressStreamProviders.platformDefault()
-                        : new SequentialDnsServerAddressStreamProvider(source.resolvers()))
+                .nameServerProvider(
+                        source.resolvers().isEmpty()
+                                ? DnsServerAddressStreamProviders.platformDefault()
+                                : new SequentialDnsServerAddressStreamProvider(source.resolvers()))
                 .build();
         ask();
     }
@@ -106,16 +109,18 @@
             if (!four.addresses().isEmpty()) {
                 then.accept(four);
             } else {
-                addresses(name, DnsRecordType.AAAA, six ->
-                        // What is said of the first tells more: a name without either has no AAAA as well.
-                        then.accept(six.addresses().isEmpty() && four.failure() != null ? four : six));
+                addresses(
+                        name,
+                        DnsRecordType.AAAA,
+                        six ->
+                                // What is said of the first tells more: a name without either has no AAAA as well.
+                                then.accept(six.addresses().isEmpty() && four.failure() != null ? four : six));
             }
         });
     }
 
     private void addresses(String name, DnsRecordType type, Consumer<Found> then) {
-        resolver.resolveAll(new DefaultDnsQuestion(name, type)).addListener((Future<List<DnsRecord>> done) ->
-                {
+        resolver.resolveAll(new DefaultDnsQuestion(name, type)).addListener((Future<List<DnsRecord>> done) -> {
             if (closed) {
                 release(done);
                 return;
@@ -127,15 +132,18 @@
             List<InetAddress> addresses = new ArrayList<>();
             long ttl = Long.MAX_VALUE;
             for (DnsRecord record : done.getNow()) {
-                if (record.type().equals(type) && record instanceof DnsRawRecord raw
+                if (record.type().equals(type)
+                        && record instanceof DnsRawRecord raw
                         && addresses.size() < MOST_RECORDS) {
                     addresses.add(InetAddress.getByAddress(ByteBufUtil.getBytes(raw.content())));
                     ttl = Math.min(ttl, record.timeToLive());
                 }
             }
             release(done);
-            then.accept(new Found(addresses, ttl, addresses.isEmpty()
-                    ? new UnknownHostException("the answer names no address") : null));
+            then.accept(new Found(
+                    addresses,
+                    ttl,
+                    addresses.isEmpty() ? new UnknownHostException("the answer names no address") : null));
         });
     }
 
@@ -168,7 +176,8 @@
                         }
                     }
                     release(done);
-                    int first = services.stream().mapToInt(Service::priority).min().orElse(0);
+                    int first =
+                            services.stream().mapToInt(Service::priority).min().orElse(0);
                     services.removeIf(s -> s.priority() != first);
                     if (services.isEmpty()) {
                         listener.said(List.of());
@@ -209,9 +218,13 @@
                     List<InetSocketAddress> addresses = new ArrayList<>();
                     found.addresses().forEach(a -> addresses.add(new InetSocketAddress(a, service.port())));
                     shortest[0] = Math.min(shortest[0], found.ttlS());
-                    servers.add(new Named(service.target() + ":" + service.port(), addresses, Word.READY,
+                    servers.add(new Named(
+                            service.target() + ":" + service.port(),
+                            addresses,
+                            Word.READY,
                             // One of no weight is still to get a little (RFC 2782).
-                            Math.max(1, service.weight()), ""));
+                            Math.max(1, service.weight()),
+                            ""));
                 }
                 if (--left[0] == 0) {
                     if (servers.isEmpty()) {
@@ -233,8 +246,7 @@
 
     /** No sooner than after a second, whatever the answer says, and no later than the file does. */
     private void later(long ttlS) {
-        long us = Math.min(source.everyUs(), TimeUnit.SECONDS.toMicros(Math.max(LEAST_S, Math.min(ttlS,
-                86_400))));
+        long us = Math.min(source.everyUs(), TimeUnit.SECONDS.toMicros(Math.max(LEAST_S, Math.min(ttlS, 86_400))));
         again = loop.schedule(this::ask, us, TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/vetchpost/config/Config.java
+++ b/src/main/java/vetchpost/config/Config.java
@@ -1,5 +1,10 @@
 package vetchpost.config;
 
+import com.google.gson.JsonArray;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
+import com.google.gson.JsonParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -9,16 +14,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-
 import vetchpost.core.ServerList;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.discovery.ServerListParser;
 import vetchpost.net.Sockets;
-import com.google.gson.JsonArray;
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParseException;
-import com.google.gson.JsonParser;
 
 /**
  * What a node is told at its start, checked.
@@ -27,8 +26,14 @@
  * @param sockets descriptors that the process may hold
  * @param connIdleUs servers close connections that have stood idle for so long
  */
-public record Config(InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-        long connIdleUs, Settings settings, ServerList known) {
+public record Config(
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        long connIdleUs,
+        Settings settings,
+        ServerList known) {
 
     private static final int DEFAULT_SOCKETS = 1_024;
     private static final String DISCOVERY = "LB_DISCOVERY";
@@ -58,8 +63,7 @@
 
     /** The same with no more descriptors than the system gives. */
     public Config within(int descriptors) {
-        return new Config(listen, discovery, seed, Math.min(sockets, descriptors), connIdleUs, settings,
-                known);
+        return new Config(listen, discovery, seed, Math.min(sockets, descriptors), connIdleUs, settings, known);
     }
 
     public static Config parse(String text, Map<String, String> environment) {
@@ -71,11 +75,15 @@
         }
         Map<String, String> values = flatten(object(json, "settings"));
         Settings settings = SettingsReader.read(values);
-        ServerList known = json.has("known") ? ServerListParser.of(json.get("known"))
-                : new ServerList(0, true, List.of());
-        return new Config(ServerListParser.address(text(environment, "LB_LISTEN", json, "listen")),
-                ServerListParser.address(text(environment, DISCOVERY, json, "discovery")), seed(json),
-                sockets(json), whole(values.getOrDefault("limits.connIdleUs", DEFAULT_IDLE_US)), settings,
+        ServerList known =
+                json.has("known") ? ServerListParser.of(json.get("known")) : new ServerList(0, true, List.of());
+        return new Config(
+                ServerListParser.address(text(environment, "LB_LISTEN", json, "listen")),
+                ServerListParser.address(text(environment, DISCOVERY, json, "discovery")),
+                seed(json),
+                sockets(json),
+                whole(values.getOrDefault("limits.connIdleUs", DEFAULT_IDLE_US)),
+                settings,
                 known);
     }
 
@@ -87,8 +95,7 @@
         return value.getAsJsonObject();
     }
 
-    private static String text(Map<String, String> environment, String variable, JsonObject json,
-            String name) {
+    private static String text(Map<String, String> environment, String variable, JsonObject json, String name) {
         String value = environment.get(variable);
         if (value != null && !value.isEmpty()) {
             return value;
@@ -113,8 +120,7 @@
 
     private static int sockets(JsonObject json) {
         JsonElement sockets = json.has("limits") ? object(json, "limits").get("sockets") : null;
-        long value = sockets == null || !sockets.isJsonPrimitive() ? DEFAULT_SOCKETS
-                : whole(sockets.getAsString());
+        long value = sockets == null || !sockets.isJsonPrimitive() ? DEFAULT_SOCKETS : whole(sockets.getAsString());
         if (value < Sockets.LEAST) {
             throw new IllegalArgumentException("limits.sockets is under " + Sockets.LEAST);
         }
@@ -138,8 +144,7 @@
 
     private static void flatten(String path, JsonElement value, Map<String, String> to) {
         if (value.isJsonObject()) {
-            value.getAsJsonObject().entrySet()
-                    .forEach(e -> flatten(path + "." + e.getKey(), e.getValue(), to));
+            value.getAsJsonObject().entrySet().forEach(e -> flatten(path + "." + e.getKey(), e.getValue(), to));
         } else if (value.isJsonArray()) {
             JsonArray items = value.getAsJsonArray();
             if (!items.isEmpty() && items.get(0).isJsonObject()) {
@@ -150,8 +155,7 @@
             } else {
                 StringBuilder joined = new StringBuilder();
                 for (JsonElement item : items) {
-                    joined.append(joined.isEmpty() ? "" : ",")
-                            .append(item.isJsonNull() ? "" : item.getAsString());
+                    joined.append(joined.isEmpty() ? "" : ",").append(item.isJsonNull() ? "" : item.getAsString());
                 }
                 to.put(path, joined.toString());
             }
--- a/src/main/java/vetchpost/config/Descriptors.java
+++ b/src/main/java/vetchpost/config/Descriptors.java
@@ -10,7 +10,7 @@
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final String NAME = "Max open files";
 
-    private Descriptors() { }
+    private Descriptors() {}
 
     /** The limit that holds now; the largest number where the system doesn't tell. */
     public static int limit() {
@@ -26,7 +26,9 @@
     static int limit(Stream<String> lines) {
         return lines.filter(line -> line.startsWith(NAME))
                 .map(line -> line.substring(NAME.length()).trim().split(" +")[0])
-                .filter(value -> value.matches("\\d{1,9}")).mapToInt(Integer::parseInt)
-                .findFirst().orElse(Integer.MAX_VALUE);
+                .filter(value -> value.matches("\\d{1,9}"))
+                .mapToInt(Integer::parseInt)
+                .findFirst()
+                .orElse(Integer.MAX_VALUE);
     }
 }
--- a/src/main/java/vetchpost/config/SettingsReader.java
+++ b/src/main/java/vetchpost/config/SettingsReader.java
@@ -1,7 +1,6 @@
 package vetchpost.config;
 
 import java.util.Map;
-
 import vetchpost.decision.Balancer.Group;
 import vetchpost.decision.Balancer.Repeat;
 import vetchpost.decision.Balancer.ReportField;
@@ -69,15 +68,16 @@
         set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
         set.probePrice = decimal("costs.probe", set.probePrice);
         for (String field : list("report.fields")) {
-            set.reportFields.add(switch (field) {
-                case "concurrent" -> ReportField.IN_FLIGHT;
-                case "depth" -> ReportField.QUEUED;
-                case "load_share" -> ReportField.UTILISATION;
-                case "mean_ms" -> ReportField.LATENCY_MS;
-                case "tps" -> ReportField.SERVED_PER_S;
-                case "err_ps" -> ReportField.ERRORS_PER_S;
-                default -> ReportField.OTHER;
-            });
+            set.reportFields.add(
+                    switch (field) {
+                        case "concurrent" -> ReportField.IN_FLIGHT;
+                        case "depth" -> ReportField.QUEUED;
+                        case "load_share" -> ReportField.UTILISATION;
+                        case "mean_ms" -> ReportField.LATENCY_MS;
+                        case "tps" -> ReportField.SERVED_PER_S;
+                        case "err_ps" -> ReportField.ERRORS_PER_S;
+                        default -> ReportField.OTHER;
+                    });
         }
         return set;
     }
@@ -85,9 +85,13 @@
     private RequestClass requestClass(String prefix) {
         String repeat = need(prefix + "repeat");
         String group = values.getOrDefault(prefix + "group", "all");
-        return new RequestClass(need(prefix + "name"), whole(prefix + "onTimeUs"),
-                decimal(prefix + "aimStretch", 0), whole(prefix + "giveUpUs"),
-                decimal(prefix + "importance", 1), decimal(prefix + "lateWorth", 0),
+        return new RequestClass(
+                need(prefix + "name"),
+                whole(prefix + "onTimeUs"),
+                decimal(prefix + "aimStretch", 0),
+                whole(prefix + "giveUpUs"),
+                decimal(prefix + "importance", 1),
+                decimal(prefix + "lateWorth", 0),
                 switch (repeat) {
                     case "safe" -> Repeat.SAFE;
                     case "keyed" -> Repeat.KEYED;
@@ -100,7 +104,8 @@
                     case "cell" -> Group.CELL;
                     default -> throw bad(prefix + "group", "is unknown: " + group);
                 },
-                whole(prefix + "windowUs", 0), flag(prefix + "stream"));
+                whole(prefix + "windowUs", 0),
+                flag(prefix + "stream"));
     }
 
     private String need(String path) {
--- a/src/main/java/vetchpost/control/Change.java
+++ b/src/main/java/vetchpost/control/Change.java
@@ -12,12 +12,21 @@
  * @param key the same in repeats of one command, which acts once
  * @param anyway to be carried out although it is judged to be harmful
  */
-public record Change(Kind kind, String subject, int perMille, long lengthMs, String owner, String reason,
-        int priority, String key, boolean anyway) {
+public record Change(
+        Kind kind,
+        String subject,
+        int perMille,
+        long lengthMs,
+        String owner,
+        String reason,
+        int priority,
+        String key,
+        boolean anyway) {
     /** A night and a day. */
     public static final long MOST_MS = 86_400_000;
     /** A second. */
     public static final long LEAST_MS = 1_000;
+
     private static final int MOST_TEXT = 256;
     private static final int MOST_PRIORITY = 9;
     private static final int WHOLE = 1_000;
@@ -35,8 +44,8 @@
         text("key", key, 1);
         boolean amount = kind == Kind.WEIGHT || kind == Kind.SHED;
         if (amount ? perMille < 1 || perMille > WHOLE : perMille != 0) {
-            throw new IllegalArgumentException(amount ? kind.word() + " is more than 0 and at most 100 %"
-                    : kind.word() + " has no amount");
+            throw new IllegalArgumentException(
+                    amount ? kind.word() + " is more than 0 and at most 100 %" : kind.word() + " has no amount");
         }
         if (lengthMs < LEAST_MS || lengthMs > MOST_MS) {
             throw new IllegalArgumentException("an override ends: it lasts from 1s to 24h");
@@ -47,7 +56,9 @@
     }
 
     private static void text(String name, String value, int least) {
-        if (value == null || value.length() < least || value.length() > MOST_TEXT
+        if (value == null
+                || value.length() < least
+                || value.length() > MOST_TEXT
                 || !TEXT.matcher(value).matches()) {
             throw new IllegalArgumentException(name + " is a text of " + least + " to " + MOST_TEXT
                     + " characters, none of them a control character");
--- a/src/main/java/vetchpost/control/ControlProver.java
+++ b/src/main/java/vetchpost/control/ControlProver.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
 import vetchpost.routes.Section;
 import vetchpost.routes.SectionReader;
 import vetchpost.routes.Violation;
@@ -13,19 +12,20 @@
     private static final List<String> KEYS = List.of("socket", "audit", "least-left", "most-shed", "keep");
     /** What the systems' addresses of Unix sockets hold. */
     private static final int MOST_PATH = 100;
+
     private static final double LEAST_LEFT = 0.5;
     private static final double MOST_SHED = 0.9;
     private static final int KEPT = 1_000;
     private static final int MOST_KEPT = 100_000;
 
-    private ControlProver() { }
+    private ControlProver() {}
 
     /**
      * What the table comes to.
      *
      * @param settings null if there is none, or any violation
      */
-    public record Proof(ControlSettings settings, List<Violation> violations) { }
+    public record Proof(ControlSettings settings, List<Violation> violations) {}
 
     /** Looks at the table of a file that is its affair. */
     public static Proof prove(List<Section> file) {
@@ -41,19 +41,21 @@
 
     private static ControlSettings settings(SectionReader table) {
         table.knows(KEYS);
-        return new ControlSettings(path(table, "socket"), path(table, "audit"),
-                table.number("least-left", LEAST_LEFT, 0, 1), table.number("most-shed", MOST_SHED, 0, 1),
+        return new ControlSettings(
+                path(table, "socket"),
+                path(table, "audit"),
+                table.number("least-left", LEAST_LEFT, 0, 1),
+                table.number("most-shed", MOST_SHED, 0, 1),
                 table.whole("keep", KEPT, 0, MOST_KEPT));
     }
 
     private static String path(SectionReader table, String key) {
         String path = table.text(key, null);
         if (!table.has(key)) {
-            table.violated(key, Rule.INCOMPLETE, "it does not say " + key, key + " = \"/run/vetchpost/" + key
-                    + "\"");
+            table.violated(key, Rule.INCOMPLETE, "it does not say " + key, key + " = \"/run/vetchpost/" + key + "\"");
         } else if (path != null && (path.length() > MOST_PATH || path.indexOf('\0') >= 0)) {
-            table.violated(key, Rule.OUT_OF_RANGE, key + " is a path of over " + MOST_PATH + " characters",
-                    "a shorter one");
+            table.violated(
+                    key, Rule.OUT_OF_RANGE, key + " is a path of over " + MOST_PATH + " characters", "a shorter one");
         }
         return path;
     }
--- a/src/main/java/vetchpost/control/Desk.java
+++ b/src/main/java/vetchpost/control/Desk.java
@@ -1,5 +1,13 @@
 package vetchpost.control;
 
+import com.google.gson.Gson;
+import com.google.gson.GsonBuilder;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
+import com.google.gson.JsonPrimitive;
+import com.google.gson.Strictness;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -9,16 +17,6 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-
-import com.google.gson.Gson;
-import com.google.gson.GsonBuilder;
-import com.google.gson.JsonArray;
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParseException;
-import com.google.gson.JsonPrimitive;
-import com.google.gson.Strictness;
-
 import vetchpost.control.Leases.Verdict;
 import vetchpost.control.Trail.Entry;
 import vetchpost.control.Trail.Event;
@@ -34,10 +32,27 @@
     private static final int MOST_WAITING = 64;
     private static final double MILLE = 1_000;
     private static final Set<String> EVERY = Set.of("v", "id", "do");
-    private static final Map<String, Set<String>> FIELDS = Map.of("status", Set.of(), "servers", Set.of(),
-            "overrides", Set.of(), "undo", Set.of("number", "owner"), "drain", changing("server"),
-            "weight", changing("server", "share"), "shed", changing("class", "share"), "freeze", changing(),
-            "explain", Set.of("txn", "server", "refused", "last"), "reload", Set.of());
+    private static final Map<String, Set<String>> FIELDS = Map.of(
+            "status",
+            Set.of(),
+            "servers",
+            Set.of(),
+            "overrides",
+            Set.of(),
+            "undo",
+            Set.of("number", "owner"),
+            "drain",
+            changing("server"),
+            "weight",
+            changing("server", "share"),
+            "shed",
+            changing("class", "share"),
+            "freeze",
+            changing(),
+            "explain",
+            Set.of("txn", "server", "refused", "last"),
+            "reload",
+            Set.of());
     private static final long MOST_SPAN_MS = 3_600_000;
 
     private final Gson gson = new GsonBuilder().setStrictness(Strictness.STRICT).create();
@@ -59,7 +74,7 @@
     }
 
     /** The time of a call. */
-    public record Now(long us, long unixMs) { }
+    public record Now(long us, long unixMs) {}
 
     /**
      * A desk.
@@ -67,8 +82,12 @@
      * @param counts figures that status tells, by their names
      * @param changed called when what holds has changed
      */
-    public Desk(Leases leases, Supplier<Situation> situation, Supplier<Map<String, Long>> counts,
-            Record trail, Runnable changed) {
+    public Desk(
+            Leases leases,
+            Supplier<Situation> situation,
+            Supplier<Map<String, Long>> counts,
+            Record trail,
+            Runnable changed) {
         this.leases = leases;
         this.situation = situation;
         this.counts = counts;
@@ -133,7 +152,8 @@
         String verb = text(asked, "do", null);
         Set<String> fields = FIELDS.get(verb);
         if (fields == null) {
-            throw new Bad("do is one of " + String.join(", ", FIELDS.keySet().stream().sorted().toList()));
+            throw new Bad("do is one of "
+                    + String.join(", ", FIELDS.keySet().stream().sorted().toList()));
         }
         for (String key : asked.keySet()) {
             if (!EVERY.contains(key) && !fields.contains(key)) {
@@ -190,33 +210,48 @@
         expire(at); // Judging would let them end without a word.
         Verdict verdict = leases.judge(change, situation.get(), at.us(), at.unixMs());
         if (verdict.repeated() || verdict.lease() == null) {
-            reply.accept(verdict.lease() == null ? refusal(asked, "refused", verdict.against())
-                    : granted(asked, verdict, at));
+            reply.accept(
+                    verdict.lease() == null
+                            ? refusal(asked, "refused", verdict.against())
+                            : granted(asked, verdict, at));
             if (!verdict.repeated()) {
-                record(new Entry(Event.REFUSED, 0, at.unixMs(), change, change.owner(),
-                        String.join("; ", verdict.against())), why -> { });
+                record(
+                        new Entry(
+                                Event.REFUSED,
+                                0,
+                                at.unixMs(),
+                                change,
+                                change.owner(),
+                                String.join("; ", verdict.against())),
+                        why -> {});
             }
             done();
             return;
         }
-        record(new Entry(Event.GRANTED, verdict.lease().number(), at.unixMs(), change, change.owner(),
-                String.join("; ", verdict.against())), why -> {
-                try {
-                    if (why != null) {
-                        reply.accept(unrecorded(asked, why));
-                    } else {
-                        leases.grant(verdict.lease());
-                        changed.run();
-                        reply.accept(granted(asked, verdict, now.get()));
+        record(
+                new Entry(
+                        Event.GRANTED,
+                        verdict.lease().number(),
+                        at.unixMs(),
+                        change,
+                        change.owner(),
+                        String.join("; ", verdict.against())),
+                why -> {
+                    try {
+                        if (why != null) {
+                            reply.accept(unrecorded(asked, why));
+                        } else {
+                            leases.grant(verdict.lease());
+                            changed.run();
+                            reply.accept(granted(asked, verdict, now.get()));
+                        }
+                    } finally {
+                        done();
                     }
-                } finally {
-                    done();
-                }
-            });
+                });
     }
 
-    private void undo(JsonObject asked, long number, String owner, Supplier<Now> now,
-            Consumer<String> reply) {
+    private void undo(JsonObject asked, long number, String owner, Supplier<Now> now, Consumer<String> reply) {
         if (!leases.holds(number)) {
             reply.accept(refusal(asked, "refused", List.of("no override " + number + " holds")));
             done();
@@ -245,7 +280,7 @@
     public void expire(Now now) {
         List<Lease> ended = leases.expire(now.us());
         for (Lease lease : ended) {
-            record(new Entry(Event.ENDED, lease.number(), now.unixMs(), null, "", ""), why -> { });
+            record(new Entry(Event.ENDED, lease.number(), now.unixMs(), null, "", ""), why -> {});
         }
         if (!ended.isEmpty()) {
             changed.run();
@@ -273,8 +308,10 @@
     }
 
     private static String unrecorded(JsonObject asked, String why) {
-        return refusal(asked, "unrecorded", List.of("nothing was changed, since the record of changes can't"
-                + " be kept: " + why));
+        return refusal(
+                asked,
+                "unrecorded",
+                List.of("nothing was changed, since the record of changes can't" + " be kept: " + why));
     }
 
     private static JsonArray texts(List<String> all) {
@@ -309,10 +346,14 @@
     private static JsonObject takers(Situation there, Effects effects) {
         JsonObject json = new JsonObject();
         List<Situation.Server> taking = there.servers().stream()
-                .filter(s -> !s.drains() && !effects.drains(s.id())).toList();
+                .filter(s -> !s.drains() && !effects.drains(s.id()))
+                .toList();
         json.addProperty("servers", taking.size());
-        json.addProperty("weight", taking.stream().mapToDouble(s -> effects.weight(s.id(), s.weight()))
-                .sum());
+        json.addProperty(
+                "weight",
+                taking.stream()
+                        .mapToDouble(s -> effects.weight(s.id(), s.weight()))
+                        .sum());
         return json;
     }
 
@@ -320,8 +361,11 @@
         JsonObject json = answer(asked);
         Situation there = situation.get();
         json.addProperty("servers", there.servers().size());
-        json.addProperty("taking", there.servers().stream()
-                .filter(s -> !s.drains() && !leases.effects().drains(s.id())).count());
+        json.addProperty(
+                "taking",
+                there.servers().stream()
+                        .filter(s -> !s.drains() && !leases.effects().drains(s.id()))
+                        .count());
         json.addProperty("overrides", leases.all().size());
         json.addProperty("frozen", leases.effects().isFrozen());
         counts.get().forEach(json::addProperty);
@@ -336,8 +380,10 @@
             reply.accept(refusal(asked, "refused", List.of("there is no file that could be read again")));
             return;
         }
-        reload.accept(why -> reply.accept(why == null ? answer(asked).toString()
-                : refusal(asked, "refused", why.lines().toList())));
+        reload.accept(why -> reply.accept(
+                why == null
+                        ? answer(asked).toString()
+                        : refusal(asked, "refused", why.lines().toList())));
     }
 
     private String explain(JsonObject asked, Now now) {
@@ -352,8 +398,11 @@
             }
             JsonObject flight = explanations.request(Long.parseUnsignedLong(txn, 16), now);
             if (flight == null) {
-                return refusal(asked, "refused", List.of("request " + txn + " is not kept: of those that were"
-                        + " served in time at once, one in " + FlightRecorder.SAMPLED + " is"));
+                return refusal(
+                        asked,
+                        "refused",
+                        List.of("request " + txn + " is not kept: of those that were"
+                                + " served in time at once, one in " + FlightRecorder.SAMPLED + " is"));
             }
             json.add("flight", flight);
         } else if (asked.has("server")) {
@@ -374,8 +423,11 @@
             one.addProperty("id", server.id());
             one.addProperty("zone", server.zone());
             one.addProperty("weight", leases.effects().weight(server.id(), server.weight()));
-            one.addProperty("state", leases.effects().drains(server.id()) ? "drained by override"
-                    : server.drains() ? "draining" : "taking");
+            one.addProperty(
+                    "state",
+                    leases.effects().drains(server.id())
+                            ? "drained by override"
+                            : server.drains() ? "draining" : "taking");
             all.add(one);
         }
         json.add("list", all);
@@ -412,9 +464,15 @@
             double share = number(asked, "share");
             perMille = (int) Math.round(Math.max(-1, Math.min(2, share)) * MILLE);
         }
-        return new Change(kind, subject, perMille, whole(asked, "for", -1, 0, Long.MAX_VALUE),
-                text(asked, "owner", null), text(asked, "reason", null),
-                (int) whole(asked, "priority", 0, 0, Integer.MAX_VALUE), text(asked, "key", null),
+        return new Change(
+                kind,
+                subject,
+                perMille,
+                whole(asked, "for", -1, 0, Long.MAX_VALUE),
+                text(asked, "owner", null),
+                text(asked, "reason", null),
+                (int) whole(asked, "priority", 0, 0, Integer.MAX_VALUE),
+                text(asked, "key", null),
                 flag(asked, "anyway"));
     }
 
@@ -447,10 +505,13 @@
         if (value == null && otherwise >= least) {
             return otherwise;
         }
-        if (value == null || !value.isNumber() || !value.getAsString().matches("-?\\d{1,18}")
-                || value.getAsLong() < least || value.getAsLong() > most) {
-            throw new Bad(key + " is a whole number from " + least + (most < Integer.MAX_VALUE ? " to " + most
-                    : "") + ", and must be said");
+        if (value == null
+                || !value.isNumber()
+                || !value.getAsString().matches("-?\\d{1,18}")
+                || value.getAsLong() < least
+                || value.getAsLong() > most) {
+            throw new Bad(key + " is a whole number from " + least + (most < Integer.MAX_VALUE ? " to " + most : "")
+                    + ", and must be said");
         }
         return value.getAsLong();
     }
--- a/src/main/java/vetchpost/control/Effects.java
+++ b/src/main/java/vetchpost/control/Effects.java
@@ -15,6 +15,7 @@
 public final class Effects {
     /** None. */
     public static final Effects NONE = new Effects(java.util.List.of());
+
     private static final int WHOLE = 1_000;
 
     private final Set<String> drained = new HashSet<>();
@@ -28,18 +29,17 @@
             Change change = lease.change();
             switch (change.kind()) {
                 case DRAIN -> drained.add(change.subject());
-                case WEIGHT -> weights.merge(change.subject(), change,
-                        first((a, b) -> a.perMille() <= b.perMille() ? a : b));
-                case SHED -> shed.merge(change.subject(), change,
-                        first((a, b) -> a.perMille() >= b.perMille() ? a : b));
+                case WEIGHT ->
+                    weights.merge(change.subject(), change, first((a, b) -> a.perMille() <= b.perMille() ? a : b));
+                case SHED ->
+                    shed.merge(change.subject(), change, first((a, b) -> a.perMille() >= b.perMille() ? a : b));
                 case FREEZE -> frozen = true;
             }
         }
     }
 
     private static BinaryOperator<Change> first(BinaryOperator<Change> ofEqual) {
-        return (a, b) -> a.priority() == b.priority() ? ofEqual.apply(a, b)
-                : a.priority() > b.priority() ? a : b;
+        return (a, b) -> a.priority() == b.priority() ? ofEqual.apply(a, b) : a.priority() > b.priority() ? a : b;
     }
 
     /** Whether this server takes nothing new. */
--- a/src/main/java/vetchpost/control/Entries.java
+++ b/src/main/java/vetchpost/control/Entries.java
@@ -1,17 +1,15 @@
 package vetchpost.control;
 
-import java.util.Locale;
-
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
-
+import java.util.Locale;
 import vetchpost.control.Trail.Entry;
 import vetchpost.control.Trail.Event;
 
 /** A trail's entries as JSON, the text behind each line's hash. */
 public final class Entries {
-    private Entries() { }
+    private Entries() {}
 
     /** An entry's text, without a line's end. */
     public static String text(Entry entry) {
@@ -49,16 +47,25 @@
             Change change = null;
             if (json.has("change")) {
                 JsonObject of = json.getAsJsonObject("change");
-                change = new Change(Kind.valueOf(word(of, "kind").toUpperCase(Locale.ROOT)),
-                        word(of, "subject"), of.get("per-mille").getAsInt(), of.get("for-ms").getAsLong(),
-                        word(of, "owner"), word(of, "reason"), of.get("priority").getAsInt(),
-                        word(of, "key"), of.get("anyway").getAsBoolean());
+                change = new Change(
+                        Kind.valueOf(word(of, "kind").toUpperCase(Locale.ROOT)),
+                        word(of, "subject"),
+                        of.get("per-mille").getAsInt(),
+                        of.get("for-ms").getAsLong(),
+                        word(of, "owner"),
+                        word(of, "reason"),
+                        of.get("priority").getAsInt(),
+                        word(of, "key"),
+                        of.get("anyway").getAsBoolean());
             }
-            return new Entry(Event.valueOf(word(json, "event").toUpperCase(Locale.ROOT)),
-                    json.get("number").getAsLong(), json.get("at").getAsLong(), change, word(json, "by"),
+            return new Entry(
+                    Event.valueOf(word(json, "event").toUpperCase(Locale.ROOT)),
+                    json.get("number").getAsLong(),
+                    json.get("at").getAsLong(),
+                    change,
+                    word(json, "by"),
                     word(json, "note"));
-        } catch (JsonParseException | IllegalStateException | NullPointerException
-                | UnsupportedOperationException e) {
+        } catch (JsonParseException | IllegalStateException | NullPointerException | UnsupportedOperationException e) {
             throw new IllegalArgumentException("no entry: " + e.getMessage(), e);
         }
     }
--- a/src/main/java/vetchpost/control/Explanations.java
+++ b/src/main/java/vetchpost/control/Explanations.java
@@ -1,14 +1,12 @@
 package vetchpost.control;
 
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Function;
 import java.util.function.Supplier;
-
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
-
 import vetchpost.decision.Balancer.Candidate;
 import vetchpost.recorder.Flight;
 import vetchpost.recorder.FlightRecorder;
@@ -18,6 +16,7 @@
 public final class Explanations {
     /** Flights that one reply holds at most. */
     static final int MOST = 100;
+
     private static final double US_A_MS = 1_000;
 
     private final FlightRecorder recorder;
@@ -30,8 +29,11 @@
      *
      * @param standing why the module sends a server nothing or less, in words
      */
-    public Explanations(FlightRecorder recorder, Function<String, List<String>> standing,
-            Supplier<Situation> situation, Supplier<Effects> effects) {
+    public Explanations(
+            FlightRecorder recorder,
+            Function<String, List<String>> standing,
+            Supplier<Situation> situation,
+            Supplier<Effects> effects) {
         this.recorder = recorder;
         this.standing = standing;
         this.situation = situation;
@@ -68,8 +70,10 @@
     /** Why a server gets nothing, or less: operators' words first, then sources', then the module's. */
     JsonArray whyNot(String server) {
         List<String> reasons = new ArrayList<>();
-        Situation.Server known = situation.get().servers().stream().filter(s -> s.id().equals(server))
-                .findFirst().orElse(null);
+        Situation.Server known = situation.get().servers().stream()
+                .filter(s -> s.id().equals(server))
+                .findFirst()
+                .orElse(null);
         if (known == null) {
             reasons.add("no source names it");
         } else {
@@ -81,8 +85,8 @@
             }
             double weight = effects.get().weight(server, known.weight());
             if (weight < known.weight()) {
-                reasons.add(String.format(Locale.ROOT, "an override has it weigh %.3f of %.3f", weight,
-                        known.weight()));
+                reasons.add(
+                        String.format(Locale.ROOT, "an override has it weigh %.3f of %.3f", weight, known.weight()));
             }
             reasons.addAll(standing.apply(server));
         }
@@ -111,8 +115,9 @@
             one.addProperty("server", attempt.serverId());
             one.addProperty("after-ms", attempt.afterUs() / US_A_MS);
             one.addProperty("for-ms", attempt.forUs() / US_A_MS);
-            one.addProperty("outcome", attempt.result() == null ? "out"
-                    : attempt.result().name().toLowerCase(Locale.ROOT));
+            one.addProperty(
+                    "outcome",
+                    attempt.result() == null ? "out" : attempt.result().name().toLowerCase(Locale.ROOT));
             if (attempt.result() != null) {
                 one.addProperty("took-ms", attempt.tookUs() / US_A_MS);
             }
@@ -124,8 +129,9 @@
             attempts.add(one);
         }
         json.add("attempts", attempts);
-        json.addProperty("told", flight.told() == null ? "nothing yet"
-                : flight.told().name().toLowerCase(Locale.ROOT));
+        json.addProperty(
+                "told",
+                flight.told() == null ? "nothing yet" : flight.told().name().toLowerCase(Locale.ROOT));
         if (flight.told() != null) {
             json.addProperty("took-ms", flight.tookUs() / US_A_MS);
         }
--- a/src/main/java/vetchpost/control/Judge.java
+++ b/src/main/java/vetchpost/control/Judge.java
@@ -41,8 +41,10 @@
         List<String> against = new ArrayList<>();
         switch (change.kind()) {
             case DRAIN, WEIGHT -> {
-                Situation.Server server = now.servers().stream().filter(s -> s.id().equals(change.subject()))
-                        .findFirst().orElse(null);
+                Situation.Server server = now.servers().stream()
+                        .filter(s -> s.id().equals(change.subject()))
+                        .findFirst()
+                        .orElse(null);
                 if (server == null) {
                     against.add("there is no server '" + change.subject() + "' on the list of "
                             + now.servers().size());
@@ -63,29 +65,34 @@
                             + change.subject() + ", and most is " + percent(mostShed));
                 }
             }
-            default -> { }
+            default -> {}
         }
         return against;
     }
 
     private void capacity(Effects before, Effects after, Situation now, List<String> against) {
-        double all = now.servers().stream().mapToDouble(Situation.Server::weight).sum();
+        double all =
+                now.servers().stream().mapToDouble(Situation.Server::weight).sum();
         double left = left(after, now);
         if (left < leastLeft * all && left < left(before, now)) {
-            against.add(String.format(Locale.ROOT, "it leaves %s of the fleet's weight (%s before), and least"
-                    + " is %s; %d of %d servers take requests then", percent(left / all),
-                    percent(left(before, now) / all), percent(leastLeft),
-                    now.servers().stream().filter(s -> takes(s, after)).count(), now.servers().size()));
+            against.add(String.format(
+                    Locale.ROOT,
+                    "it leaves %s of the fleet's weight (%s before), and least"
+                            + " is %s; %d of %d servers take requests then",
+                    percent(left / all),
+                    percent(left(before, now) / all),
+                    percent(leastLeft),
+                    now.servers().stream().filter(s -> takes(s, after)).count(),
+                    now.servers().size()));
         }
     }
 
-    private static void zone(Situation.Server server, Effects before, Effects after, Situation now,
-            List<String> against) {
+    private static void zone(
+            Situation.Server server, Effects before, Effects after, Situation now, List<String> against) {
         Map<String, Integer> left = new HashMap<>();
         now.servers().forEach(s -> left.merge(s.zone(), takes(s, after) ? 1 : 0, Integer::sum));
         if (!server.zone().isEmpty() && left.get(server.zone()) == 0 && takes(server, before)) {
-            against.add(server.id() + " is the last server of zone " + server.zone()
-                    + " that takes requests");
+            against.add(server.id() + " is the last server of zone " + server.zone() + " that takes requests");
         }
     }
 
@@ -94,8 +101,10 @@
     }
 
     private static double left(Effects effects, Situation now) {
-        return now.servers().stream().filter(s -> takes(s, effects))
-                .mapToDouble(s -> effects.weight(s.id(), s.weight())).sum();
+        return now.servers().stream()
+                .filter(s -> takes(s, effects))
+                .mapToDouble(s -> effects.weight(s.id(), s.weight()))
+                .sum();
     }
 
     private static String percent(double share) {
--- a/src/main/java/vetchpost/control/Leases.java
+++ b/src/main/java/vetchpost/control/Leases.java
@@ -13,6 +13,7 @@
 public final class Leases {
     /** More are refused. */
     public static final int MOST = 1_000;
+
     private static final int MOST_KEYS = 10_000;
     private static final long US_PER_MS = 1_000;
 
@@ -20,6 +21,7 @@
     private final Map<Long, Lease> held = new LinkedHashMap<>();
     /** Of what commands came to, by their keys, so that a repeated one acts once. */
     private final Map<String, Long> keys = new LinkedHashMap<>();
+
     private Effects effects = Effects.NONE;
     private long lastNumber;
 
@@ -30,7 +32,7 @@
      * @param against what was said against it, also where it was carried out anyway
      * @param repeated whether it had been carried out before, by its key
      */
-    public record Verdict(Lease lease, List<String> against, boolean repeated) { }
+    public record Verdict(Lease lease, List<String> against, boolean repeated) {}
 
     /** None so far. */
     public Leases(Judge judge) {
@@ -43,8 +45,10 @@
         Long known = keys.get(change.key());
         if (known != null) {
             Lease lease = held.get(known);
-            return new Verdict(lease, lease != null ? List.of() : List.of("override " + known
-                    + ", which this command made, has ended"), true);
+            return new Verdict(
+                    lease,
+                    lease != null ? List.of() : List.of("override " + known + ", which this command made, has ended"),
+                    true);
         }
         if (held.size() >= MOST) {
             return new Verdict(null, List.of(MOST + " overrides hold already, and more are not kept"), false);
@@ -53,8 +57,8 @@
         if (!against.isEmpty() && !change.anyway()) {
             return new Verdict(null, against, false);
         }
-        return new Verdict(new Lease(lastNumber + 1, change, unixMs, nowUs + change.lengthMs() * US_PER_MS),
-                against, false);
+        return new Verdict(
+                new Lease(lastNumber + 1, change, unixMs, nowUs + change.lengthMs() * US_PER_MS), against, false);
     }
 
     /** Has numbers go on behind this one, which was given before a restart. */
--- a/src/main/java/vetchpost/control/Shedder.java
+++ b/src/main/java/vetchpost/control/Shedder.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.function.Supplier;
-
 import vetchpost.core.ClientRequest;
 import vetchpost.core.RouteBounds;
 import vetchpost.core.RoutePolicy;
--- a/src/main/java/vetchpost/control/Trail.java
+++ b/src/main/java/vetchpost/control/Trail.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
@@ -15,10 +14,11 @@
 public final class Trail {
     /** Before the first entry. */
     public static final String ROOT = "0".repeat(64);
+
     private static final int HASH = 64;
     private static final long US_PER_MS = 1_000;
 
-    private Trail() { }
+    private Trail() {}
 
     /** What happened. */
     public enum Event {
@@ -39,7 +39,7 @@
      * @param by who did it; of what ended by itself, nobody
      * @param note how it was judged
      */
-    public record Entry(Event event, long number, long unixMs, Change change, String by, String note) { }
+    public record Entry(Event event, long number, long unixMs, Change change, String by, String note) {}
 
     /** A line as it stands in the file: the chain's hash, a space, and the entry's own text. */
     public static String line(String before, String text) {
@@ -93,16 +93,15 @@
             switch (entry.event()) {
                 case GRANTED -> granted.put(entry.number(), entry);
                 case UNDONE, ENDED -> granted.remove(entry.number());
-                default -> { }
+                default -> {}
             }
         }
         List<Lease> held = new ArrayList<>();
         for (Entry entry : granted.values()) {
-            long leftMs = Math.min(entry.change().lengthMs(),
-                    entry.unixMs() + entry.change().lengthMs() - atMs);
+            long leftMs = Math.min(
+                    entry.change().lengthMs(), entry.unixMs() + entry.change().lengthMs() - atMs);
             if (leftMs > 0) {
-                held.add(new Lease(entry.number(), entry.change(), entry.unixMs(),
-                        nowUs + leftMs * US_PER_MS));
+                held.add(new Lease(entry.number(), entry.change(), entry.unixMs(), nowUs + leftMs * US_PER_MS));
             }
         }
         return held;
--- a/src/main/java/vetchpost/core/Addresses.java
+++ b/src/main/java/vetchpost/core/Addresses.java
@@ -5,7 +5,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
 import vetchpost.decision.Balancer.ServerState;
 
 /**
@@ -52,7 +51,13 @@
     }
 
     private static ServerList.Target gone(ServerList.Target target) {
-        return new ServerList.Target(target.id(), target.address(), target.zone(), target.cell(),
-                ServerState.GONE, target.weight(), target.bootMs());
+        return new ServerList.Target(
+                target.id(),
+                target.address(),
+                target.zone(),
+                target.cell(),
+                ServerState.GONE,
+                target.weight(),
+                target.bootMs());
     }
 }
--- a/src/main/java/vetchpost/core/Admission.java
+++ b/src/main/java/vetchpost/core/Admission.java
@@ -34,8 +34,7 @@
      * @param waitedUs how long it may have lain unread
      * @param deadlineUs when the node must be done with it
      */
-    Entry arrive(long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs,
-            Entrant entrant);
+    Entry arrive(long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Entrant entrant);
 
     /** An attempt of this class was served in so many microseconds. */
     void served(int classIndex, long latencyUs);
--- a/src/main/java/vetchpost/core/Answer.java
+++ b/src/main/java/vetchpost/core/Answer.java
@@ -9,8 +9,7 @@
  * @param rest what follows the body that is held; null if that is all
  * @param length of the whole body in bytes; the largest number if the server doesn't say
  */
-public record Answer(int status, String contentType, byte[] body, Fields fields, BodySource rest,
-        long length) {
+public record Answer(int status, String contentType, byte[] body, Fields fields, BodySource rest, long length) {
 
     /** Whole, and without further fields. */
     public Answer(int status, String contentType, byte[] body) {
--- a/src/main/java/vetchpost/core/ClientReply.java
+++ b/src/main/java/vetchpost/core/ClientReply.java
@@ -9,7 +9,7 @@
     void served(Answer answer);
 
     /** Told before it is refused or has failed if an attempt of it may have run; else it surely has not. */
-    default void mayHaveRun() { }
+    default void mayHaveRun() {}
 
     /** Trying again is harmless, and best done after so many microseconds; 0 gives no advice. */
     void refused(long retryAfterUs);
--- a/src/main/java/vetchpost/core/ClientRequest.java
+++ b/src/main/java/vetchpost/core/ClientRequest.java
@@ -15,14 +15,32 @@
  * @param rest what follows the body that is held; null if that is all
  * @param length of the whole body in bytes; the largest number if the client doesn't say
  */
-public record ClientRequest(long id, int classIndex, int tenant, long remainingUs, long workUs,
-        boolean retry, String method, String target, Fields fields, byte[] body, BodySource rest,
+public record ClientRequest(
+        long id,
+        int classIndex,
+        int tenant,
+        long remainingUs,
+        long workUs,
+        boolean retry,
+        String method,
+        String target,
+        Fields fields,
+        byte[] body,
+        BodySource rest,
         long length) {
 
     /** With all of its body. */
-    public ClientRequest(long id, int classIndex, int tenant, long remainingUs, long workUs, boolean retry,
-            String method, String target, Fields fields, byte[] body) {
-        this(id, classIndex, tenant, remainingUs, workUs, retry, method, target, fields, body, null,
-                body.length);
+    public ClientRequest(
+            long id,
+            int classIndex,
+            int tenant,
+            long remainingUs,
+            long workUs,
+            boolean retry,
+            String method,
+            String target,
+            Fields fields,
+            byte[] body) {
+        this(id, classIndex, tenant, remainingUs, workUs, retry, method, target, fields, body, null, body.length);
     }
 }
