--- a/src/main/java/vetchpost/core/Dispatcher.java
+++ b/src/main/java/vetchpost/core/Dispatcher.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-
 import vetchpost.decision.Balancer;
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.Outcome;
@@ -30,6 +29,7 @@
     /** The module's deadline lies so far before the client's, or this part of the time left if that is
      * less: the answer's way, timers, and a processor that is busy just after a start. */
     private static final long ANSWER_MARGIN_US = 25_000;
+
     private static final int ANSWER_MARGIN_PART = 8;
     private static final long PROBE_US = 250_000;
     /** A loop that is so far behind may not have read yet that a client has left: it is looked at before more
@@ -64,7 +64,7 @@
     private Clock.Timer wake;
 
     /** A call of the module that is due, and the request that it touches, if any. */
-    private record Event(Held touches, Runnable call) { }
+    private record Event(Held touches, Runnable call) {}
 
     /** A request taken, until it is answered and no attempt is out. */
     private final class Held implements Admission.Entrant {
@@ -88,7 +88,12 @@
         /** The last error that a server has answered, for clients that are passed such on. */
         private Answer error;
 
-        Held(ClientRequest request, ClientReply reply, RouteBounds bounds, long deadlineUs, long takenUs,
+        Held(
+                ClientRequest request,
+                ClientReply reply,
+                RouteBounds bounds,
+                long deadlineUs,
+                long takenUs,
                 long arrivedUs) {
             this.request = request;
             this.reply = reply;
@@ -206,8 +211,17 @@
         public void ended(Result result, Answer answer) {
             over = true;
             if (log.isOn()) {
-                log.line("ended", RequestLog.id(request.id), "attempt", number, serverId, result, "after",
-                        clock.nowUs() - sentUs, "us", request.over ? "over" : "");
+                log.line(
+                        "ended",
+                        RequestLog.id(request.id),
+                        "attempt",
+                        number,
+                        serverId,
+                        result,
+                        "after",
+                        clock.nowUs() - sentUs,
+                        "us",
+                        request.over ? "over" : "");
             }
             request.out--;
             request.mayHaveRun |= !result.neverRan;
@@ -233,8 +247,11 @@
                 tellDoor(() -> admission.served(request.request.classIndex(), tookUs));
             }
             stallUs = Math.min(stallUs + stall.us(), tookUs);
-            enter(request, () -> balancer.onOutcome(clock.nowUs(),
-                    new Outcome(request.id, number, result, tookUs, request.over, null, stallUs)));
+            enter(
+                    request,
+                    () -> balancer.onOutcome(
+                            clock.nowUs(),
+                            new Outcome(request.id, number, result, tookUs, request.over, null, stallUs)));
             if (witness != null) {
                 witness.ended(serverId, result, answer, stallUs > tookUs / 2, clock.nowUs());
             }
@@ -257,8 +274,14 @@
      * @param module makes the decision module for its actions
      * @throws IllegalArgumentException if the module rejects its settings
      */
-    public Dispatcher(Clock clock, Stall stall, ServerTransport servers, List<String> zones,
-            Runnable listSubscription, Runnable wholeList, long doubtUs,
+    public Dispatcher(
+            Clock clock,
+            Stall stall,
+            ServerTransport servers,
+            List<String> zones,
+            Runnable listSubscription,
+            Runnable wholeList,
+            long doubtUs,
             Function<Balancer.Actions, Balancer> module) {
         this.clock = clock;
         this.stall = stall;
@@ -366,12 +389,14 @@
                 turn.cancel();
             }
             turnUs = at;
-            turn = at == Long.MAX_VALUE ? null : clock.at(at, () -> {
-                turnUs = Long.MAX_VALUE;
-                if (admission != null) {
-                    advance();
-                }
-            });
+            turn = at == Long.MAX_VALUE
+                    ? null
+                    : clock.at(at, () -> {
+                        turnUs = Long.MAX_VALUE;
+                        if (admission != null) {
+                            advance();
+                        }
+                    });
         }
     }
 
@@ -444,13 +469,25 @@
         long takenUs = clock.nowUs();
         long arrivedUs = takenUs - Math.max(waitedUs, stall.us());
         long leftUs = Math.min(request.remainingUs(), bounds.totalUs());
-        Held taken = new Held(request, reply, request.rest() == null ? bounds : new OnceBounds(bounds),
+        Held taken = new Held(
+                request,
+                reply,
+                request.rest() == null ? bounds : new OnceBounds(bounds),
                 arrivedUs + leftUs - Math.min(ANSWER_MARGIN_US, leftUs / ANSWER_MARGIN_PART),
-                takenUs, arrivedUs);
+                takenUs,
+                arrivedUs);
         held.put(request.id(), taken);
         if (log.isOn()) {
-            log.line("taken", RequestLog.id(taken.id), "class", request.classIndex(), "left",
-                    taken.deadlineUs - takenUs, "us, lay", takenUs - arrivedUs, "us");
+            log.line(
+                    "taken",
+                    RequestLog.id(taken.id),
+                    "class",
+                    request.classIndex(),
+                    "left",
+                    taken.deadlineUs - takenUs,
+                    "us, lay",
+                    takenUs - arrivedUs,
+                    "us");
         }
         if (recorder != null) {
             recorder.taken(takenUs, request, arrivedUs + leftUs - takenUs, takenUs - arrivedUs);
@@ -462,8 +499,8 @@
             return;
         }
         try {
-            taken.entry = admission.arrive(taken.takenUs, request, reply.connection(),
-                    taken.takenUs - arrivedUs, taken.deadlineUs, taken);
+            taken.entry = admission.arrive(
+                    taken.takenUs, request, reply.connection(), taken.takenUs - arrivedUs, taken.deadlineUs, taken);
         } catch (RuntimeException | Error e) {
             doorFailed(e);
             return;
@@ -497,9 +534,18 @@
             ClientRequest request = taken.request;
             long now = clock.nowUs();
             long queuedUs = taken.entry == null ? 0 : now - taken.takenUs;
-            balancer.onRequest(now, new Request(request.id(), request.classIndex(), request.tenant(),
-                    Math.max(0, taken.deadlineUs - now), request.workUs(), request.retry(),
-                    now - taken.arrivedUs - queuedUs, queuedUs, taken.bounds));
+            balancer.onRequest(
+                    now,
+                    new Request(
+                            request.id(),
+                            request.classIndex(),
+                            request.tenant(),
+                            Math.max(0, taken.deadlineUs - now),
+                            request.workUs(),
+                            request.retry(),
+                            now - taken.arrivedUs - queuedUs,
+                            queuedUs,
+                            taken.bounds));
         });
     }
 
@@ -564,8 +610,7 @@
             recorder.sent(now, requestId, serverId, until);
         }
         if (log.isOn()) {
-            log.line("send", RequestLog.id(requestId), "attempt", sent.number, serverId, "for", until - now,
-                    "us");
+            log.line("send", RequestLog.id(requestId), "attempt", sent.number, serverId, "for", until - now, "us");
         }
         if (!request.over && stall.us() >= LOOK_FROM_US && request.reply.hasLeft()) {
             leave(request);
@@ -706,8 +751,10 @@
             }
         }
         if (intake.hasNewDoubt()) {
-            LOG.log(Level.WARNING, "a list leaves out {0} servers, more than it names: they stay until"
-                    + " another does so too", intake.doubted());
+            LOG.log(
+                    Level.WARNING,
+                    "a list leaves out {0} servers, more than it names: they stay until" + " another does so too",
+                    intake.doubted());
             clock.at(clock.nowUs() + doubtUs, () -> {
                 intake.obey();
                 takeLists();
@@ -753,8 +800,13 @@
         ServerList list = slice.list();
         List<ServerEntry> entries = new ArrayList<>();
         for (ServerList.Target target : list.targets()) {
-            entries.add(new ServerEntry(target.id(), zone(target.zone()), target.cell(),
-                    target.state(), target.weight(), 1_000 * target.bootMs()));
+            entries.add(new ServerEntry(
+                    target.id(),
+                    zone(target.zone()),
+                    target.cell(),
+                    target.state(),
+                    target.weight(),
+                    1_000 * target.bootMs()));
         }
         enter(null, () -> {
             servers.update(list);
--- a/src/main/java/vetchpost/core/ListIntake.java
+++ b/src/main/java/vetchpost/core/ListIntake.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.ServerState;
@@ -31,10 +30,12 @@
     private final Addresses addresses = new Addresses();
     /** What was told last of each server that has not gone. */
     private final Map<String, Target> known = new HashMap<>();
+
     private final Map<String, Target> doubted = new LinkedHashMap<>();
     private final Deque<ServerList> pending = new ArrayDeque<>();
     /** The list at hand, how far it is taken in, whom it has named, and who has gone by it. */
     private ServerList current;
+
     private int taken;
     private final Set<String> named = new HashSet<>();
     private List<Target> missing;
@@ -42,7 +43,7 @@
     private boolean newDoubt;
 
     /** What is to be taken in now. */
-    record Slice(ListKind kind, ServerList list) { }
+    record Slice(ListKind kind, ServerList list) {}
 
     /** The list as it was known before the start: of any age, so that what goes by the next is not odd. */
     Slice known(ServerList list) {
@@ -93,7 +94,8 @@
         List<Target> all = current.targets();
         for (int end = Math.min(all.size(), taken + SLICE); taken < end; taken++) {
             Target target = all.get(taken);
-            boolean changed = target.state() == ServerState.GONE ? known.containsKey(target.id())
+            boolean changed = target.state() == ServerState.GONE
+                    ? known.containsKey(target.id())
                     : !target.equals(known.get(target.id()));
             if (changed) {
                 slice.add(target);
@@ -196,13 +198,20 @@
     /** The doubt's time is up: what is still left out goes, as a list that is to be taken in. */
     void obey() {
         if (!doubted.isEmpty()) {
-            pending.add(new ServerList(0, false, doubted.values().stream().map(ListIntake::gone).toList()));
+            pending.add(new ServerList(
+                    0, false, doubted.values().stream().map(ListIntake::gone).toList()));
             doubted.clear();
         }
     }
 
     private static Target gone(Target target) {
-        return new Target(target.id(), target.address(), target.zone(), target.cell(), ServerState.GONE,
-                target.weight(), target.bootMs());
+        return new Target(
+                target.id(),
+                target.address(),
+                target.zone(),
+                target.cell(),
+                ServerState.GONE,
+                target.weight(),
+                target.bootMs());
     }
 }
--- a/src/main/java/vetchpost/core/Recorder.java
+++ b/src/main/java/vetchpost/core/Recorder.java
@@ -7,7 +7,12 @@
 /** Sees what becomes of each request, for whoever asks later. It decides nothing. Times are the loop's. */
 public interface Recorder {
     /** What a request's client was told. */
-    enum Told { SERVED, REFUSED, FAILED, LEFT }
+    enum Told {
+        SERVED,
+        REFUSED,
+        FAILED,
+        LEFT
+    }
 
     /** Where a request was turned away before the module had it. */
     enum Door {
--- a/src/main/java/vetchpost/core/RouteBounds.java
+++ b/src/main/java/vetchpost/core/RouteBounds.java
@@ -5,7 +5,7 @@
 /** What an operator allows to the requests of a route, beside what the module decides within it. */
 public interface RouteBounds extends Balancer.Bounds {
     /** Of no route: all is as the settings say. */
-    RouteBounds NONE = new RouteBounds() { };
+    RouteBounds NONE = new RouteBounds() {};
 
     /** An attempt is given up after so long, in microseconds; the largest number for never. */
     default long attemptUs() {
@@ -28,7 +28,7 @@
     }
 
     /** A request that had entered has its answer, or needs none. */
-    default void leave() { }
+    default void leave() {}
 
     /** What a refusal advises, where the module or the node would say this; 0 for nothing. */
     default long adviseUs(long otherwiseUs) {
--- a/src/main/java/vetchpost/core/ServerList.java
+++ b/src/main/java/vetchpost/core/ServerList.java
@@ -2,7 +2,6 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-
 import vetchpost.decision.Balancer.ServerState;
 
 /**
@@ -18,6 +17,12 @@
      *
      * @param bootMs when it last started, Unix time in milliseconds; 0 for long ago
      */
-    public record Target(String id, InetSocketAddress address, String zone, int cell, ServerState state,
-            double weight, long bootMs) { }
+    public record Target(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            int cell,
+            ServerState state,
+            double weight,
+            long bootMs) {}
 }
--- a/src/main/java/vetchpost/core/Stall.java
+++ b/src/main/java/vetchpost/core/Stall.java
@@ -12,6 +12,7 @@
     private final Clock clock;
     /** When the last beat that has run was due. */
     private long dueUs;
+
     private Clock.Timer beat;
 
     public Stall(Clock clock) {
--- a/src/main/java/vetchpost/core/Subset.java
+++ b/src/main/java/vetchpost/core/Subset.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.Result;
@@ -27,6 +26,7 @@
     static final int ILL_AT = 3;
     /** A widened node takes half as many again after so long without half of them ill. */
     static final long NARROW_US = 10_000_000;
+
     private static final int MOST_NODES = 100_000;
 
     private final int node;
@@ -36,6 +36,7 @@
     private final Map<String, Target> known = new LinkedHashMap<>();
     /** The ready servers by the places of their units on the ring. */
     private final TreeMap<Long, List<Target>> ring = new TreeMap<>();
+
     private Map<String, Target> chosen = new LinkedHashMap<>();
     private final Map<String, Integer> failures = new HashMap<>();
     private int ill;
@@ -70,8 +71,8 @@
         }
         boolean moved = slice.kind() != ListKind.CHANGES;
         for (Target target : list.targets()) {
-            Target before = target.state() == ServerState.GONE ? known.remove(target.id())
-                    : known.put(target.id(), target);
+            Target before =
+                    target.state() == ServerState.GONE ? known.remove(target.id()) : known.put(target.id(), target);
             moved |= unplace(before);
             moved |= place(target);
         }
@@ -86,8 +87,7 @@
                         forget(target.id());
                         changes.add(target);
                     }
-                } else if (chosen.containsKey(target.id())
-                        && !target.equals(chosen.put(target.id(), target))) {
+                } else if (chosen.containsKey(target.id()) && !target.equals(chosen.put(target.id(), target))) {
                     changes.add(target);
                 }
             }
@@ -161,7 +161,7 @@
                     ill += failures.merge(id, 1, Integer::sum) == ILL_AT ? 1 : 0;
                 }
             }
-            default -> { }
+            default -> {}
         }
         if (2 * ill > chosen.size()) {
             wellSinceUs = nowUs;
@@ -188,7 +188,13 @@
     }
 
     private static Target gone(Target target) {
-        return new Target(target.id(), target.address(), target.zone(), target.cell(), ServerState.GONE,
-                target.weight(), target.bootMs());
+        return new Target(
+                target.id(),
+                target.address(),
+                target.zone(),
+                target.cell(),
+                ServerState.GONE,
+                target.weight(),
+                target.bootMs());
     }
 }
--- a/src/main/java/vetchpost/daemon/ChangesLoader.java
+++ b/src/main/java/vetchpost/daemon/ChangesLoader.java
@@ -1,5 +1,10 @@
 package vetchpost.daemon;
 
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -11,13 +16,6 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-
-import io.netty.channel.EventLoop;
-import io.netty.channel.EventLoopGroup;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
-import io.netty.util.concurrent.DefaultThreadFactory;
-
 import vetchpost.changes.Catalog;
 import vetchpost.changes.ChangesSettings;
 import vetchpost.decision.Balancer.Settings;
@@ -40,14 +38,13 @@
     private static final Logger LOG = System.getLogger(ChangesLoader.class.getName());
     /** A store is some megabytes: what was missed since is told again at the start. */
     private static final long KEEP_EVERY_S = 60;
+
     private static final long STOP_S = 2;
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1,
-            new DefaultThreadFactory("changes", true),
-            NioIoHandler.newFactory());
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("changes", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final ExecutorService disk = Executors.newSingleThreadExecutor(new DefaultThreadFactory("store",
-            true));
+    private final ExecutorService disk = Executors.newSingleThreadExecutor(new DefaultThreadFactory("store", true));
     private final StoreFile file;
     private final ReplicaClient client;
     private final Catalog first;
@@ -77,23 +74,28 @@
         keptVersion = store.version();
         first = catalog(settings, store);
         // Nodes of one name would all ask the same control machine first.
-        String name = from.name().isEmpty() ? "node-" + Long.toHexString(new SecureRandom().nextLong())
-                : from.name();
+        String name = from.name().isEmpty() ? "node-" + Long.toHexString(new SecureRandom().nextLong()) : from.name();
         Replica replica = new Replica(name, store, first, false, (fresh, index) -> {
             store = fresh;
             inForce.accept((Catalog) index);
         });
-        client = new ReplicaClient(loop, Network.SYSTEM, secret, new SecureRandom(), name,
-                from.publishers().stream().<InetSocketAddress>map(ServerListParser::address).toList(),
-                        replica);
+        client = new ReplicaClient(
+                loop,
+                Network.SYSTEM,
+                secret,
+                new SecureRandom(),
+                name,
+                from.publishers().stream()
+                        .<InetSocketAddress>map(ServerListParser::address)
+                        .toList(),
+                replica);
     }
 
     private static Catalog catalog(Settings settings, VersionedStore store) {
         Catalog catalog = Catalog.empty(settings);
         PackedTree live = store.live();
         catalog = catalog.over(live);
-        for (Item item = live.ceiling(new byte[0]); item != null; item =
-                live.ceiling(PackedTree.after(item.key()))) {
+        for (Item item = live.ceiling(new byte[0]); item != null; item = live.ceiling(PackedTree.after(item.key()))) {
             catalog = catalog.taken(item.key(), item.value());
         }
         return catalog.over(live);
@@ -143,10 +145,11 @@
     /** What it serves by, and how old that is. */
     String words() {
         VersionedStore now = store;
-        String what = now.version() == Version.NONE ? "no configuration yet" : "configuration "
-                + Version.text(now.version());
-        String age = currentUs < 0 ? ", not confirmed since the start" : ", confirmed "
-                + Math.max(0, (client.nowUs() - currentUs) / 1_000_000) + " s ago";
+        String what =
+                now.version() == Version.NONE ? "no configuration yet" : "configuration " + Version.text(now.version());
+        String age = currentUs < 0
+                ? ", not confirmed since the start"
+                : ", confirmed " + Math.max(0, (client.nowUs() - currentUs) / 1_000_000) + " s ago";
         return what + age + (trouble.isEmpty() ? "" : " (" + trouble + ")");
     }
 
--- a/src/main/java/vetchpost/daemon/CheckCommand.java
+++ b/src/main/java/vetchpost/daemon/CheckCommand.java
@@ -7,7 +7,12 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
-
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
 import vetchpost.config.Config;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.Explanation;
@@ -17,15 +22,12 @@
 import vetchpost.sources.Named;
 import vetchpost.standalone.Standalone;
 import vetchpost.standalone.StandaloneProver;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
-import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 
 /** The command {@code check}: proves an operator's file and says what holds. */
-@Command(name = "check", mixinStandardHelpOptions = true, sortOptions = false,
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
         description = "Proves an operator's file against the four rules, and names all that it breaks.",
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:the file holds", "2:it breaks a rule, or the arguments are bad"})
@@ -38,12 +40,18 @@
     @Parameters(paramLabel = "FILE", description = "The operator's file.")
     private Path file;
 
-    @Option(names = "--config", paramLabel = "FILE",
-            description = {"The platform's configuration, for its classes "
-        + "and limits.", "For a file without [node], LB_CONFIG if not said."})
+    @Option(
+            names = "--config",
+            paramLabel = "FILE",
+            description = {
+                "The platform's configuration, for its classes " + "and limits.",
+                "For a file without [node], LB_CONFIG if not said."
+            })
     private Path config;
 
-    @Option(names = "--explain", paramLabel = "ROUTE",
+    @Option(
+            names = "--explain",
+            paramLabel = "ROUTE",
             description = "Prints what holds for a route or class, and the latest times of its attempts.")
     private String explain;
 
@@ -51,9 +59,10 @@
     public Integer call() {
         ProvedFile proved;
         try {
-            proved = ProvedFile.prove(file, sections -> config == null
-                    && StandaloneProver.isStandalone(sections)
-                    ? null : settings(), null);
+            proved = ProvedFile.prove(
+                    file,
+                    sections -> config == null && StandaloneProver.isStandalone(sections) ? null : settings(),
+                    null);
         } catch (IOException e) {
             throw bad("can't read the file: " + e);
         }
@@ -67,9 +76,13 @@
             out.println(file + " holds: " + proof.routes().size() + " routes, classes among them");
             if (node != null) {
                 out.println("It makes a node by itself: serve " + file + " listens on "
-                        + Named.text(node.listen()) + ", with servers by " + node.sources().stream()
-                        .map(s -> s.kind() == Declared.Kind.ITSELF ? "the file (" + s.own().size() + ")"
-                        : s.name()).collect(Collectors.joining(", ")) + ".");
+                        + Named.text(node.listen()) + ", with servers by "
+                        + node.sources().stream()
+                                .map(s -> s.kind() == Declared.Kind.ITSELF
+                                        ? "the file (" + s.own().size() + ")"
+                                        : s.name())
+                                .collect(Collectors.joining(", "))
+                        + ".");
                 if (System.getenv("LB_CONFIG") != null) {
                     out.println("LB_CONFIG is set and not looked at by that; serve --routes " + file
                             + " goes by it instead, and passes over the file's own tables.");
@@ -81,8 +94,9 @@
             }
         } else {
             if (!proof.routes().containsKey(explain)) {
-                throw bad("there is no route '" + explain + "'; there are " + String.join(", ",
-                        proof.routes().keySet().stream().limit(20).toList()));
+                throw bad("there is no route '" + explain + "'; there are "
+                        + String.join(
+                                ", ", proof.routes().keySet().stream().limit(20).toList()));
             }
             out.print(Explanation.of(proof.routes().get(explain)));
         }
@@ -99,9 +113,9 @@
     }
 
     private Settings settings() {
-        Map<String, String> environment = config == null ? System.getenv()
-                : Map.of("LB_CONFIG",
-                config.toString(), "LB_LISTEN", "127.0.0.1:1", "LB_DISCOVERY", "127.0.0.1:1");
+        Map<String, String> environment = config == null
+                ? System.getenv()
+                : Map.of("LB_CONFIG", config.toString(), "LB_LISTEN", "127.0.0.1:1", "LB_DISCOVERY", "127.0.0.1:1");
         try {
             return Config.read(environment).settings();
         } catch (IllegalArgumentException e) {
--- a/src/main/java/vetchpost/daemon/ConfigCommand.java
+++ b/src/main/java/vetchpost/daemon/ConfigCommand.java
@@ -4,17 +4,18 @@
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-
 import vetchpost.routes.Prover.RouteChange;
 
 /** The command {@code config}: what a reload would change. */
-@Command(name = "config", mixinStandardHelpOptions = true, sortOptions = false,
+@Command(
+        name = "config",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
         description = "Compares operators' files.",
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:the new file holds", "1:it breaks a rule", "2:the old one does, or bad arguments"})
@@ -27,18 +28,23 @@
         throw new ParameterException(spec.commandLine(), "say diff OLD NEW");
     }
 
-    @Command(name = "diff", description = {"Shows what a reload would change, proved as a reload proves it: "
-            + "each route that is",
-        "put, replaced or deleted, or that something else has changed too."})
-    int diff(@Parameters(paramLabel = "OLD", description = "The file that is in force.") Path before,
+    @Command(
+            name = "diff",
+            description = {
+                "Shows what a reload would change, proved as a reload proves it: " + "each route that is",
+                "put, replaced or deleted, or that something else has changed too."
+            })
+    int diff(
+            @Parameters(paramLabel = "OLD", description = "The file that is in force.") Path before,
             @Parameters(paramLabel = "NEW", description = "The one to come.") Path after) {
         ProvedFile old;
         ProvedFile fresh;
         try {
             old = ProvedFile.prove(before, sections -> null, null);
             if (!old.holds() || old.node() == null) {
-                throw new ParameterException(spec.commandLine(), old.holds() ? before + " has no table [node]"
-                        : old.refusal(before + " is"));
+                throw new ParameterException(
+                        spec.commandLine(),
+                        old.holds() ? before + " has no table [node]" : old.refusal(before + " is"));
             }
             fresh = old.again(after);
         } catch (IOException e) {
@@ -47,8 +53,7 @@
         PrintWriter out = spec.commandLine().getOut();
         fresh.violations().forEach(out::println);
         if (!fresh.holds()) {
-            out.println(fresh.violations().size() + (fresh.violations().size() == 1
-                    ? " violation" : " violations"));
+            out.println(fresh.violations().size() + (fresh.violations().size() == 1 ? " violation" : " violations"));
         } else if (fresh.node() != old.node()) {
             out.println("more than routes has changed: a reload reads all of it");
         }
--- a/src/main/java/vetchpost/daemon/ControlLoader.java
+++ b/src/main/java/vetchpost/daemon/ControlLoader.java
@@ -1,5 +1,8 @@
 package vetchpost.daemon;
 
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.util.concurrent.ScheduledFuture;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -11,7 +14,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-
 import vetchpost.conductor.Conductor;
 import vetchpost.control.ControlSettings;
 import vetchpost.control.Desk;
@@ -29,9 +31,6 @@
 import vetchpost.operations.ControlSocket;
 import vetchpost.recorder.FlightRecorder;
 import vetchpost.sources.Overrule;
-import io.netty.channel.EventLoop;
-import io.netty.channel.EventLoopGroup;
-import io.netty.util.concurrent.ScheduledFuture;
 
 /** Operators' control of one node, put together; loaded only where the file has {@code [control]}. */
 final class ControlLoader implements Overrule, AutoCloseable {
@@ -48,8 +47,7 @@
     private final int keep;
 
     /** Begins with what held before a restart. */
-    ControlLoader(ControlSettings settings, EventLoop loop, Conductor conductor,
-            Supplier<Map<String, Long>> counts) {
+    ControlLoader(ControlSettings settings, EventLoop loop, Conductor conductor, Supplier<Map<String, Long>> counts) {
         this.loop = loop;
         this.conductor = conductor;
         keep = settings.keep();
@@ -76,8 +74,11 @@
     }
 
     private Situation situation() {
-        return new Situation(conductor.members().stream().map(m -> new Situation.Server(m.id(), m.zone(),
-                m.weight(), m.draining())).toList(), classes);
+        return new Situation(
+                conductor.members().stream()
+                        .map(m -> new Situation.Server(m.id(), m.zone(), m.weight(), m.draining()))
+                        .toList(),
+                classes);
     }
 
     private void changed() {
@@ -90,10 +91,15 @@
             expiry.cancel(false);
         }
         long next = leases.nextUs();
-        expiry = next == Long.MAX_VALUE ? null : loop.schedule(() -> {
-            desk.expire(now());
-            schedule();
-        }, Math.max(0, next - now().us()), TimeUnit.MICROSECONDS);
+        expiry = next == Long.MAX_VALUE
+                ? null
+                : loop.schedule(
+                        () -> {
+                            desk.expire(now());
+                            schedule();
+                        },
+                        Math.max(0, next - now().us()),
+                        TimeUnit.MICROSECONDS);
     }
 
     /**
@@ -105,8 +111,8 @@
         if (keep == 0) {
             return;
         }
-        FlightRecorder recorder = new FlightRecorder(keep,
-                settings.classes.stream().mapToLong(c -> c.aimUs()).toArray());
+        FlightRecorder recorder = new FlightRecorder(
+                keep, settings.classes.stream().mapToLong(c -> c.aimUs()).toArray());
         node.recorder(recorder);
         desk.explanations(new Explanations(recorder, node::standing, this::situation, this::effects));
     }
@@ -125,7 +131,10 @@
         try {
             socket.open(group).addListener(done -> {
                 if (!done.isSuccess()) {
-                    LOG.log(Level.WARNING, "no operator''s socket: {0}", done.cause().getMessage());
+                    LOG.log(
+                            Level.WARNING,
+                            "no operator''s socket: {0}",
+                            done.cause().getMessage());
                 }
             });
         } catch (IOException e) {
--- a/src/main/java/vetchpost/daemon/CtlCommand.java
+++ b/src/main/java/vetchpost/daemon/CtlCommand.java
@@ -1,5 +1,9 @@
 package vetchpost.daemon;
 
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
+import com.google.gson.JsonParser;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -19,31 +23,37 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParseException;
-import com.google.gson.JsonParser;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-
 import vetchpost.control.Trail;
 
 /** The command {@code ctl}: operators' control of running nodes. */
-@Command(name = "ctl", mixinStandardHelpOptions = true, sortOptions = false,
-        description = {"Asks running nodes how they are, and has them be more careful for a while.",
-            "What is asked for ends by itself; what would leave too little is refused, with figures."},
-        footer = {"", "Examples:", "  ctl --node /run/vetchpost/socket servers",
+@Command(
+        name = "ctl",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description = {
+            "Asks running nodes how they are, and has them be more careful for a while.",
+            "What is asked for ends by itself; what would leave too little is refused, with figures."
+        },
+        footer = {
+            "",
+            "Examples:",
+            "  ctl --node /run/vetchpost/socket servers",
             "  ctl --node /run/vetchpost/socket drain web-7 --for 30m --reason \"disk is full\"",
             "  ctl --node /run/vetchpost/socket explain --refused 10m",
-            "  ctl --node a.sock --node b.sock shed orders --share 0.5 --for 10m --reason \"retry storm\""},
+            "  ctl --node a.sock --node b.sock shed orders --share 0.5 --for 10m --reason \"retry storm\""
+        },
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:done at all nodes", "1:a node refused, or a trail is broken",
-            "2:bad arguments, or a node can't be reached"})
+        exitCodeList = {
+            "0:done at all nodes",
+            "1:a node refused, or a trail is broken",
+            "2:bad arguments, or a node can't be reached"
+        })
 final class CtlCommand implements Callable<Integer> {
     private static final int MOST_REPLY = 16 << 20;
     private static final Pattern TIME = Pattern.compile("(\\d{1,6})(s|m|h)");
@@ -51,8 +61,13 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--node", paramLabel = "SOCKET", description = {"A node's socket, as [control] names it.",
-        "Several are asked in this order, stopping at the first that refuses."})
+    @Option(
+            names = "--node",
+            paramLabel = "SOCKET",
+            description = {
+                "A node's socket, as [control] names it.",
+                "Several are asked in this order, stopping at the first that refuses."
+            })
     private List<Path> nodes = new ArrayList<>();
 
     @Option(names = "--json", description = "Prints each node's reply as it came, a line each.")
@@ -82,32 +97,35 @@
         return ask(message("overrides"));
     }
 
-    @Command(name = "reload", description = {"Has nodes read their file again, as SIGHUP does; tells what",
-        "keeps one from it."})
+    @Command(
+            name = "reload",
+            description = {"Has nodes read their file again, as SIGHUP does; tells what", "keeps one from it."})
     int reload() {
         return ask(message("reload"));
     }
 
     /** What all changes have. */
     static final class Lease {
-        @Option(names = "--for", required = true, paramLabel = "TIME",
+        @Option(
+                names = "--for",
+                required = true,
+                paramLabel = "TIME",
                 description = "For how long: 30s, 10m, 2h; a day at most.")
         private String length;
 
-        @Option(names = "--reason", required = true, paramLabel = "TEXT",
-                description = "Why; it is recorded.")
+        @Option(names = "--reason", required = true, paramLabel = "TEXT", description = "Why; it is recorded.")
         private String reason;
 
-        @Option(names = "--owner", paramLabel = "NAME",
-                description = "Who asks; your login name if not said.")
+        @Option(names = "--owner", paramLabel = "NAME", description = "Who asks; your login name if not said.")
         private String owner = System.getProperty("user.name", "unknown");
 
-        @Option(names = "--priority", paramLabel = "0..9",
+        @Option(
+                names = "--priority",
+                paramLabel = "0..9",
                 description = "Of several weights or shares the highest counts.")
         private int priority;
 
-        @Option(names = "--key", paramLabel = "TEXT",
-                description = "The same in a repeated command: acts once.")
+        @Option(names = "--key", paramLabel = "TEXT", description = "The same in a repeated command: acts once.")
         private String key = UUID.randomUUID().toString();
 
         @Option(names = "--anyway", description = "Carries out what is judged to be harmful; it is recorded.")
@@ -118,20 +136,21 @@
     }
 
     @Command(name = "drain", description = "Has a server take nothing new; what it has goes on.")
-    int drain(@Parameters(paramLabel = "SERVER") String server,
-            @picocli.CommandLine.Mixin Lease lease) {
+    int drain(@Parameters(paramLabel = "SERVER") String server, @picocli.CommandLine.Mixin Lease lease) {
         return ask(message("drain", lease, "server", server, null));
     }
 
     @Command(name = "weight", description = "Has a server take a share of its usual part.")
-    int weight(@Parameters(paramLabel = "SERVER") String server,
+    int weight(
+            @Parameters(paramLabel = "SERVER") String server,
             @Option(names = "--share", required = true, paramLabel = "0.001..1") double share,
             @picocli.CommandLine.Mixin Lease lease) {
         return ask(message("weight", lease, "server", server, share));
     }
 
     @Command(name = "shed", description = "Refuses a share of a class's requests on arrival.")
-    int shed(@Parameters(paramLabel = "CLASS") String cls,
+    int shed(
+            @Parameters(paramLabel = "CLASS") String cls,
             @Option(names = "--share", required = true, paramLabel = "0.001..1") double share,
             @picocli.CommandLine.Mixin Lease lease) {
         return ask(message("shed", lease, "class", cls, share));
@@ -143,7 +162,8 @@
     }
 
     @Command(name = "undo", description = "Ends an override before its time.")
-    int undo(@Parameters(paramLabel = "NUMBER") long number,
+    int undo(
+            @Parameters(paramLabel = "NUMBER") long number,
             @Option(names = "--owner", paramLabel = "NAME") String owner) {
         JsonObject message = message("undo");
         message.addProperty("number", number);
@@ -151,22 +171,32 @@
         return ask(message);
     }
 
-    @Command(name = "explain", description = {"Tells why: of a request by its id, of a server that gets",
-        "nothing, of what was refused, or of the last requests that were refused,",
-        "failed, repeated or slow."})
-    int explain(@Parameters(arity = "0..1", paramLabel = "ID",
-            description = "A request's id: up to 16 hexadecimal digits.") String id,
-            @Option(names = "--why-not", paramLabel = "SERVER",
-                    description = "Why this server gets nothing, or less than others.") String server,
-            @Option(names = "--refused", paramLabel = "TIME",
-                    description = "What was refused or failed in so long, by cause: 10m; an hour at most.")
+    @Command(
+            name = "explain",
+            description = {
+                "Tells why: of a request by its id, of a server that gets",
+                "nothing, of what was refused, or of the last requests that were refused,",
+                "failed, repeated or slow."
+            })
+    int explain(
+            @Parameters(arity = "0..1", paramLabel = "ID", description = "A request's id: up to 16 hexadecimal digits.")
+                    String id,
+            @Option(
+                            names = "--why-not",
+                            paramLabel = "SERVER",
+                            description = "Why this server gets nothing, or less than others.")
+                    String server,
+            @Option(
+                            names = "--refused",
+                            paramLabel = "TIME",
+                            description = "What was refused or failed in so long, by cause: 10m; an hour at most.")
                     String span,
-            @Option(names = "--last", paramLabel = "N",
-                    description = "The last N; 20 if not said, 100 at most.") Integer last) {
+            @Option(names = "--last", paramLabel = "N", description = "The last N; 20 if not said, 100 at most.")
+                    Integer last) {
         long said = Stream.of(id, server, span, last).filter(Objects::nonNull).count();
         if (said > 1) {
-            throw new ParameterException(spec.commandLine(),
-                    "say one of ID, --why-not, --refused and --last, not " + said);
+            throw new ParameterException(
+                    spec.commandLine(), "say one of ID, --why-not, --refused and --last, not " + said);
         }
         JsonObject message = message("explain");
         if (id != null) {
@@ -193,9 +223,11 @@
         if (broken == 0 && json) {
             lines.forEach(line -> out().println(Trail.textOf(line)));
         } else {
-            out().println(broken == 0 ? lines.size() + " entries, each follows from those before"
-                    : "line " + broken + " does not follow from those before: it, or one before it, was"
-                            + " changed, taken out or put in");
+            out().println(
+                            broken == 0
+                                    ? lines.size() + " entries, each follows from those before"
+                                    : "line " + broken + " does not follow from those before: it, or one before it, was"
+                                            + " changed, taken out or put in");
         }
         out().flush();
         return broken == 0 ? 0 : 1;
@@ -229,15 +261,16 @@
     private long millis(String option, String length) {
         Matcher time = TIME.matcher(length);
         if (!time.matches()) {
-            throw new ParameterException(spec.commandLine(), option + " " + length
-                    + " is no length of time; 30s, 10m or 2h would be");
+            throw new ParameterException(
+                    spec.commandLine(), option + " " + length + " is no length of time; 30s, 10m or 2h would be");
         }
         long second = 1_000;
-        return Long.parseLong(time.group(1)) * switch (time.group(2)) {
-            case "s" -> second;
-            case "m" -> 60 * second;
-            default -> 3_600 * second;
-        };
+        return Long.parseLong(time.group(1))
+                * switch (time.group(2)) {
+                    case "s" -> second;
+                    case "m" -> 60 * second;
+                    default -> 3_600 * second;
+                };
     }
 
     /** Asks the nodes one after the other; a change stops at the first that does not carry it out. */
@@ -256,8 +289,8 @@
                 code = 2;
                 break;
             }
-            boolean ok = reply.get("ok").getAsBoolean() && (!reply.has("would")
-                    || reply.get("would").getAsBoolean());
+            boolean ok = reply.get("ok").getAsBoolean()
+                    && (!reply.has("would") || reply.get("would").getAsBoolean());
             print(node, reply);
             if (!ok) {
                 code = 1;
@@ -307,8 +340,8 @@
             ExplainText.print(out(), reply);
         } else if (reply.has("override")) {
             JsonObject lease = reply.getAsJsonObject("override");
-            out().println("override " + lease.get("number") + " holds for " + time(lease) + (texts(reply,
-                    "against").isEmpty() ? "" : ", although " + texts(reply, "against")));
+            out().println("override " + lease.get("number") + " holds for " + time(lease)
+                    + (texts(reply, "against").isEmpty() ? "" : ", although " + texts(reply, "against")));
         } else if (reply.has("would")) {
             JsonObject before = reply.getAsJsonObject("before");
             JsonObject after = reply.getAsJsonObject("after");
@@ -318,7 +351,8 @@
                     + after.get("servers") + " then; weight " + before.get("weight") + ", "
                     + after.get("weight"));
         } else {
-            reply.entrySet().stream().filter(e -> !List.of("v", "ok", "id").contains(e.getKey()))
+            reply.entrySet().stream()
+                    .filter(e -> !List.of("v", "ok", "id").contains(e.getKey()))
                     .forEach(e -> out().printf("%-10s %s%n", e.getKey(), e.getValue()));
             if (reply.size() <= 3) {
                 out().println("done");
@@ -333,15 +367,25 @@
         for (JsonElement each : reply.getAsJsonArray("list")) {
             JsonObject row = each.getAsJsonObject();
             if (row.has("state")) {
-                out().printf(Locale.ROOT, "%-24s %-10s %8.3f  %s%n", row.get("id").getAsString(),
-                        row.get("zone").getAsString(), row.get("weight").getAsDouble(),
-                        row.get("state").getAsString());
+                out().printf(
+                                Locale.ROOT,
+                                "%-24s %-10s %8.3f  %s%n",
+                                row.get("id").getAsString(),
+                                row.get("zone").getAsString(),
+                                row.get("weight").getAsDouble(),
+                                row.get("state").getAsString());
             } else {
                 int amount = row.get("per-mille").getAsInt();
-                out().printf(Locale.ROOT, "%4d  %-6s %-20s %6s  %8s left  %s: %s%n",
-                        row.get("number").getAsLong(), row.get("kind").getAsString(),
-                        row.get("subject").getAsString(), amount == 0 ? "" : amount / 10.0 + "%", time(row),
-                        row.get("owner").getAsString(), row.get("reason").getAsString());
+                out().printf(
+                                Locale.ROOT,
+                                "%4d  %-6s %-20s %6s  %8s left  %s: %s%n",
+                                row.get("number").getAsLong(),
+                                row.get("kind").getAsString(),
+                                row.get("subject").getAsString(),
+                                amount == 0 ? "" : amount / 10.0 + "%",
+                                time(row),
+                                row.get("owner").getAsString(),
+                                row.get("reason").getAsString());
             }
         }
     }
--- a/src/main/java/vetchpost/daemon/DoorLoader.java
+++ b/src/main/java/vetchpost/daemon/DoorLoader.java
@@ -7,7 +7,7 @@
 
 /** Puts the door before a node that its operator's file asks for, at the start and at each reload. */
 final class DoorLoader {
-    private DoorLoader() { }
+    private DoorLoader() {}
 
     /**
      * Has the node have this door; what waits before the one it has goes on waiting, and goes in if there
--- a/src/main/java/vetchpost/daemon/ExplainText.java
+++ b/src/main/java/vetchpost/daemon/ExplainText.java
@@ -1,16 +1,15 @@
 package vetchpost.daemon;
 
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-
 /** Explanations for people, within 80 columns but for long ids and paths. */
 final class ExplainText {
-    private ExplainText() { }
+    private ExplainText() {}
 
     /** Whether a reply is an explanation. */
     static boolean isOne(JsonObject reply) {
@@ -38,12 +37,22 @@
                 out.println(each.getAsString());
             } else if (key.equals("counts")) {
                 JsonObject line = each.getAsJsonObject();
-                out.printf(Locale.ROOT, "%7d  %-8s %-16s %s%n", line.get("count").getAsLong(),
-                        text(line, "told"), text(line, "class"), text(line, "cause"));
+                out.printf(
+                        Locale.ROOT,
+                        "%7d  %-8s %-16s %s%n",
+                        line.get("count").getAsLong(),
+                        text(line, "told"),
+                        text(line, "class"),
+                        text(line, "cause"));
             } else {
                 JsonObject flight = each.getAsJsonObject();
-                out.printf(Locale.ROOT, "%s  %-8s %8s  %d attempts  %s%n", text(flight, "txn"),
-                        text(flight, "told"), ms(flight, "took-ms"), flight.getAsJsonArray("attempts").size(),
+                out.printf(
+                        Locale.ROOT,
+                        "%s  %-8s %8s  %d attempts  %s%n",
+                        text(flight, "txn"),
+                        text(flight, "told"),
+                        ms(flight, "took-ms"),
+                        flight.getAsJsonArray("attempts").size(),
                         text(flight, "request"));
             }
         }
@@ -59,9 +68,14 @@
             if (attempt.has("drawn")) {
                 for (JsonElement one : attempt.getAsJsonArray("drawn")) {
                     JsonObject c = one.getAsJsonObject();
-                    drawn.add(String.format(Locale.ROOT, "%s (weight %.2f, %d in flight of %.1f, pace %.2f)",
-                            text(c, "server"), c.get("weight").getAsDouble(), c.get("in-flight").getAsInt(),
-                            c.get("limit").getAsDouble(), c.get("pace").getAsDouble()));
+                    drawn.add(String.format(
+                            Locale.ROOT,
+                            "%s (weight %.2f, %d in flight of %.1f, pace %.2f)",
+                            text(c, "server"),
+                            c.get("weight").getAsDouble(),
+                            c.get("in-flight").getAsInt(),
+                            c.get("limit").getAsDouble(),
+                            c.get("pace").getAsDouble()));
                 }
             }
             out.println("  after " + ms(attempt, "after-ms") + " to " + text(attempt, "server") + ": "
@@ -71,8 +85,8 @@
                 out.println("      drawn: " + candidate);
             }
         }
-        out.println("  " + text(flight, "told") + (flight.has("took-ms") ? " after " + ms(flight, "took-ms")
-                : "") + (flight.has("why") ? ": " + text(flight, "why") : "")
+        out.println("  " + text(flight, "told") + (flight.has("took-ms") ? " after " + ms(flight, "took-ms") : "")
+                + (flight.has("why") ? ": " + text(flight, "why") : "")
                 + (flight.has("come-back-ms") ? "; to come back after " + ms(flight, "come-back-ms") : ""));
     }
 
@@ -81,6 +95,8 @@
     }
 
     private static String ms(JsonObject json, String key) {
-        return json.has(key) ? String.format(Locale.ROOT, "%.1f ms", json.get(key).getAsDouble()) : "";
+        return json.has(key)
+                ? String.format(Locale.ROOT, "%.1f ms", json.get(key).getAsDouble())
+                : "";
     }
 }
--- a/src/main/java/vetchpost/daemon/Hangup.java
+++ b/src/main/java/vetchpost/daemon/Hangup.java
@@ -8,7 +8,7 @@
  * the one it has in all builds brings a warning that can't be turned off; so it is looked up by name.
  */
 final class Hangup {
-    private Hangup() { }
+    private Hangup() {}
 
     /**
      * Runs the action, on a thread of its own, at each SIGHUP, which no longer ends the program.
@@ -29,9 +29,11 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> receiver = Class.forName("sun.misc.SignalHandler");
-            Object before = signal.getMethod("handle", signal, receiver).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"),
-                    Proxy.newProxyInstance(receiver.getClassLoader(), new Class<?>[] {receiver}, handler));
+            Object before = signal.getMethod("handle", signal, receiver)
+                    .invoke(
+                            null,
+                            signal.getConstructor(String.class).newInstance("HUP"),
+                            Proxy.newProxyInstance(receiver.getClassLoader(), new Class<?>[] {receiver}, handler));
             return !receiver.getField("SIG_IGN").get(null).equals(before);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             throw new IllegalStateException("SIGHUP can't be handled", e);
--- a/src/main/java/vetchpost/daemon/InitCommand.java
+++ b/src/main/java/vetchpost/daemon/InitCommand.java
@@ -3,30 +3,38 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
-
-import vetchpost.standalone.ServerWords;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
+import vetchpost.standalone.ServerWords;
 
 /** The command {@code init}: prints an operator's file that runs as it is. */
-@Command(name = "init", mixinStandardHelpOptions = true, sortOptions = false,
+@Command(
+        name = "init",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
         description = "Prints a file by which a node runs, with comments on what it may say besides.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:printed", "2:bad arguments"},
-        footer = {"", "Example:",
-            "  init --listen 127.0.0.1:8080 --server 127.0.0.1:9001 --server 127.0.0.1:9002 > node.toml"})
+        exitCodeListHeading = "Exit codes:%n",
+        exitCodeList = {"0:printed", "2:bad arguments"},
+        footer = {
+            "",
+            "Example:",
+            "  init --listen 127.0.0.1:8080 --server 127.0.0.1:9001 --server 127.0.0.1:9002 > node.toml"
+        })
 final class InitCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--listen", paramLabel = "ADDRESS", defaultValue = "127.0.0.1:8080",
+    @Option(
+            names = "--listen",
+            paramLabel = "ADDRESS",
+            defaultValue = "127.0.0.1:8080",
             description = "Where clients connect; ${DEFAULT-VALUE} if not said.")
     private String listen;
 
-    @Option(names = "--server", paramLabel = "ADDRESS", required = true,
-            description = "A web server; once for each.")
+    @Option(names = "--server", paramLabel = "ADDRESS", required = true, description = "A web server; once for each.")
     private List<String> servers;
 
     @Override
@@ -42,8 +50,10 @@
         try {
             ServerWords.address(address);
         } catch (IllegalArgumentException e) {
-            throw new ParameterException(spec.commandLine(), e.getMessage() + ", as 127.0.0.1:8080 and"
-                    + " [::1]:8080 are; names are looked up by a [[source]], see docs/servers.md");
+            throw new ParameterException(
+                    spec.commandLine(),
+                    e.getMessage() + ", as 127.0.0.1:8080 and"
+                            + " [::1]:8080 are; names are looked up by a [[source]], see docs/servers.md");
         }
     }
 
--- a/src/main/java/vetchpost/daemon/Main.java
+++ b/src/main/java/vetchpost/daemon/Main.java
@@ -1,19 +1,18 @@
 package vetchpost.daemon;
 
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-
 import vetchpost.config.Config;
 import vetchpost.config.Descriptors;
 import vetchpost.node.Node;
-import io.netty.channel.EventLoop;
-import io.netty.channel.EventLoopGroup;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
 
 /** Starts one node, and ends it in order when told to. */
 public final class Main {
@@ -34,6 +33,7 @@
     private static final int WARM_UP = 50;
     /** ... and so few over sockets, once the node listens: clients may come then. */
     private static final int BY_SOCKETS = 16;
+
     private static final String EXAMPLE = """
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1024},
              "known":{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","az":"a",
@@ -45,7 +45,7 @@
     /** The routes that the process serves by, of an operator's file beside the platform's configuration. */
     private static volatile RouteLoader.Loaded inForce;
 
-    private Main() { }
+    private Main() {}
 
     /**
      * Without arguments it serves, as the platform starts it. With {@code rehearse} it goes through its work
@@ -95,8 +95,7 @@
         });
     }
 
-    private static Node start(Map<String, String> environment, EventLoopGroup group, EventLoop loop,
-            Path routes) {
+    private static Node start(Map<String, String> environment, EventLoopGroup group, EventLoop loop, Path routes) {
         Node node;
         try {
             Config config = Config.read(environment).within(Descriptors.limit());
@@ -110,20 +109,21 @@
                 }
                 DoorLoader.settle(node, loaded.file().admission(), config);
                 if (loaded.file().recovery() != null) {
-                    node.companion(RecoveryLoader.load(loaded.file().recovery(), config.settings(), loop,
-                            group));
+                    node.companion(RecoveryLoader.load(loaded.file().recovery(), config.settings(), loop, group));
                 }
             }
         } catch (IllegalArgumentException e) {
             exit("bad configuration: " + e.getMessage(), BAD_CONFIG);
             return null;
         }
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, loop, () -> { }), "stop"));
-        node.warmUp(WARM_UP, () -> node.start(group, BY_SOCKETS, () -> { }).addListener(done -> {
-            if (!done.isSuccess()) {
-                exit("can't listen: " + done.cause().getMessage(), 1);
-            }
-        }));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, loop, () -> {}), "stop"));
+        node.warmUp(
+                WARM_UP,
+                () -> node.start(group, BY_SOCKETS, () -> {}).addListener(done -> {
+                    if (!done.isSuccess()) {
+                        exit("can't listen: " + done.cause().getMessage(), 1);
+                    }
+                }));
         return node;
     }
 
@@ -137,8 +137,7 @@
     }
 
     /** On the signal's own thread, one at a time: many routes take longer than the loop may stand. */
-    private static synchronized void reload(Node[] node, Map<String, String> environment, Path routes,
-            EventLoop loop) {
+    private static synchronized void reload(Node[] node, Map<String, String> environment, Path routes, EventLoop loop) {
         try {
             Config config = Config.reread(environment);
             // Which part of the fleet it has, and what is kept and handed over, stay as at the start.
@@ -161,10 +160,10 @@
 
     private static void rehearse() {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Hangup.handle(() -> { });
+        Hangup.handle(() -> {});
         Node node = new Node(Config.parse(EXAMPLE, Map.of()), group.next());
-        group.next().execute(() -> node.warmUp(WARM_UP,
-                () -> node.start(group, BY_SOCKETS, group::shutdownGracefully)));
+        group.next()
+                .execute(() -> node.warmUp(WARM_UP, () -> node.start(group, BY_SOCKETS, group::shutdownGracefully)));
     }
 
     static void exit(String reason, int code) {
--- a/src/main/java/vetchpost/daemon/ProvedFile.java
+++ b/src/main/java/vetchpost/daemon/ProvedFile.java
@@ -9,7 +9,6 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-
 import vetchpost.admission.AdmissionProver;
 import vetchpost.admission.AdmissionSettings;
 import vetchpost.changes.ChangesProver;
@@ -48,10 +47,17 @@
  * @param version one more at each reading that changed something
  * @param violations every one, in the order of the file
  */
-record ProvedFile(boolean hasOwn, Standalone node, Settings settings, Proof routes,
+record ProvedFile(
+        boolean hasOwn,
+        Standalone node,
+        Settings settings,
+        Proof routes,
         RecoverySettings recovery,
-        AdmissionSettings admission, ControlSettings control, ChangesSettings changes, FileIndex index,
-                long version,
+        AdmissionSettings admission,
+        ControlSettings control,
+        ChangesSettings changes,
+        FileIndex index,
+        long version,
         List<Violation> violations) {
 
     /** Puts together what the tables come to as they are read. */
@@ -96,8 +102,18 @@
 
         ProvedFile end(FileIndex index) {
             if (prover == null || !violations.isEmpty()) {
-                return new ProvedFile(others.stream().anyMatch(StandaloneProver::isOwn), node, settings,
-                        null, null, null, null, null, index, version, violations);
+                return new ProvedFile(
+                        others.stream().anyMatch(StandaloneProver::isOwn),
+                        node,
+                        settings,
+                        null,
+                        null,
+                        null,
+                        null,
+                        null,
+                        index,
+                        version,
+                        violations);
             }
             Proof routes = prover.end();
             RecoveryProver.Proof recovery = RecoveryProver.prove(others);
@@ -110,21 +126,43 @@
             violations.addAll(control.violations());
             violations.addAll(changes.violations());
             if (changes.settings() != null && node == null) {
-                violations.add(new Violation(others.stream().filter(s -> s.kind() ==
-                        Section.Kind.CHANGES).findFirst()
-                        .orElseThrow().at(), "changes", Violation.Rule.INCOMPLETE,
-                                "beside a platform routes come from "
-                        + "the file", "[node], or no [changes]"));
+                violations.add(new Violation(
+                        others.stream()
+                                .filter(s -> s.kind() == Section.Kind.CHANGES)
+                                .findFirst()
+                                .orElseThrow()
+                                .at(),
+                        "changes",
+                        Violation.Rule.INCOMPLETE,
+                        "beside a platform routes come from " + "the file",
+                        "[node], or no [changes]"));
             }
-            if (changes.settings() != null && routes.table() != null && routes.table().size() > 0) {
-                violations.add(new Violation(others.stream().filter(s -> s.kind() ==
-                        Section.Kind.CHANGES).findFirst()
-                        .orElseThrow().at(), "changes", Violation.Rule.UNREACHABLE, routes.table().size()
-                        + " routes of this file: they come from control machines", "no [[route]]"));
+            if (changes.settings() != null
+                    && routes.table() != null
+                    && routes.table().size() > 0) {
+                violations.add(new Violation(
+                        others.stream()
+                                .filter(s -> s.kind() == Section.Kind.CHANGES)
+                                .findFirst()
+                                .orElseThrow()
+                                .at(),
+                        "changes",
+                        Violation.Rule.UNREACHABLE,
+                        routes.table().size() + " routes of this file: they come from control machines",
+                        "no [[route]]"));
             }
-            return new ProvedFile(others.stream().anyMatch(StandaloneProver::isOwn), node, settings, routes,
-                    recovery.settings(), admission.settings(),
-                    control.settings(), changes.settings(), index, version, violations);
+            return new ProvedFile(
+                    others.stream().anyMatch(StandaloneProver::isOwn),
+                    node,
+                    settings,
+                    routes,
+                    recovery.settings(),
+                    admission.settings(),
+                    control.settings(),
+                    changes.settings(),
+                    index,
+                    version,
+                    violations);
         }
     }
 
@@ -138,8 +176,8 @@
      */
     static ProvedFile prove(Path path, Function<List<Section>, Settings> platform, ProvedFile before)
             throws IOException {
-        Reading reading = new Reading(platform, before == null ? null : before.routes.table(),
-                before == null ? 1 : before.version + 1);
+        Reading reading = new Reading(
+                platform, before == null ? null : before.routes.table(), before == null ? 1 : before.version + 1);
         FileIndex index = FileIndex.read(path, reading, reading.violations::add);
         return reading.end(index);
     }
@@ -151,8 +189,7 @@
 
     /** All violations, a line each. */
     String refusal(String what) {
-        return what + " refused:\n" + violations.stream().map(v -> "  "
-                + v).collect(Collectors.joining("\n"));
+        return what + " refused:\n" + violations.stream().map(v -> "  " + v).collect(Collectors.joining("\n"));
     }
 
     /**
@@ -167,18 +204,46 @@
             return prove(path, sections -> null, this);
         }
         if (!difference.violations().isEmpty()) {
-            return new ProvedFile(hasOwn, node, settings, null, recovery, admission, control, changes, null,
-                    version, difference.violations());
+            return new ProvedFile(
+                    hasOwn,
+                    node,
+                    settings,
+                    null,
+                    recovery,
+                    admission,
+                    control,
+                    changes,
+                    null,
+                    version,
+                    difference.violations());
         }
         List<RouteChange> ofRoutes = changes(path, difference);
         if (ofRoutes.isEmpty()) {
-            return new ProvedFile(hasOwn, node, settings, routes, recovery, admission, control, changes,
-                    difference.index(), version, List.of());
+            return new ProvedFile(
+                    hasOwn,
+                    node,
+                    settings,
+                    routes,
+                    recovery,
+                    admission,
+                    control,
+                    changes,
+                    difference.index(),
+                    version,
+                    List.of());
         }
         Proof changed = Prover.change(routes.table(), ofRoutes, version + 1);
-        return new ProvedFile(hasOwn, node, settings, new Proof(changed.table(), changed.routes(),
-                routes.part(), changed.violations()), recovery, admission, control, changes,
-                        difference.index(), version + 1,
+        return new ProvedFile(
+                hasOwn,
+                node,
+                settings,
+                new Proof(changed.table(), changed.routes(), routes.part(), changed.violations()),
+                recovery,
+                admission,
+                control,
+                changes,
+                difference.index(),
+                version + 1,
                 changed.violations());
     }
 
@@ -212,16 +277,16 @@
         byte[] first = new Key(Kind.ROUTE, "").bytes();
         PackedTree is = routes.table().entries();
         PackedTree was = before.routes.table().entries();
-        for (PackedTree.Item item = is.ceiling(first); item != null; item =
-                is.ceiling(PackedTree.after(item.key()))) {
+        for (PackedTree.Item item = is.ceiling(first); item != null; item = is.ceiling(PackedTree.after(item.key()))) {
             PackedTree.Item old = was.get(item.key());
             if (old == null || !Arrays.equals(old.value(), item.value())) {
-                changes.add(new RouteChange(old == null ? Op.PUT : Op.REPLACE, Key.of(item.key()).name(),
-                        null, null));
+                changes.add(new RouteChange(
+                        old == null ? Op.PUT : Op.REPLACE, Key.of(item.key()).name(), null, null));
             }
         }
-        for (PackedTree.Item item = was.ceiling(first); item != null; item =
-                was.ceiling(PackedTree.after(item.key()))) {
+        for (PackedTree.Item item = was.ceiling(first);
+                item != null;
+                item = was.ceiling(PackedTree.after(item.key()))) {
             if (!is.contains(item.key())) {
                 changes.add(new RouteChange(Op.DELETE, Key.of(item.key()).name(), null, null));
             }
@@ -232,7 +297,11 @@
     /** Whether a route says just that, whatever its lines look like. */
     private boolean says(String name, Section section) {
         try {
-            return Arrays.equals(routes.table().entries().get(new Key(Kind.ROUTE, name).bytes()).value(),
+            return Arrays.equals(
+                    routes.table()
+                            .entries()
+                            .get(new Key(Kind.ROUTE, name).bytes())
+                            .value(),
                     RouteCodec.bytes(section));
         } catch (IllegalArgumentException e) {
             return false;
--- a/src/main/java/vetchpost/daemon/RouteLoader.java
+++ b/src/main/java/vetchpost/daemon/RouteLoader.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-
 import vetchpost.core.Subset;
 import vetchpost.decision.Balancer.Group;
 import vetchpost.decision.Balancer.Repeat;
@@ -12,7 +11,7 @@
 
 /** Reads an operator's file, proves it, and makes a node's routes of it; loaded only where there is one. */
 final class RouteLoader {
-    private RouteLoader() { }
+    private RouteLoader() {}
 
     /**
      * What a file comes to; {@code subset} is null where a node has the whole fleet.
@@ -44,14 +43,15 @@
             throw new IllegalArgumentException(file.refusal("the routes are"));
         }
         Proof.Part part = file.routes().part();
-        return new Loaded(before == null ? new FileRoutePolicy(file.routes().table(), settings, seed)
-                : before.policy(), part == null ? null : subset(part, settings), file);
+        return new Loaded(
+                before == null ? new FileRoutePolicy(file.routes().table(), settings, seed) : before.policy(),
+                part == null ? null : subset(part, settings),
+                file);
     }
 
     /** Where repeats must stay in a cell, a node has all of a cell or nothing. */
     private static Subset subset(Proof.Part part, Settings settings) {
-        boolean byCell = settings.classes.stream().anyMatch(c -> c.repeat() == Repeat.KEYED
-                && c.group() == Group.CELL);
+        boolean byCell = settings.classes.stream().anyMatch(c -> c.repeat() == Repeat.KEYED && c.group() == Group.CELL);
         return new Subset(part.node(), settings.nodes, part.subset(), byCell);
     }
 }
--- a/src/main/java/vetchpost/daemon/StandaloneMain.java
+++ b/src/main/java/vetchpost/daemon/StandaloneMain.java
@@ -1,20 +1,19 @@
 package vetchpost.daemon;
 
-import java.lang.System.Logger;
-import java.lang.System.Logger.Level;
-import java.nio.file.Path;
-import java.util.function.Consumer;
-
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.nio.file.Path;
+import java.util.function.Consumer;
 
 /** The process of a node that one file makes: started, told to read it again, and ended in order. */
 final class StandaloneMain {
     private static final Logger LOG = System.getLogger(StandaloneMain.class.getName());
 
-    private StandaloneMain() { }
+    private StandaloneMain() {}
 
     static void serve(Path file) {
         ProvedFile loaded;
@@ -38,23 +37,24 @@
             return;
         }
         // On the signal's own thread: many routes take longer to read than the loop may stand.
-        boolean heard = Hangup.handle(() -> reload(node, file, loop, told -> { }));
+        boolean heard = Hangup.handle(() -> reload(node, file, loop, told -> {}));
         if (!heard) {
             LOG.log(Level.WARNING, Main.DEAF);
         }
         node.operated(heard, told -> reloadAside(node, file, loop, told));
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> Main.stop(node.node(), loop, node::keep),
-                "stop"));
-        node.start(Main.REHEARSED, () -> { }).addListener(done -> {
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> Main.stop(node.node(), loop, node::keep), "stop"));
+        node.start(Main.REHEARSED, () -> {}).addListener(done -> {
             if (!done.isSuccess()) {
-                Main.exit("can't listen on " + loaded.node().listen() + ": " + done.cause().getMessage(), 1);
+                Main.exit(
+                        "can't listen on " + loaded.node().listen() + ": "
+                                + done.cause().getMessage(),
+                        1);
             }
         });
     }
 
     /** Reads the file on the thread that calls, and has it hold; tells null, or why nothing was changed. */
-    private static synchronized void reload(StandaloneNode node, Path file, EventLoop loop,
-            Consumer<String> told) {
+    private static synchronized void reload(StandaloneNode node, Path file, EventLoop loop, Consumer<String> told) {
         try {
             ProvedFile fresh = StandaloneNode.load(file, onLoop(node, loop));
             loop.execute(() -> {
--- a/src/main/java/vetchpost/daemon/StandaloneNode.java
+++ b/src/main/java/vetchpost/daemon/StandaloneNode.java
@@ -1,5 +1,10 @@
 package vetchpost.daemon;
 
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.util.concurrent.Future;
+import io.netty.util.concurrent.Promise;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -9,7 +14,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Consumer;
-
+import vetchpost.conductor.Conductor;
 import vetchpost.config.Config;
 import vetchpost.config.Descriptors;
 import vetchpost.core.Subset;
@@ -19,15 +24,9 @@
 import vetchpost.node.Seams;
 import vetchpost.routes.FileRoutePolicy;
 import vetchpost.routes.RouteTable;
-import vetchpost.conductor.Conductor;
 import vetchpost.standalone.Renewal;
 import vetchpost.standalone.Standalone;
 import vetchpost.web.WebFront;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.EventLoop;
-import io.netty.channel.EventLoopGroup;
-import io.netty.util.concurrent.Future;
-import io.netty.util.concurrent.Promise;
 
 /** A node that one operator's file makes, without a platform: its start, and what a reload changes. */
 final class StandaloneNode {
@@ -40,6 +39,7 @@
     private final Node node;
     /** Null where the file has no such table. */
     private final ControlLoader control;
+
     private final long seed;
     private ProvedFile loaded;
     private final FileRoutePolicy policy;
@@ -47,6 +47,7 @@
     private final ChangesLoader changes;
     /** The routes in force; the file's own, or those of control machines. */
     private RouteTable routes;
+
     private SocketAddress listening;
 
     /** Not started; on the loop. Throws IllegalArgumentException if the node can't be made. */
@@ -58,17 +59,29 @@
         seed = alone.seed() != 0 ? alone.seed() : new SecureRandom().nextLong();
         front = new WebFront(alone.settings(), alone.classifier(), alone.limits(), System::currentTimeMillis);
         conductor = new Conductor(alone, loop, Network.SYSTEM, seed, System.currentTimeMillis());
-        node = new Node(config(alone), loop, Network.SYSTEM, System.currentTimeMillis(), Seams.NONE,
-                new Fronts(front, front));
+        node = new Node(
+                config(alone), loop, Network.SYSTEM, System.currentTimeMillis(), Seams.NONE, new Fronts(front, front));
         node.witness(conductor);
-        control = file.control() == null ? null : new ControlLoader(file.control(), loop, conductor,
-                () -> Map.of("requests", (long) node.inHand().requests(), "bytes", node.inHand().bytes(),
-                        "sockets", (long) node.inHand().sockets()));
+        control = file.control() == null
+                ? null
+                : new ControlLoader(
+                        file.control(),
+                        loop,
+                        conductor,
+                        () -> Map.of(
+                                "requests",
+                                (long) node.inHand().requests(),
+                                "bytes",
+                                node.inHand().bytes(),
+                                "sockets",
+                                (long) node.inHand().sockets()));
         if (control != null) {
             control.explain(node, alone.settings());
         }
-        changes = file.changes() == null ? null : new ChangesLoader(file.changes(), alone.settings(),
-                catalog -> loop.execute(() -> settle(catalog.routes())));
+        changes = file.changes() == null
+                ? null
+                : new ChangesLoader(
+                        file.changes(), alone.settings(), catalog -> loop.execute(() -> settle(catalog.routes())));
         routes = changes == null ? file.routes().table() : changes.first().routes();
         policy = new FileRoutePolicy(routes, alone.settings(), seed);
         if (changes != null) {
@@ -81,8 +94,14 @@
     }
 
     private Config config(Standalone alone) {
-        return new Config(alone.listen(), null, seed, Math.min(alone.sockets(), Descriptors.limit()),
-                alone.connIdleUs(), alone.settings(), conductor.known());
+        return new Config(
+                alone.listen(),
+                null,
+                seed,
+                Math.min(alone.sockets(), Descriptors.limit()),
+                alone.connIdleUs(),
+                alone.settings(),
+                conductor.known());
     }
 
     /** Has other routes hold from now on: one reference, whatever their number. */
@@ -93,11 +112,20 @@
 
     private void policy(ProvedFile file, boolean starting) {
         policy.settle(routes, file.node().settings());
-        node.routes(control == null ? policy : control.before(policy,
-                file.node().settings().classes.stream().map(c -> c.name()).toList()));
+        node.routes(
+                control == null
+                        ? policy
+                        : control.before(
+                                policy,
+                                file.node().settings().classes.stream()
+                                        .map(c -> c.name())
+                                        .toList()));
         if (starting && file.routes().part() != null) {
-            node.subset(new Subset(file.routes().part().node(), file.node().settings().nodes,
-                    file.routes().part().subset(), false));
+            node.subset(new Subset(
+                    file.routes().part().node(),
+                    file.node().settings().nodes,
+                    file.routes().part().subset(),
+                    false));
         }
         DoorLoader.settle(node, file.admission(), config(file.node()));
     }
@@ -154,8 +182,9 @@
 
     /** What operators are told besides what they ask for; null for nothing. */
     String remark(boolean heard) {
-        return changes == null ? heard ? null : Main.DEAF : heard
-                ? changes.words() : changes.words() + "; " + Main.DEAF;
+        return changes == null
+                ? heard ? null : Main.DEAF
+                : heard ? changes.words() : changes.words() + "; " + Main.DEAF;
     }
 
     /** Opens the client side, and asks the sources from then on. */
@@ -196,9 +225,8 @@
         }
         if (!Objects.equals(loaded.changes(), fresh.changes())
                 || changes != null && !loaded.settings().classes.equals(fresh.settings().classes)) {
-            throw new IllegalArgumentException("[changes], and classes beside it, are as at the start: a "
-                    + "restart takes "
-                    + "them up");
+            throw new IllegalArgumentException(
+                    "[changes], and classes beside it, are as at the start: a " + "restart takes " + "them up");
         }
         routes = changes == null ? fresh.routes().table() : routes;
         Standalone now = fresh.node();
@@ -220,8 +248,10 @@
                 if (done.isSuccess()) {
                     listening = binding.channel().localAddress();
                 }
-                LOG.log(Level.INFO, done.isSuccess() ? "listening on {0}"
-                        : "can''t listen on {0}, and goes on where it did", now.listen());
+                LOG.log(
+                        Level.INFO,
+                        done.isSuccess() ? "listening on {0}" : "can''t listen on {0}, and goes on where it did",
+                        now.listen());
                 inForce.setSuccess(listening);
             });
         } else {
--- a/src/main/java/vetchpost/daemon/StateCommand.java
+++ b/src/main/java/vetchpost/daemon/StateCommand.java
@@ -9,7 +9,12 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.Callable;
-
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Parameters;
+import picocli.CommandLine.Spec;
 import vetchpost.decision.Knowledge.OfServer;
 import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
@@ -17,20 +22,19 @@
 import vetchpost.state.Snapshot;
 import vetchpost.state.Trouble;
 import vetchpost.state.disk.StateFile;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.ParameterException;
-import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 
 /** The command {@code state}: what a node has kept, as the next one would find it. */
-@Command(name = "state", mixinStandardHelpOptions = true, sortOptions = false,
-        description = {"Shows the snapshot that a node has kept, as the next start would find it.",
-            "Its age, what is known of boxes and classes, and whether that would be believed."},
+@Command(
+        name = "state",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description = {
+            "Shows the snapshot that a node has kept, as the next start would find it.",
+            "Its age, what is known of boxes and classes, and whether that would be believed."
+        },
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:there is a snapshot", "1:there is none that can be used",
-            "2:bad arguments, or no such file"})
+        exitCodeList = {"0:there is a snapshot", "1:there is none that can be used", "2:bad arguments, or no such file"
+        })
 final class StateCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -38,7 +42,10 @@
     @Parameters(paramLabel = "FILE", description = "The file that [state] names.")
     private Path file;
 
-    @Option(names = "--most", paramLabel = "N", defaultValue = "50",
+    @Option(
+            names = "--most",
+            paramLabel = "N",
+            defaultValue = "50",
             description = "Shows so many boxes, the ones that fail most first; 50 if not said.")
     private int most;
 
@@ -48,8 +55,9 @@
             throw new ParameterException(spec.commandLine(), "--most is under 0");
         }
         if (!Files.exists(file) && !Files.exists(Path.of(file + ".old"))) {
-            throw new ParameterException(spec.commandLine(), "there is no file " + file
-                    + "; name the one that [state] in the operator's file does");
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "there is no file " + file + "; name the one that [state] in the operator's file does");
         }
         PrintWriter out = spec.commandLine().getOut();
         long nowMs = System.currentTimeMillis();
@@ -65,35 +73,57 @@
     }
 
     private void print(Snapshot snapshot, long nowMs, PrintWriter out) {
-        out.printf(Locale.ROOT, "taken %s ago by a node that had run for %s; list %d, %d boxes%n",
-                time(nowMs - snapshot.origin().takenMs()), time(snapshot.origin().takenMs()
-                - snapshot.origin().startedMs()), snapshot.origin().revision(), snapshot.boxes().size());
+        out.printf(
+                Locale.ROOT,
+                "taken %s ago by a node that had run for %s; list %d, %d boxes%n",
+                time(nowMs - snapshot.origin().takenMs()),
+                time(snapshot.origin().takenMs() - snapshot.origin().startedMs()),
+                snapshot.origin().revision(),
+                snapshot.boxes().size());
         Set<Trouble> doubts = Doubt.of(snapshot, nowMs);
-        out.println(doubts.isEmpty() ? "its word on how boxes are would be believed, as far as its age allows"
-                : "its word on how boxes are would not be believed: " + String.join(", ",
-                        doubts.stream().map(Trouble::words).sorted().toList()));
+        out.println(
+                doubts.isEmpty()
+                        ? "its word on how boxes are would be believed, as far as its age allows"
+                        : "its word on how boxes are would not be believed: "
+                                + String.join(
+                                        ", ",
+                                        doubts.stream()
+                                                .map(Trouble::words)
+                                                .sorted()
+                                                .toList()));
         for (ClassState state : snapshot.classes()) {
-            out.printf(Locale.ROOT, "class %-16s usual latency %8.1f ms, %d answers%n", state.name(),
-                    state.latencyUs() / 1_000, state.answers());
+            out.printf(
+                    Locale.ROOT,
+                    "class %-16s usual latency %8.1f ms, %d answers%n",
+                    state.name(),
+                    state.latencyUs() / 1_000,
+                    state.answers());
         }
         if (snapshot.boxes().isEmpty() || most == 0) {
             return;
         }
-        out.printf("%n%-20s %-22s %10s %-8s %8s %6s %6s %6s %s%n", "box", "address", "confirmed", "by",
-                "answers",
-                "errors", "pace", "limit", "");
+        out.printf(
+                "%n%-20s %-22s %10s %-8s %8s %6s %6s %6s %s%n",
+                "box", "address", "confirmed", "by", "answers", "errors", "pace", "limit", "");
         List<BoxState> boxes = new ArrayList<>(snapshot.boxes());
-        boxes.sort(Comparator.comparingInt((BoxState b) -> b.knowledge() == null ? 0
-                : -b.knowledge().failures())
+        boxes.sort(Comparator.comparingInt((BoxState b) ->
+                        b.knowledge() == null ? 0 : -b.knowledge().failures())
                 .thenComparing(b -> b.target().id()));
         for (BoxState box : boxes.subList(0, Math.min(most, boxes.size()))) {
             OfServer known = box.knowledge();
             String address = box.target().address().getAddress().getHostAddress() + ":"
                     + box.target().address().getPort();
-            out.printf(Locale.ROOT, "%-20s %-22s %10s %-8s %8s %6s %6s %6s %s%n", box.target().id(), address,
-                    time(nowMs - box.confirmedMs()), box.by().name().toLowerCase(Locale.ROOT),
-                    known == null ? "-" : known.answers(), known == null ? "-" : known.errors(),
-                    known == null ? "-" : figure(known.pace()), known == null ? "-" : figure(known.limit()),
+            out.printf(
+                    Locale.ROOT,
+                    "%-20s %-22s %10s %-8s %8s %6s %6s %6s %s%n",
+                    box.target().id(),
+                    address,
+                    time(nowMs - box.confirmedMs()),
+                    box.by().name().toLowerCase(Locale.ROOT),
+                    known == null ? "-" : known.answers(),
+                    known == null ? "-" : known.errors(),
+                    known == null ? "-" : figure(known.pace()),
+                    known == null ? "-" : figure(known.limit()),
                     known != null && known.ejected() ? "ejected" : "");
         }
         if (boxes.size() > most) {
@@ -106,8 +136,10 @@
     }
 
     private static String time(long ms) {
-        return ms < 120_000 ? String.format(Locale.ROOT, "%.1f s", ms / 1e3)
-                : ms < 7_200_000 ? ms / 60_000 + " min" : ms < 172_800_000 ? ms / 3_600_000 + " h"
-                : ms / 86_400_000 + " d";
+        return ms < 120_000
+                ? String.format(Locale.ROOT, "%.1f s", ms / 1e3)
+                : ms < 7_200_000
+                        ? ms / 60_000 + " min"
+                        : ms < 172_800_000 ? ms / 3_600_000 + " h" : ms / 86_400_000 + " d";
     }
 }
--- a/src/main/java/vetchpost/decision/Aperture.java
+++ b/src/main/java/vetchpost/decision/Aperture.java
@@ -27,8 +27,9 @@
     private static final long WIDENED_US = 10_000_000;
     /** Two are drawn, and one more may be gone before the list says so. */
     private static final int LEAST = 3;
-    private static final Comparator<Server> BY_SEAT = Comparator.comparingLong((Server s) -> s.seat)
-            .thenComparing(s -> s.id);
+
+    private static final Comparator<Server> BY_SEAT =
+            Comparator.comparingLong((Server s) -> s.seat).thenComparing(s -> s.id);
 
     private final int node;
     private final int nodes;
@@ -40,6 +41,7 @@
     private int spans;
     /** Servers that what comes would keep busy, in the mean. */
     private double demand;
+
     private int width = 1;
     private int narrower;
     private int widened = 1;
--- a/src/main/java/vetchpost/decision/Balancer.java
+++ b/src/main/java/vetchpost/decision/Balancer.java
@@ -51,7 +51,7 @@
      * What was known of servers and classes before the start, or to another node, as far as it is still
      * believed. It counts only where nothing has been found out since, and outweighs nothing.
      */
-    default void onPrior(long nowUs, Knowledge prior) { }
+    default void onPrior(long nowUs, Knowledge prior) {}
 
     /**
      * Why this server is sent nothing, or less than it might be: a line a reason, for people; none if it is
@@ -93,10 +93,10 @@
         }
 
         /** Which servers were drawn for an attempt, before one is sent to; the second may be null. */
-        default void drew(long requestId, Candidate first, Candidate second) { }
+        default void drew(long requestId, Candidate first, Candidate second) {}
 
         /** Why the refusal or failure that comes next is the answer. */
-        default void because(long requestId, Why why) { }
+        default void because(long requestId, Why why) {}
     }
 
     /**
@@ -107,7 +107,7 @@
      * @param limit how many this node may have there
      * @param pace how long it takes for what takes others 1
      */
-    record Candidate(String serverId, double weight, int inFlight, double limit, double pace) { }
+    record Candidate(String serverId, double weight, int inFlight, double limit, double pace) {}
 
     /** Why a request has its final answer without having been served. */
     enum Why {
@@ -153,7 +153,11 @@
     }
 
     /** The life of a server as its list tells it. */
-    enum ServerState { READY, DRAINING, GONE }
+    enum ServerState {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /**
      * One line of a server list.
@@ -165,7 +169,7 @@
      * @param weight the list's figure for its size, compared with other servers' only
      * @param startedAtUs when it last started; 0 means long ago
      */
-    record ServerEntry(String id, int zone, int cell, ServerState state, double weight, long startedAtUs) { }
+    record ServerEntry(String id, int zone, int cell, ServerState state, double weight, long startedAtUs) {}
 
     /**
      * A client's request.
@@ -180,12 +184,19 @@
      * @param queuedUs how long it has waited at the node's door since
      * @param bounds what its route allows beside what its class and the settings do
      */
-    record Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry,
-            long waitedUs, long queuedUs, Bounds bounds) {
+    record Request(
+            long id,
+            int classIndex,
+            int tenant,
+            long leftUs,
+            long workUs,
+            boolean retry,
+            long waitedUs,
+            long queuedUs,
+            Bounds bounds) {
 
         /** Of no route. */
-        public Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry,
-                long waitedUs) {
+        public Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry, long waitedUs) {
             this(id, classIndex, tenant, leftUs, workUs, retry, waitedUs, 0, Bounds.NONE);
         }
 
@@ -198,7 +209,7 @@
     /** The bounds that an operator has set to the repeats of a request. */
     interface Bounds {
         /** None. */
-        Bounds NONE = new Bounds() { };
+        Bounds NONE = new Bounds() {};
 
         /** How many attempts may have run, the first included. */
         default int attempts() {
@@ -211,7 +222,7 @@
         }
 
         /** One more attempt after the first is sent. */
-        default void repeated() { }
+        default void repeated() {}
 
         /** So long after the first attempt a second copy is sent, in microseconds; 0 for none. */
         default long copyAfterUs() {
@@ -219,7 +230,7 @@
         }
 
         /** An attempt was served in so many microseconds. */
-        default void served(long latencyUs) { }
+        default void served(long latencyUs) {}
 
         /** How long to wait after so many attempts before the next, in microseconds. */
         default long waitUs(int attempts) {
@@ -267,12 +278,18 @@
      * @param stallUs how much of the latency the node may have added itself, because it was behind with its
      *     sockets: that much says nothing of the server
      */
-    record Outcome(long requestId, int attempt, Result result, long latencyUs, boolean requestEnded,
-            double[] report, long stallUs) {
+    record Outcome(
+            long requestId,
+            int attempt,
+            Result result,
+            long latencyUs,
+            boolean requestEnded,
+            double[] report,
+            long stallUs) {
 
         /** By a node that keeps up. */
-        public Outcome(long requestId, int attempt, Result result, long latencyUs, boolean requestEnded,
-                double[] report) {
+        public Outcome(
+                long requestId, int attempt, Result result, long latencyUs, boolean requestEnded, double[] report) {
             this(requestId, attempt, result, latencyUs, requestEnded, report, 0);
         }
 
@@ -289,8 +306,7 @@
         /** Whether it says anything of its server: a node that is behind runs out of time on answers that
          * have come. One that stays behind finds a silent server only by what fails otherwise. */
         public boolean isTelling() {
-            return result != Result.CANCELLED && result != Result.MOOT
-                    && (result != Result.TIMEOUT || !isStalled());
+            return result != Result.CANCELLED && result != Result.MOOT && (result != Result.TIMEOUT || !isStalled());
         }
     }
 
@@ -305,10 +321,22 @@
     }
 
     /** The servers among which the repeats of a keyed request are dropped. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** What a server may tell of its load. */
-    enum ReportField { IN_FLIGHT, QUEUED, UTILISATION, LATENCY_MS, SERVED_PER_S, ERRORS_PER_S, OTHER }
+    enum ReportField {
+        IN_FLIGHT,
+        QUEUED,
+        UTILISATION,
+        LATENCY_MS,
+        SERVED_PER_S,
+        ERRORS_PER_S,
+        OTHER
+    }
 
     /**
      * A class of requests.
@@ -323,15 +351,24 @@
      * @param windowUs keyed classes: for how long, from the first attempt that may have run
      * @param stream whether answers are streamed
      */
-    record RequestClass(String name, long aimUs, double aimStretch, long deadlineUs, double worth,
-            double lateWorth, Repeat repeat, Group group, long windowUs, boolean stream) { }
+    record RequestClass(
+            String name,
+            long aimUs,
+            double aimStretch,
+            long deadlineUs,
+            double worth,
+            double lateWorth,
+            Repeat repeat,
+            Group group,
+            long windowUs,
+            boolean stream) {}
 
     /**
      * A tenant.
      *
      * @param quotaPerS requests a second, over all nodes, inside its share; 0 means without limit
      */
-    record Tenant(String name, double quotaPerS) { }
+    record Tenant(String name, double quotaPerS) {}
 
     /** The settings of one node. Fields left alone keep the defaults given here. */
     final class Settings {
@@ -411,11 +448,11 @@
             require(coldFrom > 0 && coldFrom <= 1, "coldFrom is not in (0, 1]");
             require(fallMultiple > 0, "fallMultiple is not above 0");
             for (RequestClass c : classes) {
-                require(c.aimUs() >= 0 && c.deadlineUs() > 0 && c.windowUs() >= 0 && c.aimStretch() >= 0,
+                require(
+                        c.aimUs() >= 0 && c.deadlineUs() > 0 && c.windowUs() >= 0 && c.aimStretch() >= 0,
                         "class " + c.name() + " has a length of time out of range");
                 require(c.worth() >= 0 && c.lateWorth() >= 0, "class " + c.name() + " has a negative worth");
-                require(c.repeat() != Repeat.KEYED || c.group() != null,
-                        "class " + c.name() + " has no group");
+                require(c.repeat() != Repeat.KEYED || c.group() != null, "class " + c.name() + " has no group");
             }
         }
 
--- a/src/main/java/vetchpost/decision/Call.java
+++ b/src/main/java/vetchpost/decision/Call.java
@@ -19,6 +19,7 @@
     double worth;
     /** Worth more than requests are on average. */
     boolean upper;
+
     double value;
     boolean late;
     long notBefore;
--- a/src/main/java/vetchpost/decision/DrawIndex.java
+++ b/src/main/java/vetchpost/decision/DrawIndex.java
@@ -37,6 +37,7 @@
         int errors;
         /** Its part in the weight, finite and above 0. */
         double size = 1;
+
         final Bucket<?>[] bucketIn = new Bucket<?>[PLACES];
         final int[] placeIn = new int[PLACES];
         final double[] countedAs = new double[PLACES];
--- a/src/main/java/vetchpost/decision/Fleet.java
+++ b/src/main/java/vetchpost/decision/Fleet.java
@@ -11,13 +11,16 @@
 final class Fleet {
     /** No zone is nearer than another. */
     private static final int NO_ZONE = Integer.MIN_VALUE;
+
     private static final Roster<Server> NOBODY = new Roster<>(0);
 
     /** The servers that are ready, in list order, and those of them that are ejected. */
     final Roster<Server> ready = new Roster<>(0);
+
     final Roster<Server> ejected = new Roster<>(1);
     /** What is drawn from: all servers that are ready, and of this node's own zone; of both, who has room. */
     final DrawIndex<Server> everywhere = new DrawIndex<>(0);
+
     final DrawIndex<Server> roomy = new DrawIndex<>(1);
     final DrawIndex<Server> nearby;
     final DrawIndex<Server> roomyNearby;
@@ -25,6 +28,7 @@
     final TreeSet<Server> trials = new TreeSet<>(new Server.ByTime(Server.ByTime.TRIALS));
     /** The sizes of the ready servers, by the list. */
     double totalWeight;
+
     private final Map<Integer, Roster<Server>> zones = new HashMap<>();
     private final Map<Integer, Roster<Server>> cells = new HashMap<>();
     private final int myZone;
--- a/src/main/java/vetchpost/decision/Knowledge.java
+++ b/src/main/java/vetchpost/decision/Knowledge.java
@@ -13,8 +13,7 @@
  * @param ejected how many of them are ejected
  * @param throttled whether the node is sending less than it is asked for, because most attempts fail
  */
-public record Knowledge(List<OfServer> servers, List<OfClass> classes, int ready, int ejected,
-        boolean throttled) {
+public record Knowledge(List<OfServer> servers, List<OfClass> classes, int ready, int ejected, boolean throttled) {
     /** Nothing is known. */
     public static final Knowledge NONE = new Knowledge(List.of(), List.of(), 0, 0, false);
 
@@ -35,9 +34,19 @@
      * @param ejected whether it gets single trials only
      * @param misses by class: failures in a row
      */
-    public record OfServer(String id, long startedAtUs, int answers, long heardAtUs, long servedAtUs,
+    public record OfServer(
+            String id,
+            long startedAtUs,
+            int answers,
+            long heardAtUs,
+            long servedAtUs,
             int errors,
-            int failures, double faults, double pace, double limit, boolean ejected, List<Integer> misses) {
+            int failures,
+            double faults,
+            double pace,
+            double limit,
+            boolean ejected,
+            List<Integer> misses) {
         /** Lists don't change once they are here. */
         public OfServer {
             misses = List.copyOf(misses);
@@ -52,7 +61,7 @@
      * @param latencyUs the usual latency
      * @param leastLatencyUs the least mean latency of late; 0 if not known
      */
-    public record OfClass(int index, int answers, double latencyUs, double leastLatencyUs) { }
+    public record OfClass(int index, int answers, double latencyUs, double leastLatencyUs) {}
 
     /** Lists don't change once they are here. */
     public Knowledge {
--- a/src/main/java/vetchpost/decision/Memory.java
+++ b/src/main/java/vetchpost/decision/Memory.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Knowledge.OfClass;
 import vetchpost.decision.Knowledge.OfServer;
@@ -19,13 +18,15 @@
     private static final int MOST_ANSWERS = 8;
     /** Answers with which a limit is believed by half, and the bounds to what is believed. */
     private static final double HALF_SURE = 4;
+
     private static final double LEAST_LIMIT = 0.25;
     private static final double MOST_LIMIT = 8;
     /** The slowest pace that a module takes down itself. */
     private static final double MOST_PACE = 5;
+
     private static final double MOST_LATENCY_US = 3.6e9;
 
-    private Memory() { }
+    private Memory() {}
 
     /** Of those of these servers that are ready; limits as multiples of the one that a server starts with. */
     static List<OfServer> of(List<String> ids, Map<String, Server> byId, double firstLimit) {
@@ -39,9 +40,19 @@
             for (int count : server.misses) {
                 misses.add(count);
             }
-            known.add(new OfServer(server.id, server.startedAt, server.answers, server.toldAt,
-                    server.servedAt, server.errors, Integer.bitCount(server.history & (1 << REMEMBERED) - 1),
-                    server.faults, server.pace, server.limit / firstLimit, server.ejected, misses));
+            known.add(new OfServer(
+                    server.id,
+                    server.startedAt,
+                    server.answers,
+                    server.toldAt,
+                    server.servedAt,
+                    server.errors,
+                    Integer.bitCount(server.history & (1 << REMEMBERED) - 1),
+                    server.faults,
+                    server.pace,
+                    server.limit / firstLimit,
+                    server.ejected,
+                    misses));
         }
         return known;
     }
@@ -50,8 +61,7 @@
     static List<OfClass> of(int[] answers, double[] latencyUs, double[] leastUs) {
         List<OfClass> known = new ArrayList<>();
         for (int c = 0; c < answers.length; c++) {
-            known.add(new OfClass(c, answers[c], latencyUs[c], leastUs[c] < Double.MAX_VALUE ? leastUs[c]
-                    : 0));
+            known.add(new OfClass(c, answers[c], latencyUs[c], leastUs[c] < Double.MAX_VALUE ? leastUs[c] : 0));
         }
         return known;
     }
@@ -60,8 +70,12 @@
     static void recall(List<OfClass> prior, int[] answers, double[] latencyUs) {
         for (OfClass known : prior) {
             int c = known.index();
-            if (c >= 0 && c < answers.length && answers[c] == 0 && known.answers() > 0
-                    && known.latencyUs() > 0 && known.latencyUs() < MOST_LATENCY_US) {
+            if (c >= 0
+                    && c < answers.length
+                    && answers[c] == 0
+                    && known.answers() > 0
+                    && known.latencyUs() > 0
+                    && known.latencyUs() < MOST_LATENCY_US) {
                 answers[c] = Math.min(MOST_ANSWERS, known.answers());
                 latencyUs[c] = known.latencyUs();
             }
@@ -88,7 +102,8 @@
         double weight = prior.answers() / (prior.answers() + HALF_SURE);
         server.limit *= 1 + within(weight, 0, 1) * (within(prior.limit(), LEAST_LIMIT, MOST_LIMIT) - 1);
         for (int c = 0; c < Math.min(server.misses.length, prior.misses().size()); c++) {
-            server.misses[c] = Math.max(0, Math.min(classOutAt - 1, prior.misses().get(c)));
+            server.misses[c] =
+                    Math.max(0, Math.min(classOutAt - 1, prior.misses().get(c)));
         }
     }
 
--- a/src/main/java/vetchpost/decision/Ring.java
+++ b/src/main/java/vetchpost/decision/Ring.java
@@ -2,7 +2,7 @@
 
 /** A ring on which all servers stand, at the same places for every node. */
 public final class Ring {
-    private Ring() { }
+    private Ring() {}
 
     /** Where a name stands: 64 well-mixed bits (FNV-1a, and the finalizer of MurmurHash3 by Appleby). */
     public static long seat(String name) {
--- a/src/main/java/vetchpost/decision/ServedRate.java
+++ b/src/main/java/vetchpost/decision/ServedRate.java
@@ -21,6 +21,7 @@
     private long spanFrom;
     /** Answers of the span, each as its part of the servers of its moment. */
     private double inSpan;
+
     private double bestPerUs;
 
     /** The first request goes out: from here on it counts that nothing is answered. */
--- a/src/main/java/vetchpost/decision/Server.java
+++ b/src/main/java/vetchpost/decision/Server.java
@@ -1,7 +1,6 @@
 package vetchpost.decision;
 
 import java.util.Comparator;
-
 import vetchpost.decision.Balancer.ServerState;
 
 /** A server as this node knows it: what the list says of it, and what its answers have told. */
@@ -12,6 +11,7 @@
     final long seat;
     /** The last whole list, by number, that named it. */
     int named;
+
     int zone;
     int cell;
     ServerState state;
@@ -20,6 +20,7 @@
     int inFlight;
     /** Share of its answers that failed, and not by being late or full. */
     double faults;
+
     double pace = 1;
     long paceAt;
     double limit;
@@ -28,6 +29,7 @@
     long restUntil;
     /** When it was last wanted while at its limit, and since when it is there, or -1. */
     long wantedAt;
+
     long fullSince = -1;
     int history;
     boolean ejected;
@@ -39,13 +41,16 @@
     long servedAt;
     /** Ended attempts that told something of it, since it started; and when the last of them ended. */
     int answers;
+
     long toldAt;
     /** By class: failures in a row, when it last served it, and until when it gets no more of it. */
     final int[] misses;
+
     final long[] heardAt;
     final long[] outUntil;
     /** When it was last sent to while cold, or began, and what part of a gap must have passed since. */
     long coldSentAt;
+
     double coldPhase;
 
     /** By the ends of a class's exclusion, or by trials; no lambdas, which cost a start more. */
--- a/src/main/java/vetchpost/decision/ServiceQBalancer.java
+++ b/src/main/java/vetchpost/decision/ServiceQBalancer.java
@@ -79,6 +79,7 @@
     private static final double MOST_LATE_AT = 0.8;
     /** Failures among a server's last {@link #REMEMBERED} answers from which on it is ejected. */
     private static final int EJECT_AT = 4;
+
     private static final int REMEMBERED = 16;
     /** Successes in a row that bring an ejected server back: one may be luck, three hardly if most fail. */
     private static final int TRIALS = 3;
@@ -86,6 +87,7 @@
     private static final int CLASS_OUT_AT = 2;
     /** First time without requests for an ejected server, and the longest; failed trials double it. */
     private static final long EJECT_US = 250_000;
+
     private static final long MOST_EJECT_US = 4_000_000;
     /** Own requests in flight from which on a local server is compared with those of other zones. */
     private static final int SPILL_AT = 2;
@@ -113,14 +115,17 @@
     private long logFreeAt;
     /** The servers that are ready, and indexes of them. */
     private final Fleet fleet;
+
     private final Roster<Server> ready;
     private final Roster<Server> ejected;
     /** By class: servers in use that get no more of it, by the ends of that. */
     private final List<TreeSet<Server>> out = new ArrayList<>();
+
     private final Map<Long, Call> calls = new HashMap<>();
     private final ArrayList<Call> waiting = new ArrayList<>();
     /** What a second copy may be due of. */
     private final PriorityQueue<Call> copies = new PriorityQueue<>(Comparator.comparingLong(c -> c.copyAt));
+
     private long now;
     private long wakePending = Long.MAX_VALUE;
     private final Aperture aperture;
@@ -139,6 +144,7 @@
     private long sweptAt;
     /** When requests were last wanted of all that were full, and of all servers. */
     private long fullWantedAt;
+
     private long allWantedAt;
     private double health = 1;
     private double sendTokens;
@@ -218,11 +224,13 @@
             byId.put(server.id, server);
         }
         server.named = lists;
-        double weight = entry.weight() > 0
-                ? Math.min(MOST_WEIGHT, Math.max(1 / MOST_WEIGHT, entry.weight())) : 1;
+        double weight = entry.weight() > 0 ? Math.min(MOST_WEIGHT, Math.max(1 / MOST_WEIGHT, entry.weight())) : 1;
         boolean started = entry.startedAtUs() > server.startedAt;
-        if (!started && server.state == entry.state() && server.zone == entry.zone()
-                && server.cell == entry.cell() && server.weight == weight) {
+        if (!started
+                && server.state == entry.state()
+                && server.zone == entry.zone()
+                && server.cell == entry.cell()
+                && server.weight == weight) {
             return;
         }
         aperture.remove(server);
@@ -325,8 +333,11 @@
 
     @Override
     public Knowledge knowledge(List<String> ids) {
-        return new Knowledge(Memory.of(ids, byId, FIRST_LIMIT / aperture.sharers()),
-                Memory.of(answers, latencyUs, leastLatencyUs), ready.size(), ejected.size(),
+        return new Knowledge(
+                Memory.of(ids, byId, FIRST_LIMIT / aperture.sharers()),
+                Memory.of(answers, latencyUs, leastLatencyUs),
+                ready.size(),
+                ejected.size(),
                 health < THROTTLE_BELOW);
     }
 
@@ -369,8 +380,10 @@
     @Override
     public void onRequest(long nowUs, Request request) {
         now = nowUs;
-        if (request.classIndex() < 0 || request.classIndex() >= set.classes.size()
-                || request.tenant() >= set.tenants.size() || calls.containsKey(request.id())) {
+        if (request.classIndex() < 0
+                || request.classIndex() >= set.classes.size()
+                || request.tenant() >= set.tenants.size()
+                || calls.containsKey(request.id())) {
             throw new IllegalArgumentException("unknown class or tenant, or an id that is held: " + request);
         }
         long elapsedUs = elapsedBefore(request);
@@ -384,9 +397,15 @@
         }
         // On a node that is behind the answer will lie unread too: what can't be in time takes none of the
         // processor from the rest. After a single pause that is too much.
-        Why early = isWorthless(call) ? Why.TOO_OLD : shedding.refuses(call, random) ? Why.SHED
-                : call.cls.lateWorth() == 0 && request.waitedUs() > sweepUs && call.aimAt - now
-                < request.waitedUs() / 2 + latencyUs[request.classIndex()] ? Why.BEHIND : null;
+        Why early = isWorthless(call)
+                ? Why.TOO_OLD
+                : shedding.refuses(call, random)
+                        ? Why.SHED
+                        : call.cls.lateWorth() == 0
+                                        && request.waitedUs() > sweepUs
+                                        && call.aimAt - now < request.waitedUs() / 2 + latencyUs[request.classIndex()]
+                                ? Why.BEHIND
+                                : null;
         if (early != null) {
             giveUp(call, early);
             return;
@@ -457,8 +476,8 @@
             succeeded(server);
         } else if (outcome.isTelling()) {
             // A time-out of a server that has answered since tells of crowding, as being full does.
-            boolean crowded = result == Result.FULL
-                    || result == Result.TIMEOUT && server.answeredAt >= call.sentAt[attempt];
+            boolean crowded =
+                    result == Result.FULL || result == Result.TIMEOUT && server.answeredAt >= call.sentAt[attempt];
             failed(server, !crowded);
             if (result != Result.FULL && result != Result.TIMEOUT) {
                 server.faults += PACE_GAIN * (1 - server.faults);
@@ -523,8 +542,14 @@
     public List<String> standing(long nowUs, String serverId) {
         now = nowUs;
         Server server = byId.get(serverId);
-        return Standing.of(server, now, set, server != null && ready.contains(server), isThrottled(),
-                isJammed(), server != null && isCold(server) ? server.coldSentAt + coldGap(server) : 0);
+        return Standing.of(
+                server,
+                now,
+                set,
+                server != null && ready.contains(server),
+                isThrottled(),
+                isJammed(),
+                server != null && isCold(server) ? server.coldSentAt + coldGap(server) : 0);
     }
 
     @Override
@@ -596,7 +621,7 @@
             case OK -> server.heardAt[c] = now;
             case ERROR, RESET -> server.misses[c]++;
             case TIMEOUT -> server.misses[c] += server.heardAt[c] < call.sentAt[attempt] ? 1 : 0;
-            default -> { }
+            default -> {}
         }
         server.misses[c] = call.results[attempt] == Result.OK ? 0 : server.misses[c];
         keepOut(server, c);
@@ -619,8 +644,8 @@
         while (!others.isEmpty() && others.first().outUntil[c] <= now) {
             others.pollFirst();
         }
-        int outs = others.size() - (others.contains(server) ? 1 : 0)
-                + ejected.size() - (ejected.contains(server) ? 1 : 0);
+        int outs =
+                others.size() - (others.contains(server) ? 1 : 0) + ejected.size() - (ejected.contains(server) ? 1 : 0);
         return ready.size() < 2 + 2 * outs;
     }
 
@@ -706,9 +731,12 @@
         int from = ejected.size() <= LOOKS ? 0 : random.nextInt(ejected.size());
         for (int i = 0; i < Math.min(LOOKS, ejected.size()) && call.cls.repeat() != Repeat.UNSAFE; i++) {
             Server server = ejected.get((from + i) % ejected.size());
-            if (!isAtLimit(server) && now >= server.restUntil && !server.unreachable
+            if (!isAtLimit(server)
+                    && now >= server.restUntil
+                    && !server.unreachable
                     && !hasJustTried(call, server)
-                    && now < server.servedAt + MOST_EJECT_US && isAllowed(call, server)
+                    && now < server.servedAt + MOST_EJECT_US
+                    && isAllowed(call, server)
                     && (best == null || recentFailures(server) < recentFailures(best))) {
                 best = server;
             }
@@ -747,15 +775,20 @@
             return server;
         }
         Server other = drawTwo(call, fleet.everywhere, fleet.roomy);
-        return server == null || other != null && (other.inFlight + SPILL_AT <= server.inFlight
-                || other.errors < server.errors) ? other : server;
+        return server == null
+                        || other != null
+                                && (other.inFlight + SPILL_AT <= server.inFlight || other.errors < server.errors)
+                ? other
+                : server;
     }
 
     private Server drawTwo(Call call, DrawIndex<Server> from, DrawIndex<Server> withRoom) {
         Server first = draw(call, from, withRoom, null);
         Server second = first == null ? null : draw(call, from, withRoom, first);
         if (first != null && actions.explains()) {
-            actions.drew(call.request.id(), Standing.drawn(first, pace(first)),
+            actions.drew(
+                    call.request.id(),
+                    Standing.drawn(first, pace(first)),
                     second == null ? null : Standing.drawn(second, pace(second)));
         }
         if (second == null || first.inFlight < second.inFlight) {
@@ -796,8 +829,9 @@
             }
         }
         // Most are full, or may not be sent this: all of those are wanted, and the rest is looked through.
-        return !markWanted() || withRoom.size() == 0 ? null : withRoom.drawAmong(LOOKS, random, effect,
-                server -> server != except && maySend(call, server));
+        return !markWanted() || withRoom.size() == 0
+                ? null
+                : withRoom.drawAmong(LOOKS, random, effect, server -> server != except && maySend(call, server));
     }
 
     /** Notes that whoever is full, or all, are wanted; whether one with room may be sent to. */
@@ -832,8 +866,7 @@
             for (int i = 1; i <= Math.min(LOOKS, group.size()); i++) {
                 Server next = group.get((start + i) % group.size());
                 // Exception: where crossing costs, own-zone servers that have not failed last come first.
-                boolean first = next.errors == 0
-                        && (fleet.nearby == fleet.everywhere || next.zone == set.myZone);
+                boolean first = next.errors == 0 && (fleet.nearby == fleet.everywhere || next.zone == set.myZone);
                 if ((first || pass > 0) && !tried.contains(next) && maySend(call, next)) {
                     send(call, next);
                     return;
@@ -846,9 +879,11 @@
     /** The ready servers among which a request that may have run must stay. */
     private Roster<Server> groupOf(Call call) {
         int binding = call.cls.repeat() == Repeat.KEYED ? call.binding() : -1;
-        return binding < 0 || call.cls.group() == Group.ALL ? ready
-                : call.cls.group() == Group.ZONE ? fleet.zone(call.servers[binding].zone)
-                : fleet.cell(call.servers[binding].cell);
+        return binding < 0 || call.cls.group() == Group.ALL
+                ? ready
+                : call.cls.group() == Group.ZONE
+                        ? fleet.zone(call.servers[binding].zone)
+                        : fleet.cell(call.servers[binding].cell);
     }
 
     // ---------------------------------------------------------------- the deferred queue
@@ -861,7 +896,7 @@
         }
         call.waiting = true;
         int low = 0;
-        for (int high = waiting.size(); low < high;) {
+        for (int high = waiting.size(); low < high; ) {
             int middle = (low + high) >>> 1;
             boolean before = BY_VALUE.compare(waiting.get(middle), call) <= 0;
             low = before ? middle + 1 : low;
@@ -872,13 +907,16 @@
 
     /** Whether a request that waits has run out of time, or of what it may try. */
     private boolean isOver(Call call) {
-        return call.deadlineAt - now <= sweepUs + set.tickUs || isLate(call) && call.cls.lateWorth() == 0
+        return call.deadlineAt - now <= sweepUs + set.tickUs
+                || isLate(call) && call.cls.lateWorth() == 0
                 || !mayTryAgain(call);
     }
 
     private boolean isLate(Call call) {
-        return call.aimAt - now < Math.min(MOST_LATE_AT * (call.aimAt - call.arrivedAt),
-                TOO_LATE_AT * latencyUs[call.request.classIndex()]);
+        return call.aimAt - now
+                < Math.min(
+                        MOST_LATE_AT * (call.aimAt - call.arrivedAt),
+                        TOO_LATE_AT * latencyUs[call.request.classIndex()]);
     }
 
     /** Whether nobody can be sent anything, which needs no look at each that waits. */
@@ -980,10 +1018,11 @@
         if (outcome.result() == Result.OK) {
             int c = call.request.classIndex();
             // By the stall alone: of the answers of a node that is behind only the slow ones are surely slow.
-            latencyUs[c] += outcome.stallUs() > sweepUs ? 0
-                    : meanGain(++answers[c]) * (outcome.servedUs() - latencyUs[c]);
+            latencyUs[c] +=
+                    outcome.stallUs() > sweepUs ? 0 : meanGain(++answers[c]) * (outcome.servedUs() - latencyUs[c]);
             // The first answers' mean is chance; until then the aim alone tells.
-            leastLatencyUs[c] = answers[c] * MEAN_GAIN < 0.5 ? Double.MAX_VALUE
+            leastLatencyUs[c] = answers[c] * MEAN_GAIN < 0.5
+                    ? Double.MAX_VALUE
                     : Math.min(leastLatencyUs[c] * LEAST_DRIFT, latencyUs[c]);
             double crowded = Math.min(CROWDED_AT * call.aimUs, CROWDED_BY * leastLatencyUs[c]);
             served.answered(now, fleet.totalWeight);
@@ -991,7 +1030,9 @@
                 // A cold server gets little and is quick with it: were its limit to pass the others', all
                 // nodes together would choke it as soon as slow start lets go (i3a094a).
                 server.limit += wantedAt(server) >= call.sentAt[attempt]
-                        && (!isCold(server) || server.limit * ready.size() < limits) ? limitStep : 0;
+                                && (!isCold(server) || server.limit * ready.size() < limits)
+                        ? limitStep
+                        : 0;
             } else {
                 cutLimit(call, attempt, limitCut);
             }
@@ -1009,8 +1050,7 @@
      * once took less, but the next one would find no better.
      */
     private void rest(Server server, double heldUs, double leastUs) {
-        server.restUntil = server.limit > 1 ? 0
-                : now + (long) (Math.max(heldUs, leastUs) / server.limit - heldUs);
+        server.restUntil = server.limit > 1 ? 0 : now + (long) (Math.max(heldUs, leastUs) / server.limit - heldUs);
     }
 
     /** When a server was last wanted while it was full, or all were. */
@@ -1090,8 +1130,9 @@
             end = Math.min(end, doubtfulEnd(call));
         }
         actions.send(call.request.id(), server.id, end);
-        long copyAfterUs = attempt == 0 && set.secondCopies && call.cls.repeat() != Repeat.UNSAFE
-                && !call.cls.stream() ? call.request.bounds().copyAfterUs() : 0;
+        long copyAfterUs = attempt == 0 && set.secondCopies && call.cls.repeat() != Repeat.UNSAFE && !call.cls.stream()
+                ? call.request.bounds().copyAfterUs()
+                : 0;
         if (copyAfterUs > 0) {
             call.copyAt = now + copyAfterUs;
             copies.add(call);
@@ -1113,14 +1154,14 @@
 
     /** Exception, time-out at the aim: where a later answer earns nothing, it only keeps its server busy. */
     private long attemptEnd(Call call) {
-        return call.cls.lateWorth() > 0 || clientRepeats(call.cls) || call.cls.stream()
-                ? call.deadlineAt : call.aimAt;
+        return call.cls.lateWorth() > 0 || clientRepeats(call.cls) || call.cls.stream() ? call.deadlineAt : call.aimAt;
     }
 
     /** Where a class has just failed, time is left for another server to repeat what can be repeated. */
     private long doubtfulEnd(Call call) {
         long half = (call.aimAt - now) / 2;
-        return call.cls.repeat() == Repeat.UNSAFE || half <= 0 ? Long.MAX_VALUE
+        return call.cls.repeat() == Repeat.UNSAFE || half <= 0
+                ? Long.MAX_VALUE
                 : now + Math.max(half, (long) (TOO_LATE_AT * latencyUs[call.request.classIndex()]));
     }
 
@@ -1153,11 +1194,19 @@
 
     private Why whyNot(Call call) {
         int binding = call.binding();
-        return call.attempts == 0 ? Why.NO_ROOM : call.attempts >= set.maxAttempts ? Why.ATTEMPTS
-                : mayTryAgain(call) || now >= call.deadlineAt || isWorthless(call) ? Why.NO_TIME
-                : binding >= 0 && call.cls.repeat() == Repeat.UNSAFE ? Why.MAY_HAVE_RUN
-                : binding >= 0 && call.cls.repeat() == Repeat.KEYED
-                && now > call.sentAt[binding] + call.cls.windowUs() ? Why.WINDOW : Why.ROUTE;
+        return call.attempts == 0
+                ? Why.NO_ROOM
+                : call.attempts >= set.maxAttempts
+                        ? Why.ATTEMPTS
+                        : mayTryAgain(call) || now >= call.deadlineAt || isWorthless(call)
+                                ? Why.NO_TIME
+                                : binding >= 0 && call.cls.repeat() == Repeat.UNSAFE
+                                        ? Why.MAY_HAVE_RUN
+                                        : binding >= 0
+                                                        && call.cls.repeat() == Repeat.KEYED
+                                                        && now > call.sentAt[binding] + call.cls.windowUs()
+                                                ? Why.WINDOW
+                                                : Why.ROUTE;
     }
 
     private void end(Call call) {
@@ -1179,16 +1228,20 @@
 
     /** Rule 2: whether any further attempt could be lawful, wherever it goes. */
     private boolean mayTryAgain(Call call) {
-        if (call.attempts >= set.maxAttempts || now >= call.deadlineAt || call.streaming
-                || isWorthless(call) || call.attempts > 0 && !isWithinBounds(call)) {
+        if (call.attempts >= set.maxAttempts
+                || now >= call.deadlineAt
+                || call.streaming
+                || isWorthless(call)
+                || call.attempts > 0 && !isWithinBounds(call)) {
             return false;
         }
         int binding = call.binding();
-        return binding < 0 || switch (call.cls.repeat()) {
-            case SAFE -> true;
-            case KEYED -> now <= call.sentAt[binding] + call.cls.windowUs();
-            case UNSAFE -> false;
-        };
+        return binding < 0
+                || switch (call.cls.repeat()) {
+                    case SAFE -> true;
+                    case KEYED -> now <= call.sentAt[binding] + call.cls.windowUs();
+                    case UNSAFE -> false;
+                };
     }
 
     /** Whether the request's route allows a further attempt, and its budget one more repeat. */
@@ -1197,13 +1250,17 @@
         for (int i = 0; i < call.attempts; i++) {
             mayHaveRun += call.results[i] == null || !call.results[i].neverRan ? 1 : 0;
         }
-        return mayHaveRun < call.request.bounds().attempts() && call.request.bounds().mayRepeat();
+        return mayHaveRun < call.request.bounds().attempts()
+                && call.request.bounds().mayRepeat();
     }
 
     /** Rules 2 to 4 for one server: the keyed group, the list's word, and a cold server's budget. */
     private boolean maySend(Call call, Server server) {
-        return !server.ejected && now >= server.outUntil[call.request.classIndex()]
-                && !hasJustTried(call, server) && !isCrowded(server) && isAllowed(call, server);
+        return !server.ejected
+                && now >= server.outUntil[call.request.classIndex()]
+                && !hasJustTried(call, server)
+                && !isCrowded(server)
+                && isAllowed(call, server);
     }
 
     /** Whether the request failed there so quickly that it would only use up its attempts at once. */
@@ -1217,16 +1274,16 @@
     }
 
     private boolean isAllowed(Call call, Server server) {
-        if (server.state != ServerState.READY
-                || isCold(server) && now < server.coldSentAt + coldGap(server)) {
+        if (server.state != ServerState.READY || isCold(server) && now < server.coldSentAt + coldGap(server)) {
             return false;
         }
         int binding = call.cls.repeat() == Repeat.KEYED ? call.binding() : -1;
-        return binding < 0 || switch (call.cls.group()) {
-            case ALL -> true;
-            case ZONE -> server.zone == call.servers[binding].zone;
-            case CELL -> server.cell == call.servers[binding].cell;
-        };
+        return binding < 0
+                || switch (call.cls.group()) {
+                    case ALL -> true;
+                    case ZONE -> server.zone == call.servers[binding].zone;
+                    case CELL -> server.cell == call.servers[binding].cell;
+                };
     }
 
     private boolean isCold(Server server) {
--- a/src/main/java/vetchpost/decision/Standing.java
+++ b/src/main/java/vetchpost/decision/Standing.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-
 import vetchpost.decision.Balancer.Candidate;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
@@ -12,11 +11,10 @@
 final class Standing {
     private static final double US_A_MS = 1_000;
 
-    private Standing() { }
+    private Standing() {}
 
     static Candidate drawn(Server server, double pace) {
-        return new Candidate(server.id, server.weight / (1 + server.errors), server.inFlight, server.limit,
-                pace);
+        return new Candidate(server.id, server.weight / (1 + server.errors), server.inFlight, server.limit, pace);
     }
 
     /**
@@ -26,8 +24,14 @@
      * @param chosenFrom whether it is among those that this node chooses from
      * @param coldUntil when a cold server may be sent its next request; 0 for a warm one
      */
-    static List<String> of(Server server, long now, Settings set, boolean chosenFrom, boolean throttled,
-            boolean jammed, long coldUntil) {
+    static List<String> of(
+            Server server,
+            long now,
+            Settings set,
+            boolean chosenFrom,
+            boolean throttled,
+            boolean jammed,
+            long coldUntil) {
         if (server == null || server.state == ServerState.GONE) {
             return List.of("the list does not name it");
         }
@@ -42,8 +46,8 @@
         }
         for (int c = 0; c < set.classes.size(); c++) {
             if (server.outUntil[c] > now) {
-                reasons.add("it gets no " + set.classes.get(c).name() + " for " + ms(server.outUntil[c] - now)
-                        + ": " + server.misses[c] + " failed in a row");
+                reasons.add("it gets no " + set.classes.get(c).name() + " for " + ms(server.outUntil[c] - now) + ": "
+                        + server.misses[c] + " failed in a row");
             }
         }
         if (coldUntil > now) {
@@ -54,15 +58,16 @@
                     + String.format(Locale.ROOT, "%.1f", server.limit));
         }
         if (server.restUntil > now) {
-            reasons.add("it rests for " + ms(server.restUntil - now)
-                    + ": this node's part of its limit is under one");
+            reasons.add("it rests for " + ms(server.restUntil - now) + ": this node's part of its limit is under one");
         }
         if (server.errors > 0) {
             reasons.add("it is drawn less: " + server.errors + " failed in a row");
         }
         if (throttled || jammed) {
-            reasons.add(throttled ? "the node sends hardly anything: few answers came in time lately"
-                    : "the node has out all that its servers' limits allow");
+            reasons.add(
+                    throttled
+                            ? "the node sends hardly anything: few answers came in time lately"
+                            : "the node has out all that its servers' limits allow");
         }
         return reasons;
     }
--- a/src/main/java/vetchpost/discovery/Discovery.java
+++ b/src/main/java/vetchpost/discovery/Discovery.java
@@ -1,13 +1,5 @@
 package vetchpost.discovery;
 
-import java.io.InputStreamReader;
-import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.SplittableRandom;
-import java.util.concurrent.TimeUnit;
-
-import vetchpost.core.ServerList;
-import vetchpost.net.Network;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufInputStream;
@@ -30,6 +22,13 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.ScheduledFuture;
+import java.io.InputStreamReader;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import vetchpost.core.ServerList;
+import vetchpost.net.Network;
 
 /** The watch on the list of servers: one at a time, opened when asked for, reported once when it fails. */
 public final class Discovery {
@@ -48,11 +47,13 @@
     private static final int SIGN_OF_LIFE = 4_096;
     /** No version is known, so that the whole list is wanted. */
     private static final long NONE = -1;
+
     private static final int CONNECT_MS = 1_000;
     /** A message with an entry for each of 20,000 servers; past it one is malformed. */
     private static final int MAX_MESSAGE = 4 << 20;
     /** So many entries are read in one turn of the loop. */
     private static final int ENTRIES_A_TURN = 500;
+
     private static final int NEXT_TURN_MS = 1;
     private static final int MAX_LINE = 4_096;
     private static final int MAX_HEADERS = 8_192;
@@ -65,7 +66,7 @@
         void onWatchFailed(String reason);
 
         /** The watch has said something, if only that nothing has changed. */
-        default void onHeard() { }
+        default void onHeard() {}
     }
 
     private final EventLoop loop;
@@ -87,8 +88,15 @@
      * @param callMs the same of one that has not said anything yet
      * @param seed for the spread of that
      */
-    public Discovery(EventLoop loop, Network network, InetSocketAddress address, long revision,
-            long silentMs, long callMs, long seed, Listener listener) {
+    public Discovery(
+            EventLoop loop,
+            Network network,
+            InetSocketAddress address,
+            long revision,
+            long silentMs,
+            long callMs,
+            long seed,
+            Listener listener) {
         this.loop = loop;
         this.network = network;
         this.address = address;
@@ -151,6 +159,7 @@
         private ScheduledFuture<?> silence;
         /** Whether a whole line has come, and how many bytes since. */
         private boolean answered;
+
         private int unfinished;
         private boolean over;
         private boolean ended;
@@ -158,6 +167,7 @@
         private int searched;
         /** The message that is being read, bit by bit, and its length. */
         private ListReader reading;
+
         private int readingLength;
 
         void open() {
@@ -171,15 +181,19 @@
                 return;
             }
             channel = fresh;
-            new Bootstrap().group(loop).channelFactory(() -> fresh).disableResolver()
+            new Bootstrap()
+                    .group(loop)
+                    .channelFactory(() -> fresh)
+                    .disableResolver()
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel to) {
-                            to.pipeline().addLast(new HttpClientCodec(MAX_LINE, MAX_HEADERS, 8_192),
-                                    Watch.this);
+                            to.pipeline().addLast(new HttpClientCodec(MAX_LINE, MAX_HEADERS, 8_192), Watch.this);
                         }
-                    }).connect(address).addListener(done -> {
+                    })
+                    .connect(address)
+                    .addListener(done -> {
                         if (done.isSuccess()) {
                             ask();
                         } else {
@@ -189,10 +203,11 @@
         }
 
         private void ask() {
-            DefaultFullHttpRequest call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+            DefaultFullHttpRequest call = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    HttpMethod.GET,
                     "/v1/endpoints?watch=1" + (revision == NONE ? "" : "&after=" + revision));
-            call.headers().set(HttpHeaderNames.HOST,
-                    address.getAddress().getHostAddress() + ":" + address.getPort());
+            call.headers().set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
             channel.writeAndFlush(call);
         }
 
@@ -265,8 +280,8 @@
                 silence.cancel(false);
             }
             long mostMs = answered ? silentMs : callMs;
-            silence = loop.schedule(this::onSilence, mostMs - random.nextLong(mostMs / SPREAD_PART + 1),
-                    TimeUnit.MILLISECONDS);
+            silence = loop.schedule(
+                    this::onSilence, mostMs - random.nextLong(mostMs / SPREAD_PART + 1), TimeUnit.MILLISECONDS);
         }
 
         /** Its time is up; but a loop that was held up, or a list that takes many turns, is no silence. */
@@ -318,8 +333,8 @@
                 heard();
                 if (!isBlank(length)) {
                     readingLength = length;
-                    reading = new ListReader(new InputStreamReader(new ByteBufInputStream(
-                            text.slice(text.readerIndex(), length)), StandardCharsets.UTF_8));
+                    reading = new ListReader(new InputStreamReader(
+                            new ByteBufInputStream(text.slice(text.readerIndex(), length)), StandardCharsets.UTF_8));
                     return true;
                 }
                 text.skipBytes(length + 1);
--- a/src/main/java/vetchpost/discovery/ListReader.java
+++ b/src/main/java/vetchpost/discovery/ListReader.java
@@ -1,14 +1,13 @@
 package vetchpost.discovery;
 
+import com.google.gson.JsonParseException;
+import com.google.gson.stream.JsonReader;
+import com.google.gson.stream.JsonToken;
 import java.io.IOException;
 import java.io.Reader;
 import java.util.ArrayList;
 import java.util.List;
-
 import vetchpost.core.ServerList;
-import com.google.gson.JsonParseException;
-import com.google.gson.stream.JsonReader;
-import com.google.gson.stream.JsonToken;
 
 /**
  * Reads a message of discovery's, as much at a time as it is told to: a list of thousands would hold the loop
@@ -37,7 +36,7 @@
      */
     ServerList read(int most) {
         try {
-            for (int left = most; list == null && left > 0;) {
+            for (int left = most; list == null && left > 0; ) {
                 left -= step() ? 1 : 0;
             }
             return list;
@@ -88,8 +87,8 @@
             throw new IllegalArgumentException("more than a message");
         }
         if (revision == null || all == null || !hasTargets) {
-            throw new IllegalArgumentException((revision == null ? "rev" : all == null ? "all" : "targets")
-                    + " is missing");
+            throw new IllegalArgumentException(
+                    (revision == null ? "rev" : all == null ? "all" : "targets") + " is missing");
         }
         list = new ServerList(revision, all, List.copyOf(targets));
     }
@@ -117,10 +116,10 @@
         }
         json.endObject();
         if (id == null || endpoint == null || state == null) {
-            throw new IllegalArgumentException((id == null ? "uid" : endpoint == null ? "endpoint" : "state")
-                    + " is missing");
+            throw new IllegalArgumentException(
+                    (id == null ? "uid" : endpoint == null ? "endpoint" : "state") + " is missing");
         }
-        return new ServerList.Target(id, ServerListParser.address(endpoint), zone, cell,
-                ServerListParser.state(state), weight, bootMs);
+        return new ServerList.Target(
+                id, ServerListParser.address(endpoint), zone, cell, ServerListParser.state(state), weight, bootMs);
     }
 }
--- a/src/main/java/vetchpost/discovery/ServerListParser.java
+++ b/src/main/java/vetchpost/discovery/ServerListParser.java
@@ -1,18 +1,17 @@
 package vetchpost.discovery;
 
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
 import java.io.StringReader;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-
 import vetchpost.core.ServerList;
 import vetchpost.decision.Balancer.ServerState;
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
 
 /** Reads what discovery says, and addresses. */
 public final class ServerListParser {
-    private ServerListParser() { }
+    private ServerListParser() {}
 
     /** Throws IllegalArgumentException with a short reason if the text is not such a message. */
     public static ServerList parse(String json) {
@@ -27,21 +26,22 @@
             for (JsonElement target : message.getAsJsonArray("targets")) {
                 targets.add(target(target.getAsJsonObject()));
             }
-            return new ServerList(need(message, "rev").getAsLong(), need(message, "all").getAsBoolean(),
-                    List.copyOf(targets));
-        } catch (IllegalStateException | NullPointerException | UnsupportedOperationException
-                | ClassCastException e) {
+            return new ServerList(
+                    need(message, "rev").getAsLong(), need(message, "all").getAsBoolean(), List.copyOf(targets));
+        } catch (IllegalStateException | NullPointerException | UnsupportedOperationException | ClassCastException e) {
             throw new IllegalArgumentException("not a list of servers: " + e.getMessage(), e);
         }
     }
 
     private static ServerList.Target target(JsonObject entry) {
         String state = need(entry, "state").getAsString();
-        return new ServerList.Target(need(entry, "uid").getAsString(),
+        return new ServerList.Target(
+                need(entry, "uid").getAsString(),
                 address(need(entry, "endpoint").getAsString()),
                 entry.has("az") ? entry.get("az").getAsString() : "",
                 entry.has("pod_group") ? entry.get("pod_group").getAsInt() : 0,
-                state(state), entry.has("capacity_hint") ? entry.get("capacity_hint").getAsDouble() : 1,
+                state(state),
+                entry.has("capacity_hint") ? entry.get("capacity_hint").getAsDouble() : 1,
                 entry.has("boot_ms") ? entry.get("boot_ms").getAsLong() : 0);
     }
 
@@ -68,7 +68,8 @@
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         String digits = text.substring(colon + 1);
-        if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]") || !digits.matches("[0-9]{1,5}")
+        if (!host.matches("[0-9.]+|\\[[0-9a-fA-F:.]+\\]")
+                || !digits.matches("[0-9]{1,5}")
                 || Integer.parseInt(digits) > 65_535) {
             throw new IllegalArgumentException("not an address and port: " + text);
         }
--- a/src/main/java/vetchpost/fastcgi/ClientStreams.java
+++ b/src/main/java/vetchpost/fastcgi/ClientStreams.java
@@ -1,15 +1,14 @@
 package vetchpost.fastcgi;
 
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-
 import vetchpost.fastcgi.Ending.ProtocolStatus;
 import vetchpost.fastcgi.FcgiRecord.Type;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 
 /**
  * The requests that share one client's connection: which are open, how far each has come, and what the client
@@ -110,16 +109,17 @@
                     end(record.id(), ProtocolStatus.REQUEST_COMPLETE, 0);
                 }
             }
-            case DATA -> { }
-            default -> throw new FcgiException("a client does not send records of type "
-                    + record.typeNumber());
+            case DATA -> {}
+            default -> throw new FcgiException("a client does not send records of type " + record.typeNumber());
         }
     }
 
     private void manage(Type type, FcgiRecord record) {
         if (type != Type.GET_VALUES) {
-            listener.write(new FcgiRecord(Type.UNKNOWN_TYPE, 0, Unpooled.buffer(BEGIN_BYTES)
-                    .writeByte(record.typeNumber()).writeZero(BEGIN_BYTES - 1)));
+            listener.write(new FcgiRecord(
+                    Type.UNKNOWN_TYPE,
+                    0,
+                    Unpooled.buffer(BEGIN_BYTES).writeByte(record.typeNumber()).writeZero(BEGIN_BYTES - 1)));
             return;
         }
         NameValues asked = new NameValues(MOST_ASKED, MOST_PAIRS);
@@ -133,7 +133,7 @@
             switch (name) {
                 case "FCGI_MAX_CONNS", "FCGI_MAX_REQS" -> told.put(name, Integer.toString(mostRequests));
                 case "FCGI_MPXS_CONNS" -> told.put(name, "1");
-                default -> { }
+                default -> {}
             }
         }
         ByteBuf answer = Unpooled.buffer();
@@ -186,8 +186,10 @@
         int more = content.readableBytes();
         if (more == 0) {
             if (stream.request.length() >= 0 && stream.request.length() != stream.size) {
-                refuse(id, BAD_REQUEST, "a body of " + stream.size + " bytes, and CONTENT_LENGTH is "
-                        + stream.request.length());
+                refuse(
+                        id,
+                        BAD_REQUEST,
+                        "a body of " + stream.size + " bytes, and CONTENT_LENGTH is " + stream.request.length());
                 return;
             }
             stream.owed = true;
@@ -200,16 +202,20 @@
             return;
         }
         if (stream.size + more > stream.body.length) {
-            stream.body = java.util.Arrays.copyOf(stream.body,
-                    Math.min(mostBody, Math.max(stream.size + more, 2 * stream.body.length)));
+            stream.body = java.util.Arrays.copyOf(
+                    stream.body, Math.min(mostBody, Math.max(stream.size + more, 2 * stream.body.length)));
         }
         content.getBytes(content.readerIndex(), stream.body, stream.size, more);
         stream.size += more;
     }
 
     private void refuse(int id, int status, String why) {
-        answer(id, status, List.of(new String[] {"content-type", "text/plain; charset=utf-8"}, new String[] {
-            "content-length", Integer.toString(why.length() + 1)}),
+        answer(
+                id,
+                status,
+                List.of(
+                        new String[] {"content-type", "text/plain; charset=utf-8"},
+                        new String[] {"content-length", Integer.toString(why.length() + 1)}),
                 (why + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
@@ -232,8 +238,13 @@
         if (stream == null) {
             return;
         }
-        listener.write(new FcgiRecord(Type.END_REQUEST, id, Unpooled.buffer(BEGIN_BYTES)
-                .writeInt((int) appStatus).writeByte(status.ordinal()).writeZero(3)));
+        listener.write(new FcgiRecord(
+                Type.END_REQUEST,
+                id,
+                Unpooled.buffer(BEGIN_BYTES)
+                        .writeInt((int) appStatus)
+                        .writeByte(status.ordinal())
+                        .writeZero(3)));
         // Without the client's wish to keep it the connection ends with the request, but not on others'.
         closing |= !stream.keep;
         if (closing && open.isEmpty()) {
--- a/src/main/java/vetchpost/fastcgi/Ending.java
+++ b/src/main/java/vetchpost/fastcgi/Ending.java
@@ -9,7 +9,10 @@
 public final class Ending {
     /** The specification's protocol statuses of an end record. */
     public enum ProtocolStatus {
-        REQUEST_COMPLETE, CANT_MPX_CONN, OVERLOADED, UNKNOWN_ROLE;
+        REQUEST_COMPLETE,
+        CANT_MPX_CONN,
+        OVERLOADED,
+        UNKNOWN_ROLE;
 
         /** The status of this number, or null. */
         public static ProtocolStatus of(int number) {
@@ -61,7 +64,8 @@
      * @param protocolStatus null for a number that the specification doesn't know
      */
     public Result ended(ProtocolStatus protocolStatus, long appStatus) {
-        if (protocolStatus == ProtocolStatus.CANT_MPX_CONN || protocolStatus == ProtocolStatus.OVERLOADED
+        if (protocolStatus == ProtocolStatus.CANT_MPX_CONN
+                || protocolStatus == ProtocolStatus.OVERLOADED
                 || protocolStatus == ProtocolStatus.UNKNOWN_ROLE) {
             // Its word that it has not begun; not if it has answered all the same.
             return headWhole || body > 0 ? Result.ERROR : Result.FULL;
--- a/src/main/java/vetchpost/fastcgi/FcgiRecord.java
+++ b/src/main/java/vetchpost/fastcgi/FcgiRecord.java
@@ -16,8 +16,17 @@
 
     /** The specification's types, in its order, from 1. */
     public enum Type {
-        BEGIN_REQUEST, ABORT_REQUEST, END_REQUEST, PARAMS, STDIN, STDOUT, STDERR, DATA, GET_VALUES,
-        GET_VALUES_RESULT, UNKNOWN_TYPE;
+        BEGIN_REQUEST,
+        ABORT_REQUEST,
+        END_REQUEST,
+        PARAMS,
+        STDIN,
+        STDOUT,
+        STDERR,
+        DATA,
+        GET_VALUES,
+        GET_VALUES_RESULT,
+        UNKNOWN_TYPE;
 
         private static final Type[] ALL = values();
 
@@ -43,8 +52,8 @@
     public FcgiRecord(int type, int id, ByteBuf content) {
         super(content);
         if (type < 0 || type > 255 || id < 0 || id > MOST_ID || content.readableBytes() > MOST_CONTENT) {
-            throw new IllegalArgumentException("type " + type + ", id " + id + ", " + content.readableBytes()
-                    + " bytes");
+            throw new IllegalArgumentException(
+                    "type " + type + ", id " + id + ", " + content.readableBytes() + " bytes");
         }
         this.type = type;
         this.id = id;
@@ -82,8 +91,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof FcgiRecord record && record.type == type && record.id == id
-                && super.equals(other);
+        return other instanceof FcgiRecord record && record.type == type && record.id == id && super.equals(other);
     }
 
     @Override
@@ -93,7 +101,7 @@
 
     @Override
     public String toString() {
-        return (type() == null ? "type " + type : type()) + " " + id + ", " + content().readableBytes()
-                + " bytes";
+        return (type() == null ? "type " + type : type()) + " " + id + ", "
+                + content().readableBytes() + " bytes";
     }
 }
--- a/src/main/java/vetchpost/fastcgi/FcgiReply.java
+++ b/src/main/java/vetchpost/fastcgi/FcgiReply.java
@@ -1,12 +1,11 @@
 package vetchpost.fastcgi;
 
+import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 
-import io.netty.buffer.ByteBuf;
-
 /**
  * Reads the head of an application's answer from its output, however records cut it: {@code Status}, fields,
  * an empty line. What follows is the body. Bounded; what can be read in two ways is refused.
--- a/src/main/java/vetchpost/fastcgi/FcgiRequest.java
+++ b/src/main/java/vetchpost/fastcgi/FcgiRequest.java
@@ -62,7 +62,8 @@
         String target = params.get("REQUEST_URI");
         if (target == null) {
             String query = params.getOrDefault("QUERY_STRING", "");
-            target = params.getOrDefault("SCRIPT_NAME", "") + params.getOrDefault("PATH_INFO", "")
+            target = params.getOrDefault("SCRIPT_NAME", "")
+                    + params.getOrDefault("PATH_INFO", "")
                     + (query.isEmpty() ? "" : "?" + query);
         }
         if (!target.startsWith("/") || !target.chars().allMatch(c -> c > ' ' && c < 127)) {
--- a/src/main/java/vetchpost/fastcgi/NameValues.java
+++ b/src/main/java/vetchpost/fastcgi/NameValues.java
@@ -1,13 +1,12 @@
 package vetchpost.fastcgi;
 
+import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-import io.netty.buffer.ByteBuf;
-
 /**
  * Reads the names and values of a stream, however its records cut it. What a length claims is held against
  * the bound before anything is kept for it; at most so many bytes and pairs are kept.
@@ -79,14 +78,15 @@
             long name = length(at);
             long value = length(valueAt);
             if (name + value > mostBytes) {
-                throw new FcgiException("a name and value of " + (name + value) + " bytes, of " + mostBytes
-                        + " for all");
+                throw new FcgiException(
+                        "a name and value of " + (name + value) + " bytes, of " + mostBytes + " for all");
             }
             int textAt = valueAt + valueBytes;
             if (textAt + name + value > size) {
                 break;
             }
-            pair(new String(held, textAt, (int) name, StandardCharsets.ISO_8859_1),
+            pair(
+                    new String(held, textAt, (int) name, StandardCharsets.ISO_8859_1),
                     new String(held, textAt + (int) name, (int) value, StandardCharsets.ISO_8859_1));
             at = textAt + (int) (name + value);
         }
@@ -99,8 +99,12 @@
     }
 
     private long length(int at) {
-        return (held[at] & LONG) == 0 ? held[at] : (held[at] & 0x7FL) << 24 | (held[at + 1] & 0xFFL) << 16
-                | (held[at + 2] & 0xFFL) << 8 | held[at + 3] & 0xFFL;
+        return (held[at] & LONG) == 0
+                ? held[at]
+                : (held[at] & 0x7FL) << 24
+                        | (held[at + 1] & 0xFFL) << 16
+                        | (held[at + 2] & 0xFFL) << 8
+                        | held[at + 3] & 0xFFL;
     }
 
     private void pair(String name, String value) throws FcgiException {
--- a/src/main/java/vetchpost/fastcgi/RecordDecoder.java
+++ b/src/main/java/vetchpost/fastcgi/RecordDecoder.java
@@ -1,10 +1,9 @@
 package vetchpost.fastcgi;
 
-import java.util.List;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.ByteToMessageDecoder;
+import java.util.List;
 
 /**
  * Reads records. It holds one at most, 65,798 bytes with its padding, as the length that comes first tells;
@@ -36,8 +35,7 @@
             return;
         }
         in.skipBytes(FcgiRecord.HEADER);
-        out.add(new FcgiRecord(in.getUnsignedByte(at + 1), in.getUnsignedShort(at + 2),
-                in.readRetainedSlice(length)));
+        out.add(new FcgiRecord(in.getUnsignedByte(at + 1), in.getUnsignedShort(at + 2), in.readRetainedSlice(length)));
         in.skipBytes(padding);
     }
 
--- a/src/main/java/vetchpost/handover/AuthenticatedFrames.java
+++ b/src/main/java/vetchpost/handover/AuthenticatedFrames.java
@@ -1,15 +1,14 @@
 package vetchpost.handover;
 
-import java.security.MessageDigest;
-import java.security.SecureRandom;
-import java.util.Arrays;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.util.concurrent.ScheduledFuture;
+import java.security.MessageDigest;
+import java.security.SecureRandom;
+import java.util.Arrays;
+import java.util.concurrent.TimeUnit;
 
 /**
  * A connection on which both sides have shown that they know the secret, with frames both ways, each with a
@@ -22,6 +21,7 @@
     private static final long PROOF_MS = 2_000;
     /** Numbers of frames from the side that connects; those from the other are without. */
     private static final int UP = 1 << 31;
+
     private static final int MOST_NUMBER = Integer.MAX_VALUE - 1;
 
     /** Hears what becomes of the connection, on its loop. */
@@ -33,7 +33,7 @@
         void frame(byte[] frame);
 
         /** What was sent before has left, or something waits to again. */
-        default void writable() { }
+        default void writable() {}
 
         /** It is over, once. */
         void down(String why);
@@ -64,9 +64,8 @@
      * @param listens whether the other side has connected
      * @param mostFrame bytes of a frame
      */
-    public static AuthenticatedFrames open(Channel channel, Secret secret, SecureRandom random,
-            boolean listens,
-            int mostFrame, Listener listener) {
+    public static AuthenticatedFrames open(
+            Channel channel, Secret secret, SecureRandom random, boolean listens, int mostFrame, Listener listener) {
         AuthenticatedFrames frames = new AuthenticatedFrames(secret, random, listens, listener);
         frames.channel = channel;
         Wire.frames(channel.pipeline(), mostFrame + Secret.PROOF);
@@ -107,8 +106,8 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        limit = ctx.executor().schedule(() -> end("it has not shown that it knows the secret"), PROOF_MS,
-                TimeUnit.MILLISECONDS);
+        limit = ctx.executor()
+                .schedule(() -> end("it has not shown that it knows the secret"), PROOF_MS, TimeUnit.MILLISECONDS);
         if (listens) {
             Wire.hello(channel, nonce, new byte[0]);
         }
--- a/src/main/java/vetchpost/handover/Giver.java
+++ b/src/main/java/vetchpost/handover/Giver.java
@@ -1,14 +1,5 @@
 package vetchpost.handover;
 
-import java.lang.System.Logger;
-import java.lang.System.Logger.Level;
-import java.net.SocketAddress;
-import java.security.SecureRandom;
-import java.util.Iterator;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Supplier;
-
-import vetchpost.net.Network;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -20,6 +11,14 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.util.concurrent.ScheduledFuture;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.net.SocketAddress;
+import java.security.SecureRandom;
+import java.util.Iterator;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
+import vetchpost.net.Network;
 
 /**
  * Gives what a node knows to others that prove that they know the secret. It spends little of its loop on it:
@@ -32,9 +31,11 @@
     static final int MOST_TAKERS = 4;
     /** For a taker's proof, and for all of it. */
     private static final long PROOF_MS = 1_000;
+
     private static final long WHOLE_MS = 10_000;
     /** After a piece, which takes a fraction of a millisecond, so much time is the requests'. */
     private static final long PAUSE_MS = 2;
+
     private static final int BACKLOG = 128;
 
     private final EventLoop loop;
@@ -52,8 +53,8 @@
      *
      * @param pieces makes the pieces of what is known as they are asked for
      */
-    public Giver(EventLoop loop, Network network, Secret secret, SecureRandom random,
-            Supplier<Iterator<byte[]>> pieces) {
+    public Giver(
+            EventLoop loop, Network network, Secret secret, SecureRandom random, Supplier<Iterator<byte[]>> pieces) {
         this.loop = loop;
         this.network = network;
         this.secret = secret;
@@ -63,8 +64,11 @@
 
     /** Listens; a node whose address for this is taken serves all the same. */
     public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
-        ChannelFuture binding = new ServerBootstrap().group(group).channelFactory(network::listening)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+        ChannelFuture binding = new ServerBootstrap()
+                .group(group)
+                .channelFactory(network::listening)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -77,11 +81,15 @@
                         Wire.frames(channel.pipeline(), Wire.MOST_HELLO);
                         channel.pipeline().addLast(new Taker(channel));
                     }
-                }).bind(address);
+                })
+                .bind(address);
         listening = binding.channel();
         binding.addListener(done -> {
             if (!done.isSuccess()) {
-                LOG.log(Level.WARNING, "nothing is handed over: can''t listen at {0}: {1}", address,
+                LOG.log(
+                        Level.WARNING,
+                        "nothing is handed over: can''t listen at {0}: {1}",
+                        address,
                         done.cause().getMessage());
             }
         });
@@ -162,10 +170,13 @@
                 return;
             }
             pausing = true;
-            loop.schedule(() -> {
-                pausing = false;
-                go();
-            }, PAUSE_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        pausing = false;
+                        go();
+                    },
+                    PAUSE_MS,
+                    TimeUnit.MILLISECONDS);
         }
 
         @Override
--- a/src/main/java/vetchpost/handover/Secret.java
+++ b/src/main/java/vetchpost/handover/Secret.java
@@ -1,5 +1,6 @@
 package vetchpost.handover;
 
+import at.favre.lib.hkdf.HKDF;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -7,8 +8,6 @@
 import java.security.MessageDigest;
 import java.util.ArrayList;
 import java.util.List;
-
-import at.favre.lib.hkdf.HKDF;
 import org.apache.commons.codec.digest.HmacAlgorithms;
 import org.apache.commons.codec.digest.HmacUtils;
 
@@ -24,6 +23,7 @@
     static final int NONCE = 32;
     /** A shorter one can be guessed. */
     static final int LEAST = 32;
+
     private static final int MOST = 1_024;
     private static final int MOST_KEYS = 4;
     private static final long MOST_FILE = 8 * 1_024;
@@ -73,14 +73,13 @@
             }
             byte[] key = text.getBytes(StandardCharsets.UTF_8);
             if (key.length < LEAST || key.length > MOST) {
-                throw new IOException(file + " holds a secret of " + key.length + " bytes; from " + LEAST
-                        + " to " + MOST + " are wanted");
+                throw new IOException(file + " holds a secret of " + key.length + " bytes; from " + LEAST + " to "
+                        + MOST + " are wanted");
             }
             keys.add(key);
         }
         if (keys.isEmpty() || keys.size() > MOST_KEYS) {
-            throw new IOException(file + " holds " + keys.size() + " secrets; from 1 to " + MOST_KEYS
-                    + " are wanted");
+            throw new IOException(file + " holds " + keys.size() + " secrets; from 1 to " + MOST_KEYS + " are wanted");
         }
         return new Secret(keys);
     }
@@ -108,8 +107,12 @@
 
     /** What the tags of one handover are made with. */
     byte[] session(int key, byte[] giverNonce, byte[] takerNonce) {
-        return HKDF.fromHmacSha256().extractAndExpand(join(giverNonce, takerNonce), keys.get(key),
-                "vetchpost handover 1".getBytes(StandardCharsets.US_ASCII), PROOF);
+        return HKDF.fromHmacSha256()
+                .extractAndExpand(
+                        join(giverNonce, takerNonce),
+                        keys.get(key),
+                        "vetchpost handover 1".getBytes(StandardCharsets.US_ASCII),
+                        PROOF);
     }
 
     /** The tag of a message: it holds its place, so that none can be left out, moved or played again. */
--- a/src/main/java/vetchpost/handover/Taker.java
+++ b/src/main/java/vetchpost/handover/Taker.java
@@ -1,16 +1,5 @@
 package vetchpost.handover;
 
-import java.net.InetSocketAddress;
-import java.security.MessageDigest;
-import java.security.SecureRandom;
-import java.util.Arrays;
-import java.util.concurrent.TimeUnit;
-
-import vetchpost.net.Network;
-import vetchpost.state.Snapshot;
-import vetchpost.state.codec.Assembly;
-import vetchpost.state.codec.MalformedState;
-import vetchpost.state.codec.PieceCodec;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -21,6 +10,16 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.util.concurrent.ScheduledFuture;
+import java.net.InetSocketAddress;
+import java.security.MessageDigest;
+import java.security.SecureRandom;
+import java.util.Arrays;
+import java.util.concurrent.TimeUnit;
+import vetchpost.net.Network;
+import vetchpost.state.Snapshot;
+import vetchpost.state.codec.Assembly;
+import vetchpost.state.codec.MalformedState;
+import vetchpost.state.codec.PieceCodec;
 
 /** Asks a running node for what it knows, once. Whatever comes is bounded in bytes and time, and checked. */
 public final class Taker {
@@ -66,14 +65,19 @@
             loop.execute(() -> asking.end("no connection could be opened"));
             return () -> asking.end("called off");
         }
-        new Bootstrap().group(loop).channelFactory(() -> asking.channel).disableResolver()
+        new Bootstrap()
+                .group(loop)
+                .channelFactory(() -> asking.channel)
+                .disableResolver()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, withinMs))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel to) {
                         asking.open(to);
                     }
-                }).connect(address).addListener(done -> {
+                })
+                .connect(address)
+                .addListener(done -> {
                     if (!done.isSuccess()) {
                         asking.end("nobody is there");
                     }
@@ -145,8 +149,7 @@
                 giverNonce = Wire.hello(message, 0).nonce();
                 Wire.hello(channel, nonce, secret.proof(0, Wire.TAKER, giverNonce, nonce));
             } else if (session == null) {
-                if (!MessageDigest.isEqual(Wire.bytes(message), secret.proof(0, Wire.GIVER, giverNonce,
-                        nonce))) {
+                if (!MessageDigest.isEqual(Wire.bytes(message), secret.proof(0, Wire.GIVER, giverNonce, nonce))) {
                     throw new Wire.Refused("it doesn't know the secret");
                 }
                 session = secret.session(0, giverNonce, nonce);
--- a/src/main/java/vetchpost/handover/Wire.java
+++ b/src/main/java/vetchpost/handover/Wire.java
@@ -1,9 +1,5 @@
 package vetchpost.handover;
 
-import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
-
-import vetchpost.state.codec.PieceCodec;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -11,6 +7,9 @@
 import io.netty.channel.ChannelPipeline;
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.handler.codec.LengthFieldPrepender;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import vetchpost.state.codec.PieceCodec;
 
 /**
  * The handover's messages. Each is a length of four bytes and as many bytes. The giver begins with a hello
@@ -37,14 +36,15 @@
     }
 
     /** A side's nonce, and its proof if it has one by then. */
-    record Hello(byte[] nonce, byte[] proof) { }
+    record Hello(byte[] nonce, byte[] proof) {}
 
-    private Wire() { }
+    private Wire() {}
 
     /** Messages in place of bytes; too long a one ends in an exception before room is made for it. */
     static void frames(ChannelPipeline pipeline, int most) {
-        pipeline.addLast(new LengthFieldBasedFrameDecoder(Math.min(MOST_FRAME, most) + LENGTH, 0, LENGTH, 0,
-                LENGTH), new LengthFieldPrepender(LENGTH));
+        pipeline.addLast(
+                new LengthFieldBasedFrameDecoder(Math.min(MOST_FRAME, most) + LENGTH, 0, LENGTH, 0, LENGTH),
+                new LengthFieldPrepender(LENGTH));
     }
 
     static int mostFrame() {
@@ -71,7 +71,8 @@
         if (bytes.length != nonceAt + Secret.NONCE + proofLength) {
             throw new Refused("its hello has " + bytes.length + " bytes");
         }
-        return new Hello(Arrays.copyOfRange(bytes, nonceAt, nonceAt + Secret.NONCE),
+        return new Hello(
+                Arrays.copyOfRange(bytes, nonceAt, nonceAt + Secret.NONCE),
                 Arrays.copyOfRange(bytes, nonceAt + Secret.NONCE, bytes.length));
     }
 
--- a/src/main/java/vetchpost/http/Acceptor.java
+++ b/src/main/java/vetchpost/http/Acceptor.java
@@ -1,12 +1,5 @@
 package vetchpost.http;
 
-import java.net.SocketAddress;
-import java.util.concurrent.TimeUnit;
-import java.util.function.LongSupplier;
-
-import vetchpost.core.RequestLog;
-import vetchpost.net.Network;
-import vetchpost.net.Sockets;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
@@ -19,6 +12,12 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.ServerChannelRecvByteBufAllocator;
+import java.net.SocketAddress;
+import java.util.concurrent.TimeUnit;
+import java.util.function.LongSupplier;
+import vetchpost.core.RequestLog;
+import vetchpost.net.Network;
+import vetchpost.net.Sockets;
 
 /**
  * One listening socket. A client's connection counts as accepted, and what it sends as taken, once the system
@@ -29,6 +28,7 @@
     private static final int BACKLOG = 1_024;
     /** Bytes read at once, at most: what is decoded of them is all kept. */
     private static final int MOST_READ = 16_384;
+
     private static final long ACCEPT_AGAIN_MS = 20;
     /** How long connections are left in the queue for want of room; from then on they are accepted to be told
      * to come again. Long enough for one that has just been answered to count as idle. */
@@ -53,9 +53,11 @@
     private boolean turningAway;
     /** Whether connections were left in the queue, and since when some may lie there. */
     private boolean behind;
+
     private long behindSinceNs;
     /** When the last so many were accepted that no queue holds more. */
     private long markNs;
+
     private long markAt;
 
     /**
@@ -74,14 +76,20 @@
 
     /** Binds the address; the future tells whether it could be had. */
     ChannelFuture listen(EventLoopGroup group, SocketAddress address, Opener opener) {
-        ChannelFuture binding = new ServerBootstrap().group(group).channelFactory(network::listening)
-                .option(ChannelOption.RECVBUF_ALLOCATOR,
+        ChannelFuture binding = new ServerBootstrap()
+                .group(group)
+                .channelFactory(network::listening)
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(atOnce))
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR,
+                .childOption(
+                        ChannelOption.RECVBUF_ALLOCATOR,
                         // A second time, however little came: so the end behind a request is seen at once.
-                        new AdaptiveRecvByteBufAllocator(512, 2_048, MOST_READ).respectMaybeMoreData(false)
+                        new AdaptiveRecvByteBufAllocator(512, 2_048, MOST_READ)
+                                .respectMaybeMoreData(false)
                                 .maxMessagesPerRead(2))
                 .handler(this)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -89,7 +97,8 @@
                     protected void initChannel(Channel accepted) {
                         opener.open(accepted.pipeline());
                     }
-                }).bind(address);
+                })
+                .bind(address);
         channel = binding.channel();
         return binding;
     }
--- a/src/main/java/vetchpost/http/AnswerReader.java
+++ b/src/main/java/vetchpost/http/AnswerReader.java
@@ -1,8 +1,5 @@
 package vetchpost.http;
 
-import java.util.Arrays;
-
-import vetchpost.core.Answer;
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpDecoderConfig;
@@ -16,6 +13,8 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.AsciiString;
+import java.util.Arrays;
+import vetchpost.core.Answer;
 
 /** Puts one answer of a server together, within limits, and takes for an answer only what is surely one. */
 final class AnswerReader {
@@ -24,6 +23,7 @@
     private static final int MAX_HEADERS = 16_384;
     /** Informational answers ahead of the final one; servers send one or two. */
     private static final int MOST_INFORMATIONAL = 16;
+
     private static final byte[] NONE = {};
 
     /** Netty's decoder without its leniency: a line read in two ways may be no header at all. */
@@ -91,7 +91,8 @@
         head = response;
         long length = HttpUtil.getContentLength(response, 0L);
         // No use reading what can't be passed on; and nobody has asked for another protocol.
-        if (length > MAX_BODY || response.protocolVersion().majorVersion() != 1
+        if (length > MAX_BODY
+                || response.protocolVersion().majorVersion() != 1
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
             throw new Exchange.Spoilt();
         }
@@ -144,7 +145,7 @@
     }
 
     Answer answer() {
-        return new Answer(status(), header(HttpHeaderNames.CONTENT_TYPE),
-                size == body.length ? body : Arrays.copyOf(body, size));
+        return new Answer(
+                status(), header(HttpHeaderNames.CONTENT_TYPE), size == body.length ? body : Arrays.copyOf(body, size));
     }
 }
--- a/src/main/java/vetchpost/http/ClientConnection.java
+++ b/src/main/java/vetchpost/http/ClientConnection.java
@@ -1,14 +1,5 @@
 package vetchpost.http;
 
-import java.io.IOException;
-import java.lang.System.Logger;
-import java.lang.System.Logger.Level;
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.concurrent.TimeUnit;
-
-import vetchpost.core.ClientRequest;
-import vetchpost.core.Failure;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -30,6 +21,14 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.concurrent.TimeUnit;
+import vetchpost.core.ClientRequest;
+import vetchpost.core.Failure;
 
 /** One client's connection: its requests one by one, an answer to each, and what it may cost meanwhile. */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientLine {
@@ -46,13 +45,14 @@
     /** What is read and thrown away meanwhile: closed on unread bytes, the system would take the reason
      * back. */
     private static final int MOST_THROWN_AWAY = 256 * 1024;
+
     private static final String READY = "/ready";
     /** Not the request's fault: a refusal, which may come again. */
     private static final BadRequest TOO_MUCH =
             new BadRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much at once");
 
     /** A request read while an earlier one on its connection still waits for its answer. */
-    private record Ahead(FullHttpRequest http, long arrivedNs, long cost) { }
+    private record Ahead(FullHttpRequest http, long arrivedNs, long cost) {}
 
     private final ClientServer server;
     private final Channel channel;
@@ -72,6 +72,7 @@
     private boolean unwelcome;
     /** Once it begins: what is held and waits is answered, then the connection closed. */
     private final Deafness deafness = new Deafness(MOST_THROWN_AWAY);
+
     private final ReadAhead readAhead;
     private boolean ending;
     private boolean answerSpoilt;
@@ -89,8 +90,13 @@
     /** Sets up a client's connection. */
     static void open(ClientServer server, ChannelPipeline pipeline) {
         ClientConnection connection = new ClientConnection(server, pipeline.channel());
-        pipeline.addLast(connection.readAhead, connection.deafness, connection.decoder,
-                new HttpResponseEncoder(), connection.new BodyReader(), connection);
+        pipeline.addLast(
+                connection.readAhead,
+                connection.deafness,
+                connection.decoder,
+                new HttpResponseEncoder(),
+                connection.new BodyReader(),
+                connection);
     }
 
     @Override
@@ -156,7 +162,8 @@
         if (held != null || !ahead.isEmpty() || !channel.isActive()) {
             return false;
         }
-        return decoder.isMidRequest() ? nowNs - (asked ? begunNs : openedNs) > server.patienceNs()
+        return decoder.isMidRequest()
+                ? nowNs - (asked ? begunNs : openedNs) > server.patienceNs()
                 : !asked && nowNs - openedNs > server.patienceNs();
     }
 
@@ -168,8 +175,13 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (server.log().isOn()) {
-            server.log().line("closed", number, closedFor == null ? "by the client" : closedFor,
-                    held == null ? "" : "unanswered", ahead.isEmpty() ? "" : ahead.size() + " not taken");
+            server.log()
+                    .line(
+                            "closed",
+                            number,
+                            closedFor == null ? "by the client" : closedFor,
+                            held == null ? "" : "unanswered",
+                            ahead.isEmpty() ? "" : ahead.size() + " not taken");
         }
         server.closed(this);
         for (Ahead next : ahead) {
@@ -196,8 +208,9 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        long cost = InHand.costOf(http.decoderResult() instanceof HttpMessageDecoderResult size
-                ? size.totalSize() : 0, http.content().readableBytes());
+        long cost = InHand.costOf(
+                http.decoderResult() instanceof HttpMessageDecoderResult size ? size.totalSize() : 0,
+                http.content().readableBytes());
         if (!server.inHand().add(cost)) {
             http.release();
             reject(TOO_MUCH);
@@ -234,8 +247,15 @@
     private void take(FullHttpRequest http, long arrivedNs, long cost) {
         heldCost = cost;
         if (server.log().isOn()) {
-            server.log().line("take", number, "txn", http.headers().get("X-Txn"), "read before",
-                    (server.nanos() - arrivedNs) / 1_000, "us");
+            server.log()
+                    .line(
+                            "take",
+                            number,
+                            "txn",
+                            http.headers().get("X-Txn"),
+                            "read before",
+                            (server.nanos() - arrivedNs) / 1_000,
+                            "us");
         }
         try {
             if (http.decoderResult().isFailure()) {
@@ -298,7 +318,8 @@
             return bad(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
         }
         String not = server.notReady();
-        return not == null ? HttpReply.plain(HttpResponseStatus.OK, server.readyText())
+        return not == null
+                ? HttpReply.plain(HttpResponseStatus.OK, server.readyText())
                 : HttpReply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, not);
     }
 
@@ -335,8 +356,8 @@
         server.inHand().remove(heldCost);
         heldCost = 0;
         boolean last = ahead.isEmpty();
-        boolean keep = keepAlive && !ending && bad < MOST_BAD
-                && !(last && (deafness.isDeaf() || server.endsConnections()));
+        boolean keep =
+                keepAlive && !ending && bad < MOST_BAD && !(last && (deafness.isDeaf() || server.endsConnections()));
         ChannelFuture writing = write(keep ? response : closing(response));
         if (!keep) {
             deafness.begin();
@@ -359,8 +380,12 @@
         unwritten++;
         answeredNs = server.nanos();
         if (server.log().isOn()) {
-            server.log().line("answer", number, response.status().code(),
-                    response.headers().get(HttpHeaderNames.RETRY_AFTER, ""));
+            server.log()
+                    .line(
+                            "answer",
+                            number,
+                            response.status().code(),
+                            response.headers().get(HttpHeaderNames.RETRY_AFTER, ""));
         }
         return channel.writeAndFlush(response).addListener(written -> {
             unwritten--;
@@ -427,7 +452,8 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-            int more = message instanceof HttpContent content ? content.content().readableBytes() : 0;
+            int more =
+                    message instanceof HttpContent content ? content.content().readableBytes() : 0;
             if (deafness.isDeaf() || !server.inHand().add(more)) {
                 ReferenceCountUtil.release(message);
                 reject(TOO_MUCH);
@@ -441,7 +467,8 @@
         protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
             // It would overtake the answer to an earlier request; and a client may go on without it.
             return held == null && ahead.isEmpty() && unwritten == 0
-                    ? super.newContinueResponse(start, most, pipeline) : null;
+                    ? super.newContinueResponse(start, most, pipeline)
+                    : null;
         }
 
         @Override
--- a/src/main/java/vetchpost/http/ClientServer.java
+++ b/src/main/java/vetchpost/http/ClientServer.java
@@ -1,5 +1,13 @@
 package vetchpost.http;
 
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelPipeline;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.util.concurrent.ScheduledFuture;
 import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -8,7 +16,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-
 import vetchpost.core.ClientReply;
 import vetchpost.core.ClientRequest;
 import vetchpost.core.RequestLog;
@@ -16,14 +23,6 @@
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.net.Network;
 import vetchpost.net.Sockets;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelPipeline;
-import io.netty.channel.EventLoop;
-import io.netty.channel.EventLoopGroup;
-import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.HttpRequest;
-import io.netty.util.concurrent.ScheduledFuture;
 
 /** The client side as a whole: which connections are accepted, kept and closed. */
 public final class ClientServer {
@@ -64,6 +63,7 @@
     private final Set<ClientLine> connections = new LinkedHashSet<>();
     /** Those that have sent none so far, oldest first. */
     private final Set<ClientLine> silent = new LinkedHashSet<>();
+
     private ScheduledFuture<?> sweeper;
     private Acceptor acceptor;
     private LongSupplier behindUs = () -> 0;
@@ -86,7 +86,12 @@
     }
 
     /** The same, with connections other than the platform's; null for those. */
-    public ClientServer(EventLoop loop, Network network, Sockets sockets, Settings settings, Taker taker,
+    public ClientServer(
+            EventLoop loop,
+            Network network,
+            Sockets sockets,
+            Settings settings,
+            Taker taker,
             ClientLine.Opener opener) {
         this.opener = opener;
         this.loop = loop;
@@ -94,9 +99,11 @@
         this.sockets = sockets;
         reader = new RequestReader(settings);
         comeBackUs = settings.maxRetryAfterUs;
-        long longestUs = settings.classes.stream().mapToLong(RequestClass::deadlineUs).max().orElse(0);
-        patienceNs = TimeUnit.MICROSECONDS.toNanos(Math.min(MOST_PATIENCE_US,
-                Math.max(LEAST_PATIENCE_US, longestUs)));
+        long longestUs = settings.classes.stream()
+                .mapToLong(RequestClass::deadlineUs)
+                .max()
+                .orElse(0);
+        patienceNs = TimeUnit.MICROSECONDS.toNanos(Math.min(MOST_PATIENCE_US, Math.max(LEAST_PATIENCE_US, longestUs)));
         this.taker = taker;
         sockets.clientSide(this::closeOldestIdle, this::roomAgain);
     }
@@ -384,7 +391,8 @@
 
     private boolean closeOldestIdle(Set<ClientLine> some, long beforeNs, String why) {
         // Looked for anew each time: what the last look brings puts a connection behind the others.
-        for (ClientLine connection = oldestIdle(some, beforeNs); connection != null;
+        for (ClientLine connection = oldestIdle(some, beforeNs);
+                connection != null;
                 connection = oldestIdle(some, beforeNs)) {
             if (end(connection, why)) {
                 // Counted off here: Netty tells of it only later, and what waits would take it for no room.
--- a/src/main/java/vetchpost/http/Exchange.java
+++ b/src/main/java/vetchpost/http/Exchange.java
@@ -1,11 +1,11 @@
 package vetchpost.http;
 
-import vetchpost.core.Answer;
-import vetchpost.core.ServerTransport.Sending;
-import vetchpost.decision.Balancer.Result;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpObject;
+import vetchpost.core.Answer;
+import vetchpost.core.ServerTransport.Sending;
+import vetchpost.decision.Balancer.Result;
 
 /**
  * One request and its answer on a connection to a server: how they are written and read, and what an answer
--- a/src/main/java/vetchpost/http/HeaderFields.java
+++ b/src/main/java/vetchpost/http/HeaderFields.java
@@ -1,10 +1,5 @@
 package vetchpost.http;
 
-import java.util.Map;
-import java.util.function.BiConsumer;
-
-import vetchpost.core.ClientRequest;
-import vetchpost.core.Fields;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeadersFactory;
@@ -13,6 +8,10 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpVersion;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import vetchpost.core.ClientRequest;
+import vetchpost.core.Fields;
 
 /** The headers of HTTP as the core's fields, and the way back. */
 public record HeaderFields(HttpHeaders headers) implements Fields {
@@ -34,8 +33,12 @@
      */
     static FullHttpRequest message(ClientRequest request, long waitUs) {
         HttpMethod method = HttpMethod.valueOf(request.method());
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, request.target(),
-                Unpooled.wrappedBuffer(request.body()), headers(request.fields()),
+        FullHttpRequest message = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1,
+                method,
+                request.target(),
+                Unpooled.wrappedBuffer(request.body()),
+                headers(request.fields()),
                 DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders());
         message.headers().set(RequestReader.REMAINING, Math.max(1, waitUs / 1_000));
         if (request.body().length > 0 || method.equals(HttpMethod.POST)) {
--- a/src/main/java/vetchpost/http/HttpReply.java
+++ b/src/main/java/vetchpost/http/HttpReply.java
@@ -1,22 +1,21 @@
 package vetchpost.http;
 
-import java.nio.charset.StandardCharsets;
-
-import vetchpost.core.Answer;
-import vetchpost.core.ClientReply;
-import vetchpost.core.Failure;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
+import java.nio.charset.StandardCharsets;
+import vetchpost.core.Answer;
+import vetchpost.core.ClientReply;
+import vetchpost.core.Failure;
 
 /** The one answer to a request of a client's connection. */
 public final class HttpReply implements ClientReply {
     private final ClientConnection connection;
     private final boolean keepAlive;
-    private Runnable whenGone = () -> { };
+    private Runnable whenGone = () -> {};
     private boolean answered;
 
     HttpReply(ClientConnection connection, boolean keepAlive) {
@@ -63,7 +62,8 @@
     public static FullHttpResponse comeBack(String reason, long retryAfterUs) {
         FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE, reason);
         if (retryAfterUs > 0) {
-            String seconds = retryAfterUs % 1_000_000 == 0 ? Long.toString(retryAfterUs / 1_000_000)
+            String seconds = retryAfterUs % 1_000_000 == 0
+                    ? Long.toString(retryAfterUs / 1_000_000)
                     : Double.toString(Math.ceil(retryAfterUs / 1e3) / 1e3);
             response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds);
         }
@@ -72,15 +72,15 @@
 
     @Override
     public void failed(Failure why) {
-        answer(switch (why) {
-            case DUPLICATE_ID -> plain(HttpResponseStatus.CONFLICT, "a request of this id is in hand");
-            case GIVEN_UP -> plain(HttpResponseStatus.BAD_GATEWAY, "failed");
-            case OUT_OF_TIME -> plain(HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
-            case BAD_PATH -> plain(HttpResponseStatus.BAD_REQUEST, "path can be read in two ways");
-            case TOO_LARGE -> plain(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
-                    "body over its route's limit");
-            case INTERNAL -> plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
-        });
+        answer(
+                switch (why) {
+                    case DUPLICATE_ID -> plain(HttpResponseStatus.CONFLICT, "a request of this id is in hand");
+                    case GIVEN_UP -> plain(HttpResponseStatus.BAD_GATEWAY, "failed");
+                    case OUT_OF_TIME -> plain(HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
+                    case BAD_PATH -> plain(HttpResponseStatus.BAD_REQUEST, "path can be read in two ways");
+                    case TOO_LARGE -> plain(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over its route's limit");
+                    case INTERNAL -> plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
+                });
     }
 
     private void answer(FullHttpResponse response) {
@@ -100,8 +100,8 @@
     }
 
     private static FullHttpResponse response(HttpResponseStatus status, byte[] body) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(body));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         return response;
     }
--- a/src/main/java/vetchpost/http/PlainExchange.java
+++ b/src/main/java/vetchpost/http/PlainExchange.java
@@ -1,11 +1,11 @@
 package vetchpost.http;
 
-import vetchpost.core.Answer;
-import vetchpost.decision.Balancer.Result;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpObject;
+import vetchpost.core.Answer;
+import vetchpost.decision.Balancer.Result;
 
 /** A request and an answer of the platform's: short, whole, and 200 or nothing. */
 final class PlainExchange implements Exchange {
@@ -56,5 +56,5 @@
     }
 
     @Override
-    public void broken() { }
+    public void broken() {}
 }
--- a/src/main/java/vetchpost/http/RequestDecoder.java
+++ b/src/main/java/vetchpost/http/RequestDecoder.java
@@ -1,13 +1,12 @@
 package vetchpost.http;
 
-import java.util.List;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.LastHttpContent;
+import java.util.List;
 
 /** Netty's decoder of requests, strict about their length, and telling whether one has begun to come. */
 public final class RequestDecoder extends HttpRequestDecoder {
