--- a/src/main/java/vetchpost/http/RequestReader.java
+++ b/src/main/java/vetchpost/http/RequestReader.java
@@ -1,23 +1,23 @@
 package vetchpost.http;
 
-import java.util.HashMap;
-import java.util.Map;
-
-import vetchpost.core.ClientRequest;
-import vetchpost.decision.Balancer.Repeat;
-import vetchpost.decision.Balancer.RequestClass;
-import vetchpost.decision.Balancer.Settings;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseStatus;
+import java.util.HashMap;
+import java.util.Map;
+import vetchpost.core.ClientRequest;
+import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.RequestClass;
+import vetchpost.decision.Balancer.Settings;
 
 /** Reads clients' requests and checks them by the settings. */
 public final class RequestReader {
     /** What a server is told of the time left, in milliseconds. */
     static final String REMAINING = "X-Remaining-Ms";
+
     private static final String ID = "X-Txn";
     private static final int ID_DIGITS = 16;
     private static final String TENANT = "X-Org";
@@ -25,10 +25,18 @@
     private static final String RETRY = "X-Resent";
     private static final String ESTIMATE = "X-Estimate";
     /** Of one connection only, or set anew for the next. */
-    private static final CharSequence[] HOP_BY_HOP = {HttpHeaderNames.CONNECTION, "Keep-Alive",
-        HttpHeaderNames.PROXY_AUTHORIZATION, HttpHeaderNames.TE, HttpHeaderNames.TRAILER,
-        HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT,
-        HttpHeaderNames.CONTENT_LENGTH, REMAINING};
+    private static final CharSequence[] HOP_BY_HOP = {
+        HttpHeaderNames.CONNECTION,
+        "Keep-Alive",
+        HttpHeaderNames.PROXY_AUTHORIZATION,
+        HttpHeaderNames.TE,
+        HttpHeaderNames.TRAILER,
+        HttpHeaderNames.TRANSFER_ENCODING,
+        HttpHeaderNames.UPGRADE,
+        HttpHeaderNames.EXPECT,
+        HttpHeaderNames.CONTENT_LENGTH,
+        REMAINING
+    };
 
     private final Settings settings;
     private final Map<String, Integer> classes = new HashMap<>();
@@ -72,7 +80,8 @@
         // From here on nothing is refused, and nobody else wants the headers: what is left of them goes on.
         for (String named : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : named.split(",")) {
-                if (!name.isBlank() && !name.trim().equalsIgnoreCase(ID)
+                if (!name.isBlank()
+                        && !name.trim().equalsIgnoreCase(ID)
                         && !name.trim().equalsIgnoreCase(KEY)) {
                     headers.remove(name.trim());
                 }
@@ -83,8 +92,17 @@
         }
         // No client waits longer than the settings say, whatever it says itself.
         long remainingUs = Math.min(1_000 * remainingMs, cls.deadlineUs());
-        return new ClientRequest(id, classIndex, tenant, remainingUs, workUs, retry, method.name(),
-                http.uri(), new HeaderFields(headers), ByteBufUtil.getBytes(http.content()));
+        return new ClientRequest(
+                id,
+                classIndex,
+                tenant,
+                remainingUs,
+                workUs,
+                retry,
+                method.name(),
+                http.uri(),
+                new HeaderFields(headers),
+                ByteBufUtil.getBytes(http.content()));
     }
 
     private static String className(String uri) {
@@ -106,8 +124,7 @@
     /** By hand: a pattern takes as long as all the rest of the request. */
     private static boolean isHex(String id) {
         int digits = 0;
-        while (digits < id.length() && id.charAt(digits) < 128
-                && Character.digit(id.charAt(digits), 16) >= 0) {
+        while (digits < id.length() && id.charAt(digits) < 128 && Character.digit(id.charAt(digits), 16) >= 0) {
             digits++;
         }
         return digits == ID_DIGITS && digits == id.length();
--- a/src/main/java/vetchpost/http/ServerPool.java
+++ b/src/main/java/vetchpost/http/ServerPool.java
@@ -1,5 +1,22 @@
 package vetchpost.http;
 
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequestEncoder;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.util.ReferenceCountUtil;
+import io.netty.util.concurrent.ScheduledFuture;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,7 +28,6 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-
 import vetchpost.core.Answer;
 import vetchpost.core.ServerList;
 import vetchpost.core.ServerTransport;
@@ -19,23 +35,6 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.net.Network;
 import vetchpost.net.Sockets;
-import io.netty.bootstrap.Bootstrap;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelException;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
-import io.netty.channel.EventLoop;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpRequest;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpRequestEncoder;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.util.ReferenceCountUtil;
-import io.netty.util.concurrent.ScheduledFuture;
 
 /**
  * Connections to servers, one request on each at a time, and the attempts on them. It sends where it is
@@ -57,11 +56,13 @@
         boolean gone;
         /** Counts addresses and processes: a connection of an earlier one is not reused. */
         int generation;
+
         int dialing;
         /** When it last answered something. */
         long heardNs;
         /** Most recently used first. */
         final Deque<Connection> idle = new ArrayDeque<>();
+
         final Deque<Attempt> waiting = new ArrayDeque<>();
 
         Server(long heardNs) {
@@ -146,21 +147,27 @@
      * @param dialTimeoutUs how long a connection may take to come up
      * @param connIdleUs servers close connections that have stood idle for so long
      */
-    public ServerPool(EventLoop loop, Network network, Sockets sockets, long dialTimeoutUs,
-            long connIdleUs) {
+    public ServerPool(EventLoop loop, Network network, Sockets sockets, long dialTimeoutUs, long connIdleUs) {
         this(loop, network, sockets, dialTimeoutUs, connIdleUs, null);
     }
 
     /** The same, with exchanges other than the platform's; null for those. */
-    public ServerPool(EventLoop loop, Network network, Sockets sockets, long dialTimeoutUs,
-            long connIdleUs, Exchange.Maker exchanges) {
+    public ServerPool(
+            EventLoop loop,
+            Network network,
+            Sockets sockets,
+            long dialTimeoutUs,
+            long connIdleUs,
+            Exchange.Maker exchanges) {
         this.exchanges = exchanges;
         this.loop = loop;
         this.network = network;
         this.sockets = sockets;
         // A request written to a connection that the server is just closing may have run for all we know.
         keepIdleNs = TimeUnit.MICROSECONDS.toNanos(connIdleUs) / 2;
-        bootstrap = new Bootstrap().group(loop).disableResolver()
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .disableResolver()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutUs / 1_000))
                 .option(ChannelOption.TCP_NODELAY, true);
         sockets.addServerSide(closeIdle);
@@ -229,7 +236,8 @@
         return start(serverId, new Caller() {
             @Override
             public Exchange exchange() {
-                return exchanges != null ? exchanges.of(sending)
+                return exchanges != null
+                        ? exchanges.of(sending)
                         : new PlainExchange(HeaderFields.message(sending.request(), sending.waitUs()));
             }
 
@@ -245,8 +253,7 @@
         return start(serverId, new Caller() {
             @Override
             public Exchange exchange() {
-                FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                        "/health");
+                FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/health");
                 message.headers().set(HttpHeaderNames.HOST, "backend.local");
                 return new PlainExchange(message);
             }
@@ -278,8 +285,7 @@
 
     private Connection takeIdle(Server server) {
         Connection connection = server.idle.poll();
-        while (connection != null && (nanos() - connection.idleSince > keepIdleNs
-                || !connection.isQuiet())) {
+        while (connection != null && (nanos() - connection.idleSince > keepIdleNs || !connection.isQuiet())) {
             connection.channel.close();
             connection = server.idle.poll();
         }
@@ -306,20 +312,25 @@
         channel.closeFuture().addListener(closed -> sockets.removeServer());
         AnswerReader.Decoder decoder = new AnswerReader.Decoder();
         Connection connection = new Connection(server, generation, channel, decoder);
-        bootstrap.clone().channelFactory(() -> channel).handler(new ChannelInitializer<Channel>() {
-            @Override
-            protected void initChannel(Channel fresh) {
-                fresh.pipeline().addLast(connection.new IdleGuard(),
-                        decoder, new HttpRequestEncoder(), connection);
-            }
-        }).connect(server.address).addListener(done -> {
-            if (!done.isSuccess()) {
-                dialFailed(server, generation);
-            } else {
-                server.dialing -= generation == server.generation ? 1 : 0;
-                connection.park();
-            }
-        });
+        bootstrap
+                .clone()
+                .channelFactory(() -> channel)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel fresh) {
+                        fresh.pipeline()
+                                .addLast(connection.new IdleGuard(), decoder, new HttpRequestEncoder(), connection);
+                    }
+                })
+                .connect(server.address)
+                .addListener(done -> {
+                    if (!done.isSuccess()) {
+                        dialFailed(server, generation);
+                    } else {
+                        server.dialing -= generation == server.generation ? 1 : 0;
+                        connection.park();
+                    }
+                });
     }
 
     /** Each dial answers for one of those that wait: the first in line, if it is not to have another's. */
@@ -364,8 +375,8 @@
     private boolean closeOldestIdle() {
         Server oldest = null;
         for (Server server : servers.values()) {
-            if (!server.idle.isEmpty() && (oldest == null
-                    || server.idle.peekLast().idleSince - oldest.idle.peekLast().idleSince < 0)) {
+            if (!server.idle.isEmpty()
+                    && (oldest == null || server.idle.peekLast().idleSince - oldest.idle.peekLast().idleSince < 0)) {
                 oldest = server;
             }
         }
--- a/src/main/java/vetchpost/net/LoopClock.java
+++ b/src/main/java/vetchpost/net/LoopClock.java
@@ -1,10 +1,9 @@
 package vetchpost.net;
 
+import io.netty.channel.EventLoop;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-
 import vetchpost.core.Clock;
-import io.netty.channel.EventLoop;
 
 /** The clock of an event loop. */
 public final class LoopClock implements Clock {
--- a/src/main/java/vetchpost/net/MemoryChannel.java
+++ b/src/main/java/vetchpost/net/MemoryChannel.java
@@ -1,11 +1,5 @@
 package vetchpost.net;
 
-import java.net.InetSocketAddress;
-import java.net.SocketAddress;
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.function.Consumer;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.AbstractChannel;
 import io.netty.channel.Channel;
@@ -18,6 +12,11 @@
 import io.netty.channel.ChannelPromise;
 import io.netty.channel.DefaultChannelConfig;
 import io.netty.channel.EventLoop;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.function.Consumer;
 
 /** One end of a connection inside the process, both on one loop. What is written is read in a later task. */
 final class MemoryChannel extends AbstractChannel {
--- a/src/main/java/vetchpost/net/MemoryNetwork.java
+++ b/src/main/java/vetchpost/net/MemoryNetwork.java
@@ -1,10 +1,9 @@
 package vetchpost.net;
 
-import java.util.function.Consumer;
-
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelPipeline;
 import io.netty.channel.ServerChannel;
+import java.util.function.Consumer;
 
 /**
  * A network inside the process: whoever connects, to whatever address, is one more connection of one
--- a/src/main/java/vetchpost/net/Sockets.java
+++ b/src/main/java/vetchpost/net/Sockets.java
@@ -42,7 +42,8 @@
     private BooleanSupplier closeIdleClient = () -> false;
     /** One for each pool, the oldest first: it is the one that takes nothing new. */
     private final List<BooleanSupplier> closeIdleServer = new ArrayList<>(1);
-    private Runnable onRoom = () -> { };
+
+    private Runnable onRoom = () -> {};
     private int clients;
     private int servers;
 
--- a/src/main/java/vetchpost/node/Fronts.java
+++ b/src/main/java/vetchpost/node/Fronts.java
@@ -9,4 +9,4 @@
  * @param clients opens clients' connections
  * @param servers makes the exchanges of attempts
  */
-public record Fronts(ClientLine.Opener clients, Exchange.Maker servers) { }
+public record Fronts(ClientLine.Opener clients, Exchange.Maker servers) {}
--- a/src/main/java/vetchpost/node/Node.java
+++ b/src/main/java/vetchpost/node/Node.java
@@ -1,5 +1,9 @@
 package vetchpost.node;
 
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelPipeline;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -8,7 +12,6 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-
 import vetchpost.config.Config;
 import vetchpost.core.Admission;
 import vetchpost.core.Companion;
@@ -27,10 +30,6 @@
 import vetchpost.net.MemoryNetwork;
 import vetchpost.net.Network;
 import vetchpost.net.Sockets;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelPipeline;
-import io.netty.channel.EventLoop;
-import io.netty.channel.EventLoopGroup;
 
 /**
  * One node put together: the clients' side, the core with its decision module, the servers' side and the
@@ -48,10 +47,12 @@
     private static final long FIRST_LIST_MS = 1_000;
     /** Connections come for up to 0.4 s after the word to stop, and their requests just after. */
     private static final long ACCEPT_WHILE_STOPPING_MS = 600;
+
     private static final long DONE_CHECK_MS = 5;
     /** From the end of the last connection to the process's: the system really closes a socket only when the
      * loop has looked at its selector again, and the last answer has its way to go. */
     private static final long LAST_ANSWER_MS = 50;
+
     private static final long WAIT_MS = 1;
     /** A rehearsal cut short is better than a node that stays away: a slow machine gets this far. */
     private static final long REHEARSE_MS = 1_500;
@@ -78,6 +79,7 @@
     private final List<ServerList> early = new ArrayList<>();
     /** What waits for the first list, or null. */
     private Runnable onFirstList;
+
     private boolean listed;
     private boolean prepared;
     private boolean rehearsing;
@@ -85,7 +87,7 @@
     private boolean closed;
 
     /** A core that takes nothing new, and ends once all that it holds is answered. */
-    private record Retired(Dispatcher dispatcher, ServerPool pool) { }
+    private record Retired(Dispatcher dispatcher, ServerPool pool) {}
 
     /**
      * What a node still has in hand; all of it is nothing once the node has stopped.
@@ -94,7 +96,7 @@
      * @param bytes that clients' requests take
      * @param sockets open connections to clients and servers
      */
-    public record InHand(int requests, long bytes, int sockets) { }
+    public record InHand(int requests, long bytes, int sockets) {}
 
     /**
      * Not started yet.
@@ -116,28 +118,50 @@
         stall = new Stall(clock);
         sockets = new Sockets(config.sockets());
         long callMs = config.settings().listOnRequest ? Discovery.CALL_MS : Discovery.SILENT_MS;
-        discovery = new Discovery(loop, network, config.discovery(), config.known().revision(),
-                Discovery.SILENT_MS, callMs, config.seed(), this);
+        discovery = new Discovery(
+                loop,
+                network,
+                config.discovery(),
+                config.known().revision(),
+                Discovery.SILENT_MS,
+                callMs,
+                config.seed(),
+                this);
         this.seams = seams;
-        watchAgainNs = TimeUnit.MILLISECONDS.toNanos(Math.max(1, Math.min(WATCH_AGAIN_MS,
-                config.settings().drainGraceUs / 1_000 / WATCH_AGAIN_PART)));
+        watchAgainNs = TimeUnit.MILLISECONDS.toNanos(
+                Math.max(1, Math.min(WATCH_AGAIN_MS, config.settings().drainGraceUs / 1_000 / WATCH_AGAIN_PART)));
         core();
-        clients = new ClientServer(loop, network, sockets, config.settings(),
-                (request, reply, waitedUs) -> dispatcher.take(seams.request(request), seams.reply(reply),
-                        waitedUs), fronts == null ? null : fronts.clients());
+        clients = new ClientServer(
+                loop,
+                network,
+                sockets,
+                config.settings(),
+                (request, reply, waitedUs) -> dispatcher.take(seams.request(request), seams.reply(reply), waitedUs),
+                fronts == null ? null : fronts.clients());
         clients.behind(stall::us);
     }
 
     /** The core and its way to servers, by the settings as they are now. */
     private void core() {
         Settings settings = config.settings();
-        pool = new ServerPool(loop, network, sockets, settings.connectTimeoutUs, config.connIdleUs(),
+        pool = new ServerPool(
+                loop,
+                network,
+                sockets,
+                settings.connectTimeoutUs,
+                config.connIdleUs(),
                 fronts == null ? null : fronts.servers());
         // A core that only ends what it has must not have the watch opened anew under the one in its place.
         Dispatcher[] core = new Dispatcher[1];
-        dispatcher = new Dispatcher(clock, stall, seams.servers(pool), settings.zones,
-                () -> onlyFor(core[0], this::subscribe), () -> onlyFor(core[0], this::askWholeList),
-                settings.drainGraceUs / 2, actions -> seams.module(settings, config.seed(), actions));
+        dispatcher = new Dispatcher(
+                clock,
+                stall,
+                seams.servers(pool),
+                settings.zones,
+                () -> onlyFor(core[0], this::subscribe),
+                () -> onlyFor(core[0], this::askWholeList),
+                settings.drainGraceUs / 2,
+                actions -> seams.module(settings, config.seed(), actions));
         core[0] = dispatcher;
     }
 
@@ -175,7 +199,8 @@
         old.takeAllLists();
         List<ServerList.Target> servers = old.known();
         dispatcher.onKnownList(new ServerList(0, true, servers));
-        dispatcher.recall(old.knowledge(servers.stream().map(ServerList.Target::id).toList()));
+        dispatcher.recall(
+                old.knowledge(servers.stream().map(ServerList.Target::id).toList()));
         loop.schedule(this::forgetRetired, DONE_CHECK_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -222,11 +247,20 @@
             // Its list counts as told from the first moment on; it comes while the code gets warm.
             askPushed();
         }
-        new Rehearsal(loop, new MemoryNetwork(clients::open), config, fronts, config.listen(), token,
-                rehearsed, REHEARSE_MS, () -> afterAWait(() -> {
-                    prepare();
-                    afterFirstList(() -> afterAWait(then));
-                })).run();
+        new Rehearsal(
+                        loop,
+                        new MemoryNetwork(clients::open),
+                        config,
+                        fronts,
+                        config.listen(),
+                        token,
+                        rehearsed,
+                        REHEARSE_MS,
+                        () -> afterAWait(() -> {
+                            prepare();
+                            afterFirstList(() -> afterAWait(then));
+                        }))
+                .run();
     }
 
     private boolean isPushed() {
@@ -257,11 +291,14 @@
      * stretch's end would stand open unattended meanwhile.
      */
     private void afterAWait(Runnable then) {
-        loop.schedule(() -> {
-            if (!stopping) {
-                then.run();
-            }
-        }, WAIT_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (!stopping) {
+                        then.run();
+                    }
+                },
+                WAIT_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private String token() {
@@ -275,12 +312,13 @@
         }
         prepared = true;
         if (sockets.areFew()) {
-            LOG.log(Level.WARNING, "limits.sockets is small: {0} clients are served at once, others refused",
+            LOG.log(
+                    Level.WARNING,
+                    "limits.sockets is small: {0} clients are served at once, others refused",
                     sockets.mostClients());
         }
         stall.watch();
-        dispatcher.onKnownList(companion == null ? config.known()
-                : companion.begin(config.known(), clock.nowUs()));
+        dispatcher.onKnownList(companion == null ? config.known() : companion.begin(config.known(), clock.nowUs()));
         early.forEach(this::takeIn);
         early.clear();
         if (isPushed() && !discovery.isOpen()) {
@@ -317,9 +355,17 @@
                 } else {
                     // Not before the first look at who has come meanwhile.
                     Runnable last = ready;
-                    afterAWait(() -> new Rehearsal(loop, network, config, fronts,
-                            (InetSocketAddress) binding.channel().localAddress(),
-                            token, rehearsed, REHEARSE_MS, last).run());
+                    afterAWait(() -> new Rehearsal(
+                                    loop,
+                                    network,
+                                    config,
+                                    fronts,
+                                    (InetSocketAddress) binding.channel().localAddress(),
+                                    token,
+                                    rehearsed,
+                                    REHEARSE_MS,
+                                    last)
+                            .run());
                 }
             }
         });
@@ -413,10 +459,13 @@
         if (companion != null) {
             companion.stop(done);
         }
-        loop.schedule(() -> {
-            clients.stopAccepting();
-            runWhenDone(done);
-        }, ACCEPT_WHILE_STOPPING_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    clients.stopAccepting();
+                    runWhenDone(done);
+                },
+                ACCEPT_WHILE_STOPPING_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Runs it the second time. */
@@ -444,7 +493,8 @@
 
     /** What it has in hand just now. */
     public InHand inHand() {
-        int held = dispatcher.held() + retired.stream().mapToInt(r -> r.dispatcher.held()).sum();
+        int held = dispatcher.held()
+                + retired.stream().mapToInt(r -> r.dispatcher.held()).sum();
         return new InHand(held, clients.bytesInHand(), sockets.open());
     }
 
@@ -503,8 +553,10 @@
         if (isPushed()) {
             // At once after one that has been open for a while.
             long sinceNs = loop.ticker().nanoTime() - askedNs;
-            loop.schedule(this::askPushed, Math.max(TimeUnit.MILLISECONDS.toNanos(WAIT_MS),
-                    watchAgainNs - sinceNs), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    this::askPushed,
+                    Math.max(TimeUnit.MILLISECONDS.toNanos(WAIT_MS), watchAgainNs - sinceNs),
+                    TimeUnit.NANOSECONDS);
         }
         dispatcher.onListFailed();
     }
--- a/src/main/java/vetchpost/node/Rehearsal.java
+++ b/src/main/java/vetchpost/node/Rehearsal.java
@@ -1,11 +1,15 @@
 package vetchpost.node;
 
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.EventLoop;
+import io.netty.channel.embedded.EmbeddedChannel;
+import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-
 import vetchpost.config.Config;
 import vetchpost.core.ServerList;
 import vetchpost.decision.Balancer.Repeat;
@@ -14,11 +18,6 @@
 import vetchpost.http.ClientServer;
 import vetchpost.net.Network;
 import vetchpost.net.Sockets;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.EventLoop;
-import io.netty.channel.embedded.EmbeddedChannel;
-import io.netty.util.ReferenceCountUtil;
 
 /**
  * Made-up requests before the node says that it is ready. A program that has just started loads classes
@@ -43,17 +42,25 @@
     private boolean over;
 
     /** Sends so many requests, or fewer if that takes too long, and then runs {@code done}. */
-    Rehearsal(EventLoop loop, Network network, Config real, Fronts fronts,
-            InetSocketAddress self, String token,
-            int requests, long mostMs, Runnable done) {
+    Rehearsal(
+            EventLoop loop,
+            Network network,
+            Config real,
+            Fronts fronts,
+            InetSocketAddress self,
+            String token,
+            int requests,
+            long mostMs,
+            Runnable done) {
         this.loop = loop;
         this.token = token;
         this.requests = requests;
         this.done = done;
         endNs = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
-        String zone = real.settings().zones.isEmpty() ? "" : real.settings().zones.get(0);
-        ServerList itself = new ServerList(0, true, List.of(
-                new ServerList.Target("self", self, zone, 0, ServerState.READY, 1, 0)));
+        String zone =
+                real.settings().zones.isEmpty() ? "" : real.settings().zones.get(0);
+        ServerList itself =
+                new ServerList(0, true, List.of(new ServerList.Target("self", self, zone, 0, ServerState.READY, 1, 0)));
         config = new Config(self, self, 1, SOCKETS, real.connIdleUs(), real.settings(), itself);
         node = new Node(config, loop, network, System.currentTimeMillis(), Seams.NONE, fronts);
     }
@@ -89,17 +96,21 @@
     }
 
     private ByteBuf request(int number) {
-        RequestClass cls = config.settings().classes.get(number % config.settings().classes.size());
+        RequestClass cls =
+                config.settings().classes.get(number % config.settings().classes.size());
         boolean safe = cls.repeat() == Repeat.SAFE;
-        String tenant = config.settings().tenants.isEmpty() ? ""
+        String tenant = config.settings().tenants.isEmpty()
+                ? ""
                 : "X-Org: " + config.settings().tenants.get(0).name() + "\r\n";
-        return Unpooled.copiedBuffer((safe ? "GET" : "POST") + " /" + cls.name() + " HTTP/1.1\r\n"
-                + "Host: backend.local\r\nX-Txn: " + HexFormat.of().toHexDigits((long) number) + "\r\n"
-                + tenant
-                + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + ClientServer.REHEARSAL + ": " + token + "\r\n"
-                + (safe ? "" : "Content-Length: 4\r\n")
-                + (cls.repeat() == Repeat.KEYED ? "Idempotency-Key: " + number + "\r\n" : "")
-                + "\r\n" + (safe ? "" : "body"), StandardCharsets.US_ASCII);
+        return Unpooled.copiedBuffer(
+                (safe ? "GET" : "POST") + " /" + cls.name() + " HTTP/1.1\r\n"
+                        + "Host: backend.local\r\nX-Txn: " + HexFormat.of().toHexDigits((long) number) + "\r\n"
+                        + tenant
+                        + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + ClientServer.REHEARSAL + ": " + token + "\r\n"
+                        + (safe ? "" : "Content-Length: 4\r\n")
+                        + (cls.repeat() == Repeat.KEYED ? "Idempotency-Key: " + number + "\r\n" : "")
+                        + "\r\n" + (safe ? "" : "body"),
+                StandardCharsets.US_ASCII);
     }
 
     /** A client without a socket: what is written to it has been answered. */
--- a/src/main/java/vetchpost/node/Seams.java
+++ b/src/main/java/vetchpost/node/Seams.java
@@ -11,7 +11,7 @@
 /** Where a test can come between the parts of a node. In service nothing does. */
 public interface Seams {
     /** Nothing comes between. */
-    Seams NONE = new Seams() { };
+    Seams NONE = new Seams() {};
 
     /** The decision module. */
     default Balancer module(Settings settings, long seed, Actions actions) {
--- a/src/main/java/vetchpost/operations/AuditFile.java
+++ b/src/main/java/vetchpost/operations/AuditFile.java
@@ -12,7 +12,6 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
-
 import vetchpost.control.Desk;
 import vetchpost.control.Entries;
 import vetchpost.control.Trail;
@@ -48,8 +47,7 @@
 
     private void read() throws IOException {
         if (!Files.exists(path)) {
-            Files.createFile(path, PosixFilePermissions.asFileAttribute(
-                    PosixFilePermissions.fromString("rw-------")));
+            Files.createFile(path, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
             return;
         }
         if (Files.size(path) > MOST_BYTES) {
--- a/src/main/java/vetchpost/operations/ControlSocket.java
+++ b/src/main/java/vetchpost/operations/ControlSocket.java
@@ -1,17 +1,5 @@
 package vetchpost.operations;
 
-import java.io.IOException;
-import java.lang.System.Logger;
-import java.lang.System.Logger.Level;
-import java.net.UnixDomainSocketAddress;
-import java.nio.channels.SocketChannel;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.nio.file.attribute.PosixFilePermissions;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Supplier;
-
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
@@ -26,7 +14,17 @@
 import io.netty.handler.codec.string.StringDecoder;
 import io.netty.handler.flow.FlowControlHandler;
 import io.netty.util.concurrent.ScheduledFuture;
-
+import java.io.IOException;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.net.UnixDomainSocketAddress;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.PosixFilePermissions;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
 import vetchpost.control.Desk;
 
 /**
@@ -70,14 +68,16 @@
                 Files.delete(path);
             }
         }
-        ChannelFuture binding = new ServerBootstrap().group(group)
+        ChannelFuture binding = new ServerBootstrap()
+                .group(group)
                 .channel(NioServerDomainSocketChannel.class)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         accept(channel);
                     }
-                }).bind(UnixDomainSocketAddress.of(path));
+                })
+                .bind(UnixDomainSocketAddress.of(path));
         listening = binding.channel();
         return binding.addListener(done -> {
             if (done.isSuccess()) {
@@ -93,8 +93,12 @@
         }
         connections++;
         channel.closeFuture().addListener(closed -> connections--);
-        channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_BYTES, true, true),
-                new StringDecoder(StandardCharsets.UTF_8), new FlowControlHandler(), new Talk());
+        channel.pipeline()
+                .addLast(
+                        new LineBasedFrameDecoder(MOST_BYTES, true, true),
+                        new StringDecoder(StandardCharsets.UTF_8),
+                        new FlowControlHandler(),
+                        new Talk());
     }
 
     /** One client's messages. */
@@ -107,9 +111,13 @@
         }
 
         private void expect(ChannelHandlerContext ctx) {
-            patience = ctx.executor().schedule(() -> {
-                ctx.close();
-            }, LINE_WITHIN_S, TimeUnit.SECONDS);
+            patience = ctx.executor()
+                    .schedule(
+                            () -> {
+                                ctx.close();
+                            },
+                            LINE_WITHIN_S,
+                            TimeUnit.SECONDS);
         }
 
         @Override
@@ -136,9 +144,11 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                ctx.writeAndFlush(ByteBufUtil.writeUtf8(ctx.alloc(), "{\"v\":1,\"ok\":false,"
-                        + "\"error\":\"bad\",\"why\":[\"a message has at most "
-                        + MOST_BYTES + " bytes\"]}\n"))
+                ctx.writeAndFlush(ByteBufUtil.writeUtf8(
+                                ctx.alloc(),
+                                "{\"v\":1,\"ok\":false,"
+                                        + "\"error\":\"bad\",\"why\":[\"a message has at most "
+                                        + MOST_BYTES + " bytes\"]}\n"))
                         .addListener(done -> ctx.close());
                 return;
             }
--- a/src/main/java/vetchpost/recorder/Flight.java
+++ b/src/main/java/vetchpost/recorder/Flight.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-
 import vetchpost.core.Recorder.Told;
 import vetchpost.decision.Balancer.Candidate;
 import vetchpost.decision.Balancer.Result;
@@ -35,8 +34,8 @@
      * @param drawn of which two it was chosen, the second maybe null; null where it was not drawn
      * @param tookUs until its end, or -1 while it is out
      */
-    public record Attempt(String serverId, long afterUs, long forUs, List<Candidate> drawn, Result result,
-            long tookUs) { }
+    public record Attempt(
+            String serverId, long afterUs, long forUs, List<Candidate> drawn, Result result, long tookUs) {}
 
     Flight(long id, int classIndex, String method, String target, long takenUs, long leftUs, long layUs) {
         this.id = id;
@@ -59,10 +58,16 @@
 
     void sent(long nowUs, String serverId, long untilUs) {
         if (attempts.size() < MOST_ATTEMPTS) {
-            boolean drawn = first != null && (first.serverId().equals(serverId)
-                    || second != null && second.serverId().equals(serverId));
-            attempts.add(new Attempt(serverId, nowUs - takenUs, untilUs - nowUs,
-                    !drawn ? null : second == null ? List.of(first) : List.of(first, second), null, -1));
+            boolean drawn = first != null
+                    && (first.serverId().equals(serverId)
+                            || second != null && second.serverId().equals(serverId));
+            attempts.add(new Attempt(
+                    serverId,
+                    nowUs - takenUs,
+                    untilUs - nowUs,
+                    !drawn ? null : second == null ? List.of(first) : List.of(first, second),
+                    null,
+                    -1));
         }
         first = null;
         second = null;
--- a/src/main/java/vetchpost/recorder/FlightRecorder.java
+++ b/src/main/java/vetchpost/recorder/FlightRecorder.java
@@ -7,7 +7,6 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
-
 import vetchpost.core.ClientRequest;
 import vetchpost.core.Recorder;
 import vetchpost.decision.Balancer.Candidate;
@@ -24,6 +23,7 @@
     public static final int SAMPLED = 16;
     /** Requests in hand that are followed at once; what comes beyond is not recorded. */
     static final int MOST_OPEN = 4_096;
+
     private static final int SAMPLE_PART = 4;
 
     private final int most;
@@ -62,8 +62,7 @@
     }
 
     private static Flight flight(long nowUs, ClientRequest request, long leftUs, long layUs) {
-        return new Flight(request.id(), request.classIndex(), request.method(), request.target(), nowUs,
-                leftUs, layUs);
+        return new Flight(request.id(), request.classIndex(), request.method(), request.target(), nowUs, leftUs, layUs);
     }
 
     @Override
@@ -115,9 +114,11 @@
         }
         flight.told(nowUs, what, retryAfterUs);
         if (what == Told.REFUSED || what == Told.FAILED) {
-            String cause = flight.why() != null ? flight.why() : what == Told.REFUSED
-                    ? "the node's door has no place for it"
-                    : "its client's time was up, or a fault of the node's";
+            String cause = flight.why() != null
+                    ? flight.why()
+                    : what == Told.REFUSED
+                            ? "the node's door has no place for it"
+                            : "its client's time was up, or a fault of the node's";
             flight.because(cause);
             refusals.add(nowUs, flight.classIndex(), what == Told.REFUSED, cause);
         }
@@ -138,8 +139,10 @@
     }
 
     private boolean isSpecial(Flight flight) {
-        return flight.told() != Told.SERVED || flight.attempts().size() > 1
-                || flight.classIndex() >= slowUs.length || flight.tookUs() > slowUs[flight.classIndex()];
+        return flight.told() != Told.SERVED
+                || flight.attempts().size() > 1
+                || flight.classIndex() >= slowUs.length
+                || flight.tookUs() > slowUs[flight.classIndex()];
     }
 
     private static void keep(Deque<Flight> some, Flight flight, int most) {
@@ -153,7 +156,7 @@
     public Flight find(long id) {
         Flight found = open.get(id);
         for (Deque<Flight> some : List.of(special, usual)) {
-            for (Iterator<Flight> last = some.descendingIterator(); found == null && last.hasNext();) {
+            for (Iterator<Flight> last = some.descendingIterator(); found == null && last.hasNext(); ) {
                 Flight flight = last.next();
                 found = flight.id() == id ? flight : null;
             }
@@ -164,7 +167,7 @@
     /** The last special ones, the latest first. */
     public List<Flight> last(int many) {
         List<Flight> last = new ArrayList<>();
-        for (Iterator<Flight> next = special.descendingIterator(); next.hasNext() && last.size() < many;) {
+        for (Iterator<Flight> next = special.descendingIterator(); next.hasNext() && last.size() < many; ) {
             last.add(next.next());
         }
         return last;
--- a/src/main/java/vetchpost/recorder/Refusals.java
+++ b/src/main/java/vetchpost/recorder/Refusals.java
@@ -12,6 +12,7 @@
     public static final long STEP_US = 10_000_000;
     /** How far back they go. */
     public static final long MOST_US = 3_600_000_000L;
+
     private static final int STEPS = (int) (MOST_US / STEP_US);
     /** Causes are few; a fault that makes them many must not cost the memory. */
     private static final int MOST_CAUSES = 256;
@@ -20,14 +21,14 @@
     private long latest = Long.MIN_VALUE;
 
     /** What is counted together. */
-    private record Key(int classIndex, boolean refused, String cause) { }
+    private record Key(int classIndex, boolean refused, String cause) {}
 
     /**
      * One line of the count.
      *
      * @param refused or else it has failed
      */
-    public record Line(int classIndex, boolean refused, String cause, int count) { }
+    public record Line(int classIndex, boolean refused, String cause, int count) {}
 
     /** None so far. */
     public Refusals() {
@@ -62,12 +63,12 @@
         long many = Math.min(STEPS, Math.max(1, (spanUs + STEP_US - 1) / STEP_US));
         Map<Key, Integer> sums = new HashMap<>();
         for (long step = latest - many + 1; step <= latest; step++) {
-            steps.get((int) Math.floorMod(step, (long) STEPS))
-                    .forEach((k, n) -> sums.merge(k, n, Integer::sum));
+            steps.get((int) Math.floorMod(step, (long) STEPS)).forEach((k, n) -> sums.merge(k, n, Integer::sum));
         }
         TreeMap<String, Line> lines = new TreeMap<>();
-        sums.forEach((k, n) -> lines.put(String.format("%010d %s %d %b", Integer.MAX_VALUE - n, k.cause,
-                k.classIndex, k.refused), new Line(k.classIndex, k.refused, k.cause, n)));
+        sums.forEach((k, n) -> lines.put(
+                String.format("%010d %s %d %b", Integer.MAX_VALUE - n, k.cause, k.classIndex, k.refused),
+                new Line(k.classIndex, k.refused, k.cause, n)));
         return List.copyOf(lines.values());
     }
 }
--- a/src/main/java/vetchpost/recovery/Knocker.java
+++ b/src/main/java/vetchpost/recovery/Knocker.java
@@ -1,14 +1,5 @@
 package vetchpost.recovery;
 
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.HashSet;
-import java.util.Set;
-import java.util.concurrent.TimeUnit;
-
-import vetchpost.core.ServerList.Target;
-import vetchpost.net.Network;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -26,6 +17,14 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.ScheduledFuture;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashSet;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import vetchpost.core.ServerList.Target;
+import vetchpost.net.Network;
 
 /**
  * Goes to addresses where boxes were once and finds out who is there: by a connection that comes up, and,
@@ -38,6 +37,7 @@
     private static final long WAIT_MS = 1_000;
     /** Tries of one box, each twice as long after the last: 4 s in all, then it is left to discovery. */
     static final int TRIES = 4;
+
     private static final long AGAIN_MS = 500;
     private static final int MOST_ANSWER = 1_024;
     private static final int MOST_LINE = 1_024;
@@ -122,15 +122,23 @@
                 return;
             }
             Channel fresh = channel;
-            new Bootstrap().group(loop).channelFactory(() -> fresh).disableResolver()
+            new Bootstrap()
+                    .group(loop)
+                    .channelFactory(() -> fresh)
+                    .disableResolver()
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) WAIT_MS)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel to) {
-                            to.pipeline().addLast(new HttpClientCodec(MOST_LINE, 4 * MOST_LINE, MOST_ANSWER),
-                                    new HttpObjectAggregator(MOST_ANSWER), new Hearing(Knock.this));
+                            to.pipeline()
+                                    .addLast(
+                                            new HttpClientCodec(MOST_LINE, 4 * MOST_LINE, MOST_ANSWER),
+                                            new HttpObjectAggregator(MOST_ANSWER),
+                                            new Hearing(Knock.this));
                         }
-                    }).connect(target.address()).addListener(done -> {
+                    })
+                    .connect(target.address())
+                    .addListener(done -> {
                         if (!done.isSuccess()) {
                             end(Found.NOBODY);
                         } else if (path == null) {
@@ -142,15 +150,15 @@
         }
 
         private void ask() {
-            DefaultFullHttpRequest question = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                    path);
+            DefaultFullHttpRequest question = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
             question.headers().set(HttpHeaderNames.HOST, "backend.local");
             question.headers().set(HttpHeaderNames.CONNECTION, "close");
             channel.writeAndFlush(question);
         }
 
         void heard(FullHttpResponse answer) {
-            boolean is = answer.decoderResult().isSuccess() && answer.status().equals(HttpResponseStatus.OK)
+            boolean is = answer.decoderResult().isSuccess()
+                    && answer.status().equals(HttpResponseStatus.OK)
                     && answer.content().toString(StandardCharsets.UTF_8).strip().equals(target.id());
             end(is ? Found.HERE : Found.STRANGER);
         }
@@ -170,13 +178,16 @@
             }
             if (found == Found.NOBODY && tries < TRIES) {
                 waiting++;
-                loop.schedule(() -> {
-                    waiting--;
-                    if (!over) {
-                        due.add(this);
-                        goOn();
-                    }
-                }, AGAIN_MS << tries - 1, TimeUnit.MILLISECONDS);
+                loop.schedule(
+                        () -> {
+                            waiting--;
+                            if (!over) {
+                                due.add(this);
+                                goOn();
+                            }
+                        },
+                        AGAIN_MS << tries - 1,
+                        TimeUnit.MILLISECONDS);
             } else {
                 listener.found(target, found);
             }
--- a/src/main/java/vetchpost/recovery/Recovery.java
+++ b/src/main/java/vetchpost/recovery/Recovery.java
@@ -1,5 +1,7 @@
 package vetchpost.recovery;
 
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -17,7 +19,6 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
-
 import vetchpost.core.Clock;
 import vetchpost.core.Companion;
 import vetchpost.core.Dispatcher;
@@ -41,8 +42,6 @@
 import vetchpost.state.Snapshot;
 import vetchpost.state.Trouble;
 import vetchpost.state.codec.PieceCodec;
-import io.netty.channel.EventLoop;
-import io.netty.channel.EventLoopGroup;
 
 /**
  * What a node knew before its start, brought back, and what it knows now, kept: the snapshot in a file, the
@@ -74,6 +73,7 @@
     private final Set<String> unsure = new HashSet<>();
     /** Boxes that are asked before anything is sent to them. */
     private final Map<String, BoxState> asked = new HashMap<>();
+
     private final List<Target> toKnock = new ArrayList<>();
     private long listRevision = Long.MIN_VALUE;
     private int recalled;
@@ -87,7 +87,7 @@
     private boolean writing;
     private boolean failing;
     private Giver giver;
-    private Runnable callOff = () -> { };
+    private Runnable callOff = () -> {};
     private boolean prepared;
     private Runnable whenPrepared;
     private boolean closed;
@@ -100,9 +100,17 @@
      * @param keeper where snapshots go; null for nowhere
      * @param writer runs what may block
      */
-    public Recovery(RecoverySettings settings, Settings platform, EventLoop loop, EventLoopGroup group,
-            Network network, Snapshot old, Secret secret, SecureRandom random, Keeper keeper,
-                    Executor writer) {
+    public Recovery(
+            RecoverySettings settings,
+            Settings platform,
+            EventLoop loop,
+            EventLoopGroup group,
+            Network network,
+            Snapshot old,
+            Secret secret,
+            SecureRandom random,
+            Keeper keeper,
+            Executor writer) {
         this.settings = settings;
         this.loop = loop;
         this.group = group;
@@ -127,9 +135,13 @@
         Map<Target, Double> use = weigh(old, known, nowMs);
         if (old != null) {
             long ageS = (nowMs - old.origin().takenMs()) / 1_000;
-            LOG.log(Level.INFO, "a snapshot of {0} s ago: {1} boxes used at once, {2} asked first, "
-                    + "{3} left out",
-                    ageS, use.size(), asked.size(), gone);
+            LOG.log(
+                    Level.INFO,
+                    "a snapshot of {0} s ago: {1} boxes used at once, {2} asked first, " + "{3} left out",
+                    ageS,
+                    use.size(),
+                    asked.size(),
+                    gone);
         }
         recalled = use.size();
         List<Target> targets = new ArrayList<>(known.targets());
@@ -201,8 +213,12 @@
         long nowMs = nowMs();
         Set<Trouble> doubts = Doubt.of(snapshot, nowMs);
         if (!doubts.isEmpty()) {
-            LOG.log(Level.INFO, "{0} is not believed in how its boxes are: {1}", what,
-                    String.join(", ", doubts.stream().map(Trouble::words).sorted().toList()));
+            LOG.log(
+                    Level.INFO,
+                    "{0} is not believed in how its boxes are: {1}",
+                    what,
+                    String.join(
+                            ", ", doubts.stream().map(Trouble::words).sorted().toList()));
         }
         Map<String, Double> trust = new HashMap<>();
         for (BoxState box : snapshot.boxes()) {
@@ -239,34 +255,40 @@
             prepared();
             return;
         }
-        callOff = new Taker(loop, network, secret, random).ask(address, untilMs - nowMs(),
-                (snapshot, whole, why) -> {
-                    if (closed) {
-                        return;
-                    }
-                    if (why != null) {
-                        LOG.log(Level.INFO, "the handover from {0}{1}: {2}", address,
-                                snapshot == null ? " gave nothing" : " is used as far as it came", why);
-                    }
-                    boolean healthy = false;
-                    if (snapshot != null) {
-                        taken(snapshot, address);
-                        healthy = whole && Doubt.of(snapshot, nowMs()).isEmpty();
-                    }
-                    if (healthy) {
-                        prepared();
-                    } else {
-                        askNext(left, untilMs);
-                    }
-                });
+        callOff = new Taker(loop, network, secret, random).ask(address, untilMs - nowMs(), (snapshot, whole, why) -> {
+            if (closed) {
+                return;
+            }
+            if (why != null) {
+                LOG.log(
+                        Level.INFO,
+                        "the handover from {0}{1}: {2}",
+                        address,
+                        snapshot == null ? " gave nothing" : " is used as far as it came",
+                        why);
+            }
+            boolean healthy = false;
+            if (snapshot != null) {
+                taken(snapshot, address);
+                healthy = whole && Doubt.of(snapshot, nowMs()).isEmpty();
+            }
+            if (healthy) {
+                prepared();
+            } else {
+                askNext(left, untilMs);
+            }
+        });
     }
 
     private void taken(Snapshot snapshot, InetSocketAddress from) {
         given += snapshot.boxes().size();
-        LOG.log(Level.INFO, "{0} boxes are handed over from {1}", snapshot.boxes().size(), from);
+        LOG.log(
+                Level.INFO,
+                "{0} boxes are handed over from {1}",
+                snapshot.boxes().size(),
+                from);
         if (!sightings.hasList()) {
-            Map<Target, Double> use = weigh(snapshot, new ServerList(listRevision, true, dispatcher.known()),
-                    nowMs());
+            Map<Target, Double> use = weigh(snapshot, new ServerList(listRevision, true, dispatcher.known()), nowMs());
             knock();
             recalled += use.size();
             tell(List.copyOf(use.keySet()));
@@ -288,8 +310,8 @@
                     recalled++;
                     sightings.forgetUnused(target.id());
                     tell(List.of(target));
-                    dispatcher.recall(Priors.ofUnsure(before, classNames.size(), Recollection.sure(before,
-                            nowMs(), settings.rules())));
+                    dispatcher.recall(Priors.ofUnsure(
+                            before, classNames.size(), Recollection.sure(before, nowMs(), settings.rules())));
                 }
             }
             case STRANGER -> {
@@ -309,8 +331,14 @@
         if (used) {
             gone++;
             LOG.log(Level.INFO, "box {0} is given up: {1}", target.id(), why);
-            tell(List.of(new Target(target.id(), target.address(), target.zone(), target.cell(),
-                    ServerState.GONE, target.weight(), target.bootMs())));
+            tell(List.of(new Target(
+                    target.id(),
+                    target.address(),
+                    target.zone(),
+                    target.cell(),
+                    ServerState.GONE,
+                    target.weight(),
+                    target.bootMs())));
         }
     }
 
@@ -334,7 +362,10 @@
                 knocker.close();
                 unsure.clear();
                 asked.clear();
-                LOG.log(Level.INFO, "discovery''s list is here: {0} boxes", list.targets().size());
+                LOG.log(
+                        Level.INFO,
+                        "discovery''s list is here: {0} boxes",
+                        list.targets().size());
             }
             sightings.listed(nowMs(), list.revision());
         } else {
@@ -356,8 +387,8 @@
         if (sightings.hasList()) {
             return "discovery's list";
         }
-        return "discovery is silent; " + recalled + " boxes of a snapshot, " + gone + " given up, "
-                + knocker.left() + " being asked, " + given + " from other nodes";
+        return "discovery is silent; " + recalled + " boxes of a snapshot, " + gone + " given up, " + knocker.left()
+                + " being asked, " + given + " from other nodes";
     }
 
     // ---------------------------------------------------------------- what is kept
@@ -365,7 +396,7 @@
     private void scheduleWrite() {
         nextWrite = clock.at(clock.nowUs() + 1_000 * settings.everyMs(), () -> {
             if (!writing) {
-                collect(false, () -> { });
+                collect(false, () -> {});
             }
             scheduleWrite();
         });
@@ -378,8 +409,10 @@
     /** For a handover: piece by piece, each as things are when it is made. */
     private Iterator<byte[]> pieces() {
         Knowledge knowledge = dispatcher.knowledge(List.of());
-        return Sightings.pieces(sightings.new Cursor(dispatcher, this::nowMs, PieceCodec.BOXES),
-                origin(knowledge), sightings.classes(knowledge));
+        return Sightings.pieces(
+                sightings.new Cursor(dispatcher, this::nowMs, PieceCodec.BOXES),
+                origin(knowledge),
+                sightings.classes(knowledge));
     }
 
     private Origin origin(Knowledge knowledge) {
@@ -396,8 +429,8 @@
         collect(cursor, new ArrayList<>(), atOnce, boxes -> write(origin, classes, boxes, done));
     }
 
-    private void collect(Sightings.Cursor cursor, List<BoxState> boxes, boolean atOnce,
-            Consumer<List<BoxState>> whole) {
+    private void collect(
+            Sightings.Cursor cursor, List<BoxState> boxes, boolean atOnce, Consumer<List<BoxState>> whole) {
         do {
             boxes.addAll(cursor.next());
         } while (atOnce && cursor.hasNext());
@@ -440,8 +473,12 @@
         int count = PieceCodec.pieces(boxes.size());
         List<byte[]> pieces = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            pieces.add(PieceCodec.write(i, count, origin, classes, boxes.subList(i * PieceCodec.BOXES,
-                    Math.min(boxes.size(), (i + 1) * PieceCodec.BOXES))));
+            pieces.add(PieceCodec.write(
+                    i,
+                    count,
+                    origin,
+                    classes,
+                    boxes.subList(i * PieceCodec.BOXES, Math.min(boxes.size(), (i + 1) * PieceCodec.BOXES))));
         }
         return pieces;
     }
--- a/src/main/java/vetchpost/recovery/RecoveryProver.java
+++ b/src/main/java/vetchpost/recovery/RecoveryProver.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-
 import vetchpost.discovery.ServerListParser;
 import vetchpost.routes.Position;
 import vetchpost.routes.Section;
@@ -19,8 +18,7 @@
 
 /** Reads the tables of an operator's file that speak of state and handovers. It does no I/O. */
 public final class RecoveryProver {
-    private static final List<String> STATE = List.of("file", "every", "box-life", "address-kept",
-            "identify");
+    private static final List<String> STATE = List.of("file", "every", "box-life", "address-kept", "identify");
     private static final List<String> HANDOVER = List.of("listen", "ask", "secret-file", "wait", "within");
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(ms|s|m|h|d)");
     private static final Pattern PATH = Pattern.compile("/[\\x21-\\x7E]{0,255}");
@@ -35,9 +33,9 @@
      *
      * @param settings null if there is neither table, or any violation
      */
-    public record Proof(RecoverySettings settings, List<Violation> violations) { }
+    public record Proof(RecoverySettings settings, List<Violation> violations) {}
 
-    private RecoveryProver() { }
+    private RecoveryProver() {}
 
     /** Looks at the tables of a file that are its affair. */
     public static Proof prove(List<Section> file) {
@@ -65,23 +63,33 @@
         long keptAt = duration(state, "address-kept", 30 * SECOND, 0, 7 * DAY);
         String identify = text(state, "identify");
         if (identify != null && !PATH.matcher(identify).matches()) {
-            violated(state.entries().get("identify").at(), "state", Rule.BAD_PATTERN, "identify = \""
-                    + identify
-                    + "\" is no path", "\"/who\"");
-        }
-        InetSocketAddress give = address(handover, "listen", handover == null ? null
-                : handover.entries().get("listen"));
+            violated(
+                    state.entries().get("identify").at(),
+                    "state",
+                    Rule.BAD_PATTERN,
+                    "identify = \"" + identify + "\" is no path",
+                    "\"/who\"");
+        }
+        InetSocketAddress give = address(
+                handover, "listen", handover == null ? null : handover.entries().get("listen"));
         List<InetSocketAddress> ask = addresses(handover);
         Path secret = path(handover, "secret-file");
         long wait = duration(handover, "wait", 300, 0, 5 * SECOND);
         long within = duration(handover, "within", 2 * SECOND, 100, 30 * SECOND);
         if (handover != null) {
             if (give == null && ask.isEmpty() && violations.isEmpty()) {
-                violated(handover.at(), "handover", Rule.OUT_OF_RANGE, "it says neither listen nor ask",
+                violated(
+                        handover.at(),
+                        "handover",
+                        Rule.OUT_OF_RANGE,
+                        "it says neither listen nor ask",
                         "either or both");
             }
             if (!handover.entries().containsKey("secret-file")) {
-                violated(handover.at(), "handover", Rule.OUT_OF_RANGE,
+                violated(
+                        handover.at(),
+                        "handover",
+                        Rule.OUT_OF_RANGE,
                         "it does not say secret-file: a false snapshot could steer all traffic",
                         "secret-file = \"...\"");
             }
@@ -89,10 +97,20 @@
                 violated(handover.at(), "handover", Rule.SCHEDULE, "wait is over within", "wait = \"300ms\"");
             }
         }
-        return new Proof(violations.isEmpty() ? new RecoverySettings(kept, every,
-                new Recollection.Rules(life, keptAt, identify != null), identify, give, ask, secret, wait,
-                        within)
-                : null, List.copyOf(violations));
+        return new Proof(
+                violations.isEmpty()
+                        ? new RecoverySettings(
+                                kept,
+                                every,
+                                new Recollection.Rules(life, keptAt, identify != null),
+                                identify,
+                                give,
+                                ask,
+                                secret,
+                                wait,
+                                within)
+                        : null,
+                List.copyOf(violations));
     }
 
     private void violated(Position at, String table, Rule rule, String what, String fits) {
@@ -103,7 +121,11 @@
         if (section != null) {
             section.entries().forEach((key, entry) -> {
                 if (!keys.contains(key)) {
-                    violated(entry.at(), section.name(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'",
+                    violated(
+                            entry.at(),
+                            section.name(),
+                            Rule.UNKNOWN_KEY,
+                            "unknown key '" + key + "'",
                             "one of " + String.join(", ", keys));
                 }
             });
@@ -127,7 +149,11 @@
         try {
             return text == null ? null : Path.of(text);
         } catch (InvalidPathException e) {
-            violated(section.entries().get(key).at(), section.name(), Rule.OUT_OF_RANGE, key + " is no path",
+            violated(
+                    section.entries().get(key).at(),
+                    section.name(),
+                    Rule.OUT_OF_RANGE,
+                    key + " is no path",
                     "\"/var/lib/vetchpost/" + key + "\"");
             return null;
         }
@@ -141,19 +167,28 @@
         Position at = section.entries().get(key).at();
         Matcher m = DURATION.matcher(text);
         if (!m.matches()) {
-            violated(at, section.name(), Rule.WRONG_UNIT, key + " = \"" + text + "\" is no length of time",
+            violated(
+                    at,
+                    section.name(),
+                    Rule.WRONG_UNIT,
+                    key + " = \"" + text + "\" is no length of time",
                     "a number and ms, s, m, h or d, as \"5s\",");
             return usual;
         }
-        double ms = Double.parseDouble(m.group(1)) * switch (m.group(2)) {
-            case "ms" -> 1;
-            case "s" -> SECOND;
-            case "m" -> 60 * SECOND;
-            case "h" -> 3_600 * SECOND;
-            default -> DAY;
-        };
+        double ms = Double.parseDouble(m.group(1))
+                * switch (m.group(2)) {
+                    case "ms" -> 1;
+                    case "s" -> SECOND;
+                    case "m" -> 60 * SECOND;
+                    case "h" -> 3_600 * SECOND;
+                    default -> DAY;
+                };
         if (ms < least || ms > most) {
-            violated(at, section.name(), Rule.OUT_OF_RANGE, key + " = \"" + text + "\"",
+            violated(
+                    at,
+                    section.name(),
+                    Rule.OUT_OF_RANGE,
+                    key + " = \"" + text + "\"",
                     "from " + least + "ms to " + most / SECOND + "s");
             return usual;
         }
@@ -187,8 +222,12 @@
             return addresses;
         }
         if (!(entry.value() instanceof List<?> list) || list.size() > MOST_ASKED) {
-            violated(entry.at(), "handover", Rule.WRONG_UNIT, "ask is no list of up to " + MOST_ASKED
-                    + " addresses", "[\"10.0.0.1:8450\"]");
+            violated(
+                    entry.at(),
+                    "handover",
+                    Rule.WRONG_UNIT,
+                    "ask is no list of up to " + MOST_ASKED + " addresses",
+                    "[\"10.0.0.1:8450\"]");
             return addresses;
         }
         for (Object value : list) {
--- a/src/main/java/vetchpost/recovery/RecoverySettings.java
+++ b/src/main/java/vetchpost/recovery/RecoverySettings.java
@@ -3,7 +3,6 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
-
 import vetchpost.state.Recollection;
 
 /**
@@ -19,8 +18,16 @@
  * @param waitMs readiness waits so long for a handover at most
  * @param withinMs a handover may go on so long
  */
-public record RecoverySettings(Path file, long everyMs, Recollection.Rules rules, String identify,
-        InetSocketAddress give, List<InetSocketAddress> ask, Path secretFile, long waitMs, long withinMs) {
+public record RecoverySettings(
+        Path file,
+        long everyMs,
+        Recollection.Rules rules,
+        String identify,
+        InetSocketAddress give,
+        List<InetSocketAddress> ask,
+        Path secretFile,
+        long waitMs,
+        long withinMs) {
 
     /** Lists don't change once they are here. */
     public RecoverySettings {
--- a/src/main/java/vetchpost/recovery/Sightings.java
+++ b/src/main/java/vetchpost/recovery/Sightings.java
@@ -8,7 +8,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-
 import vetchpost.core.Dispatcher;
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.RequestClass;
@@ -27,7 +26,7 @@
  * knows, a part at a time.
  */
 final class Sightings {
-    private record Sighting(long ms, Confirmed by) { }
+    private record Sighting(long ms, Confirmed by) {}
 
     private final List<RequestClass> classes;
     private final Map<String, Sighting> byId = new HashMap<>();
@@ -35,6 +34,7 @@
     private final Map<String, BoxState> remembered = new LinkedHashMap<>();
     /** When discovery last said something; its list holds as of then. 0 until it has told one. */
     private long listedMs;
+
     private long revision;
 
     Sightings(List<RequestClass> classes) {
@@ -160,8 +160,8 @@
     List<ClassState> classes(Knowledge knowledge) {
         List<ClassState> states = new ArrayList<>();
         for (OfClass known : knowledge.classes()) {
-            states.add(new ClassState(classes.get(known.index()).name(), known.answers(), known.latencyUs(),
-                    known.leastLatencyUs()));
+            states.add(new ClassState(
+                    classes.get(known.index()).name(), known.answers(), known.latencyUs(), known.leastLatencyUs()));
         }
         return states;
     }
--- a/src/main/java/vetchpost/replication/Choice.java
+++ b/src/main/java/vetchpost/replication/Choice.java
@@ -33,8 +33,8 @@
             throw new IllegalArgumentException("no publishers");
         }
         seed = mix(name.hashCode());
-        rank = publishers.stream().mapToLong(p -> mix(seed ^ mix(p.hashCode())) >>> 2 | (near.test(p)
-                ? 1L << 62 : 0))
+        rank = publishers.stream()
+                .mapToLong(p -> mix(seed ^ mix(p.hashCode())) >>> 2 | (near.test(p) ? 1L << 62 : 0))
                 .toArray();
         untilUs = new long[rank.length];
         failures = new int[rank.length];
--- a/src/main/java/vetchpost/replication/Following.java
+++ b/src/main/java/vetchpost/replication/Following.java
@@ -7,6 +7,7 @@
 public final class Following {
     /** A publisher that has said nothing for so long, in microseconds, is left: three heartbeats. */
     public static final long SILENT_US = 15_000_000;
+
     private static final long LOOK_US = 1_000_000;
     private static final long AGAIN_US = 1_000;
     /** Looked for a better one so often only: coming back is no hurry. */
@@ -41,6 +42,7 @@
     private boolean over;
     /** Tells tasks of an earlier connection from those of this one. */
     private long turn;
+
     private String trouble = "";
 
     /** Begins when it is told to. */
--- a/src/main/java/vetchpost/replication/Frame.java
+++ b/src/main/java/vetchpost/replication/Frame.java
@@ -1,7 +1,6 @@
 package vetchpost.replication;
 
 import java.util.List;
-
 import vetchpost.store.PackedTree;
 import vetchpost.store.PackedTree.Item;
 import vetchpost.store.PackedTree.Sum;
@@ -18,7 +17,14 @@
  * @param name of who tells
  * @param spans ranges of keys and what they come to
  */
-public record Frame(Type type, long from, long to, int part, boolean last, Sum sum, List<Entry> items,
+public record Frame(
+        Type type,
+        long from,
+        long to,
+        int part,
+        boolean last,
+        Sum sum,
+        List<Entry> items,
         String name,
         List<Span> spans) {
     /** What a frame is for. */
@@ -50,7 +56,7 @@
     }
 
     /** An entry at its version; a value of null went away then. */
-    public record Entry(byte[] key, byte[] value, long stamp) { }
+    public record Entry(byte[] key, byte[] value, long stamp) {}
 
     /**
      * A range of keys.
--- a/src/main/java/vetchpost/replication/FrameCodec.java
+++ b/src/main/java/vetchpost/replication/FrameCodec.java
@@ -1,5 +1,8 @@
 package vetchpost.replication;
 
+import com.google.protobuf.CodedInputStream;
+import com.google.protobuf.CodedOutputStream;
+import com.google.protobuf.WireFormat;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -10,11 +13,6 @@
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
-
-import com.google.protobuf.CodedInputStream;
-import com.google.protobuf.CodedOutputStream;
-import com.google.protobuf.WireFormat;
-
 import vetchpost.replication.Frame.Entry;
 import vetchpost.replication.Frame.Span;
 import vetchpost.replication.Frame.Type;
@@ -29,6 +27,7 @@
 public final class FrameCodec implements AutoCloseable {
     /** A frame's bytes at most, either way. */
     public static final int MOST_FRAME = 64 << 10;
+
     private static final int MOST_ITEMS_BYTES = 64 << 10;
     private static final int MOST_ITEMS = 4_096;
     static final int MOST_SPANS = 1_024;
@@ -172,7 +171,8 @@
                 }
                 got += more;
             }
-            check(got == length && (inflater.finished() || inflater.inflate(new byte[1]) == 0),
+            check(
+                    got == length && (inflater.finished() || inflater.inflate(new byte[1]) == 0),
                     "items of another length than told");
         } catch (DataFormatException e) {
             throw new Malformed("items that can't be inflated");
@@ -294,8 +294,12 @@
                 case S_HASH -> hash = in.readFixed64();
                 case S_HASHES -> {
                     int length = in.readUInt32();
-                    check(length >= 0 && length % Integer.BYTES == 0 && length <= Integer.BYTES * MOST_HASHES
-                            && (hashes == null), "hashes of " + length + " bytes");
+                    check(
+                            length >= 0
+                                    && length % Integer.BYTES == 0
+                                    && length <= Integer.BYTES * MOST_HASHES
+                                    && (hashes == null),
+                            "hashes of " + length + " bytes");
                     hashes = new long[length / Integer.BYTES];
                     for (int i = 0; i < hashes.length; i++) {
                         hashes[i] = in.readFixed32() & 0xFFFF_FFFFL;
@@ -304,7 +308,8 @@
                 default -> in.skipField(tag);
             }
         }
-        check(from != null && from.length <= MOST_KEY && (to == null || to.length <= MOST_KEY) && count >= 0,
+        check(
+                from != null && from.length <= MOST_KEY && (to == null || to.length <= MOST_KEY) && count >= 0,
                 "a range that is none");
         return new Span(from, to, new Sum(count, hash), hashes);
     }
--- a/src/main/java/vetchpost/replication/Publisher.java
+++ b/src/main/java/vetchpost/replication/Publisher.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
 import vetchpost.replication.Frame.Entry;
 import vetchpost.replication.Frame.Span;
 import vetchpost.replication.Frame.Type;
@@ -32,9 +31,11 @@
 public final class Publisher {
     /** Bytes of items in a part before they are deflated: what a node takes in at one go. */
     private static final int PART = 4 << 10;
+
     private static final int SPLIT = 16;
     /** Ranges of so many items are told item by item. */
     private static final int LISTED = 64;
+
     private static final int MOST_CACHED = 256;
     private static final int MOST_REPLIES = 64;
     private static final byte[] FIRST = new byte[0];
@@ -56,7 +57,7 @@
      * @param allPerS to all of them
      * @param itemsPerS entries to each replica, which is what costs it processor time
      */
-    public record Budget(double peerPerS, double peerBurst, double allPerS, double itemsPerS) { }
+    public record Budget(double peerPerS, double peerBurst, double allPerS, double itemsPerS) {}
 
     private final FrameCodec codec;
     private Budget budget;
@@ -65,6 +66,7 @@
     private final Map<Peer, Session> sessions = new LinkedHashMap<>();
     /** Sessions with something to tell, in the order in which they began to wait. */
     private final Set<Session> ready = new java.util.LinkedHashSet<>();
+
     private VersionedStore store;
     private long sentBytes;
 
@@ -78,15 +80,15 @@
         }
     };
 
-    private record Place(long from, long to, int part) { }
+    private record Place(long from, long to, int part) {}
 
     /**
      * @param next where the next part begins: first among the entries, then among what went away; null for no
      * more
      */
-    private record Part(byte[] frame, int items, byte[] next, boolean removed) { }
+    private record Part(byte[] frame, int items, byte[] next, boolean removed) {}
 
-    private record Reply(byte[] frame, int items) { }
+    private record Reply(byte[] frame, int items) {}
 
     private final class Session {
         private final Peer peer;
@@ -98,6 +100,7 @@
         private long saidUs;
         /** What it is being told, or compared with. */
         private VersionedStore pinned;
+
         private byte[] next;
         private boolean removed;
         private int part;
@@ -145,8 +148,13 @@
                     // It is not known any more what went away since: compared, from the whole down.
                     pinned = store;
                     comparing = true;
-                    send(codec.write(Frame.spans(Type.DIFFER, pinned.version(), pinned.live().sum(),
-                            List.of(new Span(FIRST, null, pinned.live().sum(), null)))), nowUs);
+                    send(
+                            codec.write(Frame.spans(
+                                    Type.DIFFER,
+                                    pinned.version(),
+                                    pinned.live().sum(),
+                                    List.of(new Span(FIRST, null, pinned.live().sum(), null)))),
+                            nowUs);
                     return;
                 }
                 pinned = store;
@@ -204,7 +212,10 @@
 
     /** Names of replicas that are at an older version, and of those that have not said theirs. */
     public List<String> behind() {
-        return sessions.values().stream().filter(s -> s.at < store.version()).map(s -> s.name).toList();
+        return sessions.values().stream()
+                .filter(s -> s.at < store.version())
+                .map(s -> s.name)
+                .toList();
     }
 
     /** Has another version to tell; one that is not newer changes nothing. */
@@ -299,8 +310,17 @@
                 at = FIRST;
             }
         }
-        Part made = new Part(codec.write(Frame.delta(from, to.version(), number, at == null, at == null
-                ? to.live().sum() : new Sum(0, 0), items)), items.size(), at, gone);
+        Part made = new Part(
+                codec.write(Frame.delta(
+                        from,
+                        to.version(),
+                        number,
+                        at == null,
+                        at == null ? to.live().sum() : new Sum(0, 0),
+                        items)),
+                items.size(),
+                at,
+                gone);
         parts.put(place, made);
         return made;
     }
@@ -327,8 +347,9 @@
                 continue;
             }
             if (own.count() <= LISTED) {
-                long[] hashes = tree.range(span.from(), span.to(),
-                        LISTED).stream().mapToLong(Span::hash).toArray();
+                long[] hashes = tree.range(span.from(), span.to(), LISTED).stream()
+                        .mapToLong(Span::hash)
+                        .toArray();
                 answer.add(new Span(span.from(), span.to(), own, hashes));
             } else {
                 split(tree, span, own.count(), answer);
@@ -341,7 +362,8 @@
         long before = tree.sum(null, span.from()).count();
         byte[] from = span.from();
         for (int i = 1; i <= SPLIT; i++) {
-            byte[] to = i == SPLIT ? span.to() : tree.at(before + count * i / SPLIT).key();
+            byte[] to =
+                    i == SPLIT ? span.to() : tree.at(before + count * i / SPLIT).key();
             into.add(new Span(from, to, tree.sum(from, to), null));
             from = to;
         }
@@ -405,8 +427,7 @@
             } else if (!session.peer.isWritable()) {
                 waiting.put(session, true);
             } else if (!session.bucket.hasAny(nowUs) || !session.items.hasAny(nowUs)) {
-                againUs = Math.min(againUs, Math.max(session.bucket.againUs(nowUs),
-                        session.items.againUs(nowUs)));
+                againUs = Math.min(againUs, Math.max(session.bucket.againUs(nowUs), session.items.againUs(nowUs)));
                 waiting.put(session, true);
             } else {
                 ready.remove(session);
@@ -425,7 +446,10 @@
         for (Session session : sessions.values()) {
             if (session.at == store.version() && !session.hasMore()) {
                 if (nowUs - session.saidUs >= heartbeatUs) {
-                    session.send(codec.write(Frame.current(store.version(), store.live().sum())), nowUs);
+                    session.send(
+                            codec.write(
+                                    Frame.current(store.version(), store.live().sum())),
+                            nowUs);
                 }
                 nextUs = Math.min(nextUs, session.saidUs + heartbeatUs);
             }
--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -7,7 +7,6 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-
 import vetchpost.replication.Frame.Entry;
 import vetchpost.replication.Frame.Span;
 import vetchpost.replication.Frame.Type;
@@ -75,6 +74,7 @@
         private Sum whole;
         /** While ranges are compared: those still to be, and the hashes of items that were asked for. */
         private final Deque<Span> spans = new ArrayDeque<>();
+
         private final Set<Long> wanted = new HashSet<>();
         private int rounds;
         private boolean comparing;
@@ -87,8 +87,8 @@
         void take(Entry entry) throws Refused {
             Item own = live.get(entry.key());
             if (own != null && isOlder(entry.stamp(), own)) {
-                throw new Refused("an entry goes back from " + Version.text(own.stamp()) + " to "
-                        + Version.text(entry.stamp()));
+                throw new Refused(
+                        "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
             }
             if (entry.value() == null) {
                 live = live.remove(entry.key());
@@ -111,8 +111,7 @@
      * @param name by which publishers know it, up to 256 bytes
      * @param remembersRemoved whether others are to be told by it, and so what went away
      */
-    public Replica(String name, VersionedStore store, Index index, boolean remembersRemoved,
-            Listener listener) {
+    public Replica(String name, VersionedStore store, Index index, boolean remembersRemoved, Listener listener) {
         this.name = name;
         this.store = store;
         this.index = index;
@@ -216,15 +215,15 @@
 
     private void delta(Frame frame, long nowUs) throws Refused, Malformed {
         if (isPast(frame.to()) && Version.epoch(frame.to()) < Version.epoch(store.version())) {
-            throw new Refused("it is of epoch " + Version.epoch(frame.to()) + ", before "
-                    + Version.epoch(store.version()));
+            throw new Refused(
+                    "it is of epoch " + Version.epoch(frame.to()) + ", before " + Version.epoch(store.version()));
         }
         if (draft != null && draft.comparing || isPast(frame.to())) {
             return; // An answer to what was asked before, or the same again.
         }
         boolean begins = frame.part() == 0 && follows(frame);
-        boolean goesOn = !begins && draft != null && draft.to == frame.to() && draft.parts == frame.part()
-                && follows(frame);
+        boolean goesOn =
+                !begins && draft != null && draft.to == frame.to() && draft.parts == frame.part() && follows(frame);
         if (!begins && !goesOn) {
             // A part is missing: what there is of it is no use.
             if (draft != null || frame.part() == 0) {
@@ -281,7 +280,8 @@
     }
 
     private void force(long nowUs) {
-        VersionedStore whole = draft.comparing ? VersionedStore.of(draft.live, draft.to)
+        VersionedStore whole = draft.comparing
+                ? VersionedStore.of(draft.live, draft.to)
                 : store.at(draft.live, draft.removed, draft.to);
         index = draft.made.over(whole.live());
         store = whole;
@@ -298,7 +298,10 @@
         draft = new Draft(Version.NONE);
         draft.comparing = true;
         draft.waiting = true;
-        publisher.send(Frame.spans(Type.COMPARE, 0, store.live().sum(),
+        publisher.send(Frame.spans(
+                Type.COMPARE,
+                0,
+                store.live().sum(),
                 List.of(new Span(new byte[0], null, store.live().sum(), null))));
     }
 
@@ -312,8 +315,7 @@
             draft.comparing = true;
         } else if (draft.to != frame.to()) {
             if (draft.to != Version.NONE) {
-                throw new Malformed("ranges of " + Version.text(frame.to()) + " instead of "
-                        + Version.text(draft.to));
+                throw new Malformed("ranges of " + Version.text(frame.to()) + " instead of " + Version.text(draft.to));
             }
             draft = new Draft(frame.to());
             draft.comparing = true;
@@ -354,7 +356,10 @@
         }
         if (!there.isEmpty()) {
             draft.wanted.addAll(there);
-            wants.add(new Span(span.from(), span.to(), span.sum(),
+            wants.add(new Span(
+                    span.from(),
+                    span.to(),
+                    span.sum(),
                     there.stream().mapToLong(Long::longValue).toArray()));
         }
     }
@@ -372,15 +377,15 @@
             return;
         }
         for (Entry entry : frame.items()) {
-            if (entry.value() == null || entry.stamp() > draft.to
-                    || !draft.wanted.remove(Span.hash(new Item(entry.key(), entry.value(),
-                            entry.stamp())))) {
+            if (entry.value() == null
+                    || entry.stamp() > draft.to
+                    || !draft.wanted.remove(Span.hash(new Item(entry.key(), entry.value(), entry.stamp())))) {
                 throw new Malformed("an entry that was not asked for");
             }
             Item own = store.live().get(entry.key());
             if (own != null && own.stamp() > entry.stamp()) {
-                throw new Refused("an entry goes back from " + Version.text(own.stamp()) + " to "
-                        + Version.text(entry.stamp()));
+                throw new Refused(
+                        "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
             }
             draft.take(entry);
         }
--- a/src/main/java/vetchpost/replication/disk/StoreFile.java
+++ b/src/main/java/vetchpost/replication/disk/StoreFile.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-
 import vetchpost.replication.Frame;
 import vetchpost.replication.Frame.Entry;
 import vetchpost.replication.FrameCodec;
@@ -42,8 +41,8 @@
     public long write(VersionedStore store) throws IOException {
         try (FrameCodec codec = new FrameCodec()) {
             List<byte[]> pieces = new ArrayList<>();
-            pieces.add(codec.write(Frame.delta(store.horizon(), store.version(), 0, true, store.live().sum(),
-                    List.of())));
+            pieces.add(codec.write(Frame.delta(
+                    store.horizon(), store.version(), 0, true, store.live().sum(), List.of())));
             pieces(codec, store.live(), false, pieces);
             pieces(codec, store.removed(), true, pieces);
             return file.write(pieces);
@@ -53,8 +52,7 @@
     private static void pieces(FrameCodec codec, PackedTree tree, boolean removed, List<byte[]> into) {
         List<Entry> items = new ArrayList<>();
         int bytes = 0;
-        for (Item item = tree.ceiling(new byte[0]); item != null; item =
-                tree.ceiling(PackedTree.after(item.key()))) {
+        for (Item item = tree.ceiling(new byte[0]); item != null; item = tree.ceiling(PackedTree.after(item.key()))) {
             items.add(new Entry(item.key(), removed ? null : item.value(), item.stamp()));
             bytes += item.key().length + item.value().length;
             if (items.size() == ITEMS || bytes > ITEMS_BYTES) {
--- a/src/main/java/vetchpost/replication/net/PublisherServer.java
+++ b/src/main/java/vetchpost/replication/net/PublisherServer.java
@@ -1,13 +1,5 @@
 package vetchpost.replication.net;
 
-import java.lang.System.Logger;
-import java.lang.System.Logger.Level;
-import java.net.SocketAddress;
-import java.security.SecureRandom;
-import java.util.HashSet;
-import java.util.Set;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -16,7 +8,13 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.util.concurrent.ScheduledFuture;
-
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.net.SocketAddress;
+import java.security.SecureRandom;
+import java.util.HashSet;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import vetchpost.handover.AuthenticatedFrames;
 import vetchpost.handover.Secret;
 import vetchpost.net.Network;
@@ -30,6 +28,7 @@
     private static final Logger LOG = System.getLogger(PublisherServer.class.getName());
     /** Over the replicas of a whole fleet, should all others be gone. */
     private static final int MOST_CONNECTIONS = 8_192;
+
     private static final int BACKLOG = 1_024;
     private static final long HEARTBEAT_US = 5_000_000;
 
@@ -45,7 +44,11 @@
     private boolean refusedSaid;
 
     /** Not listening yet; on the loop. */
-    public PublisherServer(EventLoop loop, Network network, Secret secret, SecureRandom random,
+    public PublisherServer(
+            EventLoop loop,
+            Network network,
+            Secret secret,
+            SecureRandom random,
             VersionedStore store,
             Publisher.Budget budget) {
         this.loop = loop;
@@ -61,8 +64,11 @@
 
     /** Listens. */
     public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
-        ChannelFuture binding = new ServerBootstrap().group(group).channelFactory(network::listening)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+        ChannelFuture binding = new ServerBootstrap()
+                .group(group)
+                .channelFactory(network::listening)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -73,10 +79,11 @@
                         }
                         Connection connection = new Connection(channel);
                         connections.add(connection);
-                        connection.frames = AuthenticatedFrames.open(channel, secret, random, true,
-                                FrameCodec.MOST_FRAME, connection);
+                        connection.frames = AuthenticatedFrames.open(
+                                channel, secret, random, true, FrameCodec.MOST_FRAME, connection);
                     }
-                }).bind(address);
+                })
+                .bind(address);
         listening = binding.channel();
         return binding;
     }
@@ -105,10 +112,13 @@
         }
         long nextUs = publisher.pump(nowUs());
         if (nextUs != Long.MAX_VALUE) {
-            pumping = loop.schedule(() -> {
-                pumping = null;
-                pump();
-            }, Math.max(1, nextUs - nowUs()), TimeUnit.MICROSECONDS);
+            pumping = loop.schedule(
+                    () -> {
+                        pumping = null;
+                        pump();
+                    },
+                    Math.max(1, nextUs - nowUs()),
+                    TimeUnit.MICROSECONDS);
         }
     }
 
@@ -169,8 +179,11 @@
             if (!refusedSaid && why.contains("secret")) {
                 // One line for all: whoever can reach the address must not fill the log.
                 refusedSaid = true;
-                LOG.log(Level.WARNING, "a replica at {0} is refused: {1}; others will be without a word",
-                        channel.remoteAddress(), why);
+                LOG.log(
+                        Level.WARNING,
+                        "a replica at {0} is refused: {1}; others will be without a word",
+                        channel.remoteAddress(),
+                        why);
             }
         }
     }
--- a/src/main/java/vetchpost/replication/net/ReplicaClient.java
+++ b/src/main/java/vetchpost/replication/net/ReplicaClient.java
@@ -1,17 +1,15 @@
 package vetchpost.replication.net;
 
-import java.net.InetSocketAddress;
-import java.security.SecureRandom;
-import java.util.List;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-
+import java.net.InetSocketAddress;
+import java.security.SecureRandom;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
 import vetchpost.handover.AuthenticatedFrames;
 import vetchpost.handover.Secret;
 import vetchpost.net.Network;
@@ -41,16 +39,23 @@
      *
      * @param name of the replica
      */
-    public ReplicaClient(EventLoop loop, Network network, Secret secret, SecureRandom random, String name,
-            List<InetSocketAddress> publishers, Replica replica) {
+    public ReplicaClient(
+            EventLoop loop,
+            Network network,
+            Secret secret,
+            SecureRandom random,
+            String name,
+            List<InetSocketAddress> publishers,
+            Replica replica) {
         this.loop = loop;
         this.network = network;
         this.secret = secret;
         this.random = random;
         this.publishers = publishers;
         this.replica = replica;
-        following = new Following(replica, new Choice(name, publishers.stream().map(Object::toString).toList(
-                )),
+        following = new Following(
+                replica,
+                new Choice(name, publishers.stream().map(Object::toString).toList()),
                 new OnLoop());
     }
 
@@ -124,17 +129,21 @@
                 loop.execute(() -> down("no connection could be opened"));
                 return;
             }
-            new Bootstrap().group(loop).channelFactory(() -> channel).disableResolver()
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                            CONNECT_MS).option(ChannelOption.TCP_NODELAY, true)
+            new Bootstrap()
+                    .group(loop)
+                    .channelFactory(() -> channel)
+                    .disableResolver()
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                    .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel opening) {
-                            frames = AuthenticatedFrames.open(opening, secret, random, false,
-                                    FrameCodec.MOST_FRAME,
-                                    Attempt.this);
+                            frames = AuthenticatedFrames.open(
+                                    opening, secret, random, false, FrameCodec.MOST_FRAME, Attempt.this);
                         }
-                    }).connect(to).addListener(done -> {
+                    })
+                    .connect(to)
+                    .addListener(done -> {
                         if (!done.isSuccess()) {
                             down(to + ": nobody is there");
                         }
--- a/src/main/java/vetchpost/routes/Explanation.java
+++ b/src/main/java/vetchpost/routes/Explanation.java
@@ -6,29 +6,34 @@
 public final class Explanation {
     private static final int WIDTH = 60;
 
-    private Explanation() { }
+    private Explanation() {}
 
     /** Some lines on the route, the last with its end. */
     public static String of(Route route) {
         Limits limits = route.limits();
         StringBuilder text = new StringBuilder("route " + route.name() + "\n");
-        line(text, "attempt-timeout", limits.attemptUs() == 0 ? "with the request"
-                : Prover.ms(limits.attemptUs()));
+        line(text, "attempt-timeout", limits.attemptUs() == 0 ? "with the request" : Prover.ms(limits.attemptUs()));
         line(text, "total-timeout", limits.totalUs() == 0 ? "with the client" : Prover.ms(limits.totalUs()));
         line(text, "attempts", limits.attempts() + " that may have run");
-        line(text, "backoff", limits.backoffUs() == 0 ? "none" : Prover.ms(limits.backoffUs())
-                + ", doubled each time, up to " + Math.round(100 * limits.jitter()) + "% longer");
-        line(text, "second copy", limits.copyUs() > 0 ? "after " + Prover.ms(limits.copyUs())
-                + ", at the latest "
-                + Prover.ms(limits.latestCopyUs()) : limits.copyPercentile() > 0
-                ? "after the " + limits.copyPercentile() + "th percentile of its answers" : "none");
-        line(text, "retry-budget", limits.retryBudget() == 0 ? "none" : limits.retryBudget()
-                + " of first tries");
-        line(text, "concurrency", limits.concurrency() == 0 ? "no limit"
-                : Integer.toString(limits.concurrency()));
+        line(
+                text,
+                "backoff",
+                limits.backoffUs() == 0
+                        ? "none"
+                        : Prover.ms(limits.backoffUs()) + ", doubled each time, up to "
+                                + Math.round(100 * limits.jitter()) + "% longer");
+        line(
+                text,
+                "second copy",
+                limits.copyUs() > 0
+                        ? "after " + Prover.ms(limits.copyUs()) + ", at the latest " + Prover.ms(limits.latestCopyUs())
+                        : limits.copyPercentile() > 0
+                                ? "after the " + limits.copyPercentile() + "th percentile of its answers"
+                                : "none");
+        line(text, "retry-budget", limits.retryBudget() == 0 ? "none" : limits.retryBudget() + " of first tries");
+        line(text, "concurrency", limits.concurrency() == 0 ? "no limit" : Integer.toString(limits.concurrency()));
         line(text, "max-body", limits.bodyBytes() == Long.MAX_VALUE ? "any" : limits.bodyBytes() + "B");
-        line(text, "retry-after", limits.retryAfterUs() < 0 ? "as the module says"
-                : Prover.ms(limits.retryAfterUs()));
+        line(text, "retry-after", limits.retryAfterUs() < 0 ? "as the module says" : Prover.ms(limits.retryAfterUs()));
         if (limits.attemptUs() > 0) {
             picture(text, limits);
         }
@@ -47,9 +52,14 @@
             long from = limits.latestStartUs(attempt);
             int before = (int) (WIDTH * from / endUs);
             int bars = Math.max(1, (int) (WIDTH * limits.attemptUs() / endUs));
-            text.append(String.format(Locale.ROOT, "  %2d |%s%s%s| from %s to %s%n",
-                    attempt, " ".repeat(before),
-                    "=".repeat(bars), " ".repeat(Math.max(0, WIDTH - before - bars)), Prover.ms(from),
+            text.append(String.format(
+                    Locale.ROOT,
+                    "  %2d |%s%s%s| from %s to %s%n",
+                    attempt,
+                    " ".repeat(before),
+                    "=".repeat(bars),
+                    " ".repeat(Math.max(0, WIDTH - before - bars)),
+                    Prover.ms(from),
                     Prover.ms(from + limits.attemptUs())));
         }
         if (limits.attempts() > shown) {
--- a/src/main/java/vetchpost/routes/FileRoutePolicy.java
+++ b/src/main/java/vetchpost/routes/FileRoutePolicy.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-
 import vetchpost.core.ClientRequest;
 import vetchpost.core.RouteBounds;
 import vetchpost.core.RoutePolicy;
@@ -82,8 +81,7 @@
     private record Slot(State state, Limits limits, int tenant) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof Slot slot && state == slot.state && tenant == slot.tenant
-                    && limits == slot.limits;
+            return other instanceof Slot slot && state == slot.state && tenant == slot.tenant && limits == slot.limits;
         }
 
         @Override
@@ -125,8 +123,8 @@
 
     @Override
     public RouteBounds boundsOf(ClientRequest request) {
-        RouteTable.Match match = table.match(classes.get(request.classIndex()), request.method(),
-                request.target(), request.tenant());
+        RouteTable.Match match =
+                table.match(classes.get(request.classIndex()), request.method(), request.target(), request.tenant());
         if (match == null) {
             return null;
         }
@@ -148,8 +146,11 @@
             state = new State();
             states.put(place, state);
         }
-        boolean sameEntry = entry == null ? state.entry == null : state.entry != null
-                && state.entry.stamp() == entry.stamp() && Arrays.equals(state.entry.value(), entry.value());
+        boolean sameEntry = entry == null
+                ? state.entry == null
+                : state.entry != null
+                        && state.entry.stamp() == entry.stamp()
+                        && Arrays.equals(state.entry.value(), entry.value());
         if (state.limits == null || !sameEntry || state.by != table && !state.by.hasTheRulesOf(table)) {
             Limits limits = table.route(match).limits();
             // The same limits go on as they are, with all that is counted by them.
@@ -244,8 +245,7 @@
 
         @Override
         public long adviseUs(long otherwiseUs) {
-            return limits.retryAfterUs() >= 0 ? limits.retryAfterUs() : otherwiseUs > 0 ? otherwiseUs
-                    : adviceUs;
+            return limits.retryAfterUs() >= 0 ? limits.retryAfterUs() : otherwiseUs > 0 ? otherwiseUs : adviceUs;
         }
     }
 }
--- a/src/main/java/vetchpost/routes/LatencyWindow.java
+++ b/src/main/java/vetchpost/routes/LatencyWindow.java
@@ -25,8 +25,7 @@
         if (seen >= LEAST && (seen % EVERY == 0 || valueUs == 0)) {
             long[] sorted = Arrays.copyOf(last, Math.min(seen, KEPT));
             Arrays.sort(sorted);
-            valueUs = Math.max(1, sorted[(int) Math.min(sorted.length - 1L,
-                    sorted.length * (long) percentile / 100)]);
+            valueUs = Math.max(1, sorted[(int) Math.min(sorted.length - 1L, sorted.length * (long) percentile / 100)]);
         }
     }
 
--- a/src/main/java/vetchpost/routes/Limits.java
+++ b/src/main/java/vetchpost/routes/Limits.java
@@ -15,8 +15,17 @@
  * @param bodyBytes longest body
  * @param retryAfterUs what refusals advise; -1: as the module says
  */
-public record Limits(long attemptUs, long totalUs, int attempts, long backoffUs, double jitter,
-        long copyUs, int copyPercentile, double retryBudget, int concurrency, long bodyBytes,
+public record Limits(
+        long attemptUs,
+        long totalUs,
+        int attempts,
+        long backoffUs,
+        double jitter,
+        long copyUs,
+        int copyPercentile,
+        double retryBudget,
+        int concurrency,
+        long bodyBytes,
         long retryAfterUs) {
 
     /** When the latest attempt of so many could begin, counted from the first, in microseconds. */
--- a/src/main/java/vetchpost/routes/MatchKey.java
+++ b/src/main/java/vetchpost/routes/MatchKey.java
@@ -1,7 +1,6 @@
 package vetchpost.routes;
 
 import java.util.Arrays;
-
 import vetchpost.store.Fields;
 
 /**
@@ -17,6 +16,7 @@
     private static final byte TEXT = 5;
     /** Bytes under 8 are written as this and a letter: none in a text is taken for one of ours. */
     private static final byte ESCAPE = 7;
+
     private static final int LEAST = 8;
 
     private byte[] bytes = new byte[96];
--- a/src/main/java/vetchpost/routes/Near.java
+++ b/src/main/java/vetchpost/routes/Near.java
@@ -10,7 +10,7 @@
      */
     private static final int MOST = 1_000;
 
-    private Near() { }
+    private Near() {}
 
     /** The known word that is nearest, or all of them where none is near. */
     static String of(String text, Iterable<String> known) {
@@ -40,8 +40,8 @@
             int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
-                int edit = Math.min(Math.min(row[j], row[j - 1]) + 1,
-                        diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1));
+                int edit = Math.min(
+                        Math.min(row[j], row[j - 1]) + 1, diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1));
                 diagonal = row[j];
                 row[j] = edit;
             }
--- a/src/main/java/vetchpost/routes/Proof.java
+++ b/src/main/java/vetchpost/routes/Proof.java
@@ -18,7 +18,7 @@
      * @param node its number, from 0
      * @param subset how many servers it has at least
      */
-    public record Part(int node, int subset) { }
+    public record Part(int node, int subset) {}
 
     /** Whether the file may be used. */
     public boolean holds() {
--- a/src/main/java/vetchpost/routes/Prover.java
+++ b/src/main/java/vetchpost/routes/Prover.java
@@ -9,7 +9,6 @@
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-
 import vetchpost.decision.Balancer.Repeat;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
@@ -25,12 +24,14 @@
 public final class Prover {
     /** Between planning a repeat and its first byte at a server: a turn of the loop, a connect, the way. */
     static final long MARGIN_US = 25_000;
+
     static final int MOST_BODY = 64 * 1024;
     private static final int MOST_ROUTES = 1_000_000;
     private static final int MOST_ATTEMPTS = 100;
     private static final int MOST_NAME = 1_024;
     /** Copies of half of all requests and more are no hedge, and of less than one in a hundred none. */
     private static final int LEAST_PERCENTILE = 50;
+
     private static final int MOST_PERCENTILE = 99;
     private static final int MOST_CONCURRENCY = 1_000_000;
     private static final long MOST_US = 3_600_000_000L;
@@ -43,11 +44,22 @@
 
     /** The keys of limits, in the order of the page for operators. */
     enum Key {
-        ATTEMPT_TIMEOUT("attempt-timeout"), TOTAL_TIMEOUT("total-timeout"), ATTEMPTS("attempts"),
-        BACKOFF("backoff"), JITTER("jitter"), COPY_AFTER("copy-after"), COPY_PERCENTILE("copy-percentile"),
-        RETRY_BUDGET("retry-budget"), CONCURRENCY("concurrency"),
-        MAX_BODY("max-body"), RETRY_AFTER("retry-after"),
-        NAME("name"), CLASS("class"), METHOD("method"), PATH("path"), TENANT("tenant");
+        ATTEMPT_TIMEOUT("attempt-timeout"),
+        TOTAL_TIMEOUT("total-timeout"),
+        ATTEMPTS("attempts"),
+        BACKOFF("backoff"),
+        JITTER("jitter"),
+        COPY_AFTER("copy-after"),
+        COPY_PERCENTILE("copy-percentile"),
+        RETRY_BUDGET("retry-budget"),
+        CONCURRENCY("concurrency"),
+        MAX_BODY("max-body"),
+        RETRY_AFTER("retry-after"),
+        NAME("name"),
+        CLASS("class"),
+        METHOD("method"),
+        PATH("path"),
+        TENANT("tenant");
 
         private final String text;
 
@@ -77,11 +89,13 @@
     private final boolean checking;
     /** Whether paths are the application's own, and bodies of any length. */
     private final boolean alone;
+
     private final List<Violation> violations = new ArrayList<>();
     private final Map<String, RequestClass> classes = new LinkedHashMap<>();
     private final TenantNames tenants;
     /** Those that routes may name; the settings' unless said otherwise. */
     private Tenants known;
+
     private Map<Key, Figure> defaults = Map.of();
     private final Map<String, Map<Key, Figure>> byClass = new HashMap<>();
 
@@ -89,12 +103,13 @@
     private RouteTable table;
     /** Of routes that are not the same as in the table before; those have theirs. */
     private long version;
+
     private RouteTable before;
     private int routes;
     private Position last;
 
     /** A value that has been read, and where it stands. */
-    private record Figure(double value, Position at) { }
+    private record Figure(double value, Position at) {}
 
     private Prover(Settings settings, boolean checking, boolean alone, TenantNames tenants) {
         this.settings = settings;
@@ -141,17 +156,17 @@
      * @param before what held before: routes that are the same keep their versions; null for nothing
      * @param version of the others
      */
-    public static Prover begin(List<Section> others, Settings settings, boolean alone, RouteTable before,
-            long version) {
+    public static Prover begin(
+            List<Section> others, Settings settings, boolean alone, RouteTable before, long version) {
         return begin(others, settings, alone, before, version, null);
     }
 
     /** The same with other tenants than the settings'; null for those. */
-    public static Prover begin(List<Section> others, Settings settings, boolean alone, RouteTable before,
-            long version, Tenants tenants) {
+    public static Prover begin(
+            List<Section> others, Settings settings, boolean alone, RouteTable before, long version, Tenants tenants) {
         Prover prover = before != null && before.rules().settings == settings
-                ? new Prover(settings, true, alone, before.rules().tenants) : new Prover(settings, true,
-                        alone);
+                ? new Prover(settings, true, alone, before.rules().tenants)
+                : new Prover(settings, true, alone);
         prover.known = tenants == null ? prover.tenants : tenants;
         prover.before = before;
         prover.version = version;
@@ -165,7 +180,7 @@
      * @param section what it says from then on, its name too if it has one; null if it goes
      * @param at where messages say that this stands
      */
-    public record RouteChange(Change.Op op, String name, Section section, Position at) { }
+    public record RouteChange(Change.Op op, String name, Section section, Position at) {}
 
     /**
      * Proves changes by what they can break, which is their routes and those of the same name or match, and
@@ -201,8 +216,12 @@
         for (RouteChange change : changes) {
             boolean there = base.isNamed(change.name());
             if (change.op() != Change.Op.PUT && !there) {
-                prover.violated(change.at(), "route " + change.name(), Rule.UNKNOWN_ENTRY,
-                        "there is no route of this name", "a put");
+                prover.violated(
+                        change.at(),
+                        "route " + change.name(),
+                        Rule.UNKNOWN_ENTRY,
+                        "there is no route of this name",
+                        "a put");
             } else if (change.op() != Change.Op.PUT) {
                 prover.table = prover.table.without(change.name());
             }
@@ -255,36 +274,68 @@
                 case DEFAULTS -> defaults = figures(section);
                 case CLASS -> {
                     if (!classes.containsKey(section.name())) {
-                        violated(section.at(), section.name(), Rule.UNKNOWN_CLASS, "there is no class '"
-                                + section.name() + "'", Near.of(section.name(), classes.keySet()));
+                        violated(
+                                section.at(),
+                                section.name(),
+                                Rule.UNKNOWN_CLASS,
+                                "there is no class '" + section.name() + "'",
+                                Near.of(section.name(), classes.keySet()));
                     }
                     byClass.put(section.name(), figures(section));
                     classSections.put(section.name(), section);
                 }
                 case FLEET -> part = part(section);
-                case UNKNOWN -> violated(section.at(), "", Rule.UNKNOWN_TABLE, "'" + section.name()
-                        + "' is no table of this file", Near.of(section.name(),
-                        List.of("node", "classes", "tenants", "pool", "source", "checks", "defaults", "class",
-                        "route", "fleet", "state", "handover", "admission", "control", "changes")));
-                default -> { }
+                case UNKNOWN ->
+                    violated(
+                            section.at(),
+                            "",
+                            Rule.UNKNOWN_TABLE,
+                            "'" + section.name() + "' is no table of this file",
+                            Near.of(
+                                    section.name(),
+                                    List.of(
+                                            "node",
+                                            "classes",
+                                            "tenants",
+                                            "pool",
+                                            "source",
+                                            "checks",
+                                            "defaults",
+                                            "class",
+                                            "route",
+                                            "fleet",
+                                            "state",
+                                            "handover",
+                                            "admission",
+                                            "control",
+                                            "changes")));
+                default -> {}
             }
         }
         Map<String, Route> ofClasses = new LinkedHashMap<>();
         for (RequestClass cls : classes.values()) {
             Section section = classSections.get(cls.name());
-            ofClasses.put(cls.name(), new Route(cls.name(), limits(cls, with(cls.name(), Map.of()), "class "
-                    + cls.name(), section == null ? null : section.at())));
+            ofClasses.put(
+                    cls.name(),
+                    new Route(
+                            cls.name(),
+                            limits(
+                                    cls,
+                                    with(cls.name(), Map.of()),
+                                    "class " + cls.name(),
+                                    section == null ? null : section.at())));
         }
-        table = new RouteTable(before != null && holdsAsIn(before.rules()) ? before.rules() : unchecked(),
-                alone,
-                ofClasses);
+        table = new RouteTable(
+                before != null && holdsAsIn(before.rules()) ? before.rules() : unchecked(), alone, ofClasses);
     }
 
     /** Whether all routes that say the same have the same limits by both. */
     private boolean holdsAsIn(Prover other) {
-        return alone == other.alone && settings.maxAttempts == other.settings.maxAttempts
+        return alone == other.alone
+                && settings.maxAttempts == other.settings.maxAttempts
                 && settings.classes.equals(other.settings.classes)
-                && settings.tenants.equals(other.settings.tenants) && values().equals(other.values());
+                && settings.tenants.equals(other.settings.tenants)
+                && values().equals(other.values());
     }
 
     /** What the defaults and classes say, without the places where they say it. */
@@ -313,8 +364,7 @@
         if (routes > MOST_ROUTES) {
             violated(last, "", Rule.OUT_OF_RANGE, routes + " routes", MOST_ROUTES + "");
         }
-        violations.sort(Comparator.comparingInt((Violation v) -> v.at().line())
-                .thenComparingInt(v -> v.at().column()));
+        violations.sort(Comparator.comparingInt((Violation v) -> v.at().line()).thenComparingInt(v -> v.at().column()));
         return new Proof(violations.isEmpty() ? table : null, table.all(), part, List.copyOf(violations));
     }
 
@@ -323,8 +373,8 @@
     private Proof.Part part(Section section) {
         section.entries().forEach((text, entry) -> {
             if (!FLEET_KEYS.contains(text)) {
-                violated(entry.at(), "fleet", Rule.UNKNOWN_KEY, "unknown key '" + text + "'", Near.of(text,
-                        FLEET_KEYS));
+                violated(
+                        entry.at(), "fleet", Rule.UNKNOWN_KEY, "unknown key '" + text + "'", Near.of(text, FLEET_KEYS));
             }
         });
         int node = figure(section, "node", 0, settings.nodes - 1);
@@ -340,13 +390,21 @@
             return -1;
         }
         if (!(entry.value() instanceof Long number)) {
-            violated(entry.at(), "fleet", Rule.WRONG_UNIT, key + " = " + shown(entry.value())
-                    + " is no whole number", key + " = " + least);
+            violated(
+                    entry.at(),
+                    "fleet",
+                    Rule.WRONG_UNIT,
+                    key + " = " + shown(entry.value()) + " is no whole number",
+                    key + " = " + least);
             return -1;
         }
         if (number < least || number > most) {
-            violated(entry.at(), "fleet", Rule.OUT_OF_RANGE, key + " = " + number
-                    + (key.equals("node") ? ", and the settings have " + settings.nodes + " nodes" : ""),
+            violated(
+                    entry.at(),
+                    "fleet",
+                    Rule.OUT_OF_RANGE,
+                    key + " = " + number
+                            + (key.equals("node") ? ", and the settings have " + settings.nodes + " nodes" : ""),
                     "from " + least + " to " + most);
             return -1;
         }
@@ -365,8 +423,12 @@
         String name = text(section, Key.NAME);
         String label = "route " + (name == null ? path == null ? "" : path : name);
         if (label.length() > MOST_NAME) {
-            violated(at(section, Key.NAME, Key.PATH), "", Rule.OUT_OF_RANGE, "a name of " + label.length()
-                    + " characters", "1,000 or fewer");
+            violated(
+                    at(section, Key.NAME, Key.PATH),
+                    "",
+                    Rule.OUT_OF_RANGE,
+                    "a name of " + label.length() + " characters",
+                    "1,000 or fewer");
             return;
         }
         List<String> segments = pattern(section, path, label);
@@ -375,21 +437,28 @@
             cls = segments.get(0);
         }
         if (cls == null && path == null) {
-            violated(section.at(), label, Rule.UNREACHABLE, "it says neither class nor path",
-                    "class or path");
+            violated(section.at(), label, Rule.UNREACHABLE, "it says neither class nor path", "class or path");
             return;
         }
         if (cls == null && !alone) {
             return;
         }
         if (cls != null && !classes.containsKey(cls)) {
-            violated(at(section, Key.CLASS, Key.PATH), label, Rule.UNKNOWN_CLASS,
-                    "there is no class '" + cls + "'", Near.of(cls, classes.keySet()));
+            violated(
+                    at(section, Key.CLASS, Key.PATH),
+                    label,
+                    Rule.UNKNOWN_CLASS,
+                    "there is no class '" + cls + "'",
+                    Near.of(cls, classes.keySet()));
             return;
         }
         if (!alone && segments != null && !segments.get(0).equals(cls)) {
-            violated(at(section, Key.PATH, Key.CLASS), label, Rule.UNREACHABLE, "requests of class " + cls
-                    + " have paths that begin with /" + cls, "\"/" + cls + "/...\"");
+            violated(
+                    at(section, Key.PATH, Key.CLASS),
+                    label,
+                    Rule.UNREACHABLE,
+                    "requests of class " + cls + " have paths that begin with /" + cls,
+                    "\"/" + cls + "/...\"");
             return;
         }
         String method = alone ? text(section, Key.METHOD) : method(section, classes.get(cls), label);
@@ -415,19 +484,27 @@
         String name = label.substring("route ".length());
         String same = table.sameMatch(key);
         if (same != null) {
-            violated(section.at(), label, Rule.SAME_MATCH, "it matches the same as route " + same,
+            violated(
+                    section.at(),
+                    label,
+                    Rule.SAME_MATCH,
+                    "it matches the same as route " + same,
                     "another path, tenant or method");
             return;
         }
         if (table.isNamed(name)) {
-            violated(at(section, Key.NAME, Key.PATH), label, Rule.SAME_NAME, "there is another of this name",
+            violated(
+                    at(section, Key.NAME, Key.PATH),
+                    label,
+                    Rule.SAME_NAME,
+                    "there is another of this name",
                     "another name");
             return;
         }
         if (violations.size() > found && checking) {
             // Not to be read by its bytes, which may be none; but it has its place among the others.
-            table = table.with(name, key, RouteCodec.bytes(new Section(Kind.ROUTE, "", section.at(),
-                    placeOf(section))), version);
+            table = table.with(
+                    name, key, RouteCodec.bytes(new Section(Kind.ROUTE, "", section.at(), placeOf(section))), version);
             return;
         }
         byte[] bytes;
@@ -439,8 +516,7 @@
             }
             bytes = RouteCodec.bytes(new Section(Kind.ROUTE, "", section.at(), placeOf(section)));
         }
-        table = table.with(name, key, bytes, before == null ? version : before.versionOf(name, bytes,
-                version));
+        table = table.with(name, key, bytes, before == null ? version : before.versionOf(name, bytes, version));
     }
 
     /** What a route says of where it stands, without its limits. */
@@ -457,8 +533,8 @@
 
     private RouteKey key(List<String> segments, String cls, String method, String tenant) {
         boolean prefix = segments == null || segments.get(segments.size() - 1).equals("*");
-        List<String> rest = segments == null ? List.of()
-                : segments.subList(alone ? 0 : 1, segments.size() - (prefix ? 1 : 0));
+        List<String> rest =
+                segments == null ? List.of() : segments.subList(alone ? 0 : 1, segments.size() - (prefix ? 1 : 0));
         return new RouteKey(cls == null ? "" : cls, method == null ? "" : method, rest, prefix, tenant);
     }
 
@@ -467,8 +543,11 @@
         List<String> segments = pattern(section, said(section, Key.PATH), "");
         String cls = said(section, Key.CLASS);
         String tenant = said(section, Key.TENANT);
-        return key(segments, cls == null && !alone && segments != null ? segments.get(0) : cls,
-                said(section, Key.METHOD), tenant == null ? "" : tenant);
+        return key(
+                segments,
+                cls == null && !alone && segments != null ? segments.get(0) : cls,
+                said(section, Key.METHOD),
+                tenant == null ? "" : tenant);
     }
 
     private static String said(Section section, Key key) {
@@ -488,8 +567,8 @@
         try {
             return RouteKey.pattern(path);
         } catch (RouteKey.Bad e) {
-            violated(at(section, Key.PATH, Key.PATH), label, Rule.BAD_PATTERN, e.getMessage(),
-                    "\"/class/{name}/text\"");
+            violated(
+                    at(section, Key.PATH, Key.PATH), label, Rule.BAD_PATTERN, e.getMessage(), "\"/class/{name}/text\"");
             return null;
         }
     }
@@ -498,8 +577,12 @@
         String method = text(section, Key.METHOD);
         String only = cls.repeat() == Repeat.SAFE ? "GET" : "POST";
         if (method != null && !method.equals(only)) {
-            violated(at(section, Key.METHOD, Key.METHOD), label, Rule.UNREACHABLE, "requests of class "
-                    + cls.name() + " are never " + method, "\"" + only + "\"");
+            violated(
+                    at(section, Key.METHOD, Key.METHOD),
+                    label,
+                    Rule.UNREACHABLE,
+                    "requests of class " + cls.name() + " are never " + method,
+                    "\"" + only + "\"");
         }
         return method == null ? "" : method;
     }
@@ -511,8 +594,12 @@
             return "";
         }
         if (!known.has(tenant)) {
-            violated(at(section, Key.TENANT, Key.TENANT), label, Rule.UNKNOWN_TENANT, "there is no tenant '"
-                    + tenant + "'", Near.of(tenant, known.all()));
+            violated(
+                    at(section, Key.TENANT, Key.TENANT),
+                    label,
+                    Rule.UNKNOWN_TENANT,
+                    "there is no tenant '" + tenant + "'",
+                    Near.of(tenant, known.all()));
             return null;
         }
         return tenant;
@@ -543,7 +630,11 @@
         section.entries().forEach((text, entry) -> {
             Key key = Key.of(text);
             if (key == null || !key.isLimit() && section.kind() != Kind.ROUTE) {
-                violated(entry.at(), section.name(), Rule.UNKNOWN_KEY, "unknown key '" + text + "'",
+                violated(
+                        entry.at(),
+                        section.name(),
+                        Rule.UNKNOWN_KEY,
+                        "unknown key '" + text + "'",
                         Near.of(text, keys(section.kind())));
             } else if (key.isLimit()) {
                 Double value = figure(key, entry, section.name());
@@ -567,8 +658,7 @@
 
     private Double figure(Key key, Entry entry, String route) {
         return switch (key) {
-            case ATTEMPT_TIMEOUT, TOTAL_TIMEOUT, BACKOFF, RETRY_AFTER, COPY_AFTER -> duration(key, entry,
-                    route);
+            case ATTEMPT_TIMEOUT, TOTAL_TIMEOUT, BACKOFF, RETRY_AFTER, COPY_AFTER -> duration(key, entry, route);
             case MAX_BODY -> size(key, entry, route);
             case ATTEMPTS -> whole(key, entry, route, 1, MOST_ATTEMPTS);
             case COPY_PERCENTILE -> whole(key, entry, route, LEAST_PERCENTILE, MOST_PERCENTILE);
@@ -580,16 +670,25 @@
     private Double duration(Key key, Entry entry, String route) {
         Matcher m = entry.value() instanceof String text ? DURATION.matcher(text) : null;
         if (m == null || !m.matches()) {
-            violated(entry.at(), route, Rule.WRONG_UNIT, key.text() + " = " + shown(entry.value())
-                    + " is no length of time", entry.value() instanceof Long ? "\"" + entry.value() + "ms\""
-                    : "a number and us, ms or s, as \"250ms\",");
+            violated(
+                    entry.at(),
+                    route,
+                    Rule.WRONG_UNIT,
+                    key.text() + " = " + shown(entry.value()) + " is no length of time",
+                    entry.value() instanceof Long
+                            ? "\"" + entry.value() + "ms\""
+                            : "a number and us, ms or s, as \"250ms\",");
             return null;
         }
-        double us = Double.parseDouble(m.group(1)) * (m.group(2).equals("s") ? 1e6
-                : m.group(2).equals("ms") ? 1e3 : 1);
+        double us = Double.parseDouble(m.group(1))
+                * (m.group(2).equals("s") ? 1e6 : m.group(2).equals("ms") ? 1e3 : 1);
         boolean mayBeNone = key == Key.BACKOFF || key == Key.RETRY_AFTER;
         if (us > MOST_US || us < 1 && !(mayBeNone && us == 0)) {
-            violated(entry.at(), route, Rule.OUT_OF_RANGE, key.text() + " = " + shown(entry.value()),
+            violated(
+                    entry.at(),
+                    route,
+                    Rule.OUT_OF_RANGE,
+                    key.text() + " = " + shown(entry.value()),
                     "from 1us to 1 hour");
             return null;
         }
@@ -599,20 +698,25 @@
     private Double size(Key key, Entry entry, String route) {
         Matcher m = entry.value() instanceof String text ? SIZE.matcher(text) : null;
         if (m == null || !m.matches()) {
-            violated(entry.at(), route, Rule.WRONG_UNIT, key.text() + " = " + shown(entry.value())
-                    + " is no size", entry.value() instanceof Long ? "\"" + entry.value() + "B\""
-                    : "a number and B or KiB, as \"16KiB\",");
+            violated(
+                    entry.at(),
+                    route,
+                    Rule.WRONG_UNIT,
+                    key.text() + " = " + shown(entry.value()) + " is no size",
+                    entry.value() instanceof Long
+                            ? "\"" + entry.value() + "B\""
+                            : "a number and B or KiB, as \"16KiB\",");
             return null;
         }
-        double bytes = Double.parseDouble(m.group(1)) * switch (m.group(2)) {
-            case "B" -> 1.0;
-            case "KiB" -> 1_024.0;
-            case "MiB" -> 1_048_576.0;
-            default -> 1_073_741_824.0;
-        };
+        double bytes = Double.parseDouble(m.group(1))
+                * switch (m.group(2)) {
+                    case "B" -> 1.0;
+                    case "KiB" -> 1_024.0;
+                    case "MiB" -> 1_048_576.0;
+                    default -> 1_073_741_824.0;
+                };
         if (bytes > MOST_BODY && !alone) {
-            violated(entry.at(), route, Rule.OUT_OF_RANGE, key.text()
-                    + " is over what a node takes", "\"64KiB\"");
+            violated(entry.at(), route, Rule.OUT_OF_RANGE, key.text() + " is over what a node takes", "\"64KiB\"");
             return null;
         }
         return bytes;
@@ -620,24 +724,33 @@
 
     private Double whole(Key key, Entry entry, String route, int least, int most) {
         if (!(entry.value() instanceof Long number)) {
-            violated(entry.at(), route, Rule.WRONG_UNIT, key.text() + " = " + shown(entry.value())
-                    + " is no whole number", least + " or more");
+            violated(
+                    entry.at(),
+                    route,
+                    Rule.WRONG_UNIT,
+                    key.text() + " = " + shown(entry.value()) + " is no whole number",
+                    least + " or more");
             return null;
         }
         if (number < least || number > most) {
-            violated(entry.at(), route, Rule.OUT_OF_RANGE, key.text() + " = " + number,
-                    "from " + least + " to " + most);
+            violated(
+                    entry.at(), route, Rule.OUT_OF_RANGE, key.text() + " = " + number, "from " + least + " to " + most);
             return null;
         }
         return (double) number;
     }
 
     private Double share(Key key, Entry entry, String route) {
-        double value = entry.value() instanceof Long whole ? whole
+        double value = entry.value() instanceof Long whole
+                ? whole
                 : entry.value() instanceof Double number ? number : Double.NaN;
         if (Double.isNaN(value)) {
-            violated(entry.at(), route, Rule.WRONG_UNIT, key.text() + " = " + shown(entry.value())
-                    + " is no number", "a share as 0.2");
+            violated(
+                    entry.at(),
+                    route,
+                    Rule.WRONG_UNIT,
+                    key.text() + " = " + shown(entry.value()) + " is no number",
+                    "a share as 0.2");
             return null;
         }
         if (value < 0 || value > 1) {
@@ -659,39 +772,60 @@
         long attemptUs = (long) value(own, Key.ATTEMPT_TIMEOUT, 0);
         int usual = cls.repeat() == Repeat.UNSAFE ? 1 : settings.maxAttempts;
         int attempts = (int) value(own, Key.ATTEMPTS, usual);
-        Limits limits = new Limits(attemptUs, totalUs, attempts, (long) value(own, Key.BACKOFF, 0),
-                value(own, Key.JITTER, 0), (long) value(own, Key.COPY_AFTER, 0),
-                (int) value(own, Key.COPY_PERCENTILE, 0), value(own, Key.RETRY_BUDGET, 0),
-                (int) value(own, Key.CONCURRENCY, 0), (long) value(own, Key.MAX_BODY, alone ? Long.MAX_VALUE
-                        : MOST_BODY),
+        Limits limits = new Limits(
+                attemptUs,
+                totalUs,
+                attempts,
+                (long) value(own, Key.BACKOFF, 0),
+                value(own, Key.JITTER, 0),
+                (long) value(own, Key.COPY_AFTER, 0),
+                (int) value(own, Key.COPY_PERCENTILE, 0),
+                value(own, Key.RETRY_BUDGET, 0),
+                (int) value(own, Key.CONCURRENCY, 0),
+                (long) value(own, Key.MAX_BODY, alone ? Long.MAX_VALUE : MOST_BODY),
                 (long) value(own, Key.RETRY_AFTER, -1));
         if (!checking) {
             return limits;
         }
         long wholeUs = totalUs == 0 ? clientUs : totalUs;
         if (totalUs > clientUs) {
-            violated(own.get(Key.TOTAL_TIMEOUT).at(), route, Rule.PAST_CLIENT, "total-timeout is "
-                    + ms(totalUs)
-                    + ", and clients wait " + ms(clientUs), "total-timeout = \"" + ms(clientUs) + "\"");
+            violated(
+                    own.get(Key.TOTAL_TIMEOUT).at(),
+                    route,
+                    Rule.PAST_CLIENT,
+                    "total-timeout is " + ms(totalUs) + ", and clients wait " + ms(clientUs),
+                    "total-timeout = \"" + ms(clientUs) + "\"");
         }
         if (attemptUs > wholeUs) {
-            violated(own.get(Key.ATTEMPT_TIMEOUT).at(), route, Rule.PAST_WHOLE, "attempt-timeout is "
-                    + ms(attemptUs) + ", and the request has " + ms(wholeUs) + " in all",
+            violated(
+                    own.get(Key.ATTEMPT_TIMEOUT).at(),
+                    route,
+                    Rule.PAST_WHOLE,
+                    "attempt-timeout is " + ms(attemptUs) + ", and the request has " + ms(wholeUs) + " in all",
                     "attempt-timeout = \"" + ms(wholeUs) + "\"");
         }
         if (cls.repeat() == Repeat.UNSAFE && attempts > 1) {
-            violated(own.get(Key.ATTEMPTS).at(), route, Rule.UNSAFE_AGAIN, "attempts is " + attempts + " and "
-                    + cls.name() + " must never run twice", "attempts = 1");
+            violated(
+                    own.get(Key.ATTEMPTS).at(),
+                    route,
+                    Rule.UNSAFE_AGAIN,
+                    "attempts is " + attempts + " and " + cls.name() + " must never run twice",
+                    "attempts = 1");
         }
         if (cls.repeat() == Repeat.KEYED && attempts > 1 && own.containsKey(Key.ATTEMPT_TIMEOUT)) {
             long latestUs = limits.latestStartUs(attempts) + MARGIN_US;
             if (latestUs > cls.windowUs()) {
-                long fitsUs = (cls.windowUs() - MARGIN_US - (limits.latestStartUs(attempts)
-                        - (attempts - 1) * attemptUs)) / (attempts - 1);
-                violated(own.get(Key.ATTEMPT_TIMEOUT).at(), route, Rule.KEYED_LATE, "attempt " + attempts
-                        + " may begin " + ms(latestUs) + " after the first, with waits, jitter and "
-                        + ms(MARGIN_US)
-                        + " margin, and racks drop repeats for " + ms(cls.windowUs()),
+                long fitsUs =
+                        (cls.windowUs() - MARGIN_US - (limits.latestStartUs(attempts) - (attempts - 1) * attemptUs))
+                                / (attempts - 1);
+                violated(
+                        own.get(Key.ATTEMPT_TIMEOUT).at(),
+                        route,
+                        Rule.KEYED_LATE,
+                        "attempt " + attempts
+                                + " may begin " + ms(latestUs) + " after the first, with waits, jitter and "
+                                + ms(MARGIN_US)
+                                + " margin, and racks drop repeats for " + ms(cls.windowUs()),
                         fitsUs > 0 ? "attempt-timeout = \"" + ms(fitsUs) + "\"" : "attempts = 1");
             }
         }
@@ -702,25 +836,41 @@
                 while (fits > 1 && limits.latestStartUs(fits) + attemptUs > wholeUs) {
                     fits--;
                 }
-                violated(at(own, Key.ATTEMPTS, Key.BACKOFF), route, Rule.SCHEDULE, attempts + " attempts of "
-                        + ms(attemptUs) + " and the waits between them take " + ms(endUs)
-                        + ", and the request has " + ms(wholeUs) + " in all", "attempts = " + fits);
+                violated(
+                        at(own, Key.ATTEMPTS, Key.BACKOFF),
+                        route,
+                        Rule.SCHEDULE,
+                        attempts + " attempts of "
+                                + ms(attemptUs) + " and the waits between them take " + ms(endUs)
+                                + ", and the request has " + ms(wholeUs) + " in all",
+                        "attempts = " + fits);
             }
         }
         copies(cls, own, limits, route, wholeUs);
         if (own.containsKey(Key.CONCURRENCY) && limits.concurrency() == 0) {
-            violated(own.get(Key.CONCURRENCY).at(), route, Rule.STARVES, "concurrency is 0",
+            violated(
+                    own.get(Key.CONCURRENCY).at(),
+                    route,
+                    Rule.STARVES,
+                    "concurrency is 0",
                     "concurrency = 1 or more, or none said");
         }
         if (cls.repeat() != Repeat.SAFE && limits.bodyBytes() == 0) {
-            violated(own.get(Key.MAX_BODY).at(), route,
-                    Rule.STARVES, "max-body is 0 and its requests have bodies",
+            violated(
+                    own.get(Key.MAX_BODY).at(),
+                    route,
+                    Rule.STARVES,
+                    "max-body is 0 and its requests have bodies",
                     "max-body = \"1B\" or more");
         }
         long adviceUs = limits.retryAfterUs();
         if (adviceUs > settings.maxRetryAfterUs) {
-            violated(own.get(Key.RETRY_AFTER).at(), route, Rule.OUT_OF_RANGE, "retry-after is " + ms(adviceUs)
-                    + ", and the longest advice allowed is " + ms(settings.maxRetryAfterUs),
+            violated(
+                    own.get(Key.RETRY_AFTER).at(),
+                    route,
+                    Rule.OUT_OF_RANGE,
+                    "retry-after is " + ms(adviceUs) + ", and the longest advice allowed is "
+                            + ms(settings.maxRetryAfterUs),
                     "retry-after = \"" + ms(settings.maxRetryAfterUs) + "\"");
         }
         return limits;
@@ -738,24 +888,34 @@
             violated(at, route, Rule.NOT_ALLOWED, "the platform allows no second copies", "no copy-after");
         }
         if (cls.repeat() == Repeat.UNSAFE) {
-            violated(at, route, Rule.UNSAFE_AGAIN, "a second copy of " + cls.name()
-                    + ", which must never run "
-                    + "twice", "no copy-after");
+            violated(
+                    at,
+                    route,
+                    Rule.UNSAFE_AGAIN,
+                    "a second copy of " + cls.name() + ", which must never run " + "twice",
+                    "no copy-after");
         } else if (limits.attempts() < 2) {
-            violated(at, route, Rule.SCHEDULE, "a second copy is a second attempt, and attempts is 1",
-                    "attempts = 2");
+            violated(at, route, Rule.SCHEDULE, "a second copy is a second attempt, and attempts is 1", "attempts = 2");
         }
         long latestUs = limits.latestCopyUs();
         if (cls.repeat() == Repeat.KEYED && latestUs > 0 && latestUs + MARGIN_US > cls.windowUs()) {
-            violated(at, route, Rule.KEYED_LATE, "the copy may be sent " + ms(latestUs + MARGIN_US)
-                    + " after the first, with jitter and " + ms(MARGIN_US)
-                    + " margin, and racks drop repeats for "
-                    + ms(cls.windowUs()), "copy-after = \"" + ms((long) ((cls.windowUs() - MARGIN_US)
-                    / (1 + limits.jitter()))) + "\"");
+            violated(
+                    at,
+                    route,
+                    Rule.KEYED_LATE,
+                    "the copy may be sent " + ms(latestUs + MARGIN_US)
+                            + " after the first, with jitter and " + ms(MARGIN_US)
+                            + " margin, and racks drop repeats for "
+                            + ms(cls.windowUs()),
+                    "copy-after = \"" + ms((long) ((cls.windowUs() - MARGIN_US) / (1 + limits.jitter()))) + "\"");
         }
         if (latestUs >= wholeUs) {
-            violated(at, route, Rule.SCHEDULE, "the copy may be sent after " + ms(latestUs)
-                    + ", and the request has " + ms(wholeUs) + " in all", "a shorter copy-after");
+            violated(
+                    at,
+                    route,
+                    Rule.SCHEDULE,
+                    "the copy may be sent after " + ms(latestUs) + ", and the request has " + ms(wholeUs) + " in all",
+                    "a shorter copy-after");
         }
     }
 
--- a/src/main/java/vetchpost/routes/Route.java
+++ b/src/main/java/vetchpost/routes/Route.java
@@ -5,4 +5,4 @@
  *
  * @param name as messages give it
  */
-public record Route(String name, Limits limits) { }
+public record Route(String name, Limits limits) {}
--- a/src/main/java/vetchpost/routes/RouteCodec.java
+++ b/src/main/java/vetchpost/routes/RouteCodec.java
@@ -2,7 +2,6 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-
 import vetchpost.routes.Prover.Key;
 import vetchpost.routes.Section.Entry;
 import vetchpost.routes.Section.Kind;
@@ -13,7 +12,7 @@
  * the same route has the same bytes whatever order it was written in.
  */
 public final class RouteCodec {
-    private RouteCodec() { }
+    private RouteCodec() {}
 
     /**
      * The name of a route: what it says, else its path, else empty.
--- a/src/main/java/vetchpost/routes/RouteKey.java
+++ b/src/main/java/vetchpost/routes/RouteKey.java
@@ -15,6 +15,7 @@
 record RouteKey(String cls, String method, List<String> segments, boolean prefix, String tenant) {
     /** A segment of any text. */
     static final String ANY = "{}";
+
     private static final int MOST_SEGMENTS = 32;
     private static final int MOST_LENGTH = 1_024;
 
@@ -44,8 +45,7 @@
                 segments.add(ANY);
             } else if (part.equals("*") && i == parts.length - 1 && i > 0) {
                 segments.add("*");
-            } else if (part.matches("[A-Za-z0-9._~!$&'()+,;=:@-]+") && !part.equals(".")
-                    && !part.equals("..")) {
+            } else if (part.matches("[A-Za-z0-9._~!$&'()+,;=:@-]+") && !part.equals(".") && !part.equals("..")) {
                 segments.add(part);
             } else {
                 throw new Bad("'" + part + "' is neither plain text, nor {name}, nor * at the end");
--- a/src/main/java/vetchpost/routes/RouteTable.java
+++ b/src/main/java/vetchpost/routes/RouteTable.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
 import vetchpost.store.Fields;
 import vetchpost.store.Key;
 import vetchpost.store.Kind;
@@ -34,6 +33,7 @@
 
     /** How limits are made of what a route says, its class and the defaults. */
     private final Prover rules;
+
     private final boolean alone;
     private final Map<String, Route> otherwise;
     /** By the bytes of their keys; entries of other kinds may be among them. */
@@ -42,6 +42,7 @@
     private final PackedTree matches;
     /** How many routes requests of each class can have. */
     private final Map<String, Integer> counts;
+
     private final int routes;
 
     /**
@@ -49,15 +50,21 @@
      *
      * @param entry null for the route of its class
      */
-    record Match(String cls, Item entry) { }
+    record Match(String cls, Item entry) {}
 
     /** No routes so far but one for each class, by its name. */
     RouteTable(Prover rules, boolean alone, Map<String, Route> otherwise) {
         this(rules, alone, otherwise, PackedTree.EMPTY, PackedTree.EMPTY, Map.of(), 0);
     }
 
-    private RouteTable(Prover rules, boolean alone, Map<String, Route> otherwise, PackedTree entries,
-            PackedTree matches, Map<String, Integer> counts, int routes) {
+    private RouteTable(
+            Prover rules,
+            boolean alone,
+            Map<String, Route> otherwise,
+            PackedTree entries,
+            PackedTree matches,
+            Map<String, Integer> counts,
+            int routes) {
         this.rules = rules;
         this.alone = alone;
         this.otherwise = otherwise;
@@ -161,8 +168,14 @@
     /** With one more route, which has been proved, from that version on. */
     RouteTable with(String name, RouteKey key, byte[] route, long version) {
         byte[] text = Fields.utf8(name);
-        return new RouteTable(rules, alone, otherwise, entries.put(keyOf(name), route, version),
-                matches.put(bytes(key, key.cls()), text, 0), counted(key.cls(), 1), routes + 1);
+        return new RouteTable(
+                rules,
+                alone,
+                otherwise,
+                entries.put(keyOf(name), route, version),
+                matches.put(bytes(key, key.cls()), text, 0),
+                counted(key.cls(), 1),
+                routes + 1);
     }
 
     /** The version of a route if it has these bytes here too, else the other one. */
@@ -186,10 +199,16 @@
         byte[] match = bytes(key, key.cls());
         Item found = matches.get(match);
         // While many changes are taken in one by one, another may have taken its place by now.
-        boolean own = found != null && Arrays.equals(found.value(), 0, found.value().length, item.key(), 1,
-                item.key().length);
-        return new RouteTable(rules, alone, otherwise, live == null ? entries.remove(item.key()) : live,
-                own ? matches.remove(match) : matches, counted(key.cls(), -1), routes - 1);
+        boolean own = found != null
+                && Arrays.equals(found.value(), 0, found.value().length, item.key(), 1, item.key().length);
+        return new RouteTable(
+                rules,
+                alone,
+                otherwise,
+                live == null ? entries.remove(item.key()) : live,
+                own ? matches.remove(match) : matches,
+                counted(key.cls(), -1),
+                routes - 1);
     }
 
     /**
@@ -206,15 +225,27 @@
             return without;
         }
         RouteKey key = keyOf(RouteCodec.section(route, NOWHERE));
-        return new RouteTable(rules, alone, otherwise, live, without.matches.put(bytes(key, key.cls()),
-                Fields.utf8(name), 0), without.counted(key.cls(), 1), without.routes + 1);
+        return new RouteTable(
+                rules,
+                alone,
+                otherwise,
+                live,
+                without.matches.put(bytes(key, key.cls()), Fields.utf8(name), 0),
+                without.counted(key.cls(), 1),
+                without.routes + 1);
     }
 
     /** With a route that is among the entries already, and not found yet. */
     public RouteTable taken(String name, byte[] route) {
         RouteKey key = keyOf(RouteCodec.section(route, NOWHERE));
-        return new RouteTable(rules, alone, otherwise, entries, matches.put(bytes(key, key.cls()),
-                Fields.utf8(name), 0), counted(key.cls(), 1), routes + 1);
+        return new RouteTable(
+                rules,
+                alone,
+                otherwise,
+                entries,
+                matches.put(bytes(key, key.cls()), Fields.utf8(name), 0),
+                counted(key.cls(), 1),
+                routes + 1);
     }
 
     private RouteKey keyOf(Item item) {
@@ -250,8 +281,8 @@
         if (path == null || !alone && (path.isEmpty() || !path.get(0).equals(cls))) {
             return null;
         }
-        Item name = any ? find(new MatchKey(), path, alone ? 0 : 1, rules.tenants().at(tenant), method,
-                cls) : null;
+        Item name =
+                any ? find(new MatchKey(), path, alone ? 0 : 1, rules.tenants().at(tenant), method, cls) : null;
         if (name == null) {
             return new Match(cls, null);
         }
@@ -263,16 +294,18 @@
 
     /** With its limits. */
     Route route(Match match) {
-        return match.entry() == null ? otherwise.get(match.cls())
-                : rules.route(Key.of(match.entry().key()).name(), match.cls(),
-                RouteCodec.section(match.entry().value(), NOWHERE));
+        return match.entry() == null
+                ? otherwise.get(match.cls())
+                : rules.route(
+                        Key.of(match.entry().key()).name(),
+                        match.cls(),
+                        RouteCodec.section(match.entry().value(), NOWHERE));
     }
 
     private Item find(MatchKey at, List<String> path, int from, String tenant, String method, String cls) {
         int here = at.mark();
         if (from < path.size()) {
-            Item found = isThere(at.segment(path.get(from))) ? find(at, path, from + 1, tenant, method,
-                    cls) : null;
+            Item found = isThere(at.segment(path.get(from))) ? find(at, path, from + 1, tenant, method, cls) : null;
             at.cut(here);
             if (found == null && isThere(at.any())) {
                 found = find(at, path, from + 1, tenant, method, cls);
@@ -305,8 +338,9 @@
                 for (String ofMethod : List.of(method, EVERY)) {
                     for (String ofClass : alone ? List.of(cls, EVERY) : List.of(cls)) {
                         at.cut(leaf);
-                        found = found == null ? matches.get(at.of(ofTenant, ofMethod,
-                                ofClass).bytes()) : found;
+                        found = found == null
+                                ? matches.get(at.of(ofTenant, ofMethod, ofClass).bytes())
+                                : found;
                     }
                 }
             }
--- a/src/main/java/vetchpost/routes/Section.java
+++ b/src/main/java/vetchpost/routes/Section.java
@@ -11,10 +11,25 @@
 public record Section(Kind kind, String name, Position at, Map<String, Entry> entries) {
 
     /** What a table speaks of, from the general to the special. */
-    public enum Kind { DEFAULTS, CLASS, ROUTE, FLEET, STATE, HANDOVER, ADMISSION, NODE, REQUESTS, TENANT,
-            POOL, SOURCE,
-        CHECKS, CONTROL, CHANGES, UNKNOWN }
+    public enum Kind {
+        DEFAULTS,
+        CLASS,
+        ROUTE,
+        FLEET,
+        STATE,
+        HANDOVER,
+        ADMISSION,
+        NODE,
+        REQUESTS,
+        TENANT,
+        POOL,
+        SOURCE,
+        CHECKS,
+        CONTROL,
+        CHANGES,
+        UNKNOWN
+    }
 
     /** A value: text, a number, a list or a table of such, or whatever else TOML knows, which is no use. */
-    public record Entry(Object value, Position at) { }
+    public record Entry(Object value, Position at) {}
 }
--- a/src/main/java/vetchpost/routes/SectionReader.java
+++ b/src/main/java/vetchpost/routes/SectionReader.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-
 import vetchpost.routes.Section.Entry;
 import vetchpost.routes.Violation.Rule;
 
@@ -54,8 +53,8 @@
     public void knows(List<String> keys) {
         section.entries().forEach((key, entry) -> {
             if (!keys.contains(key)) {
-                violations.add(new Violation(entry.at(), label, Rule.UNKNOWN_KEY, "unknown key '" + key + "'",
-                        Near.of(key, keys)));
+                violations.add(new Violation(
+                        entry.at(), label, Rule.UNKNOWN_KEY, "unknown key '" + key + "'", Near.of(key, keys)));
             }
         });
     }
@@ -173,16 +172,20 @@
             wrong(key, "no length of time", value instanceof Long ? "\"" + value + "ms\"" : "\"250ms\"");
             return otherwiseUs;
         }
-        double us = Double.parseDouble(m.group(1)) * switch (m.group(2)) {
-            case "us" -> 1;
-            case "ms" -> 1e3;
-            case "s" -> 1e6;
-            case "m" -> 60e6;
-            default -> 3_600e6;
-        };
+        double us = Double.parseDouble(m.group(1))
+                * switch (m.group(2)) {
+                    case "us" -> 1;
+                    case "ms" -> 1e3;
+                    case "s" -> 1e6;
+                    case "m" -> 60e6;
+                    default -> 3_600e6;
+                };
         if (us < leastUs || us > mostUs) {
-            violated(key, Rule.OUT_OF_RANGE, key + " = " + shown(value), "from " + time(leastUs) + " to "
-                    + time(mostUs));
+            violated(
+                    key,
+                    Rule.OUT_OF_RANGE,
+                    key + " = " + shown(value),
+                    "from " + time(leastUs) + " to " + time(mostUs));
             return otherwiseUs;
         }
         return (long) us;
@@ -199,15 +202,15 @@
             wrong(key, "no size", value instanceof Long ? "\"" + value + "B\"" : "\"64KiB\"");
             return otherwise;
         }
-        long bytes = Long.parseLong(m.group(1)) * switch (m.group(2)) {
-            case "B" -> 1L;
-            case "KiB" -> KIB;
-            case "MiB" -> KIB * KIB;
-            default -> (long) KIB * KIB * KIB;
-        };
+        long bytes = Long.parseLong(m.group(1))
+                * switch (m.group(2)) {
+                    case "B" -> 1L;
+                    case "KiB" -> KIB;
+                    case "MiB" -> KIB * KIB;
+                    default -> (long) KIB * KIB * KIB;
+                };
         if (bytes < least || bytes > most) {
-            violated(key, Rule.OUT_OF_RANGE, key + " = " + shown(value), "from " + size(least) + " to "
-                    + size(most));
+            violated(key, Rule.OUT_OF_RANGE, key + " = " + shown(value), "from " + size(least) + " to " + size(most));
             return otherwise;
         }
         return bytes;
@@ -215,16 +218,18 @@
 
     /** A length of time as a file would have it. */
     public static String time(long us) {
-        return us != 0 && us % 3_600_000_000L == 0 ? us / 3_600_000_000L + "h"
-                : us % 1_000_000 == 0 ? us / 1_000_000 + "s" : us % 1_000 == 0 ? us / 1_000 + "ms" : us
-                + "us";
+        return us != 0 && us % 3_600_000_000L == 0
+                ? us / 3_600_000_000L + "h"
+                : us % 1_000_000 == 0 ? us / 1_000_000 + "s" : us % 1_000 == 0 ? us / 1_000 + "ms" : us + "us";
     }
 
     /** A size as a file would have it. */
     public static String size(long bytes) {
         long gib = (long) KIB * KIB * KIB;
-        return bytes != 0 && bytes % gib == 0 ? bytes / gib + "GiB"
-                : bytes != 0 && bytes % (KIB * KIB) == 0 ? bytes / (KIB * KIB) + "MiB"
-                : bytes != 0 && bytes % KIB == 0 ? bytes / KIB + "KiB" : bytes + "B";
+        return bytes != 0 && bytes % gib == 0
+                ? bytes / gib + "GiB"
+                : bytes != 0 && bytes % (KIB * KIB) == 0
+                        ? bytes / (KIB * KIB) + "MiB"
+                        : bytes != 0 && bytes % KIB == 0 ? bytes / KIB + "KiB" : bytes + "B";
     }
 }
--- a/src/main/java/vetchpost/routes/TenantNames.java
+++ b/src/main/java/vetchpost/routes/TenantNames.java
@@ -4,7 +4,6 @@
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
-
 import vetchpost.decision.Balancer.Tenant;
 
 /** Finds tenants by name among any number, for four bytes each. */
--- a/src/main/java/vetchpost/routes/file/BlockReader.java
+++ b/src/main/java/vetchpost/routes/file/BlockReader.java
@@ -4,7 +4,6 @@
 import java.io.Reader;
 import java.util.Map;
 import java.util.Set;
-
 import vetchpost.routes.Section.Kind;
 
 /**
@@ -51,6 +50,7 @@
     private int line;
     /** Within a value that goes on over lines: its open brackets, or the quote that ends it. */
     private int depth;
+
     private char quote;
 
     BlockReader(Map<String, Kind> tables, Map<String, Kind> named, Map<String, Kind> listed, Sink sink) {
@@ -151,7 +151,9 @@
     }
 
     private static boolean isThree(CharSequence text, int at, char quote) {
-        return at + 2 < text.length() && text.charAt(at) == quote && text.charAt(at + 1) == quote
+        return at + 2 < text.length()
+                && text.charAt(at) == quote
+                && text.charAt(at + 1) == quote
                 && text.charAt(at + 2) == quote;
     }
 
@@ -211,7 +213,11 @@
     }
 
     private static boolean isPlain(char c, boolean quoted) {
-        return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_'
+        return c >= 'a' && c <= 'z'
+                || c >= 'A' && c <= 'Z'
+                || c >= '0' && c <= '9'
+                || c == '-'
+                || c == '_'
                 || quoted && c >= ' ' && c != '"' && c != '\\';
     }
 
@@ -233,8 +239,7 @@
         flush();
         kind = found;
         root = first;
-        name = second == null ? Set.of(Kind.ROUTE, Kind.SOURCE,
-                Kind.DEFAULTS).contains(found) ? "" : first : second;
+        name = second == null ? Set.of(Kind.ROUTE, Kind.SOURCE, Kind.DEFAULTS).contains(found) ? "" : first : second;
         from = line;
     }
 
--- a/src/main/java/vetchpost/routes/file/FileIndex.java
+++ b/src/main/java/vetchpost/routes/file/FileIndex.java
@@ -12,7 +12,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-
 import vetchpost.routes.RouteCodec;
 import vetchpost.routes.Section;
 import vetchpost.routes.Section.Kind;
@@ -49,8 +48,7 @@
      * @param index of the file as it is now
      * @param violations what keeps the fresh ones from being TOML
      */
-    public record Difference(List<Section> fresh, List<String> gone, FileIndex index,
-            List<Violation> violations) { }
+    public record Difference(List<Section> fresh, List<String> gone, FileIndex index, List<Violation> violations) {}
 
     /** Takes a file's tables; routes come after all others. */
     public interface Tables {
@@ -66,7 +64,10 @@
         for (int i = 0; i < text.length(); i++) {
             second = Long.rotateLeft(second ^ text.charAt(i), 7) * SECOND;
         }
-        return ByteBuffer.allocate(2 * Long.BYTES).putLong(HashSet64.hash(text)).putLong(second).array();
+        return ByteBuffer.allocate(2 * Long.BYTES)
+                .putLong(HashSet64.hash(text))
+                .putLong(second)
+                .array();
     }
 
     private static void cut(Path file, BlockReader.Sink sink) throws IOException, BlockReader.Whole {
@@ -95,15 +96,16 @@
             // Nothing was told so far: routes come last, and all blocks are looked at before.
             RouteFile whole = RouteFile.read(file);
             whole.violations().forEach(violations);
-            into.others(whole.sections().stream().filter(s -> s.kind() != Kind.ROUTE).toList());
+            into.others(whole.sections().stream()
+                    .filter(s -> s.kind() != Kind.ROUTE)
+                    .toList());
             whole.sections().stream().filter(s -> s.kind() == Kind.ROUTE).forEach(into::route);
             return null;
         }
     }
 
-    private static FileIndex byBlocks(Path file, Tables into,
-            Consumer<Violation> violations) throws IOException,
-            BlockReader.Whole {
+    private static FileIndex byBlocks(Path file, Tables into, Consumer<Violation> violations)
+            throws IOException, BlockReader.Whole {
         List<Section> others = new ArrayList<>();
         long[] sums = new long[4];
         boolean[] bad = new boolean[1];
@@ -191,7 +193,8 @@
         List<String> gone = new ArrayList<>();
         PackedTree now = routes;
         if (known[0] != routes.size()) {
-            for (PackedTree.Item item = routes.ceiling(NOTHING); item != null;
+            for (PackedTree.Item item = routes.ceiling(NOTHING);
+                    item != null;
                     item = routes.ceiling(PackedTree.after(item.key()))) {
                 if (!seen.contains(ByteBuffer.wrap(item.key()).getLong())) {
                     gone.add(Fields.text(item.value()));
--- a/src/main/java/vetchpost/simulation/Guarded.java
+++ b/src/main/java/vetchpost/simulation/Guarded.java
@@ -1,5 +1,6 @@
 package vetchpost.simulation;
 
+import io.netty.channel.Channel;
 import vetchpost.admission.AdmissionProver;
 import vetchpost.admission.FairAdmission;
 import vetchpost.core.Admission;
@@ -9,7 +10,6 @@
 import vetchpost.node.Seams;
 import vetchpost.simulation.net.SimLoop;
 import vetchpost.simulation.world.NodeProcess;
-import io.netty.channel.Channel;
 
 /** The same nodes, with the door in service before each. */
 record Guarded(NodeProcess.Planting inner) implements NodeProcess.Planting {
