--- a/src/main/java/vetchpost/simulation/check/Expected.java
+++ b/src/main/java/vetchpost/simulation/check/Expected.java
@@ -11,5 +11,9 @@
 public record Expected(String id, Again again, long dueNs, long workNs) {
 
     /** Whether a request may run again. */
-    public enum Again { SAFE, KEYED, UNSAFE }
+    public enum Again {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 }
--- a/src/main/java/vetchpost/simulation/crowd/CrowdClock.java
+++ b/src/main/java/vetchpost/simulation/crowd/CrowdClock.java
@@ -1,7 +1,6 @@
 package vetchpost.simulation.crowd;
 
 import java.util.PriorityQueue;
-
 import vetchpost.core.Clock;
 
 /** Virtual time: what is due runs in its order, and nothing takes any. */
--- a/src/main/java/vetchpost/simulation/crowd/CrowdResult.java
+++ b/src/main/java/vetchpost/simulation/crowd/CrowdResult.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
 import vetchpost.admission.AdmissionCounts;
 
 /** What came of a crowd, by school and class; worth is what the site pays for an answer in time. */
@@ -10,7 +9,7 @@
     /**
      * The first time that a client was told, and how long it took from there to its answer, in microseconds.
      */
-    public record Told(long advisedUs, long neededUs) { }
+    public record Told(long advisedUs, long neededUs) {}
 
     /** A refusal that takes no longer was given as the request came. */
     private static final long PROMPT_US = 1_000;
--- a/src/main/java/vetchpost/simulation/fleet/Truth.java
+++ b/src/main/java/vetchpost/simulation/fleet/Truth.java
@@ -7,10 +7,19 @@
 /** The boxes as they are, whatever anybody says of them: what goes wrong with each, and when. */
 final class Truth {
     /** What a box does with requests. */
-    enum Mood { WELL, DEAD, SILENT, FAILING, SLOW, STRANGER, LYING, SICK_PATH }
+    enum Mood {
+        WELL,
+        DEAD,
+        SILENT,
+        FAILING,
+        SLOW,
+        STRANGER,
+        LYING,
+        SICK_PATH
+    }
 
     /** What befalls a box: from then on it is so, until the next. */
-    record Turn(long atUs, Mood mood) { }
+    record Turn(long atUs, Mood mood) {}
 
     /** How long it is a node's address, and when it is told to drain, from the start; -1 for never. */
     static final class Life {
--- a/src/main/java/vetchpost/simulation/net/Bytes.java
+++ b/src/main/java/vetchpost/simulation/net/Bytes.java
@@ -15,8 +15,8 @@
     void add(byte[] more) {
         if (to + more.length > data.length) {
             int size = size();
-            byte[] room = size + more.length > data.length
-                    ? new byte[Math.max(2 * data.length, size + more.length)] : data;
+            byte[] room =
+                    size + more.length > data.length ? new byte[Math.max(2 * data.length, size + more.length)] : data;
             System.arraycopy(data, from, room, 0, size);
             data = room;
             from = 0;
--- a/src/main/java/vetchpost/simulation/net/End.java
+++ b/src/main/java/vetchpost/simulation/net/End.java
@@ -14,12 +14,18 @@
 public final class End {
     /** Bytes that the system takes to send ahead of what the other side's has taken. */
     private static final int SEND_BUFFER = 32 * 1024;
+
     private static final int RECEIVE_BUFFER = 16 * 1024;
 
-    private enum Kind { DATA, FIN, RESET, DELIVERED }
+    private enum Kind {
+        DATA,
+        FIN,
+        RESET,
+        DELIVERED
+    }
 
     /** On its way to this end. */
-    private record Segment(Kind kind, byte[] bytes, Runnable action) { }
+    private record Segment(Kind kind, byte[] bytes, Runnable action) {}
 
     private final Tcp tcp;
     private final Host host;
@@ -28,6 +34,7 @@
     private final Bytes inbox = new Bytes();
     /** Arrived, but there was no room, or the machine was silent. */
     private final Deque<Segment> held = new ArrayDeque<>();
+
     private Runnable handler;
     private End peer;
     private boolean open;
@@ -157,7 +164,7 @@
             byte[] taken = size == bytes.length ? bytes : Arrays.copyOf(bytes, size);
             unacked += size;
             host.tap.wrote(this, taken);
-            for (int at = 0; at < size;) {
+            for (int at = 0; at < size; ) {
                 int piece = tcp.pieceOf(size - at);
                 send(new Segment(Kind.DATA, Arrays.copyOfRange(taken, at, at + piece), null));
                 at += piece;
--- a/src/main/java/vetchpost/simulation/net/SimChannel.java
+++ b/src/main/java/vetchpost/simulation/net/SimChannel.java
@@ -1,12 +1,5 @@
 package vetchpost.simulation.net;
 
-import java.io.IOException;
-import java.net.ConnectException;
-import java.net.InetSocketAddress;
-import java.net.SocketAddress;
-import java.nio.channels.ClosedChannelException;
-import java.util.concurrent.TimeUnit;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.AbstractChannel;
@@ -20,6 +13,12 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.util.concurrent.Future;
+import java.io.IOException;
+import java.net.ConnectException;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import java.nio.channels.ClosedChannelException;
+import java.util.concurrent.TimeUnit;
 
 /**
  * A connection of the simulated network as a Netty channel. It reads and writes as Netty's own channel on
@@ -61,11 +60,15 @@
             connecting = promise;
             take(network.host().connect((InetSocketAddress) remote, null));
             int patienceMs = config.getConnectTimeoutMillis();
-            connectTimer = eventLoop().schedule(() -> {
-                if (connecting != null) {
-                    failConnect(new ConnectTimeoutException("connection timed out: " + remote));
-                }
-            }, patienceMs, TimeUnit.MILLISECONDS);
+            connectTimer = eventLoop()
+                    .schedule(
+                            () -> {
+                                if (connecting != null) {
+                                    failConnect(new ConnectTimeoutException("connection timed out: " + remote));
+                                }
+                            },
+                            patienceMs,
+                            TimeUnit.MILLISECONDS);
         }
 
         private void failConnect(Exception cause) {
--- a/src/main/java/vetchpost/simulation/net/SimChannelId.java
+++ b/src/main/java/vetchpost/simulation/net/SimChannelId.java
@@ -18,7 +18,8 @@
 
     @Override
     public int compareTo(ChannelId other) {
-        return other instanceof SimChannelId id ? Integer.compare(number, id.number)
+        return other instanceof SimChannelId id
+                ? Integer.compare(number, id.number)
                 : asLongText().compareTo(other.asLongText());
     }
 }
--- a/src/main/java/vetchpost/simulation/net/SimLoop.java
+++ b/src/main/java/vetchpost/simulation/net/SimLoop.java
@@ -1,16 +1,15 @@
 package vetchpost.simulation.net;
 
-import java.util.ArrayList;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
-import java.util.SplittableRandom;
-
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
 import io.netty.channel.IoHandlerContext;
 import io.netty.channel.IoRegistration;
 import io.netty.channel.ManualIoEventLoop;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
 
 /**
  * A process's event loop in simulated time. It takes its turns as events of {@link VirtualTime}: some
--- a/src/main/java/vetchpost/simulation/net/SimServerChannel.java
+++ b/src/main/java/vetchpost/simulation/net/SimServerChannel.java
@@ -1,22 +1,22 @@
 package vetchpost.simulation.net;
 
+import io.netty.channel.AbstractServerChannel;
+import io.netty.channel.ChannelConfig;
+import io.netty.channel.EventLoop;
+import io.netty.channel.ServerChannelRecvByteBufAllocator;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-import io.netty.channel.AbstractServerChannel;
-import io.netty.channel.ChannelConfig;
-import io.netty.channel.EventLoop;
-import io.netty.channel.ServerChannelRecvByteBufAllocator;
-
 /** A listening socket of the simulated network. */
 final class SimServerChannel extends AbstractServerChannel implements SimLoop.Ready {
     private final SimNetwork network;
     private final ChannelConfig config = new SimChannelConfig(this, new ServerChannelRecvByteBufAllocator());
     /** Connections that the system has accepted and the process has not. */
     private final Deque<End> backlog = new ArrayDeque<>();
+
     private InetSocketAddress address;
     private boolean reading;
     private boolean closed;
--- a/src/main/java/vetchpost/simulation/net/VirtualTime.java
+++ b/src/main/java/vetchpost/simulation/net/VirtualTime.java
@@ -1,10 +1,9 @@
 package vetchpost.simulation.net;
 
+import io.netty.util.concurrent.Ticker;
 import java.util.PriorityQueue;
 import java.util.concurrent.TimeUnit;
 
-import io.netty.util.concurrent.Ticker;
-
 /**
  * Simulated time in nanoseconds from 0, and what is to happen in it. What is due at the same time happens in
  * the order in which it was asked for, so that the same calls always give the same history.
--- a/src/main/java/vetchpost/simulation/scale/Footprint.java
+++ b/src/main/java/vetchpost/simulation/scale/Footprint.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
-
 import vetchpost.changes.Catalog;
 import vetchpost.decision.Balancer;
 import vetchpost.decision.Balancer.Actions;
@@ -29,10 +28,10 @@
 
     private static volatile Object kept;
 
-    private Footprint() { }
+    private Footprint() {}
 
     /** Something that was made. */
-    record Made<T>(T thing, double ms, long bytes) { }
+    record Made<T>(T thing, double ms, long bytes) {}
 
     /** Bytes on the heap that something needs as long as it is kept, and how long it took to make. */
     static <T> Made<T> retained(Supplier<T> making) {
@@ -88,29 +87,29 @@
         }
 
         @Override
-        public void cancel(long requestId, int attempt) { }
+        public void cancel(long requestId, int attempt) {}
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) { }
+        public void refuse(long requestId, long retryAfterUs) {}
 
         @Override
-        public void fail(long requestId) { }
+        public void fail(long requestId) {}
 
         @Override
-        public void wakeAt(long atUs) { }
+        public void wakeAt(long atUs) {}
 
         @Override
-        public void probe(String serverId) { }
+        public void probe(String serverId) {}
 
         @Override
-        public void subscribe() { }
+        public void subscribe() {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 
     /** A list that a module was told. */
-    record ListTold(double ms, long bytes) { }
+    record ListTold(double ms, long bytes) {}
 
     static List<ServerEntry> servers(int count) {
         List<ServerEntry> entries = new ArrayList<>(count);
@@ -147,7 +146,8 @@
 
     /** Bytes that a node keeps for each route, with its part of the trees and of the way to find it. */
     static double perRoute(Catalog catalog) {
-        return of(catalog, Kind.ROUTE) + (double) catalog.indexBytes() / Math.max(1, catalog.routes().size());
+        return of(catalog, Kind.ROUTE)
+                + (double) catalog.indexBytes() / Math.max(1, catalog.routes().size());
     }
 
     /** The same for a tenant. */
--- a/src/main/java/vetchpost/simulation/scale/Hollow.java
+++ b/src/main/java/vetchpost/simulation/scale/Hollow.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-
 import vetchpost.replication.Choice;
 import vetchpost.replication.Following;
 import vetchpost.replication.Frame;
@@ -24,6 +23,7 @@
     private static final long SECOND_US = 1_000_000;
     /** Bytes of a frame's length and tag on its way. */
     private static final int TAG = 36;
+
     private static final long HEARTBEAT_US = 5 * SECOND_US;
 
     private final VirtualTime time = new VirtualTime();
@@ -75,8 +75,11 @@
         }
 
         private long worst(int what, long fromUs, long toUs) {
-            return bySecond.entrySet().stream().filter(e -> e.getKey() >= fromUs / SECOND_US
-                    && e.getKey() < toUs / SECOND_US).mapToLong(e -> e.getValue()[what]).max().orElse(0);
+            return bySecond.entrySet().stream()
+                    .filter(e -> e.getKey() >= fromUs / SECOND_US && e.getKey() < toUs / SECOND_US)
+                    .mapToLong(e -> e.getValue()[what])
+                    .max()
+                    .orElse(0);
         }
 
         long sumBytes(long fromUs, long toUs) {
@@ -88,8 +91,10 @@
         }
 
         private long sum(int what, long fromUs, long toUs) {
-            return bySecond.entrySet().stream().filter(e -> e.getKey() >= fromUs / SECOND_US
-                    && e.getKey() < toUs / SECOND_US).mapToLong(e -> e.getValue()[what]).sum();
+            return bySecond.entrySet().stream()
+                    .filter(e -> e.getKey() >= fromUs / SECOND_US && e.getKey() < toUs / SECOND_US)
+                    .mapToLong(e -> e.getValue()[what])
+                    .sum();
         }
 
         long longestNs() {
@@ -165,7 +170,9 @@
         void follow(Replica of, List<Machine> publishers, long afterUs) {
             replica = of;
             sources = publishers;
-            Choice choice = new Choice(name, publishers.stream().map(Machine::name).toList(),
+            Choice choice = new Choice(
+                    name,
+                    publishers.stream().map(Machine::name).toList(),
                     p -> publishers.stream().anyMatch(m -> m.name.equals(p) && m.region == region));
             following = new Following(of, choice, new Following.Line() {
                 @Override
--- a/src/main/java/vetchpost/simulation/world/Classes.java
+++ b/src/main/java/vetchpost/simulation/world/Classes.java
@@ -2,7 +2,6 @@
 
 import java.util.List;
 import java.util.Locale;
-
 import vetchpost.simulation.check.Expected.Again;
 
 /** The classes of requests, alike in kind to those of the service. */
@@ -14,7 +13,7 @@
      * @param aimMs answers within this time are wanted
      * @param giveUpMs clients wait so long
      */
-    public record Kind(String name, Again again, double share, long aimMs, long giveUpMs) { }
+    public record Kind(String name, Again again, double share, long aimMs, long giveUpMs) {}
 
     private final List<Kind> kinds;
     private final double workMs;
@@ -23,7 +22,8 @@
     public Classes(double workMs) {
         this.workMs = workMs;
         long aim = Math.round(40 + 4 * workMs);
-        kinds = List.of(new Kind("view-page", Again.SAFE, 0.7, aim, 4 * aim),
+        kinds = List.of(
+                new Kind("view-page", Again.SAFE, 0.7, aim, 4 * aim),
                 new Kind("add-photo", Again.KEYED, 0.15, 2 * aim, 5 * aim),
                 new Kind("place-order", Again.UNSAFE, 0.15, 3 * aim, 8 * aim));
     }
@@ -56,12 +56,19 @@
     String json() {
         StringBuilder json = new StringBuilder();
         for (Kind kind : kinds) {
-            json.append(json.isEmpty() ? "" : ",").append("{\"name\":\"").append(kind.name)
-                    .append("\",\"repeat\":\"").append(kind.again.name().toLowerCase(Locale.ROOT))
-                    .append("\",\"group\":\"").append(kind.again == Again.KEYED ? "cell" : "all")
+            json.append(json.isEmpty() ? "" : ",")
+                    .append("{\"name\":\"")
+                    .append(kind.name)
+                    .append("\",\"repeat\":\"")
+                    .append(kind.again.name().toLowerCase(Locale.ROOT))
+                    .append("\",\"group\":\"")
+                    .append(kind.again == Again.KEYED ? "cell" : "all")
                     .append("\",\"windowUs\":1200000,\"lateWorth\":0,\"importance\":")
-                    .append(kind.again == Again.SAFE ? 1 : 5).append(",\"onTimeUs\":")
-                    .append(1_000 * kind.aimMs).append(",\"giveUpUs\":").append(1_000 * kind.giveUpMs)
+                    .append(kind.again == Again.SAFE ? 1 : 5)
+                    .append(",\"onTimeUs\":")
+                    .append(1_000 * kind.aimMs)
+                    .append(",\"giveUpUs\":")
+                    .append(1_000 * kind.giveUpMs)
                     .append('}');
         }
         return "[" + json + "]";
--- a/src/main/java/vetchpost/simulation/world/Nodes.java
+++ b/src/main/java/vetchpost/simulation/world/Nodes.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-
 import vetchpost.simulation.net.End;
 
 /** All nodes' machines; passes on to each what discovery has told it. */
--- a/src/main/java/vetchpost/simulation/world/Rules.java
+++ b/src/main/java/vetchpost/simulation/world/Rules.java
@@ -12,9 +12,10 @@
     private static final long FALL_NS = 2_000_000_000L;
     /** As on the sockets of the service: each time limit is 50 ms longer, that of answers by 8 ms more. */
     private static final long SLACK_NS = 50_000_000L;
+
     private static final long ANSWER_NS = 58_000_000L;
 
-    private Rules() { }
+    private Rules() {}
 
     /** What the checker holds nodes to. */
     public static Limits limits() {
--- a/src/main/java/vetchpost/simulation/world/World.java
+++ b/src/main/java/vetchpost/simulation/world/World.java
@@ -1,7 +1,6 @@
 package vetchpost.simulation.world;
 
 import java.util.SplittableRandom;
-
 import vetchpost.simulation.check.Checker;
 import vetchpost.simulation.net.Tcp;
 import vetchpost.simulation.net.VirtualTime;
--- a/src/main/java/vetchpost/simwire/Main.java
+++ b/src/main/java/vetchpost/simwire/Main.java
@@ -1,12 +1,12 @@
 package vetchpost.simwire;
 
-import java.io.FileOutputStream;
 import java.io.FileDescriptor;
+import java.io.FileOutputStream;
 import java.io.IOException;
 
 /** Hosts instances of the module for the bench: the wire on standard input and output, nothing else there. */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     /**
      * Runs until the input ends; a malformed input ends it with one line on standard error and exit
--- a/src/main/java/vetchpost/simwire/Reply.java
+++ b/src/main/java/vetchpost/simwire/Reply.java
@@ -4,7 +4,6 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-
 import vetchpost.decision.Balancer;
 
 /** Writes the actions of the instance whose event is being handled; a reply goes out whole or not at all. */
--- a/src/main/java/vetchpost/sources/CheckPlan.java
+++ b/src/main/java/vetchpost/sources/CheckPlan.java
@@ -23,6 +23,7 @@
     private static final double BURST_S = 0.5;
     /** Failures of real requests bring a check on after this part of the usual time. */
     private static final int SOON = 20;
+
     private static final double JITTER = 0.1;
 
     private final CheckRules rules;
@@ -156,7 +157,8 @@
                 due.add(server);
             }
         }
-        due.sort(Comparator.comparingInt(Checked::rank).thenComparingLong(s -> s.dueUs)
+        due.sort(Comparator.comparingInt(Checked::rank)
+                .thenComparingLong(s -> s.dueUs)
                 .thenComparing(s -> s.id));
         List<String> now = new ArrayList<>();
         for (Checked server : due) {
@@ -177,8 +179,8 @@
     }
 
     private void refill(long nowUs) {
-        tokens = Math.min(Math.max(1, rules.budgetPerS() * BURST_S),
-                tokens + rules.budgetPerS() * (nowUs - tokensUs) / 1e6);
+        tokens = Math.min(
+                Math.max(1, rules.budgetPerS() * BURST_S), tokens + rules.budgetPerS() * (nowUs - tokensUs) / 1e6);
         tokensUs = nowUs;
     }
 
@@ -194,8 +196,7 @@
             return next;
         }
         refill(nowUs);
-        long affordUs = tokens >= 1 ? nowUs : nowUs
-                + (long) Math.ceil((1 - tokens) * 1e6 / rules.budgetPerS());
+        long affordUs = tokens >= 1 ? nowUs : nowUs + (long) Math.ceil((1 - tokens) * 1e6 / rules.budgetPerS());
         return Math.max(next, affordUs);
     }
 
--- a/src/main/java/vetchpost/sources/CheckRules.java
+++ b/src/main/java/vetchpost/sources/CheckRules.java
@@ -17,5 +17,17 @@
  * @param number of this one, from 0
  * @param mostOut share of the fleet that checks may take out
  */
-public record CheckRules(String path, String host, int least, int most, long everyUs, long withinUs, int rise,
-        int fall, double budgetPerS, int watchers, int nodes, int number, double mostOut) { }
+public record CheckRules(
+        String path,
+        String host,
+        int least,
+        int most,
+        long everyUs,
+        long withinUs,
+        int rise,
+        int fall,
+        double budgetPerS,
+        int watchers,
+        int nodes,
+        int number,
+        double mostOut) {}
--- a/src/main/java/vetchpost/sources/Composer.java
+++ b/src/main/java/vetchpost/sources/Composer.java
@@ -8,7 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
 import vetchpost.core.ServerList;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.sources.Membership.Member;
@@ -34,16 +33,18 @@
     private final Map<String, Long> backUs = new HashMap<>();
     /** When a server is to be taken for started, by the clock of the calls; 0 for long ago. */
     private final Map<String, Start> starts = new HashMap<>();
+
     private final long coldUs;
     private Set<String> out = new HashSet<>();
     /** The list as sources and a hold make it. */
     private Map<String, Member> last = Map.of();
+
     private Overrule overrule = Overrule.NONE;
     /** The list as it was when it began to be held; null while it is not. */
     private Map<String, Member> held;
 
     /** Since when it is there, and whether it is spared for that. */
-    private record Start(long sinceUs, boolean isSpared) { }
+    private record Start(long sinceUs, boolean isSpared) {}
 
     /**
      * Nothing told so far.
@@ -67,8 +68,11 @@
 
     /** The servers as they are but for what operators say of each. */
     public List<Member> members() {
-        return last.values().stream().map(m -> !out.contains(m.id()) ? m
-                : new Member(m.id(), m.address(), true, m.weight(), m.zone(), m.sinceUs())).toList();
+        return last.values().stream()
+                .map(m -> !out.contains(m.id())
+                        ? m
+                        : new Member(m.id(), m.address(), true, m.weight(), m.zone(), m.sinceUs()))
+                .toList();
     }
 
     /** A server says of itself that it takes no new requests. */
@@ -100,13 +104,14 @@
         for (String id : List.copyOf(told.keySet())) {
             if (!members.containsKey(id)) {
                 ServerList.Target gone = told.remove(id);
-                changes.add(new ServerList.Target(id, gone.address(), gone.zone(), gone.cell(),
-                        ServerState.GONE, gone.weight(), gone.bootMs()));
+                changes.add(new ServerList.Target(
+                        id, gone.address(), gone.zone(), gone.cell(), ServerState.GONE, gone.weight(), gone.bootMs()));
             }
         }
         starts.keySet().retainAll(members.keySet());
-        long cold = starts.values().stream().filter(s -> s.isSpared()
-                && nowUs - s.sinceUs() < coldUs).count();
+        long cold = starts.values().stream()
+                .filter(s -> s.isSpared() && nowUs - s.sinceUs() < coldUs)
+                .count();
         for (Member member : members.values()) {
             long since = Math.max(member.sinceUs(), backUs.getOrDefault(member.id(), 0L));
             Start start = starts.get(member.id());
@@ -139,8 +144,13 @@
         // Who is not named any more stays as it was when it was named last: also draining.
         held.replaceAll((id, old) -> {
             Member fresh = now.getOrDefault(id, old);
-            return new Member(id, fresh.address(), fresh.draining() || membership.isSaidGone(id),
-                    fresh.weight(), fresh.zone(), fresh.sinceUs());
+            return new Member(
+                    id,
+                    fresh.address(),
+                    fresh.draining() || membership.isSaidGone(id),
+                    fresh.weight(),
+                    fresh.zone(),
+                    fresh.sinceUs());
         });
         return Collections.unmodifiableMap(new LinkedHashMap<>(held));
     }
@@ -148,7 +158,11 @@
     private ServerList.Target target(Member member) {
         boolean drains = member.draining() || out.contains(member.id()) || overrule.drains(member.id());
         Start start = starts.get(member.id());
-        return new ServerList.Target(member.id(), member.address(), member.zone(), 0,
+        return new ServerList.Target(
+                member.id(),
+                member.address(),
+                member.zone(),
+                0,
                 drains ? ServerState.DRAINING : ServerState.READY,
                 overrule.weight(member.id(), member.weight()),
                 start.isSpared() ? unixOriginMs + (start.sinceUs() - originUs) / 1_000 : 0);
--- a/src/main/java/vetchpost/sources/Declared.java
+++ b/src/main/java/vetchpost/sources/Declared.java
@@ -18,8 +18,17 @@
  * @param own what the operator's file itself names; else empty
  * @param resolvers who is asked for names; empty for the system's
  */
-public record Declared(String name, Kind kind, String where, int port, Set<May> may, long everyUs,
-        long keepUs, long staleUs, List<Named> own, List<InetSocketAddress> resolvers) {
+public record Declared(
+        String name,
+        Kind kind,
+        String where,
+        int port,
+        Set<May> may,
+        long everyUs,
+        long keepUs,
+        long staleUs,
+        List<Named> own,
+        List<InetSocketAddress> resolvers) {
 
     /** What a source is. */
     public enum Kind {
--- a/src/main/java/vetchpost/sources/Flaps.java
+++ b/src/main/java/vetchpost/sources/Flaps.java
@@ -68,7 +68,6 @@
         if (!isHeld(id, nowUs)) {
             return nowUs;
         }
-        return nowUs + (long) Math.ceil(calmUs * Math.log(counts.get(id).value / (bound / 2)) / Math.log(2))
-                + 1;
+        return nowUs + (long) Math.ceil(calmUs * Math.log(counts.get(id).value / (bound / 2)) / Math.log(2)) + 1;
     }
 }
--- a/src/main/java/vetchpost/sources/Membership.java
+++ b/src/main/java/vetchpost/sources/Membership.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
 import vetchpost.sources.Declared.May;
 import vetchpost.sources.Named.Word;
 
@@ -32,6 +31,7 @@
     private final Flaps flaps;
     /** The fleet as it stands, by id. */
     private final Map<String, Member> members = new LinkedHashMap<>();
+
     private final Map<InetSocketAddress, String> owners = new HashMap<>();
     private final Map<String, List<InetSocketAddress>> addresses = new HashMap<>();
     /** Of those that nobody names: since when. */
@@ -44,6 +44,7 @@
     private final Map<String, Long> goneUs = new HashMap<>();
     /** Of those that were named last, which some source says have gone. */
     private final Set<String> gone = new HashSet<>();
+
     private int heldBack;
     private int flapping;
     private boolean begun;
@@ -55,8 +56,8 @@
      * @param sinceUs when it came in, or came back after being away, by the clock of the calls; 0 if it was
      *     there from the start
      */
-    public record Member(String id, InetSocketAddress address, boolean draining, double weight, String zone,
-            long sinceUs) { }
+    public record Member(
+            String id, InetSocketAddress address, boolean draining, double weight, String zone, long sinceUs) {}
 
     /** Nothing said so far; the sources in the order of trust. */
     public Membership(List<Declared> sources, MergeRules rules) {
@@ -238,8 +239,7 @@
         return byId;
     }
 
-    private Candidate find(Named named, Map<String, Candidate> byId,
-            Map<InetSocketAddress, Candidate> byAddress) {
+    private Candidate find(Named named, Map<String, Candidate> byId, Map<InetSocketAddress, Candidate> byAddress) {
         for (InetSocketAddress address : named.addresses()) {
             Candidate known = byAddress.get(address);
             if (known != null) {
@@ -276,7 +276,8 @@
     private void come(Candidate candidate, long nowUs) {
         Member member = members.get(candidate.id);
         InetSocketAddress address = member != null && candidate.addresses.contains(member.address())
-                ? member.address() : candidate.addresses.get(0);
+                ? member.address()
+                : candidate.addresses.get(0);
         long sinceUs = 0;
         if (member == null) {
             Long went = wentUs.get(candidate.id);
@@ -295,8 +296,15 @@
         } else {
             sinceUs = member.sinceUs();
         }
-        members.put(candidate.id, new Member(candidate.id, address, candidate.draining,
-                candidate.weight > 0 ? candidate.weight : 1, candidate.zone, sinceUs));
+        members.put(
+                candidate.id,
+                new Member(
+                        candidate.id,
+                        address,
+                        candidate.draining,
+                        candidate.weight > 0 ? candidate.weight : 1,
+                        candidate.zone,
+                        sinceUs));
         own(candidate.id, candidate.addresses);
     }
 
--- a/src/main/java/vetchpost/sources/Overrule.java
+++ b/src/main/java/vetchpost/sources/Overrule.java
@@ -3,7 +3,7 @@
 /** What operators say of servers, beside what sources, checks and the servers themselves do. */
 public interface Overrule {
     /** Nothing. */
-    Overrule NONE = new Overrule() { };
+    Overrule NONE = new Overrule() {};
 
     /** Whether this server takes nothing new. */
     default boolean drains(String id) {
--- a/src/main/java/vetchpost/sources/Register.java
+++ b/src/main/java/vetchpost/sources/Register.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-
 import vetchpost.sources.Named.Word;
 
 /**
@@ -26,12 +25,13 @@
     private final Map<String, Seen> lastWords = new LinkedHashMap<>();
     /** Since when it has said nothing, or that there is nothing; or -1. */
     private long poorSinceUs = -1;
+
     private String trouble = "";
     private int passedOver;
     private boolean heard;
 
     /** A server as it was named last, and when. */
-    private record Seen(Named named, long atUs) { }
+    private record Seen(Named named, long atUs) {}
 
     Register(Declared declared) {
         this.declared = declared;
@@ -109,7 +109,7 @@
             return;
         }
         if (declared.keepUs() > 0) {
-            for (Iterator<Seen> each = seen.values().iterator(); each.hasNext();) {
+            for (Iterator<Seen> each = seen.values().iterator(); each.hasNext(); ) {
                 if (nowUs - each.next().atUs() >= declared.keepUs()) {
                     each.remove();
                 }
--- a/src/main/java/vetchpost/standalone/Classifier.java
+++ b/src/main/java/vetchpost/standalone/Classifier.java
@@ -23,8 +23,11 @@
      * @param tenantsByName index of a tenant by its name
      * @param tenantHeader the field that names a tenant; empty where none does
      */
-    public Classifier(List<RequestRule> rules, Map<String, Integer> tenantsByHost,
-            Map<String, Integer> tenantsByName, String tenantHeader) {
+    public Classifier(
+            List<RequestRule> rules,
+            Map<String, Integer> tenantsByHost,
+            Map<String, Integer> tenantsByName,
+            String tenantHeader) {
         this.rules = List.copyOf(rules);
         this.tenantsByHost = Map.copyOf(tenantsByHost);
         this.tenantsByName = Map.copyOf(tenantsByName);
@@ -54,7 +57,8 @@
         if (named != null) {
             return tenantsByName.getOrDefault(named, -1);
         }
-        return tenantsByHost.isEmpty() || host == null ? -1
+        return tenantsByHost.isEmpty() || host == null
+                ? -1
                 : tenantsByHost.getOrDefault(nameOf(host).toLowerCase(Locale.ROOT), -1);
     }
 
--- a/src/main/java/vetchpost/standalone/Renewal.java
+++ b/src/main/java/vetchpost/standalone/Renewal.java
@@ -1,7 +1,6 @@
 package vetchpost.standalone;
 
 import java.util.List;
-
 import vetchpost.decision.Balancer.Settings;
 
 /**
@@ -14,15 +13,24 @@
 
     /** From what a file came to before to what it comes to now. */
     public static Renewal of(Standalone before, Standalone now) {
-        return new Renewal(!before.rules().equals(now.rules())
-                || !told(before.settings()).equals(told(now.settings())),
+        return new Renewal(
+                !before.rules().equals(now.rules()) || !told(before.settings()).equals(told(now.settings())),
                 !before.listen().equals(now.listen()));
     }
 
     /** All of the settings that a file can change. */
     private static List<Object> told(Settings set) {
-        return List.of(List.copyOf(set.classes), List.copyOf(set.tenants), set.maxAttempts,
-                set.connectTimeoutUs, set.drainGraceUs, set.coldUs, set.coldFrom, set.fallMultiple,
-                set.secondCopies, set.maxRetryAfterUs, set.nodes);
+        return List.of(
+                List.copyOf(set.classes),
+                List.copyOf(set.tenants),
+                set.maxAttempts,
+                set.connectTimeoutUs,
+                set.drainGraceUs,
+                set.coldUs,
+                set.coldFrom,
+                set.fallMultiple,
+                set.secondCopies,
+                set.maxRetryAfterUs,
+                set.nodes);
     }
 }
--- a/src/main/java/vetchpost/standalone/RequestRule.java
+++ b/src/main/java/vetchpost/standalone/RequestRule.java
@@ -18,7 +18,8 @@
     private static final String REST = "/*";
 
     boolean matches(String method, String path, boolean hasHeader) {
-        return (methods.isEmpty() || methods.contains(method)) && (header.isEmpty() || hasHeader)
+        return (methods.isEmpty() || methods.contains(method))
+                && (header.isEmpty() || hasHeader)
                 && (paths.isEmpty() || paths.stream().anyMatch(pattern -> matches(pattern, path)));
     }
 
@@ -27,8 +28,7 @@
             return path.equals(pattern);
         }
         int length = pattern.length() - REST.length();
-        return path.startsWith(pattern.substring(0, length))
-                && (path.length() == length || path.charAt(length) == '/');
+        return path.startsWith(pattern.substring(0, length)) && (path.length() == length || path.charAt(length) == '/');
     }
 
     /**
@@ -37,13 +37,14 @@
     boolean covers(RequestRule other) {
         return (methods.isEmpty() || !other.methods.isEmpty() && methods.containsAll(other.methods))
                 && (header.isEmpty() || header.equalsIgnoreCase(other.header))
-                && (paths.isEmpty() || !other.paths.isEmpty()
-                && other.paths.stream().allMatch(this::coversPath));
+                && (paths.isEmpty()
+                        || !other.paths.isEmpty() && other.paths.stream().allMatch(this::coversPath));
     }
 
     private boolean coversPath(String other) {
         String example = other.endsWith(REST) ? other.substring(0, other.length() - 1) + "x" : other;
-        return paths.stream().anyMatch(pattern -> pattern.equals(other) || matches(pattern, example)
-                && (pattern.endsWith(REST) || !other.endsWith(REST)));
+        return paths.stream()
+                .anyMatch(pattern -> pattern.equals(other)
+                        || matches(pattern, example) && (pattern.endsWith(REST) || !other.endsWith(REST)));
     }
 }
