--- a/src/main/java/vetchpost/standalone/ServerWords.java
+++ b/src/main/java/vetchpost/standalone/ServerWords.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-
 import vetchpost.sources.Named;
 import vetchpost.sources.Named.Word;
 
@@ -18,7 +17,7 @@
     private static final int MOST_ADDRESSES = 16;
     private static final int MOST_ID = 256;
 
-    private ServerWords() { }
+    private ServerWords() {}
 
     /**
      * Reads one server: a text, or a map of the keys address or addresses, id, weight, zone and state.
@@ -34,8 +33,8 @@
         }
         for (Object key : table.keySet()) {
             if (!KEYS.contains(key)) {
-                throw new IllegalArgumentException("unknown key '" + key + "' of a server; there are "
-                        + String.join(", ", KEYS));
+                throw new IllegalArgumentException(
+                        "unknown key '" + key + "' of a server; there are " + String.join(", ", KEYS));
             }
         }
         List<InetSocketAddress> addresses = new ArrayList<>();
@@ -53,12 +52,14 @@
             throw new IllegalArgumentException("an id has up to " + MOST_ID + " characters");
         }
         Object weight = table.containsKey("weight") ? table.get("weight") : Double.valueOf(1);
-        if (!(weight instanceof Number number) || !(number.doubleValue() > 0)
-                || number.doubleValue() > MOST_WEIGHT) {
-            throw new IllegalArgumentException("weight = " + weight + " is no number from 0 on to "
-                    + MOST_WEIGHT);
+        if (!(weight instanceof Number number) || !(number.doubleValue() > 0) || number.doubleValue() > MOST_WEIGHT) {
+            throw new IllegalArgumentException("weight = " + weight + " is no number from 0 on to " + MOST_WEIGHT);
         }
-        return new Named(id, List.copyOf(addresses), state(table.get("state")), number.doubleValue(),
+        return new Named(
+                id,
+                List.copyOf(addresses),
+                state(table.get("state")),
+                number.doubleValue(),
                 table.containsKey("zone") ? text("zone", table.get("zone")) : "");
     }
 
@@ -90,7 +91,8 @@
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         String port = text.substring(colon + 1);
-        if (!host.matches("\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:.]+\\]") || !port.matches("\\d{1,5}")
+        if (!host.matches("\\d{1,3}(\\.\\d{1,3}){3}|\\[[0-9a-fA-F:.]+\\]")
+                || !port.matches("\\d{1,5}")
                 || Integer.parseInt(port) > 65_535) {
             throw new IllegalArgumentException("\"" + text + "\" is no numeric address and port");
         }
--- a/src/main/java/vetchpost/standalone/Standalone.java
+++ b/src/main/java/vetchpost/standalone/Standalone.java
@@ -2,7 +2,6 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.sources.CheckRules;
 import vetchpost.sources.Declared;
@@ -24,6 +23,16 @@
  * @param checks how servers are checked; null where they are not
  * @param drainHeader the field by which an answer says that its server drains; empty for none
  */
-public record Standalone(InetSocketAddress listen, int sockets, long seed, long connIdleUs,
-        Settings settings, List<RequestRule> rules, Classifier classifier, WebLimits limits,
-        List<Declared> sources, MergeRules merge, CheckRules checks, String drainHeader) { }
+public record Standalone(
+        InetSocketAddress listen,
+        int sockets,
+        long seed,
+        long connIdleUs,
+        Settings settings,
+        List<RequestRule> rules,
+        Classifier classifier,
+        WebLimits limits,
+        List<Declared> sources,
+        MergeRules merge,
+        CheckRules checks,
+        String drainHeader) {}
--- a/src/main/java/vetchpost/standalone/StandaloneProver.java
+++ b/src/main/java/vetchpost/standalone/StandaloneProver.java
@@ -10,7 +10,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-
 import vetchpost.decision.Balancer.Group;
 import vetchpost.decision.Balancer.Repeat;
 import vetchpost.decision.Balancer.RequestClass;
@@ -34,19 +33,48 @@
  * named by somebody. It returns every violation, and does no I/O.
  */
 public final class StandaloneProver {
-    private static final List<String> NODE = List.of("listen", "sockets", "seed", "nodes", "number", "name",
-            "forwarded", "trust-forwarded", "hold", "hold-for", "max-body", "head-within", "idle",
-            "keep-alive", "upload-within", "tenant-header", "longest-advice");
-    private static final List<String> REQUESTS = List.of("repeat", "methods", "paths", "header", "deadline",
-            "aim", "worth", "late-worth", "window");
+    private static final List<String> NODE = List.of(
+            "listen",
+            "sockets",
+            "seed",
+            "nodes",
+            "number",
+            "name",
+            "forwarded",
+            "trust-forwarded",
+            "hold",
+            "hold-for",
+            "max-body",
+            "head-within",
+            "idle",
+            "keep-alive",
+            "upload-within",
+            "tenant-header",
+            "longest-advice");
+    private static final List<String> REQUESTS =
+            List.of("repeat", "methods", "paths", "header", "deadline", "aim", "worth", "late-worth", "window");
     private static final List<String> TENANT = List.of("share", "hosts");
-    private static final List<String> POOL = List.of("servers", "attempts", "connect-timeout", "idle",
-            "grace", "cold", "cold-from", "overload", "second-copies", "drain-header", "expect-header",
-            "most-gone", "confirm", "flaps", "calm", "absent");
-    private static final List<String> SOURCE = List.of("name", "file", "dns", "srv", "port", "may", "every",
-            "keep", "stale", "resolvers");
-    private static final List<String> CHECKS = List.of("path", "host", "status", "every", "within", "rise",
-            "fall", "budget", "watchers", "most-out");
+    private static final List<String> POOL = List.of(
+            "servers",
+            "attempts",
+            "connect-timeout",
+            "idle",
+            "grace",
+            "cold",
+            "cold-from",
+            "overload",
+            "second-copies",
+            "drain-header",
+            "expect-header",
+            "most-gone",
+            "confirm",
+            "flaps",
+            "calm",
+            "absent");
+    private static final List<String> SOURCE =
+            List.of("name", "file", "dns", "srv", "port", "may", "every", "keep", "stale", "resolvers");
+    private static final List<String> CHECKS =
+            List.of("path", "host", "status", "every", "within", "rise", "fall", "budget", "watchers", "most-out");
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
     private static final long HOUR = 3_600 * SECOND;
@@ -67,9 +95,9 @@
      *
      * @param standalone null if there is no table {@code [node]}, or any violation
      */
-    public record Proof(Standalone standalone, List<Violation> violations) { }
+    public record Proof(Standalone standalone, List<Violation> violations) {}
 
-    private StandaloneProver() { }
+    private StandaloneProver() {}
 
     /** The keys of each table, as the pages for operators name them. */
     static List<List<String>> keys() {
@@ -99,7 +127,10 @@
         if (node == null) {
             for (Section section : file) {
                 if (isOwn(section)) {
-                    violations.add(new Violation(section.at(), section.name(), Rule.INCOMPLETE,
+                    violations.add(new Violation(
+                            section.at(),
+                            section.name(),
+                            Rule.INCOMPLETE,
                             "there is no table [node], without which this says nothing",
                             "[node] with listen = \"127.0.0.1:8080\""));
                     break;
@@ -111,15 +142,17 @@
         own.knows(NODE);
         InetSocketAddress listen = address(own, "listen", own.text("listen", null), true);
         if (!own.has("listen")) {
-            own.violated("listen", Rule.INCOMPLETE, "it does not say listen",
-                    "listen = \"127.0.0.1:8080\"");
+            own.violated("listen", Rule.INCOMPLETE, "it does not say listen", "listen = \"127.0.0.1:8080\"");
         }
         int sockets = own.whole("sockets", 1_024, 128, 1 << 20);
         settings.nodes = own.whole("nodes", 1, 1, 10_000);
         int number = own.whole("number", 0, 0, 9_999);
         if (number >= settings.nodes) {
-            own.violated("number", Rule.OUT_OF_RANGE, "number = " + number + " of " + settings.nodes
-                    + " nodes, counted from 0", "number = " + (settings.nodes - 1));
+            own.violated(
+                    "number",
+                    Rule.OUT_OF_RANGE,
+                    "number = " + number + " of " + settings.nodes + " nodes, counted from 0",
+                    "number = " + (settings.nodes - 1));
         }
         settings.maxRetryAfterUs = own.duration("longest-advice", 30 * SECOND, 0, HOUR);
         settings.marksRetry = true;
@@ -140,37 +173,51 @@
             }
         }
         Section pool = first(file, Kind.POOL);
-        SectionReader servers = new SectionReader(pool == null
-                ? new Section(Kind.POOL, "pool", node.at(), Map.of()) : pool, "pool", violations);
+        SectionReader servers = new SectionReader(
+                pool == null ? new Section(Kind.POOL, "pool", node.at(), Map.of()) : pool, "pool", violations);
         servers.knows(POOL);
         WebLimits limits = limits(own, servers.text("expect-header", ""));
         long idleUs = pool(servers);
         List<Declared> sources = sources(file, servers);
-        boolean tried = servers.value("servers") instanceof List<?> named ? !named.isEmpty()
-                : servers.has("servers");
+        boolean tried = servers.value("servers") instanceof List<?> named ? !named.isEmpty() : servers.has("servers");
         if (sources.isEmpty() && !tried && first(file, Kind.SOURCE) == null) {
-            servers.violated("servers", Rule.INCOMPLETE, "nobody names a server",
+            servers.violated(
+                    "servers",
+                    Rule.INCOMPLETE,
+                    "nobody names a server",
                     "[pool] with servers = [\"127.0.0.1:9001\"], or a [[source]]");
         }
-        MergeRules merge = new MergeRules(servers.number("most-gone", 0.5, 0, 1),
-                servers.duration("confirm", 10 * SECOND, 0, HOUR), servers.whole("flaps", 4, 2, 1_000),
+        MergeRules merge = new MergeRules(
+                servers.number("most-gone", 0.5, 0, 1),
+                servers.duration("confirm", 10 * SECOND, 0, HOUR),
+                servers.whole("flaps", 4, 2, 1_000),
                 servers.duration("calm", 60 * SECOND, SECOND, DAY),
                 servers.duration("absent", 5 * SECOND, 0, HOUR));
         Section checking = first(file, Kind.CHECKS);
-        CheckRules checks = checking == null ? null : checks(new SectionReader(checking, "checks",
-                violations),
-                number);
+        CheckRules checks = checking == null ? null : checks(new SectionReader(checking, "checks", violations), number);
         String tenantHeader = own.text("tenant-header", "");
         String drainHeader = servers.text("drain-header", "");
         long seed = seed(own);
         if (!violations.isEmpty()) {
-            violations.sort((a, b) -> a.at().line() != b.at().line() ? a.at().line() - b.at().line()
-                    : a.at().column() - b.at().column());
+            violations.sort((a, b) ->
+                    a.at().line() != b.at().line() ? a.at().line() - b.at().line() : a.at().column() - b.at().column());
             return new Proof(null, List.copyOf(violations));
         }
-        return new Proof(new Standalone(listen, sockets, seed, idleUs, settings, List.copyOf(rules),
-                new Classifier(rules, hosts, names, tenantHeader), limits, sources, merge, checks,
-                drainHeader), List.of());
+        return new Proof(
+                new Standalone(
+                        listen,
+                        sockets,
+                        seed,
+                        idleUs,
+                        settings,
+                        List.copyOf(rules),
+                        new Classifier(rules, hosts, names, tenantHeader),
+                        limits,
+                        sources,
+                        merge,
+                        checks,
+                        drainHeader),
+                List.of());
     }
 
     private static Section first(List<Section> file, Kind kind) {
@@ -183,8 +230,7 @@
             return 0;
         }
         if (!seed.matches("[0-9a-fA-F]{1,16}")) {
-            own.violated("seed", Rule.OUT_OF_RANGE, "seed is no hexadecimal number of up to 16 digits",
-                    "seed = \"1\"");
+            own.violated("seed", Rule.OUT_OF_RANGE, "seed is no hexadecimal number of up to 16 digits", "seed = \"1\"");
             return 0;
         }
         return Long.parseUnsignedLong(seed, 16);
@@ -193,29 +239,35 @@
     private WebLimits limits(SectionReader own, String mark) {
         String name = own.text("name", "vetchpost");
         if (!name.matches(TOKEN)) {
-            own.violated("name", Rule.OUT_OF_RANGE, "name is no token that Via could carry",
-                    "name = \"node-1\"");
+            own.violated("name", Rule.OUT_OF_RANGE, "name is no token that Via could carry", "name = \"node-1\"");
         }
         String forwarded = own.word("forwarded", "both", List.of("standard", "custom", "both", "none"));
         int hold = (int) own.size("hold", 64 * KIB, KIB, 16 * KIB * KIB);
         long most = own.size("max-body", 1L << 30, 0, 1L << 50);
-        return new WebLimits(hold, own.duration("hold-for", 100 * MS, 0, 60 * SECOND), most,
+        return new WebLimits(
+                hold,
+                own.duration("hold-for", 100 * MS, 0, 60 * SECOND),
+                most,
                 own.duration("head-within", 10 * SECOND, 100 * MS, HOUR),
                 own.duration("idle", 30 * SECOND, 100 * MS, HOUR),
                 own.duration("keep-alive", 75 * SECOND, 0, DAY),
-                own.duration("upload-within", HOUR, SECOND, DAY), name,
-                Forwarded.valueOf(forwarded.toUpperCase(Locale.ROOT)), own.flag("trust-forwarded", false),
-                        mark);
+                own.duration("upload-within", HOUR, SECOND, DAY),
+                name,
+                Forwarded.valueOf(forwarded.toUpperCase(Locale.ROOT)),
+                own.flag("trust-forwarded", false),
+                mark);
     }
 
     // ---------------------------------------------------------------- classes of requests
 
     /** What holds where the file names no class: what is safe by its method, and all the rest. */
     private void usual() {
-        add(new RequestRule(SAFE_METHODS, List.of(), ""), new RequestClass("read", SECOND, 0, 30 * SECOND, 1,
-                0.5, Repeat.SAFE, Group.ALL, 0, false));
-        add(RequestRule.ANY, new RequestClass("write", SECOND, 0, 30 * SECOND, 1, 0.5, Repeat.UNSAFE,
-                Group.ALL, 0, false));
+        add(
+                new RequestRule(SAFE_METHODS, List.of(), ""),
+                new RequestClass("read", SECOND, 0, 30 * SECOND, 1, 0.5, Repeat.SAFE, Group.ALL, 0, false));
+        add(
+                RequestRule.ANY,
+                new RequestClass("write", SECOND, 0, 30 * SECOND, 1, 0.5, Repeat.UNSAFE, Group.ALL, 0, false));
     }
 
     private void add(RequestRule rule, RequestClass cls) {
@@ -226,13 +278,18 @@
     private void requests(Section section) {
         SectionReader own = new SectionReader(section, section.name(), violations);
         own.knows(REQUESTS);
-        String word = own.word("repeat", own.has("methods") && SAFE_METHODS.containsAll(own.texts("methods",
-                List.of())) ? "safe" : "unsafe", List.of("safe", "keyed", "unsafe"));
+        String word = own.word(
+                "repeat",
+                own.has("methods") && SAFE_METHODS.containsAll(own.texts("methods", List.of())) ? "safe" : "unsafe",
+                List.of("safe", "keyed", "unsafe"));
         Repeat repeat = Repeat.valueOf(word.toUpperCase(Locale.ROOT));
         Set<String> methods = new LinkedHashSet<>(own.texts("methods", List.of()));
         for (String method : methods) {
             if (!method.matches(TOKEN) || !method.equals(method.toUpperCase(Locale.ROOT))) {
-                own.violated("methods", Rule.BAD_PATTERN, "\"" + method + "\" is no method",
+                own.violated(
+                        "methods",
+                        Rule.BAD_PATTERN,
+                        "\"" + method + "\" is no method",
                         "\"" + method.toUpperCase(Locale.ROOT) + "\"");
             }
         }
@@ -240,8 +297,7 @@
         for (String path : paths) {
             if (!path.matches("/[\\x21-\\x22\\x24-\\x29\\x2B-\\x3E\\x40-\\x7E]*\\*?")
                     || path.endsWith("*") && !path.endsWith("/*")) {
-                own.violated("paths", Rule.BAD_PATTERN, "\"" + path + "\" is no path",
-                        "\"/photos\" or \"/photos/*\"");
+                own.violated("paths", Rule.BAD_PATTERN, "\"" + path + "\" is no path", "\"/photos\" or \"/photos/*\"");
             }
         }
         String header = own.text("header", repeat == Repeat.KEYED ? KEY : "");
@@ -249,44 +305,69 @@
             own.violated("header", Rule.BAD_PATTERN, "header is no name of a field", "\"" + KEY + "\"");
         }
         if (repeat == Repeat.KEYED && !own.has("window")) {
-            own.violated("window", Rule.KEYED_LATE,
+            own.violated(
+                    "window",
+                    Rule.KEYED_LATE,
                     "it does not say window: for how long servers drop repeats of a key",
                     "window = \"10s\", or repeat = \"unsafe\"");
         }
         if (repeat != Repeat.KEYED && own.has("window")) {
-            own.violated("window", Rule.UNREACHABLE, "only keyed classes have a window",
-                    "repeat = \"keyed\"");
+            own.violated("window", Rule.UNREACHABLE, "only keyed classes have a window", "repeat = \"keyed\"");
         }
         if (repeat == Repeat.SAFE) {
             for (String method : methods) {
                 if (!SAFE_METHODS.contains(method)) {
-                    own.violated("repeat", Rule.UNSAFE_AGAIN, method + " is no safe method (RFC 9110, section"
-                            + " 9.2.1): a repeat could have its effect twice", "repeat = \"unsafe\"");
+                    own.violated(
+                            "repeat",
+                            Rule.UNSAFE_AGAIN,
+                            method + " is no safe method (RFC 9110, section"
+                                    + " 9.2.1): a repeat could have its effect twice",
+                            "repeat = \"unsafe\"");
                 }
             }
             if (methods.isEmpty()) {
-                own.violated("repeat", Rule.UNSAFE_AGAIN, "a safe class says which methods it is of",
+                own.violated(
+                        "repeat",
+                        Rule.UNSAFE_AGAIN,
+                        "a safe class says which methods it is of",
                         "methods = [\"GET\", \"HEAD\"]");
             }
         }
         long deadline = own.duration("deadline", 30 * SECOND, MS, DAY);
         long aim = own.duration("aim", Math.min(SECOND, deadline), MS, DAY);
         if (aim > deadline) {
-            own.violated("aim", Rule.PAST_WHOLE, "aim is over the deadline of "
-                    + SectionReader.time(deadline), "aim = \"" + SectionReader.time(deadline) + "\"");
-        }
-        add(new RequestRule(methods, paths, header), new RequestClass(section.name(), aim, 0, deadline,
-                own.number("worth", 1, 0, 1e6), own.number("late-worth", 0.5, 0, 1), repeat, Group.ALL,
-                own.duration("window", 0, 0, DAY), false));
+            own.violated(
+                    "aim",
+                    Rule.PAST_WHOLE,
+                    "aim is over the deadline of " + SectionReader.time(deadline),
+                    "aim = \"" + SectionReader.time(deadline) + "\"");
+        }
+        add(
+                new RequestRule(methods, paths, header),
+                new RequestClass(
+                        section.name(),
+                        aim,
+                        0,
+                        deadline,
+                        own.number("worth", 1, 0, 1e6),
+                        own.number("late-worth", 0.5, 0, 1),
+                        repeat,
+                        Group.ALL,
+                        own.duration("window", 0, 0, DAY),
+                        false));
     }
 
     /** Whether each class can be reached, and each request has one. */
     private void reached(List<Section> file, SectionReader own) {
-        List<Section> classes = file.stream().filter(s -> s.kind() == Kind.REQUESTS).toList();
+        List<Section> classes =
+                file.stream().filter(s -> s.kind() == Kind.REQUESTS).toList();
         for (int i = 0; i < classes.size(); i++) {
             for (int j = 0; j < i; j++) {
                 if (rules.get(j).covers(rules.get(i))) {
-                    violations.add(new Violation(classes.get(i).at(), classes.get(i).name(), Rule.UNREACHABLE,
+                    violations.add(new Violation(
+                            classes.get(i).at(),
+                            classes.get(i).name(),
+                            Rule.UNREACHABLE,
                             "all its requests are of class " + classes.get(j).name() + ", which comes first",
                             "it before [classes." + classes.get(j).name() + "]"));
                     break;
@@ -294,8 +375,11 @@
             }
         }
         if (rules.stream().noneMatch(r -> r.covers(RequestRule.ANY))) {
-            own.violated("listen", Rule.INCOMPLETE, "some requests have no class: none takes what the others"
-                    + " leave", "a last class without methods, paths and header, as [classes.rest]");
+            own.violated(
+                    "listen",
+                    Rule.INCOMPLETE,
+                    "some requests have no class: none takes what the others" + " leave",
+                    "a last class without methods, paths and header, as [classes.rest]");
         }
     }
 
@@ -308,8 +392,12 @@
         for (String host : own.texts("hosts", List.of())) {
             Integer before = hosts.putIfAbsent(Classifier.nameOf(host).toLowerCase(Locale.ROOT), index);
             if (before != null) {
-                own.violated("hosts", Rule.SAME_MATCH, "host " + host + " is tenant "
-                        + settings.tenants.get(before).name() + "'s too", "each host once");
+                own.violated(
+                        "hosts",
+                        Rule.SAME_MATCH,
+                        "host " + host + " is tenant "
+                                + settings.tenants.get(before).name() + "'s too",
+                        "each host once");
             }
         }
     }
@@ -331,8 +419,17 @@
         List<Declared> sources = new ArrayList<>();
         List<Named> own = servers(pool);
         if (!own.isEmpty()) {
-            sources.add(new Declared("file", Declared.Kind.ITSELF, "", 0, EnumSet.allOf(May.class), 0, 0,
-                    Long.MAX_VALUE / 4, own, List.of()));
+            sources.add(new Declared(
+                    "file",
+                    Declared.Kind.ITSELF,
+                    "",
+                    0,
+                    EnumSet.allOf(May.class),
+                    0,
+                    0,
+                    Long.MAX_VALUE / 4,
+                    own,
+                    List.of()));
         }
         Set<String> known = new HashSet<>(Set.of("file"));
         for (Section section : file) {
@@ -349,9 +446,12 @@
     private Declared source(Section section, Set<String> known) {
         SectionReader own = new SectionReader(section, "source", violations);
         own.knows(SOURCE);
-        List<String> kinds = List.of("file", "dns", "srv").stream().filter(own::has).toList();
+        List<String> kinds =
+                List.of("file", "dns", "srv").stream().filter(own::has).toList();
         if (kinds.size() != 1) {
-            own.violated(kinds.isEmpty() ? "name" : kinds.get(1), Rule.INCOMPLETE,
+            own.violated(
+                    kinds.isEmpty() ? "name" : kinds.get(1),
+                    Rule.INCOMPLETE,
                     "a source is one of a file, a name and a name of services",
                     "file = \"...\", dns = \"...\" or srv = \"...\"");
             return null;
@@ -368,9 +468,10 @@
         }
         int port = own.whole("port", 0, 1, 65_535);
         if (kind.equals("dns") != own.has("port")) {
-            own.violated("port", kind.equals("dns") ? Rule.INCOMPLETE : Rule.UNREACHABLE,
-                    kind.equals("dns") ? "addresses of a name have no port" : "the port is told by the "
-                            + kind,
+            own.violated(
+                    "port",
+                    kind.equals("dns") ? Rule.INCOMPLETE : Rule.UNREACHABLE,
+                    kind.equals("dns") ? "addresses of a name have no port" : "the port is told by the " + kind,
                     kind.equals("dns") ? "port = 80" : "no port");
         }
         Set<May> may = EnumSet.noneOf(May.class);
@@ -378,16 +479,22 @@
             try {
                 may.add(May.valueOf(word.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
-                own.violated("may", Rule.OUT_OF_RANGE, "\"" + word + "\" is nothing that a source may do",
+                own.violated(
+                        "may",
+                        Rule.OUT_OF_RANGE,
+                        "\"" + word + "\" is nothing that a source may do",
                         "add, drain or remove");
             }
         }
         long every = own.duration("every", asked ? 5 * SECOND : SECOND, 100 * MS, DAY);
         long keep = own.duration("keep", asked ? 3 * Math.max(every, 10 * SECOND) : 0, 0, 7 * DAY);
         if (asked && keep < 2 * every) {
-            own.violated("keep", Rule.OUT_OF_RANGE, "keep is under two answers' time: servers would come and"
-                    + " go with each part of them that an answer names", "keep = \""
-                    + SectionReader.time(2 * every) + "\"");
+            own.violated(
+                    "keep",
+                    Rule.OUT_OF_RANGE,
+                    "keep is under two answers' time: servers would come and"
+                            + " go with each part of them that an answer names",
+                    "keep = \"" + SectionReader.time(2 * every) + "\"");
         }
         List<InetSocketAddress> resolvers = new ArrayList<>();
         for (String each : own.texts("resolvers", List.of())) {
@@ -396,9 +503,17 @@
                 resolvers.add(address);
             }
         }
-        return new Declared(name, Declared.Kind.valueOf(kind.toUpperCase(Locale.ROOT)), where, port, may,
-                every, keep, own.duration("stale", asked ? HOUR : 10 * 60 * SECOND, SECOND, 7 * DAY),
-                List.of(), resolvers);
+        return new Declared(
+                name,
+                Declared.Kind.valueOf(kind.toUpperCase(Locale.ROOT)),
+                where,
+                port,
+                may,
+                every,
+                keep,
+                own.duration("stale", asked ? HOUR : 10 * 60 * SECOND, SECOND, 7 * DAY),
+                List.of(),
+                resolvers);
     }
 
     private List<Named> servers(SectionReader pool) {
@@ -414,14 +529,19 @@
         for (Object each : list) {
             try {
                 Named named = ServerWords.named(each);
-                if (servers.stream().anyMatch(s ->
-                        s.addresses().stream().anyMatch(named.addresses()::contains))) {
-                    pool.violated("servers", Rule.SAME_MATCH, Named.text(named.addresses().get(0))
-                            + " is named twice", "each server once");
+                if (servers.stream().anyMatch(s -> s.addresses().stream().anyMatch(named.addresses()::contains))) {
+                    pool.violated(
+                            "servers",
+                            Rule.SAME_MATCH,
+                            Named.text(named.addresses().get(0)) + " is named twice",
+                            "each server once");
                 }
                 servers.add(named);
             } catch (IllegalArgumentException e) {
-                pool.violated("servers", Rule.BAD_PATTERN, e.getMessage(),
+                pool.violated(
+                        "servers",
+                        Rule.BAD_PATTERN,
+                        e.getMessage(),
                         "\"127.0.0.1:9001\" or { address = \"127.0.0.1:9001\", weight = 2.0 }");
             }
         }
@@ -442,19 +562,35 @@
             most = status.length() > 3 ? Integer.parseInt(status.substring(4)) : least;
         }
         if (!status.matches("[1-5]\\d\\d(-[1-5]\\d\\d)?") || most < least) {
-            own.violated("status", Rule.OUT_OF_RANGE, "status is neither one nor from one to another",
+            own.violated(
+                    "status",
+                    Rule.OUT_OF_RANGE,
+                    "status is neither one nor from one to another",
                     "status = \"200-399\"");
         }
         long every = own.duration("every", 5 * SECOND, 100 * MS, HOUR);
         long within = own.duration("within", Math.min(SECOND, every), 10 * MS, 60 * SECOND);
         if (within > every) {
-            own.violated("within", Rule.SCHEDULE, "a check may take longer than until the next", "within = \""
-                    + SectionReader.time(every) + "\"");
-        }
-        return new CheckRules(path, own.text("host", "localhost"), least, most, every, within,
-                own.whole("rise", 2, 1, 100), own.whole("fall", 3, 1, 100), own.number("budget", 20, 0.1,
-                        10_000),
-                own.whole("watchers", 3, 1, 100), settings.nodes, number, own.number("most-out", 0.5, 0, 1));
+            own.violated(
+                    "within",
+                    Rule.SCHEDULE,
+                    "a check may take longer than until the next",
+                    "within = \"" + SectionReader.time(every) + "\"");
+        }
+        return new CheckRules(
+                path,
+                own.text("host", "localhost"),
+                least,
+                most,
+                every,
+                within,
+                own.whole("rise", 2, 1, 100),
+                own.whole("fall", 3, 1, 100),
+                own.number("budget", 20, 0.1, 10_000),
+                own.whole("watchers", 3, 1, 100),
+                settings.nodes,
+                number,
+                own.number("most-out", 0.5, 0, 1));
     }
 
     private static InetSocketAddress address(SectionReader own, String key, String text, boolean anyPort) {
--- a/src/main/java/vetchpost/standalone/WebLimits.java
+++ b/src/main/java/vetchpost/standalone/WebLimits.java
@@ -16,8 +16,18 @@
  * @param mark a field that each answer of the servers has, in lower or upper case; without it an answer is
  *     another application's, and no client is given it; empty for none
  */
-public record WebLimits(int holdBytes, long holdUs, long bodyBytes, long headUs, long idleUs, long keptUs,
-        long uploadUs, String name, Forwarded forwarded, boolean trusted, String mark) {
+public record WebLimits(
+        int holdBytes,
+        long holdUs,
+        long bodyBytes,
+        long headUs,
+        long idleUs,
+        long keptUs,
+        long uploadUs,
+        String name,
+        Forwarded forwarded,
+        boolean trusted,
+        String mark) {
 
     /** How servers are told of the client. */
     public enum Forwarded {
--- a/src/main/java/vetchpost/state/Confidence.java
+++ b/src/main/java/vetchpost/state/Confidence.java
@@ -16,7 +16,7 @@
     /** Answers after which own experience is believed by half. */
     private static final double HALF_SURE = 4;
 
-    private Confidence() { }
+    private Confidence() {}
 
     /** In something whose certainty halves in every such time; none in what comes from the future. */
     static double after(long ageMs, double halfMs) {
--- a/src/main/java/vetchpost/state/Doubt.java
+++ b/src/main/java/vetchpost/state/Doubt.java
@@ -3,7 +3,6 @@
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
-
 import vetchpost.decision.Knowledge;
 import vetchpost.decision.Knowledge.OfServer;
 
@@ -23,7 +22,7 @@
     /** Failures in a row that say the same. */
     private static final int ILL_ERRORS = 3;
 
-    private Doubt() { }
+    private Doubt() {}
 
     /**
      * What a node has to say of itself.
@@ -77,7 +76,6 @@
     }
 
     static boolean isIll(OfServer knowledge) {
-        return knowledge.ejected() || knowledge.failures() >= ILL_FAILURES
-                || knowledge.errors() >= ILL_ERRORS;
+        return knowledge.ejected() || knowledge.failures() >= ILL_FAILURES || knowledge.errors() >= ILL_ERRORS;
     }
 }
--- a/src/main/java/vetchpost/state/Priors.java
+++ b/src/main/java/vetchpost/state/Priors.java
@@ -5,7 +5,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-
 import vetchpost.decision.Knowledge;
 import vetchpost.decision.Knowledge.OfClass;
 import vetchpost.decision.Knowledge.OfServer;
@@ -22,7 +21,7 @@
     /** Effects smaller than this change no draw; they are left out. */
     private static final double NOTHING = 0.02;
 
-    private Priors() { }
+    private Priors() {}
 
     /**
      * The prior.
@@ -32,8 +31,8 @@
      * @param trustBoxes how far a box is believed to be as it was, by id; 1 where there is no entry. Where
      *     that is little, nothing of its health counts, and it begins with so much of a limit
      */
-    public static Knowledge of(Snapshot snapshot, List<String> classes, long nowMs, boolean trustHealth,
-            Map<String, Double> trustBoxes) {
+    public static Knowledge of(
+            Snapshot snapshot, List<String> classes, long nowMs, boolean trustHealth, Map<String, Double> trustBoxes) {
         Map<String, Integer> index = new HashMap<>();
         classes.forEach(name -> index.put(name, index.size()));
         int[] places = new int[snapshot.classes().size()];
@@ -44,16 +43,16 @@
             places[c] = index.getOrDefault(state.name(), -1);
             // A throttled or stalled node's latencies are its own.
             if (places[c] >= 0 && trustHealth) {
-                usual.add(new OfClass(places[c], (int) Math.round(age * state.answers()), state.latencyUs(),
-                        state.leastLatencyUs()));
+                usual.add(new OfClass(
+                        places[c], (int) Math.round(age * state.answers()), state.latencyUs(), state.leastLatencyUs()));
             }
         }
         List<OfServer> servers = new ArrayList<>();
         for (BoxState box : snapshot.boxes()) {
             double trust = trustBoxes.getOrDefault(box.target().id(), 1.0);
-            OfServer prior = trust < SURE ? unsure(box, trust, classes.size())
-                    : box.knowledge() == null || !trustHealth ? null
-                    : prior(box, nowMs, places, classes.size());
+            OfServer prior = trust < SURE
+                    ? unsure(box, trust, classes.size())
+                    : box.knowledge() == null || !trustHealth ? null : prior(box, nowMs, places, classes.size());
             if (prior != null) {
                 servers.add(prior);
             }
@@ -68,9 +67,19 @@
 
     /** Nothing of its health counts: somebody else may be there by now. It begins with little. */
     private static OfServer unsure(BoxState box, double trust, int classes) {
-        return new OfServer(box.target().id(), 1_000 * box.target().bootMs(), Integer.MAX_VALUE / 2, 0, 0, 0,
+        return new OfServer(
+                box.target().id(),
+                1_000 * box.target().bootMs(),
+                Integer.MAX_VALUE / 2,
+                0,
+                0,
+                0,
+                0,
                 0,
-                0, 1, trust, false, Collections.nCopies(classes, 0));
+                1,
+                trust,
+                false,
+                Collections.nCopies(classes, 0));
     }
 
     private static OfServer prior(BoxState box, long nowMs, int[] places, int classes) {
@@ -97,8 +106,18 @@
         for (int count : misses) {
             missed.add(count);
         }
-        return new OfServer(known.id(), 1_000 * box.target().bootMs(), answers, known.heardAtUs(),
-                known.servedAtUs(), (int) Math.round(health * errors), (int) Math.round(health * failures),
-                health * known.faults(), 1 + pace * (known.pace() - 1), known.limit(), false, missed);
+        return new OfServer(
+                known.id(),
+                1_000 * box.target().bootMs(),
+                answers,
+                known.heardAtUs(),
+                known.servedAtUs(),
+                (int) Math.round(health * errors),
+                (int) Math.round(health * failures),
+                health * known.faults(),
+                1 + pace * (known.pace() - 1),
+                known.limit(),
+                false,
+                missed);
     }
 }
--- a/src/main/java/vetchpost/state/Recollection.java
+++ b/src/main/java/vetchpost/state/Recollection.java
@@ -8,7 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-
 import vetchpost.core.ServerList;
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ServerState;
@@ -31,7 +30,7 @@
      * @param unidentifiedMs an address whose box was confirmed less long ago has not changed hands
      * @param identifies whether boxes can be asked who they are
      */
-    public record Rules(long lifeMs, long unidentifiedMs, boolean identifies) { }
+    public record Rules(long lifeMs, long unidentifiedMs, boolean identifies) {}
 
     /**
      * How far a box is believed to be as it was, from 0 to 1, where nothing but its old entry speaks for it:
@@ -48,8 +47,7 @@
         Map<Object, BoxState> holders = new LinkedHashMap<>();
         for (BoxState box : snapshot.boxes()) {
             if (box.target().state() == ServerState.READY) {
-                holders.merge(box.target().address(), box,
-                        (a, b) -> b.confirmedMs() > a.confirmedMs() ? b : a);
+                holders.merge(box.target().address(), box, (a, b) -> b.confirmedMs() > a.confirmedMs() ? b : a);
             }
         }
         return new ArrayList<>(holders.values());
--- a/src/main/java/vetchpost/state/codec/Assembly.java
+++ b/src/main/java/vetchpost/state/codec/Assembly.java
@@ -5,7 +5,6 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-
 import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
 import vetchpost.state.Origin;
@@ -28,8 +27,10 @@
      *     nothing of it is taken
      */
     public void add(Piece piece) throws MalformedState {
-        if (origin != null && (!origin.equals(piece.part().origin()) || pieces != piece.pieces()
-                || !classes.equals(piece.part().classes()))) {
+        if (origin != null
+                && (!origin.equals(piece.part().origin())
+                        || pieces != piece.pieces()
+                        || !classes.equals(piece.part().classes()))) {
             throw new MalformedState("pieces of two snapshots");
         }
         if (numbers.get(piece.number())) {
--- a/src/main/java/vetchpost/state/codec/PieceCodec.java
+++ b/src/main/java/vetchpost/state/codec/PieceCodec.java
@@ -1,5 +1,8 @@
 package vetchpost.state.codec;
 
+import com.google.protobuf.CodedInputStream;
+import com.google.protobuf.CodedOutputStream;
+import com.google.protobuf.WireFormat;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -10,7 +13,6 @@
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
-
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Knowledge.OfServer;
@@ -20,9 +22,6 @@
 import vetchpost.state.Origin;
 import vetchpost.state.Snapshot;
 import vetchpost.state.Trouble;
-import com.google.protobuf.CodedInputStream;
-import com.google.protobuf.CodedOutputStream;
-import com.google.protobuf.WireFormat;
 
 /**
  * Pieces of a snapshot as bytes: Protocol Buffers' wire format, by the schema in docs/state.md, so that
@@ -52,7 +51,7 @@
     private static final int P_CLASS = 9;
     private static final int P_BOX = 10;
 
-    private PieceCodec() { }
+    private PieceCodec() {}
 
     /**
      * A piece that has been read.
@@ -61,7 +60,7 @@
      * @param pieces how many the snapshot has
      * @param part the origin, which is in each, the classes, which are too, and this piece's boxes
      */
-    public record Piece(int number, int pieces, Snapshot part) { }
+    public record Piece(int number, int pieces, Snapshot part) {}
 
     /** How many pieces a snapshot of so many boxes takes. */
     public static int pieces(int boxes) {
@@ -69,8 +68,7 @@
     }
 
     /** One piece. */
-    public static byte[] write(int number, int pieces, Origin origin, List<ClassState> classes,
-            List<BoxState> boxes) {
+    public static byte[] write(int number, int pieces, Origin origin, List<ClassState> classes, List<BoxState> boxes) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512 + 160 * boxes.size());
         try {
             CodedOutputStream out = CodedOutputStream.newInstance(bytes);
@@ -192,8 +190,10 @@
                     int trouble = in.readUInt32();
                     check(++said <= MOST_TROUBLES, "too many troubles");
                     // One that this version doesn't know is still a trouble.
-                    troubles.add(trouble >= 0 && trouble < Trouble.values().length
-                            ? Trouble.values()[trouble] : Trouble.MOST_ILL);
+                    troubles.add(
+                            trouble >= 0 && trouble < Trouble.values().length
+                                    ? Trouble.values()[trouble]
+                                    : Trouble.MOST_ILL);
                 }
                 case P_CLASS << 3 | 2 -> {
                     check(classes.size() < Snapshot.MOST_CLASSES, "too many classes");
@@ -210,11 +210,12 @@
             }
         }
         check(version == VERSION, "no version");
-        check(pieces > 0 && pieces <= Snapshot.MOST_BOXES && number >= 0 && number < pieces,
+        check(
+                pieces > 0 && pieces <= Snapshot.MOST_BOXES && number >= 0 && number < pieces,
                 "piece " + number + " of " + pieces);
         check(taken > 0 && started > 0, "no times");
-        return new Piece(number, pieces, new Snapshot(new Origin(id, taken, started, revision, troubles),
-                classes, boxes));
+        return new Piece(
+                number, pieces, new Snapshot(new Origin(id, taken, started, revision, troubles), classes, boxes));
     }
 
     private static ClassState cls(CodedInputStream in) throws IOException, MalformedState {
@@ -287,17 +288,40 @@
             }
         }
         check(id != null && !id.isEmpty(), "a box without a name");
-        check(host != null && (host.length == 4 || host.length == 16) && port > 0 && port <= 65_535,
+        check(
+                host != null && (host.length == 4 || host.length == 16) && port > 0 && port <= 65_535,
                 "box " + id + " has no address");
         check(confirmed > 0, "box " + id + " has never been there");
-        Target target = new Target(id, new InetSocketAddress(InetAddress.getByAddress(host), port), zone,
+        Target target = new Target(
+                id,
+                new InetSocketAddress(InetAddress.getByAddress(host), port),
+                zone,
                 cell,
-                state == 0 ? ServerState.READY : ServerState.DRAINING, weight, boot);
+                state == 0 ? ServerState.READY : ServerState.DRAINING,
+                weight,
+                boot);
         // How sure a word of an unknown kind is can't be told: the least sure of those that are known.
         Confirmed how = by >= 0 && by < Confirmed.values().length ? Confirmed.values()[by] : Confirmed.ANSWER;
-        return new BoxState(target, confirmed, how, known, known == 0 ? null : new OfServer(id, 1_000 * boot,
-                answers, heard, served, errors, Math.min(16, failures), Math.min(1, faults), pace, limit,
-                ejected, misses));
+        return new BoxState(
+                target,
+                confirmed,
+                how,
+                known,
+                known == 0
+                        ? null
+                        : new OfServer(
+                                id,
+                                1_000 * boot,
+                                answers,
+                                heard,
+                                served,
+                                errors,
+                                Math.min(16, failures),
+                                Math.min(1, faults),
+                                pace,
+                                limit,
+                                ejected,
+                                misses));
     }
 
     private static String name(CodedInputStream in) throws IOException, MalformedState {
@@ -331,8 +355,7 @@
 
     private static void skip(CodedInputStream in, int tag) throws IOException, MalformedState {
         // Groups nest; no version writes any.
-        check(WireFormat.getTagWireType(tag) != WireFormat.WIRETYPE_START_GROUP && in.skipField(tag),
-                "a group");
+        check(WireFormat.getTagWireType(tag) != WireFormat.WIRETYPE_START_GROUP && in.skipField(tag), "a group");
     }
 
     private static void check(boolean holds, String otherwise) throws MalformedState {
--- a/src/main/java/vetchpost/state/disk/Disk.java
+++ b/src/main/java/vetchpost/state/disk/Disk.java
@@ -14,8 +14,8 @@
     Disk SYSTEM = new Disk() {
         @Override
         public Sink create(Path file) throws IOException {
-            FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE,
-                    StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
+            FileChannel channel = FileChannel.open(
+                    file, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
             return new Sink() {
                 @Override
                 public void write(ByteBuffer bytes) throws IOException {
--- a/src/main/java/vetchpost/state/disk/PieceFile.java
+++ b/src/main/java/vetchpost/state/disk/PieceFile.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
-
 import vetchpost.state.codec.MalformedState;
 import vetchpost.state.codec.PieceCodec;
 
@@ -62,8 +61,10 @@
         try (Disk.Sink sink = disk.create(fresh)) {
             length += put(sink, whole, ByteBuffer.wrap(magic));
             for (byte[] piece : pieces) {
-                ByteBuffer frame = ByteBuffer.allocate(4
-                        + piece.length).putInt(piece.length).put(piece).flip();
+                ByteBuffer frame = ByteBuffer.allocate(4 + piece.length)
+                        .putInt(piece.length)
+                        .put(piece)
+                        .flip();
                 length += put(sink, whole, frame);
             }
             length += put(sink, whole, ByteBuffer.allocate(4));
@@ -117,9 +118,11 @@
         for (int i = 0; i < begin.length - 1; i++) {
             check(begin[i] == magic[i], "no snapshot of this program's");
         }
-        check(begin[begin.length - 1] == magic[magic.length - 1], "a newer format, "
-                + (char) (begin[begin.length - 1] & 0x7F) + "; this program knows "
-                + (char) magic[magic.length - 1]);
+        check(
+                begin[begin.length - 1] == magic[magic.length - 1],
+                "a newer format, "
+                        + (char) (begin[begin.length - 1] & 0x7F) + "; this program knows "
+                        + (char) magic[magic.length - 1]);
         List<byte[]> pieces = new ArrayList<>();
         while (true) {
             check(in.remaining() >= 8, "it ends too early");
@@ -127,7 +130,8 @@
             if (length == 0) {
                 break;
             }
-            check(length > 0 && length <= PieceCodec.MOST_BYTES && length <= in.remaining(),
+            check(
+                    length > 0 && length <= PieceCodec.MOST_BYTES && length <= in.remaining(),
                     "a piece of " + length + " bytes with " + in.remaining() + " left");
             byte[] piece = new byte[length];
             in.get(piece);
--- a/src/main/java/vetchpost/state/disk/StateFile.java
+++ b/src/main/java/vetchpost/state/disk/StateFile.java
@@ -5,7 +5,6 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.function.Consumer;
-
 import vetchpost.state.Snapshot;
 import vetchpost.state.codec.Assembly;
 import vetchpost.state.codec.MalformedState;
@@ -17,6 +16,7 @@
     private static final byte[] MAGIC = "VPSTATE1".getBytes(StandardCharsets.US_ASCII);
     /** 100,000 boxes take under 24 MiB. */
     static final long MOST_BYTES = 32L << 20;
+
     private static final long SKEW_MS = 5_000;
 
     private final PieceFile pieces;
@@ -46,13 +46,15 @@
      * @param refused hears in one line of each file that is there and can't be used
      */
     public Snapshot read(long nowMs, Consumer<String> refused) {
-        return pieces.read(all -> {
-            Snapshot snapshot = assembled(all);
-            if (snapshot.origin().takenMs() > nowMs + SKEW_MS) {
-                throw new MalformedState("it is from the future, or the clock is wrong");
-            }
-            return snapshot;
-        }, refused);
+        return pieces.read(
+                all -> {
+                    Snapshot snapshot = assembled(all);
+                    if (snapshot.origin().takenMs() > nowMs + SKEW_MS) {
+                        throw new MalformedState("it is from the future, or the clock is wrong");
+                    }
+                    return snapshot;
+                },
+                refused);
     }
 
     /** Reads the bytes of a file. */
--- a/src/main/java/vetchpost/store/Fields.java
+++ b/src/main/java/vetchpost/store/Fields.java
@@ -14,9 +14,10 @@
     private static final int MOST_TEXT = 2_048;
     /** All of an entry's. */
     public static final int MOST = 8_192;
+
     private static final int MOST_FIELD = 84;
 
-    private Fields() { }
+    private Fields() {}
 
     /** Takes each value as it is read. */
     public interface Taker {
@@ -42,7 +43,9 @@
                 if (utf8.length > MOST_TEXT || into.remaining() < utf8.length + 3) {
                     throw new IllegalArgumentException("a text of " + utf8.length + " bytes is too long");
                 }
-                into.put((byte) (number * TYPES + TEXT)).putShort((short) utf8.length).put(utf8);
+                into.put((byte) (number * TYPES + TEXT))
+                        .putShort((short) utf8.length)
+                        .put(utf8);
             } else if (value instanceof Long whole) {
                 into.put((byte) (number * TYPES + WHOLE)).putLong(whole);
             } else if (value instanceof Double real) {
--- a/src/main/java/vetchpost/store/Kind.java
+++ b/src/main/java/vetchpost/store/Kind.java
@@ -4,7 +4,9 @@
 public enum Kind {
     /** What holds for all requests, or for those of a class. */
     LIMITS,
-    SERVICE, TENANT, ROUTE;
+    SERVICE,
+    TENANT,
+    ROUTE;
 
     private static final Kind[] ALL = values();
 
--- a/src/main/java/vetchpost/store/PackedTree.java
+++ b/src/main/java/vetchpost/store/PackedTree.java
@@ -19,9 +19,11 @@
 
     /** A leaf is copied for each change in it, and read through for each look-up: ten to twenty entries. */
     private static final int MOST_LEAF = 1_024;
+
     private static final int MOST_KIDS = 64;
     /** Under a part of the most, a node is joined with one beside it. */
     private static final int FEW = 4;
+
     private static final int HEADER = 16;
     private static final int REFERENCE = 4;
     private static final int FIELDS = 48;
@@ -34,14 +36,14 @@
      *
      * @param stamp tells when it changed last; 0 or more
      */
-    public record Item(byte[] key, byte[] value, long stamp) { }
+    public record Item(byte[] key, byte[] value, long stamp) {}
 
     /**
      * What the entries of a range come to.
      *
      * @param hash the sum of their hashes
      */
-    public record Sum(long count, long hash) { }
+    public record Sum(long count, long hash) {}
 
     private abstract static class Node {
         final long count;
@@ -118,13 +120,12 @@
             System.arraycopy(data, end, packed, after, data.length - end);
             if (packed.length <= MOST_LEAF || entries == 1) {
                 // A newest stamp that was this entry's own only grows: stamps do.
-                return new Node[] {new Leaf(packed, entries, without + hash(key, value, stamp),
-                        Math.max(newest, stamp))};
+                return new Node[] {new Leaf(packed, entries, without + hash(key, value, stamp), Math.max(newest, stamp))
+                };
             }
             // What is written in order fills its leaves; else they are halved.
             int cut = after == packed.length ? at : middle(packed);
-            return new Node[] {leaf(Arrays.copyOf(packed, cut)),
-                    leaf(Arrays.copyOfRange(packed, cut, packed.length))};
+            return new Node[] {leaf(Arrays.copyOf(packed, cut)), leaf(Arrays.copyOfRange(packed, cut, packed.length))};
         }
 
         private static int middle(byte[] packed) {
@@ -239,8 +240,8 @@
             Reader reader = new Reader(data, 0);
             while (reader.at < data.length) {
                 int at = reader.at;
-                boolean in = (from == null || reader.compareKey(from) >= 0)
-                        && (to == null || reader.compareKey(to) < 0);
+                boolean in =
+                        (from == null || reader.compareKey(from) >= 0) && (to == null || reader.compareKey(to) < 0);
                 reader.skip();
                 if (in) {
                     into[0]++;
@@ -269,8 +270,7 @@
         private static long total(Node[] kids, int what) {
             long total = 0;
             for (Node kid : kids) {
-                total = what == 0 ? total + kid.count : what == 1 ? total + kid.sum : Math.max(total,
-                        kid.newest);
+                total = what == 0 ? total + kid.count : what == 1 ? total + kid.sum : Math.max(total, kid.newest);
             }
             return total;
         }
@@ -312,8 +312,9 @@
         }
 
         private static Node part(Node[] kids, byte[][] keys, int from, int to) {
-            return to - from == 1 ? kids[from] : new Inner(Arrays.copyOfRange(kids, from, to),
-                    Arrays.copyOfRange(keys, from, to));
+            return to - from == 1
+                    ? kids[from]
+                    : new Inner(Arrays.copyOfRange(kids, from, to), Arrays.copyOfRange(keys, from, to));
         }
 
         @Override
@@ -329,8 +330,7 @@
             Node[] all = kids.clone();
             all[at] = fresh;
             for (int beside : new int[] {at - 1, at + 1}) {
-                Node joined = beside < 0 || beside >= kids.length ? null
-                        : join(all, borders, Math.min(at, beside));
+                Node joined = beside < 0 || beside >= kids.length ? null : join(all, borders, Math.min(at, beside));
                 if (joined != null) {
                     all[Math.min(at, beside)] = joined;
                     return new Inner(all, borders).without(Math.max(at, beside));
@@ -352,7 +352,8 @@
                 System.arraycopy(y.data, 0, packed, x.data.length, y.data.length);
                 return new Leaf(packed, x.count + y.count, x.sum + y.sum, Math.max(x.newest, y.newest));
             }
-            if (a instanceof Inner x && b instanceof Inner y
+            if (a instanceof Inner x
+                    && b instanceof Inner y
                     && Math.min(x.kids.length, y.kids.length) <= MOST_KIDS / FEW
                     && x.kids.length + y.kids.length <= MOST_KIDS) {
                 Node[] all = Arrays.copyOf(x.kids, x.kids.length + y.kids.length);
@@ -452,7 +453,7 @@
 
         private long number() {
             long number = 0;
-            for (int shift = 0;; shift += 7) {
+            for (int shift = 0; ; shift += 7) {
                 byte b = data[at++];
                 number |= (long) (b & 0x7F) << shift;
                 if (b >= 0) {
@@ -497,7 +498,7 @@
 
     /** Writes an entry: its key's length and bytes, its stamp, its value's length and bytes. */
     private static final class Writer {
-        private Writer() { }
+        private Writer() {}
 
         static int length(byte[] key, byte[] value, long stamp) {
             return size(key.length) + key.length + size(stamp) + size(value.length) + value.length;
@@ -563,8 +564,8 @@
             throw new IllegalArgumentException("a stamp of " + stamp);
         }
         Node[] nodes = root.put(key, value, stamp);
-        return new PackedTree(nodes.length == 1 ? nodes[0]
-                : new Inner(nodes, new byte[][] {new byte[0], nodes[1].first()}));
+        return new PackedTree(
+                nodes.length == 1 ? nodes[0] : new Inner(nodes, new byte[][] {new byte[0], nodes[1].first()}));
     }
 
     /** Without this key; itself if it is not there. */
@@ -605,8 +606,7 @@
     public List<Item> range(byte[] from, byte[] to, int most) {
         List<Item> items = new ArrayList<>();
         Item item = root.next(from, -1);
-        while (item != null && items.size() < most
-                && (to == null || Arrays.compareUnsigned(item.key(), to) < 0)) {
+        while (item != null && items.size() < most && (to == null || Arrays.compareUnsigned(item.key(), to) < 0)) {
             items.add(item);
             item = root.next(after(item.key()), -1);
         }
--- a/src/main/java/vetchpost/store/Version.java
+++ b/src/main/java/vetchpost/store/Version.java
@@ -11,9 +11,10 @@
     private static final int NUMBER_BITS = 40;
     /** Over the largest epoch. */
     public static final long MOST_EPOCH = 1L << 63 - NUMBER_BITS;
+
     private static final long MOST_NUMBER = 1L << NUMBER_BITS;
 
-    private Version() { }
+    private Version() {}
 
     /** The version of a writer's change. */
     public static long of(long epoch, long number) {
--- a/src/main/java/vetchpost/store/VersionedStore.java
+++ b/src/main/java/vetchpost/store/VersionedStore.java
@@ -1,7 +1,6 @@
 package vetchpost.store;
 
 import java.util.List;
-
 import vetchpost.store.PackedTree.Item;
 
 /**
@@ -11,8 +10,9 @@
  */
 public final class VersionedStore {
     /** Of no version. */
-    public static final VersionedStore EMPTY = new VersionedStore(PackedTree.EMPTY, PackedTree.EMPTY,
-            Version.NONE, Version.NONE);
+    public static final VersionedStore EMPTY =
+            new VersionedStore(PackedTree.EMPTY, PackedTree.EMPTY, Version.NONE, Version.NONE);
+
     private static final byte[] NOTHING = new byte[0];
 
     private final PackedTree live;
@@ -49,8 +49,7 @@
      */
     public VersionedStore with(List<Change> batch, long at) {
         if (at <= version) {
-            throw new IllegalArgumentException("version " + Version.text(at) + " after "
-                    + Version.text(version));
+            throw new IllegalArgumentException("version " + Version.text(at) + " after " + Version.text(version));
         }
         PackedTree entries = live;
         PackedTree gone = removed;
@@ -80,11 +79,14 @@
         if (removed.size() <= most) {
             return this;
         }
-        long[] stamps = removed.range(null, null, Integer.MAX_VALUE).stream().mapToLong(Item::stamp).sorted(
-                ).toArray();
+        long[] stamps = removed.range(null, null, Integer.MAX_VALUE).stream()
+                .mapToLong(Item::stamp)
+                .sorted()
+                .toArray();
         long past = stamps[(int) (stamps.length - most - 1)];
         PackedTree kept = PackedTree.EMPTY;
-        for (Item item = removed.nextOver(NOTHING, past); item != null;
+        for (Item item = removed.nextOver(NOTHING, past);
+                item != null;
                 item = removed.nextOver(PackedTree.after(item.key()), past)) {
             kept = kept.put(item.key(), NOTHING, item.stamp());
         }
--- a/src/main/java/vetchpost/trial/Daemon.java
+++ b/src/main/java/vetchpost/trial/Daemon.java
@@ -9,19 +9,21 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private Daemon() { }
+    private Daemon() {}
 
     static Thread start(String name, Body body) {
-        Thread thread = new Thread(() -> {
-            try {
-                body.run();
-            } catch (IOException e) {
-                // Its socket has ended, by our doing or the other side's: so has its work.
-                return;
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, name);
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        body.run();
+                    } catch (IOException e) {
+                        // Its socket has ended, by our doing or the other side's: so has its work.
+                        return;
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                name);
         thread.setDaemon(true);
         thread.start();
         return thread;
--- a/src/main/java/vetchpost/trial/StandInClient.java
+++ b/src/main/java/vetchpost/trial/StandInClient.java
@@ -10,7 +10,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-
 import vetchpost.simulation.wire.Message;
 import vetchpost.simulation.wire.MessageParser;
 
@@ -80,11 +79,13 @@
     private byte[] bytes(String cls, String txn, int waitMs) {
         boolean safe = cls.equals("view-page");
         String body = safe ? "" : "x".repeat(1 + random.nextInt(400));
-        return Message.bytes((safe ? "GET /" : "POST /") + cls + "/" + random.nextInt(99) + " HTTP/1.1",
+        return Message.bytes(
+                (safe ? "GET /" : "POST /") + cls + "/" + random.nextInt(99) + " HTTP/1.1",
                 "Host: backend.local\r\nX-Txn: " + txn + "\r\nX-Org: school\r\nX-Remaining-Ms: " + waitMs
-                + "\r\n"
-                + (cls.equals("add-photo") ? "Idempotency-Key: k" + txn + "\r\n" : "")
-                + (safe ? "" : "Content-Length: " + body.length() + "\r\n"), body);
+                        + "\r\n"
+                        + (cls.equals("add-photo") ? "Idempotency-Key: k" + txn + "\r\n" : "")
+                        + (safe ? "" : "Content-Length: " + body.length() + "\r\n"),
+                body);
     }
 
     private void open() throws IOException {
--- a/src/main/java/vetchpost/web/RequestCheck.java
+++ b/src/main/java/vetchpost/web/RequestCheck.java
@@ -1,8 +1,5 @@
 package vetchpost.web;
 
-import java.util.List;
-
-import vetchpost.http.BadRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -10,6 +7,8 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
+import java.util.List;
+import vetchpost.http.BadRequest;
 
 /**
  * Takes a request's head only where it can be read in one way (RFC 9112, sections 3 and 6; RFC 9110, section
@@ -19,7 +18,7 @@
     private static final String HTTP = "http://";
     private static final String WEBSOCKET = "websocket";
 
-    private RequestCheck() { }
+    private RequestCheck() {}
 
     /**
      * Checks a head, and gives it the form in which it is passed on: a target without the host, and a host.
@@ -147,7 +146,9 @@
     }
 
     private static boolean isNameChar(char c) {
-        return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+        return c >= 'a' && c <= 'z'
+                || c >= 'A' && c <= 'Z'
+                || c >= '0' && c <= '9'
                 || "-._~%!$&'()*+,;=".indexOf(c) >= 0;
     }
 
@@ -157,16 +158,22 @@
             for (String name : named.split(",")) {
                 String field = name.trim();
                 // A client could else have the node drop what the node itself, or a server, goes by.
-                if (!field.isEmpty() && !field.equalsIgnoreCase("host") && !field.equalsIgnoreCase("cookie")
+                if (!field.isEmpty()
+                        && !field.equalsIgnoreCase("host")
+                        && !field.equalsIgnoreCase("cookie")
                         && !field.equalsIgnoreCase("content-length")
                         && !field.equalsIgnoreCase("idempotency-key")) {
                     headers.remove(field);
                 }
             }
         }
-        headers.remove(HttpHeaderNames.CONNECTION).remove("Keep-Alive").remove("Proxy-Connection")
-                .remove(HttpHeaderNames.TE).remove(HttpHeaderNames.TRAILER)
-                .remove(HttpHeaderNames.TRANSFER_ENCODING).remove(HttpHeaderNames.UPGRADE);
+        headers.remove(HttpHeaderNames.CONNECTION)
+                .remove("Keep-Alive")
+                .remove("Proxy-Connection")
+                .remove(HttpHeaderNames.TE)
+                .remove(HttpHeaderNames.TRAILER)
+                .remove(HttpHeaderNames.TRANSFER_ENCODING)
+                .remove(HttpHeaderNames.UPGRADE);
     }
 
     private static BadRequest bad(String reason) {
--- a/src/main/java/vetchpost/web/WebConnection.java
+++ b/src/main/java/vetchpost/web/WebConnection.java
@@ -1,24 +1,5 @@
 package vetchpost.web;
 
-import java.io.IOException;
-import java.lang.System.Logger;
-import java.lang.System.Logger.Level;
-import java.util.ArrayDeque;
-import java.util.Arrays;
-import java.util.Deque;
-import java.util.Map;
-import java.util.concurrent.TimeUnit;
-
-import vetchpost.core.BodySink;
-import vetchpost.core.BodySource;
-import vetchpost.core.Failure;
-import vetchpost.http.BadRequest;
-import vetchpost.http.ClientLine;
-import vetchpost.http.ClientServer;
-import vetchpost.http.Deafness;
-import vetchpost.http.HttpReply;
-import vetchpost.http.InHand;
-import vetchpost.http.RequestDecoder;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -43,6 +24,24 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
+import java.lang.System.Logger;
+import java.lang.System.Logger.Level;
+import java.util.ArrayDeque;
+import java.util.Arrays;
+import java.util.Deque;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import vetchpost.core.BodySink;
+import vetchpost.core.BodySource;
+import vetchpost.core.Failure;
+import vetchpost.http.BadRequest;
+import vetchpost.http.ClientLine;
+import vetchpost.http.ClientServer;
+import vetchpost.http.Deafness;
+import vetchpost.http.HttpReply;
+import vetchpost.http.InHand;
+import vetchpost.http.RequestDecoder;
 
 /**
  * One connection of a client of the open web. It reads one request at a time and holds what comes behind it,
@@ -52,9 +51,11 @@
     private static final Logger LOG = System.getLogger(WebConnection.class.getName());
     /** Bytes, and parts, that may wait behind what is read; beyond, the socket is no longer read. */
     private static final int MOST_AHEAD = 32 * 1_024;
+
     private static final int MOST_PARTS = 64;
     /** How long a client may take to read why its connection is closed, and what is thrown away meanwhile. */
     private static final long LINGER_MS = 1_000;
+
     private static final int MOST_THROWN_AWAY = 1 << 20;
     private static final byte[] NONE = {};
 
@@ -108,6 +109,7 @@
     private boolean ending;
     /** The connection ends with the answer that is being passed on. */
     private boolean closing;
+
     private boolean answeredWhole;
     private int unwritten;
     private String closedFor;
@@ -138,8 +140,7 @@
 
     @Override
     public boolean isIdle() {
-        return phase == Phase.HEAD && reply == null && unwritten == 0 && ahead.isEmpty()
-                && !decoder.isMidRequest();
+        return phase == Phase.HEAD && reply == null && unwritten == 0 && ahead.isEmpty() && !decoder.isMidRequest();
     }
 
     @Override
@@ -172,11 +173,11 @@
         } else if (phase == Phase.HEAD && reply == null) {
             if (decoder.isMidRequest() && nowNs - (asked ? begunNs : openedNs) > headNs) {
                 reject(new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "request not whole in time"));
-            } else if (!decoder.isMidRequest() && ahead.isEmpty() && nowNs - restedNs > (asked ? keptNs
-                    : headNs)) {
+            } else if (!decoder.isMidRequest() && ahead.isEmpty() && nowNs - restedNs > (asked ? keptNs : headNs)) {
                 close("idle");
             }
-        } else if ((phase == Phase.BODY || phase == Phase.REST && rest.ready) && ahead.isEmpty()
+        } else if ((phase == Phase.BODY || phase == Phase.REST && rest.ready)
+                && ahead.isEmpty()
                 && nowNs - readNs > idleNs) {
             tooSlow();
         }
@@ -237,8 +238,11 @@
     }
 
     private void settleReading() {
-        channel.config().setAutoRead(deafness.isDeaf() ? deafness.isReading()
-                : aheadBytes < MOST_AHEAD && ahead.size() < MOST_PARTS);
+        channel.config()
+                .setAutoRead(
+                        deafness.isDeaf()
+                                ? deafness.isReading()
+                                : aheadBytes < MOST_AHEAD && ahead.size() < MOST_PARTS);
     }
 
     /** Takes in what waits, as far as it can be taken in now. */
@@ -302,7 +306,8 @@
         try {
             RequestCheck.check(request);
             classIndex = front.classOf(request);
-            length = HttpUtil.isTransferEncodingChunked(request) ? Long.MAX_VALUE
+            length = HttpUtil.isTransferEncodingChunked(request)
+                    ? Long.MAX_VALUE
                     : HttpUtil.getContentLength(request, 0L);
             if (length < Long.MAX_VALUE && length > front.limits().bodyBytes()) {
                 throw tooLarge();
@@ -356,8 +361,13 @@
         cost += more;
         if (held + more > body.length) {
             int least = length < Long.MAX_VALUE ? (int) Math.min(front.limits().holdBytes(), length) : 0;
-            body = Arrays.copyOf(body, Math.max(held + more, Math.max(least, Math.min(2 * body.length,
-                    front.limits().holdBytes()))));
+            body = Arrays.copyOf(
+                    body,
+                    Math.max(
+                            held + more,
+                            Math.max(
+                                    least,
+                                    Math.min(2 * body.length, front.limits().holdBytes()))));
         }
         // Not read off it: what waits is counted by what is left in it.
         content.content().getBytes(content.content().readerIndex(), body, held, more);
@@ -382,8 +392,8 @@
         }
         byte[] whole = held == body.length ? body : Arrays.copyOf(body, held);
         body = NONE;
-        server.take(front.request(head, classIndex, channel.remoteAddress(), whole, rest, length), reply,
-                server.nanos());
+        server.take(
+                front.request(head, classIndex, channel.remoteAddress(), whole, rest, length), reply, server.nanos());
     }
 
     /** What is not held of a body, for the server that has begun to be sent it. */
--- a/src/main/java/vetchpost/web/WebExchange.java
+++ b/src/main/java/vetchpost/web/WebExchange.java
@@ -1,17 +1,5 @@
 package vetchpost.web;
 
-import java.util.Arrays;
-import java.util.concurrent.TimeUnit;
-
-import vetchpost.core.Answer;
-import vetchpost.core.BodySink;
-import vetchpost.core.BodySource;
-import vetchpost.core.ClientRequest;
-import vetchpost.core.ServerTransport.Sending;
-import vetchpost.decision.Balancer.Result;
-import vetchpost.http.Exchange;
-import vetchpost.http.HeaderFields;
-import vetchpost.standalone.WebLimits;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -33,6 +21,17 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.concurrent.ScheduledFuture;
+import java.util.Arrays;
+import java.util.concurrent.TimeUnit;
+import vetchpost.core.Answer;
+import vetchpost.core.BodySink;
+import vetchpost.core.BodySource;
+import vetchpost.core.ClientRequest;
+import vetchpost.core.ServerTransport.Sending;
+import vetchpost.decision.Balancer.Result;
+import vetchpost.http.Exchange;
+import vetchpost.http.HeaderFields;
+import vetchpost.standalone.WebLimits;
 
 /**
  * A request and its answer on a connection to any web server. An answer is held while it is short and comes
@@ -41,6 +40,7 @@
 final class WebExchange implements Exchange, BodySource {
     /** Informational answers ahead of the final one; servers send one or two. */
     private static final int MOST_INFORMATIONAL = 16;
+
     private static final byte[] NONE = {};
     private static final String EVENTS = "text/event-stream";
 
@@ -59,9 +59,11 @@
     private boolean over;
     /** Of a body that comes bit by bit: whether all of it has been handed over. */
     private boolean sent;
+
     private Upload upload;
     /** The rest of the body has been begun, and can't be had again. */
     private boolean taken;
+
     private ScheduledFuture<?> timer;
     private long progressNs;
     private boolean paused;
@@ -81,12 +83,17 @@
     public ChannelFuture write(Channel to) {
         channel = to;
         HttpMethod method = HttpMethod.valueOf(request.method());
-        HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
+        HttpHeaders headers =
+                DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
         request.fields().forEach(headers::add);
         if (request.rest() == null) {
             sent = true;
-            return channel.writeAndFlush(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method,
-                    request.target(), Unpooled.wrappedBuffer(request.body()), headers,
+            return channel.writeAndFlush(new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    method,
+                    request.target(),
+                    Unpooled.wrappedBuffer(request.body()),
+                    headers,
                     DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders()));
         }
         if (request.length() == Long.MAX_VALUE) {
@@ -96,8 +103,7 @@
         }
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, request.target(), headers));
         upload = new Upload();
-        ChannelFuture writing = channel.writeAndFlush(new DefaultHttpContent(
-                Unpooled.wrappedBuffer(request.body())));
+        ChannelFuture writing = channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(request.body())));
         writing.addListener(done -> {
             if (done.isSuccess() && !over && !whole) {
                 taken = true;
@@ -159,21 +165,27 @@
             return;
         }
         long everyNs = TimeUnit.MICROSECONDS.toNanos(limits.idleUs()) / 4;
-        timer = channel.eventLoop().schedule(() -> {
-            timer = null;
-            if (over || whole) {
-                return;
-            }
-            // Once all is sent, and nothing has come back, it is the server's work that is waited for.
-            long mostNs = TimeUnit.MICROSECONDS.toNanos(sent && head == null
-                    ? Math.max(limits.idleUs(), front.deadlineUs(request.classIndex())) : limits.idleUs());
-            boolean waits = upload != null && !sent && upload.unwritten == 0 || paused;
-            if (!waits && channel.eventLoop().ticker().nanoTime() - progressNs > mostNs) {
-                channel.close();
-            } else {
-                watch();
-            }
-        }, everyNs, TimeUnit.NANOSECONDS);
+        timer = channel.eventLoop()
+                .schedule(
+                        () -> {
+                            timer = null;
+                            if (over || whole) {
+                                return;
+                            }
+                            // Once all is sent, and nothing has come back, it is the server's work that is waited for.
+                            long mostNs = TimeUnit.MICROSECONDS.toNanos(
+                                    sent && head == null
+                                            ? Math.max(limits.idleUs(), front.deadlineUs(request.classIndex()))
+                                            : limits.idleUs());
+                            boolean waits = upload != null && !sent && upload.unwritten == 0 || paused;
+                            if (!waits && channel.eventLoop().ticker().nanoTime() - progressNs > mostNs) {
+                                channel.close();
+                            } else {
+                                watch();
+                            }
+                        },
+                        everyNs,
+                        TimeUnit.NANOSECONDS);
     }
 
     // ---------------------------------------------------------------- the answer
@@ -194,13 +206,16 @@
                     || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
                 throw new Spoilt();
             }
-            if (!limits.mark().isEmpty() && !response.headers().contains(limits.mark())
+            if (!limits.mark().isEmpty()
+                    && !response.headers().contains(limits.mark())
                     && response.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
                 throw new Spoilt(); // Another application lives at that address now.
             }
             head = response;
-            boolean framed = isHead() || HttpUtil.isContentLengthSet(response)
-                    || HttpUtil.isTransferEncodingChunked(response) || hasNoBody(response.status());
+            boolean framed = isHead()
+                    || HttpUtil.isContentLengthSet(response)
+                    || HttpUtil.isTransferEncodingChunked(response)
+                    || hasNoBody(response.status());
             reusable = framed && HttpUtil.isKeepAlive(response);
         }
         if (part instanceof HttpContent content) {
@@ -229,8 +244,7 @@
         int more = content.content().readableBytes();
         if (!begun && size + more <= limits.holdBytes()) {
             if (size + more > held.length) {
-                held = Arrays.copyOf(held, Math.max(size + more, Math.min(limits.holdBytes(),
-                        2 * held.length)));
+                held = Arrays.copyOf(held, Math.max(size + more, Math.min(limits.holdBytes(), 2 * held.length)));
             }
             content.content().readBytes(held, size, more);
             size += more;
@@ -266,12 +280,16 @@
         if (type != null && type.startsWith(EVENTS)) {
             begin();
         } else if (timer == null) {
-            timer = channel.eventLoop().schedule(() -> {
-                timer = null;
-                if (!whole && !over) {
-                    begin();
-                }
-            }, limits.holdUs(), TimeUnit.MICROSECONDS);
+            timer = channel.eventLoop()
+                    .schedule(
+                            () -> {
+                                timer = null;
+                                if (!whole && !over) {
+                                    begin();
+                                }
+                            },
+                            limits.holdUs(),
+                            TimeUnit.MICROSECONDS);
         }
     }
 
@@ -295,8 +313,13 @@
     private Answer answerWith(byte[] body, BodySource rest) {
         RequestCheck.dropHopByHop(head.headers());
         long length = rest == null ? body.length : HttpUtil.getContentLength(head, Long.MAX_VALUE);
-        return new Answer(head.status().code(), head.headers().get(HttpHeaderNames.CONTENT_TYPE), body,
-                new HeaderFields(head.headers()), rest, length);
+        return new Answer(
+                head.status().code(),
+                head.headers().get(HttpHeaderNames.CONTENT_TYPE),
+                body,
+                new HeaderFields(head.headers()),
+                rest,
+                length);
     }
 
     @Override
--- a/src/main/java/vetchpost/web/WebFront.java
+++ b/src/main/java/vetchpost/web/WebFront.java
@@ -1,10 +1,15 @@
 package vetchpost.web;
 
+import io.netty.channel.ChannelPipeline;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.function.LongSupplier;
-
 import vetchpost.core.BodySource;
 import vetchpost.core.ClientRequest;
 import vetchpost.core.ServerTransport.Sending;
@@ -17,12 +22,6 @@
 import vetchpost.http.RequestReader;
 import vetchpost.standalone.Classifier;
 import vetchpost.standalone.WebLimits;
-import io.netty.channel.ChannelPipeline;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaders;
-import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpVersion;
 
 /** Both sides of a node that speaks with the open web: how clients' connections and exchanges are made. */
 public final class WebFront implements ClientLine.Opener, Exchange.Maker {
@@ -77,7 +76,9 @@
      * How long a request of a class may take, in microseconds; of one that a reload has taken out, no time.
      */
     long deadlineUs(int classIndex) {
-        return classIndex < settings.classes.size() ? settings.classes.get(classIndex).deadlineUs() : 0;
+        return classIndex < settings.classes.size()
+                ? settings.classes.get(classIndex).deadlineUs()
+                : 0;
     }
 
     /** The class of a checked head. */
@@ -95,8 +96,8 @@
      * @param from who asks
      * @param length of the body; the largest number if it is not said
      */
-    ClientRequest request(HttpRequest head, int classIndex, SocketAddress from, byte[] body, BodySource rest,
-            long length) {
+    ClientRequest request(
+            HttpRequest head, int classIndex, SocketAddress from, byte[] body, BodySource rest, long length) {
         HttpHeaders headers = head.headers();
         String host = headers.get(HttpHeaderNames.HOST);
         int tenant = classifier.tenantOf(host, headers::get);
@@ -115,8 +116,19 @@
             }
         }
         forward(headers, head.protocolVersion(), from, host);
-        return new ClientRequest(++numbered, classIndex, tenant, remainingUs, 0, repeated,
-                head.method().name(), head.uri(), new HeaderFields(headers), body, rest, length);
+        return new ClientRequest(
+                ++numbered,
+                classIndex,
+                tenant,
+                remainingUs,
+                0,
+                repeated,
+                head.method().name(),
+                head.uri(),
+                new HeaderFields(headers),
+                body,
+                rest,
+                length);
     }
 
     /** Methods whose requests have bodies tell a length even where there is none (RFC 9110, section 8.6). */
@@ -128,10 +140,10 @@
     }
 
     private void forward(HttpHeaders headers, HttpVersion version, SocketAddress from, String host) {
-        headers.add(HttpHeaderNames.VIA, version.majorVersion() + "." + version.minorVersion() + " "
-                + limits.name());
+        headers.add(HttpHeaderNames.VIA, version.majorVersion() + "." + version.minorVersion() + " " + limits.name());
         String address = from instanceof InetSocketAddress inet && inet.getAddress() != null
-                ? plain(inet.getAddress()) : "unknown";
+                ? plain(inet.getAddress())
+                : "unknown";
         if (limits.forwarded().isStandard()) {
             String node = address.indexOf(':') >= 0 ? "\"[" + address + "]\"" : address;
             String one = "for=" + node + (host == null ? "" : ";host=\"" + host + "\"") + ";proto=http";
--- a/src/main/java/vetchpost/web/WebReply.java
+++ b/src/main/java/vetchpost/web/WebReply.java
@@ -1,12 +1,5 @@
 package vetchpost.web;
 
-import java.util.Date;
-
-import vetchpost.core.Answer;
-import vetchpost.core.BodySink;
-import vetchpost.core.ClientReply;
-import vetchpost.core.Failure;
-import vetchpost.http.HttpReply;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.DateFormatter;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
@@ -20,6 +13,12 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
+import java.util.Date;
+import vetchpost.core.Answer;
+import vetchpost.core.BodySink;
+import vetchpost.core.ClientReply;
+import vetchpost.core.Failure;
+import vetchpost.http.HttpReply;
 
 /** The one answer to a request of the open web; of a body that is not held, the way of its bytes too. */
 final class WebReply implements ClientReply, BodySink {
@@ -29,7 +28,7 @@
     private final WebFront front;
     private final boolean head;
     private final boolean old;
-    private Runnable whenGone = () -> { };
+    private Runnable whenGone = () -> {};
     private boolean mayHaveRun;
     private boolean answered;
     private boolean ended;
@@ -94,8 +93,8 @@
         answered = true;
         HttpResponseStatus status = HttpResponseStatus.valueOf(answer.status());
         if (answer.rest() == null) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    Unpooled.wrappedBuffer(answer.body()));
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(answer.body()));
             fields(response, answer);
             // To HEAD, and of 304, a length is that of the body that is left out (RFC 9110, section 8.6).
             if (!head && answer.status() != HttpResponseStatus.NOT_MODIFIED.code()) {
@@ -170,8 +169,7 @@
 
     @Override
     public void refused(long retryAfterUs) {
-        FullHttpResponse response = HttpReply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE,
-                "refused, try again");
+        FullHttpResponse response = HttpReply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused, try again");
         if (retryAfterUs > 0) {
             // Whole seconds (RFC 9110, section 10.2.3), and never less than what was advised.
             response.headers().set(HttpHeaderNames.RETRY_AFTER, (retryAfterUs + 999_999) / 1_000_000);
@@ -181,17 +179,20 @@
 
     @Override
     public void failed(Failure why) {
-        sayNotServed(switch (why) {
-            case DUPLICATE_ID -> HttpReply.plain(HttpResponseStatus.CONFLICT,
-                    "a request of this id is in hand");
-            case GIVEN_UP -> HttpReply.plain(HttpResponseStatus.BAD_GATEWAY, "no server has answered");
-            case OUT_OF_TIME -> HttpReply.plain(HttpResponseStatus.GATEWAY_TIMEOUT,
-                    "no server has answered in time");
-            case BAD_PATH -> HttpReply.plain(HttpResponseStatus.BAD_REQUEST, "path can be read in two ways");
-            case TOO_LARGE -> HttpReply.plain(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
-                    "body over its route's limit, or of no said length where there is one");
-            case INTERNAL -> HttpReply.plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
-        });
+        sayNotServed(
+                switch (why) {
+                    case DUPLICATE_ID ->
+                        HttpReply.plain(HttpResponseStatus.CONFLICT, "a request of this id is in hand");
+                    case GIVEN_UP -> HttpReply.plain(HttpResponseStatus.BAD_GATEWAY, "no server has answered");
+                    case OUT_OF_TIME ->
+                        HttpReply.plain(HttpResponseStatus.GATEWAY_TIMEOUT, "no server has answered in time");
+                    case BAD_PATH -> HttpReply.plain(HttpResponseStatus.BAD_REQUEST, "path can be read in two ways");
+                    case TOO_LARGE ->
+                        HttpReply.plain(
+                                HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
+                                "body over its route's limit, or of no said length where there is one");
+                    case INTERNAL -> HttpReply.plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
+                });
     }
 
     private void sayNotServed(FullHttpResponse response) {
--- a/src/test/java/vetchpost/core/ListIntakeTest.java
+++ b/src/test/java/vetchpost/core/ListIntakeTest.java
@@ -11,11 +11,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-
 import vetchpost.core.ListIntake.Slice;
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ListKind;
@@ -26,6 +24,7 @@
     private final ListIntake intake = new ListIntake();
     /** What a node that takes in the slices has. */
     private final Map<String, Target> node = new HashMap<>();
+
     private int slices;
     private int longest;
 
