--- a/src/test/java/vetchpost/decision/ManyNodesTest.java
+++ b/src/test/java/vetchpost/decision/ManyNodesTest.java
@@ -4,9 +4,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
 import org.junit.jupiter.api.Test;
-
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.Settings;
 
--- a/src/test/java/vetchpost/handover/AuthenticatedFramesTest.java
+++ b/src/test/java/vetchpost/handover/AuthenticatedFramesTest.java
@@ -3,15 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.charset.StandardCharsets;
-import java.security.SecureRandom;
-import java.util.ArrayList;
-import java.util.List;
-
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
+import java.nio.charset.StandardCharsets;
+import java.security.SecureRandom;
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Two sides of a connection, and somebody in between who passes on what each has written. */
--- a/src/test/java/vetchpost/net/SocketsTest.java
+++ b/src/test/java/vetchpost/net/SocketsTest.java
@@ -7,7 +7,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BooleanSupplier;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
