--- a/src/test/java/vetchpost/replication/Wire.java
+++ b/src/test/java/vetchpost/replication/Wire.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-
 import vetchpost.store.VersionedStore;
 
 /** A replica and a publisher with frames between them that a test passes on as it likes. */
@@ -12,6 +11,7 @@
     final FrameCodec codec = new FrameCodec();
     /** Frames on their way to the replica, and to the publisher. */
     final List<Frame> down = new ArrayList<>();
+
     final List<Frame> up = new ArrayList<>();
     final Replica replica;
     Publisher publisher;
@@ -20,7 +20,7 @@
     long upBytes;
 
     Wire(VersionedStore at, VersionedStore replicas) {
-        this(at, new Replica("node", replicas, Index.NONE, false, (store, index) -> { }));
+        this(at, new Replica("node", replicas, Index.NONE, false, (store, index) -> {}));
     }
 
     Wire(VersionedStore at, Replica replica) {
--- a/src/test/java/vetchpost/routes/Believed.java
+++ b/src/test/java/vetchpost/routes/Believed.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-
 import vetchpost.core.RoutePolicy;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.Violation.Rule;
@@ -11,7 +10,7 @@
 
 /** Files taken at their word, as if there were no prover. */
 public final class Believed {
-    private Believed() { }
+    private Believed() {}
 
     /** The routes of a file, whatever rule it breaks. */
     public static RoutePolicy policy(String text, Settings settings, long seed) {
--- a/src/test/java/vetchpost/state/disk/ScriptedDisk.java
+++ b/src/test/java/vetchpost/state/disk/ScriptedDisk.java
@@ -31,6 +31,7 @@
     private final Map<Path, Bytes> names = new LinkedHashMap<>();
     /** Names as they are on the disk, and the changes to them that are not forced. */
     private Map<Path, Bytes> onDisk = new HashMap<>();
+
     private final List<Map<Path, Bytes>> unforced = new ArrayList<>();
     private int calls;
     private int lastCall = Integer.MAX_VALUE;
--- a/src/test/java/vetchpost/store/FieldsTest.java
+++ b/src/test/java/vetchpost/store/FieldsTest.java
@@ -7,7 +7,6 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-
 import org.junit.jupiter.api.Test;
 
 /** Values as bytes, whatever they are, and bytes that are none. */
--- a/src/test/java/vetchpost/testing/Fixture.java
+++ b/src/test/java/vetchpost/testing/Fixture.java
@@ -1,13 +1,12 @@
 package vetchpost.testing;
 
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParser;
-
 /** Configurations, requests and lists for tests. */
 public final class Fixture {
     public static final int REMAINING_MS = 20_000;
@@ -19,7 +18,7 @@
              {"name":"order","onTimeUs":10000000,"giveUpUs":30000000,"repeat":"unsafe","group":"all"},
              {"name":"slow","onTimeUs":30000000,"giveUpUs":30000000,"repeat":"unsafe","group":"all"}]""";
 
-    private Fixture() { }
+    private Fixture() {}
 
     public static JsonObject config(FakePeer discovery, FakePeer... servers) {
         return JsonParser.parseString("""
