--- a/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
@@ -18,11 +18,11 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
-import vetchpost.core.Admission;
+import vetchpost.core.AdmissionControl;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.Fields;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.core.Headers;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
@@ -48,13 +48,13 @@
 
     private final SplittableRandom random = new SplittableRandom(1);
     private final Deque<Entrant> out = new ArrayDeque<>();
-    private final Fields[] keys = new Fields[1 << 17];
+    private final Headers[] keys = new Headers[1 << 17];
     private FairAdmission door;
     private long now = 1_000_000_000_000L;
     private long numbers;
     private boolean odd;
 
-    private record Key(String cookie) implements Fields {
+    private record Key(String cookie) implements Headers {
         @Override
         public String get(String name) {
             return cookie;
@@ -64,8 +64,8 @@
         public void forEach(BiConsumer<String, String> action) {}
     }
 
-    private final class Entrant implements Admission.Entrant {
-        private Admission.Entry entry;
+    private final class Entrant implements AdmissionControl.Applicant {
+        private AdmissionControl.RequestProgress entry;
 
         @Override
         public void admitted() {
@@ -76,7 +76,7 @@
         }
 
         @Override
-        public void refused(long retryAfterUs) {}
+        public void rejected(long retryAfterUs) {}
     }
 
     /** A door before a module that has its servers full. */
@@ -84,13 +84,14 @@
     public void open() {
         Settings set = new Settings();
         for (String name : new String[] {"view-page", "add-photo", "place-order"}) {
-            set.classes.add(new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+            set.classes.add(new RequestClass(
+                    name, 200_000, 0, 1_000_000, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
         }
         for (int i = 0; i < TENANTS; i++) {
             set.tenants.add(new Tenant("school-" + i, 0));
         }
         set.maxRetryAfterUs = 5_000_000;
-        door = new FairAdmission(AdmissionProver.defaults(set), set, 1);
+        door = new FairAdmission(AdmissionValidator.defaults(set), set, 1);
         for (int i = 0; i < clients; i++) {
             keys[i] = new Key("key=" + Integer.toHexString(i * 0x9E3779B9));
         }
@@ -123,7 +124,7 @@
         odd = !odd;
         if (odd && !out.isEmpty()) {
             Entrant done = out.poll();
-            door.served(0, 20_000);
+            door.recordLatency(0, 20_000);
             done.entry.sent();
             done.entry.ended();
             int next = 0;
@@ -135,17 +136,17 @@
             }
             door.advance(now);
         }
-        if (door.wakeAtUs() <= now) {
+        if (door.nextWakeUpUs() <= now) {
             door.advance(now);
         }
-        return door.waiting();
+        return door.waitingRequests();
     }
 
     /** What it has kept. */
     @TearDown(Level.Trial)
     public void tell() {
-        int[] kept = door.kept();
-        System.out.println(
-                clients + " clients: " + kept[0] + " flows, " + kept[1] + " bookings, " + door.waiting() + " waiting");
+        int[] kept = door.tableSizes();
+        System.out.println(clients + " clients: " + kept[0] + " flows, " + kept[1] + " bookings, "
+                + door.waitingRequests() + " waiting");
     }
 }
--- a/benchmarks/src/main/java/vetchpost/decision/Bench.java
+++ b/benchmarks/src/main/java/vetchpost/decision/Bench.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import vetchpost.decision.Balancer.Actions;
-import vetchpost.decision.Balancer.Group;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.Outcome;
-import vetchpost.decision.Balancer.Repeat;
 import vetchpost.decision.Balancer.Request;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Result;
@@ -37,7 +37,8 @@
         Settings settings = new Settings();
         settings.maxAttempts = 4;
         settings.maxRetryAfterUs = 1_000_000;
-        settings.classes.add(new RequestClass("page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+        settings.classes.add(new RequestClass(
+                "page", 100_000, 0, 500_000, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
         balancer = new ServiceQBalancer(settings, 1, this);
     }
 
@@ -73,7 +74,7 @@
                             null));
         }
         if (!over) {
-            balancer.onClientGone(now, id);
+            balancer.onClientDisconnected(now, id);
         }
         return attempts;
     }
@@ -92,7 +93,7 @@
     public void cancel(long requestId, int attempt) {}
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         over = true;
     }
 
--- a/benchmarks/src/main/java/vetchpost/recorder/RecorderBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recorder/RecorderBenchmark.java
@@ -13,11 +13,11 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.Fields;
-import vetchpost.core.Recorder.Told;
+import vetchpost.core.Headers;
+import vetchpost.core.RequestRecorder.Completion;
 import vetchpost.decision.Balancer.Candidate;
 import vetchpost.decision.Balancer.Result;
-import vetchpost.decision.Balancer.Why;
+import vetchpost.decision.Balancer.UnservedReason;
 
 /** All that the recorder is told of one request, served or refused, with a hundred in hand. */
 @State(Scope.Thread)
@@ -30,7 +30,7 @@
         jvmArgsAppend = {"-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"})
 public class RecorderBenchmark {
     private static final int IN_HAND = 100;
-    private static final Fields NO_FIELDS = new Fields() {
+    private static final Headers NO_FIELDS = new Headers() {
         @Override
         public String get(String name) {
             return null;
@@ -54,23 +54,23 @@
     public void request() {
         now += 100;
         long id = ++numbers;
-        recorder.taken(
+        recorder.accepted(
                 now,
                 new ClientRequest(id, 0, -1, 400_000, 0, false, "GET", "/view/7", NO_FIELDS, null, null, 0),
                 400_000,
                 0);
-        recorder.offered(now, id);
+        recorder.admitted(now, id);
         if (served) {
-            recorder.drew(id, drawn[0], drawn[1]);
-            recorder.sent(now, id, "s1", now + 100_000);
+            recorder.candidatesDrawn(id, drawn[0], drawn[1]);
+            recorder.attemptSent(now, id, "s1", now + 100_000);
         }
         long old = id - IN_HAND;
         if (served) {
-            recorder.ended(now, old, 0, Result.OK, 10_000);
-            recorder.told(now, old, Told.SERVED, 0);
+            recorder.attemptEnded(now, old, 0, Result.OK, 10_000);
+            recorder.completed(now, old, Completion.SERVED, 0);
         } else {
-            recorder.because(old, Why.SHED);
-            recorder.told(now, old, Told.REFUSED, 1_000_000);
+            recorder.reasonGiven(old, UnservedReason.SHED);
+            recorder.completed(now, old, Completion.REFUSED, 1_000_000);
         }
     }
 }
--- a/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
@@ -25,16 +25,16 @@
 import org.openjdk.jmh.annotations.Warmup;
 import vetchpost.core.Clock;
 import vetchpost.core.Dispatcher;
+import vetchpost.core.EventLoopDelay;
 import vetchpost.core.ServerList;
 import vetchpost.core.ServerList.Target;
 import vetchpost.core.ServerTransport;
-import vetchpost.core.Stall;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.decision.Knowledge;
+import vetchpost.decision.ServerStatistics;
 import vetchpost.decision.ServiceQBalancer;
 import vetchpost.state.BoxState;
 import vetchpost.state.Confirmed;
@@ -65,7 +65,7 @@
     private List<BoxState> states;
     private Snapshot snapshot;
     private List<byte[]> pieces;
-    private Knowledge prior;
+    private ServerStatistics prior;
     private Path file;
     private StateFile kept;
     private List<String> classNames;
@@ -78,7 +78,7 @@
         }
 
         @Override
-        public Timer at(long us, Runnable task) {
+        public Timer schedule(long us, Runnable task) {
             return () -> {};
         }
 
@@ -86,12 +86,12 @@
         public void update(ServerList list) {}
 
         @Override
-        public Attempt send(String serverId, Sending sending) {
+        public Attempt send(String serverId, OutgoingRequest sending) {
             throw new UnsupportedOperationException();
         }
 
         @Override
-        public Attempt probe(String serverId, Report report) {
+        public Attempt probe(String serverId, AttemptListener report) {
             throw new UnsupportedOperationException();
         }
 
@@ -103,7 +103,8 @@
         Settings settings = new Settings();
         settings.zones.add("a");
         for (String name : classNames) {
-            settings.classes.add(new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+            settings.classes.add(new RequestClass(
+                    name, 200_000, 0, 1_000_000, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
         }
         return settings;
     }
@@ -112,7 +113,7 @@
         Still still = new Still();
         return new Dispatcher(
                 still,
-                new Stall(still),
+                new EventLoopDelay(still),
                 still,
                 List.of("a"),
                 () -> {},
@@ -147,7 +148,7 @@
                     NOW_MS,
                     Confirmed.LIST,
                     NOW_MS,
-                    new Knowledge.OfServer(
+                    new ServerStatistics.PerServer(
                             target.id(),
                             1_000 * target.bootMs(),
                             5_000,
@@ -161,7 +162,7 @@
                             false,
                             List.of(0, 0, 0))));
         }
-        Knowledge knowledge = dispatcher.knowledge(List.of());
+        ServerStatistics knowledge = dispatcher.statistics(List.of());
         snapshot = new Snapshot(
                 sightings.origin(7, NOW_MS, NOW_MS - 60_000, Set.of()), sightings.classes(knowledge), states);
         pieces = Recovery.encode(snapshot.origin(), snapshot.classes(), states);
@@ -199,7 +200,7 @@
     /** One turn of a handover: a piece of up to 100 boxes. */
     @Benchmark
     public Object loopHandOverOnePiece() {
-        Knowledge knowledge = dispatcher.knowledge(List.of());
+        ServerStatistics knowledge = dispatcher.statistics(List.of());
         return Sightings.pieces(
                         sightings.new Cursor(dispatcher, () -> NOW_MS, PieceCodec.BOXES),
                         snapshot.origin(),
@@ -228,7 +229,7 @@
     /** At the start, by the module: all that is believed. */
     @Benchmark
     public Object takeIn() {
-        dispatcher.recall(prior);
+        dispatcher.restore(prior);
         return dispatcher;
     }
 }
--- a/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
+++ b/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
@@ -12,8 +12,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.file.RouteFile;
@@ -49,8 +49,8 @@
                     .append("\"\nattempts = 2\n");
         }
         Settings settings = new Settings();
-        settings.classes.add(
-                new RequestClass("view-page", 100_000, 0, 500_000, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+        settings.classes.add(new RequestClass(
+                "view-page", 100_000, 0, 500_000, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
         table = Prover.prove(RouteFile.parse("bench.toml", text.toString()).sections(), settings)
                 .table();
         for (int i = 0; i < PATHS; i++) {
--- a/src/main/java/vetchpost/admission/AdmissionCounts.java
+++ b/src/main/java/vetchpost/admission/AdmissionCounts.java
@@ -6,27 +6,27 @@
 /** What a door has done so far. */
 public final class AdmissionCounts {
     /** Why a request is turned away. */
-    public enum Why {
+    public enum RejectionReason {
         /** It could not be in time. */
         TOO_LATE,
         /** As many wait as may. */
-        FULL
+        QUEUE_FULL
     }
 
-    private final Map<Why, Long> refused = new EnumMap<>(Why.class);
+    private final Map<RejectionReason, Long> rejected = new EnumMap<>(RejectionReason.class);
     long arrived;
     long admitted;
-    long early;
-    long returned;
-    long kept;
-    long missed;
-    long booked;
-    long unpromised;
-    long left;
-    long heldUs;
+    long returnedEarly;
+    long returnedOnTime;
+    long reservationsKept;
+    long reservationsMissed;
+    long reservationsMade;
+    long rejectedWithoutReservation;
+    long disconnected;
+    long queuedBeforeRejectionUs;
 
-    void count(Why why) {
-        refused.merge(why, 1L, Long::sum);
+    void count(RejectionReason why) {
+        rejected.merge(why, 1L, Long::sum);
     }
 
     /** Requests that have come. */
@@ -40,47 +40,47 @@
     }
 
     /** Those turned away for this reason; what came before its time is not among them. */
-    public long refused(Why why) {
-        return refused.getOrDefault(why, 0L);
+    public long rejected(RejectionReason why) {
+        return rejected.getOrDefault(why, 0L);
     }
 
     /** Those that came before the time that they were told. */
-    public long early() {
-        return early;
+    public long returnedEarly() {
+        return returnedEarly;
     }
 
     /** Those that came when they were told. */
-    public long returned() {
-        return returned;
+    public long returnedOnTime() {
+        return returnedOnTime;
     }
 
     /** Those of them that found the place that they were promised. */
-    public long kept() {
-        return kept;
+    public long reservationsKept() {
+        return reservationsKept;
     }
 
     /** And those that did not. */
-    public long missed() {
-        return missed;
+    public long reservationsMissed() {
+        return reservationsMissed;
     }
 
     /** Times to come back that were promised. */
-    public long booked() {
-        return booked;
+    public long reservationsMade() {
+        return reservationsMade;
     }
 
     /** Those turned away without: no place soon enough, or none of the table's. */
-    public long unpromised() {
-        return unpromised;
+    public long rejectedWithoutReservation() {
+        return rejectedWithoutReservation;
     }
 
     /** Those whose clients left while they waited. */
-    public long left() {
-        return left;
+    public long disconnected() {
+        return disconnected;
     }
 
     /** How long those have waited in all that were turned away after a while, in microseconds. */
-    public long heldUs() {
-        return heldUs;
+    public long queuedBeforeRejectionUs() {
+        return queuedBeforeRejectionUs;
     }
 }
--- a/src/main/java/vetchpost/admission/AdmissionSettings.java
+++ b/src/main/java/vetchpost/admission/AdmissionSettings.java
@@ -15,9 +15,15 @@
  * @param weights by tenant, first that of requests of no tenant
  */
 public record AdmissionSettings(
-        int waiting, int lines, int unsent, long patienceUs, long longestUs, int bookings, List<Double> weights) {
+        int maxWaiting,
+        int queuesPerClass,
+        int maxUnsent,
+        long clientRetryWindowUs,
+        long maxRetryAfterUs,
+        int reservationTableSize,
+        List<Double> tenantWeights) {
     /** Lists don't change once they are here. */
     public AdmissionSettings {
-        weights = List.copyOf(weights);
+        tenantWeights = List.copyOf(tenantWeights);
     }
 }
--- a/src/main/java/vetchpost/admission/AdmissionProver.java
+++ b/src/main/java/vetchpost/admission/AdmissionValidator.java
@@ -15,20 +15,20 @@
 import vetchpost.routes.Violation.Rule;
 
 /** Reads the table of an operator's file that speaks of the door. It does no I/O. */
-public final class AdmissionProver {
+public final class AdmissionValidator {
     static final List<String> KEYS =
             List.of("waiting", "lines", "unsent", "patience", "longest-advice", "bookings", "weights");
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(ms|s|m)");
-    private static final int WAITING = 1_000;
-    private static final int MOST_WAITING = 100_000;
-    private static final int LINES = 64;
-    private static final int MOST_LINES = 1_024;
-    private static final int UNSENT = 2;
-    private static final int MOST_UNSENT = 64;
-    private static final int BOOKINGS = 16_384;
-    private static final int LEAST_BOOKINGS = 64;
-    private static final int MOST_BOOKINGS = 1 << 20;
-    private static final double MOST_WEIGHT = 1_000;
+    private static final int DEFAULT_WAITING = 1_000;
+    private static final int MAX_WAITING = 100_000;
+    private static final int DEFAULT_QUEUES = 64;
+    private static final int MAX_QUEUES = 1_024;
+    private static final int DEFAULT_UNSENT = 2;
+    private static final int MAX_UNSENT = 64;
+    private static final int DEFAULT_RESERVATIONS = 16_384;
+    private static final int MIN_RESERVATIONS = 64;
+    private static final int MAX_RESERVATIONS = 1 << 20;
+    private static final double MAX_WEIGHT = 1_000;
     private static final long HOUR_US = 3_600_000_000L;
 
     private final Settings settings;
@@ -39,39 +39,45 @@
      *
      * @param settings null if there is no table, or any violation
      */
-    public record Proof(AdmissionSettings settings, List<Violation> violations) {}
+    public record ValidationResult(AdmissionSettings settings, List<Violation> violations) {}
 
-    private AdmissionProver(Settings settings) {
+    private AdmissionValidator(Settings settings) {
         this.settings = settings;
     }
 
     /** Looks at the table of a file that is its affair; {@code settings} are the platform's. */
-    public static Proof prove(List<Section> file, Settings settings) {
+    public static ValidationResult validate(List<Section> file, Settings settings) {
         for (Section section : file) {
             if (section.kind() == Kind.ADMISSION) {
-                return new AdmissionProver(settings).read(section);
+                return new AdmissionValidator(settings).read(section);
             }
         }
-        return new Proof(null, List.of());
+        return new ValidationResult(null, List.of());
     }
 
     /** What holds where the table says nothing. */
     public static AdmissionSettings defaults(Settings settings) {
         return new AdmissionSettings(
-                WAITING, LINES, UNSENT, 0, settings.maxRetryAfterUs, BOOKINGS, weights(settings, Map.of()));
+                DEFAULT_WAITING,
+                DEFAULT_QUEUES,
+                DEFAULT_UNSENT,
+                0,
+                settings.maxRetryAfterUs,
+                DEFAULT_RESERVATIONS,
+                weights(settings, Map.of()));
     }
 
-    private Proof read(Section section) {
+    private ValidationResult read(Section section) {
         section.entries().forEach((key, entry) -> {
             if (!KEYS.contains(key)) {
                 violated(
                         entry.at(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'", "one of " + String.join(", ", KEYS));
             }
         });
-        int waiting = whole(section, "waiting", WAITING, 1, MOST_WAITING);
-        int lines = whole(section, "lines", LINES, 1, MOST_LINES);
-        int unsent = whole(section, "unsent", UNSENT, 1, MOST_UNSENT);
-        int bookings = whole(section, "bookings", BOOKINGS, LEAST_BOOKINGS, MOST_BOOKINGS);
+        int waiting = whole(section, "waiting", DEFAULT_WAITING, 1, MAX_WAITING);
+        int lines = whole(section, "lines", DEFAULT_QUEUES, 1, MAX_QUEUES);
+        int unsent = whole(section, "unsent", DEFAULT_UNSENT, 1, MAX_UNSENT);
+        int bookings = whole(section, "bookings", DEFAULT_RESERVATIONS, MIN_RESERVATIONS, MAX_RESERVATIONS);
         if (Integer.bitCount(bookings) != 1) {
             violated(
                     section.entries().get("bookings").at(),
@@ -89,7 +95,7 @@
                     settings.maxRetryAfterUs / 1_000 + "ms");
         }
         List<Double> weights = weights(section);
-        return new Proof(
+        return new ValidationResult(
                 violations.isEmpty()
                         ? new AdmissionSettings(waiting, lines, unsent, patience, longest, bookings, weights)
                         : null,
@@ -160,14 +166,14 @@
                                 : "one of " + String.join(", ", names.subList(0, Math.min(names.size(), 20))));
             } else if (!(value instanceof Number)) {
                 violated(entry.at(), Rule.WRONG_UNIT, "the weight of " + name + " is no number", "1.0");
-            } else if (!(((Number) value).doubleValue() >= 1 / MOST_WEIGHT)) {
+            } else if (!(((Number) value).doubleValue() >= 1 / MAX_WEIGHT)) {
                 violated(
                         entry.at(),
                         Rule.STARVES,
                         name + " weighs " + value + ": it would get nothing while " + "others wait",
-                        "from " + 1 / MOST_WEIGHT + " on");
-            } else if (((Number) value).doubleValue() > MOST_WEIGHT) {
-                violated(entry.at(), Rule.OUT_OF_RANGE, name + " weighs " + value, "to " + MOST_WEIGHT);
+                        "from " + 1 / MAX_WEIGHT + " on");
+            } else if (((Number) value).doubleValue() > MAX_WEIGHT) {
+                violated(entry.at(), Rule.OUT_OF_RANGE, name + " weighs " + value, "to " + MAX_WEIGHT);
             }
         });
         return violations.isEmpty() ? weights(settings, table) : List.of();
@@ -190,7 +196,7 @@
             weights.add(
                     said.get(tenant.name()) instanceof Number number
                             ? number.doubleValue()
-                            : Math.min(MOST_WEIGHT, Math.max(1 / MOST_WEIGHT, share)));
+                            : Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, share)));
         }
         return weights;
     }
--- a/src/main/java/vetchpost/admission/ClientIdentity.java
+++ b/src/main/java/vetchpost/admission/ClientIdentity.java
@@ -20,7 +20,7 @@
 
     /** The same for the same client of a tenant. */
     long of(ClientRequest request, long connection) {
-        String key = key(request.fields().get("Cookie"));
+        String key = key(request.headers().get("Cookie"));
         byte[] name = ((request.tenant() + (key == null ? "#" : "=")) + (key == null ? Long.toString(connection) : key))
                 .getBytes(StandardCharsets.ISO_8859_1);
         return MurmurHash3.hash128x64(name, 0, name.length, seed)[0];
--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import vetchpost.admission.Contention.Contender;
-import vetchpost.core.Admission;
+import vetchpost.core.AdmissionControl;
 import vetchpost.core.ClientRequest;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
@@ -24,7 +24,7 @@
  *
  * <p>It does no I/O and has no clock of its own. docs/admission.md has the options weighed and the bounds.
  */
-public final class FairAdmission implements Admission {
+public final class FairAdmission implements AdmissionControl {
     /** What waits is looked through so often: far under any aim. */
     private static final long SWEEP_US = 10_000;
     /** Let in and passed over by so many, or unsent for so long, a request waits for something of its own. */
@@ -60,7 +60,7 @@
     /** Advice is spread over this part more, so that those turned away together don't come together. */
     private static final double JITTER = 0.1;
     /** What lies beyond a tenant's share weighs this part at least, so that it is not stopped for good. */
-    private static final double LEAST_WEIGHT = 0.001;
+    private static final double MIN_WEIGHT = 0.001;
     /**
      * Power of a class's value in its weight: at 1 the most valuable leave too much, without end all starve.
      */
@@ -72,19 +72,19 @@
     private final ClientIdentity identity;
     private final SplittableRandom random;
     private final ExpectedWork work;
-    private final Bookings bookings;
-    private final Branch root = new Branch(null, 0, 1);
+    private final ReservationTable bookings;
+    private final SchedulingNode root = new SchedulingNode(null, 0, 1);
     /**
      * Those that came back when they were told, by when they must go: they go before all others, and what
      * they take counts as their flows'.
      */
-    private final NavigableSet<Waiter> returned =
-            new TreeSet<>(Comparator.<Waiter>comparingLong(w -> w.latestUs).thenComparingLong(w -> w.number));
+    private final NavigableSet<QueuedRequest> returned = new TreeSet<>(
+            Comparator.<QueuedRequest>comparingLong(w -> w.latestUs).thenComparingLong(w -> w.number));
 
-    private final TenantBook[] tenants;
+    private final TenantState[] tenants;
     private final boolean[] closed;
-    private final Deque<Waiter> unsent = new ArrayDeque<>();
-    private final Deque<Waiter> turnedAway = new ArrayDeque<>();
+    private final Deque<QueuedRequest> unsent = new ArrayDeque<>();
+    private final Deque<QueuedRequest> turnedAway = new ArrayDeque<>();
     private final List<Flow> skippedShares = new ArrayList<>();
     private final List<Flow> skippedClasses = new ArrayList<>();
     private final AdmissionCounts counts = new AdmissionCounts();
@@ -93,7 +93,7 @@
     private final Contention shorts = new Contention();
 
     private final DrainRate ofShort = new DrainRate();
-    private final Ledger allBooked = new Ledger();
+    private final ReservedWork allBooked = new ReservedWork();
     private AdmissionSettings set;
     private boolean opened;
     private long now;
@@ -121,35 +121,35 @@
         random = new SplittableRandom(seed);
         identity = new ClientIdentity(seed);
         work = new ExpectedWork(platform.classes.size());
-        bookings = new Bookings(settings.bookings());
-        tenants = new TenantBook[platform.tenants.size() + 1];
+        bookings = new ReservationTable(settings.reservationTableSize());
+        tenants = new TenantState[platform.tenants.size() + 1];
         closed = new boolean[platform.classes.size()];
     }
 
     // ---------------------------------------------------------------- arrivals
 
     @Override
-    public Entry arrive(
-            long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Entrant entrant) {
+    public RequestProgress arrive(
+            long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Applicant entrant) {
         now = nowUs;
         int tenant = request.tenant() + 1;
         int c = request.classIndex();
-        TenantBook book = tenantBook(tenant);
+        TenantState book = tenantBook(tenant);
         long client = identity.of(request, connection);
-        Waiter waiter = waiter(request, ClientIdentity.withClass(client, c), waitedUs, deadlineUs, entrant);
+        QueuedRequest waiter = waiter(request, ClientIdentity.withClass(client, c), waitedUs, deadlineUs, entrant);
         int place = book.heavy.asked(client, now);
         int booking = bookings.find(waiter.fingerprint, now);
         counts.arrived++;
-        boolean isBack = booking >= 0 && now >= bookings.dueUs(booking) - Bookings.EARLY_US;
+        boolean isBack = booking >= 0 && now >= bookings.dueUs(booking) - ReservationTable.EARLY_US;
         if (booking >= 0 && !isBack) {
-            counts.early++;
+            counts.returnedEarly++;
             if (request.retry() && waits(tenant) && (place >= 0 || bookings.isFull(waiter.fingerprint))) {
                 // It was told, says itself that it repeats, and others wait: this look is all that it costs.
                 return turnAway(waiter, bookings.dueUs(booking) - now);
             }
         }
         if (isBack) {
-            counts.returned++;
+            counts.returnedOnTime++;
             waiter.inShare = bookings.isInShare(booking);
             waiter.tookShare = waiter.inShare && book.takeShare(now);
             bookings.drop(booking);
@@ -157,39 +157,49 @@
             waiter.tookShare = platform.overShareWorth < 1 && book.takeShare(now);
             waiter.inShare = platform.overShareWorth >= 1 || waiter.tookShare;
         }
-        Branch cls = branch(branch(root, share(waiter)), c);
+        SchedulingNode cls = branch(branch(root, share(waiter)), c);
         contention.asks(book.shares[waiter.inShare ? 0 : 1], now);
         book.asks(c, waiter.inShare, now);
-        Line line = isBack ? null : line(cls, client, place);
+        RequestQueue line = isBack ? null : line(cls, client, place);
         measure();
         // Who was told goes in as it comes: the next look through the queues sees whether it can be kept.
         waiter.dueAt = isBack ? 0 : book.drained(c, waiter.inShare) + ahead(cls, line);
         double waitUs = isBack ? 0 : waitUs(waiter, cls);
-        if (now + waitUs > waiter.latestUs || root.waiting >= set.waiting() && !pushOut(waiter, line)) {
-            counts.count(now + waitUs > waiter.latestUs ? AdmissionCounts.Why.TOO_LATE : AdmissionCounts.Why.FULL);
-            counts.missed += isBack ? 1 : 0;
+        if (now + waitUs > waiter.latestUs || root.waiting >= set.maxWaiting() && !pushOut(waiter, line)) {
+            counts.count(
+                    now + waitUs > waiter.latestUs
+                            ? AdmissionCounts.RejectionReason.TOO_LATE
+                            : AdmissionCounts.RejectionReason.QUEUE_FULL);
+            counts.reservationsMissed += isBack ? 1 : 0;
             long advice = book(waiter);
             prune(isBack ? cls : line);
             return turnAway(waiter, advice);
         }
-        counts.kept += isBack ? 1 : 0;
+        counts.reservationsKept += isBack ? 1 : 0;
         // Looked up again: making room may have ended the flows of its own that had nothing waiting.
         append(waiter, isBack ? null : line(branch(branch(root, share(waiter)), c), client, place));
         return waiter;
     }
 
-    private Waiter waiter(ClientRequest request, long fingerprint, long waitedUs, long deadlineUs, Entrant entrant) {
+    private QueuedRequest waiter(
+            ClientRequest request, long fingerprint, long waitedUs, long deadlineUs, Applicant entrant) {
         RequestClass cls = platform.classes.get(request.classIndex());
         // Without the mark nothing tells a repeat from a first try with less time.
-        long elapsedUs =
-                platform.marksRetry && request.retry() ? Math.max(0, cls.deadlineUs() - request.remainingUs()) : 0;
-        long aimUs = Math.min(cls.deadlineUs(), cls.aimUs() + (long) (cls.aimStretch() * request.workUs()));
-        long inTimeUs = cls.lateWorth() > 0 ? deadlineUs : Math.min(deadlineUs, now - waitedUs + aimUs - elapsedUs);
+        long elapsedUs = platform.clientsMarkRetries && request.retry()
+                ? Math.max(0, cls.deadlineUs() - request.remainingUs())
+                : 0;
+        long aimUs = Math.min(
+                cls.deadlineUs(), cls.latencyTargetUs() + (long) (cls.latencyTargetWorkFactor() * request.workUs()));
+        long inTimeUs =
+                cls.lateValueFraction() > 0 ? deadlineUs : Math.min(deadlineUs, now - waitedUs + aimUs - elapsedUs);
         long leftUs = inTimeUs - now;
         long latestUs =
                 inTimeUs - (long) Math.min(MOST_FOR_ANSWER * leftUs, FOR_ANSWER * work.usualUs(request.classIndex()));
-        long patienceUs = now - waitedUs - elapsedUs + (set.patienceUs() > 0 ? set.patienceUs() : cls.deadlineUs());
-        return new Waiter(
+        long patienceUs = now
+                - waitedUs
+                - elapsedUs
+                + (set.clientRetryWindowUs() > 0 ? set.clientRetryWindowUs() : cls.deadlineUs());
+        return new QueuedRequest(
                 this,
                 entrant,
                 request.tenant() + 1,
@@ -201,15 +211,15 @@
                 work.costUs(request.classIndex()));
     }
 
-    private TenantBook tenantBook(int tenant) {
-        TenantBook book = tenants[tenant];
+    private TenantState tenantBook(int tenant) {
+        TenantState book = tenants[tenant];
         if (book == null) {
             double quota = tenant == 0 ? 0 : platform.tenants.get(tenant - 1).quotaPerS() / platform.nodes;
             double[] worths = new double[closed.length];
             for (int c = 0; c < worths.length; c++) {
                 worths[c] = worth(c);
             }
-            book = new TenantBook(new double[] {weight(2 * tenant), weight(2 * tenant + 1)}, worths, quota, now);
+            book = new TenantState(new double[] {weight(2 * tenant), weight(2 * tenant + 1)}, worths, quota, now);
             tenants[tenant] = book;
         }
         book.seenUs = now;
@@ -232,23 +242,23 @@
         return within != null && within.waiting > 0 || beyond != null && beyond.waiting > 0;
     }
 
-    private static int share(Waiter of) {
+    private static int share(QueuedRequest of) {
         return 2 * of.tenant + (of.inShare ? 0 : 1);
     }
 
-    private Branch branch(Branch parent, int key) {
+    private SchedulingNode branch(SchedulingNode parent, int key) {
         Flow child = parent.children.get(key);
         if (child == null) {
-            Branch made = new Branch(parent, key, parent == root ? weight(key) : worth(key));
+            SchedulingNode made = new SchedulingNode(parent, key, parent == root ? weight(key) : worth(key));
             parent.children.put(key, made);
             return made;
         }
-        return (Branch) child;
+        return (SchedulingNode) child;
     }
 
     private double weight(int share) {
-        double weight = set.weights().get(share / 2);
-        return share % 2 == 0 ? weight : weight * Math.max(LEAST_WEIGHT, platform.overShareWorth);
+        double weight = set.tenantWeights().get(share / 2);
+        return share % 2 == 0 ? weight : weight * Math.max(MIN_WEIGHT, platform.overShareWorth);
     }
 
     /** By what a request earns for the work it takes, as the module has it, and squared: most, not all. */
@@ -257,20 +267,22 @@
         for (int c = 0; c < closed.length; c++) {
             most = Math.max(most, value(c));
         }
-        return Math.max(LEAST_WEIGHT, StrictMath.pow(value(cls) / Math.max(1e-12, most), VALUE_POWER));
+        return Math.max(MIN_WEIGHT, StrictMath.pow(value(cls) / Math.max(1e-12, most), VALUE_POWER));
     }
 
     private double value(int cls) {
-        return platform.classes.get(cls).worth() / (platform.worthByWork ? 1 : work.costUs(cls));
+        return platform.classes.get(cls).value() / (platform.valuePerWorkUnit ? 1 : work.costUs(cls));
     }
 
     /** The line of a client: its own if it is heavy, else one that its number names and the crowd shares. */
-    private Line line(Branch cls, long client, int place) {
-        return line(cls, place >= 0 ? set.lines() + place : (int) Long.remainderUnsigned(client, set.lines()));
+    private RequestQueue line(SchedulingNode cls, long client, int place) {
+        return line(
+                cls,
+                place >= 0 ? set.queuesPerClass() + place : (int) Long.remainderUnsigned(client, set.queuesPerClass()));
     }
 
-    private static Line line(Branch cls, int key) {
-        return (Line) cls.children.computeIfAbsent(key, k -> new Line(cls, k));
+    private static RequestQueue line(SchedulingNode cls, int key) {
+        return (RequestQueue) cls.children.computeIfAbsent(key, k -> new RequestQueue(cls, k));
     }
 
     /** What was made for a request that did not stay is not kept. */
@@ -280,7 +292,7 @@
                         && !flow.ready
                         && flow.waiting == 0
                         && flow.finish == 0
-                        && !(flow instanceof Branch branch && !branch.children.isEmpty());
+                        && !(flow instanceof SchedulingNode branch && !branch.children.isEmpty());
                 flow = flow.parent) {
             flow.parent.children.remove(flow.key, flow);
         }
@@ -317,12 +329,12 @@
     }
 
     /** Weight of all that have asked lately; of this one alone where it has waited for longer than that. */
-    private double contending(Waiter one) {
+    private double contending(QueuedRequest one) {
         return Math.max(contention.weight(), weight(share(one)));
     }
 
     /** The part of all that a tenant surely gets. */
-    private double partOfTenant(Waiter of) {
+    private double partOfTenant(QueuedRequest of) {
         return contention.share(tenants[of.tenant].shares[of.inShare ? 0 : 1], now);
     }
 
@@ -331,8 +343,8 @@
      * of what those get together of whom some was turned away lately (max-min fairness: the others have all
      * they want).
      */
-    private double part(Waiter of) {
-        TenantBook book = tenants[of.tenant];
+    private double part(QueuedRequest of) {
+        TenantState book = tenants[of.tenant];
         return Math.max(
                 partOfTenant(of) * book.share(of.cls, of.inShare, now),
                 ofShort.rate(LEAST_SHARE_MEMORY / 2) * shorts.share(book.leaf(of.cls, of.inShare), now));
@@ -350,7 +362,7 @@
      * How much of its class of its tenant goes out before a request at the end of this line: until its
      * class's turn, and its line's. While queues come and go, no more than waits there.
      */
-    private double ahead(Branch cls, Line line) {
+    private double ahead(SchedulingNode cls, RequestQueue line) {
         double inLine = (cls.lag(line) + line.backlog) / line.share();
         return Math.max(0, cls.parent.lag(cls)) + (isSettled() ? inLine : Math.min(cls.backlog, inLine));
     }
@@ -361,7 +373,7 @@
      * makes its part smaller. Whatever the turns are, all that waits has gone out by a time, if not much
      * more comes.
      */
-    private double waitUs(Waiter of, Branch cls) {
+    private double waitUs(QueuedRequest of, SchedulingNode cls) {
         double all = perUs();
         if (all == 0) {
             return 0; // Not known yet; the sweep has an eye on what waits.
@@ -374,8 +386,8 @@
 
     // ---------------------------------------------------------------- in and out of the lines
 
-    private void append(Waiter waiter, Line line) {
-        waiter.stage = Waiter.Stage.WAITING;
+    private void append(QueuedRequest waiter, RequestQueue line) {
+        waiter.stage = QueuedRequest.Stage.WAITING;
         waiter.line = line;
         waiter.number = ++turn;
         busyUs = root.waiting == 0 ? now : busyUs;
@@ -393,14 +405,14 @@
     }
 
     /** Counts it in or out, all the way up. */
-    private void count(Waiter waiter, int sign) {
+    private void count(QueuedRequest waiter, int sign) {
         for (Flow flow = waiter.line == null ? root : waiter.line; flow != null; flow = flow.parent) {
             flow.waiting += sign;
             flow.backlog = flow.waiting == 0 ? 0 : flow.backlog + sign * waiter.cost;
         }
     }
 
-    private void unlink(Waiter waiter) {
+    private void unlink(QueuedRequest waiter) {
         measure();
         if (waiter.line == null) {
             returned.remove(waiter);
@@ -411,7 +423,7 @@
     }
 
     /** It leaves without having been served. */
-    private void remove(Waiter waiter) {
+    private void remove(QueuedRequest waiter) {
         unlink(waiter);
         for (Flow flow = waiter.line; flow != null && flow.parent != null; flow = flow.parent) {
             flow.parent.quiet(flow);
@@ -422,11 +434,11 @@
     }
 
     /** The next to go, or null. */
-    private Waiter next() {
-        Waiter back = nextBack(-1);
-        Waiter found = null;
+    private QueuedRequest next() {
+        QueuedRequest back = nextBack(-1);
+        QueuedRequest found = null;
         while (found == null) {
-            Branch share = (Branch) root.next(k -> true, skippedShares);
+            SchedulingNode share = (SchedulingNode) root.next(k -> true, skippedShares);
             if (share == null || back != null && !root.isInCredit(share)) {
                 found = back;
                 break;
@@ -437,13 +449,13 @@
                     break;
                 }
             }
-            Branch cls = (Branch) share.next(c -> !closed[c], skippedClasses);
+            SchedulingNode cls = (SchedulingNode) share.next(c -> !closed[c], skippedClasses);
             share.restore(skippedClasses);
             if (cls == null) {
                 // All that this tenant has waiting is of classes that can't go just now.
                 root.next(k -> k != share.key, skippedShares);
             } else {
-                found = ((Line) cls.next(k -> true, skippedClasses)).head;
+                found = ((RequestQueue) cls.next(k -> true, skippedClasses)).head;
             }
         }
         root.restore(skippedShares);
@@ -454,8 +466,8 @@
      * The first of those that have come back whose class can go, of this share or of any if it is -1; or
      * null.
      */
-    private Waiter nextBack(int share) {
-        for (Waiter waiter : returned) {
+    private QueuedRequest nextBack(int share) {
+        for (QueuedRequest waiter : returned) {
             if (!closed[waiter.cls] && (share < 0 || share(waiter) == share)) {
                 return waiter;
             }
@@ -463,11 +475,11 @@
         return null;
     }
 
-    private void serve(Waiter waiter) {
+    private void serve(QueuedRequest waiter) {
         boolean settled = isSettled();
         unlink(waiter);
         if (waiter.line == null) {
-            Branch share = branch(root, share(waiter));
+            SchedulingNode share = branch(root, share(waiter));
             share.charge(branch(share, waiter.cls), waiter.cost);
             root.charge(share, waiter.cost);
         } else {
@@ -490,16 +502,16 @@
     }
 
     /** Makes room where the most waits for its weight; false if that is the newcomer's own line. */
-    private boolean pushOut(Waiter newcomer, Line its) {
-        Branch share = (Branch) root.longest();
-        Branch cls = share == null ? null : (Branch) share.longest();
-        Line longest = cls == null ? null : (Line) cls.longest();
+    private boolean pushOut(QueuedRequest newcomer, RequestQueue its) {
+        SchedulingNode share = (SchedulingNode) root.longest();
+        SchedulingNode cls = share == null ? null : (SchedulingNode) share.longest();
+        RequestQueue longest = cls == null ? null : (RequestQueue) cls.longest();
         if (longest == null || longest == its || longest.tail == null) {
             return false;
         }
-        Waiter last = longest.tail;
+        QueuedRequest last = longest.tail;
         remove(last);
-        counts.count(AdmissionCounts.Why.FULL);
+        counts.count(AdmissionCounts.RejectionReason.QUEUE_FULL);
         turnAway(last, book(last));
         return newcomer != last;
     }
@@ -507,8 +519,8 @@
     // ---------------------------------------------------------------- turning away
 
     /** It is told so with the next turn: nothing is answered from within another's arrival. */
-    private Waiter turnAway(Waiter waiter, long adviceUs) {
-        waiter.stage = Waiter.Stage.TURNED_AWAY;
+    private QueuedRequest turnAway(QueuedRequest waiter, long adviceUs) {
+        waiter.stage = QueuedRequest.Stage.TURNED_AWAY;
         waiter.adviceUs = adviceUs;
         turnedAway.add(waiter);
         return waiter;
@@ -520,7 +532,7 @@
      *
      * @return in how many microseconds, or 0 for no promise
      */
-    private long book(Waiter waiter) {
+    private long book(QueuedRequest waiter) {
         shorts.asks(tenants[waiter.tenant].leaf(waiter.cls, waiter.inShare), now);
         if (waiter.tookShare) {
             waiter.tookShare = false;
@@ -528,11 +540,11 @@
         }
         double all = promisedPerUs();
         double perUs = all * part(waiter);
-        long longestUs = Math.min(set.longestUs(), platform.maxRetryAfterUs);
+        long longestUs = Math.min(set.maxRetryAfterUs(), platform.maxRetryAfterUs);
         if (longestUs == 0 || perUs == 0) {
             return 0;
         }
-        TenantBook book = tenantBook(waiter.tenant);
+        TenantState book = tenantBook(waiter.tenant);
         double allUs = allBooked.lastsUs(all, now);
         double leastUs = SOONEST_US + Math.max(allUs, book.booked[waiter.cls].lastsUs(perUs, now));
         long inUs = (long)
@@ -542,20 +554,20 @@
                 || !bookings.add(waiter.fingerprint, now + inUs, waiter.inShare, now)) {
             // One that has as many as it may is told of the first.
             int first = bookings.find(waiter.fingerprint, now);
-            counts.unpromised += first < 0 ? 1 : 0;
+            counts.rejectedWithoutReservation += first < 0 ? 1 : 0;
             return first < 0 ? 0 : Math.max(SOONEST_US, bookings.dueUs(first) - now);
         }
         book.booked[waiter.cls].add(waiter.cost);
         allBooked.add(waiter.cost);
-        counts.booked++;
+        counts.reservationsMade++;
         return inUs;
     }
 
     private void tellTurnedAway() {
-        for (Waiter waiter = turnedAway.poll(); waiter != null; waiter = turnedAway.poll()) {
-            if (waiter.stage == Waiter.Stage.TURNED_AWAY) {
-                waiter.stage = Waiter.Stage.DONE;
-                waiter.entrant.refused(waiter.adviceUs);
+        for (QueuedRequest waiter = turnedAway.poll(); waiter != null; waiter = turnedAway.poll()) {
+            if (waiter.stage == QueuedRequest.Stage.TURNED_AWAY) {
+                waiter.stage = QueuedRequest.Stage.DONE;
+                waiter.entrant.rejected(waiter.adviceUs);
             }
         }
     }
@@ -570,7 +582,7 @@
             sweep();
         }
         while (root.waiting > 0 && (opened || isOpen())) {
-            Waiter waiter = next();
+            QueuedRequest waiter = next();
             if (waiter == null) {
                 break;
             }
@@ -580,7 +592,7 @@
                 continue;
             }
             serve(waiter);
-            waiter.stage = Waiter.Stage.UNSENT;
+            waiter.stage = QueuedRequest.Stage.UNSENT;
             waiter.admittedUs = now;
             waiter.sentBefore = sends;
             unsent.add(waiter);
@@ -598,23 +610,23 @@
     private boolean isOpen() {
         Arrays.fill(closed, false);
         int fresh = 0;
-        for (Waiter waiter : unsent) {
+        for (QueuedRequest waiter : unsent) {
             if (sends - waiter.sentBefore >= PASSED_OVER || now - waiter.admittedUs >= STUCK_US) {
                 closed[waiter.cls] = true;
             } else {
                 fresh++;
             }
         }
-        return fresh < set.unsent();
+        return fresh < set.maxUnsent();
     }
 
     /** Turns away what can't be in time any more, now that more or less goes out than when it came. */
     private void sweep() {
         sweepUs = now + SWEEP_US;
         measure();
-        List<Waiter> late = new ArrayList<>();
+        List<QueuedRequest> late = new ArrayList<>();
         double back = 0;
-        for (Waiter waiter : returned) {
+        for (QueuedRequest waiter : returned) {
             if (perUs() > 0 && now + back / perUs() > waiter.latestUs) {
                 late.add(waiter);
             } else {
@@ -622,10 +634,10 @@
             }
         }
         for (Flow share : root.ready()) {
-            for (Flow flow : ((Branch) share).ready()) {
-                Branch cls = (Branch) flow;
+            for (Flow flow : ((SchedulingNode) share).ready()) {
+                SchedulingNode cls = (SchedulingNode) flow;
                 for (Flow line : cls.ready()) {
-                    look(cls, (Line) line, late);
+                    look(cls, (RequestQueue) line, late);
                 }
             }
         }
@@ -633,30 +645,30 @@
         tellTurnedAway();
     }
 
-    private void look(Branch cls, Line line, List<Waiter> late) {
-        for (Waiter waiter = line.head; waiter != null; waiter = waiter.behind) {
+    private void look(SchedulingNode cls, RequestQueue line, List<QueuedRequest> late) {
+        for (QueuedRequest waiter = line.head; waiter != null; waiter = waiter.behind) {
             if (now + waitUs(waiter, cls) > waiter.latestUs) {
                 late.add(waiter);
             }
         }
     }
 
-    private void turnAwayLate(Waiter waiter) {
-        counts.missed += waiter.line == null ? 1 : 0;
-        counts.kept -= waiter.line == null ? 1 : 0;
+    private void turnAwayLate(QueuedRequest waiter) {
+        counts.reservationsMissed += waiter.line == null ? 1 : 0;
+        counts.reservationsKept -= waiter.line == null ? 1 : 0;
         remove(waiter);
-        counts.count(AdmissionCounts.Why.TOO_LATE);
-        counts.heldUs += now - waiter.arrivedUs;
+        counts.count(AdmissionCounts.RejectionReason.TOO_LATE);
+        counts.queuedBeforeRejectionUs += now - waiter.arrivedUs;
         turnAway(waiter, book(waiter));
     }
 
     @Override
-    public long wakeAtUs() {
+    public long nextWakeUpUs() {
         return sweepUs;
     }
 
     @Override
-    public void open() {
+    public void admitAll() {
         opened = true;
         Arrays.fill(closed, false);
         advance(now);
@@ -668,8 +680,8 @@
      *
      * @throws IllegalArgumentException if they are of other tenants than those that this door began with
      */
-    public void settle(AdmissionSettings fresh) {
-        if (fresh.weights().size() != tenants.length) {
+    public void reconfigure(AdmissionSettings fresh) {
+        if (fresh.tenantWeights().size() != tenants.length) {
             throw new IllegalArgumentException("the tenants are others than at the start");
         }
         set = fresh;
@@ -688,26 +700,26 @@
 
     // ---------------------------------------------------------------- what the node tells
 
-    void sent(Waiter waiter) {
-        if (waiter.stage == Waiter.Stage.UNSENT) {
-            waiter.stage = Waiter.Stage.DONE;
+    void sent(QueuedRequest waiter) {
+        if (waiter.stage == QueuedRequest.Stage.UNSENT) {
+            waiter.stage = QueuedRequest.Stage.DONE;
             unsent.remove(waiter);
             sends++;
         }
     }
 
-    void ended(Waiter waiter) {
-        if (waiter.stage == Waiter.Stage.WAITING) {
-            counts.left++;
+    void ended(QueuedRequest waiter) {
+        if (waiter.stage == QueuedRequest.Stage.WAITING) {
+            counts.disconnected++;
             remove(waiter);
-        } else if (waiter.stage == Waiter.Stage.UNSENT) {
+        } else if (waiter.stage == QueuedRequest.Stage.UNSENT) {
             unsent.remove(waiter);
         }
-        waiter.stage = Waiter.Stage.DONE;
+        waiter.stage = QueuedRequest.Stage.DONE;
     }
 
     @Override
-    public void served(int classIndex, long latencyUs) {
+    public void recordLatency(int classIndex, long latencyUs) {
         work.served(classIndex, latencyUs);
     }
 
@@ -717,14 +729,14 @@
     }
 
     /** How many requests wait. */
-    public int waiting() {
+    public int waitingRequests() {
         return root.waiting;
     }
 
     /** How many flows it keeps, bookings it has, and tenants it knows: all that its memory goes into. */
-    public int[] kept() {
+    public int[] tableSizes() {
         int known = 0;
-        for (TenantBook book : tenants) {
+        for (TenantState book : tenants) {
             known += book == null ? 0 : 1;
         }
         return new int[] {root.size(), bookings.size(), known};
--- a/src/main/java/vetchpost/admission/Flow.java
+++ b/src/main/java/vetchpost/admission/Flow.java
@@ -15,7 +15,7 @@
 
     static final Comparator<Flow> BY_FINISH = Comparator.comparingDouble(f -> f.finish);
 
-    final Branch parent;
+    final SchedulingNode parent;
     final int key;
     double weight;
     double start;
@@ -27,7 +27,7 @@
 
     int waiting;
 
-    Flow(Branch parent, int key, double weight) {
+    Flow(SchedulingNode parent, int key, double weight) {
         this.parent = parent;
         this.key = key;
         this.weight = weight;
--- a/src/main/java/vetchpost/admission/Waiter.java
+++ b/src/main/java/vetchpost/admission/QueuedRequest.java
@@ -1,10 +1,10 @@
 package vetchpost.admission;
 
-import vetchpost.core.Admission.Entrant;
-import vetchpost.core.Admission.Entry;
+import vetchpost.core.AdmissionControl.Applicant;
+import vetchpost.core.AdmissionControl.RequestProgress;
 
 /** A request from its arrival to its end. */
-final class Waiter implements Entry {
+final class QueuedRequest implements RequestProgress {
     /** Where it stands. */
     enum Stage {
         /** Just come, and turned away with the next turn. */
@@ -18,7 +18,7 @@
     }
 
     private final FairAdmission door;
-    final Entrant entrant;
+    final Applicant entrant;
     final int tenant;
     final int cls;
     /** Of its client and class. */
@@ -41,19 +41,19 @@
     /** It goes when this much has gone out of its class of its tenant, as it looked when it came. */
     double dueAt;
     /** Its line, or null if it goes before all lines. */
-    Line line;
+    RequestQueue line;
 
     long number;
-    Waiter before;
-    Waiter behind;
+    QueuedRequest before;
+    QueuedRequest behind;
     /** When it was let in, and how many had been sent by then. */
     long admittedUs;
 
     long sentBefore;
 
-    Waiter(
+    QueuedRequest(
             FairAdmission door,
-            Entrant entrant,
+            Applicant entrant,
             int tenant,
             int cls,
             long fingerprint,
--- a/src/main/java/vetchpost/admission/Line.java
+++ b/src/main/java/vetchpost/admission/RequestQueue.java
@@ -1,17 +1,17 @@
 package vetchpost.admission;
 
 /** Requests that wait one behind the other: those of a client, or of the few that share its line. */
-final class Line extends Flow {
+final class RequestQueue extends Flow {
     /** The one that goes first, and the one that came last; null if nobody waits. */
-    Waiter head;
+    QueuedRequest head;
 
-    Waiter tail;
+    QueuedRequest tail;
 
-    Line(Branch parent, int key) {
+    RequestQueue(SchedulingNode parent, int key) {
         super(parent, key, 1);
     }
 
-    void append(Waiter waiter) {
+    void append(QueuedRequest waiter) {
         waiter.before = tail;
         if (tail == null) {
             head = waiter;
@@ -22,7 +22,7 @@
     }
 
     /** Takes one out wherever it stands. */
-    void unlink(Waiter waiter) {
+    void unlink(QueuedRequest waiter) {
         if (waiter.before == null) {
             head = waiter.behind;
         } else {
--- a/src/main/java/vetchpost/admission/Bookings.java
+++ b/src/main/java/vetchpost/admission/ReservationTable.java
@@ -4,9 +4,9 @@
  * When clients were told to come back: a table of fixed size, four places to a row, in which what is past
  * makes room. A client whose row is full gets no booking.
  */
-final class Bookings {
-    private static final int WAYS = 4;
-    private static final int MOST_OF_ONE = 2;
+final class ReservationTable {
+    private static final int ASSOCIATIVITY = 4;
+    private static final int MAX_PER_CLIENT = 2;
     /** A client's timers and its way here. */
     static final long EARLY_US = 5_000;
     /** So long after the time one has still come when told. */
@@ -19,22 +19,22 @@
     private int live;
 
     /** Places for so many, a power of two from 4 on. */
-    Bookings(int places) {
+    ReservationTable(int places) {
         clients = new long[places];
         dueUs = new long[places];
         inShare = new boolean[places];
-        mask = places / WAYS - 1;
+        mask = places / ASSOCIATIVITY - 1;
     }
 
     private int row(long client) {
-        return ((int) (client ^ client >>> 32) & mask) * WAYS;
+        return ((int) (client ^ client >>> 32) & mask) * ASSOCIATIVITY;
     }
 
     /** The place of the first of a client's bookings that has not gone by, or -1. */
     int find(long client, long nowUs) {
         int row = row(client);
         int first = -1;
-        for (int i = row; i < row + WAYS; i++) {
+        for (int i = row; i < row + ASSOCIATIVITY; i++) {
             if (clients[i] == client && dueUs[i] != 0) {
                 if (nowUs > dueUs[i] + LATE_US) {
                     drop(i);
@@ -50,10 +50,10 @@
     boolean isFull(long client) {
         int row = row(client);
         int its = 0;
-        for (int i = row; i < row + WAYS; i++) {
+        for (int i = row; i < row + ASSOCIATIVITY; i++) {
             its += clients[i] == client && dueUs[i] != 0 ? 1 : 0;
         }
-        return its >= MOST_OF_ONE;
+        return its >= MAX_PER_CLIENT;
     }
 
     long dueUs(int place) {
@@ -76,7 +76,7 @@
         if (isFull(client)) {
             return false;
         }
-        for (int i = row; i < row + WAYS; i++) {
+        for (int i = row; i < row + ASSOCIATIVITY; i++) {
             if (dueUs[i] != 0 && nowUs > dueUs[i] + LATE_US) {
                 drop(i);
             }
--- a/src/main/java/vetchpost/admission/Ledger.java
+++ b/src/main/java/vetchpost/admission/ReservedWork.java
@@ -4,7 +4,7 @@
  * Work that clients have been told to come back with: laid end to end, as in a leaky bucket, so that a
  * change of the rate moves the times that are still to be told.
  */
-final class Ledger {
+final class ReservedWork {
     private double work;
     private long seenUs;
 
--- a/src/main/java/vetchpost/admission/Branch.java
+++ b/src/main/java/vetchpost/admission/SchedulingNode.java
@@ -8,7 +8,7 @@
 import java.util.function.IntPredicate;
 
 /** A flow that is divided among others. */
-final class Branch extends Flow {
+final class SchedulingNode extends Flow {
     final Map<Integer, Flow> children = new HashMap<>();
     double readyWeight;
     /**
@@ -24,7 +24,7 @@
     private double virtual;
     private double mostFinish;
 
-    Branch(Branch parent, int key, double weight) {
+    SchedulingNode(SchedulingNode parent, int key, double weight) {
         super(parent, key, weight);
     }
 
@@ -171,7 +171,7 @@
     int size() {
         int size = 1;
         for (Flow child : new ArrayList<>(children.values())) {
-            size += child instanceof Branch branch ? branch.size() : 1;
+            size += child instanceof SchedulingNode branch ? branch.size() : 1;
         }
         return size;
     }
--- a/src/main/java/vetchpost/admission/TenantBook.java
+++ b/src/main/java/vetchpost/admission/TenantState.java
@@ -3,13 +3,13 @@
 import vetchpost.admission.Contention.Contender;
 
 /** What is kept of a tenant that has asked for something lately. */
-final class TenantBook {
+final class TenantState {
     /** A tenant may use up this much of its share at once, as in the module. */
     private static final double SHARE_BURST_S = 1;
 
     final HeavyHitters heavy = new HeavyHitters();
     /** By class. */
-    final Ledger[] booked;
+    final ReservedWork[] booked;
     /** What lies within its share, and what beyond, among those of all tenants; and in each its classes. */
     final Contender[] shares = new Contender[2];
 
@@ -31,7 +31,7 @@
      * @param worths of its classes
      * @param quotaPerS requests a second inside its share at this node; 0 for no limit
      */
-    TenantBook(double[] weights, double[] worths, double quotaPerS, long nowUs) {
+    TenantState(double[] weights, double[] worths, double quotaPerS, long nowUs) {
         int classes = worths.length;
         this.classes = new Contender[2][classes];
         leaves = new Contender[2][classes];
@@ -48,9 +48,9 @@
         }
         this.quotaPerS = quotaPerS;
         drained = new double[2 * classes];
-        booked = new Ledger[classes];
+        booked = new ReservedWork[classes];
         for (int c = 0; c < classes; c++) {
-            booked[c] = new Ledger();
+            booked[c] = new ReservedWork();
         }
         shareLeft = mostShare();
         shareSeenUs = nowUs;
--- a/src/main/java/vetchpost/conductor/Conductor.java
+++ b/src/main/java/vetchpost/conductor/Conductor.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import vetchpost.core.Answer;
+import vetchpost.core.AttemptObserver;
 import vetchpost.core.ServerList;
-import vetchpost.core.Witness;
+import vetchpost.core.ServerResponse;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.net.Network;
@@ -33,7 +33,7 @@
  * Keeps a node's list of servers: asks the sources, has servers checked, hears what real requests tell, and
  * tells the node what has changed. All of it is on the node's loop but the reading of files.
  */
-public final class Conductor implements Witness, AutoCloseable {
+public final class Conductor implements AttemptObserver, AutoCloseable {
     private static final Logger LOG = System.getLogger(Conductor.class.getName());
     /** Changes are told no more often than this: a file may be replaced, and checks end, in between. */
     private static final long GATHER_US = 10_000;
@@ -197,12 +197,12 @@
     }
 
     @Override
-    public void ended(String serverId, Result result, Answer answer, boolean stalled, long unusedUs) {
+    public void onAttemptEnded(String serverId, Result result, ServerResponse answer, boolean stalled, long unusedUs) {
         String drain = settings.drainHeader();
         if (answer != null
                 && !drain.isEmpty()
-                && answer.fields() != null
-                && answer.fields().get(drain) != null) {
+                && answer.headers() != null
+                && answer.headers().get(drain) != null) {
             composer.drains(serverId, nowUs());
             soon();
         }
--- a/src/main/java/vetchpost/conductor/HealthCheck.java
+++ b/src/main/java/vetchpost/conductor/HealthCheck.java
@@ -59,7 +59,7 @@
         check.late = loop.schedule(() -> check.end(Finding.ILL), rules.withinUs(), TimeUnit.MICROSECONDS);
         Channel fresh;
         try {
-            fresh = network.connecting();
+            fresh = network.newClientChannel();
         } catch (ChannelException e) {
             // Out of descriptors: that is no fault of the server's, but nothing good is known of it either.
             check.end(Finding.WELL);
--- a/src/main/java/vetchpost/conductor/NameWatch.java
+++ b/src/main/java/vetchpost/conductor/NameWatch.java
@@ -63,8 +63,8 @@
         this.loop = loop;
         this.listener = listener;
         resolver = new DnsNameResolverBuilder(loop)
-                .datagramChannelFactory(network::datagrams)
-                .socketChannelFactory(() -> (SocketChannel) network.connecting(), true)
+                .datagramChannelFactory(network::newDatagramChannel)
+                .socketChannelFactory(() -> (SocketChannel) network.newClientChannel(), true)
                 .queryTimeoutMillis(QUERY_MS)
                 .resolveCache(NoopDnsCache.INSTANCE)
                 .cnameCache(NoopDnsCnameCache.INSTANCE)
--- a/src/main/java/vetchpost/config/Descriptors.java
+++ b/src/main/java/vetchpost/config/DescriptorLimit.java
@@ -6,11 +6,11 @@
 import java.util.stream.Stream;
 
 /** What the system lets this process open, which may be less than the configuration promises. */
-public final class Descriptors {
+public final class DescriptorLimit {
     private static final Path LIMITS = Path.of("/proc/self/limits");
     private static final String NAME = "Max open files";
 
-    private Descriptors() {}
+    private DescriptorLimit() {}
 
     /** The limit that holds now; the largest number where the system doesn't tell. */
     public static int limit() {
--- a/src/main/java/vetchpost/config/Config.java
+++ b/src/main/java/vetchpost/config/NodeConfig.java
@@ -17,7 +17,7 @@
 import vetchpost.core.ServerList;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.discovery.ServerListParser;
-import vetchpost.net.Sockets;
+import vetchpost.net.SocketBudget;
 
 /**
  * What a node is told at its start, checked.
@@ -26,21 +26,21 @@
  * @param sockets descriptors that the process may hold
  * @param connIdleUs servers close connections that have stood idle for so long
  */
-public record Config(
+public record NodeConfig(
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
-        long connIdleUs,
+        int maxDescriptors,
+        long serverIdleTimeoutUs,
         Settings settings,
-        ServerList known) {
+        ServerList knownServers) {
 
     private static final int DEFAULT_SOCKETS = 1_024;
     private static final String DISCOVERY = "LB_DISCOVERY";
     private static final String DEFAULT_IDLE_US = "15000000";
 
     /** Throws IllegalArgumentException with one line for the operator on what is missing or wrong. */
-    public static Config read(Map<String, String> environment) {
+    public static NodeConfig read(Map<String, String> environment) {
         String path = environment.get("LB_CONFIG");
         if (path == null || path.isEmpty()) {
             throw new IllegalArgumentException("LB_CONFIG is not set");
@@ -55,18 +55,25 @@
     }
 
     /** As at the start, but that the file has been replaced since and so comes before the environment. */
-    public static Config reread(Map<String, String> environment) {
+    public static NodeConfig reread(Map<String, String> environment) {
         Map<String, String> rest = new HashMap<>(environment);
         rest.remove(DISCOVERY);
         return read(rest);
     }
 
     /** The same with no more descriptors than the system gives. */
-    public Config within(int descriptors) {
-        return new Config(listen, discovery, seed, Math.min(sockets, descriptors), connIdleUs, settings, known);
+    public NodeConfig withMaxDescriptors(int descriptors) {
+        return new NodeConfig(
+                listen,
+                discovery,
+                seed,
+                Math.min(maxDescriptors, descriptors),
+                serverIdleTimeoutUs,
+                settings,
+                knownServers);
     }
 
-    public static Config parse(String text, Map<String, String> environment) {
+    public static NodeConfig parse(String text, Map<String, String> environment) {
         JsonObject json;
         try {
             json = JsonParser.parseString(text).getAsJsonObject();
@@ -76,8 +83,8 @@
         Map<String, String> values = flatten(object(json, "settings"));
         Settings settings = SettingsReader.read(values);
         ServerList known =
-                json.has("known") ? ServerListParser.of(json.get("known")) : new ServerList(0, true, List.of());
-        return new Config(
+                json.has("known") ? ServerListParser.fromJson(json.get("known")) : new ServerList(0, true, List.of());
+        return new NodeConfig(
                 ServerListParser.address(text(environment, "LB_LISTEN", json, "listen")),
                 ServerListParser.address(text(environment, DISCOVERY, json, "discovery")),
                 seed(json),
@@ -121,8 +128,8 @@
     private static int sockets(JsonObject json) {
         JsonElement sockets = json.has("limits") ? object(json, "limits").get("sockets") : null;
         long value = sockets == null || !sockets.isJsonPrimitive() ? DEFAULT_SOCKETS : whole(sockets.getAsString());
-        if (value < Sockets.LEAST) {
-            throw new IllegalArgumentException("limits.sockets is under " + Sockets.LEAST);
+        if (value < SocketBudget.MIN_DESCRIPTORS) {
+            throw new IllegalArgumentException("limits.sockets is under " + SocketBudget.MIN_DESCRIPTORS);
         }
         return (int) Math.min(Integer.MAX_VALUE, value);
     }
--- a/src/main/java/vetchpost/config/SettingsReader.java
+++ b/src/main/java/vetchpost/config/SettingsReader.java
@@ -1,8 +1,8 @@
 package vetchpost.config;
 
 import java.util.Map;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.ReportField;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
@@ -49,12 +49,12 @@
             set.tenants.add(new Tenant(need(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
         set.overShareWorth = decimal("overShareWorth", set.overShareWorth);
-        set.worthByWork = "work".equals(values.get("countedBy"));
+        set.valuePerWorkUnit = "work".equals(values.get("countedBy"));
         set.maxAttempts = (int) whole("limits.attemptsCap", set.maxAttempts);
-        set.secondCopies = flag("limits.parallelTries");
-        set.cancel = flag("limits.cancelling");
-        set.probes = flag("limits.probes");
-        set.marksRetry = flag("callers.marksRetry");
+        set.allowsHedging = flag("limits.parallelTries");
+        set.allowsCancellation = flag("limits.cancelling");
+        set.allowsProbes = flag("limits.probes");
+        set.clientsMarkRetries = flag("callers.marksRetry");
         set.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
         set.tickUs = whole("quantumUs", set.tickUs);
         set.connectTimeoutUs = whole("limits.dialTimeoutUs", set.connectTimeoutUs);
@@ -93,15 +93,15 @@
                 decimal(prefix + "importance", 1),
                 decimal(prefix + "lateWorth", 0),
                 switch (repeat) {
-                    case "safe" -> Repeat.SAFE;
-                    case "keyed" -> Repeat.KEYED;
-                    case "unsafe" -> Repeat.UNSAFE;
+                    case "safe" -> Idempotency.SAFE;
+                    case "keyed" -> Idempotency.KEYED;
+                    case "unsafe" -> Idempotency.UNSAFE;
                     default -> throw bad(prefix + "repeat", "is unknown: " + repeat);
                 },
                 switch (group) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.ZONE;
-                    case "cell" -> Group.CELL;
+                    case "all" -> DeduplicationScope.ALL;
+                    case "zone" -> DeduplicationScope.ZONE;
+                    case "cell" -> DeduplicationScope.CELL;
                     default -> throw bad(prefix + "group", "is unknown: " + group);
                 },
                 whole(prefix + "windowUs", 0),
--- a/src/main/java/vetchpost/control/Explanations.java
+++ b/src/main/java/vetchpost/control/Explanations.java
@@ -150,7 +150,7 @@
         json.addProperty("weight", drawn.weight());
         json.addProperty("in-flight", drawn.inFlight());
         json.addProperty("limit", drawn.limit());
-        json.addProperty("pace", drawn.pace());
+        json.addProperty("pace", drawn.relativeLatency());
         return json;
     }
 }
--- a/src/main/java/vetchpost/control/Shedder.java
+++ b/src/main/java/vetchpost/control/Shedder.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.function.Supplier;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.RouteBounds;
+import vetchpost.core.RouteLimits;
 import vetchpost.core.RoutePolicy;
 
 /** Routes of which a share of a class's requests is refused on arrival: evenly, not by chance. */
 public final class Shedder implements RoutePolicy {
     private static final int WHOLE = 1_000;
-    private static final RouteBounds FULL = new RouteBounds() {
+    private static final RouteLimits FULL = new RouteLimits() {
         @Override
-        public boolean enter() {
+        public boolean tryAcquire() {
             return false;
         }
     };
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public RouteBounds boundsOf(ClientRequest request) {
+    public RouteLimits limitsOf(ClientRequest request) {
         int cls = request.classIndex();
         int perMille = effects.get().shed(classes.get(cls));
         if (perMille > 0) {
@@ -45,6 +45,6 @@
                 return FULL;
             }
         }
-        return routes.boundsOf(request);
+        return routes.limitsOf(request);
     }
 }
--- a/src/main/java/vetchpost/core/Addresses.java
+++ b/src/main/java/vetchpost/core/AddressOwners.java
@@ -12,13 +12,13 @@
  * another that it has not taken back yet, the other has gone. Left in, it would get a warm server's share,
  * and its successor, which is cold, would be sent all of it (found by the simulation, seed 3722).
  */
-final class Addresses {
+final class AddressOwners {
     private final Map<InetSocketAddress, ServerList.Target> holders = new HashMap<>();
     private final Map<String, InetSocketAddress> homes = new HashMap<>();
 
     /** The list with what it implies: whoever has lost its address is in it as gone. */
     ServerList settle(ServerList list) {
-        if (list.all()) {
+        if (list.isFull()) {
             holders.clear();
             homes.clear();
         }
@@ -40,7 +40,7 @@
                 homes.put(target.id(), target.address());
             }
         }
-        return new ServerList(list.revision(), list.all(), settled);
+        return new ServerList(list.revision(), list.isFull(), settled);
     }
 
     private void leave(String id) {
--- a/src/main/java/vetchpost/core/BodySource.java
+++ b/src/main/java/vetchpost/core/BodySource.java
@@ -6,10 +6,10 @@
  */
 public interface BodySource {
     /** Has the rest go there; once. What is there already may come before this returns. */
-    void into(BodySink sink);
+    void streamTo(BodySink sink);
 
     /** The sink can take more, after it had said no. */
-    void more();
+    void resume();
 
     /** Nobody wants what is left of it. */
     void abandon();
--- a/src/main/java/vetchpost/core/ClientReply.java
+++ b/src/main/java/vetchpost/core/ClientReply.java
@@ -6,27 +6,27 @@
  */
 public interface ClientReply {
     /** A server's answer, passed on whole. */
-    void served(Answer answer);
+    void served(ServerResponse answer);
 
     /** Told before it is refused or has failed if an attempt of it may have run; else it surely has not. */
-    default void mayHaveRun() {}
+    default void markMayHaveRun() {}
 
     /** Trying again is harmless, and best done after so many microseconds; 0 gives no advice. */
-    void refused(long retryAfterUs);
+    void rejected(long retryAfterUs);
 
-    /** No promise about its effect, unless {@link #mayHaveRun} was not told. */
+    /** No promise about its effect, unless {@link #markMayHaveRun} was not told. */
     void failed(Failure why);
 
     /**
      * A server's own word for what went wrong, once nothing more is tried. A protocol that passes such words
      * on has now answered; the others return false and are told in their own.
      */
-    default boolean errored(Answer error) {
+    default boolean passOnError(ServerResponse error) {
         return false;
     }
 
     /** A number that all requests of a client's connection have, and no other's; 0 where there are none. */
-    default long connection() {
+    default long connectionId() {
         return 0;
     }
 
@@ -34,10 +34,10 @@
      * Whether the client has left, as far as its system already tells, though nothing may have been told of
      * it yet: a loop that was held up has not looked. Costs a system call.
      */
-    default boolean hasLeft() {
+    default boolean hasDisconnected() {
         return false;
     }
 
     /** What to do, once, if the client leaves before its answer. */
-    void whenGone(Runnable action);
+    void onDisconnect(Runnable action);
 }
--- a/src/main/java/vetchpost/core/ClientRequest.java
+++ b/src/main/java/vetchpost/core/ClientRequest.java
@@ -24,10 +24,10 @@
         boolean retry,
         String method,
         String target,
-        Fields fields,
+        Headers headers,
         byte[] body,
-        BodySource rest,
-        long length) {
+        BodySource bodyRemainder,
+        long bodyLength) {
 
     /** With all of its body. */
     public ClientRequest(
@@ -39,7 +39,7 @@
             boolean retry,
             String method,
             String target,
-            Fields fields,
+            Headers fields,
             byte[] body) {
         this(id, classIndex, tenant, remainingUs, workUs, retry, method, target, fields, body, null, body.length);
     }
--- a/src/main/java/vetchpost/core/Dispatcher.java
+++ b/src/main/java/vetchpost/core/Dispatcher.java
@@ -15,7 +15,7 @@
 import vetchpost.decision.Balancer.Request;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.ServerEntry;
-import vetchpost.decision.Knowledge;
+import vetchpost.decision.ServerStatistics;
 
 /**
  * The life of requests: it holds them and their attempts from the moment they are taken until each has its
@@ -37,10 +37,10 @@
     private static final long LOOK_FROM_US = 50_000;
 
     /** Names of zones that are told apart, those of the settings and others; far more than any list has. */
-    private static final int MOST_ZONES = 4_096;
+    private static final int MAX_ZONES = 4_096;
 
     private final Clock clock;
-    private final Stall stall;
+    private final EventLoopDelay stall;
     private final ServerTransport servers;
     private final Runnable listSubscription;
     private final Runnable wholeList;
@@ -48,15 +48,15 @@
     private final RequestLog log = new RequestLog();
     private final Balancer balancer;
     private final Map<Long, Held> held = new HashMap<>();
-    private final ListIntake intake = new ListIntake();
+    private final ServerListQueue intake = new ServerListQueue();
     private boolean takingIn;
     private final Map<String, Integer> zones = new HashMap<>();
     private final Deque<Event> events = new ArrayDeque<>();
     private RoutePolicy routes = RoutePolicy.NONE;
     private Subset subset;
-    private Admission admission;
-    private Witness witness;
-    private Recorder recorder;
+    private AdmissionControl admission;
+    private AttemptObserver witness;
+    private RequestRecorder recorder;
     private boolean advancing;
     private Clock.Timer turn;
     private long turnUs = Long.MAX_VALUE;
@@ -67,16 +67,16 @@
     private record Event(Held touches, Runnable call) {}
 
     /** A request taken, until it is answered and no attempt is out. */
-    private final class Held implements Admission.Entrant {
+    private final class Held implements AdmissionControl.Applicant {
         private final ClientRequest request;
         private final ClientReply reply;
         private final long id;
-        private final RouteBounds bounds;
+        private final RouteLimits bounds;
         private final long deadlineUs;
         private final long takenUs;
         private final long arrivedUs;
         private final List<Sent> sent = new ArrayList<>(2);
-        private Admission.Entry entry;
+        private AdmissionControl.RequestProgress entry;
         private boolean offered;
         private Clock.Timer guard;
         private int out;
@@ -86,12 +86,12 @@
         /** An attempt has ended so that it may have run. */
         private boolean mayHaveRun;
         /** The last error that a server has answered, for clients that are passed such on. */
-        private Answer error;
+        private ServerResponse error;
 
         Held(
                 ClientRequest request,
                 ClientReply reply,
-                RouteBounds bounds,
+                RouteLimits bounds,
                 long deadlineUs,
                 long takenUs,
                 long arrivedUs) {
@@ -112,8 +112,8 @@
             over = true;
             guard.cancel();
             for (Sent attempt : new ArrayList<>(sent)) {
-                if (attempt.attempt != null && !attempt.attempt.isOut()) {
-                    attempt.attempt.giveUp(Result.MOOT);
+                if (attempt.attempt != null && !attempt.attempt.mayHaveReachedServer()) {
+                    attempt.attempt.abandon(Result.MOOT);
                 }
             }
             forgetIfDone();
@@ -121,7 +121,7 @@
 
         /** Counts it off; of an answer that is passed on bit by bit, at its end. */
         void leave() {
-            bounds.leave();
+            bounds.release();
             if (entry != null) {
                 tellDoor(entry::ended);
             }
@@ -133,20 +133,20 @@
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void rejected(long retryAfterUs) {
             if (offered) {
                 return; // By a door that has failed: the module has it now, and may have sent it.
             }
-            tell(this, Recorder.Told.REFUSED, retryAfterUs);
+            tell(this, RequestRecorder.Completion.REFUSED, retryAfterUs);
             // A time that it may count on comes before what its route says in general.
-            reply.refused(retryAfterUs > 0 ? retryAfterUs : bounds.adviseUs(0));
+            reply.rejected(retryAfterUs > 0 ? retryAfterUs : bounds.retryAfterUs(0));
             end();
         }
 
         /** To be called before an answer of the node's own. */
         void tellWhetherRun() {
             if (mayHaveRun || out > 0) {
-                reply.mayHaveRun();
+                reply.markMayHaveRun();
             }
         }
 
@@ -158,7 +158,7 @@
     }
 
     /** An attempt of a request. */
-    private final class Sent implements ServerTransport.Sending {
+    private final class Sent implements ServerTransport.OutgoingRequest {
         private final Held request;
         private final int number;
         private final String serverId;
@@ -182,17 +182,17 @@
         @Override
         public ClientRequest request() {
             // Sent late for want of a connection: what the loop was behind by then is not the server's.
-            stallUs = Math.min(stall.us(), clock.nowUs() - sentUs);
+            stallUs = Math.min(stall.currentUs(), clock.nowUs() - sentUs);
             return request.request;
         }
 
         @Override
-        public long waitUs() {
+        public long responseTimeoutUs() {
             return untilUs - clock.nowUs();
         }
 
         @Override
-        public boolean begun(Answer answer) {
+        public boolean onResponseStarted(ServerResponse answer) {
             if (request.over) {
                 return false;
             }
@@ -200,7 +200,7 @@
             // From here on it takes as long as it takes, and whoever passes it on watches that it goes on.
             timer.cancel();
             request.streaming = true;
-            tell(request, Recorder.Told.SERVED, 0);
+            tell(request, RequestRecorder.Completion.SERVED, 0);
             request.end();
             request.reply.served(answer);
             enter(request, () -> balancer.onFirstByte(clock.nowUs(), request.id, number));
@@ -208,10 +208,10 @@
         }
 
         @Override
-        public void ended(Result result, Answer answer) {
+        public void onEnded(Result result, ServerResponse answer) {
             over = true;
             if (log.isOn()) {
-                log.line(
+                log.write(
                         "ended",
                         RequestLog.id(request.id),
                         "attempt",
@@ -226,7 +226,7 @@
             request.out--;
             request.mayHaveRun |= !result.neverRan;
             if (recorder != null) {
-                recorder.ended(clock.nowUs(), request.id, number, result, clock.nowUs() - sentUs);
+                recorder.attemptEnded(clock.nowUs(), request.id, number, result, clock.nowUs() - sentUs);
             }
             if (timer != null) {
                 timer.cancel();
@@ -235,7 +235,7 @@
                 request.leave();
             } else if (result == Result.OK && !request.over) {
                 request.reply.served(answer);
-                tell(request, Recorder.Told.SERVED, 0);
+                tell(request, RequestRecorder.Completion.SERVED, 0);
                 request.end();
             } else if (result == Result.ERROR) {
                 request.error = answer;
@@ -244,21 +244,21 @@
             // How long a body takes is its length's affair and its reader's.
             long tookUs = (begunUs > 0 ? begunUs : clock.nowUs()) - sentUs;
             if (admission != null && result == Result.OK) {
-                tellDoor(() -> admission.served(request.request.classIndex(), tookUs));
+                tellDoor(() -> admission.recordLatency(request.request.classIndex(), tookUs));
             }
-            stallUs = Math.min(stallUs + stall.us(), tookUs);
+            stallUs = Math.min(stallUs + stall.currentUs(), tookUs);
             enter(
                     request,
                     () -> balancer.onOutcome(
                             clock.nowUs(),
                             new Outcome(request.id, number, result, tookUs, request.over, null, stallUs)));
             if (witness != null) {
-                witness.ended(serverId, result, answer, stallUs > tookUs / 2, clock.nowUs());
+                witness.onAttemptEnded(serverId, result, answer, stallUs > tookUs / 2, clock.nowUs());
             }
             if (subset != null) {
                 List<ServerList.Target> changes = subset.ended(serverId, result, clock.nowUs());
                 if (!changes.isEmpty()) {
-                    tell(new ListIntake.Slice(ListKind.CHANGES, new ServerList(0, false, changes)));
+                    tell(new ServerListQueue.ListChunk(ListKind.CHANGES, new ServerList(0, false, changes)));
                 }
             }
         }
@@ -276,7 +276,7 @@
      */
     public Dispatcher(
             Clock clock,
-            Stall stall,
+            EventLoopDelay stall,
             ServerTransport servers,
             List<String> zones,
             Runnable listSubscription,
@@ -305,31 +305,31 @@
     }
 
     /** Has these routes hold for requests from now on; those in hand keep theirs. */
-    public void routes(RoutePolicy policy) {
+    public void setRoutes(RoutePolicy policy) {
         routes = policy;
     }
 
     /** Has this node keep to a part of the fleet; before the first list. */
-    public void subset(Subset part) {
+    public void setSubset(Subset part) {
         subset = part;
     }
 
     /** Has this see how attempts end, besides the module; null for nobody. */
-    public void witness(Witness other) {
+    public void setAttemptObserver(AttemptObserver other) {
         witness = other;
     }
 
     /** Has this see what becomes of requests from now on; null for nobody. */
-    public void recorder(Recorder other) {
+    public void setRecorder(RequestRecorder other) {
         recorder = other;
     }
 
     /** Has requests from now on stand before this door, or before none if it is null. */
-    public void admission(Admission door) {
-        Admission before = admission;
+    public void admission(AdmissionControl door) {
+        AdmissionControl before = admission;
         admission = door;
         if (before != null) {
-            before.open();
+            before.admitAll();
         }
         if (turn != null) {
             turn.cancel();
@@ -338,12 +338,12 @@
     }
 
     /** The door that requests stand before, or null. */
-    public Admission admission() {
+    public AdmissionControl admission() {
         return admission;
     }
 
     /** How many requests are held: unanswered, or with an attempt out. */
-    public int held() {
+    public int pendingRequests() {
         return held.size();
     }
 
@@ -383,7 +383,7 @@
         } finally {
             advancing = false;
         }
-        long at = admission == null ? Long.MAX_VALUE : admission.wakeAtUs();
+        long at = admission == null ? Long.MAX_VALUE : admission.nextWakeUpUs();
         if (at != turnUs) {
             if (turn != null) {
                 turn.cancel();
@@ -391,7 +391,7 @@
             turnUs = at;
             turn = at == Long.MAX_VALUE
                     ? null
-                    : clock.at(at, () -> {
+                    : clock.schedule(at, () -> {
                         turnUs = Long.MAX_VALUE;
                         if (admission != null) {
                             advance();
@@ -431,7 +431,7 @@
             // Errors too: out of memory for one request, the next may be small.
             LOG.log(Level.ERROR, "a call of the module failed", e);
             if (event.touches != null) {
-                fail(event.touches, Failure.INTERNAL);
+                fail(event.touches, Failure.INTERNAL_ERROR);
             }
         }
     }
@@ -443,42 +443,42 @@
      *
      * @param waitedUs how long ago its last byte was read
      */
-    public void take(ClientRequest request, ClientReply reply, long waitedUs) {
+    public void accept(ClientRequest request, ClientReply reply, long waitedUs) {
         if (held.containsKey(request.id())) {
-            turnedAway(request, Recorder.Door.DUPLICATE);
+            turnedAway(request, RequestRecorder.RejectionReason.DUPLICATE_ID);
             reply.failed(Failure.DUPLICATE_ID);
             return;
         }
-        RouteBounds bounds = routes.boundsOf(request);
+        RouteLimits bounds = routes.limitsOf(request);
         if (bounds == null) {
-            turnedAway(request, Recorder.Door.PATH);
-            reply.failed(Failure.BAD_PATH);
+            turnedAway(request, RequestRecorder.RejectionReason.AMBIGUOUS_PATH);
+            reply.failed(Failure.AMBIGUOUS_PATH);
             return;
         }
-        if (request.length() > bounds.bodyBytes()) {
-            turnedAway(request, Recorder.Door.LENGTH);
-            reply.failed(Failure.TOO_LARGE);
+        if (request.bodyLength() > bounds.maxBodyBytes()) {
+            turnedAway(request, RequestRecorder.RejectionReason.BODY_TOO_LARGE);
+            reply.failed(Failure.BODY_TOO_LARGE);
             return;
         }
-        if (!bounds.enter()) {
-            turnedAway(request, Recorder.Door.ROUTE);
-            reply.refused(bounds.adviseUs(0));
+        if (!bounds.tryAcquire()) {
+            turnedAway(request, RequestRecorder.RejectionReason.ROUTE_LIMIT);
+            reply.rejected(bounds.retryAfterUs(0));
             return;
         }
         // The client's time has been running while a loop that was behind left the request unread.
         long takenUs = clock.nowUs();
-        long arrivedUs = takenUs - Math.max(waitedUs, stall.us());
-        long leftUs = Math.min(request.remainingUs(), bounds.totalUs());
+        long arrivedUs = takenUs - Math.max(waitedUs, stall.currentUs());
+        long leftUs = Math.min(request.remainingUs(), bounds.requestTimeoutUs());
         Held taken = new Held(
                 request,
                 reply,
-                request.rest() == null ? bounds : new OnceBounds(bounds),
+                request.bodyRemainder() == null ? bounds : new SingleAttemptLimits(bounds),
                 arrivedUs + leftUs - Math.min(ANSWER_MARGIN_US, leftUs / ANSWER_MARGIN_PART),
                 takenUs,
                 arrivedUs);
         held.put(request.id(), taken);
         if (log.isOn()) {
-            log.line(
+            log.write(
                     "taken",
                     RequestLog.id(taken.id),
                     "class",
@@ -490,17 +490,17 @@
                     "us");
         }
         if (recorder != null) {
-            recorder.taken(takenUs, request, arrivedUs + leftUs - takenUs, takenUs - arrivedUs);
+            recorder.accepted(takenUs, request, arrivedUs + leftUs - takenUs, takenUs - arrivedUs);
         }
-        taken.guard = clock.at(arrivedUs + leftUs, () -> expire(taken));
-        reply.whenGone(() -> leave(taken));
+        taken.guard = clock.schedule(arrivedUs + leftUs, () -> expire(taken));
+        reply.onDisconnect(() -> leave(taken));
         if (admission == null) {
             offer(taken);
             return;
         }
         try {
             taken.entry = admission.arrive(
-                    taken.takenUs, request, reply.connection(), taken.takenUs - arrivedUs, taken.deadlineUs, taken);
+                    taken.takenUs, request, reply.connectionId(), taken.takenUs - arrivedUs, taken.deadlineUs, taken);
         } catch (RuntimeException | Error e) {
             doorFailed(e);
             return;
@@ -508,16 +508,16 @@
         advance();
     }
 
-    private void turnedAway(ClientRequest request, Recorder.Door why) {
+    private void turnedAway(ClientRequest request, RequestRecorder.RejectionReason why) {
         if (recorder != null) {
-            recorder.turnedAway(clock.nowUs(), request, why);
+            recorder.rejected(clock.nowUs(), request, why);
         }
     }
 
     /** Its client hears this now. */
-    private void tell(Held request, Recorder.Told what, long retryAfterUs) {
+    private void tell(Held request, RequestRecorder.Completion what, long retryAfterUs) {
         if (recorder != null) {
-            recorder.told(clock.nowUs(), request.id, what, retryAfterUs);
+            recorder.completed(clock.nowUs(), request.id, what, retryAfterUs);
         }
     }
 
@@ -528,7 +528,7 @@
         }
         taken.offered = true;
         if (recorder != null) {
-            recorder.offered(clock.nowUs(), taken.id);
+            recorder.admitted(clock.nowUs(), taken.id);
         }
         enter(taken, () -> {
             ClientRequest request = taken.request;
@@ -551,13 +551,13 @@
 
     private void leave(Held left) {
         if (log.isOn()) {
-            log.line("left by its client", RequestLog.id(left.id), left.out, "out");
+            log.write("left by its client", RequestLog.id(left.id), left.out, "out");
         }
         if (!left.over) {
-            tell(left, Recorder.Told.LEFT, 0);
+            tell(left, RequestRecorder.Completion.LEFT, 0);
         }
         left.end();
-        enter(left, () -> balancer.onClientGone(clock.nowUs(), left.id));
+        enter(left, () -> balancer.onClientDisconnected(clock.nowUs(), left.id));
     }
 
     /** The client's time is up and the module has said nothing: no request may stay without an answer. */
@@ -565,27 +565,27 @@
         if (!late.over) {
             LOG.log(Level.WARNING, "a request ran out of time unanswered");
             if (log.isOn()) {
-                log.line("ran out of time", RequestLog.id(late.id));
+                log.write("ran out of time", RequestLog.id(late.id));
             }
-            fail(late, Failure.OUT_OF_TIME);
-            enter(late, () -> balancer.onClientGone(clock.nowUs(), late.id));
+            fail(late, Failure.DEADLINE_EXCEEDED);
+            enter(late, () -> balancer.onClientDisconnected(clock.nowUs(), late.id));
         }
     }
 
     private void fail(Held request, Failure why) {
         if (!request.over) {
-            if (why != Failure.GIVEN_UP || !saysError(request)) {
+            if (why != Failure.UNSERVED || !saysError(request)) {
                 request.tellWhetherRun();
                 request.reply.failed(why);
             }
-            tell(request, Recorder.Told.FAILED, 0);
+            tell(request, RequestRecorder.Completion.FAILED, 0);
             request.end();
         }
     }
 
     /** Whether a server's own error was passed on for what the module has given up. */
     private static boolean saysError(Held request) {
-        return request.error != null && request.reply.errored(request.error);
+        return request.error != null && request.reply.passOnError(request.error);
     }
 
     // ---------------------------------------------------------------- the module's actions
@@ -599,7 +599,7 @@
         }
         long now = clock.nowUs();
         long until = untilUs <= 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
-        until = Math.min(until - now, request.bounds.attemptUs()) + now;
+        until = Math.min(until - now, request.bounds.attemptTimeoutUs()) + now;
         if (request.entry != null && request.sent.isEmpty()) {
             tellDoor(request.entry::sent);
         }
@@ -607,19 +607,19 @@
         request.sent.add(sent);
         request.out++;
         if (recorder != null) {
-            recorder.sent(now, requestId, serverId, until);
+            recorder.attemptSent(now, requestId, serverId, until);
         }
         if (log.isOn()) {
-            log.line("send", RequestLog.id(requestId), "attempt", sent.number, serverId, "for", until - now, "us");
+            log.write("send", RequestLog.id(requestId), "attempt", sent.number, serverId, "for", until - now, "us");
         }
-        if (!request.over && stall.us() >= LOOK_FROM_US && request.reply.hasLeft()) {
+        if (!request.over && stall.currentUs() >= LOOK_FROM_US && request.reply.hasDisconnected()) {
             leave(request);
         }
         if (request.over || now >= until) {
-            sent.ended(Result.MOOT, null);
+            sent.onEnded(Result.MOOT, null);
             return;
         }
-        sent.timer = clock.at(until, () -> sent.attempt.giveUp(Result.TIMEOUT));
+        sent.timer = clock.schedule(until, () -> sent.attempt.abandon(Result.TIMEOUT));
         sent.attempt = servers.send(serverId, sent);
     }
 
@@ -629,20 +629,20 @@
         if (request != null && attempt >= 0 && attempt < request.sent.size()) {
             Sent sent = request.sent.get(attempt);
             if (!sent.over) {
-                sent.attempt.giveUp(Result.CANCELLED);
+                sent.attempt.abandon(Result.CANCELLED);
             }
         }
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         Held request = held.get(requestId);
         if (request != null && !request.over) {
             if (!saysError(request)) {
                 request.tellWhetherRun();
-                request.reply.refused(request.bounds.adviseUs(retryAfterUs));
+                request.reply.rejected(request.bounds.retryAfterUs(retryAfterUs));
             }
-            tell(request, Recorder.Told.REFUSED, retryAfterUs);
+            tell(request, RequestRecorder.Completion.REFUSED, retryAfterUs);
             request.end();
         }
     }
@@ -651,7 +651,7 @@
     public void fail(long requestId) {
         Held request = held.get(requestId);
         if (request != null) {
-            fail(request, Failure.GIVEN_UP);
+            fail(request, Failure.UNSERVED);
         }
     }
 
@@ -661,14 +661,14 @@
         if (wake != null) {
             wake.cancel();
         }
-        wake = clock.at(atUs, () -> enter(null, () -> balancer.onWake(clock.nowUs())));
+        wake = clock.schedule(atUs, () -> enter(null, () -> balancer.onWake(clock.nowUs())));
     }
 
     @Override
     public void probe(String serverId) {
         long sentUs = clock.nowUs();
         ServerTransport.Attempt[] probe = new ServerTransport.Attempt[1];
-        Clock.Timer timer = clock.at(sentUs + PROBE_US, () -> probe[0].giveUp(Result.TIMEOUT));
+        Clock.Timer timer = clock.schedule(sentUs + PROBE_US, () -> probe[0].abandon(Result.TIMEOUT));
         probe[0] = servers.probe(serverId, (result, answer) -> {
             timer.cancel();
             long tookUs = clock.nowUs() - sentUs;
@@ -687,43 +687,43 @@
     }
 
     @Override
-    public boolean explains() {
+    public boolean wantsExplanations() {
         return recorder != null;
     }
 
     @Override
-    public void drew(long requestId, Balancer.Candidate first, Balancer.Candidate second) {
+    public void reportCandidates(long requestId, Balancer.Candidate first, Balancer.Candidate second) {
         if (recorder != null) {
-            recorder.drew(requestId, first, second);
+            recorder.candidatesDrawn(requestId, first, second);
         }
     }
 
     @Override
-    public void because(long requestId, Balancer.Why why) {
+    public void reportReason(long requestId, Balancer.UnservedReason why) {
         if (recorder != null) {
-            recorder.because(requestId, why);
+            recorder.reasonGiven(requestId, why);
         }
     }
 
     // ---------------------------------------------------------------- what the module knows
 
     /** Why this server is sent nothing, or less than it might be. */
-    public List<String> standing(String serverId) {
-        return balancer.standing(clock.nowUs(), serverId);
+    public List<String> explainServer(String serverId) {
+        return balancer.explainServer(clock.nowUs(), serverId);
     }
 
     /** What the module has learned of these servers, and of the classes. */
-    public Knowledge knowledge(List<String> serverIds) {
-        return balancer.knowledge(serverIds);
+    public ServerStatistics statistics(List<String> serverIds) {
+        return balancer.statistics(serverIds);
     }
 
     /** Has the module begin with this where it has learned nothing yet. */
-    public void recall(Knowledge prior) {
+    public void restore(ServerStatistics prior) {
         enter(null, () -> balancer.onPrior(clock.nowUs(), prior));
     }
 
     /** The servers as they were told last, those that drain too. */
-    public List<ServerList.Target> known() {
+    public List<ServerList.Target> knownServers() {
         return intake.known();
     }
 
@@ -746,7 +746,7 @@
             // What is left of a large list waits for the next turn, and lists behind it wait with it.
             takingIn |= intake.isMidList();
             if (takingIn && !intake.isCrowded()) {
-                clock.at(clock.nowUs(), this::goOn);
+                clock.schedule(clock.nowUs(), this::goOn);
                 break;
             }
         }
@@ -755,7 +755,7 @@
                     Level.WARNING,
                     "a list leaves out {0} servers, more than it names: they stay until" + " another does so too",
                     intake.doubted());
-            clock.at(clock.nowUs() + doubtUs, () -> {
+            clock.schedule(clock.nowUs() + doubtUs, () -> {
                 intake.obey();
                 takeLists();
             });
@@ -769,7 +769,7 @@
     }
 
     /** Goes through with all that waits of lists, in this turn. */
-    public void takeAllLists() {
+    public void applyAllLists() {
         while (intake.hasNext()) {
             takeSlice(intake.next());
         }
@@ -780,7 +780,7 @@
         enter(null, () -> balancer.onListFailed(clock.nowUs()));
     }
 
-    private void takeSlice(ListIntake.Slice told) {
+    private void takeSlice(ServerListQueue.ListChunk told) {
         tell(subset == null ? told : subset.of(told));
     }
 
@@ -788,7 +788,7 @@
     private int zone(String name) {
         Integer known = zones.get(name);
         if (known == null) {
-            known = zones.size() < MOST_ZONES ? -2 - zones.size() : -1;
+            known = zones.size() < MAX_ZONES ? -2 - zones.size() : -1;
             if (known != -1) {
                 zones.put(name, known);
             }
@@ -796,7 +796,7 @@
         return known;
     }
 
-    private void tell(ListIntake.Slice slice) {
+    private void tell(ServerListQueue.ListChunk slice) {
         ServerList list = slice.list();
         List<ServerEntry> entries = new ArrayList<>();
         for (ServerList.Target target : list.targets()) {
--- a/src/main/java/vetchpost/core/Stall.java
+++ b/src/main/java/vetchpost/core/EventLoopDelay.java
@@ -5,9 +5,9 @@
  * so long: that time is the node's own, and no server's. It comes from whatever keeps the loop from its
  * sockets: unoptimised code just after a start, a processor that others use, a pause for memory.
  */
-public final class Stall {
+public final class EventLoopDelay {
     /** Far under any aim; a beat costs some microseconds. */
-    private static final long BEAT_US = 10_000;
+    private static final long PROBE_INTERVAL_US = 10_000;
 
     private final Clock clock;
     /** When the last beat that has run was due. */
@@ -15,12 +15,12 @@
 
     private Clock.Timer beat;
 
-    public Stall(Clock clock) {
+    public EventLoopDelay(Clock clock) {
         this.clock = clock;
     }
 
     /** Begins to watch; to be called on the loop. */
-    public void watch() {
+    public void start() {
         dueUs = clock.nowUs();
         schedule();
     }
@@ -36,13 +36,13 @@
      * Counted from when the last beat was due and not from when it ran: what comes during a long turn of the
      * loop is read in the next one, after the beat at the turn's end.
      */
-    public long us() {
-        return beat == null ? 0 : Math.max(0, clock.nowUs() - dueUs - BEAT_US);
+    public long currentUs() {
+        return beat == null ? 0 : Math.max(0, clock.nowUs() - dueUs - PROBE_INTERVAL_US);
     }
 
     private void schedule() {
-        long nextUs = clock.nowUs() + BEAT_US;
-        beat = clock.at(nextUs, () -> {
+        long nextUs = clock.nowUs() + PROBE_INTERVAL_US;
+        beat = clock.schedule(nextUs, () -> {
             dueUs = nextUs;
             schedule();
         });
--- a/src/main/java/vetchpost/core/Failure.java
+++ b/src/main/java/vetchpost/core/Failure.java
@@ -5,13 +5,13 @@
     /** A request of the same id is in hand. */
     DUPLICATE_ID,
     /** Given up on, with no promise about its effect. */
-    GIVEN_UP,
+    UNSERVED,
     /** The client's time has passed. */
-    OUT_OF_TIME,
+    DEADLINE_EXCEEDED,
     /** Its path can be read in two ways, which would be a way round its route. */
-    BAD_PATH,
+    AMBIGUOUS_PATH,
     /** Its body is longer than its route allows. */
-    TOO_LARGE,
+    BODY_TOO_LARGE,
     /** A fault of the node's own. */
-    INTERNAL
+    INTERNAL_ERROR
 }
--- a/src/main/java/vetchpost/core/Fields.java
+++ b/src/main/java/vetchpost/core/Headers.java
@@ -3,7 +3,7 @@
 import java.util.function.BiConsumer;
 
 /** The header fields of a request that go on to servers, in their order. Names are compared without case. */
-public interface Fields {
+public interface Headers {
     /** The first value of this name, or null. */
     String get(String name);
 
--- a/src/main/java/vetchpost/core/RequestLog.java
+++ b/src/main/java/vetchpost/core/RequestLog.java
@@ -5,14 +5,14 @@
 
 /**
  * What became of each client's connection and each request, a line an event, for finding one request's way by
- * its id. Off unless the logger {@value #NAME} takes messages of level DEBUG as the node is put together, and
+ * its id. Off unless the logger {@value #LOGGER_NAME} takes messages of level DEBUG as the node is put together, and
  * then a boolean's test an event; on, it costs more than a request does (docs/request-log.md).
  */
 public final class RequestLog {
     /** The logger's name. */
-    public static final String NAME = "vetchpost.requests";
+    public static final String LOGGER_NAME = "vetchpost.requests";
 
-    private static final Logger LOG = System.getLogger(NAME);
+    private static final Logger LOG = System.getLogger(LOGGER_NAME);
 
     private final boolean on = LOG.isLoggable(Level.DEBUG);
 
@@ -22,7 +22,7 @@
     }
 
     /** Writes the parts one behind the other, a space between. */
-    public void line(Object... parts) {
+    public void write(Object... parts) {
         StringBuilder text = new StringBuilder();
         for (Object part : parts) {
             text.append(text.length() == 0 ? "" : " ").append(part);
--- a/src/main/java/vetchpost/core/ServerList.java
+++ b/src/main/java/vetchpost/core/ServerList.java
@@ -10,7 +10,7 @@
  * @param revision the version of the list
  * @param all whether it is the whole list
  */
-public record ServerList(long revision, boolean all, List<Target> targets) {
+public record ServerList(long revision, boolean isFull, List<Target> targets) {
 
     /**
      * One server in it.
--- a/src/main/java/vetchpost/core/ListIntake.java
+++ b/src/main/java/vetchpost/core/ServerListQueue.java
@@ -19,15 +19,15 @@
  * those that were told before, is doubted: what it does tell holds, drains too, but what it leaves out stays
  * until another whole list leaves it out too, or until the doubt's time is up. No I/O.
  */
-final class ListIntake {
+final class ServerListQueue {
     /** Servers in a list up to which it is taken whole, and taken of a larger one at a time. */
     static final int SLICE = 1_000;
     /** Fewer than this may go at once without a doubt. */
-    static final int LEAST_DOUBTED = 8;
+    static final int MIN_SUSPECT_SERVERS = 8;
     /** Lists that wait for a large one before them; beyond, the loop has to go through with it. */
-    private static final int MOST_PENDING = 64;
+    private static final int MAX_PENDING_LISTS = 64;
 
-    private final Addresses addresses = new Addresses();
+    private final AddressOwners addresses = new AddressOwners();
     /** What was told last of each server that has not gone. */
     private final Map<String, Target> known = new HashMap<>();
 
@@ -43,15 +43,15 @@
     private boolean newDoubt;
 
     /** What is to be taken in now. */
-    record Slice(ListKind kind, ServerList list) {}
+    record ListChunk(ListKind kind, ServerList list) {}
 
     /** The list as it was known before the start: of any age, so that what goes by the next is not odd. */
-    Slice known(ServerList list) {
+    ListChunk known(ServerList list) {
         known.clear();
         for (Target target : list.targets()) {
             know(target);
         }
-        return new Slice(ListKind.CACHED, addresses.settle(list));
+        return new ListChunk(ListKind.CACHED, addresses.settle(list));
     }
 
     /** All that has been told and not gone since. */
@@ -61,7 +61,7 @@
 
     /** A list to be taken in, after those before; a whole one takes the place of all that still wait. */
     void add(ServerList list) {
-        if (list.all()) {
+        if (list.isFull()) {
             pending.clear();
             current = null;
         }
@@ -79,11 +79,11 @@
 
     /** Whether so many wait that they must be gone through at once. */
     boolean isCrowded() {
-        return pending.size() > MOST_PENDING;
+        return pending.size() > MAX_PENDING_LISTS;
     }
 
     /** The next slice; only if there is one. */
-    Slice next() {
+    ListChunk next() {
         if (current == null) {
             begin(pending.poll());
             if (isSmall()) {
@@ -103,7 +103,7 @@
             tell(target);
         }
         if (taken == all.size()) {
-            if (current.all() && missing == null) {
+            if (current.isFull() && missing == null) {
                 missing = new ArrayList<>(left().values());
             }
             for (int i = 0; i < SLICE && missing != null && !missing.isEmpty(); i++) {
@@ -117,7 +117,7 @@
         ServerList settled = addresses.settle(new ServerList(list.revision(), false, slice));
         // Whoever has lost its address is offered again by the next whole list.
         settled.targets().stream().filter(t -> t.state() == ServerState.GONE).forEach(this::know);
-        return new Slice(ListKind.CHANGES, settled);
+        return new ListChunk(ListKind.CHANGES, settled);
     }
 
     private void begin(ServerList list) {
@@ -128,11 +128,11 @@
     }
 
     private boolean isSmall() {
-        return current.targets().size() <= SLICE && (!current.all() || known.size() <= SLICE);
+        return current.targets().size() <= SLICE && (!current.isFull() || known.size() <= SLICE);
     }
 
     private void tell(Target target) {
-        if (current.all()) {
+        if (current.isFull()) {
             named.add(target.id());
         }
         doubted.remove(target.id());
@@ -148,14 +148,14 @@
     }
 
     /** A small list: all that it names, and what it leaves out and is doubted for. */
-    private Slice whole() {
+    private ListChunk whole() {
         ServerList list = current;
         for (Target target : list.targets()) {
             tell(target);
         }
         current = null;
-        if (!list.all()) {
-            return new Slice(ListKind.CHANGES, addresses.settle(list));
+        if (!list.isFull()) {
+            return new ListChunk(ListKind.CHANGES, addresses.settle(list));
         }
         for (String id : left().keySet()) {
             known.remove(id);
@@ -165,7 +165,7 @@
             targets = new ArrayList<>(targets);
             targets.addAll(doubted.values());
         }
-        return new Slice(ListKind.FULL, addresses.settle(new ServerList(list.revision(), true, targets)));
+        return new ListChunk(ListKind.FULL, addresses.settle(new ServerList(list.revision(), true, targets)));
     }
 
     /** What the whole list leaves out, to be taken for gone; or nothing if it is doubted. */
@@ -174,7 +174,7 @@
         left.keySet().removeAll(named);
         boolean confirms = !doubted.isEmpty();
         doubted.clear();
-        if (told && !confirms && left.size() >= LEAST_DOUBTED && left.size() > known.size() - left.size()) {
+        if (told && !confirms && left.size() >= MIN_SUSPECT_SERVERS && left.size() > known.size() - left.size()) {
             doubted.putAll(left);
             newDoubt = true;
             left.clear();
@@ -199,7 +199,9 @@
     void obey() {
         if (!doubted.isEmpty()) {
             pending.add(new ServerList(
-                    0, false, doubted.values().stream().map(ListIntake::gone).toList()));
+                    0,
+                    false,
+                    doubted.values().stream().map(ServerListQueue::gone).toList()));
             doubted.clear();
         }
     }
--- a/src/main/java/vetchpost/core/Answer.java
+++ b/src/main/java/vetchpost/core/ServerResponse.java
@@ -9,10 +9,11 @@
  * @param rest what follows the body that is held; null if that is all
  * @param length of the whole body in bytes; the largest number if the server doesn't say
  */
-public record Answer(int status, String contentType, byte[] body, Fields fields, BodySource rest, long length) {
+public record ServerResponse(
+        int status, String contentType, byte[] body, Headers headers, BodySource bodyRemainder, long bodyLength) {
 
     /** Whole, and without further fields. */
-    public Answer(int status, String contentType, byte[] body) {
+    public ServerResponse(int status, String contentType, byte[] body) {
         this(status, contentType, body, null, null, body.length);
     }
 }
--- a/src/main/java/vetchpost/core/ServerTransport.java
+++ b/src/main/java/vetchpost/core/ServerTransport.java
@@ -11,28 +11,28 @@
     /** One request on its way to one server. */
     interface Attempt {
         /** Whether anything of it may have reached a server. */
-        boolean isOut();
+        boolean mayHaveReachedServer();
 
         /**
          * Stops waiting, for this reason: TIMEOUT, CANCELLED or MOOT. What had not been handed over whole
          * is reported as never run, the rest as the caller says, unless its answer turns out to be there.
          */
-        void giveUp(Result reason);
+        void abandon(Result reason);
     }
 
     /** Where an attempt is reported. */
-    interface Report {
+    interface AttemptListener {
         /** The one report; the answer is there when the result is OK or ERROR, else null. */
-        void ended(Result result, Answer answer);
+        void onEnded(Result result, ServerResponse answer);
     }
 
     /** A request to be sent. */
-    interface Sending extends Report {
+    interface OutgoingRequest extends AttemptListener {
         /** Asked for when it goes out, which may be a while after it was started. */
         ClientRequest request();
 
         /** How long the server is waited for from now on, in microseconds. */
-        long waitUs();
+        long responseTimeoutUs();
 
         /**
          * The answer has begun and is passed on as it comes: it is the final one, whatever becomes of it. The
@@ -40,7 +40,7 @@
          *
          * @return false if nobody waits for it any more
          */
-        default boolean begun(Answer answer) {
+        default boolean onResponseStarted(ServerResponse answer) {
             return false;
         }
     }
@@ -49,10 +49,10 @@
     void update(ServerList list);
 
     /** Starts an attempt; it may be reported before this returns. */
-    Attempt send(String serverId, Sending sending);
+    Attempt send(String serverId, OutgoingRequest sending);
 
     /** Asks a server for its health: OK, or whatever an attempt may end as. */
-    Attempt probe(String serverId, Report report);
+    Attempt probe(String serverId, AttemptListener report);
 
     /** Closes what is idle and keeps nothing that is not. */
     void close();
--- a/src/main/java/vetchpost/core/Subset.java
+++ b/src/main/java/vetchpost/core/Subset.java
@@ -10,7 +10,7 @@
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.ServerState;
-import vetchpost.decision.Ring;
+import vetchpost.decision.HashRing;
 
 /**
  * The part of a large fleet that one of many nodes sends to, so that not every node holds connections to
@@ -27,7 +27,7 @@
     /** A widened node takes half as many again after so long without half of them ill. */
     static final long NARROW_US = 10_000_000;
 
-    private static final int MOST_NODES = 100_000;
+    private static final int MAX_NODES = 100_000;
 
     private final int node;
     private final int nodes;
@@ -53,7 +53,7 @@
      * @throws IllegalArgumentException if a figure is out of range
      */
     public Subset(int node, int nodes, int size, boolean byCell) {
-        if (nodes < 1 || nodes > MOST_NODES || node < 0 || node >= nodes || size < 1) {
+        if (nodes < 1 || nodes > MAX_NODES || node < 0 || node >= nodes || size < 1) {
             throw new IllegalArgumentException("node " + node + " of " + nodes + " can't have " + size);
         }
         this.node = node;
@@ -63,7 +63,7 @@
     }
 
     /** What of a list this node is to know; nothing has changed for it if the result is empty. */
-    ListIntake.Slice of(ListIntake.Slice slice) {
+    ServerListQueue.ListChunk of(ServerListQueue.ListChunk slice) {
         ServerList list = slice.list();
         if (slice.kind() != ListKind.CHANGES) {
             known.clear();
@@ -92,7 +92,7 @@
                 }
             }
         }
-        return new ListIntake.Slice(slice.kind(), new ServerList(list.revision(), list.all(), changes));
+        return new ServerListQueue.ListChunk(slice.kind(), new ServerList(list.revision(), list.isFull(), changes));
     }
 
     private boolean place(Target target) {
@@ -117,7 +117,7 @@
 
     /** Where a server, or its cell, stands. */
     private long seat(Target target) {
-        return Ring.seat(byCell ? Integer.toString(target.cell()) : target.id());
+        return HashRing.position(byCell ? Integer.toString(target.cell()) : target.id());
     }
 
     /** Chooses anew; what is new to the node, and as gone what it is to leave alone. */
--- a/src/main/java/vetchpost/daemon/CheckCommand.java
+++ b/src/main/java/vetchpost/daemon/CheckCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import vetchpost.config.Config;
+import vetchpost.config.NodeConfig;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.Explanation;
 import vetchpost.routes.Proof;
@@ -117,7 +117,7 @@
                 ? System.getenv()
                 : Map.of("LB_CONFIG", config.toString(), "LB_LISTEN", "127.0.0.1:1", "LB_DISCOVERY", "127.0.0.1:1");
         try {
-            return Config.read(environment).settings();
+            return NodeConfig.read(environment).settings();
         } catch (IllegalArgumentException e) {
             throw bad("the file has no table [node], so classes and limits come from the platform's"
                     + " configuration (--config or LB_CONFIG): " + e.getMessage());
--- a/src/main/java/vetchpost/daemon/ControlLoader.java
+++ b/src/main/java/vetchpost/daemon/ControlLoader.java
@@ -112,9 +112,10 @@
             return;
         }
         FlightRecorder recorder = new FlightRecorder(
-                keep, settings.classes.stream().mapToLong(c -> c.aimUs()).toArray());
-        node.recorder(recorder);
-        desk.explanations(new Explanations(recorder, node::standing, this::situation, this::effects));
+                keep,
+                settings.classes.stream().mapToLong(c -> c.latencyTargetUs()).toArray());
+        node.setRecorder(recorder);
+        desk.explanations(new Explanations(recorder, node::explainServer, this::situation, this::effects));
     }
 
     /**
--- a/src/main/java/vetchpost/daemon/DoorLoader.java
+++ b/src/main/java/vetchpost/daemon/DoorLoader.java
@@ -2,7 +2,7 @@
 
 import vetchpost.admission.AdmissionSettings;
 import vetchpost.admission.FairAdmission;
-import vetchpost.config.Config;
+import vetchpost.config.NodeConfig;
 import vetchpost.node.Node;
 
 /** Puts the door before a node that its operator's file asks for, at the start and at each reload. */
@@ -15,13 +15,13 @@
      *
      * @param settings null for none
      */
-    static void settle(Node node, AdmissionSettings settings, Config config) {
+    static void settle(Node node, AdmissionSettings settings, NodeConfig config) {
         if (settings == null) {
             if (node.admission() != null) {
                 node.admission(null);
             }
         } else if (node.admission() instanceof FairAdmission door) {
-            door.settle(settings);
+            door.reconfigure(settings);
         } else {
             node.admission(new FairAdmission(settings, config.settings(), config.seed()));
         }
--- a/src/main/java/vetchpost/daemon/Main.java
+++ b/src/main/java/vetchpost/daemon/Main.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import vetchpost.config.Config;
-import vetchpost.config.Descriptors;
+import vetchpost.config.DescriptorLimit;
+import vetchpost.config.NodeConfig;
 import vetchpost.node.Node;
 
 /** Starts one node, and ends it in order when told to. */
@@ -90,7 +90,7 @@
             }
             node[0] = start(environment, group, loop, routes);
             if (!heard && node[0] != null) {
-                node[0].remark(() -> DEAF);
+                node[0].setReadinessNote(() -> DEAF);
             }
         });
     }
@@ -98,18 +98,18 @@
     private static Node start(Map<String, String> environment, EventLoopGroup group, EventLoop loop, Path routes) {
         Node node;
         try {
-            Config config = Config.read(environment).within(Descriptors.limit());
+            NodeConfig config = NodeConfig.read(environment).withMaxDescriptors(DescriptorLimit.limit());
             node = new Node(config, loop);
             if (routes != null) {
                 RouteLoader.Loaded loaded = RouteLoader.load(routes, config.settings(), config.seed(), null);
                 inForce = loaded;
-                node.routes(loaded.policy());
+                node.setRoutes(loaded.policy());
                 if (loaded.subset() != null) {
-                    node.subset(loaded.subset());
+                    node.setSubset(loaded.subset());
                 }
                 DoorLoader.settle(node, loaded.file().admission(), config);
                 if (loaded.file().recovery() != null) {
-                    node.companion(RecoveryLoader.load(loaded.file().recovery(), config.settings(), loop, group));
+                    node.setLifecycle(RecoveryLoader.load(loaded.file().recovery(), config.settings(), loop, group));
                 }
             }
         } catch (IllegalArgumentException e) {
@@ -130,7 +130,7 @@
     /** What can't be used changes nothing: a node that serves is worth more than a configuration. */
     private static void reload(Node node, Map<String, String> environment) {
         try {
-            node.reload(Config.reread(environment));
+            node.moveDiscovery(NodeConfig.reread(environment));
         } catch (RuntimeException e) {
             LOG.log(Level.WARNING, UNCHANGED, e.getMessage());
         }
@@ -139,14 +139,14 @@
     /** On the signal's own thread, one at a time: many routes take longer than the loop may stand. */
     private static synchronized void reload(Node[] node, Map<String, String> environment, Path routes, EventLoop loop) {
         try {
-            Config config = Config.reread(environment);
+            NodeConfig config = NodeConfig.reread(environment);
             // Which part of the fleet it has, and what is kept and handed over, stay as at the start.
             RouteLoader.Loaded loaded = RouteLoader.load(routes, config.settings(), config.seed(), inForce);
             loop.execute(() -> {
                 try {
                     // First: it is the one that may find that it can't.
                     DoorLoader.settle(node[0], loaded.file().admission(), config);
-                    node[0].reload(config);
+                    node[0].moveDiscovery(config);
                     loaded.settle();
                     inForce = loaded;
                 } catch (RuntimeException e) {
@@ -161,7 +161,7 @@
     private static void rehearse() {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         Hangup.handle(() -> {});
-        Node node = new Node(Config.parse(EXAMPLE, Map.of()), group.next());
+        Node node = new Node(NodeConfig.parse(EXAMPLE, Map.of()), group.next());
         group.next()
                 .execute(() -> node.warmUp(WARM_UP, () -> node.start(group, BY_SOCKETS, group::shutdownGracefully)));
     }
--- a/src/main/java/vetchpost/daemon/ProvedFile.java
+++ b/src/main/java/vetchpost/daemon/ProvedFile.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import vetchpost.admission.AdmissionProver;
 import vetchpost.admission.AdmissionSettings;
+import vetchpost.admission.AdmissionValidator;
 import vetchpost.changes.ChangesProver;
 import vetchpost.changes.ChangesSettings;
 import vetchpost.control.ControlProver;
@@ -117,7 +117,7 @@
             }
             Proof routes = prover.end();
             RecoveryProver.Proof recovery = RecoveryProver.prove(others);
-            AdmissionProver.Proof admission = AdmissionProver.prove(others, settings);
+            AdmissionValidator.ValidationResult admission = AdmissionValidator.validate(others, settings);
             ControlProver.Proof control = ControlProver.prove(others);
             ChangesProver.Proof changes = ChangesProver.prove(others);
             violations.addAll(routes.violations());
--- a/src/main/java/vetchpost/daemon/RouteLoader.java
+++ b/src/main/java/vetchpost/daemon/RouteLoader.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import vetchpost.core.Subset;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.FileRoutePolicy;
 import vetchpost.routes.Proof;
@@ -51,7 +51,9 @@
 
     /** Where repeats must stay in a cell, a node has all of a cell or nothing. */
     private static Subset subset(Proof.Part part, Settings settings) {
-        boolean byCell = settings.classes.stream().anyMatch(c -> c.repeat() == Repeat.KEYED && c.group() == Group.CELL);
+        boolean byCell = settings.classes.stream()
+                .anyMatch(
+                        c -> c.idempotency() == Idempotency.KEYED && c.deduplicationScope() == DeduplicationScope.CELL);
         return new Subset(part.node(), settings.nodes, part.subset(), byCell);
     }
 }
--- a/src/main/java/vetchpost/daemon/StandaloneNode.java
+++ b/src/main/java/vetchpost/daemon/StandaloneNode.java
@@ -15,13 +15,13 @@
 import java.util.Objects;
 import java.util.function.Consumer;
 import vetchpost.conductor.Conductor;
-import vetchpost.config.Config;
-import vetchpost.config.Descriptors;
+import vetchpost.config.DescriptorLimit;
+import vetchpost.config.NodeConfig;
 import vetchpost.core.Subset;
 import vetchpost.net.Network;
-import vetchpost.node.Fronts;
 import vetchpost.node.Node;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
+import vetchpost.node.ProtocolAdapters;
 import vetchpost.routes.FileRoutePolicy;
 import vetchpost.routes.RouteTable;
 import vetchpost.standalone.Renewal;
@@ -60,8 +60,13 @@
         front = new WebFront(alone.settings(), alone.classifier(), alone.limits(), System::currentTimeMillis);
         conductor = new Conductor(alone, loop, Network.SYSTEM, seed, System.currentTimeMillis());
         node = new Node(
-                config(alone), loop, Network.SYSTEM, System.currentTimeMillis(), Seams.NONE, new Fronts(front, front));
-        node.witness(conductor);
+                config(alone),
+                loop,
+                Network.SYSTEM,
+                System.currentTimeMillis(),
+                NodeHooks.NONE,
+                new ProtocolAdapters(front, front));
+        node.setAttemptObserver(conductor);
         control = file.control() == null
                 ? null
                 : new ControlLoader(
@@ -70,11 +75,11 @@
                         conductor,
                         () -> Map.of(
                                 "requests",
-                                (long) node.inHand().requests(),
+                                (long) node.pendingWork().requests(),
                                 "bytes",
-                                node.inHand().bytes(),
+                                node.pendingWork().bytes(),
                                 "sockets",
-                                (long) node.inHand().sockets()));
+                                (long) node.pendingWork().sockets()));
         if (control != null) {
             control.explain(node, alone.settings());
         }
@@ -85,20 +90,20 @@
         routes = changes == null ? file.routes().table() : changes.first().routes();
         policy = new FileRoutePolicy(routes, alone.settings(), seed);
         if (changes != null) {
-            node.remark(changes::words);
+            node.setReadinessNote(changes::words);
         }
         policy(file, true);
         if (file.recovery() != null) {
-            node.companion(RecoveryLoader.load(file.recovery(), alone.settings(), loop, group));
+            node.setLifecycle(RecoveryLoader.load(file.recovery(), alone.settings(), loop, group));
         }
     }
 
-    private Config config(Standalone alone) {
-        return new Config(
+    private NodeConfig config(Standalone alone) {
+        return new NodeConfig(
                 alone.listen(),
                 null,
                 seed,
-                Math.min(alone.sockets(), Descriptors.limit()),
+                Math.min(alone.sockets(), DescriptorLimit.limit()),
                 alone.connIdleUs(),
                 alone.settings(),
                 conductor.known());
@@ -112,7 +117,7 @@
 
     private void policy(ProvedFile file, boolean starting) {
         policy.settle(routes, file.node().settings());
-        node.routes(
+        node.setRoutes(
                 control == null
                         ? policy
                         : control.before(
@@ -121,7 +126,7 @@
                                         .map(c -> c.name())
                                         .toList()));
         if (starting && file.routes().part() != null) {
-            node.subset(new Subset(
+            node.setSubset(new Subset(
                     file.routes().part().node(),
                     file.node().settings().nodes,
                     file.routes().part().subset(),
@@ -177,7 +182,7 @@
         if (control != null) {
             control.operated(reload, () -> remark(heard));
         }
-        node.remark(() -> remark(heard));
+        node.setReadinessNote(() -> remark(heard));
     }
 
     /** What operators are told besides what they ask for; null for nothing. */
@@ -232,7 +237,7 @@
         Standalone now = fresh.node();
         Renewal renewal = Renewal.of(loaded.node(), now);
         if (renewal.core()) {
-            node.renew(config(now));
+            node.reconfigure(config(now));
             if (control != null) {
                 // Other classes, other aims: what was kept is of the old ones.
                 control.explain(node, now.settings());
@@ -243,7 +248,7 @@
         conductor.renew(now);
         Promise<SocketAddress> inForce = loop.newPromise();
         if (renewal.address()) {
-            ChannelFuture binding = node.listenAt(group, now.listen());
+            ChannelFuture binding = node.addListener(group, now.listen());
             binding.addListener(done -> {
                 if (done.isSuccess()) {
                     listening = binding.channel().localAddress();
--- a/src/main/java/vetchpost/daemon/StateCommand.java
+++ b/src/main/java/vetchpost/daemon/StateCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import vetchpost.decision.Knowledge.OfServer;
+import vetchpost.decision.ServerStatistics.PerServer;
 import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
 import vetchpost.state.Doubt;
@@ -107,10 +107,10 @@
                 "box", "address", "confirmed", "by", "answers", "errors", "pace", "limit", "");
         List<BoxState> boxes = new ArrayList<>(snapshot.boxes());
         boxes.sort(Comparator.comparingInt((BoxState b) ->
-                        b.knowledge() == null ? 0 : -b.knowledge().failures())
+                        b.knowledge() == null ? 0 : -b.knowledge().recentFailures())
                 .thenComparing(b -> b.target().id()));
         for (BoxState box : boxes.subList(0, Math.min(most, boxes.size()))) {
-            OfServer known = box.knowledge();
+            PerServer known = box.knowledge();
             String address = box.target().address().getAddress().getHostAddress() + ":"
                     + box.target().address().getPort();
             out.printf(
@@ -120,10 +120,10 @@
                     address,
                     time(nowMs - box.confirmedMs()),
                     box.by().name().toLowerCase(Locale.ROOT),
-                    known == null ? "-" : known.answers(),
-                    known == null ? "-" : known.errors(),
-                    known == null ? "-" : figure(known.pace()),
-                    known == null ? "-" : figure(known.limit()),
+                    known == null ? "-" : known.attemptCount(),
+                    known == null ? "-" : known.consecutiveErrors(),
+                    known == null ? "-" : figure(known.relativeLatency()),
+                    known == null ? "-" : figure(known.relativeLimit()),
                     known != null && known.ejected() ? "ejected" : "");
         }
         if (boxes.size() > most) {
--- a/src/main/java/vetchpost/decision/Aperture.java
+++ b/src/main/java/vetchpost/decision/Aperture.java
@@ -112,7 +112,7 @@
     }
 
     /** Which of those in use are not of the part any more. */
-    List<Server> leaving(Roster<Server> inUse) {
+    List<Server> leaving(IndexedSet<Server> inUse) {
         List<Server> leaving = new ArrayList<>();
         Set<Server> part = new HashSet<>(part());
         for (int i = 0; i < inUse.size(); i++) {
@@ -124,7 +124,7 @@
     }
 
     /** Which are of the part and not in use yet, in the order in which they were named first. */
-    List<Server> joining(Roster<Server> inUse) {
+    List<Server> joining(IndexedSet<Server> inUse) {
         List<Server> joining = part();
         joining.removeIf(inUse::contains);
         joining.sort(Comparator.comparingLong(s -> s.number));
--- a/src/main/java/vetchpost/decision/Balancer.java
+++ b/src/main/java/vetchpost/decision/Balancer.java
@@ -34,7 +34,7 @@
     void onFirstByte(long nowUs, long requestId, int attempt);
 
     /** The client has left; nothing more is owed. Ids that are not held are passed over. */
-    void onClientGone(long nowUs, long requestId);
+    void onClientDisconnected(long nowUs, long requestId);
 
     /** How a probe ended; {@code report} as in {@link Outcome}. */
     void onProbe(long nowUs, String serverId, Result result, long latencyUs, double[] report);
@@ -43,21 +43,21 @@
     void onWake(long nowUs);
 
     /** What it has learned of these servers, as far as they are ready, and of the classes. */
-    default Knowledge knowledge(List<String> serverIds) {
-        return Knowledge.NONE;
+    default ServerStatistics statistics(List<String> serverIds) {
+        return ServerStatistics.NONE;
     }
 
     /**
      * What was known of servers and classes before the start, or to another node, as far as it is still
      * believed. It counts only where nothing has been found out since, and outweighs nothing.
      */
-    default void onPrior(long nowUs, Knowledge prior) {}
+    default void onPrior(long nowUs, ServerStatistics prior) {}
 
     /**
      * Why this server is sent nothing, or less than it might be: a line a reason, for people; none if it is
      * drawn as any other.
      */
-    default List<String> standing(long nowUs, String serverId) {
+    default List<String> explainServer(long nowUs, String serverId) {
         return List.of();
     }
 
@@ -70,7 +70,7 @@
         void cancel(long requestId, int attempt);
 
         /** Final answer: turned away, trying again is harmless; 0 gives no advice on when. */
-        void refuse(long requestId, long retryAfterUs);
+        void reject(long requestId, long retryAfterUs);
 
         /** Final answer: failed, with no promise about its effect. */
         void fail(long requestId);
@@ -88,15 +88,15 @@
         void log(String line);
 
         /** Whether anybody wants to be told of draws and reasons; asked before they are put together. */
-        default boolean explains() {
+        default boolean wantsExplanations() {
             return false;
         }
 
         /** Which servers were drawn for an attempt, before one is sent to; the second may be null. */
-        default void drew(long requestId, Candidate first, Candidate second) {}
+        default void reportCandidates(long requestId, Candidate first, Candidate second) {}
 
         /** Why the refusal or failure that comes next is the answer. */
-        default void because(long requestId, Why why) {}
+        default void reportReason(long requestId, UnservedReason why) {}
     }
 
     /**
@@ -107,32 +107,32 @@
      * @param limit how many this node may have there
      * @param pace how long it takes for what takes others 1
      */
-    record Candidate(String serverId, double weight, int inFlight, double limit, double pace) {}
+    record Candidate(String serverId, double weight, int inFlight, double limit, double relativeLatency) {}
 
     /** Why a request has its final answer without having been served. */
-    enum Why {
+    enum UnservedReason {
         /** No answer could come in time, or earn anything, by the time it was read. */
-        TOO_OLD("no answer could be in time when it came"),
+        TOO_LATE_ON_ARRIVAL("no answer could be in time when it came"),
         /** The node refuses a part of what is worth little, since what is worth more finds no room. */
         SHED("the fleet is full, and what is worth less is refused as it comes"),
         /** The node itself is behind. */
-        BEHIND("the node was behind, and its answer would have been late"),
+        EVENT_LOOP_DELAY("the node was behind, and its answer would have been late"),
         /** No server had room for it in time. */
-        NO_ROOM("no server had room for it in time"),
+        NO_CAPACITY("no server had room for it in time"),
         /** Its time was up after an attempt. */
-        NO_TIME("no time was left for another attempt"),
+        DEADLINE_EXCEEDED("no time was left for another attempt"),
         /** It has had as many attempts as may be. */
-        ATTEMPTS("it has had all its attempts"),
+        ATTEMPTS_EXHAUSTED("it has had all its attempts"),
         /** It may have run, and must not run twice. */
         MAY_HAVE_RUN("it may have run, and must not run twice"),
         /** Servers no longer know its key. */
-        WINDOW("servers no longer drop repeats of its key"),
+        DEDUPLICATION_WINDOW_EXPIRED("servers no longer drop repeats of its key"),
         /** Its route's attempts or retry budget are used up. */
-        ROUTE("its route's attempts, or its retry budget, are used up");
+        ROUTE_LIMIT("its route's attempts, or its retry budget, are used up");
 
         private final String text;
 
-        Why(String text) {
+        UnservedReason(String text) {
             this.text = text;
         }
 
@@ -188,16 +188,16 @@
             long id,
             int classIndex,
             int tenant,
-            long leftUs,
+            long remainingUs,
             long workUs,
             boolean retry,
-            long waitedUs,
-            long queuedUs,
-            Bounds bounds) {
+            long loopDelayUs,
+            long admissionDelayUs,
+            RetryLimits retryLimits) {
 
         /** Of no route. */
         public Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry, long waitedUs) {
-            this(id, classIndex, tenant, leftUs, workUs, retry, waitedUs, 0, Bounds.NONE);
+            this(id, classIndex, tenant, leftUs, workUs, retry, waitedUs, 0, RetryLimits.NONE);
         }
 
         /** Read as soon as it came. */
@@ -207,33 +207,33 @@
     }
 
     /** The bounds that an operator has set to the repeats of a request. */
-    interface Bounds {
+    interface RetryLimits {
         /** None. */
-        Bounds NONE = new Bounds() {};
+        RetryLimits NONE = new RetryLimits() {};
 
         /** How many attempts may have run, the first included. */
-        default int attempts() {
+        default int maxAttempts() {
             return Integer.MAX_VALUE;
         }
 
         /** Whether one more attempt after the first is within the budget. */
-        default boolean mayRepeat() {
+        default boolean mayRetry() {
             return true;
         }
 
         /** One more attempt after the first is sent. */
-        default void repeated() {}
+        default void recordRetry() {}
 
         /** So long after the first attempt a second copy is sent, in microseconds; 0 for none. */
-        default long copyAfterUs() {
+        default long hedgeDelayUs() {
             return 0;
         }
 
         /** An attempt was served in so many microseconds. */
-        default void served(long latencyUs) {}
+        default void recordLatency(long latencyUs) {}
 
         /** How long to wait after so many attempts before the next, in microseconds. */
-        default long waitUs(int attempts) {
+        default long retryDelayUs(int attempts) {
             return 0;
         }
     }
@@ -285,7 +285,7 @@
             long latencyUs,
             boolean requestEnded,
             double[] report,
-            long stallUs) {
+            long loopDelayUs) {
 
         /** By a node that keeps up. */
         public Outcome(
@@ -294,24 +294,26 @@
         }
 
         /** What of the latency is surely the server's. */
-        public long servedUs() {
-            return latencyUs - stallUs;
+        public long serverLatencyUs() {
+            return latencyUs - loopDelayUs;
         }
 
         /** Whether the latency is mostly the node's own, so that nothing can be told by it. */
-        public boolean isStalled() {
-            return servedUs() < stallUs;
+        public boolean isMostlyLoopDelay() {
+            return serverLatencyUs() < loopDelayUs;
         }
 
         /** Whether it says anything of its server: a node that is behind runs out of time on answers that
          * have come. One that stays behind finds a silent server only by what fails otherwise. */
-        public boolean isTelling() {
-            return result != Result.CANCELLED && result != Result.MOOT && (result != Result.TIMEOUT || !isStalled());
+        public boolean isInformative() {
+            return result != Result.CANCELLED
+                    && result != Result.MOOT
+                    && (result != Result.TIMEOUT || !isMostlyLoopDelay());
         }
     }
 
     /** Whether a request may run again. */
-    enum Repeat {
+    enum Idempotency {
         /** As often as wanted. */
         SAFE,
         /** Within a group of servers that drops repeats, for a while. */
@@ -321,7 +323,7 @@
     }
 
     /** The servers among which the repeats of a keyed request are dropped. */
-    enum Group {
+    enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
@@ -353,15 +355,15 @@
      */
     record RequestClass(
             String name,
-            long aimUs,
-            double aimStretch,
+            long latencyTargetUs,
+            double latencyTargetWorkFactor,
             long deadlineUs,
-            double worth,
-            double lateWorth,
-            Repeat repeat,
-            Group group,
-            long windowUs,
-            boolean stream) {}
+            double value,
+            double lateValueFraction,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
+            long deduplicationWindowUs,
+            boolean isStreaming) {}
 
     /**
      * A tenant.
@@ -387,17 +389,17 @@
         /** Worth of a request beyond its tenant's share, as a part of its class's worth. */
         public double overShareWorth = 1;
         /** Whether worth counts for each unit of work and not for each request. */
-        public boolean worthByWork;
+        public boolean valuePerWorkUnit;
         /** Most attempts for a request. */
         public int maxAttempts = 3;
         /** Whether a request may have two attempts out at once. */
-        public boolean secondCopies;
+        public boolean allowsHedging;
         /** Whether attempts may be cancelled. */
-        public boolean cancel;
+        public boolean allowsCancellation;
         /** Whether servers may be probed. */
-        public boolean probes;
+        public boolean allowsProbes;
         /** Whether clients mark their repeats, so that what is not marked is a first try. */
-        public boolean marksRetry;
+        public boolean clientsMarkRetries;
         /** Longest advice to a client on when to come back; 0 means none may be given. */
         public long maxRetryAfterUs;
         /** Events come at most this often. */
@@ -449,10 +451,15 @@
             require(fallMultiple > 0, "fallMultiple is not above 0");
             for (RequestClass c : classes) {
                 require(
-                        c.aimUs() >= 0 && c.deadlineUs() > 0 && c.windowUs() >= 0 && c.aimStretch() >= 0,
+                        c.latencyTargetUs() >= 0
+                                && c.deadlineUs() > 0
+                                && c.deduplicationWindowUs() >= 0
+                                && c.latencyTargetWorkFactor() >= 0,
                         "class " + c.name() + " has a length of time out of range");
-                require(c.worth() >= 0 && c.lateWorth() >= 0, "class " + c.name() + " has a negative worth");
-                require(c.repeat() != Repeat.KEYED || c.group() != null, "class " + c.name() + " has no group");
+                require(c.value() >= 0 && c.lateValueFraction() >= 0, "class " + c.name() + " has a negative worth");
+                require(
+                        c.idempotency() != Idempotency.KEYED || c.deduplicationScope() != null,
+                        "class " + c.name() + " has no group");
             }
         }
 
--- a/src/main/java/vetchpost/decision/Fleet.java
+++ b/src/main/java/vetchpost/decision/Fleet.java
@@ -12,12 +12,12 @@
     /** No zone is nearer than another. */
     private static final int NO_ZONE = Integer.MIN_VALUE;
 
-    private static final Roster<Server> NOBODY = new Roster<>(0);
+    private static final IndexedSet<Server> NOBODY = new IndexedSet<>(0);
 
     /** The servers that are ready, in list order, and those of them that are ejected. */
-    final Roster<Server> ready = new Roster<>(0);
+    final IndexedSet<Server> ready = new IndexedSet<>(0);
 
-    final Roster<Server> ejected = new Roster<>(1);
+    final IndexedSet<Server> ejected = new IndexedSet<>(1);
     /** What is drawn from: all servers that are ready, and of this node's own zone; of both, who has room. */
     final DrawIndex<Server> everywhere = new DrawIndex<>(0);
 
@@ -29,8 +29,8 @@
     /** The sizes of the ready servers, by the list. */
     double totalWeight;
 
-    private final Map<Integer, Roster<Server>> zones = new HashMap<>();
-    private final Map<Integer, Roster<Server>> cells = new HashMap<>();
+    private final Map<Integer, IndexedSet<Server>> zones = new HashMap<>();
+    private final Map<Integer, IndexedSet<Server>> cells = new HashMap<>();
     private final int myZone;
 
     /** Without zones: what is nearby is what is anywhere. */
@@ -64,17 +64,17 @@
         totalWeight = ready.size() == 0 ? 0 : totalWeight - server.weight;
     }
 
-    private static void add(Map<Integer, Roster<Server>> groups, int key, int place, Server server) {
-        Roster<Server> group = groups.get(key);
+    private static void add(Map<Integer, IndexedSet<Server>> groups, int key, int place, Server server) {
+        IndexedSet<Server> group = groups.get(key);
         if (group == null) {
-            group = new Roster<>(place);
+            group = new IndexedSet<>(place);
             groups.put(key, group);
         }
         group.add(server);
     }
 
-    private static void remove(Map<Integer, Roster<Server>> groups, int key, Server server) {
-        Roster<Server> group = groups.get(key);
+    private static void remove(Map<Integer, IndexedSet<Server>> groups, int key, Server server) {
+        IndexedSet<Server> group = groups.get(key);
         group.remove(server);
         if (group.size() == 0) {
             groups.remove(key);
@@ -114,12 +114,12 @@
     }
 
     /** The ready servers of a zone. */
-    Roster<Server> zone(int zone) {
+    IndexedSet<Server> zone(int zone) {
         return zones.getOrDefault(zone, NOBODY);
     }
 
     /** The ready servers of a cell. */
-    Roster<Server> cell(int cell) {
+    IndexedSet<Server> cell(int cell) {
         return cells.getOrDefault(cell, NOBODY);
     }
 }
--- a/src/main/java/vetchpost/decision/Ring.java
+++ b/src/main/java/vetchpost/decision/HashRing.java
@@ -1,11 +1,11 @@
 package vetchpost.decision;
 
 /** A ring on which all servers stand, at the same places for every node. */
-public final class Ring {
-    private Ring() {}
+public final class HashRing {
+    private HashRing() {}
 
     /** Where a name stands: 64 well-mixed bits (FNV-1a, and the finalizer of MurmurHash3 by Appleby). */
-    public static long seat(String name) {
+    public static long position(String name) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < name.length(); i++) {
             hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
--- a/src/main/java/vetchpost/decision/Roster.java
+++ b/src/main/java/vetchpost/decision/IndexedSet.java
@@ -9,7 +9,7 @@
  *
  * @param <M> who is in it
  */
-final class Roster<M extends Roster.Member> {
+final class IndexedSet<M extends IndexedSet.Member> {
     /** Rosters that a member can be in at once. */
     static final int PLACES = 4;
 
@@ -23,7 +23,7 @@
     }
 
     /** Nobody yet; {@code place} tells it from the others that its members are in, from 0. */
-    Roster(int place) {
+    IndexedSet(int place) {
         this.place = place;
     }
 
--- a/src/main/java/vetchpost/decision/Shedding.java
+++ b/src/main/java/vetchpost/decision/LoadShedder.java
@@ -5,36 +5,36 @@
 /**
  * Which part of the requests of little worth a node refuses as they come, so that those of more worth find
  * room: what is worth more than the mean is upper, the rest lower. Each upper request that had to be refused
- * unsent raises the part, each that was sent lowers it, so that about {@link #BORNE} of the upper ones are
+ * unsent raises the part, each that was sent lowers it, so that about {@link #TARGET_REJECTED_FRACTION} of the upper ones are
  * refused while the fleet can't take all. The lower ones that are let through fill what the upper ones leave.
  * No I/O and no clock.
  */
-final class Shedding {
+final class LoadShedder {
     /** Part of the upper requests that may be refused: as little as shows that the fleet is full. */
-    static final double BORNE = 0.04;
+    static final double TARGET_REJECTED_FRACTION = 0.04;
     /** By how much one refusal raises the part: twenty in a row take it from none to all. */
-    static final double STEP = 0.05;
+    static final double SHED_STEP = 0.05;
     /** Most that is refused: what comes through shows when there is room again. */
-    static final double MOST = 0.75;
+    static final double MAX_SHED_FRACTION = 0.75;
 
     private double part;
 
     /** Before an attempt of it goes out. */
-    void sent(Call call) {
+    void sent(PendingRequest call) {
         if (call.upper && call.attempts == 0) {
-            part = Math.max(0, part - STEP * BORNE / (1 - BORNE));
+            part = Math.max(0, part - SHED_STEP * TARGET_REJECTED_FRACTION / (1 - TARGET_REJECTED_FRACTION));
         }
     }
 
     /** It has its final answer and was not served. */
-    void givenUp(Call call) {
+    void givenUp(PendingRequest call) {
         if (call.upper && call.attempts == 0) {
-            part = Math.min(MOST, part + STEP);
+            part = Math.min(MAX_SHED_FRACTION, part + SHED_STEP);
         }
     }
 
     /** Whether it is to be refused as it comes. */
-    boolean refuses(Call call, SplittableRandom random) {
+    boolean refuses(PendingRequest call, SplittableRandom random) {
         return part > 0 && !call.upper && random.nextDouble() < part;
     }
 }
--- a/src/main/java/vetchpost/decision/Call.java
+++ b/src/main/java/vetchpost/decision/PendingRequest.java
@@ -6,7 +6,7 @@
 import vetchpost.decision.Balancer.Settings;
 
 /** A request that is held, or whose attempts are still out. */
-final class Call {
+final class PendingRequest {
     final Request request;
     final RequestClass cls;
     final long arrivedAt;
@@ -30,14 +30,15 @@
     boolean streaming;
     boolean ended;
 
-    Call(Request request, Settings set, long now, long elapsedUs) {
+    PendingRequest(Request request, Settings set, long now, long elapsedUs) {
         this.request = request;
         cls = set.classes.get(request.classIndex());
-        long aim = Math.min(cls.deadlineUs(), cls.aimUs() + (long) (cls.aimStretch() * request.workUs()));
+        long aim = Math.min(
+                cls.deadlineUs(), cls.latencyTargetUs() + (long) (cls.latencyTargetWorkFactor() * request.workUs()));
         arrivedAt = now;
-        deadlineAt = now + Math.max(0, request.leftUs());
+        deadlineAt = now + Math.max(0, request.remainingUs());
         aimUs = aim;
-        aimAt = Math.min(deadlineAt, now + aim - elapsedUs - request.waitedUs() - request.queuedUs());
+        aimAt = Math.min(deadlineAt, now + aim - elapsedUs - request.loopDelayUs() - request.admissionDelayUs());
         servers = new Server[set.maxAttempts];
         sentAt = new long[set.maxAttempts];
         results = new Result[set.maxAttempts];
--- a/src/main/java/vetchpost/decision/Server.java
+++ b/src/main/java/vetchpost/decision/Server.java
@@ -4,7 +4,7 @@
 import vetchpost.decision.Balancer.ServerState;
 
 /** A server as this node knows it: what the list says of it, and what its answers have told. */
-final class Server extends Roster.Member {
+final class Server extends IndexedSet.Member {
     final String id;
     final long number;
     /** Where it stands on the ring of all servers. */
@@ -75,7 +75,7 @@
 
     Server(String id, long number, double limit, int classes) {
         this.id = id;
-        seat = Ring.seat(id);
+        seat = HashRing.position(id);
         this.number = number;
         this.limit = limit;
         misses = new int[classes];
--- a/src/main/java/vetchpost/decision/Knowledge.java
+++ b/src/main/java/vetchpost/decision/ServerStatistics.java
@@ -13,9 +13,10 @@
  * @param ejected how many of them are ejected
  * @param throttled whether the node is sending less than it is asked for, because most attempts fail
  */
-public record Knowledge(List<OfServer> servers, List<OfClass> classes, int ready, int ejected, boolean throttled) {
+public record ServerStatistics(
+        List<PerServer> servers, List<PerClass> classes, int readyCount, int ejectedCount, boolean throttled) {
     /** Nothing is known. */
-    public static final Knowledge NONE = new Knowledge(List.of(), List.of(), 0, 0, false);
+    public static final ServerStatistics NONE = new ServerStatistics(List.of(), List.of(), 0, 0, false);
 
     /**
      * Of one server.
@@ -34,22 +35,22 @@
      * @param ejected whether it gets single trials only
      * @param misses by class: failures in a row
      */
-    public record OfServer(
+    public record PerServer(
             String id,
             long startedAtUs,
-            int answers,
-            long heardAtUs,
-            long servedAtUs,
-            int errors,
-            int failures,
-            double faults,
-            double pace,
-            double limit,
+            int attemptCount,
+            long lastAnswerAtUs,
+            long lastServedAtUs,
+            int consecutiveErrors,
+            int recentFailures,
+            double failureFraction,
+            double relativeLatency,
+            double relativeLimit,
             boolean ejected,
-            List<Integer> misses) {
+            List<Integer> classFailureStreaks) {
         /** Lists don't change once they are here. */
-        public OfServer {
-            misses = List.copyOf(misses);
+        public PerServer {
+            classFailureStreaks = List.copyOf(classFailureStreaks);
         }
     }
 
@@ -61,10 +62,10 @@
      * @param latencyUs the usual latency
      * @param leastLatencyUs the least mean latency of late; 0 if not known
      */
-    public record OfClass(int index, int answers, double latencyUs, double leastLatencyUs) {}
+    public record PerClass(int index, int answerCount, double latencyUs, double minLatencyUs) {}
 
     /** Lists don't change once they are here. */
-    public Knowledge {
+    public ServerStatistics {
         servers = List.copyOf(servers);
         classes = List.copyOf(classes);
     }
--- a/src/main/java/vetchpost/decision/Standing.java
+++ b/src/main/java/vetchpost/decision/ServerStatusReasons.java
@@ -8,10 +8,10 @@
 import vetchpost.decision.Balancer.Settings;
 
 /** Says of a server, for people, why it is sent nothing or less than it might be. */
-final class Standing {
+final class ServerStatusReasons {
     private static final double US_A_MS = 1_000;
 
-    private Standing() {}
+    private ServerStatusReasons() {}
 
     static Candidate drawn(Server server, double pace) {
         return new Candidate(server.id, server.weight / (1 + server.errors), server.inFlight, server.limit, pace);
--- a/src/main/java/vetchpost/decision/ServiceQBalancer.java
+++ b/src/main/java/vetchpost/decision/ServiceQBalancer.java
@@ -49,7 +49,7 @@
     /** Share of a new answer in the part answered in time. */
     private static final double HEALTH_GAIN = 1.0 / 16;
     /** Most attempts that a throttled node saves up. */
-    private static final double MOST_TOKENS = 3;
+    private static final double MAX_TOKENS = 3;
     /** Shortest sweep over waiting requests: long against its cost, short against any aim. */
     private static final long MIN_SWEEP_US = 5_000;
     /** Share of a new value in a running mean: about the last 32. */
@@ -67,7 +67,7 @@
     /** The sum of the limits is a mean: so many of its roots pass on top, for chance is no crowd. */
     private static final double BURST = 2.5;
     /** Growth of that least mean with each answer, so that it follows a change of work. */
-    private static final double LEAST_DRIFT = 1.0001;
+    private static final double MIN_DRIFT = 1.0001;
     /** Power of the number of nodes at a server with which both grow: at 0 many learn too slowly, at a half
      * they jam. */
     private static final double LEARN_BY_NODES = 0.25;
@@ -88,7 +88,7 @@
     /** First time without requests for an ejected server, and the longest; failed trials double it. */
     private static final long EJECT_US = 250_000;
 
-    private static final long MOST_EJECT_US = 4_000_000;
+    private static final long MAX_EJECTION_US = 4_000_000;
     /** Own requests in flight from which on a local server is compared with those of other zones. */
     private static final int SPILL_AT = 2;
     /** Least time between two lines in the operators' log. */
@@ -98,11 +98,11 @@
     /** First wait before a failed list call is made again; doubled each time. */
     private static final long LIST_BACKOFF_US = 250_000;
     /** Sizes by the list are taken for no more than this, and for no less than one part in so many. */
-    private static final double MOST_WEIGHT = 1e6;
+    private static final double MAX_WEIGHT = 1e6;
     /** So many of a large fleet are looked through at once where draws find nothing. */
     private static final int LOOKS = 256;
 
-    private static final Comparator<Call> BY_VALUE = Comparator.comparingDouble(call -> -call.value);
+    private static final Comparator<PendingRequest> BY_VALUE = Comparator.comparingDouble(call -> -call.value);
     private final Settings set;
     private final Actions actions;
     private final SplittableRandom random;
@@ -116,21 +116,21 @@
     /** The servers that are ready, and indexes of them. */
     private final Fleet fleet;
 
-    private final Roster<Server> ready;
-    private final Roster<Server> ejected;
+    private final IndexedSet<Server> ready;
+    private final IndexedSet<Server> ejected;
     /** By class: servers in use that get no more of it, by the ends of that. */
     private final List<TreeSet<Server>> out = new ArrayList<>();
 
-    private final Map<Long, Call> calls = new HashMap<>();
-    private final ArrayList<Call> waiting = new ArrayList<>();
+    private final Map<Long, PendingRequest> calls = new HashMap<>();
+    private final ArrayList<PendingRequest> waiting = new ArrayList<>();
     /** What a second copy may be due of. */
-    private final PriorityQueue<Call> copies = new PriorityQueue<>(Comparator.comparingLong(c -> c.copyAt));
+    private final PriorityQueue<PendingRequest> copies = new PriorityQueue<>(Comparator.comparingLong(c -> c.copyAt));
 
     private long now;
     private long wakePending = Long.MAX_VALUE;
     private final Aperture aperture;
     private final ServedRate served = new ServedRate();
-    private final Shedding shedding = new Shedding();
+    private final LoadShedder shedding = new LoadShedder();
     private final double[] latencyUs;
     private final double[] leastLatencyUs;
     private final int[] answers;
@@ -224,7 +224,7 @@
             byId.put(server.id, server);
         }
         server.named = lists;
-        double weight = entry.weight() > 0 ? Math.min(MOST_WEIGHT, Math.max(1 / MOST_WEIGHT, entry.weight())) : 1;
+        double weight = entry.weight() > 0 ? Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, entry.weight())) : 1;
         boolean started = entry.startedAtUs() > server.startedAt;
         if (!started
                 && server.state == entry.state()
@@ -332,28 +332,28 @@
     }
 
     @Override
-    public Knowledge knowledge(List<String> ids) {
-        return new Knowledge(
-                Memory.of(ids, byId, FIRST_LIMIT / aperture.sharers()),
-                Memory.of(answers, latencyUs, leastLatencyUs),
+    public ServerStatistics statistics(List<String> ids) {
+        return new ServerStatistics(
+                StatisticsTransfer.of(ids, byId, FIRST_LIMIT / aperture.sharers()),
+                StatisticsTransfer.of(answers, latencyUs, leastLatencyUs),
                 ready.size(),
                 ejected.size(),
                 health < THROTTLE_BELOW);
     }
 
     @Override
-    public void onPrior(long nowUs, Knowledge prior) {
+    public void onPrior(long nowUs, ServerStatistics prior) {
         now = nowUs;
-        for (Knowledge.OfServer known : prior.servers()) {
+        for (ServerStatistics.PerServer known : prior.servers()) {
             Server server = byId.get(known.id());
             if (server != null && server.answers == 0 && known.startedAtUs() == server.startedAt) {
                 limits -= isCounted(server) ? server.limit : 0;
-                Memory.recall(server, known, EJECT_AT, CLASS_OUT_AT, now);
+                StatisticsTransfer.restore(server, known, EJECT_AT, CLASS_OUT_AT, now);
                 limits += isCounted(server) ? server.limit : 0;
                 settle(server);
             }
         }
-        Memory.recall(prior.classes(), answers, latencyUs);
+        StatisticsTransfer.restore(prior.classes(), answers, latencyUs);
         serveWaiting();
         scheduleWake();
     }
@@ -387,24 +387,25 @@
             throw new IllegalArgumentException("unknown class or tenant, or an id that is held: " + request);
         }
         long elapsedUs = elapsedBefore(request);
-        Call call = new Call(request, set, now, elapsedUs);
+        PendingRequest call = new PendingRequest(request, set, now, elapsedUs);
         calls.put(request.id(), call);
         // By first tries: in a jam clients' retries multiply what is asked.
-        sendTokens = Math.min(MOST_TOKENS, sendTokens + (elapsedUs == 0 ? THROTTLE_FLOOR : 0));
+        sendTokens = Math.min(MAX_TOKENS, sendTokens + (elapsedUs == 0 ? THROTTLE_FLOOR : 0));
         call.value = value(call);
         if (aperture.arrived(now, leastLatencyUs[request.classIndex()])) {
             aim();
         }
         // On a node that is behind the answer will lie unread too: what can't be in time takes none of the
         // processor from the rest. After a single pause that is too much.
-        Why early = isWorthless(call)
-                ? Why.TOO_OLD
+        UnservedReason early = isWorthless(call)
+                ? UnservedReason.TOO_LATE_ON_ARRIVAL
                 : shedding.refuses(call, random)
-                        ? Why.SHED
-                        : call.cls.lateWorth() == 0
-                                        && request.waitedUs() > sweepUs
-                                        && call.aimAt - now < request.waitedUs() / 2 + latencyUs[request.classIndex()]
-                                ? Why.BEHIND
+                        ? UnservedReason.SHED
+                        : call.cls.lateValueFraction() == 0
+                                        && request.loopDelayUs() > sweepUs
+                                        && call.aimAt - now
+                                                < request.loopDelayUs() / 2 + latencyUs[request.classIndex()]
+                                ? UnservedReason.EVENT_LOOP_DELAY
                                 : null;
         if (early != null) {
             giveUp(call, early);
@@ -426,12 +427,12 @@
      * same, and later ones what is left of the deadline.
      */
     private long elapsedBefore(Request request) {
-        if (set.marksRetry && !request.retry()) {
+        if (set.clientsMarkRetries && !request.retry()) {
             return 0;
         }
         int c = request.classIndex();
         long deadline = set.classes.get(c).deadlineUs();
-        long leftUs = request.leftUs() + request.waitedUs() + request.queuedUs();
+        long leftUs = request.remainingUs() + request.loopDelayUs() + request.admissionDelayUs();
         boolean usual = Math.abs(leftUs - usualLeftUs[c]) <= USUAL_LEFT_WITHIN * deadline;
         usualLeftShare[c] += meanGain(++asked[c]) * ((usual ? 1 : 0) - usualLeftShare[c]);
         if (!usual && usualLeftShare[c] < USUAL_LEFT_AT) {
@@ -448,14 +449,14 @@
     }
 
     /** Whether no answer can earn anything any more: then it takes no server's time (i9ce813). */
-    private boolean isWorthless(Call call) {
-        return call.cls.lateWorth() == 0 && now >= call.aimAt;
+    private boolean isWorthless(PendingRequest call) {
+        return call.cls.lateValueFraction() == 0 && now >= call.aimAt;
     }
 
     @Override
     public void onOutcome(long nowUs, Outcome outcome) {
         now = nowUs;
-        Call call = calls.get(outcome.requestId());
+        PendingRequest call = calls.get(outcome.requestId());
         int attempt = outcome.attempt();
         if (call == null || attempt < 0 || attempt >= call.attempts || call.results[attempt] != null) {
             return;
@@ -472,9 +473,9 @@
         settleRoom(server);
         server.unreachable = result == Result.CONNECT_FAILED;
         if (result == Result.OK) {
-            call.request.bounds().served(outcome.servedUs());
+            call.request.retryLimits().recordLatency(outcome.serverLatencyUs());
             succeeded(server);
-        } else if (outcome.isTelling()) {
+        } else if (outcome.isInformative()) {
             // A time-out of a server that has answered since tells of crowding, as being full does.
             boolean crowded =
                     result == Result.FULL || result == Result.TIMEOUT && server.answeredAt >= call.sentAt[attempt];
@@ -487,23 +488,23 @@
         if (result == Result.OK || result == Result.ERROR) {
             server.answeredAt = now;
         }
-        if (outcome.isTelling()) {
+        if (outcome.isInformative()) {
             server.answers++;
             server.toldAt = now;
             learnClass(call, attempt);
             double usual = latencyUs[call.request.classIndex()];
             if ((result == Result.OK || result == Result.TIMEOUT) && usual > 0) {
-                learnPace(server, outcome.servedUs() / usual);
+                learnPace(server, outcome.serverLatencyUs() / usual);
             }
-            boolean inTime = now - outcome.stallUs() <= call.aimAt;
+            boolean inTime = now - outcome.loopDelayUs() <= call.aimAt;
             if (result == Result.OK || result == Result.TIMEOUT) {
                 // An error says nothing of crowding, nor does work that takes longer than its aim.
                 double least = leastLatencyUs[call.request.classIndex()];
-                boolean longAtBest = least < Double.MAX_VALUE && outcome.servedUs() < AT_BEST * least;
-                learnHealth(result != Result.OK ? 0 : inTime || longAtBest ? 1 : call.cls.lateWorth());
+                boolean longAtBest = least < Double.MAX_VALUE && outcome.serverLatencyUs() < AT_BEST * least;
+                learnHealth(result != Result.OK ? 0 : inTime || longAtBest ? 1 : call.cls.lateValueFraction());
             }
             adaptLimit(call, attempt, outcome);
-            rest(server, outcome.servedUs(), result == Result.OK ? 0 : usual);
+            rest(server, outcome.serverLatencyUs(), result == Result.OK ? 0 : usual);
         }
         if (outcome.requestEnded()) {
             end(call);
@@ -518,16 +519,16 @@
     @Override
     public void onFirstByte(long nowUs, long requestId, int attempt) {
         now = nowUs;
-        Call call = calls.get(requestId);
+        PendingRequest call = calls.get(requestId);
         if (call != null) {
             call.streaming = true;
         }
     }
 
     @Override
-    public void onClientGone(long nowUs, long requestId) {
+    public void onClientDisconnected(long nowUs, long requestId) {
         now = nowUs;
-        Call call = calls.get(requestId);
+        PendingRequest call = calls.get(requestId);
         if (call != null) {
             end(call);
         }
@@ -539,10 +540,10 @@
     }
 
     @Override
-    public List<String> standing(long nowUs, String serverId) {
+    public List<String> explainServer(long nowUs, String serverId) {
         now = nowUs;
         Server server = byId.get(serverId);
-        return Standing.of(
+        return ServerStatusReasons.of(
                 server,
                 now,
                 set,
@@ -614,7 +615,7 @@
      * that. What failed {@link #CLASS_OUT_AT} times in a row is kept from it for a while, twice as long after
      * each single try that fails; in no more than half of the servers, as with ejection.
      */
-    private void learnClass(Call call, int attempt) {
+    private void learnClass(PendingRequest call, int attempt) {
         Server server = call.servers[attempt];
         int c = call.request.classIndex();
         switch (call.results[attempt]) {
@@ -631,7 +632,7 @@
         int more = server.misses[c] - CLASS_OUT_AT;
         if (more >= 0 && !areMostOut(server, c)) {
             out.get(c).remove(server);
-            server.outUntil[c] = now + Math.min(MOST_EJECT_US, 2 * EJECT_US << Math.min(more, REMEMBERED));
+            server.outUntil[c] = now + Math.min(MAX_EJECTION_US, 2 * EJECT_US << Math.min(more, REMEMBERED));
             if (isCounted(server)) {
                 out.get(c).add(server);
             }
@@ -688,7 +689,7 @@
                 }
             }
         }
-        server.ejectedForUs = Math.min(MOST_EJECT_US, 2 * server.ejectedForUs);
+        server.ejectedForUs = Math.min(MAX_EJECTION_US, 2 * server.ejectedForUs);
         setTrial(server, now + server.ejectedForUs / 2 + random.nextLong(server.ejectedForUs));
     }
 
@@ -709,8 +710,8 @@
     }
 
     /** An ejected server that is due for a trial with this request, if it is repeatable, or null. */
-    private Server trial(Call call) {
-        int looks = call.cls.repeat() == Repeat.UNSAFE || fleet.trials.isEmpty() ? 0 : LOOKS;
+    private Server trial(PendingRequest call) {
+        int looks = call.cls.idempotency() == Idempotency.UNSAFE || fleet.trials.isEmpty() ? 0 : LOOKS;
         for (Server server : fleet.trials) {
             if (looks-- == 0 || server.trialAt > now) {
                 return null;
@@ -726,16 +727,16 @@
      * An ejected server that served lately and takes connections, for a repeatable request that no other
      * server has room for, or null: in a crowded fleet half of its work is worth more than none.
      */
-    private Server lastResort(Call call) {
+    private Server lastResort(PendingRequest call) {
         Server best = null;
         int from = ejected.size() <= LOOKS ? 0 : random.nextInt(ejected.size());
-        for (int i = 0; i < Math.min(LOOKS, ejected.size()) && call.cls.repeat() != Repeat.UNSAFE; i++) {
+        for (int i = 0; i < Math.min(LOOKS, ejected.size()) && call.cls.idempotency() != Idempotency.UNSAFE; i++) {
             Server server = ejected.get((from + i) % ejected.size());
             if (!isAtLimit(server)
                     && now >= server.restUntil
                     && !server.unreachable
                     && !hasJustTried(call, server)
-                    && now < server.servedAt + MOST_EJECT_US
+                    && now < server.servedAt + MAX_EJECTION_US
                     && isAllowed(call, server)
                     && (best == null || recentFailures(server) < recentFailures(best))) {
                 best = server;
@@ -758,13 +759,13 @@
     // ---------------------------------------------------------------- draws
 
     /** Two draws by weight; the one with fewer own requests in flight, ties at random. */
-    private Server drawForFirstTry(Call call) {
+    private Server drawForFirstTry(PendingRequest call) {
         Server due = trial(call);
         Server server = due == null ? drawByZone(call) : due;
         return server == null ? lastResort(call) : server;
     }
 
-    private Server drawByZone(Call call) {
+    private Server drawByZone(PendingRequest call) {
         Server server = drawTwo(call, fleet.nearby, fleet.roomyNearby);
         if (fleet.nearby == fleet.everywhere) {
             return server;
@@ -782,14 +783,14 @@
                 : server;
     }
 
-    private Server drawTwo(Call call, DrawIndex<Server> from, DrawIndex<Server> withRoom) {
+    private Server drawTwo(PendingRequest call, DrawIndex<Server> from, DrawIndex<Server> withRoom) {
         Server first = draw(call, from, withRoom, null);
         Server second = first == null ? null : draw(call, from, withRoom, first);
-        if (first != null && actions.explains()) {
-            actions.drew(
+        if (first != null && actions.wantsExplanations()) {
+            actions.reportCandidates(
                     call.request.id(),
-                    Standing.drawn(first, pace(first)),
-                    second == null ? null : Standing.drawn(second, pace(second)));
+                    ServerStatusReasons.drawn(first, pace(first)),
+                    second == null ? null : ServerStatusReasons.drawn(second, pace(second)));
         }
         if (second == null || first.inFlight < second.inFlight) {
             return first;
@@ -820,7 +821,7 @@
      * Exception, sizes: servers are not alike, so a weight counts for each part of a server's size by the
      * list; where all sizes are the same, nothing changes.
      */
-    private Server draw(Call call, DrawIndex<Server> from, DrawIndex<Server> withRoom, Server except) {
+    private Server draw(PendingRequest call, DrawIndex<Server> from, DrawIndex<Server> withRoom, Server except) {
         double effect = fleet.everywhere.largestEffect();
         for (int i = 0; i <= REDRAWS && from.size() > 0; i++) {
             Server server = from.draw(random, effect);
@@ -848,19 +849,19 @@
     }
 
     /** A failed request goes to the next server in list order, or waits, or has its final answer. */
-    private void passOn(Call call, Server failed) {
+    private void passOn(PendingRequest call, Server failed) {
         if (!mayTryAgain(call)) {
             giveUp(call, whyNot(call));
             return;
         }
-        long waitUs = call.request.bounds().waitUs(call.attempts);
+        long waitUs = call.request.retryLimits().retryDelayUs(call.attempts);
         if (waitUs > 0) {
             call.notBefore = now + waitUs;
             defer(call);
             return;
         }
         List<Server> tried = Arrays.asList(call.servers);
-        Roster<Server> group = groupOf(call);
+        IndexedSet<Server> group = groupOf(call);
         int start = group.indexOf(failed);
         for (int pass = 0; pass < 2; pass++) {
             for (int i = 1; i <= Math.min(LOOKS, group.size()); i++) {
@@ -877,11 +878,11 @@
     }
 
     /** The ready servers among which a request that may have run must stay. */
-    private Roster<Server> groupOf(Call call) {
-        int binding = call.cls.repeat() == Repeat.KEYED ? call.binding() : -1;
-        return binding < 0 || call.cls.group() == Group.ALL
+    private IndexedSet<Server> groupOf(PendingRequest call) {
+        int binding = call.cls.idempotency() == Idempotency.KEYED ? call.binding() : -1;
+        return binding < 0 || call.cls.deduplicationScope() == DeduplicationScope.ALL
                 ? ready
-                : call.cls.group() == Group.ZONE
+                : call.cls.deduplicationScope() == DeduplicationScope.ZONE
                         ? fleet.zone(call.servers[binding].zone)
                         : fleet.cell(call.servers[binding].cell);
     }
@@ -889,7 +890,7 @@
     // ---------------------------------------------------------------- the deferred queue
 
     /** Puts a request into the deferred queue, if there is time: first come first served of equal value. */
-    private void defer(Call call) {
+    private void defer(PendingRequest call) {
         if (isOver(call)) {
             giveUp(call, whyNot(call));
             return;
@@ -906,13 +907,13 @@
     }
 
     /** Whether a request that waits has run out of time, or of what it may try. */
-    private boolean isOver(Call call) {
+    private boolean isOver(PendingRequest call) {
         return call.deadlineAt - now <= sweepUs + set.tickUs
-                || isLate(call) && call.cls.lateWorth() == 0
+                || isLate(call) && call.cls.lateValueFraction() == 0
                 || !mayTryAgain(call);
     }
 
-    private boolean isLate(Call call) {
+    private boolean isLate(PendingRequest call) {
         return call.aimAt - now
                 < Math.min(
                         MOST_LATE_AT * (call.aimAt - call.arrivedAt),
@@ -940,7 +941,7 @@
         boolean[] full = new boolean[set.classes.size()];
         boolean unsorted = false;
         while (seen < waiting.size()) {
-            Call call = waiting.get(seen++);
+            PendingRequest call = waiting.get(seen++);
             if (!call.waiting) {
                 continue;
             }
@@ -952,7 +953,7 @@
             boolean late = isLate(call);
             if (late && !call.late) {
                 call.late = true;
-                call.value *= call.cls.lateWorth();
+                call.value *= call.cls.lateValueFraction();
                 unsorted = true;
                 waiting.set(kept++, call);
                 continue;
@@ -983,8 +984,8 @@
      * if its tenant is beyond this node's part of its share, over the usual latency of its class as the
      * measure of work.
      */
-    private double value(Call call) {
-        double worth = call.cls.worth();
+    private double value(PendingRequest call) {
+        double worth = call.cls.value();
         int tenant = call.request.tenant();
         double quota = tenant < 0 ? 0 : set.tenants.get(tenant).quotaPerS() / set.nodes;
         if (quota > 0) {
@@ -1001,7 +1002,7 @@
         call.worth = worth;
         call.upper = worth > usualWorth;
         usualWorth += meanGain(++valued) * (worth - usualWorth);
-        return set.worthByWork ? worth : worth / Math.max(1, latencyUs[call.request.classIndex()]);
+        return set.valuePerWorkUnit ? worth : worth / Math.max(1, latencyUs[call.request.classIndex()]);
     }
 
     // ---------------------------------------------------------------- concurrency limits
@@ -1012,21 +1013,22 @@
      * Acts only when a draw would exceed a server's limit, or the node the sum of all limits. With many nodes
      * a server's part is under one: then it rests after each answer, for as long as makes it that part.
      */
-    private void adaptLimit(Call call, int attempt, Outcome outcome) {
+    private void adaptLimit(PendingRequest call, int attempt, Outcome outcome) {
         Server server = call.servers[attempt];
         double before = server.limit;
         if (outcome.result() == Result.OK) {
             int c = call.request.classIndex();
             // By the stall alone: of the answers of a node that is behind only the slow ones are surely slow.
-            latencyUs[c] +=
-                    outcome.stallUs() > sweepUs ? 0 : meanGain(++answers[c]) * (outcome.servedUs() - latencyUs[c]);
+            latencyUs[c] += outcome.loopDelayUs() > sweepUs
+                    ? 0
+                    : meanGain(++answers[c]) * (outcome.serverLatencyUs() - latencyUs[c]);
             // The first answers' mean is chance; until then the aim alone tells.
             leastLatencyUs[c] = answers[c] * MEAN_GAIN < 0.5
                     ? Double.MAX_VALUE
-                    : Math.min(leastLatencyUs[c] * LEAST_DRIFT, latencyUs[c]);
+                    : Math.min(leastLatencyUs[c] * MIN_DRIFT, latencyUs[c]);
             double crowded = Math.min(CROWDED_AT * call.aimUs, CROWDED_BY * leastLatencyUs[c]);
             served.answered(now, fleet.totalWeight);
-            if (outcome.servedUs() <= crowded) {
+            if (outcome.serverLatencyUs() <= crowded) {
                 // A cold server gets little and is quick with it: were its limit to pass the others', all
                 // nodes together would choke it as soon as slow start lets go (i3a094a).
                 server.limit += wantedAt(server) >= call.sentAt[attempt]
@@ -1060,7 +1062,7 @@
     }
 
     /** One cut for all that was sent before the last one. */
-    private void cutLimit(Call call, int attempt, double cut) {
+    private void cutLimit(PendingRequest call, int attempt, double cut) {
         Server server = call.servers[attempt];
         if (call.sentAt[attempt] >= server.limitCutAt) {
             server.limit = Math.max(1 / aperture.sharers(), server.limit * (1 - cut));
@@ -1097,7 +1099,7 @@
 
     private void learnHealth(double earned) {
         health += HEALTH_GAIN * (earned - health);
-        sendTokens = Math.min(MOST_TOKENS, sendTokens + (earned == 1 ? THROTTLE : 0));
+        sendTokens = Math.min(MAX_TOKENS, sendTokens + (earned == 1 ? THROTTLE : 0));
     }
 
     private boolean isAtLimit(Server server) {
@@ -1106,9 +1108,9 @@
 
     // ---------------------------------------------------------------- sending
 
-    private void send(Call call, Server server) {
+    private void send(PendingRequest call, Server server) {
         if (call.attempts > 0) {
-            call.request.bounds().repeated();
+            call.request.retryLimits().recordRetry();
         }
         shedding.sent(call);
         int attempt = call.attempts++;
@@ -1130,8 +1132,11 @@
             end = Math.min(end, doubtfulEnd(call));
         }
         actions.send(call.request.id(), server.id, end);
-        long copyAfterUs = attempt == 0 && set.secondCopies && call.cls.repeat() != Repeat.UNSAFE && !call.cls.stream()
-                ? call.request.bounds().copyAfterUs()
+        long copyAfterUs = attempt == 0
+                        && set.allowsHedging
+                        && call.cls.idempotency() != Idempotency.UNSAFE
+                        && !call.cls.isStreaming()
+                ? call.request.retryLimits().hedgeDelayUs()
                 : 0;
         if (copyAfterUs > 0) {
             call.copyAt = now + copyAfterUs;
@@ -1142,7 +1147,7 @@
     /** Exception, second copies: where a route asks for them, what is slow is sent to another server too. */
     private void sendCopies() {
         while (!copies.isEmpty() && (copies.peek().ended || copies.peek().copyAt <= now)) {
-            Call call = copies.poll();
+            PendingRequest call = copies.poll();
             if (!call.ended && call.attempts == 1 && call.outstanding == 1 && mayTryAgain(call)) {
                 Server other = draw(call, fleet.everywhere, fleet.roomy, call.servers[0]);
                 if (other != null) {
@@ -1153,66 +1158,69 @@
     }
 
     /** Exception, time-out at the aim: where a later answer earns nothing, it only keeps its server busy. */
-    private long attemptEnd(Call call) {
-        return call.cls.lateWorth() > 0 || clientRepeats(call.cls) || call.cls.stream() ? call.deadlineAt : call.aimAt;
+    private long attemptEnd(PendingRequest call) {
+        return call.cls.lateValueFraction() > 0 || clientRepeats(call.cls) || call.cls.isStreaming()
+                ? call.deadlineAt
+                : call.aimAt;
     }
 
     /** Where a class has just failed, time is left for another server to repeat what can be repeated. */
-    private long doubtfulEnd(Call call) {
+    private long doubtfulEnd(PendingRequest call) {
         long half = (call.aimAt - now) / 2;
-        return call.cls.repeat() == Repeat.UNSAFE || half <= 0
+        return call.cls.idempotency() == Idempotency.UNSAFE || half <= 0
                 ? Long.MAX_VALUE
                 : now + Math.max(half, (long) (TOO_LATE_AT * latencyUs[call.request.classIndex()]));
     }
 
     /** Whether clients come back after a failure too, and not only when told that it does no harm. */
     private static boolean clientRepeats(RequestClass cls) {
-        return cls.repeat() == Repeat.SAFE || cls.repeat() == Repeat.KEYED && cls.group() == Group.ALL;
+        return cls.idempotency() == Idempotency.SAFE
+                || cls.idempotency() == Idempotency.KEYED && cls.deduplicationScope() == DeduplicationScope.ALL;
     }
 
     // ---------------------------------------------------------------- the four rules
 
     /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
-    private void giveUp(Call call, Why why) {
-        if (actions.explains()) {
-            actions.because(call.request.id(), why);
+    private void giveUp(PendingRequest call, UnservedReason why) {
+        if (actions.wantsExplanations()) {
+            actions.reportReason(call.request.id(), why);
         }
-        boolean harmless = switch (call.cls.repeat()) {
+        boolean harmless = switch (call.cls.idempotency()) {
             case SAFE -> true;
-            case KEYED -> call.binding() < 0 || call.cls.group() == Group.ALL;
+            case KEYED -> call.binding() < 0 || call.cls.deduplicationScope() == DeduplicationScope.ALL;
             case UNSAFE -> call.binding() < 0;
         };
         shedding.givenUp(call);
         // A refusal calls back a client who would let a failure be; past the aim that is work for nothing.
         if (harmless && (clientRepeats(call.cls) || !isWorthless(call))) {
-            actions.refuse(call.request.id(), set.maxRetryAfterUs);
+            actions.reject(call.request.id(), set.maxRetryAfterUs);
         } else {
             actions.fail(call.request.id());
         }
         end(call);
     }
 
-    private Why whyNot(Call call) {
+    private UnservedReason whyNot(PendingRequest call) {
         int binding = call.binding();
         return call.attempts == 0
-                ? Why.NO_ROOM
+                ? UnservedReason.NO_CAPACITY
                 : call.attempts >= set.maxAttempts
-                        ? Why.ATTEMPTS
+                        ? UnservedReason.ATTEMPTS_EXHAUSTED
                         : mayTryAgain(call) || now >= call.deadlineAt || isWorthless(call)
-                                ? Why.NO_TIME
-                                : binding >= 0 && call.cls.repeat() == Repeat.UNSAFE
-                                        ? Why.MAY_HAVE_RUN
+                                ? UnservedReason.DEADLINE_EXCEEDED
+                                : binding >= 0 && call.cls.idempotency() == Idempotency.UNSAFE
+                                        ? UnservedReason.MAY_HAVE_RUN
                                         : binding >= 0
-                                                        && call.cls.repeat() == Repeat.KEYED
-                                                        && now > call.sentAt[binding] + call.cls.windowUs()
-                                                ? Why.WINDOW
-                                                : Why.ROUTE;
+                                                        && call.cls.idempotency() == Idempotency.KEYED
+                                                        && now > call.sentAt[binding] + call.cls.deduplicationWindowUs()
+                                                ? UnservedReason.DEDUPLICATION_WINDOW_EXPIRED
+                                                : UnservedReason.ROUTE_LIMIT;
     }
 
-    private void end(Call call) {
+    private void end(PendingRequest call) {
         call.ended = true;
         call.waiting = false;
-        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.cancel; i++) {
+        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.allowsCancellation; i++) {
             if (call.results[i] == null) {
                 actions.cancel(call.request.id(), i);
             }
@@ -1220,14 +1228,14 @@
         forgetIfOver(call);
     }
 
-    private void forgetIfOver(Call call) {
+    private void forgetIfOver(PendingRequest call) {
         if (call.ended && call.outstanding == 0) {
             calls.remove(call.request.id());
         }
     }
 
     /** Rule 2: whether any further attempt could be lawful, wherever it goes. */
-    private boolean mayTryAgain(Call call) {
+    private boolean mayTryAgain(PendingRequest call) {
         if (call.attempts >= set.maxAttempts
                 || now >= call.deadlineAt
                 || call.streaming
@@ -1237,25 +1245,25 @@
         }
         int binding = call.binding();
         return binding < 0
-                || switch (call.cls.repeat()) {
+                || switch (call.cls.idempotency()) {
                     case SAFE -> true;
-                    case KEYED -> now <= call.sentAt[binding] + call.cls.windowUs();
+                    case KEYED -> now <= call.sentAt[binding] + call.cls.deduplicationWindowUs();
                     case UNSAFE -> false;
                 };
     }
 
     /** Whether the request's route allows a further attempt, and its budget one more repeat. */
-    private static boolean isWithinBounds(Call call) {
+    private static boolean isWithinBounds(PendingRequest call) {
         int mayHaveRun = 0;
         for (int i = 0; i < call.attempts; i++) {
             mayHaveRun += call.results[i] == null || !call.results[i].neverRan ? 1 : 0;
         }
-        return mayHaveRun < call.request.bounds().attempts()
-                && call.request.bounds().mayRepeat();
+        return mayHaveRun < call.request.retryLimits().maxAttempts()
+                && call.request.retryLimits().mayRetry();
     }
 
     /** Rules 2 to 4 for one server: the keyed group, the list's word, and a cold server's budget. */
-    private boolean maySend(Call call, Server server) {
+    private boolean maySend(PendingRequest call, Server server) {
         return !server.ejected
                 && now >= server.outUntil[call.request.classIndex()]
                 && !hasJustTried(call, server)
@@ -1264,7 +1272,7 @@
     }
 
     /** Whether the request failed there so quickly that it would only use up its attempts at once. */
-    private boolean hasJustTried(Call call, Server server) {
+    private boolean hasJustTried(PendingRequest call, Server server) {
         for (int i = 0; i < call.attempts; i++) {
             if (call.servers[i] == server && now < call.sentAt[i] + latencyUs[call.request.classIndex()]) {
                 return true;
@@ -1273,13 +1281,13 @@
         return false;
     }
 
-    private boolean isAllowed(Call call, Server server) {
+    private boolean isAllowed(PendingRequest call, Server server) {
         if (server.state != ServerState.READY || isCold(server) && now < server.coldSentAt + coldGap(server)) {
             return false;
         }
-        int binding = call.cls.repeat() == Repeat.KEYED ? call.binding() : -1;
+        int binding = call.cls.idempotency() == Idempotency.KEYED ? call.binding() : -1;
         return binding < 0
-                || switch (call.cls.group()) {
+                || switch (call.cls.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE -> server.zone == call.servers[binding].zone;
                     case CELL -> server.cell == call.servers[binding].cell;
