--- a/src/main/java/vetchpost/decision/Memory.java
+++ b/src/main/java/vetchpost/decision/StatisticsTransfer.java
@@ -4,33 +4,33 @@
 import java.util.List;
 import java.util.Map;
 import vetchpost.decision.Balancer.ServerState;
-import vetchpost.decision.Knowledge.OfClass;
-import vetchpost.decision.Knowledge.OfServer;
+import vetchpost.decision.ServerStatistics.PerClass;
+import vetchpost.decision.ServerStatistics.PerServer;
 
 /**
- * Turns what a node knows of servers into {@link Knowledge}, and such knowledge into a server's beginning.
+ * Turns what a node knows of servers into {@link ServerStatistics}, and such knowledge into a server's beginning.
  */
-final class Memory {
-    private static final int REMEMBERED = 16;
+final class StatisticsTransfer {
+    private static final int HISTORY_LENGTH = 16;
     /** With more, E = (1 + e)^1.5 would keep a server that has recovered from being drawn at all. */
-    private static final int MOST_ERRORS = 8;
+    private static final int MAX_ERRORS = 8;
     /** A usual latency that others have found counts for no more answers than this. */
-    private static final int MOST_ANSWERS = 8;
+    private static final int MAX_ANSWERS = 8;
     /** Answers with which a limit is believed by half, and the bounds to what is believed. */
-    private static final double HALF_SURE = 4;
+    private static final double HALF_CONFIDENCE_ANSWERS = 4;
 
-    private static final double LEAST_LIMIT = 0.25;
-    private static final double MOST_LIMIT = 8;
+    private static final double MIN_RELATIVE_LIMIT = 0.25;
+    private static final double MAX_RELATIVE_LIMIT = 8;
     /** The slowest pace that a module takes down itself. */
-    private static final double MOST_PACE = 5;
+    private static final double MAX_RELATIVE_LATENCY = 5;
 
-    private static final double MOST_LATENCY_US = 3.6e9;
+    private static final double MAX_LATENCY_US = 3.6e9;
 
-    private Memory() {}
+    private StatisticsTransfer() {}
 
     /** Of those of these servers that are ready; limits as multiples of the one that a server starts with. */
-    static List<OfServer> of(List<String> ids, Map<String, Server> byId, double firstLimit) {
-        List<OfServer> known = new ArrayList<>();
+    static List<PerServer> of(List<String> ids, Map<String, Server> byId, double firstLimit) {
+        List<PerServer> known = new ArrayList<>();
         for (String id : ids) {
             Server server = byId.get(id);
             if (server == null || server.state != ServerState.READY) {
@@ -40,14 +40,14 @@
             for (int count : server.misses) {
                 misses.add(count);
             }
-            known.add(new OfServer(
+            known.add(new PerServer(
                     server.id,
                     server.startedAt,
                     server.answers,
                     server.toldAt,
                     server.servedAt,
                     server.errors,
-                    Integer.bitCount(server.history & (1 << REMEMBERED) - 1),
+                    Integer.bitCount(server.history & (1 << HISTORY_LENGTH) - 1),
                     server.faults,
                     server.pace,
                     server.limit / firstLimit,
@@ -58,25 +58,25 @@
     }
 
     /** Of all classes. */
-    static List<OfClass> of(int[] answers, double[] latencyUs, double[] leastUs) {
-        List<OfClass> known = new ArrayList<>();
+    static List<PerClass> of(int[] answers, double[] latencyUs, double[] leastUs) {
+        List<PerClass> known = new ArrayList<>();
         for (int c = 0; c < answers.length; c++) {
-            known.add(new OfClass(c, answers[c], latencyUs[c], leastUs[c] < Double.MAX_VALUE ? leastUs[c] : 0));
+            known.add(new PerClass(c, answers[c], latencyUs[c], leastUs[c] < Double.MAX_VALUE ? leastUs[c] : 0));
         }
         return known;
     }
 
     /** Has classes of which nothing is known begin with what was usual. */
-    static void recall(List<OfClass> prior, int[] answers, double[] latencyUs) {
-        for (OfClass known : prior) {
+    static void restore(List<PerClass> prior, int[] answers, double[] latencyUs) {
+        for (PerClass known : prior) {
             int c = known.index();
             if (c >= 0
                     && c < answers.length
                     && answers[c] == 0
-                    && known.answers() > 0
+                    && known.answerCount() > 0
                     && known.latencyUs() > 0
-                    && known.latencyUs() < MOST_LATENCY_US) {
-                answers[c] = Math.min(MOST_ANSWERS, known.answers());
+                    && known.latencyUs() < MAX_LATENCY_US) {
+                answers[c] = Math.min(MAX_ANSWERS, known.answerCount());
                 latencyUs[c] = known.latencyUs();
             }
         }
@@ -90,20 +90,23 @@
      * @param ejectAt failures that eject
      * @param classOutAt failures in a row that keep a class from it
      */
-    static void recall(Server server, OfServer prior, int ejectAt, int classOutAt, long now) {
-        server.errors = Math.max(0, Math.min(MOST_ERRORS, prior.errors()));
-        int failures = Math.max(0, Math.min(ejectAt - 1, prior.failures()));
+    static void restore(Server server, PerServer prior, int ejectAt, int classOutAt, long now) {
+        server.errors = Math.max(0, Math.min(MAX_ERRORS, prior.consecutiveErrors()));
+        int failures = Math.max(0, Math.min(ejectAt - 1, prior.recentFailures()));
         server.history = (1 << failures) - 1;
-        server.faults = within(prior.faults(), 0, 1);
-        server.pace = within(prior.pace(), 1 / MOST_PACE, MOST_PACE);
+        server.faults = within(prior.failureFraction(), 0, 1);
+        server.pace = within(prior.relativeLatency(), 1 / MAX_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
         server.paceAt = now;
         // As sure as the answers that it rests on are many; more of them than a giver can have had tell
         // nothing.
-        double weight = prior.answers() / (prior.answers() + HALF_SURE);
-        server.limit *= 1 + within(weight, 0, 1) * (within(prior.limit(), LEAST_LIMIT, MOST_LIMIT) - 1);
-        for (int c = 0; c < Math.min(server.misses.length, prior.misses().size()); c++) {
-            server.misses[c] =
-                    Math.max(0, Math.min(classOutAt - 1, prior.misses().get(c)));
+        double weight = prior.attemptCount() / (prior.attemptCount() + HALF_CONFIDENCE_ANSWERS);
+        server.limit *=
+                1 + within(weight, 0, 1) * (within(prior.relativeLimit(), MIN_RELATIVE_LIMIT, MAX_RELATIVE_LIMIT) - 1);
+        for (int c = 0;
+                c < Math.min(server.misses.length, prior.classFailureStreaks().size());
+                c++) {
+            server.misses[c] = Math.max(
+                    0, Math.min(classOutAt - 1, prior.classFailureStreaks().get(c)));
         }
     }
 
--- a/src/main/java/vetchpost/discovery/Discovery.java
+++ b/src/main/java/vetchpost/discovery/DiscoveryClient.java
@@ -31,16 +31,16 @@
 import vetchpost.net.Network;
 
 /** The watch on the list of servers: one at a time, opened when asked for, reported once when it fails. */
-public final class Discovery {
+public final class DiscoveryClient {
     /**
      * The longest that a watch may say nothing. A line comes every 2 s. What a silent watch misses counts as
      * told 6 s after it fell silent, at the earliest just after a line: by then the next watch has to be open
      * and answered, after a lost connection too.
      */
-    public static final long SILENT_MS = 3_000;
+    public static final long SILENCE_TIMEOUT_MS = 3_000;
     /** The longest that a call may wait for its first line where calls are taken in turn: discovery itself
      * gives up after some 2 s, and what is missed counts as told 2 s later. */
-    public static final long CALL_MS = 4_000;
+    public static final long FIRST_MESSAGE_TIMEOUT_MS = 4_000;
     /** Watches that fell silent together are found out over this part of the time, not all at once. */
     private static final int SPREAD_PART = 6;
     /** So many bytes of a line that is not whole are a sign of life: a list may be long, but not trickle. */
@@ -48,9 +48,9 @@
     /** No version is known, so that the whole list is wanted. */
     private static final long NONE = -1;
 
-    private static final int CONNECT_MS = 1_000;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
     /** A message with an entry for each of 20,000 servers; past it one is malformed. */
-    private static final int MAX_MESSAGE = 4 << 20;
+    private static final int MAX_MESSAGE_BYTES = 4 << 20;
     /** So many entries are read in one turn of the loop. */
     private static final int ENTRIES_A_TURN = 500;
 
@@ -66,7 +66,7 @@
         void onWatchFailed(String reason);
 
         /** The watch has said something, if only that nothing has changed. */
-        default void onHeard() {}
+        default void onContact() {}
     }
 
     private final EventLoop loop;
@@ -88,7 +88,7 @@
      * @param callMs the same of one that has not said anything yet
      * @param seed for the spread of that
      */
-    public Discovery(
+    public DiscoveryClient(
             EventLoop loop,
             Network network,
             InetSocketAddress address,
@@ -135,12 +135,12 @@
     }
 
     /** Whether a call is on its way and has said nothing yet: what is wanted of another is still to come. */
-    public boolean isAsking() {
+    public boolean isRequestPending() {
         return watch != null && !watch.answered;
     }
 
     /** Asks for the whole list, whatever version is known, and for changes from then on. */
-    public void askWhole() {
+    public void requestFullList() {
         revision = NONE;
         subscribe();
     }
@@ -166,7 +166,7 @@
         /** How much of the text is known to hold no end of a line. */
         private int searched;
         /** The message that is being read, bit by bit, and its length. */
-        private ListReader reading;
+        private ServerListReader reading;
 
         private int readingLength;
 
@@ -174,7 +174,7 @@
             listen();
             Channel fresh;
             try {
-                fresh = network.connecting();
+                fresh = network.newClientChannel();
             } catch (ChannelException e) {
                 // Out of descriptors: as good as no connection. Later, since the caller is mid-call.
                 loop.execute(() -> fail("can't be opened: " + e.getCause()));
@@ -185,7 +185,7 @@
                     .group(loop)
                     .channelFactory(() -> fresh)
                     .disableResolver()
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel to) {
@@ -270,7 +270,7 @@
 
         private void heard() {
             unfinished = 0;
-            listener.onHeard();
+            listener.onContact();
             listen();
         }
 
@@ -314,8 +314,8 @@
                 listener.onList(list);
             }
             text.discardSomeReadBytes();
-            if (text.readableBytes() > MAX_MESSAGE) {
-                throw new IllegalArgumentException("a line over " + MAX_MESSAGE + " bytes");
+            if (text.readableBytes() > MAX_MESSAGE_BYTES) {
+                throw new IllegalArgumentException("a line over " + MAX_MESSAGE_BYTES + " bytes");
             }
         }
 
@@ -333,7 +333,7 @@
                 heard();
                 if (!isBlank(length)) {
                     readingLength = length;
-                    reading = new ListReader(new InputStreamReader(
+                    reading = new ServerListReader(new InputStreamReader(
                             new ByteBufInputStream(text.slice(text.readerIndex(), length)), StandardCharsets.UTF_8));
                     return true;
                 }
--- a/src/main/java/vetchpost/discovery/ServerListParser.java
+++ b/src/main/java/vetchpost/discovery/ServerListParser.java
@@ -15,11 +15,11 @@
 
     /** Throws IllegalArgumentException with a short reason if the text is not such a message. */
     public static ServerList parse(String json) {
-        return new ListReader(new StringReader(json)).read(Integer.MAX_VALUE);
+        return new ServerListReader(new StringReader(json)).read(Integer.MAX_VALUE);
     }
 
     /** The same of what has been read already, with the configuration. */
-    public static ServerList of(JsonElement json) {
+    public static ServerList fromJson(JsonElement json) {
         try {
             JsonObject message = json.getAsJsonObject();
             List<ServerList.Target> targets = new ArrayList<>();
--- a/src/main/java/vetchpost/discovery/ListReader.java
+++ b/src/main/java/vetchpost/discovery/ServerListReader.java
@@ -13,7 +13,7 @@
  * Reads a message of discovery's, as much at a time as it is told to: a list of thousands would hold the loop
  * up. A message is taken whole or not at all: half of one would leave a list that never was.
  */
-final class ListReader {
+final class ServerListReader {
     private final JsonReader json;
     private final List<ServerList.Target> targets = new ArrayList<>();
     private boolean begun;
@@ -24,7 +24,7 @@
     private ServerList list;
 
     /** Nothing read yet. */
-    ListReader(Reader text) {
+    ServerListReader(Reader text) {
         json = new JsonReader(text);
     }
 
--- a/src/main/java/vetchpost/handover/Giver.java
+++ b/src/main/java/vetchpost/handover/Giver.java
@@ -66,7 +66,7 @@
     public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
         ChannelFuture binding = new ServerBootstrap()
                 .group(group)
-                .channelFactory(network::listening)
+                .channelFactory(network::newServerChannel)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<Channel>() {
--- a/src/main/java/vetchpost/handover/Taker.java
+++ b/src/main/java/vetchpost/handover/Taker.java
@@ -60,7 +60,7 @@
         Asking asking = new Asking(outcome);
         asking.limit = loop.schedule(() -> asking.end("it took too long"), withinMs, TimeUnit.MILLISECONDS);
         try {
-            asking.channel = network.connecting();
+            asking.channel = network.newClientChannel();
         } catch (ChannelException e) {
             loop.execute(() -> asking.end("no connection could be opened"));
             return () -> asking.end("called off");
--- a/src/main/java/vetchpost/http/Acceptor.java
+++ b/src/main/java/vetchpost/http/Acceptor.java
@@ -17,7 +17,7 @@
 import java.util.function.LongSupplier;
 import vetchpost.core.RequestLog;
 import vetchpost.net.Network;
-import vetchpost.net.Sockets;
+import vetchpost.net.SocketBudget;
 
 /**
  * One listening socket. A client's connection counts as accepted, and what it sends as taken, once the system
@@ -27,7 +27,7 @@
 final class Acceptor extends ChannelInboundHandlerAdapter {
     private static final int BACKLOG = 1_024;
     /** Bytes read at once, at most: what is decoded of them is all kept. */
-    private static final int MOST_READ = 16_384;
+    private static final int MAX_READ_BYTES = 16_384;
 
     private static final long ACCEPT_AGAIN_MS = 20;
     /** How long connections are left in the queue for want of room; from then on they are accepted to be told
@@ -41,7 +41,7 @@
 
     private final EventLoop loop;
     private final Network network;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final RequestLog log;
     private final LongSupplier behindUs;
     private final int atOnce;
@@ -65,11 +65,11 @@
      *
      * @param behindUs for how long the loop may not have looked at its sockets, in microseconds
      */
-    Acceptor(EventLoop loop, Network network, Sockets sockets, RequestLog log, LongSupplier behindUs) {
+    Acceptor(EventLoop loop, Network network, SocketBudget sockets, RequestLog log, LongSupplier behindUs) {
         this.loop = loop;
         this.network = network;
         this.sockets = sockets;
-        atOnce = sockets.acceptedAtOnce();
+        atOnce = sockets.maxAcceptsPerTurn();
         this.log = log;
         this.behindUs = behindUs;
     }
@@ -78,7 +78,7 @@
     ChannelFuture listen(EventLoopGroup group, SocketAddress address, Opener opener) {
         ChannelFuture binding = new ServerBootstrap()
                 .group(group)
-                .channelFactory(network::listening)
+                .channelFactory(network::newServerChannel)
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(atOnce))
@@ -88,7 +88,7 @@
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         // A second time, however little came: so the end behind a request is seen at once.
-                        new AdaptiveRecvByteBufAllocator(512, 2_048, MOST_READ)
+                        new AdaptiveRecvByteBufAllocator(512, 2_048, MAX_READ_BYTES)
                                 .respectMaybeMoreData(false)
                                 .maxMessagesPerRead(2))
                 .handler(this)
@@ -115,7 +115,7 @@
 
     /** To be called after each connection that has been accepted: goes on, or pauses. */
     void settle() {
-        if (sockets.isClientRoom()) {
+        if (sockets.hasRoomForClient()) {
             turningAway = false;
         } else if (!turningAway || !sockets.mayAccept()) {
             pause();
@@ -131,7 +131,7 @@
         pausedNs = nanos();
         fallBehind();
         if (log.isOn()) {
-            log.line("accepting stops", sockets);
+            log.write("accepting stops", sockets);
         }
         channel.config().setAutoRead(false);
         loop.schedule(this::later, ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
@@ -142,12 +142,12 @@
         if (!paused || !channel.isOpen()) {
             return;
         }
-        boolean room = sockets.isClientRoom();
+        boolean room = sockets.hasRoomForClient();
         turningAway = !room && (turningAway || nanos() - pausedNs >= WAIT_NS);
         if (room || turningAway && sockets.mayAccept()) {
             paused = false;
             if (log.isOn()) {
-                log.line("accepting again", sockets);
+                log.write("accepting again", sockets);
             }
             channel.config().setAutoRead(true);
         }
@@ -156,7 +156,7 @@
     /** One that has become idle since makes room too, and tells nobody. */
     private void later() {
         if (paused && channel.isOpen()) {
-            sockets.makeClientRoom();
+            sockets.makeRoomForClient();
             resume();
             if (paused) {
                 loop.schedule(this::later, ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
@@ -221,7 +221,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (log.isOn()) {
-            log.line("accepting failed", cause, sockets);
+            log.write("accepting failed", cause, sockets);
         }
         // Left alone, the selector would report the same connection without end.
         pause();
--- a/src/main/java/vetchpost/http/ClientConnection.java
+++ b/src/main/java/vetchpost/http/ClientConnection.java
@@ -31,20 +31,20 @@
 import vetchpost.core.Failure;
 
 /** One client's connection: its requests one by one, an answer to each, and what it may cost meanwhile. */
-final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientLine {
+final class ClientConnection extends ChannelInboundHandlerAdapter implements ManagedConnection {
     private static final Logger LOG = System.getLogger(ClientConnection.class.getName());
     private static final int MAX_BODY = 64 * 1024;
     /** Requests that a client may send ahead of its answers before what else comes is kept unread ... */
-    private static final int MOST_AHEAD = 16;
+    private static final int MAX_PIPELINED_REQUESTS = 16;
     /** ... up to so many bytes, so that its end is noticed. */
-    private static final int MOST_KEPT = 256 * 1024;
+    private static final int MAX_READ_AHEAD_BYTES = 256 * 1024;
     /** Requests one after the other that can't be used; a client that sends more doesn't mean to ask. */
-    private static final int MOST_BAD = 4;
+    private static final int MAX_BAD_REQUESTS = 4;
     /** How long a client may take to read the reason why its connection is closed. */
     private static final long LINGER_MS = 500;
     /** What is read and thrown away meanwhile: closed on unread bytes, the system would take the reason
      * back. */
-    private static final int MOST_THROWN_AWAY = 256 * 1024;
+    private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
     private static final String READY = "/ready";
     /** Not the request's fault: a refusal, which may come again. */
@@ -71,7 +71,7 @@
     /** There were more than are served when it came. */
     private boolean unwelcome;
     /** Once it begins: what is held and waits is answered, then the connection closed. */
-    private final Deafness deafness = new Deafness(MOST_THROWN_AWAY);
+    private final InputDiscarder deafness = new InputDiscarder(MAX_DISCARDED_BYTES);
 
     private final ReadAhead readAhead;
     private boolean ending;
@@ -82,9 +82,9 @@
     private ClientConnection(ClientServer server, Channel channel) {
         this.server = server;
         this.channel = channel;
-        readAhead = new ReadAhead(server.inHand(), MOST_KEPT);
+        readAhead = new ReadAhead(server.requestMemory(), MAX_READ_AHEAD_BYTES);
         openedNs = server.nanos();
-        number = server.nextNumber();
+        number = server.nextConnectionId();
     }
 
     /** Sets up a client's connection. */
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public long restingSinceNs() {
+    public long idleSinceNs() {
         return asked ? answeredNs : openedNs;
     }
 
@@ -139,9 +139,9 @@
             return;
         }
         // A loop that was held up for a moment has not read what came in time.
-        long before = deafness.seen();
+        long before = deafness.receivedBytes();
         readNow();
-        if (deafness.seen() > before || !isOverdue(nowNs)) {
+        if (deafness.receivedBytes() > before || !isOverdue(nowNs)) {
             return;
         }
         if (decoder.isMidRequest()) {
@@ -169,27 +169,27 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        unwelcome = server.opened(this, number, channel);
+        unwelcome = server.onOpened(this, number, channel);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (server.log().isOn()) {
             server.log()
-                    .line(
+                    .write(
                             "closed",
                             number,
                             closedFor == null ? "by the client" : closedFor,
                             held == null ? "" : "unanswered",
                             ahead.isEmpty() ? "" : ahead.size() + " not taken");
         }
-        server.closed(this);
+        server.onClosed(this);
         for (Ahead next : ahead) {
             next.http.release();
-            server.inHand().remove(next.cost);
+            server.requestMemory().release(next.cost);
         }
         ahead.clear();
-        server.inHand().remove(partCost + heldCost);
+        server.requestMemory().release(partCost + heldCost);
         partCost = 0;
         heldCost = 0;
         if (held != null) {
@@ -202,32 +202,33 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         long now = server.nanos();
-        server.inHand().remove(partCost);
+        server.requestMemory().release(partCost);
         partCost = 0;
-        if (deafness.isDeaf() || !(message instanceof FullHttpRequest http)) {
+        if (deafness.isDiscarding() || !(message instanceof FullHttpRequest http)) {
             ReferenceCountUtil.release(message);
             return;
         }
-        long cost = InHand.costOf(
+        long cost = RequestMemory.costOf(
                 http.decoderResult() instanceof HttpMessageDecoderResult size ? size.totalSize() : 0,
                 http.content().readableBytes());
-        if (!server.inHand().add(cost)) {
+        if (!server.requestMemory().tryReserve(cost)) {
             http.release();
             reject(TOO_MUCH);
             return;
         }
         asked = true;
-        server.heardFrom(this);
+        server.onRequestReceived(this);
         if (server.log().isOn()) {
-            server.log().line("whole", number, http.uri(), "txn", http.headers().get("X-Txn"));
+            server.log()
+                    .write("whole", number, http.uri(), "txn", http.headers().get("X-Txn"));
         }
         if (held == null && ahead.isEmpty()) {
             // Not before all is read that has come: behind the request there may be the client's close. A
             // node that is behind would else work mostly for clients that have left, and so stay behind.
             channel.eventLoop().execute(this::takeAhead);
         }
-        ahead.add(new Ahead(http, now - server.layNs(), cost));
-        if (ahead.size() >= MOST_AHEAD) {
+        ahead.add(new Ahead(http, now - server.acceptDelayNs(), cost));
+        if (ahead.size() >= MAX_PIPELINED_REQUESTS) {
             readAhead.keep();
         }
     }
@@ -239,7 +240,7 @@
         } else if (begunNs == 0) {
             begunNs = server.nanos();
             if (server.log().isOn()) {
-                server.log().line("begun", number);
+                server.log().write("begun", number);
             }
         }
     }
@@ -248,7 +249,7 @@
         heldCost = cost;
         if (server.log().isOn()) {
             server.log()
-                    .line(
+                    .write(
                             "take",
                             number,
                             "txn",
@@ -271,14 +272,14 @@
                 answer(HttpReply.plain(HttpResponseStatus.OK, "rehearsed"), keepAlive);
                 return;
             }
-            if (unwelcome && server.isOverfull()) {
-                answer(HttpReply.comeBack("too many connections, try again", server.comeBackUs()), false);
+            if (unwelcome && server.isOverConnectionLimit()) {
+                answer(HttpReply.serviceUnavailable("too many connections, try again", server.retryAfterUs()), false);
                 return;
             }
             unwelcome = false;
             ClientRequest request = server.read(http);
             held = new HttpReply(this, keepAlive);
-            server.take(request, held, arrivedNs);
+            server.handle(request, held, arrivedNs);
         } catch (BadRequest e) {
             turnAway(e, http);
         } catch (RuntimeException | Error e) {
@@ -293,7 +294,7 @@
     /** A fault of ours: what was taken is still owed its answer. */
     private void fault() {
         if (held != null) {
-            held.failed(Failure.INTERNAL);
+            held.failed(Failure.INTERNAL_ERROR);
         } else {
             answer(faulty(), false);
         }
@@ -317,7 +318,7 @@
         if (!http.method().equals(HttpMethod.GET)) {
             return bad(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
         }
-        String not = server.notReady();
+        String not = server.notReadyReason();
         return not == null
                 ? HttpReply.plain(HttpResponseStatus.OK, server.readyText())
                 : HttpReply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, not);
@@ -325,7 +326,7 @@
 
     private FullHttpResponse bad(BadRequest e) {
         if (e.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)) {
-            return HttpReply.comeBack(e.getMessage(), server.comeBackUs());
+            return HttpReply.serviceUnavailable(e.getMessage(), server.retryAfterUs());
         }
         FullHttpResponse response = HttpReply.plain(e.status(), e.getMessage());
         if (e.status().equals(HttpResponseStatus.METHOD_NOT_ALLOWED)) {
@@ -336,7 +337,7 @@
 
     /** Nothing that follows on the connection can be understood; what is held is answered first. */
     private void reject(BadRequest e) {
-        deafness.begin();
+        deafness.startDiscarding();
         if (held != null || !ahead.isEmpty() || ending) {
             return;
         }
@@ -353,14 +354,16 @@
     void answer(FullHttpResponse response, boolean keepAlive) {
         bad = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR ? bad + 1 : 0;
         held = null;
-        server.inHand().remove(heldCost);
+        server.requestMemory().release(heldCost);
         heldCost = 0;
         boolean last = ahead.isEmpty();
-        boolean keep =
-                keepAlive && !ending && bad < MOST_BAD && !(last && (deafness.isDeaf() || server.endsConnections()));
+        boolean keep = keepAlive
+                && !ending
+                && bad < MAX_BAD_REQUESTS
+                && !(last && (deafness.isDiscarding() || server.closesAfterResponse()));
         ChannelFuture writing = write(keep ? response : closing(response));
         if (!keep) {
-            deafness.begin();
+            deafness.startDiscarding();
             ending = true;
             writing.addListener(written -> {
                 if (written.isSuccess()) {
@@ -381,7 +384,7 @@
         answeredNs = server.nanos();
         if (server.log().isOn()) {
             server.log()
-                    .line(
+                    .write(
                             "answer",
                             number,
                             response.status().code(),
@@ -403,7 +406,7 @@
             return;
         }
         answerSpoilt = true;
-        deafness.begin();
+        deafness.startDiscarding();
         ending = true;
         write(closing(faulty())).addListener(written -> close("a fault"));
     }
@@ -413,7 +416,7 @@
         if (held != null || ending || ahead.isEmpty() || !channel.isActive()) {
             return;
         }
-        if (ahead.size() <= MOST_AHEAD) {
+        if (ahead.size() <= MAX_PIPELINED_REQUESTS) {
             // First, while what is taken next still stands in line: what comes may have to be rejected.
             readAhead.letGo();
         }
@@ -440,7 +443,7 @@
             close("a fault");
         } else {
             // What has been read whole is taken and answered, and nothing behind it.
-            deafness.begin();
+            deafness.startDiscarding();
         }
     }
 
@@ -454,7 +457,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
             int more =
                     message instanceof HttpContent content ? content.content().readableBytes() : 0;
-            if (deafness.isDeaf() || !server.inHand().add(more)) {
+            if (deafness.isDiscarding() || !server.requestMemory().tryReserve(more)) {
                 ReferenceCountUtil.release(message);
                 reject(TOO_MUCH);
                 return;
--- a/src/main/java/vetchpost/http/ClientServer.java
+++ b/src/main/java/vetchpost/http/ClientServer.java
@@ -22,54 +22,54 @@
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.net.Network;
-import vetchpost.net.Sockets;
+import vetchpost.net.SocketBudget;
 
 /** The client side as a whole: which connections are accepted, kept and closed. */
 public final class ClientServer {
     /** Marks requests of the rehearsal; its value is a token. */
-    public static final String REHEARSAL = "X-Rehearsal";
+    public static final String REHEARSAL_HEADER = "X-Rehearsal";
 
     /** How long a connection may be without a whole request at its start, and how long one may take from its
      * first byte to its last, or an answer to be read: the longest that a client waits for an answer, by the
      * settings, but no less than this ... */
-    private static final long LEAST_PATIENCE_US = 2_000_000;
+    private static final long MIN_PATIENCE_US = 2_000_000;
     /** ... and no more than the longest deadline of the protocol: half a request is not worth waiting for. */
-    private static final long MOST_PATIENCE_US = 3_000_000;
+    private static final long MAX_PATIENCE_US = 3_000_000;
     /** How long an idle connection is kept once there are many: some clients ask once and never close, and
      * what the others may open is spent by that. */
-    private static final long KEPT_NS = TimeUnit.MILLISECONDS.toNanos(2_100);
+    private static final long MAX_IDLE_NS = TimeUnit.MILLISECONDS.toNanos(2_100);
     /** What has rested for less is not closed to make room. */
-    private static final long YOUNG_NS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long MIN_IDLE_BEFORE_CLOSE_NS = TimeUnit.MILLISECONDS.toNanos(100);
     /** How often connections are looked through for those that keep the node waiting. */
-    private static final long SWEEP_MS = 200;
+    private static final long SWEEP_INTERVAL_MS = 200;
     /** How long a new connection may stay without a request after the word to stop. */
-    private static final long LAST_WORD_NS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long DRAIN_SILENCE_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
     /** Where requests go. */
-    public interface Taker {
+    public interface RequestHandler {
         /** Takes a request whose last byte was read so many microseconds ago, and owes its reply. */
-        void take(ClientRequest request, ClientReply reply, long waitedUs);
+        void handle(ClientRequest request, ClientReply reply, long waitedUs);
     }
 
     private final EventLoop loop;
     private final Network network;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private final RequestReader reader;
-    private final Taker taker;
-    private final ClientLine.Opener opener;
+    private final RequestHandler taker;
+    private final ManagedConnection.ConnectionInitializer opener;
     private final RequestLog log = new RequestLog();
-    private final InHand inHand = InHand.partOfHeap();
+    private final RequestMemory requestMemory = RequestMemory.fractionOfHeap();
     /** Open connections that have sent a whole request; those heard from most recently last. */
-    private final Set<ClientLine> connections = new LinkedHashSet<>();
+    private final Set<ManagedConnection> connections = new LinkedHashSet<>();
     /** Those that have sent none so far, oldest first. */
-    private final Set<ClientLine> silent = new LinkedHashSet<>();
+    private final Set<ManagedConnection> silent = new LinkedHashSet<>();
 
     private ScheduledFuture<?> sweeper;
     private Acceptor acceptor;
     private LongSupplier behindUs = () -> 0;
-    private final long comeBackUs;
+    private final long retryAfterUs;
     private final long patienceNs;
-    private long layNs;
+    private long acceptDelayNs;
     private long sweptNs;
     private boolean heldUp;
     private String rehearsal;
@@ -81,7 +81,8 @@
     private boolean closing;
 
     /** Not listening yet. */
-    public ClientServer(EventLoop loop, Network network, Sockets sockets, Settings settings, Taker taker) {
+    public ClientServer(
+            EventLoop loop, Network network, SocketBudget sockets, Settings settings, RequestHandler taker) {
         this(loop, network, sockets, settings, taker, null);
     }
 
@@ -89,23 +90,23 @@
     public ClientServer(
             EventLoop loop,
             Network network,
-            Sockets sockets,
+            SocketBudget sockets,
             Settings settings,
-            Taker taker,
-            ClientLine.Opener opener) {
+            RequestHandler taker,
+            ManagedConnection.ConnectionInitializer opener) {
         this.opener = opener;
         this.loop = loop;
         this.network = network;
         this.sockets = sockets;
         reader = new RequestReader(settings);
-        comeBackUs = settings.maxRetryAfterUs;
+        retryAfterUs = settings.maxRetryAfterUs;
         long longestUs = settings.classes.stream()
                 .mapToLong(RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
-        patienceNs = TimeUnit.MICROSECONDS.toNanos(Math.min(MOST_PATIENCE_US, Math.max(LEAST_PATIENCE_US, longestUs)));
+        patienceNs = TimeUnit.MICROSECONDS.toNanos(Math.min(MAX_PATIENCE_US, Math.max(MIN_PATIENCE_US, longestUs)));
         this.taker = taker;
-        sockets.clientSide(this::closeOldestIdle, this::roomAgain);
+        sockets.setClientSide(this::closeOldestIdle, this::roomAgain);
     }
 
     /** Binds the address; the future tells whether it could be had. */
@@ -113,7 +114,7 @@
         acceptor = new Acceptor(loop, network, sockets, log, behindUs);
         ChannelFuture binding = acceptor.listen(group, address, this::open);
         sweptNs = nanos();
-        sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return binding;
     }
 
@@ -140,13 +141,13 @@
     }
 
     /** How far the loop may be behind its sockets, in microseconds; to be told before it listens. */
-    public void behind(LongSupplier us) {
+    public void setEventLoopDelay(LongSupplier us) {
         behindUs = us;
     }
 
     private void sweep() {
         long now = nanos();
-        boolean late = now - sweptNs > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_MS);
+        boolean late = now - sweptNs > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_INTERVAL_MS);
         sweptNs = now;
         if (late && !heldUp) {
             // The loop was held up: what came in time lies unread, and what was written waits. By the next
@@ -155,13 +156,13 @@
             return;
         }
         heldUp = false;
-        for (Set<ClientLine> some : List.of(silent, connections)) {
+        for (Set<ManagedConnection> some : List.of(silent, connections)) {
             // A copy: what is closed is taken out at once.
             new ArrayList<>(some).forEach(c -> c.closeIfOverdue(now));
         }
         boolean closed = true;
-        while (closed && sockets.areClientsMany()) {
-            closed = closeOldestIdle(connections, now - KEPT_NS, "kept long");
+        while (closed && sockets.hasManyClients()) {
+            closed = closeOldestIdle(connections, now - MAX_IDLE_NS, "kept long");
         }
         if (closing) {
             endIdle();
@@ -180,12 +181,12 @@
     }
 
     /** Has {@code /ready} say by what the node serves; null for no more than that it is ready. */
-    public void serving(Supplier<String> by) {
+    public void setReadinessDetail(Supplier<String> by) {
         serving = by;
     }
 
     /** Has {@code /ready} say this besides; what is null says nothing. */
-    public void remark(Supplier<String> line) {
+    public void setReadinessNote(Supplier<String> line) {
         remark = line;
     }
 
@@ -204,7 +205,7 @@
     public void stopAccepting() {
         closing = true;
         if (log.isOn()) {
-            log.line("no longer listening", sockets);
+            log.write("no longer listening", sockets);
         }
         if (acceptor != null) {
             acceptor.finish();
@@ -214,19 +215,19 @@
 
     /** Ends what owes no answer, but for what has only just come: its request may be on its way. */
     private void endIdle() {
-        long beforeNs = nanos() - LAST_WORD_NS;
-        for (ClientLine connection : new ArrayList<>(connections)) {
+        long beforeNs = nanos() - DRAIN_SILENCE_TIMEOUT_NS;
+        for (ManagedConnection connection : new ArrayList<>(connections)) {
             end(connection, "stopping");
         }
-        for (ClientLine connection : new ArrayList<>(silent)) {
-            if (connection.restingSinceNs() - beforeNs < 0) {
+        for (ManagedConnection connection : new ArrayList<>(silent)) {
+            if (connection.idleSinceNs() - beforeNs < 0) {
                 end(connection, "stopping");
             }
         }
     }
 
     /** Closes it if it is idle, also after a last look at what the system holds of it. */
-    private boolean end(ClientLine connection, String why) {
+    private boolean end(ManagedConnection connection, String why) {
         if (!connection.isIdle()) {
             return false;
         }
@@ -247,13 +248,13 @@
     }
 
     /** What requests take, over all connections. */
-    public InHand inHand() {
-        return inHand;
+    public RequestMemory requestMemory() {
+        return requestMemory;
     }
 
     /** Whether connections end with their answers. */
-    public boolean endsConnections() {
-        return draining || sockets.areClientsCrowded();
+    public boolean closesAfterResponse() {
+        return draining || sockets.shouldCloseAfterResponse();
     }
 
     /** Whether no connection is kept that owes no answer. */
@@ -262,13 +263,13 @@
     }
 
     /** Why the node is not to be sent clients, or null. */
-    public String notReady() {
+    public String notReadyReason() {
         return draining ? "stopping" : ready ? null : "starting";
     }
 
     /** Whether it is part of the rehearsal, and to be answered on the spot. */
     public boolean isRehearsal(HttpRequest http) {
-        return rehearsal != null && rehearsal.equals(http.headers().get(REHEARSAL));
+        return rehearsal != null && rehearsal.equals(http.headers().get(REHEARSAL_HEADER));
     }
 
     ClientRequest read(FullHttpRequest http) throws BadRequest {
@@ -276,12 +277,12 @@
     }
 
     /** Takes a request whose last byte was read then, by the loop's ticker, and owes its reply. */
-    public void take(ClientRequest request, ClientReply reply, long arrivedNs) {
-        taker.take(request, reply, (nanos() - arrivedNs) / 1_000);
+    public void handle(ClientRequest request, ClientReply reply, long arrivedNs) {
+        taker.handle(request, reply, (nanos() - arrivedNs) / 1_000);
     }
 
     /** The number of one more connection. */
-    public long nextNumber() {
+    public long nextConnectionId() {
         return ++numbered;
     }
 
@@ -300,8 +301,8 @@
     }
 
     /** Bytes that requests in hand take; 0 when there are none. */
-    public long bytesInHand() {
-        return inHand.bytes();
+    public long pendingRequestBytes() {
+        return requestMemory.bytes();
     }
 
     /** What becomes of connections and requests, where that is wanted. */
@@ -315,22 +316,22 @@
      * @return whether it is one more than are served: if that is still so when its request comes, that is
      * refused
      */
-    public boolean opened(ClientLine connection, long number, Channel channel) {
+    public boolean onOpened(ManagedConnection connection, long number, Channel channel) {
         sockets.addClient();
         if (log.isOn()) {
-            log.line("accept", number, channel.remoteAddress(), "at", channel.localAddress(), sockets);
+            log.write("accept", number, channel.remoteAddress(), "at", channel.localAddress(), sockets);
         }
-        sockets.makeClientRoom();
+        sockets.makeRoomForClient();
         if (acceptor != null) {
             acceptor.settle();
         }
         silent.add(connection);
-        boolean unwelcome = isOverfull();
-        layNs = acceptor == null ? 0 : acceptor.layNs();
-        if (layNs > 0) {
+        boolean unwelcome = isOverConnectionLimit();
+        acceptDelayNs = acceptor == null ? 0 : acceptor.layNs();
+        if (acceptDelayNs > 0) {
             // Now, so that what has lain there with it is known from what comes later.
             connection.readNow();
-            layNs = 0;
+            acceptDelayNs = 0;
         }
         return unwelcome;
     }
@@ -341,13 +342,13 @@
     }
 
     /** For how long what is read just now may have lain with its connection before that was accepted. */
-    public long layNs() {
-        return layNs;
+    public long acceptDelayNs() {
+        return acceptDelayNs;
     }
 
     /** Whether there are more connections than are served: what comes on new ones is refused. */
-    public boolean isOverfull() {
-        return sockets.areClientsOver();
+    public boolean isOverConnectionLimit() {
+        return sockets.isOverClientLimit();
     }
 
     /** How long a client may keep the node waiting, in nanoseconds. */
@@ -356,19 +357,19 @@
     }
 
     /** What those are told. */
-    public long comeBackUs() {
-        return comeBackUs;
+    public long retryAfterUs() {
+        return retryAfterUs;
     }
 
     /** It has sent a whole request. */
-    public void heardFrom(ClientLine connection) {
+    public void onRequestReceived(ManagedConnection connection) {
         if (silent.remove(connection) || connections.remove(connection)) {
             connections.add(connection);
         }
     }
 
     /** It has closed. */
-    public void closed(ClientLine connection) {
+    public void onClosed(ManagedConnection connection) {
         if (silent.remove(connection) || connections.remove(connection)) {
             sockets.removeClient();
         }
@@ -384,28 +385,28 @@
      * come or been answered: the system may hold its request already, unread while others are accepted.
      */
     private boolean closeOldestIdle() {
-        long beforeNs = nanos() - YOUNG_NS;
+        long beforeNs = nanos() - MIN_IDLE_BEFORE_CLOSE_NS;
         return closeOldestIdle(silent, beforeNs, "room, silent")
                 || closeOldestIdle(connections, beforeNs, "room, idle");
     }
 
-    private boolean closeOldestIdle(Set<ClientLine> some, long beforeNs, String why) {
+    private boolean closeOldestIdle(Set<ManagedConnection> some, long beforeNs, String why) {
         // Looked for anew each time: what the last look brings puts a connection behind the others.
-        for (ClientLine connection = oldestIdle(some, beforeNs);
+        for (ManagedConnection connection = oldestIdle(some, beforeNs);
                 connection != null;
                 connection = oldestIdle(some, beforeNs)) {
             if (end(connection, why)) {
                 // Counted off here: Netty tells of it only later, and what waits would take it for no room.
-                closed(connection);
+                onClosed(connection);
                 return true;
             }
         }
         return false;
     }
 
-    private static ClientLine oldestIdle(Set<ClientLine> some, long beforeNs) {
-        for (ClientLine connection : some) {
-            if (connection.isIdle() && connection.restingSinceNs() - beforeNs < 0) {
+    private static ManagedConnection oldestIdle(Set<ManagedConnection> some, long beforeNs) {
+        for (ManagedConnection connection : some) {
+            if (connection.isIdle() && connection.idleSinceNs() - beforeNs < 0) {
                 return connection;
             }
         }
--- a/src/main/java/vetchpost/http/Exchange.java
+++ b/src/main/java/vetchpost/http/Exchange.java
@@ -3,8 +3,8 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.HttpObject;
-import vetchpost.core.Answer;
-import vetchpost.core.ServerTransport.Sending;
+import vetchpost.core.ServerResponse;
+import vetchpost.core.ServerTransport.OutgoingRequest;
 import vetchpost.decision.Balancer.Result;
 
 /**
@@ -14,17 +14,17 @@
 public interface Exchange {
 
     /** Makes the exchange of an attempt, once there is a connection for it. */
-    interface Maker {
+    interface Factory {
         /** Of this attempt. */
-        Exchange of(Sending sending);
+        Exchange create(OutgoingRequest sending);
     }
 
     /** What has come can't be the answer to anything. */
-    final class Spoilt extends Exception {
+    final class MalformedResponse extends Exception {
         private static final long serialVersionUID = 1;
 
         /** Without a trace: servers can bring it about at will. */
-        public Spoilt() {
+        public MalformedResponse() {
             super("spoilt answer", null, false, false);
         }
     }
@@ -36,13 +36,13 @@
     ChannelFuture write(Channel channel);
 
     /** Whether its answer has no body, whatever the answer's length says. */
-    boolean isHead();
+    boolean isBodyless();
 
     /** Takes in the next part of the answer; whether it is now whole. */
-    boolean read(HttpObject part) throws Spoilt;
+    boolean read(HttpObject part) throws MalformedResponse;
 
     /** Whether all of the answer has come. */
-    boolean isWhole();
+    boolean isComplete();
 
     /** Whether the connection can carry another request. */
     boolean isReusable();
@@ -51,8 +51,8 @@
     Result result();
 
     /** The whole answer. */
-    Answer answer();
+    ServerResponse response();
 
     /** It ends before its answer is whole. */
-    void broken();
+    void abort();
 }
--- a/src/main/java/vetchpost/http/HeaderFields.java
+++ b/src/main/java/vetchpost/http/HeaderFields.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.Fields;
+import vetchpost.core.Headers;
 
 /** The headers of HTTP as the core's fields, and the way back. */
-public record HeaderFields(HttpHeaders headers) implements Fields {
+public record HeaderFields(HttpHeaders headers) implements Headers {
     @Override
     public String get(String name) {
         return headers.get(name);
@@ -38,7 +38,7 @@
                 method,
                 request.target(),
                 Unpooled.wrappedBuffer(request.body()),
-                headers(request.fields()),
+                headers(request.headers()),
                 DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders());
         message.headers().set(RequestReader.REMAINING, Math.max(1, waitUs / 1_000));
         if (request.body().length > 0 || method.equals(HttpMethod.POST)) {
@@ -47,7 +47,7 @@
         return message;
     }
 
-    private static HttpHeaders headers(Fields fields) {
+    private static HttpHeaders headers(Headers fields) {
         if (fields instanceof HeaderFields http) {
             return http.headers;
         }
--- a/src/main/java/vetchpost/http/HttpReply.java
+++ b/src/main/java/vetchpost/http/HttpReply.java
@@ -7,9 +7,9 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
-import vetchpost.core.Answer;
 import vetchpost.core.ClientReply;
 import vetchpost.core.Failure;
+import vetchpost.core.ServerResponse;
 
 /** The one answer to a request of a client's connection. */
 public final class HttpReply implements ClientReply {
@@ -24,17 +24,17 @@
     }
 
     @Override
-    public long connection() {
+    public long connectionId() {
         return connection.number();
     }
 
     @Override
-    public boolean hasLeft() {
+    public boolean hasDisconnected() {
         return !connection.isThere();
     }
 
     @Override
-    public void whenGone(Runnable action) {
+    public void onDisconnect(Runnable action) {
         whenGone = action;
     }
 
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void served(Answer answer) {
+    public void served(ServerResponse answer) {
         FullHttpResponse response = response(HttpResponseStatus.OK, answer.body());
         if (answer.contentType() != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
@@ -54,12 +54,12 @@
     }
 
     @Override
-    public void refused(long retryAfterUs) {
-        answer(comeBack("refused, try again", retryAfterUs));
+    public void rejected(long retryAfterUs) {
+        answer(serviceUnavailable("refused, try again", retryAfterUs));
     }
 
     /** A refusal, with the time to come back; 0 gives none. */
-    public static FullHttpResponse comeBack(String reason, long retryAfterUs) {
+    public static FullHttpResponse serviceUnavailable(String reason, long retryAfterUs) {
         FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE, reason);
         if (retryAfterUs > 0) {
             String seconds = retryAfterUs % 1_000_000 == 0
@@ -75,11 +75,12 @@
         answer(
                 switch (why) {
                     case DUPLICATE_ID -> plain(HttpResponseStatus.CONFLICT, "a request of this id is in hand");
-                    case GIVEN_UP -> plain(HttpResponseStatus.BAD_GATEWAY, "failed");
-                    case OUT_OF_TIME -> plain(HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
-                    case BAD_PATH -> plain(HttpResponseStatus.BAD_REQUEST, "path can be read in two ways");
-                    case TOO_LARGE -> plain(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over its route's limit");
-                    case INTERNAL -> plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
+                    case UNSERVED -> plain(HttpResponseStatus.BAD_GATEWAY, "failed");
+                    case DEADLINE_EXCEEDED -> plain(HttpResponseStatus.GATEWAY_TIMEOUT, "out of time");
+                    case AMBIGUOUS_PATH -> plain(HttpResponseStatus.BAD_REQUEST, "path can be read in two ways");
+                    case BODY_TOO_LARGE ->
+                        plain(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over its route's limit");
+                    case INTERNAL_ERROR -> plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
                 });
     }
 
--- a/src/main/java/vetchpost/http/Deafness.java
+++ b/src/main/java/vetchpost/http/InputDiscarder.java
@@ -10,45 +10,45 @@
  * them no
  * reading: closed on unread bytes, the system would take back the reason that the client has not read yet.
  */
-public final class Deafness extends ChannelInboundHandlerAdapter {
+public final class InputDiscarder extends ChannelInboundHandlerAdapter {
     private final int most;
-    private int thrownAway;
-    private boolean deaf;
-    private long seen;
+    private int discardedBytes;
+    private boolean discarding;
+    private long receivedBytes;
 
     /** Lets all through, for now; later throws away so many bytes before it stops to read. */
-    public Deafness(int most) {
+    public InputDiscarder(int most) {
         this.most = most;
     }
 
     /** Nothing more is taken. */
-    public void begin() {
-        deaf = true;
+    public void startDiscarding() {
+        discarding = true;
     }
 
     /** Bytes that have come so far. */
-    long seen() {
-        return seen;
+    long receivedBytes() {
+        return receivedBytes;
     }
 
     /** Whether nothing more is taken. */
-    public boolean isDeaf() {
-        return deaf;
+    public boolean isDiscarding() {
+        return discarding;
     }
 
     /** Whether what comes should still be read, to be thrown away. */
     public boolean isReading() {
-        return thrownAway <= most;
+        return discardedBytes <= most;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        seen += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
-        if (!deaf) {
+        receivedBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
+        if (!discarding) {
             ctx.fireChannelRead(message);
             return;
         }
-        thrownAway += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
+        discardedBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
         ReferenceCountUtil.release(message);
         if (!isReading()) {
             ctx.channel().config().setAutoRead(false);
--- a/src/main/java/vetchpost/http/ClientLine.java
+++ b/src/main/java/vetchpost/http/ManagedConnection.java
@@ -3,10 +3,10 @@
 import io.netty.channel.ChannelPipeline;
 
 /** A client's connection, as the client side as a whole looks after it. */
-public interface ClientLine {
+public interface ManagedConnection {
 
     /** Sets up a client's connection. */
-    interface Opener {
+    interface ConnectionInitializer {
         /** Puts its handlers into the pipeline. */
         void open(ClientServer server, ChannelPipeline pipeline);
     }
@@ -15,7 +15,7 @@
     boolean isIdle();
 
     /** Since when it has been so, by the loop's ticker. */
-    long restingSinceNs();
+    long idleSinceNs();
 
     /** Closes it if its client has kept it waiting for too long. */
     void closeIfOverdue(long nowNs);
--- a/src/main/java/vetchpost/http/PlainExchange.java
+++ b/src/main/java/vetchpost/http/PlainExchange.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpObject;
-import vetchpost.core.Answer;
+import vetchpost.core.ServerResponse;
 import vetchpost.decision.Balancer.Result;
 
 /** A request and an answer of the platform's: short, whole, and 200 or nothing. */
@@ -12,7 +12,7 @@
     private static final String TURNED_AWAY = "X-Turned-Away";
 
     private final FullHttpRequest message;
-    private final AnswerReader reader = new AnswerReader();
+    private final ResponseReader reader = new ResponseReader();
 
     PlainExchange(FullHttpRequest message) {
         this.message = message;
@@ -24,17 +24,17 @@
     }
 
     @Override
-    public boolean isHead() {
+    public boolean isBodyless() {
         return false;
     }
 
     @Override
-    public boolean read(HttpObject part) throws Spoilt {
+    public boolean read(HttpObject part) throws MalformedResponse {
         return reader.read(part);
     }
 
     @Override
-    public boolean isWhole() {
+    public boolean isComplete() {
         return reader.isWhole();
     }
 
@@ -51,10 +51,10 @@
     }
 
     @Override
-    public Answer answer() {
+    public ServerResponse response() {
         return reader.answer();
     }
 
     @Override
-    public void broken() {}
+    public void abort() {}
 }
--- a/src/main/java/vetchpost/http/ReadAhead.java
+++ b/src/main/java/vetchpost/http/ReadAhead.java
@@ -14,7 +14,7 @@
     /** As much as is read off a socket at once. */
     private static final int PIECE = 16_384;
 
-    private final InHand inHand;
+    private final RequestMemory inHand;
     private final int most;
     private ByteBuf kept = Unpooled.EMPTY_BUFFER;
     private ChannelHandlerContext context;
@@ -22,7 +22,7 @@
     private boolean keeping;
 
     /** Lets all through, for now; later keeps so many bytes before the connection is no longer read. */
-    ReadAhead(InHand inHand, int most) {
+    ReadAhead(RequestMemory inHand, int most) {
         this.inHand = inHand;
         this.most = most;
     }
@@ -57,7 +57,7 @@
     }
 
     private void forget(long bytes) {
-        inHand.remove(bytes);
+        inHand.release(bytes);
         counted -= bytes;
     }
 
@@ -77,7 +77,7 @@
             // A copy on the heap: many small reads would keep a large buffer each.
             kept = Unpooled.buffer(read.readableBytes());
         }
-        boolean room = inHand.add(read.readableBytes());
+        boolean room = inHand.tryReserve(read.readableBytes());
         counted += room ? read.readableBytes() : 0;
         boolean full = !room || kept.readableBytes() + read.readableBytes() > most;
         kept.writeBytes(read);
--- a/src/main/java/vetchpost/http/InHand.java
+++ b/src/main/java/vetchpost/http/RequestMemory.java
@@ -4,32 +4,32 @@
  * The memory that requests take which are being read, wait their turn or are held, over all connections:
  * each may be small, and hundreds of them are still more than the heap.
  */
-public final class InHand {
+public final class RequestMemory {
     /** What a request takes besides its body: headers and the objects around them. */
-    private static final int PER_REQUEST = 2_048;
+    private static final int BYTES_PER_REQUEST = 2_048;
     /** Headers as objects take so many times their bytes. */
-    private static final int HEADERS_BY = 4;
+    private static final int HEADER_SIZE_FACTOR = 4;
 
-    private final long most;
+    private final long maxBytes;
     private long bytes;
 
-    InHand(long most) {
-        this.most = most;
+    RequestMemory(long most) {
+        this.maxBytes = most;
     }
 
     /** A part of the heap: answers, the module and what the runtime leaves over need the rest. */
-    static InHand partOfHeap() {
-        return new InHand(Runtime.getRuntime().maxMemory() / 4);
+    static RequestMemory fractionOfHeap() {
+        return new RequestMemory(Runtime.getRuntime().maxMemory() / 4);
     }
 
     /** What a request takes with so many bytes of head and body. */
     public static long costOf(int headBytes, int bodyBytes) {
-        return PER_REQUEST + (long) HEADERS_BY * headBytes + bodyBytes;
+        return BYTES_PER_REQUEST + (long) HEADER_SIZE_FACTOR * headBytes + bodyBytes;
     }
 
     /** Counts so much more, if there is room for it. */
-    public boolean add(long more) {
-        if (bytes + more > most) {
+    public boolean tryReserve(long more) {
+        if (bytes + more > maxBytes) {
             return false;
         }
         bytes += more;
@@ -37,8 +37,8 @@
     }
 
     /** How much there is room for in all. */
-    long most() {
-        return most;
+    long maxBytes() {
+        return maxBytes;
     }
 
     long bytes() {
@@ -46,7 +46,7 @@
     }
 
     /** Counts so much less. */
-    public void remove(long less) {
+    public void release(long less) {
         bytes -= less;
     }
 }
--- a/src/main/java/vetchpost/http/RequestReader.java
+++ b/src/main/java/vetchpost/http/RequestReader.java
@@ -9,7 +9,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import vetchpost.core.ClientRequest;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 
@@ -57,11 +57,11 @@
             throw new BadRequest(HttpResponseStatus.NOT_FOUND, "unknown class of request");
         }
         RequestClass cls = settings.classes.get(classIndex);
-        HttpMethod method = cls.repeat() == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        HttpMethod method = cls.idempotency() == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST;
         if (!http.method().equals(method)) {
             throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + method);
         }
-        if (cls.repeat() == Repeat.KEYED && !headers.contains(KEY)) {
+        if (cls.idempotency() == Idempotency.KEYED && !headers.contains(KEY)) {
             throw bad(KEY + " is missing");
         }
         String org = headers.get(TENANT);
@@ -70,11 +70,11 @@
             throw bad("unknown " + TENANT);
         }
         // Up to nine digits: more than eleven days is no wait.
-        long remainingMs = whole(headers.get(REMAINING), 9);
+        long remainingMs = parseDigits(headers.get(REMAINING), 9);
         if (remainingMs < 0) {
             throw bad(REMAINING + " is missing or no whole number of milliseconds");
         }
-        long workUs = Math.max(0, whole(headers.get(ESTIMATE), 12));
+        long workUs = Math.max(0, parseDigits(headers.get(ESTIMATE), 12));
         long id = id(headers);
         boolean retry = "1".equals(headers.get(RETRY));
         // From here on nothing is refused, and nobody else wants the headers: what is left of them goes on.
@@ -131,7 +131,7 @@
     }
 
     /** Plain digits, or -1. */
-    public static long whole(String text, int mostDigits) {
+    public static long parseDigits(String text, int mostDigits) {
         if (text == null || text.isEmpty() || text.length() > mostDigits) {
             return -1;
         }
--- a/src/main/java/vetchpost/http/AnswerReader.java
+++ b/src/main/java/vetchpost/http/ResponseReader.java
@@ -14,15 +14,15 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.AsciiString;
 import java.util.Arrays;
-import vetchpost.core.Answer;
+import vetchpost.core.ServerResponse;
 
 /** Puts one answer of a server together, within limits, and takes for an answer only what is surely one. */
-final class AnswerReader {
+final class ResponseReader {
     private static final int MAX_BODY = 64 * 1024;
     private static final int MAX_LINE = 4_096;
     private static final int MAX_HEADERS = 16_384;
     /** Informational answers ahead of the final one; servers send one or two. */
-    private static final int MOST_INFORMATIONAL = 16;
+    private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
     private static final byte[] NONE = {};
 
@@ -71,9 +71,9 @@
     }
 
     /** Takes in the next part; whether the answer is now whole. */
-    boolean read(HttpObject part) throws Exchange.Spoilt {
+    boolean read(HttpObject part) throws Exchange.MalformedResponse {
         if (whole || part.decoderResult().isFailure()) {
-            throw new Exchange.Spoilt();
+            throw new Exchange.MalformedResponse();
         }
         if (part instanceof HttpResponse response) {
             begin(response);
@@ -87,22 +87,22 @@
         return whole;
     }
 
-    private void begin(HttpResponse response) throws Exchange.Spoilt {
+    private void begin(HttpResponse response) throws Exchange.MalformedResponse {
         head = response;
         long length = HttpUtil.getContentLength(response, 0L);
         // No use reading what can't be passed on; and nobody has asked for another protocol.
         if (length > MAX_BODY
                 || response.protocolVersion().majorVersion() != 1
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-            throw new Exchange.Spoilt();
+            throw new Exchange.MalformedResponse();
         }
         body = length > 0 ? new byte[(int) length] : NONE;
     }
 
-    private void add(ByteBuf content) throws Exchange.Spoilt {
+    private void add(ByteBuf content) throws Exchange.MalformedResponse {
         int more = content.readableBytes();
         if (size + more > MAX_BODY) {
-            throw new Exchange.Spoilt();
+            throw new Exchange.MalformedResponse();
         }
         if (size + more > body.length) {
             body = Arrays.copyOf(body, Math.min(MAX_BODY, Math.max(size + more, 2 * body.length)));
@@ -111,10 +111,10 @@
         size += more;
     }
 
-    private void end() throws Exchange.Spoilt {
+    private void end() throws Exchange.MalformedResponse {
         if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            if (++informational > MOST_INFORMATIONAL) {
-                throw new Exchange.Spoilt();
+            if (++informational > MAX_INFORMATIONAL_RESPONSES) {
+                throw new Exchange.MalformedResponse();
             }
             body = NONE;
             size = 0;
@@ -122,7 +122,7 @@
         }
         if (head.status().code() == 200 && !isFramed()) {
             // It ended with its connection: a process that died half way looks the same.
-            throw new Exchange.Spoilt();
+            throw new Exchange.MalformedResponse();
         }
         whole = true;
     }
@@ -144,8 +144,8 @@
         return HttpUtil.isKeepAlive(head) && isFramed();
     }
 
-    Answer answer() {
-        return new Answer(
+    ServerResponse answer() {
+        return new ServerResponse(
                 status(), header(HttpHeaderNames.CONTENT_TYPE), size == body.length ? body : Arrays.copyOf(body, size));
     }
 }
--- a/src/main/java/vetchpost/http/ServerPool.java
+++ b/src/main/java/vetchpost/http/ServerPool.java
@@ -28,23 +28,23 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import vetchpost.core.Answer;
 import vetchpost.core.ServerList;
+import vetchpost.core.ServerResponse;
 import vetchpost.core.ServerTransport;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.net.Network;
-import vetchpost.net.Sockets;
+import vetchpost.net.SocketBudget;
 
 /**
  * Connections to servers, one request on each at a time, and the attempts on them. It sends where it is
  * told, once, and reports how that ended; nothing here sends again.
  */
 public final class ServerPool implements ServerTransport {
-    private static final long SWEEP_MS = 500;
+    private static final long SWEEP_INTERVAL_MS = 500;
 
     /** Who wants an attempt: what to send, and where to report. */
-    interface Caller extends Report {
+    interface ExchangeSource extends AttemptListener {
         /** The request and its answer, asked for when it goes out. */
         Exchange exchange();
     }
@@ -73,18 +73,18 @@
     /** One request on its way to one server. */
     final class Attempt implements ServerTransport.Attempt {
         private final Server server;
-        private final Caller caller;
+        private final ExchangeSource caller;
         private Connection connection;
         private long sentNs;
         private boolean over;
 
-        private Attempt(Server server, Caller caller) {
+        private Attempt(Server server, ExchangeSource caller) {
             this.server = server;
             this.caller = caller;
         }
 
         @Override
-        public boolean isOut() {
+        public boolean mayHaveReachedServer() {
             return connection != null;
         }
 
@@ -94,7 +94,7 @@
          * handed over whole can't have run; only what was is reported as the caller says.
          */
         @Override
-        public void giveUp(Result result) {
+        public void abandon(Result result) {
             if (over) {
                 return;
             }
@@ -113,7 +113,7 @@
                 }
             }
             used.attempt = null;
-            used.exchange.broken();
+            used.exchange.abort();
             // Its answer may still come: the connection can't carry another request.
             used.channel.close();
             if (result == Result.TIMEOUT && server.heardNs - sentNs < 0) {
@@ -123,18 +123,18 @@
             end(used.written ? result : Result.CONNECT_FAILED, null);
         }
 
-        private void end(Result result, Answer answer) {
+        private void end(Result result, ServerResponse answer) {
             if (!over) {
                 over = true;
-                caller.ended(result, answer);
+                caller.onEnded(result, answer);
             }
         }
     }
 
     private final EventLoop loop;
     private final Network network;
-    private final Sockets sockets;
-    private final Exchange.Maker exchanges;
+    private final SocketBudget sockets;
+    private final Exchange.Factory exchanges;
     private final Bootstrap bootstrap;
     private final long keepIdleNs;
     private final ScheduledFuture<?> sweeper;
@@ -147,7 +147,7 @@
      * @param dialTimeoutUs how long a connection may take to come up
      * @param connIdleUs servers close connections that have stood idle for so long
      */
-    public ServerPool(EventLoop loop, Network network, Sockets sockets, long dialTimeoutUs, long connIdleUs) {
+    public ServerPool(EventLoop loop, Network network, SocketBudget sockets, long dialTimeoutUs, long connIdleUs) {
         this(loop, network, sockets, dialTimeoutUs, connIdleUs, null);
     }
 
@@ -155,10 +155,10 @@
     public ServerPool(
             EventLoop loop,
             Network network,
-            Sockets sockets,
+            SocketBudget sockets,
             long dialTimeoutUs,
             long connIdleUs,
-            Exchange.Maker exchanges) {
+            Exchange.Factory exchanges) {
         this.exchanges = exchanges;
         this.loop = loop;
         this.network = network;
@@ -171,7 +171,7 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutUs / 1_000))
                 .option(ChannelOption.TCP_NODELAY, true);
         sockets.addServerSide(closeIdle);
-        sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -208,7 +208,7 @@
                 }
             }
         }
-        if (list.all()) {
+        if (list.isFull()) {
             servers.forEach((id, server) -> server.gone |= !named.contains(id));
             servers.values().stream().filter(s -> s.gone).forEach(ServerPool::letGo);
             servers.values().removeIf(s -> s.gone && s.waiting.isEmpty());
@@ -232,25 +232,25 @@
     }
 
     @Override
-    public ServerTransport.Attempt send(String serverId, Sending sending) {
-        return start(serverId, new Caller() {
+    public ServerTransport.Attempt send(String serverId, OutgoingRequest sending) {
+        return start(serverId, new ExchangeSource() {
             @Override
             public Exchange exchange() {
                 return exchanges != null
-                        ? exchanges.of(sending)
-                        : new PlainExchange(HeaderFields.message(sending.request(), sending.waitUs()));
+                        ? exchanges.create(sending)
+                        : new PlainExchange(HeaderFields.message(sending.request(), sending.responseTimeoutUs()));
             }
 
             @Override
-            public void ended(Result result, Answer answer) {
-                sending.ended(result, answer);
+            public void onEnded(Result result, ServerResponse answer) {
+                sending.onEnded(result, answer);
             }
         });
     }
 
     @Override
-    public ServerTransport.Attempt probe(String serverId, Report report) {
-        return start(serverId, new Caller() {
+    public ServerTransport.Attempt probe(String serverId, AttemptListener report) {
+        return start(serverId, new ExchangeSource() {
             @Override
             public Exchange exchange() {
                 FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/health");
@@ -259,14 +259,14 @@
             }
 
             @Override
-            public void ended(Result result, Answer answer) {
-                report.ended(result, answer);
+            public void onEnded(Result result, ServerResponse answer) {
+                report.onEnded(result, answer);
             }
         });
     }
 
     /** Starts an attempt; it may be reported before this returns. */
-    Attempt start(String serverId, Caller caller) {
+    Attempt start(String serverId, ExchangeSource caller) {
         Server server = servers.get(serverId);
         Attempt attempt = new Attempt(server, caller);
         if (server == null) {
@@ -301,7 +301,7 @@
         }
         Channel channel;
         try {
-            channel = network.connecting();
+            channel = network.newClientChannel();
         } catch (ChannelException e) {
             // Out of descriptors, most likely: an idle one less lets the next dial through.
             sockets.removeServer();
@@ -310,7 +310,7 @@
             return;
         }
         channel.closeFuture().addListener(closed -> sockets.removeServer());
-        AnswerReader.Decoder decoder = new AnswerReader.Decoder();
+        ResponseReader.Decoder decoder = new ResponseReader.Decoder();
         Connection connection = new Connection(server, generation, channel, decoder);
         bootstrap
                 .clone()
@@ -395,11 +395,11 @@
         private Attempt attempt;
         private boolean written;
         private long idleSince;
-        private final AnswerReader.Decoder decoder;
+        private final ResponseReader.Decoder decoder;
         private Exchange exchange;
         private boolean reusable;
 
-        Connection(Server server, int generation, Channel channel, AnswerReader.Decoder decoder) {
+        Connection(Server server, int generation, Channel channel, ResponseReader.Decoder decoder) {
             this.decoder = decoder;
             this.server = server;
             this.generation = generation;
@@ -440,7 +440,7 @@
             next.sentNs = nanos();
             written = false;
             exchange = next.caller.exchange();
-            decoder.expect(exchange.isHead());
+            decoder.expect(exchange.isBodyless());
             // The future tells whether the kernel has taken the last byte; Netty never writes it twice.
             exchange.write(channel).addListener(done -> {
                 if (attempt != next) {
@@ -450,7 +450,7 @@
                     written = true;
                 } else {
                     attempt = null;
-                    exchange.broken();
+                    exchange.abort();
                     channel.close();
                     next.end(Result.CONNECT_FAILED, null);
                 }
@@ -467,7 +467,7 @@
         }
 
         private void read(Object message) {
-            if (attempt == null || exchange.isWhole()) {
+            if (attempt == null || exchange.isComplete()) {
                 // Nothing was asked for, or more came than the answer.
                 reusable = false;
                 drop();
@@ -477,7 +477,7 @@
                 if (message instanceof HttpObject part && exchange.read(part)) {
                     reusable = written && exchange.isReusable();
                 }
-            } catch (Exchange.Spoilt e) {
+            } catch (Exchange.MalformedResponse e) {
                 broken();
             }
         }
@@ -491,12 +491,12 @@
         }
 
         private boolean isAnswered() {
-            return attempt != null && exchange.isWhole();
+            return attempt != null && exchange.isComplete();
         }
 
         private void finish() {
             Attempt done = attempt;
-            Answer answer = exchange.answer();
+            ServerResponse answer = exchange.response();
             Result result = exchange.result();
             server.heardNs = nanos();
             attempt = null;
@@ -515,7 +515,7 @@
             attempt = null;
             drop();
             if (failed != null) {
-                exchange.broken();
+                exchange.abort();
                 failed.end(written ? Result.RESET : Result.CONNECT_FAILED, null);
             }
         }
--- a/src/main/java/vetchpost/net/LoopClock.java
+++ b/src/main/java/vetchpost/net/LoopClock.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public Timer at(long us, Runnable task) {
+    public Timer schedule(long us, Runnable task) {
         ScheduledFuture<?> timer = loop.schedule(task, Math.max(0, us - nowUs()), TimeUnit.MICROSECONDS);
         return () -> timer.cancel(false);
     }
--- a/src/main/java/vetchpost/net/MemoryNetwork.java
+++ b/src/main/java/vetchpost/net/MemoryNetwork.java
@@ -20,12 +20,12 @@
 
     /** None: its one listener is given at its making. */
     @Override
-    public ServerChannel listening() {
+    public ServerChannel newServerChannel() {
         throw new UnsupportedOperationException("nobody else listens on this network");
     }
 
     @Override
-    public Channel connecting() {
+    public Channel newClientChannel() {
         return new MemoryChannel(listener);
     }
 
--- a/src/main/java/vetchpost/net/Network.java
+++ b/src/main/java/vetchpost/net/Network.java
@@ -10,17 +10,17 @@
     Network SYSTEM = new SystemNetwork();
 
     /** A socket to listen with, not bound yet. */
-    ServerChannel listening();
+    ServerChannel newServerChannel();
 
     /**
      * A socket to connect with.
      *
      * @throws io.netty.channel.ChannelException if the system has none left
      */
-    Channel connecting();
+    Channel newClientChannel();
 
     /** A socket for datagrams, not bound yet; a network that has none throws. */
-    default DatagramChannel datagrams() {
+    default DatagramChannel newDatagramChannel() {
         throw new UnsupportedOperationException("no datagrams on this network");
     }
 
--- a/src/main/java/vetchpost/net/Sockets.java
+++ b/src/main/java/vetchpost/net/SocketBudget.java
@@ -8,36 +8,36 @@
  * Counts the sockets of both sides against the process's limit of descriptors, and makes room by closing
  * idle ones before the system has to refuse one.
  */
-public final class Sockets {
+public final class SocketBudget {
     /** Descriptors kept back, or half of them if that is less: the runtime's own files and selector, the
      * listening socket, discovery, and those that a close has not given back yet. */
-    public static final int RESERVE = 64;
+    public static final int RESERVED_DESCRIPTORS = 64;
     /** With fewer the runtime itself can't work. */
-    public static final int LEAST = 32;
+    public static final int MIN_DESCRIPTORS = 32;
     /** From so many on there is nothing that a node has to do without. */
-    private static final int AMPLE = 2 * RESERVE;
+    private static final int AMPLE_DESCRIPTORS = 2 * RESERVED_DESCRIPTORS;
     /** Connections accepted in one turn of the loop: with few, slow turns leave them waiting for several of
      * them; but the count of sockets may pass its bound by as many. */
-    private static final int MOST_ACCEPTED = 32;
+    private static final int MAX_ACCEPTS_PER_TURN = 32;
     /** Of these, what may be taken by clients that are only told to come again: left in the system's queue,
      * they would be told nothing, and their requests count as taken there. */
-    private static final int TURNED_AWAY = 16;
+    private static final int MAX_REJECTED_CLIENTS = 16;
     /** What the process itself has open. */
-    private static final int OWN = 32;
+    private static final int PROCESS_DESCRIPTORS = 32;
     /** Clients may take this share of the rest: what they ask for needs connections to servers. */
-    private static final double CLIENTS_SHARE = 0.75;
+    private static final double MAX_CLIENT_FRACTION = 0.75;
 
     /** From this share of the limit on clients' connections are many: they ask on a third of it at most. */
-    private static final double MANY_CLIENTS_SHARE = 1.0 / 6;
+    private static final double MANY_CLIENTS_FRACTION = 1.0 / 6;
 
     /** From this share on none is kept for a next request: the answer says so, which crosses nothing. */
-    private static final double CROWD_SHARE = 1.0 / 4;
+    private static final double CLOSE_AFTER_RESPONSE_FRACTION = 1.0 / 4;
 
     private final int limit;
-    private final int most;
-    private final int mostClients;
-    private final int turnedAway;
-    private final int crowd;
+    private final int maxSockets;
+    private final int maxClients;
+    private final int maxRejectedClients;
+    private final int closeAfterResponseClients;
     private final int manyClients;
     private BooleanSupplier closeIdleClient = () -> false;
     /** One for each pool, the oldest first: it is the one that takes nothing new. */
@@ -48,17 +48,17 @@
     private int servers;
 
     /** Nothing open yet; at most so many descriptors. */
-    public Sockets(int limit) {
+    public SocketBudget(int limit) {
         this.limit = limit;
-        most = Math.max(2, limit - Math.min(RESERVE, limit / 2));
-        mostClients = Math.max(1, (int) (CLIENTS_SHARE * most));
-        turnedAway = Math.max(0, Math.min(TURNED_AWAY, limit - OWN - most));
-        crowd = (int) (CROWD_SHARE * limit);
-        manyClients = Math.min(mostClients, (int) (MANY_CLIENTS_SHARE * limit));
+        maxSockets = Math.max(2, limit - Math.min(RESERVED_DESCRIPTORS, limit / 2));
+        maxClients = Math.max(1, (int) (MAX_CLIENT_FRACTION * maxSockets));
+        maxRejectedClients = Math.max(0, Math.min(MAX_REJECTED_CLIENTS, limit - PROCESS_DESCRIPTORS - maxSockets));
+        closeAfterResponseClients = (int) (CLOSE_AFTER_RESPONSE_FRACTION * limit);
+        manyClients = Math.min(maxClients, (int) (MANY_CLIENTS_FRACTION * limit));
     }
 
     /** How to close an idle connection of the client side, and what to do when there is room again. */
-    public void clientSide(BooleanSupplier closeIdle, Runnable whenRoom) {
+    public void setClientSide(BooleanSupplier closeIdle, Runnable whenRoom) {
         closeIdleClient = closeIdle;
         onRoom = whenRoom;
     }
@@ -73,43 +73,43 @@
         closeIdleServer.remove(closeIdle);
     }
 
-    public boolean isClientRoom() {
-        return clients < mostClients && clients + servers < most;
+    public boolean hasRoomForClient() {
+        return clients < maxClients && clients + servers < maxSockets;
     }
 
     /** Whether there are so few that clients are refused sooner than they would be for want of time. */
-    public boolean areFew() {
-        return limit < AMPLE;
+    public boolean isScarce() {
+        return limit < AMPLE_DESCRIPTORS;
     }
 
     /** How many connections are accepted at once at most. */
-    public int acceptedAtOnce() {
-        return Math.max(1, Math.min(MOST_ACCEPTED, limit / 8));
+    public int maxAcceptsPerTurn() {
+        return Math.max(1, Math.min(MAX_ACCEPTS_PER_TURN, limit / 8));
     }
 
     /** How many clients are served at once at most. */
-    public int mostClients() {
-        return mostClients;
+    public int maxClients() {
+        return maxClients;
     }
 
     /** Whether one more client's connection may be accepted, be it to tell it to come again. */
     public boolean mayAccept() {
-        return clients < mostClients + turnedAway && clients + servers < most + turnedAway;
+        return clients < maxClients + maxRejectedClients && clients + servers < maxSockets + maxRejectedClients;
     }
 
     /** Whether there are more clients' connections than are served. */
-    public boolean areClientsOver() {
-        return clients > mostClients || clients + servers > most;
+    public boolean isOverClientLimit() {
+        return clients > maxClients || clients + servers > maxSockets;
     }
 
     /** Whether idle ones are better closed than kept. */
-    public boolean areClientsMany() {
+    public boolean hasManyClients() {
         return clients > manyClients;
     }
 
     /** Whether a client's connection is better ended with its answer. */
-    public boolean areClientsCrowded() {
-        return clients > crowd;
+    public boolean shouldCloseAfterResponse() {
+        return clients > closeAfterResponseClients;
     }
 
     /** Counts an accepted connection. */
@@ -118,14 +118,14 @@
     }
 
     /** Closes idle connections if another client's may not be accepted; whether it may now. */
-    public boolean makeClientRoom() {
+    public boolean makeRoomForClient() {
         // Several are accepted at once: the count may lie beyond the bound by as many.
         boolean closed = true;
-        while (!isClientRoom() && closed) {
+        while (!hasRoomForClient() && closed) {
             // At the clients' own bound a server's connection less would make no room.
-            closed = clients >= mostClients ? closeIdleClient.getAsBoolean() : closeIdle();
+            closed = clients >= maxClients ? closeIdleClient.getAsBoolean() : closeIdle();
         }
-        return isClientRoom();
+        return hasRoomForClient();
     }
 
     public void removeClient() {
@@ -135,7 +135,7 @@
 
     /** Counts a connection to a server, or says that there is no room for one. */
     public boolean addServer() {
-        if (Math.min(clients, mostClients) + servers >= most && !closeIdle()) {
+        if (Math.min(clients, maxClients) + servers >= maxSockets && !closeIdle()) {
             return false;
         }
         servers++;
@@ -149,11 +149,11 @@
 
     @Override
     public String toString() {
-        return "clients " + clients + " of " + mostClients + ", all " + (clients + servers) + " of " + most;
+        return "clients " + clients + " of " + maxClients + ", all " + (clients + servers) + " of " + maxSockets;
     }
 
     /** How many are open: both sides together. */
-    public int open() {
+    public int openCount() {
         return clients + servers;
     }
 
--- a/src/main/java/vetchpost/net/SystemNetwork.java
+++ b/src/main/java/vetchpost/net/SystemNetwork.java
@@ -11,17 +11,17 @@
 /** TCP by Java's selector. */
 final class SystemNetwork implements Network {
     @Override
-    public ServerChannel listening() {
+    public ServerChannel newServerChannel() {
         return new NioServerSocketChannel();
     }
 
     @Override
-    public Channel connecting() {
+    public Channel newClientChannel() {
         return new NioSocketChannel();
     }
 
     @Override
-    public DatagramChannel datagrams() {
+    public DatagramChannel newDatagramChannel() {
         return new NioDatagramChannel();
     }
 
--- a/src/main/java/vetchpost/node/Node.java
+++ b/src/main/java/vetchpost/node/Node.java
@@ -12,43 +12,43 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import vetchpost.config.Config;
-import vetchpost.core.Admission;
-import vetchpost.core.Companion;
+import vetchpost.config.NodeConfig;
+import vetchpost.core.AdmissionControl;
+import vetchpost.core.AttemptObserver;
 import vetchpost.core.Dispatcher;
-import vetchpost.core.Recorder;
+import vetchpost.core.EventLoopDelay;
+import vetchpost.core.NodeLifecycle;
+import vetchpost.core.RequestRecorder;
 import vetchpost.core.RoutePolicy;
 import vetchpost.core.ServerList;
-import vetchpost.core.Stall;
 import vetchpost.core.Subset;
-import vetchpost.core.Witness;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.discovery.Discovery;
+import vetchpost.discovery.DiscoveryClient;
 import vetchpost.http.ClientServer;
 import vetchpost.http.ServerPool;
 import vetchpost.net.LoopClock;
 import vetchpost.net.MemoryNetwork;
 import vetchpost.net.Network;
-import vetchpost.net.Sockets;
+import vetchpost.net.SocketBudget;
 
 /**
  * One node put together: the clients' side, the core with its decision module, the servers' side and the
  * watch on the list, all on one event loop; and its life from start to stop.
  */
-public final class Node implements Discovery.Listener {
+public final class Node implements DiscoveryClient.Listener {
     private static final Logger LOG = System.getLogger(Node.class.getName());
 
     /** Between two calls for a pushed list, which cost nothing, at most: what is missed meanwhile counts. */
-    private static final long WATCH_AGAIN_MS = 500;
+    private static final long WATCH_RETRY_MS = 500;
     /** ... and at most this part of the time in which a drain has to be kept. */
     private static final int WATCH_AGAIN_PART = 4;
     /** How long a new process waits for a pushed list, which counts as told before it asks. An agent that has
      * said nothing by then is silent because discovery is down: then the known list has to do. */
-    private static final long FIRST_LIST_MS = 1_000;
+    private static final long FIRST_LIST_TIMEOUT_MS = 1_000;
     /** Connections come for up to 0.4 s after the word to stop, and their requests just after. */
     private static final long ACCEPT_WHILE_STOPPING_MS = 600;
 
-    private static final long DONE_CHECK_MS = 5;
+    private static final long DRAIN_CHECK_INTERVAL_MS = 5;
     /** From the end of the last connection to the process's: the system really closes a socket only when the
      * loop has looked at its selector again, and the last answer has its way to go. */
     private static final long LAST_ANSWER_MS = 50;
@@ -57,22 +57,22 @@
     /** A rehearsal cut short is better than a node that stays away: a slow machine gets this far. */
     private static final long REHEARSE_MS = 1_500;
 
-    private Config config;
+    private NodeConfig config;
     private final EventLoop loop;
     private final Network network;
-    private final Sockets sockets;
+    private final SocketBudget sockets;
     private ServerPool pool;
-    private final Discovery discovery;
+    private final DiscoveryClient discovery;
     private final ClientServer clients;
-    private final Stall stall;
+    private final EventLoopDelay stall;
     private Dispatcher dispatcher;
-    private final Seams seams;
-    private Witness witness;
-    private Recorder recorder;
+    private final NodeHooks seams;
+    private AttemptObserver witness;
+    private RequestRecorder recorder;
     private final List<Retired> retired = new ArrayList<>();
     private final LoopClock clock;
-    private final Fronts fronts;
-    private Companion companion;
+    private final ProtocolAdapters fronts;
+    private NodeLifecycle companion;
     private final long watchAgainNs;
     private long askedNs;
     /** Pushed lists that have come before the known one is taken in, while the node warms up. */
@@ -96,7 +96,7 @@
      * @param bytes that clients' requests take
      * @param sockets open connections to clients and servers
      */
-    public record InHand(int requests, long bytes, int sockets) {}
+    public record PendingWork(int requests, long bytes, int sockets) {}
 
     /**
      * Not started yet.
@@ -104,41 +104,45 @@
      * @param unixMs the time now, Unix time in milliseconds
      * @throws IllegalArgumentException if the module rejects the settings
      */
-    public Node(Config config, EventLoop loop, Network network, long unixMs, Seams seams) {
+    public Node(NodeConfig config, EventLoop loop, Network network, long unixMs, NodeHooks seams) {
         this(config, loop, network, unixMs, seams, null);
     }
 
     /** The same, speaking otherwise than the platform has it; null for that. */
-    public Node(Config config, EventLoop loop, Network network, long unixMs, Seams seams, Fronts fronts) {
+    public Node(
+            NodeConfig config, EventLoop loop, Network network, long unixMs, NodeHooks seams, ProtocolAdapters fronts) {
         this.fronts = fronts;
         this.config = config;
         this.loop = loop;
         this.network = network;
         clock = new LoopClock(loop, unixMs);
-        stall = new Stall(clock);
-        sockets = new Sockets(config.sockets());
-        long callMs = config.settings().listOnRequest ? Discovery.CALL_MS : Discovery.SILENT_MS;
-        discovery = new Discovery(
+        stall = new EventLoopDelay(clock);
+        sockets = new SocketBudget(config.maxDescriptors());
+        long callMs = config.settings().listOnRequest
+                ? DiscoveryClient.FIRST_MESSAGE_TIMEOUT_MS
+                : DiscoveryClient.SILENCE_TIMEOUT_MS;
+        discovery = new DiscoveryClient(
                 loop,
                 network,
                 config.discovery(),
-                config.known().revision(),
-                Discovery.SILENT_MS,
+                config.knownServers().revision(),
+                DiscoveryClient.SILENCE_TIMEOUT_MS,
                 callMs,
                 config.seed(),
                 this);
         this.seams = seams;
         watchAgainNs = TimeUnit.MILLISECONDS.toNanos(
-                Math.max(1, Math.min(WATCH_AGAIN_MS, config.settings().drainGraceUs / 1_000 / WATCH_AGAIN_PART)));
+                Math.max(1, Math.min(WATCH_RETRY_MS, config.settings().drainGraceUs / 1_000 / WATCH_AGAIN_PART)));
         core();
         clients = new ClientServer(
                 loop,
                 network,
                 sockets,
                 config.settings(),
-                (request, reply, waitedUs) -> dispatcher.take(seams.request(request), seams.reply(reply), waitedUs),
-                fronts == null ? null : fronts.clients());
-        clients.behind(stall::us);
+                (request, reply, waitedUs) ->
+                        dispatcher.accept(seams.wrapRequest(request), seams.wrapReply(reply), waitedUs),
+                fronts == null ? null : fronts.connectionInitializer());
+        clients.setEventLoopDelay(stall::currentUs);
     }
 
     /** The core and its way to servers, by the settings as they are now. */
@@ -149,19 +153,19 @@
                 network,
                 sockets,
                 settings.connectTimeoutUs,
-                config.connIdleUs(),
-                fronts == null ? null : fronts.servers());
+                config.serverIdleTimeoutUs(),
+                fronts == null ? null : fronts.exchangeFactory());
         // A core that only ends what it has must not have the watch opened anew under the one in its place.
         Dispatcher[] core = new Dispatcher[1];
         dispatcher = new Dispatcher(
                 clock,
                 stall,
-                seams.servers(pool),
+                seams.wrapTransport(pool),
                 settings.zones,
                 () -> onlyFor(core[0], this::subscribe),
                 () -> onlyFor(core[0], this::askWholeList),
                 settings.drainGraceUs / 2,
-                actions -> seams.module(settings, config.seed(), actions));
+                actions -> seams.createBalancer(settings, config.seed(), actions));
         core[0] = dispatcher;
     }
 
@@ -178,8 +182,8 @@
      *
      * @throws IllegalArgumentException if the module rejects the settings; then nothing changes
      */
-    public void renew(Config fresh) {
-        Config before = config;
+    public void reconfigure(NodeConfig fresh) {
+        NodeConfig before = config;
         Dispatcher old = dispatcher;
         ServerPool oldPool = pool;
         config = fresh;
@@ -193,20 +197,20 @@
             throw e;
         }
         retired.add(new Retired(old, oldPool));
-        dispatcher.witness(witness);
-        dispatcher.recorder(recorder);
+        dispatcher.setAttemptObserver(witness);
+        dispatcher.setRecorder(recorder);
         // The watch is past what waits there: nobody would tell it again.
-        old.takeAllLists();
-        List<ServerList.Target> servers = old.known();
+        old.applyAllLists();
+        List<ServerList.Target> servers = old.knownServers();
         dispatcher.onKnownList(new ServerList(0, true, servers));
-        dispatcher.recall(
-                old.knowledge(servers.stream().map(ServerList.Target::id).toList()));
-        loop.schedule(this::forgetRetired, DONE_CHECK_MS, TimeUnit.MILLISECONDS);
+        dispatcher.restore(
+                old.statistics(servers.stream().map(ServerList.Target::id).toList()));
+        loop.schedule(this::forgetRetired, DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void forgetRetired() {
         retired.removeIf(r -> {
-            if (r.dispatcher.held() == 0) {
+            if (r.dispatcher.pendingRequests() == 0) {
                 r.dispatcher.close();
                 r.pool.close();
                 return true;
@@ -214,7 +218,7 @@
             return false;
         });
         if (!retired.isEmpty() && !closed) {
-            loop.schedule(this::forgetRetired, 10 * DONE_CHECK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::forgetRetired, 10 * DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -223,13 +227,13 @@
      *
      * @return tells whether the address could be had; if not, the one before stays
      */
-    public ChannelFuture listenAt(EventLoopGroup group, InetSocketAddress address) {
+    public ChannelFuture addListener(EventLoopGroup group, InetSocketAddress address) {
         return clients.moveTo(group, address);
     }
 
     /** On the system's sockets and clock. */
-    public Node(Config config, EventLoop loop) {
-        this(config, loop, Network.SYSTEM, System.currentTimeMillis(), Seams.NONE);
+    public Node(NodeConfig config, EventLoop loop) {
+        this(config, loop, Network.SYSTEM, System.currentTimeMillis(), NodeHooks.NONE);
     }
 
     /**
@@ -274,7 +278,7 @@
             return;
         }
         onFirstList = then;
-        loop.schedule(this::firstList, FIRST_LIST_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::firstList, FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     private void firstList() {
@@ -311,14 +315,17 @@
             return;
         }
         prepared = true;
-        if (sockets.areFew()) {
+        if (sockets.isScarce()) {
             LOG.log(
                     Level.WARNING,
                     "limits.sockets is small: {0} clients are served at once, others refused",
-                    sockets.mostClients());
+                    sockets.maxClients());
         }
-        stall.watch();
-        dispatcher.onKnownList(companion == null ? config.known() : companion.begin(config.known(), clock.nowUs()));
+        stall.start();
+        dispatcher.onKnownList(
+                companion == null
+                        ? config.knownServers()
+                        : companion.beforeStart(config.knownServers(), clock.nowUs()));
         early.forEach(this::takeIn);
         early.clear();
         if (isPushed() && !discovery.isOpen()) {
@@ -346,9 +353,9 @@
                 };
                 Runnable ready = serve;
                 if (companion != null) {
-                    companion.started(dispatcher, stall, clock);
-                    clients.serving(companion::serving);
-                    ready = () -> companion.whenPrepared(serve);
+                    companion.afterStart(dispatcher, stall, clock);
+                    clients.setReadinessDetail(companion::readinessDetail);
+                    ready = () -> companion.runWhenPrepared(serve);
                 }
                 if (rehearsed == 0) {
                     ready.run();
@@ -373,61 +380,61 @@
     }
 
     /** Has these routes hold for requests from now on; those in hand keep theirs. */
-    public void routes(RoutePolicy policy) {
-        dispatcher.routes(policy);
+    public void setRoutes(RoutePolicy policy) {
+        dispatcher.setRoutes(policy);
     }
 
     /** Has this node keep to a part of the fleet; before it starts. */
-    public void subset(Subset part) {
-        dispatcher.subset(part);
+    public void setSubset(Subset part) {
+        dispatcher.setSubset(part);
     }
 
     /** Has requests stand before this door, or before none if it is null. */
-    public void admission(Admission door) {
+    public void admission(AdmissionControl door) {
         dispatcher.admission(door);
     }
 
     /** The door that requests stand before, or null. */
-    public Admission admission() {
+    public AdmissionControl admission() {
         return dispatcher.admission();
     }
 
     /** Has this see how attempts end, besides the module; null for nobody. */
-    public void witness(Witness other) {
+    public void setAttemptObserver(AttemptObserver other) {
         witness = other;
-        dispatcher.witness(other);
+        dispatcher.setAttemptObserver(other);
     }
 
     /** Has this see what becomes of requests; null for nobody. */
-    public void recorder(Recorder other) {
+    public void setRecorder(RequestRecorder other) {
         recorder = other;
-        dispatcher.recorder(other);
+        dispatcher.setRecorder(other);
     }
 
     /** Why this server is sent nothing, or less than it might be: a line a reason. */
-    public List<String> standing(String serverId) {
-        return dispatcher.standing(serverId);
+    public List<String> explainServer(String serverId) {
+        return dispatcher.explainServer(serverId);
     }
 
     /** Has {@code /ready} say this besides what else it says; what is null says nothing. */
-    public void remark(Supplier<String> line) {
-        clients.remark(line);
+    public void setReadinessNote(Supplier<String> line) {
+        clients.setReadinessNote(line);
     }
 
     /** Has this go along with the node's life; before it starts. */
-    public void companion(Companion with) {
+    public void setLifecycle(NodeLifecycle with) {
         companion = with;
     }
 
     /** Takes up what may change while it runs: where discovery is. */
-    public void reload(Config fresh) {
+    public void moveDiscovery(NodeConfig fresh) {
         discovery.moveTo(fresh.discovery());
     }
 
     /** Begins as a rehearsal's node: it has a list, no address of its own, and asks for no other list. */
     void rehearse() {
         rehearsing = true;
-        dispatcher.onKnownList(config.known());
+        dispatcher.onKnownList(config.knownServers());
     }
 
     void openRehearsal(ChannelPipeline pipeline) {
@@ -482,25 +489,25 @@
         if (clients.isDone()) {
             loop.schedule(done, LAST_ANSWER_MS, TimeUnit.MILLISECONDS);
         } else {
-            loop.schedule(() -> runWhenDone(done), DONE_CHECK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> runWhenDone(done), DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** How many servers it knows, those that drain too. */
-    public int servers() {
-        return dispatcher.known().size();
+    public int serverCount() {
+        return dispatcher.knownServers().size();
     }
 
     /** What it has in hand just now. */
-    public InHand inHand() {
-        int held = dispatcher.held()
-                + retired.stream().mapToInt(r -> r.dispatcher.held()).sum();
-        return new InHand(held, clients.bytesInHand(), sockets.open());
+    public PendingWork pendingWork() {
+        int held = dispatcher.pendingRequests()
+                + retired.stream().mapToInt(r -> r.dispatcher.pendingRequests()).sum();
+        return new PendingWork(held, clients.pendingRequestBytes(), sockets.openCount());
     }
 
     /** For the module: a call that is on its way already, after a move say, answers it too. */
     private void subscribe() {
-        if (!rehearsing && !closed && config.discovery() != null && !discovery.isAsking()) {
+        if (!rehearsing && !closed && config.discovery() != null && !discovery.isRequestPending()) {
             discovery.subscribe();
         }
     }
@@ -514,7 +521,7 @@
 
     private void askWholeList() {
         if (!rehearsing && !closed && config.discovery() != null) {
-            discovery.askWhole();
+            discovery.requestFullList();
         }
     }
 
@@ -536,14 +543,14 @@
         dispatcher.onList(list);
         retired.forEach(r -> r.dispatcher.onList(list));
         if (companion != null) {
-            companion.listed(list);
+            companion.onServerList(list);
         }
     }
 
     @Override
-    public void onHeard() {
+    public void onContact() {
         if (companion != null) {
-            companion.heard();
+            companion.onDiscoveryContact();
         }
     }
 
--- a/src/main/java/vetchpost/node/Seams.java
+++ b/src/main/java/vetchpost/node/NodeHooks.java
@@ -9,27 +9,27 @@
 import vetchpost.decision.ServiceQBalancer;
 
 /** Where a test can come between the parts of a node. In service nothing does. */
-public interface Seams {
+public interface NodeHooks {
     /** Nothing comes between. */
-    Seams NONE = new Seams() {};
+    NodeHooks NONE = new NodeHooks() {};
 
     /** The decision module. */
-    default Balancer module(Settings settings, long seed, Actions actions) {
+    default Balancer createBalancer(Settings settings, long seed, Actions actions) {
         return new ServiceQBalancer(settings, seed, actions);
     }
 
     /** The way to servers. */
-    default ServerTransport servers(ServerTransport real) {
+    default ServerTransport wrapTransport(ServerTransport real) {
         return real;
     }
 
     /** A request as the core takes it. */
-    default ClientRequest request(ClientRequest real) {
+    default ClientRequest wrapRequest(ClientRequest real) {
         return real;
     }
 
     /** A client's reply. */
-    default ClientReply reply(ClientReply real) {
+    default ClientReply wrapReply(ClientReply real) {
         return real;
     }
 }
--- a/src/main/java/vetchpost/node/Fronts.java
+++ b/src/main/java/vetchpost/node/ProtocolAdapters.java
@@ -1,7 +1,7 @@
 package vetchpost.node;
 
-import vetchpost.http.ClientLine;
 import vetchpost.http.Exchange;
+import vetchpost.http.ManagedConnection;
 
 /**
  * How a node speaks that is not the platform's.
@@ -9,4 +9,5 @@
  * @param clients opens clients' connections
  * @param servers makes the exchanges of attempts
  */
-public record Fronts(ClientLine.Opener clients, Exchange.Maker servers) {}
+public record ProtocolAdapters(
+        ManagedConnection.ConnectionInitializer connectionInitializer, Exchange.Factory exchangeFactory) {}
--- a/src/main/java/vetchpost/node/Rehearsal.java
+++ b/src/main/java/vetchpost/node/Rehearsal.java
@@ -10,14 +10,14 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import vetchpost.config.Config;
+import vetchpost.config.NodeConfig;
 import vetchpost.core.ServerList;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.http.ClientServer;
 import vetchpost.net.Network;
-import vetchpost.net.Sockets;
+import vetchpost.net.SocketBudget;
 
 /**
  * Made-up requests before the node says that it is ready. A program that has just started loads classes
@@ -28,10 +28,10 @@
  */
 final class Rehearsal {
     private static final int CLIENTS = 4;
-    private static final int SOCKETS = Sockets.RESERVE + 64;
+    private static final int SOCKETS = SocketBudget.RESERVED_DESCRIPTORS + 64;
 
     private final EventLoop loop;
-    private final Config config;
+    private final NodeConfig config;
     private final String token;
     private final int requests;
     private final long endNs;
@@ -45,8 +45,8 @@
     Rehearsal(
             EventLoop loop,
             Network network,
-            Config real,
-            Fronts fronts,
+            NodeConfig real,
+            ProtocolAdapters fronts,
             InetSocketAddress self,
             String token,
             int requests,
@@ -61,8 +61,8 @@
                 real.settings().zones.isEmpty() ? "" : real.settings().zones.get(0);
         ServerList itself =
                 new ServerList(0, true, List.of(new ServerList.Target("self", self, zone, 0, ServerState.READY, 1, 0)));
-        config = new Config(self, self, 1, SOCKETS, real.connIdleUs(), real.settings(), itself);
-        node = new Node(config, loop, network, System.currentTimeMillis(), Seams.NONE, fronts);
+        config = new NodeConfig(self, self, 1, SOCKETS, real.serverIdleTimeoutUs(), real.settings(), itself);
+        node = new Node(config, loop, network, System.currentTimeMillis(), NodeHooks.NONE, fronts);
     }
 
     void run() {
@@ -98,7 +98,7 @@
     private ByteBuf request(int number) {
         RequestClass cls =
                 config.settings().classes.get(number % config.settings().classes.size());
-        boolean safe = cls.repeat() == Repeat.SAFE;
+        boolean safe = cls.idempotency() == Idempotency.SAFE;
         String tenant = config.settings().tenants.isEmpty()
                 ? ""
                 : "X-Org: " + config.settings().tenants.get(0).name() + "\r\n";
@@ -106,9 +106,10 @@
                 (safe ? "GET" : "POST") + " /" + cls.name() + " HTTP/1.1\r\n"
                         + "Host: backend.local\r\nX-Txn: " + HexFormat.of().toHexDigits((long) number) + "\r\n"
                         + tenant
-                        + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + ClientServer.REHEARSAL + ": " + token + "\r\n"
+                        + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + ClientServer.REHEARSAL_HEADER + ": " + token
+                        + "\r\n"
                         + (safe ? "" : "Content-Length: 4\r\n")
-                        + (cls.repeat() == Repeat.KEYED ? "Idempotency-Key: " + number + "\r\n" : "")
+                        + (cls.idempotency() == Idempotency.KEYED ? "Idempotency-Key: " + number + "\r\n" : "")
                         + "\r\n" + (safe ? "" : "body"),
                 StandardCharsets.US_ASCII);
     }
--- a/src/main/java/vetchpost/recorder/Flight.java
+++ b/src/main/java/vetchpost/recorder/Flight.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import vetchpost.core.Recorder.Told;
+import vetchpost.core.RequestRecorder.Completion;
 import vetchpost.decision.Balancer.Candidate;
 import vetchpost.decision.Balancer.Result;
 
@@ -23,7 +23,7 @@
     private long offeredUs = -1;
     private Candidate first;
     private Candidate second;
-    private Told told;
+    private Completion told;
     private long toldUs;
     private long retryAfterUs;
     private String why;
@@ -84,7 +84,7 @@
         why = reason;
     }
 
-    void told(long nowUs, Told what, long advisedUs) {
+    void told(long nowUs, Completion what, long advisedUs) {
         told = what;
         toldUs = nowUs;
         retryAfterUs = advisedUs;
@@ -131,7 +131,7 @@
     }
 
     /** What its client was told; null while it waits. */
-    public Told told() {
+    public Completion told() {
         return told;
     }
 
--- a/src/main/java/vetchpost/recorder/FlightRecorder.java
+++ b/src/main/java/vetchpost/recorder/FlightRecorder.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.Recorder;
+import vetchpost.core.RequestRecorder;
 import vetchpost.decision.Balancer.Candidate;
 import vetchpost.decision.Balancer.Result;
-import vetchpost.decision.Balancer.Why;
+import vetchpost.decision.Balancer.UnservedReason;
 
 /**
  * The last requests, in bounded memory: all that failed, were refused, took more than one attempt or were
  * slow, and one in {@value #SAMPLED} of the others. For whoever asks why; it decides nothing, and does no
  * I/O.
  */
-public final class FlightRecorder implements Recorder {
+public final class FlightRecorder implements RequestRecorder {
     /** One in so many of the requests that nothing was special about is kept. */
     public static final int SAMPLED = 16;
     /** Requests in hand that are followed at once; what comes beyond is not recorded. */
@@ -46,16 +46,16 @@
     }
 
     @Override
-    public void turnedAway(long nowUs, ClientRequest request, Door why) {
-        refusals.add(nowUs, request.classIndex(), why == Door.ROUTE, why.text());
+    public void rejected(long nowUs, ClientRequest request, RejectionReason why) {
+        refusals.add(nowUs, request.classIndex(), why == RejectionReason.ROUTE_LIMIT, why.text());
         Flight flight = flight(nowUs, request, request.remainingUs(), 0);
-        flight.told(nowUs, why == Door.ROUTE ? Told.REFUSED : Told.FAILED, 0);
+        flight.told(nowUs, why == RejectionReason.ROUTE_LIMIT ? Completion.REFUSED : Completion.FAILED, 0);
         flight.because(why.text());
         keep(special, flight, most);
     }
 
     @Override
-    public void taken(long nowUs, ClientRequest request, long leftUs, long layUs) {
+    public void accepted(long nowUs, ClientRequest request, long leftUs, long layUs) {
         if (open.size() < MOST_OPEN) {
             open.put(request.id(), flight(nowUs, request, leftUs, layUs));
         }
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void offered(long nowUs, long id) {
+    public void admitted(long nowUs, long id) {
         Flight flight = open.get(id);
         if (flight != null) {
             flight.offered(nowUs);
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void drew(long id, Candidate first, Candidate second) {
+    public void candidatesDrawn(long id, Candidate first, Candidate second) {
         Flight flight = open.get(id);
         if (flight != null) {
             flight.drew(first, second);
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void sent(long nowUs, long id, String serverId, long untilUs) {
+    public void attemptSent(long nowUs, long id, String serverId, long untilUs) {
         Flight flight = open.get(id);
         if (flight != null) {
             flight.sent(nowUs, serverId, untilUs);
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void ended(long nowUs, long id, int attempt, Result result, long tookUs) {
+    public void attemptEnded(long nowUs, long id, int attempt, Result result, long tookUs) {
         Flight flight = open.get(id);
         if (flight != null) {
             flight.ended(attempt, result, tookUs);
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void because(long id, Why why) {
+    public void reasonGiven(long id, UnservedReason why) {
         Flight flight = open.get(id);
         if (flight != null) {
             flight.because(why.text());
@@ -107,20 +107,20 @@
     }
 
     @Override
-    public void told(long nowUs, long id, Told what, long retryAfterUs) {
+    public void completed(long nowUs, long id, Completion what, long retryAfterUs) {
         Flight flight = open.get(id);
         if (flight == null) {
             return;
         }
         flight.told(nowUs, what, retryAfterUs);
-        if (what == Told.REFUSED || what == Told.FAILED) {
+        if (what == Completion.REFUSED || what == Completion.FAILED) {
             String cause = flight.why() != null
                     ? flight.why()
-                    : what == Told.REFUSED
+                    : what == Completion.REFUSED
                             ? "the node's door has no place for it"
                             : "its client's time was up, or a fault of the node's";
             flight.because(cause);
-            refusals.add(nowUs, flight.classIndex(), what == Told.REFUSED, cause);
+            refusals.add(nowUs, flight.classIndex(), what == Completion.REFUSED, cause);
         }
         closeIfOver(flight);
     }
@@ -139,7 +139,7 @@
     }
 
     private boolean isSpecial(Flight flight) {
-        return flight.told() != Told.SERVED
+        return flight.told() != Completion.SERVED
                 || flight.attempts().size() > 1
                 || flight.classIndex() >= slowUs.length
                 || flight.tookUs() > slowUs[flight.classIndex()];
--- a/src/main/java/vetchpost/recovery/Knocker.java
+++ b/src/main/java/vetchpost/recovery/Knocker.java
@@ -116,7 +116,7 @@
             ended = false;
             limit = loop.schedule(() -> end(Found.NOBODY), WAIT_MS, TimeUnit.MILLISECONDS);
             try {
-                channel = network.connecting();
+                channel = network.newClientChannel();
             } catch (ChannelException e) {
                 loop.execute(() -> end(Found.NOBODY));
                 return;
--- a/src/main/java/vetchpost/recovery/Recovery.java
+++ b/src/main/java/vetchpost/recovery/Recovery.java
@@ -20,14 +20,14 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
 import vetchpost.core.Clock;
-import vetchpost.core.Companion;
 import vetchpost.core.Dispatcher;
+import vetchpost.core.EventLoopDelay;
+import vetchpost.core.NodeLifecycle;
 import vetchpost.core.ServerList;
 import vetchpost.core.ServerList.Target;
-import vetchpost.core.Stall;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.decision.Knowledge;
+import vetchpost.decision.ServerStatistics;
 import vetchpost.handover.Giver;
 import vetchpost.handover.Secret;
 import vetchpost.handover.Taker;
@@ -49,7 +49,7 @@
  * {@code vetchpost.state}; this only asks, tells and writes. All of it runs on the node's loop but the
  * writing.
  */
-public final class Recovery implements Companion {
+public final class Recovery implements NodeLifecycle {
     private static final Logger LOG = System.getLogger(Recovery.class.getName());
 
     /** Boxes gone through in one turn of the loop. */
@@ -80,7 +80,7 @@
     private int given;
     private int gone;
     private Dispatcher dispatcher;
-    private Stall stall;
+    private EventLoopDelay stall;
     private Clock clock;
     private long startedMs;
     private Clock.Timer nextWrite;
@@ -128,7 +128,7 @@
     // ---------------------------------------------------------------- the start
 
     @Override
-    public ServerList begin(ServerList known, long nowUs) {
+    public ServerList beforeStart(ServerList known, long nowUs) {
         long nowMs = nowUs / 1_000;
         startedMs = nowMs;
         listRevision = known.targets().isEmpty() ? Long.MIN_VALUE : known.revision();
@@ -174,7 +174,7 @@
     }
 
     @Override
-    public void started(Dispatcher of, Stall loopStall, Clock nodeClock) {
+    public void afterStart(Dispatcher of, EventLoopDelay loopStall, Clock nodeClock) {
         dispatcher = of;
         stall = loopStall;
         clock = nodeClock;
@@ -193,7 +193,7 @@
         if (secret != null && !settings.ask().isEmpty()) {
             Deque<InetSocketAddress> left = new ArrayDeque<>(settings.ask());
             askNext(left, nowMs + settings.withinMs());
-            clock.at(clock.nowUs() + 1_000 * settings.waitMs(), this::prepared);
+            clock.schedule(clock.nowUs() + 1_000 * settings.waitMs(), this::prepared);
         } else {
             prepared();
         }
@@ -227,11 +227,11 @@
                 trust.put(box.target().id(), Recollection.sure(box, nowMs, settings.rules()));
             }
         }
-        dispatcher.recall(Priors.of(snapshot, classNames, nowMs, doubts.isEmpty(), trust));
+        dispatcher.restore(Priors.of(snapshot, classNames, nowMs, doubts.isEmpty(), trust));
     }
 
     @Override
-    public void whenPrepared(Runnable ready) {
+    public void runWhenPrepared(Runnable ready) {
         whenPrepared = ready;
         if (prepared) {
             ready.run();
@@ -288,7 +288,8 @@
                 snapshot.boxes().size(),
                 from);
         if (!sightings.hasList()) {
-            Map<Target, Double> use = weigh(snapshot, new ServerList(listRevision, true, dispatcher.known()), nowMs());
+            Map<Target, Double> use =
+                    weigh(snapshot, new ServerList(listRevision, true, dispatcher.knownServers()), nowMs());
             knock();
             recalled += use.size();
             tell(List.copyOf(use.keySet()));
@@ -310,7 +311,7 @@
                     recalled++;
                     sightings.forgetUnused(target.id());
                     tell(List.of(target));
-                    dispatcher.recall(Priors.ofUnsure(
+                    dispatcher.restore(Priors.ofUnsure(
                             before, classNames.size(), Recollection.sure(before, nowMs(), settings.rules())));
                 }
             }
@@ -351,13 +352,13 @@
     // ---------------------------------------------------------------- discovery
 
     @Override
-    public void heard() {
+    public void onDiscoveryContact() {
         sightings.heard(nowMs());
     }
 
     @Override
-    public void listed(ServerList list) {
-        if (list.all()) {
+    public void onServerList(ServerList list) {
+        if (list.isFull()) {
             if (!sightings.hasList()) {
                 knocker.close();
                 unsure.clear();
@@ -383,7 +384,7 @@
     }
 
     @Override
-    public String serving() {
+    public String readinessDetail() {
         if (sightings.hasList()) {
             return "discovery's list";
         }
@@ -394,7 +395,7 @@
     // ---------------------------------------------------------------- what is kept
 
     private void scheduleWrite() {
-        nextWrite = clock.at(clock.nowUs() + 1_000 * settings.everyMs(), () -> {
+        nextWrite = clock.schedule(clock.nowUs() + 1_000 * settings.everyMs(), () -> {
             if (!writing) {
                 collect(false, () -> {});
             }
@@ -402,27 +403,27 @@
         });
     }
 
-    private Set<Trouble> troubles(Knowledge knowledge) {
-        return Doubt.ofSelf(knowledge, stall.us(), nowMs() - startedMs);
+    private Set<Trouble> troubles(ServerStatistics knowledge) {
+        return Doubt.ofSelf(knowledge, stall.currentUs(), nowMs() - startedMs);
     }
 
     /** For a handover: piece by piece, each as things are when it is made. */
     private Iterator<byte[]> pieces() {
-        Knowledge knowledge = dispatcher.knowledge(List.of());
+        ServerStatistics knowledge = dispatcher.statistics(List.of());
         return Sightings.pieces(
                 sightings.new Cursor(dispatcher, this::nowMs, PieceCodec.BOXES),
                 origin(knowledge),
                 sightings.classes(knowledge));
     }
 
-    private Origin origin(Knowledge knowledge) {
+    private Origin origin(ServerStatistics knowledge) {
         return sightings.origin(random.nextLong(), nowMs(), startedMs, troubles(knowledge));
     }
 
     /** Goes through all boxes, a part in each turn or all at once, and has the snapshot written. */
     private void collect(boolean atOnce, Runnable done) {
         writing = true;
-        Knowledge knowledge = dispatcher.knowledge(List.of());
+        ServerStatistics knowledge = dispatcher.statistics(List.of());
         Origin origin = origin(knowledge);
         List<ClassState> classes = sightings.classes(knowledge);
         Sightings.Cursor cursor = sightings.new Cursor(dispatcher, this::nowMs, A_TURN);
@@ -513,7 +514,7 @@
             }
         };
         // A disk that doesn't answer must not keep a node that has been told to stop.
-        clock.at(clock.nowUs() + 1_000 * STOP_MS, once);
+        clock.schedule(clock.nowUs() + 1_000 * STOP_MS, once);
         if (writing) {
             once.run();
         } else {
--- a/src/main/java/vetchpost/recovery/Sightings.java
+++ b/src/main/java/vetchpost/recovery/Sightings.java
@@ -11,9 +11,9 @@
 import vetchpost.core.Dispatcher;
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.RequestClass;
-import vetchpost.decision.Knowledge;
-import vetchpost.decision.Knowledge.OfClass;
-import vetchpost.decision.Knowledge.OfServer;
+import vetchpost.decision.ServerStatistics;
+import vetchpost.decision.ServerStatistics.PerClass;
+import vetchpost.decision.ServerStatistics.PerServer;
 import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
 import vetchpost.state.Confirmed;
@@ -98,7 +98,7 @@
             this.dispatcher = dispatcher;
             this.nowMs = nowMs;
             this.most = most;
-            targets = dispatcher.known();
+            targets = dispatcher.knownServers();
             Map<String, BoxState> unused = new LinkedHashMap<>(remembered);
             targets.forEach(t -> unused.remove(t.id()));
             others = new ArrayList<>(unused.values());
@@ -122,8 +122,8 @@
             for (int i = at; i < Math.min(end, targets.size()); i++) {
                 ids.add(targets.get(i).id());
             }
-            Map<String, OfServer> known = new HashMap<>();
-            dispatcher.knowledge(ids).servers().forEach(s -> known.put(s.id(), s));
+            Map<String, PerServer> known = new HashMap<>();
+            dispatcher.statistics(ids).servers().forEach(s -> known.put(s.id(), s));
             long now = nowMs.getAsLong();
             List<BoxState> boxes = new ArrayList<>();
             for (; at < end; at++) {
@@ -141,7 +141,7 @@
     }
 
     /** One box; null if it was never known to be there: a list of unknown age is no such word. */
-    private BoxState state(Target target, OfServer known, long nowMs) {
+    private BoxState state(Target target, PerServer known, long nowMs) {
         Sighting seen = byId.get(target.id());
         long ms = seen == null ? 0 : seen.ms;
         Confirmed by = seen == null ? Confirmed.LIST : seen.by;
@@ -149,19 +149,19 @@
             ms = listedMs;
             by = Confirmed.LIST;
         }
-        if (known != null && known.servedAtUs() / 1_000 > ms) {
-            ms = known.servedAtUs() / 1_000;
+        if (known != null && known.lastServedAtUs() / 1_000 > ms) {
+            ms = known.lastServedAtUs() / 1_000;
             by = Confirmed.ANSWER;
         }
-        boolean told = known != null && known.answers() > 0;
+        boolean told = known != null && known.attemptCount() > 0;
         return ms == 0 ? null : new BoxState(target, ms, by, told ? nowMs : 0, told ? known : null);
     }
 
-    List<ClassState> classes(Knowledge knowledge) {
+    List<ClassState> classes(ServerStatistics knowledge) {
         List<ClassState> states = new ArrayList<>();
-        for (OfClass known : knowledge.classes()) {
+        for (PerClass known : knowledge.classes()) {
             states.add(new ClassState(
-                    classes.get(known.index()).name(), known.answers(), known.latencyUs(), known.leastLatencyUs()));
+                    classes.get(known.index()).name(), known.answerCount(), known.latencyUs(), known.minLatencyUs()));
         }
         return states;
     }
--- a/src/main/java/vetchpost/replication/net/PublisherServer.java
+++ b/src/main/java/vetchpost/replication/net/PublisherServer.java
@@ -66,7 +66,7 @@
     public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
         ChannelFuture binding = new ServerBootstrap()
                 .group(group)
-                .channelFactory(network::listening)
+                .channelFactory(network::newServerChannel)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
--- a/src/main/java/vetchpost/replication/net/ReplicaClient.java
+++ b/src/main/java/vetchpost/replication/net/ReplicaClient.java
@@ -124,7 +124,7 @@
         void connect(InetSocketAddress to) {
             Channel channel;
             try {
-                channel = network.connecting();
+                channel = network.newClientChannel();
             } catch (ChannelException e) {
                 loop.execute(() -> down("no connection could be opened"));
                 return;
--- a/src/main/java/vetchpost/routes/FileRoutePolicy.java
+++ b/src/main/java/vetchpost/routes/FileRoutePolicy.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.RouteBounds;
+import vetchpost.core.RouteLimits;
 import vetchpost.core.RoutePolicy;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.store.PackedTree;
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public RouteBounds boundsOf(ClientRequest request) {
+    public RouteLimits limitsOf(ClientRequest request) {
         RouteTable.Match match =
                 table.match(classes.get(request.classIndex()), request.method(), request.target(), request.tenant());
         if (match == null) {
@@ -162,7 +162,7 @@
     }
 
     /** A route's bounds for one tenant. */
-    private final class Bounds implements RouteBounds {
+    private final class Bounds implements RouteLimits {
         private final State state;
         private final Limits limits;
         private final RetryBudget budget;
@@ -176,58 +176,58 @@
         }
 
         @Override
-        public int attempts() {
+        public int maxAttempts() {
             return limits.attempts();
         }
 
         @Override
-        public boolean mayRepeat() {
+        public boolean mayRetry() {
             return budget == null || budget.hasOne();
         }
 
         @Override
-        public void repeated() {
+        public void recordRetry() {
             if (budget != null) {
                 budget.takeOne();
             }
         }
 
         @Override
-        public long copyAfterUs() {
+        public long hedgeDelayUs() {
             long leastUs = latencies == null ? limits.copyUs() : latencies.percentileUs();
             return leastUs == 0 ? 0 : (long) (leastUs * (1 + limits.jitter() * random.nextDouble()));
         }
 
         @Override
-        public void served(long latencyUs) {
+        public void recordLatency(long latencyUs) {
             if (latencies != null) {
                 latencies.add(latencyUs);
             }
         }
 
         @Override
-        public long waitUs(int attempts) {
+        public long retryDelayUs(int attempts) {
             long leastUs = limits.backoffUs(attempts);
             return leastUs == 0 ? 0 : (long) (leastUs * (1 + limits.jitter() * random.nextDouble()));
         }
 
         @Override
-        public long attemptUs() {
+        public long attemptTimeoutUs() {
             return limits.attemptUs() == 0 ? Long.MAX_VALUE : limits.attemptUs();
         }
 
         @Override
-        public long totalUs() {
+        public long requestTimeoutUs() {
             return limits.totalUs() == 0 ? Long.MAX_VALUE : limits.totalUs();
         }
 
         @Override
-        public long bodyBytes() {
+        public long maxBodyBytes() {
             return limits.bodyBytes();
         }
 
         @Override
-        public boolean enter() {
+        public boolean tryAcquire() {
             if (limits.concurrency() > 0 && state.inHand >= limits.concurrency()) {
                 return false;
             }
@@ -239,12 +239,12 @@
         }
 
         @Override
-        public void leave() {
+        public void release() {
             state.inHand--;
         }
 
         @Override
-        public long adviseUs(long otherwiseUs) {
+        public long retryAfterUs(long otherwiseUs) {
             return limits.retryAfterUs() >= 0 ? limits.retryAfterUs() : otherwiseUs > 0 ? otherwiseUs : adviceUs;
         }
     }
--- a/src/main/java/vetchpost/routes/Prover.java
+++ b/src/main/java/vetchpost/routes/Prover.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.Section.Entry;
@@ -575,7 +575,7 @@
 
     private String method(Section section, RequestClass cls, String label) {
         String method = text(section, Key.METHOD);
-        String only = cls.repeat() == Repeat.SAFE ? "GET" : "POST";
+        String only = cls.idempotency() == Idempotency.SAFE ? "GET" : "POST";
         if (method != null && !method.equals(only)) {
             violated(
                     at(section, Key.METHOD, Key.METHOD),
@@ -770,7 +770,7 @@
         long clientUs = cls.deadlineUs();
         long totalUs = (long) value(own, Key.TOTAL_TIMEOUT, 0);
         long attemptUs = (long) value(own, Key.ATTEMPT_TIMEOUT, 0);
-        int usual = cls.repeat() == Repeat.UNSAFE ? 1 : settings.maxAttempts;
+        int usual = cls.idempotency() == Idempotency.UNSAFE ? 1 : settings.maxAttempts;
         int attempts = (int) value(own, Key.ATTEMPTS, usual);
         Limits limits = new Limits(
                 attemptUs,
@@ -804,7 +804,7 @@
                     "attempt-timeout is " + ms(attemptUs) + ", and the request has " + ms(wholeUs) + " in all",
                     "attempt-timeout = \"" + ms(wholeUs) + "\"");
         }
-        if (cls.repeat() == Repeat.UNSAFE && attempts > 1) {
+        if (cls.idempotency() == Idempotency.UNSAFE && attempts > 1) {
             violated(
                     own.get(Key.ATTEMPTS).at(),
                     route,
@@ -812,12 +812,13 @@
                     "attempts is " + attempts + " and " + cls.name() + " must never run twice",
                     "attempts = 1");
         }
-        if (cls.repeat() == Repeat.KEYED && attempts > 1 && own.containsKey(Key.ATTEMPT_TIMEOUT)) {
+        if (cls.idempotency() == Idempotency.KEYED && attempts > 1 && own.containsKey(Key.ATTEMPT_TIMEOUT)) {
             long latestUs = limits.latestStartUs(attempts) + MARGIN_US;
-            if (latestUs > cls.windowUs()) {
-                long fitsUs =
-                        (cls.windowUs() - MARGIN_US - (limits.latestStartUs(attempts) - (attempts - 1) * attemptUs))
-                                / (attempts - 1);
+            if (latestUs > cls.deduplicationWindowUs()) {
+                long fitsUs = (cls.deduplicationWindowUs()
+                                - MARGIN_US
+                                - (limits.latestStartUs(attempts) - (attempts - 1) * attemptUs))
+                        / (attempts - 1);
                 violated(
                         own.get(Key.ATTEMPT_TIMEOUT).at(),
                         route,
@@ -825,7 +826,7 @@
                         "attempt " + attempts
                                 + " may begin " + ms(latestUs) + " after the first, with waits, jitter and "
                                 + ms(MARGIN_US)
-                                + " margin, and racks drop repeats for " + ms(cls.windowUs()),
+                                + " margin, and racks drop repeats for " + ms(cls.deduplicationWindowUs()),
                         fitsUs > 0 ? "attempt-timeout = \"" + ms(fitsUs) + "\"" : "attempts = 1");
             }
         }
@@ -855,7 +856,7 @@
                     "concurrency is 0",
                     "concurrency = 1 or more, or none said");
         }
-        if (cls.repeat() != Repeat.SAFE && limits.bodyBytes() == 0) {
+        if (cls.idempotency() != Idempotency.SAFE && limits.bodyBytes() == 0) {
             violated(
                     own.get(Key.MAX_BODY).at(),
                     route,
@@ -884,10 +885,10 @@
         if (limits.copyUs() > 0 && limits.copyPercentile() > 0) {
             violated(at, route, Rule.SCHEDULE, "copy-after and copy-percentile both say when", "one of them");
         }
-        if (!settings.secondCopies) {
+        if (!settings.allowsHedging) {
             violated(at, route, Rule.NOT_ALLOWED, "the platform allows no second copies", "no copy-after");
         }
-        if (cls.repeat() == Repeat.UNSAFE) {
+        if (cls.idempotency() == Idempotency.UNSAFE) {
             violated(
                     at,
                     route,
@@ -898,7 +899,9 @@
             violated(at, route, Rule.SCHEDULE, "a second copy is a second attempt, and attempts is 1", "attempts = 2");
         }
         long latestUs = limits.latestCopyUs();
-        if (cls.repeat() == Repeat.KEYED && latestUs > 0 && latestUs + MARGIN_US > cls.windowUs()) {
+        if (cls.idempotency() == Idempotency.KEYED
+                && latestUs > 0
+                && latestUs + MARGIN_US > cls.deduplicationWindowUs()) {
             violated(
                     at,
                     route,
@@ -906,8 +909,9 @@
                     "the copy may be sent " + ms(latestUs + MARGIN_US)
                             + " after the first, with jitter and " + ms(MARGIN_US)
                             + " margin, and racks drop repeats for "
-                            + ms(cls.windowUs()),
-                    "copy-after = \"" + ms((long) ((cls.windowUs() - MARGIN_US) / (1 + limits.jitter()))) + "\"");
+                            + ms(cls.deduplicationWindowUs()),
+                    "copy-after = \"" + ms((long) ((cls.deduplicationWindowUs() - MARGIN_US) / (1 + limits.jitter())))
+                            + "\"");
         }
         if (latestUs >= wholeUs) {
             violated(
--- a/src/main/java/vetchpost/simulation/Guarded.java
+++ b/src/main/java/vetchpost/simulation/Guarded.java
@@ -1,25 +1,25 @@
 package vetchpost.simulation;
 
 import io.netty.channel.Channel;
-import vetchpost.admission.AdmissionProver;
+import vetchpost.admission.AdmissionValidator;
 import vetchpost.admission.FairAdmission;
-import vetchpost.core.Admission;
-import vetchpost.core.Companion;
+import vetchpost.core.AdmissionControl;
+import vetchpost.core.NodeLifecycle;
 import vetchpost.core.RoutePolicy;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.simulation.net.SimLoop;
 import vetchpost.simulation.world.NodeProcess;
 
 /** The same nodes, with the door in service before each. */
 record Guarded(NodeProcess.Planting inner) implements NodeProcess.Planting {
     @Override
-    public Admission admission(Settings settings, long seed) {
-        return new FairAdmission(AdmissionProver.defaults(settings), settings, seed);
+    public AdmissionControl admission(Settings settings, long seed) {
+        return new FairAdmission(AdmissionValidator.defaults(settings), settings, seed);
     }
 
     @Override
-    public Seams seams(SimLoop loop) {
+    public NodeHooks seams(SimLoop loop) {
         return inner.seams(loop);
     }
 
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public Companion companion(NodeProcess.Start start) {
+    public NodeLifecycle companion(NodeProcess.Start start) {
         return inner.companion(start);
     }
 
--- a/src/main/java/vetchpost/simulation/Remembering.java
+++ b/src/main/java/vetchpost/simulation/Remembering.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import vetchpost.core.Companion;
+import vetchpost.core.NodeLifecycle;
 import vetchpost.handover.Secret;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.recovery.Keeper;
 import vetchpost.recovery.Recovery;
 import vetchpost.recovery.RecoverySettings;
@@ -64,8 +64,8 @@
     }
 
     @Override
-    public Seams seams(SimLoop loop) {
-        return Seams.NONE;
+    public NodeHooks seams(SimLoop loop) {
+        return NodeHooks.NONE;
     }
 
     /** What lies on a machine's disk, in pieces; null for nothing. */
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public Companion companion(NodeProcess.Start start) {
+    public NodeLifecycle companion(NodeProcess.Start start) {
         List<InetSocketAddress> others = IntStream.range(0, asks(start.number(), start.start()) ? nodes : 0)
                 .filter(n -> n != start.number())
                 .mapToObj(Remembering::address)
--- a/src/main/java/vetchpost/simulation/SimulateCommand.java
+++ b/src/main/java/vetchpost/simulation/SimulateCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.simulation.world.NodeProcess;
 
 /** The command {@code simulate}. Exit codes: 0 no rule broken, 1 some seed breaks one, 2 bad arguments. */
@@ -37,7 +37,7 @@
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:no rule broken", "1:some run breaks a rule", "2:bad arguments or script"})
 public final class SimulateCommand implements Callable<Integer> {
-    private static final NodeProcess.Planting NONE = loop -> Seams.NONE;
+    private static final NodeProcess.Planting NONE = loop -> NodeHooks.NONE;
     private static final long MOST_SEEDS = 10_000_000;
     private static final int MOST_NODES = 2_048;
     private static final long PROGRESS_NS = 1_000_000_000L;
--- a/src/main/java/vetchpost/simulation/Simulation.java
+++ b/src/main/java/vetchpost/simulation/Simulation.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.simulation.check.Checker;
 import vetchpost.simulation.check.Violation;
 import vetchpost.simulation.check.Violation.Rule;
@@ -79,7 +79,7 @@
 
     /** Runs the plan to its end, or to the first rule broken. */
     public static Result run(Plan plan) {
-        return run(plan, loop -> Seams.NONE, null);
+        return run(plan, loop -> NodeHooks.NONE, null);
     }
 
     /**
--- a/src/main/java/vetchpost/simulation/crowd/Crowd.java
+++ b/src/main/java/vetchpost/simulation/crowd/Crowd.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
-import vetchpost.admission.AdmissionProver;
 import vetchpost.admission.AdmissionSettings;
+import vetchpost.admission.AdmissionValidator;
 import vetchpost.admission.FairAdmission;
-import vetchpost.core.Answer;
 import vetchpost.core.ClientReply;
 import vetchpost.core.ClientRequest;
 import vetchpost.core.Dispatcher;
+import vetchpost.core.EventLoopDelay;
 import vetchpost.core.Failure;
-import vetchpost.core.Fields;
-import vetchpost.core.Stall;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.core.Headers;
+import vetchpost.core.ServerResponse;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
@@ -41,12 +41,13 @@
     static final double[] SHARES = {0.29, 0.25, 0.17, 0.12, 0.10, 0.07};
 
     /** A class: what a request takes, its part of all, and what it is worth. Times in microseconds. */
-    record Kind(String name, double share, double workUs, long aimUs, long deadlineUs, double worth, Repeat repeat) {}
+    record Kind(
+            String name, double share, double workUs, long aimUs, long deadlineUs, double worth, Idempotency repeat) {}
 
     static final List<Kind> KINDS = List.of(
-            new Kind("view-page", 0.51, 19_000, 100_000, 500_000, 1, Repeat.SAFE),
-            new Kind("add-photo", 0.30, 22_000, 200_000, 600_000, 5, Repeat.KEYED),
-            new Kind("place-order", 0.19, 33_000, 300_000, 1_000_000, 5, Repeat.UNSAFE));
+            new Kind("view-page", 0.51, 19_000, 100_000, 500_000, 1, Idempotency.SAFE),
+            new Kind("add-photo", 0.30, 22_000, 200_000, 600_000, 5, Idempotency.KEYED),
+            new Kind("place-order", 0.19, 33_000, 300_000, 1_000_000, 5, Idempotency.UNSAFE));
 
     /** Who decides on order and shares. */
     public enum Policy {
@@ -146,7 +147,7 @@
         Settings settings = settings();
         node = new Dispatcher(
                 clock,
-                new Stall(clock),
+                new EventLoopDelay(clock),
                 boxes,
                 List.of(),
                 () -> {},
@@ -154,18 +155,18 @@
                 1_000_000,
                 actions -> new ServiceQBalancer(settings, plan.seed, actions));
         node.onKnownList(boxes.list());
-        AdmissionSettings defaults = AdmissionProver.defaults(settings);
+        AdmissionSettings defaults = AdmissionValidator.defaults(settings);
         door = plan.policy != Policy.DOOR
                 ? null
                 : new FairAdmission(
                         new AdmissionSettings(
-                                defaults.waiting(),
-                                defaults.lines(),
-                                defaults.unsent(),
+                                defaults.maxWaiting(),
+                                defaults.queuesPerClass(),
+                                defaults.maxUnsent(),
                                 plan.patient ? Plan.PATIENCE_US : 0,
-                                defaults.longestUs(),
-                                defaults.bookings(),
-                                defaults.weights()),
+                                defaults.maxRetryAfterUs(),
+                                defaults.reservationTableSize(),
+                                defaults.tenantWeights()),
                         settings,
                         plan.seed);
         node.admission(door);
@@ -181,7 +182,7 @@
         Settings set = new Settings();
         for (Kind k : KINDS) {
             set.classes.add(new RequestClass(
-                    k.name, k.aimUs, 0, k.deadlineUs, k.worth, 0, k.repeat, Group.ALL, 1_200_000, false));
+                    k.name, k.aimUs, 0, k.deadlineUs, k.worth, 0, k.repeat, DeduplicationScope.ALL, 1_200_000, false));
         }
         for (int i = 0; i < SHARES.length; i++) {
             // Shares come to seven eighths of what the boxes can do.
@@ -191,8 +192,8 @@
         }
         set.overShareWorth = 0.1;
         set.maxAttempts = 4;
-        set.cancel = true;
-        set.marksRetry = true;
+        set.allowsCancellation = true;
+        set.clientsMarkRetries = true;
         set.maxRetryAfterUs = plan.longestUs;
         return set;
     }
@@ -214,15 +215,15 @@
             SplittableRandom chance = random.split();
             if (rate > 0) {
                 int each = school;
-                clock.at(
+                clock.schedule(
                         START_US + WARM_US, () -> arrive(each, rate, chance, START_US + WARM_US + plan.lengthUs, true));
             }
         }
         if (plan.halveAtUs > 0) {
-            clock.at(START_US + WARM_US + plan.halveAtUs, () -> boxes.slow(2));
+            clock.schedule(START_US + WARM_US + plan.halveAtUs, () -> boxes.slow(2));
         }
         clock.runUntil(START_US + WARM_US + plan.lengthUs + TAIL_US + (plan.patient ? Plan.PATIENCE_US : 0));
-        result.stillHeld = node.held();
+        result.stillHeld = node.pendingRequests();
         result.counts = door == null ? null : door.counts();
         return result;
     }
@@ -232,7 +233,7 @@
         if (at >= untilUs) {
             return;
         }
-        clock.at(at, () -> {
+        clock.schedule(at, () -> {
             double draw = chance.nextDouble();
             int kind = 0;
             while (kind < KINDS.size() - 1 && draw >= KINDS.get(kind).share) {
@@ -287,7 +288,7 @@
                     "/" + kind.name,
                     new Cookie("key=" + school + "-" + client),
                     new byte[0]);
-            node.take(request, new Reply(this), 0);
+            node.accept(request, new Reply(this), 0);
         }
 
         void served() {
@@ -321,7 +322,7 @@
                 to.cameBack(kindIndex, false);
             }
             advisedUs = 0;
-            if (kind.repeat == Repeat.SAFE) {
+            if (kind.repeat == Idempotency.SAFE) {
                 again(BACKOFF_US, false);
             }
         }
@@ -329,12 +330,12 @@
         private void again(long inUs, boolean told) {
             long untilUs = beganUs + (plan.patient ? Plan.PATIENCE_US : kind.deadlineUs);
             if (clock.nowUs() + inUs < untilUs && (tries < MOST_TRIES || told && plan.patient)) {
-                clock.at(clock.nowUs() + inUs + chance.nextInt(1_000), this::ask);
+                clock.schedule(clock.nowUs() + inUs + chance.nextInt(1_000), this::ask);
             }
         }
     }
 
-    private record Cookie(String value) implements Fields {
+    private record Cookie(String value) implements Headers {
         @Override
         public String get(String name) {
             return name.equals("Cookie") ? value : null;
@@ -348,12 +349,12 @@
 
     private record Reply(Want want) implements ClientReply {
         @Override
-        public void served(Answer answer) {
+        public void served(ServerResponse answer) {
             want.served();
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void rejected(long retryAfterUs) {
             want.refused(retryAfterUs);
         }
 
@@ -363,6 +364,6 @@
         }
 
         @Override
-        public void whenGone(Runnable action) {}
+        public void onDisconnect(Runnable action) {}
     }
 }
--- a/src/main/java/vetchpost/simulation/crowd/CrowdClock.java
+++ b/src/main/java/vetchpost/simulation/crowd/CrowdClock.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public Timer at(long us, Runnable task) {
+    public Timer schedule(long us, Runnable task) {
         Due due = new Due(Math.max(us, now), task);
         queue.add(due);
         return due;
--- a/src/main/java/vetchpost/simulation/crowd/CrowdCommand.java
+++ b/src/main/java/vetchpost/simulation/crowd/CrowdCommand.java
@@ -248,8 +248,14 @@
                     byClass[0],
                     byClass[1],
                     byClass[2],
-                    results.stream().mapToLong(r -> r.counts().booked()).sum() / seeds,
-                    results.stream().mapToLong(r -> r.counts().unpromised()).sum() / seeds);
+                    results.stream()
+                                    .mapToLong(r -> r.counts().reservationsMade())
+                                    .sum()
+                            / seeds,
+                    results.stream()
+                                    .mapToLong(r -> r.counts().rejectedWithoutReservation())
+                                    .sum()
+                            / seeds);
             out.flush();
             told.put(times, results.get(0).told());
         }
--- a/src/main/java/vetchpost/simulation/crowd/ModelBoxes.java
+++ b/src/main/java/vetchpost/simulation/crowd/ModelBoxes.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import vetchpost.core.Answer;
 import vetchpost.core.ClientRequest;
 import vetchpost.core.ServerList;
+import vetchpost.core.ServerResponse;
 import vetchpost.core.ServerTransport;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.ServerState;
@@ -19,7 +19,7 @@
     /** Work varies by this share of its mean, evenly. */
     private static final double SPREAD = 0.5;
 
-    private static final Answer ANSWER = new Answer(200, null, new byte[0]);
+    private static final ServerResponse ANSWER = new ServerResponse(200, null, new byte[0]);
 
     private final CrowdClock clock;
     private final SplittableRandom random;
@@ -29,27 +29,27 @@
     private double slower = 1;
 
     private static final class Sent implements Attempt {
-        private final Report report;
+        private final AttemptListener report;
         private boolean over;
 
-        Sent(Report report) {
+        Sent(AttemptListener report) {
             this.report = report;
         }
 
         @Override
-        public boolean isOut() {
+        public boolean mayHaveReachedServer() {
             return true;
         }
 
         @Override
-        public void giveUp(Result reason) {
+        public void abandon(Result reason) {
             end(reason, null);
         }
 
-        void end(Result result, Answer answer) {
+        void end(Result result, ServerResponse answer) {
             if (!over) {
                 over = true;
-                report.ended(result, answer);
+                report.onEnded(result, answer);
             }
         }
     }
@@ -72,28 +72,28 @@
     public void update(ServerList list) {}
 
     @Override
-    public Attempt send(String serverId, Sending sending) {
+    public Attempt send(String serverId, OutgoingRequest sending) {
         int box = Integer.parseInt(serverId);
         Sent sent = new Sent(sending);
         ClientRequest request = sending.request();
         long now = clock.nowUs();
         if (queued[box] >= ROOM) {
-            clock.at(now + WAY_US, () -> sent.end(Result.FULL, null));
+            clock.schedule(now + WAY_US, () -> sent.end(Result.FULL, null));
             return sent;
         }
         queued[box]++;
         double work =
                 kinds.get(request.classIndex()).workUs() * slower * (1 - SPREAD + 2 * SPREAD * random.nextDouble());
         freeAtUs[box] = Math.max(freeAtUs[box], now) + (long) work;
-        clock.at(freeAtUs[box], () -> queued[box]--);
-        clock.at(freeAtUs[box] + WAY_US, () -> sent.end(Result.OK, ANSWER));
+        clock.schedule(freeAtUs[box], () -> queued[box]--);
+        clock.schedule(freeAtUs[box] + WAY_US, () -> sent.end(Result.OK, ANSWER));
         return sent;
     }
 
     @Override
-    public Attempt probe(String serverId, Report report) {
+    public Attempt probe(String serverId, AttemptListener report) {
         Sent sent = new Sent(report);
-        clock.at(clock.nowUs() + WAY_US, () -> sent.end(Result.OK, ANSWER));
+        clock.schedule(clock.nowUs() + WAY_US, () -> sent.end(Result.OK, ANSWER));
         return sent;
     }
 
--- a/src/main/java/vetchpost/simulation/fleet/FleetRun.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetRun.java
@@ -11,17 +11,17 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.function.BiConsumer;
-import vetchpost.core.Answer;
 import vetchpost.core.ClientReply;
 import vetchpost.core.ClientRequest;
 import vetchpost.core.Dispatcher;
+import vetchpost.core.EventLoopDelay;
 import vetchpost.core.Failure;
-import vetchpost.core.Fields;
+import vetchpost.core.Headers;
 import vetchpost.core.ServerList;
+import vetchpost.core.ServerResponse;
 import vetchpost.core.ServerTransport;
-import vetchpost.core.Stall;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.Settings;
@@ -123,7 +123,7 @@
         Settings settings = settings();
         node = new Dispatcher(
                 clock,
-                new Stall(clock),
+                new EventLoopDelay(clock),
                 new Boxes(),
                 List.of(),
                 () -> {},
@@ -153,12 +153,13 @@
 
     private static Settings settings() {
         Settings set = new Settings();
-        for (Repeat repeat : Repeat.values()) {
-            set.classes.add(new RequestClass(repeat.name(), 300_000, 0, S, 1, 0.5, repeat, Group.ALL, S, false));
+        for (Idempotency repeat : Idempotency.values()) {
+            set.classes.add(
+                    new RequestClass(repeat.name(), 300_000, 0, S, 1, 0.5, repeat, DeduplicationScope.ALL, S, false));
         }
         set.maxAttempts = 3;
-        set.cancel = true;
-        set.marksRetry = true;
+        set.allowsCancellation = true;
+        set.clientsMarkRetries = true;
         set.drainGraceUs = 500_000;
         set.coldUs = 5 * S;
         return set;
@@ -208,7 +209,7 @@
         node.onKnownList(new ServerList(0, true, List.of()));
         settle();
         if (watch == Watch.BOTH) {
-            node.witness((server, result, answer, stalled, us) -> {
+            node.setAttemptObserver((server, result, answer, stalled, us) -> {
                 switch (result) {
                     case OK -> checks.served(server, clock.nowUs());
                     case ERROR, RESET, CONNECT_FAILED, TIMEOUT -> checks.failed(server, clock.nowUs());
@@ -231,8 +232,8 @@
         if (operators != null && operators.held() > 0) {
             broken.add("overrides: " + operators.held() + " hold past their time");
         }
-        if (node.held() > 0) {
-            broken.add(node.held() + " requests are still held");
+        if (node.pendingRequests() > 0) {
+            broken.add(node.pendingRequests() + " requests are still held");
         }
         return new Outcome(
                 wanted,
@@ -247,7 +248,7 @@
     // ---------------------------------------------------------------- sources
 
     private void every(int source, long us) {
-        clock.at(clock.nowUs() + us, () -> {
+        clock.schedule(clock.nowUs() + us, () -> {
             say(source, at() < QUIET_US);
             if (at() < END_US) {
                 every(source, us);
@@ -290,7 +291,7 @@
     // ---------------------------------------------------------------- the conductor
 
     private void tick() {
-        clock.at(clock.nowUs() + 10_000, () -> {
+        clock.schedule(clock.nowUs() + 10_000, () -> {
             settle();
             if (at() < END_US + S) {
                 tick();
@@ -299,7 +300,7 @@
     }
 
     private void operate() {
-        clock.at(clock.nowUs() + S / 2, () -> {
+        clock.schedule(clock.nowUs() + S / 2, () -> {
             if (at() < QUIET_US) {
                 String wrong = operators.turn(composer.members(), at());
                 if (!wrong.isEmpty()) {
@@ -330,7 +331,7 @@
                 default -> Finding.WELL;
             };
             long took = mood == Mood.SILENT ? CHECKS.withinUs() : 2 * WAY_US;
-            clock.at(clock.nowUs() + took, () -> checks.checked(id, finding, clock.nowUs()));
+            clock.schedule(clock.nowUs() + took, () -> checks.checked(id, finding, clock.nowUs()));
         }
     }
 
@@ -338,15 +339,15 @@
 
     private void arrive() {
         long next = clock.nowUs() + 1 + (long) (-StrictMath.log(1 - chance.nextDouble()) * 1e6 / PER_S);
-        clock.at(next, () -> {
+        clock.schedule(next, () -> {
             if (at() < END_US) {
-                new Want(chance.nextInt(Repeat.values().length)).ask();
+                new Want(chance.nextInt(Idempotency.values().length)).ask();
                 arrive();
             }
         });
     }
 
-    private static final Fields NONE = new Fields() {
+    private static final Headers NONE = new Headers() {
         @Override
         public String get(String name) {
             return null;
@@ -369,12 +370,12 @@
 
         void ask() {
             wanted++;
-            clock.at(beganUs + S + TOLD_WITHIN_US, () -> {
+            clock.schedule(beganUs + S + TOLD_WITHIN_US, () -> {
                 if (answers != 1) {
                     broken.add("lost: request " + id + " had " + answers + " answers in its time");
                 }
             });
-            node.take(new ClientRequest(id, cls, -1, S, 0, false, "GET", "/", NONE, new byte[0]), this, 0);
+            node.accept(new ClientRequest(id, cls, -1, S, 0, false, "GET", "/", NONE, new byte[0]), this, 0);
         }
 
         private void answered() {
@@ -384,7 +385,7 @@
         }
 
         @Override
-        public void served(Answer answer) {
+        public void served(ServerResponse answer) {
             answered();
             if (answer.status() == 200) {
                 served++;
@@ -395,7 +396,7 @@
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void rejected(long retryAfterUs) {
             answered();
         }
 
@@ -405,7 +406,7 @@
         }
 
         @Override
-        public void whenGone(Runnable action) {}
+        public void onDisconnect(Runnable action) {}
     }
 
     // ---------------------------------------------------------------- boxes
@@ -424,7 +425,7 @@
         public void update(ServerList list) {}
 
         @Override
-        public Attempt send(String serverId, Sending sending) {
+        public Attempt send(String serverId, OutgoingRequest sending) {
             int box = box(serverId);
             ClientRequest request = sending.request();
             attempts++;
@@ -452,7 +453,7 @@
                 case STRANGER -> sent.in(2 * WAY_US, Result.RESET, null);
                 case FAILING, LYING -> {
                     run(request, box);
-                    sent.in(work / 4, Result.ERROR, new Answer(500, null, new byte[0]));
+                    sent.in(work / 4, Result.ERROR, new ServerResponse(500, null, new byte[0]));
                 }
                 default -> {
                     run(request, box);
@@ -460,22 +461,22 @@
                     sent.in(
                             mood == Mood.SLOW ? 20 * work : work,
                             Result.OK,
-                            new Answer(200, "of " + request.id(), new byte[0]));
+                            new ServerResponse(200, "of " + request.id(), new byte[0]));
                 }
             }
             return sent;
         }
 
         private void run(ClientRequest request, int box) {
-            Repeat repeat = Repeat.values()[request.classIndex()];
+            Idempotency repeat = Idempotency.values()[request.classIndex()];
             int times = ran.merge(request.id() + "", 1, Integer::sum);
-            if (repeat == Repeat.UNSAFE && times > 1) {
+            if (repeat == Idempotency.UNSAFE && times > 1) {
                 broken.add("twice: request " + request.id() + " ran again, at box " + box);
             }
         }
 
         @Override
-        public Attempt probe(String serverId, Report report) {
+        public Attempt probe(String serverId, AttemptListener report) {
             throw new IllegalStateException("no probes are allowed");
         }
 
@@ -484,31 +485,31 @@
     }
 
     private final class Sent implements ServerTransport.Attempt {
-        private final ServerTransport.Report report;
+        private final ServerTransport.AttemptListener report;
         private boolean over;
 
-        Sent(ServerTransport.Report report) {
+        Sent(ServerTransport.AttemptListener report) {
             this.report = report;
         }
 
-        void in(long us, Result result, Answer answer) {
-            clock.at(clock.nowUs() + us, () -> end(result, answer));
+        void in(long us, Result result, ServerResponse answer) {
+            clock.schedule(clock.nowUs() + us, () -> end(result, answer));
         }
 
-        private void end(Result result, Answer answer) {
+        private void end(Result result, ServerResponse answer) {
             if (!over) {
                 over = true;
-                report.ended(result, answer);
+                report.onEnded(result, answer);
             }
         }
 
         @Override
-        public boolean isOut() {
+        public boolean mayHaveReachedServer() {
             return true;
         }
 
         @Override
-        public void giveUp(Result reason) {
+        public void abandon(Result reason) {
             end(reason, null);
         }
     }
--- a/src/main/java/vetchpost/simulation/net/SimNetwork.java
+++ b/src/main/java/vetchpost/simulation/net/SimNetwork.java
@@ -30,12 +30,12 @@
     }
 
     @Override
-    public ServerChannel listening() {
+    public ServerChannel newServerChannel() {
         return new SimServerChannel(this);
     }
 
     @Override
-    public Channel connecting() {
+    public Channel newClientChannel() {
         return connection(null, null);
     }
 
--- a/src/main/java/vetchpost/simulation/scale/Configurations.java
+++ b/src/main/java/vetchpost/simulation/scale/Configurations.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import vetchpost.changes.Catalog;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.Position;
@@ -43,10 +43,11 @@
         Settings set = new Settings();
         set.maxAttempts = 3;
         set.maxRetryAfterUs = 30_000 * MS;
-        set.secondCopies = true;
-        set.classes.add(new RequestClass("read", 1_000 * MS, 0, 30_000 * MS, 1, 0.5, Repeat.SAFE, Group.ALL, 0, false));
-        set.classes.add(
-                new RequestClass("write", 1_000 * MS, 0, 30_000 * MS, 1, 0.5, Repeat.UNSAFE, Group.ALL, 0, false));
+        set.allowsHedging = true;
+        set.classes.add(new RequestClass(
+                "read", 1_000 * MS, 0, 30_000 * MS, 1, 0.5, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
+        set.classes.add(new RequestClass(
+                "write", 1_000 * MS, 0, 30_000 * MS, 1, 0.5, Idempotency.UNSAFE, DeduplicationScope.ALL, 0, false));
         return set;
     }
 
--- a/src/main/java/vetchpost/simulation/scale/Footprint.java
+++ b/src/main/java/vetchpost/simulation/scale/Footprint.java
@@ -90,7 +90,7 @@
         public void cancel(long requestId, int attempt) {}
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) {}
+        public void reject(long requestId, long retryAfterUs) {}
 
         @Override
         public void fail(long requestId) {}
--- a/src/main/java/vetchpost/simulation/scale/Slopes.java
+++ b/src/main/java/vetchpost/simulation/scale/Slopes.java
@@ -12,7 +12,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
-import vetchpost.admission.AdmissionProver;
+import vetchpost.admission.AdmissionValidator;
 import vetchpost.admission.FairAdmission;
 import vetchpost.changes.Catalog;
 import vetchpost.changes.Writer;
@@ -61,7 +61,7 @@
     private static final int[] OF_ALL = {100, 32, 10, 3, 1};
     private static final int SERVERS_A_SERVICE = 54;
     private static final byte[] NOTHING = new byte[0];
-    private static final vetchpost.core.Fields NO_FIELDS = new vetchpost.core.Fields() {
+    private static final vetchpost.core.Headers NO_FIELDS = new vetchpost.core.Headers() {
         @Override
         public String get(String name) {
             return null;
@@ -325,7 +325,7 @@
                     }
                     int[] next = new int[1];
                     double find = Footprint.eachNs(
-                            50_000, () -> policy.boundsOf(request(targets[next[0]++ & targets.length - 1])));
+                            50_000, () -> policy.limitsOf(request(targets[next[0]++ & targets.length - 1])));
                     Writer writer = new Writer(catalog, 1);
                     Configurations drawn = new Configurations(2, 3_700, 1);
                     drawn.whole(n);
@@ -499,8 +499,8 @@
                         }
                         return made;
                     });
-                    Made<FairAdmission> door = Footprint.retained(
-                            () -> new FairAdmission(AdmissionProver.defaults(settings.thing()), settings.thing(), 1));
+                    Made<FairAdmission> door = Footprint.retained(() ->
+                            new FairAdmission(AdmissionValidator.defaults(settings.thing()), settings.thing(), 1));
                     return new double[] {
                         tree[0].retainedBytes() / 1e6, settings.bytes() / 1e6, door.bytes() / 1e6, door.ms()
                     };
--- a/src/main/java/vetchpost/simulation/world/NodeProcess.java
+++ b/src/main/java/vetchpost/simulation/world/NodeProcess.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import vetchpost.config.Config;
-import vetchpost.core.Admission;
-import vetchpost.core.Companion;
+import vetchpost.config.NodeConfig;
+import vetchpost.core.AdmissionControl;
+import vetchpost.core.NodeLifecycle;
 import vetchpost.core.RoutePolicy;
 import vetchpost.core.Subset;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.node.Node;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.simulation.check.Checker;
 import vetchpost.simulation.check.Violation;
 import vetchpost.simulation.check.Violation.Rule;
@@ -44,7 +44,7 @@
     /** Makes planted faults for tests; none elsewhere. */
     public interface Planting {
         /** The seams of a node on this loop. */
-        Seams seams(SimLoop loop);
+        NodeHooks seams(SimLoop loop);
 
         /** The routes that nodes begin with. */
         default RoutePolicy routes(Settings settings, long seed) {
@@ -52,7 +52,7 @@
         }
 
         /** The door that requests stand before; null for none. */
-        default Admission admission(Settings settings, long seed) {
+        default AdmissionControl admission(Settings settings, long seed) {
             return null;
         }
 
@@ -62,7 +62,7 @@
         }
 
         /** What goes along with a start of this machine's, counted from 1; null for nothing. */
-        default Companion companion(Start start) {
+        default NodeLifecycle companion(Start start) {
             return null;
         }
 
@@ -117,19 +117,19 @@
         private boolean stopped;
         private boolean over;
 
-        Process(Config config) {
+        Process(NodeConfig config) {
             tap = world.checker.node(name(), address);
             host = world.tcp.host(name(), tap);
             loop = SimLoop.open(world.time, world.random("loop" + number, starts));
             network = new SimNetwork(host, loop, planting::opened);
             toldReady.forEach((id, ready) -> tap.told(id, ready, toldStarts.get(id)));
             node = new Node(config, loop, network, World.EPOCH_MS + world.nowMs(), planting.seams(loop));
-            node.routes(planting.routes(config.settings(), config.seed()));
+            node.setRoutes(planting.routes(config.settings(), config.seed()));
             node.admission(planting.admission(config.settings(), config.seed()));
             if (planting.subset() > 0) {
-                node.subset(new Subset(number, nodes, planting.subset(), true));
+                node.setSubset(new Subset(number, nodes, planting.subset(), true));
             }
-            Companion companion = planting.companion(new Start(
+            NodeLifecycle companion = planting.companion(new Start(
                     number,
                     starts,
                     loop,
@@ -138,7 +138,7 @@
                     World.EPOCH_MS + world.nowMs(),
                     world.random("companion" + number, starts).nextLong()));
             if (companion != null) {
-                node.companion(companion);
+                node.setLifecycle(companion);
             }
             loop.run(() -> node.start(loop, 0, () -> {}));
         }
@@ -171,7 +171,7 @@
         }
 
         private void checkNothingLeft() {
-            Node.InHand left = node.inHand();
+            Node.PendingWork left = node.pendingWork();
             if (left.requests() != 0 || left.bytes() != 0 || left.sockets() != 0) {
                 leak("holds " + left);
             }
@@ -250,7 +250,7 @@
             toldStarts.clear();
             told.clear();
         }
-        process = new Process(Config.parse(config(), Map.of()));
+        process = new Process(NodeConfig.parse(config(), Map.of()));
         clients.knows(number, address);
     }
 
@@ -372,15 +372,15 @@
     /** These routes hold from the next turn of its loop on. */
     public void routes(RoutePolicy policy) {
         Process now = process;
-        now.loop.run(() -> now.node.routes(policy));
+        now.loop.run(() -> now.node.setRoutes(policy));
     }
 
     /** SIGHUP, after the configuration has changed. */
     public void hangUp() {
         if (isUp()) {
             Process now = process;
-            Config fresh = Config.parse(config(), Map.of());
-            now.loop.run(() -> now.node.reload(fresh));
+            NodeConfig fresh = NodeConfig.parse(config(), Map.of());
+            now.loop.run(() -> now.node.moveDiscovery(fresh));
         }
     }
 }
--- a/src/main/java/vetchpost/simwire/Reply.java
+++ b/src/main/java/vetchpost/simwire/ActionWriter.java
@@ -7,7 +7,7 @@
 import vetchpost.decision.Balancer;
 
 /** Writes the actions of the instance whose event is being handled; a reply goes out whole or not at all. */
-final class Reply implements Balancer.Actions {
+final class ActionWriter implements Balancer.Actions {
     private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
     private final OutputStream out;
@@ -15,7 +15,7 @@
     private int filled;
     private String node = "";
 
-    Reply(OutputStream out) {
+    ActionWriter(OutputStream out) {
         this.out = out;
     }
 
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         open("decline");
         handle(requestId);
         if (retryAfterUs > 0) {
--- a/src/main/java/vetchpost/simwire/Link.java
+++ b/src/main/java/vetchpost/simwire/AdapterSession.java
@@ -19,8 +19,8 @@
 import vetchpost.decision.ServiceQBalancer;
 
 /** Carries events from the wire to the instances and their actions back. It decides nothing. */
-final class Link {
-    private static final int MOST_ROSTERS = 16;
+final class AdapterSession {
+    private static final int MAX_ROSTERS = 16;
 
     /** One node's module with what is needed to translate for it. */
     private record Instance(
@@ -32,16 +32,16 @@
     /** A roster's line; its zone is still a name, since instances number zones by their own settings. */
     private record RosterLine(String id, String zone, int cell, ServerState state, double weight, long startedAt) {}
 
-    private final Line line;
-    private final Reply reply;
+    private final LineReader line;
+    private final ActionWriter reply;
     private final Map<String, Instance> instances = new HashMap<>();
     private final List<List<RosterLine>> rosters = new ArrayList<>();
     private long now;
 
-    Link(InputStream in, OutputStream out) {
-        line = new Line(in);
-        reply = new Reply(out);
-        for (int i = 0; i < MOST_ROSTERS; i++) {
+    AdapterSession(InputStream in, OutputStream out) {
+        line = new LineReader(in);
+        reply = new ActionWriter(out);
+        for (int i = 0; i < MAX_ROSTERS; i++) {
             rosters.add(null);
         }
     }
@@ -132,7 +132,7 @@
         }
         if (line.is("client_gone")) {
             long id = line.id("handle");
-            return () -> balancer.onClientGone(at, id);
+            return () -> balancer.onClientDisconnected(at, id);
         }
         if (line.is("first_byte")) {
             long id = line.id("handle");
@@ -206,8 +206,8 @@
 
     private int rosterNumber() throws WireException {
         long number = line.whole("setId");
-        if (number < 0 || number >= MOST_ROSTERS) {
-            throw line.bad("setId", "is not from 0 to " + (MOST_ROSTERS - 1));
+        if (number < 0 || number >= MAX_ROSTERS) {
+            throw line.bad("setId", "is not from 0 to " + (MAX_ROSTERS - 1));
         }
         return (int) number;
     }
--- a/src/main/java/vetchpost/simwire/Line.java
+++ b/src/main/java/vetchpost/simwire/LineReader.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 
 /** Reads the wire line by line: a name, then name=value pairs, parted by single spaces. Keeps no garbage. */
-final class Line {
+final class LineReader {
     private static final int FIRST_BUFFER = 1 << 16;
 
     private final InputStream in;
@@ -22,7 +22,7 @@
     private int[] valueStart = new int[16];
     private int[] valueEnd = new int[16];
 
-    Line(InputStream in) {
+    LineReader(InputStream in) {
         this.in = in;
     }
 
--- a/src/main/java/vetchpost/simwire/Main.java
+++ b/src/main/java/vetchpost/simwire/Main.java
@@ -14,7 +14,7 @@
      */
     public static void main(String[] args) {
         try {
-            new Link(System.in, new FileOutputStream(FileDescriptor.out)).run();
+            new AdapterSession(System.in, new FileOutputStream(FileDescriptor.out)).run();
         } catch (WireException | IOException e) {
             System.err.println("simwire: " + e.getMessage());
             System.exit(2);
--- a/src/main/java/vetchpost/standalone/Renewal.java
+++ b/src/main/java/vetchpost/standalone/Renewal.java
@@ -29,7 +29,7 @@
                 set.coldUs,
                 set.coldFrom,
                 set.fallMultiple,
-                set.secondCopies,
+                set.allowsHedging,
                 set.maxRetryAfterUs,
                 set.nodes);
     }
--- a/src/main/java/vetchpost/standalone/StandaloneProver.java
+++ b/src/main/java/vetchpost/standalone/StandaloneProver.java
@@ -10,8 +10,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
@@ -155,9 +155,9 @@
                     "number = " + (settings.nodes - 1));
         }
         settings.maxRetryAfterUs = own.duration("longest-advice", 30 * SECOND, 0, HOUR);
-        settings.marksRetry = true;
-        settings.cancel = true;
-        settings.probes = false;
+        settings.clientsMarkRetries = true;
+        settings.allowsCancellation = true;
+        settings.allowsProbes = false;
         for (Section section : file) {
             if (section.kind() == Kind.REQUESTS) {
                 requests(section);
@@ -264,10 +264,12 @@
     private void usual() {
         add(
                 new RequestRule(SAFE_METHODS, List.of(), ""),
-                new RequestClass("read", SECOND, 0, 30 * SECOND, 1, 0.5, Repeat.SAFE, Group.ALL, 0, false));
+                new RequestClass(
+                        "read", SECOND, 0, 30 * SECOND, 1, 0.5, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
         add(
                 RequestRule.ANY,
-                new RequestClass("write", SECOND, 0, 30 * SECOND, 1, 0.5, Repeat.UNSAFE, Group.ALL, 0, false));
+                new RequestClass(
+                        "write", SECOND, 0, 30 * SECOND, 1, 0.5, Idempotency.UNSAFE, DeduplicationScope.ALL, 0, false));
     }
 
     private void add(RequestRule rule, RequestClass cls) {
@@ -282,7 +284,7 @@
                 "repeat",
                 own.has("methods") && SAFE_METHODS.containsAll(own.texts("methods", List.of())) ? "safe" : "unsafe",
                 List.of("safe", "keyed", "unsafe"));
-        Repeat repeat = Repeat.valueOf(word.toUpperCase(Locale.ROOT));
+        Idempotency repeat = Idempotency.valueOf(word.toUpperCase(Locale.ROOT));
         Set<String> methods = new LinkedHashSet<>(own.texts("methods", List.of()));
         for (String method : methods) {
             if (!method.matches(TOKEN) || !method.equals(method.toUpperCase(Locale.ROOT))) {
@@ -300,21 +302,21 @@
                 own.violated("paths", Rule.BAD_PATTERN, "\"" + path + "\" is no path", "\"/photos\" or \"/photos/*\"");
             }
         }
-        String header = own.text("header", repeat == Repeat.KEYED ? KEY : "");
+        String header = own.text("header", repeat == Idempotency.KEYED ? KEY : "");
         if (!header.isEmpty() && !header.matches(TOKEN)) {
             own.violated("header", Rule.BAD_PATTERN, "header is no name of a field", "\"" + KEY + "\"");
         }
-        if (repeat == Repeat.KEYED && !own.has("window")) {
+        if (repeat == Idempotency.KEYED && !own.has("window")) {
             own.violated(
                     "window",
                     Rule.KEYED_LATE,
                     "it does not say window: for how long servers drop repeats of a key",
                     "window = \"10s\", or repeat = \"unsafe\"");
         }
-        if (repeat != Repeat.KEYED && own.has("window")) {
+        if (repeat != Idempotency.KEYED && own.has("window")) {
             own.violated("window", Rule.UNREACHABLE, "only keyed classes have a window", "repeat = \"keyed\"");
         }
-        if (repeat == Repeat.SAFE) {
+        if (repeat == Idempotency.SAFE) {
             for (String method : methods) {
                 if (!SAFE_METHODS.contains(method)) {
                     own.violated(
@@ -352,7 +354,7 @@
                         own.number("worth", 1, 0, 1e6),
                         own.number("late-worth", 0.5, 0, 1),
                         repeat,
-                        Group.ALL,
+                        DeduplicationScope.ALL,
                         own.duration("window", 0, 0, DAY),
                         false));
     }
@@ -411,7 +413,7 @@
         settings.coldUs = own.duration("cold", 20 * SECOND, 0, HOUR);
         settings.coldFrom = own.number("cold-from", 0.2, 0.001, 1);
         settings.fallMultiple = own.number("overload", 3, 1, 1_000);
-        settings.secondCopies = own.flag("second-copies", true);
+        settings.allowsHedging = own.flag("second-copies", true);
         return 2 * own.duration("idle", 5 * SECOND, 0, HOUR);
     }
 
--- a/src/main/java/vetchpost/state/BoxState.java
+++ b/src/main/java/vetchpost/state/BoxState.java
@@ -1,7 +1,7 @@
 package vetchpost.state;
 
 import vetchpost.core.ServerList.Target;
-import vetchpost.decision.Knowledge.OfServer;
+import vetchpost.decision.ServerStatistics.PerServer;
 
 /**
  * What is known of one box.
@@ -12,4 +12,4 @@
  * @param knownMs when the knowledge was taken down; 0 if there is none
  * @param knowledge what answers have told, with misses in the order of the snapshot's classes; or null
  */
-public record BoxState(Target target, long confirmedMs, Confirmed by, long knownMs, OfServer knowledge) {}
+public record BoxState(Target target, long confirmedMs, Confirmed by, long knownMs, PerServer knowledge) {}
--- a/src/main/java/vetchpost/state/Doubt.java
+++ b/src/main/java/vetchpost/state/Doubt.java
@@ -3,8 +3,8 @@
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Set;
-import vetchpost.decision.Knowledge;
-import vetchpost.decision.Knowledge.OfServer;
+import vetchpost.decision.ServerStatistics;
+import vetchpost.decision.ServerStatistics.PerServer;
 
 /**
  * Whether a node's knowledge of its boxes is worth taking: a confused one blames them for its own trouble, or
@@ -30,9 +30,9 @@
      * @param stallUs how far its loop is behind
      * @param upMs since when it runs
      */
-    public static Set<Trouble> ofSelf(Knowledge knowledge, long stallUs, long upMs) {
+    public static Set<Trouble> ofSelf(ServerStatistics knowledge, long stallUs, long upMs) {
         EnumSet<Trouble> troubles = EnumSet.noneOf(Trouble.class);
-        if (knowledge.ready() > 0 && 2 * knowledge.ejected() >= knowledge.ready()) {
+        if (knowledge.readyCount() > 0 && 2 * knowledge.ejectedCount() >= knowledge.readyCount()) {
             troubles.add(Trouble.MOST_ILL);
         }
         if (knowledge.throttled()) {
@@ -66,8 +66,8 @@
         int known = 0;
         int ill = 0;
         for (BoxState box : boxes) {
-            OfServer knowledge = box.knowledge();
-            if (knowledge != null && knowledge.answers() > 0) {
+            PerServer knowledge = box.knowledge();
+            if (knowledge != null && knowledge.attemptCount() > 0) {
                 known++;
                 ill += isIll(knowledge) ? 1 : 0;
             }
@@ -75,7 +75,9 @@
         return ill > 0 && 2 * ill >= known;
     }
 
-    static boolean isIll(OfServer knowledge) {
-        return knowledge.ejected() || knowledge.failures() >= ILL_FAILURES || knowledge.errors() >= ILL_ERRORS;
+    static boolean isIll(PerServer knowledge) {
+        return knowledge.ejected()
+                || knowledge.recentFailures() >= ILL_FAILURES
+                || knowledge.consecutiveErrors() >= ILL_ERRORS;
     }
 }
--- a/src/main/java/vetchpost/state/Priors.java
+++ b/src/main/java/vetchpost/state/Priors.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import vetchpost.decision.Knowledge;
-import vetchpost.decision.Knowledge.OfClass;
-import vetchpost.decision.Knowledge.OfServer;
+import vetchpost.decision.ServerStatistics;
+import vetchpost.decision.ServerStatistics.PerClass;
+import vetchpost.decision.ServerStatistics.PerServer;
 
 /**
  * Makes of a snapshot what a module may begin with: each piece of knowledge as strong as its age and the
@@ -31,43 +31,43 @@
      * @param trustBoxes how far a box is believed to be as it was, by id; 1 where there is no entry. Where
      *     that is little, nothing of its health counts, and it begins with so much of a limit
      */
-    public static Knowledge of(
+    public static ServerStatistics of(
             Snapshot snapshot, List<String> classes, long nowMs, boolean trustHealth, Map<String, Double> trustBoxes) {
         Map<String, Integer> index = new HashMap<>();
         classes.forEach(name -> index.put(name, index.size()));
         int[] places = new int[snapshot.classes().size()];
-        List<OfClass> usual = new ArrayList<>();
+        List<PerClass> usual = new ArrayList<>();
         double age = Confidence.after(nowMs - snapshot.origin().takenMs(), Confidence.LATENCY_HALF_MS);
         for (int c = 0; c < places.length; c++) {
             ClassState state = snapshot.classes().get(c);
             places[c] = index.getOrDefault(state.name(), -1);
             // A throttled or stalled node's latencies are its own.
             if (places[c] >= 0 && trustHealth) {
-                usual.add(new OfClass(
+                usual.add(new PerClass(
                         places[c], (int) Math.round(age * state.answers()), state.latencyUs(), state.leastLatencyUs()));
             }
         }
-        List<OfServer> servers = new ArrayList<>();
+        List<PerServer> servers = new ArrayList<>();
         for (BoxState box : snapshot.boxes()) {
             double trust = trustBoxes.getOrDefault(box.target().id(), 1.0);
-            OfServer prior = trust < SURE
+            PerServer prior = trust < SURE
                     ? unsure(box, trust, classes.size())
                     : box.knowledge() == null || !trustHealth ? null : prior(box, nowMs, places, classes.size());
             if (prior != null) {
                 servers.add(prior);
             }
         }
-        return new Knowledge(servers, usual, 0, 0, false);
+        return new ServerStatistics(servers, usual, 0, 0, false);
     }
 
     /** Of one box that has said who it is, and of which nothing newer is known; {@code trust} as above. */
-    public static Knowledge ofUnsure(BoxState box, int classes, double trust) {
-        return new Knowledge(List.of(unsure(box, trust, classes)), List.of(), 0, 0, false);
+    public static ServerStatistics ofUnsure(BoxState box, int classes, double trust) {
+        return new ServerStatistics(List.of(unsure(box, trust, classes)), List.of(), 0, 0, false);
     }
 
     /** Nothing of its health counts: somebody else may be there by now. It begins with little. */
-    private static OfServer unsure(BoxState box, double trust, int classes) {
-        return new OfServer(
+    private static PerServer unsure(BoxState box, double trust, int classes) {
+        return new PerServer(
                 box.target().id(),
                 1_000 * box.target().bootMs(),
                 Integer.MAX_VALUE / 2,
@@ -82,41 +82,43 @@
                 Collections.nCopies(classes, 0));
     }
 
-    private static OfServer prior(BoxState box, long nowMs, int[] places, int classes) {
-        OfServer known = box.knowledge();
+    private static PerServer prior(BoxState box, long nowMs, int[] places, int classes) {
+        PerServer known = box.knowledge();
         // What a box did counts from its last answer: a snapshot that repeats old news is no newer for it.
-        long heardMs = Math.min(box.knownMs(), known.heardAtUs() / 1_000);
+        long heardMs = Math.min(box.knownMs(), known.lastAnswerAtUs() / 1_000);
         long ageMs = nowMs - heardMs;
-        double evidence = Confidence.ofEvidence(known.answers());
+        double evidence = Confidence.ofEvidence(known.attemptCount());
         double health = evidence * Confidence.after(ageMs, Confidence.HEALTH_HALF_MS);
         double pace = evidence * Confidence.after(ageMs, Confidence.PACE_HALF_MS);
-        int answers = (int) (known.answers() * Confidence.after(ageMs, Confidence.PACE_HALF_MS));
+        int answers = (int) (known.attemptCount() * Confidence.after(ageMs, Confidence.PACE_HALF_MS));
         if (answers == 0 || Math.max(health, pace) < NOTHING) {
             return null;
         }
-        int failures = known.ejected() ? Math.max(EJECTED_FAILURES, known.failures()) : known.failures();
-        int errors = known.ejected() ? Math.max(EJECTED_FAILURES, known.errors()) : known.errors();
+        int failures = known.ejected() ? Math.max(EJECTED_FAILURES, known.recentFailures()) : known.recentFailures();
+        int errors =
+                known.ejected() ? Math.max(EJECTED_FAILURES, known.consecutiveErrors()) : known.consecutiveErrors();
         int[] misses = new int[classes];
-        for (int c = 0; c < Math.min(places.length, known.misses().size()); c++) {
+        for (int c = 0; c < Math.min(places.length, known.classFailureStreaks().size()); c++) {
             if (places[c] >= 0) {
-                misses[places[c]] = (int) Math.round(health * known.misses().get(c));
+                misses[places[c]] =
+                        (int) Math.round(health * known.classFailureStreaks().get(c));
             }
         }
         List<Integer> missed = new ArrayList<>(classes);
         for (int count : misses) {
             missed.add(count);
         }
-        return new OfServer(
+        return new PerServer(
                 known.id(),
                 1_000 * box.target().bootMs(),
                 answers,
-                known.heardAtUs(),
-                known.servedAtUs(),
+                known.lastAnswerAtUs(),
+                known.lastServedAtUs(),
                 (int) Math.round(health * errors),
                 (int) Math.round(health * failures),
-                health * known.faults(),
-                1 + pace * (known.pace() - 1),
-                known.limit(),
+                health * known.failureFraction(),
+                1 + pace * (known.relativeLatency() - 1),
+                known.relativeLimit(),
                 false,
                 missed);
     }
--- a/src/main/java/vetchpost/state/codec/PieceCodec.java
+++ b/src/main/java/vetchpost/state/codec/PieceCodec.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ServerState;
-import vetchpost.decision.Knowledge.OfServer;
+import vetchpost.decision.ServerStatistics.PerServer;
 import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
 import vetchpost.state.Confirmed;
@@ -120,19 +120,19 @@
         out.writeInt64(8, target.bootMs());
         out.writeInt64(9, box.confirmedMs());
         out.writeUInt32(10, box.by().ordinal());
-        OfServer known = box.knowledge();
+        PerServer known = box.knowledge();
         if (known != null) {
             out.writeInt64(11, box.knownMs());
-            out.writeUInt32(12, known.answers());
-            out.writeInt64(13, known.heardAtUs());
-            out.writeInt64(14, known.servedAtUs());
-            out.writeUInt32(15, known.errors());
-            out.writeUInt32(16, known.failures());
-            out.writeDouble(17, known.faults());
-            out.writeDouble(18, known.pace());
-            out.writeDouble(19, known.limit());
+            out.writeUInt32(12, known.attemptCount());
+            out.writeInt64(13, known.lastAnswerAtUs());
+            out.writeInt64(14, known.lastServedAtUs());
+            out.writeUInt32(15, known.consecutiveErrors());
+            out.writeUInt32(16, known.recentFailures());
+            out.writeDouble(17, known.failureFraction());
+            out.writeDouble(18, known.relativeLatency());
+            out.writeDouble(19, known.relativeLimit());
             out.writeBool(20, known.ejected());
-            for (int count : known.misses()) {
+            for (int count : known.classFailureStreaks()) {
                 out.writeUInt32(21, count);
             }
         }
@@ -309,7 +309,7 @@
                 known,
                 known == 0
                         ? null
-                        : new OfServer(
+                        : new PerServer(
                                 id,
                                 1_000 * boot,
                                 answers,
--- a/src/main/java/vetchpost/trial/TryCommand.java
+++ b/src/main/java/vetchpost/trial/TryCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.config.Config;
+import vetchpost.config.NodeConfig;
 import vetchpost.node.Node;
 
 /** The command {@code try}: a first run without a platform. */
@@ -66,7 +66,7 @@
                 discovery.knows(box);
             }
             EventLoop loop = group.next();
-            Config config = Config.parse(config(discovery), Map.of());
+            NodeConfig config = NodeConfig.parse(config(discovery), Map.of());
             Node node = loop.submit(() -> new Node(config, loop)).get();
             CountDownLatch ready = new CountDownLatch(1);
             Channel listening = loop.submit(() -> node.start(group, REHEARSED, ready::countDown))
