--- a/src/main/java/vetchpost/web/WebConnection.java
+++ b/src/main/java/vetchpost/web/WebConnection.java
@@ -36,18 +36,18 @@
 import vetchpost.core.BodySource;
 import vetchpost.core.Failure;
 import vetchpost.http.BadRequest;
-import vetchpost.http.ClientLine;
 import vetchpost.http.ClientServer;
-import vetchpost.http.Deafness;
 import vetchpost.http.HttpReply;
-import vetchpost.http.InHand;
+import vetchpost.http.InputDiscarder;
+import vetchpost.http.ManagedConnection;
 import vetchpost.http.RequestDecoder;
+import vetchpost.http.RequestMemory;
 
 /**
  * One connection of a client of the open web. It reads one request at a time and holds what comes behind it,
  * up to a bound; of a long body it holds the beginning and passes on the rest as fast as it is taken.
  */
-final class WebConnection extends ChannelInboundHandlerAdapter implements ClientLine {
+final class WebConnection extends ChannelInboundHandlerAdapter implements ManagedConnection {
     private static final Logger LOG = System.getLogger(WebConnection.class.getName());
     /** Bytes, and parts, that may wait behind what is read; beyond, the socket is no longer read. */
     private static final int MOST_AHEAD = 32 * 1_024;
@@ -105,7 +105,7 @@
     private boolean unwelcome;
     private boolean pumping;
     private boolean scheduled;
-    private final Deafness deafness = new Deafness(MOST_THROWN_AWAY);
+    private final InputDiscarder deafness = new InputDiscarder(MOST_THROWN_AWAY);
     private boolean ending;
     /** The connection ends with the answer that is being passed on. */
     private boolean closing;
@@ -124,7 +124,7 @@
         this.channel = channel;
         openedNs = server.nanos();
         restedNs = openedNs;
-        number = server.nextNumber();
+        number = server.nextConnectionId();
     }
 
     static void open(WebFront front, ClientServer server, ChannelPipeline pipeline) {
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public long restingSinceNs() {
+    public long idleSinceNs() {
         return restedNs;
     }
 
@@ -201,16 +201,16 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        unwelcome = server.opened(this, number, channel);
+        unwelcome = server.onOpened(this, number, channel);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (deafness.isDeaf() || !(message instanceof HttpObject part)) {
+        if (deafness.isDiscarding() || !(message instanceof HttpObject part)) {
             ReferenceCountUtil.release(message);
             return;
         }
-        readNs = server.nanos() - server.layNs();
+        readNs = server.nanos() - server.acceptDelayNs();
         ahead.add(part);
         aheadBytes += sizeOf(part);
         if (!scheduled) {
@@ -240,7 +240,7 @@
     private void settleReading() {
         channel.config()
                 .setAutoRead(
-                        deafness.isDeaf()
+                        deafness.isDiscarding()
                                 ? deafness.isReading()
                                 : aheadBytes < MOST_AHEAD && ahead.size() < MOST_PARTS);
     }
@@ -263,7 +263,7 @@
     }
 
     private boolean step(HttpObject part) {
-        if (deafness.isDeaf()) {
+        if (deafness.isDiscarding()) {
             poll();
             return true;
         }
@@ -297,7 +297,7 @@
             return true;
         }
         asked = true;
-        server.heardFrom(this);
+        server.onRequestReceived(this);
         ahead.poll();
         head = request;
         held = 0;
@@ -316,13 +316,13 @@
             reject(e);
             return true;
         }
-        if (unwelcome && server.isOverfull()) {
+        if (unwelcome && server.isOverConnectionLimit()) {
             reject(crowded());
             return true;
         }
         unwelcome = false;
-        cost = InHand.costOf(headBytes(request), 0);
-        if (!server.inHand().add(cost)) {
+        cost = RequestMemory.costOf(headBytes(request), 0);
+        if (!server.requestMemory().tryReserve(cost)) {
             cost = 0;
             reject(crowded());
             return true;
@@ -354,7 +354,7 @@
             take();
             return true;
         }
-        if (!server.inHand().add(more)) {
+        if (!server.requestMemory().tryReserve(more)) {
             reject(crowded());
             return true;
         }
@@ -392,7 +392,7 @@
         }
         byte[] whole = held == body.length ? body : Arrays.copyOf(body, held);
         body = NONE;
-        server.take(
+        server.handle(
                 front.request(head, classIndex, channel.remoteAddress(), whole, rest, length), reply, server.nanos());
     }
 
@@ -402,14 +402,14 @@
         private boolean ready;
 
         @Override
-        public void into(BodySink to) {
+        public void streamTo(BodySink to) {
             sink = to;
             readNs = server.nanos();
-            more();
+            resume();
         }
 
         @Override
-        public void more() {
+        public void resume() {
             ready = true;
             pump();
         }
@@ -437,7 +437,7 @@
             if (held + passed > front.limits().bodyBytes()) {
                 BodySink to = sink;
                 leaveWith(tooLarge());
-                to.broken();
+                to.abort();
                 return true;
             }
             BodySink to = sink;
@@ -448,7 +448,7 @@
             }
             if (last) {
                 phase = Phase.WHOLE;
-                to.end();
+                to.complete();
                 wholeAndAnswered();
             }
             return true;
@@ -483,7 +483,7 @@
         BodySink to = rest == null ? null : rest.sink;
         left.gone();
         if (to != null) {
-            to.broken();
+            to.abort();
         }
         reply = null;
         reject(e);
@@ -497,7 +497,7 @@
         becomeDeaf();
         ending = true;
         FullHttpResponse response = e.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-                ? HttpReply.comeBack(e.getMessage(), server.comeBackUs())
+                ? HttpReply.serviceUnavailable(e.getMessage(), server.retryAfterUs())
                 : HttpReply.plain(e.status(), e.getMessage());
         if (e.status().equals(HttpResponseStatus.METHOD_NOT_ALLOWED)) {
             response.headers().set(HttpHeaderNames.ALLOW, "GET, HEAD, OPTIONS, POST, PUT, PATCH, DELETE");
@@ -516,7 +516,7 @@
     }
 
     private void becomeDeaf() {
-        deafness.begin();
+        deafness.startDiscarding();
         while (!ahead.isEmpty()) {
             poll();
         }
@@ -561,7 +561,7 @@
     }
 
     private boolean closesAfter() {
-        return !keepAlive || deafness.isDeaf() || phase == Phase.REST || server.endsConnections();
+        return !keepAlive || deafness.isDiscarding() || phase == Phase.REST || server.closesAfterResponse();
     }
 
     private static void connectionField(HttpMessage response, boolean last) {
@@ -601,7 +601,7 @@
             return;
         }
         answeredWhole = false;
-        server.inHand().remove(cost);
+        server.requestMemory().release(cost);
         cost = 0;
         reply = null;
         rest = null;
@@ -625,20 +625,20 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (server.log().isOn()) {
-            server.log().line("closed", number, closedFor == null ? "by the client" : closedFor);
+            server.log().write("closed", number, closedFor == null ? "by the client" : closedFor);
         }
-        server.closed(this);
+        server.onClosed(this);
         while (!ahead.isEmpty()) {
             poll();
         }
-        server.inHand().remove(cost);
+        server.requestMemory().release(cost);
         cost = 0;
         BodySink to = rest == null || phase != Phase.REST ? null : rest.sink;
         if (reply != null) {
             reply.gone();
         }
         if (to != null) {
-            to.broken();
+            to.abort();
         }
     }
 
@@ -650,8 +650,8 @@
         }
         LOG.log(Level.ERROR, "a client's connection failed", cause);
         if (reply != null && !reply.isAnswered()) {
-            reply.mayHaveRun();
-            reply.failed(Failure.INTERNAL);
+            reply.markMayHaveRun();
+            reply.failed(Failure.INTERNAL_ERROR);
         } else {
             close("a fault");
         }
--- a/src/main/java/vetchpost/web/WebExchange.java
+++ b/src/main/java/vetchpost/web/WebExchange.java
@@ -23,11 +23,11 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.Arrays;
 import java.util.concurrent.TimeUnit;
-import vetchpost.core.Answer;
 import vetchpost.core.BodySink;
 import vetchpost.core.BodySource;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.ServerTransport.Sending;
+import vetchpost.core.ServerResponse;
+import vetchpost.core.ServerTransport.OutgoingRequest;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.http.Exchange;
 import vetchpost.http.HeaderFields;
@@ -46,7 +46,7 @@
 
     private final WebFront front;
     private final WebLimits limits;
-    private final Sending sending;
+    private final OutgoingRequest sending;
     private final ClientRequest request;
     private Channel channel;
     private HttpResponse head;
@@ -70,7 +70,7 @@
     /** What the head says of the connection, asked before its fields are passed on without that. */
     private boolean reusable;
 
-    WebExchange(WebFront front, Sending sending) {
+    WebExchange(WebFront front, OutgoingRequest sending) {
         this.front = front;
         this.sending = sending;
         limits = front.limits();
@@ -85,8 +85,8 @@
         HttpMethod method = HttpMethod.valueOf(request.method());
         HttpHeaders headers =
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
-        request.fields().forEach(headers::add);
-        if (request.rest() == null) {
+        request.headers().forEach(headers::add);
+        if (request.bodyRemainder() == null) {
             sent = true;
             return channel.writeAndFlush(new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
@@ -96,10 +96,10 @@
                     headers,
                     DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders()));
         }
-        if (request.length() == Long.MAX_VALUE) {
+        if (request.bodyLength() == Long.MAX_VALUE) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         } else {
-            headers.set(HttpHeaderNames.CONTENT_LENGTH, request.length());
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, request.bodyLength());
         }
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, request.target(), headers));
         upload = new Upload();
@@ -107,7 +107,7 @@
         writing.addListener(done -> {
             if (done.isSuccess() && !over && !whole) {
                 taken = true;
-                request.rest().into(upload);
+                request.bodyRemainder().streamTo(upload);
             }
         });
         return writing;
@@ -130,14 +130,14 @@
                         unwritten--;
                         progress();
                         if (done.isSuccess() && unwritten == 0 && !over && !whole) {
-                            request.rest().more();
+                            request.bodyRemainder().resume();
                         }
                     });
             return false;
         }
 
         @Override
-        public void end() {
+        public void complete() {
             if (!over && !whole) {
                 sent = true;
                 channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
@@ -147,7 +147,7 @@
         }
 
         @Override
-        public void broken() {
+        public void abort() {
             if (!over && !whole) {
                 // The server must not take what it has for the whole.
                 channel.close();
@@ -191,28 +191,28 @@
     // ---------------------------------------------------------------- the answer
 
     @Override
-    public boolean isHead() {
+    public boolean isBodyless() {
         return request.method().equals("HEAD");
     }
 
     @Override
-    public boolean read(HttpObject part) throws Spoilt {
+    public boolean read(HttpObject part) throws MalformedResponse {
         if (whole || part.decoderResult().isFailure()) {
-            throw new Spoilt();
+            throw new MalformedResponse();
         }
         if (part instanceof HttpResponse response) {
             // Nobody has asked for another protocol.
             if (response.protocolVersion().majorVersion() != 1
                     || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-                throw new Spoilt();
+                throw new MalformedResponse();
             }
             if (!limits.mark().isEmpty()
                     && !response.headers().contains(limits.mark())
                     && response.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                throw new Spoilt(); // Another application lives at that address now.
+                throw new MalformedResponse(); // Another application lives at that address now.
             }
             head = response;
-            boolean framed = isHead()
+            boolean framed = isBodyless()
                     || HttpUtil.isContentLengthSet(response)
                     || HttpUtil.isTransferEncodingChunked(response)
                     || hasNoBody(response.status());
@@ -222,7 +222,7 @@
             boolean last = part instanceof LastHttpContent;
             if (isInformational()) {
                 if (last && ++informational > MOST_INFORMATIONAL) {
-                    throw new Spoilt();
+                    throw new MalformedResponse();
                 }
                 head = last ? null : head;
                 return false;
@@ -265,11 +265,11 @@
             whole = true;
             end();
             if (sink != null) {
-                sink.end();
+                sink.complete();
             }
             if (upload != null && !sent) {
                 // Answered before all was asked: what is left of the question is not wanted any more.
-                request.rest().abandon();
+                request.bodyRemainder().abandon();
             }
         }
     }
@@ -303,17 +303,17 @@
             timer = null;
         }
         progress();
-        if (sending.begun(answerWith(Arrays.copyOf(held, size), this))) {
+        if (sending.onResponseStarted(answerWith(Arrays.copyOf(held, size), this))) {
             watch();
         } else {
             channel.close();
         }
     }
 
-    private Answer answerWith(byte[] body, BodySource rest) {
+    private ServerResponse answerWith(byte[] body, BodySource rest) {
         RequestCheck.dropHopByHop(head.headers());
         long length = rest == null ? body.length : HttpUtil.getContentLength(head, Long.MAX_VALUE);
-        return new Answer(
+        return new ServerResponse(
                 head.status().code(),
                 head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                 body,
@@ -323,12 +323,12 @@
     }
 
     @Override
-    public void into(BodySink to) {
+    public void streamTo(BodySink to) {
         sink = to;
     }
 
     @Override
-    public void more() {
+    public void resume() {
         if (paused && !over) {
             paused = false;
             progress();
@@ -345,7 +345,7 @@
     }
 
     @Override
-    public boolean isWhole() {
+    public boolean isComplete() {
         return whole;
     }
 
@@ -367,22 +367,22 @@
     }
 
     @Override
-    public Answer answer() {
+    public ServerResponse response() {
         return begun ? null : answerWith(size == held.length ? held : Arrays.copyOf(held, size), null);
     }
 
     @Override
-    public void broken() {
+    public void abort() {
         if (over) {
             return;
         }
         over = true;
         end();
         if (taken && !sent) {
-            request.rest().abandon();
+            request.bodyRemainder().abandon();
         }
         if (sink != null) {
-            sink.broken();
+            sink.abort();
         }
     }
 }
--- a/src/main/java/vetchpost/web/WebFront.java
+++ b/src/main/java/vetchpost/web/WebFront.java
@@ -12,19 +12,19 @@
 import java.util.function.LongSupplier;
 import vetchpost.core.BodySource;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.ServerTransport.Sending;
+import vetchpost.core.ServerTransport.OutgoingRequest;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.http.BadRequest;
-import vetchpost.http.ClientLine;
 import vetchpost.http.ClientServer;
 import vetchpost.http.Exchange;
 import vetchpost.http.HeaderFields;
+import vetchpost.http.ManagedConnection;
 import vetchpost.http.RequestReader;
 import vetchpost.standalone.Classifier;
 import vetchpost.standalone.WebLimits;
 
 /** Both sides of a node that speaks with the open web: how clients' connections and exchanges are made. */
-public final class WebFront implements ClientLine.Opener, Exchange.Maker {
+public final class WebFront implements ManagedConnection.ConnectionInitializer, Exchange.Factory {
     private static final String REMAINING = "X-Remaining-Ms";
     private static final String RESENT = "X-Resent";
     private static final int MOST_DIGITS = 9;
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public Exchange of(Sending sending) {
+    public Exchange create(OutgoingRequest sending) {
         return new WebExchange(this, sending);
     }
 
@@ -102,7 +102,7 @@
         String host = headers.get(HttpHeaderNames.HOST);
         int tenant = classifier.tenantOf(host, headers::get);
         long remainingUs = rest != null ? limits.uploadUs() : deadlineUs(classIndex);
-        long saidMs = RequestReader.whole(headers.get(REMAINING), MOST_DIGITS);
+        long saidMs = RequestReader.parseDigits(headers.get(REMAINING), MOST_DIGITS);
         if (saidMs > 0) {
             remainingUs = Math.min(remainingUs, 1_000 * saidMs);
         }
--- a/src/main/java/vetchpost/web/WebReply.java
+++ b/src/main/java/vetchpost/web/WebReply.java
@@ -14,10 +14,10 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.Date;
-import vetchpost.core.Answer;
 import vetchpost.core.BodySink;
 import vetchpost.core.ClientReply;
 import vetchpost.core.Failure;
+import vetchpost.core.ServerResponse;
 import vetchpost.http.HttpReply;
 
 /** The one answer to a request of the open web; of a body that is not held, the way of its bytes too. */
@@ -32,7 +32,7 @@
     private boolean mayHaveRun;
     private boolean answered;
     private boolean ended;
-    private Answer streaming;
+    private ServerResponse streaming;
 
     /**
      * Not answered yet.
@@ -48,12 +48,12 @@
     }
 
     @Override
-    public long connection() {
+    public long connectionId() {
         return connection.number();
     }
 
     @Override
-    public void whenGone(Runnable action) {
+    public void onDisconnect(Runnable action) {
         whenGone = action;
     }
 
@@ -71,28 +71,28 @@
         ended = true;
         whenGone.run();
         if (streaming != null) {
-            streaming.rest().abandon();
+            streaming.bodyRemainder().abandon();
         }
     }
 
     /** The client has read so much that more can be written. */
     void writable() {
         if (streaming != null && !ended) {
-            streaming.rest().more();
+            streaming.bodyRemainder().resume();
         }
     }
 
     @Override
-    public void served(Answer answer) {
+    public void served(ServerResponse answer) {
         if (answered) {
-            if (answer.rest() != null) {
-                answer.rest().abandon();
+            if (answer.bodyRemainder() != null) {
+                answer.bodyRemainder().abandon();
             }
             return;
         }
         answered = true;
         HttpResponseStatus status = HttpResponseStatus.valueOf(answer.status());
-        if (answer.rest() == null) {
+        if (answer.bodyRemainder() == null) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(answer.body()));
             fields(response, answer);
@@ -108,8 +108,8 @@
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, status);
         fields(response, answer);
         boolean byClosing = false;
-        if (answer.length() < Long.MAX_VALUE) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.length());
+        if (answer.bodyLength() < Long.MAX_VALUE) {
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.bodyLength());
         } else if (old) {
             byClosing = true;
         } else {
@@ -119,13 +119,13 @@
         if (answer.body().length > 0) {
             connection.pass(new DefaultHttpContent(Unpooled.wrappedBuffer(answer.body())));
         }
-        answer.rest().into(this);
+        answer.bodyRemainder().streamTo(this);
     }
 
-    private void fields(HttpResponse response, Answer answer) {
+    private void fields(HttpResponse response, ServerResponse answer) {
         HttpHeaders headers = response.headers();
-        if (answer.fields() != null) {
-            answer.fields().forEach(headers::add);
+        if (answer.headers() != null) {
+            answer.headers().forEach(headers::add);
         }
         // The node's own word about requests that it has not served, and no server's.
         headers.remove(RAN);
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void end() {
+    public void complete() {
         if (!ended) {
             ended = true;
             connection.endOfAnswer(LastHttpContent.EMPTY_LAST_CONTENT);
@@ -149,7 +149,7 @@
     }
 
     @Override
-    public void broken() {
+    public void abort() {
         if (!ended) {
             ended = true;
             connection.breakOff();
@@ -157,18 +157,18 @@
     }
 
     @Override
-    public boolean errored(Answer error) {
+    public boolean passOnError(ServerResponse error) {
         served(error);
         return true;
     }
 
     @Override
-    public void mayHaveRun() {
+    public void markMayHaveRun() {
         mayHaveRun = true;
     }
 
     @Override
-    public void refused(long retryAfterUs) {
+    public void rejected(long retryAfterUs) {
         FullHttpResponse response = HttpReply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused, try again");
         if (retryAfterUs > 0) {
             // Whole seconds (RFC 9110, section 10.2.3), and never less than what was advised.
@@ -183,15 +183,16 @@
                 switch (why) {
                     case DUPLICATE_ID ->
                         HttpReply.plain(HttpResponseStatus.CONFLICT, "a request of this id is in hand");
-                    case GIVEN_UP -> HttpReply.plain(HttpResponseStatus.BAD_GATEWAY, "no server has answered");
-                    case OUT_OF_TIME ->
+                    case UNSERVED -> HttpReply.plain(HttpResponseStatus.BAD_GATEWAY, "no server has answered");
+                    case DEADLINE_EXCEEDED ->
                         HttpReply.plain(HttpResponseStatus.GATEWAY_TIMEOUT, "no server has answered in time");
-                    case BAD_PATH -> HttpReply.plain(HttpResponseStatus.BAD_REQUEST, "path can be read in two ways");
-                    case TOO_LARGE ->
+                    case AMBIGUOUS_PATH ->
+                        HttpReply.plain(HttpResponseStatus.BAD_REQUEST, "path can be read in two ways");
+                    case BODY_TOO_LARGE ->
                         HttpReply.plain(
                                 HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
                                 "body over its route's limit, or of no said length where there is one");
-                    case INTERNAL -> HttpReply.plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
+                    case INTERNAL_ERROR -> HttpReply.plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
                 });
     }
 
--- a/src/test/java/vetchpost/admission/Doorway.java
+++ b/src/test/java/vetchpost/admission/AdmissionHarness.java
@@ -6,41 +6,41 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.BiConsumer;
-import vetchpost.core.Admission;
+import vetchpost.core.AdmissionControl;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.Fields;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.core.Headers;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
 
 /** A door on virtual time, before a module that sends as soon as one of so many servers is free. */
-final class Doorway {
+final class AdmissionHarness {
     static final long WORK_US = 10_000;
     private static final long START_US = 1_000_000_000_000L;
 
     final Settings platform;
     final FairAdmission door;
-    final List<Asked> all = new ArrayList<>();
+    final List<SubmittedRequest> all = new ArrayList<>();
     long now = START_US;
     int servers;
     long workUs = WORK_US;
     private int busy;
     private long numbers;
-    private final List<Asked> unsent = new ArrayList<>();
+    private final List<SubmittedRequest> unsent = new ArrayList<>();
     private final PriorityQueue<Due> queue =
             new PriorityQueue<>(Comparator.comparingLong(Due::us).thenComparingLong(Due::number));
 
     private record Due(long us, long number, Runnable task) {}
 
     /** What has become of a request. */
-    final class Asked implements Admission.Entrant {
+    final class SubmittedRequest implements AdmissionControl.Applicant {
         final int tenant;
         final int cls;
         final String key;
         final long askedUs = now;
-        Admission.Entry entry;
+        AdmissionControl.RequestProgress entry;
         boolean admitted;
         boolean refused;
         boolean left;
@@ -48,7 +48,7 @@
         long adviceUs;
         Runnable whenRefused = () -> {};
 
-        Asked(int tenant, int cls, String key) {
+        SubmittedRequest(int tenant, int cls, String key) {
             this.tenant = tenant;
             this.cls = cls;
             this.key = key;
@@ -67,7 +67,7 @@
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void rejected(long retryAfterUs) {
             must(!admitted && !refused && !left, "refused twice, or after its end");
             refused = true;
             adviceUs = retryAfterUs;
@@ -84,14 +84,14 @@
         }
     }
 
-    Doorway(int servers, Settings platform, AdmissionSettings settings) {
+    AdmissionHarness(int servers, Settings platform, AdmissionSettings settings) {
         this.servers = servers;
         this.platform = platform;
         door = new FairAdmission(settings, platform, 7);
     }
 
-    Doorway(int servers, Settings platform) {
-        this(servers, platform, AdmissionProver.defaults(platform));
+    AdmissionHarness(int servers, Settings platform) {
+        this(servers, platform, AdmissionValidator.defaults(platform));
     }
 
     static void must(boolean holds, String otherwise) {
@@ -103,21 +103,22 @@
     /** So many tenants of equal shares, one class of requests with this aim. */
     static Settings settings(int tenants, long aimUs) {
         Settings set = new Settings();
-        set.classes.add(new RequestClass("view-page", aimUs, 0, 10 * aimUs, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+        set.classes.add(new RequestClass(
+                "view-page", aimUs, 0, 10 * aimUs, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
         for (int i = 0; i < tenants; i++) {
             set.tenants.add(new Tenant("school-" + i, 0));
         }
         set.maxRetryAfterUs = 10_000_000;
-        set.marksRetry = true;
+        set.clientsMarkRetries = true;
         return set;
     }
 
-    Asked ask(int tenant, String key) {
+    SubmittedRequest ask(int tenant, String key) {
         return ask(tenant, 0, key);
     }
 
-    Asked ask(int tenant, int cls, String key) {
-        Asked asked = new Asked(tenant, cls, key);
+    SubmittedRequest ask(int tenant, int cls, String key) {
+        SubmittedRequest asked = new SubmittedRequest(tenant, cls, key);
         all.add(asked);
         long deadlineUs = platform.classes.get(cls).deadlineUs();
         asked.entry = door.arrive(
@@ -148,14 +149,14 @@
 
     private void send() {
         while (busy < servers && !unsent.isEmpty()) {
-            Asked next = unsent.remove(0);
+            SubmittedRequest next = unsent.remove(0);
             busy++;
             next.entry.sent();
             long sentUs = now;
             at(now + workUs, () -> {
                 busy--;
                 next.endedUs = now;
-                door.served(next.cls, now - sentUs);
+                door.recordLatency(next.cls, now - sentUs);
                 next.entry.ended();
                 send();
                 door.advance(now);
@@ -167,7 +168,7 @@
         long until = now + us;
         while (true) {
             long dueUs = queue.isEmpty() ? Long.MAX_VALUE : queue.peek().us;
-            long wakeUs = Math.max(now, door.wakeAtUs());
+            long wakeUs = Math.max(now, door.nextWakeUpUs());
             if (Math.min(dueUs, wakeUs) > until) {
                 break;
             }
@@ -190,7 +191,7 @@
         return all.stream().filter(a -> a.tenant == tenant).count();
     }
 
-    private record Cookie(String key) implements Fields {
+    private record Cookie(String key) implements Headers {
         @Override
         public String get(String name) {
             return key != null && name.equals("Cookie") ? "theme=dark; key=" + key + "; x=1" : null;
--- a/src/test/java/vetchpost/admission/AdmissionProverTest.java
+++ b/src/test/java/vetchpost/admission/AdmissionValidatorTest.java
@@ -19,25 +19,25 @@
 import vetchpost.routes.file.RouteFile;
 
 /** What an operator may say of the door, and how it is told what it may not. */
-class AdmissionProverTest {
+class AdmissionValidatorTest {
     private static Settings settings() {
-        Settings set = Doorway.settings(0, 200_000);
+        Settings set = AdmissionHarness.settings(0, 200_000);
         set.tenants.add(new Tenant("school-a", 30));
         set.tenants.add(new Tenant("school-b", 10));
         set.maxRetryAfterUs = 2_000_000;
         return set;
     }
 
-    private static AdmissionProver.Proof prove(String text) {
+    private static AdmissionValidator.ValidationResult prove(String text) {
         RouteFile file = RouteFile.parse("door.toml", text);
         assertEquals(List.of(), file.violations());
         assertEquals(List.of(), Prover.prove(file.sections(), settings()).violations(), "the table is known");
-        return AdmissionProver.prove(file.sections(), settings());
+        return AdmissionValidator.validate(file.sections(), settings());
     }
 
     @Test
     void aFileWithoutTheTableHasNoDoor() {
-        AdmissionProver.Proof proof = prove("[defaults]\nattempts = 1\n");
+        AdmissionValidator.ValidationResult proof = prove("[defaults]\nattempts = 1\n");
         assertNull(proof.settings());
         assertEquals(List.of(), proof.violations());
     }
@@ -45,10 +45,10 @@
     @Test
     void anEmptyTableIsADoorByTheSettings() {
         AdmissionSettings door = prove("[admission]\n").settings();
-        assertEquals(AdmissionProver.defaults(settings()), door);
-        assertEquals(List.of(1.0, 1.5, 0.5), door.weights(), "shares over their mean");
-        assertEquals(2_000_000, door.longestUs());
-        assertEquals(0, door.patienceUs());
+        assertEquals(AdmissionValidator.defaults(settings()), door);
+        assertEquals(List.of(1.0, 1.5, 0.5), door.tenantWeights(), "shares over their mean");
+        assertEquals(2_000_000, door.maxRetryAfterUs());
+        assertEquals(0, door.clientRetryWindowUs());
     }
 
     @Test
@@ -88,7 +88,7 @@
         "weights = { school-a = true }, WRONG_UNIT"
     })
     void aBadValueIsNamedWithItsPlaceAndRule(String line, Rule rule) {
-        AdmissionProver.Proof proof = prove("[admission]\n" + line.replace('~', '"') + "\n");
+        AdmissionValidator.ValidationResult proof = prove("[admission]\n" + line.replace('~', '"') + "\n");
         assertNull(proof.settings());
         assertEquals(1, proof.violations().size(), proof.violations().toString());
         Violation violation = proof.violations().get(0);
@@ -104,6 +104,6 @@
                 .filter(l -> l.matches("\\| `[a-z-]+` \\| .*"))
                 .map(l -> l.split("`")[1])
                 .toList();
-        assertEquals(AdmissionProver.KEYS, named);
+        assertEquals(AdmissionValidator.KEYS, named);
     }
 }
--- a/src/test/java/vetchpost/admission/FairQueueTest.java
+++ b/src/test/java/vetchpost/admission/FairQueueTest.java
@@ -15,13 +15,13 @@
     private static final int FLOWS = 12;
     private static final double LARGEST = 40;
 
-    private final Branch root = new Branch(null, 0, 1);
-    private final List<Line> flows = new ArrayList<>();
+    private final SchedulingNode root = new SchedulingNode(null, 0, 1);
+    private final List<RequestQueue> flows = new ArrayList<>();
     private long turn;
 
     private void open(SplittableRandom random) {
         for (int i = 0; i < FLOWS; i++) {
-            Line flow = new Line(root, i);
+            RequestQueue flow = new RequestQueue(root, i);
             flow.weight = 0.05 + 4 * random.nextDouble();
             flow.waiting = 1;
             root.children.put(i, flow);
@@ -38,12 +38,12 @@
         open(random);
         double[] served = new double[FLOWS];
         for (int i = 0; i < 5_000; i++) {
-            Line next = (Line) root.next(k -> true, new ArrayList<>());
+            RequestQueue next = (RequestQueue) root.next(k -> true, new ArrayList<>());
             double cost = 1 + (LARGEST - 1) * random.nextDouble();
             served[next.key] += cost;
             root.serve(next, cost, ++turn);
-            for (Line a : flows) {
-                for (Line b : flows) {
+            for (RequestQueue a : flows) {
+                for (RequestQueue b : flows) {
                     double apart = served[a.key] / a.weight - served[b.key] / b.weight;
                     assertTrue(apart <= LARGEST / a.weight + LARGEST / b.weight + 1e-6, "step " + i + ": " + apart);
                 }
@@ -64,7 +64,7 @@
         double[] lastCost = new double[FLOWS];
         double out = 0;
         for (int i = 0; i < 20_000; i++) {
-            Line next = (Line) root.next(k -> true, new ArrayList<>());
+            RequestQueue next = (RequestQueue) root.next(k -> true, new ArrayList<>());
             double bound = lastCost[next.key] * weights / next.weight + (FLOWS - 1) * LARGEST;
             assertTrue(
                     out - lastAt[next.key] <= bound + 1e-6,
@@ -79,8 +79,8 @@
 
     @Test
     void whoWasIdleHasNoClaimOnThePastButIsNotForgottenWhileItIsAhead() {
-        Line busy = new Line(root, 1);
-        Line shy = new Line(root, 2);
+        RequestQueue busy = new RequestQueue(root, 1);
+        RequestQueue shy = new RequestQueue(root, 2);
         root.children.put(1, busy);
         root.children.put(2, shy);
         busy.waiting = 1;
--- a/src/test/java/vetchpost/admission/StuckModule.java
+++ b/src/test/java/vetchpost/admission/SingleClassBalancer.java
@@ -3,21 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
-import vetchpost.core.Admission;
+import vetchpost.core.AdmissionControl;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.Fields;
+import vetchpost.core.Headers;
 
 /** A module that can send the second class only, one request every ten milliseconds. */
-final class StuckModule {
+final class SingleClassBalancer {
     private final FairAdmission door;
     private final List<Entrant> inside = new ArrayList<>();
     private long now = 1_000_000_000_000L;
     private long numbers;
     int sent;
 
-    private final class Entrant implements Admission.Entrant {
+    private final class Entrant implements AdmissionControl.Applicant {
         private final int cls;
-        private Admission.Entry entry;
+        private AdmissionControl.RequestProgress entry;
 
         Entrant(int cls) {
             this.cls = cls;
@@ -29,12 +29,12 @@
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void rejected(long retryAfterUs) {
             throw new AssertionError("there is all the time");
         }
     }
 
-    StuckModule(FairAdmission door) {
+    SingleClassBalancer(FairAdmission door) {
         this.door = door;
     }
 
@@ -44,7 +44,7 @@
 
     void ask(int cls, int client) {
         Entrant entrant = new Entrant(cls);
-        Fields none = new Fields() {
+        Headers none = new Headers() {
             @Override
             public String get(String name) {
                 return null;
--- a/src/test/java/vetchpost/changes/CatalogTest.java
+++ b/src/test/java/vetchpost/changes/CatalogTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.Position;
@@ -38,8 +38,10 @@
         Settings set = new Settings();
         set.maxAttempts = 3;
         set.maxRetryAfterUs = 1_000_000;
-        set.classes.add(new RequestClass("read", 500_000, 0, 1_000_000, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
-        set.classes.add(new RequestClass("write", 500_000, 0, 1_000_000, 1, 0, Repeat.UNSAFE, Group.ALL, 0, false));
+        set.classes.add(new RequestClass(
+                "read", 500_000, 0, 1_000_000, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
+        set.classes.add(new RequestClass(
+                "write", 500_000, 0, 1_000_000, 1, 0, Idempotency.UNSAFE, DeduplicationScope.ALL, 0, false));
         return set;
     }
 
--- a/src/test/java/vetchpost/config/DescriptorsTest.java
+++ b/src/test/java/vetchpost/config/DescriptorLimitTest.java
@@ -10,9 +10,9 @@
 import vetchpost.testing.Fixture;
 
 /** What the system's table of limits is read as. */
-class DescriptorsTest {
+class DescriptorLimitTest {
     private static int limit(String... lines) {
-        return Descriptors.limit(Stream.of(lines));
+        return DescriptorLimit.limit(Stream.of(lines));
     }
 
     @Test
@@ -35,10 +35,12 @@
     @Test
     void theLowerLimitCounts() throws Exception {
         try (FakePeer discovery = new FakePeer(FakePeer.SILENT)) {
-            Config config = Config.parse(Fixture.config(discovery).toString(), Map.of());
-            assertEquals(100, config.within(100).sockets());
-            assertEquals(config.sockets(), config.within(Integer.MAX_VALUE).sockets());
+            NodeConfig config = NodeConfig.parse(Fixture.config(discovery).toString(), Map.of());
+            assertEquals(100, config.withMaxDescriptors(100).maxDescriptors());
+            assertEquals(
+                    config.maxDescriptors(),
+                    config.withMaxDescriptors(Integer.MAX_VALUE).maxDescriptors());
         }
-        assertTrue(Descriptors.limit() > 0);
+        assertTrue(DescriptorLimit.limit() > 0);
     }
 }
--- a/src/test/java/vetchpost/control/LeasesTest.java
+++ b/src/test/java/vetchpost/control/LeasesTest.java
@@ -259,11 +259,11 @@
     void aShareOfAClassIsRefusedEvenly() {
         ask(change(Kind.SHED, "write", 400, 0), 0);
         Shedder shedder =
-                new Shedder(request -> vetchpost.core.RouteBounds.NONE, List.of("read", "write"), leases::effects);
+                new Shedder(request -> vetchpost.core.RouteLimits.NONE, List.of("read", "write"), leases::effects);
         StringBuilder entered = new StringBuilder();
         for (int i = 0; i < 10; i++) {
-            entered.append(shedder.boundsOf(request(1)).enter() ? "+" : "-");
-            assertTrue(shedder.boundsOf(request(0)).enter());
+            entered.append(shedder.limitsOf(request(1)).tryAcquire() ? "+" : "-");
+            assertTrue(shedder.limitsOf(request(0)).tryAcquire());
         }
         assertEquals("++-+-++-+-", entered.toString());
     }
--- a/src/test/java/vetchpost/core/AddressesTest.java
+++ b/src/test/java/vetchpost/core/AddressOwnersTest.java
@@ -8,8 +8,8 @@
 import vetchpost.decision.Balancer.ServerState;
 
 /** Two servers can't share an address. */
-class AddressesTest {
-    private final Addresses addresses = new Addresses();
+class AddressOwnersTest {
+    private final AddressOwners addresses = new AddressOwners();
 
     private static ServerList.Target target(String id, int host, ServerState state, long bootMs) {
         return new ServerList.Target(id, new InetSocketAddress("10.1.0." + host, 1), "a", 0, state, 1, bootMs);
--- a/src/test/java/vetchpost/core/DoorTest.java
+++ b/src/test/java/vetchpost/core/AdmissionControlTest.java
@@ -9,10 +9,10 @@
 import java.util.PriorityQueue;
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
-import vetchpost.admission.AdmissionProver;
+import vetchpost.admission.AdmissionValidator;
 import vetchpost.admission.FairAdmission;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.ServerState;
@@ -20,12 +20,12 @@
 import vetchpost.decision.ServiceQBalancer;
 
 /** A door before the core: each request taken has one answer, whatever the door does. */
-class DoorTest {
+class AdmissionControlTest {
     private static final long AIM_US = 100_000;
     private long now = 1_000_000_000L;
     private long numbers;
     private final PriorityQueue<Due> queue = new PriorityQueue<>();
-    private final List<ServerTransport.Sending> sent = new ArrayList<>();
+    private final List<ServerTransport.OutgoingRequest> sent = new ArrayList<>();
     private final List<Asked> asked = new ArrayList<>();
     private final Clock clock = new Clock() {
         @Override
@@ -34,7 +34,7 @@
         }
 
         @Override
-        public Timer at(long us, Runnable task) {
+        public Timer schedule(long us, Runnable task) {
             Due due = new Due(us, ++numbers, task);
             queue.add(due);
             return () -> queue.remove(due);
@@ -42,7 +42,7 @@
     };
     private final Dispatcher node = new Dispatcher(
             clock,
-            new Stall(clock),
+            new EventLoopDelay(clock),
             new Servers(),
             List.of(),
             () -> {},
@@ -59,7 +59,8 @@
 
     private static Settings settings() {
         Settings set = new Settings();
-        set.classes.add(new RequestClass("view-page", AIM_US, 0, 5 * AIM_US, 1, 0, Repeat.SAFE, Group.ALL, 0, false));
+        set.classes.add(new RequestClass(
+                "view-page", AIM_US, 0, 5 * AIM_US, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
         set.maxRetryAfterUs = 1_000_000;
         return set;
     }
@@ -69,25 +70,25 @@
         public void update(ServerList list) {}
 
         @Override
-        public Attempt send(String serverId, Sending sending) {
+        public Attempt send(String serverId, OutgoingRequest sending) {
             sent.add(sending);
             sending.request();
             return new Attempt() {
                 @Override
-                public boolean isOut() {
+                public boolean mayHaveReachedServer() {
                     return true;
                 }
 
                 @Override
-                public void giveUp(Result reason) {
+                public void abandon(Result reason) {
                     sent.remove(sending);
-                    sending.ended(reason, null);
+                    sending.onEnded(reason, null);
                 }
             };
         }
 
         @Override
-        public Attempt probe(String serverId, Report report) {
+        public Attempt probe(String serverId, AttemptListener report) {
             throw new AssertionError("no probes are allowed");
         }
 
@@ -102,13 +103,13 @@
         private Runnable gone;
 
         @Override
-        public void served(Answer answer) {
+        public void served(ServerResponse answer) {
             answers++;
             served = true;
         }
 
         @Override
-        public void refused(long retryAfterUs) {
+        public void rejected(long retryAfterUs) {
             answers++;
             adviceUs = retryAfterUs;
         }
@@ -119,12 +120,12 @@
         }
 
         @Override
-        public void whenGone(Runnable action) {
+        public void onDisconnect(Runnable action) {
             gone = action;
         }
     }
 
-    private record NoFields() implements Fields {
+    private record NoFields() implements Headers {
         @Override
         public String get(String name) {
             return null;
@@ -137,7 +138,7 @@
     private Asked ask() {
         Asked reply = new Asked();
         asked.add(reply);
-        node.take(
+        node.accept(
                 new ClientRequest(
                         ++numbers, 0, -1, 5 * AIM_US, 0, false, "GET", "/view-page", new NoFields(), new byte[0]),
                 reply,
@@ -164,12 +165,12 @@
     }
 
     private FairAdmission fair() {
-        return new FairAdmission(AdmissionProver.defaults(settings()), settings(), 1);
+        return new FairAdmission(AdmissionValidator.defaults(settings()), settings(), 1);
     }
 
     private void serveAll() {
         while (!sent.isEmpty()) {
-            sent.remove(0).ended(Result.OK, new Answer(200, null, new byte[0]));
+            sent.remove(0).onEnded(Result.OK, new ServerResponse(200, null, new byte[0]));
         }
     }
 
@@ -181,11 +182,11 @@
         for (int i = 0; i < 30; i++) {
             ask();
         }
-        assertEquals(30, node.held());
+        assertEquals(30, node.pendingRequests());
         assertTrue(sent.size() >= 4, "the module sends by its own limits: " + sent.size());
-        assertEquals(30 - sent.size() - 2, door.waiting());
+        assertEquals(30 - sent.size() - 2, door.waitingRequests());
         serveAll();
-        assertEquals(0, node.held());
+        assertEquals(0, node.pendingRequests());
         assertTrue(asked.stream().allMatch(a -> a.served && a.answers == 1));
     }
 
@@ -201,7 +202,7 @@
         assertTrue(asked.stream().filter(a -> a.adviceUs >= 0).count() >= 24);
         run(5 * AIM_US);
         assertTrue(asked.stream().allMatch(a -> a.answers == 1), "each has its one answer");
-        assertEquals(0, node.held());
+        assertEquals(0, node.pendingRequests());
         assertTrue(queue.isEmpty(), "and no timer is left");
     }
 
@@ -213,12 +214,12 @@
         for (int i = 0; i < 12; i++) {
             ask();
         }
-        int waiting = door.waiting();
+        int waiting = door.waitingRequests();
         asked.get(11).gone.run();
         asked.get(9).gone.run();
-        assertEquals(waiting - 2, door.waiting());
+        assertEquals(waiting - 2, door.waitingRequests());
         serveAll();
-        assertEquals(0, node.held());
+        assertEquals(0, node.pendingRequests());
         assertEquals(10, asked.stream().filter(a -> a.served).count());
     }
 
@@ -230,16 +231,16 @@
         for (int i = 0; i < 12; i++) {
             ask();
         }
-        assertTrue(door.waiting() > 0);
+        assertTrue(door.waitingRequests() > 0);
         node.admission(null);
-        assertEquals(0, door.waiting());
+        assertEquals(0, door.waitingRequests());
         ask();
         serveAll();
         assertTrue(asked.stream().allMatch(a -> a.served && a.answers == 1));
     }
 
     /** What a door is told; it fails at the first word, or passes over all. */
-    private record Told(boolean breaks) implements Admission.Entry {
+    private record Told(boolean breaks) implements AdmissionControl.RequestProgress {
         @Override
         public void sent() {
             ended();
@@ -254,7 +255,7 @@
     }
 
     /** Fails when it is asked for the third time, or with what it is told, holding all back. */
-    private static final class Broken implements Admission {
+    private static final class Broken implements AdmissionControl {
         private final boolean inArrival;
         private final boolean breaksWhenTold;
         private int calls;
@@ -265,8 +266,8 @@
         }
 
         @Override
-        public Entry arrive(
-                long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Entrant entrant) {
+        public RequestProgress arrive(
+                long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Applicant entrant) {
             if (inArrival && ++calls == 3) {
                 throw new IllegalStateException("planted");
             }
@@ -274,7 +275,7 @@
         }
 
         @Override
-        public void served(int classIndex, long latencyUs) {}
+        public void recordLatency(int classIndex, long latencyUs) {}
 
         @Override
         public void advance(long nowUs) {
@@ -284,12 +285,12 @@
         }
 
         @Override
-        public long wakeAtUs() {
+        public long nextWakeUpUs() {
             return Long.MAX_VALUE;
         }
 
         @Override
-        public void open() {}
+        public void admitAll() {}
     }
 
     @Test
@@ -304,7 +305,7 @@
             serveAll();
             assertEquals(null, node.admission(), "it is taken out");
             assertTrue(asked.stream().allMatch(a -> a.served && a.answers == 1), "and all goes in");
-            assertEquals(0, node.held());
+            assertEquals(0, node.pendingRequests());
         }
     }
 
@@ -318,55 +319,55 @@
         assertEquals(null, node.admission(), "it is taken out");
         serveAll();
         assertTrue(asked.get(0).served && asked.get(0).answers == 1, "and what it held goes in");
-        assertEquals(0, node.held());
+        assertEquals(0, node.pendingRequests());
     }
 
     @Test
     void aTimeThatWasPromisedComesBeforeWhatARouteSays() {
         list();
-        node.routes(request -> new RouteBounds() {
+        node.setRoutes(request -> new RouteLimits() {
             @Override
-            public long adviseUs(long otherwiseUs) {
+            public long retryAfterUs(long otherwiseUs) {
                 return 77;
             }
         });
         long[] advice = {123_000, 0};
         int[] n = new int[1];
-        node.admission(new Admission() {
-            private final List<Entrant> come = new ArrayList<>();
+        node.admission(new AdmissionControl() {
+            private final List<Applicant> come = new ArrayList<>();
 
             @Override
-            public Entry arrive(
+            public RequestProgress arrive(
                     long nowUs,
                     ClientRequest request,
                     long connection,
                     long waitedUs,
                     long deadlineUs,
-                    Entrant entrant) {
+                    Applicant entrant) {
                 come.add(entrant);
                 return new Told(false);
             }
 
             @Override
-            public void served(int classIndex, long latencyUs) {}
+            public void recordLatency(int classIndex, long latencyUs) {}
 
             @Override
             public void advance(long nowUs) {
                 while (!come.isEmpty()) {
-                    come.remove(0).refused(advice[n[0]++]);
+                    come.remove(0).rejected(advice[n[0]++]);
                 }
             }
 
             @Override
-            public long wakeAtUs() {
+            public long nextWakeUpUs() {
                 return Long.MAX_VALUE;
             }
 
             @Override
-            public void open() {}
+            public void admitAll() {}
         });
         assertEquals(123_000, ask().adviceUs);
         assertEquals(77, ask().adviceUs);
-        assertEquals(0, node.held());
+        assertEquals(0, node.pendingRequests());
     }
 }
--- a/src/test/java/vetchpost/core/AnswerMarginTest.java
+++ b/src/test/java/vetchpost/core/AnswerMarginTest.java
@@ -20,7 +20,7 @@
         }
 
         @Override
-        public Timer at(long us, Runnable task) {
+        public Timer schedule(long us, Runnable task) {
             return () -> {};
         }
     };
@@ -40,7 +40,7 @@
 
     private final Dispatcher node = new Dispatcher(
             clock,
-            new Stall(clock),
+            new EventLoopDelay(clock),
             stub(ServerTransport.class),
             List.of(),
             () -> {},
@@ -49,7 +49,7 @@
             actions -> module);
 
     private long leftUs(long remainingUs, long waitedUs) {
-        Fields none = new Fields() {
+        Headers none = new Headers() {
             @Override
             public String get(String name) {
                 return null;
@@ -58,17 +58,17 @@
             @Override
             public void forEach(BiConsumer<String, String> action) {}
         };
-        node.take(
+        node.accept(
                 new ClientRequest(told.size(), 0, -1, remainingUs, 0, false, "GET", "/", none, new byte[0]),
                 stub(NoReply.class),
                 waitedUs);
-        return told.get(told.size() - 1).leftUs();
+        return told.get(told.size() - 1).remainingUs();
     }
 
     /** A reply whose numbers need no value. */
     interface NoReply extends ClientReply {
         @Override
-        default long connection() {
+        default long connectionId() {
             return 0;
         }
     }
--- a/src/test/java/vetchpost/core/ListIntakeTest.java
+++ b/src/test/java/vetchpost/core/ServerListQueueTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import vetchpost.core.ListIntake.Slice;
 import vetchpost.core.ServerList.Target;
+import vetchpost.core.ServerListQueue.ListChunk;
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.ServerState;
 
 /** Lists come in whole or in slices, with the same end; shrunken ones are doubted. */
-class ListIntakeTest {
-    private final ListIntake intake = new ListIntake();
+class ServerListQueueTest {
+    private final ServerListQueue intake = new ServerListQueue();
     /** What a node that takes in the slices has. */
     private final Map<String, Target> node = new HashMap<>();
 
@@ -54,7 +54,7 @@
         }
     }
 
-    private void take(Slice slice) {
+    private void take(ListChunk slice) {
         slices++;
         longest = Math.max(longest, slice.list().targets().size());
         if (slice.kind() != ListKind.CHANGES) {
@@ -80,13 +80,13 @@
     void aListOfAnyLengthComesToTheSame(int count) {
         take(true, fleet(0, count));
         assertHas(fleet(0, count));
-        assertTrue(longest <= ListIntake.SLICE, longest + " in one");
+        assertTrue(longest <= ServerListQueue.SLICE, longest + " in one");
         List<Target> next = new ArrayList<>(fleet(count / 3, count + 5));
         next.set(0, target(count / 3, ServerState.DRAINING));
         Collections.shuffle(next, new Random(2));
         take(true, next);
         assertHas(next);
-        assertTrue(longest <= ListIntake.SLICE, longest + " in one");
+        assertTrue(longest <= ServerListQueue.SLICE, longest + " in one");
         take(false, List.of(target(count / 3 + 1, ServerState.GONE), target(90_000, ServerState.READY)));
         next.removeIf(t -> t.id().equals("s" + (count / 3 + 1)));
         next.add(target(90_000, ServerState.READY));
@@ -172,15 +172,15 @@
         intake.obey();
         takeAll();
         assertHas(fleet(0, 5));
-        assertTrue(longest <= ListIntake.SLICE);
+        assertTrue(longest <= ServerListQueue.SLICE);
     }
 
     @Test
     void fewMayGoAtOnceAndACachedListMayBeAllWrong() {
-        take(true, fleet(0, ListIntake.LEAST_DOUBTED));
+        take(true, fleet(0, ServerListQueue.MIN_SUSPECT_SERVERS));
         take(true, fleet(0, 1));
         assertFalse(intake.hasNewDoubt());
-        ListIntake fresh = new ListIntake();
+        ServerListQueue fresh = new ServerListQueue();
         take(fresh.known(new ServerList(0, true, fleet(0, 100))));
         fresh.add(new ServerList(1, true, fleet(100, 110)));
         take(fresh.next());
--- a/src/test/java/vetchpost/core/SubsetTest.java
+++ b/src/test/java/vetchpost/core/SubsetTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import vetchpost.core.ListIntake.Slice;
 import vetchpost.core.ServerList.Target;
+import vetchpost.core.ServerListQueue.ListChunk;
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.ServerState;
@@ -47,7 +47,7 @@
         }
 
         void take(ListKind kind, List<Target> targets) {
-            Slice slice = subset.of(new Slice(kind, new ServerList(1, kind == ListKind.FULL, targets)));
+            ListChunk slice = subset.of(new ListChunk(kind, new ServerList(1, kind == ListKind.FULL, targets)));
             assertEquals(kind, slice.kind());
             if (kind != ListKind.CHANGES) {
                 servers.clear();
--- a/src/test/java/vetchpost/daemon/Alone.java
+++ b/src/test/java/vetchpost/daemon/Alone.java
@@ -83,8 +83,8 @@
         return on(() -> node.remark(true));
     }
 
-    Node.InHand inHand() throws Exception {
-        return on(() -> node.node().inHand());
+    Node.PendingWork inHand() throws Exception {
+        return on(() -> node.node().pendingWork());
     }
 
     int port() {
--- a/src/test/java/vetchpost/decision/ApertureTest.java
+++ b/src/test/java/vetchpost/decision/ApertureTest.java
@@ -31,7 +31,7 @@
 
     private static List<String> part(Aperture aperture) {
         List<String> ids = new ArrayList<>();
-        aperture.joining(new Roster<>(0)).forEach(s -> ids.add(s.id));
+        aperture.joining(new IndexedSet<>(0)).forEach(s -> ids.add(s.id));
         return ids;
     }
 
@@ -198,7 +198,8 @@
         }
         String server = node.last(asked.get(0)).server();
         node.answer(asked.get(0), Result.OK, 20_000);
-        double grown = node.balancer.knowledge(List.of(server)).servers().get(0).limit();
+        double grown =
+                node.balancer.statistics(List.of(server)).servers().get(0).relativeLimit();
         assertTrue(grown > 1.1 && grown < 1.2, "limit as a multiple of the first: " + grown);
     }
 }
--- a/src/test/java/vetchpost/decision/DrawIndexTest.java
+++ b/src/test/java/vetchpost/decision/DrawIndexTest.java
@@ -207,7 +207,7 @@
 
     @Test
     void aRosterKeepsItsOrderButForWhoLeaves() {
-        Roster<Server> roster = new Roster<>(0);
+        IndexedSet<Server> roster = new IndexedSet<>(0);
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             servers.add(new Server("s" + i, i, 1, 1));
--- a/src/test/java/vetchpost/decision/SheddingTest.java
+++ b/src/test/java/vetchpost/decision/LoadShedderTest.java
@@ -12,7 +12,7 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.Settings;
 
-class SheddingTest {
+class LoadShedderTest {
     private static final int NODES = 14;
     private static final int LOWER = Node.SAFE;
     private static final int UPPER = Node.UNSAFE;
@@ -23,14 +23,14 @@
         set.nodes = NODES;
         set.classes.replaceAll(c -> new RequestClass(
                 c.name(),
-                c.aimUs(),
+                c.latencyTargetUs(),
                 0,
                 c.deadlineUs(),
-                c.repeat() == Balancer.Repeat.SAFE ? 1 : 5,
+                c.idempotency() == Balancer.Idempotency.SAFE ? 1 : 5,
                 0,
-                c.repeat(),
-                c.group(),
-                c.windowUs(),
+                c.idempotency(),
+                c.deduplicationScope(),
+                c.deduplicationWindowUs(),
                 false));
         return set;
     }
@@ -69,10 +69,10 @@
 
     @Test
     void thePartFollowsWhatBecomesOfUpperRequests() {
-        Shedding shedding = new Shedding();
+        LoadShedder shedding = new LoadShedder();
         SplittableRandom random = new SplittableRandom(1);
-        Call upper = call(true);
-        Call lower = call(false);
+        PendingRequest upper = call(true);
+        PendingRequest lower = call(false);
         assertFalse(shedding.refuses(lower, random));
         for (int i = 0; i < 100; i++) {
             shedding.givenUp(upper);
@@ -81,7 +81,8 @@
         for (int i = 0; i < 1_000; i++) {
             refused += shedding.refuses(lower, random) ? 1 : 0;
         }
-        assertEquals(1_000 * Shedding.MOST, refused, 50, "at most so many, or nobody learns of new room");
+        assertEquals(
+                1_000 * LoadShedder.MAX_SHED_FRACTION, refused, 50, "at most so many, or nobody learns of new room");
         assertFalse(shedding.refuses(upper, random));
         shedding.givenUp(lower);
         for (int i = 0; i < 1_000; i++) {
@@ -92,15 +93,15 @@
 
     @Test
     void aRequestThatWasSentBeforeTellsNothing() {
-        Shedding shedding = new Shedding();
-        Call tried = call(true);
+        LoadShedder shedding = new LoadShedder();
+        PendingRequest tried = call(true);
         tried.attempts = 1;
         shedding.givenUp(tried);
         assertFalse(shedding.refuses(call(false), new SplittableRandom(1)));
     }
 
-    private static Call call(boolean upper) {
-        Call call = new Call(new Request(1, 0, -1, 1_000_000, 0, false), settings(), 0, 0);
+    private static PendingRequest call(boolean upper) {
+        PendingRequest call = new PendingRequest(new Request(1, 0, -1, 1_000_000, 0, false), settings(), 0, 0);
         call.upper = upper;
         return call;
     }
--- a/src/test/java/vetchpost/decision/MechanismTest.java
+++ b/src/test/java/vetchpost/decision/MechanismTest.java
@@ -24,7 +24,7 @@
     void aFirstTryIsNotTakenForALateOneBecauseItsClientWaitsLessThanOthers() {
         // Guards against giving up at once what had only come slowly, where clients mark their repeats.
         Balancer.Settings set = Node.settings();
-        set.marksRetry = true;
+        set.clientsMarkRetries = true;
         Node node = new Node(set, 7).with(3);
         for (int i = 0; i < 100; i++) {
             node.serve(Node.SAFE, Result.OK, 10_000);
@@ -165,7 +165,16 @@
     void aServerAtItsLimitIsPassedOverAndTheQueueServesWorthFirst() {
         Settings set = Node.settings();
         set.classes.add(new Balancer.RequestClass(
-                "dear", 200_000, 0, 1_000_000, 9, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+                "dear",
+                200_000,
+                0,
+                1_000_000,
+                9,
+                0,
+                Balancer.Idempotency.SAFE,
+                Balancer.DeduplicationScope.ALL,
+                0,
+                false));
         set.nodes = 2;
         Node node = new Node(set, 3).with(2);
         List<Long> ids = new ArrayList<>();
@@ -269,7 +278,16 @@
     void answersFarSlowerThanTheirClassCanBeLowerALimitHoweverFarTheAim() {
         Settings set = Node.settings();
         set.classes.add(new Balancer.RequestClass(
-                "patient", 20_000_000, 0, 30_000_000, 1, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+                "patient",
+                20_000_000,
+                0,
+                30_000_000,
+                1,
+                0,
+                Balancer.Idempotency.SAFE,
+                Balancer.DeduplicationScope.ALL,
+                0,
+                false));
         Node node = new Node(set, 3).with(1);
         for (int i = 0; i < 80; i++) {
             node.serve(5, Result.OK, i < 40 ? 10_000 : 200_000);
--- a/src/test/java/vetchpost/decision/Node.java
+++ b/src/test/java/vetchpost/decision/Node.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import vetchpost.decision.Balancer.Actions;
 import vetchpost.decision.Balancer.Candidate;
-import vetchpost.decision.Balancer.Group;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.Outcome;
-import vetchpost.decision.Balancer.Repeat;
 import vetchpost.decision.Balancer.Request;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Result;
@@ -17,7 +17,7 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
-import vetchpost.decision.Balancer.Why;
+import vetchpost.decision.Balancer.UnservedReason;
 
 /** A node for tests: a clock, a module and a record of what it asked for. */
 final class Node implements Actions {
@@ -44,7 +44,7 @@
     /** Whether it wants to be told why; what it is told then. */
     boolean curious;
 
-    final Map<Long, Why> reasons = new HashMap<>();
+    final Map<Long, UnservedReason> reasons = new HashMap<>();
     final Map<Long, List<Candidate>> drawn = new HashMap<>();
     long now = 1_000_000;
     private final List<Long> wakes = new ArrayList<>();
@@ -64,19 +64,19 @@
         Settings set = new Settings();
         set.zones.add("here");
         set.zones.add("there");
-        set.classes.add(requestClass("safe", Repeat.SAFE, Group.ALL));
-        set.classes.add(requestClass("keyed-all", Repeat.KEYED, Group.ALL));
-        set.classes.add(requestClass("keyed-zone", Repeat.KEYED, Group.ZONE));
-        set.classes.add(requestClass("keyed-cell", Repeat.KEYED, Group.CELL));
-        set.classes.add(requestClass("unsafe", Repeat.UNSAFE, Group.ALL));
+        set.classes.add(requestClass("safe", Idempotency.SAFE, DeduplicationScope.ALL));
+        set.classes.add(requestClass("keyed-all", Idempotency.KEYED, DeduplicationScope.ALL));
+        set.classes.add(requestClass("keyed-zone", Idempotency.KEYED, DeduplicationScope.ZONE));
+        set.classes.add(requestClass("keyed-cell", Idempotency.KEYED, DeduplicationScope.CELL));
+        set.classes.add(requestClass("unsafe", Idempotency.UNSAFE, DeduplicationScope.ALL));
         set.tenants.add(new Tenant("tenant", 0));
         set.maxAttempts = 4;
-        set.secondCopies = true;
-        set.cancel = true;
+        set.allowsHedging = true;
+        set.allowsCancellation = true;
         return set;
     }
 
-    static RequestClass requestClass(String name, Repeat repeat, Group group) {
+    static RequestClass requestClass(String name, Idempotency repeat, DeduplicationScope group) {
         return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, repeat, group, 400_000, false);
     }
 
@@ -85,15 +85,15 @@
         Settings set = settings();
         set.classes.replaceAll(c -> new RequestClass(
                 c.name(),
-                c.aimUs(),
+                c.latencyTargetUs(),
                 0,
                 c.deadlineUs(),
-                c.worth(),
+                c.value(),
                 0.5,
-                c.repeat(),
-                c.group(),
-                c.windowUs(),
-                c.stream()));
+                c.idempotency(),
+                c.deduplicationScope(),
+                c.deduplicationWindowUs(),
+                c.isStreaming()));
         return set;
     }
 
@@ -192,7 +192,7 @@
     }
 
     @Override
-    public void refuse(long requestId, long retryAfterUs) {
+    public void reject(long requestId, long retryAfterUs) {
         assertReason(requestId);
         refused.add(requestId);
     }
@@ -210,17 +210,17 @@
     }
 
     @Override
-    public boolean explains() {
+    public boolean wantsExplanations() {
         return curious;
     }
 
     @Override
-    public void drew(long requestId, Candidate first, Candidate second) {
+    public void reportCandidates(long requestId, Candidate first, Candidate second) {
         drawn.put(requestId, second == null ? List.of(first) : List.of(first, second));
     }
 
     @Override
-    public void because(long requestId, Why why) {
+    public void reportReason(long requestId, UnservedReason why) {
         if (reasons.put(requestId, why) != null) {
             throw new AssertionError("two reasons");
         }
--- a/src/test/java/vetchpost/decision/PriorTest.java
+++ b/src/test/java/vetchpost/decision/PriorTest.java
@@ -11,19 +11,19 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.ServerEntry;
 import vetchpost.decision.Balancer.ServerState;
-import vetchpost.decision.Knowledge.OfClass;
-import vetchpost.decision.Knowledge.OfServer;
+import vetchpost.decision.ServerStatistics.PerClass;
+import vetchpost.decision.ServerStatistics.PerServer;
 
 /** What a module learns can be taken down, and is a beginning for another, but never its verdict. */
 class PriorTest {
     private static final List<Integer> NO_MISSES = List.of(0, 0, 0, 0, 0);
 
-    private static OfServer of(String id, int answers, int errors, int failures, double limit) {
-        return new OfServer(id, 0, answers, 1, 1, errors, failures, 0, 1, limit, false, NO_MISSES);
+    private static PerServer of(String id, int answers, int errors, int failures, double limit) {
+        return new PerServer(id, 0, answers, 1, 1, errors, failures, 0, 1, limit, false, NO_MISSES);
     }
 
-    private static Knowledge prior(OfServer... servers) {
-        return new Knowledge(List.of(servers), List.of(), 0, 0, false);
+    private static ServerStatistics prior(PerServer... servers) {
+        return new ServerStatistics(List.of(servers), List.of(), 0, 0, false);
     }
 
     private static int sentTo(Node node, String id) {
@@ -56,17 +56,20 @@
                 node.answer(id, node.last(id).server().equals("s0") ? Result.ERROR : Result.OK, 2_000);
             }
         }
-        Knowledge known = node.balancer.knowledge(List.of("s0", "s1", "nobody"));
+        ServerStatistics known = node.balancer.statistics(List.of("s0", "s1", "nobody"));
         assertEquals(2, known.servers().size());
-        assertEquals(2, known.ready());
-        assertEquals(1, known.ejected());
-        OfServer ill = known.servers().get(0);
+        assertEquals(2, known.readyCount());
+        assertEquals(1, known.ejectedCount());
+        PerServer ill = known.servers().get(0);
         assertTrue(ill.ejected(), ill.toString());
-        assertTrue(ill.errors() > 0 && ill.failures() >= 4 && ill.answers() >= 4, ill.toString());
-        assertEquals(0, ill.servedAtUs());
-        OfServer well = known.servers().get(1);
-        assertTrue(well.answers() > 0 && well.errors() == 0 && well.servedAtUs() > 0 && !well.ejected());
-        OfClass usual = known.classes().get(Node.UNSAFE);
+        assertTrue(ill.consecutiveErrors() > 0 && ill.recentFailures() >= 4 && ill.attemptCount() >= 4, ill.toString());
+        assertEquals(0, ill.lastServedAtUs());
+        PerServer well = known.servers().get(1);
+        assertTrue(well.attemptCount() > 0
+                && well.consecutiveErrors() == 0
+                && well.lastServedAtUs() > 0
+                && !well.ejected());
+        PerClass usual = known.classes().get(Node.UNSAFE);
         assertEquals(2_000, usual.latencyUs(), 1);
     }
 
@@ -81,30 +84,30 @@
         assertTrue(
                 sentTo(taught, "s0") < sentTo(cold, "s0"),
                 sentTo(taught, "s0") + " with a prior, " + sentTo(cold, "s0") + " without");
-        assertTrue(taught.balancer.knowledge(List.of("s0")).servers().get(0).failures() >= 1);
+        assertTrue(taught.balancer.statistics(List.of("s0")).servers().get(0).recentFailures() >= 1);
     }
 
     @Test
     void aPriorEjectsNobodyAndItsFirstSuccessClearsIt() {
         Node node = new Node().with(4);
         node.balancer.onPrior(node.now, prior(of("s0", 1_000, 1_000_000, 16, 1)));
-        OfServer told = node.balancer.knowledge(List.of("s0")).servers().get(0);
+        PerServer told = node.balancer.statistics(List.of("s0")).servers().get(0);
         assertFalse(told.ejected());
-        assertEquals(3, told.failures());
-        assertTrue(told.errors() <= 8);
+        assertEquals(3, told.recentFailures());
+        assertTrue(told.consecutiveErrors() <= 8);
         serve(node, 200, Result.OK);
         assertTrue(sentTo(node, "s0") > 20, sentTo(node, "s0") + " of 200: a false word lasted");
-        assertEquals(0, node.balancer.knowledge(List.of("s0")).servers().get(0).errors());
+        assertEquals(0, node.balancer.statistics(List.of("s0")).servers().get(0).consecutiveErrors());
     }
 
     @Test
     void ownAnswersOutweighAPrior() {
         Node node = new Node().with(4);
         serve(node, 40, Result.OK);
-        OfServer before = node.balancer.knowledge(List.of("s0")).servers().get(0);
-        assertTrue(before.answers() > 0);
+        PerServer before = node.balancer.statistics(List.of("s0")).servers().get(0);
+        assertTrue(before.attemptCount() > 0);
         node.balancer.onPrior(node.now, prior(of("s0", 1_000, 8, 3, 0.25)));
-        assertEquals(before, node.balancer.knowledge(List.of("s0")).servers().get(0));
+        assertEquals(before, node.balancer.statistics(List.of("s0")).servers().get(0));
     }
 
     @Test
@@ -114,9 +117,9 @@
                         ListKind.CACHED,
                         List.of(new ServerEntry("s0", 0, 0, ServerState.READY, 1, 500_000), Node.server("s1")));
         node.balancer.onPrior(node.now, prior(of("s0", 100, 6, 3, 4), of("s1", 100, 6, 3, 4)));
-        List<OfServer> known = node.balancer.knowledge(List.of("s0", "s1")).servers();
-        assertEquals(0, known.get(0).errors(), "s0 has started since");
-        assertEquals(6, known.get(1).errors());
+        List<PerServer> known = node.balancer.statistics(List.of("s0", "s1")).servers();
+        assertEquals(0, known.get(0).consecutiveErrors(), "s0 has started since");
+        assertEquals(6, known.get(1).consecutiveErrors());
     }
 
     @Test
@@ -124,20 +127,20 @@
         Node node = new Node().with(2);
         node.balancer.onPrior(node.now, prior(of("s0", 100, 6, 3, 4)));
         node.list(ListKind.CHANGES, List.of(new ServerEntry("s0", 0, 0, ServerState.READY, 1, node.now)));
-        OfServer known = node.balancer.knowledge(List.of("s0")).servers().get(0);
-        assertEquals(0, known.errors());
-        assertEquals(0, known.failures());
-        assertEquals(1, known.limit(), 1e-9);
-        assertEquals(0, known.answers());
+        PerServer known = node.balancer.statistics(List.of("s0")).servers().get(0);
+        assertEquals(0, known.consecutiveErrors());
+        assertEquals(0, known.recentFailures());
+        assertEquals(1, known.relativeLimit(), 1e-9);
+        assertEquals(0, known.attemptCount());
     }
 
     @Test
     void anUnsureServerBeginsWithOneRequestAtATime() {
         Node node = new Node().with(2);
-        List<OfServer> unsure = new ArrayList<>();
+        List<PerServer> unsure = new ArrayList<>();
         unsure.add(of("s0", Integer.MAX_VALUE / 2, 0, 0, 0.01));
         unsure.add(of("s1", Integer.MAX_VALUE / 2, 0, 0, 0.01));
-        node.balancer.onPrior(node.now, new Knowledge(unsure, List.of(), 0, 0, false));
+        node.balancer.onPrior(node.now, new ServerStatistics(unsure, List.of(), 0, 0, false));
         for (int i = 0; i < 12; i++) {
             node.ask(Node.SAFE);
         }
@@ -159,11 +162,11 @@
         for (int taught = 0; taught < 2; taught++) {
             Node node = new Node(settings, 7).with(4);
             if (taught == 1) {
-                List<OfServer> little = new ArrayList<>();
+                List<PerServer> little = new ArrayList<>();
                 for (int i = 0; i < 4; i++) {
                     little.add(of("s" + i, Integer.MAX_VALUE / 2, 0, 0, 0.25));
                 }
-                node.balancer.onPrior(node.now, new Knowledge(little, List.of(), 0, 0, false));
+                node.balancer.onPrior(node.now, new ServerStatistics(little, List.of(), 0, 0, false));
             }
             for (int i = 0; i < 12; i++) {
                 node.ask(Node.SAFE);
@@ -179,9 +182,9 @@
         Node node = new Node().with(3);
         node.balancer.onPrior(
                 node.now,
-                new Knowledge(
+                new ServerStatistics(
                         List.of(
-                                new OfServer(
+                                new PerServer(
                                         "s0",
                                         0,
                                         Integer.MAX_VALUE,
@@ -194,13 +197,13 @@
                                         Double.NaN,
                                         true,
                                         List.of(-7, Integer.MAX_VALUE)),
-                                new OfServer(
+                                new PerServer(
                                         "s1", 0, -4, 0, 0, 3, -2, -1, Double.NEGATIVE_INFINITY, 1e300, true, List.of()),
                                 of("s2", -4, 0, 0, Double.POSITIVE_INFINITY)),
                         List.of(
-                                new OfClass(-1, 5, 1, 1),
-                                new OfClass(99, 5, 1, 1),
-                                new OfClass(0, Integer.MAX_VALUE, Double.NaN, -1)),
+                                new PerClass(-1, 5, 1, 1),
+                                new PerClass(99, 5, 1, 1),
+                                new PerClass(0, Integer.MAX_VALUE, Double.NaN, -1)),
                         -1,
                         7,
                         true));
@@ -208,9 +211,12 @@
         assertEquals(600, node.sent.size());
         for (String id : List.of("s0", "s1", "s2")) {
             assertTrue(sentTo(node, id) > 5, id + " was sent " + sentTo(node, id));
-            OfServer known = node.balancer.knowledge(List.of(id)).servers().get(0);
+            PerServer known = node.balancer.statistics(List.of(id)).servers().get(0);
             assertTrue(
-                    known.limit() > 0 && known.limit() < 100 && known.pace() > 0 && known.pace() <= 5,
+                    known.relativeLimit() > 0
+                            && known.relativeLimit() < 100
+                            && known.relativeLatency() > 0
+                            && known.relativeLatency() <= 5,
                     known.toString());
         }
     }
@@ -220,15 +226,15 @@
         Node node = new Node().with(2);
         node.balancer.onPrior(
                 node.now,
-                new Knowledge(List.of(), List.of(new OfClass(Node.UNSAFE, 1_000_000, 50_000, 0)), 0, 0, false));
+                new ServerStatistics(List.of(), List.of(new PerClass(Node.UNSAFE, 1_000_000, 50_000, 0)), 0, 0, false));
         assertEquals(
                 50_000,
-                node.balancer.knowledge(List.of()).classes().get(Node.UNSAFE).latencyUs(),
+                node.balancer.statistics(List.of()).classes().get(Node.UNSAFE).latencyUs(),
                 1e-9);
         serve(node, 60, Result.OK);
         assertEquals(
                 2_000,
-                node.balancer.knowledge(List.of()).classes().get(Node.UNSAFE).latencyUs(),
+                node.balancer.statistics(List.of()).classes().get(Node.UNSAFE).latencyUs(),
                 6_000);
     }
 }
--- a/src/test/java/vetchpost/decision/RandomEventsTest.java
+++ b/src/test/java/vetchpost/decision/RandomEventsTest.java
@@ -14,10 +14,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import vetchpost.decision.Balancer.Group;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.Outcome;
-import vetchpost.decision.Balancer.Repeat;
 import vetchpost.decision.Balancer.Request;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Result;
@@ -75,20 +75,20 @@
             random = new SplittableRandom(seed);
             set.classes.replaceAll(c -> new RequestClass(
                     c.name(),
-                    c.aimUs(),
+                    c.latencyTargetUs(),
                     0,
                     c.deadlineUs(),
-                    c.worth(),
+                    c.value(),
                     random.nextInt(2) * 0.5,
-                    c.repeat(),
-                    c.group(),
+                    c.idempotency(),
+                    c.deduplicationScope(),
                     80_000,
                     false));
             set.nodes = 1 + random.nextInt(5);
             set.maxAttempts = 1 + random.nextInt(5);
-            set.cancel = random.nextBoolean();
-            set.secondCopies = random.nextBoolean();
-            set.probes = random.nextBoolean();
+            set.allowsCancellation = random.nextBoolean();
+            set.allowsHedging = random.nextBoolean();
+            set.allowsProbes = random.nextBoolean();
             set.nodes *= random.nextBoolean() ? 1 : 10;
             set.listOnRequest = random.nextBoolean();
             set.crossZonePrice = random.nextBoolean() ? 0.02 : 0;
@@ -115,12 +115,15 @@
             assertTrue(request.attempts.size() < set.maxAttempts);
             Attempt binding = request.binding();
             if (binding != null) {
-                assertTrue(request.cls.repeat() != Repeat.UNSAFE, "rule 2: an unsafe request may have run");
-                if (request.cls.repeat() == Repeat.KEYED) {
-                    assertTrue(now <= binding.sentAt + request.cls.windowUs(), "rule 2: inside the window");
-                    assertTrue(sameGroup(request.cls.group(), binding.server, server), "rule 2: in the group");
+                assertTrue(request.cls.idempotency() != Idempotency.UNSAFE, "rule 2: an unsafe request may have run");
+                if (request.cls.idempotency() == Idempotency.KEYED) {
+                    assertTrue(
+                            now <= binding.sentAt + request.cls.deduplicationWindowUs(), "rule 2: inside the window");
+                    assertTrue(
+                            sameGroup(request.cls.deduplicationScope(), binding.server, server),
+                            "rule 2: in the group");
                 }
-                assertTrue(set.secondCopies || request.attempts.stream().allMatch(a -> a.result != null));
+                assertTrue(set.allowsHedging || request.attempts.stream().allMatch(a -> a.result != null));
             }
             assertTrue(server.state() == ServerState.READY, "rule 3: nothing to a draining or gone server");
             if (server.startedAtUs() > 0 && now < server.startedAtUs() + set.coldUs) {
@@ -145,8 +148,9 @@
             return (random.nextInt(8) > 0 ? Result.OK : bad[random.nextInt(bad.length)]).ordinal();
         }
 
-        private static boolean sameGroup(Group group, ServerEntry a, ServerEntry b) {
-            return group == Group.ALL || (group == Group.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
+        private static boolean sameGroup(DeduplicationScope group, ServerEntry a, ServerEntry b) {
+            return group == DeduplicationScope.ALL
+                    || (group == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
         }
 
         private void finish(long id, boolean refusal) {
@@ -157,8 +161,9 @@
             assertTrue(now <= request.deadlineAt + set.tickUs, "rule 1: the answer comes in time");
             if (refusal && request.binding() != null) {
                 assertTrue(
-                        request.cls.repeat() == Repeat.SAFE
-                                || request.cls.repeat() == Repeat.KEYED && request.cls.group() == Group.ALL,
+                        request.cls.idempotency() == Idempotency.SAFE
+                                || request.cls.idempotency() == Idempotency.KEYED
+                                        && request.cls.deduplicationScope() == DeduplicationScope.ALL,
                         "rule 2: a refusal promises that trying again is harmless");
             }
             request.over = true;
@@ -166,7 +171,7 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) {
+        public void reject(long requestId, long retryAfterUs) {
             finish(requestId, true);
         }
 
@@ -177,7 +182,7 @@
 
         @Override
         public void cancel(long requestId, int attempt) {
-            assertTrue(set.cancel);
+            assertTrue(set.allowsCancellation);
             Attempt out = held.get(requestId).attempts.get(attempt);
             if (out.result == null) {
                 answers.removeIf(a -> a[1] == requestId && a[2] == attempt);
@@ -193,7 +198,7 @@
 
         @Override
         public void probe(String serverId) {
-            assertTrue(set.probes);
+            assertTrue(set.allowsProbes);
             probes++;
             echoes.add(new Echo(now + 500 + random.nextInt(40_000), serverId));
         }
@@ -315,7 +320,7 @@
                 request.over = true;
                 finals++;
             }
-            balancer.onClientGone(now, id);
+            balancer.onClientDisconnected(now, id);
         }
     }
 
--- a/src/test/java/vetchpost/decision/RulesTest.java
+++ b/src/test/java/vetchpost/decision/RulesTest.java
@@ -134,12 +134,12 @@
     void nothingIsOwedToAClientThatHasGone() {
         Node node = new Node().with(1);
         long id = node.ask(Node.SAFE);
-        node.balancer.onClientGone(node.now, id);
+        node.balancer.onClientDisconnected(node.now, id);
         node.answer(id, Result.ERROR, 1_000);
         node.advance(2_000_000);
         assertEquals(1, node.attempts(id));
         assertTrue(node.refused.isEmpty() && node.failed.isEmpty());
-        node.balancer.onClientGone(node.now, id);
+        node.balancer.onClientDisconnected(node.now, id);
         node.balancer.onOutcome(node.now, new Outcome(id, 0, Result.OK, 1, true, null));
     }
 
--- a/src/test/java/vetchpost/decision/SettingsTest.java
+++ b/src/test/java/vetchpost/decision/SettingsTest.java
@@ -39,7 +39,16 @@
         settings.nodes = 12;
         settings.zones = List.of("hall");
         settings.classes.add(new Balancer.RequestClass(
-                "view", 200_000, 0, 1_000_000, 1, 0, Balancer.Repeat.SAFE, Balancer.Group.ALL, 0, false));
+                "view",
+                200_000,
+                0,
+                1_000_000,
+                1,
+                0,
+                Balancer.Idempotency.SAFE,
+                Balancer.DeduplicationScope.ALL,
+                0,
+                false));
         Node actions = new Node();
         Balancer balancer = new ServiceQBalancer(settings, 42, actions);
         balancer.onServers(
--- a/src/test/java/vetchpost/decision/Crew.java
+++ b/src/test/java/vetchpost/decision/SimulatedCluster.java
@@ -24,7 +24,7 @@
  * after a start: what all nodes together do to one server, by a seed. No network; answers take no time on
  * their way.
  */
-final class Crew {
+final class SimulatedCluster {
     static final long WORK_US = 60_000;
     /** Nobody waits longer for an answer. */
     static final long DEADLINE_US = 1_000_000;
@@ -107,7 +107,7 @@
         public void cancel(long requestId, int attempt) {}
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) {
+        public void reject(long requestId, long retryAfterUs) {
             refused++;
         }
 
@@ -152,7 +152,7 @@
     int refused;
 
     /** So many nodes before so many warm servers; they ask nothing yet. */
-    Crew(int nodes, int servers, long seed) {
+    SimulatedCluster(int nodes, int servers, long seed) {
         random = new SplittableRandom(seed);
         settings = settings(0);
         settings.nodes = nodes;
--- a/src/test/java/vetchpost/decision/CrewTest.java
+++ b/src/test/java/vetchpost/decision/SimulatedClusterTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A hundred nodes before sixty servers: what they do to them together. */
-class CrewTest {
+class SimulatedClusterTest {
     private static final int NODES = 100;
     private static final int SERVERS = 60;
     private static final long SECOND_US = 1_000_000;
@@ -15,9 +15,9 @@
     private static final int SEEDS = Integer.getInteger("crew.seeds", 12);
 
     /** What all nodes ask for, as a part of what warm servers can do; one asks so many times the mean. */
-    private static Crew busy(long seed, double load, int loud, long untilUs) {
-        Crew crew = new Crew(NODES, SERVERS, seed);
-        double each = load * SERVERS * SECOND_US / Crew.WORK_US / (NODES + loud - 1);
+    private static SimulatedCluster busy(long seed, double load, int loud, long untilUs) {
+        SimulatedCluster crew = new SimulatedCluster(NODES, SERVERS, seed);
+        double each = load * SERVERS * SECOND_US / SimulatedCluster.WORK_US / (NODES + loud - 1);
         for (int n = 0; n < NODES; n++) {
             crew.load(n, n == NODES - 1 ? loud * each : each, untilUs);
         }
@@ -29,7 +29,7 @@
         // Each node spends half of its part; what is over that is chance. 200 seeds: 0.46 at most.
         double worst = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Crew crew = busy(seed, 0.65, 5, 24 * SECOND_US);
+            SimulatedCluster crew = busy(seed, 0.65, 5, 24 * SECOND_US);
             crew.run(8 * SECOND_US);
             crew.replace(18);
             crew.restart(70);
@@ -45,9 +45,9 @@
 
     @Test
     void aCalmFleetIsServedAndNoServerIsCrowded() {
-        Crew crew = busy(3, 0.8, 5, 16 * SECOND_US);
+        SimulatedCluster crew = busy(3, 0.8, 5, 16 * SECOND_US);
         crew.run(20 * SECOND_US);
-        double asked = 0.8 * SERVERS * SECOND_US / Crew.WORK_US * 15;
+        double asked = 0.8 * SERVERS * SECOND_US / SimulatedCluster.WORK_US * 15;
         assertTrue(crew.served > 0.78 * asked, crew.served + " served of " + (int) asked);
     }
 
@@ -55,7 +55,7 @@
     void noServerIsConnectedToByMoreNodesThanItCanHold() {
         // A server of the full fleet's days holds about 90 connections, and 100 nodes went to each.
         for (int servers : new int[] {60, 200}) {
-            Crew crew = new Crew(NODES, servers, 4);
+            SimulatedCluster crew = new SimulatedCluster(NODES, servers, 4);
             for (int n = 0; n < NODES; n++) {
                 crew.load(n, n == 0 ? 40 : 8, 20 * SECOND_US);
             }
@@ -75,7 +75,7 @@
     void theSameSeedGivesTheSameRun() {
         int[] served = new int[2];
         for (int i = 0; i < 2; i++) {
-            Crew crew = busy(5, 0.7, 1, 4 * SECOND_US);
+            SimulatedCluster crew = busy(5, 0.7, 1, 4 * SECOND_US);
             crew.run(5 * SECOND_US);
             served[i] = crew.served;
         }
--- a/src/test/java/vetchpost/decision/WhyTest.java
+++ b/src/test/java/vetchpost/decision/WhyTest.java
@@ -5,15 +5,15 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import vetchpost.decision.Balancer.Bounds;
 import vetchpost.decision.Balancer.Candidate;
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.Request;
 import vetchpost.decision.Balancer.Result;
+import vetchpost.decision.Balancer.RetryLimits;
 import vetchpost.decision.Balancer.ServerEntry;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.decision.Balancer.Why;
+import vetchpost.decision.Balancer.UnservedReason;
 
 /** The module says why, and deciding is the same whether anybody asks or not. */
 class WhyTest {
@@ -29,13 +29,13 @@
         Node node = node(Node.settings());
         long none = node.ask(Node.SAFE);
         node.advance(1_000_000);
-        assertEquals(Why.NO_ROOM, node.reasons.get(none));
+        assertEquals(UnservedReason.NO_CAPACITY, node.reasons.get(none));
         node.with(2);
         long old = 1_000;
         node.balancer.onRequest(node.now, new Request(old, Node.SAFE, -1, 500_000, 0, false, 300_000));
-        assertEquals(Why.TOO_OLD, node.reasons.get(old));
+        assertEquals(UnservedReason.TOO_LATE_ON_ARRIVAL, node.reasons.get(old));
         node.balancer.onRequest(node.now, new Request(old + 1, Node.SAFE, -1, 800_000, 0, false, 150_000));
-        assertEquals(Why.BEHIND, node.reasons.get(old + 1));
+        assertEquals(UnservedReason.EVENT_LOOP_DELAY, node.reasons.get(old + 1));
     }
 
     @Test
@@ -43,24 +43,25 @@
         Node node = node(Node.settings()).with(4);
         long unsafe = node.ask(Node.UNSAFE);
         node.answer(unsafe, Result.ERROR, 1_000);
-        assertEquals(Why.MAY_HAVE_RUN, node.reasons.get(unsafe));
+        assertEquals(UnservedReason.MAY_HAVE_RUN, node.reasons.get(unsafe));
         long four = node.ask(Node.SAFE);
         for (int i = 0; i < 4; i++) {
             node.answer(four, Result.ERROR, 1_000);
         }
-        assertEquals(Why.ATTEMPTS, node.reasons.get(four));
+        assertEquals(UnservedReason.ATTEMPTS_EXHAUSTED, node.reasons.get(four));
         long slow = node.ask(Node.SAFE);
         node.answer(slow, Result.ERROR, 250_000);
-        assertEquals(Why.NO_TIME, node.reasons.get(slow));
+        assertEquals(UnservedReason.DEADLINE_EXCEEDED, node.reasons.get(slow));
         long bounded = 2_000;
-        node.balancer.onRequest(node.now, new Request(bounded, Node.SAFE, -1, 1_000_000, 0, false, 0, 0, new Bounds() {
-            @Override
-            public int attempts() {
-                return 1;
-            }
-        }));
+        node.balancer.onRequest(
+                node.now, new Request(bounded, Node.SAFE, -1, 1_000_000, 0, false, 0, 0, new RetryLimits() {
+                    @Override
+                    public int maxAttempts() {
+                        return 1;
+                    }
+                }));
         node.answer(bounded, Result.ERROR, 1_000);
-        assertEquals(Why.ROUTE, node.reasons.get(bounded));
+        assertEquals(UnservedReason.ROUTE_LIMIT, node.reasons.get(bounded));
     }
 
     @Test
@@ -69,7 +70,7 @@
         Node node = node(settings).with(4);
         long keyed = node.ask(Node.KEYED_ALL);
         node.answer(keyed, Result.ERROR, 450_000);
-        assertEquals(Why.WINDOW, node.reasons.get(keyed));
+        assertEquals(UnservedReason.DEDUPLICATION_WINDOW_EXPIRED, node.reasons.get(keyed));
     }
 
     @Test
@@ -89,7 +90,7 @@
     }
 
     private static String all(Node node, String server) {
-        return String.join("; ", node.balancer.standing(node.now, server));
+        return String.join("; ", node.balancer.explainServer(node.now, server));
     }
 
     @Test
--- a/src/test/java/vetchpost/discovery/DiscoveryTest.java
+++ b/src/test/java/vetchpost/discovery/DiscoveryClientTest.java
@@ -28,7 +28,7 @@
 
 /** The watch: what it tells, and each way in which it fails, told once. */
 @Timeout(120)
-class DiscoveryTest implements Discovery.Listener {
+class DiscoveryClientTest implements DiscoveryClient.Listener {
     private final BlockingQueue<ServerList> lists = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> failures = new LinkedBlockingQueue<>();
     /** The next list holds the loop up until this. */
@@ -70,9 +70,9 @@
         peer.close();
     }
 
-    private Discovery subscribe(long silentMs) throws Exception {
+    private DiscoveryClient subscribe(long silentMs) throws Exception {
         EventLoop loop = group.next();
-        Discovery discovery = new Discovery(
+        DiscoveryClient discovery = new DiscoveryClient(
                 loop, Network.SYSTEM, new InetSocketAddress("127.0.0.1", port), 41, silentMs, silentMs, 1, this);
         loop.submit(discovery::subscribe).get();
         return discovery;
@@ -94,7 +94,7 @@
             Fixture.line(socket, "");
             Fixture.line(socket, changes + "\n\n" + whole);
         });
-        Discovery discovery = subscribe(20_000);
+        DiscoveryClient discovery = subscribe(20_000);
         assertEquals(ServerListParser.parse(changes), FakePeer.soon(lists));
         assertEquals(ServerListParser.parse(whole), FakePeer.soon(lists));
         peer.nextRequest();
--- a/src/test/java/vetchpost/discovery/ListReaderTest.java
+++ b/src/test/java/vetchpost/discovery/ServerListReaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A message is read as far as it is told to, and is a list only when it is whole. */
-class ListReaderTest {
+class ServerListReaderTest {
     private static String message(int servers, String end) {
         StringBuilder text = new StringBuilder("{\"rev\":7,\"all\":true,\"targets\":[");
         for (int i = 0; i < servers; i++) {
@@ -24,7 +24,7 @@
 
     @Test
     void noMoreIsReadAtOnceThanItIsToldTo() {
-        ListReader reader = new ListReader(new StringReader(message(5, "]}")));
+        ServerListReader reader = new ServerListReader(new StringReader(message(5, "]}")));
         assertNull(reader.read(2));
         assertNull(reader.read(2));
         assertEquals(5, reader.read(2).targets().size());
@@ -33,7 +33,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"]", "]}{}", ",{}]}", "],\"rev\":null}"})
     void whatGoesWrongAtItsEndCostsTheWhole(String end) {
-        ListReader reader = new ListReader(new StringReader(message(5, end)));
+        ServerListReader reader = new ServerListReader(new StringReader(message(5, end)));
         assertNull(reader.read(3));
         assertThrows(IllegalArgumentException.class, () -> reader.read(10));
     }
--- a/src/test/java/vetchpost/http/ClientConnectionTest.java
+++ b/src/test/java/vetchpost/http/ClientConnectionTest.java
@@ -26,12 +26,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import vetchpost.config.Config;
-import vetchpost.core.Answer;
+import vetchpost.config.NodeConfig;
 import vetchpost.core.ClientReply;
 import vetchpost.core.Failure;
+import vetchpost.core.ServerResponse;
 import vetchpost.net.Network;
-import vetchpost.net.Sockets;
+import vetchpost.net.SocketBudget;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
@@ -43,12 +43,12 @@
 
     private final Network network = new Network() {
         @Override
-        public ServerChannel listening() {
+        public ServerChannel newServerChannel() {
             throw new UnsupportedOperationException();
         }
 
         @Override
-        public Channel connecting() {
+        public Channel newClientChannel() {
             throw new UnsupportedOperationException();
         }
 
@@ -66,13 +66,17 @@
     @BeforeEach
     void open() throws Exception {
         channel = new EmbeddedChannel();
-        Config config;
+        NodeConfig config;
         try (FakePeer peer = new FakePeer(FakePeer.SILENT)) {
-            config = Config.read(Map.of(
+            config = NodeConfig.read(Map.of(
                     "LB_CONFIG", Fixture.write(Fixture.config(peer, peer)).toString()));
         }
         server = new ClientServer(
-                channel.eventLoop(), network, new Sockets(1_024), config.settings(), (request, reply, waitedUs) -> {
+                channel.eventLoop(),
+                network,
+                new SocketBudget(1_024),
+                config.settings(),
+                (request, reply, waitedUs) -> {
                     held.add(reply);
                     if (thrown instanceof RuntimeException fault) {
                         throw fault;
@@ -89,7 +93,7 @@
     void close() {
         channel.finishAndReleaseAll();
         channel.runPendingTasks();
-        assertEquals(0, server.bytesInHand());
+        assertEquals(0, server.pendingRequestBytes());
     }
 
     private void ask(int id) {
@@ -122,12 +126,12 @@
         assertFault();
         thrown = null;
         ask(2);
-        held.get(held.size() - 1).served(new Answer(200, null, new byte[0]));
+        held.get(held.size() - 1).served(new ServerResponse(200, null, new byte[0]));
         assertTrue(written().startsWith("HTTP/1.1 200 "), "the next one is not served");
     }
 
     private void overdue() {
-        ((ClientLine) channel.pipeline().last()).closeIfOverdue(server.nanos() + TimeUnit.SECONDS.toNanos(3));
+        ((ManagedConnection) channel.pipeline().last()).closeIfOverdue(server.nanos() + TimeUnit.SECONDS.toNanos(3));
         channel.runPendingTasks();
     }
 
@@ -137,7 +141,7 @@
         unread.add(request);
         overdue();
         assertEquals(1, held.size(), "its request was there");
-        held.get(0).served(new Answer(200, null, new byte[0]));
+        held.get(0).served(new ServerResponse(200, null, new byte[0]));
         assertTrue(written().startsWith("HTTP/1.1 200 "));
         assertTrue(channel.isOpen());
     }
@@ -157,7 +161,7 @@
     @Test
     void halfARequestIsWaitedForAsLongAsItsClientMayWait() {
         channel.writeInbound(Unpooled.copiedBuffer("GET /view HTTP/1.1\r\n", StandardCharsets.ISO_8859_1));
-        ClientLine connection = (ClientLine) channel.pipeline().last();
+        ManagedConnection connection = (ManagedConnection) channel.pipeline().last();
         connection.closeIfOverdue(server.nanos() + TimeUnit.MILLISECONDS.toNanos(2_800));
         assertEquals("", written());
         overdue();
@@ -175,13 +179,13 @@
 
     @Test
     void aRequestForWhichThereIsNoMemoryIsToldToComeAgain() {
-        long taken = server.inHand().most();
-        assertTrue(server.inHand().add(taken));
+        long taken = server.requestMemory().maxBytes();
+        assertTrue(server.requestMemory().tryReserve(taken));
         ask(1);
         String answer = written();
         assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
         assertEquals("1", FakePeer.header(answer, "Retry-After"));
-        server.inHand().remove(taken);
+        server.requestMemory().release(taken);
         assertEquals(0, held.size());
     }
 
@@ -190,7 +194,7 @@
         ask(1);
         channel.pipeline().fireExceptionCaught(new IllegalStateException("by the test"));
         assertFault();
-        held.get(0).served(new Answer(200, null, new byte[0]));
+        held.get(0).served(new ServerResponse(200, null, new byte[0]));
         assertEquals("", written(), "a second answer");
     }
 
@@ -203,7 +207,7 @@
         channel.pipeline().fireExceptionCaught(new IllegalStateException("by the test"));
         assertTrue(channel.isOpen(), "closed on a request");
         channel.runPendingTasks();
-        held.get(0).served(new Answer(200, null, new byte[0]));
+        held.get(0).served(new ServerResponse(200, null, new byte[0]));
         assertTrue(written().startsWith("HTTP/1.1 200 "), "not served");
         assertFalse(channel.isOpen());
     }
@@ -230,7 +234,7 @@
     void anAnswerThatCanNotBePutIntoBytesIsAnsweredShort() {
         channel.pipeline().addBefore(channel.pipeline().lastContext().name(), "spoiler", new Spoiler(1));
         ask(1);
-        held.get(0).served(new Answer(200, null, "done".getBytes(StandardCharsets.UTF_8)));
+        held.get(0).served(new ServerResponse(200, null, "done".getBytes(StandardCharsets.UTF_8)));
         assertFault();
         assertFalse(channel.isOpen());
     }
@@ -239,7 +243,7 @@
     void aConnectionOnWhichNothingCanBeWrittenIsEnded() {
         channel.pipeline().addBefore(channel.pipeline().lastContext().name(), "spoiler", new Spoiler(9));
         ask(1);
-        held.get(0).failed(Failure.GIVEN_UP);
+        held.get(0).failed(Failure.UNSERVED);
         assertEquals("", written());
         assertFalse(channel.isOpen());
     }
--- a/src/test/java/vetchpost/http/ServerPoolTest.java
+++ b/src/test/java/vetchpost/http/ServerPoolTest.java
@@ -32,12 +32,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import vetchpost.core.Answer;
 import vetchpost.core.ServerList;
+import vetchpost.core.ServerResponse;
 import vetchpost.decision.Balancer.Result;
 import vetchpost.discovery.ServerListParser;
 import vetchpost.net.Network;
-import vetchpost.net.Sockets;
+import vetchpost.net.SocketBudget;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
@@ -51,9 +51,9 @@
     private FakePeer server;
 
     /** The report on an attempt. */
-    private record Report(Result result, Answer answer) {}
+    private record Report(Result result, ServerResponse answer) {}
 
-    private static final class Probe implements ServerPool.Caller {
+    private static final class Probe implements ServerPool.ExchangeSource {
         final BlockingQueue<Report> reports = new LinkedBlockingQueue<>();
         private final int bodySize;
 
@@ -70,7 +70,7 @@
         }
 
         @Override
-        public void ended(Result result, Answer answer) {
+        public void onEnded(Result result, ServerResponse answer) {
             reports.add(new Report(result, answer));
         }
 
@@ -93,7 +93,7 @@
     }
 
     private ServerPool pool(String address, long idleUs) throws Exception {
-        Sockets sockets = new Sockets(1_024);
+        SocketBudget sockets = new SocketBudget(1_024);
         ServerPool pool = loop.submit(() -> new ServerPool(loop, Network.SYSTEM, sockets, 300_000, idleUs))
                 .get();
         list(pool, address, 0);
@@ -246,7 +246,7 @@
 
     @Test
     void anAttemptWhoseTimeIsUpWhileItsDialHangsCouldNotConnect() throws Exception {
-        neverUp(attempt -> loop.execute(() -> attempt.giveUp(Result.TIMEOUT)));
+        neverUp(attempt -> loop.execute(() -> attempt.abandon(Result.TIMEOUT)));
     }
 
     private void neverUp(Consumer<ServerPool.Attempt> meanwhile) throws Exception {
@@ -290,7 +290,7 @@
         Probe probe = new Probe(10);
         ServerPool.Attempt attempt = start(pool(server.address(), IDLE_US), probe);
         server.nextRequest();
-        loop.submit(() -> attempt.giveUp(Result.TIMEOUT)).get();
+        loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, probe.report().result());
         FakePeer.soon(server.ended);
     }
@@ -313,7 +313,7 @@
         server.script(FakePeer.SILENT);
         Probe silent = new Probe(3);
         ServerPool.Attempt attempt = start(pool, silent);
-        loop.submit(() -> attempt.giveUp(Result.TIMEOUT)).get();
+        loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, silent.report().result());
         FakePeer.soon(server.ended);
         FakePeer.soon(server.ended);
@@ -323,7 +323,7 @@
     void anAttemptGivenUpBeforeItsConnectionIsUpIsNeverSent() throws Exception {
         ServerPool pool = pool(server.address(), IDLE_US);
         Probe probe = new Probe(10);
-        loop.submit(() -> pool.start("s", probe).giveUp(Result.CANCELLED)).get();
+        loop.submit(() -> pool.start("s", probe).abandon(Result.CANCELLED)).get();
         assertEquals(Result.MOOT, probe.report().result());
         // Its connection, once up, carries the next attempt: the only request that the server sees.
         FakePeer.soon(server.accepted);
@@ -447,12 +447,12 @@
             answered.countDown();
         });
         ServerPool pool = loop.submit(
-                        () -> new ServerPool(loop, Network.SYSTEM, new Sockets(1_024), 2_000_000, 60_000_000))
+                        () -> new ServerPool(loop, Network.SYSTEM, new SocketBudget(1_024), 2_000_000, 60_000_000))
                 .get();
         loop.submit(() -> pool.update(ServerListParser.parse(Fixture.list(1, true, "Ready", server))))
                 .get();
         LinkedBlockingQueue<Result> results = new LinkedBlockingQueue<>();
-        ServerPool.Caller caller = new ServerPool.Caller() {
+        ServerPool.ExchangeSource caller = new ServerPool.ExchangeSource() {
             @Override
             public Exchange exchange() {
                 return new PlainExchange(
@@ -460,7 +460,7 @@
             }
 
             @Override
-            public void ended(Result result, Answer answer) {
+            public void onEnded(Result result, ServerResponse answer) {
                 results.add(result);
             }
         };
@@ -476,7 +476,7 @@
         loop.submit(() -> {
                     ServerPool.Attempt attempt = pool.start(id, caller);
                     await(again);
-                    attempt.giveUp(Result.TIMEOUT);
+                    attempt.abandon(Result.TIMEOUT);
                 })
                 .get();
         assertEquals(Result.OK, FakePeer.soon(results));
--- a/src/test/java/vetchpost/net/MemoryNetworkTest.java
+++ b/src/test/java/vetchpost/net/MemoryNetworkTest.java
@@ -74,7 +74,7 @@
     private Channel connect(Network network, Heard heard) throws Exception {
         return new Bootstrap()
                 .group(group.next())
-                .channelFactory(network::connecting)
+                .channelFactory(network::newClientChannel)
                 .disableResolver()
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 50)
@@ -141,6 +141,6 @@
 
     @Test
     void nobodyElseListensThere() {
-        assertThrows(UnsupportedOperationException.class, () -> new MemoryNetwork(p -> {}).listening());
+        assertThrows(UnsupportedOperationException.class, () -> new MemoryNetwork(p -> {}).newServerChannel());
     }
 }
--- a/src/test/java/vetchpost/net/SocketsTest.java
+++ b/src/test/java/vetchpost/net/SocketBudgetTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** How many connections each side may have, for small and large limits of descriptors. */
-class SocketsTest {
+class SocketBudgetTest {
     /** What a node's process had open before any connection: 11, and 2 to discovery. */
     private static final int OWN = 13;
 
-    private static Sockets full(int limit) {
-        Sockets sockets = new Sockets(limit);
+    private static SocketBudget full(int limit) {
+        SocketBudget sockets = new SocketBudget(limit);
         while (sockets.addServer()) {
-            if (sockets.open() > limit) {
+            if (sockets.openCount() > limit) {
                 break;
             }
         }
@@ -32,28 +32,28 @@
     @ParameterizedTest
     @ValueSource(ints = {32, 40, 64, 65, 66, 100, 128, 256, 512, 1_024, 4_096})
     void theProcessAndBothSidesTogetherStayWithinTheLimit(int limit) {
-        Sockets sockets = full(limit);
-        assertTrue(sockets.open() + OWN <= limit, sockets + " with " + limit);
+        SocketBudget sockets = full(limit);
+        assertTrue(sockets.openCount() + OWN <= limit, sockets + " with " + limit);
         // The other way round: clients first.
-        Sockets clientsFirst = new Sockets(limit);
+        SocketBudget clientsFirst = new SocketBudget(limit);
         while (clientsFirst.mayAccept()) {
             clientsFirst.addClient();
         }
-        for (int i = 0; i < clientsFirst.acceptedAtOnce() - 1 && limit > Sockets.RESERVE; i++) {
+        for (int i = 0; i < clientsFirst.maxAcceptsPerTurn() - 1 && limit > SocketBudget.RESERVED_DESCRIPTORS; i++) {
             clientsFirst.addClient();
         }
         int servers = 0;
         while (clientsFirst.addServer()) {
             servers++;
         }
-        assertTrue(clientsFirst.open() + OWN <= limit, clientsFirst + " with " + limit);
+        assertTrue(clientsFirst.openCount() + OWN <= limit, clientsFirst + " with " + limit);
         assertTrue(servers > 0, "no room for servers");
     }
 
     /** While a core ends what it has, its pool and the one in its place both hold idle connections. */
     @Test
     void roomIsMadeInEachPoolTheOldestFirst() {
-        Sockets sockets = new Sockets(1_024);
+        SocketBudget sockets = new SocketBudget(1_024);
         List<String> closed = new ArrayList<>();
         BooleanSupplier old = () -> closed.size() < 2 && closed.add("old");
         sockets.addServerSide(old);
@@ -72,28 +72,28 @@
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 1_024})
     void clientsThatAreOnlyTurnedAwayTakeNoServersPlace(int limit) {
-        Sockets sockets = new Sockets(limit);
+        SocketBudget sockets = new SocketBudget(limit);
         int clients = 0;
-        while (sockets.isClientRoom()) {
+        while (sockets.hasRoomForClient()) {
             sockets.addClient();
             clients++;
         }
-        assertEquals((limit - Sockets.RESERVE) * 3 / 4, clients);
-        assertFalse(sockets.areClientsOver());
+        assertEquals((limit - SocketBudget.RESERVED_DESCRIPTORS) * 3 / 4, clients);
+        assertFalse(sockets.isOverClientLimit());
         assertTrue(sockets.mayAccept(), "nobody is told to come again");
         sockets.addClient();
-        assertTrue(sockets.areClientsOver());
+        assertTrue(sockets.isOverClientLimit());
         int servers = 0;
         while (sockets.addServer()) {
             servers++;
         }
-        assertEquals((limit - Sockets.RESERVE) / 4, servers);
+        assertEquals((limit - SocketBudget.RESERVED_DESCRIPTORS) / 4, servers);
     }
 
     @Test
     void aSmallLimitIsToldApart() {
-        assertTrue(new Sockets(127).areFew());
-        assertFalse(new Sockets(128).areFew());
-        assertTrue(new Sockets(Sockets.LEAST).mostClients() > 0);
+        assertTrue(new SocketBudget(127).isScarce());
+        assertFalse(new SocketBudget(128).isScarce());
+        assertTrue(new SocketBudget(SocketBudget.MIN_DESCRIPTORS).maxClients() > 0);
     }
 }
--- a/src/test/java/vetchpost/node/CrowdedNodeTest.java
+++ b/src/test/java/vetchpost/node/CrowdedNodeTest.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import vetchpost.config.Config;
-import vetchpost.net.Sockets;
+import vetchpost.config.NodeConfig;
+import vetchpost.net.SocketBudget;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
@@ -80,7 +80,8 @@
     private void start(int descriptors) throws Exception {
         JsonObject json = Fixture.config(discovery, server);
         json.getAsJsonObject("limits").addProperty("sockets", descriptors);
-        Config config = Config.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
+        NodeConfig config =
+                NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
         node = loop.submit(() -> new Node(config, loop)).get();
         Channel channel =
                 loop.submit(() -> node.start(group, 0, () -> {})).get().sync().channel();
@@ -149,7 +150,7 @@
             SERVED.run(socket, request);
         });
         start(descriptors);
-        int served = new Sockets(descriptors).mostClients();
+        int served = new SocketBudget(descriptors).maxClients();
         int all = 4 * served;
         for (int i = 0; i < all; i++) {
             ask(i);
@@ -194,13 +195,13 @@
 
     @Test
     void roomIsNotMadeByAConnectionWhoseRequestLiesUnread() throws Exception {
-        start(Sockets.LEAST);
-        int most = new Sockets(Sockets.LEAST).mostClients();
+        start(SocketBudget.MIN_DESCRIPTORS);
+        int most = new SocketBudget(SocketBudget.MIN_DESCRIPTORS).maxClients();
         for (int i = 0; i < most; i++) {
             // In a crowd an answer ends its connection: some are kept after one, and the others have not
             // asked.
             Socket client = connect();
-            if (i < Sockets.LEAST / 4) {
+            if (i < SocketBudget.MIN_DESCRIPTORS / 4) {
                 ask(client, i);
                 assertEquals(200, status(FakePeer.read(client)));
             }
@@ -337,7 +338,7 @@
             assertNotNull(e.getMessage());
         }
         assertTrue(bytes < 16 * body.length(), "all of it came: " + bytes);
-        assertEquals(0, loop.submit(node::inHand).get().bytes());
+        assertEquals(0, loop.submit(node::pendingWork).get().bytes());
     }
 
     @Test
@@ -357,7 +358,7 @@
         FakePeer.soon(server.accepted);
         gone.countDown();
         FakePeer.soon(server.ended);
-        assertEquals(0, loop.submit(node::inHand).get().bytes());
+        assertEquals(0, loop.submit(node::pendingWork).get().bytes());
         assertEquals(200, status(answeredBy(FakePeer.answer("200 OK", "", "done"))));
     }
 
@@ -383,7 +384,7 @@
         client.close();
         // The attempt is given up long before its time, which is ten seconds and more.
         assertNotNull(server.ended.poll(5, TimeUnit.SECONDS), "nobody has noticed");
-        assertEquals(0, loop.submit(node::inHand).get().bytes());
+        assertEquals(0, loop.submit(node::pendingWork).get().bytes());
         assertTrue(server.requests.isEmpty(), "sent on for nobody: " + server.requests.size());
     }
 
@@ -407,7 +408,7 @@
         go.countDown();
         ask(connect(), 500);
         assertTrue(server.nextRequest().contains(String.format("%016x", 500)), "sent on for nobody");
-        assertEquals(0, loop.submit(() -> node.inHand().requests()).get() - 1);
+        assertEquals(0, loop.submit(() -> node.pendingWork().requests()).get() - 1);
     }
 
     /** What waits for room is not sent in the turn in which a loop that was held up finds its client gone. */
--- a/src/test/java/vetchpost/node/StallTest.java
+++ b/src/test/java/vetchpost/node/EventLoopDelayTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import vetchpost.config.Config;
-import vetchpost.core.Stall;
+import vetchpost.config.NodeConfig;
+import vetchpost.core.EventLoopDelay;
 import vetchpost.net.LoopClock;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
 /** A node whose event loop is behind with its sockets. */
 @Timeout(120)
-class StallTest {
+class EventLoopDelayTest {
     private static final int STALL_MS = 500;
     /** A beat and what the test's own threads take. */
     private static final int SLACK_MS = 100;
@@ -52,7 +52,7 @@
     }
 
     private int start() throws Exception {
-        Config config = Config.read(Map.of(
+        NodeConfig config = NodeConfig.read(Map.of(
                 "LB_CONFIG", Fixture.write(Fixture.config(discovery, server)).toString()));
         Node node = loop.submit(() -> new Node(config, loop)).get();
         CountDownLatch ready = new CountDownLatch(1);
@@ -143,11 +143,11 @@
 
     @Test
     void aLoopThatWasHeldUpSaysForHowLong() throws Exception {
-        Stall stall = new Stall(new LoopClock(loop, 0));
-        loop.submit(stall::watch).get();
+        EventLoopDelay stall = new EventLoopDelay(new LoopClock(loop, 0));
+        loop.submit(stall::start).get();
         stall(new CountDownLatch(0), STALL_MS);
         // In the turn after: what came during the stall is read then.
-        long us = loop.submit(stall::us).get();
+        long us = loop.submit(stall::currentUs).get();
         assertTrue(us >= TimeUnit.MILLISECONDS.toMicros(STALL_MS - SLACK_MS), us + " us");
         loop.submit(stall::close).get();
     }
--- a/src/test/java/vetchpost/node/NodeTest.java
+++ b/src/test/java/vetchpost/node/NodeTest.java
@@ -33,9 +33,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import vetchpost.config.Config;
+import vetchpost.config.NodeConfig;
 import vetchpost.http.ClientServer;
-import vetchpost.net.Sockets;
+import vetchpost.net.SocketBudget;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
@@ -71,7 +71,8 @@
 
     private int start(JsonObject json) throws Exception {
         EventLoop loop = group.next();
-        Config config = Config.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
+        NodeConfig config =
+                NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
         Node node = loop.submit(() -> new Node(config, loop)).get();
         CountDownLatch ready = new CountDownLatch(1);
         Channel channel = loop.submit(() -> node.start(group, 8, ready::countDown))
@@ -131,7 +132,7 @@
         JsonObject json = Fixture.config(discovery, first);
         String token = Long.toHexString(
                 new SplittableRandom(Long.parseUnsignedLong(json.get("seed").getAsString(), 16)).nextLong());
-        String header = ClientServer.REHEARSAL + ": " + token + "\r\n";
+        String header = ClientServer.REHEARSAL_HEADER + ": " + token + "\r\n";
         assertTrue(ask(Fixture.request("GET", "/view/1", 98, header, "")).contains("rehearsed"));
         assertTrue(first.requests.isEmpty(), "sent on");
     }
@@ -397,7 +398,7 @@
     @Test
     void roomIsMadeByThoseThatNeverAskedAndNotByARequestThatIsComing() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.LEAST);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.MIN_DESCRIPTORS);
         int port = start(json);
         client = connect(port);
         assertEquals(200, status(ask(Fixture.request("GET", "/view", 1, "", ""))));
@@ -418,10 +419,10 @@
     @Test
     void newConnectionsAcceptedTogetherDoNotPushOneAnotherOut() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.LEAST);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.MIN_DESCRIPTORS);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
-        for (int i = 0; i < new Sockets(Sockets.LEAST).mostClients(); i++) {
+        for (int i = 0; i < new SocketBudget(SocketBudget.MIN_DESCRIPTORS).maxClients(); i++) {
             client = connect(port);
             all.add(client);
             assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
@@ -453,7 +454,7 @@
     @Test
     void whoAsksOnceAndStaysIsClosedOnceConnectionsAreMany() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 80);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.RESERVED_DESCRIPTORS + 80);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         // A sixth of 144 is 24: one of these is too many, and all have room.
@@ -472,7 +473,7 @@
     @Test
     void inACrowdAConnectionEndsWithItsAnswer() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.RESERVE + 56);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.RESERVED_DESCRIPTORS + 56);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         // A quarter of 120 is 30.
@@ -504,7 +505,7 @@
     @Test
     void idleConnectionsMakeRoomUnderTheLimitOfSockets() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
-        json.getAsJsonObject("limits").addProperty("sockets", Sockets.LEAST);
+        json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.MIN_DESCRIPTORS);
         int port = start(json);
         List<Socket> all = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -524,12 +525,13 @@
         // lay unread past its time while the code was cold.
         EventLoop loop = group.next();
         String file = Fixture.write(Fixture.config(discovery, first)).toString();
-        Config config = Config.read(Map.of("LB_CONFIG", file));
+        NodeConfig config = NodeConfig.read(Map.of("LB_CONFIG", file));
         Node node = loop.submit(() -> new Node(config, loop)).get();
         CountDownLatch warm = new CountDownLatch(1);
         loop.submit(() -> node.warmUp(30, warm::countDown)).get();
         assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never warm");
-        assertEquals(new Node.InHand(0, 0, 0), loop.submit(node::inHand).get());
+        assertEquals(
+                new Node.PendingWork(0, 0, 0), loop.submit(node::pendingWork).get());
         CountDownLatch ready = new CountDownLatch(1);
         Channel channel = loop.submit(() -> node.start(group, 8, ready::countDown))
                 .get()
@@ -563,8 +565,9 @@
             targets.add(server);
         }
         json.add("peers", peers);
-        Config config = Config.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
-        assertEquals(many, config.known().targets().size());
+        NodeConfig config =
+                NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
+        assertEquals(many, config.knownServers().targets().size());
         assertEquals(many, config.settings().nodes);
         assertEquals(many - 1, config.settings().node);
         EventLoop loop = group.next();
@@ -575,7 +578,7 @@
                 .sync()
                 .channel();
         assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never ready");
-        assertEquals(many, loop.submit(node::servers).get());
+        assertEquals(many, loop.submit(node::serverCount).get());
         client = connect(((InetSocketAddress) channel.localAddress()).getPort());
         assertEquals(200, status(ask(Fixture.request("GET", "/view", 1, "", ""))));
     }
@@ -605,7 +608,7 @@
         try {
             EventLoop loop = counted.next();
             String file = Fixture.write(Fixture.config(discovery, first)).toString();
-            Config config = Config.read(Map.of("LB_CONFIG", file));
+            NodeConfig config = NodeConfig.read(Map.of("LB_CONFIG", file));
             Node node = loop.submit(() -> new Node(config, loop)).get();
             CountDownLatch warm = new CountDownLatch(1);
             int[] seen = new int[2];
@@ -634,7 +637,7 @@
         try {
             EventLoop loop = counted.next();
             String file = Fixture.write(Fixture.config(discovery, first)).toString();
-            Config config = Config.read(Map.of("LB_CONFIG", file));
+            NodeConfig config = NodeConfig.read(Map.of("LB_CONFIG", file));
             first.script(FakePeer.SILENT);
             Node node = loop.submit(() -> new Node(config, loop)).get();
             Channel channel = loop.submit(() -> node.start(counted, 0, () -> {}))
@@ -655,7 +658,7 @@
             loop.execute(new Runnable() {
                 @Override
                 public void run() {
-                    if (node.inHand().sockets() > 1) {
+                    if (node.pendingWork().sockets() > 1) {
                         loop.schedule(this, 1, TimeUnit.MICROSECONDS);
                     } else {
                         seen[0] = waits.get();
@@ -677,7 +680,7 @@
         // What came to it then would be taken by a process that is about to end.
         EventLoop loop = group.next();
         String file = Fixture.write(Fixture.config(discovery, first)).toString();
-        Config config = Config.read(Map.of("LB_CONFIG", file));
+        NodeConfig config = NodeConfig.read(Map.of("LB_CONFIG", file));
         Node node = loop.submit(() -> new Node(config, loop)).get();
         CountDownLatch stopped = new CountDownLatch(1);
         AtomicBoolean started = new AtomicBoolean();
@@ -687,7 +690,8 @@
                 })
                 .get();
         assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never stopped");
-        assertEquals(new Node.InHand(0, 0, 0), loop.submit(node::inHand).get());
+        assertEquals(
+                new Node.PendingWork(0, 0, 0), loop.submit(node::pendingWork).get());
         assertFalse(started.get());
     }
 }
--- a/src/test/java/vetchpost/node/RequestLogTest.java
+++ b/src/test/java/vetchpost/node/RequestLogTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import vetchpost.config.Config;
+import vetchpost.config.NodeConfig;
 import vetchpost.core.RequestLog;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
@@ -36,7 +36,7 @@
 /** What the request log tells of a request's way, and that it is silent unless asked for. */
 @Timeout(60)
 class RequestLogTest {
-    private static final Logger LOGGER = Logger.getLogger(RequestLog.NAME);
+    private static final Logger LOGGER = Logger.getLogger(RequestLog.LOGGER_NAME);
 
     private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
     private final CountDownLatch closed = new CountDownLatch(1);
@@ -78,7 +78,7 @@
         EventLoop loop = group.next();
         try (FakePeer discovery = new FakePeer(FakePeer.SILENT);
                 FakePeer server = new FakePeer(FakePeer.answer("200 OK", "", "done"))) {
-            Config config = Config.read(Map.of(
+            NodeConfig config = NodeConfig.read(Map.of(
                     "LB_CONFIG",
                     Fixture.write(Fixture.config(discovery, server)).toString()));
             Node node = loop.submit(() -> new Node(config, loop)).get();
@@ -129,7 +129,7 @@
         try (InputStream file = Files.newInputStream(Path.of("deploy/request-log.properties"))) {
             settings.load(file);
         }
-        assertEquals("FINE", settings.getProperty(RequestLog.NAME + ".level"));
+        assertEquals("FINE", settings.getProperty(RequestLog.LOGGER_NAME + ".level"));
         assertEquals("ALL", settings.getProperty("java.util.logging.ConsoleHandler.level"));
     }
 }
--- a/src/test/java/vetchpost/node/WatchRacesTest.java
+++ b/src/test/java/vetchpost/node/WatchRacesTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import vetchpost.config.Config;
+import vetchpost.config.NodeConfig;
 import vetchpost.discovery.ServerListParser;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
@@ -39,7 +39,7 @@
     private FakePeer moved;
     private FakePeer drained;
     private FakePeer well;
-    private Config config;
+    private NodeConfig config;
     private Node node;
 
     @BeforeEach
@@ -67,14 +67,14 @@
         if (pushed) {
             json.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
         }
-        config = Config.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
+        config = NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
         node = loop.submit(() -> new Node(config, loop)).get();
     }
 
     /** The node's configuration, but with discovery elsewhere. */
-    private Config movedTo(FakePeer elsewhere) throws Exception {
+    private NodeConfig movedTo(FakePeer elsewhere) throws Exception {
         JsonObject json = Fixture.config(elsewhere, drained, well);
-        return Config.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
+        return NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
     }
 
     private CountDownLatch warmUp() {
@@ -132,7 +132,7 @@
         CountDownLatch warm = warmUp();
         discovery.nextRequest();
         assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "waits for ever");
-        assertEquals(2, loop.submit(node::servers).get());
+        assertEquals(2, loop.submit(node::serverCount).get());
     }
 
     /** Opened before the known list is taken in, its watch would bring news that the known list goes over. */
@@ -145,11 +145,11 @@
         };
         discovery.script(told);
         moved.script(told);
-        Config elsewhere = movedTo(moved);
+        NodeConfig elsewhere = movedTo(moved);
         CountDownLatch warm = new CountDownLatch(1);
         loop.submit(() -> {
                     node.warmUp(20, warm::countDown);
-                    node.reload(elsewhere);
+                    node.moveDiscovery(elsewhere);
                 })
                 .get();
         assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never warm");
@@ -174,8 +174,8 @@
         assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never warm");
         discovery.nextRequest();
         FakePeer.soon(discovery.ended);
-        Config elsewhere = movedTo(moved);
-        loop.submit(() -> node.reload(elsewhere)).get();
+        NodeConfig elsewhere = movedTo(moved);
+        loop.submit(() -> node.moveDiscovery(elsewhere)).get();
         assertNotNull(moved.nextRequest());
         // Its back-off after the failure is 375 ms at most.
         assertNull(moved.requests.poll(800, TimeUnit.MILLISECONDS), "asked twice");
@@ -205,8 +205,8 @@
                 loop.submit(() -> {
                             node.start(group, 0, () -> {});
                             node.onList(ServerListParser.parse(many));
-                            node.renew(config);
-                            return node.servers();
+                            node.reconfigure(config);
+                            return node.serverCount();
                         })
                         .get());
     }
--- a/src/test/java/vetchpost/recorder/FlightRecorderTest.java
+++ b/src/test/java/vetchpost/recorder/FlightRecorderTest.java
@@ -9,18 +9,18 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.Fields;
-import vetchpost.core.Recorder.Door;
-import vetchpost.core.Recorder.Told;
+import vetchpost.core.Headers;
+import vetchpost.core.RequestRecorder.Completion;
+import vetchpost.core.RequestRecorder.RejectionReason;
 import vetchpost.decision.Balancer.Candidate;
 import vetchpost.decision.Balancer.Result;
-import vetchpost.decision.Balancer.Why;
+import vetchpost.decision.Balancer.UnservedReason;
 
 /** What is kept of requests, in bounded memory, and what was refused by cause. */
 class FlightRecorderTest {
     private static final long MS = 1_000;
     private static final long MINUTE = 60_000 * MS;
-    private static final Fields NO_FIELDS = new Fields() {
+    private static final Headers NO_FIELDS = new Headers() {
         @Override
         public String get(String name) {
             return null;
@@ -38,40 +38,40 @@
     }
 
     private void taken(long id) {
-        recorder.taken(now, request(id, "/a"), 400 * MS, 2 * MS);
-        recorder.offered(now, id);
+        recorder.accepted(now, request(id, "/a"), 400 * MS, 2 * MS);
+        recorder.admitted(now, id);
     }
 
     private void attempt(long id, int number, String server, Result result, long tookUs) {
-        recorder.sent(now, id, server, now + 100 * MS);
+        recorder.attemptSent(now, id, server, now + 100 * MS);
         now += tookUs;
-        recorder.ended(now, id, number, result, tookUs);
+        recorder.attemptEnded(now, id, number, result, tookUs);
     }
 
     private void served(long id, long tookUs) {
         taken(id);
         attempt(id, 0, "s0", Result.OK, tookUs);
-        recorder.told(now, id, Told.SERVED, 0);
+        recorder.completed(now, id, Completion.SERVED, 0);
     }
 
-    private void refused(long id, Why why) {
+    private void refused(long id, UnservedReason why) {
         taken(id);
-        recorder.because(id, why);
-        recorder.told(now, id, Told.REFUSED, 1_000 * MS);
+        recorder.reasonGiven(id, why);
+        recorder.completed(now, id, Completion.REFUSED, 1_000 * MS);
     }
 
     @Test
     void aRequestIsToldFromItsTakingToItsAnswer() {
         taken(7);
-        recorder.drew(7, new Candidate("s1", 1, 2, 4, 1), new Candidate("s0", 0.5, 3, 4, 2));
+        recorder.candidatesDrawn(7, new Candidate("s1", 1, 2, 4, 1), new Candidate("s0", 0.5, 3, 4, 2));
         now += 10 * MS;
         attempt(7, 0, "s1", Result.ERROR, 30 * MS);
         attempt(7, 1, "s2", Result.OK, 20 * MS);
         assertEquals("nothing", recorder.find(7).told() == null ? "nothing" : "something");
-        recorder.told(now, 7, Told.SERVED, 0);
+        recorder.completed(now, 7, Completion.SERVED, 0);
         Flight flight = recorder.find(7);
         assertEquals("GET /a", flight.request());
-        assertEquals(Told.SERVED, flight.told());
+        assertEquals(Completion.SERVED, flight.told());
         assertEquals(60 * MS, flight.tookUs());
         assertEquals(2 * MS, flight.layUs());
         assertEquals(2, flight.attempts().size());
@@ -94,13 +94,13 @@
         assertNotNull(recorder.find(64));
         assertNull(recorder.find(63));
         served(100, 150 * MS);
-        refused(101, Why.SHED);
+        refused(101, UnservedReason.SHED);
         taken(102);
-        recorder.told(now, 102, Told.LEFT, 0);
+        recorder.completed(now, 102, Completion.LEFT, 0);
         taken(103);
         attempt(103, 0, "s0", Result.FULL, MS);
         attempt(103, 1, "s1", Result.OK, MS);
-        recorder.told(now, 103, Told.SERVED, 0);
+        recorder.completed(now, 103, Completion.SERVED, 0);
         assertEquals(
                 List.of(103L, 102L, 101L, 100L),
                 recorder.last(10).stream().map(Flight::id).collect(Collectors.toList()));
@@ -110,12 +110,12 @@
     @Test
     void anAttemptThatIsOutKeepsItsRequestOpen() {
         taken(1);
-        recorder.sent(now, 1, "s0", now + 100 * MS);
-        recorder.because(1, Why.NO_TIME);
-        recorder.told(now, 1, Told.FAILED, 0);
+        recorder.attemptSent(now, 1, "s0", now + 100 * MS);
+        recorder.reasonGiven(1, UnservedReason.DEADLINE_EXCEEDED);
+        recorder.completed(now, 1, Completion.FAILED, 0);
         assertEquals(0, recorder.last(9).size());
         assertEquals(-1, recorder.find(1).attempts().get(0).tookUs());
-        recorder.ended(now + MS, 1, 0, Result.CANCELLED, MS);
+        recorder.attemptEnded(now + MS, 1, 0, Result.CANCELLED, MS);
         assertEquals(1, recorder.last(9).size());
         assertEquals(Result.CANCELLED, recorder.find(1).attempts().get(0).result());
     }
@@ -123,34 +123,34 @@
     @Test
     void memoryIsBoundedWhateverComes() {
         for (int i = 0; i < 10_000; i++) {
-            recorder.taken(now, request(i, "/" + "x".repeat(100_000)), 400 * MS, 0);
+            recorder.accepted(now, request(i, "/" + "x".repeat(100_000)), 400 * MS, 0);
         }
         assertEquals(FlightRecorder.MOST_OPEN, recorder.size());
         assertTrue(recorder.find(0).request().length() < 200);
         for (int i = 0; i < 10_000; i++) {
-            recorder.told(now, i, Told.LEFT, 0);
+            recorder.completed(now, i, Completion.LEFT, 0);
         }
         assertEquals(8, recorder.size());
         for (int i = 0; i < 10_000; i++) {
-            recorder.turnedAway(now, request(i, "/a"), Door.ROUTE);
+            recorder.rejected(now, request(i, "/a"), RejectionReason.ROUTE_LIMIT);
         }
         assertEquals(8, recorder.size());
         taken(1);
         for (int i = 0; i < 100; i++) {
-            recorder.sent(now, 1, "s", now);
-            recorder.ended(now, 1, i, Result.FULL, 1);
+            recorder.attemptSent(now, 1, "s", now);
+            recorder.attemptEnded(now, 1, i, Result.FULL, 1);
         }
         assertTrue(recorder.find(1).attempts().size() < 10);
     }
 
     @Test
     void whatIsNotFollowedIsPassedOver() {
-        recorder.offered(now, 9);
-        recorder.drew(9, new Candidate("s", 1, 1, 1, 1), null);
-        recorder.sent(now, 9, "s", now);
-        recorder.ended(now, 9, 0, Result.OK, 1);
-        recorder.because(9, Why.SHED);
-        recorder.told(now, 9, Told.REFUSED, 0);
+        recorder.admitted(now, 9);
+        recorder.candidatesDrawn(9, new Candidate("s", 1, 1, 1, 1), null);
+        recorder.attemptSent(now, 9, "s", now);
+        recorder.attemptEnded(now, 9, 0, Result.OK, 1);
+        recorder.reasonGiven(9, UnservedReason.SHED);
+        recorder.completed(now, 9, Completion.REFUSED, 0);
         assertEquals(0, recorder.size());
         assertEquals(List.of(), recorder.refusals().since(now, MINUTE));
     }
@@ -164,23 +164,26 @@
 
     @Test
     void refusalsAreCountedByCauseAndTimeAndForgottenAfterAnHour() {
-        refused(2, Why.SHED);
-        refused(4, Why.SHED);
-        refused(1, Why.NO_ROOM);
-        recorder.turnedAway(now, request(3, "/a"), Door.PATH);
+        refused(2, UnservedReason.SHED);
+        refused(4, UnservedReason.SHED);
+        refused(1, UnservedReason.NO_CAPACITY);
+        recorder.rejected(now, request(3, "/a"), RejectionReason.AMBIGUOUS_PATH);
         taken(5);
-        recorder.told(now, 5, Told.FAILED, 0);
-        assertEquals("2 0 refused: " + Why.SHED.text(), counts(MINUTE).get(0));
+        recorder.completed(now, 5, Completion.FAILED, 0);
+        assertEquals(
+                "2 0 refused: " + UnservedReason.SHED.text(), counts(MINUTE).get(0));
         assertEquals(4, counts(MINUTE).size());
         assertTrue(
-                counts(MINUTE).contains("1 1 failed: " + Door.PATH.text()),
+                counts(MINUTE).contains("1 1 failed: " + RejectionReason.AMBIGUOUS_PATH.text()),
                 counts(MINUTE).toString());
         now += 5 * MINUTE;
-        refused(6, Why.SHED);
-        assertEquals(List.of("1 0 refused: " + Why.SHED.text()), counts(MINUTE));
-        assertEquals("3 0 refused: " + Why.SHED.text(), counts(10 * MINUTE).get(0));
+        refused(6, UnservedReason.SHED);
+        assertEquals(List.of("1 0 refused: " + UnservedReason.SHED.text()), counts(MINUTE));
+        assertEquals(
+                "3 0 refused: " + UnservedReason.SHED.text(),
+                counts(10 * MINUTE).get(0));
         now += 57 * MINUTE;
-        assertEquals(List.of("1 0 refused: " + Why.SHED.text()), counts(60 * MINUTE));
+        assertEquals(List.of("1 0 refused: " + UnservedReason.SHED.text()), counts(60 * MINUTE));
         now += 600 * MINUTE;
         assertEquals(List.of(), counts(60 * MINUTE));
     }
--- a/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import vetchpost.config.Config;
+import vetchpost.config.NodeConfig;
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.handover.Secret;
@@ -128,10 +128,11 @@
             throws Exception {
         JsonObject json = Fixture.config(discovery);
         json.add("known", JsonParser.parseString(Fixture.list(known.length, true, "Ready", known)));
-        Config config = Config.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
+        NodeConfig config =
+                NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
         Node node = loop.submit(() -> {
                     Node fresh = new Node(config, loop);
-                    fresh.companion(new Recovery(
+                    fresh.setLifecycle(new Recovery(
                             settings,
                             config.settings(),
                             loop,
@@ -551,7 +552,7 @@
         Snapshot left = new StateFile(folder.resolve("boxes")).read(System.currentTimeMillis(), line -> {});
         assertEquals(1, left.boxes().size());
         assertEquals(Confirmed.ANSWER, left.boxes().get(0).by());
-        assertTrue(left.boxes().get(0).knowledge().answers() >= 20, left.toString());
+        assertTrue(left.boxes().get(0).knowledge().attemptCount() >= 20, left.toString());
         Running second = start(settings(null, 30_000, null), left, null, null);
         assertTrue(view(second.port, 99).endsWith("served"));
     }
--- a/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
+++ b/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import vetchpost.core.RoutePolicy;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.routes.file.RouteFile;
 import vetchpost.simulation.Plan;
 import vetchpost.simulation.Result;
@@ -66,8 +66,8 @@
     /** The file in force in all nodes, if it is accepted by the settings that they are given. */
     private record InForce(List<Section> sections, boolean[] refused) implements NodeProcess.Planting {
         @Override
-        public Seams seams(SimLoop loop) {
-            return Seams.NONE;
+        public NodeHooks seams(SimLoop loop) {
+            return NodeHooks.NONE;
         }
 
         @Override
--- a/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
+++ b/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
@@ -9,15 +9,15 @@
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
 import vetchpost.core.ClientRequest;
-import vetchpost.core.Fields;
-import vetchpost.core.RouteBounds;
+import vetchpost.core.Headers;
+import vetchpost.core.RouteLimits;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.file.RouteFile;
 import vetchpost.store.Change;
 
 /** What is counted for each route, and for each tenant of it. */
 class FileRoutePolicyTest {
-    private static final Fields NO_FIELDS = new Fields() {
+    private static final Headers NO_FIELDS = new Headers() {
         @Override
         public String get(String name) {
             return null;
@@ -33,31 +33,31 @@
         return new FileRoutePolicy(ProverTest.prove(text).table(), ProverTest.settings(), 1);
     }
 
-    private static RouteBounds bounds(FileRoutePolicy policy, int tenant) {
-        return policy.boundsOf(
+    private static RouteLimits bounds(FileRoutePolicy policy, int tenant) {
+        return policy.limitsOf(
                 new ClientRequest(1, 0, tenant, 0, 0, false, "GET", "/view-page/1", NO_FIELDS, new byte[0]));
     }
 
     @Test
     void oneTenantDoesNotSpendAnothersBudget() {
         FileRoutePolicy policy = policy("[class.view-page]\nretry-budget = 0.1\n");
-        RouteBounds loud = bounds(policy, 0);
+        RouteLimits loud = bounds(policy, 0);
         int repeats = 0;
         for (int i = 0; i < 1_000; i++) {
-            loud.enter();
-            if (loud.mayRepeat()) {
-                loud.repeated();
+            loud.tryAcquire();
+            if (loud.mayRetry()) {
+                loud.recordRetry();
                 repeats++;
             }
         }
         assertTrue(repeats >= 100 && repeats <= 111, repeats + " of 1,000, and ten saved up");
         for (int tenant : new int[] {1, -1}) {
-            RouteBounds quiet = bounds(policy, tenant);
+            RouteLimits quiet = bounds(policy, tenant);
             for (int i = 0; i < 10; i++) {
-                assertTrue(quiet.mayRepeat(), "tenant " + tenant + " has " + i + " repeats left");
-                quiet.repeated();
+                assertTrue(quiet.mayRetry(), "tenant " + tenant + " has " + i + " repeats left");
+                quiet.recordRetry();
             }
-            assertFalse(quiet.mayRepeat());
+            assertFalse(quiet.mayRetry());
         }
     }
 
@@ -75,19 +75,19 @@
         return prover.end().table();
     }
 
-    private static RouteBounds at(FileRoutePolicy policy, String target) {
-        return policy.boundsOf(new ClientRequest(1, 0, -1, 0, 0, false, "GET", target, NO_FIELDS, new byte[0]));
+    private static RouteLimits at(FileRoutePolicy policy, String target) {
+        return policy.limitsOf(new ClientRequest(1, 0, -1, 0, 0, false, "GET", target, NO_FIELDS, new byte[0]));
     }
 
     private static final String ONE = "[[route]]\npath = \"/view-page/one\"\nretry-budget = 0.1\n";
     private static final String TWO =
             "[[route]]\npath = \"/view-page/two\"\nretry-budget = " + "0.2\nconcurrency = 1000\n";
 
-    private static void spend(RouteBounds bounds) {
+    private static void spend(RouteLimits bounds) {
         for (int i = 0; i < 10; i++) {
-            bounds.repeated();
+            bounds.recordRetry();
         }
-        assertFalse(bounds.mayRepeat());
+        assertFalse(bounds.mayRetry());
     }
 
     /** Another file, or a change of another route: what is counted goes on. */
@@ -97,13 +97,13 @@
         FileRoutePolicy policy = new FileRoutePolicy(first, ProverTest.settings(), 1);
         spend(at(policy, "/view-page/one"));
         spend(at(policy, "/view-page/two"));
-        assertTrue(at(policy, "/view-page/two").enter());
+        assertTrue(at(policy, "/view-page/two").tryAcquire());
         String changed = TWO.replace("concurrency = 1000", "concurrency = 1");
         RouteTable second = table("# another file\n" + changed + ONE, first, 2);
         policy.settle(second, ProverTest.settings());
-        assertFalse(at(policy, "/view-page/one").mayRepeat(), "its budget is back");
-        assertTrue(at(policy, "/view-page/two").mayRepeat(), "it has another budget now");
-        assertFalse(at(policy, "/view-page/two").enter(), "what it has in hand is not counted any more");
+        assertFalse(at(policy, "/view-page/one").mayRetry(), "its budget is back");
+        assertTrue(at(policy, "/view-page/two").mayRetry(), "it has another budget now");
+        assertFalse(at(policy, "/view-page/two").tryAcquire(), "what it has in hand is not counted any more");
         RouteTable third = Prover.change(
                         second,
                         List.of(new Prover.RouteChange(
@@ -111,26 +111,26 @@
                         3)
                 .table();
         policy.settle(third, ProverTest.settings());
-        assertFalse(at(policy, "/view-page/one").mayRepeat());
+        assertFalse(at(policy, "/view-page/one").mayRetry());
         // Another class says something else: that is nothing to this route.
         RouteTable aside = table("[class.add-photo]\nconcurrency = 5\n" + ONE, third, 4);
         policy.settle(aside, ProverTest.settings());
-        assertFalse(at(policy, "/view-page/one").mayRepeat(), "its budget is back for a change of another class");
+        assertFalse(at(policy, "/view-page/one").mayRetry(), "its budget is back for a change of another class");
         // With other defaults each route has other limits.
         policy.settle(table("[defaults]\nconcurrency = 5\n" + ONE, third, 4), ProverTest.settings());
-        assertTrue(at(policy, "/view-page/one").mayRepeat());
+        assertTrue(at(policy, "/view-page/one").mayRetry());
     }
 
     @Test
     void aRouteIsTakenOutWhileAThousandRequestsHoldIt() {
         RouteTable first = table(ONE + TWO, null, 1);
         FileRoutePolicy policy = new FileRoutePolicy(first, ProverTest.settings(), 1);
-        List<RouteBounds> held = new ArrayList<>();
+        List<RouteLimits> held = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
             held.add(at(policy, "/view-page/two"));
-            assertTrue(held.get(i).enter());
+            assertTrue(held.get(i).tryAcquire());
         }
-        assertFalse(at(policy, "/view-page/two").enter());
+        assertFalse(at(policy, "/view-page/two").tryAcquire());
         policy.settle(
                 Prover.change(
                                 first,
@@ -139,17 +139,17 @@
                                 2)
                         .table(),
                 ProverTest.settings());
-        RouteBounds other = at(policy, "/view-page/two");
-        assertTrue(other.enter(), "its class has no limit");
-        for (RouteBounds each : held) {
-            assertTrue(each.mayRepeat(), "it goes by what it began with");
-            each.leave();
+        RouteLimits other = at(policy, "/view-page/two");
+        assertTrue(other.tryAcquire(), "its class has no limit");
+        for (RouteLimits each : held) {
+            assertTrue(each.mayRetry(), "it goes by what it began with");
+            each.release();
         }
         spend(held.get(0));
         // Back under its name, it counts from none on, and what it had saved up is as it was left.
         policy.settle(first, ProverTest.settings());
-        assertTrue(at(policy, "/view-page/two").enter());
-        assertFalse(at(policy, "/view-page/two").mayRepeat());
+        assertTrue(at(policy, "/view-page/two").tryAcquire());
+        assertFalse(at(policy, "/view-page/two").mayRetry());
     }
 
     /**
@@ -165,28 +165,28 @@
         RouteFile file = RouteFile.parse("f.toml", "[class.view-page]\nretry-budget = 0.1\nconcurrency = " + "2\n");
         FileRoutePolicy policy =
                 new FileRoutePolicy(Prover.prove(file.sections(), many).table(), many, 1);
-        RouteBounds first = bounds(policy, 0);
-        assertTrue(first.enter());
+        RouteLimits first = bounds(policy, 0);
+        assertTrue(first.tryAcquire());
         spend(first);
-        assertFalse(bounds(policy, 0).mayRepeat());
+        assertFalse(bounds(policy, 0).mayRetry());
         for (int tenant = 1; tenant <= FileRoutePolicy.MOST_KEPT; tenant++) {
             bounds(policy, tenant);
         }
-        assertTrue(bounds(policy, 0).mayRepeat(), "the longest unused begins anew");
-        assertTrue(bounds(policy, 5).enter());
-        assertFalse(bounds(policy, 6).enter(), "what is in hand is counted on");
-        first.leave();
-        assertTrue(bounds(policy, 6).enter());
+        assertTrue(bounds(policy, 0).mayRetry(), "the longest unused begins anew");
+        assertTrue(bounds(policy, 5).tryAcquire());
+        assertFalse(bounds(policy, 6).tryAcquire(), "what is in hand is counted on");
+        first.release();
+        assertTrue(bounds(policy, 6).tryAcquire());
     }
 
     @Test
     void concurrencyIsTheRoutesOwnOverAllTenants() {
         FileRoutePolicy policy = policy("[class.view-page]\nconcurrency = 2\n");
-        assertTrue(bounds(policy, 0).enter());
-        assertTrue(bounds(policy, 1).enter());
-        assertFalse(bounds(policy, -1).enter());
-        bounds(policy, 0).leave();
-        assertTrue(bounds(policy, -1).enter());
-        assertEquals(1_000_000, bounds(policy, 0).adviseUs(0), "the settings' advice where nothing else is said");
+        assertTrue(bounds(policy, 0).tryAcquire());
+        assertTrue(bounds(policy, 1).tryAcquire());
+        assertFalse(bounds(policy, -1).tryAcquire());
+        bounds(policy, 0).release();
+        assertTrue(bounds(policy, -1).tryAcquire());
+        assertEquals(1_000_000, bounds(policy, 0).retryAfterUs(0), "the settings' advice where nothing else is said");
     }
 }
--- a/src/test/java/vetchpost/routes/ProverTest.java
+++ b/src/test/java/vetchpost/routes/ProverTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
@@ -25,16 +25,16 @@
         Settings set = new Settings();
         set.maxAttempts = 4;
         set.maxRetryAfterUs = 1_000 * MS;
-        set.secondCopies = true;
-        set.classes.add(cls("view-page", 500, Repeat.SAFE));
-        set.classes.add(cls("add-photo", 3_000, Repeat.KEYED));
-        set.classes.add(cls("place-order", 1_000, Repeat.UNSAFE));
+        set.allowsHedging = true;
+        set.classes.add(cls("view-page", 500, Idempotency.SAFE));
+        set.classes.add(cls("add-photo", 3_000, Idempotency.KEYED));
+        set.classes.add(cls("place-order", 1_000, Idempotency.UNSAFE));
         set.tenants.add(new Tenant("school-a", 10));
         set.tenants.add(new Tenant("school-b", 10));
         return set;
     }
 
-    private static RequestClass cls(String name, long giveUpMs, Repeat repeat) {
+    private static RequestClass cls(String name, long giveUpMs, Idempotency repeat) {
         return new RequestClass(
                 name,
                 giveUpMs * MS / 2,
@@ -43,7 +43,7 @@
                 1,
                 0,
                 repeat,
-                repeat == Repeat.KEYED ? Group.CELL : Group.ALL,
+                repeat == Idempotency.KEYED ? DeduplicationScope.CELL : DeduplicationScope.ALL,
                 1_200 * MS,
                 false);
     }
--- a/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.simulation.Fault.Kind;
 import vetchpost.simulation.net.SimLoop;
 import vetchpost.simulation.world.Box;
@@ -97,8 +97,8 @@
     /** Nodes that have a part of the fleet each. */
     private record Parts(int subset) implements NodeProcess.Planting {
         @Override
-        public Seams seams(SimLoop loop) {
-            return Seams.NONE;
+        public NodeHooks seams(SimLoop loop) {
+            return NodeHooks.NONE;
         }
     }
 
--- a/src/test/java/vetchpost/simulation/Planted.java
+++ b/src/test/java/vetchpost/simulation/Planted.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import vetchpost.core.Answer;
 import vetchpost.core.ClientReply;
 import vetchpost.core.ClientRequest;
 import vetchpost.core.Failure;
 import vetchpost.core.ServerList;
+import vetchpost.core.ServerResponse;
 import vetchpost.core.ServerTransport;
 import vetchpost.decision.Balancer;
 import vetchpost.decision.Balancer.Actions;
@@ -29,7 +29,7 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.ServiceQBalancer;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.simulation.check.Violation.Rule;
 import vetchpost.simulation.net.SimLoop;
 import vetchpost.simulation.world.NodeProcess;
@@ -53,7 +53,7 @@
                                     o.latencyUs(),
                                     o.requestEnded(),
                                     o.report(),
-                                    o.stallUs()));
+                                    o.loopDelayUs()));
                 }
             };
         }
@@ -61,10 +61,10 @@
     /** The transport sends a request in a hundred once more by itself. */
     SENT_TWICE_BY_ITS_TRANSPORT(Rule.TWICE) {
         @Override
-        public Seams seams(SimLoop loop) {
-            return new Seams() {
+        public NodeHooks seams(SimLoop loop) {
+            return new NodeHooks() {
                 @Override
-                public ServerTransport servers(ServerTransport real) {
+                public ServerTransport wrapTransport(ServerTransport real) {
                     return new Resending(real);
                 }
             };
@@ -134,7 +134,7 @@
             return new PassingActions(real) {
                 @Override
                 public void fail(long requestId) {
-                    refuse(requestId, 0);
+                    reject(requestId, 0);
                 }
             };
         }
@@ -142,17 +142,17 @@
     /** Pages go to the server that has started last, as those of a balancer that likes an empty one would. */
     COLD_SERVER_FLOODED(Rule.COLD) {
         @Override
-        public Seams seams(SimLoop loop) {
+        public NodeHooks seams(SimLoop loop) {
             return new Flooding();
         }
     },
     /** Now and then two answers are taken for each other. */
     ANSWERED_WITH_ANOTHERS(Rule.LOST) {
         @Override
-        public Seams seams(SimLoop loop) {
-            return new Seams() {
+        public NodeHooks seams(SimLoop loop) {
+            return new NodeHooks() {
                 @Override
-                public ServerTransport servers(ServerTransport real) {
+                public ServerTransport wrapTransport(ServerTransport real) {
                     return new Swapping(real);
                 }
             };
@@ -161,10 +161,10 @@
     /** A failure is not answered, and the guard is told that it was. */
     LEFT_UNANSWERED(Rule.LOST) {
         @Override
-        public Seams seams(SimLoop loop) {
-            return new Seams() {
+        public NodeHooks seams(SimLoop loop) {
+            return new NodeHooks() {
                 @Override
-                public ClientReply reply(ClientReply real) {
+                public ClientReply wrapReply(ClientReply real) {
                     return new PassingReply(real) {
                         @Override
                         public void failed(Failure why) {
@@ -249,10 +249,10 @@
     }
 
     @Override
-    public Seams seams(SimLoop loop) {
-        return new Seams() {
+    public NodeHooks seams(SimLoop loop) {
+        return new NodeHooks() {
             @Override
-            public Balancer module(Settings settings, long seed, Actions real) {
+            public Balancer createBalancer(Settings settings, long seed, Actions real) {
                 Actions planted = actions(real);
                 return between(settings, new ServiceQBalancer(settings, seed, planted), planted, loop);
             }
@@ -293,8 +293,8 @@
         }
 
         @Override
-        public void onClientGone(long now, long requestId) {
-            real.onClientGone(now, requestId);
+        public void onClientDisconnected(long now, long requestId) {
+            real.onClientDisconnected(now, requestId);
         }
 
         @Override
@@ -309,7 +309,7 @@
     }
 
     /** Sends safe requests to the server that has started last, for some seconds. */
-    private static final class Flooding implements Seams {
+    private static final class Flooding implements NodeHooks {
         private static final long FOR_US = 4_000_000;
         private static final int SAFE = 0;
 
@@ -319,7 +319,7 @@
         private long nowUs;
 
         @Override
-        public Balancer module(Settings settings, long seed, Actions real) {
+        public Balancer createBalancer(Settings settings, long seed, Actions real) {
             return new Passing(new ServiceQBalancer(settings, seed, new PassingActions(real) {
                 @Override
                 public void send(long requestId, String serverId, long untilUs) {
@@ -371,8 +371,8 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) {
-            real.refuse(requestId, retryAfterUs);
+        public void reject(long requestId, long retryAfterUs) {
+            real.reject(requestId, retryAfterUs);
         }
 
         @Override
@@ -410,13 +410,13 @@
         }
 
         @Override
-        public void served(Answer answer) {
+        public void served(ServerResponse answer) {
             real.served(answer);
         }
 
         @Override
-        public void refused(long retryAfterUs) {
-            real.refused(retryAfterUs);
+        public void rejected(long retryAfterUs) {
+            real.rejected(retryAfterUs);
         }
 
         @Override
@@ -425,8 +425,8 @@
         }
 
         @Override
-        public void whenGone(Runnable action) {
-            real.whenGone(action);
+        public void onDisconnect(Runnable action) {
+            real.onDisconnect(action);
         }
     }
 
@@ -444,12 +444,12 @@
         }
 
         @Override
-        public Attempt send(String serverId, Sending sending) {
+        public Attempt send(String serverId, OutgoingRequest sending) {
             return real.send(serverId, sending);
         }
 
         @Override
-        public Attempt probe(String serverId, Report report) {
+        public Attempt probe(String serverId, AttemptListener report) {
             return real.probe(serverId, report);
         }
 
@@ -460,20 +460,21 @@
     }
 
     /** A request as it is sent, with another ear for its end. */
-    private record Heard(ServerTransport.Sending real, ServerTransport.Report ear) implements ServerTransport.Sending {
+    private record Heard(ServerTransport.OutgoingRequest real, ServerTransport.AttemptListener ear)
+            implements ServerTransport.OutgoingRequest {
         @Override
         public ClientRequest request() {
             return real.request();
         }
 
         @Override
-        public long waitUs() {
-            return real.waitUs();
+        public long responseTimeoutUs() {
+            return real.responseTimeoutUs();
         }
 
         @Override
-        public void ended(Result result, Answer answer) {
-            ear.ended(result, answer);
+        public void onEnded(Result result, ServerResponse answer) {
+            ear.onEnded(result, answer);
         }
     }
 
@@ -486,7 +487,7 @@
         }
 
         @Override
-        public Attempt send(String serverId, Sending sending) {
+        public Attempt send(String serverId, OutgoingRequest sending) {
             Attempt attempt = super.send(serverId, sending);
             if (++sent % 100 == 0) {
                 super.send(serverId, new Heard(sending, (result, answer) -> {}));
@@ -497,19 +498,19 @@
 
     /** Gives one attempt's answer to the next. */
     private static final class Swapping extends PassingTransport {
-        private final List<Answer> last = new ArrayList<>();
+        private final List<ServerResponse> last = new ArrayList<>();
 
         Swapping(ServerTransport real) {
             super(real);
         }
 
         @Override
-        public Attempt send(String serverId, Sending sending) {
+        public Attempt send(String serverId, OutgoingRequest sending) {
             return super.send(serverId, new Heard(sending, (result, answer) -> {
                 if (result == Result.OK) {
                     last.add(answer);
                 }
-                sending.ended(
+                sending.onEnded(
                         result, result == Result.OK && last.size() % 50 == 0 ? last.get(last.size() - 2) : answer);
             }));
         }
--- a/src/test/java/vetchpost/simulation/SeedsTest.java
+++ b/src/test/java/vetchpost/simulation/SeedsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 
 /** The node's network code under a thousand seeds' worth of faults. */
 @Timeout(600)
@@ -42,7 +42,7 @@
             assertEquals(once.digest(), again.digest());
             assertEquals(once.events(), again.events());
             Plan plan = Plan.of(seed);
-            Guarded door = new Guarded(loop -> Seams.NONE);
+            Guarded door = new Guarded(loop -> NodeHooks.NONE);
             assertEquals(
                     Simulation.run(plan, door, null).digest(),
                     Simulation.run(plan, door, null).digest());
--- a/src/test/java/vetchpost/simulation/Stage.java
+++ b/src/test/java/vetchpost/simulation/Stage.java
@@ -11,12 +11,12 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import vetchpost.core.RoutePolicy;
-import vetchpost.decision.Balancer.Group;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.DeduplicationScope;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.routes.FileRoutePolicy;
 import vetchpost.routes.Proof;
 import vetchpost.routes.Prover;
@@ -64,10 +64,10 @@
         Settings settings = new Settings();
         settings.maxRetryAfterUs = 1_000_000;
         settings.maxAttempts = 4;
-        settings.secondCopies = true;
-        settings.classes.add(cls("view-page", 320, Repeat.SAFE));
-        settings.classes.add(cls("add-photo", 400, Repeat.KEYED));
-        settings.classes.add(cls("place-order", 640, Repeat.UNSAFE));
+        settings.allowsHedging = true;
+        settings.classes.add(cls("view-page", 320, Idempotency.SAFE));
+        settings.classes.add(cls("add-photo", 400, Idempotency.KEYED));
+        settings.classes.add(cls("place-order", 640, Idempotency.UNSAFE));
         settings.tenants.add(new Tenant("school", 1_000));
         return settings;
     }
@@ -80,8 +80,8 @@
         return new FileRoutePolicy(proof.table(), settings, 1);
     }
 
-    private static RequestClass cls(String name, long giveUpMs, Repeat repeat) {
-        return new RequestClass(name, 0, 0, 1_000 * giveUpMs, 1, 0, repeat, Group.ALL, 1_200_000, false);
+    private static RequestClass cls(String name, long giveUpMs, Idempotency repeat) {
+        return new RequestClass(name, 0, 0, 1_000 * giveUpMs, 1, 0, repeat, DeduplicationScope.ALL, 1_200_000, false);
     }
 
     Stage(long seed, int boxCount, int racks, boolean pushed, String routes) {
@@ -100,7 +100,7 @@
 
     /** With classes whose times are in proportion to so many milliseconds of work. */
     Stage(long seed, int boxCount, int racks, boolean pushed, int workMs) {
-        this(seed, boxCount, racks, pushed, workMs, loop -> Seams.NONE);
+        this(seed, boxCount, racks, pushed, workMs, loop -> NodeHooks.NONE);
     }
 
     private Stage(long seed, int boxCount, int racks, boolean pushed, int workMs, NodeProcess.Planting planting) {
--- a/src/test/java/vetchpost/simulation/Trusting.java
+++ b/src/test/java/vetchpost/simulation/Trusting.java
@@ -8,9 +8,9 @@
 import java.util.PriorityQueue;
 import vetchpost.core.ClientRequest;
 import vetchpost.decision.Balancer;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 
 /**
  * A module that takes an operator's file at its word: it makes as many attempts and copies as the route says,
@@ -41,15 +41,15 @@
     }
 
     /** Nodes with such a module, and a core that takes the file's time in all for the client's, or not. */
-    static Seams seams(boolean coreToo) {
-        return new Seams() {
+    static NodeHooks seams(boolean coreToo) {
+        return new NodeHooks() {
             @Override
-            public Balancer module(Settings settings, long seed, Actions actions) {
+            public Balancer createBalancer(Settings settings, long seed, Actions actions) {
                 return new Trusting(settings, actions);
             }
 
             @Override
-            public ClientRequest request(ClientRequest r) {
+            public ClientRequest wrapRequest(ClientRequest r) {
                 long ever = Long.MAX_VALUE / 4;
                 return !coreToo
                         ? r
@@ -62,7 +62,7 @@
                                 r.retry(),
                                 r.method(),
                                 r.target(),
-                                r.fields(),
+                                r.headers(),
                                 r.body());
             }
         };
@@ -104,14 +104,14 @@
             held.remove(request.id());
             return;
         }
-        long copyUs = request.bounds().copyAfterUs();
+        long copyUs = request.retryLimits().hedgeDelayUs();
         if (copyUs > 0) {
             at(now + copyUs, () -> again(taken));
         }
     }
 
     private boolean send(Held request) {
-        boolean keyed = set.classes.get(request.request.classIndex()).repeat() == Repeat.KEYED;
+        boolean keyed = set.classes.get(request.request.classIndex()).idempotency() == Idempotency.KEYED;
         List<ServerEntry> all = new ArrayList<>(servers.values());
         all.removeIf(s -> keyed && request.first != null && s.cell() != request.first.cell());
         if (all.isEmpty()) {
@@ -133,7 +133,7 @@
 
     private boolean mayRepeat(Held request) {
         return request.attempts
-                < Math.min(set.maxAttempts, request.request.bounds().attempts());
+                < Math.min(set.maxAttempts, request.request.retryLimits().maxAttempts());
     }
 
     private void failIfAlone(Held request) {
@@ -153,7 +153,7 @@
         if (outcome.requestEnded()) {
             held.remove(outcome.requestId());
         } else if (mayRepeat(request)) {
-            at(now + request.request.bounds().waitUs(request.attempts), () -> again(request));
+            at(now + request.request.retryLimits().retryDelayUs(request.attempts), () -> again(request));
         } else {
             failIfAlone(request);
         }
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void onClientGone(long now, long requestId) {
+    public void onClientDisconnected(long now, long requestId) {
         held.remove(requestId);
     }
 
--- a/src/test/java/vetchpost/simulation/WitnessTest.java
+++ b/src/test/java/vetchpost/simulation/WitnessTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import vetchpost.core.RoutePolicy;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.node.Seams;
+import vetchpost.node.NodeHooks;
 import vetchpost.routes.Believed;
 import vetchpost.routes.Violation.Rule;
 import vetchpost.simulation.check.Violation;
@@ -45,8 +45,8 @@
         }
 
         @Override
-        public Seams seams(SimLoop loop) {
-            return trusting ? Trusting.seams(coreToo) : Seams.NONE;
+        public NodeHooks seams(SimLoop loop) {
+            return trusting ? Trusting.seams(coreToo) : NodeHooks.NONE;
         }
 
         @Override
@@ -145,7 +145,7 @@
         String copies = "[class.view-page]\nattempts = 2\ncopy-after = \"50ms\"\n";
         assertEquals(2, attemptsOfOneView(copies, true));
         Settings forbidding = Stage.settings();
-        forbidding.secondCopies = false;
+        forbidding.allowsHedging = false;
         assertTrue(Believed.isRefused(copies, forbidding, Rule.NOT_ALLOWED));
         assertTrue(Believed.isAccepted(copies, Stage.settings()));
     }
--- a/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
+++ b/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
@@ -147,7 +147,7 @@
     private Channel connect(SimNetwork network, List<Object> seen) {
         return new Bootstrap()
                 .group(network.loop())
-                .channelFactory(network::connecting)
+                .channelFactory(network::newClientChannel)
                 .disableResolver()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 40)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -236,7 +236,7 @@
         network.loop()
                 .run(() -> new ServerBootstrap()
                         .group(network.loop())
-                        .channelFactory(network::listening)
+                        .channelFactory(network::newServerChannel)
                         .childHandler(new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel channel) {
--- a/src/test/java/vetchpost/simwire/LinkTest.java
+++ b/src/test/java/vetchpost/simwire/AdapterSessionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The adapter on small pieces of the wire. */
-class LinkTest {
+class AdapterSessionTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
             + " classes.0.giveUpUs=500000 classes.0.onTimeUs=100000 classes.0.repeat=safe unknown.key=1"
@@ -27,7 +27,7 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
     private String run(String input) throws Exception {
-        new Link(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new AdapterSession(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
--- a/src/test/java/vetchpost/standalone/StandaloneProverTest.java
+++ b/src/test/java/vetchpost/standalone/StandaloneProverTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import vetchpost.decision.Balancer.Repeat;
+import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.routes.Violation;
 import vetchpost.routes.Violation.Rule;
 import vetchpost.routes.file.RouteFile;
@@ -51,9 +51,9 @@
                         .name());
         for (String method : List.of("POST", "PUT", "DELETE", "PATCH", "BREW")) {
             int index = classes.classOf(method, "/", n -> null);
-            assertEquals(Repeat.UNSAFE, node.settings().classes.get(index).repeat(), method);
+            assertEquals(Idempotency.UNSAFE, node.settings().classes.get(index).idempotency(), method);
         }
-        node.settings().classes.forEach(c -> assertTrue(c.lateWorth() > 0, "a late page is worth something"));
+        node.settings().classes.forEach(c -> assertTrue(c.lateValueFraction() > 0, "a late page is worth something"));
     }
 
     @Test
--- a/src/test/java/vetchpost/state/DoubtTest.java
+++ b/src/test/java/vetchpost/state/DoubtTest.java
@@ -7,15 +7,15 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import vetchpost.decision.Knowledge;
+import vetchpost.decision.ServerStatistics;
 
 /** Whose word on the health of boxes is taken. */
 class DoubtTest {
     private static final long NOW = States.NOW_MS;
     private static final long HOUR_MS = 3_600_000;
 
-    private static Knowledge self(int ready, int ejected, boolean throttled) {
-        return new Knowledge(List.of(), List.of(), ready, ejected, throttled);
+    private static ServerStatistics self(int ready, int ejected, boolean throttled) {
+        return new ServerStatistics(List.of(), List.of(), ready, ejected, throttled);
     }
 
     @Test
--- a/src/test/java/vetchpost/state/States.java
+++ b/src/test/java/vetchpost/state/States.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ServerState;
-import vetchpost.decision.Knowledge.OfServer;
+import vetchpost.decision.ServerStatistics.PerServer;
 
 /** Snapshots for tests. */
 public final class States {
@@ -27,16 +27,16 @@
                 0);
     }
 
-    public static OfServer well(int number, long heardMs) {
-        return new OfServer(
+    public static PerServer well(int number, long heardMs) {
+        return new PerServer(
                 "s-" + number, 0, 100, 1_000 * heardMs, 1_000 * heardMs, 0, 0, 0, 1.5, 3, false, List.of(0, 0, 0));
     }
 
-    public static OfServer ill(int number, long heardMs) {
-        return new OfServer("s-" + number, 0, 100, 1_000 * heardMs, 0, 6, 10, 0.9, 5, 0.25, true, List.of(2, 0, 4));
+    public static PerServer ill(int number, long heardMs) {
+        return new PerServer("s-" + number, 0, 100, 1_000 * heardMs, 0, 6, 10, 0.9, 5, 0.25, true, List.of(2, 0, 4));
     }
 
-    public static BoxState box(int number, long confirmedMs, OfServer knowledge) {
+    public static BoxState box(int number, long confirmedMs, PerServer knowledge) {
         return new BoxState(
                 target(number), confirmedMs, Confirmed.LIST, knowledge == null ? 0 : confirmedMs, knowledge);
     }
@@ -63,9 +63,9 @@
     public static Snapshot random(SplittableRandom random, int boxes) {
         List<BoxState> states = new ArrayList<>();
         for (int i = 0; i < boxes; i++) {
-            OfServer known = random.nextInt(4) == 0
+            PerServer known = random.nextInt(4) == 0
                     ? null
-                    : new OfServer(
+                    : new PerServer(
                             "s-" + i,
                             0,
                             random.nextInt(Integer.MAX_VALUE),
