--- a/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
@@ -36,11 +36,11 @@
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.ServerStatistics;
 import vetchpost.decision.ServiceQBalancer;
-import vetchpost.state.BoxState;
-import vetchpost.state.Confirmed;
-import vetchpost.state.Priors;
+import vetchpost.state.ConfirmationSource;
+import vetchpost.state.PriorStatistics;
+import vetchpost.state.ServerRecord;
 import vetchpost.state.Snapshot;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.codec.ChunkCodec;
 import vetchpost.state.disk.StateFile;
 
 /**
@@ -61,8 +61,8 @@
     private int boxes;
 
     private Dispatcher dispatcher;
-    private Sightings sightings;
-    private List<BoxState> states;
+    private ServerObservations sightings;
+    private List<ServerRecord> states;
     private Snapshot snapshot;
     private List<byte[]> pieces;
     private ServerStatistics prior;
@@ -139,14 +139,14 @@
         }
         dispatcher = dispatcher();
         dispatcher.onKnownList(new ServerList(1, true, targets));
-        sightings = new Sightings(settings().classes);
+        sightings = new ServerObservations(settings().classes);
         sightings.listed(NOW_MS, 1);
         states = new ArrayList<>();
         for (Target target : targets) {
-            states.add(new BoxState(
+            states.add(new ServerRecord(
                     target,
                     NOW_MS,
-                    Confirmed.LIST,
+                    ConfirmationSource.LIST,
                     NOW_MS,
                     new ServerStatistics.PerServer(
                             target.id(),
@@ -166,7 +166,7 @@
         snapshot = new Snapshot(
                 sightings.origin(7, NOW_MS, NOW_MS - 60_000, Set.of()), sightings.classes(knowledge), states);
         pieces = Recovery.encode(snapshot.origin(), snapshot.classes(), states);
-        prior = Priors.of(snapshot, classNames, NOW_MS, true, Map.of());
+        prior = PriorStatistics.of(snapshot, classNames, NOW_MS, true, Map.of());
         file = Files.createTempDirectory("snapshot").resolve("boxes");
         kept = new StateFile(file);
         System.out.println("# " + boxes + " boxes: " + kept.write(pieces) + " bytes in " + pieces.size() + " pieces");
@@ -189,7 +189,7 @@
     /** All turns together. */
     @Benchmark
     public Object loopCollectAll() {
-        Iterator<List<BoxState>> cursor = sightings.new Cursor(dispatcher, () -> NOW_MS, A_TURN);
+        Iterator<List<ServerRecord>> cursor = sightings.new Cursor(dispatcher, () -> NOW_MS, A_TURN);
         int count = 0;
         while (cursor.hasNext()) {
             count += cursor.next().size();
@@ -201,8 +201,8 @@
     @Benchmark
     public Object loopHandOverOnePiece() {
         ServerStatistics knowledge = dispatcher.statistics(List.of());
-        return Sightings.pieces(
-                        sightings.new Cursor(dispatcher, () -> NOW_MS, PieceCodec.BOXES),
+        return ServerObservations.pieces(
+                        sightings.new Cursor(dispatcher, () -> NOW_MS, ChunkCodec.SERVERS_PER_CHUNK),
                         snapshot.origin(),
                         sightings.classes(knowledge))
                 .next();
--- a/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
+++ b/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
@@ -51,7 +51,8 @@
         Settings settings = new Settings();
         settings.classes.add(new RequestClass(
                 "view-page", 100_000, 0, 500_000, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
-        table = Prover.prove(RouteFile.parse("bench.toml", text.toString()).sections(), settings)
+        table = RouteValidator.validate(
+                        RouteFile.parse("bench.toml", text.toString()).sections(), settings)
                 .table();
         for (int i = 0; i < PATHS; i++) {
             int route = (int) (i * 7_919L % routes);
--- a/src/main/java/vetchpost/changes/Writer.java
+++ b/src/main/java/vetchpost/changes/ChangeWriter.java
@@ -1,9 +1,9 @@
 package vetchpost.changes;
 
 import java.util.List;
-import vetchpost.changes.Catalog.Outcome;
+import vetchpost.changes.RouteConfiguration.Outcome;
 import vetchpost.routes.Violation;
-import vetchpost.store.Change;
+import vetchpost.store.EntryChange;
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
 
@@ -12,16 +12,16 @@
  * its epoch; who takes over begins a later one, and nodes that have seen that take nothing more of this
  * one's.
  */
-public final class Writer {
+public final class ChangeWriter {
     private final long epoch;
-    private Catalog catalog;
+    private RouteConfiguration catalog;
 
     /**
      * Goes on where a configuration is.
      *
      * @param epoch over that of the last version there, unless that is this writer's own
      */
-    public Writer(Catalog catalog, long epoch) {
+    public ChangeWriter(RouteConfiguration catalog, long epoch) {
         if (epoch < Version.epoch(catalog.store().version())) {
             throw new IllegalArgumentException(
                     "epoch " + epoch + " after " + Version.text(catalog.store().version()));
@@ -35,15 +35,15 @@
      *
      * @return what it breaks; empty if it has a version now
      */
-    public List<Violation> submit(List<Change> batch) {
+    public List<Violation> submit(List<EntryChange> batch) {
         long before = catalog.store().version();
-        Outcome outcome = catalog.prove(batch, Version.epoch(before) == epoch ? before + 1 : Version.of(epoch, 1));
-        catalog = outcome.catalog() == null ? catalog : outcome.catalog();
+        Outcome outcome = catalog.apply(batch, Version.epoch(before) == epoch ? before + 1 : Version.of(epoch, 1));
+        catalog = outcome.configuration() == null ? catalog : outcome.configuration();
         return outcome.violations();
     }
 
     /** What is there now. */
-    public Catalog catalog() {
+    public RouteConfiguration configuration() {
         return catalog;
     }
 
--- a/src/main/java/vetchpost/changes/Catalog.java
+++ b/src/main/java/vetchpost/changes/RouteConfiguration.java
@@ -8,19 +8,19 @@
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.replication.Index;
 import vetchpost.routes.Position;
-import vetchpost.routes.Proof;
-import vetchpost.routes.Prover;
-import vetchpost.routes.Prover.RouteChange;
 import vetchpost.routes.RouteCodec;
 import vetchpost.routes.RouteTable;
+import vetchpost.routes.RouteValidation;
+import vetchpost.routes.RouteValidator;
+import vetchpost.routes.RouteValidator.RouteChange;
 import vetchpost.routes.Section;
 import vetchpost.routes.Violation;
 import vetchpost.routes.Violation.Rule;
-import vetchpost.store.Change;
-import vetchpost.store.Change.Op;
-import vetchpost.store.Fields;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.store.EntryChange;
+import vetchpost.store.EntryChange.Op;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
+import vetchpost.store.FieldCodec;
 import vetchpost.store.PackedTree;
 import vetchpost.store.PackedTree.Item;
 import vetchpost.store.VersionedStore;
@@ -30,11 +30,11 @@
  * are a tenant's. It never changes. A batch is proved by what it can break: each route with those of its
  * name, match and tenant; all routes where defaults or a class change.
  */
-public final class Catalog implements Index {
+public final class RouteConfiguration implements Index {
     private static final byte[] NOTHING = new byte[0];
-    private static final byte[] TENANTS = new Key(Kind.TENANT, "").bytes();
-    private static final double MOST_SHARE = 1e9;
-    private static final int MOST_BATCH = 10_000;
+    private static final byte[] TENANTS = new EntryKey(EntryKind.TENANT, "").bytes();
+    private static final double MAX_FRACTION = 1e9;
+    private static final int MAX_BATCH = 10_000;
 
     private final Settings settings;
     private final VersionedStore store;
@@ -49,9 +49,9 @@
      *
      * @param catalog null if there is any violation
      */
-    public record Outcome(Catalog catalog, List<Violation> violations) {}
+    public record Outcome(RouteConfiguration configuration, List<Violation> violations) {}
 
-    private Catalog(
+    private RouteConfiguration(
             Settings settings, VersionedStore store, RouteTable routes, PackedTree byTenant, boolean limitsChanged) {
         this.limitsChanged = limitsChanged;
         this.settings = settings;
@@ -65,11 +65,11 @@
      *
      * @param settings its tenants are those that requests can have; those that routes may name are entries
      */
-    public static Catalog empty(Settings settings) {
-        return new Catalog(
+    public static RouteConfiguration empty(Settings settings) {
+        return new RouteConfiguration(
                 settings,
                 VersionedStore.EMPTY,
-                Prover.proveAlone(List.of(), settings).table(),
+                RouteValidator.validateStandalone(List.of(), settings).table(),
                 PackedTree.EMPTY,
                 false);
     }
@@ -80,8 +80,8 @@
     }
 
     /** The same entries with their own versions, as somebody has kept them, for a writer to go on from. */
-    public Catalog at(VersionedStore kept) {
-        return new Catalog(settings, kept, routes.over(kept.live()), byTenant, false);
+    public RouteConfiguration at(VersionedStore kept) {
+        return new RouteConfiguration(settings, kept, routes.backedBy(kept.live()), byTenant, false);
     }
 
     /** Where requests' routes are found. */
@@ -99,16 +99,16 @@
     /**
      * The batch at that version, or all that it would break; of several changes of one key the last counts.
      */
-    public Outcome prove(List<Change> batch, long version) {
+    public Outcome apply(List<EntryChange> batch, long version) {
         List<Violation> violations = new ArrayList<>();
-        Map<Key, Change> last = new LinkedHashMap<>();
-        if (batch.size() > MOST_BATCH) {
+        Map<EntryKey, EntryChange> last = new LinkedHashMap<>();
+        if (batch.size() > MAX_BATCH) {
             violations.add(new Violation(
-                    at(MOST_BATCH), "batch", Rule.OUT_OF_RANGE, batch.size() + " changes", MOST_BATCH + " or fewer"));
+                    at(MAX_BATCH), "batch", Rule.OUT_OF_RANGE, batch.size() + " changes", MAX_BATCH + " or fewer"));
             return new Outcome(null, violations);
         }
         for (int i = 0; i < batch.size(); i++) {
-            Change change = batch.get(i);
+            EntryChange change = batch.get(i);
             boolean there = last.containsKey(change.key())
                     ? last.get(change.key()).value() != null
                     : store.get(change.key()) != null;
@@ -126,9 +126,9 @@
         if (!violations.isEmpty()) {
             return new Outcome(null, violations);
         }
-        List<Change> changes = List.copyOf(last.values());
+        List<EntryChange> changes = List.copyOf(last.values());
         VersionedStore after = store.with(changes, version);
-        Proof proof = proof(changes, after, version, violations);
+        RouteValidation proof = proof(changes, after, version, violations);
         if (!violations.isEmpty()) {
             // Some can't be read, so that nothing more can be said of them.
             violations.addAll(proof.violations());
@@ -136,7 +136,7 @@
         }
         PackedTree owned = byTenant;
         for (int i = 0; i < changes.size(); i++) {
-            Change change = changes.get(i);
+            EntryChange change = changes.get(i);
             switch (change.key().kind()) {
                 case TENANT -> tenant(change, at(i), violations);
                 case SERVICE -> service(change, at(i), violations);
@@ -145,14 +145,16 @@
             }
         }
         for (int i = 0; i < changes.size(); i++) {
-            Change change = changes.get(i);
-            if (change.key().kind() == Kind.TENANT && change.value() == null) {
+            EntryChange change = changes.get(i);
+            if (change.key().kind() == EntryKind.TENANT && change.value() == null) {
                 unowned(owned, change.key().name(), at(i), violations);
             }
         }
         violations.addAll(proof.violations());
         return violations.isEmpty()
-                ? new Outcome(new Catalog(settings, after, proof.table().over(after.live()), owned, false), violations)
+                ? new Outcome(
+                        new RouteConfiguration(settings, after, proof.table().backedBy(after.live()), owned, false),
+                        violations)
                 : new Outcome(null, violations);
     }
 
@@ -161,28 +163,29 @@
         return new Position("batch", change + 1, 1);
     }
 
-    private Proof proof(List<Change> changes, VersionedStore after, long version, List<Violation> violations) {
-        Prover.Tenants tenants = new Prover.Tenants() {
+    private RouteValidation proof(
+            List<EntryChange> changes, VersionedStore after, long version, List<Violation> violations) {
+        RouteValidator.Tenants tenants = new RouteValidator.Tenants() {
             @Override
             public boolean has(String name) {
-                return after.get(new Key(Kind.TENANT, name)) != null;
+                return after.get(new EntryKey(EntryKind.TENANT, name)) != null;
             }
 
             @Override
             public Iterable<String> all() {
                 return () -> after.live().range(TENANTS, null, 1_001).stream()
                         .filter(i -> i.key()[0] == TENANTS[0])
-                        .map(i -> Key.of(i.key()).name())
+                        .map(i -> EntryKey.of(i.key()).name())
                         .iterator();
             }
         };
-        if (changes.stream().anyMatch(c -> c.key().kind() == Kind.LIMITS)) {
+        if (changes.stream().anyMatch(c -> c.key().kind() == EntryKind.LIMITS)) {
             return whole(after, version, tenants, violations);
         }
         List<RouteChange> ofRoutes = new ArrayList<>();
         for (int i = 0; i < changes.size(); i++) {
-            Change change = changes.get(i);
-            if (change.key().kind() == Kind.ROUTE) {
+            EntryChange change = changes.get(i);
+            if (change.key().kind() == EntryKind.ROUTE) {
                 Section section = null;
                 try {
                     section = change.value() == null
@@ -201,8 +204,8 @@
                 }
             }
         }
-        ofRoutes.removeIf(c -> c.section() == null && store.get(new Key(Kind.ROUTE, c.name())) == null);
-        return Prover.change(routes, ofRoutes, version, tenants);
+        ofRoutes.removeIf(c -> c.section() == null && store.get(new EntryKey(EntryKind.ROUTE, c.name())) == null);
+        return RouteValidator.validateChanges(routes, ofRoutes, version, tenants);
     }
 
     /** A route's own name is its entry's, and is not kept twice; where it has none it is its path. */
@@ -214,14 +217,15 @@
     }
 
     /** Defaults or a class have changed: all routes are proved by them. */
-    private Proof whole(VersionedStore after, long version, Prover.Tenants tenants, List<Violation> violations) {
+    private RouteValidation whole(
+            VersionedStore after, long version, RouteValidator.Tenants tenants, List<Violation> violations) {
         List<Section> others = limits(after.live(), violations);
-        Prover prover = Prover.begin(others, settings, true, routes, version, tenants);
-        byte[] first = new Key(Kind.ROUTE, "").bytes();
+        RouteValidator prover = RouteValidator.begin(others, settings, true, routes, version, tenants);
+        byte[] first = new EntryKey(EntryKind.ROUTE, "").bytes();
         for (Item route = after.live().ceiling(first);
                 route != null && route.key()[0] == first[0];
-                route = after.live().ceiling(PackedTree.after(route.key()))) {
-            String name = Key.of(route.key()).name();
+                route = after.live().ceiling(PackedTree.successor(route.key()))) {
+            String name = EntryKey.of(route.key()).name();
             Position at = new Position("route " + name, 1, 1);
             try {
                 prover.add(named(name, RouteCodec.section(route.value(), at)));
@@ -232,26 +236,30 @@
         return prover.end();
     }
 
-    private static void tenant(Change change, Position at, List<Violation> violations) {
+    private static void tenant(EntryChange change, Position at, List<Violation> violations) {
         if (change.value() == null) {
             return;
         }
         try {
-            Fields.read(change.value(), (number, value) -> {
-                if (number != 0 || !(value instanceof Double share) || !(share >= 0 && share <= MOST_SHARE)) {
+            FieldCodec.read(change.value(), (number, value) -> {
+                if (number != 0 || !(value instanceof Double share) || !(share >= 0 && share <= MAX_FRACTION)) {
                     throw new IllegalArgumentException("field " + number + " = " + value);
                 }
             });
         } catch (IllegalArgumentException e) {
             violations.add(new Violation(
-                    at, change.key().toString(), Rule.OUT_OF_RANGE, e.getMessage(), "a share from 0 to " + MOST_SHARE));
+                    at,
+                    change.key().toString(),
+                    Rule.OUT_OF_RANGE,
+                    e.getMessage(),
+                    "a share from 0 to " + MAX_FRACTION));
         }
     }
 
-    private static void service(Change change, Position at, List<Violation> violations) {
+    private static void service(EntryChange change, Position at, List<Violation> violations) {
         try {
             if (change.value() != null) {
-                Fields.read(change.value(), (number, value) -> {});
+                FieldCodec.read(change.value(), (number, value) -> {});
             }
         } catch (IllegalArgumentException e) {
             violations.add(new Violation(at, change.key().toString(), Rule.SYNTAX, e.getMessage(), ""));
@@ -267,14 +275,14 @@
                     at,
                     "tenant " + tenant,
                     Rule.UNKNOWN_TENANT,
-                    "route " + Fields.text(Arrays.copyOfRange(item.key(), prefix.length, item.key().length))
+                    "route " + FieldCodec.text(Arrays.copyOfRange(item.key(), prefix.length, item.key().length))
                             + " is its",
                     "without that route"));
         }
     }
 
     private static byte[] ownedKey(String tenant, byte[] route) {
-        byte[] name = Fields.utf8(tenant);
+        byte[] name = FieldCodec.utf8(tenant);
         byte[] key = Arrays.copyOf(name, name.length + 1 + route.length);
         System.arraycopy(route, 0, key, name.length + 1, route.length);
         return key;
@@ -295,29 +303,31 @@
     // ---------------------------------------------------------------- what was proved elsewhere
 
     @Override
-    public Catalog settled(byte[] key, byte[] value, PackedTree live) {
-        Key of = Key.of(key);
-        if (of.kind() == Kind.LIMITS) {
-            return new Catalog(settings, store, routes, byTenant, true);
+    public RouteConfiguration withEntry(byte[] key, byte[] value, PackedTree live) {
+        EntryKey of = EntryKey.of(key);
+        if (of.kind() == EntryKind.LIMITS) {
+            return new RouteConfiguration(settings, store, routes, byTenant, true);
         }
-        if (of.kind() != Kind.ROUTE) {
+        if (of.kind() != EntryKind.ROUTE) {
             return this;
         }
-        return new Catalog(
-                settings, store, routes.settled(of.name(), value, live), owned(byTenant, key, value), limitsChanged);
+        return new RouteConfiguration(
+                settings, store, routes.withRoute(of.name(), value, live), owned(byTenant, key, value), limitsChanged);
     }
 
     /** With an entry of a tree that all of it is read from already; for a start from what was kept. */
-    public Catalog taken(byte[] key, byte[] value) {
-        Key of = Key.of(key);
-        if (of.kind() != Kind.ROUTE) {
-            return of.kind() == Kind.LIMITS ? new Catalog(settings, store, routes, byTenant, true) : this;
+    public RouteConfiguration withoutEntry(byte[] key, byte[] value) {
+        EntryKey of = EntryKey.of(key);
+        if (of.kind() != EntryKind.ROUTE) {
+            return of.kind() == EntryKind.LIMITS
+                    ? new RouteConfiguration(settings, store, routes, byTenant, true)
+                    : this;
         }
         String tenant = RouteCodec.tenantOf(value);
-        return new Catalog(
+        return new RouteConfiguration(
                 settings,
                 store,
-                routes.taken(of.name(), value),
+                routes.withoutRoute(of.name(), value),
                 tenant == null
                         ? byTenant
                         : byTenant.put(ownedKey(tenant, Arrays.copyOfRange(key, 1, key.length)), NOTHING, 0),
@@ -325,12 +335,12 @@
     }
 
     @Override
-    public Catalog over(PackedTree live) {
-        RouteTable table = routes.over(live);
-        return new Catalog(
+    public RouteConfiguration backedBy(PackedTree live) {
+        RouteTable table = routes.backedBy(live);
+        return new RouteConfiguration(
                 settings,
                 VersionedStore.of(live, live.newest()),
-                limitsChanged ? Prover.by(table, limits(live, null)) : table,
+                limitsChanged ? RouteValidator.withLimits(table, limits(live, null)) : table,
                 byTenant,
                 false);
     }
@@ -338,9 +348,11 @@
     /** What holds for all and for classes. */
     private static List<Section> limits(PackedTree live, List<Violation> violations) {
         List<Section> sections = new ArrayList<>();
-        for (Item item :
-                live.range(new Key(Kind.LIMITS, "").bytes(), new Key(Kind.SERVICE, "").bytes(), Integer.MAX_VALUE)) {
-            Key key = Key.of(item.key());
+        for (Item item : live.range(
+                new EntryKey(EntryKind.LIMITS, "").bytes(),
+                new EntryKey(EntryKind.SERVICE, "").bytes(),
+                Integer.MAX_VALUE)) {
+            EntryKey key = EntryKey.of(item.key());
             Position at = new Position(key.toString(), 1, 1);
             try {
                 sections.add(new Section(
--- a/src/main/java/vetchpost/conductor/FileWatch.java
+++ b/src/main/java/vetchpost/conductor/FileWatch.java
@@ -19,9 +19,9 @@
 import org.tomlj.TomlArray;
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlTable;
-import vetchpost.sources.Declared;
-import vetchpost.sources.Named;
-import vetchpost.standalone.ServerWords;
+import vetchpost.sources.ReportedServer;
+import vetchpost.sources.SourceDeclaration;
+import vetchpost.standalone.ServerEntryReader;
 
 /**
  * Watches a file of servers. It is looked at once in a while, on a thread of its own, and read when it looks
@@ -33,7 +33,7 @@
 
     private final Path path;
     private final Executor loop;
-    private final Listener listener;
+    private final SourceListener listener;
     private final ScheduledFuture<?> looking;
     private Stamp seen;
 
@@ -51,11 +51,11 @@
      * @param thread where files are read
      * @param loop where the listener is told
      */
-    FileWatch(Declared source, ScheduledExecutorService thread, Executor loop, Listener listener) {
-        path = Path.of(source.where());
+    FileWatch(SourceDeclaration source, ScheduledExecutorService thread, Executor loop, SourceListener listener) {
+        path = Path.of(source.location());
         this.loop = loop;
         this.listener = listener;
-        looking = thread.scheduleWithFixedDelay(this::look, 0, source.everyUs(), TimeUnit.MICROSECONDS);
+        looking = thread.scheduleWithFixedDelay(this::look, 0, source.intervalUs(), TimeUnit.MICROSECONDS);
     }
 
     private void look() {
@@ -67,7 +67,7 @@
             if (now.size() > MOST_BYTES) {
                 throw new IllegalArgumentException("over " + (MOST_BYTES >> 20) + " MiB");
             }
-            List<Named> servers = parse(path.toString(), Files.readString(path));
+            List<ReportedServer> servers = parse(path.toString(), Files.readString(path));
             if (!Stamp.of(path).equals(now)) {
                 return; // It is being written just now.
             }
@@ -92,11 +92,11 @@
      *
      * @throws IllegalArgumentException with a short reason if it is none
      */
-    static List<Named> parse(String name, String text) {
+    static List<ReportedServer> parse(String name, String text) {
         List<?> entries = name.endsWith(".toml") ? toml(text) : json(text);
-        List<Named> servers = new ArrayList<>(entries.size());
+        List<ReportedServer> servers = new ArrayList<>(entries.size());
         for (Object each : entries) {
-            servers.add(ServerWords.named(each));
+            servers.add(ServerEntryReader.read(each));
         }
         return servers;
     }
--- a/src/main/java/vetchpost/conductor/HealthCheck.java
+++ b/src/main/java/vetchpost/conductor/HealthCheck.java
@@ -56,13 +56,13 @@
             String mark,
             Consumer<Finding> report) {
         HealthCheck check = new HealthCheck(rules, mark, report);
-        check.late = loop.schedule(() -> check.end(Finding.ILL), rules.withinUs(), TimeUnit.MICROSECONDS);
+        check.late = loop.schedule(() -> check.end(Finding.UNHEALTHY), rules.timeoutUs(), TimeUnit.MICROSECONDS);
         Channel fresh;
         try {
             fresh = network.newClientChannel();
         } catch (ChannelException e) {
             // Out of descriptors: that is no fault of the server's, but nothing good is known of it either.
-            check.end(Finding.WELL);
+            check.end(Finding.HEALTHY);
             return;
         }
         check.channel = fresh;
@@ -70,7 +70,7 @@
                 .group(loop)
                 .channelFactory(() -> fresh)
                 .disableResolver()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, rules.withinUs() / 1_000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, rules.timeoutUs() / 1_000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel to) {
@@ -83,7 +83,7 @@
 
     private void connected(boolean is) {
         if (!is || rules.path().isEmpty()) {
-            end(is ? Finding.WELL : Finding.ILL);
+            end(is ? Finding.HEALTHY : Finding.UNHEALTHY);
             return;
         }
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, rules.path());
@@ -102,12 +102,12 @@
                 int status = response.status().code();
                 end(
                         response.decoderResult().isFailure()
-                                ? Finding.ILL
+                                ? Finding.UNHEALTHY
                                 : !mark.isEmpty() && !response.headers().contains(mark)
-                                        ? Finding.STRANGER
-                                        : status >= rules.least() && status <= rules.most()
-                                                ? Finding.WELL
-                                                : Finding.ILL);
+                                        ? Finding.WRONG_SERVER
+                                        : status >= rules.minStatus() && status <= rules.maxStatus()
+                                                ? Finding.HEALTHY
+                                                : Finding.UNHEALTHY);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -116,12 +116,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end(Finding.ILL);
+        end(Finding.UNHEALTHY);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        end(Finding.ILL);
+        end(Finding.UNHEALTHY);
     }
 
     private void end(Finding finding) {
--- a/src/main/java/vetchpost/conductor/NameWatch.java
+++ b/src/main/java/vetchpost/conductor/NameWatch.java
@@ -27,9 +27,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import vetchpost.net.Network;
-import vetchpost.sources.Declared;
-import vetchpost.sources.Named;
-import vetchpost.sources.Named.Word;
+import vetchpost.sources.ReportedServer;
+import vetchpost.sources.ReportedServer.State;
+import vetchpost.sources.SourceDeclaration;
 
 /**
  * Asks for a name's addresses (RFC 1035, A and, where there is none, AAAA) or its servers (RFC 2782), again
@@ -44,9 +44,9 @@
 
     private static final int MOST_TARGETS = 1_000;
 
-    private final Declared source;
+    private final SourceDeclaration source;
     private final EventLoop loop;
-    private final Listener listener;
+    private final SourceListener listener;
     private final DnsNameResolver resolver;
     private ScheduledFuture<?> again;
     private boolean closed;
@@ -58,7 +58,7 @@
     private record Found(List<InetAddress> addresses, long ttlS, Throwable failure) {}
 
     /** Begins at once. */
-    NameWatch(Declared source, EventLoop loop, Network network, Listener listener) {
+    NameWatch(SourceDeclaration source, EventLoop loop, Network network, SourceListener listener) {
         this.source = source;
         this.loop = loop;
         this.listener = listener;
@@ -78,14 +78,14 @@
     }
 
     private String name() {
-        return source.where().endsWith(".") ? source.where() : source.where() + ".";
+        return source.location().endsWith(".") ? source.location() : source.location() + ".";
     }
 
     private void ask() {
         if (closed) {
             return;
         }
-        if (source.kind() == Declared.Kind.SRV) {
+        if (source.kind() == SourceDeclaration.Kind.SRV) {
             services();
         } else {
             addresses(name(), found -> {
@@ -93,9 +93,9 @@
                     failed(found.failure());
                     return;
                 }
-                List<Named> servers = new ArrayList<>();
+                List<ReportedServer> servers = new ArrayList<>();
                 for (InetAddress address : found.addresses()) {
-                    servers.add(Named.of(new InetSocketAddress(address, source.port())));
+                    servers.add(ReportedServer.of(new InetSocketAddress(address, source.port())));
                 }
                 listener.said(servers);
                 later(found.ttlS());
@@ -206,7 +206,7 @@
 
     /** Looks up all of their names; an answer that is there in part is said in part, as all are. */
     private void targets(List<Service> services, long ttl) {
-        List<Named> servers = new ArrayList<>();
+        List<ReportedServer> servers = new ArrayList<>();
         int[] left = {services.size()};
         long[] shortest = {ttl};
         Throwable[] failure = new Throwable[1];
@@ -218,10 +218,10 @@
                     List<InetSocketAddress> addresses = new ArrayList<>();
                     found.addresses().forEach(a -> addresses.add(new InetSocketAddress(a, service.port())));
                     shortest[0] = Math.min(shortest[0], found.ttlS());
-                    servers.add(new Named(
+                    servers.add(new ReportedServer(
                             service.target() + ":" + service.port(),
                             addresses,
-                            Word.READY,
+                            State.READY,
                             // One of no weight is still to get a little (RFC 2782).
                             Math.max(1, service.weight()),
                             ""));
@@ -246,7 +246,7 @@
 
     /** No sooner than after a second, whatever the answer says, and no later than the file does. */
     private void later(long ttlS) {
-        long us = Math.min(source.everyUs(), TimeUnit.SECONDS.toMicros(Math.max(LEAST_S, Math.min(ttlS, 86_400))));
+        long us = Math.min(source.intervalUs(), TimeUnit.SECONDS.toMicros(Math.max(LEAST_S, Math.min(ttlS, 86_400))));
         again = loop.schedule(this::ask, us, TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/vetchpost/conductor/Listener.java
+++ b/src/main/java/vetchpost/conductor/SourceListener.java
@@ -1,12 +1,12 @@
 package vetchpost.conductor;
 
 import java.util.List;
-import vetchpost.sources.Named;
+import vetchpost.sources.ReportedServer;
 
 /** Hears what a source says; on the node's loop. */
-interface Listener {
+interface SourceListener {
     /** It names these. */
-    void said(List<Named> servers);
+    void said(List<ReportedServer> servers);
 
     /** It says nothing that can be used. */
     void silent(String why);
--- a/src/main/java/vetchpost/conductor/Conductor.java
+++ b/src/main/java/vetchpost/conductor/SourceWatcher.java
@@ -22,19 +22,19 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.net.Network;
 import vetchpost.sources.CheckPlan;
-import vetchpost.sources.Composer;
-import vetchpost.sources.Declared;
 import vetchpost.sources.Membership;
-import vetchpost.sources.Named;
-import vetchpost.sources.Overrule;
+import vetchpost.sources.ReportedServer;
+import vetchpost.sources.ServerOverrides;
+import vetchpost.sources.SourceDeclaration;
+import vetchpost.sources.SourceMerger;
 import vetchpost.standalone.Standalone;
 
 /**
  * Keeps a node's list of servers: asks the sources, has servers checked, hears what real requests tell, and
  * tells the node what has changed. All of it is on the node's loop but the reading of files.
  */
-public final class Conductor implements AttemptObserver, AutoCloseable {
-    private static final Logger LOG = System.getLogger(Conductor.class.getName());
+public final class SourceWatcher implements AttemptObserver, AutoCloseable {
+    private static final Logger LOG = System.getLogger(SourceWatcher.class.getName());
     /** Changes are told no more often than this: a file may be replaced, and checks end, in between. */
     private static final long GATHER_US = 10_000;
     /** Checks that may be under way at once: they are counted against no limit of sockets. */
@@ -46,9 +46,9 @@
     private final Network network;
     private final Membership membership;
     private final CheckPlan checks;
-    private final Composer composer;
+    private final SourceMerger composer;
     private final long originNs;
-    private final Map<Declared, AutoCloseable> watches = new LinkedHashMap<>();
+    private final Map<SourceDeclaration, AutoCloseable> watches = new LinkedHashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private Standalone settings;
     private ScheduledExecutorService files;
@@ -63,16 +63,16 @@
      *
      * @param unixMs Unix time in milliseconds
      */
-    public Conductor(Standalone settings, EventLoop loop, Network network, long seed, long unixMs) {
+    public SourceWatcher(Standalone settings, EventLoop loop, Network network, long seed, long unixMs) {
         this.settings = settings;
         this.loop = loop;
         this.network = network;
         originNs = loop.ticker().nanoTime();
         membership = new Membership(settings.sources(), settings.merge());
         checks = settings.checks() == null ? null : new CheckPlan(settings.checks(), seed, 0);
-        composer = new Composer(membership, checks, settings.settings().coldUs, unixMs, 0);
+        composer = new SourceMerger(membership, checks, settings.settings().coldUs, unixMs, 0);
         own();
-        composer.changes(nowUs()).forEach(this::remember);
+        composer.pollChanges(nowUs()).forEach(this::remember);
     }
 
     private long nowUs() {
@@ -81,19 +81,19 @@
 
     private void own() {
         for (int i = 0; i < settings.sources().size(); i++) {
-            if (settings.sources().get(i).kind() == Declared.Kind.ITSELF) {
-                membership.said(i, settings.sources().get(i).own(), nowUs());
+            if (settings.sources().get(i).kind() == SourceDeclaration.Kind.ITSELF) {
+                membership.serversReported(i, settings.sources().get(i).inlineServers(), nowUs());
             }
         }
     }
 
-    /** Has operators' words on servers count from now on; {@link #overruled} tells that they have changed. */
-    public void overrule(Overrule other) {
-        composer.overrule(other);
+    /** Has operators' words on servers count from now on; {@link #overridesChanged} tells that they have changed. */
+    public void setOverrides(ServerOverrides other) {
+        composer.setOverrides(other);
     }
 
     /** Operators' words have changed: they hold at once. */
-    public void overruled() {
+    public void overridesChanged() {
         if (node != null) {
             settle();
         }
@@ -105,21 +105,21 @@
     }
 
     /** The servers that are known now. */
-    public ServerList known() {
-        return composer.whole();
+    public ServerList knownServers() {
+        return composer.fullList();
     }
 
     /** Asks the sources from now on, and tells changes there. */
-    public void begin(Consumer<ServerList> to) {
+    public void start(Consumer<ServerList> to) {
         node = to;
         watch();
         settle();
     }
 
     /** Has other sources be asked from now on. Rules of merging and checks stay as at the start. */
-    public void renew(Standalone fresh) {
+    public void reload(Standalone fresh) {
         settings = fresh;
-        membership.renew(fresh.sources());
+        membership.reload(fresh.sources());
         own();
         watch();
         settle();
@@ -127,18 +127,18 @@
 
     /** Watches the sources that are declared, and no others. */
     private void watch() {
-        List<Declared> declared = settings.sources();
-        for (Declared old : List.copyOf(watches.keySet())) {
+        List<SourceDeclaration> declared = settings.sources();
+        for (SourceDeclaration old : List.copyOf(watches.keySet())) {
             if (!declared.contains(old)) {
                 close(watches.remove(old));
             }
         }
-        for (Declared source : declared) {
-            if (source.kind() != Declared.Kind.ITSELF && !watches.containsKey(source)) {
-                Listener listener = listener(source);
+        for (SourceDeclaration source : declared) {
+            if (source.kind() != SourceDeclaration.Kind.ITSELF && !watches.containsKey(source)) {
+                SourceListener listener = listener(source);
                 watches.put(
                         source,
-                        source.kind() == Declared.Kind.FILE
+                        source.kind() == SourceDeclaration.Kind.FILE
                                 ? new FileWatch(source, files(), loop, listener)
                                 : new NameWatch(source, loop, network, listener));
             }
@@ -157,14 +157,14 @@
     }
 
     /** Its place may change with a reload, so it is looked up each time. */
-    private Listener listener(Declared source) {
-        return new Listener() {
+    private SourceListener listener(SourceDeclaration source) {
+        return new SourceListener() {
             @Override
-            public void said(List<Named> servers) {
+            public void said(List<ReportedServer> servers) {
                 int index = settings.sources().indexOf(source);
                 if (index >= 0 && !closed) {
-                    String trouble = membership.trouble(index);
-                    membership.said(index, servers, nowUs());
+                    String trouble = membership.failure(index);
+                    membership.serversReported(index, servers, nowUs());
                     if (servers.isEmpty() ? trouble.isEmpty() : !trouble.isEmpty()) {
                         LOG.log(
                                 Level.INFO,
@@ -182,14 +182,14 @@
             public void silent(String why) {
                 int index = settings.sources().indexOf(source);
                 if (index >= 0 && !closed) {
-                    if (membership.trouble(index).isEmpty()) {
+                    if (membership.failure(index).isEmpty()) {
                         LOG.log(
                                 Level.WARNING,
                                 "source {0} can''t be used, and what it said last holds for a" + " while: {1}",
                                 source.name(),
                                 why);
                     }
-                    membership.silent(index, why, nowUs());
+                    membership.sourceFailed(index, why, nowUs());
                     soon();
                 }
             }
@@ -203,21 +203,21 @@
                 && !drain.isEmpty()
                 && answer.headers() != null
                 && answer.headers().get(drain) != null) {
-            composer.drains(serverId, nowUs());
+            composer.reportDraining(serverId, nowUs());
             soon();
         }
         if (checks == null) {
             return;
         }
         switch (result) {
-            case OK -> checks.served(serverId, nowUs());
+            case OK -> checks.requestSucceeded(serverId, nowUs());
             case ERROR, RESET, CONNECT_FAILED -> {
-                checks.failed(serverId, nowUs());
+                checks.requestFailed(serverId, nowUs());
                 soon();
             }
             case TIMEOUT -> {
                 if (!stalled) {
-                    checks.failed(serverId, nowUs());
+                    checks.requestFailed(serverId, nowUs());
                     soon();
                 }
             }
@@ -252,7 +252,7 @@
             return;
         }
         long now = nowUs();
-        List<ServerList.Target> changes = composer.changes(now);
+        List<ServerList.Target> changes = composer.pollChanges(now);
         if (!changes.isEmpty()) {
             log(changes);
             changes.forEach(this::remember);
@@ -292,17 +292,17 @@
         if (checks == null) {
             return;
         }
-        for (String id : checks.due(now, MOST_CHECKS - checking)) {
+        for (String id : checks.dueChecks(now, MOST_CHECKS - checking)) {
             checking++;
             HealthCheck.start(
                     loop,
                     network,
                     addresses.get(id),
                     settings.checks(),
-                    settings.limits().mark(),
+                    settings.limits().requiredHeader(),
                     finding -> {
                         checking--;
-                        checks.checked(id, finding, nowUs());
+                        checks.checkCompleted(id, finding, nowUs());
                         soon();
                     });
         }
@@ -323,7 +323,7 @@
         if (next != null) {
             next.cancel(false);
         }
-        watches.values().forEach(Conductor::close);
+        watches.values().forEach(SourceWatcher::close);
         watches.clear();
         if (files != null) {
             files.shutdownNow();
--- a/src/main/java/vetchpost/control/Entries.java
+++ b/src/main/java/vetchpost/control/AuditEntryJson.java
@@ -4,12 +4,12 @@
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
 import java.util.Locale;
-import vetchpost.control.Trail.Entry;
-import vetchpost.control.Trail.Event;
+import vetchpost.control.AuditLog.Entry;
+import vetchpost.control.AuditLog.Event;
 
 /** A trail's entries as JSON, the text behind each line's hash. */
-public final class Entries {
-    private Entries() {}
+public final class AuditEntryJson {
+    private AuditEntryJson() {}
 
     /** An entry's text, without a line's end. */
     public static String text(Entry entry) {
@@ -17,7 +17,7 @@
         json.addProperty("event", entry.event().name().toLowerCase(Locale.ROOT));
         json.addProperty("number", entry.number());
         json.addProperty("at", entry.unixMs());
-        json.addProperty("by", entry.by());
+        json.addProperty("by", entry.operator());
         json.addProperty("note", entry.note());
         if (entry.change() != null) {
             json.add("change", change(entry.change()));
@@ -26,17 +26,17 @@
     }
 
     /** A change with all of its fields. */
-    static JsonObject change(Change change) {
+    static JsonObject change(OverrideRequest change) {
         JsonObject json = new JsonObject();
         json.addProperty("kind", change.kind().word());
         json.addProperty("subject", change.subject());
         json.addProperty("per-mille", change.perMille());
-        json.addProperty("for-ms", change.lengthMs());
+        json.addProperty("for-ms", change.durationMs());
         json.addProperty("owner", change.owner());
         json.addProperty("reason", change.reason());
         json.addProperty("priority", change.priority());
         json.addProperty("key", change.key());
-        json.addProperty("anyway", change.anyway());
+        json.addProperty("anyway", change.force());
         return json;
     }
 
@@ -44,11 +44,11 @@
     public static Entry read(String text) {
         try {
             JsonObject json = JsonParser.parseString(text).getAsJsonObject();
-            Change change = null;
+            OverrideRequest change = null;
             if (json.has("change")) {
                 JsonObject of = json.getAsJsonObject("change");
-                change = new Change(
-                        Kind.valueOf(word(of, "kind").toUpperCase(Locale.ROOT)),
+                change = new OverrideRequest(
+                        OverrideKind.valueOf(word(of, "kind").toUpperCase(Locale.ROOT)),
                         word(of, "subject"),
                         of.get("per-mille").getAsInt(),
                         of.get("for-ms").getAsLong(),
--- a/src/main/java/vetchpost/control/Trail.java
+++ b/src/main/java/vetchpost/control/AuditLog.java
@@ -11,14 +11,14 @@
  * The record of all changes, an entry a line, each chained to the last by a SHA-256, so that a line that was
  * changed, taken out or put in is found. It is the state as well: what held before a restart is read off it.
  */
-public final class Trail {
+public final class AuditLog {
     /** Before the first entry. */
-    public static final String ROOT = "0".repeat(64);
+    public static final String ROOT_HASH = "0".repeat(64);
 
     private static final int HASH = 64;
     private static final long US_PER_MS = 1_000;
 
-    private Trail() {}
+    private AuditLog() {}
 
     /** What happened. */
     public enum Event {
@@ -39,10 +39,10 @@
      * @param by who did it; of what ended by itself, nobody
      * @param note how it was judged
      */
-    public record Entry(Event event, long number, long unixMs, Change change, String by, String note) {}
+    public record Entry(Event event, long number, long unixMs, OverrideRequest change, String operator, String note) {}
 
     /** A line as it stands in the file: the chain's hash, a space, and the entry's own text. */
-    public static String line(String before, String text) {
+    public static String chainedLine(String before, String text) {
         return hash(before, text) + " " + text;
     }
 
@@ -57,11 +57,11 @@
      * @return 0 if it is whole; else the number of the first line, from 1, that does not follow from those
      *     before
      */
-    public static int broken(List<String> lines) {
-        String before = ROOT;
+    public static int firstBrokenLine(List<String> lines) {
+        String before = ROOT_HASH;
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i);
-            if (line.length() <= HASH || !line.equals(line(before, line.substring(HASH + 1)))) {
+            if (line.length() <= HASH || !line.equals(chainedLine(before, line.substring(HASH + 1)))) {
                 return i + 1;
             }
             before = hashOf(line);
@@ -85,7 +85,7 @@
      *
      * @param unixMs the wall clock's time now
      */
-    public static List<Lease> held(List<Entry> entries, long unixMs, long nowUs) {
+    public static List<Lease> activeLeases(List<Entry> entries, long unixMs, long nowUs) {
         Map<Long, Entry> granted = new LinkedHashMap<>();
         long atMs = unixMs;
         for (Entry entry : entries) {
@@ -99,7 +99,7 @@
         List<Lease> held = new ArrayList<>();
         for (Entry entry : granted.values()) {
             long leftMs = Math.min(
-                    entry.change().lengthMs(), entry.unixMs() + entry.change().lengthMs() - atMs);
+                    entry.change().durationMs(), entry.unixMs() + entry.change().durationMs() - atMs);
             if (leftMs > 0) {
                 held.add(new Lease(entry.number(), entry.change(), entry.unixMs(), nowUs + leftMs * US_PER_MS));
             }
--- a/src/main/java/vetchpost/control/Desk.java
+++ b/src/main/java/vetchpost/control/ControlApi.java
@@ -17,9 +17,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import vetchpost.control.Leases.Verdict;
-import vetchpost.control.Trail.Entry;
-import vetchpost.control.Trail.Event;
+import vetchpost.control.AuditLog.Entry;
+import vetchpost.control.AuditLog.Event;
+import vetchpost.control.Leases.Decision;
 import vetchpost.recorder.FlightRecorder;
 
 /**
@@ -27,7 +27,7 @@
  * Reading changes nothing. Changes are taken one after the other: each is judged, recorded, and only then has
  * an effect; where it can't be recorded it has none. All calls are on one loop.
  */
-public final class Desk {
+public final class ControlApi {
     private static final int VERSION = 1;
     private static final int MOST_WAITING = 64;
     private static final double MILLE = 1_000;
@@ -57,9 +57,9 @@
 
     private final Gson gson = new GsonBuilder().setStrictness(Strictness.STRICT).create();
     private final Leases leases;
-    private final Supplier<Situation> situation;
+    private final Supplier<FleetState> situation;
     private final Supplier<Map<String, Long>> counts;
-    private final Record trail;
+    private final AuditSink trail;
     private final Runnable changed;
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     private boolean busy;
@@ -68,7 +68,7 @@
     private Supplier<String> remark = () -> null;
 
     /** Where entries are kept. */
-    public interface Record {
+    public interface AuditSink {
         /** Keeps an entry for good, and then says null, or why it can't; later, on the loop. */
         void append(String text, Consumer<String> done);
     }
@@ -82,11 +82,11 @@
      * @param counts figures that status tells, by their names
      * @param changed called when what holds has changed
      */
-    public Desk(
+    public ControlApi(
             Leases leases,
-            Supplier<Situation> situation,
+            Supplier<FleetState> situation,
             Supplier<Map<String, Long>> counts,
-            Record trail,
+            AuditSink trail,
             Runnable changed) {
         this.leases = leases;
         this.situation = situation;
@@ -96,7 +96,7 @@
     }
 
     /** Has it explain by this; null for nothing, as at first. */
-    public void explanations(Explanations by) {
+    public void setExplanations(Explanations by) {
         explanations = by;
     }
 
@@ -104,12 +104,12 @@
      * Has it read the operator's file again by this, which hears null, or why nothing was changed; later, on
      * the loop.
      */
-    public void reloads(Consumer<Consumer<String>> by) {
+    public void setReloader(Consumer<Consumer<String>> by) {
         reload = by;
     }
 
     /** Has its status say this besides; what is null says nothing. */
-    public void remark(Supplier<String> line) {
+    public void setStatusNote(Supplier<String> line) {
         remark = line;
     }
 
@@ -129,7 +129,7 @@
     }
 
     /** Takes a message; the reply comes once, now or later, and is one line. */
-    public void take(String message, Supplier<Now> now, Consumer<String> reply) {
+    public void handle(String message, Supplier<Now> now, Consumer<String> reply) {
         JsonObject asked = null;
         try {
             JsonElement read = gson.fromJson(message, JsonElement.class);
@@ -137,7 +137,7 @@
                 throw new Bad("a message is one JSON object");
             }
             asked = read.getAsJsonObject();
-            take(asked, now, reply);
+            handle(asked, now, reply);
         } catch (JsonParseException e) {
             reply.accept(refusal(asked, "bad", List.of("a message is one JSON object: " + e.getMessage())));
         } catch (Bad | IllegalArgumentException e) {
@@ -145,7 +145,7 @@
         }
     }
 
-    private void take(JsonObject asked, Supplier<Now> now, Consumer<String> reply) {
+    private void handle(JsonObject asked, Supplier<Now> now, Consumer<String> reply) {
         if (whole(asked, "v", VERSION, VERSION, VERSION) != VERSION) {
             throw new Bad("v is " + VERSION);
         }
@@ -172,7 +172,7 @@
                 inTurn(() -> undo(asked, number, owner, now, reply), asked, reply);
             }
             default -> {
-                Change change = change(verb, asked);
+                OverrideRequest change = change(verb, asked);
                 if (flag(asked, "dry")) {
                     reply.accept(dry(asked, change, now.get()));
                 } else {
@@ -205,14 +205,14 @@
         next();
     }
 
-    private void grant(JsonObject asked, Change change, Supplier<Now> now, Consumer<String> reply) {
+    private void grant(JsonObject asked, OverrideRequest change, Supplier<Now> now, Consumer<String> reply) {
         Now at = now.get();
         expire(at); // Judging would let them end without a word.
-        Verdict verdict = leases.judge(change, situation.get(), at.us(), at.unixMs());
+        Decision verdict = leases.check(change, situation.get(), at.us(), at.unixMs());
         if (verdict.repeated() || verdict.lease() == null) {
             reply.accept(
                     verdict.lease() == null
-                            ? refusal(asked, "refused", verdict.against())
+                            ? refusal(asked, "refused", verdict.objections())
                             : granted(asked, verdict, at));
             if (!verdict.repeated()) {
                 record(
@@ -222,7 +222,7 @@
                                 at.unixMs(),
                                 change,
                                 change.owner(),
-                                String.join("; ", verdict.against())),
+                                String.join("; ", verdict.objections())),
                         why -> {});
             }
             done();
@@ -235,7 +235,7 @@
                         at.unixMs(),
                         change,
                         change.owner(),
-                        String.join("; ", verdict.against())),
+                        String.join("; ", verdict.objections())),
                 why -> {
                     try {
                         if (why != null) {
@@ -273,7 +273,7 @@
     }
 
     private void record(Entry entry, Consumer<String> done) {
-        trail.append(Entries.text(entry), done);
+        trail.append(AuditEntryJson.text(entry), done);
     }
 
     /** Ends what is due; that is recorded if it can be, and ends in any case. */
@@ -320,33 +320,33 @@
         return array;
     }
 
-    private String granted(JsonObject asked, Verdict verdict, Now now) {
+    private String granted(JsonObject asked, Decision verdict, Now now) {
         JsonObject json = answer(asked);
         json.add("override", lease(verdict.lease(), now));
-        json.add("against", texts(verdict.against()));
+        json.add("against", texts(verdict.objections()));
         json.addProperty("repeated", verdict.repeated());
         return json.toString();
     }
 
     /** Before and after, by the servers that take requests. */
-    private String dry(JsonObject asked, Change change, Now now) {
+    private String dry(JsonObject asked, OverrideRequest change, Now now) {
         expire(now);
-        Situation there = situation.get();
-        Verdict verdict = leases.judge(change, there, now.us(), now.unixMs());
+        FleetState there = situation.get();
+        Decision verdict = leases.check(change, there, now.us(), now.unixMs());
         List<Lease> with = new ArrayList<>(leases.all());
         with.add(new Lease(0, change, 0, 0));
         JsonObject json = answer(asked);
         json.addProperty("would", verdict.lease() != null);
-        json.add("against", texts(verdict.against()));
+        json.add("against", texts(verdict.objections()));
         json.add("before", takers(there, leases.effects()));
-        json.add("after", takers(there, new Effects(with)));
+        json.add("after", takers(there, new OverrideEffects(with)));
         return json.toString();
     }
 
-    private static JsonObject takers(Situation there, Effects effects) {
+    private static JsonObject takers(FleetState there, OverrideEffects effects) {
         JsonObject json = new JsonObject();
-        List<Situation.Server> taking = there.servers().stream()
-                .filter(s -> !s.drains() && !effects.drains(s.id()))
+        List<FleetState.Server> taking = there.servers().stream()
+                .filter(s -> !s.draining() && !effects.isDraining(s.id()))
                 .toList();
         json.addProperty("servers", taking.size());
         json.addProperty(
@@ -359,12 +359,12 @@
 
     private String status(JsonObject asked) {
         JsonObject json = answer(asked);
-        Situation there = situation.get();
+        FleetState there = situation.get();
         json.addProperty("servers", there.servers().size());
         json.addProperty(
                 "taking",
                 there.servers().stream()
-                        .filter(s -> !s.drains() && !leases.effects().drains(s.id()))
+                        .filter(s -> !s.draining() && !leases.effects().isDraining(s.id()))
                         .count());
         json.addProperty("overrides", leases.all().size());
         json.addProperty("frozen", leases.effects().isFrozen());
@@ -402,7 +402,7 @@
                         asked,
                         "refused",
                         List.of("request " + txn + " is not kept: of those that were"
-                                + " served in time at once, one in " + FlightRecorder.SAMPLED + " is"));
+                                + " served in time at once, one in " + FlightRecorder.SAMPLING_INTERVAL + " is"));
             }
             json.add("flight", flight);
         } else if (asked.has("server")) {
@@ -418,16 +418,16 @@
     private String servers(JsonObject asked) {
         JsonObject json = answer(asked);
         JsonArray all = new JsonArray();
-        for (Situation.Server server : situation.get().servers()) {
+        for (FleetState.Server server : situation.get().servers()) {
             JsonObject one = new JsonObject();
             one.addProperty("id", server.id());
             one.addProperty("zone", server.zone());
             one.addProperty("weight", leases.effects().weight(server.id(), server.weight()));
             one.addProperty(
                     "state",
-                    leases.effects().drains(server.id())
+                    leases.effects().isDraining(server.id())
                             ? "drained by override"
-                            : server.drains() ? "draining" : "taking");
+                            : server.draining() ? "draining" : "taking");
             all.add(one);
         }
         json.add("list", all);
@@ -443,7 +443,7 @@
     }
 
     private static JsonObject lease(Lease lease, Now now) {
-        JsonObject json = Entries.change(lease.change());
+        JsonObject json = AuditEntryJson.change(lease.change());
         json.addProperty("number", lease.number());
         json.addProperty("granted", lease.grantedMs());
         json.addProperty("left-ms", Math.max(0, (lease.endUs() - now.us()) / 1_000));
@@ -452,19 +452,19 @@
 
     // ---------------------------------------------------------------- reading
 
-    private static Change change(String verb, JsonObject asked) {
-        Kind kind = Kind.valueOf(verb.toUpperCase(java.util.Locale.ROOT));
+    private static OverrideRequest change(String verb, JsonObject asked) {
+        OverrideKind kind = OverrideKind.valueOf(verb.toUpperCase(java.util.Locale.ROOT));
         String subject = switch (kind) {
             case DRAIN, WEIGHT -> text(asked, "server", null);
             case SHED -> text(asked, "class", null);
             case FREEZE -> "";
         };
         int perMille = 0;
-        if (kind == Kind.WEIGHT || kind == Kind.SHED) {
+        if (kind == OverrideKind.WEIGHT || kind == OverrideKind.SHED) {
             double share = number(asked, "share");
             perMille = (int) Math.round(Math.max(-1, Math.min(2, share)) * MILLE);
         }
-        return new Change(
+        return new OverrideRequest(
                 kind,
                 subject,
                 perMille,
--- a/src/main/java/vetchpost/control/ControlSettings.java
+++ b/src/main/java/vetchpost/control/ControlSettings.java
@@ -7,4 +7,5 @@
  * @param audit path of the trail
  * @param keep requests of which is kept what became of them; 0 for none
  */
-public record ControlSettings(String socket, String audit, double leastLeft, double mostShed, int keep) {}
+public record ControlSettings(
+        String socket, String auditFile, double minRemainingFraction, double maxShedFraction, int recordedRequests) {}
--- a/src/main/java/vetchpost/control/ControlProver.java
+++ b/src/main/java/vetchpost/control/ControlValidator.java
@@ -8,7 +8,7 @@
 import vetchpost.routes.Violation.Rule;
 
 /** Reads the table {@code [control]} of an operator's file. */
-public final class ControlProver {
+public final class ControlValidator {
     private static final List<String> KEYS = List.of("socket", "audit", "least-left", "most-shed", "keep");
     /** What the systems' addresses of Unix sockets hold. */
     private static final int MOST_PATH = 100;
@@ -18,17 +18,17 @@
     private static final int KEPT = 1_000;
     private static final int MOST_KEPT = 100_000;
 
-    private ControlProver() {}
+    private ControlValidator() {}
 
     /**
      * What the table comes to.
      *
      * @param settings null if there is none, or any violation
      */
-    public record Proof(ControlSettings settings, List<Violation> violations) {}
+    public record Validation(ControlSettings settings, List<Violation> violations) {}
 
     /** Looks at the table of a file that is its affair. */
-    public static Proof prove(List<Section> file) {
+    public static Validation validate(List<Section> file) {
         List<Violation> violations = new ArrayList<>();
         ControlSettings settings = null;
         for (Section section : file) {
@@ -36,25 +36,26 @@
                 settings = settings(new SectionReader(section, "control", violations));
             }
         }
-        return new Proof(violations.isEmpty() ? settings : null, List.copyOf(violations));
+        return new Validation(violations.isEmpty() ? settings : null, List.copyOf(violations));
     }
 
     private static ControlSettings settings(SectionReader table) {
-        table.knows(KEYS);
+        table.rejectUnknownKeys(KEYS);
         return new ControlSettings(
                 path(table, "socket"),
                 path(table, "audit"),
                 table.number("least-left", LEAST_LEFT, 0, 1),
                 table.number("most-shed", MOST_SHED, 0, 1),
-                table.whole("keep", KEPT, 0, MOST_KEPT));
+                table.integer("keep", KEPT, 0, MOST_KEPT));
     }
 
     private static String path(SectionReader table, String key) {
         String path = table.text(key, null);
         if (!table.has(key)) {
-            table.violated(key, Rule.INCOMPLETE, "it does not say " + key, key + " = \"/run/vetchpost/" + key + "\"");
+            table.addViolation(
+                    key, Rule.INCOMPLETE, "it does not say " + key, key + " = \"/run/vetchpost/" + key + "\"");
         } else if (path != null && (path.length() > MOST_PATH || path.indexOf('\0') >= 0)) {
-            table.violated(
+            table.addViolation(
                     key, Rule.OUT_OF_RANGE, key + " is a path of over " + MOST_PATH + " characters", "a shorter one");
         }
         return path;
--- a/src/main/java/vetchpost/control/Explanations.java
+++ b/src/main/java/vetchpost/control/Explanations.java
@@ -8,9 +8,9 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import vetchpost.decision.Balancer.Candidate;
-import vetchpost.recorder.Flight;
 import vetchpost.recorder.FlightRecorder;
-import vetchpost.recorder.Refusals;
+import vetchpost.recorder.RejectionCounts;
+import vetchpost.recorder.RequestTrace;
 
 /** Why the node did what it did, as replies to operators. Reading changes nothing. */
 public final class Explanations {
@@ -21,8 +21,8 @@
 
     private final FlightRecorder recorder;
     private final Function<String, List<String>> standing;
-    private final Supplier<Situation> situation;
-    private final Supplier<Effects> effects;
+    private final Supplier<FleetState> situation;
+    private final Supplier<OverrideEffects> effects;
 
     /**
      * Of this record.
@@ -32,8 +32,8 @@
     public Explanations(
             FlightRecorder recorder,
             Function<String, List<String>> standing,
-            Supplier<Situation> situation,
-            Supplier<Effects> effects) {
+            Supplier<FleetState> situation,
+            Supplier<OverrideEffects> effects) {
         this.recorder = recorder;
         this.standing = standing;
         this.situation = situation;
@@ -41,26 +41,26 @@
     }
 
     /** The request of this id, or null if it is not known. */
-    JsonObject request(long id, Desk.Now now) {
-        Flight flight = recorder.find(id);
+    JsonObject request(long id, ControlApi.Now now) {
+        RequestTrace flight = recorder.find(id);
         return flight == null ? null : flight(flight, now);
     }
 
     /** The last that were refused, failed, were repeated or slow. */
-    JsonArray last(int many, Desk.Now now) {
+    JsonArray last(int many, ControlApi.Now now) {
         JsonArray all = new JsonArray();
         recorder.last(Math.min(MOST, many)).forEach(f -> all.add(flight(f, now)));
         return all;
     }
 
     /** What was refused or failed in so long a time, by class and cause. */
-    JsonArray refused(long spanMs, Desk.Now now) {
+    JsonArray refused(long spanMs, ControlApi.Now now) {
         JsonArray all = new JsonArray();
-        for (Refusals.Line line : recorder.refusals().since(now.us(), 1_000 * spanMs)) {
+        for (RejectionCounts.Row line : recorder.rejectionCounts().withinLast(now.us(), 1_000 * spanMs)) {
             JsonObject one = new JsonObject();
             one.addProperty("count", line.count());
             one.addProperty("class", className(line.classIndex()));
-            one.addProperty("told", line.refused() ? "refused" : "failed");
+            one.addProperty("told", line.rejected() ? "refused" : "failed");
             one.addProperty("cause", line.cause());
             all.add(one);
         }
@@ -70,17 +70,17 @@
     /** Why a server gets nothing, or less: operators' words first, then sources', then the module's. */
     JsonArray whyNot(String server) {
         List<String> reasons = new ArrayList<>();
-        Situation.Server known = situation.get().servers().stream()
+        FleetState.Server known = situation.get().servers().stream()
                 .filter(s -> s.id().equals(server))
                 .findFirst()
                 .orElse(null);
         if (known == null) {
             reasons.add("no source names it");
         } else {
-            if (effects.get().drains(server)) {
+            if (effects.get().isDraining(server)) {
                 reasons.add("an override drains it");
             }
-            if (known.drains()) {
+            if (known.draining()) {
                 reasons.add("a source, a check or the server itself has it drain");
             }
             double weight = effects.get().weight(server, known.weight());
@@ -100,30 +100,30 @@
         return index < names.size() ? names.get(index) : Integer.toString(index);
     }
 
-    private JsonObject flight(Flight flight, Desk.Now now) {
+    private JsonObject flight(RequestTrace flight, ControlApi.Now now) {
         JsonObject json = new JsonObject();
         json.addProperty("txn", String.format("%016x", flight.id()));
         json.addProperty("request", flight.request());
         json.addProperty("class", className(flight.classIndex()));
-        json.addProperty("taken", now.unixMs() - (now.us() - flight.takenUs()) / 1_000);
-        json.addProperty("lay-ms", flight.layUs() / US_A_MS);
-        json.addProperty("left-ms", flight.leftUs() / US_A_MS);
+        json.addProperty("taken", now.unixMs() - (now.us() - flight.acceptedUs()) / 1_000);
+        json.addProperty("lay-ms", flight.eventLoopDelayUs() / US_A_MS);
+        json.addProperty("left-ms", flight.remainingUs() / US_A_MS);
         json.addProperty("queued-ms", flight.queuedUs() / US_A_MS);
         JsonArray attempts = new JsonArray();
-        for (Flight.Attempt attempt : flight.attempts()) {
+        for (RequestTrace.Attempt attempt : flight.attempts()) {
             JsonObject one = new JsonObject();
             one.addProperty("server", attempt.serverId());
-            one.addProperty("after-ms", attempt.afterUs() / US_A_MS);
-            one.addProperty("for-ms", attempt.forUs() / US_A_MS);
+            one.addProperty("after-ms", attempt.startedAfterUs() / US_A_MS);
+            one.addProperty("for-ms", attempt.timeoutUs() / US_A_MS);
             one.addProperty(
                     "outcome",
                     attempt.result() == null ? "out" : attempt.result().name().toLowerCase(Locale.ROOT));
             if (attempt.result() != null) {
-                one.addProperty("took-ms", attempt.tookUs() / US_A_MS);
+                one.addProperty("took-ms", attempt.durationUs() / US_A_MS);
             }
-            if (attempt.drawn() != null) {
+            if (attempt.candidates() != null) {
                 JsonArray drawn = new JsonArray();
-                attempt.drawn().forEach(c -> drawn.add(candidate(c)));
+                attempt.candidates().forEach(c -> drawn.add(candidate(c)));
                 one.add("drawn", drawn);
             }
             attempts.add(one);
@@ -131,12 +131,14 @@
         json.add("attempts", attempts);
         json.addProperty(
                 "told",
-                flight.told() == null ? "nothing yet" : flight.told().name().toLowerCase(Locale.ROOT));
-        if (flight.told() != null) {
-            json.addProperty("took-ms", flight.tookUs() / US_A_MS);
+                flight.outcome() == null
+                        ? "nothing yet"
+                        : flight.outcome().name().toLowerCase(Locale.ROOT));
+        if (flight.outcome() != null) {
+            json.addProperty("took-ms", flight.durationUs() / US_A_MS);
         }
-        if (flight.why() != null) {
-            json.addProperty("why", flight.why());
+        if (flight.reason() != null) {
+            json.addProperty("why", flight.reason());
         }
         if (flight.retryAfterUs() > 0) {
             json.addProperty("come-back-ms", flight.retryAfterUs() / US_A_MS);
--- a/src/main/java/vetchpost/control/Situation.java
+++ b/src/main/java/vetchpost/control/FleetState.java
@@ -7,7 +7,7 @@
  *
  * @param classes names of the classes of requests
  */
-public record Situation(List<Server> servers, List<String> classes) {
+public record FleetState(List<Server> servers, List<String> classes) {
     /**
      * A server of the list.
      *
@@ -15,5 +15,5 @@
      * @param weight its size as its sources tell it
      * @param drains whether it takes nothing new, whoever said so, but for overrides
      */
-    public record Server(String id, String zone, double weight, boolean drains) {}
+    public record Server(String id, String zone, double weight, boolean draining) {}
 }
--- a/src/main/java/vetchpost/control/Lease.java
+++ b/src/main/java/vetchpost/control/Lease.java
@@ -7,4 +7,4 @@
  * @param grantedMs Unix time
  * @param endUs when it ends by itself, by the clock of the calls
  */
-public record Lease(long number, Change change, long grantedMs, long endUs) {}
+public record Lease(long number, OverrideRequest change, long grantedMs, long endUs) {}
--- a/src/main/java/vetchpost/control/Leases.java
+++ b/src/main/java/vetchpost/control/Leases.java
@@ -12,17 +12,17 @@
  */
 public final class Leases {
     /** More are refused. */
-    public static final int MOST = 1_000;
+    public static final int MAX_LEASES = 1_000;
 
-    private static final int MOST_KEYS = 10_000;
+    private static final int MAX_KEYS = 10_000;
     private static final long US_PER_MS = 1_000;
 
-    private final Judge judge;
+    private final SafetyCheck judge;
     private final Map<Long, Lease> held = new LinkedHashMap<>();
     /** Of what commands came to, by their keys, so that a repeated one acts once. */
     private final Map<String, Long> keys = new LinkedHashMap<>();
 
-    private Effects effects = Effects.NONE;
+    private OverrideEffects effects = OverrideEffects.NONE;
     private long lastNumber;
 
     /**
@@ -32,37 +32,37 @@
      * @param against what was said against it, also where it was carried out anyway
      * @param repeated whether it had been carried out before, by its key
      */
-    public record Verdict(Lease lease, List<String> against, boolean repeated) {}
+    public record Decision(Lease lease, List<String> objections, boolean repeated) {}
 
     /** None so far. */
-    public Leases(Judge judge) {
+    public Leases(SafetyCheck judge) {
         this.judge = judge;
     }
 
     /** What a change would come to; nothing is changed by asking. */
-    public Verdict judge(Change change, Situation now, long nowUs, long unixMs) {
+    public Decision check(OverrideRequest change, FleetState now, long nowUs, long unixMs) {
         expire(nowUs);
         Long known = keys.get(change.key());
         if (known != null) {
             Lease lease = held.get(known);
-            return new Verdict(
+            return new Decision(
                     lease,
                     lease != null ? List.of() : List.of("override " + known + ", which this command made, has ended"),
                     true);
         }
-        if (held.size() >= MOST) {
-            return new Verdict(null, List.of(MOST + " overrides hold already, and more are not kept"), false);
+        if (held.size() >= MAX_LEASES) {
+            return new Decision(null, List.of(MAX_LEASES + " overrides hold already, and more are not kept"), false);
         }
-        List<String> against = judge.against(change, held.values(), now);
-        if (!against.isEmpty() && !change.anyway()) {
-            return new Verdict(null, against, false);
+        List<String> against = judge.objections(change, held.values(), now);
+        if (!against.isEmpty() && !change.force()) {
+            return new Decision(null, against, false);
         }
-        return new Verdict(
-                new Lease(lastNumber + 1, change, unixMs, nowUs + change.lengthMs() * US_PER_MS), against, false);
+        return new Decision(
+                new Lease(lastNumber + 1, change, unixMs, nowUs + change.durationMs() * US_PER_MS), against, false);
     }
 
     /** Has numbers go on behind this one, which was given before a restart. */
-    public void goOnAfter(long number) {
+    public void resumeNumberingAfter(long number) {
         lastNumber = Math.max(lastNumber, number);
     }
 
@@ -71,10 +71,10 @@
         lastNumber = Math.max(lastNumber, lease.number());
         held.put(lease.number(), lease);
         keys.put(lease.change().key(), lease.number());
-        if (keys.size() > MOST_KEYS) {
+        if (keys.size() > MAX_KEYS) {
             keys.remove(keys.keySet().iterator().next());
         }
-        effects = new Effects(held.values());
+        effects = new OverrideEffects(held.values());
     }
 
     /** Whether there is one of this number. */
@@ -85,7 +85,7 @@
     /** Ends one before its time; false if there is none of this number. */
     public boolean undo(long number) {
         boolean there = held.remove(number) != null;
-        effects = there ? new Effects(held.values()) : effects;
+        effects = there ? new OverrideEffects(held.values()) : effects;
         return there;
     }
 
@@ -99,7 +99,7 @@
         }
         if (!ended.isEmpty()) {
             ended.forEach(lease -> held.remove(lease.number()));
-            effects = new Effects(held.values());
+            effects = new OverrideEffects(held.values());
         }
         return ended;
     }
@@ -110,7 +110,7 @@
     }
 
     /** What they come to. */
-    public Effects effects() {
+    public OverrideEffects effects() {
         return effects;
     }
 
--- a/src/main/java/vetchpost/control/Effects.java
+++ b/src/main/java/vetchpost/control/OverrideEffects.java
@@ -12,21 +12,21 @@
  * server, or shares of a class, that of the highest priority holds; of equal ones the more careful: the lower
  * weight, the higher share.
  */
-public final class Effects {
+public final class OverrideEffects {
     /** None. */
-    public static final Effects NONE = new Effects(java.util.List.of());
+    public static final OverrideEffects NONE = new OverrideEffects(java.util.List.of());
 
     private static final int WHOLE = 1_000;
 
     private final Set<String> drained = new HashSet<>();
-    private final Map<String, Change> weights = new HashMap<>();
-    private final Map<String, Change> shed = new HashMap<>();
+    private final Map<String, OverrideRequest> weights = new HashMap<>();
+    private final Map<String, OverrideRequest> shed = new HashMap<>();
     private boolean frozen;
 
     /** Of these, in whatever order. */
-    public Effects(Collection<Lease> leases) {
+    public OverrideEffects(Collection<Lease> leases) {
         for (Lease lease : leases) {
-            Change change = lease.change();
+            OverrideRequest change = lease.change();
             switch (change.kind()) {
                 case DRAIN -> drained.add(change.subject());
                 case WEIGHT ->
@@ -38,24 +38,24 @@
         }
     }
 
-    private static BinaryOperator<Change> first(BinaryOperator<Change> ofEqual) {
+    private static BinaryOperator<OverrideRequest> first(BinaryOperator<OverrideRequest> ofEqual) {
         return (a, b) -> a.priority() == b.priority() ? ofEqual.apply(a, b) : a.priority() > b.priority() ? a : b;
     }
 
     /** Whether this server takes nothing new. */
-    public boolean drains(String server) {
+    public boolean isDraining(String server) {
         return drained.contains(server);
     }
 
     /** A server's weight, of the one that its sources tell. */
     public double weight(String server, double said) {
-        Change change = weights.get(server);
+        OverrideRequest change = weights.get(server);
         return change == null ? said : said * change.perMille() / WHOLE;
     }
 
     /** How many thousandths of a class's requests are refused on arrival. */
-    public int shed(String cls) {
-        Change change = shed.get(cls);
+    public int shedPerMille(String cls) {
+        OverrideRequest change = shed.get(cls);
         return change == null ? 0 : change.perMille();
     }
 
--- a/src/main/java/vetchpost/control/Kind.java
+++ b/src/main/java/vetchpost/control/OverrideKind.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** What an override does. All of them make a node more careful; none sends to a server that drains. */
-public enum Kind {
+public enum OverrideKind {
     /** A server takes nothing new, and ends what it has. */
     DRAIN,
     /** A server takes a share of its usual part: in thousandths, 1 to 1,000. */
--- a/src/main/java/vetchpost/control/Change.java
+++ b/src/main/java/vetchpost/control/OverrideRequest.java
@@ -12,23 +12,23 @@
  * @param key the same in repeats of one command, which acts once
  * @param anyway to be carried out although it is judged to be harmful
  */
-public record Change(
-        Kind kind,
+public record OverrideRequest(
+        OverrideKind kind,
         String subject,
         int perMille,
-        long lengthMs,
+        long durationMs,
         String owner,
         String reason,
         int priority,
         String key,
-        boolean anyway) {
+        boolean force) {
     /** A night and a day. */
-    public static final long MOST_MS = 86_400_000;
+    public static final long MAX_DURATION_MS = 86_400_000;
     /** A second. */
-    public static final long LEAST_MS = 1_000;
+    public static final long MIN_DURATION_MS = 1_000;
 
-    private static final int MOST_TEXT = 256;
-    private static final int MOST_PRIORITY = 9;
+    private static final int MAX_TEXT_LENGTH = 256;
+    private static final int MAX_PRIORITY = 9;
     private static final int WHOLE = 1_000;
     private static final Pattern TEXT = Pattern.compile("[^\\p{Cntrl}]*");
 
@@ -37,30 +37,30 @@
      *
      * @throws IllegalArgumentException with the rule and what would pass
      */
-    public Change {
-        text("subject", subject, kind == Kind.FREEZE ? 0 : 1);
+    public OverrideRequest {
+        text("subject", subject, kind == OverrideKind.FREEZE ? 0 : 1);
         text("owner", owner, 1);
         text("reason", reason, 1);
         text("key", key, 1);
-        boolean amount = kind == Kind.WEIGHT || kind == Kind.SHED;
+        boolean amount = kind == OverrideKind.WEIGHT || kind == OverrideKind.SHED;
         if (amount ? perMille < 1 || perMille > WHOLE : perMille != 0) {
             throw new IllegalArgumentException(
                     amount ? kind.word() + " is more than 0 and at most 100 %" : kind.word() + " has no amount");
         }
-        if (lengthMs < LEAST_MS || lengthMs > MOST_MS) {
+        if (durationMs < MIN_DURATION_MS || durationMs > MAX_DURATION_MS) {
             throw new IllegalArgumentException("an override ends: it lasts from 1s to 24h");
         }
-        if (priority < 0 || priority > MOST_PRIORITY) {
-            throw new IllegalArgumentException("a priority is 0 to " + MOST_PRIORITY);
+        if (priority < 0 || priority > MAX_PRIORITY) {
+            throw new IllegalArgumentException("a priority is 0 to " + MAX_PRIORITY);
         }
     }
 
     private static void text(String name, String value, int least) {
         if (value == null
                 || value.length() < least
-                || value.length() > MOST_TEXT
+                || value.length() > MAX_TEXT_LENGTH
                 || !TEXT.matcher(value).matches()) {
-            throw new IllegalArgumentException(name + " is a text of " + least + " to " + MOST_TEXT
+            throw new IllegalArgumentException(name + " is a text of " + least + " to " + MAX_TEXT_LENGTH
                     + " characters, none of them a control character");
         }
     }
--- a/src/main/java/vetchpost/control/Judge.java
+++ b/src/main/java/vetchpost/control/SafetyCheck.java
@@ -11,7 +11,7 @@
  * Judges an override before it has an effect, by what is left once it has: with all that holds already, so
  * that the tenth small step is refused where the first was not.
  */
-public final class Judge {
+public final class SafetyCheck {
     private static final double PERCENT = 100;
 
     private final double leastLeft;
@@ -23,7 +23,7 @@
      * @param leastLeft share of the fleet's weight, of all servers on the list, that goes on taking requests
      * @param mostShed share of a class's requests that may be refused
      */
-    public Judge(double leastLeft, double mostShed) {
+    public SafetyCheck(double leastLeft, double mostShed) {
         this.leastLeft = leastLeft;
         this.mostShed = mostShed;
     }
@@ -33,15 +33,15 @@
      *
      * @param held the leases that hold, without the change
      */
-    public List<String> against(Change change, Collection<Lease> held, Situation now) {
+    public List<String> objections(OverrideRequest change, Collection<Lease> held, FleetState now) {
         List<Lease> with = new ArrayList<>(held);
         with.add(new Lease(0, change, 0, 0));
-        Effects before = new Effects(held);
-        Effects after = new Effects(with);
+        OverrideEffects before = new OverrideEffects(held);
+        OverrideEffects after = new OverrideEffects(with);
         List<String> against = new ArrayList<>();
         switch (change.kind()) {
             case DRAIN, WEIGHT -> {
-                Situation.Server server = now.servers().stream()
+                FleetState.Server server = now.servers().stream()
                         .filter(s -> s.id().equals(change.subject()))
                         .findFirst()
                         .orElse(null);
@@ -51,7 +51,7 @@
                     break;
                 }
                 capacity(before, after, now, against);
-                if (change.kind() == Kind.DRAIN) {
+                if (change.kind() == OverrideKind.DRAIN) {
                     zone(server, before, after, now, against);
                 }
             }
@@ -59,9 +59,9 @@
                 if (!now.classes().contains(change.subject())) {
                     against.add("there is no class '" + change.subject() + "'; there are "
                             + String.join(", ", now.classes()));
-                } else if (after.shed(change.subject()) > mostShed * 1_000
-                        && after.shed(change.subject()) > before.shed(change.subject())) {
-                    against.add("it refuses " + percent(after.shed(change.subject()) / 1_000.0) + " of "
+                } else if (after.shedPerMille(change.subject()) > mostShed * 1_000
+                        && after.shedPerMille(change.subject()) > before.shedPerMille(change.subject())) {
+                    against.add("it refuses " + percent(after.shedPerMille(change.subject()) / 1_000.0) + " of "
                             + change.subject() + ", and most is " + percent(mostShed));
                 }
             }
@@ -70,9 +70,9 @@
         return against;
     }
 
-    private void capacity(Effects before, Effects after, Situation now, List<String> against) {
+    private void capacity(OverrideEffects before, OverrideEffects after, FleetState now, List<String> against) {
         double all =
-                now.servers().stream().mapToDouble(Situation.Server::weight).sum();
+                now.servers().stream().mapToDouble(FleetState.Server::weight).sum();
         double left = left(after, now);
         if (left < leastLeft * all && left < left(before, now)) {
             against.add(String.format(
@@ -88,7 +88,11 @@
     }
 
     private static void zone(
-            Situation.Server server, Effects before, Effects after, Situation now, List<String> against) {
+            FleetState.Server server,
+            OverrideEffects before,
+            OverrideEffects after,
+            FleetState now,
+            List<String> against) {
         Map<String, Integer> left = new HashMap<>();
         now.servers().forEach(s -> left.merge(s.zone(), takes(s, after) ? 1 : 0, Integer::sum));
         if (!server.zone().isEmpty() && left.get(server.zone()) == 0 && takes(server, before)) {
@@ -96,11 +100,11 @@
         }
     }
 
-    private static boolean takes(Situation.Server server, Effects effects) {
-        return !server.drains() && !effects.drains(server.id());
+    private static boolean takes(FleetState.Server server, OverrideEffects effects) {
+        return !server.draining() && !effects.isDraining(server.id());
     }
 
-    private static double left(Effects effects, Situation now) {
+    private static double left(OverrideEffects effects, FleetState now) {
         return now.servers().stream()
                 .filter(s -> takes(s, effects))
                 .mapToDouble(s -> effects.weight(s.id(), s.weight()))
--- a/src/main/java/vetchpost/control/Shedder.java
+++ b/src/main/java/vetchpost/control/SheddingRoutePolicy.java
@@ -7,7 +7,7 @@
 import vetchpost.core.RoutePolicy;
 
 /** Routes of which a share of a class's requests is refused on arrival: evenly, not by chance. */
-public final class Shedder implements RoutePolicy {
+public final class SheddingRoutePolicy implements RoutePolicy {
     private static final int WHOLE = 1_000;
     private static final RouteLimits FULL = new RouteLimits() {
         @Override
@@ -18,7 +18,7 @@
 
     private final RoutePolicy routes;
     private final List<String> classes;
-    private final Supplier<Effects> effects;
+    private final Supplier<OverrideEffects> effects;
     private final int[] owed;
 
     /**
@@ -27,7 +27,7 @@
      * @param classes the settings' names of classes, in their order
      * @param effects what holds now
      */
-    public Shedder(RoutePolicy routes, List<String> classes, Supplier<Effects> effects) {
+    public SheddingRoutePolicy(RoutePolicy routes, List<String> classes, Supplier<OverrideEffects> effects) {
         this.routes = routes;
         this.classes = classes;
         this.effects = effects;
@@ -37,7 +37,7 @@
     @Override
     public RouteLimits limitsOf(ClientRequest request) {
         int cls = request.classIndex();
-        int perMille = effects.get().shed(classes.get(cls));
+        int perMille = effects.get().shedPerMille(classes.get(cls));
         if (perMille > 0) {
             owed[cls] += perMille;
             if (owed[cls] >= WHOLE) {
--- a/src/main/java/vetchpost/daemon/DoorLoader.java
+++ b/src/main/java/vetchpost/daemon/AdmissionLoader.java
@@ -6,8 +6,8 @@
 import vetchpost.node.Node;
 
 /** Puts the door before a node that its operator's file asks for, at the start and at each reload. */
-final class DoorLoader {
-    private DoorLoader() {}
+final class AdmissionLoader {
+    private AdmissionLoader() {}
 
     /**
      * Has the node have this door; what waits before the one it has goes on waiting, and goes in if there
--- a/src/main/java/vetchpost/daemon/ChangesLoader.java
+++ b/src/main/java/vetchpost/daemon/ChangesLoader.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import vetchpost.changes.Catalog;
 import vetchpost.changes.ChangesSettings;
+import vetchpost.changes.RouteConfiguration;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.discovery.ServerListParser;
-import vetchpost.handover.Secret;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
 import vetchpost.replication.Replica;
 import vetchpost.replication.disk.StoreFile;
@@ -47,7 +47,7 @@
     private final ExecutorService disk = Executors.newSingleThreadExecutor(new DefaultThreadFactory("store", true));
     private final StoreFile file;
     private final ReplicaClient client;
-    private final Catalog first;
+    private final RouteConfiguration first;
     private volatile VersionedStore store;
     private volatile long currentUs = -1;
     private volatile String trouble = "";
@@ -61,10 +61,10 @@
      * @param inForce hears of what holds from then on, on a thread of its own
      * @throws IllegalArgumentException if the secret can't be read
      */
-    ChangesLoader(ChangesSettings from, Settings settings, Consumer<Catalog> inForce) {
-        Secret secret;
+    ChangesLoader(ChangesSettings from, Settings settings, Consumer<RouteConfiguration> inForce) {
+        SharedSecret secret;
         try {
-            secret = Secret.read(Path.of(from.secretFile()));
+            secret = SharedSecret.read(Path.of(from.secretFile()));
         } catch (IOException e) {
             throw new IllegalArgumentException("the secret of [changes]: " + e.getMessage(), e);
         }
@@ -77,7 +77,7 @@
         String name = from.name().isEmpty() ? "node-" + Long.toHexString(new SecureRandom().nextLong()) : from.name();
         Replica replica = new Replica(name, store, first, false, (fresh, index) -> {
             store = fresh;
-            inForce.accept((Catalog) index);
+            inForce.accept((RouteConfiguration) index);
         });
         client = new ReplicaClient(
                 loop,
@@ -91,31 +91,33 @@
                 replica);
     }
 
-    private static Catalog catalog(Settings settings, VersionedStore store) {
-        Catalog catalog = Catalog.empty(settings);
+    private static RouteConfiguration catalog(Settings settings, VersionedStore store) {
+        RouteConfiguration catalog = RouteConfiguration.empty(settings);
         PackedTree live = store.live();
-        catalog = catalog.over(live);
-        for (Item item = live.ceiling(new byte[0]); item != null; item = live.ceiling(PackedTree.after(item.key()))) {
-            catalog = catalog.taken(item.key(), item.value());
+        catalog = catalog.backedBy(live);
+        for (Item item = live.ceiling(new byte[0]);
+                item != null;
+                item = live.ceiling(PackedTree.successor(item.key()))) {
+            catalog = catalog.withoutEntry(item.key(), item.value());
         }
-        return catalog.over(live);
+        return catalog.backedBy(live);
     }
 
     /** What holds at the start. */
-    Catalog first() {
+    RouteConfiguration first() {
         return first;
     }
 
     /** Connects to control machines from now on. */
     void begin() {
-        loop.execute(client::begin);
+        loop.execute(client::start);
         loop.scheduleWithFixedDelay(this::look, 1, 1, TimeUnit.SECONDS);
         loop.scheduleWithFixedDelay(this::keep, KEEP_EVERY_S, KEEP_EVERY_S, TimeUnit.SECONDS);
     }
 
     private void look() {
-        currentUs = client.replica().currentUs();
-        trouble = client.trouble();
+        currentUs = client.replica().lastCurrentUs();
+        trouble = client.failure();
     }
 
     private void keep() {
--- a/src/main/java/vetchpost/daemon/CheckCommand.java
+++ b/src/main/java/vetchpost/daemon/CheckCommand.java
@@ -16,12 +16,12 @@
 import vetchpost.config.NodeConfig;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.Explanation;
-import vetchpost.routes.Proof;
+import vetchpost.routes.RouteValidation;
 import vetchpost.routes.Violation;
-import vetchpost.sources.Declared;
-import vetchpost.sources.Named;
+import vetchpost.sources.ReportedServer;
+import vetchpost.sources.SourceDeclaration;
 import vetchpost.standalone.Standalone;
-import vetchpost.standalone.StandaloneProver;
+import vetchpost.standalone.StandaloneValidator;
 
 /** The command {@code check}: proves an operator's file and says what holds. */
 @Command(
@@ -57,11 +57,11 @@
 
     @Override
     public Integer call() {
-        ProvedFile proved;
+        ValidatedFile proved;
         try {
-            proved = ProvedFile.prove(
+            proved = ValidatedFile.prove(
                     file,
-                    sections -> config == null && StandaloneProver.isStandalone(sections) ? null : settings(),
+                    sections -> config == null && StandaloneValidator.isStandalone(sections) ? null : settings(),
                     null);
         } catch (IOException e) {
             throw bad("can't read the file: " + e);
@@ -70,16 +70,16 @@
             return refused(proved.violations());
         }
         Standalone node = proved.node();
-        Proof proof = proved.routes();
+        RouteValidation proof = proved.routes();
         PrintWriter out = spec.commandLine().getOut();
         if (explain == null) {
             out.println(file + " holds: " + proof.routes().size() + " routes, classes among them");
             if (node != null) {
                 out.println("It makes a node by itself: serve " + file + " listens on "
-                        + Named.text(node.listen()) + ", with servers by "
+                        + ReportedServer.text(node.listen()) + ", with servers by "
                         + node.sources().stream()
-                                .map(s -> s.kind() == Declared.Kind.ITSELF
-                                        ? "the file (" + s.own().size() + ")"
+                                .map(s -> s.kind() == SourceDeclaration.Kind.ITSELF
+                                        ? "the file (" + s.inlineServers().size() + ")"
                                         : s.name())
                                 .collect(Collectors.joining(", "))
                         + ".");
--- a/src/main/java/vetchpost/daemon/Commands.java
+++ b/src/main/java/vetchpost/daemon/Commands.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ParameterException;
 import vetchpost.simulation.SimulateCommand;
-import vetchpost.simulation.crowd.CrowdCommand;
+import vetchpost.simulation.crowd.OverloadCommand;
 import vetchpost.simulation.fleet.FleetCommand;
 import vetchpost.simulation.scale.ScaleCommand;
 import vetchpost.trial.TryCommand;
@@ -28,7 +28,7 @@
             .addSubcommand(new StateCommand())
             .addSubcommand(new CtlCommand())
             .addSubcommand(new SimulateCommand())
-            .addSubcommand(new CrowdCommand())
+            .addSubcommand(new OverloadCommand())
             .addSubcommand(new FleetCommand())
             .addSubcommand(new ScaleCommand())
             .addSubcommand(new TryCommand());
--- a/src/main/java/vetchpost/daemon/ConfigCommand.java
+++ b/src/main/java/vetchpost/daemon/ConfigCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import vetchpost.routes.Prover.RouteChange;
+import vetchpost.routes.RouteValidator.RouteChange;
 
 /** The command {@code config}: what a reload would change. */
 @Command(
@@ -37,10 +37,10 @@
     int diff(
             @Parameters(paramLabel = "OLD", description = "The file that is in force.") Path before,
             @Parameters(paramLabel = "NEW", description = "The one to come.") Path after) {
-        ProvedFile old;
-        ProvedFile fresh;
+        ValidatedFile old;
+        ValidatedFile fresh;
         try {
-            old = ProvedFile.prove(before, sections -> null, null);
+            old = ValidatedFile.prove(before, sections -> null, null);
             if (!old.holds() || old.node() == null) {
                 throw new ParameterException(
                         spec.commandLine(),
--- a/src/main/java/vetchpost/daemon/ControlLoader.java
+++ b/src/main/java/vetchpost/daemon/ControlLoader.java
@@ -14,32 +14,32 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import vetchpost.conductor.Conductor;
+import vetchpost.conductor.SourceWatcher;
+import vetchpost.control.AuditLog;
+import vetchpost.control.ControlApi;
 import vetchpost.control.ControlSettings;
-import vetchpost.control.Desk;
-import vetchpost.control.Effects;
 import vetchpost.control.Explanations;
-import vetchpost.control.Judge;
+import vetchpost.control.FleetState;
 import vetchpost.control.Leases;
-import vetchpost.control.Shedder;
-import vetchpost.control.Situation;
-import vetchpost.control.Trail;
+import vetchpost.control.OverrideEffects;
+import vetchpost.control.SafetyCheck;
+import vetchpost.control.SheddingRoutePolicy;
 import vetchpost.core.RoutePolicy;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.node.Node;
 import vetchpost.operations.AuditFile;
 import vetchpost.operations.ControlSocket;
 import vetchpost.recorder.FlightRecorder;
-import vetchpost.sources.Overrule;
+import vetchpost.sources.ServerOverrides;
 
 /** Operators' control of one node, put together; loaded only where the file has {@code [control]}. */
-final class ControlLoader implements Overrule, AutoCloseable {
+final class ControlLoader implements ServerOverrides, AutoCloseable {
     private static final Logger LOG = System.getLogger(ControlLoader.class.getName());
 
     private final EventLoop loop;
-    private final Conductor conductor;
+    private final SourceWatcher conductor;
     private final Leases leases;
-    private final Desk desk;
+    private final ControlApi desk;
     private final ControlSocket socket;
     private final ExecutorService writer;
     private List<String> classes = List.of();
@@ -47,42 +47,44 @@
     private final int keep;
 
     /** Begins with what held before a restart. */
-    ControlLoader(ControlSettings settings, EventLoop loop, Conductor conductor, Supplier<Map<String, Long>> counts) {
+    ControlLoader(
+            ControlSettings settings, EventLoop loop, SourceWatcher conductor, Supplier<Map<String, Long>> counts) {
         this.loop = loop;
         this.conductor = conductor;
-        keep = settings.keep();
+        keep = settings.recordedRequests();
         writer = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "audit");
             thread.setDaemon(true);
             return thread;
         });
-        leases = new Leases(new Judge(settings.leastLeft(), settings.mostShed()));
-        AuditFile audit = new AuditFile(Path.of(settings.audit()), writer, loop);
-        if (!audit.trouble().isEmpty()) {
-            LOG.log(Level.WARNING, "{0}; changes are refused", audit.trouble());
+        leases = new Leases(new SafetyCheck(settings.minRemainingFraction(), settings.maxShedFraction()));
+        AuditFile audit = new AuditFile(Path.of(settings.auditFile()), writer, loop);
+        if (!audit.failure().isEmpty()) {
+            LOG.log(Level.WARNING, "{0}; changes are refused", audit.failure());
         }
-        Trail.held(audit.entries(), System.currentTimeMillis(), now().us()).forEach(leases::grant);
-        audit.entries().forEach(e -> leases.goOnAfter(e.number()));
-        desk = new Desk(leases, this::situation, counts, audit, this::changed);
+        AuditLog.activeLeases(audit.entries(), System.currentTimeMillis(), now().us())
+                .forEach(leases::grant);
+        audit.entries().forEach(e -> leases.resumeNumberingAfter(e.number()));
+        desk = new ControlApi(leases, this::situation, counts, audit, this::changed);
         socket = new ControlSocket(Path.of(settings.socket()), desk, this::now);
-        conductor.overrule(this);
+        conductor.setOverrides(this);
         schedule();
     }
 
-    private Desk.Now now() {
-        return new Desk.Now(loop.ticker().nanoTime() / 1_000, System.currentTimeMillis());
+    private ControlApi.Now now() {
+        return new ControlApi.Now(loop.ticker().nanoTime() / 1_000, System.currentTimeMillis());
     }
 
-    private Situation situation() {
-        return new Situation(
+    private FleetState situation() {
+        return new FleetState(
                 conductor.members().stream()
-                        .map(m -> new Situation.Server(m.id(), m.zone(), m.weight(), m.draining()))
+                        .map(m -> new FleetState.Server(m.id(), m.zone(), m.weight(), m.draining()))
                         .toList(),
                 classes);
     }
 
     private void changed() {
-        conductor.overruled();
+        conductor.overridesChanged();
         schedule();
     }
 
@@ -115,7 +117,7 @@
                 keep,
                 settings.classes.stream().mapToLong(c -> c.latencyTargetUs()).toArray());
         node.setRecorder(recorder);
-        desk.explanations(new Explanations(recorder, node::explainServer, this::situation, this::effects));
+        desk.setExplanations(new Explanations(recorder, node::explainServer, this::situation, this::effects));
     }
 
     /**
@@ -123,8 +125,8 @@
      * nothing.
      */
     void operated(Consumer<Consumer<String>> reload, Supplier<String> remark) {
-        desk.reloads(reload);
-        desk.remark(remark);
+        desk.setReloader(reload);
+        desk.setStatusNote(remark);
     }
 
     /** Opens the socket; a node goes on without it where that fails. */
@@ -146,16 +148,16 @@
     /** These routes, less what operators have refused. */
     RoutePolicy before(RoutePolicy routes, List<String> names) {
         classes = names;
-        return new Shedder(routes, names, this::effects);
+        return new SheddingRoutePolicy(routes, names, this::effects);
     }
 
-    private Effects effects() {
+    private OverrideEffects effects() {
         return leases.effects();
     }
 
     @Override
-    public boolean drains(String id) {
-        return effects().drains(id);
+    public boolean isDraining(String id) {
+        return effects().isDraining(id);
     }
 
     @Override
@@ -164,7 +166,7 @@
     }
 
     @Override
-    public boolean holdsList() {
+    public boolean isListFrozen() {
         return effects().isFrozen();
     }
 
--- a/src/main/java/vetchpost/daemon/CtlCommand.java
+++ b/src/main/java/vetchpost/daemon/CtlCommand.java
@@ -29,7 +29,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import vetchpost.control.Trail;
+import vetchpost.control.AuditLog;
 
 /** The command {@code ctl}: operators' control of running nodes. */
 @Command(
@@ -219,9 +219,9 @@
         } catch (IOException e) {
             throw new ParameterException(spec.commandLine(), "can't read " + file + ": " + e.getMessage());
         }
-        int broken = Trail.broken(lines);
+        int broken = AuditLog.firstBrokenLine(lines);
         if (broken == 0 && json) {
-            lines.forEach(line -> out().println(Trail.textOf(line)));
+            lines.forEach(line -> out().println(AuditLog.textOf(line)));
         } else {
             out().println(
                             broken == 0
--- a/src/main/java/vetchpost/daemon/InitCommand.java
+++ b/src/main/java/vetchpost/daemon/InitCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.standalone.ServerWords;
+import vetchpost.standalone.ServerEntryReader;
 
 /** The command {@code init}: prints an operator's file that runs as it is. */
 @Command(
@@ -48,7 +48,7 @@
 
     private void check(String address) {
         try {
-            ServerWords.address(address);
+            ServerEntryReader.parseAddress(address);
         } catch (IllegalArgumentException e) {
             throw new ParameterException(
                     spec.commandLine(),
--- a/src/main/java/vetchpost/daemon/Main.java
+++ b/src/main/java/vetchpost/daemon/Main.java
@@ -77,7 +77,7 @@
         Map<String, String> environment = System.getenv();
         Node[] node = new Node[1];
         // First of all: unhandled, the signal ends the program. The loop reads the file after the start.
-        boolean heard = Hangup.handle(() -> {
+        boolean heard = ReloadSignal.handle(() -> {
             if (routes == null) {
                 loop.execute(() -> reload(node[0], environment));
             } else {
@@ -107,7 +107,7 @@
                 if (loaded.subset() != null) {
                     node.setSubset(loaded.subset());
                 }
-                DoorLoader.settle(node, loaded.file().admission(), config);
+                AdmissionLoader.settle(node, loaded.file().admission(), config);
                 if (loaded.file().recovery() != null) {
                     node.setLifecycle(RecoveryLoader.load(loaded.file().recovery(), config.settings(), loop, group));
                 }
@@ -145,7 +145,7 @@
             loop.execute(() -> {
                 try {
                     // First: it is the one that may find that it can't.
-                    DoorLoader.settle(node[0], loaded.file().admission(), config);
+                    AdmissionLoader.settle(node[0], loaded.file().admission(), config);
                     node[0].moveDiscovery(config);
                     loaded.settle();
                     inForce = loaded;
@@ -160,7 +160,7 @@
 
     private static void rehearse() {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Hangup.handle(() -> {});
+        ReloadSignal.handle(() -> {});
         Node node = new Node(NodeConfig.parse(EXAMPLE, Map.of()), group.next());
         group.next()
                 .execute(() -> node.warmUp(WARM_UP, () -> node.start(group, BY_SOCKETS, group::shutdownGracefully)));
--- a/src/main/java/vetchpost/daemon/RecoveryLoader.java
+++ b/src/main/java/vetchpost/daemon/RecoveryLoader.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.handover.Secret;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
 import vetchpost.recovery.Recovery;
 import vetchpost.recovery.RecoverySettings;
@@ -26,10 +26,10 @@
      * Throws IllegalArgumentException if the secret can't be had. A snapshot that can't is only passed over.
      */
     static Recovery load(RecoverySettings settings, Settings platform, EventLoop loop, EventLoopGroup group) {
-        Secret secret = null;
+        SharedSecret secret = null;
         if (settings.secretFile() != null) {
             try {
-                secret = Secret.read(settings.secretFile());
+                secret = SharedSecret.read(settings.secretFile());
             } catch (IOException e) {
                 throw new IllegalArgumentException("the secret for handovers can't be read: " + e.getMessage(), e);
             }
--- a/src/main/java/vetchpost/daemon/Hangup.java
+++ b/src/main/java/vetchpost/daemon/ReloadSignal.java
@@ -7,8 +7,8 @@
  * The word to read the configuration again: SIGHUP. Java has no public way to hear of a signal, and naming
  * the one it has in all builds brings a warning that can't be turned off; so it is looked up by name.
  */
-final class Hangup {
-    private Hangup() {}
+final class ReloadSignal {
+    private ReloadSignal() {}
 
     /**
      * Runs the action, on a thread of its own, at each SIGHUP, which no longer ends the program.
--- a/src/main/java/vetchpost/daemon/RouteLoader.java
+++ b/src/main/java/vetchpost/daemon/RouteLoader.java
@@ -7,7 +7,7 @@
 import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.FileRoutePolicy;
-import vetchpost.routes.Proof;
+import vetchpost.routes.RouteValidation;
 
 /** Reads an operator's file, proves it, and makes a node's routes of it; loaded only where there is one. */
 final class RouteLoader {
@@ -19,10 +19,10 @@
      * @param file recovery is null where nothing is kept or handed over, admission where nothing waits before
      * the module
      */
-    record Loaded(FileRoutePolicy policy, Subset subset, ProvedFile file) {
+    record Loaded(FileRoutePolicy policy, Subset subset, ValidatedFile file) {
         /** Has all of it hold from now on; on the loop. */
         void settle() {
-            policy.settle(file.routes().table(), file.settings());
+            policy.replaceTable(file.routes().table(), file.settings());
         }
     }
 
@@ -33,16 +33,16 @@
      * @throws IllegalArgumentException with a line for each violation
      */
     static Loaded load(Path path, Settings settings, long seed, Loaded before) {
-        ProvedFile file;
+        ValidatedFile file;
         try {
-            file = ProvedFile.prove(path, sections -> settings, before == null ? null : before.file());
+            file = ValidatedFile.prove(path, sections -> settings, before == null ? null : before.file());
         } catch (IOException e) {
             throw new IllegalArgumentException("the routes can't be read: " + e, e);
         }
         if (!file.holds()) {
             throw new IllegalArgumentException(file.refusal("the routes are"));
         }
-        Proof.Part part = file.routes().part();
+        RouteValidation.FleetSubset part = file.routes().fleetSubset();
         return new Loaded(
                 before == null ? new FileRoutePolicy(file.routes().table(), settings, seed) : before.policy(),
                 part == null ? null : subset(part, settings),
@@ -50,7 +50,7 @@
     }
 
     /** Where repeats must stay in a cell, a node has all of a cell or nothing. */
-    private static Subset subset(Proof.Part part, Settings settings) {
+    private static Subset subset(RouteValidation.FleetSubset part, Settings settings) {
         boolean byCell = settings.classes.stream()
                 .anyMatch(
                         c -> c.idempotency() == Idempotency.KEYED && c.deduplicationScope() == DeduplicationScope.CELL);
--- a/src/main/java/vetchpost/daemon/StandaloneMain.java
+++ b/src/main/java/vetchpost/daemon/StandaloneMain.java
@@ -16,7 +16,7 @@
     private StandaloneMain() {}
 
     static void serve(Path file) {
-        ProvedFile loaded;
+        ValidatedFile loaded;
         try {
             loaded = StandaloneNode.load(file);
         } catch (IllegalArgumentException e) {
@@ -28,7 +28,7 @@
         loop.execute(() -> start(loaded, file, group, loop));
     }
 
-    private static void start(ProvedFile loaded, Path file, EventLoopGroup group, EventLoop loop) {
+    private static void start(ValidatedFile loaded, Path file, EventLoopGroup group, EventLoop loop) {
         StandaloneNode node;
         try {
             node = new StandaloneNode(loaded, group, loop);
@@ -37,7 +37,7 @@
             return;
         }
         // On the signal's own thread: many routes take longer to read than the loop may stand.
-        boolean heard = Hangup.handle(() -> reload(node, file, loop, told -> {}));
+        boolean heard = ReloadSignal.handle(() -> reload(node, file, loop, told -> {}));
         if (!heard) {
             LOG.log(Level.WARNING, Main.DEAF);
         }
@@ -56,7 +56,7 @@
     /** Reads the file on the thread that calls, and has it hold; tells null, or why nothing was changed. */
     private static synchronized void reload(StandaloneNode node, Path file, EventLoop loop, Consumer<String> told) {
         try {
-            ProvedFile fresh = StandaloneNode.load(file, onLoop(node, loop));
+            ValidatedFile fresh = StandaloneNode.load(file, onLoop(node, loop));
             loop.execute(() -> {
                 try {
                     node.reload(fresh).addListener(done -> told.accept(null));
@@ -70,7 +70,7 @@
     }
 
     /** What the node serves by now: readings come one after the other, but take hold on the loop. */
-    private static ProvedFile onLoop(StandaloneNode node, EventLoop loop) {
+    private static ValidatedFile onLoop(StandaloneNode node, EventLoop loop) {
         return loop.submit(node::loaded).syncUninterruptibly().getNow();
     }
 
--- a/src/main/java/vetchpost/daemon/StandaloneNode.java
+++ b/src/main/java/vetchpost/daemon/StandaloneNode.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Consumer;
-import vetchpost.conductor.Conductor;
+import vetchpost.conductor.SourceWatcher;
 import vetchpost.config.DescriptorLimit;
 import vetchpost.config.NodeConfig;
 import vetchpost.core.Subset;
@@ -24,7 +24,7 @@
 import vetchpost.node.ProtocolAdapters;
 import vetchpost.routes.FileRoutePolicy;
 import vetchpost.routes.RouteTable;
-import vetchpost.standalone.Renewal;
+import vetchpost.standalone.ReloadPlan;
 import vetchpost.standalone.Standalone;
 import vetchpost.web.WebFront;
 
@@ -35,13 +35,13 @@
     private final EventLoopGroup group;
     private final EventLoop loop;
     private final WebFront front;
-    private final Conductor conductor;
+    private final SourceWatcher conductor;
     private final Node node;
     /** Null where the file has no such table. */
     private final ControlLoader control;
 
     private final long seed;
-    private ProvedFile loaded;
+    private ValidatedFile loaded;
     private final FileRoutePolicy policy;
     /** Null where the file has no such table. */
     private final ChangesLoader changes;
@@ -51,14 +51,14 @@
     private SocketAddress listening;
 
     /** Not started; on the loop. Throws IllegalArgumentException if the node can't be made. */
-    StandaloneNode(ProvedFile file, EventLoopGroup group, EventLoop loop) {
+    StandaloneNode(ValidatedFile file, EventLoopGroup group, EventLoop loop) {
         this.group = group;
         this.loop = loop;
         loaded = file;
         Standalone alone = file.node();
         seed = alone.seed() != 0 ? alone.seed() : new SecureRandom().nextLong();
         front = new WebFront(alone.settings(), alone.classifier(), alone.limits(), System::currentTimeMillis);
-        conductor = new Conductor(alone, loop, Network.SYSTEM, seed, System.currentTimeMillis());
+        conductor = new SourceWatcher(alone, loop, Network.SYSTEM, seed, System.currentTimeMillis());
         node = new Node(
                 config(alone),
                 loop,
@@ -103,20 +103,20 @@
                 alone.listen(),
                 null,
                 seed,
-                Math.min(alone.sockets(), DescriptorLimit.limit()),
-                alone.connIdleUs(),
+                Math.min(alone.maxDescriptors(), DescriptorLimit.limit()),
+                alone.connectionIdleUs(),
                 alone.settings(),
-                conductor.known());
+                conductor.knownServers());
     }
 
     /** Has other routes hold from now on: one reference, whatever their number. */
     private void settle(RouteTable table) {
         routes = table;
-        policy.settle(routes, loaded.node().settings());
+        policy.replaceTable(routes, loaded.node().settings());
     }
 
-    private void policy(ProvedFile file, boolean starting) {
-        policy.settle(routes, file.node().settings());
+    private void policy(ValidatedFile file, boolean starting) {
+        policy.replaceTable(routes, file.node().settings());
         node.setRoutes(
                 control == null
                         ? policy
@@ -125,18 +125,18 @@
                                 file.node().settings().classes.stream()
                                         .map(c -> c.name())
                                         .toList()));
-        if (starting && file.routes().part() != null) {
+        if (starting && file.routes().fleetSubset() != null) {
             node.setSubset(new Subset(
-                    file.routes().part().node(),
+                    file.routes().fleetSubset().node(),
                     file.node().settings().nodes,
-                    file.routes().part().subset(),
+                    file.routes().fleetSubset().subset(),
                     false));
         }
-        DoorLoader.settle(node, file.admission(), config(file.node()));
+        AdmissionLoader.settle(node, file.admission(), config(file.node()));
     }
 
     /** Reads and proves a file; throws IllegalArgumentException with a line for each violation. */
-    static ProvedFile load(Path path) {
+    static ValidatedFile load(Path path) {
         return load(path, null);
     }
 
@@ -145,10 +145,10 @@
      *
      * @param before what it came to the last time, or null
      */
-    static ProvedFile load(Path path, ProvedFile before) {
-        ProvedFile file;
+    static ValidatedFile load(Path path, ValidatedFile before) {
+        ValidatedFile file;
         try {
-            file = before == null ? ProvedFile.prove(path, sections -> null, null) : before.again(path);
+            file = before == null ? ValidatedFile.prove(path, sections -> null, null) : before.again(path);
         } catch (IOException e) {
             throw new IllegalArgumentException("the file can't be read: " + e, e);
         }
@@ -164,7 +164,7 @@
     }
 
     /** What it serves by. */
-    ProvedFile loaded() {
+    ValidatedFile loaded() {
         return loaded;
     }
 
@@ -204,7 +204,7 @@
                 if (changes != null) {
                     changes.begin();
                 }
-                conductor.begin(node::onList);
+                conductor.start(node::onList);
             }
         });
         return binding;
@@ -218,7 +218,7 @@
      * @return done once all of it holds, with where it listens; an address that can't be had leaves the one
      * before
      */
-    Future<SocketAddress> reload(ProvedFile fresh) {
+    Future<SocketAddress> reload(ValidatedFile fresh) {
         if (fresh.node() == loaded.node()) {
             // Routes alone have changed, if anything: one reference, whatever their number.
             loaded = fresh;
@@ -235,19 +235,19 @@
         }
         routes = changes == null ? fresh.routes().table() : routes;
         Standalone now = fresh.node();
-        Renewal renewal = Renewal.of(loaded.node(), now);
-        if (renewal.core()) {
+        ReloadPlan renewal = ReloadPlan.between(loaded.node(), now);
+        if (renewal.replacesCore()) {
             node.reconfigure(config(now));
             if (control != null) {
                 // Other classes, other aims: what was kept is of the old ones.
                 control.explain(node, now.settings());
             }
         }
-        front.settle(now.settings(), now.classifier(), now.limits());
+        front.reconfigure(now.settings(), now.classifier(), now.limits());
         policy(fresh, false);
-        conductor.renew(now);
+        conductor.reload(now);
         Promise<SocketAddress> inForce = loop.newPromise();
-        if (renewal.address()) {
+        if (renewal.movesListener()) {
             ChannelFuture binding = node.addListener(group, now.listen());
             binding.addListener(done -> {
                 if (done.isSuccess()) {
--- a/src/main/java/vetchpost/daemon/StateCommand.java
+++ b/src/main/java/vetchpost/daemon/StateCommand.java
@@ -16,11 +16,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import vetchpost.decision.ServerStatistics.PerServer;
-import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
-import vetchpost.state.Doubt;
+import vetchpost.state.SelfFault;
+import vetchpost.state.SelfFaultDetector;
+import vetchpost.state.ServerRecord;
 import vetchpost.state.Snapshot;
-import vetchpost.state.Trouble;
 import vetchpost.state.disk.StateFile;
 
 /** The command {@code state}: what a node has kept, as the next one would find it. */
@@ -79,8 +79,8 @@
                 time(nowMs - snapshot.origin().takenMs()),
                 time(snapshot.origin().takenMs() - snapshot.origin().startedMs()),
                 snapshot.origin().revision(),
-                snapshot.boxes().size());
-        Set<Trouble> doubts = Doubt.of(snapshot, nowMs);
+                snapshot.servers().size());
+        Set<SelfFault> doubts = SelfFaultDetector.inSnapshot(snapshot, nowMs);
         out.println(
                 doubts.isEmpty()
                         ? "its word on how boxes are would be believed, as far as its age allows"
@@ -88,7 +88,7 @@
                                 + String.join(
                                         ", ",
                                         doubts.stream()
-                                                .map(Trouble::words)
+                                                .map(SelfFault::words)
                                                 .sorted()
                                                 .toList()));
         for (ClassState state : snapshot.classes()) {
@@ -97,20 +97,20 @@
                     "class %-16s usual latency %8.1f ms, %d answers%n",
                     state.name(),
                     state.latencyUs() / 1_000,
-                    state.answers());
+                    state.sampleCount());
         }
-        if (snapshot.boxes().isEmpty() || most == 0) {
+        if (snapshot.servers().isEmpty() || most == 0) {
             return;
         }
         out.printf(
                 "%n%-20s %-22s %10s %-8s %8s %6s %6s %6s %s%n",
                 "box", "address", "confirmed", "by", "answers", "errors", "pace", "limit", "");
-        List<BoxState> boxes = new ArrayList<>(snapshot.boxes());
-        boxes.sort(Comparator.comparingInt((BoxState b) ->
-                        b.knowledge() == null ? 0 : -b.knowledge().recentFailures())
+        List<ServerRecord> boxes = new ArrayList<>(snapshot.servers());
+        boxes.sort(Comparator.comparingInt((ServerRecord b) ->
+                        b.statistics() == null ? 0 : -b.statistics().recentFailures())
                 .thenComparing(b -> b.target().id()));
-        for (BoxState box : boxes.subList(0, Math.min(most, boxes.size()))) {
-            PerServer known = box.knowledge();
+        for (ServerRecord box : boxes.subList(0, Math.min(most, boxes.size()))) {
+            PerServer known = box.statistics();
             String address = box.target().address().getAddress().getHostAddress() + ":"
                     + box.target().address().getPort();
             out.printf(
@@ -119,7 +119,7 @@
                     box.target().id(),
                     address,
                     time(nowMs - box.confirmedMs()),
-                    box.by().name().toLowerCase(Locale.ROOT),
+                    box.confirmedBy().name().toLowerCase(Locale.ROOT),
                     known == null ? "-" : known.attemptCount(),
                     known == null ? "-" : known.consecutiveErrors(),
                     known == null ? "-" : figure(known.relativeLatency()),
--- a/src/main/java/vetchpost/daemon/ProvedFile.java
+++ b/src/main/java/vetchpost/daemon/ValidatedFile.java
@@ -11,27 +11,27 @@
 import java.util.stream.Collectors;
 import vetchpost.admission.AdmissionSettings;
 import vetchpost.admission.AdmissionValidator;
-import vetchpost.changes.ChangesProver;
 import vetchpost.changes.ChangesSettings;
-import vetchpost.control.ControlProver;
+import vetchpost.changes.ChangesValidator;
 import vetchpost.control.ControlSettings;
+import vetchpost.control.ControlValidator;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.recovery.RecoveryProver;
 import vetchpost.recovery.RecoverySettings;
+import vetchpost.recovery.RecoveryValidator;
 import vetchpost.routes.Position;
-import vetchpost.routes.Proof;
-import vetchpost.routes.Prover;
-import vetchpost.routes.Prover.RouteChange;
 import vetchpost.routes.RouteCodec;
 import vetchpost.routes.RouteTable;
+import vetchpost.routes.RouteValidation;
+import vetchpost.routes.RouteValidator;
+import vetchpost.routes.RouteValidator.RouteChange;
 import vetchpost.routes.Section;
 import vetchpost.routes.Violation;
 import vetchpost.routes.file.FileIndex;
 import vetchpost.standalone.Standalone;
-import vetchpost.standalone.StandaloneProver;
-import vetchpost.store.Change.Op;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.standalone.StandaloneValidator;
+import vetchpost.store.EntryChange.Op;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
 import vetchpost.store.PackedTree;
 
 /**
@@ -47,11 +47,11 @@
  * @param version one more at each reading that changed something
  * @param violations every one, in the order of the file
  */
-record ProvedFile(
+record ValidatedFile(
         boolean hasOwn,
         Standalone node,
         Settings settings,
-        Proof routes,
+        RouteValidation routes,
         RecoverySettings recovery,
         AdmissionSettings admission,
         ControlSettings control,
@@ -69,7 +69,7 @@
         private List<Section> others = List.of();
         private Standalone node;
         private Settings settings;
-        private Prover prover;
+        private RouteValidator prover;
 
         Reading(Function<List<Section>, Settings> platform, RouteTable before, long version) {
             this.platform = platform;
@@ -78,18 +78,18 @@
         }
 
         @Override
-        public void others(List<Section> sections) {
+        public void otherSections(List<Section> sections) {
             others = sections;
             settings = platform.apply(sections);
             boolean alone = settings == null;
             if (alone) {
-                StandaloneProver.Proof made = StandaloneProver.prove(sections);
+                StandaloneValidator.Validation made = StandaloneValidator.validate(sections);
                 violations.addAll(made.violations());
                 node = made.standalone();
                 settings = node == null ? null : node.settings();
             }
             if (settings != null) {
-                prover = Prover.begin(sections, settings, alone, before, version);
+                prover = RouteValidator.begin(sections, settings, alone, before, version);
             }
         }
 
@@ -100,10 +100,10 @@
             }
         }
 
-        ProvedFile end(FileIndex index) {
+        ValidatedFile end(FileIndex index) {
             if (prover == null || !violations.isEmpty()) {
-                return new ProvedFile(
-                        others.stream().anyMatch(StandaloneProver::isOwn),
+                return new ValidatedFile(
+                        others.stream().anyMatch(StandaloneValidator::isStandaloneSection),
                         node,
                         settings,
                         null,
@@ -115,11 +115,11 @@
                         version,
                         violations);
             }
-            Proof routes = prover.end();
-            RecoveryProver.Proof recovery = RecoveryProver.prove(others);
+            RouteValidation routes = prover.end();
+            RecoveryValidator.Validation recovery = RecoveryValidator.validate(others);
             AdmissionValidator.ValidationResult admission = AdmissionValidator.validate(others, settings);
-            ControlProver.Proof control = ControlProver.prove(others);
-            ChangesProver.Proof changes = ChangesProver.prove(others);
+            ControlValidator.Validation control = ControlValidator.validate(others);
+            ChangesValidator.Validation changes = ChangesValidator.validate(others);
             violations.addAll(routes.violations());
             violations.addAll(recovery.violations());
             violations.addAll(admission.violations());
@@ -151,8 +151,8 @@
                         routes.table().size() + " routes of this file: they come from control machines",
                         "no [[route]]"));
             }
-            return new ProvedFile(
-                    others.stream().anyMatch(StandaloneProver::isOwn),
+            return new ValidatedFile(
+                    others.stream().anyMatch(StandaloneValidator::isStandaloneSection),
                     node,
                     settings,
                     routes,
@@ -174,7 +174,7 @@
      * @param before what it said the last time, or null
      * @throws IOException if it can't be read
      */
-    static ProvedFile prove(Path path, Function<List<Section>, Settings> platform, ProvedFile before)
+    static ValidatedFile prove(Path path, Function<List<Section>, Settings> platform, ValidatedFile before)
             throws IOException {
         Reading reading = new Reading(
                 platform, before == null ? null : before.routes.table(), before == null ? 1 : before.version + 1);
@@ -198,13 +198,13 @@
      *
      * @throws IOException if it can't be read
      */
-    ProvedFile again(Path path) throws IOException {
-        FileIndex.Difference difference = index == null ? null : index.again(path);
+    ValidatedFile again(Path path) throws IOException {
+        FileIndex.Difference difference = index == null ? null : index.reread(path);
         if (difference == null) {
             return prove(path, sections -> null, this);
         }
         if (!difference.violations().isEmpty()) {
-            return new ProvedFile(
+            return new ValidatedFile(
                     hasOwn,
                     node,
                     settings,
@@ -219,7 +219,7 @@
         }
         List<RouteChange> ofRoutes = changes(path, difference);
         if (ofRoutes.isEmpty()) {
-            return new ProvedFile(
+            return new ValidatedFile(
                     hasOwn,
                     node,
                     settings,
@@ -232,12 +232,12 @@
                     version,
                     List.of());
         }
-        Proof changed = Prover.change(routes.table(), ofRoutes, version + 1);
-        return new ProvedFile(
+        RouteValidation changed = RouteValidator.validateChanges(routes.table(), ofRoutes, version + 1);
+        return new ValidatedFile(
                 hasOwn,
                 node,
                 settings,
-                new Proof(changed.table(), changed.routes(), routes.part(), changed.violations()),
+                new RouteValidation(changed.table(), changed.routes(), routes.fleetSubset(), changed.violations()),
                 recovery,
                 admission,
                 control,
@@ -248,10 +248,10 @@
     }
 
     private List<RouteChange> changes(Path path, FileIndex.Difference difference) {
-        Set<String> gone = new HashSet<>(difference.gone());
+        Set<String> gone = new HashSet<>(difference.removedRoutes());
         Set<String> fresh = new HashSet<>();
         List<RouteChange> changes = new ArrayList<>();
-        for (Section section : difference.fresh()) {
+        for (Section section : difference.changedRoutes()) {
             String name = RouteCodec.nameOf(section);
             fresh.add(name);
             if (!gone.contains(name)) {
@@ -269,26 +269,31 @@
     }
 
     /** Which routes differ from those of another file that holds too; none where either does not. */
-    List<RouteChange> since(ProvedFile before) {
+    List<RouteChange> since(ValidatedFile before) {
         List<RouteChange> changes = new ArrayList<>();
         if (!holds() || !before.holds()) {
             return changes;
         }
-        byte[] first = new Key(Kind.ROUTE, "").bytes();
+        byte[] first = new EntryKey(EntryKind.ROUTE, "").bytes();
         PackedTree is = routes.table().entries();
         PackedTree was = before.routes.table().entries();
-        for (PackedTree.Item item = is.ceiling(first); item != null; item = is.ceiling(PackedTree.after(item.key()))) {
+        for (PackedTree.Item item = is.ceiling(first);
+                item != null;
+                item = is.ceiling(PackedTree.successor(item.key()))) {
             PackedTree.Item old = was.get(item.key());
             if (old == null || !Arrays.equals(old.value(), item.value())) {
                 changes.add(new RouteChange(
-                        old == null ? Op.PUT : Op.REPLACE, Key.of(item.key()).name(), null, null));
+                        old == null ? Op.PUT : Op.REPLACE,
+                        EntryKey.of(item.key()).name(),
+                        null,
+                        null));
             }
         }
         for (PackedTree.Item item = was.ceiling(first);
                 item != null;
-                item = was.ceiling(PackedTree.after(item.key()))) {
+                item = was.ceiling(PackedTree.successor(item.key()))) {
             if (!is.contains(item.key())) {
-                changes.add(new RouteChange(Op.DELETE, Key.of(item.key()).name(), null, null));
+                changes.add(new RouteChange(Op.DELETE, EntryKey.of(item.key()).name(), null, null));
             }
         }
         return changes;
@@ -300,7 +305,7 @@
             return Arrays.equals(
                     routes.table()
                             .entries()
-                            .get(new Key(Kind.ROUTE, name).bytes())
+                            .get(new EntryKey(EntryKind.ROUTE, name).bytes())
                             .value(),
                     RouteCodec.bytes(section));
         } catch (IllegalArgumentException e) {
--- a/src/main/java/vetchpost/fastcgi/ClientStreams.java
+++ b/src/main/java/vetchpost/fastcgi/ClientStreams.java
@@ -227,7 +227,8 @@
         ByteBuf output = Unpooled.buffer();
         FcgiReply.write(status, fields, output);
         output.writeBytes(body);
-        NameValues.records(Type.STDOUT, id, output, FcgiRecord.MOST_CONTENT).forEach(listener::write);
+        NameValues.records(Type.STDOUT, id, output, FcgiRecord.MAX_CONTENT_BYTES)
+                .forEach(listener::write);
         output.release();
         end(id, ProtocolStatus.REQUEST_COMPLETE, 0);
     }
--- a/src/main/java/vetchpost/fastcgi/FcgiRecord.java
+++ b/src/main/java/vetchpost/fastcgi/FcgiRecord.java
@@ -8,11 +8,11 @@
     /** The only version there is. */
     public static final int VERSION = 1;
     /** Bytes of a record before its content. */
-    public static final int HEADER = 8;
+    public static final int HEADER_BYTES = 8;
     /** Most content of one record, in bytes. */
-    public static final int MOST_CONTENT = 65_535;
+    public static final int MAX_CONTENT_BYTES = 65_535;
     /** Most requests that one connection can tell apart. */
-    public static final int MOST_ID = 65_535;
+    public static final int MAX_REQUEST_ID = 65_535;
 
     /** The specification's types, in its order, from 1. */
     public enum Type {
@@ -51,7 +51,7 @@
      */
     public FcgiRecord(int type, int id, ByteBuf content) {
         super(content);
-        if (type < 0 || type > 255 || id < 0 || id > MOST_ID || content.readableBytes() > MOST_CONTENT) {
+        if (type < 0 || type > 255 || id < 0 || id > MAX_REQUEST_ID || content.readableBytes() > MAX_CONTENT_BYTES) {
             throw new IllegalArgumentException(
                     "type " + type + ", id " + id + ", " + content.readableBytes() + " bytes");
         }
--- a/src/main/java/vetchpost/fastcgi/FcgiReply.java
+++ b/src/main/java/vetchpost/fastcgi/FcgiReply.java
@@ -74,7 +74,7 @@
     }
 
     /** Whether the head is whole. */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return whole;
     }
 
--- a/src/main/java/vetchpost/fastcgi/RecordDecoder.java
+++ b/src/main/java/vetchpost/fastcgi/RecordDecoder.java
@@ -19,7 +19,7 @@
             in.skipBytes(in.readableBytes());
             return;
         }
-        if (in.readableBytes() < FcgiRecord.HEADER) {
+        if (in.readableBytes() < FcgiRecord.HEADER_BYTES) {
             return;
         }
         int at = in.readerIndex();
@@ -31,10 +31,10 @@
         }
         int length = in.getUnsignedShort(at + 4);
         int padding = in.getUnsignedByte(at + 6);
-        if (in.readableBytes() < FcgiRecord.HEADER + length + padding) {
+        if (in.readableBytes() < FcgiRecord.HEADER_BYTES + length + padding) {
             return;
         }
-        in.skipBytes(FcgiRecord.HEADER);
+        in.skipBytes(FcgiRecord.HEADER_BYTES);
         out.add(new FcgiRecord(in.getUnsignedByte(at + 1), in.getUnsignedShort(at + 2), in.readRetainedSlice(length)));
         in.skipBytes(padding);
     }
--- a/src/main/java/vetchpost/handover/AuthenticatedFrames.java
+++ b/src/main/java/vetchpost/handover/AuthenticatedFrames.java
@@ -39,10 +39,10 @@
         void down(String why);
     }
 
-    private final Secret secret;
+    private final SharedSecret secret;
     private final boolean listens;
     private final Listener listener;
-    private final byte[] nonce = new byte[Secret.NONCE];
+    private final byte[] nonce = new byte[SharedSecret.NONCE_BYTES];
     private Channel channel;
     private ScheduledFuture<?> limit;
     private byte[] other;
@@ -51,7 +51,7 @@
     private int received;
     private boolean over;
 
-    private AuthenticatedFrames(Secret secret, SecureRandom random, boolean listens, Listener listener) {
+    private AuthenticatedFrames(SharedSecret secret, SecureRandom random, boolean listens, Listener listener) {
         this.secret = secret;
         this.listens = listens;
         this.listener = listener;
@@ -65,17 +65,22 @@
      * @param mostFrame bytes of a frame
      */
     public static AuthenticatedFrames open(
-            Channel channel, Secret secret, SecureRandom random, boolean listens, int mostFrame, Listener listener) {
+            Channel channel,
+            SharedSecret secret,
+            SecureRandom random,
+            boolean listens,
+            int mostFrame,
+            Listener listener) {
         AuthenticatedFrames frames = new AuthenticatedFrames(secret, random, listens, listener);
         frames.channel = channel;
-        Wire.frames(channel.pipeline(), mostFrame + Secret.PROOF);
+        HandoverProtocol.frames(channel.pipeline(), mostFrame + SharedSecret.MAC_BYTES);
         channel.pipeline().addLast(frames);
         return frames;
     }
 
     /** Sends a frame; only once it is up. */
     public void send(byte[] frame) {
-        Wire.send(channel, frame, Secret.tag(session, number(sent++, !listens), frame));
+        HandoverProtocol.send(channel, frame, SharedSecret.tag(session, number(sent++, !listens), frame));
     }
 
     /** Whether what was sent before has left. */
@@ -109,7 +114,7 @@
         limit = ctx.executor()
                 .schedule(() -> end("it has not shown that it knows the secret"), PROOF_MS, TimeUnit.MILLISECONDS);
         if (listens) {
-            Wire.hello(channel, nonce, new byte[0]);
+            HandoverProtocol.hello(channel, nonce, new byte[0]);
         }
     }
 
@@ -122,29 +127,29 @@
             if (session == null) {
                 greet(message);
             } else {
-                take(Wire.bytes(message));
+                take(HandoverProtocol.bytes(message));
             }
-        } catch (Wire.Refused e) {
+        } catch (HandoverProtocol.Refused e) {
             end(e.getMessage());
         }
     }
 
-    private void greet(ByteBuf message) throws Wire.Refused {
+    private void greet(ByteBuf message) throws HandoverProtocol.Refused {
         if (listens) {
-            Wire.Hello hello = Wire.hello(message, Secret.PROOF);
+            HandoverProtocol.Hello hello = HandoverProtocol.hello(message, SharedSecret.MAC_BYTES);
             int key = secret.keyOf(hello.proof(), CONNECTS, nonce, hello.nonce());
             if (key < 0) {
-                throw new Wire.Refused("it doesn't know the secret");
+                throw new HandoverProtocol.Refused("it doesn't know the secret");
             }
             session = secret.session(key, nonce, hello.nonce());
-            Wire.send(channel, secret.proof(key, LISTENS, nonce, hello.nonce()));
+            HandoverProtocol.send(channel, secret.proof(key, LISTENS, nonce, hello.nonce()));
             up();
         } else if (other == null) {
-            other = Wire.hello(message, 0).nonce();
-            Wire.hello(channel, nonce, secret.proof(0, CONNECTS, other, nonce));
+            other = HandoverProtocol.hello(message, 0).nonce();
+            HandoverProtocol.hello(channel, nonce, secret.proof(0, CONNECTS, other, nonce));
         } else {
-            if (!MessageDigest.isEqual(Wire.bytes(message), secret.proof(0, LISTENS, other, nonce))) {
-                throw new Wire.Refused("it doesn't know the secret");
+            if (!MessageDigest.isEqual(HandoverProtocol.bytes(message), secret.proof(0, LISTENS, other, nonce))) {
+                throw new HandoverProtocol.Refused("it doesn't know the secret");
             }
             session = secret.session(0, other, nonce);
             up();
@@ -156,14 +161,14 @@
         listener.up();
     }
 
-    private void take(byte[] message) throws Wire.Refused {
-        if (message.length < Secret.PROOF || received == MOST_NUMBER) {
-            throw new Wire.Refused("a frame without a tag");
+    private void take(byte[] message) throws HandoverProtocol.Refused {
+        if (message.length < SharedSecret.MAC_BYTES || received == MOST_NUMBER) {
+            throw new HandoverProtocol.Refused("a frame without a tag");
         }
-        byte[] frame = Arrays.copyOf(message, message.length - Secret.PROOF);
+        byte[] frame = Arrays.copyOf(message, message.length - SharedSecret.MAC_BYTES);
         byte[] tag = Arrays.copyOfRange(message, frame.length, message.length);
-        if (!MessageDigest.isEqual(tag, Secret.tag(session, number(received++, listens), frame))) {
-            throw new Wire.Refused("a frame that is not the other side's, or not in its place");
+        if (!MessageDigest.isEqual(tag, SharedSecret.tag(session, number(received++, listens), frame))) {
+            throw new HandoverProtocol.Refused("a frame that is not the other side's, or not in its place");
         }
         listener.frame(frame);
     }
--- a/src/main/java/vetchpost/handover/Wire.java
+++ b/src/main/java/vetchpost/handover/HandoverProtocol.java
@@ -9,22 +9,22 @@
 import io.netty.handler.codec.LengthFieldPrepender;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.codec.ChunkCodec;
 
 /**
  * The handover's messages. Each is a length of four bytes and as many bytes. The giver begins with a hello
  * and a nonce; the taker answers with its own and a proof that it knows the secret; the giver proves the same
  * and sends pieces, each with a tag, and a last one that is empty.
  */
-final class Wire {
-    static final String GIVER = "giver";
-    static final String TAKER = "taker";
+final class HandoverProtocol {
+    static final String SENDER = "giver";
+    static final String RECEIVER = "taker";
     private static final byte[] HELLO = "VPHAND".getBytes(StandardCharsets.US_ASCII);
     private static final int VERSION = 1;
-    private static final int MOST_FRAME = PieceCodec.MOST_BYTES + Secret.PROOF;
+    private static final int MOST_FRAME = ChunkCodec.MAX_CHUNK_BYTES + SharedSecret.MAC_BYTES;
     private static final int LENGTH = 4;
     /** The longest message before both sides have proved themselves. */
-    static final int MOST_HELLO = HELLO.length + 1 + Secret.NONCE + Secret.PROOF;
+    static final int MAX_HELLO_BYTES = HELLO.length + 1 + SharedSecret.NONCE_BYTES + SharedSecret.MAC_BYTES;
 
     /** What the other side has said can't be used. */
     static final class Refused extends Exception {
@@ -38,7 +38,7 @@
     /** A side's nonce, and its proof if it has one by then. */
     record Hello(byte[] nonce, byte[] proof) {}
 
-    private Wire() {}
+    private HandoverProtocol() {}
 
     /** Messages in place of bytes; too long a one ends in an exception before room is made for it. */
     static void frames(ChannelPipeline pipeline, int most) {
@@ -68,12 +68,12 @@
         if (bytes[HELLO.length] != VERSION) {
             throw new Refused("it speaks version " + bytes[HELLO.length] + "; this program knows " + VERSION);
         }
-        if (bytes.length != nonceAt + Secret.NONCE + proofLength) {
+        if (bytes.length != nonceAt + SharedSecret.NONCE_BYTES + proofLength) {
             throw new Refused("its hello has " + bytes.length + " bytes");
         }
         return new Hello(
-                Arrays.copyOfRange(bytes, nonceAt, nonceAt + Secret.NONCE),
-                Arrays.copyOfRange(bytes, nonceAt + Secret.NONCE, bytes.length));
+                Arrays.copyOfRange(bytes, nonceAt, nonceAt + SharedSecret.NONCE_BYTES),
+                Arrays.copyOfRange(bytes, nonceAt + SharedSecret.NONCE_BYTES, bytes.length));
     }
 
     static byte[] bytes(ByteBuf message) {
--- a/src/main/java/vetchpost/handover/Taker.java
+++ b/src/main/java/vetchpost/handover/HandoverReceiver.java
@@ -17,14 +17,14 @@
 import java.util.concurrent.TimeUnit;
 import vetchpost.net.Network;
 import vetchpost.state.Snapshot;
-import vetchpost.state.codec.Assembly;
-import vetchpost.state.codec.MalformedState;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.codec.ChunkAssembler;
+import vetchpost.state.codec.ChunkCodec;
+import vetchpost.state.codec.MalformedSnapshotException;
 
 /** Asks a running node for what it knows, once. Whatever comes is bounded in bytes and time, and checked. */
-public final class Taker {
+public final class HandoverReceiver {
     /** 100,000 boxes take under 24 MiB. */
-    static final long MOST_BYTES = 32L << 20;
+    static final long MAX_SNAPSHOT_BYTES = 32L << 20;
 
     /** What a handover came to. */
     public interface Outcome {
@@ -35,15 +35,15 @@
          * @param whole whether it is all of it
          * @param why what went wrong, if anything has; else null
          */
-        void taken(Snapshot snapshot, boolean whole, String why);
+        void received(Snapshot snapshot, boolean whole, String why);
     }
 
     private final EventLoop loop;
     private final Network network;
-    private final Secret secret;
+    private final SharedSecret secret;
     private final SecureRandom random;
 
-    public Taker(EventLoop loop, Network network, Secret secret, SecureRandom random) {
+    public HandoverReceiver(EventLoop loop, Network network, SharedSecret secret, SecureRandom random) {
         this.loop = loop;
         this.network = network;
         this.secret = secret;
@@ -56,7 +56,7 @@
      * @param withinMs all that has not come by then is not waited for
      * @return ends it at once, as if the time were up
      */
-    public Runnable ask(InetSocketAddress address, long withinMs, Outcome outcome) {
+    public Runnable request(InetSocketAddress address, long withinMs, Outcome outcome) {
         Asking asking = new Asking(outcome);
         asking.limit = loop.schedule(() -> asking.end("it took too long"), withinMs, TimeUnit.MILLISECONDS);
         try {
@@ -94,8 +94,8 @@
 
     private final class Asking extends SimpleChannelInboundHandler<ByteBuf> {
         private final Outcome outcome;
-        private final Assembly assembly = new Assembly();
-        private final byte[] nonce = new byte[Secret.NONCE];
+        private final ChunkAssembler assembly = new ChunkAssembler();
+        private final byte[] nonce = new byte[SharedSecret.NONCE_BYTES];
         private byte[] giverNonce;
         private byte[] session;
         private int number;
@@ -110,7 +110,7 @@
         }
 
         void open(Channel to) {
-            Wire.frames(to.pipeline(), Wire.mostFrame());
+            HandoverProtocol.frames(to.pipeline(), HandoverProtocol.mostFrame());
             to.pipeline().addLast(this);
         }
 
@@ -125,7 +125,7 @@
             if (channel != null) {
                 channel.close();
             }
-            outcome.taken(assembly.snapshot(), assembly.isWhole(), why);
+            outcome.received(assembly.snapshot(), assembly.isComplete(), why);
         }
 
         @Override
@@ -135,42 +135,43 @@
             }
             bytes += message.readableBytes();
             try {
-                if (bytes > MOST_BYTES) {
-                    throw new Wire.Refused("it sent over " + MOST_BYTES + " bytes");
+                if (bytes > MAX_SNAPSHOT_BYTES) {
+                    throw new HandoverProtocol.Refused("it sent over " + MAX_SNAPSHOT_BYTES + " bytes");
                 }
                 take(message);
-            } catch (Wire.Refused | MalformedState e) {
+            } catch (HandoverProtocol.Refused | MalformedSnapshotException e) {
                 end(e.getMessage());
             }
         }
 
-        private void take(ByteBuf message) throws Wire.Refused, MalformedState {
+        private void take(ByteBuf message) throws HandoverProtocol.Refused, MalformedSnapshotException {
             if (giverNonce == null) {
-                giverNonce = Wire.hello(message, 0).nonce();
-                Wire.hello(channel, nonce, secret.proof(0, Wire.TAKER, giverNonce, nonce));
+                giverNonce = HandoverProtocol.hello(message, 0).nonce();
+                HandoverProtocol.hello(channel, nonce, secret.proof(0, HandoverProtocol.RECEIVER, giverNonce, nonce));
             } else if (session == null) {
-                if (!MessageDigest.isEqual(Wire.bytes(message), secret.proof(0, Wire.GIVER, giverNonce, nonce))) {
-                    throw new Wire.Refused("it doesn't know the secret");
+                if (!MessageDigest.isEqual(
+                        HandoverProtocol.bytes(message), secret.proof(0, HandoverProtocol.SENDER, giverNonce, nonce))) {
+                    throw new HandoverProtocol.Refused("it doesn't know the secret");
                 }
                 session = secret.session(0, giverNonce, nonce);
             } else {
-                piece(Wire.bytes(message));
+                piece(HandoverProtocol.bytes(message));
             }
         }
 
-        private void piece(byte[] message) throws Wire.Refused, MalformedState {
-            if (message.length < Secret.PROOF) {
-                throw new Wire.Refused("a piece without a tag");
+        private void piece(byte[] message) throws HandoverProtocol.Refused, MalformedSnapshotException {
+            if (message.length < SharedSecret.MAC_BYTES) {
+                throw new HandoverProtocol.Refused("a piece without a tag");
             }
-            byte[] piece = Arrays.copyOf(message, message.length - Secret.PROOF);
+            byte[] piece = Arrays.copyOf(message, message.length - SharedSecret.MAC_BYTES);
             byte[] tag = Arrays.copyOfRange(message, piece.length, message.length);
-            if (!MessageDigest.isEqual(tag, Secret.tag(session, number++, piece))) {
-                throw new Wire.Refused("a piece that is not the giver's, or not in its place");
+            if (!MessageDigest.isEqual(tag, SharedSecret.tag(session, number++, piece))) {
+                throw new HandoverProtocol.Refused("a piece that is not the giver's, or not in its place");
             }
             if (piece.length == 0) {
-                end(assembly.isWhole() ? null : "pieces are missing");
+                end(assembly.isComplete() ? null : "pieces are missing");
             } else {
-                assembly.add(PieceCodec.read(piece));
+                assembly.add(ChunkCodec.read(piece));
             }
         }
 
--- a/src/main/java/vetchpost/handover/Giver.java
+++ b/src/main/java/vetchpost/handover/HandoverSender.java
@@ -24,11 +24,11 @@
  * Gives what a node knows to others that prove that they know the secret. It spends little of its loop on it:
  * one piece at a time with a pause after each, and none while the taker doesn't read.
  */
-public final class Giver {
-    private static final Logger LOG = System.getLogger(Giver.class.getName());
+public final class HandoverSender {
+    private static final Logger LOG = System.getLogger(HandoverSender.class.getName());
 
     /** Takers at a time; more are closed at once. */
-    static final int MOST_TAKERS = 4;
+    static final int MAX_RECEIVERS = 4;
     /** For a taker's proof, and for all of it. */
     private static final long PROOF_MS = 1_000;
 
@@ -40,7 +40,7 @@
 
     private final EventLoop loop;
     private final Network network;
-    private final Secret secret;
+    private final SharedSecret secret;
     private final SecureRandom random;
     private final Supplier<Iterator<byte[]>> pieces;
     private Channel listening;
@@ -53,8 +53,12 @@
      *
      * @param pieces makes the pieces of what is known as they are asked for
      */
-    public Giver(
-            EventLoop loop, Network network, Secret secret, SecureRandom random, Supplier<Iterator<byte[]>> pieces) {
+    public HandoverSender(
+            EventLoop loop,
+            Network network,
+            SharedSecret secret,
+            SecureRandom random,
+            Supplier<Iterator<byte[]>> pieces) {
         this.loop = loop;
         this.network = network;
         this.secret = secret;
@@ -72,13 +76,13 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (takers >= MOST_TAKERS) {
+                        if (takers >= MAX_RECEIVERS) {
                             channel.close();
                             return;
                         }
                         takers++;
                         channel.closeFuture().addListener(closed -> takers--);
-                        Wire.frames(channel.pipeline(), Wire.MOST_HELLO);
+                        HandoverProtocol.frames(channel.pipeline(), HandoverProtocol.MAX_HELLO_BYTES);
                         channel.pipeline().addLast(new Taker(channel));
                     }
                 })
@@ -116,7 +120,7 @@
     /** One that has asked. */
     private final class Taker extends SimpleChannelInboundHandler<ByteBuf> {
         private final Channel channel;
-        private final byte[] nonce = new byte[Secret.NONCE];
+        private final byte[] nonce = new byte[SharedSecret.NONCE_BYTES];
         private ScheduledFuture<?> limit;
         private Iterator<byte[]> left;
         private byte[] session;
@@ -131,7 +135,7 @@
         public void channelActive(ChannelHandlerContext ctx) {
             limit = loop.schedule((Runnable) channel::close, PROOF_MS, TimeUnit.MILLISECONDS);
             random.nextBytes(nonce);
-            Wire.hello(channel, nonce, new byte[0]);
+            HandoverProtocol.hello(channel, nonce, new byte[0]);
         }
 
         @Override
@@ -142,18 +146,18 @@
                 return;
             }
             try {
-                Wire.Hello hello = Wire.hello(message, Secret.PROOF);
-                int key = secret.keyOf(hello.proof(), Wire.TAKER, nonce, hello.nonce());
+                HandoverProtocol.Hello hello = HandoverProtocol.hello(message, SharedSecret.MAC_BYTES);
+                int key = secret.keyOf(hello.proof(), HandoverProtocol.RECEIVER, nonce, hello.nonce());
                 if (key < 0) {
-                    throw new Wire.Refused("it doesn't know the secret");
+                    throw new HandoverProtocol.Refused("it doesn't know the secret");
                 }
                 limit.cancel(false);
                 limit = loop.schedule((Runnable) channel::close, WHOLE_MS, TimeUnit.MILLISECONDS);
                 session = secret.session(key, nonce, hello.nonce());
-                Wire.send(channel, secret.proof(key, Wire.GIVER, nonce, hello.nonce()));
+                HandoverProtocol.send(channel, secret.proof(key, HandoverProtocol.SENDER, nonce, hello.nonce()));
                 left = pieces.get();
                 go();
-            } catch (Wire.Refused e) {
+            } catch (HandoverProtocol.Refused e) {
                 refused(channel, e.getMessage());
                 channel.close();
             }
@@ -164,7 +168,7 @@
                 return;
             }
             byte[] piece = left.hasNext() ? left.next() : new byte[0];
-            Wire.send(channel, piece, Secret.tag(session, number++, piece));
+            HandoverProtocol.send(channel, piece, SharedSecret.tag(session, number++, piece));
             if (piece.length == 0) {
                 left = null;
                 return;
--- a/src/main/java/vetchpost/handover/Secret.java
+++ b/src/main/java/vetchpost/handover/SharedSecret.java
@@ -16,13 +16,13 @@
  * (HMAC-SHA-256, RFC 2104), and the giver's pieces carry tags by a key of this one handover (HKDF, RFC 5869).
  * While a secret is replaced there are two; the first is used to ask, either is answered.
  */
-public final class Secret {
+public final class SharedSecret {
     /** Bytes of a proof or a tag. */
-    static final int PROOF = 32;
+    static final int MAC_BYTES = 32;
     /** Bytes of a nonce. */
-    static final int NONCE = 32;
+    static final int NONCE_BYTES = 32;
     /** A shorter one can be guessed. */
-    static final int LEAST = 32;
+    static final int MIN_SECRET_BYTES = 32;
 
     private static final int MOST = 1_024;
     private static final int MOST_KEYS = 4;
@@ -30,17 +30,17 @@
 
     private final List<byte[]> keys;
 
-    private Secret(List<byte[]> keys) {
+    private SharedSecret(List<byte[]> keys) {
         this.keys = keys;
     }
 
     /** Of these texts, the one to ask with first. */
-    static Secret of(String... texts) {
+    static SharedSecret of(String... texts) {
         List<byte[]> keys = new ArrayList<>();
         for (String text : texts) {
             keys.add(text.getBytes(StandardCharsets.UTF_8));
         }
-        return new Secret(keys);
+        return new SharedSecret(keys);
     }
 
     /**
@@ -48,9 +48,9 @@
      *
      * @throws IllegalArgumentException if it is too short or too long
      */
-    public static Secret ofText(String text) {
+    public static SharedSecret parse(String text) {
         int length = text.getBytes(StandardCharsets.UTF_8).length;
-        if (length < LEAST || length > MOST) {
+        if (length < MIN_SECRET_BYTES || length > MOST) {
             throw new IllegalArgumentException("a secret of " + length + " bytes");
         }
         return of(text);
@@ -61,7 +61,7 @@
      *
      * @throws IOException if it can't be read or holds none, with one line for an operator
      */
-    public static Secret read(Path file) throws IOException {
+    public static SharedSecret read(Path file) throws IOException {
         if (Files.size(file) > MOST_FILE) {
             throw new IOException(file + " is over " + MOST_FILE + " bytes");
         }
@@ -72,16 +72,16 @@
                 continue;
             }
             byte[] key = text.getBytes(StandardCharsets.UTF_8);
-            if (key.length < LEAST || key.length > MOST) {
-                throw new IOException(file + " holds a secret of " + key.length + " bytes; from " + LEAST + " to "
-                        + MOST + " are wanted");
+            if (key.length < MIN_SECRET_BYTES || key.length > MOST) {
+                throw new IOException(file + " holds a secret of " + key.length + " bytes; from " + MIN_SECRET_BYTES
+                        + " to " + MOST + " are wanted");
             }
             keys.add(key);
         }
         if (keys.isEmpty() || keys.size() > MOST_KEYS) {
             throw new IOException(file + " holds " + keys.size() + " secrets; from 1 to " + MOST_KEYS + " are wanted");
         }
-        return new Secret(keys);
+        return new SharedSecret(keys);
     }
 
     int keys() {
@@ -112,7 +112,7 @@
                         join(giverNonce, takerNonce),
                         keys.get(key),
                         "vetchpost handover 1".getBytes(StandardCharsets.US_ASCII),
-                        PROOF);
+                        MAC_BYTES);
     }
 
     /** The tag of a message: it holds its place, so that none can be left out, moved or played again. */
--- a/src/main/java/vetchpost/operations/AuditFile.java
+++ b/src/main/java/vetchpost/operations/AuditFile.java
@@ -12,21 +12,21 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
-import vetchpost.control.Desk;
-import vetchpost.control.Entries;
-import vetchpost.control.Trail;
+import vetchpost.control.AuditEntryJson;
+import vetchpost.control.AuditLog;
+import vetchpost.control.ControlApi;
 
 /** The trail in a file: read and checked at the start, then appended to and forced to the disk each time. */
-public final class AuditFile implements Desk.Record {
+public final class AuditFile implements ControlApi.AuditSink {
     private static final long MOST_BYTES = 64L << 20;
 
     private final Path path;
     private final Executor writer;
     private final Executor loop;
-    private final List<Trail.Entry> entries = new ArrayList<>();
+    private final List<AuditLog.Entry> entries = new ArrayList<>();
     private String trouble = "";
     // The writer's alone from the start on.
-    private String last = Trail.ROOT;
+    private String last = AuditLog.ROOT_HASH;
     private long length;
 
     /**
@@ -56,25 +56,25 @@
         String text = Files.readString(path);
         String whole = text.substring(0, text.lastIndexOf('\n') + 1);
         List<String> lines = whole.lines().toList();
-        int broken = Trail.broken(lines);
+        int broken = AuditLog.firstBrokenLine(lines);
         if (broken > 0) {
             throw new IOException("line " + broken + " does not follow from those before; look who"
                     + " changed it, and move it away");
         }
         for (String line : lines) {
-            entries.add(Entries.read(Trail.textOf(line)));
-            last = Trail.hashOf(line);
+            entries.add(AuditEntryJson.read(AuditLog.textOf(line)));
+            last = AuditLog.hashOf(line);
         }
         length = whole.getBytes(StandardCharsets.UTF_8).length;
     }
 
     /** What it held at the start; nothing if it can't be used. */
-    public List<Trail.Entry> entries() {
+    public List<AuditLog.Entry> entries() {
         return List.copyOf(entries);
     }
 
     /** Why nothing can be recorded, by the start; empty if it can. */
-    public String trouble() {
+    public String failure() {
         return trouble;
     }
 
@@ -87,7 +87,7 @@
     }
 
     private String write(String text) {
-        String line = Trail.line(last, text);
+        String line = AuditLog.chainedLine(last, text);
         byte[] bytes = (line + "\n").getBytes(StandardCharsets.UTF_8);
         if (length + bytes.length > MOST_BYTES) {
             return path + " is full at " + (MOST_BYTES >> 20) + " MiB; move it away and start the node anew";
@@ -105,7 +105,7 @@
             return e.toString();
         }
         length += bytes.length;
-        last = Trail.hashOf(line);
+        last = AuditLog.hashOf(line);
         return null;
     }
 }
--- a/src/main/java/vetchpost/operations/ControlSocket.java
+++ b/src/main/java/vetchpost/operations/ControlSocket.java
@@ -25,7 +25,7 @@
 import java.nio.file.attribute.PosixFilePermissions;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import vetchpost.control.Desk;
+import vetchpost.control.ControlApi;
 
 /**
  * Takes operators' messages on a Unix socket that only its owner may open: a line each way, one message at a
@@ -38,13 +38,13 @@
     private static final int LINE_WITHIN_S = 30;
 
     private final Path path;
-    private final Desk desk;
-    private final Supplier<Desk.Now> now;
+    private final ControlApi desk;
+    private final Supplier<ControlApi.Now> now;
     private int connections;
     private Channel listening;
 
     /** Not open yet. */
-    public ControlSocket(Path path, Desk desk, Supplier<Desk.Now> now) {
+    public ControlSocket(Path path, ControlApi desk, Supplier<ControlApi.Now> now) {
         this.path = path;
         this.desk = desk;
         this.now = now;
@@ -125,7 +125,7 @@
             patience.cancel(false);
             // One at a time: what comes behind it waits unread.
             ctx.channel().config().setAutoRead(false);
-            desk.take(line, now, reply -> {
+            desk.handle(line, now, reply -> {
                 if (!ctx.channel().isWritable()) {
                     ctx.close(); // It asks and does not read.
                     return;
--- a/src/main/java/vetchpost/recorder/FlightRecorder.java
+++ b/src/main/java/vetchpost/recorder/FlightRecorder.java
@@ -15,23 +15,23 @@
 
 /**
  * The last requests, in bounded memory: all that failed, were refused, took more than one attempt or were
- * slow, and one in {@value #SAMPLED} of the others. For whoever asks why; it decides nothing, and does no
+ * slow, and one in {@value #SAMPLING_INTERVAL} of the others. For whoever asks why; it decides nothing, and does no
  * I/O.
  */
 public final class FlightRecorder implements RequestRecorder {
     /** One in so many of the requests that nothing was special about is kept. */
-    public static final int SAMPLED = 16;
+    public static final int SAMPLING_INTERVAL = 16;
     /** Requests in hand that are followed at once; what comes beyond is not recorded. */
-    static final int MOST_OPEN = 4_096;
+    static final int MAX_OPEN_REQUESTS = 4_096;
 
     private static final int SAMPLE_PART = 4;
 
     private final int most;
     private final long[] slowUs;
-    private final Map<Long, Flight> open = new HashMap<>();
-    private final Deque<Flight> special = new ArrayDeque<>();
-    private final Deque<Flight> usual = new ArrayDeque<>();
-    private final Refusals refusals = new Refusals();
+    private final Map<Long, RequestTrace> open = new HashMap<>();
+    private final Deque<RequestTrace> special = new ArrayDeque<>();
+    private final Deque<RequestTrace> usual = new ArrayDeque<>();
+    private final RejectionCounts refusals = new RejectionCounts();
     private long seen;
 
     /**
@@ -48,26 +48,27 @@
     @Override
     public void rejected(long nowUs, ClientRequest request, RejectionReason why) {
         refusals.add(nowUs, request.classIndex(), why == RejectionReason.ROUTE_LIMIT, why.text());
-        Flight flight = flight(nowUs, request, request.remainingUs(), 0);
-        flight.told(nowUs, why == RejectionReason.ROUTE_LIMIT ? Completion.REFUSED : Completion.FAILED, 0);
+        RequestTrace flight = flight(nowUs, request, request.remainingUs(), 0);
+        flight.outcome(nowUs, why == RejectionReason.ROUTE_LIMIT ? Completion.REFUSED : Completion.FAILED, 0);
         flight.because(why.text());
         keep(special, flight, most);
     }
 
     @Override
     public void accepted(long nowUs, ClientRequest request, long leftUs, long layUs) {
-        if (open.size() < MOST_OPEN) {
+        if (open.size() < MAX_OPEN_REQUESTS) {
             open.put(request.id(), flight(nowUs, request, leftUs, layUs));
         }
     }
 
-    private static Flight flight(long nowUs, ClientRequest request, long leftUs, long layUs) {
-        return new Flight(request.id(), request.classIndex(), request.method(), request.target(), nowUs, leftUs, layUs);
+    private static RequestTrace flight(long nowUs, ClientRequest request, long leftUs, long layUs) {
+        return new RequestTrace(
+                request.id(), request.classIndex(), request.method(), request.target(), nowUs, leftUs, layUs);
     }
 
     @Override
     public void admitted(long nowUs, long id) {
-        Flight flight = open.get(id);
+        RequestTrace flight = open.get(id);
         if (flight != null) {
             flight.offered(nowUs);
         }
@@ -75,7 +76,7 @@
 
     @Override
     public void candidatesDrawn(long id, Candidate first, Candidate second) {
-        Flight flight = open.get(id);
+        RequestTrace flight = open.get(id);
         if (flight != null) {
             flight.drew(first, second);
         }
@@ -83,7 +84,7 @@
 
     @Override
     public void attemptSent(long nowUs, long id, String serverId, long untilUs) {
-        Flight flight = open.get(id);
+        RequestTrace flight = open.get(id);
         if (flight != null) {
             flight.sent(nowUs, serverId, untilUs);
         }
@@ -91,7 +92,7 @@
 
     @Override
     public void attemptEnded(long nowUs, long id, int attempt, Result result, long tookUs) {
-        Flight flight = open.get(id);
+        RequestTrace flight = open.get(id);
         if (flight != null) {
             flight.ended(attempt, result, tookUs);
             closeIfOver(flight);
@@ -100,7 +101,7 @@
 
     @Override
     public void reasonGiven(long id, UnservedReason why) {
-        Flight flight = open.get(id);
+        RequestTrace flight = open.get(id);
         if (flight != null) {
             flight.because(why.text());
         }
@@ -108,14 +109,14 @@
 
     @Override
     public void completed(long nowUs, long id, Completion what, long retryAfterUs) {
-        Flight flight = open.get(id);
+        RequestTrace flight = open.get(id);
         if (flight == null) {
             return;
         }
-        flight.told(nowUs, what, retryAfterUs);
+        flight.outcome(nowUs, what, retryAfterUs);
         if (what == Completion.REFUSED || what == Completion.FAILED) {
-            String cause = flight.why() != null
-                    ? flight.why()
+            String cause = flight.reason() != null
+                    ? flight.reason()
                     : what == Completion.REFUSED
                             ? "the node's door has no place for it"
                             : "its client's time was up, or a fault of the node's";
@@ -125,7 +126,7 @@
         closeIfOver(flight);
     }
 
-    private void closeIfOver(Flight flight) {
+    private void closeIfOver(RequestTrace flight) {
         if (!flight.isOver()) {
             return;
         }
@@ -133,19 +134,19 @@
         seen++;
         if (isSpecial(flight)) {
             keep(special, flight, most);
-        } else if (seen % SAMPLED == 0) {
+        } else if (seen % SAMPLING_INTERVAL == 0) {
             keep(usual, flight, Math.max(1, most / SAMPLE_PART));
         }
     }
 
-    private boolean isSpecial(Flight flight) {
-        return flight.told() != Completion.SERVED
+    private boolean isSpecial(RequestTrace flight) {
+        return flight.outcome() != Completion.SERVED
                 || flight.attempts().size() > 1
                 || flight.classIndex() >= slowUs.length
-                || flight.tookUs() > slowUs[flight.classIndex()];
+                || flight.durationUs() > slowUs[flight.classIndex()];
     }
 
-    private static void keep(Deque<Flight> some, Flight flight, int most) {
+    private static void keep(Deque<RequestTrace> some, RequestTrace flight, int most) {
         if (some.size() >= most) {
             some.poll();
         }
@@ -153,11 +154,11 @@
     }
 
     /** The request of this id that came last, in hand or kept; null if it is not known (any more). */
-    public Flight find(long id) {
-        Flight found = open.get(id);
-        for (Deque<Flight> some : List.of(special, usual)) {
-            for (Iterator<Flight> last = some.descendingIterator(); found == null && last.hasNext(); ) {
-                Flight flight = last.next();
+    public RequestTrace find(long id) {
+        RequestTrace found = open.get(id);
+        for (Deque<RequestTrace> some : List.of(special, usual)) {
+            for (Iterator<RequestTrace> last = some.descendingIterator(); found == null && last.hasNext(); ) {
+                RequestTrace flight = last.next();
                 found = flight.id() == id ? flight : null;
             }
         }
@@ -165,16 +166,16 @@
     }
 
     /** The last special ones, the latest first. */
-    public List<Flight> last(int many) {
-        List<Flight> last = new ArrayList<>();
-        for (Iterator<Flight> next = special.descendingIterator(); next.hasNext() && last.size() < many; ) {
+    public List<RequestTrace> last(int many) {
+        List<RequestTrace> last = new ArrayList<>();
+        for (Iterator<RequestTrace> next = special.descendingIterator(); next.hasNext() && last.size() < many; ) {
             last.add(next.next());
         }
         return last;
     }
 
     /** What was refused or has failed, counted. */
-    public Refusals refusals() {
+    public RejectionCounts rejectionCounts() {
         return refusals;
     }
 
--- a/src/main/java/vetchpost/recorder/Refusals.java
+++ b/src/main/java/vetchpost/recorder/RejectionCounts.java
@@ -7,13 +7,13 @@
 import java.util.TreeMap;
 
 /** Counts what was refused or has failed, by class and cause, over the last hour in steps of ten seconds. */
-public final class Refusals {
+public final class RejectionCounts {
     /** A step of time, in microseconds. */
     public static final long STEP_US = 10_000_000;
     /** How far back they go. */
-    public static final long MOST_US = 3_600_000_000L;
+    public static final long MAX_SPAN_US = 3_600_000_000L;
 
-    private static final int STEPS = (int) (MOST_US / STEP_US);
+    private static final int STEPS = (int) (MAX_SPAN_US / STEP_US);
     /** Causes are few; a fault that makes them many must not cost the memory. */
     private static final int MOST_CAUSES = 256;
 
@@ -28,10 +28,10 @@
      *
      * @param refused or else it has failed
      */
-    public record Line(int classIndex, boolean refused, String cause, int count) {}
+    public record Row(int classIndex, boolean rejected, String cause, int count) {}
 
     /** None so far. */
-    public Refusals() {
+    public RejectionCounts() {
         for (int i = 0; i < STEPS; i++) {
             steps.add(new HashMap<>());
         }
@@ -58,17 +58,17 @@
     }
 
     /** The counts of so long a time up to now, to ten seconds; the most first. */
-    public List<Line> since(long nowUs, long spanUs) {
+    public List<Row> withinLast(long nowUs, long spanUs) {
         forget(nowUs);
         long many = Math.min(STEPS, Math.max(1, (spanUs + STEP_US - 1) / STEP_US));
         Map<Key, Integer> sums = new HashMap<>();
         for (long step = latest - many + 1; step <= latest; step++) {
             steps.get((int) Math.floorMod(step, (long) STEPS)).forEach((k, n) -> sums.merge(k, n, Integer::sum));
         }
-        TreeMap<String, Line> lines = new TreeMap<>();
+        TreeMap<String, Row> lines = new TreeMap<>();
         sums.forEach((k, n) -> lines.put(
                 String.format("%010d %s %d %b", Integer.MAX_VALUE - n, k.cause, k.classIndex, k.refused),
-                new Line(k.classIndex, k.refused, k.cause, n)));
+                new Row(k.classIndex, k.refused, k.cause, n)));
         return List.copyOf(lines.values());
     }
 }
--- a/src/main/java/vetchpost/recorder/Flight.java
+++ b/src/main/java/vetchpost/recorder/RequestTrace.java
@@ -8,7 +8,7 @@
 import vetchpost.decision.Balancer.Result;
 
 /** What is kept of one request. Times are microseconds of the loop's clock, lengths of time microseconds. */
-public final class Flight {
+public final class RequestTrace {
     private static final int MOST_ATTEMPTS = 8;
     private static final int MOST_TARGET = 128;
 
@@ -16,17 +16,17 @@
     private final int classIndex;
     private final String method;
     private final String target;
-    private final long takenUs;
-    private final long leftUs;
-    private final long layUs;
+    private final long acceptedUs;
+    private final long remainingUs;
+    private final long eventLoopDelayUs;
     private final List<Attempt> attempts = new ArrayList<>(1);
     private long offeredUs = -1;
     private Candidate first;
     private Candidate second;
-    private Completion told;
+    private Completion outcome;
     private long toldUs;
     private long retryAfterUs;
-    private String why;
+    private String decisionReason;
 
     /**
      * One attempt.
@@ -35,16 +35,21 @@
      * @param tookUs until its end, or -1 while it is out
      */
     public record Attempt(
-            String serverId, long afterUs, long forUs, List<Candidate> drawn, Result result, long tookUs) {}
-
-    Flight(long id, int classIndex, String method, String target, long takenUs, long leftUs, long layUs) {
+            String serverId,
+            long startedAfterUs,
+            long timeoutUs,
+            List<Candidate> candidates,
+            Result result,
+            long durationUs) {}
+
+    RequestTrace(long id, int classIndex, String method, String target, long takenUs, long leftUs, long layUs) {
         this.id = id;
         this.classIndex = classIndex;
         this.method = method;
         this.target = target.length() <= MOST_TARGET ? target : target.substring(0, MOST_TARGET);
-        this.takenUs = takenUs;
-        this.leftUs = leftUs;
-        this.layUs = layUs;
+        this.acceptedUs = takenUs;
+        this.remainingUs = leftUs;
+        this.eventLoopDelayUs = layUs;
     }
 
     void offered(long nowUs) {
@@ -63,7 +68,7 @@
                             || second != null && second.serverId().equals(serverId));
             attempts.add(new Attempt(
                     serverId,
-                    nowUs - takenUs,
+                    nowUs - acceptedUs,
                     untilUs - nowUs,
                     !drawn ? null : second == null ? List.of(first) : List.of(first, second),
                     null,
@@ -76,16 +81,16 @@
     void ended(int number, Result result, long tookUs) {
         if (number < attempts.size()) {
             Attempt a = attempts.get(number);
-            attempts.set(number, new Attempt(a.serverId, a.afterUs, a.forUs, a.drawn, result, tookUs));
+            attempts.set(number, new Attempt(a.serverId, a.startedAfterUs, a.timeoutUs, a.candidates, result, tookUs));
         }
     }
 
     void because(String reason) {
-        why = reason;
+        decisionReason = reason;
     }
 
-    void told(long nowUs, Completion what, long advisedUs) {
-        told = what;
+    void outcome(long nowUs, Completion what, long advisedUs) {
+        outcome = what;
         toldUs = nowUs;
         retryAfterUs = advisedUs;
     }
@@ -106,23 +111,23 @@
     }
 
     /** When it was taken. */
-    public long takenUs() {
-        return takenUs;
+    public long acceptedUs() {
+        return acceptedUs;
     }
 
     /** Until its client gives up, from its taking. */
-    public long leftUs() {
-        return leftUs;
+    public long remainingUs() {
+        return remainingUs;
     }
 
     /** How long it may have lain unread before. */
-    public long layUs() {
-        return layUs;
+    public long eventLoopDelayUs() {
+        return eventLoopDelayUs;
     }
 
     /** How long it stood at the node's door; 0 where there is none. */
     public long queuedUs() {
-        return offeredUs < 0 ? 0 : offeredUs - takenUs;
+        return offeredUs < 0 ? 0 : offeredUs - acceptedUs;
     }
 
     /** All its attempts, those that are still out too. */
@@ -131,13 +136,13 @@
     }
 
     /** What its client was told; null while it waits. */
-    public Completion told() {
-        return told;
+    public Completion outcome() {
+        return outcome;
     }
 
     /** From its taking to its answer, or -1. */
-    public long tookUs() {
-        return told == null ? -1 : toldUs - takenUs;
+    public long durationUs() {
+        return outcome == null ? -1 : toldUs - acceptedUs;
     }
 
     /** When to come again, as its refusal said; 0 for nothing. */
@@ -146,11 +151,11 @@
     }
 
     /** Why it was refused or has failed, in words; null where it was not, or nobody said why. */
-    public String why() {
-        return why;
+    public String reason() {
+        return decisionReason;
     }
 
     boolean isOver() {
-        return told != null && attempts.stream().noneMatch(a -> a.result == null);
+        return outcome != null && attempts.stream().noneMatch(a -> a.result == null);
     }
 }
--- a/src/main/java/vetchpost/recovery/Knocker.java
+++ b/src/main/java/vetchpost/recovery/AddressProber.java
@@ -30,7 +30,7 @@
  * Goes to addresses where boxes were once and finds out who is there: by a connection that comes up, and,
  * where boxes tell their ids, by asking for it. No request of a client's is ever sent this way.
  */
-final class Knocker {
+final class AddressProber {
     /** Connections at a time: few of the descriptors that are kept back. */
     static final int AT_ONCE = 8;
     /** For a connection and an answer. */
@@ -67,7 +67,7 @@
     private boolean over;
 
     /** @param path at which boxes tell their ids; null if they don't */
-    Knocker(EventLoop loop, Network network, String path, Listener listener) {
+    AddressProber(EventLoop loop, Network network, String path, Listener listener) {
         this.loop = loop;
         this.network = network;
         this.path = path;
