--- a/src/main/java/vetchpost/recovery/Recovery.java
+++ b/src/main/java/vetchpost/recovery/Recovery.java
@@ -28,20 +28,20 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.ServerStatistics;
-import vetchpost.handover.Giver;
-import vetchpost.handover.Secret;
-import vetchpost.handover.Taker;
+import vetchpost.handover.HandoverReceiver;
+import vetchpost.handover.HandoverSender;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
-import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
-import vetchpost.state.Confirmed;
-import vetchpost.state.Doubt;
-import vetchpost.state.Origin;
-import vetchpost.state.Priors;
-import vetchpost.state.Recollection;
+import vetchpost.state.ConfirmationSource;
+import vetchpost.state.PriorStatistics;
+import vetchpost.state.RestoredState;
+import vetchpost.state.SelfFault;
+import vetchpost.state.SelfFaultDetector;
+import vetchpost.state.ServerRecord;
 import vetchpost.state.Snapshot;
-import vetchpost.state.Trouble;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.SnapshotOrigin;
+import vetchpost.state.codec.ChunkCodec;
 
 /**
  * What a node knew before its start, brought back, and what it knows now, kept: the snapshot in a file, the
@@ -62,17 +62,17 @@
     private final EventLoop loop;
     private final EventLoopGroup group;
     private final Network network;
-    private final Secret secret;
+    private final SharedSecret secret;
     private final SecureRandom random;
-    private final Keeper keeper;
+    private final SnapshotKeeper keeper;
     private final Executor writer;
     private final Snapshot old;
-    private final Sightings sightings;
-    private final Knocker knocker;
+    private final ServerObservations sightings;
+    private final AddressProber knocker;
     /** Boxes of the snapshot that are sent to without having said who they are. */
     private final Set<String> unsure = new HashSet<>();
     /** Boxes that are asked before anything is sent to them. */
-    private final Map<String, BoxState> asked = new HashMap<>();
+    private final Map<String, ServerRecord> asked = new HashMap<>();
 
     private final List<Target> toKnock = new ArrayList<>();
     private long listRevision = Long.MIN_VALUE;
@@ -86,7 +86,7 @@
     private Clock.Timer nextWrite;
     private boolean writing;
     private boolean failing;
-    private Giver giver;
+    private HandoverSender giver;
     private Runnable callOff = () -> {};
     private boolean prepared;
     private Runnable whenPrepared;
@@ -107,9 +107,9 @@
             EventLoopGroup group,
             Network network,
             Snapshot old,
-            Secret secret,
+            SharedSecret secret,
             SecureRandom random,
-            Keeper keeper,
+            SnapshotKeeper keeper,
             Executor writer) {
         this.settings = settings;
         this.loop = loop;
@@ -121,8 +121,8 @@
         this.keeper = keeper;
         this.writer = writer;
         classNames = platform.classes.stream().map(c -> c.name()).toList();
-        sightings = new Sightings(platform.classes);
-        knocker = new Knocker(loop, network, settings.identify(), this::found);
+        sightings = new ServerObservations(platform.classes);
+        knocker = new AddressProber(loop, network, settings.identityPath(), this::found);
     }
 
     // ---------------------------------------------------------------- the start
@@ -151,26 +151,26 @@
 
     /** Takes up what a snapshot says of who is there; what may be used of it at once. */
     private Map<Target, Double> weigh(Snapshot snapshot, ServerList known, long nowMs) {
-        Recollection recollection = Recollection.of(snapshot, known, nowMs, settings.rules());
+        RestoredState recollection = RestoredState.of(snapshot, known, nowMs, settings.rules());
         gone += recollection.dropped();
         if (snapshot == null) {
-            return recollection.use();
+            return recollection.usable();
         }
-        Map<String, BoxState> states = new HashMap<>();
-        snapshot.boxes().forEach(b -> states.put(b.target().id(), b));
-        recollection.use().keySet().forEach(t -> {
-            BoxState state = states.get(t.id());
-            sightings.saw(t.id(), state.confirmedMs(), state.by());
+        Map<String, ServerRecord> states = new HashMap<>();
+        snapshot.servers().forEach(b -> states.put(b.target().id(), b));
+        recollection.usable().keySet().forEach(t -> {
+            ServerRecord state = states.get(t.id());
+            sightings.saw(t.id(), state.confirmedMs(), state.confirmedBy());
             unsure.add(t.id());
             toKnock.add(t);
         });
-        recollection.ask().forEach(t -> {
+        recollection.toProbe().forEach(t -> {
             if (asked.putIfAbsent(t.id(), states.get(t.id())) == null) {
                 sightings.remember(states.get(t.id()));
                 toKnock.add(t);
             }
         });
-        return recollection.use();
+        return recollection.usable();
     }
 
     @Override
@@ -186,14 +186,14 @@
         if (keeper != null) {
             scheduleWrite();
         }
-        if (secret != null && settings.give() != null) {
-            giver = new Giver(loop, network, secret, random, this::pieces);
-            giver.listen(group, settings.give());
+        if (secret != null && settings.listenAddress() != null) {
+            giver = new HandoverSender(loop, network, secret, random, this::pieces);
+            giver.listen(group, settings.listenAddress());
         }
-        if (secret != null && !settings.ask().isEmpty()) {
-            Deque<InetSocketAddress> left = new ArrayDeque<>(settings.ask());
-            askNext(left, nowMs + settings.withinMs());
-            clock.schedule(clock.nowUs() + 1_000 * settings.waitMs(), this::prepared);
+        if (secret != null && !settings.peers().isEmpty()) {
+            Deque<InetSocketAddress> left = new ArrayDeque<>(settings.peers());
+            askNext(left, nowMs + settings.handoverTimeoutMs());
+            clock.schedule(clock.nowUs() + 1_000 * settings.startWaitMs(), this::prepared);
         } else {
             prepared();
         }
@@ -211,23 +211,23 @@
     /** Has the module begin with what a snapshot knows, as far as it is believed. */
     private void recall(Snapshot snapshot, String what) {
         long nowMs = nowMs();
-        Set<Trouble> doubts = Doubt.of(snapshot, nowMs);
+        Set<SelfFault> doubts = SelfFaultDetector.inSnapshot(snapshot, nowMs);
         if (!doubts.isEmpty()) {
             LOG.log(
                     Level.INFO,
                     "{0} is not believed in how its boxes are: {1}",
                     what,
                     String.join(
-                            ", ", doubts.stream().map(Trouble::words).sorted().toList()));
+                            ", ", doubts.stream().map(SelfFault::words).sorted().toList()));
         }
         Map<String, Double> trust = new HashMap<>();
-        for (BoxState box : snapshot.boxes()) {
+        for (ServerRecord box : snapshot.servers()) {
             // One that discovery or its own word has named since is no less sure than any.
             if (unsure.contains(box.target().id())) {
-                trust.put(box.target().id(), Recollection.sure(box, nowMs, settings.rules()));
+                trust.put(box.target().id(), RestoredState.confidence(box, nowMs, settings.rules()));
             }
         }
-        dispatcher.restore(Priors.of(snapshot, classNames, nowMs, doubts.isEmpty(), trust));
+        dispatcher.restore(PriorStatistics.of(snapshot, classNames, nowMs, doubts.isEmpty(), trust));
     }
 
     @Override
@@ -255,37 +255,40 @@
             prepared();
             return;
         }
-        callOff = new Taker(loop, network, secret, random).ask(address, untilMs - nowMs(), (snapshot, whole, why) -> {
-            if (closed) {
-                return;
-            }
-            if (why != null) {
-                LOG.log(
-                        Level.INFO,
-                        "the handover from {0}{1}: {2}",
-                        address,
-                        snapshot == null ? " gave nothing" : " is used as far as it came",
-                        why);
-            }
-            boolean healthy = false;
-            if (snapshot != null) {
-                taken(snapshot, address);
-                healthy = whole && Doubt.of(snapshot, nowMs()).isEmpty();
-            }
-            if (healthy) {
-                prepared();
-            } else {
-                askNext(left, untilMs);
-            }
-        });
+        callOff = new HandoverReceiver(loop, network, secret, random)
+                .request(address, untilMs - nowMs(), (snapshot, whole, why) -> {
+                    if (closed) {
+                        return;
+                    }
+                    if (why != null) {
+                        LOG.log(
+                                Level.INFO,
+                                "the handover from {0}{1}: {2}",
+                                address,
+                                snapshot == null ? " gave nothing" : " is used as far as it came",
+                                why);
+                    }
+                    boolean healthy = false;
+                    if (snapshot != null) {
+                        taken(snapshot, address);
+                        healthy = whole
+                                && SelfFaultDetector.inSnapshot(snapshot, nowMs())
+                                        .isEmpty();
+                    }
+                    if (healthy) {
+                        prepared();
+                    } else {
+                        askNext(left, untilMs);
+                    }
+                });
     }
 
     private void taken(Snapshot snapshot, InetSocketAddress from) {
-        given += snapshot.boxes().size();
+        given += snapshot.servers().size();
         LOG.log(
                 Level.INFO,
                 "{0} boxes are handed over from {1}",
-                snapshot.boxes().size(),
+                snapshot.servers().size(),
                 from);
         if (!sightings.hasList()) {
             Map<Target, Double> use =
@@ -299,20 +302,20 @@
 
     // ---------------------------------------------------------------- who is there
 
-    private void found(Target target, Knocker.Found found) {
+    private void found(Target target, AddressProber.Found found) {
         boolean used = unsure.remove(target.id());
-        BoxState before = asked.remove(target.id());
+        ServerRecord before = asked.remove(target.id());
         switch (found) {
             case HERE -> {
-                if (settings.identify() != null) {
-                    sightings.saw(target.id(), nowMs(), Confirmed.IDENTITY);
+                if (settings.identityPath() != null) {
+                    sightings.saw(target.id(), nowMs(), ConfirmationSource.IDENTITY);
                 }
                 if (before != null) {
                     recalled++;
                     sightings.forgetUnused(target.id());
                     tell(List.of(target));
-                    dispatcher.restore(Priors.ofUnsure(
-                            before, classNames.size(), Recollection.sure(before, nowMs(), settings.rules())));
+                    dispatcher.restore(PriorStatistics.ofUnconfirmed(
+                            before, classNames.size(), RestoredState.confidence(before, nowMs(), settings.rules())));
                 }
             }
             case STRANGER -> {
@@ -377,7 +380,7 @@
                 asked.remove(t.id());
                 sightings.forget(t.id());
                 if (t.state() != ServerState.GONE) {
-                    sightings.saw(t.id(), nowMs(), Confirmed.LIST);
+                    sightings.saw(t.id(), nowMs(), ConfirmationSource.LIST);
                 }
             });
         }
@@ -395,7 +398,7 @@
     // ---------------------------------------------------------------- what is kept
 
     private void scheduleWrite() {
-        nextWrite = clock.schedule(clock.nowUs() + 1_000 * settings.everyMs(), () -> {
+        nextWrite = clock.schedule(clock.nowUs() + 1_000 * settings.snapshotIntervalMs(), () -> {
             if (!writing) {
                 collect(false, () -> {});
             }
@@ -403,20 +406,20 @@
         });
     }
 
-    private Set<Trouble> troubles(ServerStatistics knowledge) {
-        return Doubt.ofSelf(knowledge, stall.currentUs(), nowMs() - startedMs);
+    private Set<SelfFault> troubles(ServerStatistics knowledge) {
+        return SelfFaultDetector.inOwnStatistics(knowledge, stall.currentUs(), nowMs() - startedMs);
     }
 
     /** For a handover: piece by piece, each as things are when it is made. */
     private Iterator<byte[]> pieces() {
         ServerStatistics knowledge = dispatcher.statistics(List.of());
-        return Sightings.pieces(
-                sightings.new Cursor(dispatcher, this::nowMs, PieceCodec.BOXES),
+        return ServerObservations.pieces(
+                sightings.new Cursor(dispatcher, this::nowMs, ChunkCodec.SERVERS_PER_CHUNK),
                 origin(knowledge),
                 sightings.classes(knowledge));
     }
 
-    private Origin origin(ServerStatistics knowledge) {
+    private SnapshotOrigin origin(ServerStatistics knowledge) {
         return sightings.origin(random.nextLong(), nowMs(), startedMs, troubles(knowledge));
     }
 
@@ -424,14 +427,17 @@
     private void collect(boolean atOnce, Runnable done) {
         writing = true;
         ServerStatistics knowledge = dispatcher.statistics(List.of());
-        Origin origin = origin(knowledge);
+        SnapshotOrigin origin = origin(knowledge);
         List<ClassState> classes = sightings.classes(knowledge);
-        Sightings.Cursor cursor = sightings.new Cursor(dispatcher, this::nowMs, A_TURN);
+        ServerObservations.Cursor cursor = sightings.new Cursor(dispatcher, this::nowMs, A_TURN);
         collect(cursor, new ArrayList<>(), atOnce, boxes -> write(origin, classes, boxes, done));
     }
 
     private void collect(
-            Sightings.Cursor cursor, List<BoxState> boxes, boolean atOnce, Consumer<List<BoxState>> whole) {
+            ServerObservations.Cursor cursor,
+            List<ServerRecord> boxes,
+            boolean atOnce,
+            Consumer<List<ServerRecord>> whole) {
         do {
             boxes.addAll(cursor.next());
         } while (atOnce && cursor.hasNext());
@@ -442,7 +448,7 @@
         }
     }
 
-    private void write(Origin origin, List<ClassState> classes, List<BoxState> boxes, Runnable done) {
+    private void write(SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> boxes, Runnable done) {
         if (boxes.isEmpty()) {
             // Nobody was seen: what was kept before says more.
             writing = false;
@@ -470,16 +476,18 @@
         });
     }
 
-    static List<byte[]> encode(Origin origin, List<ClassState> classes, List<BoxState> boxes) {
-        int count = PieceCodec.pieces(boxes.size());
+    static List<byte[]> encode(SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> boxes) {
+        int count = ChunkCodec.chunkCount(boxes.size());
         List<byte[]> pieces = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            pieces.add(PieceCodec.write(
+            pieces.add(ChunkCodec.write(
                     i,
                     count,
                     origin,
                     classes,
-                    boxes.subList(i * PieceCodec.BOXES, Math.min(boxes.size(), (i + 1) * PieceCodec.BOXES))));
+                    boxes.subList(
+                            i * ChunkCodec.SERVERS_PER_CHUNK,
+                            Math.min(boxes.size(), (i + 1) * ChunkCodec.SERVERS_PER_CHUNK))));
         }
         return pieces;
     }
--- a/src/main/java/vetchpost/recovery/RecoverySettings.java
+++ b/src/main/java/vetchpost/recovery/RecoverySettings.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
-import vetchpost.state.Recollection;
+import vetchpost.state.RestoredState;
 
 /**
  * What an operator has said about state and handovers; docs/state.md has the keys.
@@ -20,17 +20,17 @@
  */
 public record RecoverySettings(
         Path file,
-        long everyMs,
-        Recollection.Rules rules,
-        String identify,
-        InetSocketAddress give,
-        List<InetSocketAddress> ask,
+        long snapshotIntervalMs,
+        RestoredState.Rules rules,
+        String identityPath,
+        InetSocketAddress listenAddress,
+        List<InetSocketAddress> peers,
         Path secretFile,
-        long waitMs,
-        long withinMs) {
+        long startWaitMs,
+        long handoverTimeoutMs) {
 
     /** Lists don't change once they are here. */
     public RecoverySettings {
-        ask = List.copyOf(ask);
+        peers = List.copyOf(peers);
     }
 }
--- a/src/main/java/vetchpost/recovery/RecoveryProver.java
+++ b/src/main/java/vetchpost/recovery/RecoveryValidator.java
@@ -14,10 +14,10 @@
 import vetchpost.routes.Section.Kind;
 import vetchpost.routes.Violation;
 import vetchpost.routes.Violation.Rule;
-import vetchpost.state.Recollection;
+import vetchpost.state.RestoredState;
 
 /** Reads the tables of an operator's file that speak of state and handovers. It does no I/O. */
-public final class RecoveryProver {
+public final class RecoveryValidator {
     private static final List<String> STATE = List.of("file", "every", "box-life", "address-kept", "identify");
     private static final List<String> HANDOVER = List.of("listen", "ask", "secret-file", "wait", "within");
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(ms|s|m|h|d)");
@@ -33,16 +33,16 @@
      *
      * @param settings null if there is neither table, or any violation
      */
-    public record Proof(RecoverySettings settings, List<Violation> violations) {}
+    public record Validation(RecoverySettings settings, List<Violation> violations) {}
 
-    private RecoveryProver() {}
+    private RecoveryValidator() {}
 
     /** Looks at the tables of a file that are its affair. */
-    public static Proof prove(List<Section> file) {
-        return new RecoveryProver().read(file);
+    public static Validation validate(List<Section> file) {
+        return new RecoveryValidator().read(file);
     }
 
-    private Proof read(List<Section> file) {
+    private Validation read(List<Section> file) {
         Section state = null;
         Section handover = null;
         for (Section section : file) {
@@ -50,7 +50,7 @@
             handover = section.kind() == Kind.HANDOVER ? section : handover;
         }
         if (state == null && handover == null) {
-            return new Proof(null, List.of());
+            return new Validation(null, List.of());
         }
         known(state, STATE);
         known(handover, HANDOVER);
@@ -97,12 +97,12 @@
                 violated(handover.at(), "handover", Rule.SCHEDULE, "wait is over within", "wait = \"300ms\"");
             }
         }
-        return new Proof(
+        return new Validation(
                 violations.isEmpty()
                         ? new RecoverySettings(
                                 kept,
                                 every,
-                                new Recollection.Rules(life, keptAt, identify != null),
+                                new RestoredState.Rules(life, keptAt, identify != null),
                                 identify,
                                 give,
                                 ask,
--- a/src/main/java/vetchpost/recovery/Sightings.java
+++ b/src/main/java/vetchpost/recovery/ServerObservations.java
@@ -14,34 +14,34 @@
 import vetchpost.decision.ServerStatistics;
 import vetchpost.decision.ServerStatistics.PerClass;
 import vetchpost.decision.ServerStatistics.PerServer;
-import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
-import vetchpost.state.Confirmed;
-import vetchpost.state.Origin;
-import vetchpost.state.Trouble;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.ConfirmationSource;
+import vetchpost.state.SelfFault;
+import vetchpost.state.ServerRecord;
+import vetchpost.state.SnapshotOrigin;
+import vetchpost.state.codec.ChunkCodec;
 
 /**
  * When and how each box was last known to be there, and the snapshot made of that and of what the module
  * knows, a part at a time.
  */
-final class Sightings {
-    private record Sighting(long ms, Confirmed by) {}
+final class ServerObservations {
+    private record Sighting(long ms, ConfirmationSource by) {}
 
     private final List<RequestClass> classes;
     private final Map<String, Sighting> byId = new HashMap<>();
     /** Boxes of an old snapshot that are neither in use nor given up. */
-    private final Map<String, BoxState> remembered = new LinkedHashMap<>();
+    private final Map<String, ServerRecord> remembered = new LinkedHashMap<>();
     /** When discovery last said something; its list holds as of then. 0 until it has told one. */
     private long listedMs;
 
     private long revision;
 
-    Sightings(List<RequestClass> classes) {
+    ServerObservations(List<RequestClass> classes) {
         this.classes = classes;
     }
 
-    void saw(String id, long ms, Confirmed by) {
+    void saw(String id, long ms, ConfirmationSource by) {
         Sighting before = byId.get(id);
         if (before == null || before.ms <= ms) {
             byId.put(id, new Sighting(ms, by));
@@ -49,7 +49,7 @@
     }
 
     /** A box is known from before and not in use. */
-    void remember(BoxState box) {
+    void remember(ServerRecord box) {
         remembered.put(box.target().id(), box);
     }
 
@@ -85,10 +85,10 @@
     }
 
     /** Goes through all that is known, so many boxes at a time. */
-    final class Cursor implements Iterator<List<BoxState>> {
+    final class Cursor implements Iterator<List<ServerRecord>> {
         private final Dispatcher dispatcher;
         private final List<Target> targets;
-        private final List<BoxState> others;
+        private final List<ServerRecord> others;
         private final LongSupplier nowMs;
         private final int most;
         private int at;
@@ -99,7 +99,7 @@
             this.nowMs = nowMs;
             this.most = most;
             targets = dispatcher.knownServers();
-            Map<String, BoxState> unused = new LinkedHashMap<>(remembered);
+            Map<String, ServerRecord> unused = new LinkedHashMap<>(remembered);
             targets.forEach(t -> unused.remove(t.id()));
             others = new ArrayList<>(unused.values());
         }
@@ -115,7 +115,7 @@
         }
 
         @Override
-        public List<BoxState> next() {
+        public List<ServerRecord> next() {
             begun = true;
             int end = Math.min(size(), at + most);
             List<String> ids = new ArrayList<>();
@@ -125,13 +125,14 @@
             Map<String, PerServer> known = new HashMap<>();
             dispatcher.statistics(ids).servers().forEach(s -> known.put(s.id(), s));
             long now = nowMs.getAsLong();
-            List<BoxState> boxes = new ArrayList<>();
+            List<ServerRecord> boxes = new ArrayList<>();
             for (; at < end; at++) {
                 if (at >= targets.size()) {
                     boxes.add(others.get(at - targets.size()));
                     continue;
                 }
-                BoxState box = state(targets.get(at), known.get(targets.get(at).id()), now);
+                ServerRecord box =
+                        state(targets.get(at), known.get(targets.get(at).id()), now);
                 if (box != null) {
                     boxes.add(box);
                 }
@@ -141,20 +142,20 @@
     }
 
     /** One box; null if it was never known to be there: a list of unknown age is no such word. */
-    private BoxState state(Target target, PerServer known, long nowMs) {
+    private ServerRecord state(Target target, PerServer known, long nowMs) {
         Sighting seen = byId.get(target.id());
         long ms = seen == null ? 0 : seen.ms;
-        Confirmed by = seen == null ? Confirmed.LIST : seen.by;
+        ConfirmationSource by = seen == null ? ConfirmationSource.LIST : seen.by;
         if (listedMs >= ms && listedMs > 0) {
             ms = listedMs;
-            by = Confirmed.LIST;
+            by = ConfirmationSource.LIST;
         }
         if (known != null && known.lastServedAtUs() / 1_000 > ms) {
             ms = known.lastServedAtUs() / 1_000;
-            by = Confirmed.ANSWER;
+            by = ConfirmationSource.ANSWER;
         }
         boolean told = known != null && known.attemptCount() > 0;
-        return ms == 0 ? null : new BoxState(target, ms, by, told ? nowMs : 0, told ? known : null);
+        return ms == 0 ? null : new ServerRecord(target, ms, by, told ? nowMs : 0, told ? known : null);
     }
 
     List<ClassState> classes(ServerStatistics knowledge) {
@@ -166,13 +167,13 @@
         return states;
     }
 
-    Origin origin(long id, long nowMs, long startedMs, Set<Trouble> troubles) {
-        return new Origin(id, nowMs, startedMs, revision, troubles);
+    SnapshotOrigin origin(long id, long nowMs, long startedMs, Set<SelfFault> troubles) {
+        return new SnapshotOrigin(id, nowMs, startedMs, revision, troubles);
     }
 
     /** The pieces, made as they are asked for. */
-    static Iterator<byte[]> pieces(Cursor cursor, Origin origin, List<ClassState> classes) {
-        int pieces = PieceCodec.pieces(cursor.size());
+    static Iterator<byte[]> pieces(Cursor cursor, SnapshotOrigin origin, List<ClassState> classes) {
+        int pieces = ChunkCodec.chunkCount(cursor.size());
         return new Iterator<>() {
             private int number;
 
@@ -183,8 +184,8 @@
 
             @Override
             public byte[] next() {
-                List<BoxState> boxes = cursor.hasNext() ? cursor.next() : List.of();
-                return PieceCodec.write(number++, pieces, origin, classes, boxes);
+                List<ServerRecord> boxes = cursor.hasNext() ? cursor.next() : List.of();
+                return ChunkCodec.write(number++, pieces, origin, classes, boxes);
             }
         };
     }
--- a/src/main/java/vetchpost/recovery/Keeper.java
+++ b/src/main/java/vetchpost/recovery/SnapshotKeeper.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Where snapshots go: a file, or what a test puts there. May block; never called on a node's loop. */
-public interface Keeper {
+public interface SnapshotKeeper {
     /**
      * Keeps a snapshot in the place of the one before.
      *
--- a/src/main/java/vetchpost/replication/FrameCodec.java
+++ b/src/main/java/vetchpost/replication/FrameCodec.java
@@ -16,7 +16,7 @@
 import vetchpost.replication.Frame.Entry;
 import vetchpost.replication.Frame.Span;
 import vetchpost.replication.Frame.Type;
-import vetchpost.store.Fields;
+import vetchpost.store.FieldCodec;
 import vetchpost.store.PackedTree.Sum;
 
 /**
@@ -26,15 +26,15 @@
  */
 public final class FrameCodec implements AutoCloseable {
     /** A frame's bytes at most, either way. */
-    public static final int MOST_FRAME = 64 << 10;
+    public static final int MAX_FRAME_BYTES = 64 << 10;
 
     private static final int MOST_ITEMS_BYTES = 64 << 10;
-    private static final int MOST_ITEMS = 4_096;
-    static final int MOST_SPANS = 1_024;
-    private static final int MOST_HASHES = 256;
-    private static final int MOST_KEY = 8 << 10;
-    private static final int MOST_VALUE = Fields.MOST;
-    private static final int MOST_NAME = 256;
+    private static final int MAX_ITEMS = 4_096;
+    static final int MAX_SPANS = 1_024;
+    private static final int MAX_HASHES = 256;
+    private static final int MAX_KEY_BYTES = 8 << 10;
+    private static final int MAX_VALUE_BYTES = FieldCodec.MAX_ENTRY_BYTES;
+    private static final int MAX_NAME_BYTES = 256;
 
     private static final int TYPE = 1;
     private static final int FROM = 2;
@@ -157,7 +157,7 @@
         return all.toByteArray();
     }
 
-    private byte[] inflated(byte[] body, int length) throws Malformed {
+    private byte[] inflated(byte[] body, int length) throws MalformedFrameException {
         check(length > 0 && length <= MOST_ITEMS_BYTES, "items of " + length + " bytes");
         byte[] raw = new byte[length];
         inflater.reset();
@@ -175,22 +175,22 @@
                     got == length && (inflater.finished() || inflater.inflate(new byte[1]) == 0),
                     "items of another length than told");
         } catch (DataFormatException e) {
-            throw new Malformed("items that can't be inflated");
+            throw new MalformedFrameException("items that can't be inflated");
         }
         return raw;
     }
 
     /** A frame from its bytes. */
-    public Frame read(byte[] bytes) throws Malformed {
-        check(bytes.length <= MOST_FRAME, "a frame of " + bytes.length + " bytes");
+    public Frame read(byte[] bytes) throws MalformedFrameException {
+        check(bytes.length <= MAX_FRAME_BYTES, "a frame of " + bytes.length + " bytes");
         try {
             return frame(CodedInputStream.newInstance(bytes));
         } catch (IOException e) {
-            throw new Malformed("no frame: " + e.getMessage());
+            throw new MalformedFrameException("no frame: " + e.getMessage());
         }
     }
 
-    private Frame frame(CodedInputStream in) throws IOException, Malformed {
+    private Frame frame(CodedInputStream in) throws IOException, MalformedFrameException {
         int type = -1;
         long from = 0;
         long to = 0;
@@ -227,12 +227,12 @@
         return new Frame(Type.values()[type], from, to, part, last, new Sum(count, hash), items, name, spans);
     }
 
-    private static String text(byte[] utf8) throws Malformed {
-        check(utf8.length <= MOST_NAME, "a name of " + utf8.length + " bytes");
+    private static String text(byte[] utf8) throws MalformedFrameException {
+        check(utf8.length <= MAX_NAME_BYTES, "a name of " + utf8.length + " bytes");
         return new String(utf8, StandardCharsets.UTF_8);
     }
 
-    private static List<Entry> items(byte[] raw) throws IOException, Malformed {
+    private static List<Entry> items(byte[] raw) throws IOException, MalformedFrameException {
         List<Entry> items = new ArrayList<>();
         CodedInputStream in = CodedInputStream.newInstance(raw);
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
@@ -240,13 +240,13 @@
                 in.skipField(tag);
                 continue;
             }
-            check(items.size() < MOST_ITEMS, "over " + MOST_ITEMS + " items");
+            check(items.size() < MAX_ITEMS, "over " + MAX_ITEMS + " items");
             items.add(item(CodedInputStream.newInstance(in.readByteArray())));
         }
         return items;
     }
 
-    private static List<Span> spans(byte[] raw) throws IOException, Malformed {
+    private static List<Span> spans(byte[] raw) throws IOException, MalformedFrameException {
         List<Span> spans = new ArrayList<>();
         CodedInputStream in = CodedInputStream.newInstance(raw);
         byte[] end = null;
@@ -255,7 +255,7 @@
                 in.skipField(tag);
                 continue;
             }
-            check(spans.size() < MOST_SPANS, "over " + MOST_SPANS + " ranges");
+            check(spans.size() < MAX_SPANS, "over " + MAX_SPANS + " ranges");
             Span span = span(CodedInputStream.newInstance(in.readByteArray()), end);
             spans.add(span);
             end = span.to();
@@ -263,7 +263,7 @@
         return spans;
     }
 
-    private static Entry item(CodedInputStream in) throws IOException, Malformed {
+    private static Entry item(CodedInputStream in) throws IOException, MalformedFrameException {
         byte[] key = null;
         byte[] value = null;
         long stamp = 0;
@@ -275,12 +275,12 @@
                 default -> in.skipField(tag);
             }
         }
-        check(key != null && key.length > 0 && key.length <= MOST_KEY, "an item without a key");
-        check(stamp >= 0 && (value == null || value.length <= MOST_VALUE), "an item that is none");
+        check(key != null && key.length > 0 && key.length <= MAX_KEY_BYTES, "an item without a key");
+        check(stamp >= 0 && (value == null || value.length <= MAX_VALUE_BYTES), "an item that is none");
         return new Entry(key, value, stamp);
     }
 
-    private static Span span(CodedInputStream in, byte[] before) throws IOException, Malformed {
+    private static Span span(CodedInputStream in, byte[] before) throws IOException, MalformedFrameException {
         byte[] from = before;
         byte[] to = null;
         long count = 0;
@@ -297,7 +297,7 @@
                     check(
                             length >= 0
                                     && length % Integer.BYTES == 0
-                                    && length <= Integer.BYTES * MOST_HASHES
+                                    && length <= Integer.BYTES * MAX_HASHES
                                     && (hashes == null),
                             "hashes of " + length + " bytes");
                     hashes = new long[length / Integer.BYTES];
@@ -309,14 +309,17 @@
             }
         }
         check(
-                from != null && from.length <= MOST_KEY && (to == null || to.length <= MOST_KEY) && count >= 0,
+                from != null
+                        && from.length <= MAX_KEY_BYTES
+                        && (to == null || to.length <= MAX_KEY_BYTES)
+                        && count >= 0,
                 "a range that is none");
         return new Span(from, to, new Sum(count, hash), hashes);
     }
 
-    private static void check(boolean holds, String otherwise) throws Malformed {
+    private static void check(boolean holds, String otherwise) throws MalformedFrameException {
         if (!holds) {
-            throw new Malformed(otherwise);
+            throw new MalformedFrameException(otherwise);
         }
     }
 
--- a/src/main/java/vetchpost/replication/Index.java
+++ b/src/main/java/vetchpost/replication/Index.java
@@ -10,12 +10,12 @@
     /** Of entries that mean nothing here. */
     Index NONE = new Index() {
         @Override
-        public Index settled(byte[] key, byte[] value, PackedTree live) {
+        public Index withEntry(byte[] key, byte[] value, PackedTree live) {
             return this;
         }
 
         @Override
-        public Index over(PackedTree live) {
+        public Index backedBy(PackedTree live) {
             return this;
         }
     };
@@ -28,8 +28,8 @@
      * @param live all entries with this one as it is now
      * @throws IllegalArgumentException if it can't be read
      */
-    Index settled(byte[] key, byte[] value, PackedTree live);
+    Index withEntry(byte[] key, byte[] value, PackedTree live);
 
     /** The same, read from this tree, which holds the same entries, so that they are kept once. */
-    Index over(PackedTree live);
+    Index backedBy(PackedTree live);
 }
--- a/src/main/java/vetchpost/replication/Publisher.java
+++ b/src/main/java/vetchpost/replication/Publisher.java
@@ -57,7 +57,11 @@
      * @param allPerS to all of them
      * @param itemsPerS entries to each replica, which is what costs it processor time
      */
-    public record Budget(double peerPerS, double peerBurst, double allPerS, double itemsPerS) {}
+    public record Budget(
+            double bytesPerSPerReplica,
+            double burstBytesPerReplica,
+            double totalBytesPerS,
+            double entriesPerSPerReplica) {}
 
     private final FrameCodec codec;
     private Budget budget;
@@ -113,8 +117,8 @@
         }
 
         void fill(long nowUs) {
-            bucket = new TokenBucket(budget.peerPerS, budget.peerBurst, nowUs);
-            items = new TokenBucket(budget.itemsPerS, budget.itemsPerS / 8, nowUs);
+            bucket = new TokenBucket(budget.bytesPerSPerReplica, budget.burstBytesPerReplica, nowUs);
+            items = new TokenBucket(budget.entriesPerSPerReplica, budget.entriesPerSPerReplica / 8, nowUs);
         }
 
         boolean hasMore() {
@@ -129,9 +133,9 @@
             saidUs = nowUs;
         }
 
-        void reply(Frame frame) throws Malformed {
+        void reply(Frame frame) throws MalformedFrameException {
             if (replies.size() >= MOST_REPLIES) {
-                throw new Malformed("it asks on without reading");
+                throw new MalformedFrameException("it asks on without reading");
             }
             replies.add(new Reply(codec.write(frame), frame.items().size()));
         }
@@ -185,13 +189,13 @@
         this.codec = codec;
         this.budget = budget;
         this.heartbeatUs = heartbeatUs;
-        all = new TokenBucket(budget.allPerS, budget.allPerS / 4, nowUs);
+        all = new TokenBucket(budget.totalBytesPerS, budget.totalBytesPerS / 4, nowUs);
     }
 
     /** Has other budgets hold from now on, full. */
-    public void budget(Budget other, long nowUs) {
+    public void setBudget(Budget other, long nowUs) {
         budget = other;
-        all = new TokenBucket(budget.allPerS, budget.allPerS / 4, nowUs);
+        all = new TokenBucket(budget.totalBytesPerS, budget.totalBytesPerS / 4, nowUs);
         sessions.values().forEach(s -> s.fill(nowUs));
     }
 
@@ -211,7 +215,7 @@
     }
 
     /** Names of replicas that are at an older version, and of those that have not said theirs. */
-    public List<String> behind() {
+    public List<String> laggingReplicas() {
         return sessions.values().stream()
                 .filter(s -> s.at < store.version())
                 .map(s -> s.name)
@@ -219,7 +223,7 @@
     }
 
     /** Has another version to tell; one that is not newer changes nothing. */
-    public void settle(VersionedStore fresh) {
+    public void publish(VersionedStore fresh) {
         if (fresh.version() <= store.version()) {
             return;
         }
@@ -251,7 +255,7 @@
      * @param length its bytes, which count towards the replica's budget as those that it is sent
      * @throws Malformed if it said what no replica says: it is to be disconnected
      */
-    public void take(Peer peer, Frame frame, int length, long nowUs) throws Malformed {
+    public void receive(Peer peer, Frame frame, int length, long nowUs) throws MalformedFrameException {
         Session session = sessions.get(peer);
         if (session == null) {
             return;
@@ -261,12 +265,12 @@
             case HELLO -> hello(session, frame);
             case COMPARE -> compare(session, frame);
             case WANT -> want(session, frame);
-            default -> throw new Malformed("a replica sends no " + frame.type());
+            default -> throw new MalformedFrameException("a replica sends no " + frame.type());
         }
         note(session);
     }
 
-    private void hello(Session session, Frame frame) throws Malformed {
+    private void hello(Session session, Frame frame) throws MalformedFrameException {
         session.name = frame.name();
         if (frame.from() > store.version()) {
             session.at = -1;
@@ -298,11 +302,11 @@
         byte[] at = begin;
         boolean gone = removed;
         while (at != null && bytes < PART) {
-            Item item = (gone ? to.removed() : to.live()).nextOver(at, from);
+            Item item = (gone ? to.removed() : to.live()).nextNewer(at, from);
             if (item != null) {
                 items.add(new Entry(item.key(), gone ? null : item.value(), item.stamp()));
                 bytes += item.key().length + item.value().length + 2 * Long.BYTES;
-                at = PackedTree.after(item.key());
+                at = PackedTree.successor(item.key());
             } else if (gone) {
                 at = null;
             } else {
@@ -327,17 +331,17 @@
 
     // ---------------------------------------------------------------- what differs
 
-    private void compare(Session session, Frame frame) throws Malformed {
+    private void compare(Session session, Frame frame) throws MalformedFrameException {
         if (frame.to() == 0 || session.pinned == null || !session.comparing) {
             session.pinned = store;
             session.comparing = true;
             session.next = null;
         }
         if (frame.to() != 0 && frame.to() != session.pinned.version()) {
-            throw new Malformed("it compares what it was not told");
+            throw new MalformedFrameException("it compares what it was not told");
         }
         if (frame.spans().size() > SPLIT) {
-            throw new Malformed(frame.spans().size() + " ranges at once");
+            throw new MalformedFrameException(frame.spans().size() + " ranges at once");
         }
         PackedTree tree = session.pinned.live();
         List<Span> answer = new ArrayList<>();
@@ -369,12 +373,12 @@
         }
     }
 
-    private void want(Session session, Frame frame) throws Malformed {
+    private void want(Session session, Frame frame) throws MalformedFrameException {
         if (!session.comparing || session.pinned == null || frame.to() != session.pinned.version()) {
-            throw new Malformed("it wants items of a version that it was not told");
+            throw new MalformedFrameException("it wants items of a version that it was not told");
         }
         if (frame.spans().size() > SPLIT * SPLIT) {
-            throw new Malformed(frame.spans().size() + " ranges at once");
+            throw new MalformedFrameException(frame.spans().size() + " ranges at once");
         }
         List<Entry> items = new ArrayList<>();
         int bytes = 0;
@@ -408,7 +412,7 @@
      * @return when there may be more to send, in microseconds; the largest number if only a call of another
      * kind can tell
      */
-    public long pump(long nowUs) {
+    public long sendPending(long nowUs) {
         long againUs = Long.MAX_VALUE;
         Map<Session, Boolean> waiting = new HashMap<>();
         while (!ready.isEmpty() && all.hasAny(nowUs)) {
--- a/src/main/java/vetchpost/replication/Choice.java
+++ b/src/main/java/vetchpost/replication/PublisherChoice.java
@@ -8,7 +8,7 @@
  * one that fails are spread over all others, and come back to it once it is well. One that fails, or is of no
  * use, is left alone for a while, longer each time.
  */
-public final class Choice {
+public final class PublisherChoice {
     private static final long LEAST_US = 100_000;
     private static final long MOST_US = 5_000_000;
 
@@ -23,12 +23,12 @@
      * @param name of the replica
      * @param publishers names or addresses, the same at all replicas, in any order
      */
-    public Choice(String name, List<String> publishers) {
+    public PublisherChoice(String name, List<String> publishers) {
         this(name, publishers, publisher -> false);
     }
 
     /** The same, where those that are near come before all others. */
-    public Choice(String name, List<String> publishers, Predicate<String> near) {
+    public PublisherChoice(String name, List<String> publishers, Predicate<String> near) {
         if (publishers.isEmpty()) {
             throw new IllegalArgumentException("no publishers");
         }
--- a/src/main/java/vetchpost/replication/Following.java
+++ b/src/main/java/vetchpost/replication/PublisherFailover.java
@@ -4,9 +4,9 @@
  * Keeps a replica with a publisher: asks the one that comes first for it, leaves one that is silent, breaks
  * off or is of no use for the next, and comes back to its own once that is well. Without a socket or a clock.
  */
-public final class Following {
+public final class PublisherFailover {
     /** A publisher that has said nothing for so long, in microseconds, is left: three heartbeats. */
-    public static final long SILENT_US = 15_000_000;
+    public static final long SILENCE_TIMEOUT_US = 15_000_000;
 
     private static final long LOOK_US = 1_000_000;
     private static final long AGAIN_US = 1_000;
@@ -14,7 +14,7 @@
     private static final int LOOKS_FOR_BETTER = 30;
 
     /** Connections and time, as their owner has them. */
-    public interface Line {
+    public interface Transport {
         /**
          * Opens a connection to a publisher, in place of one that is open; hears {@code opened} or {@code
          * failed}.
@@ -35,8 +35,8 @@
     }
 
     private final Replica replica;
-    private final Choice choice;
-    private final Line line;
+    private final PublisherChoice choice;
+    private final Transport line;
     private int asked = -1;
     private boolean up;
     private boolean over;
@@ -46,14 +46,14 @@
     private String trouble = "";
 
     /** Begins when it is told to. */
-    public Following(Replica replica, Choice choice, Line line) {
+    public PublisherFailover(Replica replica, PublisherChoice choice, Transport line) {
         this.replica = replica;
         this.choice = choice;
         this.line = line;
     }
 
     /** Asks in so many microseconds from now on. */
-    public void begin(long afterUs) {
+    public void start(long afterUs) {
         long now = ++turn;
         line.after(afterUs, () -> {
             if (turn == now && !over) {
@@ -66,7 +66,7 @@
         int next = choice.next(line.nowUs());
         long whenUs = choice.whenUs(next);
         if (whenUs > line.nowUs()) {
-            begin(whenUs - line.nowUs());
+            start(whenUs - line.nowUs());
             return;
         }
         asked = next;
@@ -90,7 +90,7 @@
         up = false;
         replica.disconnected();
         choice.failed(asked, line.nowUs());
-        begin(AGAIN_US);
+        start(AGAIN_US);
     }
 
     private void look(long of, int looks) {
@@ -99,14 +99,14 @@
                 return;
             }
             long now = line.nowUs();
-            if (now - replica.heardUs() > SILENT_US) {
+            if (now - replica.lastReceivedUs() > SILENCE_TIMEOUT_US) {
                 line.close();
                 failed("it has fallen silent");
             } else if (looks >= LOOKS_FOR_BETTER && choice.hasBetter(asked, now)) {
                 up = false;
                 replica.disconnected();
                 line.close();
-                begin(AGAIN_US);
+                start(AGAIN_US);
             } else {
                 look(of, looks + 1);
             }
@@ -114,27 +114,27 @@
     }
 
     /** Takes a frame of the publisher's. */
-    public void take(Frame frame) {
+    public void receive(Frame frame) {
         long nowUs = line.nowUs();
         try {
-            replica.take(frame, nowUs);
-            if (replica.currentUs() == nowUs) {
+            replica.receive(frame, nowUs);
+            if (replica.lastCurrentUs() == nowUs) {
                 choice.worked(asked);
                 trouble = "";
             }
-        } catch (Replica.Refused | Malformed e) {
-            refused(e.getMessage());
+        } catch (Replica.FrameRejectedException | MalformedFrameException e) {
+            rejected(e.getMessage());
         }
     }
 
     /** What has come is no frame, or none of a publisher's. */
-    public void refused(String why) {
+    public void rejected(String why) {
         line.close();
         failed(why);
     }
 
     /** Ends; what is in force stays so. */
-    public void end() {
+    public void stop() {
         over = true;
         if (up) {
             up = false;
@@ -149,7 +149,7 @@
     }
 
     /** What went wrong last, or empty since a publisher has said that all is the newest. */
-    public String trouble() {
+    public String failure() {
         return trouble;
     }
 }
--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -40,14 +40,14 @@
     /** Hears what holds. */
     public interface Listener {
         /** All of this holds from now on. */
-        void inForce(VersionedStore store, Index index);
+        void applied(VersionedStore store, Index index);
     }
 
     /** Why a publisher is of no use, for now. */
-    public static final class Refused extends Exception {
+    public static final class FrameRejectedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Refused(String why) {
+        FrameRejectedException(String why) {
             super(why, null, false, false);
         }
     }
@@ -84,10 +84,10 @@
             this.to = to;
         }
 
-        void take(Entry entry) throws Refused {
+        void take(Entry entry) throws FrameRejectedException {
             Item own = live.get(entry.key());
             if (own != null && isOlder(entry.stamp(), own)) {
-                throw new Refused(
+                throw new FrameRejectedException(
                         "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
             }
             if (entry.value() == null) {
@@ -98,9 +98,9 @@
                 removed = remembersRemoved ? removed.remove(entry.key()) : removed;
             }
             try {
-                made = made.settled(entry.key(), entry.value(), live);
+                made = made.withEntry(entry.key(), entry.value(), live);
             } catch (IllegalArgumentException e) {
-                throw new Refused("an entry that can't be read: " + e.getMessage());
+                throw new FrameRejectedException("an entry that can't be read: " + e.getMessage());
             }
         }
     }
@@ -130,24 +130,24 @@
     }
 
     /** How many times something came into force. */
-    public long batches() {
+    public long appliedBatches() {
         return batches;
     }
 
     /** How many times something a publisher told was refused. */
-    public long refused() {
+    public long rejectedCount() {
         return refused;
     }
 
     /**
      * When a publisher last said that this is the newest, in microseconds of its owner's clock; -1 for never.
      */
-    public long currentUs() {
+    public long lastCurrentUs() {
         return currentUs;
     }
 
     /** When it last heard anything from its publisher. */
-    public long heardUs() {
+    public long lastReceivedUs() {
         return heardUs;
     }
 
@@ -175,27 +175,27 @@
      * @throws Refused if the publisher is of no use now: another one is to be asked
      * @throws Malformed if it said what no publisher says
      */
-    public void take(Frame frame, long nowUs) throws Refused, Malformed {
+    public void receive(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         heardUs = nowUs;
         try {
             switch (frame.type()) {
                 case CURRENT -> current(frame, nowUs);
-                case BEHIND -> throw new Refused("it is behind, at " + Version.text(frame.to()));
+                case BEHIND -> throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
                 case DELTA -> delta(frame, nowUs);
                 case DIFFER -> differ(frame, nowUs);
                 case ITEMS -> items(frame, nowUs);
-                default -> throw new Malformed("a publisher sends no " + frame.type());
+                default -> throw new MalformedFrameException("a publisher sends no " + frame.type());
             }
-        } catch (Refused | Malformed e) {
+        } catch (FrameRejectedException | MalformedFrameException e) {
             draft = null;
             refused++;
             throw e;
         }
     }
 
-    private void current(Frame frame, long nowUs) throws Refused {
+    private void current(Frame frame, long nowUs) throws FrameRejectedException {
         if (isBehind(frame.to())) {
-            throw new Refused("it is behind, at " + Version.text(frame.to()));
+            throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
         }
         if (draft != null && draft.comparing) {
             return; // It is an answer to what was said before.
@@ -213,9 +213,9 @@
         }
     }
 
-    private void delta(Frame frame, long nowUs) throws Refused, Malformed {
+    private void delta(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         if (isPast(frame.to()) && Version.epoch(frame.to()) < Version.epoch(store.version())) {
-            throw new Refused(
+            throw new FrameRejectedException(
                     "it is of epoch " + Version.epoch(frame.to()) + ", before " + Version.epoch(store.version()));
         }
         if (draft != null && draft.comparing || isPast(frame.to())) {
@@ -235,7 +235,7 @@
         draft = begins ? new Draft(frame.to()) : draft;
         for (Entry entry : frame.items()) {
             if (!belongs(entry, frame)) {
-                throw new Malformed("an entry of " + Version.text(entry.stamp()) + " in what came after "
+                throw new MalformedFrameException("an entry of " + Version.text(entry.stamp()) + " in what came after "
                         + Version.text(store.version()) + " up to " + Version.text(frame.to()));
             }
             draft.take(entry);
@@ -283,12 +283,12 @@
         VersionedStore whole = draft.comparing
                 ? VersionedStore.of(draft.live, draft.to)
                 : store.at(draft.live, draft.removed, draft.to);
-        index = draft.made.over(whole.live());
+        index = draft.made.backedBy(whole.live());
         store = whole;
         draft = null;
         batches++;
         currentUs = nowUs;
-        listener.inForce(store, index);
+        listener.applied(store, index);
         publisher.send(Frame.hello(name, store.version(), true, store.live().sum()));
     }
 
@@ -305,9 +305,9 @@
                 List.of(new Span(new byte[0], null, store.live().sum(), null))));
     }
 
-    private void differ(Frame frame, long nowUs) throws Refused, Malformed {
+    private void differ(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         if (isBehind(frame.to())) {
-            throw new Refused("it is behind, at " + Version.text(frame.to()));
+            throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
         }
         if (draft == null || !draft.comparing) {
             // It can't tell by versions what went away since: it begins by comparing, of itself.
@@ -315,13 +315,14 @@
             draft.comparing = true;
         } else if (draft.to != frame.to()) {
             if (draft.to != Version.NONE) {
-                throw new Malformed("ranges of " + Version.text(frame.to()) + " instead of " + Version.text(draft.to));
+                throw new MalformedFrameException(
+                        "ranges of " + Version.text(frame.to()) + " instead of " + Version.text(draft.to));
             }
             draft = new Draft(frame.to());
             draft.comparing = true;
         }
         if (++draft.rounds > MOST_ROUNDS) {
-            throw new Refused("it never ends telling what differs");
+            throw new FrameRejectedException("it never ends telling what differs");
         }
         draft.waiting = false;
         draft.whole = frame.sum();
@@ -344,7 +345,7 @@
     }
 
     /** What it has and is not there any more goes; what is there and it has not is asked for. */
-    private void listed(Span span, List<Span> wants) throws Refused {
+    private void listed(Span span, List<Span> wants) throws FrameRejectedException {
         Set<Long> there = new HashSet<>();
         Arrays.stream(span.hashes()).forEach(there::add);
         for (Item item : draft.live.range(span.from(), span.to(), Integer.MAX_VALUE)) {
@@ -365,14 +366,14 @@
     }
 
     /** An item that the publisher has not. */
-    void gone(Item item) throws Refused {
+    void gone(Item item) throws FrameRejectedException {
         if (item.stamp() > draft.to) {
-            throw new Refused("it does not know an entry of " + Version.text(item.stamp()));
+            throw new FrameRejectedException("it does not know an entry of " + Version.text(item.stamp()));
         }
         draft.take(new Entry(item.key(), null, draft.to));
     }
 
-    private void items(Frame frame, long nowUs) throws Refused, Malformed {
+    private void items(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         if (draft == null || !draft.comparing || frame.to() != draft.to) {
             return;
         }
@@ -380,11 +381,11 @@
             if (entry.value() == null
                     || entry.stamp() > draft.to
                     || !draft.wanted.remove(Span.hash(new Item(entry.key(), entry.value(), entry.stamp())))) {
-                throw new Malformed("an entry that was not asked for");
+                throw new MalformedFrameException("an entry that was not asked for");
             }
             Item own = store.live().get(entry.key());
             if (own != null && own.stamp() > entry.stamp()) {
-                throw new Refused(
+                throw new FrameRejectedException(
                         "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
             }
             draft.take(entry);
--- a/src/main/java/vetchpost/replication/disk/StoreFile.java
+++ b/src/main/java/vetchpost/replication/disk/StoreFile.java
@@ -9,9 +9,9 @@
 import vetchpost.replication.Frame;
 import vetchpost.replication.Frame.Entry;
 import vetchpost.replication.FrameCodec;
-import vetchpost.replication.Malformed;
-import vetchpost.state.codec.MalformedState;
-import vetchpost.state.disk.PieceFile;
+import vetchpost.replication.MalformedFrameException;
+import vetchpost.state.codec.MalformedSnapshotException;
+import vetchpost.state.disk.ChunkFile;
 import vetchpost.store.PackedTree;
 import vetchpost.store.PackedTree.Item;
 import vetchpost.store.VersionedStore;
@@ -22,15 +22,15 @@
  */
 public final class StoreFile {
     private static final byte[] MAGIC = "VPSTORE1".getBytes(StandardCharsets.US_ASCII);
-    private static final long MOST_BYTES = 256L << 20;
+    private static final long MAX_BYTES = 256L << 20;
     private static final int ITEMS = 400;
     private static final int ITEMS_BYTES = 32 << 10;
 
-    private final PieceFile file;
+    private final ChunkFile file;
 
     /** In this file, and two more whose names begin with its. */
     public StoreFile(Path path) {
-        file = new PieceFile(path, MAGIC, MOST_BYTES);
+        file = new ChunkFile(path, MAGIC, MAX_BYTES);
     }
 
     /**
@@ -52,7 +52,9 @@
     private static void pieces(FrameCodec codec, PackedTree tree, boolean removed, List<byte[]> into) {
         List<Entry> items = new ArrayList<>();
         int bytes = 0;
-        for (Item item = tree.ceiling(new byte[0]); item != null; item = tree.ceiling(PackedTree.after(item.key()))) {
+        for (Item item = tree.ceiling(new byte[0]);
+                item != null;
+                item = tree.ceiling(PackedTree.successor(item.key()))) {
             items.add(new Entry(item.key(), removed ? null : item.value(), item.stamp()));
             bytes += item.key().length + item.value().length;
             if (items.size() == ITEMS || bytes > ITEMS_BYTES) {
@@ -75,9 +77,9 @@
         return file.read(StoreFile::store, refused);
     }
 
-    private static VersionedStore store(List<byte[]> pieces) throws MalformedState {
+    private static VersionedStore store(List<byte[]> pieces) throws MalformedSnapshotException {
         if (pieces.isEmpty()) {
-            throw new MalformedState("it has no beginning");
+            throw new MalformedSnapshotException("it has no beginning");
         }
         try (FrameCodec codec = new FrameCodec()) {
             Frame head = codec.read(pieces.get(0));
@@ -93,11 +95,11 @@
                 }
             }
             if (!live.sum().equals(head.sum()) || live.newest() > head.to()) {
-                throw new MalformedState("its entries don't come to its sum");
+                throw new MalformedSnapshotException("its entries don't come to its sum");
             }
-            return VersionedStore.kept(live, removed, head.to(), head.from());
-        } catch (Malformed e) {
-            throw new MalformedState(e.getMessage());
+            return VersionedStore.restored(live, removed, head.to(), head.from());
+        } catch (MalformedFrameException e) {
+            throw new MalformedSnapshotException(e.getMessage());
         }
     }
 }
--- a/src/main/java/vetchpost/replication/net/PublisherServer.java
+++ b/src/main/java/vetchpost/replication/net/PublisherServer.java
@@ -16,10 +16,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import vetchpost.handover.AuthenticatedFrames;
-import vetchpost.handover.Secret;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
 import vetchpost.replication.FrameCodec;
-import vetchpost.replication.Malformed;
+import vetchpost.replication.MalformedFrameException;
 import vetchpost.replication.Publisher;
 import vetchpost.store.VersionedStore;
 
@@ -34,7 +34,7 @@
 
     private final EventLoop loop;
     private final Network network;
-    private final Secret secret;
+    private final SharedSecret secret;
     private final SecureRandom random;
     private final FrameCodec codec = new FrameCodec();
     private final Publisher publisher;
@@ -47,7 +47,7 @@
     public PublisherServer(
             EventLoop loop,
             Network network,
-            Secret secret,
+            SharedSecret secret,
             SecureRandom random,
             VersionedStore store,
             Publisher.Budget budget) {
@@ -80,7 +80,7 @@
                         Connection connection = new Connection(channel);
                         connections.add(connection);
                         connection.frames = AuthenticatedFrames.open(
-                                channel, secret, random, true, FrameCodec.MOST_FRAME, connection);
+                                channel, secret, random, true, FrameCodec.MAX_FRAME_BYTES, connection);
                     }
                 })
                 .bind(address);
@@ -89,14 +89,14 @@
     }
 
     /** Has another version to tell; on the loop. */
-    public void settle(VersionedStore store) {
-        publisher.settle(store);
+    public void publish(VersionedStore store) {
+        publisher.publish(store);
         pump();
     }
 
     /** Has other budgets hold from now on; on the loop. */
-    public void budget(Publisher.Budget other) {
-        publisher.budget(other, nowUs());
+    public void setBudget(Publisher.Budget other) {
+        publisher.setBudget(other, nowUs());
         pump();
     }
 
@@ -110,7 +110,7 @@
             pumping.cancel(false);
             pumping = null;
         }
-        long nextUs = publisher.pump(nowUs());
+        long nextUs = publisher.sendPending(nowUs());
         if (nextUs != Long.MAX_VALUE) {
             pumping = loop.schedule(
                     () -> {
@@ -160,9 +160,9 @@
         @Override
         public void frame(byte[] frame) {
             try {
-                publisher.take(this, codec.read(frame), frame.length, nowUs());
+                publisher.receive(this, codec.read(frame), frame.length, nowUs());
                 pump();
-            } catch (Malformed e) {
+            } catch (MalformedFrameException e) {
                 frames.close(e.getMessage());
             }
         }
--- a/src/main/java/vetchpost/replication/net/ReplicaClient.java
+++ b/src/main/java/vetchpost/replication/net/ReplicaClient.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import vetchpost.handover.AuthenticatedFrames;
-import vetchpost.handover.Secret;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
-import vetchpost.replication.Choice;
-import vetchpost.replication.Following;
 import vetchpost.replication.Frame;
 import vetchpost.replication.FrameCodec;
-import vetchpost.replication.Malformed;
+import vetchpost.replication.MalformedFrameException;
+import vetchpost.replication.PublisherChoice;
+import vetchpost.replication.PublisherFailover;
 import vetchpost.replication.Replica;
 
 /** A replica's connection to its publishers. All of it is on one loop, which is best not the requests'. */
@@ -26,12 +26,12 @@
 
     private final EventLoop loop;
     private final Network network;
-    private final Secret secret;
+    private final SharedSecret secret;
     private final SecureRandom random;
     private final List<InetSocketAddress> publishers;
     private final Replica replica;
     private final FrameCodec codec = new FrameCodec();
-    private final Following following;
+    private final PublisherFailover following;
     private Attempt current;
 
     /**
@@ -42,7 +42,7 @@
     public ReplicaClient(
             EventLoop loop,
             Network network,
-            Secret secret,
+            SharedSecret secret,
             SecureRandom random,
             String name,
             List<InetSocketAddress> publishers,
@@ -53,15 +53,16 @@
         this.random = random;
         this.publishers = publishers;
         this.replica = replica;
-        following = new Following(
+        following = new PublisherFailover(
                 replica,
-                new Choice(name, publishers.stream().map(Object::toString).toList()),
+                new PublisherChoice(
+                        name, publishers.stream().map(Object::toString).toList()),
                 new OnLoop());
     }
 
     /** Connects from now on; on the loop. */
-    public void begin() {
-        following.begin(0);
+    public void start() {
+        following.start(0);
     }
 
     /** What it keeps up. */
@@ -70,8 +71,8 @@
     }
 
     /** What went wrong last, or empty. */
-    public String trouble() {
-        return following.trouble();
+    public String failure() {
+        return following.failure();
     }
 
     /** The time by which the replica says when it heard something, in microseconds. */
@@ -81,11 +82,11 @@
 
     @Override
     public void close() {
-        following.end();
+        following.stop();
         codec.close();
     }
 
-    private final class OnLoop implements Following.Line {
+    private final class OnLoop implements PublisherFailover.Transport {
         @Override
         public void open(int publisher) {
             current = new Attempt();
@@ -139,7 +140,7 @@
                         @Override
                         protected void initChannel(Channel opening) {
                             frames = AuthenticatedFrames.open(
-                                    opening, secret, random, false, FrameCodec.MOST_FRAME, Attempt.this);
+                                    opening, secret, random, false, FrameCodec.MAX_FRAME_BYTES, Attempt.this);
                         }
                     })
                     .connect(to)
@@ -163,9 +164,9 @@
                 return;
             }
             try {
-                following.take(codec.read(bytes));
-            } catch (Malformed e) {
-                following.refused(e.getMessage());
+                following.receive(codec.read(bytes));
+            } catch (MalformedFrameException e) {
+                following.rejected(e.getMessage());
             }
         }
 
--- a/src/main/java/vetchpost/routes/Near.java
+++ b/src/main/java/vetchpost/routes/ClosestMatch.java
@@ -1,7 +1,7 @@
 package vetchpost.routes;
 
 /** What was meant by a word that is not known. */
-final class Near {
+final class ClosestMatch {
     /** How far a misspelt word may be from the one that was meant. */
     private static final int NEAR = 3;
     /**
@@ -10,7 +10,7 @@
      */
     private static final int MOST = 1_000;
 
-    private Near() {}
+    private ClosestMatch() {}
 
     /** The known word that is nearest, or all of them where none is near. */
     static String of(String text, Iterable<String> known) {
--- a/src/main/java/vetchpost/routes/Explanation.java
+++ b/src/main/java/vetchpost/routes/Explanation.java
@@ -12,29 +12,45 @@
     public static String of(Route route) {
         Limits limits = route.limits();
         StringBuilder text = new StringBuilder("route " + route.name() + "\n");
-        line(text, "attempt-timeout", limits.attemptUs() == 0 ? "with the request" : Prover.ms(limits.attemptUs()));
-        line(text, "total-timeout", limits.totalUs() == 0 ? "with the client" : Prover.ms(limits.totalUs()));
-        line(text, "attempts", limits.attempts() + " that may have run");
+        line(
+                text,
+                "attempt-timeout",
+                limits.attemptTimeoutUs() == 0 ? "with the request" : RouteValidator.ms(limits.attemptTimeoutUs()));
+        line(
+                text,
+                "total-timeout",
+                limits.requestTimeoutUs() == 0 ? "with the client" : RouteValidator.ms(limits.requestTimeoutUs()));
+        line(text, "attempts", limits.maxAttempts() + " that may have run");
         line(
                 text,
                 "backoff",
                 limits.backoffUs() == 0
                         ? "none"
-                        : Prover.ms(limits.backoffUs()) + ", doubled each time, up to "
+                        : RouteValidator.ms(limits.backoffUs()) + ", doubled each time, up to "
                                 + Math.round(100 * limits.jitter()) + "% longer");
         line(
                 text,
                 "second copy",
-                limits.copyUs() > 0
-                        ? "after " + Prover.ms(limits.copyUs()) + ", at the latest " + Prover.ms(limits.latestCopyUs())
-                        : limits.copyPercentile() > 0
-                                ? "after the " + limits.copyPercentile() + "th percentile of its answers"
+                limits.hedgeAfterUs() > 0
+                        ? "after " + RouteValidator.ms(limits.hedgeAfterUs()) + ", at the latest "
+                                + RouteValidator.ms(limits.latestCopyUs())
+                        : limits.hedgePercentile() > 0
+                                ? "after the " + limits.hedgePercentile() + "th percentile of its answers"
                                 : "none");
-        line(text, "retry-budget", limits.retryBudget() == 0 ? "none" : limits.retryBudget() + " of first tries");
-        line(text, "concurrency", limits.concurrency() == 0 ? "no limit" : Integer.toString(limits.concurrency()));
-        line(text, "max-body", limits.bodyBytes() == Long.MAX_VALUE ? "any" : limits.bodyBytes() + "B");
-        line(text, "retry-after", limits.retryAfterUs() < 0 ? "as the module says" : Prover.ms(limits.retryAfterUs()));
-        if (limits.attemptUs() > 0) {
+        line(
+                text,
+                "retry-budget",
+                limits.retryBudgetFraction() == 0 ? "none" : limits.retryBudgetFraction() + " of first tries");
+        line(
+                text,
+                "concurrency",
+                limits.maxConcurrency() == 0 ? "no limit" : Integer.toString(limits.maxConcurrency()));
+        line(text, "max-body", limits.maxBodyBytes() == Long.MAX_VALUE ? "any" : limits.maxBodyBytes() + "B");
+        line(
+                text,
+                "retry-after",
+                limits.retryAfterUs() < 0 ? "as the module says" : RouteValidator.ms(limits.retryAfterUs()));
+        if (limits.attemptTimeoutUs() > 0) {
             picture(text, limits);
         }
         return text.toString();
@@ -45,13 +61,13 @@
     }
 
     private static void picture(StringBuilder text, Limits limits) {
-        int shown = Math.min(limits.attempts(), 12);
-        long endUs = limits.latestStartUs(shown) + limits.attemptUs();
+        int shown = Math.min(limits.maxAttempts(), 12);
+        long endUs = limits.latestStartUs(shown) + limits.attemptTimeoutUs();
         text.append("the latest course of its attempts, if none is answered:\n");
         for (int attempt = 1; attempt <= shown; attempt++) {
             long from = limits.latestStartUs(attempt);
             int before = (int) (WIDTH * from / endUs);
-            int bars = Math.max(1, (int) (WIDTH * limits.attemptUs() / endUs));
+            int bars = Math.max(1, (int) (WIDTH * limits.attemptTimeoutUs() / endUs));
             text.append(String.format(
                     Locale.ROOT,
                     "  %2d |%s%s%s| from %s to %s%n",
@@ -59,11 +75,11 @@
                     " ".repeat(before),
                     "=".repeat(bars),
                     " ".repeat(Math.max(0, WIDTH - before - bars)),
-                    Prover.ms(from),
-                    Prover.ms(from + limits.attemptUs())));
+                    RouteValidator.ms(from),
+                    RouteValidator.ms(from + limits.attemptTimeoutUs())));
         }
-        if (limits.attempts() > shown) {
-            text.append("  and ").append(limits.attempts() - shown).append(" more\n");
+        if (limits.maxAttempts() > shown) {
+            text.append("  and ").append(limits.maxAttempts() - shown).append(" more\n");
         }
     }
 }
--- a/src/main/java/vetchpost/routes/FileRoutePolicy.java
+++ b/src/main/java/vetchpost/routes/FileRoutePolicy.java
@@ -14,7 +14,7 @@
 /**
  * The routes of a proved file, with what they count: requests in hand for each route, and a retry budget for
  * each tenant of each, so that no tenant can spend another's. All of it is made when first used; of what was
- * used longest ago and has nothing in hand no more is kept than {@link #MOST_KEPT}, and begins anew when used
+ * used longest ago and has nothing in hand no more is kept than {@link #MAX_TRACKED_STATES}, and begins anew when used
  * again.
  *
  * <p>Another table comes into force at once and for requests from then on: what a route that stays the same
@@ -23,7 +23,7 @@
  */
 public final class FileRoutePolicy implements RoutePolicy {
     /** Routes, and tenants of routes; some 15 MB of each if all were kept. */
-    static final int MOST_KEPT = 65_536;
+    static final int MAX_TRACKED_STATES = 65_536;
 
     private RouteTable table;
     private List<String> classes;
@@ -36,7 +36,7 @@
         protected boolean removeEldestEntry(Map.Entry<Place, State> eldest) {
             // One with requests in hand would lose count of them; it goes on being kept, and is looked at
             // again.
-            return size() > MOST_KEPT && eldest.getValue().inHand == 0;
+            return size() > MAX_TRACKED_STATES && eldest.getValue().inHand == 0;
         }
     };
     private final Map<Slot, Bounds> bounds = new LinkedHashMap<>(16, 0.75f, true) {
@@ -44,7 +44,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Slot, Bounds> eldest) {
-            return size() > MOST_KEPT;
+            return size() > MAX_TRACKED_STATES;
         }
     };
 
@@ -97,14 +97,14 @@
      * @param seed of the jitter
      */
     public FileRoutePolicy(RouteTable table, Settings settings, long seed) {
-        settle(table, settings);
+        replaceTable(table, settings);
         random = new SplittableRandom(seed);
     }
 
     /**
      * Has this table hold for requests from now on, by these classes and tenants; takes no time to speak of.
      */
-    public void settle(RouteTable now, Settings settings) {
+    public void replaceTable(RouteTable now, Settings settings) {
         List<String> names = settings.classes.stream().map(c -> c.name()).toList();
         if (classes != null && !(classes.equals(names) && now.rules().sharesTenants(table.rules()))) {
             // Counts are kept by the places of both.
@@ -171,13 +171,13 @@
         Bounds(State state, Limits limits) {
             this.state = state;
             this.limits = limits;
-            latencies = limits.copyPercentile() == 0 ? null : new LatencyWindow(limits.copyPercentile());
-            budget = limits.retryBudget() == 0 ? null : new RetryBudget(limits.retryBudget());
+            latencies = limits.hedgePercentile() == 0 ? null : new LatencyWindow(limits.hedgePercentile());
+            budget = limits.retryBudgetFraction() == 0 ? null : new RetryBudget(limits.retryBudgetFraction());
         }
 
         @Override
         public int maxAttempts() {
-            return limits.attempts();
+            return limits.maxAttempts();
         }
 
         @Override
@@ -194,7 +194,7 @@
 
         @Override
         public long hedgeDelayUs() {
-            long leastUs = latencies == null ? limits.copyUs() : latencies.percentileUs();
+            long leastUs = latencies == null ? limits.hedgeAfterUs() : latencies.percentileUs();
             return leastUs == 0 ? 0 : (long) (leastUs * (1 + limits.jitter() * random.nextDouble()));
         }
 
@@ -213,22 +213,22 @@
 
         @Override
         public long attemptTimeoutUs() {
-            return limits.attemptUs() == 0 ? Long.MAX_VALUE : limits.attemptUs();
+            return limits.attemptTimeoutUs() == 0 ? Long.MAX_VALUE : limits.attemptTimeoutUs();
         }
 
         @Override
         public long requestTimeoutUs() {
-            return limits.totalUs() == 0 ? Long.MAX_VALUE : limits.totalUs();
+            return limits.requestTimeoutUs() == 0 ? Long.MAX_VALUE : limits.requestTimeoutUs();
         }
 
         @Override
         public long maxBodyBytes() {
-            return limits.bodyBytes();
+            return limits.maxBodyBytes();
         }
 
         @Override
         public boolean tryAcquire() {
-            if (limits.concurrency() > 0 && state.inHand >= limits.concurrency()) {
+            if (limits.maxConcurrency() > 0 && state.inHand >= limits.maxConcurrency()) {
                 return false;
             }
             state.inHand++;
--- a/src/main/java/vetchpost/routes/Limits.java
+++ b/src/main/java/vetchpost/routes/Limits.java
@@ -16,23 +16,23 @@
  * @param retryAfterUs what refusals advise; -1: as the module says
  */
 public record Limits(
-        long attemptUs,
-        long totalUs,
-        int attempts,
+        long attemptTimeoutUs,
+        long requestTimeoutUs,
+        int maxAttempts,
         long backoffUs,
         double jitter,
-        long copyUs,
-        int copyPercentile,
-        double retryBudget,
-        int concurrency,
-        long bodyBytes,
+        long hedgeAfterUs,
+        int hedgePercentile,
+        double retryBudgetFraction,
+        int maxConcurrency,
+        long maxBodyBytes,
         long retryAfterUs) {
 
     /** When the latest attempt of so many could begin, counted from the first, in microseconds. */
     public long latestStartUs(int attempt) {
         double at = 0;
         for (int i = 1; i < attempt; i++) {
-            at += attemptUs + backoffUs(i) * (1 + jitter);
+            at += attemptTimeoutUs + backoffUs(i) * (1 + jitter);
         }
         return (long) Math.ceil(at);
     }
@@ -42,7 +42,7 @@
      * wait.
      */
     public long latestCopyUs() {
-        return (long) Math.ceil(copyUs * (1 + jitter));
+        return (long) Math.ceil(hedgeAfterUs * (1 + jitter));
     }
 
     /** The shortest wait after so many attempts. */
--- a/src/main/java/vetchpost/routes/MatchKey.java
+++ b/src/main/java/vetchpost/routes/MatchKey.java
@@ -1,7 +1,7 @@
 package vetchpost.routes;
 
 import java.util.Arrays;
-import vetchpost.store.Fields;
+import vetchpost.store.FieldCodec;
 
 /**
  * Builds the bytes by which a route is found: its segments, whether it is a prefix, and its tenant, method
@@ -42,7 +42,7 @@
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c >= 0x80) {
-                for (byte b : Fields.utf8(text.substring(i))) {
+                for (byte b : FieldCodec.utf8(text.substring(i))) {
                     escaped(b);
                 }
                 break;
--- a/src/main/java/vetchpost/routes/RouteCodec.java
+++ b/src/main/java/vetchpost/routes/RouteCodec.java
@@ -2,10 +2,10 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import vetchpost.routes.Prover.Key;
+import vetchpost.routes.RouteValidator.Key;
 import vetchpost.routes.Section.Entry;
 import vetchpost.routes.Section.Kind;
-import vetchpost.store.Fields;
+import vetchpost.store.FieldCodec;
 
 /**
  * A route's keys and values as bytes, without its name: in the order of the keys, each with its type, so that
@@ -37,7 +37,7 @@
                 throw new IllegalArgumentException("unknown key '" + key + "'");
             }
         }
-        Fields.Packer packer = new Fields.Packer();
+        FieldCodec.Encoder packer = new FieldCodec.Encoder();
         for (Key key : Key.values()) {
             Entry entry = route.entries().get(key.text());
             if (entry != null) {
@@ -50,7 +50,7 @@
     /** The tenant that a route's bytes name, or null. */
     public static String tenantOf(byte[] route) {
         String[] found = new String[1];
-        Fields.read(route, (number, value) -> {
+        FieldCodec.read(route, (number, value) -> {
             if (number == Key.TENANT.ordinal() && value instanceof String name) {
                 found[0] = name;
             }
@@ -67,7 +67,7 @@
     public static Section section(byte[] bytes, Position at) {
         Map<String, Entry> entries = new LinkedHashMap<>();
         Key[] keys = Key.values();
-        Fields.read(bytes, (number, value) -> {
+        FieldCodec.read(bytes, (number, value) -> {
             if (number >= keys.length) {
                 throw new IllegalArgumentException("key " + number + " of " + keys.length);
             }
--- a/src/main/java/vetchpost/routes/RouteTable.java
+++ b/src/main/java/vetchpost/routes/RouteTable.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import vetchpost.store.Fields;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
+import vetchpost.store.FieldCodec;
 import vetchpost.store.PackedTree;
 import vetchpost.store.PackedTree.Item;
 
@@ -28,11 +28,11 @@
 public final class RouteTable {
     private static final String EVERY = "";
     private static final Position NOWHERE = new Position("", 1, 1);
-    private static final byte[] ROUTES = new Key(Kind.ROUTE, "").bytes();
+    private static final byte[] ROUTES = new EntryKey(EntryKind.ROUTE, "").bytes();
     private static final byte[] PAST_ROUTES = {(byte) (ROUTES[0] + 1)};
 
     /** How limits are made of what a route says, its class and the defaults. */
-    private final Prover rules;
+    private final RouteValidator rules;
 
     private final boolean alone;
     private final Map<String, Route> otherwise;
@@ -53,12 +53,12 @@
     record Match(String cls, Item entry) {}
 
     /** No routes so far but one for each class, by its name. */
-    RouteTable(Prover rules, boolean alone, Map<String, Route> otherwise) {
+    RouteTable(RouteValidator rules, boolean alone, Map<String, Route> otherwise) {
         this(rules, alone, otherwise, PackedTree.EMPTY, PackedTree.EMPTY, Map.of(), 0);
     }
 
     private RouteTable(
-            Prover rules,
+            RouteValidator rules,
             boolean alone,
             Map<String, Route> otherwise,
             PackedTree entries,
@@ -82,7 +82,7 @@
     /**
      * The same routes, read from a tree that holds the same entries of theirs, so that they are kept once.
      */
-    public RouteTable over(PackedTree same) {
+    public RouteTable backedBy(PackedTree same) {
         return new RouteTable(rules, alone, otherwise, same, matches, counts, routes);
     }
 
@@ -91,7 +91,7 @@
         return rules == other.rules;
     }
 
-    Prover rules() {
+    RouteValidator rules() {
         return rules;
     }
 
@@ -120,7 +120,7 @@
     }
 
     private static byte[] keyOf(String name) {
-        return new Key(Kind.ROUTE, name).bytes();
+        return new EntryKey(EntryKind.ROUTE, name).bytes();
     }
 
     /** Whether a route or a class has this name. */
@@ -139,7 +139,7 @@
         for (String cls : classes) {
             Item item = matches.get(bytes(key, cls));
             if (item != null) {
-                return Fields.text(item.value());
+                return FieldCodec.text(item.value());
             }
         }
         return null;
@@ -167,7 +167,7 @@
 
     /** With one more route, which has been proved, from that version on. */
     RouteTable with(String name, RouteKey key, byte[] route, long version) {
-        byte[] text = Fields.utf8(name);
+        byte[] text = FieldCodec.utf8(name);
         return new RouteTable(
                 rules,
                 alone,
@@ -193,7 +193,7 @@
     private RouteTable without(String name, PackedTree live) {
         Item item = entries.get(keyOf(name));
         if (item == null) {
-            return live == null ? this : over(live);
+            return live == null ? this : backedBy(live);
         }
         RouteKey key = keyOf(item);
         byte[] match = bytes(key, key.cls());
@@ -219,7 +219,7 @@
      * @param live all entries, this one among them as it is now
      * @throws IllegalArgumentException if these bytes are no route's
      */
-    public RouteTable settled(String name, byte[] route, PackedTree live) {
+    public RouteTable withRoute(String name, byte[] route, PackedTree live) {
         RouteTable without = without(name, live);
         if (route == null) {
             return without;
@@ -230,20 +230,20 @@
                 alone,
                 otherwise,
                 live,
-                without.matches.put(bytes(key, key.cls()), Fields.utf8(name), 0),
+                without.matches.put(bytes(key, key.cls()), FieldCodec.utf8(name), 0),
                 without.counted(key.cls(), 1),
                 without.routes + 1);
     }
 
     /** With a route that is among the entries already, and not found yet. */
-    public RouteTable taken(String name, byte[] route) {
+    public RouteTable withoutRoute(String name, byte[] route) {
         RouteKey key = keyOf(RouteCodec.section(route, NOWHERE));
         return new RouteTable(
                 rules,
                 alone,
                 otherwise,
                 entries,
-                matches.put(bytes(key, key.cls()), Fields.utf8(name), 0),
+                matches.put(bytes(key, key.cls()), FieldCodec.utf8(name), 0),
                 counted(key.cls(), 1),
                 routes + 1);
     }
@@ -297,7 +297,7 @@
         return match.entry() == null
                 ? otherwise.get(match.cls())
                 : rules.route(
-                        Key.of(match.entry().key()).name(),
+                        EntryKey.of(match.entry().key()).name(),
                         match.cls(),
                         RouteCodec.section(match.entry().value(), NOWHERE));
     }
@@ -412,8 +412,8 @@
                     return classes.next();
                 }
                 Item item = next;
-                next = ceiling(PackedTree.after(item.key()));
-                return Map.entry(Key.of(item.key()).name(), first(item));
+                next = ceiling(PackedTree.successor(item.key()));
+                return Map.entry(EntryKey.of(item.key()).name(), first(item));
             }
         };
     }
--- a/src/main/java/vetchpost/routes/Proof.java
+++ b/src/main/java/vetchpost/routes/RouteValidation.java
@@ -11,17 +11,18 @@
  * @param part of the fleet that a node is to keep to; null for all of it
  * @param violations every one, in the order of the file
  */
-public record Proof(RouteTable table, Map<String, Route> routes, Part part, List<Violation> violations) {
+public record RouteValidation(
+        RouteTable table, Map<String, Route> routes, FleetSubset fleetSubset, List<Violation> violations) {
     /**
      * The part of a fleet that one node sends to.
      *
      * @param node its number, from 0
      * @param subset how many servers it has at least
      */
-    public record Part(int node, int subset) {}
+    public record FleetSubset(int node, int subset) {}
 
     /** Whether the file may be used. */
-    public boolean holds() {
+    public boolean isValid() {
         return violations.isEmpty();
     }
 }
--- a/src/main/java/vetchpost/routes/Prover.java
+++ b/src/main/java/vetchpost/routes/RouteValidator.java
@@ -15,17 +15,17 @@
 import vetchpost.routes.Section.Entry;
 import vetchpost.routes.Section.Kind;
 import vetchpost.routes.Violation.Rule;
-import vetchpost.store.Change;
+import vetchpost.store.EntryChange;
 
 /**
  * Proves the operator's file against the four rules before the first request, as a compiler would, and makes
  * the table of routes of it. It returns every violation, and does no I/O.
  */
-public final class Prover {
+public final class RouteValidator {
     /** Between planning a repeat and its first byte at a server: a turn of the loop, a connect, the way. */
     static final long MARGIN_US = 25_000;
 
-    static final int MOST_BODY = 64 * 1024;
+    static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MOST_ROUTES = 1_000_000;
     private static final int MOST_ATTEMPTS = 100;
     private static final int MOST_NAME = 1_024;
@@ -99,7 +99,7 @@
     private Map<Key, Figure> defaults = Map.of();
     private final Map<String, Map<Key, Figure>> byClass = new HashMap<>();
 
-    private Proof.Part part;
+    private RouteValidation.FleetSubset part;
     private RouteTable table;
     /** Of routes that are not the same as in the table before; those have theirs. */
     private long version;
@@ -111,7 +111,7 @@
     /** A value that has been read, and where it stands. */
     private record Figure(double value, Position at) {}
 
-    private Prover(Settings settings, boolean checking, boolean alone, TenantNames tenants) {
+    private RouteValidator(Settings settings, boolean checking, boolean alone, TenantNames tenants) {
         this.settings = settings;
         this.checking = checking;
         this.alone = alone;
@@ -129,23 +129,23 @@
         Iterable<String> all();
     }
 
-    private Prover(Settings settings, boolean checking, boolean alone) {
+    private RouteValidator(Settings settings, boolean checking, boolean alone) {
         this(settings, checking, alone, new TenantNames(settings.tenants));
     }
 
     /** Proves a file by the platform's settings. */
-    public static Proof prove(List<Section> file, Settings settings) {
-        return new Prover(settings, true, false).prove(file);
+    public static RouteValidation validate(List<Section> file, Settings settings) {
+        return new RouteValidator(settings, true, false).validate(file);
     }
 
     /** Proves the file of a node without a platform, by the settings that the same file comes to. */
-    public static Proof proveAlone(List<Section> file, Settings settings) {
-        return new Prover(settings, true, true).prove(file);
+    public static RouteValidation validateStandalone(List<Section> file, Settings settings) {
+        return new RouteValidator(settings, true, true).validate(file);
     }
 
     /** The same without the rules that need proof, to see in a test what they are for. */
-    static Proof believe(List<Section> file, Settings settings) {
-        return new Prover(settings, false, false).prove(file);
+    static RouteValidation believe(List<Section> file, Settings settings) {
+        return new RouteValidator(settings, false, false).validate(file);
     }
 
     /**
@@ -156,17 +156,17 @@
      * @param before what held before: routes that are the same keep their versions; null for nothing
      * @param version of the others
      */
-    public static Prover begin(
+    public static RouteValidator begin(
             List<Section> others, Settings settings, boolean alone, RouteTable before, long version) {
         return begin(others, settings, alone, before, version, null);
     }
 
     /** The same with other tenants than the settings'; null for those. */
-    public static Prover begin(
+    public static RouteValidator begin(
             List<Section> others, Settings settings, boolean alone, RouteTable before, long version, Tenants tenants) {
-        Prover prover = before != null && before.rules().settings == settings
-                ? new Prover(settings, true, alone, before.rules().tenants)
-                : new Prover(settings, true, alone);
+        RouteValidator prover = before != null && before.rules().settings == settings
+                ? new RouteValidator(settings, true, alone, before.rules().tenants)
+                : new RouteValidator(settings, true, alone);
         prover.known = tenants == null ? prover.tenants : tenants;
         prover.before = before;
         prover.version = version;
@@ -180,7 +180,7 @@
      * @param section what it says from then on, its name too if it has one; null if it goes
      * @param at where messages say that this stands
      */
-    public record RouteChange(Change.Op op, String name, Section section, Position at) {}
+    public record RouteChange(EntryChange.Op op, String name, Section section, Position at) {}
 
     /**
      * Proves changes by what they can break, which is their routes and those of the same name or match, and
@@ -189,13 +189,13 @@
      * @param version that the changes have
      * @return a table with all of them, or what they violate
      */
-    public static Proof change(RouteTable base, List<RouteChange> changes, long version) {
-        return change(base, changes, version, base.rules().tenants);
+    public static RouteValidation validateChanges(RouteTable base, List<RouteChange> changes, long version) {
+        return validateChanges(base, changes, version, base.rules().tenants);
     }
 
     /** The same routes, with what these tables say for all and for classes, which was proved elsewhere. */
-    public static RouteTable by(RouteTable table, List<Section> limits) {
-        Prover prover = table.rules().unchecked();
+    public static RouteTable withLimits(RouteTable table, List<Section> limits) {
+        RouteValidator prover = table.rules().unchecked();
         prover.defaults = Map.of();
         prover.byClass.clear();
         prover.before = table;
@@ -204,9 +204,10 @@
     }
 
     /** The same with other tenants than the settings'. */
-    public static Proof change(RouteTable base, List<RouteChange> changes, long version, Tenants tenants) {
-        Prover rules = base.rules();
-        Prover prover = new Prover(rules.settings, true, rules.alone, rules.tenants);
+    public static RouteValidation validateChanges(
+            RouteTable base, List<RouteChange> changes, long version, Tenants tenants) {
+        RouteValidator rules = base.rules();
+        RouteValidator prover = new RouteValidator(rules.settings, true, rules.alone, rules.tenants);
         prover.known = tenants;
         prover.defaults = rules.defaults;
         prover.byClass.putAll(rules.byClass);
@@ -215,14 +216,14 @@
         // What goes makes room first, wherever in the batch it is told.
         for (RouteChange change : changes) {
             boolean there = base.isNamed(change.name());
-            if (change.op() != Change.Op.PUT && !there) {
+            if (change.op() != EntryChange.Op.PUT && !there) {
                 prover.violated(
                         change.at(),
                         "route " + change.name(),
                         Rule.UNKNOWN_ENTRY,
                         "there is no route of this name",
                         "a put");
-            } else if (change.op() != Change.Op.PUT) {
+            } else if (change.op() != EntryChange.Op.PUT) {
                 prover.table = prover.table.without(change.name());
             }
         }
@@ -235,15 +236,15 @@
     }
 
     /** These limits with no more proof, for a table to read its routes by. */
-    private Prover unchecked() {
-        Prover reader = new Prover(settings, false, alone, tenants);
+    private RouteValidator unchecked() {
+        RouteValidator reader = new RouteValidator(settings, false, alone, tenants);
         reader.defaults = defaults;
         reader.byClass.putAll(byClass);
         return reader;
     }
 
     /** Whether tenants have the same places by both. */
-    boolean sharesTenants(Prover other) {
+    boolean sharesTenants(RouteValidator other) {
         return tenants == other.tenants || settings.tenants.equals(other.settings.tenants);
     }
 
@@ -257,7 +258,7 @@
         }
     }
 
-    private Proof prove(List<Section> file) {
+    private RouteValidation validate(List<Section> file) {
         general(file);
         for (Section section : file) {
             if (section.kind() == Kind.ROUTE) {
@@ -279,7 +280,7 @@
                                 section.name(),
                                 Rule.UNKNOWN_CLASS,
                                 "there is no class '" + section.name() + "'",
-                                Near.of(section.name(), classes.keySet()));
+                                ClosestMatch.of(section.name(), classes.keySet()));
                     }
                     byClass.put(section.name(), figures(section));
                     classSections.put(section.name(), section);
@@ -291,7 +292,7 @@
                             "",
                             Rule.UNKNOWN_TABLE,
                             "'" + section.name() + "' is no table of this file",
-                            Near.of(
+                            ClosestMatch.of(
                                     section.name(),
                                     List.of(
                                             "node",
@@ -330,7 +331,7 @@
     }
 
     /** Whether all routes that say the same have the same limits by both. */
-    private boolean holdsAsIn(Prover other) {
+    private boolean holdsAsIn(RouteValidator other) {
         return alone == other.alone
                 && settings.maxAttempts == other.settings.maxAttempts
                 && settings.classes.equals(other.settings.classes)
@@ -360,26 +361,31 @@
     }
 
     /** What all comes to, with every violation in the order of the file. */
-    public Proof end() {
+    public RouteValidation end() {
         if (routes > MOST_ROUTES) {
             violated(last, "", Rule.OUT_OF_RANGE, routes + " routes", MOST_ROUTES + "");
         }
-        violations.sort(Comparator.comparingInt((Violation v) -> v.at().line()).thenComparingInt(v -> v.at().column()));
-        return new Proof(violations.isEmpty() ? table : null, table.all(), part, List.copyOf(violations));
+        violations.sort(Comparator.comparingInt((Violation v) -> v.position().line())
+                .thenComparingInt(v -> v.position().column()));
+        return new RouteValidation(violations.isEmpty() ? table : null, table.all(), part, List.copyOf(violations));
     }
 
     // ---------------------------------------------------------------- the part of the fleet
 
-    private Proof.Part part(Section section) {
+    private RouteValidation.FleetSubset part(Section section) {
         section.entries().forEach((text, entry) -> {
             if (!FLEET_KEYS.contains(text)) {
                 violated(
-                        entry.at(), "fleet", Rule.UNKNOWN_KEY, "unknown key '" + text + "'", Near.of(text, FLEET_KEYS));
+                        entry.at(),
+                        "fleet",
+                        Rule.UNKNOWN_KEY,
+                        "unknown key '" + text + "'",
+                        ClosestMatch.of(text, FLEET_KEYS));
             }
         });
         int node = figure(section, "node", 0, settings.nodes - 1);
         int subset = figure(section, "subset", 1, MOST_SERVERS);
-        return node < 0 || subset < 0 ? null : new Proof.Part(node, subset);
+        return node < 0 || subset < 0 ? null : new RouteValidation.FleetSubset(node, subset);
     }
 
     /** A whole number that must be there, or -1. */
@@ -449,7 +455,7 @@
                     label,
                     Rule.UNKNOWN_CLASS,
                     "there is no class '" + cls + "'",
-                    Near.of(cls, classes.keySet()));
+                    ClosestMatch.of(cls, classes.keySet()));
             return;
         }
         if (!alone && segments != null && !segments.get(0).equals(cls)) {
@@ -599,7 +605,7 @@
                     label,
                     Rule.UNKNOWN_TENANT,
                     "there is no tenant '" + tenant + "'",
-                    Near.of(tenant, known.all()));
+                    ClosestMatch.of(tenant, known.all()));
             return null;
         }
         return tenant;
@@ -635,7 +641,7 @@
                         section.name(),
                         Rule.UNKNOWN_KEY,
                         "unknown key '" + text + "'",
-                        Near.of(text, keys(section.kind())));
+                        ClosestMatch.of(text, keys(section.kind())));
             } else if (key.isLimit()) {
                 Double value = figure(key, entry, section.name());
                 if (value != null) {
@@ -715,7 +721,7 @@
                     case "MiB" -> 1_048_576.0;
                     default -> 1_073_741_824.0;
                 };
-        if (bytes > MOST_BODY && !alone) {
+        if (bytes > MAX_BODY_BYTES && !alone) {
             violated(entry.at(), route, Rule.OUT_OF_RANGE, key.text() + " is over what a node takes", "\"64KiB\"");
             return null;
         }
@@ -782,7 +788,7 @@
                 (int) value(own, Key.COPY_PERCENTILE, 0),
                 value(own, Key.RETRY_BUDGET, 0),
                 (int) value(own, Key.CONCURRENCY, 0),
-                (long) value(own, Key.MAX_BODY, alone ? Long.MAX_VALUE : MOST_BODY),
+                (long) value(own, Key.MAX_BODY, alone ? Long.MAX_VALUE : MAX_BODY_BYTES),
                 (long) value(own, Key.RETRY_AFTER, -1));
         if (!checking) {
             return limits;
@@ -848,7 +854,7 @@
             }
         }
         copies(cls, own, limits, route, wholeUs);
-        if (own.containsKey(Key.CONCURRENCY) && limits.concurrency() == 0) {
+        if (own.containsKey(Key.CONCURRENCY) && limits.maxConcurrency() == 0) {
             violated(
                     own.get(Key.CONCURRENCY).at(),
                     route,
@@ -856,7 +862,7 @@
                     "concurrency is 0",
                     "concurrency = 1 or more, or none said");
         }
-        if (cls.idempotency() != Idempotency.SAFE && limits.bodyBytes() == 0) {
+        if (cls.idempotency() != Idempotency.SAFE && limits.maxBodyBytes() == 0) {
             violated(
                     own.get(Key.MAX_BODY).at(),
                     route,
@@ -878,11 +884,11 @@
     }
 
     private void copies(RequestClass cls, Map<Key, Figure> own, Limits limits, String route, long wholeUs) {
-        if (limits.copyUs() == 0 && limits.copyPercentile() == 0) {
+        if (limits.hedgeAfterUs() == 0 && limits.hedgePercentile() == 0) {
             return;
         }
         Position at = at(own, Key.COPY_AFTER, Key.COPY_PERCENTILE);
-        if (limits.copyUs() > 0 && limits.copyPercentile() > 0) {
+        if (limits.hedgeAfterUs() > 0 && limits.hedgePercentile() > 0) {
             violated(at, route, Rule.SCHEDULE, "copy-after and copy-percentile both say when", "one of them");
         }
         if (!settings.allowsHedging) {
@@ -895,7 +901,7 @@
                     Rule.UNSAFE_AGAIN,
                     "a second copy of " + cls.name() + ", which must never run " + "twice",
                     "no copy-after");
-        } else if (limits.attempts() < 2) {
+        } else if (limits.maxAttempts() < 2) {
             violated(at, route, Rule.SCHEDULE, "a second copy is a second attempt, and attempts is 1", "attempts = 2");
         }
         long latestUs = limits.latestCopyUs();
--- a/src/main/java/vetchpost/routes/SectionReader.java
+++ b/src/main/java/vetchpost/routes/SectionReader.java
@@ -45,16 +45,16 @@
     }
 
     /** Adds a violation at the key, or at the table if the key is not there. */
-    public void violated(String key, Rule rule, String what, String fits) {
+    public void addViolation(String key, Rule rule, String what, String fits) {
         violations.add(new Violation(at(key), label, rule, what, fits));
     }
 
     /** Names all keys that are none of these. */
-    public void knows(List<String> keys) {
+    public void rejectUnknownKeys(List<String> keys) {
         section.entries().forEach((key, entry) -> {
             if (!keys.contains(key)) {
                 violations.add(new Violation(
-                        entry.at(), label, Rule.UNKNOWN_KEY, "unknown key '" + key + "'", Near.of(key, keys)));
+                        entry.at(), label, Rule.UNKNOWN_KEY, "unknown key '" + key + "'", ClosestMatch.of(key, keys)));
             }
         });
     }
@@ -70,7 +70,7 @@
     }
 
     private void wrong(String key, String what, String fits) {
-        violated(key, Rule.WRONG_UNIT, key + " = " + shown(value(key)) + " is " + what, key + " = " + fits);
+        addViolation(key, Rule.WRONG_UNIT, key + " = " + shown(value(key)) + " is " + what, key + " = " + fits);
     }
 
     /** A text that is not empty. */
@@ -87,12 +87,12 @@
     }
 
     /** One of these words. */
-    public String word(String key, String otherwise, List<String> words) {
+    public String choice(String key, String otherwise, List<String> words) {
         String text = text(key, otherwise);
         if (words.contains(text)) {
             return text;
         }
-        violated(key, Rule.OUT_OF_RANGE, key + " = \"" + text + "\"", Near.of(text, words));
+        addViolation(key, Rule.OUT_OF_RANGE, key + " = \"" + text + "\"", ClosestMatch.of(text, words));
         return otherwise;
     }
 
@@ -128,7 +128,7 @@
     }
 
     /** A whole number within these bounds. */
-    public int whole(String key, int otherwise, int least, int most) {
+    public int integer(String key, int otherwise, int least, int most) {
         Object value = value(key);
         if (value == null) {
             return otherwise;
@@ -138,7 +138,7 @@
             return otherwise;
         }
         if (number < least || number > most) {
-            violated(key, Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
+            addViolation(key, Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
             return otherwise;
         }
         return number.intValue();
@@ -155,7 +155,7 @@
             return otherwise;
         }
         if (!(number.doubleValue() >= least && number.doubleValue() <= most)) {
-            violated(key, Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
+            addViolation(key, Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
             return otherwise;
         }
         return number.doubleValue();
@@ -181,11 +181,11 @@
                     default -> 3_600e6;
                 };
         if (us < leastUs || us > mostUs) {
-            violated(
+            addViolation(
                     key,
                     Rule.OUT_OF_RANGE,
                     key + " = " + shown(value),
-                    "from " + time(leastUs) + " to " + time(mostUs));
+                    "from " + formatDuration(leastUs) + " to " + formatDuration(mostUs));
             return otherwiseUs;
         }
         return (long) us;
@@ -210,14 +210,15 @@
                     default -> (long) KIB * KIB * KIB;
                 };
         if (bytes < least || bytes > most) {
-            violated(key, Rule.OUT_OF_RANGE, key + " = " + shown(value), "from " + size(least) + " to " + size(most));
+            addViolation(
+                    key, Rule.OUT_OF_RANGE, key + " = " + shown(value), "from " + size(least) + " to " + size(most));
             return otherwise;
         }
         return bytes;
     }
 
     /** A length of time as a file would have it. */
-    public static String time(long us) {
+    public static String formatDuration(long us) {
         return us != 0 && us % 3_600_000_000L == 0
                 ? us / 3_600_000_000L + "h"
                 : us % 1_000_000 == 0 ? us / 1_000_000 + "s" : us % 1_000 == 0 ? us / 1_000 + "ms" : us + "us";
--- a/src/main/java/vetchpost/routes/TenantNames.java
+++ b/src/main/java/vetchpost/routes/TenantNames.java
@@ -7,7 +7,7 @@
 import vetchpost.decision.Balancer.Tenant;
 
 /** Finds tenants by name among any number, for four bytes each. */
-final class TenantNames implements Prover.Tenants {
+final class TenantNames implements RouteValidator.Tenants {
     private final List<Tenant> tenants;
     /** Their indexes, by the order of their names. */
     private final int[] ordered;
--- a/src/main/java/vetchpost/routes/Violation.java
+++ b/src/main/java/vetchpost/routes/Violation.java
@@ -7,7 +7,7 @@
  * @param what is wrong
  * @param fits what would pass, or empty
  */
-public record Violation(Position at, String route, Rule rule, String what, String fits) {
+public record Violation(Position position, String route, Rule rule, String problem, String accepted) {
 
     /** The rules that a file can break. */
     public enum Rule {
@@ -48,8 +48,8 @@
 
     @Override
     public String toString() {
-        return at + ": " + (route.isEmpty() ? "" : route + ": ") + what + " ["
+        return position + ": " + (route.isEmpty() ? "" : route + ": ") + problem + " ["
                 + rule + ": " + rule.words() + "]"
-                + (fits.isEmpty() ? "" : "; " + fits + " would pass");
+                + (accepted.isEmpty() ? "" : "; " + accepted + " would pass");
     }
 }
--- a/src/main/java/vetchpost/routes/file/FileIndex.java
+++ b/src/main/java/vetchpost/routes/file/FileIndex.java
@@ -16,7 +16,7 @@
 import vetchpost.routes.Section;
 import vetchpost.routes.Section.Kind;
 import vetchpost.routes.Violation;
-import vetchpost.store.Fields;
+import vetchpost.store.FieldCodec;
 import vetchpost.store.PackedTree;
 
 /**
@@ -48,12 +48,13 @@
      * @param index of the file as it is now
      * @param violations what keeps the fresh ones from being TOML
      */
-    public record Difference(List<Section> fresh, List<String> gone, FileIndex index, List<Violation> violations) {}
+    public record Difference(
+            List<Section> changedRoutes, List<String> removedRoutes, FileIndex index, List<Violation> violations) {}
 
     /** Takes a file's tables; routes come after all others. */
     public interface Tables {
         /** All that are no routes. */
-        void others(List<Section> sections);
+        void otherSections(List<Section> sections);
 
         /** A route. */
         void route(Section section);
@@ -71,8 +72,8 @@
     }
 
     private static void cut(Path file, BlockReader.Sink sink) throws IOException, BlockReader.Whole {
-        if (Files.size(file) > RouteFile.MOST_BYTES) {
-            throw new IOException(file + " is over " + (RouteFile.MOST_BYTES >> 20) + " MiB");
+        if (Files.size(file) > RouteFile.MAX_BYTES) {
+            throw new IOException(file + " is over " + (RouteFile.MAX_BYTES >> 20) + " MiB");
         }
         try (Reader in = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
             RouteFile.blocks(sink).read(in);
@@ -96,7 +97,7 @@
             // Nothing was told so far: routes come last, and all blocks are looked at before.
             RouteFile whole = RouteFile.read(file);
             whole.violations().forEach(violations);
-            into.others(whole.sections().stream()
+            into.otherSections(whole.sections().stream()
                     .filter(s -> s.kind() != Kind.ROUTE)
                     .toList());
             whole.sections().stream().filter(s -> s.kind() == Kind.ROUTE).forEach(into::route);
@@ -122,7 +123,7 @@
             others.addAll(one.sections());
         });
         if (!bad[0]) {
-            into.others(others);
+            into.otherSections(others);
         }
         PackedTree[] index = {PackedTree.EMPTY};
         boolean[] twice = new boolean[1];
@@ -141,7 +142,7 @@
                 byte[] hash = hash(text);
                 String known = RouteCodec.nameOf(section);
                 twice[0] |= known == null || index[0].get(hash) != null;
-                index[0] = index[0].put(hash, known == null ? NOTHING : Fields.utf8(known), 0);
+                index[0] = index[0].put(hash, known == null ? NOTHING : FieldCodec.utf8(known), 0);
             }
         });
         if (sums[0] != sums[2] || sums[1] != sums[3]) {
@@ -156,7 +157,7 @@
      * @return null if something else may have changed too, so that all of it has to be read
      * @throws IOException if it can't be read
      */
-    public Difference again(Path file) throws IOException {
+    public Difference reread(Path file) throws IOException {
         List<Section> fresh = new ArrayList<>();
         List<Violation> violations = new ArrayList<>();
         HashSet64 seen = new HashSet64();
@@ -195,15 +196,15 @@
         if (known[0] != routes.size()) {
             for (PackedTree.Item item = routes.ceiling(NOTHING);
                     item != null;
-                    item = routes.ceiling(PackedTree.after(item.key()))) {
+                    item = routes.ceiling(PackedTree.successor(item.key()))) {
                 if (!seen.contains(ByteBuffer.wrap(item.key()).getLong())) {
-                    gone.add(Fields.text(item.value()));
+                    gone.add(FieldCodec.text(item.value()));
                     now = now.remove(item.key());
                 }
             }
         }
         for (Map.Entry<String, byte[]> each : added.entrySet()) {
-            now = now.put(each.getValue(), Fields.utf8(each.getKey()), 0);
+            now = now.put(each.getValue(), FieldCodec.utf8(each.getKey()), 0);
         }
         return new Difference(fresh, gone, new FileIndex(now, others), violations);
     }
--- a/src/main/java/vetchpost/routes/file/RouteFile.java
+++ b/src/main/java/vetchpost/routes/file/RouteFile.java
@@ -26,7 +26,7 @@
  */
 public record RouteFile(List<Section> sections, List<Violation> violations) {
     /** 220,000 routes and 420,000 tenants take some 50 MiB. */
-    static final long MOST_BYTES = 256L << 20;
+    static final long MAX_BYTES = 256L << 20;
 
     private static final Map<String, Kind> TABLES = Map.ofEntries(
             Map.entry("defaults", Kind.DEFAULTS),
@@ -51,8 +51,8 @@
      * @throws IOException if it can't be read, or is larger than any such file
      */
     public static RouteFile read(Path path) throws IOException {
-        if (Files.size(path) > MOST_BYTES) {
-            throw new IOException(path + " is over " + (MOST_BYTES >> 20) + " MiB");
+        if (Files.size(path) > MAX_BYTES) {
+            throw new IOException(path + " is over " + (MAX_BYTES >> 20) + " MiB");
         }
         return parse(path.toString(), Files.readString(path));
     }
--- a/src/main/java/vetchpost/simulation/Guarded.java
+++ b/src/main/java/vetchpost/simulation/AdmissionControlledNodes.java
@@ -12,7 +12,7 @@
 import vetchpost.simulation.world.NodeProcess;
 
 /** The same nodes, with the door in service before each. */
-record Guarded(NodeProcess.Planting inner) implements NodeProcess.Planting {
+record AdmissionControlledNodes(NodeProcess.Setup inner) implements NodeProcess.Setup {
     @Override
     public AdmissionControl admission(Settings settings, long seed) {
         return new FairAdmission(AdmissionValidator.defaults(settings), settings, seed);
@@ -29,8 +29,8 @@
     }
 
     @Override
-    public int subset() {
-        return inner.subset();
+    public int subsetSize() {
+        return inner.subsetSize();
     }
 
     @Override
@@ -39,12 +39,12 @@
     }
 
     @Override
-    public boolean isUnlisted(int number, int start) {
-        return inner.isUnlisted(number, start);
+    public boolean startsWithoutList(int number, int start) {
+        return inner.startsWithoutList(number, start);
     }
 
     @Override
-    public void opened(Channel channel) {
-        inner.opened(channel);
+    public void connectionOpened(Channel channel) {
+        inner.connectionOpened(channel);
     }
 }
--- a/src/main/java/vetchpost/simulation/Fault.java
+++ b/src/main/java/vetchpost/simulation/Fault.java
@@ -10,7 +10,7 @@
  * @param forMs for how long, where it ends by itself
  * @param amount a part of what passes, a count or a factor, by kind
  */
-public record Fault(long atMs, Kind kind, int target, long forMs, double amount) {
+public record Fault(long atMs, Kind kind, int target, long durationMs, double amount) {
 
     /** What can go wrong. The words are those of the script form. */
     public enum Kind {
@@ -79,6 +79,12 @@
     @Override
     public String toString() {
         return String.format(
-                Locale.ROOT, "at %.3fs %s %d for %.3fs amount %s", atMs / 1e3, kind.words, target, forMs / 1e3, amount);
+                Locale.ROOT,
+                "at %.3fs %s %d for %.3fs amount %s",
+                atMs / 1e3,
+                kind.words,
+                target,
+                durationMs / 1e3,
+                amount);
     }
 }
--- a/src/main/java/vetchpost/simulation/Faults.java
+++ b/src/main/java/vetchpost/simulation/LoggedFaults.java
@@ -11,8 +11,8 @@
  * Hears what the node and Netty log as gone wrong, on the thread of one run: an exception that ends in a log
  * is a fault of the node. All logging of a run stays off the terminal.
  */
-final class Faults implements AutoCloseable {
-    private static final ThreadLocal<Faults> CURRENT = new ThreadLocal<>();
+final class LoggedFaults implements AutoCloseable {
+    private static final ThreadLocal<LoggedFaults> CURRENT = new ThreadLocal<>();
     /** Strong references: loggers that nobody holds lose their settings. */
     private static final Logger[] LOGGERS = {Logger.getLogger("vetchpost"), Logger.getLogger("io.netty")};
 
@@ -28,7 +28,7 @@
     private static final class Ear extends Handler {
         @Override
         public void publish(LogRecord record) {
-            Faults faults = CURRENT.get();
+            LoggedFaults faults = CURRENT.get();
             if (faults != null && faults.first == null && isFault(record)) {
                 faults.first = record.getLoggerName() + ": " + record.getMessage() + ": " + record.getThrown();
             }
@@ -49,14 +49,14 @@
         }
     }
 
-    private Faults() {}
+    private LoggedFaults() {}
 
     /** Watches this thread until closed. */
-    static Faults watch() {
+    static LoggedFaults watch() {
         for (Logger logger : LOGGERS) {
             logger.setUseParentHandlers(false);
         }
-        Faults faults = new Faults();
+        LoggedFaults faults = new LoggedFaults();
         CURRENT.set(faults);
         return faults;
     }
--- a/src/main/java/vetchpost/simulation/Plan.java
+++ b/src/main/java/vetchpost/simulation/Plan.java
@@ -26,15 +26,15 @@
 public record Plan(
         long seed,
         int nodes,
-        int boxes,
+        int servers,
         int racks,
         boolean pushed,
         double rate,
-        long lengthMs,
+        long durationMs,
         double workMs,
         int slots,
         List<Fault> faults,
-        BitSet only) {
+        BitSet onlyRequests) {
 
     private static final Comparator<Fault> BY_TIME = Comparator.comparingLong(Fault::atMs);
 
@@ -210,11 +210,11 @@
 
     /** The same with these faults. */
     public Plan withFaults(List<Fault> fewer) {
-        return new Plan(seed, nodes, boxes, racks, pushed, rate, lengthMs, workMs, slots, fewer, only);
+        return new Plan(seed, nodes, servers, racks, pushed, rate, durationMs, workMs, slots, fewer, onlyRequests);
     }
 
     /** The same with these requests only. */
     public Plan withOnly(BitSet fewer) {
-        return new Plan(seed, nodes, boxes, racks, pushed, rate, lengthMs, workMs, slots, faults, fewer);
+        return new Plan(seed, nodes, servers, racks, pushed, rate, durationMs, workMs, slots, faults, fewer);
     }
 }
--- a/src/main/java/vetchpost/simulation/PlanText.java
+++ b/src/main/java/vetchpost/simulation/PlanText.java
@@ -106,14 +106,14 @@
         private void take(Plan plan) {
             seed = plan.seed();
             nodes = plan.nodes();
-            boxes = plan.boxes();
+            boxes = plan.servers();
             racks = plan.racks();
             pushed = plan.pushed();
             rate = plan.rate();
-            lengthMs = plan.lengthMs();
+            lengthMs = plan.durationMs();
             workMs = plan.workMs();
             slots = plan.slots();
-            only = plan.only();
+            only = plan.onlyRequests();
         }
 
         Plan plan(List<Fault> faults) {
@@ -191,7 +191,7 @@
                 .append("\nnodes ")
                 .append(plan.nodes())
                 .append("\nboxes ")
-                .append(plan.boxes())
+                .append(plan.servers())
                 .append("\nracks ")
                 .append(plan.racks())
                 .append("\nlist ")
@@ -199,18 +199,18 @@
                 .append("\nrate ")
                 .append(decimal(plan.rate()))
                 .append("\nseconds ")
-                .append(decimal(plan.lengthMs() / 1e3))
+                .append(decimal(plan.durationMs() / 1e3))
                 .append("\nwork ")
                 .append(decimal(plan.workMs()))
                 .append("\nslots ")
                 .append(plan.slots())
                 .append('\n');
-        if (plan.only() != null) {
+        if (plan.onlyRequests() != null) {
             text.append("only ")
                     .append(
-                            plan.only().isEmpty()
+                            plan.onlyRequests().isEmpty()
                                     ? "none"
-                                    : plan.only().stream()
+                                    : plan.onlyRequests().stream()
                                             .mapToObj(Integer::toString)
                                             .collect(Collectors.joining(",")))
                     .append('\n');
@@ -223,7 +223,7 @@
                     .append(' ')
                     .append(fault.target())
                     .append(" for ")
-                    .append(decimal(fault.forMs() / 1e3))
+                    .append(decimal(fault.durationMs() / 1e3))
                     .append("s amount ")
                     .append(decimal(fault.amount()))
                     .append('\n');
--- a/src/main/java/vetchpost/simulation/Result.java
+++ b/src/main/java/vetchpost/simulation/Result.java
@@ -24,17 +24,17 @@
 public record Result(
         long seed,
         Violation violation,
-        List<String> before,
+        List<String> precedingEvents,
         String digest,
         long events,
         long simulatedNs,
-        int tried,
+        int requestsSent,
         int wants,
         int served,
         int late,
-        int refused,
+        int rejected,
         int attempts,
-        int repeats,
+        int retries,
         Map<Fault.Kind, Integer> faults) {
 
     /** Whether no rule was broken. */
--- a/src/main/java/vetchpost/simulation/SeedRuns.java
+++ b/src/main/java/vetchpost/simulation/SeedRuns.java
@@ -83,12 +83,12 @@
     private synchronized void add(Result result, Progress progress) {
         done++;
         simulatedNs += result.simulatedNs();
-        tried += result.tried();
+        tried += result.requestsSent();
         wants += result.wants();
         served += result.served();
-        refused += result.refused();
+        refused += result.rejected();
         attempts += result.attempts();
-        repeats += result.repeats();
+        repeats += result.retries();
         result.faults().forEach((kind, count) -> faults.merge(kind, (long) count, Long::sum));
         // A sum, since seeds end in any order.
         digest += Long.parseUnsignedLong(result.digest(), 16) * (2 * result.seed() + 1);
--- a/src/main/java/vetchpost/simulation/Shrinker.java
+++ b/src/main/java/vetchpost/simulation/Shrinker.java
@@ -32,11 +32,11 @@
         Result first = run.apply(failing);
         Plan plan = failing;
         long endMs = first.violation().atNs() / 1_000_000 + 1;
-        if (endMs < plan.lengthMs()) {
+        if (endMs < plan.durationMs()) {
             Plan shorter = new Plan(
                     plan.seed(),
                     plan.nodes(),
-                    plan.boxes(),
+                    plan.servers(),
                     plan.racks(),
                     plan.pushed(),
                     plan.rate(),
@@ -44,7 +44,7 @@
                     plan.workMs(),
                     plan.slots(),
                     plan.faults(),
-                    plan.only());
+                    plan.onlyRequests());
             plan = fails(shorter) ? shorter : plan;
         }
         plan = faults(plan);
@@ -86,8 +86,8 @@
         Plan plan = from;
         BitSet kept = new BitSet();
         kept.set(0, wants);
-        if (plan.only() != null) {
-            kept.and(plan.only());
+        if (plan.onlyRequests() != null) {
+            kept.and(plan.onlyRequests());
         }
         for (int size = Math.max(1, kept.cardinality() / 2); size > 0; size /= 2) {
             int at = kept.nextSetBit(0);
--- a/src/main/java/vetchpost/simulation/SimulateCommand.java
+++ b/src/main/java/vetchpost/simulation/SimulateCommand.java
@@ -37,7 +37,7 @@
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:no rule broken", "1:some run breaks a rule", "2:bad arguments or script"})
 public final class SimulateCommand implements Callable<Integer> {
-    private static final NodeProcess.Planting NONE = loop -> NodeHooks.NONE;
+    private static final NodeProcess.Setup NONE = loop -> NodeHooks.NONE;
     private static final long MOST_SEEDS = 10_000_000;
     private static final int MOST_NODES = 2_048;
     private static final long PROGRESS_NS = 1_000_000_000L;
@@ -137,9 +137,9 @@
         return nodes == null ? Plan.of(of) : Plan.many(of, nodes);
     }
 
-    private NodeProcess.Planting planting(Plan plan) {
-        NodeProcess.Planting nodes = recovery ? Remembering.of(plan) : NONE;
-        return admission ? new Guarded(nodes) : nodes;
+    private NodeProcess.Setup planting(Plan plan) {
+        NodeProcess.Setup nodes = recovery ? StateKeepingNodes.of(plan) : NONE;
+        return admission ? new AdmissionControlledNodes(nodes) : nodes;
     }
 
     private Result run(Plan plan) {
@@ -171,7 +171,7 @@
         }
         if (!result.isGood()) {
             out.println("the events just before:");
-            result.before().forEach(line -> out.println("  " + line));
+            result.precedingEvents().forEach(line -> out.println("  " + line));
         }
         out.println(verdict(result));
         out.printf(
@@ -180,7 +180,7 @@
                 result.digest(),
                 result.events(),
                 result.simulatedNs() / 1e9,
-                result.tried(),
+                result.requestsSent(),
                 result.served(),
                 result.wants());
         out.flush();
@@ -196,7 +196,7 @@
                         result.seed(),
                         result.violation().atNs() / 1e9,
                         result.violation().rule().words(),
-                        result.violation().what());
+                        result.violation().description());
     }
 
     private int many() throws InterruptedException {
--- a/src/main/java/vetchpost/simulation/Simulation.java
+++ b/src/main/java/vetchpost/simulation/Simulation.java
@@ -12,14 +12,14 @@
 import vetchpost.simulation.check.Violation.Rule;
 import vetchpost.simulation.net.Tcp;
 import vetchpost.simulation.net.VirtualTime;
-import vetchpost.simulation.world.Box;
-import vetchpost.simulation.world.Classes;
 import vetchpost.simulation.world.Clients;
-import vetchpost.simulation.world.Directory;
-import vetchpost.simulation.world.Effects;
 import vetchpost.simulation.world.NodeProcess;
 import vetchpost.simulation.world.Nodes;
+import vetchpost.simulation.world.RequestClasses;
+import vetchpost.simulation.world.RequestEffects;
 import vetchpost.simulation.world.Rules;
+import vetchpost.simulation.world.SimulatedDiscovery;
+import vetchpost.simulation.world.SimulatedServer;
 import vetchpost.simulation.world.World;
 
 /** One run of a plan: production nodes between simulated peers, and the rules checked after every step. */
@@ -41,13 +41,13 @@
     private final Checker checker;
     private final World world;
     private final Clients clients;
-    private final Directory directory;
+    private final SimulatedDiscovery directory;
     private final Nodes nodes = new Nodes();
-    private final List<Box> boxes = new ArrayList<>();
+    private final List<SimulatedServer> boxes = new ArrayList<>();
     private Violation violation;
     private List<String> before = List.of();
 
-    private Simulation(Plan plan, NodeProcess.Planting planting, PrintWriter out) {
+    private Simulation(Plan plan, NodeProcess.Setup planting, PrintWriter out) {
         this.plan = plan;
         trace = new Trace(out);
         checker = new Checker(time, Rules.limits(), this::broken);
@@ -57,21 +57,21 @@
                 time,
                 tcp,
                 checker,
-                new Classes(plan.workMs()),
+                new RequestClasses(plan.workMs()),
                 (what, who, detail, number) -> trace.add(time.nanoTime(), what, who, detail, number));
-        Effects effects = new Effects(world, this::broken);
+        RequestEffects effects = new RequestEffects(world, this::broken);
         clients = new Clients(world, effects);
-        directory = new Directory(world, nodes);
-        for (int i = 0; i < plan.boxes(); i++) {
-            Box box = new Box(world, effects, i, i % plan.racks(), plan.slots());
+        directory = new SimulatedDiscovery(world, nodes);
+        for (int i = 0; i < plan.servers(); i++) {
+            SimulatedServer box = new SimulatedServer(world, effects, i, i % plan.racks(), plan.slots());
             box.start(false);
-            directory.knows(box);
+            directory.addServer(box);
             boxes.add(box);
         }
         for (int i = 0; i < plan.nodes(); i++) {
             NodeProcess node =
                     new NodeProcess(world, clients, directory, planting, this::broken, plan.pushed(), plan.nodes(), i);
-            boxes.forEach(node::knows);
+            boxes.forEach(node::addServer);
             nodes.add(node);
             node.start();
         }
@@ -87,8 +87,8 @@
      *
      * @param out takes the whole trace, or null
      */
-    public static Result run(Plan plan, NodeProcess.Planting planting, PrintWriter out) {
-        Faults faults = Faults.watch();
+    public static Result run(Plan plan, NodeProcess.Setup planting, PrintWriter out) {
+        LoggedFaults faults = LoggedFaults.watch();
         try {
             return new Simulation(plan, planting, out).run(faults);
         } finally {
@@ -99,15 +99,15 @@
     private void broken(Violation what) {
         if (violation == null) {
             violation = what;
-            trace.add(time.nanoTime(), "BROKEN", what.rule().name(), what.what(), 0);
+            trace.add(time.nanoTime(), "BROKEN", what.rule().name(), what.description(), 0);
             before = trace.last();
         }
     }
 
-    private Result run(Faults faults) {
+    private Result run(LoggedFaults faults) {
         plan.faults().forEach(f -> time.at(f.atMs() * MS, () -> inject(f)));
         arrive(world.random("arrivals", 0), 0);
-        long tailNs = (plan.lengthMs() + TAIL_MS) * MS;
+        long tailNs = (plan.durationMs() + TAIL_MS) * MS;
         time.at(tailNs, () -> {
             clients.close();
             nodes.all().forEach(NodeProcess::stop);
@@ -124,8 +124,9 @@
                 broken(new Violation(Rule.FAULT, time.nanoTime(), "the run goes round in circles"));
             }
         }
-        if (violation == null && checker.owed() > 0) {
-            broken(new Violation(Rule.LOST, time.nanoTime(), checker.owed() + " requests unanswered at the end"));
+        if (violation == null && checker.unansweredCount() > 0) {
+            broken(new Violation(
+                    Rule.LOST, time.nanoTime(), checker.unansweredCount() + " requests unanswered at the end"));
         }
         int[] counts = checker.counts();
         int[] wants = clients.counts();
@@ -136,7 +137,7 @@
                 trace.digest(),
                 trace.events(),
                 time.nanoTime(),
-                clients.tried(),
+                clients.requestsSent(),
                 wants[0],
                 wants[1],
                 wants[2],
@@ -149,14 +150,14 @@
     private void arrive(SplittableRandom random, int number) {
         double gapMs = -StrictMath.log(1 - random.nextDouble()) * 1_000 / plan.rate();
         long atNs = time.nanoTime() + (long) (gapMs * MS);
-        if (atNs >= plan.lengthMs() * MS) {
+        if (atNs >= plan.durationMs() * MS) {
             return;
         }
         time.at(atNs, () -> {
-            if (plan.only() == null || plan.only().get(number)) {
-                clients.want(null);
+            if (plan.onlyRequests() == null || plan.onlyRequests().get(number)) {
+                clients.startRequest(null);
             } else {
-                clients.skip();
+                clients.skipRequest();
             }
             arrive(random, number + 1);
         });
@@ -165,52 +166,52 @@
     private void inject(Fault fault) {
         injected.merge(fault.kind(), 1, Integer::sum);
         trace.add(time.nanoTime(), "fault", fault.kind().words(), "", fault.target());
-        Box box = boxes.get(fault.target() % boxes.size());
+        SimulatedServer box = boxes.get(fault.target() % boxes.size());
         NodeProcess node = nodes.get(fault.target());
         switch (fault.kind()) {
-            case DRAIN -> drain(box, fault.forMs());
-            case REPLACE -> replace(box, fault.forMs());
+            case DRAIN -> drain(box, fault.durationMs());
+            case REPLACE -> replace(box, fault.durationMs());
             case KILL -> {
                 if (box.isUp()) {
                     box.kill();
-                    after(fault.forMs(), () -> restart(box));
+                    after(fault.durationMs(), () -> restart(box));
                 }
             }
             case SILENCE -> {
                 if (box.isUp()) {
                     box.vanish();
-                    after(fault.forMs(), () -> {
-                        box.comeBack();
+                    after(fault.durationMs(), () -> {
+                        box.reappear();
                         directory.changed(box, "Ready");
                     });
                 }
             }
-            case FAIL -> box.fail(fault.amount(), fault.forMs());
-            case SLOW -> box.slow(Math.max(1, fault.amount()), fault.forMs());
-            case SPOIL -> box.spoil(fault.amount(), fault.forMs());
-            case RESET -> box.reset(fault.amount(), fault.forMs());
-            case DEAF -> box.deaf(fault.forMs());
+            case FAIL -> box.fail(fault.amount(), fault.durationMs());
+            case SLOW -> box.slow(Math.max(1, fault.amount()), fault.durationMs());
+            case SPOIL -> box.corruptResponses(fault.amount(), fault.durationMs());
+            case RESET -> box.reset(fault.amount(), fault.durationMs());
+            case DEAF -> box.discardInput(fault.durationMs());
             case CRASH -> {
                 node.crash();
-                after(fault.forMs(), node::start);
+                after(fault.durationMs(), node::start);
             }
             case STOP -> {
                 node.stop();
-                after(Math.max(fault.forMs(), STOP_MS), node::start);
+                after(Math.max(fault.durationMs(), STOP_MS), node::start);
             }
-            case STALL -> node.stallSomewhere(fault.forMs());
+            case STALL -> node.stallAtRandom(fault.durationMs());
             case MOVE -> {
                 directory.move();
-                nodes.all().forEach(NodeProcess::hangUp);
+                nodes.all().forEach(NodeProcess::signalReload);
             }
-            case MUTE -> directory.mute(fault.forMs());
+            case MUTE -> directory.mute(fault.durationMs());
             case BREAK -> directory.breakWatches();
-            case LATE -> directory.late(fault.forMs());
-            case SHRINK -> directory.shrink(fault.forMs());
-            case BURST -> times(fault.amount(), () -> clients.want("view-page"));
-            case ORDERS -> times(fault.amount(), () -> clients.want("place-order"));
-            case PHOTOS -> times(fault.amount(), () -> clients.want("add-photo"));
-            case RUDE -> times(fault.amount(), clients::rude);
+            case LATE -> directory.delayChanges(fault.durationMs());
+            case SHRINK -> directory.shrinkLists(fault.durationMs());
+            case BURST -> times(fault.amount(), () -> clients.startRequest("view-page"));
+            case ORDERS -> times(fault.amount(), () -> clients.startRequest("place-order"));
+            case PHOTOS -> times(fault.amount(), () -> clients.startRequest("add-photo"));
+            case RUDE -> times(fault.amount(), clients::startMalformedClient);
         }
     }
 
@@ -224,7 +225,7 @@
         }
     }
 
-    private void drain(Box box, long forMs) {
+    private void drain(SimulatedServer box, long forMs) {
         if (!box.isUp()) {
             return;
         }
@@ -242,7 +243,7 @@
         });
     }
 
-    private void replace(Box box, long gapMs) {
+    private void replace(SimulatedServer box, long gapMs) {
         if (box.isUp()) {
             box.kill();
             directory.changed(box, "Gone");
@@ -251,7 +252,7 @@
         }
     }
 
-    private void restart(Box box) {
+    private void restart(SimulatedServer box) {
         box.start(true);
         directory.changed(box, "Ready");
     }
--- a/src/main/java/vetchpost/simulation/Remembering.java
+++ b/src/main/java/vetchpost/simulation/StateKeepingNodes.java
@@ -8,24 +8,24 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import vetchpost.core.NodeLifecycle;
-import vetchpost.handover.Secret;
+import vetchpost.handover.SharedSecret;
 import vetchpost.node.NodeHooks;
-import vetchpost.recovery.Keeper;
 import vetchpost.recovery.Recovery;
 import vetchpost.recovery.RecoverySettings;
+import vetchpost.recovery.SnapshotKeeper;
 import vetchpost.simulation.net.SimLoop;
 import vetchpost.simulation.world.NodeProcess;
-import vetchpost.state.Recollection;
+import vetchpost.state.RestoredState;
 import vetchpost.state.Snapshot;
-import vetchpost.state.codec.Assembly;
-import vetchpost.state.codec.MalformedState;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.codec.ChunkAssembler;
+import vetchpost.state.codec.ChunkCodec;
+import vetchpost.state.codec.MalformedSnapshotException;
 
 /**
  * Nodes that keep what they know on their machines, and ask the others for what those know at each start. The
  * path of all this is the one in service, but that the disk is a list of pieces.
  */
-class Remembering implements NodeProcess.Planting {
+class StateKeepingNodes implements NodeProcess.Setup {
     static final int PORT = 8450;
     /** Where boxes tell their ids. */
     static final String IDENTIFY = "/who";
@@ -47,17 +47,17 @@
      * @param keeps whether they keep snapshots
      * @param asks whether they ask each other
      */
-    Remembering(int nodes, boolean keeps, boolean asks) {
+    StateKeepingNodes(int nodes, boolean keeps, boolean asks) {
         this.nodes = nodes;
         this.keeps = keeps;
         this.asks = asks;
     }
 
     /** As a seed has it: half of all later starts are given no list. */
-    static Remembering of(Plan plan) {
-        return new Remembering(plan.nodes(), true, true) {
+    static StateKeepingNodes of(Plan plan) {
+        return new StateKeepingNodes(plan.nodes(), true, true) {
             @Override
-            public boolean isUnlisted(int number, int start) {
+            public boolean startsWithoutList(int number, int start) {
                 return start > 1 && new SplittableRandom(plan.seed() * 31 + 7L * number + start).nextBoolean();
             }
         };
@@ -90,7 +90,7 @@
     public NodeLifecycle companion(NodeProcess.Start start) {
         List<InetSocketAddress> others = IntStream.range(0, asks(start.number(), start.start()) ? nodes : 0)
                 .filter(n -> n != start.number())
-                .mapToObj(Remembering::address)
+                .mapToObj(StateKeepingNodes::address)
                 .toList();
         RecoverySettings settings = new RecoverySettings(
                 null,
@@ -102,7 +102,7 @@
                 null,
                 WAIT_MS,
                 WITHIN_MS);
-        Keeper keeper = pieces -> {
+        SnapshotKeeper keeper = pieces -> {
             disks.put(start.number(), List.copyOf(pieces));
             return pieces.stream().mapToLong(p -> p.length).sum();
         };
@@ -113,14 +113,14 @@
                 start.loop(),
                 start.network(),
                 keeps ? read(start.number()) : null,
-                asks ? Secret.ofText("the secret of a simulated fleet, long " + "enough") : null,
+                asks ? SharedSecret.parse("the secret of a simulated fleet, long " + "enough") : null,
                 new Chance(start.seed()),
                 keeps ? keeper : null,
                 Runnable::run);
     }
 
-    Recollection.Rules rules() {
-        return new Recollection.Rules(DAY_MS, ADDRESS_KEPT_MS, true);
+    RestoredState.Rules rules() {
+        return new RestoredState.Rules(DAY_MS, ADDRESS_KEPT_MS, true);
     }
 
     private Snapshot read(int number) {
@@ -128,15 +128,15 @@
         if (pieces == null) {
             return null;
         }
-        Assembly assembly = new Assembly();
+        ChunkAssembler assembly = new ChunkAssembler();
         try {
             for (byte[] piece : pieces) {
-                assembly.add(PieceCodec.read(piece));
+                assembly.add(ChunkCodec.read(piece));
             }
-        } catch (MalformedState e) {
+        } catch (MalformedSnapshotException e) {
             throw new IllegalStateException("a node wrote what it can't read", e);
         }
-        return assembly.isWhole() ? assembly.snapshot() : null;
+        return assembly.isComplete() ? assembly.snapshot() : null;
     }
 
     /** The same bytes in the same run. */
--- a/src/main/java/vetchpost/simulation/check/Checker.java
+++ b/src/main/java/vetchpost/simulation/check/Checker.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import vetchpost.simulation.check.Violation.Rule;
-import vetchpost.simulation.net.End;
+import vetchpost.simulation.net.SimulatedSocket;
 import vetchpost.simulation.net.Tap;
 import vetchpost.simulation.net.VirtualTime;
 import vetchpost.simulation.wire.Message;
@@ -46,13 +46,13 @@
     private int left;
 
     /** How many requests were waiting for an answer when their client left. */
-    public int left() {
+    public int abandonedCount() {
         return left;
     }
 
     /** A request that a node has taken, or may yet. */
     private static final class Request {
-        final Expected expected;
+        final ExpectedRequest expected;
         final List<Attempt> attempts = new ArrayList<>();
         long dueNs;
         NodeTap node;
@@ -64,9 +64,9 @@
         /** When the node's machine had its client's end, before an answer; 0 if it had not. */
         long leftNs;
 
-        Request(Expected expected) {
+        Request(ExpectedRequest expected) {
             this.expected = expected;
-            dueNs = expected.dueNs();
+            dueNs = expected.deadlineNs();
         }
     }
 
@@ -114,12 +114,12 @@
     // ---------------------------------------------------------------- what the world tells
 
     /** A client is about to send this request. */
-    public void expect(Expected expected) {
+    public void expect(ExpectedRequest expected) {
         requests.put(expected.id(), new Request(expected));
     }
 
     /** A server answers a request with this body. */
-    public void made(String id, String body) {
+    public void serverAnswers(String id, String body) {
         made.computeIfAbsent(id, i -> new HashSet<>()).add(body);
     }
 
@@ -129,7 +129,7 @@
      * @param capacity how many nanoseconds of work it does in one when it is warm
      * @param startedNs or {@link Long#MIN_VALUE} for long ago
      */
-    public void box(String id, InetSocketAddress address, int rack, double capacity, long startedNs) {
+    public void addServer(String id, InetSocketAddress address, int rack, double capacity, long startedNs) {
         Box box = boxes.computeIfAbsent(id, i -> new Box(id, rack, capacity));
         box.startedNs = startedNs;
         box.sent.clear();
@@ -138,7 +138,7 @@
     }
 
     /** A new process of a node, and its sockets' tap. */
-    public NodeTap node(String name, InetSocketAddress listens) {
+    public NodeTap addNode(String name, InetSocketAddress listens) {
         return new NodeTap(name, listens);
     }
 
@@ -149,7 +149,7 @@
             if (late.over || !late.taken || late.node.dead) {
                 continue;
             }
-            long allowed = late.expected.dueNs() + limits.answerNs() + late.node.stalledSince(late);
+            long allowed = late.expected.deadlineNs() + limits.answerMarginNs() + late.node.stalledSince(late);
             if (allowed >= time.nanoTime()) {
                 late.dueNs = allowed;
                 due.add(late);
@@ -168,7 +168,7 @@
     }
 
     /** How many requests are taken and unanswered. */
-    public int owed() {
+    public int unansweredCount() {
         int owed = 0;
         for (Request request : due) {
             owed += request.over || !request.taken || request.node.dead ? 0 : 1;
@@ -182,8 +182,8 @@
     public final class NodeTap implements Tap {
         private final String name;
         private final InetSocketAddress listens;
-        private final Map<End, ClientSide> clients = new IdentityHashMap<>();
-        private final Map<End, ServerSide> servers = new IdentityHashMap<>();
+        private final Map<SimulatedSocket, ClientSide> clients = new IdentityHashMap<>();
+        private final Map<SimulatedSocket, ServerSide> servers = new IdentityHashMap<>();
         /** When it was told that a server drains or has gone, and the start that it has been told last. */
         private final Map<String, Long> toldToStop = new HashMap<>();
 
@@ -202,7 +202,7 @@
         }
 
         /** The process ends of its own will: whoever still waits for it waits for nothing. */
-        public void ends() {
+        public void stopping() {
             for (Request request : due) {
                 if (request.node == this && request.taken && !request.over) {
                     request.over = true;
@@ -217,7 +217,7 @@
         }
 
         /** Discovery's word on a server has come to this node's machine. */
-        public void told(String id, boolean ready, long startedNs) {
+        public void serverListed(String id, boolean ready, long startedNs) {
             if (ready) {
                 toldToStop.remove(id);
             } else {
@@ -227,7 +227,7 @@
         }
 
         private long stalledSince(Request request) {
-            long from = request.expected.dueNs() - 2_000_000_000L;
+            long from = request.expected.deadlineNs() - 2_000_000_000L;
             long sum = 0;
             for (long[] stall : stalls) {
                 sum += stall[1] > from ? stall[1] - stall[0] : 0;
@@ -235,17 +235,17 @@
             return sum;
         }
 
-        private boolean isClient(End end) {
+        private boolean isClient(SimulatedSocket end) {
             return end.local().equals(listens);
         }
 
-        private ServerSide server(End end) {
+        private ServerSide server(SimulatedSocket end) {
             Box box = byAddress.get(end.remote());
             return box == null ? null : servers.computeIfAbsent(end, e -> new ServerSide(this, box));
         }
 
         @Override
-        public void received(End end, byte[] bytes) {
+        public void received(SimulatedSocket end, byte[] bytes) {
             if (isClient(end)) {
                 clients.computeIfAbsent(end, e -> new ClientSide(this)).asked.feed(bytes);
             } else {
@@ -257,7 +257,7 @@
         }
 
         @Override
-        public void wrote(End end, byte[] bytes) {
+        public void wrote(SimulatedSocket end, byte[] bytes) {
             if (isClient(end)) {
                 clients.computeIfAbsent(end, e -> new ClientSide(this)).wrote(bytes);
             } else {
@@ -269,7 +269,7 @@
         }
 
         @Override
-        public void ended(End end, boolean reset) {
+        public void ended(SimulatedSocket end, boolean reset) {
             if (isClient(end)) {
                 ClientSide side = clients.get(end);
                 if (side != null) {
@@ -286,7 +286,7 @@
         }
 
         @Override
-        public void closed(End end) {
+        public void closed(SimulatedSocket end) {
             if (dead) {
                 return;
             }
@@ -334,7 +334,7 @@
             usual = true;
             request.taken = true;
             request.node = node;
-            request.dueNs = request.expected.dueNs() + limits.answerNs();
+            request.dueNs = request.expected.deadlineNs() + limits.answerMarginNs();
             due.add(request);
             waiting.add(request);
             from.add(message.from());
@@ -369,7 +369,7 @@
             request.over = true;
             request.answered = true;
             answers++;
-            long allowed = request.expected.dueNs() + limits.answerNs() + node.stalledSince(request);
+            long allowed = request.expected.deadlineNs() + limits.answerMarginNs() + node.stalledSince(request);
             if (time.nanoTime() > allowed) {
                 broken(
                         Rule.LOST,
@@ -391,16 +391,16 @@
             } else if (status == 429 || status == 503) {
                 refused++;
                 Attempt ran = binding(request);
-                if (ran != null && request.expected.again() != Expected.Again.SAFE) {
+                if (ran != null && request.expected.retryPolicy() != ExpectedRequest.RetryPolicy.SAFE) {
                     broken(
                             Rule.TWICE,
-                            request.expected.again() + " request " + id + " was refused by " + node.name
+                            request.expected.retryPolicy() + " request " + id + " was refused by " + node.name
                                     + " though it may have run at " + ran.box.id);
                 }
             }
         }
 
-        private void closed(End end) {
+        private void closed(SimulatedSocket end) {
             while (!waiting.isEmpty()) {
                 Request request = waiting.poll();
                 long began = from.poll();
@@ -475,7 +475,7 @@
                 judgeRepeat(request, earlier, sending);
             }
             Long told = node.toldToStop.get(box.id);
-            if (told != null && begunNs > told + limits.graceNs() + limits.slackNs()) {
+            if (told != null && begunNs > told + limits.drainGraceNs() + limits.slackNs()) {
                 broken(
                         Rule.DRAIN,
                         sending + " " + (begunNs - told) / 1_000_000
@@ -487,7 +487,7 @@
         }
 
         private void judgeRepeat(Request request, Attempt earlier, String sending) {
-            switch (request.expected.again()) {
+            switch (request.expected.retryPolicy()) {
                 case SAFE -> {}
                 case UNSAFE -> broken(Rule.TWICE, "UNSAFE " + sending + " though it may have run at " + earlier.box.id);
                 case KEYED -> {
@@ -496,7 +496,7 @@
                                 Rule.TWICE,
                                 "KEYED " + sending + ", another rack than that of " + earlier.box.id
                                         + ", where it may have run");
-                    } else if (begunNs > earlier.atNs + limits.windowNs() + limits.slackNs()) {
+                    } else if (begunNs > earlier.atNs + limits.deduplicationWindowNs() + limits.slackNs()) {
                         broken(
                                 Rule.TWICE,
                                 "KEYED " + sending + " " + (begunNs - earlier.atNs) / 1_000_000
@@ -509,12 +509,12 @@
         private void judgeCold(long workNs) {
             long now = time.nanoTime();
             long age = now - box.startedNs;
-            if (age >= limits.coldNs() || box.fell) {
+            if (age >= limits.coldPeriodNs() || box.fell) {
                 return;
             }
             boolean informed = node.toldStart.getOrDefault(box.id, Long.MIN_VALUE) >= box.startedNs;
             box.sent.add(new long[] {now, workNs, informed ? workNs : 0});
-            while (box.sent.peek()[0] < now - limits.fallNs()) {
+            while (box.sent.peek()[0] < now - limits.coldWindowNs()) {
                 box.sent.poll();
             }
             long sum = 0;
@@ -523,15 +523,16 @@
                 sum += each[1];
                 known += each[2];
             }
-            double share = limits.coldFrom() + (1 - limits.coldFrom()) * age / limits.coldNs();
+            double share =
+                    limits.coldInitialFraction() + (1 - limits.coldInitialFraction()) * age / limits.coldPeriodNs();
             // A few requests are chance, and no flood.
-            double most = limits.multiple() * share * box.capacity * limits.fallNs() + 4 * workNs;
+            double most = limits.coldOverloadFactor() * share * box.capacity * limits.coldWindowNs() + 4 * workNs;
             if (sum > most && 3 * known >= 2 * sum) {
                 box.fell = true;
                 broken(
                         Rule.COLD,
                         box.id + " was sent " + sum / 1_000_000 + " ms of work within "
-                                + limits.fallNs() / 1_000_000 + " ms, " + age / 1_000_000
+                                + limits.coldWindowNs() / 1_000_000 + " ms, " + age / 1_000_000
                                 + " ms after its start, and bears " + (long) (most / 1e6));
             }
         }
--- a/src/main/java/vetchpost/simulation/check/Expected.java
+++ b/src/main/java/vetchpost/simulation/check/ExpectedRequest.java
@@ -8,10 +8,10 @@
  * @param again what a repeat of its class may do
  * @param workNs what it takes of a warm server
  */
-public record Expected(String id, Again again, long dueNs, long workNs) {
+public record ExpectedRequest(String id, RetryPolicy retryPolicy, long deadlineNs, long workNs) {
 
     /** Whether a request may run again. */
-    public enum Again {
+    public enum RetryPolicy {
         SAFE,
         KEYED,
         UNSAFE
--- a/src/main/java/vetchpost/simulation/check/Limits.java
+++ b/src/main/java/vetchpost/simulation/check/Limits.java
@@ -13,11 +13,11 @@
  * @param slackNs every other limit is so much longer
  */
 public record Limits(
-        long graceNs,
-        long windowNs,
-        long coldNs,
-        double coldFrom,
-        double multiple,
-        long fallNs,
-        long answerNs,
+        long drainGraceNs,
+        long deduplicationWindowNs,
+        long coldPeriodNs,
+        double coldInitialFraction,
+        double coldOverloadFactor,
+        long coldWindowNs,
+        long answerMarginNs,
         long slackNs) {}
--- a/src/main/java/vetchpost/simulation/check/Violation.java
+++ b/src/main/java/vetchpost/simulation/check/Violation.java
@@ -6,7 +6,7 @@
  * @param atNs simulated time
  * @param what the request, the node and the server, and what they did
  */
-public record Violation(Rule rule, long atNs, String what) {
+public record Violation(Rule rule, long atNs, String description) {
 
     /** What must hold. */
     public enum Rule {
--- a/src/main/java/vetchpost/simulation/crowd/ModelBoxes.java
+++ b/src/main/java/vetchpost/simulation/crowd/ModelServers.java
@@ -13,7 +13,7 @@
 import vetchpost.decision.Balancer.ServerState;
 
 /** Boxes of one core, first come first served, that work on though nobody waits any more. */
-final class ModelBoxes implements ServerTransport {
+final class ModelServers implements ServerTransport {
     private static final long WAY_US = 200;
     private static final int ROOM = 300;
     /** Work varies by this share of its mean, evenly. */
@@ -21,9 +21,9 @@
 
     private static final ServerResponse ANSWER = new ServerResponse(200, null, new byte[0]);
 
-    private final CrowdClock clock;
+    private final VirtualClock clock;
     private final SplittableRandom random;
-    private final List<Crowd.Kind> kinds;
+    private final List<OverloadRun.Kind> kinds;
     private final long[] freeAtUs;
     private final int[] queued;
     private double slower = 1;
@@ -55,7 +55,7 @@
     }
 
     /** So many idle boxes. */
-    ModelBoxes(CrowdClock clock, SplittableRandom random, List<Crowd.Kind> kinds, int boxes) {
+    ModelServers(VirtualClock clock, SplittableRandom random, List<OverloadRun.Kind> kinds, int boxes) {
         this.clock = clock;
         this.random = random;
         this.kinds = kinds;
--- a/src/main/java/vetchpost/simulation/crowd/CrowdCommand.java
+++ b/src/main/java/vetchpost/simulation/crowd/OverloadCommand.java
@@ -18,9 +18,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.simulation.SeedFault;
-import vetchpost.simulation.crowd.Crowd.Plan;
-import vetchpost.simulation.crowd.Crowd.Policy;
+import vetchpost.simulation.SeedRunException;
+import vetchpost.simulation.crowd.OverloadRun.Plan;
+import vetchpost.simulation.crowd.OverloadRun.Policy;
 
 /** The command {@code crowd}. */
 @Command(
@@ -42,7 +42,7 @@
         },
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:done, and what was to be shown holds", "1:it does not hold", "2:bad arguments"})
-public final class CrowdCommand implements Callable<Integer> {
+public final class OverloadCommand implements Callable<Integer> {
     private static final double KEPT = 0.95;
     private static final double TRUE = 0.90;
     private static final double[] LOADS = {1.3, 2, 3};
@@ -111,7 +111,10 @@
         Plan plan = Plan.of(seed, policy, load);
         for (Map.Entry<String, Double> entry : loud.entrySet()) {
             int school = entry.getKey().length() == 1 ? entry.getKey().charAt(0) - 'a' : -1;
-            if (school < 0 || school >= Crowd.SHARES.length || !(entry.getValue() >= 0) || entry.getValue() > 100) {
+            if (school < 0
+                    || school >= OverloadRun.SHARES.length
+                    || !(entry.getValue() >= 0)
+                    || entry.getValue() > 100) {
                 throw bad("--loud takes a school, a to f, and how many times, from 0 to 100");
             }
             plan = plan.loud(school, entry.getValue());
@@ -120,12 +123,12 @@
     }
 
     static List<Double> weights() {
-        return Arrays.stream(Crowd.SHARES).boxed().toList();
+        return Arrays.stream(OverloadRun.SHARES).boxed().toList();
     }
 
-    private List<CrowdResult> play(List<Plan> plans) {
+    private List<OverloadResult> play(List<Plan> plans) {
         return plans.parallelStream()
-                .map(plan -> SeedFault.naming(plan.seed(), () -> Crowd.run(plan)))
+                .map(plan -> SeedRunException.withSeed(plan.seed(), () -> OverloadRun.run(plan)))
                 .toList();
     }
 
@@ -142,16 +145,16 @@
         out.println("policy       all   view-page add-photo place-order   a     b     c     d     e     f   "
                 + "  Jain   told at once");
         for (Policy policy : Policy.values()) {
-            List<CrowdResult> results = play(plans(policy));
+            List<OverloadResult> results = play(plans(policy));
             StringBuilder line = new StringBuilder(String.format(
                     Locale.ROOT,
                     "%-11s %.3f   %.3f     %.3f   " + "  %.3f     ",
                     policy.name().toLowerCase(Locale.ROOT).replace('_', '-'),
-                    mean(results, CrowdResult::service),
+                    mean(results, OverloadResult::service),
                     mean(results, r -> r.serviceOfClass(0)),
                     mean(results, r -> r.serviceOfClass(1)),
                     mean(results, r -> r.serviceOfClass(2))));
-            for (int school = 0; school < Crowd.SHARES.length; school++) {
+            for (int school = 0; school < OverloadRun.SHARES.length; school++) {
                 int s = school;
                 line.append(String.format(Locale.ROOT, " %.3f", mean(results, r -> r.service(s))));
             }
@@ -160,29 +163,29 @@
                             Locale.ROOT,
                             "  %.4f  %.2f",
                             mean(results, r -> r.jain(weights())),
-                            mean(results, CrowdResult::prompt)));
+                            mean(results, OverloadResult::prompt)));
         }
         return 0;
     }
 
     private interface Figure {
-        double of(CrowdResult result);
+        double of(OverloadResult result);
     }
 
-    private static double mean(List<CrowdResult> results, Figure figure) {
+    private static double mean(List<OverloadResult> results, Figure figure) {
         return results.stream().mapToDouble(figure::of).average().orElse(0);
     }
 
     private int pairs(PrintWriter out) {
-        int schools = Crowd.SHARES.length;
+        int schools = OverloadRun.SHARES.length;
         boolean holds = true;
         for (Policy policy : Policy.values()) {
-            List<CrowdResult> calm = play(plans(policy));
+            List<OverloadResult> calm = play(plans(policy));
             out.println(policy.name().toLowerCase(Locale.ROOT).replace('_', '-')
                     + ": what each keeps while one asks three times its usual, mean and worst seed");
             for (int one = 0; one < schools; one++) {
                 int asks = one;
-                List<CrowdResult> loudly =
+                List<OverloadResult> loudly =
                         play(plans(policy).stream().map(p -> p.loud(asks, 3)).toList());
                 StringBuilder line = new StringBuilder("  loud " + (char) ('a' + one) + " ");
                 for (int school = 0; school < schools; school++) {
@@ -213,17 +216,17 @@
 
     private int honesty(PrintWriter out) throws IOException {
         boolean holds = true;
-        Map<Double, List<CrowdResult.Told>> told = new TreeMap<>();
+        Map<Double, List<OverloadResult.Told>> told = new TreeMap<>();
         out.println("load   came back  served then  view-page add-photo place-order  promised  not promised");
         for (double times : LOADS) {
             List<Plan> plans = new ArrayList<>();
             for (int seed = 1; seed <= seeds; seed++) {
                 plans.add(Plan.of(seed, Policy.DOOR, times).patient(LONGEST_US));
             }
-            List<CrowdResult> results = play(plans);
-            double truth = mean(results, CrowdResult::truth);
+            List<OverloadResult> results = play(plans);
+            double truth = mean(results, OverloadResult::truth);
             holds &= truth >= TRUE;
-            double[] byClass = new double[Crowd.KINDS.size()];
+            double[] byClass = new double[OverloadRun.KINDS.size()];
             for (int kind = 0; kind < byClass.length; kind++) {
                 int k = kind;
                 byClass[kind] = results.stream()
@@ -234,7 +237,7 @@
                                 results.stream().mapToLong(r -> r.returned(k)).sum());
             }
             long back = 0;
-            for (CrowdResult result : results) {
+            for (OverloadResult result : results) {
                 for (int kind = 0; kind < byClass.length; kind++) {
                     back += result.returned(kind);
                 }
@@ -260,7 +263,7 @@
             told.put(times, results.get(0).told());
         }
         if (svg != null) {
-            Files.writeString(svg, HonestyPlot.svg(told), StandardCharsets.UTF_8);
+            Files.writeString(svg, RetryAfterAccuracyPlot.svg(told), StandardCharsets.UTF_8);
             out.println("plot in " + svg);
         }
         out.println(
--- a/src/main/java/vetchpost/simulation/crowd/CrowdResult.java
+++ b/src/main/java/vetchpost/simulation/crowd/OverloadResult.java
@@ -5,7 +5,7 @@
 import vetchpost.admission.AdmissionCounts;
 
 /** What came of a crowd, by school and class; worth is what the site pays for an answer in time. */
-public final class CrowdResult {
+public final class OverloadResult {
     /**
      * The first time that a client was told, and how long it took from there to its answer, in microseconds.
      */
@@ -28,7 +28,7 @@
     int stillHeld;
     AdmissionCounts counts;
 
-    CrowdResult(int schools, int classes) {
+    OverloadResult(int schools, int classes) {
         asked = new double[schools][classes];
         inTime = new double[schools][classes];
         refusals = new long[schools];
--- a/src/main/java/vetchpost/simulation/crowd/Crowd.java
+++ b/src/main/java/vetchpost/simulation/crowd/OverloadRun.java
@@ -28,7 +28,7 @@
  * clients are patient, from the return. All of it runs on virtual time; the same plan and seed give the
  * same result.
  */
-public final class Crowd {
+public final class OverloadRun {
     private static final long START_US = 1_767_225_600_000_000L;
     private static final long TAIL_US = 3_000_000;
     /** Before anything counts: nodes have seen quiet times. */
@@ -131,19 +131,19 @@
     }
 
     private final Plan plan;
-    private final CrowdClock clock = new CrowdClock(START_US);
+    private final VirtualClock clock = new VirtualClock(START_US);
     private final SplittableRandom random;
-    private final ModelBoxes boxes;
+    private final ModelServers boxes;
     private final Dispatcher node;
     private final FairAdmission door;
-    private final CrowdResult result;
-    private final CrowdResult before = new CrowdResult(SHARES.length, KINDS.size());
+    private final OverloadResult result;
+    private final OverloadResult before = new OverloadResult(SHARES.length, KINDS.size());
     private long ids;
 
-    private Crowd(Plan plan) {
+    private OverloadRun(Plan plan) {
         this.plan = plan;
         random = new SplittableRandom(plan.seed * 0x9E3779B97F4A7C15L + 11);
-        boxes = new ModelBoxes(clock, random.split(), KINDS, plan.boxes);
+        boxes = new ModelServers(clock, random.split(), KINDS, plan.boxes);
         Settings settings = settings();
         node = new Dispatcher(
                 clock,
@@ -170,7 +170,7 @@
                         settings,
                         plan.seed);
         node.admission(door);
-        result = new CrowdResult(SHARES.length, KINDS.size());
+        result = new OverloadResult(SHARES.length, KINDS.size());
     }
 
     /** Requests a second that so many boxes can do. */
@@ -199,11 +199,11 @@
     }
 
     /** Plays a plan to its end. */
-    public static CrowdResult run(Plan plan) {
-        return new Crowd(plan).run();
+    public static OverloadResult run(Plan plan) {
+        return new OverloadRun(plan).run();
     }
 
-    private CrowdResult run() {
+    private OverloadResult run() {
         for (int school = 0; school < SHARES.length; school++) {
             double rate = SHARES[school] * plan.louder.get(school) * plan.load * capacity(plan.boxes);
             arrive(
@@ -251,7 +251,7 @@
         private final Kind kind;
         private final int client;
         private final SplittableRandom chance;
-        private final CrowdResult to;
+        private final OverloadResult to;
         private final long beganUs = clock.nowUs();
         private int tries;
         private long triedUs;
--- a/src/main/java/vetchpost/simulation/crowd/HonestyPlot.java
+++ b/src/main/java/vetchpost/simulation/crowd/RetryAfterAccuracyPlot.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /** What clients were told against what it took until their answers, a picture for each load. */
-final class HonestyPlot {
+final class RetryAfterAccuracyPlot {
     private static final int SIDE = 280;
     private static final int GAP = 60;
     private static final int MOST_DOTS = 800;
     private static final int TICKS = 4;
 
-    private HonestyPlot() {}
+    private RetryAfterAccuracyPlot() {}
 
     /** As one drawing, by load. */
-    static String svg(Map<Double, List<CrowdResult.Told>> byLoad) {
+    static String svg(Map<Double, List<OverloadResult.Told>> byLoad) {
         StringBuilder svg = new StringBuilder();
         int width = GAP + byLoad.size() * (SIDE + GAP);
         svg.append(String.format(
@@ -26,16 +26,16 @@
                 width,
                 SIDE + 2 * GAP));
         int left = GAP;
-        for (Map.Entry<Double, List<CrowdResult.Told>> entry : byLoad.entrySet()) {
+        for (Map.Entry<Double, List<OverloadResult.Told>> entry : byLoad.entrySet()) {
             panel(svg, left, entry.getKey(), entry.getValue());
             left += SIDE + GAP;
         }
         return svg.append("</svg>\n").toString();
     }
 
-    private static void panel(StringBuilder svg, int left, double load, List<CrowdResult.Told> told) {
+    private static void panel(StringBuilder svg, int left, double load, List<OverloadResult.Told> told) {
         double most = 1;
-        for (CrowdResult.Told one : told) {
+        for (OverloadResult.Told one : told) {
             most = Math.max(most, Math.max(one.advisedUs(), one.neededUs()) / 1e6);
         }
         int bottom = GAP + SIDE;
--- a/src/main/java/vetchpost/simulation/crowd/CrowdClock.java
+++ b/src/main/java/vetchpost/simulation/crowd/VirtualClock.java
@@ -4,7 +4,7 @@
 import vetchpost.core.Clock;
 
 /** Virtual time: what is due runs in its order, and nothing takes any. */
-public final class CrowdClock implements Clock {
+public final class VirtualClock implements Clock {
     private final PriorityQueue<Due> queue = new PriorityQueue<>();
     private long now;
     private long numbers;
@@ -32,7 +32,7 @@
     }
 
     /** Begins at this time. */
-    public CrowdClock(long startUs) {
+    public VirtualClock(long startUs) {
         now = startUs;
     }
 
--- a/src/main/java/vetchpost/simulation/fleet/Truth.java
+++ b/src/main/java/vetchpost/simulation/fleet/ActualServers.java
@@ -5,9 +5,9 @@
 import java.util.SplittableRandom;
 
 /** The boxes as they are, whatever anybody says of them: what goes wrong with each, and when. */
-final class Truth {
+final class ActualServers {
     /** What a box does with requests. */
-    enum Mood {
+    enum Condition {
         WELL,
         DEAD,
         SILENT,
@@ -19,7 +19,7 @@
     }
 
     /** What befalls a box: from then on it is so, until the next. */
-    record Turn(long atUs, Mood mood) {}
+    record Turn(long atUs, Condition mood) {}
 
     /** How long it is a node's address, and when it is told to drain, from the start; -1 for never. */
     static final class Life {
@@ -28,8 +28,8 @@
         long drainsUs = -1;
         long goesUs = -1;
 
-        Mood mood(long us) {
-            Mood mood = Mood.WELL;
+        Condition mood(long us) {
+            Condition mood = Condition.WELL;
             for (Turn turn : turns) {
                 mood = turn.atUs <= us ? turn.mood : mood;
             }
@@ -45,7 +45,7 @@
     final List<Life> lives = new ArrayList<>();
 
     /** Drawn from chance: some boxes fall ill and recover, some drain and go, some are new. */
-    Truth(SplittableRandom chance, long quietUs) {
+    ActualServers(SplittableRandom chance, long quietUs) {
         for (int i = 0; i < BOXES; i++) {
             Life life = new Life();
             if (i >= BOXES - NEW) {
@@ -54,19 +54,19 @@
             if (chance.nextDouble() < DRAINED) {
                 life.drainsUs = life.comesUs + chance.nextLong(1, quietUs / 2);
                 life.goesUs = life.drainsUs + 2_000_000;
-                life.turns.add(new Turn(life.goesUs, chance.nextBoolean() ? Mood.DEAD : Mood.STRANGER));
+                life.turns.add(new Turn(life.goesUs, chance.nextBoolean() ? Condition.DEAD : Condition.STRANGER));
             } else if (chance.nextDouble() < ILL) {
                 long at = life.comesUs + chance.nextLong(quietUs / 2);
-                Mood[] moods = Mood.values();
+                Condition[] moods = Condition.values();
                 for (int n = 1 + chance.nextInt(4); n > 0 && at < quietUs; n--) {
                     // One that another application has taken the address of does not come back by itself.
-                    Mood mood = moods[1 + chance.nextInt(moods.length - 1)];
-                    life.turns.add(new Turn(at, mood == Mood.STRANGER ? Mood.DEAD : mood));
+                    Condition mood = moods[1 + chance.nextInt(moods.length - 1)];
+                    life.turns.add(new Turn(at, mood == Condition.STRANGER ? Condition.DEAD : mood));
                     at += 200_000 + chance.nextLong(quietUs / 4);
-                    life.turns.add(new Turn(Math.min(at, quietUs), Mood.WELL));
+                    life.turns.add(new Turn(Math.min(at, quietUs), Condition.WELL));
                     at += 100_000 + chance.nextLong(quietUs / 4);
                 }
-                life.turns.add(new Turn(quietUs, Mood.WELL));
+                life.turns.add(new Turn(quietUs, Condition.WELL));
             }
             lives.add(life);
         }
--- a/src/main/java/vetchpost/simulation/fleet/FleetCommand.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetCommand.java
@@ -15,9 +15,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.simulation.SeedFault;
+import vetchpost.simulation.SeedRunException;
+import vetchpost.simulation.fleet.FleetRun.DetectionMode;
 import vetchpost.simulation.fleet.FleetRun.Outcome;
-import vetchpost.simulation.fleet.FleetRun.Watch;
 
 /** The command {@code fleet}: sources that err, checks that lie and boxes that fall ill, by seeds. */
 @Command(
@@ -62,7 +62,7 @@
     private Path svg;
 
     /** What all seeds come to under one way to watch. */
-    private record Sum(Watch watch, double served, double wasted, double noticeMs, double checksPerS) {}
+    private record Sum(DetectionMode watch, double served, double wasted, double noticeMs, double checksPerS) {}
 
     @Override
     public Integer call() throws IOException {
@@ -75,19 +75,19 @@
         out.printf("%-9s %10s %16s %14s %10s%n", "watch", "served", "wasted attempts", "time to notice", "checks/s");
         List<Sum> sums = new ArrayList<>();
         List<String> broken = new ArrayList<>();
-        for (Watch watch : Watch.values()) {
+        for (DetectionMode watch : DetectionMode.values()) {
             List<Outcome> outcomes = LongStream.rangeClosed(1, seeds)
                     .parallel()
-                    .mapToObj(seed -> SeedFault.naming(seed, () -> FleetRun.play(seed, watch, operators)))
+                    .mapToObj(seed -> SeedRunException.withSeed(seed, () -> FleetRun.run(seed, watch, operators)))
                     .toList();
             for (int i = 0; i < outcomes.size(); i++) {
-                for (String each : outcomes.get(i).broken()) {
+                for (String each : outcomes.get(i).violations()) {
                     broken.add("seed " + (i + 1) + ", " + watch.name().toLowerCase(Locale.ROOT) + ": " + each);
                 }
             }
             Sum sum = new Sum(
                     watch,
-                    mean(outcomes, o -> (double) o.served() / o.wanted()),
+                    mean(outcomes, o -> (double) o.served() / o.requests()),
                     mean(outcomes, o -> (double) o.wasted() / o.attempts()),
                     mean(outcomes, Outcome::noticeUs) / 1_000,
                     mean(outcomes, Outcome::checks) * 1e6 / FleetRun.END_US);
--- a/src/main/java/vetchpost/simulation/fleet/FleetRun.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetRun.java
@@ -26,19 +26,19 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.ServiceQBalancer;
-import vetchpost.simulation.crowd.CrowdClock;
-import vetchpost.simulation.fleet.Truth.Mood;
+import vetchpost.simulation.crowd.VirtualClock;
+import vetchpost.simulation.fleet.ActualServers.Condition;
 import vetchpost.sources.CheckPlan;
 import vetchpost.sources.CheckPlan.Finding;
 import vetchpost.sources.CheckRules;
-import vetchpost.sources.Composer;
-import vetchpost.sources.Declared;
-import vetchpost.sources.Declared.Kind;
-import vetchpost.sources.Declared.May;
 import vetchpost.sources.Membership;
 import vetchpost.sources.MergeRules;
-import vetchpost.sources.Named;
-import vetchpost.sources.Named.Word;
+import vetchpost.sources.ReportedServer;
+import vetchpost.sources.ReportedServer.State;
+import vetchpost.sources.SourceDeclaration;
+import vetchpost.sources.SourceDeclaration.Kind;
+import vetchpost.sources.SourceDeclaration.Permission;
+import vetchpost.sources.SourceMerger;
 
 /**
  * One node with its core, module and list of servers, on virtual time, before modelled boxes that fall ill
@@ -64,7 +64,7 @@
             new CheckRules("/healthy", "a", 200, 399, 2 * S, S / 2, 2, 3, 20, 3, 1, 0, 0.5);
 
     /** Who finds out what is ill. */
-    public enum Watch {
+    public enum DetectionMode {
         /** The module, by what becomes of requests. */
         REQUESTS,
         /** Checks besides, blind to what becomes of requests. */
@@ -83,29 +83,29 @@
      * @param broken the rules that were broken, each in words
      */
     public record Outcome(
-            int wanted, int served, int attempts, int wasted, int checks, double noticeUs, List<String> broken) {}
+            int requests, int served, int attempts, int wasted, int checks, double noticeUs, List<String> violations) {}
 
-    private final CrowdClock clock = new CrowdClock(START_US);
+    private final VirtualClock clock = new VirtualClock(START_US);
     private final SplittableRandom chance;
     private final SplittableRandom boxChance;
-    private final Truth truth;
+    private final ActualServers truth;
     private final Dispatcher node;
     private final Membership membership;
     private final CheckPlan checks;
-    private final Composer composer;
-    private final Watch watch;
+    private final SourceMerger composer;
+    private final DetectionMode watch;
     /** Null where there are none. */
     private final Operators operators;
 
-    private final List<Declared> declared = new ArrayList<>();
+    private final List<SourceDeclaration> declared = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
     private final Map<String, Integer> ran = new HashMap<>();
-    private final long[] servedUs = new long[Truth.BOXES];
+    private final long[] servedUs = new long[ActualServers.BOXES];
     /** By box: since when a source's word forbids it, as the checker has it; -1 for not. */
-    private final long[] forbiddenUs = new long[Truth.BOXES];
+    private final long[] forbiddenUs = new long[ActualServers.BOXES];
 
-    private final long[] firstWastedUs = new long[Truth.BOXES];
-    private final long[] lastWastedUs = new long[Truth.BOXES];
+    private final long[] firstWastedUs = new long[ActualServers.BOXES];
+    private final long[] lastWastedUs = new long[ActualServers.BOXES];
     private long noticeSum;
     private int noticed;
     private long ids;
@@ -114,12 +114,12 @@
     private int attempts;
     private int wasted;
 
-    private FleetRun(long seed, Watch watch, boolean operated) {
+    private FleetRun(long seed, DetectionMode watch, boolean operated) {
         this.watch = watch;
         operators = operated ? new Operators(seed) : null;
         chance = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + 29);
         boxChance = chance.split();
-        truth = new Truth(chance.split(), QUIET_US);
+        truth = new ActualServers(chance.split(), QUIET_US);
         Settings settings = settings();
         node = new Dispatcher(
                 clock,
@@ -132,22 +132,22 @@
                 actions -> new ServiceQBalancer(settings, seed, actions));
         draw();
         membership = new Membership(declared, MERGE);
-        checks = watch == Watch.REQUESTS ? null : new CheckPlan(CHECKS, seed, clock.nowUs());
-        composer = new Composer(membership, checks, settings.coldUs, START_US / 1_000, START_US);
+        checks = watch == DetectionMode.REQUESTS ? null : new CheckPlan(CHECKS, seed, clock.nowUs());
+        composer = new SourceMerger(membership, checks, settings.coldUs, START_US / 1_000, START_US);
         if (operated) {
-            composer.overrule(operators);
+            composer.setOverrides(operators);
         }
         Arrays.fill(forbiddenUs, -1);
         Arrays.fill(firstWastedUs, -1);
     }
 
     /** Plays a seed. */
-    public static Outcome play(long seed, Watch watch) {
-        return play(seed, watch, false);
+    public static Outcome run(long seed, DetectionMode watch) {
+        return run(seed, watch, false);
     }
 
     /** Plays a seed, with operators who do as chance has it or without. */
-    public static Outcome play(long seed, Watch watch, boolean operated) {
+    public static Outcome run(long seed, DetectionMode watch, boolean operated) {
         return new FleetRun(seed, watch, operated).run();
     }
 
@@ -181,8 +181,9 @@
         }
     }
 
-    private static Declared source(String name, Kind kind, long keepUs) {
-        return new Declared(name, kind, name, 80, EnumSet.allOf(May.class), S, keepUs, 20 * S, List.of(), List.of());
+    private static SourceDeclaration source(String name, Kind kind, long keepUs) {
+        return new SourceDeclaration(
+                name, kind, name, 80, EnumSet.allOf(Permission.class), S, keepUs, 20 * S, List.of(), List.of());
     }
 
     private long at() {
@@ -190,7 +191,7 @@
     }
 
     private static String id(int box) {
-        return Named.text(address(box));
+        return ReportedServer.text(address(box));
     }
 
     private static InetSocketAddress address(int box) {
@@ -208,11 +209,11 @@
         }
         node.onKnownList(new ServerList(0, true, List.of()));
         settle();
-        if (watch == Watch.BOTH) {
+        if (watch == DetectionMode.BOTH) {
             node.setAttemptObserver((server, result, answer, stalled, us) -> {
                 switch (result) {
-                    case OK -> checks.served(server, clock.nowUs());
-                    case ERROR, RESET, CONNECT_FAILED, TIMEOUT -> checks.failed(server, clock.nowUs());
+                    case OK -> checks.requestSucceeded(server, clock.nowUs());
+                    case ERROR, RESET, CONNECT_FAILED, TIMEOUT -> checks.requestFailed(server, clock.nowUs());
                     default -> {}
                 }
             });
@@ -223,7 +224,7 @@
         }
         arrive();
         clock.runUntil(START_US + END_US + 2 * S);
-        for (int box = 0; box < Truth.BOXES; box++) {
+        for (int box = 0; box < ActualServers.BOXES; box++) {
             notice(box);
             if (truth.isReady(box, END_US) && servedUs[box] < SETTLED_US) {
                 broken.add("box " + box + " is well and was not served to since " + servedUs[box] / S + " s");
@@ -240,7 +241,7 @@
                 served,
                 attempts,
                 wasted,
-                checks == null ? 0 : (int) checks.made(),
+                checks == null ? 0 : (int) checks.checkCount(),
                 noticed == 0 ? 0 : (double) noticeSum / noticed,
                 broken);
     }
@@ -257,31 +258,31 @@
     }
 
     private void say(int source, boolean mayErr) {
-        Declared by = declared.get(source);
+        SourceDeclaration by = declared.get(source);
         double draw = mayErr ? chance.nextDouble() : 1;
         if (draw < 0.04) {
-            membership.silent(source, "it can't be read", clock.nowUs());
+            membership.sourceFailed(source, "it can't be read", clock.nowUs());
             return;
         }
         if (draw < 0.07) {
-            membership.said(source, List.of(), clock.nowUs());
+            membership.serversReported(source, List.of(), clock.nowUs());
             return;
         }
-        List<Named> said = new ArrayList<>();
-        for (int box = 0; box < Truth.BOXES; box++) {
+        List<ReportedServer> said = new ArrayList<>();
+        for (int box = 0; box < ActualServers.BOXES; box++) {
             boolean there = truth.isThere(box, at());
-            boolean half = by.keepUs() > 0 && at() / S % 2 != box % 2 || draw < 0.10 && box > 3;
+            boolean half = by.retentionUs() > 0 && at() / S % 2 != box % 2 || draw < 0.10 && box > 3;
             if (!there || half) {
                 continue;
             }
             boolean drains = by.kind() == Kind.FILE && !truth.isReady(box, at());
-            said.add(new Named("", List.of(address(box)), drains ? Word.DRAINING : Word.READY, 1, ""));
+            said.add(new ReportedServer("", List.of(address(box)), drains ? State.DRAINING : State.READY, 1, ""));
         }
-        membership.said(source, said, clock.nowUs());
-        for (int box = 0; box < Truth.BOXES; box++) {
+        membership.serversReported(source, said, clock.nowUs());
+        for (int box = 0; box < ActualServers.BOXES; box++) {
             int each = box;
             boolean drains = said.stream()
-                    .anyMatch(n -> n.word() == Word.DRAINING && n.addresses().contains(address(each)));
+                    .anyMatch(n -> n.state() == State.DRAINING && n.addresses().contains(address(each)));
             if (drains && forbiddenUs[box] < 0) {
                 forbiddenUs[box] = at() + TOLD_WITHIN_US;
             }
@@ -316,22 +317,22 @@
         if (operators != null) {
             operators.expire(at());
         }
-        List<ServerList.Target> changes = composer.changes(clock.nowUs());
+        List<ServerList.Target> changes = composer.pollChanges(clock.nowUs());
         if (!changes.isEmpty()) {
             node.onList(new ServerList(0, false, changes));
         }
         if (checks == null) {
             return;
         }
-        for (String id : checks.due(clock.nowUs(), 32)) {
-            Mood mood = truth.lives.get(box(id)).mood(at());
+        for (String id : checks.dueChecks(clock.nowUs(), 32)) {
+            Condition mood = truth.lives.get(box(id)).mood(at());
             Finding finding = switch (mood) {
-                case DEAD, SILENT, FAILING, SICK_PATH -> Finding.ILL;
-                case STRANGER -> Finding.STRANGER;
-                default -> Finding.WELL;
+                case DEAD, SILENT, FAILING, SICK_PATH -> Finding.UNHEALTHY;
+                case STRANGER -> Finding.WRONG_SERVER;
+                default -> Finding.HEALTHY;
             };
-            long took = mood == Mood.SILENT ? CHECKS.withinUs() : 2 * WAY_US;
-            clock.schedule(clock.nowUs() + took, () -> checks.checked(id, finding, clock.nowUs()));
+            long took = mood == Condition.SILENT ? CHECKS.timeoutUs() : 2 * WAY_US;
+            clock.schedule(clock.nowUs() + took, () -> checks.checkCompleted(id, finding, clock.nowUs()));
         }
     }
 
@@ -429,7 +430,7 @@
             int box = box(serverId);
             ClientRequest request = sending.request();
             attempts++;
-            Mood mood = truth.lives.get(box).mood(at());
+            Condition mood = truth.lives.get(box).mood(at());
             if (forbiddenUs[box] >= 0 && at() > forbiddenUs[box] + settings().drainGraceUs) {
                 broken.add("drained: box " + box + " was sent request " + request.id() + " "
                         + (at() - forbiddenUs[box]) / 1_000 + " ms after a source had said that it drains");
@@ -438,7 +439,7 @@
                 broken.add("drained: box " + box + " was sent request " + request.id()
                         + " after an operator had drained it");
             }
-            if (mood == Mood.DEAD || mood == Mood.SILENT || mood == Mood.STRANGER) {
+            if (mood == Condition.DEAD || mood == Condition.SILENT || mood == Condition.STRANGER) {
                 wasted++;
                 firstWastedUs[box] = firstWastedUs[box] < 0 ? at() : firstWastedUs[box];
                 lastWastedUs[box] = at();
@@ -459,7 +460,7 @@
                     run(request, box);
                     servedUs[box] = at();
                     sent.in(
-                            mood == Mood.SLOW ? 20 * work : work,
+                            mood == Condition.SLOW ? 20 * work : work,
                             Result.OK,
                             new ServerResponse(200, "of " + request.id(), new byte[0]));
                 }
@@ -517,7 +518,7 @@
     /** For a test: the sources that a seed draws. */
     static Set<String> sources(long seed) {
         Set<String> names = new TreeSet<>();
-        new FleetRun(seed, Watch.REQUESTS, false).declared.forEach(d -> names.add(d.name()));
+        new FleetRun(seed, DetectionMode.REQUESTS, false).declared.forEach(d -> names.add(d.name()));
         return names;
     }
 }
--- a/src/main/java/vetchpost/simulation/fleet/Operators.java
+++ b/src/main/java/vetchpost/simulation/fleet/Operators.java
@@ -3,23 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import vetchpost.control.Change;
-import vetchpost.control.Entries;
-import vetchpost.control.Judge;
-import vetchpost.control.Kind;
+import vetchpost.control.AuditEntryJson;
+import vetchpost.control.AuditLog;
+import vetchpost.control.AuditLog.Entry;
+import vetchpost.control.AuditLog.Event;
+import vetchpost.control.FleetState;
 import vetchpost.control.Lease;
 import vetchpost.control.Leases;
-import vetchpost.control.Leases.Verdict;
-import vetchpost.control.Situation;
-import vetchpost.control.Trail;
-import vetchpost.control.Trail.Entry;
-import vetchpost.control.Trail.Event;
+import vetchpost.control.Leases.Decision;
+import vetchpost.control.OverrideKind;
+import vetchpost.control.OverrideRequest;
+import vetchpost.control.SafetyCheck;
 import vetchpost.sources.Membership.Member;
-import vetchpost.sources.Overrule;
+import vetchpost.sources.ServerOverrides;
 
 /** Operators who drain, weigh and freeze as chance has it, undo some of it, and a node that forgets all but
  * its trail; with a list of its own of what may not be sent to whom. */
-final class Operators implements Overrule {
+final class Operators implements ServerOverrides {
     private static final long MS = 1_000;
     private static final int MOST_LENGTH_MS = 6_000;
 
@@ -49,7 +49,7 @@
     }
 
     private static Leases leases() {
-        return new Leases(new Judge(0.3, 0.9));
+        return new Leases(new SafetyCheck(0.3, 0.9));
     }
 
     /** One command, or a restart; says what is wrong, or nothing. */
@@ -65,58 +65,60 @@
         if (chance.nextInt(5) == 0 && commands > 0) {
             long number = 1 + chance.nextInt(commands);
             if (leases.undo(number)) {
-                trail.add(Entries.text(new Entry(Event.UNDONE, number, nowUs / MS, null, "bob", "")));
+                trail.add(AuditEntryJson.text(new Entry(Event.UNDONE, number, nowUs / MS, null, "bob", "")));
                 bans.stream().filter(b -> b.number == number).forEach(b -> b.untilUs = nowUs);
             }
             return "";
         }
-        Kind kind = List.of(Kind.DRAIN, Kind.DRAIN, Kind.WEIGHT, Kind.FREEZE).get(chance.nextInt(4));
+        OverrideKind kind = List.of(OverrideKind.DRAIN, OverrideKind.DRAIN, OverrideKind.WEIGHT, OverrideKind.FREEZE)
+                .get(chance.nextInt(4));
         String server = members.get(chance.nextInt(members.size())).id();
         long length = 1_000 + chance.nextInt(MOST_LENGTH_MS - 1_000);
-        Change change = new Change(
+        OverrideRequest change = new OverrideRequest(
                 kind,
-                kind == Kind.FREEZE ? "" : server,
-                kind == Kind.WEIGHT ? 1 + chance.nextInt(1_000) : 0,
+                kind == OverrideKind.FREEZE ? "" : server,
+                kind == OverrideKind.WEIGHT ? 1 + chance.nextInt(1_000) : 0,
                 length,
                 "ann",
                 "a drawn night",
                 chance.nextInt(3),
                 "k" + commands++,
                 chance.nextInt(6) == 0);
-        Verdict verdict = leases.judge(change, situation(members), nowUs, nowUs / MS);
+        Decision verdict = leases.check(change, situation(members), nowUs, nowUs / MS);
         if (verdict.lease() != null) {
             leases.grant(verdict.lease());
-            trail.add(Entries.text(new Entry(Event.GRANTED, verdict.lease().number(), nowUs / MS, change, "ann", "")));
-            if (kind == Kind.DRAIN) {
+            trail.add(AuditEntryJson.text(
+                    new Entry(Event.GRANTED, verdict.lease().number(), nowUs / MS, change, "ann", "")));
+            if (kind == OverrideKind.DRAIN) {
                 bans.add(new Ban(server, verdict.lease().number(), us, nowUs + length * MS));
             }
         }
         return "";
     }
 
-    private static Situation situation(List<Member> members) {
-        return new Situation(
+    private static FleetState situation(List<Member> members) {
+        return new FleetState(
                 members.stream()
-                        .map(m -> new Situation.Server(m.id(), m.zone(), m.weight(), m.draining()))
+                        .map(m -> new FleetState.Server(m.id(), m.zone(), m.weight(), m.draining()))
                         .toList(),
                 List.of());
     }
 
     private String restart(List<Member> members, long nowUs) {
         Leases before = leases;
-        List<Entry> entries = trail.stream().map(Entries::read).toList();
+        List<Entry> entries = trail.stream().map(AuditEntryJson::read).toList();
         leases = leases();
-        Trail.held(entries, nowUs / MS, nowUs).forEach(leases::grant);
-        entries.forEach(e -> leases.goOnAfter(e.number()));
+        AuditLog.activeLeases(entries, nowUs / MS, nowUs).forEach(leases::grant);
+        entries.forEach(e -> leases.resumeNumberingAfter(e.number()));
         boolean same = before.all().stream()
                         .map(Lease::endUs)
                         .sorted()
                         .toList()
                         .equals(leases.all().stream().map(Lease::endUs).sorted().toList())
                 && members.stream()
-                        .allMatch(m -> before.effects().drains(m.id()) == drains(m.id())
+                        .allMatch(m -> before.effects().isDraining(m.id()) == isDraining(m.id())
                                 && before.effects().weight(m.id(), 1) == weight(m.id(), 1))
-                && before.effects().isFrozen() == holdsList();
+                && before.effects().isFrozen() == isListFrozen();
         return same ? "" : "overrides: a restart has changed what holds";
     }
 
@@ -136,8 +138,8 @@
     }
 
     @Override
-    public boolean drains(String id) {
-        return leases.effects().drains(id);
+    public boolean isDraining(String id) {
+        return leases.effects().isDraining(id);
     }
 
     @Override
@@ -146,7 +148,7 @@
     }
 
     @Override
-    public boolean holdsList() {
+    public boolean isListFrozen() {
         return leases.effects().isFrozen();
     }
 }
--- a/src/main/java/vetchpost/simulation/net/SimChannel.java
+++ b/src/main/java/vetchpost/simulation/net/SimChannel.java
@@ -29,7 +29,7 @@
 
     private final SimNetwork network;
     private final ChannelConfig config = new SimChannelConfig(this);
-    private End end;
+    private SimulatedSocket end;
     private ChannelPromise connecting;
     private Future<?> connectTimer;
     private boolean reading;
@@ -37,7 +37,7 @@
     private boolean outputShut;
 
     /** With no end yet, to be connected; or accepted by a listening socket. */
-    SimChannel(SimNetwork network, Channel parent, End end) {
+    SimChannel(SimNetwork network, Channel parent, SimulatedSocket end) {
         super(parent, new SimChannelId(network.nextId()));
         this.network = network;
         config.setAllocator(network.allocator());
@@ -46,7 +46,7 @@
         }
     }
 
-    private void take(End opened) {
+    private void take(SimulatedSocket opened) {
         end = opened;
         end.handler(() -> network.loop().ready(this));
     }
--- a/src/main/java/vetchpost/simulation/net/SimNetwork.java
+++ b/src/main/java/vetchpost/simulation/net/SimNetwork.java
@@ -11,14 +11,14 @@
 
 /** A process's way to the simulated network: Netty channels on simulated sockets. */
 public final class SimNetwork implements Network {
-    private final Host host;
+    private final SimulatedHost host;
     private final SimLoop loop;
     private final UnpooledByteBufAllocator allocator = new UnpooledByteBufAllocator(false, true);
     private final Consumer<Channel> opened;
     private int channels;
 
     /** Channels on this loop; each is shown to {@code opened} as soon as it is made. */
-    public SimNetwork(Host host, SimLoop loop, Consumer<Channel> opened) {
+    public SimNetwork(SimulatedHost host, SimLoop loop, Consumer<Channel> opened) {
         this.host = host;
         this.loop = loop;
         this.opened = opened;
@@ -49,13 +49,13 @@
     }
 
     /** A channel, accepted by this parent if there is one. */
-    SimChannel connection(Channel parent, End end) {
+    SimChannel connection(Channel parent, SimulatedSocket end) {
         SimChannel channel = new SimChannel(this, parent, end);
         opened.accept(channel);
         return channel;
     }
 
-    Host host() {
+    SimulatedHost host() {
         return host;
     }
 
