--- a/src/main/java/vetchpost/simulation/net/SimServerChannel.java
+++ b/src/main/java/vetchpost/simulation/net/SimServerChannel.java
@@ -15,7 +15,7 @@
     private final SimNetwork network;
     private final ChannelConfig config = new SimChannelConfig(this, new ServerChannelRecvByteBufAllocator());
     /** Connections that the system has accepted and the process has not. */
-    private final Deque<End> backlog = new ArrayDeque<>();
+    private final Deque<SimulatedSocket> backlog = new ArrayDeque<>();
 
     private InetSocketAddress address;
     private boolean reading;
@@ -69,7 +69,7 @@
         if (address != null) {
             network.host().unlisten(address);
         }
-        backlog.forEach(End::reset);
+        backlog.forEach(SimulatedSocket::reset);
         backlog.clear();
     }
 
@@ -93,7 +93,7 @@
         var handle = unsafe().recvBufAllocHandle();
         handle.reset(config);
         do {
-            End end = backlog.poll();
+            SimulatedSocket end = backlog.poll();
             if (end == null) {
                 break;
             }
--- a/src/main/java/vetchpost/simulation/net/Host.java
+++ b/src/main/java/vetchpost/simulation/net/SimulatedHost.java
@@ -8,16 +8,16 @@
 import java.util.function.Consumer;
 
 /** A process on a machine of its own: what it listens on and its ends of connections. */
-public final class Host {
+public final class SimulatedHost {
     final Tcp tcp;
     final Tap tap;
     private final String name;
-    private final Set<End> ends = new LinkedHashSet<>();
+    private final Set<SimulatedSocket> ends = new LinkedHashSet<>();
     private final List<InetSocketAddress> listening = new ArrayList<>();
     private boolean vanished;
     private boolean dead;
 
-    Host(Tcp tcp, String name, Tap tap) {
+    SimulatedHost(Tcp tcp, String name, Tap tap) {
         this.tcp = tcp;
         this.name = name;
         this.tap = tap;
@@ -28,7 +28,7 @@
     }
 
     /** Takes connections at this address. */
-    public void listen(InetSocketAddress address, Consumer<End> accepted) {
+    public void listen(InetSocketAddress address, Consumer<SimulatedSocket> accepted) {
         listening.add(address);
         tcp.listen(address, this, accepted);
     }
@@ -41,15 +41,15 @@
     }
 
     /** Opens a connection; the handler hears when it is up, or has failed. */
-    public End connect(InetSocketAddress to, Runnable handler) {
+    public SimulatedSocket connect(InetSocketAddress to, Runnable handler) {
         return tcp.connect(this, to, handler);
     }
 
-    void opened(End end) {
+    void opened(SimulatedSocket end) {
         ends.add(end);
     }
 
-    void closed(End end) {
+    void closed(SimulatedSocket end) {
         ends.remove(end);
     }
 
@@ -73,9 +73,9 @@
     }
 
     /** It is back, as a new process: the old connections are reset as soon as something comes on them. */
-    public void comeBack() {
+    public void reappear() {
         vanished = false;
-        for (End end : new ArrayList<>(ends)) {
+        for (SimulatedSocket end : new ArrayList<>(ends)) {
             end.forget();
         }
         ends.clear();
@@ -87,7 +87,7 @@
         for (InetSocketAddress address : new ArrayList<>(listening)) {
             unlisten(address);
         }
-        for (End end : new ArrayList<>(ends)) {
+        for (SimulatedSocket end : new ArrayList<>(ends)) {
             end.reset();
         }
     }
--- a/src/main/java/vetchpost/simulation/net/End.java
+++ b/src/main/java/vetchpost/simulation/net/SimulatedSocket.java
@@ -11,7 +11,7 @@
  * pieces of arbitrary sizes, in order, each after a delay of its own; what nobody reads fills the buffers up
  * to the writer; what is sent to a machine that has vanished stays under way.
  */
-public final class End {
+public final class SimulatedSocket {
     /** Bytes that the system takes to send ahead of what the other side's has taken. */
     private static final int SEND_BUFFER = 32 * 1024;
 
@@ -28,7 +28,7 @@
     private record Segment(Kind kind, byte[] bytes, Runnable action) {}
 
     private final Tcp tcp;
-    private final Host host;
+    private final SimulatedHost host;
     private final InetSocketAddress local;
     private final InetSocketAddress remote;
     private final Bytes inbox = new Bytes();
@@ -36,7 +36,7 @@
     private final Deque<Segment> held = new ArrayDeque<>();
 
     private Runnable handler;
-    private End peer;
+    private SimulatedSocket peer;
     private boolean open;
     private boolean failed;
     private boolean closed;
@@ -48,7 +48,7 @@
     private long consumed;
     private long received;
 
-    End(Tcp tcp, Host host, InetSocketAddress local, InetSocketAddress remote, Runnable handler) {
+    SimulatedSocket(Tcp tcp, SimulatedHost host, InetSocketAddress local, InetSocketAddress remote, Runnable handler) {
         this.tcp = tcp;
         this.host = host;
         this.local = local;
@@ -62,12 +62,12 @@
         handler = next;
     }
 
-    public Host host() {
+    public SimulatedHost host() {
         return host;
     }
 
     /** The process at the other side, or null before the connection is up. */
-    public Host peerHost() {
+    public SimulatedHost peerHost() {
         return peer == null ? null : peer.host;
     }
 
@@ -124,7 +124,7 @@
         tcp.time().at(lastArrivalNs, action);
     }
 
-    void up(End other) {
+    void up(SimulatedSocket other) {
         peer = other;
         open = true;
     }
@@ -184,7 +184,7 @@
     }
 
     /** Writes so that all arrives at once, as one packet does. */
-    public void putWhole(byte[] bytes) {
+    public void putUnsplit(byte[] bytes) {
         if (!resetIn && !closed && !finSent && open && unacked + bytes.length <= SEND_BUFFER) {
             unacked += bytes.length;
             host.tap.wrote(this, bytes);
@@ -196,7 +196,7 @@
     public void whenDelivered(Runnable action) {
         if (peer != null && !host.isVanished()) {
             // In the same instant, or the other side could act on it before its watchers know.
-            End to = peer;
+            SimulatedSocket to = peer;
             tcp.time().at(to.lastArrivalNs, () -> to.arrive(new Segment(Kind.DELIVERED, null, action)));
         }
     }
@@ -270,7 +270,7 @@
         if (peer == null || host.isVanished()) {
             return;
         }
-        End to = peer;
+        SimulatedSocket to = peer;
         to.lastArrivalNs = Math.max(to.lastArrivalNs, tcp.time().nanoTime() + tcp.delayNs());
         tcp.time().at(to.lastArrivalNs, () -> to.arrive(segment));
     }
@@ -293,7 +293,7 @@
     /** An answer of the system's, for a process that has closed its end. */
     private void sendResetBack() {
         if (peer != null && !peer.closed && !host.isVanished()) {
-            End to = peer;
+            SimulatedSocket to = peer;
             tcp.time().after(tcp.delayNs(), () -> to.arrive(new Segment(Kind.RESET, null, null)));
         }
     }
--- a/src/main/java/vetchpost/simulation/net/Tap.java
+++ b/src/main/java/vetchpost/simulation/net/Tap.java
@@ -6,14 +6,14 @@
     Tap NONE = new Tap() {};
 
     /** The process's system has taken these bytes to send. */
-    default void wrote(End end, byte[] bytes) {}
+    default void wrote(SimulatedSocket end, byte[] bytes) {}
 
     /** These bytes have come to the process's system; the process may not have read them yet. */
-    default void received(End end, byte[] bytes) {}
+    default void received(SimulatedSocket end, byte[] bytes) {}
 
     /** The other side has ended or reset the connection, as far as this system knows. */
-    default void ended(End end, boolean reset) {}
+    default void ended(SimulatedSocket end, boolean reset) {}
 
     /** The process has closed its end. */
-    default void closed(End end) {}
+    default void closed(SimulatedSocket end) {}
 }
--- a/src/main/java/vetchpost/simulation/net/Tcp.java
+++ b/src/main/java/vetchpost/simulation/net/Tcp.java
@@ -19,7 +19,7 @@
     private static final int PORTS = 50_000;
 
     /** Somebody who takes connections. */
-    private record Listener(Host host, Consumer<End> accepted) {}
+    private record Listener(SimulatedHost host, Consumer<SimulatedSocket> accepted) {}
 
     private final VirtualTime time;
     private final SplittableRandom random;
@@ -32,19 +32,19 @@
     }
 
     /** A new process on a machine of its own. */
-    public Host host(String name, Tap tap) {
-        return new Host(this, name, tap);
+    public SimulatedHost host(String name, Tap tap) {
+        return new SimulatedHost(this, name, tap);
     }
 
     public VirtualTime time() {
         return time;
     }
 
-    void listen(InetSocketAddress address, Host host, Consumer<End> accepted) {
+    void listen(InetSocketAddress address, SimulatedHost host, Consumer<SimulatedSocket> accepted) {
         listeners.put(address, new Listener(host, accepted));
     }
 
-    void unlisten(InetSocketAddress address, Host host) {
+    void unlisten(InetSocketAddress address, SimulatedHost host) {
         Listener there = listeners.get(address);
         if (there != null && there.host == host) {
             listeners.remove(address);
@@ -56,19 +56,19 @@
         return listeners.containsKey(address);
     }
 
-    End connect(Host from, InetSocketAddress to, Runnable handler) {
+    SimulatedSocket connect(SimulatedHost from, InetSocketAddress to, Runnable handler) {
         InetSocketAddress local = new InetSocketAddress(to.getAddress(), FIRST_PORT + opened++ % PORTS);
-        End end = new End(this, from, local, to, handler);
+        SimulatedSocket end = new SimulatedSocket(this, from, local, to, handler);
         time.after(delayNs(), () -> arrive(end, local, to));
         return end;
     }
 
-    private void arrive(End from, InetSocketAddress local, InetSocketAddress to) {
+    private void arrive(SimulatedSocket from, InetSocketAddress local, InetSocketAddress to) {
         Listener listener = listeners.get(to);
         if (listener == null) {
             time.after(delayNs(), from::refused);
         } else if (!listener.host.isVanished()) {
-            End there = new End(this, listener.host, to, local, null);
+            SimulatedSocket there = new SimulatedSocket(this, listener.host, to, local, null);
             there.up(from);
             // What the other side says at once comes after its answer to the call.
             from.comesUpIn(delayNs(), () -> {
--- a/src/main/java/vetchpost/simulation/scale/Configurations.java
+++ b/src/main/java/vetchpost/simulation/scale/Configurations.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
-import vetchpost.changes.Catalog;
+import vetchpost.changes.RouteConfiguration;
 import vetchpost.decision.Balancer.DeduplicationScope;
 import vetchpost.decision.Balancer.Idempotency;
 import vetchpost.decision.Balancer.RequestClass;
@@ -14,10 +14,10 @@
 import vetchpost.routes.Position;
 import vetchpost.routes.RouteCodec;
 import vetchpost.routes.Section;
-import vetchpost.store.Change;
-import vetchpost.store.Fields;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.store.EntryChange;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
+import vetchpost.store.FieldCodec;
 import vetchpost.store.Version;
 
 /** Drawn configurations of any size, and changes of them; the same for the same seed. */
@@ -55,8 +55,8 @@
         return String.format(Locale.ROOT, "/s%04d/r%06d/{id}", route % services, route);
     }
 
-    private static Key key(String route) {
-        return new Key(Kind.ROUTE, route);
+    private static EntryKey key(String route) {
+        return new EntryKey(EntryKind.ROUTE, route);
     }
 
     private byte[] route(int number) {
@@ -82,40 +82,41 @@
     }
 
     private static byte[] share(double share) {
-        Fields.Packer packer = new Fields.Packer();
+        FieldCodec.Encoder packer = new FieldCodec.Encoder();
         packer.add(0, share);
         return packer.bytes();
     }
 
     private static byte[] service(int number) {
-        Fields.Packer packer = new Fields.Packer();
+        FieldCodec.Encoder packer = new FieldCodec.Encoder();
         packer.add(0, "pool-" + number);
         packer.add(1, 30L);
         return packer.bytes();
     }
 
     /** A configuration of that many routes. */
-    Catalog whole(int ofRoutes) {
-        List<Change> changes = new ArrayList<>();
+    RouteConfiguration whole(int ofRoutes) {
+        List<EntryChange> changes = new ArrayList<>();
         for (int i = 0; i < services; i++) {
-            changes.add(Change.put(new Key(Kind.SERVICE, String.format(Locale.ROOT, "s%04d", i)), service(i)));
+            changes.add(EntryChange.put(
+                    new EntryKey(EntryKind.SERVICE, String.format(Locale.ROOT, "s%04d", i)), service(i)));
         }
         for (int i = 0; i < tenants; i++) {
-            changes.add(Change.put(new Key(Kind.TENANT, tenant(i)), share(1 + i % 7)));
+            changes.add(EntryChange.put(new EntryKey(EntryKind.TENANT, tenant(i)), share(1 + i % 7)));
         }
         for (routes = 0; routes < ofRoutes; routes++) {
-            changes.add(Change.put(key(path(routes)), route(routes)));
+            changes.add(EntryChange.put(key(path(routes)), route(routes)));
         }
-        Catalog catalog = Catalog.empty(settings());
+        RouteConfiguration catalog = RouteConfiguration.empty(settings());
         long number = 0;
         for (int i = 0; i < changes.size(); i += BATCH) {
-            Catalog.Outcome outcome =
-                    catalog.prove(changes.subList(i, Math.min(changes.size(), i + BATCH)), Version.of(1, ++number));
-            if (outcome.catalog() == null) {
+            RouteConfiguration.Outcome outcome =
+                    catalog.apply(changes.subList(i, Math.min(changes.size(), i + BATCH)), Version.of(1, ++number));
+            if (outcome.configuration() == null) {
                 throw new IllegalStateException(
                         "what was drawn is refused: " + outcome.violations().get(0));
             }
-            catalog = outcome.catalog();
+            catalog = outcome.configuration();
         }
         return catalog;
     }
@@ -124,28 +125,28 @@
      * Some changes that fit the catalog: mostly a route that says something else, now and then one more or
      * less.
      */
-    List<Change> batch(Catalog catalog, int size) {
-        Map<Key, Change> batch = new LinkedHashMap<>();
+    List<EntryChange> batch(RouteConfiguration catalog, int size) {
+        Map<EntryKey, EntryChange> batch = new LinkedHashMap<>();
         while (batch.size() < size) {
             int kind = random.nextInt(20);
             if (kind == 0) {
-                batch.put(key(path(routes)), Change.put(key(path(routes)), route(routes++)));
+                batch.put(key(path(routes)), EntryChange.put(key(path(routes)), route(routes++)));
                 continue;
             }
             if (kind == 1 && tenants > 0) {
-                Key tenant = new Key(Kind.TENANT, tenant(random.nextInt(tenants)));
-                batch.put(tenant, Change.replace(tenant, share(random.nextInt(1, 50))));
+                EntryKey tenant = new EntryKey(EntryKind.TENANT, tenant(random.nextInt(tenants)));
+                batch.put(tenant, EntryChange.replace(tenant, share(random.nextInt(1, 50))));
                 continue;
             }
             int number = random.nextInt(routes);
-            Key route = key(path(number));
+            EntryKey route = key(path(number));
             if (catalog.store().get(route) == null || batch.containsKey(route)) {
                 if (batch.isEmpty() && routes < 10) {
-                    batch.put(key(path(routes)), Change.put(key(path(routes)), route(routes++)));
+                    batch.put(key(path(routes)), EntryChange.put(key(path(routes)), route(routes++)));
                 }
                 continue;
             }
-            batch.put(route, kind == 2 ? Change.delete(route) : Change.replace(route, route(number)));
+            batch.put(route, kind == 2 ? EntryChange.delete(route) : EntryChange.replace(route, route(number)));
         }
         return List.copyOf(batch.values());
     }
--- a/src/main/java/vetchpost/simulation/scale/Footprint.java
+++ b/src/main/java/vetchpost/simulation/scale/Footprint.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
-import vetchpost.changes.Catalog;
+import vetchpost.changes.RouteConfiguration;
 import vetchpost.decision.Balancer;
 import vetchpost.decision.Balancer.Actions;
 import vetchpost.decision.Balancer.ListKind;
@@ -14,8 +14,8 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.ServiceQBalancer;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
 import vetchpost.store.PackedTree;
 import vetchpost.store.PackedTree.Item;
 
@@ -145,23 +145,23 @@
     }
 
     /** Bytes that a node keeps for each route, with its part of the trees and of the way to find it. */
-    static double perRoute(Catalog catalog) {
-        return of(catalog, Kind.ROUTE)
+    static double perRoute(RouteConfiguration catalog) {
+        return of(catalog, EntryKind.ROUTE)
                 + (double) catalog.indexBytes() / Math.max(1, catalog.routes().size());
     }
 
     /** The same for a tenant. */
-    static double perTenant(Catalog catalog) {
-        return of(catalog, Kind.TENANT);
+    static double perTenant(RouteConfiguration catalog) {
+        return of(catalog, EntryKind.TENANT);
     }
 
-    private static double of(Catalog catalog, Kind kind) {
+    private static double of(RouteConfiguration catalog, EntryKind kind) {
         PackedTree live = catalog.store().live();
-        byte[] first = new Key(kind, "").bytes();
+        byte[] first = new EntryKey(kind, "").bytes();
         long all = 0;
         long own = 0;
         long count = 0;
-        for (Item item = live.at(0); item != null; item = live.ceiling(PackedTree.after(item.key()))) {
+        for (Item item = live.at(0); item != null; item = live.ceiling(PackedTree.successor(item.key()))) {
             long bytes = item.key().length + item.value().length + Long.BYTES;
             all += bytes;
             if (item.key()[0] == first[0]) {
--- a/src/main/java/vetchpost/simulation/scale/Hollow.java
+++ b/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import vetchpost.replication.Choice;
-import vetchpost.replication.Following;
 import vetchpost.replication.Frame;
 import vetchpost.replication.FrameCodec;
-import vetchpost.replication.Malformed;
+import vetchpost.replication.MalformedFrameException;
 import vetchpost.replication.Publisher;
+import vetchpost.replication.PublisherChoice;
+import vetchpost.replication.PublisherFailover;
 import vetchpost.replication.Replica;
 import vetchpost.simulation.net.VirtualTime;
 import vetchpost.store.VersionedStore;
@@ -18,7 +18,7 @@
  * Control machines and hollow nodes on virtual time: each has the real code of replication, with connections
  * that carry real frames, take their time, break and are opened anew, and nothing else of a node.
  */
-final class Hollow {
+final class LightweightFleet {
     private static final long US = 1_000;
     private static final long SECOND_US = 1_000_000;
     /** Bytes of a frame's length and tag on its way. */
@@ -110,7 +110,7 @@
         private Publisher publisher;
         private Replica replica;
         private List<Machine> sources = List.of();
-        private Following following;
+        private PublisherFailover following;
         private Link link;
         private final List<Link> links = new ArrayList<>();
         private boolean up = true;
@@ -162,7 +162,7 @@
 
         /** Something newer is to be told. */
         void settle(VersionedStore store) {
-            timed(() -> publisher.settle(store));
+            timed(() -> publisher.publish(store));
             pump();
         }
 
@@ -170,11 +170,11 @@
         void follow(Replica of, List<Machine> publishers, long afterUs) {
             replica = of;
             sources = publishers;
-            Choice choice = new Choice(
+            PublisherChoice choice = new PublisherChoice(
                     name,
                     publishers.stream().map(Machine::name).toList(),
                     p -> publishers.stream().anyMatch(m -> m.name.equals(p) && m.region == region));
-            following = new Following(of, choice, new Following.Line() {
+            following = new PublisherFailover(of, choice, new PublisherFailover.Transport() {
                 @Override
                 public void open(int publisher) {
                     Machine to = sources.get(publisher);
@@ -206,13 +206,13 @@
                     time.after(us * US, task);
                 }
             });
-            following.begin(afterUs);
+            following.start(afterUs);
         }
 
         /** Dies: its connections break. */
         void kill() {
             up = false;
-            following.end();
+            following.stop();
             unlink();
             for (Link each : List.copyOf(links)) {
                 each.broken();
@@ -254,9 +254,9 @@
             spent.bytes(us(), bytes.length + TAG);
             timed(() -> {
                 try {
-                    following.take(codec.read(bytes));
-                } catch (Malformed e) {
-                    following.refused(e.getMessage());
+                    following.receive(codec.read(bytes));
+                } catch (MalformedFrameException e) {
+                    following.rejected(e.getMessage());
                 }
             });
         }
@@ -268,8 +268,8 @@
             boolean[] fine = {true};
             timed(() -> {
                 try {
-                    publisher.take(by, codec.read(bytes), bytes.length, us());
-                } catch (Malformed e) {
+                    publisher.receive(by, codec.read(bytes), bytes.length, us());
+                } catch (MalformedFrameException e) {
                     fine[0] = false;
                 }
             });
@@ -281,7 +281,7 @@
 
         private void pump() {
             long[] nextUs = {Long.MAX_VALUE};
-            timed(() -> nextUs[0] = publisher.pump(us()));
+            timed(() -> nextUs[0] = publisher.sendPending(us()));
             if (nextUs[0] != Long.MAX_VALUE && (pumping == null || nextUs[0] != pumpUs)) {
                 if (pumping != null) {
                     pumping.cancel();
--- a/src/main/java/vetchpost/simulation/scale/Fit.java
+++ b/src/main/java/vetchpost/simulation/scale/LinearFit.java
@@ -11,12 +11,12 @@
  * @param worst the largest distance of a point from the line, as a share of the point's own value
  * @param power the slope of the logarithms
  */
-record Fit(double intercept, double slope, double worst, double power) {
+record LinearFit(double intercept, double slope, double worst, double power) {
     /** A line is called straight up to here: timings on a machine with other work on it spread by so much. */
     private static final double STRAIGHT = 0.15;
 
     /** Through these points, two at least. */
-    static Fit of(double[] x, double[] y) {
+    static LinearFit of(double[] x, double[] y) {
         double[] line = line(x, y);
         double worst = 0;
         double[] logX = new double[x.length];
@@ -26,7 +26,7 @@
             logX[i] = Math.log(x[i]);
             logY[i] = Math.log(Math.max(1e-12, y[i]));
         }
-        return new Fit(line[0], line[1], worst, line(logX, logY)[1]);
+        return new LinearFit(line[0], line[1], worst, line(logX, logY)[1]);
     }
 
     private static double[] line(double[] x, double[] y) {
--- a/src/main/java/vetchpost/simulation/scale/RealCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/RealCommand.java
@@ -27,14 +27,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.changes.Catalog;
-import vetchpost.changes.Writer;
-import vetchpost.handover.Secret;
+import vetchpost.changes.ChangeWriter;
+import vetchpost.changes.RouteConfiguration;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
 import vetchpost.replication.Publisher;
 import vetchpost.replication.Replica;
 import vetchpost.replication.net.PublisherServer;
-import vetchpost.simulation.scale.Hollow.Machine;
+import vetchpost.simulation.scale.LightweightFleet.Machine;
 import vetchpost.store.Version;
 
 /**
@@ -134,8 +134,8 @@
 
     private Times hollow() {
         Configurations drawn = new Configurations(1, 10, 0);
-        Catalog start = drawn.whole(routes);
-        Hollow net = new Hollow();
+        RouteConfiguration start = drawn.whole(routes);
+        LightweightFleet net = new LightweightFleet();
         net.distance((from, to) -> 0);
         Machine control = net.machine("control", 0);
         control.publish(start.store(), BUDGET);
@@ -155,7 +155,7 @@
                             1);
         }
         net.run(1_000_000);
-        Writer writer = new Writer(start, 1);
+        ChangeWriter writer = new ChangeWriter(start, 1);
         long first = Version.number(start.store().version());
         Map<Long, Long> entered = new ConcurrentHashMap<>();
         for (int i = 0; i < SINGLES + BATCHES; i++) {
@@ -169,8 +169,8 @@
         return Times.of(entered, inForce, first);
     }
 
-    private void enter(Writer writer, Configurations drawn, int i, Map<Long, Long> entered, long nowUs) {
-        if (!writer.submit(drawn.batch(writer.catalog(), i < SINGLES ? 1 : burst / BATCHES))
+    private void enter(ChangeWriter writer, Configurations drawn, int i, Map<Long, Long> entered, long nowUs) {
+        if (!writer.submit(drawn.batch(writer.configuration(), i < SINGLES ? 1 : burst / BATCHES))
                 .isEmpty()) {
             throw new IllegalStateException("what was drawn is refused");
         }
@@ -179,7 +179,7 @@
 
     private Times real() throws Exception {
         Configurations drawn = new Configurations(1, 10, 0);
-        Catalog start = drawn.whole(routes);
+        RouteConfiguration start = drawn.whole(routes);
         Path secret = Files.createTempFile("secret", "");
         byte[] random = new byte[24];
         new SecureRandom().nextBytes(random);
@@ -194,7 +194,7 @@
                             server[0] = new PublisherServer(
                                     loop,
                                     Network.SYSTEM,
-                                    Secret.read(secret),
+                                    SharedSecret.read(secret),
                                     new SecureRandom(),
                                     start.store(),
                                     new Publisher.Budget(1e7, 1e7, 1e8, 1e7));
@@ -215,12 +215,12 @@
             long first = Version.number(start.store().version());
             await(inForce, first);
             // They have all; from here on with the budgets of nodes, as another publisher at the same place.
-            loop.submit(() -> server[0].budget(BUDGET)).get();
-            Writer writer = new Writer(start, 1);
+            loop.submit(() -> server[0].setBudget(BUDGET)).get();
+            ChangeWriter writer = new ChangeWriter(start, 1);
             Map<Long, Long> entered = new ConcurrentHashMap<>();
             for (int i = 0; i < SINGLES + BATCHES; i++) {
                 enter(writer, drawn, i, entered, System.nanoTime() / 1_000);
-                loop.submit(() -> server[0].settle(writer.store())).get();
+                loop.submit(() -> server[0].publish(writer.store())).get();
                 if (i < SINGLES) {
                     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(EVERY_MS));
                 }
--- a/src/main/java/vetchpost/simulation/scale/ReplicaCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/ReplicaCommand.java
@@ -15,9 +15,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.changes.Catalog;
+import vetchpost.changes.RouteConfiguration;
 import vetchpost.discovery.ServerListParser;
-import vetchpost.handover.Secret;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
 import vetchpost.replication.Replica;
 import vetchpost.replication.net.ReplicaClient;
@@ -43,10 +43,10 @@
 
     @Override
     public Integer call() throws Exception {
-        Secret secret;
+        SharedSecret secret;
         InetSocketAddress address;
         try {
-            secret = Secret.read(secretFile);
+            secret = SharedSecret.read(secretFile);
             address = ServerListParser.address(publisher);
         } catch (IOException | IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage());
@@ -54,7 +54,7 @@
         PrintStream out = System.out;
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        Catalog empty = Catalog.empty(Configurations.settings());
+        RouteConfiguration empty = RouteConfiguration.empty(Configurations.settings());
         loop.submit(() -> new ReplicaClient(
                                 loop,
                                 Network.SYSTEM,
@@ -66,7 +66,7 @@
                                     out.println(Version.number(store.version()) + " " + System.nanoTime() / 1_000);
                                     out.flush();
                                 }))
-                        .begin())
+                        .start())
                 .get();
         while (System.in.read() >= 0) {
             continue;
--- a/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
+++ b/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import vetchpost.changes.Catalog;
-import vetchpost.changes.Writer;
+import vetchpost.changes.ChangeWriter;
+import vetchpost.changes.RouteConfiguration;
 import vetchpost.replication.Index;
 import vetchpost.replication.Publisher;
 import vetchpost.replication.Replica;
-import vetchpost.simulation.scale.Hollow.Machine;
+import vetchpost.simulation.scale.LightweightFleet.Machine;
 import vetchpost.store.PackedTree.Sum;
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
@@ -40,7 +40,7 @@
     /** What a machine has done wrong. */
     record Broken(String rule, String what) {}
 
-    private final Hollow hollow = new Hollow();
+    private final LightweightFleet hollow = new LightweightFleet();
     private final SplittableRandom random;
     private final Configurations configurations;
     private final Replicas replicas;
@@ -57,14 +57,14 @@
     private final List<Long> delaysUs = new ArrayList<>();
     private final boolean checksIndex;
     private final long remembered;
-    private Writer writer;
+    private ChangeWriter writer;
     private boolean measuring;
     private int refused;
 
     ReplicationRun(
             long seed,
             Configurations configurations,
-            Catalog start,
+            RouteConfiguration start,
             int controlMachines,
             int nodeCount,
             Publisher.Budget budget,
@@ -78,14 +78,17 @@
         remembered = checksIndex ? FEW_REMEMBERED : REMEMBERED;
         hollow.distance((from, to) ->
                 from.region() == to.region() ? NEAR_US : cut[from.region()] || cut[to.region()] ? -1 : FAR_US);
-        writer = new Writer(start, Version.epoch(start.store().version()));
+        writer = new ChangeWriter(start, Version.epoch(start.store().version()));
         remember();
         head = hollow.machine("writer", 0);
         // What goes to a few control machines may take what nodes must not.
         head.publish(
                 start.store(),
                 new Publisher.Budget(
-                        10 * budget.peerPerS(), 10 * budget.peerBurst(), budget.allPerS(), 100 * budget.itemsPerS()));
+                        10 * budget.bytesPerSPerReplica(),
+                        10 * budget.burstBytesPerReplica(),
+                        budget.totalBytesPerS(),
+                        100 * budget.entriesPerSPerReplica()));
         for (int i = 0; i < controlMachines; i++) {
             Machine control = hollow.machine("control-" + i, i % REGIONS);
             controls.add(control);
@@ -98,7 +101,7 @@
         }
     }
 
-    Hollow hollow() {
+    LightweightFleet hollow() {
         return hollow;
     }
 
@@ -119,7 +122,7 @@
         return delaysUs;
     }
 
-    Writer writer() {
+    ChangeWriter writer() {
         return writer;
     }
 
@@ -135,13 +138,14 @@
     private void remember() {
         history.put(writer.store().version(), writer.store().live().sum());
         if (checksIndex) {
-            indexes.put(writer.store().version(), writer.catalog().routes().matchSum());
+            indexes.put(
+                    writer.store().version(), writer.configuration().routes().matchSum());
         }
         enteredUs.put(writer.store().version(), hollow.nowUs());
     }
 
     /** A machine begins with a catalog that was whole at its version. */
-    private void begin(Machine machine, Catalog from, long afterUs) {
+    private void begin(Machine machine, RouteConfiguration from, long afterUs) {
         begin(machine, from.store(), from, afterUs);
     }
 
@@ -168,7 +172,7 @@
                     "what is in force is what was written, whole",
                     machine.name() + " at " + Version.text(store.version())));
         }
-        if (checksIndex && !((Catalog) index).routes().matchSum().equals(indexes.get(store.version()))) {
+        if (checksIndex && !((RouteConfiguration) index).routes().matchSum().equals(indexes.get(store.version()))) {
             broken.add(new Broken(
                     "requests are looked up in what is in force",
                     machine.name() + " at " + Version.text(store.version())));
@@ -182,18 +186,18 @@
             }
         }
         if (relay) {
-            machine.settle(store.forget(remembered));
+            machine.settle(store.forgetRemovals(remembered));
         }
     }
 
     /** So many changes are entered, as one batch. */
     void change(int size) {
-        if (!writer.submit(configurations.batch(writer.catalog(), size)).isEmpty()) {
+        if (!writer.submit(configurations.batch(writer.configuration(), size)).isEmpty()) {
             refused++;
             return;
         }
         remember();
-        head.settle(writer.store().forget(remembered));
+        head.settle(writer.store().forgetRemovals(remembered));
     }
 
     /** Has changes come evenly, so many a second, up to that time. */
@@ -217,7 +221,7 @@
     }
 
     /** A machine dies and is there again after a while, with what it had or, of a node, with this. */
-    void restart(Machine machine, long afterUs, Catalog from) {
+    void restart(Machine machine, long afterUs, RouteConfiguration from) {
         if (!machine.isUp()) {
             return;
         }
@@ -259,12 +263,12 @@
                 furthest = control;
             }
         }
-        Catalog catalog = (Catalog) furthest.replica().index();
+        RouteConfiguration catalog = (RouteConfiguration) furthest.replica().index();
         if (furthest.replica().store().version() != writer.store().version()) {
             // It would lose changes that have a version: that takes agreement, which is not there yet.
             return;
         }
-        writer = new Writer(
+        writer = new ChangeWriter(
                 catalog.at(furthest.replica().store()),
                 Version.epoch(writer.store().version()) + 1);
     }
@@ -291,7 +295,7 @@
     /** A run of that seed with drawn cuts, kills, restarts and takeovers over some nodes; what it broke. */
     static List<Broken> seed(long seed, int nodeCount, Replicas replicas) {
         Configurations configurations = new Configurations(seed, 5, 20);
-        Catalog start = configurations.whole(150);
+        RouteConfiguration start = configurations.whole(150);
         ReplicationRun run = new ReplicationRun(
                 seed,
                 configurations,
@@ -322,7 +326,7 @@
         return run.broken;
     }
 
-    private void harm(SplittableRandom draw, Catalog start) {
+    private void harm(SplittableRandom draw, RouteConfiguration start) {
         switch (draw.nextInt(7)) {
             case 0, 1 -> {
                 int region = draw.nextInt(REGIONS);
--- a/src/main/java/vetchpost/simulation/scale/RunCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/RunCommand.java
@@ -12,9 +12,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.changes.Catalog;
+import vetchpost.changes.RouteConfiguration;
 import vetchpost.replication.Publisher;
-import vetchpost.simulation.scale.Hollow.Machine;
+import vetchpost.simulation.scale.LightweightFleet.Machine;
 import vetchpost.simulation.scale.ReplicationRun.Replicas;
 import vetchpost.store.PackedTree;
 import vetchpost.store.Version;
@@ -135,7 +135,7 @@
         out = spec.commandLine().getOut();
         long began = System.nanoTime();
         Configurations drawn = new Configurations(seed, services, tenants);
-        Catalog start = drawn.whole(routes);
+        RouteConfiguration start = drawn.whole(routes);
         say(
                 began,
                 String.format(
@@ -169,8 +169,8 @@
         out.flush();
     }
 
-    private void play(ReplicationRun run, Catalog start, long began) {
-        Hollow hollow = run.hollow();
+    private void play(ReplicationRun run, RouteConfiguration start, long began) {
+        LightweightFleet hollow = run.hollow();
         hollow.run(5 * SECOND_US);
         part(
                 run,
@@ -221,11 +221,11 @@
                         : "still behind, at "
                                 + Version.text(setBack.replica().store().version()) + " of "
                                 + Version.text(run.writer().store().version()) + ", refused "
-                                + setBack.replica().refused());
+                                + setBack.replica().rejectedCount());
         spoilt(run, run.nodes().get(7));
         Machine bare = run.nodes().get(4);
         long bareUs = hollow.nowUs();
-        run.restart(bare, 1, Catalog.empty(Configurations.settings()));
+        run.restart(bare, 1, RouteConfiguration.empty(Configurations.settings()));
         hollow.run(bareUs + SECOND_US);
         while (bare.replica().store().version() != run.writer().store().version()
                 && hollow.nowUs() < bareUs + 7_200 * SECOND_US) {
@@ -284,7 +284,7 @@
 
     /** Plays a while and tells what it came to, each figure beside its budget. */
     private void part(ReplicationRun run, long began, String what, int seconds, Runnable begin) {
-        Hollow hollow = run.hollow();
+        LightweightFleet hollow = run.hollow();
         long fromUs = (hollow.nowUs() / SECOND_US + 1) * SECOND_US;
         hollow.run(fromUs);
         run.delaysUs().clear();
@@ -365,7 +365,7 @@
     private void retained(ReplicationRun run) {
         Machine node = run.nodes().get(0);
         double entries = node.replica().store().live().retainedBytes();
-        double index = ((Catalog) node.replica().index()).indexBytes();
+        double index = ((RouteConfiguration) node.replica().index()).indexBytes();
         row(
                 "bytes that a node keeps: entries, and to find routes by (MB)",
                 (entries + index) / MB,
@@ -374,8 +374,8 @@
         out.printf(
                 Locale.ROOT,
                 "          a route %.0f bytes of it, a tenant %.0f%n",
-                Footprint.perRoute(run.writer().catalog()),
-                Footprint.perTenant(run.writer().catalog()));
+                Footprint.perRoute(run.writer().configuration()),
+                Footprint.perTenant(run.writer().configuration()));
     }
 
     private void lists() {
--- a/src/main/java/vetchpost/simulation/scale/SeedsCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/SeedsCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.simulation.SeedFault;
+import vetchpost.simulation.SeedRunException;
 import vetchpost.simulation.scale.ReplicationRun.Replicas;
 
 /** The command {@code scale seeds}: cuts, kills, restarts and takeovers of writers, drawn from seeds. */
@@ -54,7 +54,8 @@
                 .boxed()
                 .flatMap(seed -> {
                     List<String> of =
-                            SeedFault.naming(seed, () -> ReplicationRun.seed(seed, nodes, Replicas.REAL)).stream()
+                            SeedRunException.withSeed(seed, () -> ReplicationRun.seed(seed, nodes, Replicas.REAL))
+                                    .stream()
                                     .map(b -> "seed " + seed + ": " + b.rule() + ": " + b.what())
                                     .toList();
                     if (watched) {
--- a/src/main/java/vetchpost/simulation/scale/Slopes.java
+++ b/src/main/java/vetchpost/simulation/scale/Slopes.java
@@ -14,12 +14,12 @@
 import java.util.function.IntFunction;
 import vetchpost.admission.AdmissionValidator;
 import vetchpost.admission.FairAdmission;
-import vetchpost.changes.Catalog;
-import vetchpost.changes.Writer;
-import vetchpost.control.Desk;
-import vetchpost.control.Judge;
+import vetchpost.changes.ChangeWriter;
+import vetchpost.changes.RouteConfiguration;
+import vetchpost.control.ControlApi;
+import vetchpost.control.FleetState;
 import vetchpost.control.Leases;
-import vetchpost.control.Situation;
+import vetchpost.control.SafetyCheck;
 import vetchpost.core.ClientRequest;
 import vetchpost.core.ServerList;
 import vetchpost.decision.Balancer.ServerEntry;
@@ -31,24 +31,24 @@
 import vetchpost.replication.FrameCodec;
 import vetchpost.replication.Publisher;
 import vetchpost.routes.FileRoutePolicy;
-import vetchpost.routes.Proof;
-import vetchpost.routes.Prover;
 import vetchpost.routes.RouteCodec;
+import vetchpost.routes.RouteValidation;
+import vetchpost.routes.RouteValidator;
 import vetchpost.routes.Section;
 import vetchpost.routes.Violation;
 import vetchpost.routes.file.FileIndex;
 import vetchpost.simulation.scale.Footprint.Made;
 import vetchpost.simulation.scale.ReplicationRun.Replicas;
-import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
-import vetchpost.state.Confirmed;
-import vetchpost.state.Origin;
-import vetchpost.state.Trouble;
-import vetchpost.state.codec.PieceCodec;
-import vetchpost.store.Change;
-import vetchpost.store.Fields;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.state.ConfirmationSource;
+import vetchpost.state.SelfFault;
+import vetchpost.state.ServerRecord;
+import vetchpost.state.SnapshotOrigin;
+import vetchpost.state.codec.ChunkCodec;
+import vetchpost.store.EntryChange;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
+import vetchpost.store.FieldCodec;
 import vetchpost.store.PackedTree;
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
@@ -83,8 +83,8 @@
      * @param coming the size that is coming
      */
     record Row(String role, String what, String unit, String by, double[] x, double[] y, double coming) {
-        Fit fit() {
-            return Fit.of(x, y);
+        LinearFit fit() {
+            return LinearFit.of(x, y);
         }
     }
 
@@ -207,13 +207,13 @@
                 "servers",
                 200_000,
                 n -> {
-                    Desk desk = desk(n);
+                    ControlApi desk = desk(n);
                     double[] bytes = new double[1];
                     double ms = leastMs(
                             2,
-                            () -> desk.take(
+                            () -> desk.handle(
                                     "{\"v\":1,\"do\":\"servers\"}",
-                                    () -> new Desk.Now(1, 1),
+                                    () -> new ControlApi.Now(1, 1),
                                     reply -> bytes[0] = reply.length()));
                     return new double[] {bytes[0] / 1e6, ms};
                 },
@@ -245,14 +245,16 @@
     }
 
     private static double snapshot(int boxes) {
-        Origin origin = new Origin(1, 1, 1, 1, EnumSet.noneOf(Trouble.class));
+        SnapshotOrigin origin = new SnapshotOrigin(1, 1, 1, 1, EnumSet.noneOf(SelfFault.class));
         List<ClassState> classes = List.of(new ClassState("read", 50, 20_000, 15_000));
-        int pieces = PieceCodec.pieces(boxes);
+        int pieces = ChunkCodec.chunkCount(boxes);
         double bytes = 0;
         for (int piece = 0; piece < pieces; piece++) {
-            List<BoxState> some = new ArrayList<>();
-            for (int i = piece * PieceCodec.BOXES; i < Math.min(boxes, (piece + 1) * PieceCodec.BOXES); i++) {
-                some.add(new BoxState(
+            List<ServerRecord> some = new ArrayList<>();
+            for (int i = piece * ChunkCodec.SERVERS_PER_CHUNK;
+                    i < Math.min(boxes, (piece + 1) * ChunkCodec.SERVERS_PER_CHUNK);
+                    i++) {
+                some.add(new ServerRecord(
                         new ServerList.Target(
                                 "server-" + i,
                                 new java.net.InetSocketAddress("10.0.0.1", 9_000),
@@ -262,23 +264,27 @@
                                 1,
                                 0),
                         1,
-                        Confirmed.LIST,
+                        ConfirmationSource.LIST,
                         0,
                         null));
             }
-            bytes += PieceCodec.write(piece, pieces, origin, classes, some).length;
+            bytes += ChunkCodec.write(piece, pieces, origin, classes, some).length;
         }
         return bytes;
     }
 
-    private static Desk desk(int servers) {
-        List<Situation.Server> all = new ArrayList<>();
+    private static ControlApi desk(int servers) {
+        List<FleetState.Server> all = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            all.add(new Situation.Server("server-" + i, "zone-" + i % 10, 1, false));
+            all.add(new FleetState.Server("server-" + i, "zone-" + i % 10, 1, false));
         }
-        Situation situation = new Situation(all, List.of("read", "write"));
-        return new Desk(
-                new Leases(new Judge(0.5, 0.9)), () -> situation, Map::of, (text, done) -> done.accept(null), () -> {});
+        FleetState situation = new FleetState(all, List.of("read", "write"));
+        return new ControlApi(
+                new Leases(new SafetyCheck(0.5, 0.9)),
+                () -> situation,
+                Map::of,
+                (text, done) -> done.accept(null),
+                () -> {});
     }
 
     // ---------------------------------------------------------------- by services
@@ -315,7 +321,7 @@
                 "routes",
                 220_000,
                 n -> {
-                    Catalog catalog = new Configurations(1, 3_700, 1).whole(n);
+                    RouteConfiguration catalog = new Configurations(1, 3_700, 1).whole(n);
                     long kept = catalog.store().live().retainedBytes() + catalog.indexBytes();
                     FileRoutePolicy policy = new FileRoutePolicy(catalog.routes(), Configurations.settings(), 1);
                     String[] targets = new String[1_024];
@@ -326,10 +332,10 @@
                     int[] next = new int[1];
                     double find = Footprint.eachNs(
                             50_000, () -> policy.limitsOf(request(targets[next[0]++ & targets.length - 1])));
-                    Writer writer = new Writer(catalog, 1);
+                    ChangeWriter writer = new ChangeWriter(catalog, 1);
                     Configurations drawn = new Configurations(2, 3_700, 1);
                     drawn.whole(n);
-                    List<List<Change>> batches = new ArrayList<>();
+                    List<List<EntryChange>> batches = new ArrayList<>();
                     for (int i = 0; i < 400; i++) {
                         batches.add(drawn.batch(catalog, 1));
                     }
@@ -337,18 +343,18 @@
                     double prove =
                             Footprint.eachNs(100, () -> writer.submit(batches.get(at[0]++ % batches.size()))) / 1e3;
                     List<PackedTree.Item> some =
-                            catalog.store().live().range(new Key(Kind.ROUTE, "").bytes(), null, 400);
+                            catalog.store().live().range(new EntryKey(EntryKind.ROUTE, "").bytes(), null, 400);
                     double settle = Footprint.eachNs(100, () -> {
                                 PackedTree.Item item = some.get(at[0]++ % some.size());
-                                catalog.settled(
+                                catalog.withEntry(
                                         item.key(),
                                         item.value(),
                                         catalog.store().live().put(item.key(), item.value(), item.stamp() + 1));
                             })
                             / 1e3;
-                    double swap =
-                            Footprint.eachNs(1_000, () -> policy.settle(catalog.routes(), Configurations.settings()))
-                                    / 1e3;
+                    double swap = Footprint.eachNs(
+                                    1_000, () -> policy.replaceTable(catalog.routes(), Configurations.settings()))
+                            / 1e3;
                     return new double[] {kept / 1e6, find, settle, swap, prove};
                 },
                 "entries of routes, with the way to find them, kept",
@@ -377,16 +383,16 @@
                 "routes",
                 220_000,
                 n -> {
-                    Catalog catalog = new Configurations(1, 3_700, 1).whole(n);
-                    Key defaults = new Key(Kind.LIMITS, "");
-                    Writer writer = new Writer(catalog, 1);
+                    RouteConfiguration catalog = new Configurations(1, 3_700, 1).whole(n);
+                    EntryKey defaults = new EntryKey(EntryKind.LIMITS, "");
+                    ChangeWriter writer = new ChangeWriter(catalog, 1);
                     byte[] value = RouteCodec.bytes(new Section(
                             Section.Kind.DEFAULTS,
                             "",
                             new vetchpost.routes.Position("x", 1, 1),
                             Map.of("retry-budget", new Section.Entry(0.2, new vetchpost.routes.Position("x", 1, 1)))));
-                    double ms = ms(() -> require(
-                            writer.submit(List.of(Change.put(defaults, value))).isEmpty()));
+                    double ms = ms(() -> require(writer.submit(List.of(EntryChange.put(defaults, value)))
+                            .isEmpty()));
                     return new double[] {ms};
                 },
                 "the defaults changed: all routes proved",
@@ -436,8 +442,8 @@
     /** A file that was read. */
     private static final class Read implements FileIndex.Tables {
         private final FileIndex index;
-        private Prover prover;
-        private final Proof proof;
+        private RouteValidator prover;
+        private final RouteValidation proof;
 
         Read(Path file) {
             List<Violation> violations = new ArrayList<>();
@@ -447,12 +453,12 @@
                 throw new UncheckedIOException(e);
             }
             proof = prover.end();
-            require(violations.isEmpty() && proof.holds());
+            require(violations.isEmpty() && proof.isValid());
         }
 
         @Override
-        public void others(List<Section> sections) {
-            prover = Prover.begin(sections, Configurations.settings(), true, null, 1);
+        public void otherSections(List<Section> sections) {
+            prover = RouteValidator.begin(sections, Configurations.settings(), true, null, 1);
         }
 
         @Override
@@ -463,11 +469,13 @@
         /** How many routes have changed. */
         int again(Path file) {
             try {
-                FileIndex.Difference difference = index.again(file);
-                List<Prover.RouteChange> changes = difference.fresh().stream()
-                        .map(s -> new Prover.RouteChange(Change.Op.REPLACE, RouteCodec.nameOf(s), s, s.at()))
+                FileIndex.Difference difference = index.reread(file);
+                List<RouteValidator.RouteChange> changes = difference.changedRoutes().stream()
+                        .map(s ->
+                                new RouteValidator.RouteChange(EntryChange.Op.REPLACE, RouteCodec.nameOf(s), s, s.at()))
                         .toList();
-                require(Prover.change(proof.table(), changes, 2).holds());
+                require(RouteValidator.validateChanges(proof.table(), changes, 2)
+                        .isValid());
                 return changes.size();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -485,10 +493,10 @@
                 n -> {
                     PackedTree[] tree = {PackedTree.EMPTY};
                     for (int i = 0; i < n; i++) {
-                        Fields.Packer packer = new Fields.Packer();
+                        FieldCodec.Encoder packer = new FieldCodec.Encoder();
                         packer.add(0, 1.0 + i % 7);
                         tree[0] = tree[0].put(
-                                new Key(Kind.TENANT, String.format(Locale.ROOT, "t%06d", i)).bytes(),
+                                new EntryKey(EntryKind.TENANT, String.format(Locale.ROOT, "t%06d", i)).bytes(),
                                 packer.bytes(),
                                 Version.of(1, 1));
                     }
@@ -545,21 +553,21 @@
                         };
                         publisher.connected(peer, 0);
                         try {
-                            publisher.take(peer, codec.read(codec.write(hello(store[0]))), 0, 0);
-                        } catch (vetchpost.replication.Malformed e) {
+                            publisher.receive(peer, codec.read(codec.write(hello(store[0]))), 0, 0);
+                        } catch (vetchpost.replication.MalformedFrameException e) {
                             throw new IllegalStateException(e);
                         }
                     }
-                    publisher.pump(0);
+                    publisher.sendPending(0);
                     bytes[0] = 0;
                     int[] changes = new int[1];
                     double us = Footprint.eachNs(200, () -> {
                                 nowUs[0] += 1_000_000;
                                 store[0] = store[0].with(
-                                        List.of(Change.replace(new Key(Kind.ROUTE, "/x"), new byte[60])),
+                                        List.of(EntryChange.replace(new EntryKey(EntryKind.ROUTE, "/x"), new byte[60])),
                                         store[0].version() + 1);
-                                publisher.settle(store[0]);
-                                publisher.pump(nowUs[0]);
+                                publisher.publish(store[0]);
+                                publisher.sendPending(nowUs[0]);
                                 changes[0]++;
                             })
                             / 1e3;
@@ -588,14 +596,14 @@
                     new Publisher.Budget(18_000, 4_000, 4e6, 400),
                     Replicas.REAL,
                     false);
-            Hollow hollow = played.hollow();
+            LightweightFleet hollow = played.hollow();
             hollow.run(5_000_000);
             played.changes(hundredths / 100.0, 25_000_000);
             hollow.run(25_000_000);
             double nodes = played.nodes().size();
             double bytes = 0;
             double ns = 0;
-            for (Hollow.Machine node : played.nodes()) {
+            for (LightweightFleet.Machine node : played.nodes()) {
                 bytes += node.spent().sumBytes(5_000_000, 25_000_000) / nodes / 20;
                 ns += node.spent().sumCpuNs(5_000_000, 25_000_000) / nodes / 20;
             }
--- a/src/main/java/vetchpost/simulation/scale/SlopesCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/SlopesCommand.java
@@ -82,7 +82,7 @@
 
     private static void table(PrintWriter out, List<Row> rows) {
         for (Row row : rows) {
-            Fit fit = row.fit();
+            LinearFit fit = row.fit();
             out.printf(Locale.ROOT, "%s: %s (%s)%n", row.role(), row.what(), row.unit());
             StringBuilder points = new StringBuilder();
             double[] residuals = fit.residuals(row.x(), row.y());
@@ -115,7 +115,7 @@
     private static String json(List<Row> rows) {
         List<String> lines = new ArrayList<>();
         for (Row row : rows) {
-            Fit fit = row.fit();
+            LinearFit fit = row.fit();
             lines.add(String.format(
                     Locale.ROOT,
                     "  {\"role\": \"%s\", \"what\": \"%s\", \"unit\": \"%s\", "
@@ -162,7 +162,7 @@
         for (double y : row.y()) {
             mostY = Math.max(mostY, y);
         }
-        Fit fit = row.fit();
+        LinearFit fit = row.fit();
         text.append(String.format(
                 Locale.ROOT,
                 "<text x=\"%d\" y=\"%d\">%s: %s</text>%n<text x=\"%d\" "
--- a/src/main/java/vetchpost/simulation/world/Clients.java
+++ b/src/main/java/vetchpost/simulation/world/Clients.java
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import vetchpost.simulation.check.Expected;
-import vetchpost.simulation.check.Expected.Again;
-import vetchpost.simulation.net.End;
-import vetchpost.simulation.net.Host;
+import vetchpost.simulation.check.ExpectedRequest;
+import vetchpost.simulation.check.ExpectedRequest.RetryPolicy;
+import vetchpost.simulation.net.SimulatedHost;
+import vetchpost.simulation.net.SimulatedSocket;
 import vetchpost.simulation.net.Tap;
 import vetchpost.simulation.wire.Message;
 import vetchpost.simulation.wire.MessageParser;
@@ -33,8 +33,8 @@
     private static final long RUDE_MS = 4_000;
 
     private final World world;
-    private final Effects effects;
-    private final Host host;
+    private final RequestEffects effects;
+    private final SimulatedHost host;
     /** Nodes that the front sends to, by their numbers. */
     private final Map<Integer, InetSocketAddress> nodes = new TreeMap<>();
 
@@ -50,7 +50,7 @@
     /** What somebody wants done, over all tries. */
     private final class Want {
         private final String name;
-        private final Classes.Kind kind;
+        private final RequestClasses.Kind kind;
         private final String key;
         private final long beganMs;
         private final long endMs;
@@ -59,13 +59,13 @@
         private long leftMs;
         private boolean sentOnceMore;
 
-        Want(int number, Classes.Kind kind) {
+        Want(int number, RequestClasses.Kind kind) {
             name = "want-" + number;
             this.kind = kind;
             chance = world.random("want", number);
             key = Long.toHexString(chance.nextLong());
             beganMs = world.nowMs();
-            endMs = beganMs + kind.giveUpMs();
+            endMs = beganMs + kind.timeoutMs();
         }
 
         void go() {
@@ -77,23 +77,24 @@
             tries++;
             String txn = String.format(Locale.ROOT, "%016x", (txns++ << 20) + 0x5EED_0000_0000_0000L);
             leftMs = left;
-            effects.wanted(name, txn, kind.again());
+            effects.wanted(name, txn, kind.retryPolicy());
             expect(txn);
-            boolean safe = kind.again() == Again.SAFE;
+            boolean safe = kind.retryPolicy() == RetryPolicy.SAFE;
             String body = safe ? "" : "x".repeat(1 + chance.nextInt(600));
             byte[] bytes = Message.bytes(
                     (safe ? "GET /" : "POST /") + kind.name() + "/" + chance.nextInt(99) + " HTTP/1.1",
                     "Host: backend.local\r\nX-Txn: " + txn + "\r\nX-Org: school\r\n"
                             + "X-Remaining-Ms: " + left + "\r\n" + (tries > 1 ? "X-Resent: 1\r\n" : "")
-                            + (kind.again() == Again.KEYED ? "Idempotency-Key: " + key + "\r\n" : "")
+                            + (kind.retryPolicy() == RetryPolicy.KEYED ? "Idempotency-Key: " + key + "\r\n" : "")
                             + (safe ? "" : "Content-Length: " + body.length() + "\r\n"),
                     body);
             send(txn, bytes);
         }
 
         private void expect(String txn) {
-            world.checker.expect(new Expected(txn, kind.again(), world.time.nanoTime() + leftMs * 1_000_000, (long)
-                    (world.classes.workMs() * 1e6)));
+            world.checker.expect(
+                    new ExpectedRequest(txn, kind.retryPolicy(), world.time.nanoTime() + leftMs * 1_000_000, (long)
+                            (world.classes.workMs() * 1e6)));
         }
 
         private void send(String txn, byte[] bytes) {
@@ -117,7 +118,7 @@
                 over(true);
             } else if (status == 429 || status == 503) {
                 again(answer.field("retry-after"));
-            } else if (kind.again() == Again.SAFE) {
+            } else if (kind.retryPolicy() == RetryPolicy.SAFE) {
                 again("");
             } else {
                 over(false);
@@ -132,7 +133,7 @@
                 // 5153 with --recovery: the first node had stood still for 0.4 s with it unread, and died).
                 expect(on.txn);
                 send(on.txn, on.sent);
-            } else if (kind.again() == Again.SAFE || on.neverOpen()) {
+            } else if (kind.retryPolicy() == RetryPolicy.SAFE || on.neverOpen()) {
                 again("");
             } else {
                 over(false);
@@ -147,14 +148,14 @@
         private void over(boolean well) {
             open--;
             servedWants += well ? 1 : 0;
-            lateWants += well && world.nowMs() - beganMs > kind.aimMs() ? 1 : 0;
+            lateWants += well && world.nowMs() - beganMs > kind.latencyTargetMs() ? 1 : 0;
         }
     }
 
     /** A client's connection. */
     private final class Connection {
         private final InetSocketAddress node;
-        private final End end;
+        private final SimulatedSocket end;
         private final MessageParser parser = new MessageParser(this::answered);
         private Want want;
         private String txn;
@@ -252,7 +253,7 @@
     }
 
     /** Nobody yet, and no node that the front knows. */
-    public Clients(World world, Effects effects) {
+    public Clients(World world, RequestEffects effects) {
         this.world = world;
         this.effects = effects;
         host = world.tcp.host("clients", Tap.NONE);
@@ -269,17 +270,17 @@
     }
 
     /** The front sends to this node from now on. */
-    public void knows(int number, InetSocketAddress node) {
+    public void addNode(int number, InetSocketAddress node) {
         nodes.put(number, node);
     }
 
     /** The front has noticed that the node is gone. */
-    public void forgets(int number) {
+    public void removeNode(int number) {
         nodes.remove(number);
     }
 
     /** Somebody wants something of this class, or of a class by chance. */
-    public void want(String kind) {
+    public void startRequest(String kind) {
         int number = wants++;
         open++;
         double at = world.random("kind", number).nextDouble();
@@ -287,7 +288,7 @@
     }
 
     /** The next want is passed over, its number too. */
-    public void skip() {
+    public void skipRequest() {
         wants++;
     }
 
@@ -297,7 +298,7 @@
     }
 
     /** Requests sent, tries counted. */
-    public int tried() {
+    public int requestsSent() {
         return tried;
     }
 
@@ -312,14 +313,14 @@
     }
 
     /** One that sends rubbish, half a request, too much, or doesn't read. */
-    public void rude() {
+    public void startMalformedClient() {
         if (nodes.isEmpty()) {
             return;
         }
         List<InetSocketAddress> some = new ArrayList<>(nodes.values());
         InetSocketAddress node = some.get(random.nextInt(some.size()));
         int how = random.nextInt(8);
-        End[] end = new End[1];
+        SimulatedSocket[] end = new SimulatedSocket[1];
         boolean[] said = new boolean[1];
         end[0] = host.connect(node, () -> {
             if (end[0].isFailed()) {
--- a/src/main/java/vetchpost/simulation/world/NodeProcess.java
+++ b/src/main/java/vetchpost/simulation/world/NodeProcess.java
@@ -18,10 +18,10 @@
 import vetchpost.simulation.check.Checker;
 import vetchpost.simulation.check.Violation;
 import vetchpost.simulation.check.Violation.Rule;
-import vetchpost.simulation.net.End;
-import vetchpost.simulation.net.Host;
 import vetchpost.simulation.net.SimLoop;
 import vetchpost.simulation.net.SimNetwork;
+import vetchpost.simulation.net.SimulatedHost;
+import vetchpost.simulation.net.SimulatedSocket;
 
 /** A node's machine: the production node on a simulated loop and network, started, stopped and killed. */
 public final class NodeProcess {
@@ -42,7 +42,7 @@
     private static final int MANY_SOCKETS = 512;
 
     /** Makes planted faults for tests; none elsewhere. */
-    public interface Planting {
+    public interface Setup {
         /** The seams of a node on this loop. */
         NodeHooks seams(SimLoop loop);
 
@@ -57,7 +57,7 @@
         }
 
         /** Of how many boxes each node has a part; 0 for all. */
-        default int subset() {
+        default int subsetSize() {
             return 0;
         }
 
@@ -67,12 +67,12 @@
         }
 
         /** Whether a start is given no list, as where there is no platform that keeps one. */
-        default boolean isUnlisted(int number, int start) {
+        default boolean startsWithoutList(int number, int start) {
             return false;
         }
 
         /** A connection of the node has been made, its pipeline still empty. */
-        default void opened(Channel channel) {}
+        default void connectionOpened(Channel channel) {}
     }
 
     /**
@@ -91,8 +91,8 @@
 
     private final World world;
     private final Clients clients;
-    private final Directory directory;
-    private final Planting planting;
+    private final SimulatedDiscovery directory;
+    private final Setup planting;
     private final Consumer<Violation> violations;
     private final boolean pushed;
     private final int nodes;
@@ -108,7 +108,7 @@
 
     /** One process, from its start to its end. */
     private final class Process {
-        private final Host host;
+        private final SimulatedHost host;
         private final SimLoop loop;
         private final SimNetwork network;
         private final Checker.NodeTap tap;
@@ -118,16 +118,16 @@
         private boolean over;
 
         Process(NodeConfig config) {
-            tap = world.checker.node(name(), address);
+            tap = world.checker.addNode(name(), address);
             host = world.tcp.host(name(), tap);
             loop = SimLoop.open(world.time, world.random("loop" + number, starts));
-            network = new SimNetwork(host, loop, planting::opened);
-            toldReady.forEach((id, ready) -> tap.told(id, ready, toldStarts.get(id)));
+            network = new SimNetwork(host, loop, planting::connectionOpened);
+            toldReady.forEach((id, ready) -> tap.serverListed(id, ready, toldStarts.get(id)));
             node = new Node(config, loop, network, World.EPOCH_MS + world.nowMs(), planting.seams(loop));
             node.setRoutes(planting.routes(config.settings(), config.seed()));
             node.admission(planting.admission(config.settings(), config.seed()));
-            if (planting.subset() > 0) {
-                node.setSubset(new Subset(number, nodes, planting.subset(), true));
+            if (planting.subsetSize() > 0) {
+                node.setSubset(new Subset(number, nodes, planting.subsetSize(), true));
             }
             NodeLifecycle companion = planting.companion(new Start(
                     number,
@@ -160,7 +160,7 @@
             }
             stopped = true;
             // In life the process is gone from here on; this one is kept to see whether it leaves anything.
-            tap.ends();
+            tap.stopping();
             loop.run(node::close);
             world.afterMs(LAST_TIMERS_MS, () -> {
                 if (!over) {
@@ -202,8 +202,8 @@
     public NodeProcess(
             World world,
             Clients clients,
-            Directory directory,
-            Planting planting,
+            SimulatedDiscovery directory,
+            Setup planting,
             Consumer<Violation> violations,
             boolean pushed,
             int nodes,
@@ -245,13 +245,13 @@
         }
         starts++;
         world.log.add("start", name(), "", starts);
-        if (planting.isUnlisted(number, starts)) {
+        if (planting.startsWithoutList(number, starts)) {
             toldReady.clear();
             toldStarts.clear();
             told.clear();
         }
         process = new Process(NodeConfig.parse(config(), Map.of()));
-        clients.knows(number, address);
+        clients.addNode(number, address);
     }
 
     /** What differs between installations comes from the seed: descriptors, probes, marked repeats. */
@@ -287,7 +287,7 @@
             told.put(id, line);
         }
         if (isRunning()) {
-            process.tap.told(id, ready, startedNs);
+            process.tap.serverListed(id, ready, startedNs);
         }
     }
 
@@ -300,12 +300,12 @@
     }
 
     /** Whether the other side of this connection is this machine's process. */
-    boolean isPeerOf(End end) {
+    boolean isPeerOf(SimulatedSocket end) {
         return isRunning() && end.peerHost() == process.host;
     }
 
     /** Before the first start: the machine knows of the box. */
-    public void knows(Box box) {
+    public void addServer(SimulatedServer box) {
         told.put(
                 box.id(),
                 "{\"uid\":\"" + box.id() + "\",\"endpoint\":\"" + box.endpoint()
@@ -328,7 +328,7 @@
         int of = starts;
         world.afterMs(afterMs, () -> {
             if (of == starts) {
-                clients.forgets(number);
+                clients.removeNode(number);
             }
         });
     }
@@ -361,7 +361,7 @@
     }
 
     /** Either of the two, by the seed. */
-    public void stallSomewhere(long forMs) {
+    public void stallAtRandom(long forMs) {
         if (world.random("stall" + number, world.nowMs()).nextBoolean()) {
             stallInTurn(forMs);
         } else {
@@ -370,13 +370,13 @@
     }
 
     /** These routes hold from the next turn of its loop on. */
-    public void routes(RoutePolicy policy) {
+    public void setRoutes(RoutePolicy policy) {
         Process now = process;
         now.loop.run(() -> now.node.setRoutes(policy));
     }
 
     /** SIGHUP, after the configuration has changed. */
-    public void hangUp() {
+    public void signalReload() {
         if (isUp()) {
             Process now = process;
             NodeConfig fresh = NodeConfig.parse(config(), Map.of());
--- a/src/main/java/vetchpost/simulation/world/Nodes.java
+++ b/src/main/java/vetchpost/simulation/world/Nodes.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import vetchpost.simulation.net.End;
+import vetchpost.simulation.net.SimulatedSocket;
 
 /** All nodes' machines; passes on to each what discovery has told it. */
-public final class Nodes implements Directory.Told {
+public final class Nodes implements SimulatedDiscovery.ListListener {
     private final List<NodeProcess> machines = new ArrayList<>();
 
     public void add(NodeProcess machine) {
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void told(End end, String id, String state, long startedNs, String line) {
+    public void serverListed(SimulatedSocket end, String id, String state, long startedNs, String line) {
         for (NodeProcess machine : machines) {
             if (machine.isPeerOf(end)) {
                 machine.told(id, state, startedNs, line);
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public void toldAll(End end, Set<String> named) {
+    public void fullListReceived(SimulatedSocket end, Set<String> named) {
         for (NodeProcess machine : machines) {
             if (machine.isPeerOf(end)) {
                 machine.toldAll(named);
--- a/src/main/java/vetchpost/simulation/world/Classes.java
+++ b/src/main/java/vetchpost/simulation/world/RequestClasses.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.Locale;
-import vetchpost.simulation.check.Expected.Again;
+import vetchpost.simulation.check.ExpectedRequest.RetryPolicy;
 
 /** The classes of requests, alike in kind to those of the service. */
-public final class Classes {
+public final class RequestClasses {
     /**
      * A class of requests.
      *
@@ -13,19 +13,19 @@
      * @param aimMs answers within this time are wanted
      * @param giveUpMs clients wait so long
      */
-    public record Kind(String name, Again again, double share, long aimMs, long giveUpMs) {}
+    public record Kind(String name, RetryPolicy retryPolicy, double share, long latencyTargetMs, long timeoutMs) {}
 
     private final List<Kind> kinds;
     private final double workMs;
 
     /** Times in proportion to the work of a request, so that slow boxes have patient clients. */
-    public Classes(double workMs) {
+    public RequestClasses(double workMs) {
         this.workMs = workMs;
         long aim = Math.round(40 + 4 * workMs);
         kinds = List.of(
-                new Kind("view-page", Again.SAFE, 0.7, aim, 4 * aim),
-                new Kind("add-photo", Again.KEYED, 0.15, 2 * aim, 5 * aim),
-                new Kind("place-order", Again.UNSAFE, 0.15, 3 * aim, 8 * aim));
+                new Kind("view-page", RetryPolicy.SAFE, 0.7, aim, 4 * aim),
+                new Kind("add-photo", RetryPolicy.KEYED, 0.15, 2 * aim, 5 * aim),
+                new Kind("place-order", RetryPolicy.UNSAFE, 0.15, 3 * aim, 8 * aim));
     }
 
     List<Kind> kinds() {
@@ -60,15 +60,15 @@
                     .append("{\"name\":\"")
                     .append(kind.name)
                     .append("\",\"repeat\":\"")
-                    .append(kind.again.name().toLowerCase(Locale.ROOT))
+                    .append(kind.retryPolicy.name().toLowerCase(Locale.ROOT))
                     .append("\",\"group\":\"")
-                    .append(kind.again == Again.KEYED ? "cell" : "all")
+                    .append(kind.retryPolicy == RetryPolicy.KEYED ? "cell" : "all")
                     .append("\",\"windowUs\":1200000,\"lateWorth\":0,\"importance\":")
-                    .append(kind.again == Again.SAFE ? 1 : 5)
+                    .append(kind.retryPolicy == RetryPolicy.SAFE ? 1 : 5)
                     .append(",\"onTimeUs\":")
-                    .append(1_000 * kind.aimMs)
+                    .append(1_000 * kind.latencyTargetMs)
                     .append(",\"giveUpUs\":")
-                    .append(1_000 * kind.giveUpMs)
+                    .append(1_000 * kind.timeoutMs)
                     .append('}');
         }
         return "[" + json + "]";
--- a/src/main/java/vetchpost/simulation/world/Directory.java
+++ b/src/main/java/vetchpost/simulation/world/SimulatedDiscovery.java
@@ -14,14 +14,14 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import vetchpost.simulation.net.End;
-import vetchpost.simulation.net.Host;
+import vetchpost.simulation.net.SimulatedHost;
+import vetchpost.simulation.net.SimulatedSocket;
 import vetchpost.simulation.net.Tap;
 import vetchpost.simulation.wire.Message;
 import vetchpost.simulation.wire.MessageParser;
 
 /** Discovery: the list of boxes, told late to those that watch it; silent, broken or moved now and then. */
-public final class Directory {
+public final class SimulatedDiscovery {
     private static final long BEAT_MS = 2_000;
     private static final long MOVED_CLOSES_MS = 1_500;
     private static final long LEAST_NOTICE_MS = 20;
@@ -33,12 +33,12 @@
     private static final int SHRUNKEN_TO = 10;
 
     /** Hears what has come to a node's machine. */
-    public interface Told {
+    public interface ListListener {
         /** One entry; {@code line} is how discovery writes it. */
-        void told(End end, String id, String state, long startedNs, String line);
+        void serverListed(SimulatedSocket end, String id, String state, long startedNs, String line);
 
         /** A whole list, which names all that there is. */
-        void toldAll(End end, Set<String> named);
+        void fullListReceived(SimulatedSocket end, Set<String> named);
     }
 
     /** An entry as it is told. */
@@ -51,7 +51,7 @@
     }
 
     private final World world;
-    private final Told told;
+    private final ListListener told;
     private final SplittableRandom random;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
@@ -61,21 +61,21 @@
     private long shrunkenUntilMs;
     private long lateMs;
     private long callMs;
-    private Host host;
+    private SimulatedHost host;
 
     /** Bytes on their way, and what to do when they have come to the other side's system. */
     private record Outgoing(byte[] bytes, Runnable whenDelivered) {}
 
     /** A node's watch, once it has asked. */
     private final class Watch {
-        private final End end;
+        private final SimulatedSocket end;
         private final MessageParser parser = new MessageParser(this::asked);
         private final Deque<Outgoing> outbox = new ArrayDeque<>();
         private boolean watching;
         /** Since when it says nothing, for good; or a time that never comes. */
         private long silentSinceMs = Long.MAX_VALUE;
 
-        Watch(End end) {
+        Watch(SimulatedSocket end) {
             this.end = end;
             end.handler(this::ready);
         }
@@ -165,7 +165,7 @@
                 // It counts as told, whether or not another watch has brought it by then.
                 world.afterMs(
                         Math.max(0, silentSinceMs + MISSED_COUNTS_MS - world.nowMs()),
-                        () -> some.forEach(e -> told.told(end, e.id, e.state, e.startedNs, e.json())));
+                        () -> some.forEach(e -> told.serverListed(end, e.id, e.state, e.startedNs, e.json())));
                 return;
             }
             chunk(
@@ -173,10 +173,10 @@
                             + some.stream().map(Entry::json).collect(Collectors.joining(",")) + "]}\n",
                     () -> {
                         for (Entry entry : some) {
-                            told.told(end, entry.id, entry.state, entry.startedNs, entry.json());
+                            told.serverListed(end, entry.id, entry.state, entry.startedNs, entry.json());
                         }
                         if (all) {
-                            told.toldAll(
+                            told.fullListReceived(
                                     end,
                                     some.stream().map(Entry::id).collect(Collectors.toCollection(LinkedHashSet::new)));
                         }
@@ -185,7 +185,7 @@
     }
 
     /** Discovery at its first address. */
-    public Directory(World world, Told told) {
+    public SimulatedDiscovery(World world, ListListener told) {
         this.world = world;
         this.told = told;
         random = world.random("directory", 0);
@@ -207,19 +207,19 @@
     }
 
     /** Knows of a box from the beginning. */
-    public void knows(Box box) {
+    public void addServer(SimulatedServer box) {
         entries.put(box.id(), new Entry(box.id(), box.endpoint(), box.rack(), "Ready", box.startedNs()));
     }
 
     /** Hears of a change now and tells it a while later. */
-    public void changed(Box box, String state) {
+    public void changed(SimulatedServer box, String state) {
         String id = box.id();
         Entry entry = new Entry(id, box.endpoint(), box.rack(), state, box.startedNs());
         notice(LEAST_NOTICE_MS + random.nextInt(MORE_NOTICE_MS) + lateMs, entry);
     }
 
     /** Tells a change in this very instant. */
-    public void changedNow(Box box, String state) {
+    public void changedNow(SimulatedServer box, String state) {
         notice(0, new Entry(box.id(), box.endpoint(), box.rack(), state, box.startedNs()));
     }
 
@@ -265,7 +265,7 @@
     }
 
     /** Tells whole lists for a while that leave out nine tenths, then one that is right. */
-    public void shrink(long forMs) {
+    public void shrinkLists(long forMs) {
         shrunkenUntilMs = Math.max(shrunkenUntilMs, world.nowMs() + forMs);
         for (long afterMs : new long[] {0, forMs}) {
             world.afterMs(afterMs, () -> {
@@ -276,24 +276,24 @@
     }
 
     /** Tells one whole list that leaves out nine tenths; whoever asks is told the right one. */
-    public void shrinkOnce() {
+    public void shrinkOneList() {
         revision++;
         List<Entry> few = few(new ArrayList<>(entries.values()));
         new ArrayList<>(watches).forEach(w -> w.tell(few, true));
     }
 
     /** What it tells from now on comes so much later. */
-    public void late(long byMs) {
+    public void delayChanges(long byMs) {
         lateMs = byMs;
     }
 
     /** From now on a call waits in turn for so long. */
-    public void calls(long waitMs) {
+    public void setCallDelay(long waitMs) {
         callMs = waitMs;
     }
 
     /** The watches that are open now stay open and say nothing more. */
-    public void silence() {
+    public void silenceWatches() {
         watches.forEach(w -> w.silentSinceMs = Math.min(w.silentSinceMs, world.nowMs()));
     }
 
@@ -305,7 +305,7 @@
 
     /** Another address; the old one takes no connection and closes those it has a while later. */
     public void move() {
-        Host old = host;
+        SimulatedHost old = host;
         old.unlisten(address());
         moves++;
         open();
--- a/src/main/java/vetchpost/simulation/world/Box.java
+++ b/src/main/java/vetchpost/simulation/world/SimulatedServer.java
@@ -6,8 +6,8 @@
 import java.util.Deque;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import vetchpost.simulation.net.End;
-import vetchpost.simulation.net.Host;
+import vetchpost.simulation.net.SimulatedHost;
+import vetchpost.simulation.net.SimulatedSocket;
 import vetchpost.simulation.net.Tap;
 import vetchpost.simulation.wire.Message;
 import vetchpost.simulation.wire.MessageParser;
@@ -16,7 +16,7 @@
  * A web box: slots for requests at work, a waiting room, a cold start, thrashing when crowded, and whatever
  * goes wrong with it. What has been read whole is worked on, whether or not anybody still waits for it.
  */
-public final class Box {
+public final class SimulatedServer {
     private static final int ROOM_PER_SLOT = 8;
     /** Each request in the waiting room beyond this many a slot slows all by so much. */
     private static final int THRASH_AT = 4;
@@ -25,7 +25,7 @@
     private static final int READ = 16_384;
 
     private final World world;
-    private final Effects effects;
+    private final RequestEffects effects;
     private final int number;
     private final int rack;
     private final int slots;
@@ -33,7 +33,7 @@
     private final SplittableRandom random;
     private String id;
     private int generation;
-    private Host host;
+    private SimulatedHost host;
     private long startedNs = Long.MIN_VALUE;
     private boolean draining;
     private final Deque<Job> room = new ArrayDeque<>();
@@ -54,10 +54,10 @@
     /** What a test has a box do in its own way. */
     public interface Script {
         /** Whether it has dealt with the request. */
-        boolean asked(End end, Message request);
+        boolean handle(SimulatedSocket end, Message request);
 
         /** A connection has come up. */
-        default void connected(End end) {}
+        default void connected(SimulatedSocket end) {}
     }
 
     /** A request in the waiting room or at work. */
@@ -65,12 +65,12 @@
 
     /** One connection; a request at a time, as long as nodes keep to that. */
     private final class Connection {
-        private final End end;
+        private final SimulatedSocket end;
         private final MessageParser parser = new MessageParser(this::asked);
         /** Since when something lies here unread, or -1. */
         private long unreadSinceMs = -1;
 
-        Connection(End end) {
+        Connection(SimulatedSocket end) {
             this.end = end;
             end.handler(this::ready);
             script.connected(end);
@@ -98,12 +98,12 @@
                 answer(this, "HTTP/1.1 504 Gateway Timeout", "X-Turned-Away: 1\r\n", "over");
                 return;
             }
-            Box.this.asked(this, request);
+            SimulatedServer.this.asked(this, request);
         }
     }
 
     /** A box at its address, not started yet. */
-    public Box(World world, Effects effects, int number, int rack, int slots) {
+    public SimulatedServer(World world, RequestEffects effects, int number, int rack, int slots) {
         this.world = world;
         this.effects = effects;
         this.number = number;
@@ -149,7 +149,7 @@
         epoch++;
         host = world.tcp.host(id, Tap.NONE);
         host.listen(address, Connection::new);
-        world.checker.box(id, address, rack, slots, startedNs);
+        world.checker.addServer(id, address, rack, slots, startedNs);
         world.log.add("start", id, cold ? "cold" : "warm", 0);
     }
 
@@ -171,8 +171,8 @@
     }
 
     /** The machine that had vanished starts again. */
-    public void comeBack() {
-        host.comeBack();
+    public void reappear() {
+        host.reappear();
         host.kill();
         start(true);
     }
@@ -193,7 +193,7 @@
         slowUntilMs = world.nowMs() + forMs;
     }
 
-    public void spoil(double part, long forMs) {
+    public void corruptResponses(double part, long forMs) {
         spoilPart = part;
         spoilUntilMs = world.nowMs() + forMs;
     }
@@ -203,7 +203,7 @@
         resetUntilMs = world.nowMs() + forMs;
     }
 
-    public void deaf(long forMs) {
+    public void discardInput(long forMs) {
         deafUntilMs = world.nowMs() + forMs;
     }
 
@@ -225,7 +225,7 @@
             return;
         }
         world.log.add("asked", id, txn + " by " + from.end.peerHost().name(), room.size());
-        if (script.asked(from.end, request)) {
+        if (script.handle(from.end, request)) {
             return;
         }
         if (draining || room.size() >= ROOM_PER_SLOT * slots) {
@@ -276,7 +276,7 @@
             spoilt(job.from, txn, body);
             return;
         }
-        world.checker.made(txn, body);
+        world.checker.serverAnswers(txn, body);
         answer(job.from, "HTTP/1.1 200 OK", "Content-Type: text/plain\r\n", body);
     }
 
@@ -300,13 +300,13 @@
                 to.end.close();
             }
             case 5 -> {
-                world.checker.made(txn, body);
+                world.checker.serverAnswers(txn, body);
                 byte[] one = Message.bytes("HTTP/1.1 200 OK", whole, body);
-                to.end.putWhole(
+                to.end.putUnsplit(
                         (new String(one, StandardCharsets.ISO_8859_1).repeat(2)).getBytes(StandardCharsets.ISO_8859_1));
             }
             case 6 -> {
-                world.checker.made(txn, body);
+                world.checker.serverAnswers(txn, body);
                 to.end.put("HTTP/1.1 103 Early Hints\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
                 to.end.put(Message.bytes("HTTP/1.1 200 OK", whole, body));
             }
--- a/src/main/java/vetchpost/simulation/world/World.java
+++ b/src/main/java/vetchpost/simulation/world/World.java
@@ -18,11 +18,11 @@
     final VirtualTime time;
     final Tcp tcp;
     final Checker checker;
-    final Classes classes;
+    final RequestClasses classes;
     final Log log;
     private final long seed;
 
-    public World(long seed, VirtualTime time, Tcp tcp, Checker checker, Classes classes, Log log) {
+    public World(long seed, VirtualTime time, Tcp tcp, Checker checker, RequestClasses classes, Log log) {
         this.seed = seed;
         this.time = time;
         this.tcp = tcp;
--- a/src/main/java/vetchpost/sources/CheckPlan.java
+++ b/src/main/java/vetchpost/sources/CheckPlan.java
@@ -63,11 +63,11 @@
     /** What a check has found. */
     public enum Finding {
         /** It is well. */
-        WELL,
+        HEALTHY,
         /** It does not answer, or badly. */
-        ILL,
+        UNHEALTHY,
         /** Another application answers at its address. */
-        STRANGER
+        WRONG_SERVER
     }
 
     /** No servers so far. */
@@ -79,13 +79,13 @@
     }
 
     /** The fleet is these now. */
-    public void fleet(Set<String> ids, long nowUs) {
+    public void setServers(Set<String> ids, long nowUs) {
         servers.keySet().retainAll(ids);
         for (String id : ids) {
             if (!servers.containsKey(id)) {
                 Checked fresh = new Checked(id, isWatched(id));
                 // Spread over a whole period: a fleet that comes up at once is not checked at once.
-                fresh.dueUs = nowUs + (long) (random.nextDouble() * rules.everyUs());
+                fresh.dueUs = nowUs + (long) (random.nextDouble() * rules.intervalUs());
                 servers.put(id, fresh);
             }
         }
@@ -93,16 +93,16 @@
 
     /** Whether this node is among the few that check the server regularly. */
     private boolean isWatched(String id) {
-        if (rules.nodes() <= rules.watchers()) {
+        if (rules.nodeCount() <= rules.checkersPerServer()) {
             return true;
         }
-        long own = hash(id, rules.number());
+        long own = hash(id, rules.nodeNumber());
         int before = 0;
-        for (int node = 0; node < rules.nodes() && before < rules.watchers(); node++) {
-            long other = node == rules.number() ? own : hash(id, node);
-            before += other > own || other == own && node < rules.number() ? 1 : 0;
+        for (int node = 0; node < rules.nodeCount() && before < rules.checkersPerServer(); node++) {
+            long other = node == rules.nodeNumber() ? own : hash(id, node);
+            before += other > own || other == own && node < rules.nodeNumber() ? 1 : 0;
         }
-        return before < rules.watchers();
+        return before < rules.checkersPerServer();
     }
 
     /** Of a server's name and a node's number, well mixed (the finalizer of SplitMix64, Steele 2014). */
@@ -117,7 +117,7 @@
     }
 
     /** A real request was served there. */
-    public void served(String id, long nowUs) {
+    public void requestSucceeded(String id, long nowUs) {
         Checked server = servers.get(id);
         if (server == null) {
             return;
@@ -125,19 +125,19 @@
         server.servedUs = nowUs;
         server.suspect = false;
         server.failures = 0;
-        if (!server.down && !server.checking && server.dueUs < nowUs + rules.everyUs() / 2) {
-            server.dueUs = nowUs + jittered(rules.everyUs());
+        if (!server.down && !server.checking && server.dueUs < nowUs + rules.intervalUs() / 2) {
+            server.dueUs = nowUs + jittered(rules.intervalUs());
             saved++;
         }
     }
 
     /** A real request failed there, and not by being late alone. */
-    public void failed(String id, long nowUs) {
+    public void requestFailed(String id, long nowUs) {
         Checked server = servers.get(id);
         if (server != null && !server.suspect) {
             server.suspect = true;
             if (!server.checking) {
-                server.dueUs = Math.min(server.dueUs, nowUs + jittered(rules.everyUs() / SOON));
+                server.dueUs = Math.min(server.dueUs, nowUs + jittered(rules.intervalUs() / SOON));
             }
         }
     }
@@ -149,7 +149,7 @@
     /**
      * The servers to be checked now, as far as the budget goes and so many at most; each is reported once.
      */
-    public List<String> due(long nowUs, int most) {
+    public List<String> dueChecks(long nowUs, int most) {
         refill(nowUs);
         List<Checked> due = new ArrayList<>();
         for (Checked server : servers.values()) {
@@ -201,21 +201,21 @@
     }
 
     /** How a check has ended. */
-    public void checked(String id, Finding finding, long nowUs) {
+    public void checkCompleted(String id, Finding finding, long nowUs) {
         Checked server = servers.get(id);
         if (server == null || !server.checking) {
             return;
         }
         server.checking = false;
-        server.dueUs = nowUs + jittered(rules.everyUs());
-        if (finding == Finding.WELL) {
+        server.dueUs = nowUs + jittered(rules.intervalUs());
+        if (finding == Finding.HEALTHY) {
             server.failures = 0;
             server.suspect = false;
             if (server.down && ++server.passes >= rules.rise()) {
                 server.down = false;
                 server.passes = 0;
             } else if (server.down) {
-                server.dueUs = nowUs + jittered(rules.everyUs() / 2);
+                server.dueUs = nowUs + jittered(rules.intervalUs() / 2);
             }
             return;
         }
@@ -226,25 +226,25 @@
             server.failures = 0;
             return;
         }
-        server.failures = finding == Finding.STRANGER ? rules.fall() : server.failures + 1;
+        server.failures = finding == Finding.WRONG_SERVER ? rules.fall() : server.failures + 1;
         if (!server.down && server.failures >= rules.fall()) {
             server.down = true;
             server.downUs = nowUs;
         } else if (!server.down) {
             // Between the first failure and the last it is asked sooner.
-            server.dueUs = nowUs + jittered(rules.everyUs() / 4);
+            server.dueUs = nowUs + jittered(rules.intervalUs() / 4);
         }
     }
 
     /** Who is out by checks: those that fell first, up to the share that may be out. */
-    public Set<String> out() {
+    public Set<String> ejected() {
         List<Checked> down = new ArrayList<>();
         for (Checked server : servers.values()) {
             if (server.down) {
                 down.add(server);
             }
         }
-        int most = (int) (rules.mostOut() * servers.size());
+        int most = (int) (rules.maxEjectedFraction() * servers.size());
         if (down.size() > most) {
             down.sort(Comparator.comparingLong((Checked s) -> s.downUs).thenComparing(s -> s.id));
         }
@@ -256,17 +256,17 @@
     }
 
     /** Checks made so far. */
-    public long made() {
+    public long checkCount() {
         return made;
     }
 
     /** Checks that an answer of a real request has put off. */
-    public long saved() {
+    public long skippedCount() {
         return saved;
     }
 
     /** Checks that failed while real requests were served. */
-    public long disagreed() {
+    public long disagreementCount() {
         return disagreed;
     }
 }
--- a/src/main/java/vetchpost/sources/CheckRules.java
+++ b/src/main/java/vetchpost/sources/CheckRules.java
@@ -20,14 +20,14 @@
 public record CheckRules(
         String path,
         String host,
-        int least,
-        int most,
-        long everyUs,
-        long withinUs,
+        int minStatus,
+        int maxStatus,
+        long intervalUs,
+        long timeoutUs,
         int rise,
         int fall,
         double budgetPerS,
-        int watchers,
-        int nodes,
-        int number,
-        double mostOut) {}
+        int checkersPerServer,
+        int nodeCount,
+        int nodeNumber,
+        double maxEjectedFraction) {}
--- a/src/main/java/vetchpost/sources/Flaps.java
+++ b/src/main/java/vetchpost/sources/FlapDamping.java
@@ -8,7 +8,7 @@
  * routers do with routes (RFC 2439). Over a bound a server is held back until the count has fallen to half
  * of that bound. At most so many servers are counted; the calmest is forgotten first.
  */
-final class Flaps {
+final class FlapDamping {
     private static final int MOST = 20_000;
     private static final double CALM = 0.05;
 
@@ -28,7 +28,7 @@
      * @param bound returns from which on a server is held back
      * @param calmUs in which a count halves
      */
-    Flaps(int bound, long calmUs) {
+    FlapDamping(int bound, long calmUs) {
         this.bound = bound;
         this.calmUs = calmUs;
     }
--- a/src/main/java/vetchpost/sources/Membership.java
+++ b/src/main/java/vetchpost/sources/Membership.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import vetchpost.sources.Declared.May;
-import vetchpost.sources.Named.Word;
+import vetchpost.sources.ReportedServer.State;
+import vetchpost.sources.SourceDeclaration.Permission;
 
 /**
  * Who is in the fleet by all sources together. In this order: a word that a server has gone, by a source that
@@ -27,8 +27,8 @@
     private static final int MOST_WENT = 20_000;
 
     private final MergeRules rules;
-    private final List<Register> registers = new ArrayList<>();
-    private final Flaps flaps;
+    private final List<SourceState> registers = new ArrayList<>();
+    private final FlapDamping flaps;
     /** The fleet as it stands, by id. */
     private final Map<String, Member> members = new LinkedHashMap<>();
 
@@ -60,60 +60,60 @@
             String id, InetSocketAddress address, boolean draining, double weight, String zone, long sinceUs) {}
 
     /** Nothing said so far; the sources in the order of trust. */
-    public Membership(List<Declared> sources, MergeRules rules) {
+    public Membership(List<SourceDeclaration> sources, MergeRules rules) {
         this.rules = rules;
-        sources.forEach(s -> registers.add(new Register(s)));
-        flaps = new Flaps(rules.flaps(), rules.calmUs());
+        sources.forEach(s -> registers.add(new SourceState(s)));
+        flaps = new FlapDamping(rules.maxFlaps(), rules.flapHalfLifeUs());
     }
 
     /**
      * Has these be the sources from now on. One that is declared as before keeps what it has said; what only
      * those named that are no more is left out from now on.
      */
-    public void renew(List<Declared> sources) {
-        Map<Declared, Register> before = new HashMap<>();
+    public void reload(List<SourceDeclaration> sources) {
+        Map<SourceDeclaration, SourceState> before = new HashMap<>();
         registers.forEach(r -> before.put(r.declared(), r));
         registers.clear();
-        sources.forEach(s -> registers.add(before.getOrDefault(s, new Register(s))));
+        sources.forEach(s -> registers.add(before.getOrDefault(s, new SourceState(s))));
     }
 
     /** A source has named these. */
-    public void said(int source, List<Named> servers, long nowUs) {
+    public void serversReported(int source, List<ReportedServer> servers, long nowUs) {
         registers.get(source).said(servers, nowUs);
     }
 
     /** A source says nothing that can be used. */
-    public void silent(int source, String why, long nowUs) {
+    public void sourceFailed(int source, String why, long nowUs) {
         registers.get(source).poor(why, nowUs);
     }
 
     /** Why what a source said last is old; empty if it is not. */
-    public String trouble(int source) {
+    public String failure(int source) {
         return registers.get(source).trouble();
     }
 
     /** Whether each source has been heard, so that a server that comes now is a new one. */
-    public boolean isBegun() {
+    public boolean isStarted() {
         return begun;
     }
 
     /** Has what comes from now on count as new, though a source has not been heard yet. */
-    public void begin() {
+    public void start() {
         begun = true;
     }
 
     /** Whether a source that may remove says of this server that it has gone. */
-    public boolean isSaidGone(String id) {
+    public boolean isReportedGone(String id) {
         return gone.contains(id);
     }
 
     /** How many stay though nobody names them any more. */
-    public int heldBack() {
+    public int dampedCount() {
         return heldBack;
     }
 
     /** How many are named and held back since they come and go. */
-    public int flapping() {
+    public int flappingCount() {
         return flapping;
     }
 
@@ -131,7 +131,7 @@
             this.id = id;
         }
 
-        void add(Register from, Named named) {
+        void add(SourceState from, ReportedServer named) {
             for (InetSocketAddress address : named.addresses()) {
                 if (!addresses.contains(address)) {
                     addresses.add(address);
@@ -142,14 +142,14 @@
             }
             zone = zone.isEmpty() ? named.zone() : zone;
             // A source that says that a server drains names it, too.
-            ready |= named.word() != Word.GONE && from.may(May.ADD);
+            ready |= named.state() != State.GONE && from.may(Permission.ADD);
             remember(from, named);
         }
 
         /** What counts of a word though its source does not name the server any more. */
-        void remember(Register from, Named named) {
-            draining |= named.word() == Word.DRAINING && from.counts(Word.DRAINING);
-            gone |= named.word() == Word.GONE && from.counts(Word.GONE);
+        void remember(SourceState from, ReportedServer named) {
+            draining |= named.state() == State.DRAINING && from.counts(State.DRAINING);
+            gone |= named.state() == State.GONE && from.counts(State.GONE);
         }
     }
 
@@ -184,7 +184,7 @@
                 continue;
             }
             long sinceUs = leftOut.computeIfAbsent(id, i -> nowUs);
-            boolean confirmed = nowUs - sinceUs >= rules.confirmUs();
+            boolean confirmed = nowUs - sinceUs >= rules.removalConfirmationUs();
             if (mayGo > 0 || confirmed || goneUs.containsKey(id)) {
                 if (!confirmed) {
                     mayGo -= goneUs.containsKey(id) ? 0 : 1;
@@ -200,34 +200,34 @@
                 come(candidate, nowUs);
             }
         });
-        begun |= registers.stream().allMatch(Register::isHeard);
+        begun |= registers.stream().allMatch(SourceState::isHeard);
         // In an order of its own: that of Map.copyOf is another in each process, as a seed's run would be.
         return Collections.unmodifiableMap(new LinkedHashMap<>(members));
     }
 
     /** How many more may go now without having been left out for long. */
     private int mayGo(long nowUs) {
-        goneUs.values().removeIf(at -> nowUs - at >= rules.confirmUs());
+        goneUs.values().removeIf(at -> nowUs - at >= rules.removalConfirmationUs());
         int before = members.size();
         for (String id : goneUs.keySet()) {
             before += members.containsKey(id) ? 0 : 1;
         }
-        return Math.max(LEAST_GONE, (int) (rules.mostGone() * before)) - goneUs.size();
+        return Math.max(LEAST_GONE, (int) (rules.maxRemovedFraction() * before)) - goneUs.size();
     }
 
     /** What is named, entries that share an address as one. */
     private Map<String, Candidate> candidates() {
         Map<String, Candidate> byId = new LinkedHashMap<>();
         Map<InetSocketAddress, Candidate> byAddress = new HashMap<>();
-        for (Register register : registers) {
-            for (Named named : register.named()) {
+        for (SourceState register : registers) {
+            for (ReportedServer named : register.named()) {
                 Candidate candidate = find(named, byId, byAddress);
                 candidate.add(register, named);
                 named.addresses().forEach(a -> byAddress.putIfAbsent(a, candidate));
             }
         }
-        for (Register register : registers) {
-            for (Named last : register.lastWords()) {
+        for (SourceState register : registers) {
+            for (ReportedServer last : register.lastWords()) {
                 for (InetSocketAddress address : last.addresses()) {
                     Candidate candidate = byAddress.get(address);
                     if (candidate != null) {
@@ -239,7 +239,8 @@
         return byId;
     }
 
-    private Candidate find(Named named, Map<String, Candidate> byId, Map<InetSocketAddress, Candidate> byAddress) {
+    private Candidate find(
+            ReportedServer named, Map<String, Candidate> byId, Map<InetSocketAddress, Candidate> byAddress) {
         for (InetSocketAddress address : named.addresses()) {
             Candidate known = byAddress.get(address);
             if (known != null) {
@@ -258,7 +259,7 @@
             }
         }
         if (id == null) {
-            id = named.id().isEmpty() ? Named.text(named.addresses().get(0)) : named.id();
+            id = named.id().isEmpty() ? ReportedServer.text(named.addresses().get(0)) : named.id();
         }
         return byId.computeIfAbsent(id, Candidate::new);
     }
@@ -290,7 +291,7 @@
                 return;
             }
             // What was away for a moment only has hardly been started anew.
-            sinceUs = went == null ? begun ? nowUs : 0 : nowUs - went >= rules.absentUs() ? nowUs : 0;
+            sinceUs = went == null ? begun ? nowUs : 0 : nowUs - went >= rules.coldAfterAbsenceUs() ? nowUs : 0;
         } else if (!address.equals(member.address())) {
             sinceUs = nowUs; // Another address is another process.
         } else {
@@ -322,15 +323,15 @@
     /** When something changes though nothing is said; the largest number for never. */
     public long nextUs(long nowUs) {
         long next = Long.MAX_VALUE;
-        for (Register register : registers) {
+        for (SourceState register : registers) {
             next = Math.min(next, register.nextUs());
         }
         for (long since : leftOut.values()) {
-            next = Math.min(next, since + rules.confirmUs());
+            next = Math.min(next, since + rules.removalConfirmationUs());
         }
         if (flapping > 0) {
             // Looked at again once in a while: the counts halve slowly.
-            next = Math.min(next, nowUs + Math.max(1, rules.calmUs() / 8));
+            next = Math.min(next, nowUs + Math.max(1, rules.flapHalfLifeUs() / 8));
         }
         return next;
     }
--- a/src/main/java/vetchpost/sources/MergeRules.java
+++ b/src/main/java/vetchpost/sources/MergeRules.java
@@ -9,4 +9,9 @@
  * @param calmUs half of what is counted of them is forgotten in so long
  * @param absentUs who was away for so long is taken for cold when it is back
  */
-public record MergeRules(double mostGone, long confirmUs, int flaps, long calmUs, long absentUs) {}
+public record MergeRules(
+        double maxRemovedFraction,
+        long removalConfirmationUs,
+        int maxFlaps,
+        long flapHalfLifeUs,
+        long coldAfterAbsenceUs) {}
--- a/src/main/java/vetchpost/sources/Named.java
+++ b/src/main/java/vetchpost/sources/ReportedServer.java
@@ -12,10 +12,10 @@
  * @param weight its size, compared with other servers' only
  * @param zone where it stands; empty if that is not said
  */
-public record Named(String id, List<InetSocketAddress> addresses, Word word, double weight, String zone) {
+public record ReportedServer(String id, List<InetSocketAddress> addresses, State state, double weight, String zone) {
 
     /** What a source may say of a server. */
-    public enum Word {
+    public enum State {
         /** It takes requests. */
         READY,
         /** It takes no new ones. */
@@ -25,8 +25,8 @@
     }
 
     /** Ready, of usual size. */
-    public static Named of(InetSocketAddress address) {
-        return new Named("", List.of(address), Word.READY, 1, "");
+    public static ReportedServer of(InetSocketAddress address) {
+        return new ReportedServer("", List.of(address), State.READY, 1, "");
     }
 
     /** An address as it is written. */
--- a/src/main/java/vetchpost/sources/Overrule.java
+++ b/src/main/java/vetchpost/sources/ServerOverrides.java
@@ -1,12 +1,12 @@
 package vetchpost.sources;
 
 /** What operators say of servers, beside what sources, checks and the servers themselves do. */
-public interface Overrule {
+public interface ServerOverrides {
     /** Nothing. */
-    Overrule NONE = new Overrule() {};
+    ServerOverrides NONE = new ServerOverrides() {};
 
     /** Whether this server takes nothing new. */
-    default boolean drains(String id) {
+    default boolean isDraining(String id) {
         return false;
     }
 
@@ -16,7 +16,7 @@
     }
 
     /** Whether the list is held as it is. */
-    default boolean holdsList() {
+    default boolean isListFrozen() {
         return false;
     }
 }
--- a/src/main/java/vetchpost/sources/Declared.java
+++ b/src/main/java/vetchpost/sources/SourceDeclaration.java
@@ -18,16 +18,16 @@
  * @param own what the operator's file itself names; else empty
  * @param resolvers who is asked for names; empty for the system's
  */
-public record Declared(
+public record SourceDeclaration(
         String name,
         Kind kind,
-        String where,
+        String location,
         int port,
-        Set<May> may,
-        long everyUs,
-        long keepUs,
-        long staleUs,
-        List<Named> own,
+        Set<Permission> permissions,
+        long intervalUs,
+        long retentionUs,
+        long staleAfterUs,
+        List<ReportedServer> inlineServers,
         List<InetSocketAddress> resolvers) {
 
     /** What a source is. */
@@ -43,7 +43,7 @@
     }
 
     /** What a source's word can do. */
-    public enum May {
+    public enum Permission {
         /** Bring a server into the fleet. */
         ADD,
         /** Have one take no new requests. */
--- a/src/main/java/vetchpost/sources/Composer.java
+++ b/src/main/java/vetchpost/sources/SourceMerger.java
@@ -17,7 +17,7 @@
  * draining, and draining before ready, whoever says it; {@code docs/servers.md} has the table. Nothing in it
  * keeps a clock or a socket.
  */
-public final class Composer {
+public final class SourceMerger {
     /** For so long a server's own word that it drains holds, unless its address or process changes. */
     public static final long LEASE_US = 60_000_000;
 
@@ -39,7 +39,7 @@
     /** The list as sources and a hold make it. */
     private Map<String, Member> last = Map.of();
 
-    private Overrule overrule = Overrule.NONE;
+    private ServerOverrides overrule = ServerOverrides.NONE;
     /** The list as it was when it began to be held; null while it is not. */
     private Map<String, Member> held;
 
@@ -53,7 +53,7 @@
      * @param coldUs for so long a server is cold that is new or back
      * @param unixMs Unix time at {@code nowUs}
      */
-    public Composer(Membership membership, CheckPlan checks, long coldUs, long unixMs, long nowUs) {
+    public SourceMerger(Membership membership, CheckPlan checks, long coldUs, long unixMs, long nowUs) {
         this.coldUs = coldUs;
         this.membership = membership;
         this.checks = checks;
@@ -62,7 +62,7 @@
     }
 
     /** Has operators' words count from now on. */
-    public void overrule(Overrule other) {
+    public void setOverrides(ServerOverrides other) {
         overrule = other;
     }
 
@@ -76,21 +76,21 @@
     }
 
     /** A server says of itself that it takes no new requests. */
-    public void drains(String id, long nowUs) {
+    public void reportDraining(String id, long nowUs) {
         if (told.containsKey(id)) {
             polite.put(id, nowUs + LEASE_US);
         }
     }
 
     /** What has changed since it was asked last, to be told to a node; empty if nothing has. */
-    public List<ServerList.Target> changes(long nowUs) {
+    public List<ServerList.Target> pollChanges(long nowUs) {
         Map<String, Member> members = hold(membership.settle(nowUs));
         last = members;
         polite.values().removeIf(until -> until <= nowUs);
         Set<String> outNow = new HashSet<>(polite.keySet());
         if (checks != null) {
-            checks.fleet(members.keySet(), nowUs);
-            outNow.addAll(checks.out());
+            checks.setServers(members.keySet(), nowUs);
+            outNow.addAll(checks.ejected());
         }
         for (String id : out) {
             if (!outNow.contains(id)) {
@@ -134,7 +134,7 @@
      * by a source's own word drains, and who drains does.
      */
     private Map<String, Member> hold(Map<String, Member> now) {
-        if (!overrule.holdsList()) {
+        if (!overrule.isListFrozen()) {
             held = null;
             return now;
         }
@@ -147,7 +147,7 @@
             return new Member(
                     id,
                     fresh.address(),
-                    fresh.draining() || membership.isSaidGone(id),
+                    fresh.draining() || membership.isReportedGone(id),
                     fresh.weight(),
                     fresh.zone(),
                     fresh.sinceUs());
@@ -156,7 +156,7 @@
     }
 
     private ServerList.Target target(Member member) {
-        boolean drains = member.draining() || out.contains(member.id()) || overrule.drains(member.id());
+        boolean drains = member.draining() || out.contains(member.id()) || overrule.isDraining(member.id());
         Start start = starts.get(member.id());
         return new ServerList.Target(
                 member.id(),
@@ -169,7 +169,7 @@
     }
 
     /** All that is told, as a whole list. */
-    public ServerList whole() {
+    public ServerList fullList() {
         return new ServerList(0, true, List.copyOf(told.values()));
     }
 
--- a/src/main/java/vetchpost/sources/Register.java
+++ b/src/main/java/vetchpost/sources/SourceState.java
@@ -5,18 +5,18 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import vetchpost.sources.Named.Word;
+import vetchpost.sources.ReportedServer.State;
 
 /**
  * What one source has said, and for how long that holds. An answer that leaves a server out is no word on it
  * where the source never names all; one that is empty, or none at all, changes nothing for a stated time: a
  * slip must not empty a fleet.
  */
-final class Register {
+final class SourceState {
     /** What is kept of one source at most; the rest is passed over, and said so. */
     static final int MOST = 20_000;
 
-    private final Declared declared;
+    private final SourceDeclaration declared;
     private final Map<String, Seen> seen = new LinkedHashMap<>();
     /**
      * Who was said to drain when it was named last, and is not named any more. That it is left
@@ -31,13 +31,13 @@
     private boolean heard;
 
     /** A server as it was named last, and when. */
-    private record Seen(Named named, long atUs) {}
+    private record Seen(ReportedServer named, long atUs) {}
 
-    Register(Declared declared) {
+    SourceState(SourceDeclaration declared) {
         this.declared = declared;
     }
 
-    Declared declared() {
+    SourceDeclaration declared() {
         return declared;
     }
 
@@ -56,12 +56,12 @@
         return passedOver;
     }
 
-    private static String keyOf(Named named) {
-        return named.id().isEmpty() ? Named.text(named.addresses().get(0)) : named.id();
+    private static String keyOf(ReportedServer named) {
+        return named.id().isEmpty() ? ReportedServer.text(named.addresses().get(0)) : named.id();
     }
 
     /** It has named these. */
-    void said(List<Named> servers, long nowUs) {
+    void said(List<ReportedServer> servers, long nowUs) {
         if (servers.isEmpty()) {
             poor("it names no server", nowUs);
             return;
@@ -69,16 +69,16 @@
         heard = true;
         poorSinceUs = -1;
         trouble = "";
-        if (declared.keepUs() == 0) {
+        if (declared.retentionUs() == 0) {
             seen.forEach((key, last) -> {
-                if (last.named().word() == Word.DRAINING && lastWords.size() < MOST) {
+                if (last.named().state() == State.DRAINING && lastWords.size() < MOST) {
                     lastWords.put(key, new Seen(last.named(), nowUs));
                 }
             });
             seen.clear();
         }
         passedOver = 0;
-        for (Named named : servers) {
+        for (ReportedServer named : servers) {
             String key = keyOf(named);
             lastWords.remove(key);
             if (seen.size() >= MOST && !seen.containsKey(key)) {
@@ -100,17 +100,17 @@
 
     /** Lets go of what does not hold any more. */
     void expire(long nowUs) {
-        lastWords.values().removeIf(last -> nowUs - last.atUs() >= declared.staleUs());
+        lastWords.values().removeIf(last -> nowUs - last.atUs() >= declared.staleAfterUs());
         if (poorSinceUs >= 0) {
             // While it says nothing, nobody is left out either: all that it said holds, or none of it.
-            if (nowUs - poorSinceUs >= declared.staleUs()) {
+            if (nowUs - poorSinceUs >= declared.staleAfterUs()) {
                 seen.clear();
             }
             return;
         }
-        if (declared.keepUs() > 0) {
+        if (declared.retentionUs() > 0) {
             for (Iterator<Seen> each = seen.values().iterator(); each.hasNext(); ) {
-                if (nowUs - each.next().atUs() >= declared.keepUs()) {
+                if (nowUs - each.next().atUs() >= declared.retentionUs()) {
                     each.remove();
                 }
             }
@@ -118,15 +118,15 @@
     }
 
     /** What it names. */
-    List<Named> named() {
-        List<Named> all = new ArrayList<>(seen.size());
+    List<ReportedServer> named() {
+        List<ReportedServer> all = new ArrayList<>(seen.size());
         seen.values().forEach(s -> all.add(s.named()));
         return all;
     }
 
     /** Who is not named any more, and was said to drain when it was. */
-    List<Named> lastWords() {
-        List<Named> all = new ArrayList<>(lastWords.size());
+    List<ReportedServer> lastWords() {
+        List<ReportedServer> all = new ArrayList<>(lastWords.size());
         lastWords.values().forEach(s -> all.add(s.named()));
         return all;
     }
@@ -135,30 +135,30 @@
     long nextUs() {
         long next = Long.MAX_VALUE;
         for (Seen each : lastWords.values()) {
-            next = Math.min(next, each.atUs() + declared.staleUs());
+            next = Math.min(next, each.atUs() + declared.staleAfterUs());
         }
         if (poorSinceUs >= 0) {
-            return seen.isEmpty() ? next : Math.min(next, poorSinceUs + declared.staleUs());
+            return seen.isEmpty() ? next : Math.min(next, poorSinceUs + declared.staleAfterUs());
         }
-        if (declared.keepUs() > 0) {
+        if (declared.retentionUs() > 0) {
             for (Seen each : seen.values()) {
-                next = Math.min(next, each.atUs() + declared.keepUs());
+                next = Math.min(next, each.atUs() + declared.retentionUs());
             }
         }
         return next;
     }
 
     /** Whether its word on a server can do this. */
-    boolean may(Declared.May what) {
-        return declared.may().contains(what);
+    boolean may(SourceDeclaration.Permission what) {
+        return declared.permissions().contains(what);
     }
 
     /** Whether a word of it counts: what it may not say is not said. */
-    boolean counts(Word word) {
+    boolean counts(State word) {
         return switch (word) {
-            case READY -> may(Declared.May.ADD);
-            case DRAINING -> may(Declared.May.DRAIN);
-            case GONE -> may(Declared.May.REMOVE);
+            case READY -> may(SourceDeclaration.Permission.ADD);
+            case DRAINING -> may(SourceDeclaration.Permission.DRAIN);
+            case GONE -> may(SourceDeclaration.Permission.REMOVE);
         };
     }
 }
--- a/src/main/java/vetchpost/standalone/Renewal.java
+++ b/src/main/java/vetchpost/standalone/ReloadPlan.java
@@ -9,12 +9,13 @@
  * @param core whether the module would be told otherwise, so that a new core has to take what comes
  * @param address whether clients connect elsewhere
  */
-public record Renewal(boolean core, boolean address) {
+public record ReloadPlan(boolean replacesCore, boolean movesListener) {
 
     /** From what a file came to before to what it comes to now. */
-    public static Renewal of(Standalone before, Standalone now) {
-        return new Renewal(
-                !before.rules().equals(now.rules()) || !told(before.settings()).equals(told(now.settings())),
+    public static ReloadPlan between(Standalone before, Standalone now) {
+        return new ReloadPlan(
+                !before.requestRules().equals(now.requestRules())
+                        || !told(before.settings()).equals(told(now.settings())),
                 !before.listen().equals(now.listen()));
     }
 
--- a/src/main/java/vetchpost/standalone/ServerWords.java
+++ b/src/main/java/vetchpost/standalone/ServerEntryReader.java
@@ -7,26 +7,26 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import vetchpost.sources.Named;
-import vetchpost.sources.Named.Word;
+import vetchpost.sources.ReportedServer;
+import vetchpost.sources.ReportedServer.State;
 
 /** Reads how files name servers: an address, or a table with more about it. */
-public final class ServerWords {
+public final class ServerEntryReader {
     private static final List<String> KEYS = List.of("address", "addresses", "id", "weight", "zone", "state");
     private static final double MOST_WEIGHT = 1e6;
     private static final int MOST_ADDRESSES = 16;
     private static final int MOST_ID = 256;
 
-    private ServerWords() {}
+    private ServerEntryReader() {}
 
     /**
      * Reads one server: a text, or a map of the keys address or addresses, id, weight, zone and state.
      *
      * @throws IllegalArgumentException with a short reason if it names none
      */
-    public static Named named(Object value) {
+    public static ReportedServer read(Object value) {
         if (value instanceof String text) {
-            return Named.of(address(text));
+            return ReportedServer.of(parseAddress(text));
         }
         if (!(value instanceof Map<?, ?> table)) {
             throw new IllegalArgumentException("a server is a text or a table, not " + value);
@@ -39,10 +39,10 @@
         }
         List<InetSocketAddress> addresses = new ArrayList<>();
         if (table.get("addresses") instanceof List<?> list) {
-            list.forEach(each -> addresses.add(address(text("addresses", each))));
+            list.forEach(each -> addresses.add(parseAddress(text("addresses", each))));
         }
         if (table.containsKey("address")) {
-            addresses.add(0, address(text("address", table.get("address"))));
+            addresses.add(0, parseAddress(text("address", table.get("address"))));
         }
         if (addresses.isEmpty() || addresses.size() > MOST_ADDRESSES) {
             throw new IllegalArgumentException("a server has from 1 to " + MOST_ADDRESSES + " addresses");
@@ -55,7 +55,7 @@
         if (!(weight instanceof Number number) || !(number.doubleValue() > 0) || number.doubleValue() > MOST_WEIGHT) {
             throw new IllegalArgumentException("weight = " + weight + " is no number from 0 on to " + MOST_WEIGHT);
         }
-        return new Named(
+        return new ReportedServer(
                 id,
                 List.copyOf(addresses),
                 state(table.get("state")),
@@ -63,11 +63,11 @@
                 table.containsKey("zone") ? text("zone", table.get("zone")) : "");
     }
 
-    private static Word state(Object value) {
+    private static State state(Object value) {
         if (value == null) {
-            return Word.READY;
+            return State.READY;
         }
-        for (Word word : Word.values()) {
+        for (State word : State.values()) {
             if (word.name().toLowerCase(Locale.ROOT).equals(value)) {
                 return word;
             }
@@ -87,7 +87,7 @@
      *
      * @throws IllegalArgumentException with a short reason if it is none
      */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         String port = text.substring(colon + 1);
--- a/src/main/java/vetchpost/standalone/Standalone.java
+++ b/src/main/java/vetchpost/standalone/Standalone.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.sources.CheckRules;
-import vetchpost.sources.Declared;
 import vetchpost.sources.MergeRules;
+import vetchpost.sources.SourceDeclaration;
 
 /**
  * All that one operator's file says of a node without a platform, proved.
@@ -25,14 +25,14 @@
  */
 public record Standalone(
         InetSocketAddress listen,
-        int sockets,
+        int maxDescriptors,
         long seed,
-        long connIdleUs,
+        long connectionIdleUs,
         Settings settings,
-        List<RequestRule> rules,
+        List<RequestRule> requestRules,
         Classifier classifier,
         WebLimits limits,
-        List<Declared> sources,
+        List<SourceDeclaration> sources,
         MergeRules merge,
         CheckRules checks,
         String drainHeader) {}
--- a/src/main/java/vetchpost/standalone/StandaloneProver.java
+++ b/src/main/java/vetchpost/standalone/StandaloneValidator.java
@@ -21,10 +21,10 @@
 import vetchpost.routes.Violation;
 import vetchpost.routes.Violation.Rule;
 import vetchpost.sources.CheckRules;
-import vetchpost.sources.Declared;
-import vetchpost.sources.Declared.May;
 import vetchpost.sources.MergeRules;
-import vetchpost.sources.Named;
+import vetchpost.sources.ReportedServer;
+import vetchpost.sources.SourceDeclaration;
+import vetchpost.sources.SourceDeclaration.Permission;
 import vetchpost.standalone.WebLimits.Forwarded;
 
 /**
@@ -32,7 +32,7 @@
  * run: every request has a class, nothing that may have run is repeated where that could do harm, servers are
  * named by somebody. It returns every violation, and does no I/O.
  */
-public final class StandaloneProver {
+public final class StandaloneValidator {
     private static final List<String> NODE = List.of(
             "listen",
             "sockets",
@@ -95,9 +95,9 @@
      *
      * @param standalone null if there is no table {@code [node]}, or any violation
      */
-    public record Proof(Standalone standalone, List<Violation> violations) {}
+    public record Validation(Standalone standalone, List<Violation> violations) {}
 
-    private StandaloneProver() {}
+    private StandaloneValidator() {}
 
     /** The keys of each table, as the pages for operators name them. */
     static List<List<String>> keys() {
@@ -110,7 +110,7 @@
     }
 
     /** The same of one table. */
-    public static boolean isOwn(Section section) {
+    public static boolean isStandaloneSection(Section section) {
         return switch (section.kind()) {
             case NODE, REQUESTS, TENANT, POOL, SOURCE, CHECKS -> true;
             default -> false;
@@ -118,15 +118,15 @@
     }
 
     /** Looks at the tables of a file that are its affair. */
-    public static Proof prove(List<Section> file) {
-        return new StandaloneProver().read(file);
+    public static Validation validate(List<Section> file) {
+        return new StandaloneValidator().read(file);
     }
 
-    private Proof read(List<Section> file) {
+    private Validation read(List<Section> file) {
         Section node = first(file, Kind.NODE);
         if (node == null) {
             for (Section section : file) {
-                if (isOwn(section)) {
+                if (isStandaloneSection(section)) {
                     violations.add(new Violation(
                             section.at(),
                             section.name(),
@@ -136,19 +136,19 @@
                     break;
                 }
             }
-            return new Proof(null, List.copyOf(violations));
+            return new Validation(null, List.copyOf(violations));
         }
         SectionReader own = new SectionReader(node, "node", violations);
-        own.knows(NODE);
+        own.rejectUnknownKeys(NODE);
         InetSocketAddress listen = address(own, "listen", own.text("listen", null), true);
         if (!own.has("listen")) {
-            own.violated("listen", Rule.INCOMPLETE, "it does not say listen", "listen = \"127.0.0.1:8080\"");
+            own.addViolation("listen", Rule.INCOMPLETE, "it does not say listen", "listen = \"127.0.0.1:8080\"");
         }
-        int sockets = own.whole("sockets", 1_024, 128, 1 << 20);
-        settings.nodes = own.whole("nodes", 1, 1, 10_000);
-        int number = own.whole("number", 0, 0, 9_999);
+        int sockets = own.integer("sockets", 1_024, 128, 1 << 20);
+        settings.nodes = own.integer("nodes", 1, 1, 10_000);
+        int number = own.integer("number", 0, 0, 9_999);
         if (number >= settings.nodes) {
-            own.violated(
+            own.addViolation(
                     "number",
                     Rule.OUT_OF_RANGE,
                     "number = " + number + " of " + settings.nodes + " nodes, counted from 0",
@@ -175,13 +175,13 @@
         Section pool = first(file, Kind.POOL);
         SectionReader servers = new SectionReader(
                 pool == null ? new Section(Kind.POOL, "pool", node.at(), Map.of()) : pool, "pool", violations);
-        servers.knows(POOL);
+        servers.rejectUnknownKeys(POOL);
         WebLimits limits = limits(own, servers.text("expect-header", ""));
         long idleUs = pool(servers);
-        List<Declared> sources = sources(file, servers);
+        List<SourceDeclaration> sources = sources(file, servers);
         boolean tried = servers.value("servers") instanceof List<?> named ? !named.isEmpty() : servers.has("servers");
         if (sources.isEmpty() && !tried && first(file, Kind.SOURCE) == null) {
-            servers.violated(
+            servers.addViolation(
                     "servers",
                     Rule.INCOMPLETE,
                     "nobody names a server",
@@ -190,7 +190,7 @@
         MergeRules merge = new MergeRules(
                 servers.number("most-gone", 0.5, 0, 1),
                 servers.duration("confirm", 10 * SECOND, 0, HOUR),
-                servers.whole("flaps", 4, 2, 1_000),
+                servers.integer("flaps", 4, 2, 1_000),
                 servers.duration("calm", 60 * SECOND, SECOND, DAY),
                 servers.duration("absent", 5 * SECOND, 0, HOUR));
         Section checking = first(file, Kind.CHECKS);
@@ -199,11 +199,12 @@
         String drainHeader = servers.text("drain-header", "");
         long seed = seed(own);
         if (!violations.isEmpty()) {
-            violations.sort((a, b) ->
-                    a.at().line() != b.at().line() ? a.at().line() - b.at().line() : a.at().column() - b.at().column());
-            return new Proof(null, List.copyOf(violations));
+            violations.sort((a, b) -> a.position().line() != b.position().line()
+                    ? a.position().line() - b.position().line()
+                    : a.position().column() - b.position().column());
+            return new Validation(null, List.copyOf(violations));
         }
-        return new Proof(
+        return new Validation(
                 new Standalone(
                         listen,
                         sockets,
@@ -230,7 +231,8 @@
             return 0;
         }
         if (!seed.matches("[0-9a-fA-F]{1,16}")) {
-            own.violated("seed", Rule.OUT_OF_RANGE, "seed is no hexadecimal number of up to 16 digits", "seed = \"1\"");
+            own.addViolation(
+                    "seed", Rule.OUT_OF_RANGE, "seed is no hexadecimal number of up to 16 digits", "seed = \"1\"");
             return 0;
         }
         return Long.parseUnsignedLong(seed, 16);
@@ -239,9 +241,9 @@
     private WebLimits limits(SectionReader own, String mark) {
         String name = own.text("name", "vetchpost");
         if (!name.matches(TOKEN)) {
-            own.violated("name", Rule.OUT_OF_RANGE, "name is no token that Via could carry", "name = \"node-1\"");
+            own.addViolation("name", Rule.OUT_OF_RANGE, "name is no token that Via could carry", "name = \"node-1\"");
         }
-        String forwarded = own.word("forwarded", "both", List.of("standard", "custom", "both", "none"));
+        String forwarded = own.choice("forwarded", "both", List.of("standard", "custom", "both", "none"));
         int hold = (int) own.size("hold", 64 * KIB, KIB, 16 * KIB * KIB);
         long most = own.size("max-body", 1L << 30, 0, 1L << 50);
         return new WebLimits(
@@ -279,8 +281,8 @@
 
     private void requests(Section section) {
         SectionReader own = new SectionReader(section, section.name(), violations);
-        own.knows(REQUESTS);
-        String word = own.word(
+        own.rejectUnknownKeys(REQUESTS);
+        String word = own.choice(
                 "repeat",
                 own.has("methods") && SAFE_METHODS.containsAll(own.texts("methods", List.of())) ? "safe" : "unsafe",
                 List.of("safe", "keyed", "unsafe"));
@@ -288,7 +290,7 @@
         Set<String> methods = new LinkedHashSet<>(own.texts("methods", List.of()));
         for (String method : methods) {
             if (!method.matches(TOKEN) || !method.equals(method.toUpperCase(Locale.ROOT))) {
-                own.violated(
+                own.addViolation(
                         "methods",
                         Rule.BAD_PATTERN,
                         "\"" + method + "\" is no method",
@@ -299,27 +301,28 @@
         for (String path : paths) {
             if (!path.matches("/[\\x21-\\x22\\x24-\\x29\\x2B-\\x3E\\x40-\\x7E]*\\*?")
                     || path.endsWith("*") && !path.endsWith("/*")) {
-                own.violated("paths", Rule.BAD_PATTERN, "\"" + path + "\" is no path", "\"/photos\" or \"/photos/*\"");
+                own.addViolation(
+                        "paths", Rule.BAD_PATTERN, "\"" + path + "\" is no path", "\"/photos\" or \"/photos/*\"");
             }
         }
         String header = own.text("header", repeat == Idempotency.KEYED ? KEY : "");
         if (!header.isEmpty() && !header.matches(TOKEN)) {
-            own.violated("header", Rule.BAD_PATTERN, "header is no name of a field", "\"" + KEY + "\"");
+            own.addViolation("header", Rule.BAD_PATTERN, "header is no name of a field", "\"" + KEY + "\"");
         }
         if (repeat == Idempotency.KEYED && !own.has("window")) {
-            own.violated(
+            own.addViolation(
                     "window",
                     Rule.KEYED_LATE,
                     "it does not say window: for how long servers drop repeats of a key",
                     "window = \"10s\", or repeat = \"unsafe\"");
         }
         if (repeat != Idempotency.KEYED && own.has("window")) {
-            own.violated("window", Rule.UNREACHABLE, "only keyed classes have a window", "repeat = \"keyed\"");
+            own.addViolation("window", Rule.UNREACHABLE, "only keyed classes have a window", "repeat = \"keyed\"");
         }
         if (repeat == Idempotency.SAFE) {
             for (String method : methods) {
                 if (!SAFE_METHODS.contains(method)) {
-                    own.violated(
+                    own.addViolation(
                             "repeat",
                             Rule.UNSAFE_AGAIN,
                             method + " is no safe method (RFC 9110, section"
@@ -328,7 +331,7 @@
                 }
             }
             if (methods.isEmpty()) {
-                own.violated(
+                own.addViolation(
                         "repeat",
                         Rule.UNSAFE_AGAIN,
                         "a safe class says which methods it is of",
@@ -338,11 +341,11 @@
         long deadline = own.duration("deadline", 30 * SECOND, MS, DAY);
         long aim = own.duration("aim", Math.min(SECOND, deadline), MS, DAY);
         if (aim > deadline) {
-            own.violated(
+            own.addViolation(
                     "aim",
                     Rule.PAST_WHOLE,
-                    "aim is over the deadline of " + SectionReader.time(deadline),
-                    "aim = \"" + SectionReader.time(deadline) + "\"");
+                    "aim is over the deadline of " + SectionReader.formatDuration(deadline),
+                    "aim = \"" + SectionReader.formatDuration(deadline) + "\"");
         }
         add(
                 new RequestRule(methods, paths, header),
@@ -377,7 +380,7 @@
             }
         }
         if (rules.stream().noneMatch(r -> r.covers(RequestRule.ANY))) {
-            own.violated(
+            own.addViolation(
                     "listen",
                     Rule.INCOMPLETE,
                     "some requests have no class: none takes what the others" + " leave",
@@ -387,14 +390,14 @@
 
     private void tenant(Section section) {
         SectionReader own = new SectionReader(section, section.name(), violations);
-        own.knows(TENANT);
+        own.rejectUnknownKeys(TENANT);
         int index = settings.tenants.size();
         settings.tenants.add(new Tenant(section.name(), own.number("share", 0, 0, 1e9)));
         names.put(section.name(), index);
         for (String host : own.texts("hosts", List.of())) {
             Integer before = hosts.putIfAbsent(Classifier.nameOf(host).toLowerCase(Locale.ROOT), index);
             if (before != null) {
-                own.violated(
+                own.addViolation(
                         "hosts",
                         Rule.SAME_MATCH,
                         "host " + host + " is tenant "
@@ -407,7 +410,7 @@
     // ---------------------------------------------------------------- servers
 
     private long pool(SectionReader own) {
-        settings.maxAttempts = own.whole("attempts", 3, 1, 100);
+        settings.maxAttempts = own.integer("attempts", 3, 1, 100);
         settings.connectTimeoutUs = own.duration("connect-timeout", 250 * MS, MS, 60 * SECOND);
         settings.drainGraceUs = own.duration("grace", SECOND, 10 * MS, HOUR);
         settings.coldUs = own.duration("cold", 20 * SECOND, 0, HOUR);
@@ -417,16 +420,16 @@
         return 2 * own.duration("idle", 5 * SECOND, 0, HOUR);
     }
 
-    private List<Declared> sources(List<Section> file, SectionReader pool) {
-        List<Declared> sources = new ArrayList<>();
-        List<Named> own = servers(pool);
+    private List<SourceDeclaration> sources(List<Section> file, SectionReader pool) {
+        List<SourceDeclaration> sources = new ArrayList<>();
+        List<ReportedServer> own = servers(pool);
         if (!own.isEmpty()) {
-            sources.add(new Declared(
+            sources.add(new SourceDeclaration(
                     "file",
-                    Declared.Kind.ITSELF,
+                    SourceDeclaration.Kind.ITSELF,
                     "",
                     0,
-                    EnumSet.allOf(May.class),
+                    EnumSet.allOf(Permission.class),
                     0,
                     0,
                     Long.MAX_VALUE / 4,
@@ -436,7 +439,7 @@
         Set<String> known = new HashSet<>(Set.of("file"));
         for (Section section : file) {
             if (section.kind() == Kind.SOURCE) {
-                Declared declared = source(section, known);
+                SourceDeclaration declared = source(section, known);
                 if (declared != null) {
                     sources.add(declared);
                 }
@@ -445,13 +448,13 @@
         return sources;
     }
 
-    private Declared source(Section section, Set<String> known) {
+    private SourceDeclaration source(Section section, Set<String> known) {
         SectionReader own = new SectionReader(section, "source", violations);
-        own.knows(SOURCE);
+        own.rejectUnknownKeys(SOURCE);
         List<String> kinds =
                 List.of("file", "dns", "srv").stream().filter(own::has).toList();
         if (kinds.size() != 1) {
-            own.violated(
+            own.addViolation(
                     kinds.isEmpty() ? "name" : kinds.get(1),
                     Rule.INCOMPLETE,
                     "a source is one of a file, a name and a name of services",
@@ -462,26 +465,26 @@
         String where = own.text(kind, "");
         String name = own.text("name", where);
         if (!known.add(name)) {
-            own.violated("name", Rule.SAME_NAME, "there is another source '" + name + "'", "another name");
+            own.addViolation("name", Rule.SAME_NAME, "there is another source '" + name + "'", "another name");
         }
         boolean asked = !kind.equals("file");
         if (asked && !where.matches("(?i)[a-z0-9_]([a-z0-9_-]{0,62})(\\.[a-z0-9_]([a-z0-9_-]{0,62}))*\\.?")) {
-            own.violated(kind, Rule.BAD_PATTERN, "\"" + where + "\" is no name", "\"web.example\"");
+            own.addViolation(kind, Rule.BAD_PATTERN, "\"" + where + "\" is no name", "\"web.example\"");
         }
-        int port = own.whole("port", 0, 1, 65_535);
+        int port = own.integer("port", 0, 1, 65_535);
         if (kind.equals("dns") != own.has("port")) {
-            own.violated(
+            own.addViolation(
                     "port",
                     kind.equals("dns") ? Rule.INCOMPLETE : Rule.UNREACHABLE,
                     kind.equals("dns") ? "addresses of a name have no port" : "the port is told by the " + kind,
                     kind.equals("dns") ? "port = 80" : "no port");
         }
-        Set<May> may = EnumSet.noneOf(May.class);
+        Set<Permission> may = EnumSet.noneOf(Permission.class);
         for (String word : own.texts("may", List.of("add", "drain", "remove"))) {
             try {
-                may.add(May.valueOf(word.toUpperCase(Locale.ROOT)));
+                may.add(Permission.valueOf(word.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
-                own.violated(
+                own.addViolation(
                         "may",
                         Rule.OUT_OF_RANGE,
                         "\"" + word + "\" is nothing that a source may do",
@@ -491,12 +494,12 @@
         long every = own.duration("every", asked ? 5 * SECOND : SECOND, 100 * MS, DAY);
         long keep = own.duration("keep", asked ? 3 * Math.max(every, 10 * SECOND) : 0, 0, 7 * DAY);
         if (asked && keep < 2 * every) {
-            own.violated(
+            own.addViolation(
                     "keep",
                     Rule.OUT_OF_RANGE,
                     "keep is under two answers' time: servers would come and"
                             + " go with each part of them that an answer names",
-                    "keep = \"" + SectionReader.time(2 * every) + "\"");
+                    "keep = \"" + SectionReader.formatDuration(2 * every) + "\"");
         }
         List<InetSocketAddress> resolvers = new ArrayList<>();
         for (String each : own.texts("resolvers", List.of())) {
@@ -505,9 +508,9 @@
                 resolvers.add(address);
             }
         }
-        return new Declared(
+        return new SourceDeclaration(
                 name,
-                Declared.Kind.valueOf(kind.toUpperCase(Locale.ROOT)),
+                SourceDeclaration.Kind.valueOf(kind.toUpperCase(Locale.ROOT)),
                 where,
                 port,
                 may,
@@ -518,29 +521,29 @@
                 resolvers);
     }
 
-    private List<Named> servers(SectionReader pool) {
+    private List<ReportedServer> servers(SectionReader pool) {
         Object value = pool.value("servers");
         if (value == null) {
             return List.of();
         }
         if (!(value instanceof List<?> list)) {
-            pool.violated("servers", Rule.WRONG_UNIT, "servers is no list", "[\"127.0.0.1:9001\"]");
+            pool.addViolation("servers", Rule.WRONG_UNIT, "servers is no list", "[\"127.0.0.1:9001\"]");
             return List.of();
         }
-        List<Named> servers = new ArrayList<>();
+        List<ReportedServer> servers = new ArrayList<>();
         for (Object each : list) {
             try {
-                Named named = ServerWords.named(each);
+                ReportedServer named = ServerEntryReader.read(each);
                 if (servers.stream().anyMatch(s -> s.addresses().stream().anyMatch(named.addresses()::contains))) {
-                    pool.violated(
+                    pool.addViolation(
                             "servers",
                             Rule.SAME_MATCH,
-                            Named.text(named.addresses().get(0)) + " is named twice",
+                            ReportedServer.text(named.addresses().get(0)) + " is named twice",
                             "each server once");
                 }
                 servers.add(named);
             } catch (IllegalArgumentException e) {
-                pool.violated(
+                pool.addViolation(
                         "servers",
                         Rule.BAD_PATTERN,
                         e.getMessage(),
@@ -551,10 +554,10 @@
     }
 
     private CheckRules checks(SectionReader own, int number) {
-        own.knows(CHECKS);
+        own.rejectUnknownKeys(CHECKS);
         String path = own.text("path", "");
         if (!path.isEmpty() && !path.matches("/[\\x21-\\x7E]{0,255}")) {
-            own.violated("path", Rule.BAD_PATTERN, "path = \"" + path + "\" is no path", "\"/healthy\"");
+            own.addViolation("path", Rule.BAD_PATTERN, "path = \"" + path + "\" is no path", "\"/healthy\"");
         }
         String status = own.text("status", "200-399");
         int least = 200;
@@ -564,7 +567,7 @@
             most = status.length() > 3 ? Integer.parseInt(status.substring(4)) : least;
         }
         if (!status.matches("[1-5]\\d\\d(-[1-5]\\d\\d)?") || most < least) {
-            own.violated(
+            own.addViolation(
                     "status",
                     Rule.OUT_OF_RANGE,
                     "status is neither one nor from one to another",
@@ -573,11 +576,11 @@
         long every = own.duration("every", 5 * SECOND, 100 * MS, HOUR);
         long within = own.duration("within", Math.min(SECOND, every), 10 * MS, 60 * SECOND);
         if (within > every) {
-            own.violated(
+            own.addViolation(
                     "within",
                     Rule.SCHEDULE,
                     "a check may take longer than until the next",
-                    "within = \"" + SectionReader.time(every) + "\"");
+                    "within = \"" + SectionReader.formatDuration(every) + "\"");
         }
         return new CheckRules(
                 path,
@@ -586,10 +589,10 @@
                 most,
                 every,
                 within,
-                own.whole("rise", 2, 1, 100),
-                own.whole("fall", 3, 1, 100),
+                own.integer("rise", 2, 1, 100),
+                own.integer("fall", 3, 1, 100),
                 own.number("budget", 20, 0.1, 10_000),
-                own.whole("watchers", 3, 1, 100),
+                own.integer("watchers", 3, 1, 100),
                 settings.nodes,
                 number,
                 own.number("most-out", 0.5, 0, 1));
@@ -600,16 +603,16 @@
             return null;
         }
         try {
-            InetSocketAddress address = ServerWords.address(text);
+            InetSocketAddress address = ServerEntryReader.parseAddress(text);
             if (address.getPort() > 0 || anyPort) {
                 return address;
             }
         } catch (IllegalArgumentException e) {
             // Told below, as a port that nobody can have is.
-            own.violated(key, Rule.BAD_PATTERN, e.getMessage(), "\"127.0.0.1:8080\"");
+            own.addViolation(key, Rule.BAD_PATTERN, e.getMessage(), "\"127.0.0.1:8080\"");
             return null;
         }
-        own.violated(key, Rule.OUT_OF_RANGE, text + " has no port", "\"127.0.0.1:8080\"");
+        own.addViolation(key, Rule.OUT_OF_RANGE, text + " has no port", "\"127.0.0.1:8080\"");
         return null;
     }
 }
--- a/src/main/java/vetchpost/standalone/WebLimits.java
+++ b/src/main/java/vetchpost/standalone/WebLimits.java
@@ -17,17 +17,17 @@
  *     another application's, and no client is given it; empty for none
  */
 public record WebLimits(
-        int holdBytes,
-        long holdUs,
-        long bodyBytes,
-        long headUs,
-        long idleUs,
-        long keptUs,
-        long uploadUs,
-        String name,
+        int bufferBytes,
+        long bufferTimeoutUs,
+        long maxBodyBytes,
+        long headTimeoutUs,
+        long bodyIdleTimeoutUs,
+        long keepAliveTimeoutUs,
+        long uploadTimeoutUs,
+        String viaName,
         Forwarded forwarded,
-        boolean trusted,
-        String mark) {
+        boolean trustsForwarded,
+        String requiredHeader) {
 
     /** How servers are told of the client. */
     public enum Forwarded {
--- a/src/main/java/vetchpost/state/ClassState.java
+++ b/src/main/java/vetchpost/state/ClassState.java
@@ -8,4 +8,4 @@
  * @param latencyUs the usual latency, in microseconds
  * @param leastLatencyUs the least mean latency; 0 if not known
  */
-public record ClassState(String name, int answers, double latencyUs, double leastLatencyUs) {}
+public record ClassState(String name, int sampleCount, double latencyUs, double minLatencyUs) {}
--- a/src/main/java/vetchpost/state/Confirmed.java
+++ b/src/main/java/vetchpost/state/ConfirmationSource.java
@@ -1,7 +1,7 @@
 package vetchpost.state;
 
 /** How a box was last known to be there. The order is that of the format, and of the words' weight. */
-public enum Confirmed {
+public enum ConfirmationSource {
     /** Discovery's list named it. */
     LIST,
     /** It served a request. */
--- a/src/main/java/vetchpost/state/Priors.java
+++ b/src/main/java/vetchpost/state/PriorStatistics.java
@@ -13,7 +13,7 @@
  * Makes of a snapshot what a module may begin with: each piece of knowledge as strong as its age and the
  * answers that it rests on allow.
  */
-public final class Priors {
+public final class PriorStatistics {
     /** A box that is ejected has failed as often as this in effect, whatever its last answers were. */
     private static final int EJECTED_FAILURES = 4;
     /** A box that is believed less is one of which nothing is known but its name. */
@@ -21,7 +21,7 @@
     /** Effects smaller than this change no draw; they are left out. */
     private static final double NOTHING = 0.02;
 
-    private Priors() {}
+    private PriorStatistics() {}
 
     /**
      * The prior.
@@ -44,15 +44,18 @@
             // A throttled or stalled node's latencies are its own.
             if (places[c] >= 0 && trustHealth) {
                 usual.add(new PerClass(
-                        places[c], (int) Math.round(age * state.answers()), state.latencyUs(), state.leastLatencyUs()));
+                        places[c],
+                        (int) Math.round(age * state.sampleCount()),
+                        state.latencyUs(),
+                        state.minLatencyUs()));
             }
         }
         List<PerServer> servers = new ArrayList<>();
-        for (BoxState box : snapshot.boxes()) {
+        for (ServerRecord box : snapshot.servers()) {
             double trust = trustBoxes.getOrDefault(box.target().id(), 1.0);
             PerServer prior = trust < SURE
                     ? unsure(box, trust, classes.size())
-                    : box.knowledge() == null || !trustHealth ? null : prior(box, nowMs, places, classes.size());
+                    : box.statistics() == null || !trustHealth ? null : prior(box, nowMs, places, classes.size());
             if (prior != null) {
                 servers.add(prior);
             }
@@ -61,12 +64,12 @@
     }
 
     /** Of one box that has said who it is, and of which nothing newer is known; {@code trust} as above. */
-    public static ServerStatistics ofUnsure(BoxState box, int classes, double trust) {
+    public static ServerStatistics ofUnconfirmed(ServerRecord box, int classes, double trust) {
         return new ServerStatistics(List.of(unsure(box, trust, classes)), List.of(), 0, 0, false);
     }
 
     /** Nothing of its health counts: somebody else may be there by now. It begins with little. */
-    private static PerServer unsure(BoxState box, double trust, int classes) {
+    private static PerServer unsure(ServerRecord box, double trust, int classes) {
         return new PerServer(
                 box.target().id(),
                 1_000 * box.target().bootMs(),
@@ -82,10 +85,10 @@
                 Collections.nCopies(classes, 0));
     }
 
-    private static PerServer prior(BoxState box, long nowMs, int[] places, int classes) {
-        PerServer known = box.knowledge();
+    private static PerServer prior(ServerRecord box, long nowMs, int[] places, int classes) {
+        PerServer known = box.statistics();
         // What a box did counts from its last answer: a snapshot that repeats old news is no newer for it.
-        long heardMs = Math.min(box.knownMs(), known.lastAnswerAtUs() / 1_000);
+        long heardMs = Math.min(box.statisticsMs(), known.lastAnswerAtUs() / 1_000);
         long ageMs = nowMs - heardMs;
         double evidence = Confidence.ofEvidence(known.attemptCount());
         double health = evidence * Confidence.after(ageMs, Confidence.HEALTH_HALF_MS);
--- a/src/main/java/vetchpost/state/Recollection.java
+++ b/src/main/java/vetchpost/state/RestoredState.java
@@ -21,7 +21,7 @@
  * @param ask to be asked who they are before anything is sent; the likeliest first
  * @param dropped how many are neither
  */
-public record Recollection(Map<Target, Double> use, List<Target> ask, int dropped) {
+public record RestoredState(Map<Target, Double> usable, List<Target> toProbe, int dropped) {
 
     /**
      * How old knowledge is met.
@@ -30,22 +30,22 @@
      * @param unidentifiedMs an address whose box was confirmed less long ago has not changed hands
      * @param identifies whether boxes can be asked who they are
      */
-    public record Rules(long lifeMs, long unidentifiedMs, boolean identifies) {}
+    public record Rules(long serverLifetimeMs, long addressReuseMs, boolean canIdentify) {}
 
     /**
      * How far a box is believed to be as it was, from 0 to 1, where nothing but its old entry speaks for it:
      * that it is there, and that it has not started anew unseen, which would have it cold. Discovery and all
      * boxes may have gone down together.
      */
-    public static double sure(BoxState box, long nowMs, Rules rules) {
+    public static double confidence(ServerRecord box, long nowMs, Rules rules) {
         long ageMs = nowMs - box.confirmedMs();
-        return Confidence.ofBox(ageMs, rules.lifeMs()) * Confidence.after(ageMs, Confidence.PACE_HALF_MS);
+        return Confidence.ofBox(ageMs, rules.serverLifetimeMs()) * Confidence.after(ageMs, Confidence.PACE_HALF_MS);
     }
 
     /** No box at an address that another one's entry, at least as new, holds too. */
-    private static List<BoxState> settled(Snapshot snapshot) {
-        Map<Object, BoxState> holders = new LinkedHashMap<>();
-        for (BoxState box : snapshot.boxes()) {
+    private static List<ServerRecord> settled(Snapshot snapshot) {
+        Map<Object, ServerRecord> holders = new LinkedHashMap<>();
+        for (ServerRecord box : snapshot.servers()) {
             if (box.target().state() == ServerState.READY) {
                 holders.merge(box.target().address(), box, (a, b) -> b.confirmedMs() > a.confirmedMs() ? b : a);
             }
@@ -59,11 +59,11 @@
      * @param snapshot null if there is none
      * @param listed the list that the node is given at its start; what it names is not the snapshot's affair
      */
-    public static Recollection of(Snapshot snapshot, ServerList listed, long nowMs, Rules rules) {
+    public static RestoredState of(Snapshot snapshot, ServerList listed, long nowMs, Rules rules) {
         Map<Target, Double> use = new LinkedHashMap<>();
         List<Target> ask = new ArrayList<>();
         if (snapshot == null) {
-            return new Recollection(use, ask, 0);
+            return new RestoredState(use, ask, 0);
         }
         Set<String> ids = new HashSet<>();
         Set<Object> addresses = new HashSet<>();
@@ -76,18 +76,18 @@
                 && listed.revision() >= snapshot.origin().revision();
         Map<String, Double> confidence = new HashMap<>();
         int dropped = 0;
-        for (BoxState box : settled(snapshot)) {
+        for (ServerRecord box : settled(snapshot)) {
             Target target = box.target();
             long ageMs = nowMs - box.confirmedMs();
             if (ids.contains(target.id())) {
                 continue;
             }
-            double sure = Confidence.ofBox(ageMs, rules.lifeMs());
+            double sure = Confidence.ofBox(ageMs, rules.serverLifetimeMs());
             if (isOutdated || addresses.contains(target.address())) {
                 dropped++;
-            } else if (sure > 0 && ageMs <= rules.unidentifiedMs()) {
+            } else if (sure > 0 && ageMs <= rules.addressReuseMs()) {
                 use.put(target, sure);
-            } else if (rules.identifies()) {
+            } else if (rules.canIdentify()) {
                 confidence.put(target.id(), sure);
                 ask.add(target);
             } else {
@@ -95,6 +95,6 @@
             }
         }
         ask.sort(Comparator.comparingDouble(t -> -confidence.get(t.id())));
-        return new Recollection(use, ask, dropped);
+        return new RestoredState(use, ask, dropped);
     }
 }
--- a/src/main/java/vetchpost/state/Trouble.java
+++ b/src/main/java/vetchpost/state/SelfFault.java
@@ -1,9 +1,9 @@
 package vetchpost.state;
 
 /** Why what a node has learned may say more of itself than of its boxes. The order is that of the format. */
-public enum Trouble {
+public enum SelfFault {
     /** More than half of its boxes, or half, are ejected or fail. */
-    MOST_ILL("most of its boxes fail"),
+    MOST_SERVERS_FAILING("most of its boxes fail"),
     /** It sends less than it is asked for, since most attempts fail. */
     THROTTLED("it is throttled"),
     /** Its loop is behind: its own delay looks like its boxes'. */
@@ -15,7 +15,7 @@
 
     private final String words;
 
-    Trouble(String words) {
+    SelfFault(String words) {
         this.words = words;
     }
 
--- a/src/main/java/vetchpost/state/Doubt.java
+++ b/src/main/java/vetchpost/state/SelfFaultDetector.java
@@ -12,7 +12,7 @@
  * taker looks at what it gets, whatever the giver says. Who is there is told apart from how well they are: a
  * confused node knows the former as well as any.
  */
-public final class Doubt {
+public final class SelfFaultDetector {
     /** A node learns for so long before its knowledge is more than chance: as long as a box stays cold. */
     static final long JUST_STARTED_MS = 20_000;
     /** A loop this far behind has been at it for several beats. */
@@ -22,7 +22,7 @@
     /** Failures in a row that say the same. */
     private static final int ILL_ERRORS = 3;
 
-    private Doubt() {}
+    private SelfFaultDetector() {}
 
     /**
      * What a node has to say of itself.
@@ -30,43 +30,43 @@
      * @param stallUs how far its loop is behind
      * @param upMs since when it runs
      */
-    public static Set<Trouble> ofSelf(ServerStatistics knowledge, long stallUs, long upMs) {
-        EnumSet<Trouble> troubles = EnumSet.noneOf(Trouble.class);
+    public static Set<SelfFault> inOwnStatistics(ServerStatistics knowledge, long stallUs, long upMs) {
+        EnumSet<SelfFault> troubles = EnumSet.noneOf(SelfFault.class);
         if (knowledge.readyCount() > 0 && 2 * knowledge.ejectedCount() >= knowledge.readyCount()) {
-            troubles.add(Trouble.MOST_ILL);
+            troubles.add(SelfFault.MOST_SERVERS_FAILING);
         }
         if (knowledge.throttled()) {
-            troubles.add(Trouble.THROTTLED);
+            troubles.add(SelfFault.THROTTLED);
         }
         if (stallUs >= STALLED_US) {
-            troubles.add(Trouble.STALLED);
+            troubles.add(SelfFault.STALLED);
         }
         if (upMs < JUST_STARTED_MS) {
-            troubles.add(Trouble.JUST_STARTED);
+            troubles.add(SelfFault.JUST_STARTED);
         }
         return troubles;
     }
 
     /** What speaks against a snapshot's word on how well its boxes are; empty if nothing does. */
-    public static Set<Trouble> of(Snapshot snapshot, long nowMs) {
-        EnumSet<Trouble> troubles = EnumSet.noneOf(Trouble.class);
-        troubles.addAll(snapshot.origin().troubles());
+    public static Set<SelfFault> inSnapshot(Snapshot snapshot, long nowMs) {
+        EnumSet<SelfFault> troubles = EnumSet.noneOf(SelfFault.class);
+        troubles.addAll(snapshot.origin().selfFaults());
         if (snapshot.origin().takenMs() > nowMs + Confidence.SKEW_MS
                 || snapshot.origin().startedMs() > snapshot.origin().takenMs() + Confidence.SKEW_MS) {
-            troubles.add(Trouble.FUTURE);
+            troubles.add(SelfFault.FUTURE);
         }
-        if (areMostIll(snapshot.boxes())) {
-            troubles.add(Trouble.MOST_ILL);
+        if (areMostIll(snapshot.servers())) {
+            troubles.add(SelfFault.MOST_SERVERS_FAILING);
         }
         return troubles;
     }
 
     /** Were they believed, too few would be left: half of those of which anything is known, or more. */
-    private static boolean areMostIll(List<BoxState> boxes) {
+    private static boolean areMostIll(List<ServerRecord> boxes) {
         int known = 0;
         int ill = 0;
-        for (BoxState box : boxes) {
-            PerServer knowledge = box.knowledge();
+        for (ServerRecord box : boxes) {
+            PerServer knowledge = box.statistics();
             if (knowledge != null && knowledge.attemptCount() > 0) {
                 known++;
                 ill += isIll(knowledge) ? 1 : 0;
--- a/src/main/java/vetchpost/state/BoxState.java
+++ b/src/main/java/vetchpost/state/ServerRecord.java
@@ -12,4 +12,5 @@
  * @param knownMs when the knowledge was taken down; 0 if there is none
  * @param knowledge what answers have told, with misses in the order of the snapshot's classes; or null
  */
-public record BoxState(Target target, long confirmedMs, Confirmed by, long knownMs, PerServer knowledge) {}
+public record ServerRecord(
+        Target target, long confirmedMs, ConfirmationSource confirmedBy, long statisticsMs, PerServer statistics) {}
--- a/src/main/java/vetchpost/state/Snapshot.java
+++ b/src/main/java/vetchpost/state/Snapshot.java
@@ -7,15 +7,15 @@
  *
  * @param classes in an order that the boxes' misses follow
  */
-public record Snapshot(Origin origin, List<ClassState> classes, List<BoxState> boxes) {
+public record Snapshot(SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> servers) {
     /** More boxes than a list may hold are no snapshot of a node. */
-    public static final int MOST_BOXES = 100_000;
+    public static final int MAX_SERVERS = 100_000;
     /** More classes than settings have. */
-    public static final int MOST_CLASSES = 64;
+    public static final int MAX_CLASSES = 64;
 
     /** Lists don't change once they are here. */
     public Snapshot {
         classes = List.copyOf(classes);
-        boxes = List.copyOf(boxes);
+        servers = List.copyOf(servers);
     }
 }
--- a/src/main/java/vetchpost/state/Origin.java
+++ b/src/main/java/vetchpost/state/SnapshotOrigin.java
@@ -11,9 +11,9 @@
  * @param revision of the list that it holds
  * @param troubles by its node's own word
  */
-public record Origin(long id, long takenMs, long startedMs, long revision, Set<Trouble> troubles) {
+public record SnapshotOrigin(long id, long takenMs, long startedMs, long revision, Set<SelfFault> selfFaults) {
     /** Sets don't change once they are here. */
-    public Origin {
-        troubles = Set.copyOf(troubles);
+    public SnapshotOrigin {
+        selfFaults = Set.copyOf(selfFaults);
     }
 }
--- a/src/main/java/vetchpost/state/codec/Assembly.java
+++ b/src/main/java/vetchpost/state/codec/ChunkAssembler.java
@@ -5,18 +5,18 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
-import vetchpost.state.Origin;
+import vetchpost.state.ServerRecord;
 import vetchpost.state.Snapshot;
-import vetchpost.state.codec.PieceCodec.Piece;
+import vetchpost.state.SnapshotOrigin;
+import vetchpost.state.codec.ChunkCodec.Chunk;
 
 /** Puts the pieces of one snapshot together, as far as they have come. */
-public final class Assembly {
-    private final List<BoxState> boxes = new ArrayList<>();
+public final class ChunkAssembler {
+    private final List<ServerRecord> boxes = new ArrayList<>();
     private final Set<String> ids = new HashSet<>();
     private final BitSet numbers = new BitSet();
-    private Origin origin;
+    private SnapshotOrigin origin;
     private List<ClassState> classes = List.of();
     private int pieces;
 
@@ -26,35 +26,35 @@
      * @throws MalformedState if it is of another snapshot, has come before, or names a box again; then
      *     nothing of it is taken
      */
-    public void add(Piece piece) throws MalformedState {
+    public void add(Chunk piece) throws MalformedSnapshotException {
         if (origin != null
-                && (!origin.equals(piece.part().origin())
-                        || pieces != piece.pieces()
-                        || !classes.equals(piece.part().classes()))) {
-            throw new MalformedState("pieces of two snapshots");
+                && (!origin.equals(piece.content().origin())
+                        || pieces != piece.chunkCount()
+                        || !classes.equals(piece.content().classes()))) {
+            throw new MalformedSnapshotException("pieces of two snapshots");
         }
         if (numbers.get(piece.number())) {
-            throw new MalformedState("piece " + piece.number() + " twice");
+            throw new MalformedSnapshotException("piece " + piece.number() + " twice");
         }
-        if (boxes.size() + piece.part().boxes().size() > Snapshot.MOST_BOXES) {
-            throw new MalformedState("over " + Snapshot.MOST_BOXES + " boxes");
+        if (boxes.size() + piece.content().servers().size() > Snapshot.MAX_SERVERS) {
+            throw new MalformedSnapshotException("over " + Snapshot.MAX_SERVERS + " boxes");
         }
         Set<String> fresh = new HashSet<>();
-        for (BoxState box : piece.part().boxes()) {
+        for (ServerRecord box : piece.content().servers()) {
             if (ids.contains(box.target().id()) || !fresh.add(box.target().id())) {
-                throw new MalformedState("box " + box.target().id() + " twice");
+                throw new MalformedSnapshotException("box " + box.target().id() + " twice");
             }
         }
-        origin = piece.part().origin();
-        classes = piece.part().classes();
-        pieces = piece.pieces();
+        origin = piece.content().origin();
+        classes = piece.content().classes();
+        pieces = piece.chunkCount();
         numbers.set(piece.number());
         ids.addAll(fresh);
-        boxes.addAll(piece.part().boxes());
+        boxes.addAll(piece.content().servers());
     }
 
     /** Whether all pieces are there. */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return origin != null && numbers.cardinality() == pieces;
     }
 
--- a/src/main/java/vetchpost/state/codec/PieceCodec.java
+++ b/src/main/java/vetchpost/state/codec/ChunkCodec.java
@@ -16,25 +16,25 @@
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.ServerStatistics.PerServer;
-import vetchpost.state.BoxState;
 import vetchpost.state.ClassState;
-import vetchpost.state.Confirmed;
-import vetchpost.state.Origin;
+import vetchpost.state.ConfirmationSource;
+import vetchpost.state.SelfFault;
+import vetchpost.state.ServerRecord;
 import vetchpost.state.Snapshot;
-import vetchpost.state.Trouble;
+import vetchpost.state.SnapshotOrigin;
 
 /**
  * Pieces of a snapshot as bytes: Protocol Buffers' wire format, by the schema in docs/state.md, so that
  * fields of later versions are passed over. Each piece can be read on its own. What is read is bounded before
  * it is allocated: a piece by its caller, all in it by the piece.
  */
-public final class PieceCodec {
+public final class ChunkCodec {
     /** Raised where a reader of this version would misunderstand what is written. */
     public static final int VERSION = 1;
     /** Bytes of a piece at most, either way. */
-    public static final int MOST_BYTES = 64 * 1024;
+    public static final int MAX_CHUNK_BYTES = 64 * 1024;
     /** Boxes in a piece as this writes it: under half of its bytes with names of usual lengths. */
-    public static final int BOXES = 100;
+    public static final int SERVERS_PER_CHUNK = 100;
 
     private static final int MOST_NAME = 256;
     private static final int MOST_TROUBLES = 16;
@@ -51,7 +51,7 @@
     private static final int P_CLASS = 9;
     private static final int P_BOX = 10;
 
-    private PieceCodec() {}
+    private ChunkCodec() {}
 
     /**
      * A piece that has been read.
@@ -60,15 +60,16 @@
      * @param pieces how many the snapshot has
      * @param part the origin, which is in each, the classes, which are too, and this piece's boxes
      */
-    public record Piece(int number, int pieces, Snapshot part) {}
+    public record Chunk(int number, int chunkCount, Snapshot content) {}
 
     /** How many pieces a snapshot of so many boxes takes. */
-    public static int pieces(int boxes) {
-        return Math.max(1, (boxes + BOXES - 1) / BOXES);
+    public static int chunkCount(int boxes) {
+        return Math.max(1, (boxes + SERVERS_PER_CHUNK - 1) / SERVERS_PER_CHUNK);
     }
 
     /** One piece. */
-    public static byte[] write(int number, int pieces, Origin origin, List<ClassState> classes, List<BoxState> boxes) {
+    public static byte[] write(
+            int number, int pieces, SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> boxes) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512 + 160 * boxes.size());
         try {
             CodedOutputStream out = CodedOutputStream.newInstance(bytes);
@@ -79,13 +80,13 @@
             out.writeInt64(P_TAKEN, origin.takenMs());
             out.writeInt64(P_STARTED, origin.startedMs());
             out.writeInt64(P_REVISION, origin.revision());
-            for (Trouble trouble : origin.troubles()) {
+            for (SelfFault trouble : origin.selfFaults()) {
                 out.writeUInt32(P_TROUBLE, trouble.ordinal());
             }
             for (ClassState state : classes) {
                 out.writeByteArray(P_CLASS, bytes(state));
             }
-            for (BoxState box : boxes) {
+            for (ServerRecord box : boxes) {
                 out.writeByteArray(P_BOX, bytes(box));
             }
             out.flush();
@@ -99,14 +100,14 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes, 64);
         out.writeString(1, state.name());
-        out.writeUInt32(2, state.answers());
+        out.writeUInt32(2, state.sampleCount());
         out.writeDouble(3, state.latencyUs());
-        out.writeDouble(4, state.leastLatencyUs());
+        out.writeDouble(4, state.minLatencyUs());
         out.flush();
         return bytes.toByteArray();
     }
 
-    private static byte[] bytes(BoxState box) throws IOException {
+    private static byte[] bytes(ServerRecord box) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(160);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes, 160);
         Target target = box.target();
@@ -119,10 +120,10 @@
         out.writeDouble(7, target.weight());
         out.writeInt64(8, target.bootMs());
         out.writeInt64(9, box.confirmedMs());
-        out.writeUInt32(10, box.by().ordinal());
-        PerServer known = box.knowledge();
+        out.writeUInt32(10, box.confirmedBy().ordinal());
+        PerServer known = box.statistics();
         if (known != null) {
-            out.writeInt64(11, box.knownMs());
+            out.writeInt64(11, box.statisticsMs());
             out.writeUInt32(12, known.attemptCount());
             out.writeInt64(13, known.lastAnswerAtUs());
             out.writeInt64(14, known.lastServedAtUs());
@@ -147,18 +148,19 @@
      *
      * @throws MalformedState if it is none, or of a newer version
      */
-    public static Piece read(byte[] bytes) throws MalformedState {
-        if (bytes.length > MOST_BYTES) {
-            throw new MalformedState("a piece of " + bytes.length + " bytes; " + MOST_BYTES + " at most");
+    public static Chunk read(byte[] bytes) throws MalformedSnapshotException {
+        if (bytes.length > MAX_CHUNK_BYTES) {
+            throw new MalformedSnapshotException(
+                    "a piece of " + bytes.length + " bytes; " + MAX_CHUNK_BYTES + " at most");
         }
         try {
             return piece(CodedInputStream.newInstance(bytes));
         } catch (IOException e) {
-            throw new MalformedState("not a piece of a snapshot: " + e.getMessage());
+            throw new MalformedSnapshotException("not a piece of a snapshot: " + e.getMessage());
         }
     }
 
-    private static Piece piece(CodedInputStream in) throws IOException, MalformedState {
+    private static Chunk piece(CodedInputStream in) throws IOException, MalformedSnapshotException {
         int version = 0;
         long id = 0;
         int number = -1;
@@ -166,9 +168,9 @@
         long taken = 0;
         long started = 0;
         long revision = 0;
-        Set<Trouble> troubles = EnumSet.noneOf(Trouble.class);
+        Set<SelfFault> troubles = EnumSet.noneOf(SelfFault.class);
         List<ClassState> classes = new ArrayList<>();
-        List<BoxState> boxes = new ArrayList<>();
+        List<ServerRecord> boxes = new ArrayList<>();
         int said = 0;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (tag) {
@@ -176,8 +178,8 @@
                     version = in.readUInt32();
                     if (version != VERSION) {
                         // Nothing after it is looked at: it may mean something else there.
-                        throw new MalformedState("a snapshot of version " + Integer.toUnsignedString(version)
-                                + "; this program knows " + VERSION);
+                        throw new MalformedSnapshotException("a snapshot of version "
+                                + Integer.toUnsignedString(version) + "; this program knows " + VERSION);
                     }
                 }
                 case P_SNAPSHOT << 3 | 1 -> id = in.readFixed64();
@@ -191,12 +193,12 @@
                     check(++said <= MOST_TROUBLES, "too many troubles");
                     // One that this version doesn't know is still a trouble.
                     troubles.add(
-                            trouble >= 0 && trouble < Trouble.values().length
-                                    ? Trouble.values()[trouble]
-                                    : Trouble.MOST_ILL);
+                            trouble >= 0 && trouble < SelfFault.values().length
+                                    ? SelfFault.values()[trouble]
+                                    : SelfFault.MOST_SERVERS_FAILING);
                 }
                 case P_CLASS << 3 | 2 -> {
-                    check(classes.size() < Snapshot.MOST_CLASSES, "too many classes");
+                    check(classes.size() < Snapshot.MAX_CLASSES, "too many classes");
                     int limit = in.pushLimit(in.readRawVarint32());
                     classes.add(cls(in));
                     in.popLimit(limit);
@@ -211,14 +213,16 @@
         }
         check(version == VERSION, "no version");
         check(
-                pieces > 0 && pieces <= Snapshot.MOST_BOXES && number >= 0 && number < pieces,
+                pieces > 0 && pieces <= Snapshot.MAX_SERVERS && number >= 0 && number < pieces,
                 "piece " + number + " of " + pieces);
         check(taken > 0 && started > 0, "no times");
-        return new Piece(
-                number, pieces, new Snapshot(new Origin(id, taken, started, revision, troubles), classes, boxes));
+        return new Chunk(
+                number,
+                pieces,
+                new Snapshot(new SnapshotOrigin(id, taken, started, revision, troubles), classes, boxes));
     }
 
-    private static ClassState cls(CodedInputStream in) throws IOException, MalformedState {
+    private static ClassState cls(CodedInputStream in) throws IOException, MalformedSnapshotException {
         String name = null;
         int answers = 0;
         double latency = 0;
@@ -236,7 +240,7 @@
         return new ClassState(name, answers, latency, least);
     }
 
-    private static BoxState box(CodedInputStream in) throws IOException, MalformedState {
+    private static ServerRecord box(CodedInputStream in) throws IOException, MalformedSnapshotException {
         String id = null;
         byte[] host = null;
         int port = 0;
@@ -281,7 +285,7 @@
                 case 19 << 3 | 1 -> limit = figure(in);
                 case 20 << 3 -> ejected = in.readBool();
                 case 21 << 3 -> {
-                    check(misses.size() < Snapshot.MOST_CLASSES, "too many classes");
+                    check(misses.size() < Snapshot.MAX_CLASSES, "too many classes");
                     misses.add(count(in));
                 }
                 default -> skip(in, tag);
@@ -301,8 +305,10 @@
                 weight,
                 boot);
         // How sure a word of an unknown kind is can't be told: the least sure of those that are known.
-        Confirmed how = by >= 0 && by < Confirmed.values().length ? Confirmed.values()[by] : Confirmed.ANSWER;
-        return new BoxState(
+        ConfirmationSource how = by >= 0 && by < ConfirmationSource.values().length
+                ? ConfirmationSource.values()[by]
+                : ConfirmationSource.ANSWER;
+        return new ServerRecord(
                 target,
                 confirmed,
                 how,
@@ -324,7 +330,7 @@
                                 misses));
     }
 
-    private static String name(CodedInputStream in) throws IOException, MalformedState {
+    private static String name(CodedInputStream in) throws IOException, MalformedSnapshotException {
         int length = in.readRawVarint32();
         check(length >= 0 && length <= MOST_NAME, "a name of " + length + " bytes");
         byte[] bytes = in.readRawBytes(length);
@@ -333,34 +339,34 @@
         return name;
     }
 
-    private static int count(CodedInputStream in) throws IOException, MalformedState {
+    private static int count(CodedInputStream in) throws IOException, MalformedSnapshotException {
         int count = in.readUInt32();
         check(count >= 0, "a count out of range");
         return count;
     }
 
     /** Finite and not negative. */
-    private static double figure(CodedInputStream in) throws IOException, MalformedState {
+    private static double figure(CodedInputStream in) throws IOException, MalformedSnapshotException {
         double figure = in.readDouble();
         check(figure >= 0 && figure < Double.POSITIVE_INFINITY, "a figure out of range");
         return figure;
     }
 
     /** Milliseconds or microseconds, so far from the ends that neither overflows when converted. */
-    private static long time(CodedInputStream in) throws IOException, MalformedState {
+    private static long time(CodedInputStream in) throws IOException, MalformedSnapshotException {
         long time = in.readInt64();
         check(time >= 0 && time < 1L << 53, "a time out of range");
         return time;
     }
 
-    private static void skip(CodedInputStream in, int tag) throws IOException, MalformedState {
+    private static void skip(CodedInputStream in, int tag) throws IOException, MalformedSnapshotException {
         // Groups nest; no version writes any.
         check(WireFormat.getTagWireType(tag) != WireFormat.WIRETYPE_START_GROUP && in.skipField(tag), "a group");
     }
 
-    private static void check(boolean holds, String otherwise) throws MalformedState {
+    private static void check(boolean holds, String otherwise) throws MalformedSnapshotException {
         if (!holds) {
-            throw new MalformedState(otherwise);
+            throw new MalformedSnapshotException(otherwise);
         }
     }
 }
--- a/src/main/java/vetchpost/state/codec/MalformedState.java
+++ b/src/main/java/vetchpost/state/codec/MalformedSnapshotException.java
@@ -1,10 +1,10 @@
 package vetchpost.state.codec;
 
 /** Bytes that are no snapshot, or none that this version knows; the message is one line for an operator. */
-public final class MalformedState extends Exception {
+public final class MalformedSnapshotException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public MalformedState(String message) {
+    public MalformedSnapshotException(String message) {
         super(message);
     }
 }
--- a/src/main/java/vetchpost/state/disk/PieceFile.java
+++ b/src/main/java/vetchpost/state/disk/ChunkFile.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.zip.CRC32C;
-import vetchpost.state.codec.MalformedState;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.codec.ChunkCodec;
+import vetchpost.state.codec.MalformedSnapshotException;
 
 /**
  * Pieces in a file, and those before them beside it. New ones are written under a third name, forced to the
@@ -16,7 +16,7 @@
  * that name it, the last of them its version, then for each piece its length and its bytes, then a length of
  * 0 and the CRC-32C (RFC 3720) of all before; numbers of four bytes, big end first.
  */
-public final class PieceFile {
+public final class ChunkFile {
     private final Disk disk;
     private final Path file;
     private final Path older;
@@ -28,7 +28,7 @@
     /** Makes something of a file's pieces. */
     public interface Parser<T> {
         /** Makes it, or says why it can't. */
-        T parse(List<byte[]> pieces) throws MalformedState;
+        T parse(List<byte[]> pieces) throws MalformedSnapshotException;
     }
 
     /**
@@ -37,11 +37,11 @@
      * @param magic eight bytes
      * @param most bytes of the file
      */
-    public PieceFile(Path file, byte[] magic, long most) {
+    public ChunkFile(Path file, byte[] magic, long most) {
         this(Disk.SYSTEM, file, magic, most);
     }
 
-    PieceFile(Disk disk, Path file, byte[] magic, long most) {
+    ChunkFile(Disk disk, Path file, byte[] magic, long most) {
         this.disk = disk;
         this.file = file.toAbsolutePath();
         older = this.file.resolveSibling(this.file.getFileName() + ".old");
@@ -100,7 +100,7 @@
             if (disk.exists(path)) {
                 try {
                     return parser.parse(pieces(disk.read(path, most), magic));
-                } catch (IOException | MalformedState e) {
+                } catch (IOException | MalformedSnapshotException e) {
                     spoilt |= path == file;
                     refused.accept(path + " is passed over: " + e.getMessage());
                 }
@@ -110,7 +110,7 @@
     }
 
     /** The pieces in the bytes of a file. */
-    static List<byte[]> pieces(byte[] bytes, byte[] magic) throws MalformedState {
+    static List<byte[]> pieces(byte[] bytes, byte[] magic) throws MalformedSnapshotException {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         byte[] begin = new byte[magic.length];
         check(in.remaining() >= begin.length, "too short for a snapshot");
@@ -131,7 +131,7 @@
                 break;
             }
             check(
-                    length > 0 && length <= PieceCodec.MOST_BYTES && length <= in.remaining(),
+                    length > 0 && length <= ChunkCodec.MAX_CHUNK_BYTES && length <= in.remaining(),
                     "a piece of " + length + " bytes with " + in.remaining() + " left");
             byte[] piece = new byte[length];
             in.get(piece);
@@ -149,9 +149,9 @@
         return (int) crc.getValue();
     }
 
-    private static void check(boolean holds, String otherwise) throws MalformedState {
+    private static void check(boolean holds, String otherwise) throws MalformedSnapshotException {
         if (!holds) {
-            throw new MalformedState(otherwise);
+            throw new MalformedSnapshotException(otherwise);
         }
     }
 }
--- a/src/main/java/vetchpost/state/disk/StateFile.java
+++ b/src/main/java/vetchpost/state/disk/StateFile.java
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.function.Consumer;
 import vetchpost.state.Snapshot;
-import vetchpost.state.codec.Assembly;
-import vetchpost.state.codec.MalformedState;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.codec.ChunkAssembler;
+import vetchpost.state.codec.ChunkCodec;
+import vetchpost.state.codec.MalformedSnapshotException;
 
 /** A snapshot in a file, and the one before it beside it, whatever happens while it is written. */
 public final class StateFile {
     /** The bytes a file begins with; the last is the format's version, that of pieces is theirs. */
     private static final byte[] MAGIC = "VPSTATE1".getBytes(StandardCharsets.US_ASCII);
     /** 100,000 boxes take under 24 MiB. */
-    static final long MOST_BYTES = 32L << 20;
+    static final long MAX_BYTES = 32L << 20;
 
     private static final long SKEW_MS = 5_000;
 
-    private final PieceFile pieces;
+    private final ChunkFile pieces;
 
     /** In this file, and two more whose names begin with its. */
     public StateFile(Path file) {
@@ -27,7 +27,7 @@
     }
 
     StateFile(Disk disk, Path file) {
-        pieces = new PieceFile(disk, file, MAGIC, MOST_BYTES);
+        pieces = new ChunkFile(disk, file, MAGIC, MAX_BYTES);
     }
 
     /**
@@ -50,7 +50,7 @@
                 all -> {
                     Snapshot snapshot = assembled(all);
                     if (snapshot.origin().takenMs() > nowMs + SKEW_MS) {
-                        throw new MalformedState("it is from the future, or the clock is wrong");
+                        throw new MalformedSnapshotException("it is from the future, or the clock is wrong");
                     }
                     return snapshot;
                 },
@@ -58,17 +58,17 @@
     }
 
     /** Reads the bytes of a file. */
-    static Snapshot parse(byte[] bytes) throws MalformedState {
-        return assembled(PieceFile.pieces(bytes, MAGIC));
+    static Snapshot parse(byte[] bytes) throws MalformedSnapshotException {
+        return assembled(ChunkFile.pieces(bytes, MAGIC));
     }
 
-    private static Snapshot assembled(List<byte[]> all) throws MalformedState {
-        Assembly assembly = new Assembly();
+    private static Snapshot assembled(List<byte[]> all) throws MalformedSnapshotException {
+        ChunkAssembler assembly = new ChunkAssembler();
         for (byte[] piece : all) {
-            assembly.add(PieceCodec.read(piece));
+            assembly.add(ChunkCodec.read(piece));
         }
-        if (!assembly.isWhole()) {
-            throw new MalformedState("pieces are missing");
+        if (!assembly.isComplete()) {
+            throw new MalformedSnapshotException("pieces are missing");
         }
         return assembly.snapshot();
     }
--- a/src/main/java/vetchpost/store/Change.java
+++ b/src/main/java/vetchpost/store/EntryChange.java
@@ -5,7 +5,7 @@
  *
  * @param value null for a delete
  */
-public record Change(Op op, Key key, byte[] value) {
+public record EntryChange(Op op, EntryKey key, byte[] value) {
     /** How. */
     public enum Op {
         /** An entry that is not there yet. */
@@ -17,17 +17,17 @@
     }
 
     /** A new entry. */
-    public static Change put(Key key, byte[] value) {
-        return new Change(Op.PUT, key, value);
+    public static EntryChange put(EntryKey key, byte[] value) {
+        return new EntryChange(Op.PUT, key, value);
     }
 
     /** Another value for an entry. */
-    public static Change replace(Key key, byte[] value) {
-        return new Change(Op.REPLACE, key, value);
+    public static EntryChange replace(EntryKey key, byte[] value) {
+        return new EntryChange(Op.REPLACE, key, value);
     }
 
     /** An entry less. */
-    public static Change delete(Key key) {
-        return new Change(Op.DELETE, key, null);
+    public static EntryChange delete(EntryKey key) {
+        return new EntryChange(Op.DELETE, key, null);
     }
 }
--- a/src/main/java/vetchpost/store/Key.java
+++ b/src/main/java/vetchpost/store/EntryKey.java
@@ -8,11 +8,11 @@
  *
  * @param name up to 2 KiB of UTF-8
  */
-public record Key(Kind kind, String name) {
+public record EntryKey(EntryKind kind, String name) {
     private static final int MOST = 2_048;
 
     /** @throws IllegalArgumentException if the name is too long */
-    public Key {
+    public EntryKey {
         if (name.length() > MOST) {
             throw new IllegalArgumentException("a name of " + name.length() + " characters");
         }
@@ -28,12 +28,12 @@
     }
 
     /** @throws IllegalArgumentException if these bytes are no key's */
-    public static Key of(byte[] bytes) {
-        Kind kind = bytes.length == 0 ? null : Kind.at(bytes[0] - 1);
+    public static EntryKey of(byte[] bytes) {
+        EntryKind kind = bytes.length == 0 ? null : EntryKind.at(bytes[0] - 1);
         if (kind == null) {
             throw new IllegalArgumentException("no key: " + Arrays.toString(Arrays.copyOf(bytes, 1)));
         }
-        return new Key(kind, new String(bytes, 1, bytes.length - 1, StandardCharsets.UTF_8));
+        return new EntryKey(kind, new String(bytes, 1, bytes.length - 1, StandardCharsets.UTF_8));
     }
 
     @Override
--- a/src/main/java/vetchpost/store/Fields.java
+++ b/src/main/java/vetchpost/store/FieldCodec.java
@@ -6,28 +6,28 @@
 import java.util.Arrays;
 
 /** Numbered values as bytes, in the order of their numbers: texts, whole numbers and others. */
-public final class Fields {
+public final class FieldCodec {
     private static final int TEXT = 0;
     private static final int WHOLE = 1;
     private static final int NUMBER = 2;
     private static final int TYPES = 3;
     private static final int MOST_TEXT = 2_048;
     /** All of an entry's. */
-    public static final int MOST = 8_192;
+    public static final int MAX_ENTRY_BYTES = 8_192;
 
     private static final int MOST_FIELD = 84;
 
-    private Fields() {}
+    private FieldCodec() {}
 
     /** Takes each value as it is read. */
-    public interface Taker {
+    public interface Visitor {
         /** A value, which is a text, a Long or a Double. */
         void take(int number, Object value);
     }
 
     /** Puts values together. */
-    public static final class Packer {
-        private final ByteBuffer into = ByteBuffer.allocate(MOST);
+    public static final class Encoder {
+        private final ByteBuffer into = ByteBuffer.allocate(MAX_ENTRY_BYTES);
 
         /**
          * Adds a value with a number over the last one's, up to 84.
@@ -66,7 +66,7 @@
      *
      * @throws IllegalArgumentException if these bytes are nothing of the kind
      */
-    public static void read(byte[] bytes, Taker taker) {
+    public static void read(byte[] bytes, Visitor taker) {
         ByteBuffer from = ByteBuffer.wrap(bytes);
         int last = -1;
         try {
--- a/src/main/java/vetchpost/store/PackedTree.java
+++ b/src/main/java/vetchpost/store/PackedTree.java
@@ -590,7 +590,7 @@
     }
 
     /** The first entry whose key is this or comes after it and whose stamp is over that, or null. */
-    public Item nextOver(byte[] key, long stamp) {
+    public Item nextNewer(byte[] key, long stamp) {
         return root.newest > stamp ? root.next(key, stamp) : null;
     }
 
@@ -608,13 +608,13 @@
         Item item = root.next(from, -1);
         while (item != null && items.size() < most && (to == null || Arrays.compareUnsigned(item.key(), to) < 0)) {
             items.add(item);
-            item = root.next(after(item.key()), -1);
+            item = root.next(successor(item.key()), -1);
         }
         return items;
     }
 
     /** The least key that comes after this one. */
-    public static byte[] after(byte[] key) {
+    public static byte[] successor(byte[] key) {
         return Arrays.copyOf(key, key.length + 1);
     }
 
--- a/src/main/java/vetchpost/store/Version.java
+++ b/src/main/java/vetchpost/store/Version.java
@@ -10,15 +10,15 @@
     /** A trillion changes of one writer. */
     private static final int NUMBER_BITS = 40;
     /** Over the largest epoch. */
-    public static final long MOST_EPOCH = 1L << 63 - NUMBER_BITS;
+    public static final long MAX_EPOCH = 1L << 63 - NUMBER_BITS;
 
-    private static final long MOST_NUMBER = 1L << NUMBER_BITS;
+    private static final long MAX_NUMBER = 1L << NUMBER_BITS;
 
     private Version() {}
 
     /** The version of a writer's change. */
     public static long of(long epoch, long number) {
-        if (epoch < 0 || epoch >= MOST_EPOCH || number < 0 || number >= MOST_NUMBER) {
+        if (epoch < 0 || epoch >= MAX_EPOCH || number < 0 || number >= MAX_NUMBER) {
             throw new IllegalArgumentException("epoch " + epoch + ", number " + number);
         }
         return epoch << NUMBER_BITS | number;
@@ -31,7 +31,7 @@
 
     /** The how many-th change of its writer. */
     public static long number(long version) {
-        return version & MOST_NUMBER - 1;
+        return version & MAX_NUMBER - 1;
     }
 
     /** For people: epoch and number. */
--- a/src/main/java/vetchpost/store/VersionedStore.java
+++ b/src/main/java/vetchpost/store/VersionedStore.java
@@ -37,7 +37,7 @@
     }
 
     /** As it was kept: with what went away after that horizon. */
-    public static VersionedStore kept(PackedTree live, PackedTree removed, long version, long horizon) {
+    public static VersionedStore restored(PackedTree live, PackedTree removed, long version, long horizon) {
         return new VersionedStore(live, removed, version, horizon);
     }
 
@@ -47,13 +47,13 @@
      *
      * @throws IllegalArgumentException if the version is not past this one's
      */
-    public VersionedStore with(List<Change> batch, long at) {
+    public VersionedStore with(List<EntryChange> batch, long at) {
         if (at <= version) {
             throw new IllegalArgumentException("version " + Version.text(at) + " after " + Version.text(version));
         }
         PackedTree entries = live;
         PackedTree gone = removed;
-        for (Change change : batch) {
+        for (EntryChange change : batch) {
             byte[] key = change.key().bytes();
             if (change.value() == null) {
                 entries = entries.remove(key);
@@ -75,7 +75,7 @@
      * Forgets the oldest removed keys until so many are left. Whoever is at a version before {@link #horizon}
      * then can't be told by versions what went away.
      */
-    public VersionedStore forget(long most) {
+    public VersionedStore forgetRemovals(long most) {
         if (removed.size() <= most) {
             return this;
         }
@@ -85,16 +85,16 @@
                 .toArray();
         long past = stamps[(int) (stamps.length - most - 1)];
         PackedTree kept = PackedTree.EMPTY;
-        for (Item item = removed.nextOver(NOTHING, past);
+        for (Item item = removed.nextNewer(NOTHING, past);
                 item != null;
-                item = removed.nextOver(PackedTree.after(item.key()), past)) {
+                item = removed.nextNewer(PackedTree.successor(item.key()), past)) {
             kept = kept.put(item.key(), NOTHING, item.stamp());
         }
         return new VersionedStore(live, kept, version, Math.max(horizon, past));
     }
 
     /** The entry of a key, or null. */
-    public Item get(Key key) {
+    public Item get(EntryKey key) {
         return live.get(key.bytes());
     }
 
--- a/src/main/java/vetchpost/trial/Daemon.java
+++ b/src/main/java/vetchpost/trial/DaemonThreads.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 
 /** Threads of stand-ins, which end with what they serve. */
-final class Daemon {
+final class DaemonThreads {
     /** What a thread does until its socket ends. */
     interface Body {
         void run() throws IOException, InterruptedException;
     }
 
-    private Daemon() {}
+    private DaemonThreads() {}
 
     static Thread start(String name, Body body) {
         Thread thread = new Thread(
--- a/src/main/java/vetchpost/trial/StandInClient.java
+++ b/src/main/java/vetchpost/trial/StandInClient.java
@@ -20,14 +20,14 @@
     private static final int THINK_MS = 30;
 
     private final InetSocketAddress node;
-    private final Tally tally;
+    private final TrialStatistics tally;
     private final SplittableRandom random;
     private final CountDownLatch ended = new CountDownLatch(1);
     private Socket socket;
     private Message answer;
     private String last = "";
 
-    StandInClient(InetSocketAddress node, Tally tally, long seed) {
+    StandInClient(InetSocketAddress node, TrialStatistics tally, long seed) {
         this.node = node;
         this.tally = tally;
         random = new SplittableRandom(seed);
