--- a/src/main/java/vetchpost/trial/StandInDiscovery.java
+++ b/src/main/java/vetchpost/trial/StandInDiscovery.java
@@ -25,13 +25,13 @@
     private int revision = 1;
 
     StandInDiscovery() throws IOException {
-        Daemon.start("discovery", () -> {
+        DaemonThreads.start("discovery", () -> {
             while (!listening.isClosed()) {
                 Socket socket = listening.accept();
-                Daemon.start("watch", () -> watch(socket));
+                DaemonThreads.start("watch", () -> watch(socket));
             }
         });
-        Daemon.start("beat", () -> {
+        DaemonThreads.start("beat", () -> {
             while (!closed.await(BEAT_MS, TimeUnit.MILLISECONDS)) {
                 tell("");
             }
@@ -66,12 +66,12 @@
     }
 
     /** Knows of a server from the beginning. */
-    synchronized void knows(StandInBox box) {
+    synchronized void knows(StandInServer box) {
         entries.put(box.id(), box.entry("Ready"));
     }
 
     /** Tells a change. */
-    synchronized void changed(StandInBox box, String state) {
+    synchronized void changed(StandInServer box, String state) {
         revision++;
         entries.put(box.id(), box.entry(state));
         if (state.equals("Gone")) {
--- a/src/main/java/vetchpost/trial/StandInBox.java
+++ b/src/main/java/vetchpost/trial/StandInServer.java
@@ -17,7 +17,7 @@
 import vetchpost.simulation.wire.MessageParser;
 
 /** A web box on a loopback socket, with a few slots for requests and a waiting room. */
-final class StandInBox implements Closeable {
+final class StandInServer implements Closeable {
     private static final int SLOTS = 2;
     private static final int ROOM = 16;
     private static final long LEAST_WORK_MS = 8;
@@ -28,7 +28,7 @@
     private final int rack;
     private static final long ACCEPT_ENDS_MS = 5_000;
 
-    private final Tally tally;
+    private final TrialStatistics tally;
     private final int port;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     private final Semaphore slots = new Semaphore(SLOTS, true);
@@ -42,7 +42,7 @@
     private volatile long startedNs;
     private volatile long startedMs;
 
-    StandInBox(String id, int rack, Tally tally) throws IOException {
+    StandInServer(String id, int rack, TrialStatistics tally) throws IOException {
         this.id = id;
         this.rack = rack;
         this.tally = tally;
@@ -63,7 +63,7 @@
     }
 
     private void accept(ServerSocket from) {
-        accepting = Daemon.start(id, () -> {
+        accepting = DaemonThreads.start(id, () -> {
             while (!from.isClosed()) {
                 Socket socket = from.accept();
                 if (open.size() >= MOST_CONNECTIONS) {
@@ -75,7 +75,7 @@
                     // It has died while this one came.
                     reset(socket);
                 }
-                Daemon.start(id + " connection", () -> {
+                DaemonThreads.start(id + " connection", () -> {
                     try (socket) {
                         serve(socket);
                     } finally {
@@ -135,13 +135,17 @@
         return startedNs == 0
                 ? 1
                 : Math.min(
-                        1, Tally.COLD_FROM + (1 - Tally.COLD_FROM) * (System.nanoTime() - startedNs) / Tally.COLD_NS);
+                        1,
+                        TrialStatistics.COLD_FROM
+                                + (1 - TrialStatistics.COLD_FROM)
+                                        * (System.nanoTime() - startedNs)
+                                        / TrialStatistics.COLD_NS);
     }
 
     /** It dies: connections are reset and new ones refused. */
     void die() throws IOException {
         listening.close();
-        open.forEach(StandInBox::reset);
+        open.forEach(StandInServer::reset);
         // As long as a thread is on its way out of accept, the system holds the address for it.
         try {
             accepting.join(ACCEPT_ENDS_MS);
@@ -181,7 +185,7 @@
     @Override
     public void close() throws IOException {
         listening.close();
-        open.forEach(StandInBox::reset);
+        open.forEach(StandInServer::reset);
         if (held != null) {
             held.close();
         }
--- a/src/main/java/vetchpost/trial/Tally.java
+++ b/src/main/java/vetchpost/trial/TrialStatistics.java
@@ -12,7 +12,7 @@
 import java.util.function.LongSupplier;
 
 /** What a trial has seen, and whether the four rules held; written to by all its threads. */
-final class Tally {
+final class TrialStatistics {
     static final long WINDOW_NS = 1_200_000_000L;
     static final long GRACE_NS = 500_000_000L;
     static final double COLD_FROM = 0.12;
@@ -67,7 +67,7 @@
     private int attempts;
 
     /** Nothing seen yet; by this clock, in nanoseconds. */
-    Tally(LongSupplier clock) {
+    TrialStatistics(LongSupplier clock) {
         this.clock = clock;
     }
 
--- a/src/main/java/vetchpost/trial/TryCommand.java
+++ b/src/main/java/vetchpost/trial/TryCommand.java
@@ -50,8 +50,8 @@
     @Option(names = "--seconds", paramLabel = "N", defaultValue = "20", description = "For how long; 20 if not said.")
     private int seconds;
 
-    private final Tally tally = new Tally(System::nanoTime);
-    private final List<StandInBox> boxes = new ArrayList<>();
+    private final TrialStatistics tally = new TrialStatistics(System::nanoTime);
+    private final List<StandInServer> boxes = new ArrayList<>();
 
     @Override
     public Integer call() throws IOException, InterruptedException, ExecutionException {
@@ -61,7 +61,7 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (StandInDiscovery discovery = new StandInDiscovery()) {
             for (int i = 0; i < BOXES; i++) {
-                StandInBox box = new StandInBox("s-" + i, i % RACKS, tally);
+                StandInServer box = new StandInServer("s-" + i, i % RACKS, tally);
                 boxes.add(box);
                 discovery.knows(box);
             }
@@ -80,7 +80,7 @@
             stopped.await(STOP_S, TimeUnit.SECONDS);
             loop.submit(node::close).sync();
         } finally {
-            for (StandInBox box : boxes) {
+            for (StandInServer box : boxes) {
                 box.close();
             }
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -100,11 +100,11 @@
                 + "\"giveUpUs\":1000000}],\"realms\":[{\"name\":\"school\",\"quotaPerS\":1000,\"share\":1}],"
                 + "\"limits\":{\"attemptsCap\":4,\"cancelling\":true,\"retryAfter\":true,"
                 + "\"maxRetryAfterUs\":1000000,\"dialTimeoutUs\":200000,\"connIdleUs\":60000000},"
-                + "\"rules\":{\"askWithinUs\":10000000,\"drainGraceUs\":" + Tally.GRACE_NS / 1_000
+                + "\"rules\":{\"askWithinUs\":10000000,\"drainGraceUs\":" + TrialStatistics.GRACE_NS / 1_000
                 + ",\"coldFrom\":"
-                + Tally.COLD_FROM + ",\"coldUs\":" + Tally.COLD_NS / 1_000 + ",\"overloadFactor\":"
-                + Tally.MULTIPLE
-                + ",\"fallUs\":" + Tally.FALL_NS / 1_000 + "}}}";
+                + TrialStatistics.COLD_FROM + ",\"coldUs\":" + TrialStatistics.COLD_NS / 1_000 + ",\"overloadFactor\":"
+                + TrialStatistics.MULTIPLE
+                + ",\"fallUs\":" + TrialStatistics.FALL_NS / 1_000 + "}}}";
     }
 
     private void run(StandInDiscovery discovery, InetSocketAddress node) throws IOException, InterruptedException {
@@ -118,7 +118,7 @@
         for (int i = 0; i < CLIENTS; i++) {
             StandInClient client = new StandInClient(node, tally, i);
             clients.add(client);
-            threads.add(Daemon.start("client-" + i, () -> {
+            threads.add(DaemonThreads.start("client-" + i, () -> {
                 client.run();
                 running.countDown();
             }));
@@ -137,8 +137,8 @@
     }
 
     private String news(StandInDiscovery discovery, int second) throws IOException {
-        StandInBox dies = boxes.get(1);
-        StandInBox drains = boxes.get(2);
+        StandInServer dies = boxes.get(1);
+        StandInServer drains = boxes.get(2);
         if (second == seconds / 4) {
             dies.die();
             return "  " + dies.id() + " has died, and nobody is told";
@@ -165,8 +165,8 @@
         PrintWriter out = spec.commandLine().getOut();
         out.printf("%n%-12s %7s %7s %8s %7s %9s%n", "class", "asked", "served", "refused", "failed", "mean");
         int asked = 0;
-        for (Map.Entry<String, Tally.Counts> each : new TreeMap<>(tally.classes()).entrySet()) {
-            Tally.Counts counts = each.getValue();
+        for (Map.Entry<String, TrialStatistics.Counts> each : new TreeMap<>(tally.classes()).entrySet()) {
+            TrialStatistics.Counts counts = each.getValue();
             asked += counts.asked();
             out.printf(
                     Locale.ROOT,
--- a/src/main/java/vetchpost/web/WebConnection.java
+++ b/src/main/java/vetchpost/web/WebConnection.java
@@ -163,9 +163,9 @@
 
     @Override
     public void closeIfOverdue(long nowNs) {
-        long idleNs = TimeUnit.MICROSECONDS.toNanos(front.limits().idleUs());
-        long headNs = TimeUnit.MICROSECONDS.toNanos(front.limits().headUs());
-        long keptNs = TimeUnit.MICROSECONDS.toNanos(front.limits().keptUs());
+        long idleNs = TimeUnit.MICROSECONDS.toNanos(front.limits().bodyIdleTimeoutUs());
+        long headNs = TimeUnit.MICROSECONDS.toNanos(front.limits().headTimeoutUs());
+        long keptNs = TimeUnit.MICROSECONDS.toNanos(front.limits().keepAliveTimeoutUs());
         if (unwritten > 0 || ending) {
             if (nowNs - writtenNs > idleNs) {
                 breakOff();
@@ -309,7 +309,7 @@
             length = HttpUtil.isTransferEncodingChunked(request)
                     ? Long.MAX_VALUE
                     : HttpUtil.getContentLength(request, 0L);
-            if (length < Long.MAX_VALUE && length > front.limits().bodyBytes()) {
+            if (length < Long.MAX_VALUE && length > front.limits().maxBodyBytes()) {
                 throw tooLarge();
             }
         } catch (BadRequest e) {
@@ -348,7 +348,7 @@
     private boolean hold(HttpObject part) {
         HttpContent content = (HttpContent) part;
         int more = content.content().readableBytes();
-        if (held + more > front.limits().holdBytes()) {
+        if (held + more > front.limits().bufferBytes()) {
             rest = new Rest();
             phase = Phase.REST;
             take();
@@ -360,14 +360,14 @@
         }
         cost += more;
         if (held + more > body.length) {
-            int least = length < Long.MAX_VALUE ? (int) Math.min(front.limits().holdBytes(), length) : 0;
+            int least = length < Long.MAX_VALUE ? (int) Math.min(front.limits().bufferBytes(), length) : 0;
             body = Arrays.copyOf(
                     body,
                     Math.max(
                             held + more,
                             Math.max(
                                     least,
-                                    Math.min(2 * body.length, front.limits().holdBytes()))));
+                                    Math.min(2 * body.length, front.limits().bufferBytes()))));
         }
         // Not read off it: what waits is counted by what is left in it.
         content.content().getBytes(content.content().readerIndex(), body, held, more);
@@ -434,7 +434,7 @@
             boolean last = part instanceof LastHttpContent;
             poll();
             passed += bytes.length;
-            if (held + passed > front.limits().bodyBytes()) {
+            if (held + passed > front.limits().maxBodyBytes()) {
                 BodySink to = sink;
                 leaveWith(tooLarge());
                 to.abort();
--- a/src/main/java/vetchpost/web/WebExchange.java
+++ b/src/main/java/vetchpost/web/WebExchange.java
@@ -164,7 +164,7 @@
         if (timer != null || over) {
             return;
         }
-        long everyNs = TimeUnit.MICROSECONDS.toNanos(limits.idleUs()) / 4;
+        long everyNs = TimeUnit.MICROSECONDS.toNanos(limits.bodyIdleTimeoutUs()) / 4;
         timer = channel.eventLoop()
                 .schedule(
                         () -> {
@@ -175,8 +175,9 @@
                             // Once all is sent, and nothing has come back, it is the server's work that is waited for.
                             long mostNs = TimeUnit.MICROSECONDS.toNanos(
                                     sent && head == null
-                                            ? Math.max(limits.idleUs(), front.deadlineUs(request.classIndex()))
-                                            : limits.idleUs());
+                                            ? Math.max(
+                                                    limits.bodyIdleTimeoutUs(), front.deadlineUs(request.classIndex()))
+                                            : limits.bodyIdleTimeoutUs());
                             boolean waits = upload != null && !sent && upload.unwritten == 0 || paused;
                             if (!waits && channel.eventLoop().ticker().nanoTime() - progressNs > mostNs) {
                                 channel.close();
@@ -206,8 +207,8 @@
                     || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
                 throw new MalformedResponse();
             }
-            if (!limits.mark().isEmpty()
-                    && !response.headers().contains(limits.mark())
+            if (!limits.requiredHeader().isEmpty()
+                    && !response.headers().contains(limits.requiredHeader())
                     && response.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
                 throw new MalformedResponse(); // Another application lives at that address now.
             }
@@ -242,9 +243,9 @@
 
     private void body(HttpContent content, boolean last) {
         int more = content.content().readableBytes();
-        if (!begun && size + more <= limits.holdBytes()) {
+        if (!begun && size + more <= limits.bufferBytes()) {
             if (size + more > held.length) {
-                held = Arrays.copyOf(held, Math.max(size + more, Math.min(limits.holdBytes(), 2 * held.length)));
+                held = Arrays.copyOf(held, Math.max(size + more, Math.min(limits.bufferBytes(), 2 * held.length)));
             }
             content.content().readBytes(held, size, more);
             size += more;
@@ -288,7 +289,7 @@
                                     begin();
                                 }
                             },
-                            limits.holdUs(),
+                            limits.bufferTimeoutUs(),
                             TimeUnit.MICROSECONDS);
         }
     }
--- a/src/main/java/vetchpost/web/WebFront.java
+++ b/src/main/java/vetchpost/web/WebFront.java
@@ -48,7 +48,7 @@
     }
 
     /** Has these hold for requests from now on. */
-    public void settle(Settings classes, Classifier other, WebLimits to) {
+    public void reconfigure(Settings classes, Classifier other, WebLimits to) {
         settings = classes;
         classifier = other;
         limits = to;
@@ -101,7 +101,7 @@
         HttpHeaders headers = head.headers();
         String host = headers.get(HttpHeaderNames.HOST);
         int tenant = classifier.tenantOf(host, headers::get);
-        long remainingUs = rest != null ? limits.uploadUs() : deadlineUs(classIndex);
+        long remainingUs = rest != null ? limits.uploadTimeoutUs() : deadlineUs(classIndex);
         long saidMs = RequestReader.parseDigits(headers.get(REMAINING), MOST_DIGITS);
         if (saidMs > 0) {
             remainingUs = Math.min(remainingUs, 1_000 * saidMs);
@@ -140,7 +140,8 @@
     }
 
     private void forward(HttpHeaders headers, HttpVersion version, SocketAddress from, String host) {
-        headers.add(HttpHeaderNames.VIA, version.majorVersion() + "." + version.minorVersion() + " " + limits.name());
+        headers.add(
+                HttpHeaderNames.VIA, version.majorVersion() + "." + version.minorVersion() + " " + limits.viaName());
         String address = from instanceof InetSocketAddress inet && inet.getAddress() != null
                 ? plain(inet.getAddress())
                 : "unknown";
@@ -148,14 +149,14 @@
             String node = address.indexOf(':') >= 0 ? "\"[" + address + "]\"" : address;
             String one = "for=" + node + (host == null ? "" : ";host=\"" + host + "\"") + ";proto=http";
             append(headers, "Forwarded", one);
-        } else if (!limits.trusted()) {
+        } else if (!limits.trustsForwarded()) {
             headers.remove("Forwarded");
         }
         if (limits.forwarded().isCustom()) {
             append(headers, "X-Forwarded-For", address);
             instead(headers, "X-Forwarded-Proto", "http");
             instead(headers, "X-Forwarded-Host", host);
-        } else if (!limits.trusted()) {
+        } else if (!limits.trustsForwarded()) {
             headers.remove("X-Forwarded-For").remove("X-Forwarded-Proto").remove("X-Forwarded-Host");
         }
     }
@@ -168,12 +169,12 @@
 
     /** Behind what the client says, if that is believed; else in its place. */
     private void append(HttpHeaders headers, String name, String value) {
-        String said = limits.trusted() ? String.join(", ", headers.getAll(name)) : "";
+        String said = limits.trustsForwarded() ? String.join(", ", headers.getAll(name)) : "";
         headers.set(name, said.isEmpty() ? value : said + ", " + value);
     }
 
     private void instead(HttpHeaders headers, String name, String value) {
-        if (limits.trusted() && headers.contains(name)) {
+        if (limits.trustsForwarded() && headers.contains(name)) {
             return;
         }
         if (value == null) {
--- a/src/main/java/vetchpost/web/WebReply.java
+++ b/src/main/java/vetchpost/web/WebReply.java
@@ -129,7 +129,7 @@
         }
         // The node's own word about requests that it has not served, and no server's.
         headers.remove(RAN);
-        headers.add(HttpHeaderNames.VIA, "1.1 " + front.limits().name());
+        headers.add(HttpHeaderNames.VIA, "1.1 " + front.limits().viaName());
         if (!headers.contains(HttpHeaderNames.DATE)) {
             headers.set(HttpHeaderNames.DATE, DateFormatter.format(new Date(front.unixMs())));
         }
--- a/src/test/java/vetchpost/admission/AdmissionValidatorTest.java
+++ b/src/test/java/vetchpost/admission/AdmissionValidatorTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
-import vetchpost.routes.Prover;
+import vetchpost.routes.RouteValidator;
 import vetchpost.routes.Violation;
 import vetchpost.routes.Violation.Rule;
 import vetchpost.routes.file.RouteFile;
@@ -31,7 +31,8 @@
     private static AdmissionValidator.ValidationResult prove(String text) {
         RouteFile file = RouteFile.parse("door.toml", text);
         assertEquals(List.of(), file.violations());
-        assertEquals(List.of(), Prover.prove(file.sections(), settings()).violations(), "the table is known");
+        assertEquals(
+                List.of(), RouteValidator.validate(file.sections(), settings()).violations(), "the table is known");
         return AdmissionValidator.validate(file.sections(), settings());
     }
 
@@ -93,7 +94,7 @@
         assertEquals(1, proof.violations().size(), proof.violations().toString());
         Violation violation = proof.violations().get(0);
         assertEquals(rule, violation.rule());
-        assertEquals(2, violation.at().line());
+        assertEquals(2, violation.position().line());
         assertTrue(violation.toString().startsWith("door.toml:2:"), violation.toString());
     }
 
--- a/src/test/java/vetchpost/changes/CatalogTest.java
+++ b/src/test/java/vetchpost/changes/CatalogTest.java
@@ -19,10 +19,10 @@
 import vetchpost.routes.Section;
 import vetchpost.routes.Violation;
 import vetchpost.routes.Violation.Rule;
-import vetchpost.store.Change;
-import vetchpost.store.Fields;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.store.EntryChange;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
+import vetchpost.store.FieldCodec;
 import vetchpost.store.PackedTree;
 import vetchpost.store.Version;
 
@@ -32,7 +32,7 @@
 class CatalogTest {
     private static final Position AT = new Position("x", 1, 1);
 
-    private final Writer writer = new Writer(Catalog.empty(settings()), 1);
+    private final ChangeWriter writer = new ChangeWriter(RouteConfiguration.empty(settings()), 1);
 
     static Settings settings() {
         Settings set = new Settings();
@@ -53,29 +53,30 @@
         return RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", AT, entries));
     }
 
-    private static Key key(String route) {
-        return new Key(Kind.ROUTE, route);
+    private static EntryKey key(String route) {
+        return new EntryKey(EntryKind.ROUTE, route);
     }
 
-    private static Key tenant(String name) {
-        return new Key(Kind.TENANT, name);
+    private static EntryKey tenant(String name) {
+        return new EntryKey(EntryKind.TENANT, name);
     }
 
     private static byte[] share(double share) {
-        Fields.Packer packer = new Fields.Packer();
+        FieldCodec.Encoder packer = new FieldCodec.Encoder();
         packer.add(0, share);
         return packer.bytes();
     }
 
-    private void takes(Change... batch) {
+    private void takes(EntryChange... batch) {
         assertEquals(List.of(), writer.submit(List.of(batch)));
     }
 
-    private void refuses(Rule rule, int place, Change... batch) {
+    private void refuses(Rule rule, int place, EntryChange... batch) {
         long before = writer.store().version();
         List<Violation> violations = writer.submit(List.of(batch));
         assertTrue(
-                violations.stream().anyMatch(v -> v.rule() == rule && v.at().line() == place),
+                violations.stream()
+                        .anyMatch(v -> v.rule() == rule && v.position().line() == place),
                 () -> violations.toString());
         assertEquals(before, writer.store().version(), "a refused batch has a version");
     }
@@ -85,120 +86,132 @@
         refuses(
                 Rule.UNSAFE_AGAIN,
                 2,
-                Change.put(key("/a"), route("path", "/a", "class", "read")),
-                Change.put(key("/b"), route("path", "/b", "class", "write", "attempts", 2L)));
+                EntryChange.put(key("/a"), route("path", "/a", "class", "read")),
+                EntryChange.put(key("/b"), route("path", "/b", "class", "write", "attempts", 2L)));
         assertNull(writer.store().get(key("/a")), "half a batch is there");
-        takes(Change.put(key("/a"), route("path", "/a", "class", "read")));
-        refuses(Rule.SAME_NAME, 1, Change.put(key("/a"), route("path", "/a", "class", "read")));
-        refuses(Rule.UNKNOWN_ENTRY, 1, Change.replace(key("/c"), route("path", "/c")));
-        refuses(Rule.UNKNOWN_ENTRY, 1, Change.delete(tenant("nobody")));
-        refuses(Rule.SAME_MATCH, 1, Change.put(key("other"), route("path", "/a", "class", "read", "name", "other")));
-        refuses(Rule.UNKNOWN_TENANT, 1, Change.put(key("/t"), route("path", "/t", "tenant", "ann")));
-        refuses(Rule.SYNTAX, 1, Change.put(key("/x"), new byte[] {99, 1}));
-        refuses(Rule.SYNTAX, 1, Change.put(key("/x"), route("path", "/y")));
-        refuses(Rule.OUT_OF_RANGE, 1, Change.put(tenant("ann"), share(-1)));
+        takes(EntryChange.put(key("/a"), route("path", "/a", "class", "read")));
+        refuses(Rule.SAME_NAME, 1, EntryChange.put(key("/a"), route("path", "/a", "class", "read")));
+        refuses(Rule.UNKNOWN_ENTRY, 1, EntryChange.replace(key("/c"), route("path", "/c")));
+        refuses(Rule.UNKNOWN_ENTRY, 1, EntryChange.delete(tenant("nobody")));
+        refuses(
+                Rule.SAME_MATCH,
+                1,
+                EntryChange.put(key("other"), route("path", "/a", "class", "read", "name", "other")));
+        refuses(Rule.UNKNOWN_TENANT, 1, EntryChange.put(key("/t"), route("path", "/t", "tenant", "ann")));
+        refuses(Rule.SYNTAX, 1, EntryChange.put(key("/x"), new byte[] {99, 1}));
+        refuses(Rule.SYNTAX, 1, EntryChange.put(key("/x"), route("path", "/y")));
+        refuses(Rule.OUT_OF_RANGE, 1, EntryChange.put(tenant("ann"), share(-1)));
         assertEquals(Version.of(1, 1), writer.store().version());
     }
 
     /** Each alone would do; both in one batch don't. */
     @Test
     void whatOnlyTwoChangesOfOneBatchBreakTogetherIsRefused() {
-        takes(Change.put(tenant("ann"), share(1)), Change.put(key("/a"), route("path", "/a")));
+        takes(EntryChange.put(tenant("ann"), share(1)), EntryChange.put(key("/a"), route("path", "/a")));
         refuses(
                 Rule.UNKNOWN_TENANT,
                 1,
-                Change.delete(tenant("ann")),
-                Change.put(key("/t"), route("path", "/t", "tenant", "ann")));
+                EntryChange.delete(tenant("ann")),
+                EntryChange.put(key("/t"), route("path", "/t", "tenant", "ann")));
         refuses(
                 Rule.SAME_MATCH,
                 2,
-                Change.replace(key("/a"), route("path", "/a", "class", "read")),
-                Change.put(key("b"), route("path", "/a", "name", "b")));
-        Key defaults = new Key(Kind.LIMITS, "");
+                EntryChange.replace(key("/a"), route("path", "/a", "class", "read")),
+                EntryChange.put(key("b"), route("path", "/a", "name", "b")));
+        EntryKey defaults = new EntryKey(EntryKind.LIMITS, "");
         refuses(
                 Rule.SCHEDULE,
                 1,
-                Change.put(defaults, route("attempt-timeout", "400ms")),
-                Change.put(key("/s"), route("path", "/s", "class", "read", "attempts", 3L)));
-        takes(Change.put(defaults, route("attempt-timeout", "400ms")));
-        takes(Change.delete(key("/a")), Change.put(key("b"), route("path", "/a", "name", "b")));
-        takes(Change.put(key("/t"), route("path", "/t", "tenant", "ann")));
-        refuses(Rule.UNKNOWN_TENANT, 1, Change.delete(tenant("ann")));
-        takes(Change.delete(key("/t")), Change.delete(tenant("ann")));
+                EntryChange.put(defaults, route("attempt-timeout", "400ms")),
+                EntryChange.put(key("/s"), route("path", "/s", "class", "read", "attempts", 3L)));
+        takes(EntryChange.put(defaults, route("attempt-timeout", "400ms")));
+        takes(EntryChange.delete(key("/a")), EntryChange.put(key("b"), route("path", "/a", "name", "b")));
+        takes(EntryChange.put(key("/t"), route("path", "/t", "tenant", "ann")));
+        refuses(Rule.UNKNOWN_TENANT, 1, EntryChange.delete(tenant("ann")));
+        takes(EntryChange.delete(key("/t")), EntryChange.delete(tenant("ann")));
     }
 
     @Test
     void ofSeveralChangesOfOneKeyTheLastCounts() {
         takes(
-                Change.put(key("/a"), route("path", "/a")),
-                Change.replace(key("/a"), route("path", "/a", "attempts", 1L)),
-                Change.delete(key("/a")),
-                Change.put(key("/a"), route("path", "/a", "class", "read", "attempts", 2L)));
+                EntryChange.put(key("/a"), route("path", "/a")),
+                EntryChange.replace(key("/a"), route("path", "/a", "attempts", 1L)),
+                EntryChange.delete(key("/a")),
+                EntryChange.put(key("/a"), route("path", "/a", "class", "read", "attempts", 2L)));
         assertEquals(
                 2,
-                writer.catalog().routes().find("read", "GET", "/a", -1).limits().attempts());
-        takes(Change.put(key("/b"), route("path", "/b")), Change.delete(key("/b")));
+                writer.configuration()
+                        .routes()
+                        .find("read", "GET", "/a", -1)
+                        .limits()
+                        .maxAttempts());
+        takes(EntryChange.put(key("/b"), route("path", "/b")), EntryChange.delete(key("/b")));
         assertNull(writer.store().get(key("/b")));
     }
 
     @Test
     void defaultsAreProvedAgainstAllRoutesAndHoldForThem() {
-        Key defaults = new Key(Kind.LIMITS, "");
-        Key read = new Key(Kind.LIMITS, "read");
-        takes(Change.put(key("/a"), route("path", "/a", "class", "read", "attempts", 3L)));
-        refuses(Rule.SCHEDULE, 1, Change.put(defaults, route("attempt-timeout", "400ms")));
-        takes(Change.put(read, route("concurrency", 7L)));
+        EntryKey defaults = new EntryKey(EntryKind.LIMITS, "");
+        EntryKey read = new EntryKey(EntryKind.LIMITS, "read");
+        takes(EntryChange.put(key("/a"), route("path", "/a", "class", "read", "attempts", 3L)));
+        refuses(Rule.SCHEDULE, 1, EntryChange.put(defaults, route("attempt-timeout", "400ms")));
+        takes(EntryChange.put(read, route("concurrency", 7L)));
         assertEquals(
                 7,
-                writer.catalog().routes().find("read", "GET", "/a", -1).limits().concurrency());
+                writer.configuration()
+                        .routes()
+                        .find("read", "GET", "/a", -1)
+                        .limits()
+                        .maxConcurrency());
         assertEquals(
                 7,
-                writer.catalog()
+                writer.configuration()
                         .routes()
                         .find("read", "GET", "/else", -1)
                         .limits()
-                        .concurrency());
+                        .maxConcurrency());
         assertEquals(
                 0,
-                writer.catalog()
+                writer.configuration()
                         .routes()
                         .find("write", "GET", "/else", -1)
                         .limits()
-                        .concurrency());
+                        .maxConcurrency());
     }
 
     /** As it comes to nodes: entry by entry, in any order, without a proof. */
     @Test
     void whatWasProvedElsewhereComesToTheSame() {
-        Catalog before = writer.catalog();
+        RouteConfiguration before = writer.configuration();
         takes(
-                Change.put(tenant("ann"), share(1)),
-                Change.put(key("/a"), route("path", "/a", "tenant", "ann")),
-                Change.put(key("/b"), route("path", "/b/{x}", "name", "/b")),
-                Change.put(new Key(Kind.LIMITS, "read"), route("concurrency", 7L)));
-        Catalog told = before;
+                EntryChange.put(tenant("ann"), share(1)),
+                EntryChange.put(key("/a"), route("path", "/a", "tenant", "ann")),
+                EntryChange.put(key("/b"), route("path", "/b/{x}", "name", "/b")),
+                EntryChange.put(new EntryKey(EntryKind.LIMITS, "read"), route("concurrency", 7L)));
+        RouteConfiguration told = before;
         PackedTree live = PackedTree.EMPTY;
         for (var item : writer.store().live().range(null, null, 100)) {
             live = live.put(item.key(), item.value(), item.stamp());
-            told = told.settled(item.key(), item.value(), live);
+            told = told.withEntry(item.key(), item.value(), live);
         }
-        told = told.over(writer.store().live());
-        assertEquals(writer.catalog().routes().matchSum(), told.routes().matchSum());
-        assertEquals(7, told.routes().find("read", "GET", "/b/1", -1).limits().concurrency());
+        told = told.backedBy(writer.store().live());
+        assertEquals(writer.configuration().routes().matchSum(), told.routes().matchSum());
+        assertEquals(7, told.routes().find("read", "GET", "/b/1", -1).limits().maxConcurrency());
         PackedTree without = live.remove(key("/b").bytes());
-        Catalog less = told.settled(key("/b").bytes(), null, without).over(without);
+        RouteConfiguration less =
+                told.withEntry(key("/b").bytes(), null, without).backedBy(without);
         assertNotNull(told.routes().find("read", "GET", "/b/1", -1));
         assertEquals("read", less.routes().find("read", "GET", "/b/1", -1).name(), "its class's own again");
         assertThrows(
-                IllegalArgumentException.class, () -> before.settled(new byte[] {77}, new byte[0], PackedTree.EMPTY));
+                IllegalArgumentException.class, () -> before.withEntry(new byte[] {77}, new byte[0], PackedTree.EMPTY));
     }
 
     @Test
     void aWriterThatTakesOverBeginsALaterEpoch() {
-        takes(Change.put(key("/a"), route("path", "/a")));
-        Writer next = new Writer(writer.catalog(), 2);
-        assertEquals(List.of(), next.submit(List.of(Change.delete(key("/a")))));
+        takes(EntryChange.put(key("/a"), route("path", "/a")));
+        ChangeWriter next = new ChangeWriter(writer.configuration(), 2);
+        assertEquals(List.of(), next.submit(List.of(EntryChange.delete(key("/a")))));
         assertEquals(Version.of(2, 1), next.store().version());
-        assertThrows(IllegalArgumentException.class, () -> new Writer(next.catalog(), 1));
+        assertThrows(IllegalArgumentException.class, () -> new ChangeWriter(next.configuration(), 1));
     }
 }
--- a/src/test/java/vetchpost/conductor/SourcesTest.java
+++ b/src/test/java/vetchpost/conductor/SourcesTest.java
@@ -27,10 +27,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import vetchpost.net.Network;
-import vetchpost.sources.Declared;
-import vetchpost.sources.Declared.Kind;
-import vetchpost.sources.Declared.May;
-import vetchpost.sources.Named;
+import vetchpost.sources.ReportedServer;
+import vetchpost.sources.SourceDeclaration;
+import vetchpost.sources.SourceDeclaration.Kind;
+import vetchpost.sources.SourceDeclaration.Permission;
 import vetchpost.testing.FakePeer;
 
 /** A watched file and a name server, as they are met: half written, replaced, cut, empty, silent. */
@@ -38,12 +38,12 @@
 class SourcesTest {
     private static final long MS = 1_000;
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-    private final Listener listener = new Listener() {
+    private final SourceListener listener = new SourceListener() {
         @Override
-        public void said(List<Named> servers) {
+        public void said(List<ReportedServer> servers) {
             heard.add(servers.stream()
                     .map(s -> (s.id().isEmpty() ? "" : s.id() + "=")
-                            + Named.text(s.addresses().get(0))
+                            + ReportedServer.text(s.addresses().get(0))
                             + (s.weight() == 1 ? "" : "*" + (int) s.weight()))
                     .sorted()
                     .collect(Collectors.joining(" ")));
@@ -73,13 +73,13 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private static Declared source(Kind kind, String where, long everyUs, InetSocketAddress... resolvers) {
-        return new Declared(
+    private static SourceDeclaration source(Kind kind, String where, long everyUs, InetSocketAddress... resolvers) {
+        return new SourceDeclaration(
                 where,
                 kind,
                 where,
                 80,
-                EnumSet.allOf(May.class),
+                EnumSet.allOf(Permission.class),
                 everyUs,
                 0,
                 600_000 * MS,
@@ -88,7 +88,7 @@
     }
 
     private String next() throws InterruptedException {
-        return FakePeer.soon(heard);
+        return FakePeer.takeWithTimeout(heard);
     }
 
     /** What it says once, and maybe again, until it says this. */
@@ -160,10 +160,10 @@
         assertThrows(IllegalArgumentException.class, () -> FileWatch.parse("x.toml", "server = [\"127.0.0.1:1\"]"));
         assertThrows(IllegalArgumentException.class, () -> FileWatch.parse("x.toml", "servers = [\"127.0.0.1:1\""));
         assertEquals(
-                Named.Word.DRAINING,
+                ReportedServer.State.DRAINING,
                 FileWatch.parse("x.toml", "servers = [{ address = \"127.0.0.1:1\", state = \"draining\" }]")
                         .get(0)
-                        .word());
+                        .state());
     }
 
     private NameWatch watch(NameServer server, Kind kind, String name) throws Exception {
--- a/src/test/java/vetchpost/control/DeskTest.java
+++ b/src/test/java/vetchpost/control/DeskTest.java
@@ -13,13 +13,13 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import vetchpost.control.Situation.Server;
+import vetchpost.control.FleetState.Server;
 
 /** Messages: bounded, strict, one after the other, and never an effect without a record. */
 class DeskTest {
     private static final String DRAIN = "{\"v\":1,\"id\":7,\"do\":\"drain\",\"server\":\"s1\",\"for\":60000,"
             + "\"owner\":\"ann\",\"reason\":\"sick\",\"key\":\"a\"}";
-    private final Leases leases = new Leases(new Judge(0.5, 0.9));
+    private final Leases leases = new Leases(new SafetyCheck(0.5, 0.9));
     private final List<String> recorded = new ArrayList<>();
     private final List<Consumer<String>> pending = new ArrayList<>();
     private boolean slow;
@@ -27,8 +27,8 @@
     private String trouble;
     private int changes;
     private long nowUs;
-    private final Desk desk =
-            new Desk(leases, DeskTest::four, () -> Map.of("requests", 3L), this::record, this::changed);
+    private final ControlApi desk =
+            new ControlApi(leases, DeskTest::four, () -> Map.of("requests", 3L), this::record, this::changed);
 
     private void changed() {
         if (failing) {
@@ -37,12 +37,12 @@
         changes++;
     }
 
-    private static Situation four() {
+    private static FleetState four() {
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             servers.add(new Server("s" + i, "", 1, false));
         }
-        return new Situation(servers, List.of("read", "write"));
+        return new FleetState(servers, List.of("read", "write"));
     }
 
     private void record(String text, Consumer<String> done) {
@@ -61,7 +61,7 @@
 
     private List<String> replies(String message) {
         List<String> replies = new ArrayList<>();
-        desk.take(message, () -> new Desk.Now(nowUs, nowUs / 1_000), replies::add);
+        desk.handle(message, () -> new ControlApi.Now(nowUs, nowUs / 1_000), replies::add);
         return replies;
     }
 
@@ -76,14 +76,14 @@
         slow = true;
         List<String> replies = replies(DRAIN);
         assertEquals(List.of(), replies);
-        assertFalse(leases.effects().drains("s1"));
+        assertFalse(leases.effects().isDraining("s1"));
         pending.remove(0).accept(null);
-        assertTrue(leases.effects().drains("s1"));
+        assertTrue(leases.effects().isDraining("s1"));
         assertEquals(1, changes);
         JsonObject reply = JsonParser.parseString(replies.get(0)).getAsJsonObject();
         assertEquals(7, reply.get("id").getAsInt());
         assertEquals(60_000, reply.getAsJsonObject("override").get("left-ms").getAsLong());
-        assertEquals("s1", Entries.read(recorded.get(0)).change().subject());
+        assertEquals("s1", AuditEntryJson.read(recorded.get(0)).change().subject());
     }
 
     @Test
@@ -105,8 +105,8 @@
         nowUs = 60_000_000;
         ask(DRAIN.replace("s1", "s2").replace("\"a\"", "\"b\""));
         assertEquals(
-                List.of(Trail.Event.GRANTED, Trail.Event.ENDED, Trail.Event.GRANTED),
-                recorded.stream().map(r -> Entries.read(r).event()).toList());
+                List.of(AuditLog.Event.GRANTED, AuditLog.Event.ENDED, AuditLog.Event.GRANTED),
+                recorded.stream().map(r -> AuditEntryJson.read(r).event()).toList());
         assertEquals(3, changes);
     }
 
@@ -145,17 +145,17 @@
         trouble = "no space left on device";
         JsonObject reply = ask(DRAIN);
         assertEquals("unrecorded", reply.get("error").getAsString());
-        assertFalse(leases.effects().drains("s1"));
+        assertFalse(leases.effects().isDraining("s1"));
         trouble = null;
         assertTrue(ask(DRAIN).get("ok").getAsBoolean(), "and the same command is carried out later");
         trouble = "no space left on device";
         assertFalse(ask("{\"v\":1,\"do\":\"undo\",\"number\":1,\"owner\":\"bob\"}")
                 .get("ok")
                 .getAsBoolean());
-        assertTrue(leases.effects().drains("s1"));
+        assertTrue(leases.effects().isDraining("s1"));
         nowUs = 60_000_000;
-        desk.expire(new Desk.Now(nowUs, 0));
-        assertFalse(leases.effects().drains("s1"), "but what is due ends, recorded or not");
+        desk.expire(new ControlApi.Now(nowUs, 0));
+        assertFalse(leases.effects().isDraining("s1"), "but what is due ends, recorded or not");
     }
 
     @Test
@@ -177,7 +177,7 @@
         ask(DRAIN);
         String undo = "{\"v\":1,\"do\":\"undo\",\"number\":1,\"owner\":\"bob\"}";
         assertTrue(ask(undo).get("ok").getAsBoolean());
-        assertFalse(leases.effects().drains("s1"));
+        assertFalse(leases.effects().isDraining("s1"));
         assertTrue(ask(undo).toString().contains("no override 1 holds"));
     }
 
@@ -225,8 +225,8 @@
                     || !reply.getAsJsonArray("why").isEmpty());
             recorded.clear();
             nowUs += 1_000_000;
-            desk.expire(new Desk.Now(nowUs, nowUs / 1_000));
+            desk.expire(new ControlApi.Now(nowUs, nowUs / 1_000));
         }
-        assertTrue(leases.all().size() <= Leases.MOST);
+        assertTrue(leases.all().size() <= Leases.MAX_LEASES);
     }
 }
--- a/src/test/java/vetchpost/daemon/Alone.java
+++ b/src/test/java/vetchpost/daemon/Alone.java
@@ -32,7 +32,7 @@
 
     /** By a file of this text behind its table {@code [node]}, which says where to listen. */
     Alone(String text) throws Exception {
-        ProvedFile loaded = StandaloneNode.load(file("127.0.0.1:0", text));
+        ValidatedFile loaded = StandaloneNode.load(file("127.0.0.1:0", text));
         node = on(() -> new StandaloneNode(loaded, group, loop));
         listening = on(() -> node.start(0, () -> {})).sync().channel();
     }
@@ -62,7 +62,7 @@
 
     /** Reads another file, and waits until all of it holds; where the node listens from then on. */
     InetSocketAddress reload(String listen, String text) throws Exception {
-        ProvedFile loaded = StandaloneNode.load(file(listen, text), on(node::loaded));
+        ValidatedFile loaded = StandaloneNode.load(file(listen, text), on(node::loaded));
         Future<SocketAddress> inForce = on(() -> node.reload(loaded));
         InetSocketAddress address = (InetSocketAddress) inForce.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
         // The system closes a socket once the loop has looked at its selector again.
@@ -74,7 +74,7 @@
         return reload("127.0.0.1:0", text);
     }
 
-    ProvedFile loaded() throws Exception {
+    ValidatedFile loaded() throws Exception {
         return on(node::loaded);
     }
 
--- a/src/test/java/vetchpost/daemon/BodiesTest.java
+++ b/src/test/java/vetchpost/daemon/BodiesTest.java
@@ -101,7 +101,7 @@
                 FakePeer.write(client, "\r\n");
             }
             FakePeer.write(client, "0\r\n\r\n");
-            assertEquals(1_000_000, FakePeer.soon(uploaded));
+            assertEquals(1_000_000, FakePeer.takeWithTimeout(uploaded));
             assertTrue(Alone.answer(client).startsWith("HTTP/1.1 201 "));
             server.script(FakePeer.answer("200 OK", "", "short"));
             FakePeer.write(
@@ -119,7 +119,7 @@
             try (Socket client = node.connect()) {
                 send(client, put("", MANY) + Integer.toHexString(MANY) + "\r\n", MANY / 2);
             }
-            assertEquals(-1, FakePeer.soon(uploaded));
+            assertEquals(-1, FakePeer.takeWithTimeout(uploaded));
             assertEquals(1, server.requests.size(), "and it is not sent again");
         }
     }
@@ -157,7 +157,7 @@
                     send(client, put(CLOSE, MANY) + "30d40\r\n", 200_000);
                     FakePeer.write(client, "\r\n0\r\n\r\n");
                     assertTrue(Alone.rest(client).startsWith("HTTP/1.1 200 "));
-                    assertEquals(200_000, FakePeer.soon(uploaded));
+                    assertEquals(200_000, FakePeer.takeWithTimeout(uploaded));
                 }
             }
             server.script((socket, request) -> {
@@ -171,7 +171,7 @@
                 // Of a class that may be repeated: it is the body that can't be had twice.
                 FakePeer.write(client, put(CLOSE, MANY).replace("PUT", "GET") + "30d40\r\n");
                 client.getOutputStream().write(new byte[150_000]);
-                FakePeer.soon(uploaded);
+                FakePeer.takeWithTimeout(uploaded);
                 assertTrue(Alone.rest(client).startsWith("HTTP/1.1 503 "));
             }
             assertEquals(before + 1, server.requests.size(), "it may have run: nobody else is sent it");
@@ -252,7 +252,7 @@
             client.setReceiveBufferSize(65_536);
             FakePeer.write(client, Alone.get("/", ""));
             assertEquals('H', client.getInputStream().read());
-            assertEquals("cut", FakePeer.soon(ended), "nothing was read for a second, so it is over");
+            assertEquals("cut", FakePeer.takeWithTimeout(ended), "nothing was read for a second, so it is over");
             assertTrue(written.get() < 64 << 20, written + " bytes were taken for a client that reads none");
             server.script(FakePeer.answer("200 OK", "", "meanwhile"));
             FakePeer.write(other, Alone.get("/", ""));
@@ -290,7 +290,7 @@
                 send(client, put("", MANY) + Integer.toHexString(MANY) + "\r\n", 150_000);
                 assertTrue(Alone.rest(client).startsWith("HTTP/1.1 413 "));
             }
-            assertEquals(-1, FakePeer.soon(uploaded), "the server does not take it for whole");
+            assertEquals(-1, FakePeer.takeWithTimeout(uploaded), "the server does not take it for whole");
             try (Socket client = node.connect()) {
                 server.script(FakePeer.answer("200 OK", "", "thanks"));
                 FakePeer.write(
--- a/src/test/java/vetchpost/daemon/ChangesNodeTest.java
+++ b/src/test/java/vetchpost/daemon/ChangesNodeTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import vetchpost.changes.Catalog;
-import vetchpost.changes.Writer;
-import vetchpost.replication.net.Controls;
+import vetchpost.changes.ChangeWriter;
+import vetchpost.changes.RouteConfiguration;
+import vetchpost.replication.net.TestPublisher;
 import vetchpost.routes.Position;
 import vetchpost.routes.RouteCodec;
 import vetchpost.routes.Section;
-import vetchpost.store.Change;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.store.EntryChange;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
 import vetchpost.testing.FakePeer;
 
 /** A node whose routes come from control machines, over loopback. */
@@ -35,14 +35,14 @@
     private Path folder;
 
     private FakePeer server;
-    private Writer writer;
+    private ChangeWriter writer;
 
     @BeforeEach
     void open() throws Exception {
         server = new FakePeer(FakePeer.answer("200 OK", "", "done"));
-        Files.writeString(folder.resolve("secret"), Controls.SECRET + "\n");
+        Files.writeString(folder.resolve("secret"), TestPublisher.SECRET + "\n");
         try (Alone plain = new Alone(Alone.pool(server))) {
-            writer = new Writer(Catalog.empty(plain.loaded().settings()), 1);
+            writer = new ChangeWriter(RouteConfiguration.empty(plain.loaded().settings()), 1);
         }
     }
 
@@ -51,32 +51,32 @@
         server.close();
     }
 
-    private Alone node(Controls control) throws Exception {
+    private Alone node(TestPublisher control) throws Exception {
         return new Alone(file(control));
     }
 
-    private String file(Controls control) {
+    private String file(TestPublisher control) {
         return Alone.pool(server) + "[changes]\npublishers = [\"" + control.text() + "\"]\nsecret-file = \""
                 + folder.resolve("secret") + "\"\nfile = \"" + folder.resolve("store") + "\"\n";
     }
 
-    private void write(Change.Op op, String path, String mostBody) {
+    private void write(EntryChange.Op op, String path, String mostBody) {
         Map<String, Section.Entry> entries = new LinkedHashMap<>();
         Position at = new Position("x", 1, 1);
         entries.put("path", new Section.Entry(path, at));
         entries.put("max-body", new Section.Entry(mostBody, at));
         assertEquals(
                 List.of(),
-                writer.submit(List.of(new Change(
+                writer.submit(List.of(new EntryChange(
                         op,
-                        new Key(Kind.ROUTE, path),
-                        op == Change.Op.DELETE
+                        new EntryKey(EntryKind.ROUTE, path),
+                        op == EntryChange.Op.DELETE
                                 ? null
                                 : RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", at, entries))))));
     }
 
     private static void until(Alone node, String beginning) throws Exception {
-        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         String answer = node.all(POST);
         while (!answer.startsWith(beginning)) {
             assertTrue(System.nanoTime() < endNs, answer + " instead of " + beginning);
@@ -86,15 +86,15 @@
 
     @Test
     void aChangeIsInForceAndOutlivesTheControlMachinesAndARestart() throws Exception {
-        write(Change.Op.PUT, "/photos/*", "4B");
-        Controls control = new Controls(writer.store(), Controls.SECRET, 0);
+        write(EntryChange.Op.PUT, "/photos/*", "4B");
+        TestPublisher control = new TestPublisher(writer.store(), TestPublisher.SECRET, 0);
         try (Alone node = node(control)) {
             until(node, "HTTP/1.1 413 ");
-            write(Change.Op.REPLACE, "/photos/*", "9B");
-            control.settle(writer.store());
+            write(EntryChange.Op.REPLACE, "/photos/*", "9B");
+            control.publish(writer.store());
             until(node, "HTTP/1.1 200 ");
-            write(Change.Op.REPLACE, "/photos/*", "3B");
-            control.settle(writer.store());
+            write(EntryChange.Op.REPLACE, "/photos/*", "3B");
+            control.publish(writer.store());
             until(node, "HTTP/1.1 413 ");
             assertTrue(node.all(Alone.get("/ready", CLOSE)).startsWith("HTTP/1.1 200 "));
             control.close();
@@ -111,18 +111,18 @@
      */
     @Test
     void aReloadWhileChangesAreComingLosesNone() throws Exception {
-        write(Change.Op.PUT, "/photos/*", "9B");
-        try (Controls control = new Controls(writer.store(), Controls.SECRET, 0);
+        write(EntryChange.Op.PUT, "/photos/*", "9B");
+        try (TestPublisher control = new TestPublisher(writer.store(), TestPublisher.SECRET, 0);
                 Alone node = node(control)) {
             until(node, "HTTP/1.1 200 ");
             for (int i = 0; i < 20; i++) {
-                write(Change.Op.PUT, "/other/" + i, "1B");
-                control.settle(writer.store());
+                write(EntryChange.Op.PUT, "/other/" + i, "1B");
+                control.publish(writer.store());
                 node.reload(file(control)
                         .replace("connect-timeout = \"2s\"", "connect-timeout = \"2s\"\ngrace = \"" + (i + 1) + "s\""));
             }
-            write(Change.Op.REPLACE, "/photos/*", "4B");
-            control.settle(writer.store());
+            write(EntryChange.Op.REPLACE, "/photos/*", "4B");
+            control.publish(writer.store());
             until(node, "HTTP/1.1 413 ");
             for (int i = 0; i < 20; i++) {
                 assertTrue(
@@ -134,8 +134,8 @@
     /** Of one name, all would ask the same control machine first. */
     @Test
     void nodesWithoutANameAreSpreadOverControlMachines() throws Exception {
-        Controls one = new Controls(writer.store(), Controls.SECRET, 0);
-        Controls two = new Controls(writer.store(), Controls.SECRET, 0);
+        TestPublisher one = new TestPublisher(writer.store(), TestPublisher.SECRET, 0);
+        TestPublisher two = new TestPublisher(writer.store(), TestPublisher.SECRET, 0);
         String both = file(one)
                 .replace("[\"" + one.text() + "\"]", "[\"" + one.text() + "\", \"" + two.text() + "\"]")
                 .replaceAll("file = .*store\"\n", "");
@@ -146,7 +146,7 @@
             for (int i = 0; i < 30; i++) {
                 nodes.add(new Alone(both));
             }
-            long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+            long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
             while (one.peers() + two.peers() < 30) {
                 assertTrue(System.nanoTime() < endNs, one.peers() + " and " + two.peers());
             }
@@ -158,7 +158,7 @@
 
     @Test
     void aFileSaysWhereItsRoutesComeFromAndNothingElse() throws Exception {
-        try (Controls control = new Controls(writer.store(), Controls.SECRET, 0)) {
+        try (TestPublisher control = new TestPublisher(writer.store(), TestPublisher.SECRET, 0)) {
             for (String more : List.of("[[route]]\npath = \"/x\"\n", "[defaults]\nattempts = 2\n")) {
                 IllegalArgumentException refused =
                         assertThrows(IllegalArgumentException.class, () -> new Alone(file(control) + more));
--- a/src/test/java/vetchpost/daemon/CommandsTest.java
+++ b/src/test/java/vetchpost/daemon/CommandsTest.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine;
 import vetchpost.state.Snapshot;
 import vetchpost.state.States;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.codec.ChunkCodec;
 import vetchpost.state.disk.StateFile;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
@@ -135,7 +135,7 @@
         assertTrue(out.toString().contains("there is no file"), out.toString());
         Snapshot snapshot = States.of(12, 2, System.currentTimeMillis() - 1_000);
         new StateFile(file)
-                .write(List.of(PieceCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.boxes())));
+                .write(List.of(ChunkCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.servers())));
         assertEquals(0, state(file, "--most", "3"));
         String said = out.toString();
         assertTrue(said.contains("list 41, 12 boxes"), said);
--- a/src/test/java/vetchpost/daemon/ControlWaveTest.java
+++ b/src/test/java/vetchpost/daemon/ControlWaveTest.java
@@ -148,7 +148,7 @@
         nodes.add(node(0));
         CountDownLatch answer = new CountDownLatch(1);
         sick.script((socket, request) -> {
-            answer.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS);
+            answer.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             FakePeer.answer("200 OK", "", "late").run(socket, request);
         });
         assertEquals(0, ctl(1, "drain", well.address(), "--for", "10m", "--reason", "swap"), said);
--- a/src/test/java/vetchpost/daemon/MainTest.java
+++ b/src/test/java/vetchpost/daemon/MainTest.java
@@ -50,7 +50,7 @@
     @AfterEach
     void close() throws Exception {
         if (process != null) {
-            assertTrue(process.destroyForcibly().waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(process.destroyForcibly().waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         }
         discovery.close();
         server.close();
@@ -95,7 +95,7 @@
         // Not by the process itself, which would close what it has written so far.
         process.toHandle().destroyForcibly();
         try {
-            return output.whole();
+            return output.readAll();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return e.toString();
@@ -104,7 +104,7 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         return socket;
     }
 
@@ -144,7 +144,7 @@
                 assertTrue(answer != null && answer.endsWith("done"), answer);
             }
             process.destroy();
-            assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still there");
+            assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still there");
             assertEquals(0, process.exitValue());
             assertTrue(Files.size(kept) > 100, "kept at its end");
             if (round == 0) {
@@ -168,7 +168,7 @@
         Socket client = connect();
         FakePeer.write(client, Fixture.request("POST", "/order", 1, "", "x"));
         server.nextRequest();
-        Socket attempt = FakePeer.soon(server.accepted);
+        Socket attempt = FakePeer.takeWithTimeout(server.accepted);
         process.destroy();
         // Clients go on coming for a while, and are served.
         Socket late = connect();
@@ -181,7 +181,7 @@
         String answer = FakePeer.read(client);
         assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("done"), answer);
         assertEquals("close", FakePeer.header(answer, "Connection"));
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still there after it");
+        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still there after it");
         assertEquals(0, process.exitValue());
     }
 
@@ -200,12 +200,12 @@
             assertTrue(
                     next.nextRequest().startsWith("GET /v1/endpoints?watch=1 "),
                     "a version of another address is named");
-            FakePeer.soon(discovery.ended);
+            FakePeer.takeWithTimeout(discovery.ended);
             config.addProperty("discovery", discovery.address());
             Files.writeString(file, config.toString());
             hangUp();
             discovery.nextRequest();
-            FakePeer.soon(next.ended);
+            FakePeer.takeWithTimeout(next.ended);
             try (Socket client = connect()) {
                 FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
                 assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
@@ -312,8 +312,8 @@
         arguments = " serve --routes " + routes;
         Files.writeString(routes, "[class.order]\nattempts = 2\nmax-body = \"3B\"\n");
         run(Fixture.write(Fixture.config(discovery, server)).toString(), "");
-        String said = output.whole();
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still running");
+        String said = output.readAll();
+        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still running");
         assertEquals(2, process.exitValue(), said);
         assertTrue(said.contains(routes + ":2:1: class order: ") && said.contains("UNSAFE_AGAIN"), said);
         Files.writeString(routes, "[class.order]\nmax-body = \"3B\"\n");
@@ -331,7 +331,7 @@
             Files.writeString(routes, "[class.order]\nmax-body = \"4B\"\n");
             hangUp();
             String answer = "HTTP/1.1 413";
-            long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+            long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
             for (int i = 10; System.nanoTime() < endNs && answer.startsWith("HTTP/1.1 413"); i++) {
                 // Four bad ones in a row end a connection.
                 FakePeer.write(client, Fixture.request("GET", "/view/1", 1_000 + i, "", ""));
@@ -345,8 +345,8 @@
 
     private void rejected(String config, String named) throws Exception {
         run(config, "");
-        String said = output.whole();
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still running");
+        String said = output.readAll();
+        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still running");
         assertEquals(2, process.exitValue(), said);
         assertTrue(said.contains(named) && said.lines().count() == 1, said);
     }
@@ -399,7 +399,7 @@
             FakePeer.write(client, "0\r\n\r\n");
             assertTrue(FakePeer.read(client).endsWith("ok"));
         }
-        down.join(TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        down.join(TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         assertFalse(down.isAlive(), "not all has come");
         assertTrue(downloaded > gigabyte, downloaded + " bytes");
         assertTrue(process.isAlive());
@@ -429,7 +429,7 @@
             assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 413 "));
         }
         process.destroy();
-        assertTrue(process.waitFor(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "still there");
+        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still there");
         try (var files = Files.list(folder)) {
             for (Path each : files.toList()) {
                 Files.delete(each);
--- a/src/test/java/vetchpost/daemon/ReadAgainTest.java
+++ b/src/test/java/vetchpost/daemon/ReadAgainTest.java
@@ -49,7 +49,7 @@
         return head + String.join("", routes);
     }
 
-    private static Set<String> said(ProvedFile file) {
+    private static Set<String> said(ValidatedFile file) {
         Set<String> said = new TreeSet<>();
         // Which of two that are the same is named depends on which was there before.
         file.violations()
@@ -66,7 +66,7 @@
         for (int seed = 0; seed < 150; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             List<String> routes = new ArrayList<>();
-            ProvedFile held = null;
+            ValidatedFile held = null;
             for (int step = 0; step < 12; step++) {
                 List<String> next = new ArrayList<>(routes);
                 for (int i = random.nextInt(1, 4); i > 0; i--) {
@@ -86,8 +86,9 @@
                         : usual;
                 Files.writeString(path, file(head, next));
                 Files.writeString(other, file(head, next));
-                ProvedFile whole = ProvedFile.prove(other, sections -> null, null);
-                ProvedFile again = held == null ? ProvedFile.prove(path, sections -> null, null) : held.again(path);
+                ValidatedFile whole = ValidatedFile.prove(other, sections -> null, null);
+                ValidatedFile again =
+                        held == null ? ValidatedFile.prove(path, sections -> null, null) : held.again(path);
                 quick += held != null && again.node() == held.node() ? 1 : 0;
                 assertEquals(
                         said(whole),
--- a/src/test/java/vetchpost/daemon/ReloadTest.java
+++ b/src/test/java/vetchpost/daemon/ReloadTest.java
@@ -83,10 +83,10 @@
         String route = "[[route]]\npath = \"/photos/*\"\nmax-body = \"9B\"\n";
         String more = "[[route]]\npath = \"/kept/*\"\nconcurrency = 7\n";
         try (Alone node = new Alone(Alone.pool(other) + route + more)) {
-            ProvedFile before = node.loaded();
+            ValidatedFile before = node.loaded();
             assertTrue(node.all(post).endsWith("new"));
             node.reload(Alone.pool(other) + route.replace("9B", "4B") + "# said again\n" + more);
-            ProvedFile now = node.loaded();
+            ValidatedFile now = node.loaded();
             assertTrue(node.all(post).startsWith("HTTP/1.1 413 "));
             assertSame(before.node(), now.node(), "all of it was read again");
             assertEquals(before.version() + 1, now.version());
--- a/src/test/java/vetchpost/discovery/DiscoveryClientTest.java
+++ b/src/test/java/vetchpost/discovery/DiscoveryClientTest.java
@@ -45,7 +45,7 @@
         lists.add(list);
         if (go != null) {
             try {
-                go.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS);
+                go.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -79,8 +79,8 @@
     }
 
     private void failsOnce() throws Exception {
-        FakePeer.soon(failures);
-        FakePeer.soon(peer.ended);
+        FakePeer.takeWithTimeout(failures);
+        FakePeer.takeWithTimeout(peer.ended);
         group.next().submit(() -> {}).get();
         assertTrue(failures.isEmpty(), "told twice");
     }
@@ -91,16 +91,16 @@
         String whole = Fixture.list(50, true, "Terminating", peer);
         peer.script((socket, request) -> {
             Fixture.beginWatch(socket);
-            Fixture.line(socket, "");
-            Fixture.line(socket, changes + "\n\n" + whole);
+            Fixture.writeLine(socket, "");
+            Fixture.writeLine(socket, changes + "\n\n" + whole);
         });
         DiscoveryClient discovery = subscribe(20_000);
-        assertEquals(ServerListParser.parse(changes), FakePeer.soon(lists));
-        assertEquals(ServerListParser.parse(whole), FakePeer.soon(lists));
+        assertEquals(ServerListParser.parse(changes), FakePeer.takeWithTimeout(lists));
+        assertEquals(ServerListParser.parse(whole), FakePeer.takeWithTimeout(lists));
         peer.nextRequest();
         group.next().submit(discovery::subscribe).get();
         assertTrue(peer.nextRequest().contains("&after=50 "), "asks from the version told last");
-        FakePeer.soon(peer.ended);
+        FakePeer.takeWithTimeout(peer.ended);
         assertTrue(failures.isEmpty(), "a watch replaced is not one that failed");
     }
 
@@ -118,7 +118,7 @@
     void aMalformedMessageCostsTheWatchAndIsNotTaken(String message) throws Exception {
         peer.script((socket, request) -> {
             Fixture.beginWatch(socket);
-            Fixture.line(socket, message.replace('\'', '"'));
+            Fixture.writeLine(socket, message.replace('\'', '"'));
         });
         subscribe(20_000);
         failsOnce();
@@ -153,7 +153,7 @@
     @Test
     void aLineThatTricklesIsSilence() throws Exception {
         subscribe(500);
-        Socket watch = FakePeer.soon(peer.accepted);
+        Socket watch = FakePeer.takeWithTimeout(peer.accepted);
         peer.nextRequest();
         Fixture.beginWatch(watch);
         String failure = null;
@@ -168,20 +168,20 @@
     @Test
     void aLineThatAHeldUpLoopHasNotReadIsNoSilence() throws Exception {
         subscribe(1_000);
-        Socket watch = FakePeer.soon(peer.accepted);
+        Socket watch = FakePeer.takeWithTimeout(peer.accepted);
         peer.nextRequest();
         CountDownLatch go = new CountDownLatch(1);
         hold = go;
         Fixture.beginWatch(watch);
         String held = Fixture.list(42, false, "Ready", peer);
-        Fixture.line(watch, held);
-        assertEquals(ServerListParser.parse(held), FakePeer.soon(lists));
+        Fixture.writeLine(watch, held);
+        assertEquals(ServerListParser.parse(held), FakePeer.takeWithTimeout(lists));
         String unread = Fixture.list(43, false, "Ready", peer);
-        Fixture.line(watch, unread);
+        Fixture.writeLine(watch, unread);
         // Its time passes, and nothing is read.
         assertEquals(null, failures.poll(1_100, TimeUnit.MILLISECONDS));
         go.countDown();
-        assertEquals(ServerListParser.parse(unread), FakePeer.soon(lists));
+        assertEquals(ServerListParser.parse(unread), FakePeer.takeWithTimeout(lists));
         assertTrue(failures.isEmpty(), () -> "failed: " + failures);
     }
 
@@ -191,18 +191,18 @@
             port = unused.getLocalPort();
         }
         subscribe(20_000);
-        FakePeer.soon(failures);
+        FakePeer.takeWithTimeout(failures);
     }
 
     @Test
     void heartbeatsKeepTheWatch() throws Exception {
         subscribe(3_000);
-        Socket watch = FakePeer.soon(peer.accepted);
+        Socket watch = FakePeer.takeWithTimeout(peer.accepted);
         peer.nextRequest();
         Fixture.beginWatch(watch);
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
         while (System.nanoTime() < until) {
-            Fixture.line(watch, "");
+            Fixture.writeLine(watch, "");
             String failure = failures.poll(100, TimeUnit.MILLISECONDS);
             assertEquals(null, failure);
         }
--- a/src/test/java/vetchpost/fastcgi/FcgiTest.java
+++ b/src/test/java/vetchpost/fastcgi/FcgiTest.java
@@ -212,7 +212,7 @@
         assertEquals(200, reply("Content-Type: a/b\r\n\r\n").status());
         assertEquals(302, reply("Location: /a\r\n\r\n").status());
         assertEquals(201, reply("Location: /a\r\nStatus: 201 Made\r\n\r\n").status());
-        assertFalse(reply("Content-Type: a/b\r\n").isWhole());
+        assertFalse(reply("Content-Type: a/b\r\n").isComplete());
     }
 
     @ParameterizedTest
--- a/src/test/java/vetchpost/handover/AuthenticatedFramesTest.java
+++ b/src/test/java/vetchpost/handover/AuthenticatedFramesTest.java
@@ -15,7 +15,7 @@
 
 /** Two sides of a connection, and somebody in between who passes on what each has written. */
 class AuthenticatedFramesTest {
-    private static final Secret SECRET = Secret.of("a secret that is long enough for anybody");
+    private static final SharedSecret SECRET = SharedSecret.of("a secret that is long enough for anybody");
 
     /** One side. */
     private static final class Side implements AuthenticatedFrames.Listener {
@@ -25,7 +25,7 @@
         private boolean up;
         private String down = "";
 
-        Side(Secret secret, boolean listens) {
+        Side(SharedSecret secret, boolean listens) {
             frames = AuthenticatedFrames.open(channel, secret, new SecureRandom(), listens, 1_000, this);
             channel.pipeline().fireChannelActive();
         }
@@ -119,12 +119,12 @@
     @Test
     void whoDoesNotKnowTheSecretIsToldNothing() {
         Side listening = new Side(SECRET, true);
-        Side stranger = new Side(Secret.of("another secret that is as long as the one"), false);
+        Side stranger = new Side(SharedSecret.of("another secret that is as long as the one"), false);
         greet(listening, stranger);
         assertTrue(!listening.up && !stranger.up);
         assertEquals("it doesn't know the secret", listening.down);
         assertEquals(0, listening.written().length);
-        Side liar = new Side(Secret.of("another secret that is as long as the one"), true);
+        Side liar = new Side(SharedSecret.of("another secret that is as long as the one"), true);
         Side honest = new Side(SECRET, false);
         greet(liar, honest);
         assertTrue(!honest.up);
--- a/src/test/java/vetchpost/handover/CorruptedStream.java
+++ b/src/test/java/vetchpost/handover/CorruptedStream.java
@@ -32,7 +32,8 @@
     }
 
     void run() throws IOException {
-        Taker taker = new Taker(null, null, Secret.of(new String(secret)), new SecureRandom());
+        HandoverReceiver taker =
+                new HandoverReceiver(null, null, SharedSecret.of(new String(secret)), new SecureRandom());
         taker.attach(channel, (snapshot, whole, why) -> {
             outcomes++;
             taken = snapshot;
--- a/src/test/java/vetchpost/handover/HandoverTest.java
+++ b/src/test/java/vetchpost/handover/HandoverTest.java
@@ -38,8 +38,8 @@
 import vetchpost.net.Network;
 import vetchpost.state.Snapshot;
 import vetchpost.state.States;
-import vetchpost.state.codec.PieceCodec;
-import vetchpost.state.codec.Pieces;
+import vetchpost.state.codec.ChunkCodec;
+import vetchpost.state.codec.Chunks;
 
 /** Handovers on loopback sockets, with givers and takers that do what they should not. */
 @Timeout(120)
@@ -71,12 +71,12 @@
     }
 
     private InetSocketAddress giver(Snapshot snapshot, String... secrets) throws Exception {
-        Giver giver = new Giver(
+        HandoverSender giver = new HandoverSender(
                 loop,
                 Network.SYSTEM,
-                Secret.of(secrets),
+                SharedSecret.of(secrets),
                 new SecureRandom(),
-                () -> Pieces.of(snapshot).iterator());
+                () -> Chunks.of(snapshot).iterator());
         return (InetSocketAddress) giver.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel()
@@ -115,8 +115,8 @@
 
     private Taken take(InetSocketAddress from, String secret, long withinMs) throws Exception {
         BlockingQueue<Taken> taken = new LinkedBlockingQueue<>();
-        loop.execute(() -> new Taker(loop, Network.SYSTEM, Secret.of(secret), new SecureRandom())
-                .ask(from, withinMs, (snapshot, whole, why) -> taken.add(new Taken(snapshot, whole, why))));
+        loop.execute(() -> new HandoverReceiver(loop, Network.SYSTEM, SharedSecret.of(secret), new SecureRandom())
+                .request(from, withinMs, (snapshot, whole, why) -> taken.add(new Taken(snapshot, whole, why))));
         Taken first = taken.poll(PATIENCE_S, TimeUnit.SECONDS);
         assertNotNull(first, "no outcome");
         loop.submit(() -> {}).sync();
@@ -140,7 +140,7 @@
                 scripted((giver, socket) -> {
                     giver.greet();
                     giver.prove();
-                    for (byte[] piece : Pieces.of(KNOWN)) {
+                    for (byte[] piece : Chunks.of(KNOWN)) {
                         giver.out.write(giver.piece(piece));
                     }
                     giver.out.write(giver.piece(new byte[0]));
@@ -161,7 +161,7 @@
                 scripted((giver, socket) -> {
                     giver.greet();
                     giver.out.write(ScriptedGiver.framed(new byte[32]));
-                    giver.out.write(ScriptedGiver.framed(Pieces.of(KNOWN).get(0), new byte[32]));
+                    giver.out.write(ScriptedGiver.framed(Chunks.of(KNOWN).get(0), new byte[32]));
                 }),
                 SECRET,
                 PLENTY_MS);
@@ -179,7 +179,7 @@
     /** All that came before the cut is of use; nothing that came in part is. */
     @Test
     void aHandoverCutAtEveryPieceGivesWhatCameBefore() throws Exception {
-        List<byte[]> pieces = Pieces.of(KNOWN);
+        List<byte[]> pieces = Chunks.of(KNOWN);
         for (int cut = 0; cut <= pieces.size(); cut++) {
             for (boolean midPiece : new boolean[] {false, true}) {
                 int whole = cut;
@@ -198,7 +198,8 @@
                         }),
                         SECRET,
                         PLENTY_MS);
-                int boxes = taken.snapshot == null ? 0 : taken.snapshot.boxes().size();
+                int boxes =
+                        taken.snapshot == null ? 0 : taken.snapshot.servers().size();
                 assertEquals(Math.min(730, 100 * cut), boxes, "cut at " + cut);
                 assertEquals(cut == pieces.size(), taken.whole);
                 assertEquals("it was cut off", taken.why);
@@ -213,8 +214,8 @@
                 scripted((giver, socket) -> {
                     giver.greet();
                     giver.prove();
-                    giver.out.write(giver.piece(Pieces.of(KNOWN).get(0)));
-                    byte[] slow = giver.piece(Pieces.of(KNOWN).get(1));
+                    giver.out.write(giver.piece(Chunks.of(KNOWN).get(0)));
+                    byte[] slow = giver.piece(Chunks.of(KNOWN).get(1));
                     socket.setSoTimeout(20);
                     for (byte each : slow) {
                         giver.out.write(each);
@@ -231,7 +232,7 @@
                 SECRET,
                 700);
         assertEquals("it took too long", taken.why);
-        assertEquals(100, taken.snapshot.boxes().size(), "the piece that was whole counts");
+        assertEquals(100, taken.snapshot.servers().size(), "the piece that was whole counts");
         assertTrue(sent.get() > 0 && sent.get() < 2_000, sent.get() + " bytes");
     }
 
@@ -245,8 +246,8 @@
                     giver.prove();
                     for (int i = 0; i < 16_000; i++) {
                         byte[] piece = large(
-                                PieceCodec.write(i, 50_000, KNOWN.origin(), KNOWN.classes(), List.of()),
-                                PieceCodec.MOST_BYTES - 8);
+                                ChunkCodec.write(i, 50_000, KNOWN.origin(), KNOWN.classes(), List.of()),
+                                ChunkCodec.MAX_CHUNK_BYTES - 8);
                         giver.out.write(giver.piece(piece));
                         sent.addAndGet(piece.length);
                     }
@@ -288,11 +289,11 @@
             giver.greet();
             recorded.add(giver.proof());
             giver.prove();
-            recorded.add(giver.piece(Pieces.of(KNOWN).get(0)));
+            recorded.add(giver.piece(Chunks.of(KNOWN).get(0)));
             giver.out.write(recorded.get(1));
             giver.out.write(giver.piece(new byte[0]));
         });
-        assertEquals(100, take(first, SECRET, PLENTY_MS).snapshot.boxes().size());
+        assertEquals(100, take(first, SECRET, PLENTY_MS).snapshot.servers().size());
         // The same nonce, proof and pieces, to another taker.
         Taken again = take(
                 scripted((giver, socket) -> {
@@ -312,8 +313,8 @@
                 scripted((giver, socket) -> {
                     giver.greet();
                     giver.prove();
-                    byte[] one = giver.piece(Pieces.of(KNOWN).get(0));
-                    byte[] two = giver.piece(Pieces.of(KNOWN).get(1));
+                    byte[] one = giver.piece(Chunks.of(KNOWN).get(0));
+                    byte[] two = giver.piece(Chunks.of(KNOWN).get(1));
                     giver.out.write(two);
                     giver.out.write(one);
                 }),
@@ -325,13 +326,13 @@
                 scripted((giver, socket) -> {
                     giver.greet();
                     giver.prove();
-                    giver.out.write(giver.piece(Pieces.of(KNOWN).get(0)));
+                    giver.out.write(giver.piece(Chunks.of(KNOWN).get(0)));
                     giver.out.write(giver.piece(new byte[0]));
                 }),
                 SECRET,
                 PLENTY_MS);
         assertEquals("pieces are missing", leftOut.why);
-        assertEquals(100, leftOut.snapshot.boxes().size());
+        assertEquals(100, leftOut.snapshot.servers().size());
         assertFalse(leftOut.whole);
     }
 
@@ -387,7 +388,7 @@
         }
         assertEquals(KNOWN, taken.snapshot);
         List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 2 * Giver.MOST_TAKERS; i++) {
+        for (int i = 0; i < 2 * HandoverSender.MAX_RECEIVERS; i++) {
             silent.add(new Socket(giver.getAddress(), giver.getPort()));
         }
         int told = 0;
@@ -397,7 +398,7 @@
             assertEquals(-1, socket.getInputStream().read(), "one that says nothing is closed");
             socket.close();
         }
-        assertTrue(told <= 2 * Giver.MOST_TAKERS - 1 && told >= 1, told + " were heard");
+        assertTrue(told <= 2 * HandoverSender.MAX_RECEIVERS - 1 && told >= 1, told + " were heard");
     }
 
     /** Each byte of the stream may be wrong, and no handover ends in anything but one outcome. */
@@ -406,15 +407,15 @@
         SplittableRandom random = new SplittableRandom(99);
         Set<Integer> sizes = new TreeSet<>();
         Snapshot known = States.of(230, 9, States.NOW_MS);
-        List<byte[]> pieces = Pieces.of(known);
+        List<byte[]> pieces = Chunks.of(known);
         for (int i = 0; i < 10_000; i++) {
             CorruptedStream stream = new CorruptedStream(SECRET, pieces, random);
             stream.run();
             assertEquals(1, stream.outcomes, "run " + i);
-            int boxes = stream.taken == null ? 0 : stream.taken.boxes().size();
+            int boxes = stream.taken == null ? 0 : stream.taken.servers().size();
             assertTrue(boxes == 230 || boxes % 100 == 0, boxes + " boxes");
             if (stream.taken != null) {
-                assertEquals(known.boxes().subList(0, boxes), stream.taken.boxes());
+                assertEquals(known.servers().subList(0, boxes), stream.taken.servers());
             }
             sizes.add(boxes);
         }
@@ -425,21 +426,21 @@
     void secretsAreReadFromAFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("secret");
         Files.writeString(file, "# the new one first\n" + SECRET + "\n\n" + OTHER + "\n");
-        Secret secret = Secret.read(file);
+        SharedSecret secret = SharedSecret.read(file);
         assertEquals(2, secret.keys());
         byte[] nonce = new byte[32];
-        assertEquals(1, secret.keyOf(Secret.of(OTHER).proof(0, "taker", nonce, nonce), "taker", nonce, nonce));
+        assertEquals(1, secret.keyOf(SharedSecret.of(OTHER).proof(0, "taker", nonce, nonce), "taker", nonce, nonce));
         assertEquals(-1, secret.keyOf(new byte[32], "taker", nonce, nonce));
         assertEquals(
                 -1,
-                secret.keyOf(Secret.of(SECRET).proof(0, "giver", nonce, nonce), "taker", nonce, nonce),
+                secret.keyOf(SharedSecret.of(SECRET).proof(0, "giver", nonce, nonce), "taker", nonce, nonce),
                 "one side's proof is not the other's");
         Files.writeString(file, "short\n");
-        assertTrue(assertThrows(IOException.class, () -> Secret.read(file))
+        assertTrue(assertThrows(IOException.class, () -> SharedSecret.read(file))
                 .getMessage()
                 .contains("5 bytes"));
         Files.writeString(file, "# none\n");
-        assertThrows(IOException.class, () -> Secret.read(file));
-        assertThrows(IOException.class, () -> Secret.read(folder.resolve("missing")));
+        assertThrows(IOException.class, () -> SharedSecret.read(file));
+        assertThrows(IOException.class, () -> SharedSecret.read(folder.resolve("missing")));
     }
 }
--- a/src/test/java/vetchpost/http/ServerPoolTest.java
+++ b/src/test/java/vetchpost/http/ServerPoolTest.java
@@ -75,7 +75,7 @@
         }
 
         Report report() throws InterruptedException {
-            return FakePeer.soon(reports);
+            return FakePeer.takeWithTimeout(reports);
         }
     }
 
@@ -195,7 +195,7 @@
             })
     void whatCantBeReadIsNoAnswer(String spoilt) throws Exception {
         assertEquals(Result.RESET, outcome(FakePeer.raw(spoilt)).result());
-        FakePeer.soon(server.ended);
+        FakePeer.takeWithTimeout(server.ended);
     }
 
     @Test
@@ -217,7 +217,7 @@
         Probe first = new Probe(10);
         start(pool, first);
         assertEquals(Result.OK, first.report().result());
-        Socket idle = FakePeer.soon(server.accepted);
+        Socket idle = FakePeer.takeWithTimeout(server.accepted);
         Probe second = new Probe(10);
         loop.submit(() -> {
                     // The loop is busy here: what comes is in the system's buffer and read only afterwards.
@@ -292,7 +292,7 @@
         server.nextRequest();
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, probe.report().result());
-        FakePeer.soon(server.ended);
+        FakePeer.takeWithTimeout(server.ended);
     }
 
     @Test
@@ -315,8 +315,8 @@
         ServerPool.Attempt attempt = start(pool, silent);
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, silent.report().result());
-        FakePeer.soon(server.ended);
-        FakePeer.soon(server.ended);
+        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.ended);
     }
 
     @Test
@@ -326,7 +326,7 @@
         loop.submit(() -> pool.start("s", probe).abandon(Result.CANCELLED)).get();
         assertEquals(Result.MOOT, probe.report().result());
         // Its connection, once up, carries the next attempt: the only request that the server sees.
-        FakePeer.soon(server.accepted);
+        FakePeer.takeWithTimeout(server.accepted);
         Probe next = new Probe(11);
         start(pool, next);
         assertEquals(Result.OK, next.report().result());
@@ -351,10 +351,10 @@
                 .get();
         assertEquals(Result.CONNECT_FAILED, probe.report().result());
         // Its dial is through, and has been looked at.
-        FakePeer.soon(server.accepted);
+        FakePeer.takeWithTimeout(server.accepted);
         loop.submit(() -> {}).get();
         loop.submit(pool::close).get();
-        FakePeer.soon(server.ended);
+        FakePeer.takeWithTimeout(server.ended);
         assertTrue(server.requests.isEmpty(), "sent after it was told");
     }
 
@@ -367,22 +367,22 @@
         Probe second = new Probe(2);
         start(pool, first);
         start(pool, second);
-        Socket a = FakePeer.soon(used);
-        Socket b = FakePeer.soon(used);
+        Socket a = FakePeer.takeWithTimeout(used);
+        Socket b = FakePeer.takeWithTimeout(used);
         FakePeer.write(a, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.soon(
+        FakePeer.takeWithTimeout(
                 first.reports.isEmpty() && second.reports.isEmpty()
                         ? either(first, second)
                         : first.reports.isEmpty() ? second.reports : first.reports);
         FakePeer.write(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.soon(either(first, second));
+        FakePeer.takeWithTimeout(either(first, second));
         Probe third = new Probe(3);
         start(pool, third);
-        assertSame(b, FakePeer.soon(used));
+        assertSame(b, FakePeer.takeWithTimeout(used));
     }
 
     private static BlockingQueue<Report> either(Probe a, Probe b) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         while (a.reports.isEmpty() && b.reports.isEmpty() && System.nanoTime() < until) {
             Report report = a.reports.poll(1, TimeUnit.MILLISECONDS);
             if (report != null) {
@@ -400,18 +400,18 @@
             Probe first = new Probe(10);
             start(pool, first);
             assertEquals(Result.OK, first.report().result());
-            Socket idle = FakePeer.soon(server.accepted);
+            Socket idle = FakePeer.takeWithTimeout(server.accepted);
             if (unasked == null) {
                 idle.close();
             } else {
                 FakePeer.write(idle, unasked);
             }
-            assertSame(idle, FakePeer.soon(server.ended));
+            assertSame(idle, FakePeer.takeWithTimeout(server.ended));
             Probe second = new Probe(10);
             start(pool, second);
             assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
-            FakePeer.soon(server.accepted).close();
-            FakePeer.soon(server.ended);
+            FakePeer.takeWithTimeout(server.accepted).close();
+            FakePeer.takeWithTimeout(server.ended);
         }
     }
 
@@ -421,7 +421,7 @@
         start(pool(server.address(), 100_000), probe);
         assertEquals(Result.OK, probe.report().result());
         // The fake never closes: the end of the connection is the pool's doing.
-        FakePeer.soon(server.ended);
+        FakePeer.takeWithTimeout(server.ended);
     }
 
     @Test
@@ -432,7 +432,7 @@
         assertEquals(Result.OK, first.report().result());
         try (FakePeer moved = new FakePeer(FakePeer.answer("200 OK", "", "moved"))) {
             list(pool, moved.address(), 0);
-            FakePeer.soon(server.ended);
+            FakePeer.takeWithTimeout(server.ended);
             Probe second = new Probe(10);
             start(pool, second);
             assertEquals("moved", new String(second.report().answer().body(), StandardCharsets.UTF_8));
@@ -466,7 +466,7 @@
         };
         String id = "s-" + server.port();
         loop.submit(() -> pool.start(id, caller)).get();
-        assertEquals(Result.OK, FakePeer.soon(results));
+        assertEquals(Result.OK, FakePeer.takeWithTimeout(results));
         // The second goes out on the first one's connection, and nothing is read until its time is up.
         CountDownLatch again = new CountDownLatch(1);
         server.script((socket, request) -> {
@@ -479,13 +479,13 @@
                     attempt.abandon(Result.TIMEOUT);
                 })
                 .get();
-        assertEquals(Result.OK, FakePeer.soon(results));
+        assertEquals(Result.OK, FakePeer.takeWithTimeout(results));
         loop.submit(pool::close).get();
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "nothing came");
+            assertTrue(latch.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "nothing came");
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/vetchpost/node/CrowdedNodeTest.java
+++ b/src/test/java/vetchpost/node/CrowdedNodeTest.java
@@ -90,7 +90,7 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         clients.add(socket);
         return socket;
     }
@@ -126,7 +126,7 @@
                         ReferenceCountUtil.release(message);
                         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(leastMs);
                         held.countDown();
-                        go.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS);
+                        go.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
                         while (System.nanoTime() < end) {
                             Thread.onSpinWait();
                         }
@@ -146,7 +146,7 @@
     void moreClientsThanDescriptorsAreToldAtOnceToComeAgain(int descriptors) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         server.script((socket, request) -> {
-            answer.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS);
+            answer.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             SERVED.run(socket, request);
         });
         start(descriptors);
@@ -275,7 +275,7 @@
         } finally {
             clock.shutdownNow();
         }
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never stopped");
+        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never stopped");
     }
 
     @Test
@@ -285,7 +285,7 @@
         CountDownLatch answer = new CountDownLatch(1);
         server.script((socket, request) -> {
             asked.countDown();
-            answer.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS);
+            answer.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             FakePeer.answer("200 OK", "", body).run(socket, request);
         });
         start(1_024);
@@ -297,7 +297,7 @@
         loop.execute(() -> node.stop(stopped::countDown));
         answer.countDown();
         assertTrue(FakePeer.read(client).endsWith("\r\n\r\n" + body), "not whole");
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never stopped");
+        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never stopped");
     }
 
     @Test
@@ -309,7 +309,7 @@
         clients.add(slow);
         slow.setReceiveBufferSize(1_024);
         slow.connect(new InetSocketAddress("127.0.0.1", port));
-        slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         // Sixteen answers are more than the system's buffers of both sides hold.
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 16; i++) {
@@ -344,7 +344,7 @@
     @Test
     void whoSendsSixteenAheadAndLeavesCostsNothing() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
-        server.script((socket, request) -> gone.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        server.script((socket, request) -> gone.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         start(1_024);
         Socket client = connect();
         StringBuilder all = new StringBuilder();
@@ -355,9 +355,9 @@
         server.nextRequest();
         client.close();
         // Its one attempt is given up, and the server sees its connection end.
-        FakePeer.soon(server.accepted);
+        FakePeer.takeWithTimeout(server.accepted);
         gone.countDown();
-        FakePeer.soon(server.ended);
+        FakePeer.takeWithTimeout(server.ended);
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
         assertEquals(200, status(answeredBy(FakePeer.answer("200 OK", "", "done"))));
     }
@@ -400,7 +400,7 @@
         }
         FakePeer.write(client, all.toString());
         server.nextRequest();
-        Socket attempt = FakePeer.soon(server.accepted);
+        Socket attempt = FakePeer.takeWithTimeout(server.accepted);
         // Held up, so that the end and the answer lie there together.
         CountDownLatch go = holdUp(0);
         client.close();
@@ -423,7 +423,7 @@
         for (int i = 0; i < 40; i++) {
             waiting.add(ask(i));
         }
-        for (Socket attempt = FakePeer.soon(server.accepted);
+        for (Socket attempt = FakePeer.takeWithTimeout(server.accepted);
                 attempt != null;
                 attempt = server.accepted.poll(500, TimeUnit.MILLISECONDS)) {
             attempts.add(attempt);
@@ -467,6 +467,6 @@
         for (int i = 0; i < 200; i += 2) {
             assertEquals(200, status(FakePeer.read(clients.get(i))), "client " + i);
         }
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never stopped");
+        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never stopped");
     }
 }
--- a/src/test/java/vetchpost/node/EventLoopDelayTest.java
+++ b/src/test/java/vetchpost/node/EventLoopDelayTest.java
@@ -60,7 +60,7 @@
                 .get()
                 .sync()
                 .channel();
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never ready");
+        assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never ready");
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
@@ -77,7 +77,7 @@
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "nothing came");
+            assertTrue(latch.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "nothing came");
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -92,7 +92,7 @@
 
     private static Socket connect(int port) throws Exception {
         Socket socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         return socket;
     }
 
--- a/src/test/java/vetchpost/node/NodeTest.java
+++ b/src/test/java/vetchpost/node/NodeTest.java
@@ -79,7 +79,7 @@
                 .get()
                 .sync()
                 .channel();
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never ready");
+        assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never ready");
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
@@ -89,7 +89,7 @@
 
     private static Socket connect(int port) throws Exception {
         Socket socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         return socket;
     }
 
@@ -162,7 +162,7 @@
         start(first);
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", "") + "GET /ready HTTP/1.1\r\n\r\n".repeat(most));
         first.nextRequest();
-        FakePeer.write(FakePeer.soon(first.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        FakePeer.write(FakePeer.takeWithTimeout(first.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         assertEquals(200, status(FakePeer.read(client)));
         for (int i = 0; i < most; i++) {
             assertEquals(200, status(FakePeer.read(client)));
@@ -247,7 +247,7 @@
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
         assertTrue(status >= 500 && status != 503, "answered " + status);
         assertTrue(tookMs >= 600, "given up after " + tookMs + " ms");
-        FakePeer.soon(first.ended);
+        FakePeer.takeWithTimeout(first.ended);
         assertEquals(1, first.requests.size());
     }
 
@@ -258,7 +258,7 @@
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
         first.nextRequest();
         client.close();
-        FakePeer.soon(first.ended);
+        FakePeer.takeWithTimeout(first.ended);
         assertTrue(first.requests.isEmpty(), "sent again for nobody");
     }
 
@@ -267,8 +267,8 @@
         start(first);
         for (int i = 0; i < 5; i++) {
             assertEquals(200, status(ask(Fixture.request("POST", "/order", i, "", ""))));
-            FakePeer.soon(first.accepted).close();
-            FakePeer.soon(first.ended);
+            FakePeer.takeWithTimeout(first.accepted).close();
+            FakePeer.takeWithTimeout(first.ended);
         }
         assertEquals(5, first.requests.size());
     }
@@ -278,13 +278,13 @@
         start(first, second);
         String call = discovery.nextRequest();
         assertTrue(call.startsWith("GET /v1/endpoints?watch=1&after=41 "), call);
-        Socket watch = FakePeer.soon(discovery.accepted);
+        Socket watch = FakePeer.takeWithTimeout(discovery.accepted);
         assertEquals(200, status(ask(Fixture.request("GET", "/view", 0, "", ""))));
         Fixture.beginWatch(watch);
-        Fixture.line(watch, Fixture.list(42, false, "Terminating", first));
+        Fixture.writeLine(watch, Fixture.list(42, false, "Terminating", first));
         // Its idle connections go back as soon as it has gone: the sign that the node has read the line.
-        Fixture.line(watch, Fixture.list(43, false, "Ready", second));
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        Fixture.writeLine(watch, Fixture.list(43, false, "Ready", second));
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         int quiet = 0;
         for (int i = 1; quiet < 20; i++) {
             int before = first.requests.size();
@@ -529,7 +529,7 @@
         Node node = loop.submit(() -> new Node(config, loop)).get();
         CountDownLatch warm = new CountDownLatch(1);
         loop.submit(() -> node.warmUp(30, warm::countDown)).get();
-        assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never warm");
+        assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
         assertEquals(
                 new Node.PendingWork(0, 0, 0), loop.submit(node::pendingWork).get());
         CountDownLatch ready = new CountDownLatch(1);
@@ -537,7 +537,7 @@
                 .get()
                 .sync()
                 .channel();
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never ready");
+        assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never ready");
         client = connect(((InetSocketAddress) channel.localAddress()).getPort());
         assertEquals(200, status(ask(Fixture.request("GET", "/view", 1, "", ""))));
     }
@@ -577,7 +577,7 @@
                 .get()
                 .sync()
                 .channel();
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never ready");
+        assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never ready");
         assertEquals(many, loop.submit(node::serverCount).get());
         client = connect(((InetSocketAddress) channel.localAddress()).getPort());
         assertEquals(200, status(ask(Fixture.request("GET", "/view", 1, "", ""))));
@@ -620,7 +620,7 @@
                         });
                     })
                     .get();
-            assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never warm");
+            assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
             // Once before it takes in the known list, and once more before it listens.
             assertTrue(seen[1] - seen[0] >= 2, "waits: " + seen[0] + ", then " + seen[1]);
             loop.submit(node::close).get();
@@ -665,9 +665,9 @@
                     }
                 }
             });
-            FakePeer.write(FakePeer.soon(first.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+            FakePeer.write(FakePeer.takeWithTimeout(first.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
             assertEquals(200, status(FakePeer.read(client)));
-            assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never stopped");
+            assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never stopped");
             assertTrue(seen[0] >= 0 && seen[1] > seen[0] + 1, "waits: " + seen[0] + ", then " + seen[1]);
             loop.submit(node::close).get();
         } finally {
@@ -689,7 +689,7 @@
                     node.stop(stopped::countDown);
                 })
                 .get();
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never stopped");
+        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never stopped");
         assertEquals(
                 new Node.PendingWork(0, 0, 0), loop.submit(node::pendingWork).get());
         assertFalse(started.get());
--- a/src/test/java/vetchpost/node/RequestLogTest.java
+++ b/src/test/java/vetchpost/node/RequestLogTest.java
@@ -92,7 +92,7 @@
                 assertEquals("200", FakePeer.read(client).substring(9, 12));
             }
             if (LOGGER.isLoggable(Level.FINE)) {
-                assertTrue(closed.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "no close: " + lines);
+                assertTrue(closed.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "no close: " + lines);
             }
             loop.submit(node::close).get();
         }
--- a/src/test/java/vetchpost/node/WatchRacesTest.java
+++ b/src/test/java/vetchpost/node/WatchRacesTest.java
@@ -91,7 +91,7 @@
 
     private void onlyTheWellOneIsAsked(int port) throws Exception {
         try (Socket client = new Socket("127.0.0.1", port)) {
-            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+            client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
             for (int i = 0; i < 20; i++) {
                 FakePeer.write(client, Fixture.request("GET", "/view", i, "", ""));
                 assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
@@ -110,9 +110,9 @@
             said.countDown();
         }
         discovery.script((socket, request) -> {
-            said.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS);
+            said.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             Fixture.beginWatch(socket);
-            Fixture.line(socket, Fixture.list(42, false, "Terminating", drained));
+            Fixture.writeLine(socket, Fixture.list(42, false, "Terminating", drained));
         });
         CountDownLatch warm = warmUp();
         assertTrue(discovery.nextRequest().contains("&after=41 "));
@@ -120,7 +120,7 @@
             assertFalse(warm.await(400, TimeUnit.MILLISECONDS), "did not wait for the agent");
             said.countDown();
         }
-        assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never warm");
+        assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
         onlyTheWellOneIsAsked(listen());
         assertTrue(discovery.requests.isEmpty(), "asked twice");
     }
@@ -131,7 +131,7 @@
         make(true);
         CountDownLatch warm = warmUp();
         discovery.nextRequest();
-        assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "waits for ever");
+        assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "waits for ever");
         assertEquals(2, loop.submit(node::serverCount).get());
     }
 
@@ -141,7 +141,7 @@
         make(false);
         FakePeer.Script told = (socket, request) -> {
             Fixture.beginWatch(socket);
-            Fixture.line(socket, Fixture.list(7, true, "Ready", well));
+            Fixture.writeLine(socket, Fixture.list(7, true, "Ready", well));
         };
         discovery.script(told);
         moved.script(told);
@@ -152,7 +152,7 @@
                     node.moveDiscovery(elsewhere);
                 })
                 .get();
-        assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never warm");
+        assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
         assertTrue(moved.nextRequest().startsWith("GET /v1/endpoints?watch=1 "), "a version of the old one");
         assertNull(moved.requests.poll(300, TimeUnit.MILLISECONDS), "asked twice");
         assertTrue(discovery.requests.isEmpty(), "the old address was asked");
@@ -165,15 +165,15 @@
         discovery.script(FakePeer.answer("503 Later", "", "busy"));
         CountDownLatch answer = new CountDownLatch(1);
         moved.script((socket, request) -> {
-            answer.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS);
+            answer.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             Fixture.beginWatch(socket);
-            Fixture.line(socket, Fixture.list(7, true, "Ready", well));
+            Fixture.writeLine(socket, Fixture.list(7, true, "Ready", well));
         });
         make(false);
         CountDownLatch warm = warmUp();
-        assertTrue(warm.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never warm");
+        assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
         discovery.nextRequest();
-        FakePeer.soon(discovery.ended);
+        FakePeer.takeWithTimeout(discovery.ended);
         NodeConfig elsewhere = movedTo(moved);
         loop.submit(() -> node.moveDiscovery(elsewhere)).get();
         assertNotNull(moved.nextRequest());
@@ -220,7 +220,7 @@
         long calls = 0;
         long began = System.nanoTime();
         discovery.script(FakePeer.RESET);
-        FakePeer.RESET.run(FakePeer.soon(discovery.accepted), "");
+        FakePeer.RESET.run(FakePeer.takeWithTimeout(discovery.accepted), "");
         discovery.nextRequest();
         while (System.nanoTime() - began < TimeUnit.SECONDS.toNanos(1)) {
             calls += discovery.requests.poll(100, TimeUnit.MILLISECONDS) == null ? 0 : 1;
--- a/src/test/java/vetchpost/recorder/FlightRecorderTest.java
+++ b/src/test/java/vetchpost/recorder/FlightRecorderTest.java
@@ -67,22 +67,22 @@
         now += 10 * MS;
         attempt(7, 0, "s1", Result.ERROR, 30 * MS);
         attempt(7, 1, "s2", Result.OK, 20 * MS);
-        assertEquals("nothing", recorder.find(7).told() == null ? "nothing" : "something");
+        assertEquals("nothing", recorder.find(7).outcome() == null ? "nothing" : "something");
         recorder.completed(now, 7, Completion.SERVED, 0);
-        Flight flight = recorder.find(7);
+        RequestTrace flight = recorder.find(7);
         assertEquals("GET /a", flight.request());
-        assertEquals(Completion.SERVED, flight.told());
-        assertEquals(60 * MS, flight.tookUs());
-        assertEquals(2 * MS, flight.layUs());
+        assertEquals(Completion.SERVED, flight.outcome());
+        assertEquals(60 * MS, flight.durationUs());
+        assertEquals(2 * MS, flight.eventLoopDelayUs());
         assertEquals(2, flight.attempts().size());
-        Flight.Attempt first = flight.attempts().get(0);
+        RequestTrace.Attempt first = flight.attempts().get(0);
         assertEquals("s1", first.serverId());
-        assertEquals(10 * MS, first.afterUs());
+        assertEquals(10 * MS, first.startedAfterUs());
         assertEquals(Result.ERROR, first.result());
         assertEquals(
                 List.of("s1", "s0"),
-                first.drawn().stream().map(Candidate::serverId).toList());
-        assertNull(flight.attempts().get(1).drawn(), "the next in order is not drawn");
+                first.candidates().stream().map(Candidate::serverId).toList());
+        assertNull(flight.attempts().get(1).candidates(), "the next in order is not drawn");
     }
 
     @Test
@@ -103,8 +103,9 @@
         recorder.completed(now, 103, Completion.SERVED, 0);
         assertEquals(
                 List.of(103L, 102L, 101L, 100L),
-                recorder.last(10).stream().map(Flight::id).collect(Collectors.toList()));
-        assertEquals(List.of(103L), recorder.last(1).stream().map(Flight::id).toList());
+                recorder.last(10).stream().map(RequestTrace::id).collect(Collectors.toList()));
+        assertEquals(
+                List.of(103L), recorder.last(1).stream().map(RequestTrace::id).toList());
     }
 
     @Test
@@ -114,7 +115,7 @@
         recorder.reasonGiven(1, UnservedReason.DEADLINE_EXCEEDED);
         recorder.completed(now, 1, Completion.FAILED, 0);
         assertEquals(0, recorder.last(9).size());
-        assertEquals(-1, recorder.find(1).attempts().get(0).tookUs());
+        assertEquals(-1, recorder.find(1).attempts().get(0).durationUs());
         recorder.attemptEnded(now + MS, 1, 0, Result.CANCELLED, MS);
         assertEquals(1, recorder.last(9).size());
         assertEquals(Result.CANCELLED, recorder.find(1).attempts().get(0).result());
@@ -125,7 +126,7 @@
         for (int i = 0; i < 10_000; i++) {
             recorder.accepted(now, request(i, "/" + "x".repeat(100_000)), 400 * MS, 0);
         }
-        assertEquals(FlightRecorder.MOST_OPEN, recorder.size());
+        assertEquals(FlightRecorder.MAX_OPEN_REQUESTS, recorder.size());
         assertTrue(recorder.find(0).request().length() < 200);
         for (int i = 0; i < 10_000; i++) {
             recorder.completed(now, i, Completion.LEFT, 0);
@@ -152,12 +153,12 @@
         recorder.reasonGiven(9, UnservedReason.SHED);
         recorder.completed(now, 9, Completion.REFUSED, 0);
         assertEquals(0, recorder.size());
-        assertEquals(List.of(), recorder.refusals().since(now, MINUTE));
+        assertEquals(List.of(), recorder.rejectionCounts().withinLast(now, MINUTE));
     }
 
     private List<String> counts(long spanUs) {
-        return recorder.refusals().since(now, spanUs).stream()
-                .map(l -> l.count() + " " + l.classIndex() + " " + (l.refused() ? "refused" : "failed") + ": "
+        return recorder.rejectionCounts().withinLast(now, spanUs).stream()
+                .map(l -> l.count() + " " + l.classIndex() + " " + (l.rejected() ? "refused" : "failed") + ": "
                         + l.cause())
                 .toList();
     }
--- a/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
@@ -36,15 +36,15 @@
 import vetchpost.config.NodeConfig;
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ServerState;
-import vetchpost.handover.Secret;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
 import vetchpost.node.Node;
-import vetchpost.state.BoxState;
-import vetchpost.state.Confirmed;
-import vetchpost.state.Origin;
-import vetchpost.state.Recollection;
+import vetchpost.state.ConfirmationSource;
+import vetchpost.state.RestoredState;
+import vetchpost.state.ServerRecord;
 import vetchpost.state.Snapshot;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.SnapshotOrigin;
+import vetchpost.state.codec.ChunkCodec;
 import vetchpost.state.disk.StateFile;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
@@ -93,18 +93,18 @@
         return box;
     }
 
-    private static BoxState state(String id, int port, long confirmedMs) {
-        return new BoxState(
+    private static ServerRecord state(String id, int port, long confirmedMs) {
+        return new ServerRecord(
                 new Target(id, new InetSocketAddress("127.0.0.1", port), "a", 3, ServerState.READY, 1, 0),
                 confirmedMs,
-                Confirmed.LIST,
+                ConfirmationSource.LIST,
                 0,
                 null);
     }
 
-    private static Snapshot snapshot(long ageMs, BoxState... boxes) {
+    private static Snapshot snapshot(long ageMs, ServerRecord... boxes) {
         long takenMs = System.currentTimeMillis() - ageMs;
-        return new Snapshot(new Origin(7, takenMs, takenMs - HOUR_MS, 41, Set.of()), List.of(), List.of(boxes));
+        return new Snapshot(new SnapshotOrigin(7, takenMs, takenMs - HOUR_MS, 41, Set.of()), List.of(), List.of(boxes));
     }
 
     private RecoverySettings settings(
@@ -112,7 +112,7 @@
         return new RecoverySettings(
                 folder.resolve("boxes"),
                 50,
-                new Recollection.Rules(DAY_MS, unidentifiedMs, identify != null),
+                new RestoredState.Rules(DAY_MS, unidentifiedMs, identify != null),
                 identify,
                 give,
                 List.of(ask),
@@ -124,7 +124,8 @@
     /** A node that runs. */
     private record Running(Node node, int port) {}
 
-    private Running start(RecoverySettings settings, Snapshot old, Keeper keeper, Secret secret, FakePeer... known)
+    private Running start(
+            RecoverySettings settings, Snapshot old, SnapshotKeeper keeper, SharedSecret secret, FakePeer... known)
             throws Exception {
         JsonObject json = Fixture.config(discovery);
         json.add("known", JsonParser.parseString(Fixture.list(known.length, true, "Ready", known)));
@@ -154,7 +155,7 @@
                         .localAddress())
                 .getPort();
         open.add(() -> loop.submit(node::close).sync());
-        assertTrue(ready.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "never ready");
+        assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never ready");
         return new Running(node, port);
     }
 
@@ -166,7 +167,7 @@
 
     private static String ask(int port, String request) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
             FakePeer.write(socket, request);
             String answer = FakePeer.read(socket);
             assertNotNull(answer, "no answer");
@@ -187,9 +188,9 @@
      * ports.
      */
     private static void readyUntil(int port, String words) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
             String answer = "";
             while (!answer.contains(words)) {
                 assertTrue(System.nanoTime() < end, answer);
@@ -273,7 +274,7 @@
         FakePeer box = box("s-9", "served");
         discovery.script((socket, request) -> {
             Fixture.beginWatch(socket);
-            Fixture.line(socket, Fixture.list(50, true, "Ready", box));
+            Fixture.writeLine(socket, Fixture.list(50, true, "Ready", box));
         });
         Running node = start(
                 settings(null, 30_000, null),
@@ -304,10 +305,10 @@
                         state("s-2", moved.port(), ms)),
                 null,
                 null);
-        Socket watch = FakePeer.soon(discovery.accepted);
+        Socket watch = FakePeer.takeWithTimeout(discovery.accepted);
         discovery.nextRequest();
         Fixture.beginWatch(watch);
-        Fixture.line(
+        Fixture.writeLine(
                 watch,
                 "{\"rev\":50,\"all\":true,\"targets\":[" + entry("s-1", drains, "Terminating")
                         + ","
@@ -319,12 +320,12 @@
         for (int i = 0; i < 20; i++) {
             assertTrue(view(node.port, i).endsWith("served"));
         }
-        Fixture.line(
+        Fixture.writeLine(
                 watch,
                 "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-2", place, "Gone") + ","
                         + entry("s-3", fresh, "Ready") + "]}");
         int id = 100;
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         try (Socket client = new Socket("127.0.0.1", node.port)) {
             String answer = "";
             while (answer == null || !answer.endsWith("served anew")) {
@@ -354,13 +355,13 @@
                 null,
                 null);
         slow.nextRequest();
-        Socket watch = FakePeer.soon(discovery.accepted);
+        Socket watch = FakePeer.takeWithTimeout(discovery.accepted);
         discovery.nextRequest();
         Fixture.beginWatch(watch);
-        Fixture.line(watch, Fixture.list(50, true, "Ready", box));
+        Fixture.writeLine(watch, Fixture.list(50, true, "Ready", box));
         readyUntil(node.port, "discovery's list");
         listed.countDown();
-        FakePeer.soon(slow.ended);
+        FakePeer.takeWithTimeout(slow.ended);
         for (int i = 0; i < 40; i++) {
             assertTrue(view(node.port, i).endsWith("served"));
         }
@@ -386,19 +387,19 @@
                 null,
                 null);
         slow.nextRequest();
-        Socket watch = FakePeer.soon(discovery.accepted);
+        Socket watch = FakePeer.takeWithTimeout(discovery.accepted);
         discovery.nextRequest();
         Fixture.beginWatch(watch);
-        Fixture.line(
+        Fixture.writeLine(
                 watch,
                 "{\"rev\":50,\"all\":false,\"targets\":[" + entry("s-0", slow, "Terminating")
                         + ","
                         + entry("s-1", box, "Ready") + "]}");
         assertTrue(view(node.port, 1).endsWith("served"));
         told.countDown();
-        FakePeer.soon(slow.ended);
+        FakePeer.takeWithTimeout(slow.ended);
         // The other one goes: were the first one back, it would be sent what comes now.
-        Fixture.line(watch, "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-1", box, "Gone") + "]}");
+        Fixture.writeLine(watch, "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-1", box, "Gone") + "]}");
         String answer = "served";
         for (int i = 2; answer.endsWith("served"); i++) {
             answer = ask(
@@ -465,14 +466,20 @@
                 null);
         readyUntil(node.port, "0 being asked");
         written.clear();
-        FakePeer.soon(written);
-        BoxState box = PieceCodec.read(FakePeer.soon(written)).part().boxes().get(0);
+        FakePeer.takeWithTimeout(written);
+        ServerRecord box = ChunkCodec.read(FakePeer.takeWithTimeout(written))
+                .content()
+                .servers()
+                .get(0);
         assertEquals(ms, box.confirmedMs());
         view(node.port, 1);
         written.clear();
-        FakePeer.soon(written);
-        box = PieceCodec.read(FakePeer.soon(written)).part().boxes().get(0);
-        assertTrue(box.confirmedMs() > ms && box.by() == Confirmed.ANSWER, box.toString());
+        FakePeer.takeWithTimeout(written);
+        box = ChunkCodec.read(FakePeer.takeWithTimeout(written))
+                .content()
+                .servers()
+                .get(0);
+        assertTrue(box.confirmedMs() > ms && box.confirmedBy() == ConfirmationSource.ANSWER, box.toString());
     }
 
     @Test
@@ -498,7 +505,7 @@
         assertTrue(view(node.port, 1).endsWith("served"));
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.node.stop(stopped::countDown));
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS), "it waits for the disk");
+        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "it waits for the disk");
         hangs.countDown();
     }
 
@@ -524,10 +531,10 @@
                         6_000),
                 null,
                 null,
-                Secret.read(file),
+                SharedSecret.read(file),
                 box);
         assertTrue(view(node.port, 1).endsWith("served"));
-        FakePeer.soon(silent.accepted);
+        FakePeer.takeWithTimeout(silent.accepted);
         assertTrue(silent.ended.isEmpty(), "ready only once the handover was over");
     }
 
@@ -544,15 +551,15 @@
             assertTrue(view(first.port, i).endsWith("served"));
         }
         kept.clear();
-        assertNotNull(FakePeer.soon(kept));
-        assertNotNull(FakePeer.soon(kept), "it is kept again and again");
+        assertNotNull(FakePeer.takeWithTimeout(kept));
+        assertNotNull(FakePeer.takeWithTimeout(kept), "it is kept again and again");
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> first.node.stop(stopped::countDown));
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         Snapshot left = new StateFile(folder.resolve("boxes")).read(System.currentTimeMillis(), line -> {});
-        assertEquals(1, left.boxes().size());
-        assertEquals(Confirmed.ANSWER, left.boxes().get(0).by());
-        assertTrue(left.boxes().get(0).knowledge().attemptCount() >= 20, left.toString());
+        assertEquals(1, left.servers().size());
+        assertEquals(ConfirmationSource.ANSWER, left.servers().get(0).confirmedBy());
+        assertTrue(left.servers().get(0).statistics().attemptCount() >= 20, left.toString());
         Running second = start(settings(null, 30_000, null), left, null, null);
         assertTrue(view(second.port, 99).endsWith("served"));
     }
@@ -565,7 +572,7 @@
         Running node = start(settings(null, 30_000, null), null, this::counted, null);
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.node.stop(stopped::countDown));
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         assertTrue(kept.isEmpty());
         assertEquals(3, Files.size(file));
     }
@@ -586,7 +593,7 @@
         for (int i = 0; i < 20; i++) {
             assertTrue(view(node.port, i).endsWith("served"));
         }
-        assertTrue(failures.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(failures.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         assertTrue(view(node.port, 99).endsWith("served"));
     }
 
@@ -611,11 +618,11 @@
                 null,
                 box);
         assertTrue(view(node.port, 1).endsWith("served"));
-        assertTrue(begun.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(begun.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         assertTrue(view(node.port, 2).endsWith("served"));
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.node.stop(stopped::countDown));
-        assertTrue(stopped.await(FakePeer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         hangs.countDown();
     }
 
@@ -629,7 +636,7 @@
     void aNodeWithNeitherListNorFileLearnsFromTheOneBesideIt() throws Exception {
         Path file = folder.resolve("secret");
         Files.writeString(file, "a secret of at least thirty-two bytes\n");
-        Secret secret = Secret.read(file);
+        SharedSecret secret = SharedSecret.read(file);
         FakePeer box = box("s-0", "served");
         InetSocketAddress give = freeAddress();
         Running giver = start(settings(null, 30_000, give), null, null, secret, box);
@@ -646,7 +653,7 @@
     void twoThatStartAndAskEachOtherBothServe() throws Exception {
         Path file = folder.resolve("secret");
         Files.writeString(file, "a secret of at least thirty-two bytes\n");
-        Secret secret = Secret.read(file);
+        SharedSecret secret = SharedSecret.read(file);
         FakePeer box = box("s-0", "served");
         InetSocketAddress one = freeAddress();
         InetSocketAddress two = freeAddress();
--- a/src/test/java/vetchpost/recovery/RecoveryProverTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveryProverTest.java
@@ -12,14 +12,14 @@
 
 /** What an operator can say of state and handovers, and how a slip is told. */
 class RecoveryProverTest {
-    private static RecoveryProver.Proof prove(String text) {
+    private static RecoveryValidator.Validation prove(String text) {
         RouteFile file = RouteFile.parse("v.toml", text);
         assertEquals(List.of(), file.violations());
-        return RecoveryProver.prove(file.sections());
+        return RecoveryValidator.validate(file.sections());
     }
 
     private static String refusal(String text) {
-        RecoveryProver.Proof proof = prove(text);
+        RecoveryValidator.Validation proof = prove(text);
         assertNull(proof.settings());
         return proof.violations().stream().map(Object::toString).collect(Collectors.joining("\n"));
     }
@@ -47,24 +47,24 @@
                 within = "1s"
                 """).settings();
         assertEquals(Path.of("state/boxes"), settings.file());
-        assertEquals(2_000, settings.everyMs());
-        assertEquals(12 * 3_600_000, settings.rules().lifeMs());
-        assertEquals(0, settings.rules().unidentifiedMs());
-        assertTrue(settings.rules().identifies());
-        assertEquals(8450, settings.give().getPort());
-        assertEquals(2, settings.ask().size());
-        assertEquals(100, settings.waitMs());
-        assertEquals(1_000, settings.withinMs());
+        assertEquals(2_000, settings.snapshotIntervalMs());
+        assertEquals(12 * 3_600_000, settings.rules().serverLifetimeMs());
+        assertEquals(0, settings.rules().addressReuseMs());
+        assertTrue(settings.rules().canIdentify());
+        assertEquals(8450, settings.listenAddress().getPort());
+        assertEquals(2, settings.peers().size());
+        assertEquals(100, settings.startWaitMs());
+        assertEquals(1_000, settings.handoverTimeoutMs());
     }
 
     @Test
     void whatIsUsualNeedsNotBeSaid() {
         RecoverySettings settings = prove("[state]\nfile = \"b\"\n").settings();
-        assertEquals(5_000, settings.everyMs());
-        assertEquals(86_400_000, settings.rules().lifeMs());
-        assertEquals(30_000, settings.rules().unidentifiedMs());
-        assertNull(settings.identify());
-        assertNull(settings.give());
+        assertEquals(5_000, settings.snapshotIntervalMs());
+        assertEquals(86_400_000, settings.rules().serverLifetimeMs());
+        assertEquals(30_000, settings.rules().addressReuseMs());
+        assertNull(settings.identityPath());
+        assertNull(settings.listenAddress());
     }
 
     @Test
--- a/src/test/java/vetchpost/replication/FollowingTest.java
+++ b/src/test/java/vetchpost/replication/FollowingTest.java
@@ -20,7 +20,7 @@
     private record Due(long atUs, long order, Runnable task) {}
 
     /** Publishers of which some are there, and those there say now and then that all is the newest. */
-    private final class Line implements Following.Line {
+    private final class Line implements PublisherFailover.Transport {
         private final PriorityQueue<Due> due = new PriorityQueue<>(
                 (a, b) -> a.atUs != b.atUs ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
         private final List<Integer> opened = new ArrayList<>();
@@ -50,7 +50,7 @@
         private void answer(int of) {
             after(1_000, () -> {
                 if (open == of && !silent.contains(of)) {
-                    following.take(Frame.current(0, PackedTree.EMPTY.sum()));
+                    following.receive(Frame.current(0, PackedTree.EMPTY.sum()));
                     after(4 * SECOND, () -> {
                         if (open == of) {
                             answer(of);
@@ -93,24 +93,24 @@
     }
 
     private final Replica replica = new Replica("n", VersionedStore.EMPTY, Index.NONE, false, (store, index) -> {});
-    private final Choice choice = new Choice("n", List.of("a", "b", "c"));
+    private final PublisherChoice choice = new PublisherChoice("n", List.of("a", "b", "c"));
     private final Line line = new Line();
-    private final Following following = new Following(replica, choice, line);
-    private final int own = new Choice("n", List.of("a", "b", "c")).next(0);
+    private final PublisherFailover following = new PublisherFailover(replica, choice, line);
+    private final int own = new PublisherChoice("n", List.of("a", "b", "c")).next(0);
 
     @Test
     void itStaysWithOneThatIsWell() {
-        following.begin(0);
+        following.start(0);
         line.run(600 * SECOND);
         assertEquals(List.of(own), line.opened);
         assertTrue(following.isUp());
-        assertEquals("", following.trouble());
-        assertTrue(line.nowUs - replica.currentUs() < 5 * SECOND);
+        assertEquals("", following.failure());
+        assertTrue(line.nowUs - replica.lastCurrentUs() < 5 * SECOND);
     }
 
     @Test
     void itLeavesOneThatIsSilentAndComesBackOnceThatIsWell() {
-        following.begin(0);
+        following.start(0);
         line.run(20 * SECOND);
         line.silent.add(own);
         line.run(21 * SECOND);
@@ -123,20 +123,20 @@
 
     @Test
     void aBrokenConnectionIsFollowedByAnotherAtOnce() {
-        following.begin(0);
+        following.start(0);
         line.run(10 * SECOND);
         line.breaks();
-        assertEquals("it was cut off", following.trouble());
+        assertEquals("it was cut off", following.failure());
         line.run(10_000);
         assertTrue(line.open >= 0 && line.open != own);
         line.run(10_000);
-        assertEquals("", following.trouble());
+        assertEquals("", following.failure());
     }
 
     @Test
     void withNobodyThereItAsksLessAndLessOftenAndGoesOn() {
         line.there.clear();
-        following.begin(0);
+        following.start(0);
         line.run(60 * SECOND);
         int first = line.opened.size();
         assertTrue(first > 20 && first < 120, first + " times in a minute");
@@ -149,9 +149,9 @@
 
     @Test
     void onceEndedItAsksNobody() {
-        following.begin(0);
+        following.start(0);
         line.run(SECOND);
-        following.end();
+        following.stop();
         assertFalse(following.isUp());
         assertEquals(1, line.closed);
         int asked = line.opened.size();
@@ -163,8 +163,8 @@
     void oneThatIsBehindIsLeft() {
         Replica ahead = new Replica("n", VersionedStore.of(PackedTree.EMPTY, 7), Index.NONE, false, (s, i) -> {});
         Line other = new Line();
-        Following[] self = new Following[1];
-        Following.Line seen = new Following.Line() {
+        PublisherFailover[] self = new PublisherFailover[1];
+        PublisherFailover.Transport seen = new PublisherFailover.Transport() {
             @Override
             public void open(int publisher) {
                 other.opened.add(publisher);
@@ -173,7 +173,7 @@
 
             @Override
             public void send(Frame frame) {
-                other.after(1, () -> self[0].take(Frame.behind(5)));
+                other.after(1, () -> self[0].receive(Frame.behind(5)));
             }
 
             @Override
@@ -191,11 +191,11 @@
                 other.after(us, task);
             }
         };
-        self[0] = new Following(ahead, new Choice("n", List.of("a", "b", "c")), seen);
-        self[0].begin(0);
+        self[0] = new PublisherFailover(ahead, new PublisherChoice("n", List.of("a", "b", "c")), seen);
+        self[0].start(0);
         other.run(SECOND);
         assertTrue(new HashSet<>(other.opened).size() == 3, other.opened.toString());
-        assertTrue(self[0].trouble().contains("behind"), self[0].trouble());
+        assertTrue(self[0].failure().contains("behind"), self[0].failure());
         assertEquals(7, ahead.store().version());
     }
 }
--- a/src/test/java/vetchpost/replication/Planted.java
+++ b/src/test/java/vetchpost/replication/InjectedFaults.java
@@ -4,8 +4,8 @@
 import vetchpost.store.VersionedStore;
 
 /** Replicas with a fault, to see that it is found. */
-public final class Planted {
-    private Planted() {}
+public final class InjectedFaults {
+    private InjectedFaults() {}
 
     /** Takes what comes before what it has, as of a writer that was replaced. */
     public static Replica unfenced(
@@ -34,7 +34,7 @@
     }
 
     /** Has each part of a batch in force as it comes. */
-    public static Replica hasty(
+    public static Replica applyingPartialBatches(
             String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener) {
         return new Replica(name, store, index, relay, listener) {
             @Override
@@ -45,7 +45,7 @@
     }
 
     /** Passes over what went away when ranges are compared. */
-    public static Replica hoarding(
+    public static Replica ignoringRemovals(
             String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener) {
         return new Replica(name, store, index, relay, listener) {
             @Override
--- a/src/test/java/vetchpost/replication/PublisherTest.java
+++ b/src/test/java/vetchpost/replication/PublisherTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import vetchpost.replication.Frame.Type;
-import vetchpost.store.Change;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.store.EntryChange;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
 
@@ -42,7 +42,7 @@
             raw.add(frame);
             try {
                 got.add(codec.read(frame));
-            } catch (Malformed e) {
+            } catch (MalformedFrameException e) {
                 throw new AssertionError(e);
             }
         }
@@ -52,8 +52,9 @@
             return writable;
         }
 
-        private void says(Publisher publisher, VersionedStore at, long nowUs) throws Malformed {
-            publisher.take(this, Frame.hello("a", at.version(), false, at.live().sum()), 0, nowUs);
+        private void says(Publisher publisher, VersionedStore at, long nowUs) throws MalformedFrameException {
+            publisher.receive(
+                    this, Frame.hello("a", at.version(), false, at.live().sum()), 0, nowUs);
         }
 
         private long items() {
@@ -64,7 +65,7 @@
     private static VersionedStore store(int entries) {
         return VersionedStore.EMPTY.with(
                 IntStream.range(0, entries)
-                        .mapToObj(i -> Change.put(new Key(Kind.ROUTE, "/r" + i), new byte[50]))
+                        .mapToObj(i -> EntryChange.put(new EntryKey(EntryKind.ROUTE, "/r" + i), new byte[50]))
                         .toList(),
                 Version.of(1, 1));
     }
@@ -72,8 +73,8 @@
     private static VersionedStore changed(VersionedStore store, int count) {
         return store.with(
                 IntStream.range(0, count)
-                        .mapToObj(i ->
-                                Change.replace(new Key(Kind.ROUTE, "/r" + i), new byte[] {(byte) i, (byte) (i >> 8)}))
+                        .mapToObj(i -> EntryChange.replace(
+                                new EntryKey(EntryKind.ROUTE, "/r" + i), new byte[] {(byte) i, (byte) (i >> 8)}))
                         .toList(),
                 store.version() + 1);
     }
@@ -86,7 +87,7 @@
     private static long run(Publisher publisher, long fromUs, long untilUs) {
         long nowUs = fromUs;
         while (nowUs < untilUs) {
-            long nextUs = publisher.pump(nowUs);
+            long nextUs = publisher.sendPending(nowUs);
             nowUs = Math.max(nowUs + 1, nextUs);
         }
         return untilUs;
@@ -124,9 +125,9 @@
         Publisher publisher = publisher(first, new Publisher.Budget(10_000, 2_000, 1e9, 1e9));
         Peer peer = new Peer();
         publisher.connected(peer, 0);
-        publisher.take(
+        publisher.receive(
                 peer, Frame.hello("a", first.version(), false, first.live().sum()), 32_000, 0);
-        publisher.pump(0);
+        publisher.sendPending(0);
         assertEquals(0, peer.bytes);
         run(publisher, 0, 2 * SECOND);
         assertEquals(0, peer.bytes, "it has not paid back yet");
@@ -167,17 +168,18 @@
         peer.writable = false;
         for (int i = 0; i < 1_000; i++) {
             now = now.with(
-                    List.of(Change.replace(new Key(Kind.ROUTE, "/r1"), new byte[] {(byte) i, 1})), now.version() + 1);
-            publisher.settle(now);
-            publisher.pump(i);
+                    List.of(EntryChange.replace(new EntryKey(EntryKind.ROUTE, "/r1"), new byte[] {(byte) i, 1})),
+                    now.version() + 1);
+            publisher.publish(now);
+            publisher.sendPending(i);
         }
-        assertEquals(List.of("a"), publisher.behind());
+        assertEquals(List.of("a"), publisher.laggingReplicas());
         peer.writable = true;
-        publisher.pump(2_000);
+        publisher.sendPending(2_000);
         assertEquals(1, peer.got.size());
         assertEquals(1, peer.got.get(0).items().size());
         assertEquals(now.version(), peer.got.get(0).to());
-        publisher.settle(store(10));
+        publisher.publish(store(10));
         assertEquals(now.version(), publisher.store().version(), "an older one is passed over");
     }
 
@@ -197,7 +199,7 @@
         assertEquals(List.of(Type.BEHIND), ahead.got.stream().map(Frame::type).toList());
         publisher.disconnected(ahead);
         assertEquals(1, publisher.peers());
-        publisher.take(ahead, Frame.hello("b", 0, false, first.live().sum()), 0, 0);
+        publisher.receive(ahead, Frame.hello("b", 0, false, first.live().sum()), 0, 0);
         assertEquals(1, ahead.got.size(), "one that has gone is told nothing more");
     }
 
@@ -211,7 +213,7 @@
             publisher.connected(peer, 0);
             peer.says(publisher, first, 0);
         }
-        publisher.pump(0);
+        publisher.sendPending(0);
         assertTrue(one.raw.size() > 2);
         for (int i = 0; i < one.raw.size(); i++) {
             assertTrue(one.raw.get(i) == two.raw.get(i), "part " + i + " was made twice");
@@ -229,12 +231,12 @@
                         new Frame.Span(new byte[] {(byte) i}, null, first.live().sum(), null))
                 .toList();
         assertThrows(
-                Malformed.class,
-                () -> publisher.take(
+                MalformedFrameException.class,
+                () -> publisher.receive(
                         peer, Frame.spans(Type.COMPARE, 0, first.live().sum(), many), 0, 0));
         assertThrows(
-                Malformed.class,
-                () -> publisher.take(
+                MalformedFrameException.class,
+                () -> publisher.receive(
                         peer, Frame.spans(Type.COMPARE, 99, first.live().sum(), many.subList(0, 1)), 0, 0));
     }
 
--- a/src/test/java/vetchpost/replication/ReplicaTest.java
+++ b/src/test/java/vetchpost/replication/ReplicaTest.java
@@ -10,22 +10,22 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import vetchpost.replication.Frame.Type;
-import vetchpost.store.Change;
-import vetchpost.store.Fields;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.store.EntryChange;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
+import vetchpost.store.FieldCodec;
 import vetchpost.store.PackedTree;
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
 
 /** One replica and one publisher, and what can happen to what is told between them. */
 class ReplicaTest {
-    private static Key key(int i) {
-        return new Key(Kind.ROUTE, "/service-" + i % 37 + "/route-" + i);
+    private static EntryKey key(int i) {
+        return new EntryKey(EntryKind.ROUTE, "/service-" + i % 37 + "/route-" + i);
     }
 
-    private static Change put(int i, String value) {
-        return Change.put(key(i), Fields.utf8(value));
+    private static EntryChange put(int i, String value) {
+        return EntryChange.put(key(i), FieldCodec.utf8(value));
     }
 
     /** So many entries, at version 1.1. */
@@ -34,7 +34,7 @@
                 IntStream.range(0, count).mapToObj(i -> put(i, "value " + i)).toList(), Version.of(1, 1));
     }
 
-    private static VersionedStore with(VersionedStore store, Change... batch) {
+    private static VersionedStore with(VersionedStore store, EntryChange... batch) {
         return store.with(List.of(batch), store.version() + 1);
     }
 
@@ -48,22 +48,22 @@
         VersionedStore first = entries(1_000);
         Wire wire = new Wire(first, first);
         wire.run(1_000_000);
-        assertEquals(0, wire.replica.batches());
-        assertTrue(wire.replica.currentUs() >= 0, "it was told that it is at the newest");
+        assertEquals(0, wire.replica.appliedBatches());
+        assertTrue(wire.replica.lastCurrentUs() >= 0, "it was told that it is at the newest");
         long before = wire.downBytes;
-        VersionedStore second = with(first, put(5_000, "new"), Change.delete(key(7)));
-        wire.publisher.settle(second);
+        VersionedStore second = with(first, put(5_000, "new"), EntryChange.delete(key(7)));
+        wire.publisher.publish(second);
         wire.run(200_000);
         same(second, wire);
-        assertEquals(1, wire.replica.batches());
+        assertEquals(1, wire.replica.appliedBatches());
         assertTrue(wire.downBytes - before < 200, wire.downBytes - before + " bytes for two changes");
-        assertEquals(List.of(), wire.publisher.behind());
+        assertEquals(List.of(), wire.publisher.laggingReplicas());
     }
 
     /** Parts of what came after a version, as they are told to one that is at it. */
     private static List<Frame> parts(Wire wire, VersionedStore fresh) throws Exception {
         wire.run(100_000);
-        wire.publisher.settle(fresh);
+        wire.publisher.publish(fresh);
         wire.fill();
         List<Frame> parts = new ArrayList<>(wire.down);
         parts.removeIf(f -> f.type() != Type.DELTA);
@@ -76,8 +76,8 @@
         return store.with(
                 IntStream.range(0, count)
                         .mapToObj(i -> i % 10 == 9
-                                ? Change.delete(key(i))
-                                : Change.replace(key(i), Fields.utf8("changed " + i * 7919L)))
+                                ? EntryChange.delete(key(i))
+                                : EntryChange.replace(key(i), FieldCodec.utf8("changed " + i * 7919L)))
                         .toList(),
                 store.version() + 1);
     }
@@ -90,13 +90,13 @@
             Wire wire = new Wire(first, first);
             List<Frame> parts = parts(wire, second);
             for (Frame part : parts.subList(0, cut * (parts.size() - 1) / 5)) {
-                wire.replica.take(part, wire.nowUs);
+                wire.replica.receive(part, wire.nowUs);
             }
             assertSame(first, wire.replica.store(), "a part of a batch is in force");
             wire.connect();
             wire.run(10_000_000);
             same(second, wire);
-            assertEquals(1, wire.replica.batches());
+            assertEquals(1, wire.replica.appliedBatches());
         }
     }
 
@@ -107,8 +107,8 @@
         Wire wire = new Wire(first, first);
         List<Frame> parts = parts(wire, second);
         for (Frame part : parts) {
-            wire.replica.take(part, wire.nowUs);
-            wire.replica.take(part, wire.nowUs);
+            wire.replica.receive(part, wire.nowUs);
+            wire.replica.receive(part, wire.nowUs);
         }
         // Each second one was no part that could come next: it began anew each time.
         assertSame(first, wire.replica.store());
@@ -116,18 +116,18 @@
         wire.run(10_000_000);
         same(second, wire);
         VersionedStore third = with(second, put(9_000, "third"));
-        wire.publisher.settle(third);
+        wire.publisher.publish(third);
         wire.run(1_000_000);
         wire.nowUs += 3_600_000_000L;
         for (Frame part : parts) {
-            wire.replica.take(part, wire.nowUs);
+            wire.replica.receive(part, wire.nowUs);
         }
         same(third, wire);
         Wire other = new Wire(first, first);
         List<Frame> mixed = parts(other, second);
         java.util.Collections.reverse(mixed);
         for (Frame part : mixed) {
-            other.replica.take(part, other.nowUs);
+            other.replica.receive(part, other.nowUs);
         }
         assertSame(first, other.replica.store());
     }
@@ -135,9 +135,9 @@
     @Test
     void aPublisherThatWasSetBackSetsNobodyBack() throws Exception {
         VersionedStore first = entries(100);
-        VersionedStore second = with(first, Change.replace(key(1), Fields.utf8("second")));
+        VersionedStore second = with(first, EntryChange.replace(key(1), FieldCodec.utf8("second")));
         Wire wire = new Wire(first, second);
-        assertThrows(Replica.Refused.class, () -> wire.run(100_000));
+        assertThrows(Replica.FrameRejectedException.class, () -> wire.run(100_000));
         assertSame(second, wire.replica.store());
         // And a node that was set back comes forward again.
         Wire behind = new Wire(second, first);
@@ -148,26 +148,28 @@
     @Test
     void aWriterOfAnEarlierEpochIsFenced() throws Exception {
         VersionedStore first = entries(100);
-        VersionedStore old = with(first, Change.replace(key(1), Fields.utf8("of the old writer")));
+        VersionedStore old = with(first, EntryChange.replace(key(1), FieldCodec.utf8("of the old writer")));
         Wire zombie = new Wire(first, first);
         zombie.run(10_000);
-        zombie.publisher.settle(old);
+        zombie.publisher.publish(old);
         zombie.fill();
         Frame late = zombie.down.stream()
                 .filter(f -> f.type() == Type.DELTA)
                 .findFirst()
                 .orElseThrow();
-        VersionedStore taken = first.with(List.of(Change.replace(key(1), Fields.utf8("of the new"))), Version.of(2, 1));
+        VersionedStore taken =
+                first.with(List.of(EntryChange.replace(key(1), FieldCodec.utf8("of the new"))), Version.of(2, 1));
         Wire wire = new Wire(taken, first);
         wire.run(1_000_000);
         same(taken, wire);
-        assertThrows(Replica.Refused.class, () -> wire.replica.take(late, wire.nowUs));
+        assertThrows(Replica.FrameRejectedException.class, () -> wire.replica.receive(late, wire.nowUs));
         // What it would do without the fence, so that this shows something.
-        Wire unfenced = new Wire(taken, Planted.unfenced("node", taken, Index.NONE, false, (store, index) -> {}));
-        unfenced.replica.take(late, 1);
+        Wire unfenced =
+                new Wire(taken, InjectedFaults.unfenced("node", taken, Index.NONE, false, (store, index) -> {}));
+        unfenced.replica.receive(late, 1);
         assertEquals(
                 "of the old writer",
-                Fields.text(unfenced.replica.store().get(key(1)).value()));
+                FieldCodec.text(unfenced.replica.store().get(key(1)).value()));
         same(taken, wire);
     }
 
@@ -179,11 +181,11 @@
         for (int i = 0; i < 100; i++) {
             now = with(
                     now,
-                    Change.delete(key(i * 31)),
-                    Change.replace(key(i * 31 + 1), Fields.utf8("new " + i)),
+                    EntryChange.delete(key(i * 31)),
+                    EntryChange.replace(key(i * 31 + 1), FieldCodec.utf8("new " + i)),
                     put(30_000 + i, "more"));
         }
-        now = now.forget(10);
+        now = now.forgetRemovals(10);
         Wire wire = new Wire(now, first);
         wire.run(60_000_000);
         same(now, wire);
@@ -202,8 +204,8 @@
         VersionedStore right = entries(5_000);
         PackedTree wrong = right.live()
                 .remove(key(77).bytes())
-                .put(key(6_000).bytes(), Fields.utf8("ghost"), Version.of(1, 1))
-                .put(key(78).bytes(), Fields.utf8("spoilt"), Version.of(1, 1));
+                .put(key(6_000).bytes(), FieldCodec.utf8("ghost"), Version.of(1, 1))
+                .put(key(78).bytes(), FieldCodec.utf8("spoilt"), Version.of(1, 1));
         Wire wire = new Wire(right, VersionedStore.of(wrong, right.version()));
         wire.run(10_000_000);
         same(right, wire);
@@ -221,15 +223,17 @@
         long before = wire.downBytes;
         for (int second = 0; second < 60; second++) {
             for (int i = 0; i < 817; i++) {
-                now = with(now, Change.replace(key(3), Fields.utf8("value " + second + " " + i)));
-                wire.publisher.settle(now);
+                now = with(now, EntryChange.replace(key(3), FieldCodec.utf8("value " + second + " " + i)));
+                wire.publisher.publish(now);
             }
             wire.run(1_000_000);
         }
         wire.run(1_000_000);
         same(now, wire);
         assertTrue(wire.downBytes - before < 60 * 18_000 + 4_000, wire.downBytes - before + " bytes");
-        assertTrue(wire.replica.batches() < 49_000 / 2, wire.replica.batches() + " times something came into force");
+        assertTrue(
+                wire.replica.appliedBatches() < 49_000 / 2,
+                wire.replica.appliedBatches() + " times something came into force");
     }
 
     @Test
@@ -238,7 +242,7 @@
         Wire wire = new Wire(first, first);
         wire.run(100_000);
         VersionedStore second = changed(first, 1_000);
-        wire.publisher.settle(second);
+        wire.publisher.publish(second);
         long before = wire.downBytes;
         wire.run(4_000_000);
         same(second, wire);
@@ -252,14 +256,14 @@
         Wire wire = new Wire(first, first);
         List<Frame> parts = parts(wire, second);
         for (Frame part : parts.subList(0, parts.size() / 2)) {
-            wire.replica.take(part, wire.nowUs);
+            wire.replica.receive(part, wire.nowUs);
         }
         wire.replica.disconnected();
         // The other has not heard of it yet, and then it has.
         wire.publishes(first);
         wire.run(1_000_000);
         assertEquals(first.live().sum(), wire.replica.store().live().sum());
-        wire.publisher.settle(second);
+        wire.publisher.publish(second);
         wire.run(10_000_000);
         same(second, wire);
     }
@@ -276,13 +280,13 @@
         VersionedStore kept = VersionedStore.of(
                 wire.replica.store().live(), wire.replica.store().version());
         Wire restarted = new Wire(second, kept);
-        assertEquals(-1, restarted.replica.currentUs(), "nobody has said yet that this is the newest");
+        assertEquals(-1, restarted.replica.lastCurrentUs(), "nobody has said yet that this is the newest");
         assertEquals(second.live().sum(), restarted.replica.store().live().sum());
-        VersionedStore third = with(second, Change.delete(key(2_000)));
-        restarted.publisher.settle(third);
+        VersionedStore third = with(second, EntryChange.delete(key(2_000)));
+        restarted.publisher.publish(third);
         restarted.run(1_000_000);
         same(third, restarted);
-        assertEquals(1, restarted.replica.batches());
+        assertEquals(1, restarted.replica.appliedBatches());
     }
 
     @Test
@@ -293,11 +297,11 @@
         for (int i = 0; i < 40; i++) {
             wire.run(100_000);
             now = with(now, put(10_000 + i, "during"));
-            wire.publisher.settle(now);
+            wire.publisher.publish(now);
         }
         wire.run(20_000_000);
         same(now, wire);
-        assertTrue(wire.replica.batches() >= 2 && wire.replica.refused() == 0);
+        assertTrue(wire.replica.appliedBatches() >= 2 && wire.replica.rejectedCount() == 0);
     }
 
     @Test
@@ -306,26 +310,26 @@
         // A body that would be inflated to 4 GiB less one byte: field 8 with a byte, field 9 with that
         // length.
         byte[] promise = {8, 3, 0x42, 1, 0, 0x48, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, 0x0F};
-        assertThrows(Malformed.class, () -> codec.read(promise));
+        assertThrows(MalformedFrameException.class, () -> codec.read(promise));
         // A field of 2 GiB of which nothing comes.
         byte[] field = {8, 3, 0x42, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, 0x07};
-        assertThrows(Malformed.class, () -> codec.read(field));
-        assertThrows(Malformed.class, () -> codec.read(new byte[FrameCodec.MOST_FRAME + 1]));
-        assertThrows(Malformed.class, () -> codec.read(new byte[] {8, 99}));
+        assertThrows(MalformedFrameException.class, () -> codec.read(field));
+        assertThrows(MalformedFrameException.class, () -> codec.read(new byte[FrameCodec.MAX_FRAME_BYTES + 1]));
+        assertThrows(MalformedFrameException.class, () -> codec.read(new byte[] {8, 99}));
         byte[] good = codec.write(Frame.delta(
                 1,
                 2,
                 0,
                 true,
                 new PackedTree.Sum(1, 2),
-                List.of(new Frame.Entry(key(1).bytes(), Fields.utf8("v"), 2))));
+                List.of(new Frame.Entry(key(1).bytes(), FieldCodec.utf8("v"), 2))));
         java.util.SplittableRandom random = new java.util.SplittableRandom(5);
         for (int i = 0; i < 100_000; i++) {
             byte[] spoilt = good.clone();
             spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
             try {
                 codec.read(java.util.Arrays.copyOf(spoilt, random.nextInt(spoilt.length + 1)));
-            } catch (Malformed e) {
+            } catch (MalformedFrameException e) {
                 continue;
             }
         }
@@ -343,27 +347,28 @@
                 0,
                 true,
                 first.live().sum(),
-                List.of(new Frame.Entry(key(1).bytes(), Fields.utf8("x"), Version.of(1, 0))));
-        assertThrows(Malformed.class, () -> wire.replica.take(old, wire.nowUs), "an entry of before");
+                List.of(new Frame.Entry(key(1).bytes(), FieldCodec.utf8("x"), Version.of(1, 0))));
+        assertThrows(MalformedFrameException.class, () -> wire.replica.receive(old, wire.nowUs), "an entry of before");
         assertThrows(
-                Malformed.class,
-                () -> wire.replica.take(Frame.hello("x", 1, false, first.live().sum()), 1));
+                MalformedFrameException.class,
+                () -> wire.replica.receive(
+                        Frame.hello("x", 1, false, first.live().sum()), 1));
         assertThrows(
-                Malformed.class,
-                () -> wire.publisher.take(wire, Frame.current(1, first.live().sum()), 9, 1));
+                MalformedFrameException.class,
+                () -> wire.publisher.receive(wire, Frame.current(1, first.live().sum()), 9, 1));
         assertThrows(
-                Malformed.class,
-                () -> wire.publisher.take(
+                MalformedFrameException.class,
+                () -> wire.publisher.receive(
                         wire, Frame.spans(Type.WANT, 77, first.live().sum(), List.of()), 0, 1));
         for (int i = 0; i < 64; i++) {
-            wire.publisher.take(
+            wire.publisher.receive(
                     wire, Frame.hello("x", first.version(), false, first.live().sum()), 0, 1);
         }
         assertThrows(
-                Malformed.class,
+                MalformedFrameException.class,
                 () -> {
                     for (int i = 0; i < 64; i++) {
-                        wire.publisher.take(
+                        wire.publisher.receive(
                                 wire,
                                 Frame.hello(
                                         "x",
@@ -386,7 +391,7 @@
         int[] after = new int[18];
         int moved = 0;
         for (int i = 0; i < 2_200; i++) {
-            Choice choice = new Choice("node-" + i, publishers);
+            PublisherChoice choice = new PublisherChoice("node-" + i, publishers);
             int first = choice.next(0);
             before[first]++;
             if (first == 3) {
@@ -406,11 +411,11 @@
             assertTrue(before[i] > 80 && before[i] < 170, before[i] + " of 2,200");
             assertTrue(after[i] <= moved / 5, after[i] + " of " + moved);
         }
-        Choice all = new Choice("x", publishers.subList(0, 2));
+        PublisherChoice all = new PublisherChoice("x", publishers.subList(0, 2));
         all.failed(0, 0);
         all.failed(1, 0);
         assertTrue(all.whenUs(all.next(10)) > 10, "none may be asked now");
-        Choice near = new Choice("x", publishers, "control-5"::equals);
+        PublisherChoice near = new PublisherChoice("x", publishers, "control-5"::equals);
         assertEquals(5, near.next(0));
     }
 }
--- a/src/test/java/vetchpost/replication/Wire.java
+++ b/src/test/java/vetchpost/replication/Wire.java
@@ -48,7 +48,7 @@
         downBytes += frame.length;
         try {
             down.add(codec.read(frame));
-        } catch (Malformed e) {
+        } catch (MalformedFrameException e) {
             throw new AssertionError(e);
         }
     }
@@ -61,32 +61,32 @@
     /**
      * Passes on what the replica has said, and has the publisher answer with all that its budget allows now.
      */
-    void ask() throws Malformed {
+    void ask() throws MalformedFrameException {
         for (Frame frame : List.copyOf(up)) {
             up.remove(0);
             byte[] bytes = codec.write(frame);
             upBytes += bytes.length;
-            publisher.take(this, codec.read(bytes), bytes.length, nowUs);
+            publisher.receive(this, codec.read(bytes), bytes.length, nowUs);
         }
-        publisher.pump(nowUs);
+        publisher.sendPending(nowUs);
     }
 
     /** Time passes, until the publisher has nothing more to say; frames stay on their way. */
-    void fill() throws Malformed {
+    void fill() throws MalformedFrameException {
         ask();
         for (int i = 0; i < 1_000; i++) {
             nowUs += 50_000;
-            publisher.pump(nowUs);
+            publisher.sendPending(nowUs);
         }
     }
 
     /** Passes all on, both ways, for so long. */
-    void run(long us) throws Malformed, Replica.Refused {
+    void run(long us) throws MalformedFrameException, Replica.FrameRejectedException {
         long endUs = nowUs + us;
         while (nowUs < endUs) {
             ask();
             while (!down.isEmpty()) {
-                replica.take(down.remove(0), nowUs);
+                replica.receive(down.remove(0), nowUs);
                 ask();
             }
             nowUs += 5_000;
--- a/src/test/java/vetchpost/replication/disk/StoreFileTest.java
+++ b/src/test/java/vetchpost/replication/disk/StoreFileTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import vetchpost.replication.Frame;
 import vetchpost.replication.FrameCodec;
-import vetchpost.state.disk.PieceFile;
-import vetchpost.store.Change;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.state.disk.ChunkFile;
+import vetchpost.store.EntryChange;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
 
@@ -26,16 +26,16 @@
     private Path folder;
 
     private static VersionedStore store(int entries) {
-        List<Change> changes = new ArrayList<>();
+        List<EntryChange> changes = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
-            changes.add(Change.put(new Key(Kind.ROUTE, "/route/" + i), new byte[i % 90]));
+            changes.add(EntryChange.put(new EntryKey(EntryKind.ROUTE, "/route/" + i), new byte[i % 90]));
         }
         return VersionedStore.EMPTY
                 .with(changes, Version.of(1, 1))
                 .with(
                         List.of(
-                                Change.delete(new Key(Kind.ROUTE, "/route/3")),
-                                Change.put(new Key(Kind.TENANT, "ann"), new byte[9])),
+                                EntryChange.delete(new EntryKey(EntryKind.ROUTE, "/route/3")),
+                                EntryChange.put(new EntryKey(EntryKind.TENANT, "ann"), new byte[9])),
                         Version.of(2, 7));
     }
 
@@ -64,7 +64,7 @@
         VersionedStore store = store(3);
         VersionedStore other = store(5);
         try (FrameCodec codec = new FrameCodec()) {
-            new PieceFile(path, "VPSTORE1".getBytes(java.nio.charset.StandardCharsets.US_ASCII), 1 << 20)
+            new ChunkFile(path, "VPSTORE1".getBytes(java.nio.charset.StandardCharsets.US_ASCII), 1 << 20)
                     .write(List.of(
                             codec.write(Frame.delta(
                                     0, store.version(), 0, true, other.live().sum(), List.of())),
--- a/src/test/java/vetchpost/replication/net/ReplicaClientTest.java
+++ b/src/test/java/vetchpost/replication/net/ReplicaClientTest.java
@@ -23,13 +23,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import vetchpost.handover.Secret;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
 import vetchpost.replication.Index;
 import vetchpost.replication.Replica;
-import vetchpost.store.Change;
-import vetchpost.store.Key;
-import vetchpost.store.Kind;
+import vetchpost.store.EntryChange;
+import vetchpost.store.EntryKey;
+import vetchpost.store.EntryKind;
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
 
@@ -46,16 +46,17 @@
     }
 
     private static VersionedStore store(long number, int entries) {
-        List<Change> changes = new ArrayList<>();
+        List<EntryChange> changes = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
-            changes.add(Change.put(new Key(Kind.ROUTE, "/route/" + i), new byte[40]));
+            changes.add(EntryChange.put(new EntryKey(EntryKind.ROUTE, "/route/" + i), new byte[40]));
         }
         return VersionedStore.EMPTY.with(changes, Version.of(1, number));
     }
 
     private static VersionedStore more(VersionedStore store) {
         return store.with(
-                List.of(Change.put(new Key(Kind.ROUTE, "/more/" + store.version()), new byte[9])), store.version() + 1);
+                List.of(EntryChange.put(new EntryKey(EntryKind.ROUTE, "/more/" + store.version()), new byte[9])),
+                store.version() + 1);
     }
 
     private BlockingQueue<VersionedStore> follow(String secret, InetSocketAddress... publishers) throws Exception {
@@ -64,7 +65,7 @@
                     ReplicaClient client = new ReplicaClient(
                             loop,
                             Network.SYSTEM,
-                            Secret.ofText(secret),
+                            SharedSecret.parse(secret),
                             new SecureRandom(),
                             "node",
                             List.of(publishers),
@@ -75,7 +76,7 @@
                                     false,
                                     (store, index) -> inForce.add(store)));
                     clients.add(client);
-                    client.begin();
+                    client.start();
                 })
                 .get(30, TimeUnit.SECONDS);
         return inForce;
@@ -90,15 +91,15 @@
     @Test
     void aChangeIsToldToAllWhoKnowTheSecretAndToNobodyElse() throws Exception {
         VersionedStore first = store(1, 3_000);
-        try (Controls control = new Controls(first, Controls.SECRET, 0)) {
-            BlockingQueue<VersionedStore> one = follow(Controls.SECRET, control.address());
-            BlockingQueue<VersionedStore> two = follow(Controls.SECRET, control.address());
+        try (TestPublisher control = new TestPublisher(first, TestPublisher.SECRET, 0)) {
+            BlockingQueue<VersionedStore> one = follow(TestPublisher.SECRET, control.address());
+            BlockingQueue<VersionedStore> two = follow(TestPublisher.SECRET, control.address());
             BlockingQueue<VersionedStore> stranger =
                     follow("another secret that is as long as the one", control.address());
             assertEquals(first.live().sum(), next(one).live().sum());
             assertEquals(first.live().sum(), next(two).live().sum());
             VersionedStore second = more(first);
-            control.settle(second);
+            control.publish(second);
             assertEquals(second.live().sum(), next(one).live().sum());
             assertEquals(second.live().sum(), next(two).live().sum());
             assertNull(stranger.poll());
@@ -110,13 +111,15 @@
     void oneThatDiesIsFollowedByAnother() throws Exception {
         VersionedStore first = store(1, 100);
         VersionedStore second = more(first);
-        Controls[] both = {new Controls(first, Controls.SECRET, 0), new Controls(first, Controls.SECRET, 0)};
+        TestPublisher[] both = {
+            new TestPublisher(first, TestPublisher.SECRET, 0), new TestPublisher(first, TestPublisher.SECRET, 0)
+        };
         try {
-            BlockingQueue<VersionedStore> inForce = follow(Controls.SECRET, both[0].address(), both[1].address());
+            BlockingQueue<VersionedStore> inForce = follow(TestPublisher.SECRET, both[0].address(), both[1].address());
             next(inForce);
             int used = both[0].peers() == 1 ? 0 : 1;
             assertEquals(1, both[0].peers() + both[1].peers());
-            both[1 - used].settle(second);
+            both[1 - used].publish(second);
             both[used].close();
             assertEquals(second.live().sum(), next(inForce).live().sum());
         } finally {
@@ -131,17 +134,17 @@
         VersionedStore first = store(1, 10);
         for (int harm = 0; harm < 3; harm++) {
             int what = harm;
-            try (Controls control = new Controls(first, Controls.SECRET, 0);
+            try (TestPublisher control = new TestPublisher(first, TestPublisher.SECRET, 0);
                     ServerSocket between = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
                 Thread thread = new Thread(() -> pass(between, control.address(), what));
                 thread.setDaemon(true);
                 thread.start();
                 BlockingQueue<VersionedStore> inForce = follow(
-                        Controls.SECRET,
+                        TestPublisher.SECRET,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), between.getLocalPort()));
                 // The first connection is harmed, those after it are not.
                 assertEquals(first.live().sum(), next(inForce).live().sum());
-                assertTrue(clients.get(clients.size() - 1).replica().batches() == 1);
+                assertTrue(clients.get(clients.size() - 1).replica().appliedBatches() == 1);
             }
         }
     }
--- a/src/test/java/vetchpost/replication/net/Controls.java
+++ b/src/test/java/vetchpost/replication/net/TestPublisher.java
@@ -8,13 +8,13 @@
 import java.security.SecureRandom;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import vetchpost.handover.Secret;
+import vetchpost.handover.SharedSecret;
 import vetchpost.net.Network;
 import vetchpost.replication.Publisher;
 import vetchpost.store.VersionedStore;
 
 /** A control machine's publisher on a port of its own. */
-public final class Controls implements AutoCloseable {
+public final class TestPublisher implements AutoCloseable {
     public static final String SECRET = "a secret that is long enough for anybody";
     private static final long PATIENCE_S = 30;
 
@@ -24,11 +24,11 @@
     private final InetSocketAddress address;
 
     /** Tells this, to whoever knows that secret. */
-    public Controls(VersionedStore store, String secret, int port) throws Exception {
+    public TestPublisher(VersionedStore store, String secret, int port) throws Exception {
         server = on(() -> new PublisherServer(
                 loop,
                 Network.SYSTEM,
-                Secret.ofText(secret),
+                SharedSecret.parse(secret),
                 new SecureRandom(),
                 store,
                 new Publisher.Budget(1e6, 1e6, 1e7, 1e6)));
@@ -47,9 +47,9 @@
         return "127.0.0.1:" + address.getPort();
     }
 
-    public void settle(VersionedStore store) throws Exception {
+    public void publish(VersionedStore store) throws Exception {
         on(() -> {
-            server.settle(store);
+            server.publish(store);
             return null;
         });
     }
--- a/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
+++ b/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
@@ -64,7 +64,7 @@
     }
 
     /** The file in force in all nodes, if it is accepted by the settings that they are given. */
-    private record InForce(List<Section> sections, boolean[] refused) implements NodeProcess.Planting {
+    private record InForce(List<Section> sections, boolean[] refused) implements NodeProcess.Setup {
         @Override
         public NodeHooks seams(SimLoop loop) {
             return NodeHooks.NONE;
@@ -72,8 +72,8 @@
 
         @Override
         public RoutePolicy routes(Settings settings, long seed) {
-            Proof proof = Prover.prove(sections, settings);
-            refused[0] = !proof.holds();
+            RouteValidation proof = RouteValidator.validate(sections, settings);
+            refused[0] = !proof.isValid();
             return refused[0] ? RoutePolicy.NONE : new FileRoutePolicy(proof.table(), settings, seed);
         }
     }
--- a/src/test/java/vetchpost/routes/ChangesProperty.java
+++ b/src/test/java/vetchpost/routes/ChangesProperty.java
@@ -15,12 +15,12 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.lifecycle.AfterContainer;
 import vetchpost.decision.Balancer.Settings;
-import vetchpost.routes.Prover.RouteChange;
+import vetchpost.routes.RouteValidator.RouteChange;
 import vetchpost.routes.Section.Entry;
 import vetchpost.routes.Section.Kind;
 import vetchpost.routes.Violation.Rule;
-import vetchpost.store.Change.Op;
-import vetchpost.store.Key;
+import vetchpost.store.EntryChange.Op;
+import vetchpost.store.EntryKey;
 import vetchpost.store.PackedTree;
 
 /** Changes one after the other, proved by themselves, against the proof of the whole file with them in it. */
@@ -67,12 +67,12 @@
         return new Section(Kind.ROUTE, "", at, entries);
     }
 
-    private static Proof whole(List<Section> all, boolean alone) {
-        return alone ? Prover.proveAlone(all, SETTINGS) : Prover.prove(all, SETTINGS);
+    private static RouteValidation whole(List<Section> all, boolean alone) {
+        return alone ? RouteValidator.validateStandalone(all, SETTINGS) : RouteValidator.validate(all, SETTINGS);
     }
 
     /** Which of two that are the same is named depends on their order in the file. */
-    private static Set<String> rules(Proof proof) {
+    private static Set<String> rules(RouteValidation proof) {
         Set<String> rules = new TreeSet<>();
         proof.violations()
                 .forEach(v -> rules.add(
@@ -114,8 +114,8 @@
             List<Section> sections = new ArrayList<>(List.of(defaults));
             sections.addAll(after.values());
             sections.addAll(twice);
-            Proof whole = whole(sections, alone);
-            Proof changed = Prover.change(table, new ArrayList<>(batch.values()), version);
+            RouteValidation whole = whole(sections, alone);
+            RouteValidation changed = RouteValidator.validateChanges(table, new ArrayList<>(batch.values()), version);
             if (!known) {
                 assertTrue(rules(changed).contains("UNKNOWN_ENTRY"));
                 refused++;
@@ -125,7 +125,7 @@
                     rules(whole),
                     rules(changed),
                     () -> sections + "\n" + whole.violations() + "\n" + changed.violations());
-            if (!whole.holds()) {
+            if (!whole.isValid()) {
                 refused++;
                 continue;
             }
@@ -137,14 +137,15 @@
             PackedTree live = table.entries();
             // And who takes them in without a proof, in any order, comes to the same.
             for (RouteChange change : batch.values()) {
-                live = live.remove(new Key(vetchpost.store.Kind.ROUTE, change.name()).bytes());
-                settled = settled.settled(change.name(), null, live);
+                live = live.remove(new EntryKey(vetchpost.store.EntryKind.ROUTE, change.name()).bytes());
+                settled = settled.withRoute(change.name(), null, live);
             }
             for (RouteChange change : batch.values()) {
                 if (change.section() != null) {
                     byte[] bytes = RouteCodec.bytes(change.section());
-                    live = live.put(new Key(vetchpost.store.Kind.ROUTE, change.name()).bytes(), bytes, version);
-                    settled = settled.settled(change.name(), bytes, live);
+                    live = live.put(
+                            new EntryKey(vetchpost.store.EntryKind.ROUTE, change.name()).bytes(), bytes, version);
+                    settled = settled.withRoute(change.name(), bytes, live);
                 }
             }
             same(table, settled);
--- a/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
+++ b/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
@@ -13,7 +13,7 @@
 import vetchpost.core.RouteLimits;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.file.RouteFile;
-import vetchpost.store.Change;
+import vetchpost.store.EntryChange;
 
 /** What is counted for each route, and for each tenant of it. */
 class FileRoutePolicyTest {
@@ -63,7 +63,7 @@
 
     private static RouteTable table(String text, RouteTable before, long version) {
         RouteFile file = RouteFile.parse("f.toml", text);
-        Prover prover = Prover.begin(
+        RouteValidator prover = RouteValidator.begin(
                 file.sections().stream()
                         .filter(s -> s.kind() != Section.Kind.ROUTE)
                         .toList(),
@@ -100,24 +100,24 @@
         assertTrue(at(policy, "/view-page/two").tryAcquire());
         String changed = TWO.replace("concurrency = 1000", "concurrency = 1");
         RouteTable second = table("# another file\n" + changed + ONE, first, 2);
-        policy.settle(second, ProverTest.settings());
+        policy.replaceTable(second, ProverTest.settings());
         assertFalse(at(policy, "/view-page/one").mayRetry(), "its budget is back");
         assertTrue(at(policy, "/view-page/two").mayRetry(), "it has another budget now");
         assertFalse(at(policy, "/view-page/two").tryAcquire(), "what it has in hand is not counted any more");
-        RouteTable third = Prover.change(
+        RouteTable third = RouteValidator.validateChanges(
                         second,
-                        List.of(new Prover.RouteChange(
-                                Change.Op.DELETE, "/view-page/two", null, new Position("f", 1, 1))),
+                        List.of(new RouteValidator.RouteChange(
+                                EntryChange.Op.DELETE, "/view-page/two", null, new Position("f", 1, 1))),
                         3)
                 .table();
-        policy.settle(third, ProverTest.settings());
+        policy.replaceTable(third, ProverTest.settings());
         assertFalse(at(policy, "/view-page/one").mayRetry());
         // Another class says something else: that is nothing to this route.
         RouteTable aside = table("[class.add-photo]\nconcurrency = 5\n" + ONE, third, 4);
-        policy.settle(aside, ProverTest.settings());
+        policy.replaceTable(aside, ProverTest.settings());
         assertFalse(at(policy, "/view-page/one").mayRetry(), "its budget is back for a change of another class");
         // With other defaults each route has other limits.
-        policy.settle(table("[defaults]\nconcurrency = 5\n" + ONE, third, 4), ProverTest.settings());
+        policy.replaceTable(table("[defaults]\nconcurrency = 5\n" + ONE, third, 4), ProverTest.settings());
         assertTrue(at(policy, "/view-page/one").mayRetry());
     }
 
@@ -131,11 +131,11 @@
             assertTrue(held.get(i).tryAcquire());
         }
         assertFalse(at(policy, "/view-page/two").tryAcquire());
-        policy.settle(
-                Prover.change(
+        policy.replaceTable(
+                RouteValidator.validateChanges(
                                 first,
-                                List.of(new Prover.RouteChange(
-                                        Change.Op.DELETE, "/view-page/two", null, new Position("f", 1, 1))),
+                                List.of(new RouteValidator.RouteChange(
+                                        EntryChange.Op.DELETE, "/view-page/two", null, new Position("f", 1, 1))),
                                 2)
                         .table(),
                 ProverTest.settings());
@@ -147,7 +147,7 @@
         }
         spend(held.get(0));
         // Back under its name, it counts from none on, and what it had saved up is as it was left.
-        policy.settle(first, ProverTest.settings());
+        policy.replaceTable(first, ProverTest.settings());
         assertTrue(at(policy, "/view-page/two").tryAcquire());
         assertFalse(at(policy, "/view-page/two").mayRetry());
     }
@@ -163,13 +163,13 @@
             many.tenants.add(new vetchpost.decision.Balancer.Tenant("t" + i, 1));
         }
         RouteFile file = RouteFile.parse("f.toml", "[class.view-page]\nretry-budget = 0.1\nconcurrency = " + "2\n");
-        FileRoutePolicy policy =
-                new FileRoutePolicy(Prover.prove(file.sections(), many).table(), many, 1);
+        FileRoutePolicy policy = new FileRoutePolicy(
+                RouteValidator.validate(file.sections(), many).table(), many, 1);
         RouteLimits first = bounds(policy, 0);
         assertTrue(first.tryAcquire());
         spend(first);
         assertFalse(bounds(policy, 0).mayRetry());
-        for (int tenant = 1; tenant <= FileRoutePolicy.MOST_KEPT; tenant++) {
+        for (int tenant = 1; tenant <= FileRoutePolicy.MAX_TRACKED_STATES; tenant++) {
             bounds(policy, tenant);
         }
         assertTrue(bounds(policy, 0).mayRetry(), "the longest unused begins anew");
--- a/src/test/java/vetchpost/routes/ProverTest.java
+++ b/src/test/java/vetchpost/routes/ProverTest.java
@@ -48,14 +48,14 @@
                 false);
     }
 
-    static Proof prove(String text) {
+    static RouteValidation prove(String text) {
         RouteFile file = RouteFile.parse("f.toml", text);
         assertEquals(List.of(), file.violations());
-        return Prover.prove(file.sections(), settings());
+        return RouteValidator.validate(file.sections(), settings());
     }
 
     private static Violation only(String text) {
-        Proof proof = prove(text);
+        RouteValidation proof = prove(text);
         assertEquals(1, proof.violations().size(), proof.violations().toString());
         assertNull(proof.table());
         return proof.violations().get(0);
@@ -63,25 +63,25 @@
 
     @Test
     void noFileIsAFileThatSaysNothing() {
-        Proof proof = prove("");
-        assertTrue(proof.holds());
+        RouteValidation proof = prove("");
+        assertTrue(proof.isValid());
         assertEquals(
                 4,
                 proof.table()
                         .find("view-page", "GET", "/view-page/1", -1)
                         .limits()
-                        .attempts());
+                        .maxAttempts());
         assertEquals(
                 1,
                 proof.table()
                         .find("place-order", "POST", "/place-order/1", -1)
                         .limits()
-                        .attempts());
+                        .maxAttempts());
     }
 
     @Test
     void whatIsSaidForARouteComesBeforeItsClassAndThatBeforeTheDefaults() {
-        Proof proof = prove("""
+        RouteValidation proof = prove("""
                 [defaults]
                 retry-budget = 0.3
                 concurrency = 9
@@ -95,21 +95,21 @@
         assertEquals(List.of(), proof.violations());
         Limits large =
                 proof.table().find("view-page", "GET", "/view-page/large/1", -1).limits();
-        assertEquals(3, large.attempts());
-        assertEquals(8, large.concurrency());
-        assertEquals(0.3, large.retryBudget());
+        assertEquals(3, large.maxAttempts());
+        assertEquals(8, large.maxConcurrency());
+        assertEquals(0.3, large.retryBudgetFraction());
         assertEquals(
                 2,
                 proof.table()
                         .find("view-page", "GET", "/view-page/small", -1)
                         .limits()
-                        .attempts());
+                        .maxAttempts());
         assertEquals(
                 9,
                 proof.table()
                         .find("add-photo", "POST", "/add-photo", -1)
                         .limits()
-                        .concurrency());
+                        .maxConcurrency());
     }
 
     @ParameterizedTest
@@ -163,27 +163,27 @@
     void whatBreaksARuleIsRefused(String lines, Rule rule, String fits) {
         Violation violation = only(lines.replace("~", "\n"));
         assertEquals(rule, violation.rule(), violation.toString());
-        assertEquals(fits, violation.fits(), violation.toString());
-        assertTrue(violation.at().line() >= 1);
+        assertEquals(fits, violation.accepted(), violation.toString());
+        assertTrue(violation.position().line() >= 1);
     }
 
     /** What a message says would pass does pass. */
     @Test
     void theFigureThatWouldPassPasses() {
         assertTrue(prove("[class.add-photo]\nattempts = 3\nattempt-timeout = \"587500us\"")
-                .holds());
+                .isValid());
         assertTrue(prove("[class.add-photo]\nattempts = 2\nattempt-timeout = \"959ms\"\nbackoff = \"180ms\"\n"
                         + "jitter = 0.2")
-                .holds());
+                .isValid());
         assertTrue(prove("[class.view-page]\nattempts = 2\nattempt-timeout = \"200ms\"")
-                .holds());
+                .isValid());
         assertTrue(prove("[class.add-photo]\ncopy-after = \"1068181us\"\njitter = 0.1")
-                .holds());
+                .isValid());
     }
 
     @Test
     void everyViolationIsToldWithItsPlace() {
-        Proof proof = prove("""
+        RouteValidation proof = prove("""
                 [class.place-order]
                 attempts = 3
                 speed = 1
@@ -195,7 +195,7 @@
                 """);
         assertEquals(
                 List.of("f.toml:2:1", "f.toml:3:1", "f.toml:8:1"),
-                proof.violations().stream().map(v -> v.at().toString()).toList());
+                proof.violations().stream().map(v -> v.position().toString()).toList());
         assertEquals(
                 "f.toml:8:1: route photos: total-timeout is 9000ms, and clients wait 3000ms"
                         + " [PAST_CLIENT: no "
@@ -208,17 +208,17 @@
     void whatIsNoTomlIsToldByLine() {
         RouteFile file = RouteFile.parse("f.toml", "[defaults]\nattempts = = 3\n");
         assertEquals(Rule.SYNTAX, file.violations().get(0).rule());
-        assertEquals(2, file.violations().get(0).at().line());
+        assertEquals(2, file.violations().get(0).position().line());
     }
 
-    private static String found(Proof proof, String cls, String target, int tenant) {
+    private static String found(RouteValidation proof, String cls, String target, int tenant) {
         Route route = proof.table().find(cls, cls.equals("view-page") ? "GET" : "POST", target, tenant);
         return route == null ? null : route.name();
     }
 
     @Test
     void theMostSpecificRouteMatches() {
-        Proof proof = prove("""
+        RouteValidation proof = prove("""
                 [[route]]
                 name = "all-of-a"
                 class = "view-page"
@@ -255,7 +255,8 @@
 
     @Test
     void thereIsNoWayRoundARoute() {
-        Proof proof = prove("[[route]]\nname = \"large\"\npath =" + " \"/add-photo/large/{id}\"\nconcurrency = 1\n");
+        RouteValidation proof =
+                prove("[[route]]\nname = \"large\"\npath =" + " \"/add-photo/large/{id}\"\nconcurrency = 1\n");
         assertEquals("large", found(proof, "add-photo", "/add-photo/large/1", -1));
         assertEquals("large", found(proof, "add-photo", "/add-photo/%6Carge/1", -1));
         assertEquals("large", found(proof, "add-photo", "/add-photo//large///1", -1));
@@ -292,11 +293,11 @@
         long began = System.nanoTime();
         RouteFile file = RouteFile.parse("f.toml", text.toString());
         long read = System.nanoTime();
-        Proof proof = Prover.prove(file.sections(), settings());
+        RouteValidation proof = RouteValidator.validate(file.sections(), settings());
         long ms = (System.nanoTime() - began) / 1_000_000;
         System.out.println(
                 "10,000 routes read in " + (read - began) / 1_000_000 + " ms and proved, " + ms + " ms in all");
-        assertTrue(proof.holds());
+        assertTrue(proof.isValid());
         assertNotNull(proof.table());
         assertEquals("r4321", found(proof, "view-page", "/view-page/s43/x/p21", -1));
         // Generous: a busy machine is no failure of the file's.
@@ -305,9 +306,10 @@
 
     @Test
     void aPartOfTheFleetIsRead() {
-        assertNull(prove("").part());
+        assertNull(prove("").fleetSubset());
         assertEquals(
-                new Proof.Part(0, 40), prove("[fleet]\nnode = 0\nsubset = 40\n").part());
+                new RouteValidation.FleetSubset(0, 40),
+                prove("[fleet]\nnode = 0\nsubset = 40\n").fleetSubset());
     }
 
     @ParameterizedTest
@@ -321,7 +323,7 @@
     void aPartOfTheFleetThatCannotBeIsRefused(String lines, Rule rule, int line, String fits) {
         Violation violation = only("[fleet]\n" + lines.replace(';', '\n') + "\n");
         assertEquals(rule, violation.rule());
-        assertEquals(line, violation.at().line());
-        assertEquals(fits, violation.fits().replace("'", ""));
+        assertEquals(line, violation.position().line());
+        assertEquals(fits, violation.accepted().replace("'", ""));
     }
 }
--- a/src/test/java/vetchpost/routes/Believed.java
+++ b/src/test/java/vetchpost/routes/RouteFiles.java
@@ -9,22 +9,24 @@
 import vetchpost.routes.file.RouteFile;
 
 /** Files taken at their word, as if there were no prover. */
-public final class Believed {
-    private Believed() {}
+public final class RouteFiles {
+    private RouteFiles() {}
 
     /** The routes of a file, whatever rule it breaks. */
     public static RoutePolicy policy(String text, Settings settings, long seed) {
-        return new FileRoutePolicy(Prover.believe(sections(text), settings).table(), settings, seed);
+        return new FileRoutePolicy(
+                RouteValidator.believe(sections(text), settings).table(), settings, seed);
     }
 
     /** Whether the prover refuses the file for this rule, perhaps beside others. */
-    public static boolean isRefused(String text, Settings settings, Rule rule) {
-        return Prover.prove(sections(text), settings).violations().stream().anyMatch(v -> v.rule() == rule);
+    public static boolean isRejected(String text, Settings settings, Rule rule) {
+        return RouteValidator.validate(sections(text), settings).violations().stream()
+                .anyMatch(v -> v.rule() == rule);
     }
 
     /** Whether the prover takes it. */
     public static boolean isAccepted(String text, Settings settings) {
-        return Prover.prove(sections(text), settings).holds();
+        return RouteValidator.validate(sections(text), settings).isValid();
     }
 
     private static List<Section> sections(String text) {
--- a/src/test/java/vetchpost/routes/RoutesPageTest.java
+++ b/src/test/java/vetchpost/routes/RoutesPageTest.java
@@ -24,7 +24,7 @@
 
     @Test
     void everyKeyIsOnThePage() {
-        for (Prover.Key key : Prover.Key.values()) {
+        for (RouteValidator.Key key : RouteValidator.Key.values()) {
             assertTrue(page.lines().anyMatch(l -> l.startsWith("| `" + key.text() + "` | ")), key.text());
         }
     }
@@ -42,8 +42,8 @@
                 .filter(l -> l.matches("\\| `[a-z-]+` \\| .*"))
                 .map(l -> l.split("`")[1])
                 .toList();
-        named.forEach(key -> assertTrue(Prover.Key.of(key) != null, key));
-        assertEquals(Prover.Key.values().length, named.size());
+        named.forEach(key -> assertTrue(RouteValidator.Key.of(key) != null, key));
+        assertEquals(RouteValidator.Key.values().length, named.size());
     }
 
     @Test
@@ -51,6 +51,7 @@
         RouteFile file = RouteFile.parse("deploy/vetchpost.toml", read("deploy/vetchpost.toml"));
         assertEquals(List.of(), file.violations());
         assertEquals(
-                List.of(), Prover.prove(file.sections(), ProverTest.settings()).violations());
+                List.of(),
+                RouteValidator.validate(file.sections(), ProverTest.settings()).violations());
     }
 }
--- a/src/test/java/vetchpost/routes/file/FileIndexTest.java
+++ b/src/test/java/vetchpost/routes/file/FileIndexTest.java
@@ -32,7 +32,7 @@
         private FileIndex index;
 
         @Override
-        public void others(List<Section> sections) {
+        public void otherSections(List<Section> sections) {
             assertTrue(others.isEmpty() && routes.isEmpty(), "told twice, or after routes");
             others.addAll(sections);
         }
@@ -145,32 +145,33 @@
             text.append("[[route]]\npath = \"/r").append(i).append("\"\nconcurrency = 5\n");
         }
         FileIndex index = read(text.toString()).index;
-        FileIndex.Difference none = index.again(write(text.toString()));
-        assertEquals(List.of(), none.fresh());
-        assertEquals(List.of(), none.gone());
+        FileIndex.Difference none = index.reread(write(text.toString()));
+        assertEquals(List.of(), none.changedRoutes());
+        assertEquals(List.of(), none.removedRoutes());
         String changed = text.toString()
                         .replace("\"/r7\"\nconcurrency = 5", "\"/r7\"\nconcurrency = 6 # more")
                         .replace("[[route]]\npath = \"/r9\"\nconcurrency = 5\n", "")
                 + "[[route]]\npath = \"/r50\"\n";
-        FileIndex.Difference some = index.again(write(changed));
+        FileIndex.Difference some = index.reread(write(changed));
         assertEquals(
                 List.of("/r7", "/r50"),
-                some.fresh().stream().map(RouteCodec::nameOf).toList());
-        assertEquals(List.of("/r7", "/r9"), new ArrayList<>(new TreeSet<>(some.gone())));
-        assertEquals(24, some.fresh().get(0).at().line(), "where it stands now");
-        FileIndex.Difference back = some.index().again(write(text.toString()));
+                some.changedRoutes().stream().map(RouteCodec::nameOf).toList());
+        assertEquals(List.of("/r7", "/r9"), new ArrayList<>(new TreeSet<>(some.removedRoutes())));
+        assertEquals(24, some.changedRoutes().get(0).at().line(), "where it stands now");
+        FileIndex.Difference back = some.index().reread(write(text.toString()));
         assertEquals(
                 List.of("/r7", "/r9"),
-                back.fresh().stream().map(RouteCodec::nameOf).sorted().toList());
-        assertEquals(List.of("/r50", "/r7"), back.gone().stream().sorted().toList());
+                back.changedRoutes().stream().map(RouteCodec::nameOf).sorted().toList());
+        assertEquals(
+                List.of("/r50", "/r7"), back.removedRoutes().stream().sorted().toList());
         assertNull(
-                index.again(write(text.toString().replace("attempts = 2", "attempts = 3"))),
+                index.reread(write(text.toString().replace("attempts = 2", "attempts = 3"))),
                 "more than a route has changed");
-        assertNull(index.again(write(text + "[[route]]\npath = \"/r7\"\nconcurrency = 5\n")), "one is there twice");
-        assertNull(index.again(write(text + "[[route]\n")), "it is no TOML");
+        assertNull(index.reread(write(text + "[[route]]\npath = \"/r7\"\nconcurrency = 5\n")), "one is there twice");
+        assertNull(index.reread(write(text + "[[route]\n")), "it is no TOML");
         assertEquals(
                 1,
-                index.again(write(text + "[[route]]\npath = \n")).violations().size());
+                index.reread(write(text + "[[route]]\npath = \n")).violations().size());
     }
 
     @Test
@@ -190,7 +191,7 @@
                     file,
                     new FileIndex.Tables() {
                         @Override
-                        public void others(List<Section> sections) {
+                        public void otherSections(List<Section> sections) {
                             try {
                                 Files.writeString(file, "[[route]]\npath = \"/b\"\n");
                             } catch (IOException e) {
--- a/src/test/java/vetchpost/simulation/FirstMinuteTest.java
+++ b/src/test/java/vetchpost/simulation/FirstMinuteTest.java
@@ -34,7 +34,9 @@
 
     /** What did not go well, of all that was wanted: not served, or later than its class aims at. */
     static int badly(Result result) {
-        assertTrue(result.isGood(), () -> "seed " + result.seed() + ": " + result.violation() + " " + result.before());
+        assertTrue(
+                result.isGood(),
+                () -> "seed " + result.seed() + ": " + result.violation() + " " + result.precedingEvents());
         return result.wants() - result.served() + result.late();
     }
 
@@ -63,7 +65,7 @@
         return new Plan(seed, NODES, BOXES, 3, false, 100, endMs, 30 + random.nextInt(40), 2, faults, null);
     }
 
-    private static int[] run(int seeds, Supplier<NodeProcess.Planting> planting, LongFunction<Plan> plans) {
+    private static int[] run(int seeds, Supplier<NodeProcess.Setup> planting, LongFunction<Plan> plans) {
         return IntStream.rangeClosed(1, seeds)
                 .parallel()
                 .map(seed -> badly(Simulation.run(plans.apply(seed), planting.get(), null)))
@@ -91,8 +93,8 @@
     }
 
     /** Nodes that ask each other at the beginning, so that all is the same up to the restart. */
-    private static Supplier<NodeProcess.Planting> asking(boolean again) {
-        return () -> new Remembering(NODES, false, true) {
+    private static Supplier<NodeProcess.Setup> asking(boolean again) {
+        return () -> new StateKeepingNodes(NODES, false, true) {
             @Override
             boolean asks(int number, int start) {
                 return again || start == 1;
@@ -122,8 +124,8 @@
     /** A node whose file is a second old does so too. */
     @Test
     void whoRemembersDoesBetterInItsFirstMinute() {
-        int[] cold = run(SEEDS / 2, () -> new Remembering(NODES, false, false), FirstMinuteTest::plan);
-        int[] kept = run(SEEDS / 2, () -> new Remembering(NODES, true, false), FirstMinuteTest::plan);
+        int[] cold = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, false, false), FirstMinuteTest::plan);
+        int[] kept = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, true, false), FirstMinuteTest::plan);
         String figures = compare("file", cold, kept);
         assertTrue(mean(kept) < mean(cold) - 1.5, figures);
         assertTrue(worst(cold, kept) <= NOISE, figures);
