--- a/src/test/java/vetchpost/simulation/FleetSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/FleetSeedsTest.java
@@ -7,8 +7,8 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 import vetchpost.simulation.fleet.FleetRun;
+import vetchpost.simulation.fleet.FleetRun.DetectionMode;
 import vetchpost.simulation.fleet.FleetRun.Outcome;
-import vetchpost.simulation.fleet.FleetRun.Watch;
 
 /** Sources that err, checks that lie and boxes that fall ill: a few seeds, and the same seed twice. */
 class FleetSeedsTest {
@@ -17,14 +17,14 @@
     @Test
     void noRuleIsBroken() {
         double served = 0;
-        for (Watch watch : List.of(Watch.REQUESTS, Watch.BOTH)) {
+        for (DetectionMode watch : List.of(DetectionMode.REQUESTS, DetectionMode.BOTH)) {
             List<Outcome> outcomes = LongStream.rangeClosed(1, SEEDS)
                     .parallel()
-                    .mapToObj(seed -> FleetRun.play(seed, watch))
+                    .mapToObj(seed -> FleetRun.run(seed, watch))
                     .toList();
             for (int i = 0; i < SEEDS; i++) {
-                assertEquals(List.of(), outcomes.get(i).broken(), "seed " + (i + 1) + " by " + watch);
-                served += (double) outcomes.get(i).served() / outcomes.get(i).wanted() / SEEDS / 2;
+                assertEquals(List.of(), outcomes.get(i).violations(), "seed " + (i + 1) + " by " + watch);
+                served += (double) outcomes.get(i).served() / outcomes.get(i).requests() / SEEDS / 2;
             }
         }
         assertTrue(served > 0.99, "served " + served);
@@ -35,11 +35,11 @@
         LongStream.rangeClosed(1, SEEDS)
                 .parallel()
                 .forEach(seed -> assertEquals(
-                        List.of(), FleetRun.play(seed, Watch.BOTH, true).broken(), "seed " + seed));
+                        List.of(), FleetRun.run(seed, DetectionMode.BOTH, true).violations(), "seed " + seed));
     }
 
     @Test
     void theSameSeedGivesTheSameRun() {
-        assertEquals(FleetRun.play(7, Watch.BOTH), FleetRun.play(7, Watch.BOTH));
+        assertEquals(FleetRun.run(7, DetectionMode.BOTH), FleetRun.run(7, DetectionMode.BOTH));
     }
 }
--- a/src/test/java/vetchpost/simulation/HardCasesTest.java
+++ b/src/test/java/vetchpost/simulation/HardCasesTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import vetchpost.simulation.check.Expected.Again;
-import vetchpost.simulation.net.End;
+import vetchpost.simulation.check.ExpectedRequest.RetryPolicy;
+import vetchpost.simulation.net.SimulatedSocket;
 import vetchpost.simulation.wire.Message;
-import vetchpost.simulation.world.Box;
+import vetchpost.simulation.world.SimulatedServer;
 
 /** Orders of events that nobody can arrange by hand on real sockets, each over many seeds. */
 @Timeout(300)
@@ -32,7 +32,7 @@
         int toDrained = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             Stage stage = new Stage(seed, 2, 1, pushed);
-            Box drained = stage.boxes.get(0);
+            SimulatedServer drained = stage.boxes.get(0);
             int[] after = new int[1];
             long[] toldNs = {Long.MAX_VALUE};
             stage.boxes.get(0).script((end, request) -> {
@@ -156,11 +156,11 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             Stage stage = new Stage(seed, 2, 1, false);
             // Only one of them takes anything in at first.
-            stage.boxes.get(0).deaf(10_000);
-            stage.boxes.get(1).deaf(60);
+            stage.boxes.get(0).discardInput(10_000);
+            stage.boxes.get(1).discardInput(60);
             List<Stage.Asker> orders = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                orders.add(stage.ask("place-order", Again.UNSAFE, 600, 64_000));
+                orders.add(stage.ask("place-order", RetryPolicy.UNSAFE, 600, 64_000));
             }
             stage.runMs(50);
             stage.boxes.get(0).kill();
@@ -182,17 +182,17 @@
             Stage stage = new Stage(seed, 2, 1, false);
             for (int i = 0; i < 2; i++) {
                 boolean rude = i == 0;
-                Box box = stage.boxes.get(i);
-                box.deaf(rude ? 10_000 : 60);
-                box.script(new Box.Script() {
+                SimulatedServer box = stage.boxes.get(i);
+                box.discardInput(rude ? 10_000 : 60);
+                box.script(new SimulatedServer.Script() {
                     @Override
-                    public boolean asked(End end, Message request) {
+                    public boolean handle(SimulatedSocket end, Message request) {
                         stage.asked.add(request);
                         return false;
                     }
 
                     @Override
-                    public void connected(End end) {
+                    public void connected(SimulatedSocket end) {
                         if (rude) {
                             stage.time.after(
                                     30 * Stage.MS,
@@ -203,7 +203,7 @@
             }
             List<Stage.Asker> orders = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                orders.add(stage.ask("place-order", Again.UNSAFE, 900, 64_000));
+                orders.add(stage.ask("place-order", RetryPolicy.UNSAFE, 900, 64_000));
             }
             stage.runMs(1_200);
             for (Stage.Asker order : orders) {
@@ -219,7 +219,7 @@
     void sigtermWithRequestsInEveryState() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Stage stage = new Stage(seed, 2, 1, false);
-            stage.boxes.get(0).deaf(200);
+            stage.boxes.get(0).discardInput(200);
             stage.boxes.get(1).slow(30, 5_000);
             List<Stage.Asker> askers = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
@@ -317,7 +317,7 @@
             stage.runMs(seed % 7);
             askers.forEach(Stage.Asker::leave);
             stage.runMs(2_500);
-            left += stage.checker.left();
+            left += stage.checker.abandonedCount();
             stage.end();
             assertKept(stage, seed);
         }
@@ -332,8 +332,8 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             Stage stage = new Stage(seed, 3, 1, pushed);
             stage.runMs(seed * 37 % 2_000);
-            stage.directory.silence();
-            stage.directory.calls(1_500);
+            stage.directory.silenceWatches();
+            stage.directory.setCallDelay(1_500);
             stage.runMs(seed * 91 % 3_000);
             stage.directory.changedNow(stage.boxes.get(0), "Terminating");
             List<Stage.Asker> views = new ArrayList<>();
@@ -393,7 +393,7 @@
     void aBoxAtTheAddressOfOneThatWasNotTakenBack() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Stage stage = new Stage(seed, 2, 1, false);
-            Box replaced = stage.boxes.get(0);
+            SimulatedServer replaced = stage.boxes.get(0);
             replaced.kill();
             replaced.rename();
             replaced.start(true);
--- a/src/test/java/vetchpost/simulation/Planted.java
+++ b/src/test/java/vetchpost/simulation/InjectedFaults.java
@@ -35,7 +35,7 @@
 import vetchpost.simulation.world.NodeProcess;
 
 /** Faults planted in nodes: each is one that a careless change could bring, and one that must be caught. */
-enum Planted implements NodeProcess.Planting {
+enum InjectedFaults implements NodeProcess.Setup {
     /** Whatever is reset is taken never to have run. */
     RESENT_AFTER_RESET(Rule.TWICE) {
         @Override
@@ -178,7 +178,7 @@
     /** Refusals are written twice. */
     ANSWERED_TWICE(Rule.LOST) {
         @Override
-        public void opened(Channel channel) {
+        public void connectionOpened(Channel channel) {
             channel.pipeline().addFirst(new ChannelOutboundHandlerAdapter() {
                 @Override
                 public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
@@ -198,7 +198,7 @@
         private int read;
 
         @Override
-        public void opened(Channel channel) {
+        public void connectionOpened(Channel channel) {
             channel.pipeline().addFirst(new ChannelInboundHandlerAdapter() {
                 @Override
                 public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -236,7 +236,7 @@
 
     final Rule rule;
 
-    Planted(Rule rule) {
+    InjectedFaults(Rule rule) {
         this.rule = rule;
     }
 
--- a/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
@@ -12,8 +12,8 @@
 import vetchpost.node.NodeHooks;
 import vetchpost.simulation.Fault.Kind;
 import vetchpost.simulation.net.SimLoop;
-import vetchpost.simulation.world.Box;
 import vetchpost.simulation.world.NodeProcess;
+import vetchpost.simulation.world.SimulatedServer;
 
 /** Nodes before two thousand boxes, whose lists come in slices, and lists that shrink. */
 @Timeout(300)
@@ -29,7 +29,7 @@
                     fault.atMs() % 3_000,
                     fault.kind(),
                     (int) (fault.target() * 131L % BOXES),
-                    fault.forMs(),
+                    fault.durationMs(),
                     fault.amount()));
         }
         for (int i = 0; i < BOXES; i += 10) {
@@ -53,13 +53,13 @@
     void oneShrunkenListCostsNothing() {
         Stage stage = new Stage(3, 40, 1, true);
         int[] toOthers = new int[1];
-        for (Box box : stage.boxes.subList(4, 40)) {
+        for (SimulatedServer box : stage.boxes.subList(4, 40)) {
             box.script((end, request) -> {
                 toOthers[0]++;
                 return false;
             });
         }
-        stage.directory.shrinkOnce();
+        stage.directory.shrinkOneList();
         List<Stage.Asker> askers = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             askers.add(stage.view(300));
@@ -76,10 +76,10 @@
     @Test
     void aListThatStaysShrunkenIsObeyed() {
         Stage stage = new Stage(3, 40, 1, true);
-        stage.directory.shrink(10_000);
+        stage.directory.shrinkLists(10_000);
         stage.runMs(500);
         int[] toOthers = new int[1];
-        for (Box box : stage.boxes.subList(4, 40)) {
+        for (SimulatedServer box : stage.boxes.subList(4, 40)) {
             box.script((end, request) -> {
                 toOthers[0]++;
                 return false;
@@ -95,7 +95,7 @@
     }
 
     /** Nodes that have a part of the fleet each. */
-    private record Parts(int subset) implements NodeProcess.Planting {
+    private record Parts(int subset) implements NodeProcess.Setup {
         @Override
         public NodeHooks seams(SimLoop loop) {
             return NodeHooks.NONE;
@@ -111,8 +111,8 @@
     @Test
     void aNodeWhosePartIsDeadTurnsToOthers() {
         Stage stage = new Stage(5, 40, 10, new Parts(4));
-        Set<Box> asked = new HashSet<>();
-        for (Box box : stage.boxes) {
+        Set<SimulatedServer> asked = new HashSet<>();
+        for (SimulatedServer box : stage.boxes) {
             box.script((end, request) -> {
                 asked.add(box);
                 return false;
@@ -120,7 +120,7 @@
         }
         askFor(stage, 300);
         assertEquals(4, asked.size(), "a rack, and no more");
-        List.copyOf(asked).forEach(Box::kill);
+        List.copyOf(asked).forEach(SimulatedServer::kill);
         askFor(stage, 1_500);
         asked.clear();
         List<Stage.Asker> askers = askFor(stage, 600);
--- a/src/test/java/vetchpost/simulation/ManyNodesSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/ManyNodesSeedsTest.java
@@ -26,7 +26,7 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             Plan plan = Plan.many(seed, NODES);
             assertEquals(NODES, plan.nodes());
-            assertTrue(plan.boxes() >= 40 && plan.boxes() <= 60, plan.boxes() + " boxes");
+            assertTrue(plan.servers() >= 40 && plan.servers() <= 60, plan.servers() + " boxes");
             plan.faults().forEach(f -> seen.add(f.kind()));
         }
         assertTrue(
--- a/src/test/java/vetchpost/simulation/OldListTest.java
+++ b/src/test/java/vetchpost/simulation/OldListTest.java
@@ -14,10 +14,10 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.simulation.world.NodeProcess;
 import vetchpost.simulation.world.World;
-import vetchpost.state.BoxState;
-import vetchpost.state.Confirmed;
-import vetchpost.state.Origin;
-import vetchpost.state.codec.PieceCodec;
+import vetchpost.state.ConfirmationSource;
+import vetchpost.state.ServerRecord;
+import vetchpost.state.SnapshotOrigin;
+import vetchpost.state.codec.ChunkCodec;
 
 /** Nodes that start with an old snapshot, no list, and a discovery that says nothing. */
 @Timeout(300)
@@ -31,21 +31,21 @@
     /** Twelve of the boxes that run, and three that have been retired since. */
     private static List<byte[]> snapshot(long ageMs) {
         long ms = World.EPOCH_MS - ageMs;
-        List<BoxState> boxes = new ArrayList<>();
+        List<ServerRecord> boxes = new ArrayList<>();
         for (int i = 0; i < LISTED; i++) {
             boxes.add(box("s-" + i + "-0", "10.1.0." + (i + 1), i % 4, ms));
         }
         for (int i = 0; i < RETIRED; i++) {
             boxes.add(box("s-" + (90 + i) + "-0", "10.1.0." + (200 + i), i, ms));
         }
-        return List.of(PieceCodec.write(0, 1, new Origin(1, ms, ms - HOUR_MS, 40, Set.of()), List.of(), boxes));
+        return List.of(ChunkCodec.write(0, 1, new SnapshotOrigin(1, ms, ms - HOUR_MS, 40, Set.of()), List.of(), boxes));
     }
 
-    private static BoxState box(String id, String host, int rack, long ms) {
-        return new BoxState(
+    private static ServerRecord box(String id, String host, int rack, long ms) {
+        return new ServerRecord(
                 new Target(id, new InetSocketAddress(host, 8443), "room", rack, ServerState.READY, 1, 0),
                 ms,
-                Confirmed.LIST,
+                ConfirmationSource.LIST,
                 0,
                 null);
     }
@@ -62,10 +62,10 @@
         return new Plan(seed, 1, RUNNING, 4, false, 100, lengthMs, 40, 2, faults, null);
     }
 
-    private static NodeProcess.Planting starting(long ageMs) {
-        Remembering nodes = new Remembering(1, true, false) {
+    private static NodeProcess.Setup starting(long ageMs) {
+        StateKeepingNodes nodes = new StateKeepingNodes(1, true, false) {
             @Override
-            public boolean isUnlisted(int number, int start) {
+            public boolean startsWithoutList(int number, int start) {
                 return true;
             }
         };
@@ -77,7 +77,8 @@
 
     private static Result run(Plan plan, long ageMs) {
         Result result = Simulation.run(plan, starting(ageMs), null);
-        assertTrue(result.isGood(), () -> "seed " + result.seed() + ": " + result.violation() + result.before());
+        assertTrue(
+                result.isGood(), () -> "seed " + result.seed() + ": " + result.violation() + result.precedingEvents());
         return result;
     }
 
--- a/src/test/java/vetchpost/simulation/RoutesTest.java
+++ b/src/test/java/vetchpost/simulation/RoutesTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import vetchpost.simulation.check.Expected.Again;
+import vetchpost.simulation.check.ExpectedRequest.RetryPolicy;
 
 /** An operator's routes in force, on the production node in simulated time. */
 @Timeout(120)
@@ -144,8 +144,8 @@
     @Test
     void aBodyLongerThanItsRouteTakesIsTold() {
         Stage stage = stage(2, "[class.place-order]\nmax-body = \"100B\"\n");
-        Stage.Asker small = stage.ask("place-order", Again.UNSAFE, WAIT_MS, 100);
-        Stage.Asker large = stage.ask("place-order", Again.UNSAFE, WAIT_MS, 101);
+        Stage.Asker small = stage.ask("place-order", RetryPolicy.UNSAFE, WAIT_MS, 100);
+        Stage.Asker large = stage.ask("place-order", RetryPolicy.UNSAFE, WAIT_MS, 101);
         stage.runMs(WAIT_MS);
         assertEquals(200, small.status());
         assertEquals(413, large.status());
@@ -190,11 +190,11 @@
         stage.script((end, request) -> true);
         Stage.Asker first = stage.view(WAIT_MS);
         stage.runMs(20);
-        stage.node.routes(Stage.policy(""));
+        stage.node.setRoutes(Stage.policy(""));
         Stage.Asker second = stage.view(WAIT_MS);
         stage.runMs(20);
         assertEquals(0, second.status(), "its route is gone, and its limit");
-        stage.node.routes(Stage.policy("[[route]]\npath = \"/view-page/{n}\"\nconcurrency = 1\n"));
+        stage.node.setRoutes(Stage.policy("[[route]]\npath = \"/view-page/{n}\"\nconcurrency = 1\n"));
         Stage.Asker third = stage.view(WAIT_MS);
         stage.runMs(20);
         assertEquals(0, third.status(), "a new route counts from nothing");
--- a/src/test/java/vetchpost/simulation/SeedsTest.java
+++ b/src/test/java/vetchpost/simulation/SeedsTest.java
@@ -21,7 +21,7 @@
     void noSeedBreaksARuleWhereNodesRemember() throws Exception {
         Seeds.assertNoneBreaksARule(SEEDS / 4, seed -> {
             Plan plan = Plan.of(seed);
-            return Simulation.run(plan, Remembering.of(plan), null);
+            return Simulation.run(plan, StateKeepingNodes.of(plan), null);
         });
     }
 
@@ -30,7 +30,7 @@
     void noSeedBreaksARuleBehindTheDoor() throws Exception {
         Seeds.assertNoneBreaksARule(SEEDS / 4, seed -> {
             Plan plan = Plan.of(seed);
-            return Simulation.run(plan, new Guarded(Remembering.of(plan)), null);
+            return Simulation.run(plan, new AdmissionControlledNodes(StateKeepingNodes.of(plan)), null);
         });
     }
 
@@ -42,7 +42,7 @@
             assertEquals(once.digest(), again.digest());
             assertEquals(once.events(), again.events());
             Plan plan = Plan.of(seed);
-            Guarded door = new Guarded(loop -> NodeHooks.NONE);
+            AdmissionControlledNodes door = new AdmissionControlledNodes(loop -> NodeHooks.NONE);
             assertEquals(
                     Simulation.run(plan, door, null).digest(),
                     Simulation.run(plan, door, null).digest());
--- a/src/test/java/vetchpost/simulation/SimulateCommandTest.java
+++ b/src/test/java/vetchpost/simulation/SimulateCommandTest.java
@@ -73,9 +73,9 @@
         assertFalse(runs.areGood());
         assertEquals(Set.of(2L), runs.thrown().keySet());
         assertTrue(runs.summary().startsWith("3 seeds, 1 failed, "), runs.summary());
-        SeedFault fault = assertThrows(
-                SeedFault.class,
-                () -> SeedFault.naming(7, () -> {
+        SeedRunException fault = assertThrows(
+                SeedRunException.class,
+                () -> SeedRunException.withSeed(7, () -> {
                     throw new IllegalStateException("planted");
                 }));
         assertTrue(fault.getMessage().startsWith("seed 7: "), fault.getMessage());
@@ -164,18 +164,19 @@
         // The first seed that catches it, whatever plans look like.
         long seed = 1;
         while (seed < 200
-                && Simulation.run(Plan.of(seed), Planted.RESENT_AFTER_RESET, null)
+                && Simulation.run(Plan.of(seed), InjectedFaults.RESENT_AFTER_RESET, null)
                         .isGood()) {
             seed++;
         }
         Plan failing = Plan.of(seed);
-        Result first = Simulation.run(failing, Planted.RESENT_AFTER_RESET, null);
+        Result first = Simulation.run(failing, InjectedFaults.RESENT_AFTER_RESET, null);
         assertEquals(Rule.TWICE, first.violation().rule());
-        Shrinker shrinker = new Shrinker(p -> Simulation.run(p, Planted.RESENT_AFTER_RESET, null), Rule.TWICE);
+        Shrinker shrinker = new Shrinker(p -> Simulation.run(p, InjectedFaults.RESENT_AFTER_RESET, null), Rule.TWICE);
         Plan small = shrinker.shrink(failing);
-        Result still = Simulation.run(small, Planted.RESENT_AFTER_RESET, null);
+        Result still = Simulation.run(small, InjectedFaults.RESENT_AFTER_RESET, null);
         assertEquals(Rule.TWICE, still.violation().rule());
         assertTrue(small.faults().size() < failing.faults().size(), small.toString());
-        assertTrue(still.tried() < first.tried() / 2, still.tried() + " of " + first.tried());
+        assertTrue(
+                still.requestsSent() < first.requestsSent() / 2, still.requestsSent() + " of " + first.requestsSent());
     }
 }
--- a/src/test/java/vetchpost/simulation/Stage.java
+++ b/src/test/java/vetchpost/simulation/Stage.java
@@ -18,28 +18,28 @@
 import vetchpost.decision.Balancer.Tenant;
 import vetchpost.node.NodeHooks;
 import vetchpost.routes.FileRoutePolicy;
-import vetchpost.routes.Proof;
-import vetchpost.routes.Prover;
+import vetchpost.routes.RouteValidation;
+import vetchpost.routes.RouteValidator;
 import vetchpost.routes.file.RouteFile;
 import vetchpost.simulation.check.Checker;
-import vetchpost.simulation.check.Expected;
-import vetchpost.simulation.check.Expected.Again;
+import vetchpost.simulation.check.ExpectedRequest;
+import vetchpost.simulation.check.ExpectedRequest.RetryPolicy;
 import vetchpost.simulation.check.Violation;
-import vetchpost.simulation.net.End;
-import vetchpost.simulation.net.Host;
+import vetchpost.simulation.net.SimulatedHost;
+import vetchpost.simulation.net.SimulatedSocket;
 import vetchpost.simulation.net.Tap;
 import vetchpost.simulation.net.Tcp;
 import vetchpost.simulation.net.VirtualTime;
 import vetchpost.simulation.wire.Message;
 import vetchpost.simulation.wire.MessageParser;
-import vetchpost.simulation.world.Box;
-import vetchpost.simulation.world.Classes;
 import vetchpost.simulation.world.Clients;
-import vetchpost.simulation.world.Directory;
-import vetchpost.simulation.world.Effects;
 import vetchpost.simulation.world.NodeProcess;
 import vetchpost.simulation.world.Nodes;
+import vetchpost.simulation.world.RequestClasses;
+import vetchpost.simulation.world.RequestEffects;
 import vetchpost.simulation.world.Rules;
+import vetchpost.simulation.world.SimulatedDiscovery;
+import vetchpost.simulation.world.SimulatedServer;
 import vetchpost.simulation.world.World;
 
 /** One node, a few boxes that do as a test says, and a client that asks just what it is told to. */
@@ -48,15 +48,15 @@
 
     final VirtualTime time = new VirtualTime();
     final List<Violation> violations = new ArrayList<>();
-    final List<Box> boxes = new ArrayList<>();
+    final List<SimulatedServer> boxes = new ArrayList<>();
     /** What boxes were asked, in order. */
     final List<Message> asked = new ArrayList<>();
 
     final Checker checker = new Checker(time, Rules.limits(), violations::add);
-    final Directory directory;
+    final SimulatedDiscovery directory;
     final NodeProcess node;
     final Clients clients;
-    private final Host client;
+    private final SimulatedHost client;
     private int txns;
 
     /** Classes like the stage's. */
@@ -75,7 +75,8 @@
     /** The routes of a file. */
     static RoutePolicy policy(String routes) {
         Settings settings = settings();
-        Proof proof = Prover.prove(RouteFile.parse("routes.toml", routes).sections(), settings);
+        RouteValidation proof =
+                RouteValidator.validate(RouteFile.parse("routes.toml", routes).sections(), settings);
         assertEquals(List.of(), proof.violations());
         return new FileRoutePolicy(proof.table(), settings, 1);
     }
@@ -86,7 +87,7 @@
 
     Stage(long seed, int boxCount, int racks, boolean pushed, String routes) {
         this(seed, boxCount, racks, pushed);
-        node.routes(policy(routes));
+        node.setRoutes(policy(routes));
     }
 
     Stage(long seed, int boxCount, int racks, boolean pushed) {
@@ -94,7 +95,7 @@
     }
 
     /** With planted parts. */
-    Stage(long seed, int boxCount, int racks, NodeProcess.Planting planting) {
+    Stage(long seed, int boxCount, int racks, NodeProcess.Setup planting) {
         this(seed, boxCount, racks, false, 10, planting);
     }
 
@@ -103,25 +104,26 @@
         this(seed, boxCount, racks, pushed, workMs, loop -> NodeHooks.NONE);
     }
 
-    private Stage(long seed, int boxCount, int racks, boolean pushed, int workMs, NodeProcess.Planting planting) {
+    private Stage(long seed, int boxCount, int racks, boolean pushed, int workMs, NodeProcess.Setup planting) {
         Tcp tcp = new Tcp(time, new SplittableRandom(seed));
-        World world = new World(seed, time, tcp, checker, new Classes(workMs), (what, who, detail, number) -> {});
-        Effects effects = new Effects(world, violations::add);
+        World world =
+                new World(seed, time, tcp, checker, new RequestClasses(workMs), (what, who, detail, number) -> {});
+        RequestEffects effects = new RequestEffects(world, violations::add);
         clients = new Clients(world, effects);
         client = tcp.host("client", Tap.NONE);
         Nodes nodes = new Nodes();
-        directory = new Directory(world, nodes);
+        directory = new SimulatedDiscovery(world, nodes);
         node = new NodeProcess(world, clients, directory, planting, violations::add, pushed, 1, 0);
         nodes.add(node);
         for (int i = 0; i < boxCount; i++) {
-            Box box = new Box(world, effects, i, i % racks, 2);
+            SimulatedServer box = new SimulatedServer(world, effects, i, i % racks, 2);
             box.start(false);
             box.script((end, request) -> {
                 asked.add(request);
                 return false;
             });
-            directory.knows(box);
-            node.knows(box);
+            directory.addServer(box);
+            node.addServer(box);
             boxes.add(box);
         }
         node.start();
@@ -129,10 +131,10 @@
     }
 
     /** Has all boxes do so with each request. */
-    void script(Box.Script script) {
+    void script(SimulatedServer.Script script) {
         boxes.forEach(box -> box.script((end, request) -> {
             asked.add(request);
-            return script.asked(end, request);
+            return script.handle(end, request);
         }));
     }
 
@@ -152,7 +154,7 @@
     final class Asker {
         final List<Message> answers = new ArrayList<>();
         private final MessageParser parser = new MessageParser(answers::add);
-        private End end;
+        private SimulatedSocket end;
         private boolean said;
 
         void leave() {
@@ -165,20 +167,20 @@
     }
 
     /** Asks on a connection of its own. */
-    Asker ask(String kind, Again again, long remainingMs, int bodyBytes) {
+    Asker ask(String kind, RetryPolicy again, long remainingMs, int bodyBytes) {
         String txn = String.format(Locale.ROOT, "%016x", ++txns);
-        String body = "b".repeat(again == Again.SAFE ? 0 : bodyBytes);
+        String body = "b".repeat(again == RetryPolicy.SAFE ? 0 : bodyBytes);
         byte[] bytes = Message.bytes(
-                (again == Again.SAFE ? "GET /" : "POST /") + kind + "/1 HTTP/1.1",
+                (again == RetryPolicy.SAFE ? "GET /" : "POST /") + kind + "/1 HTTP/1.1",
                 "Host: b\r\nX-Txn: " + txn + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
-                        + (again == Again.KEYED ? "Idempotency-Key: k" + txn + "\r\n" : "")
-                        + (again == Again.SAFE ? "" : "Content-Length: " + body.length() + "\r\n"),
+                        + (again == RetryPolicy.KEYED ? "Idempotency-Key: k" + txn + "\r\n" : "")
+                        + (again == RetryPolicy.SAFE ? "" : "Content-Length: " + body.length() + "\r\n"),
                 body);
         Asker asker = new Asker();
         asker.end = client.connect(new InetSocketAddress("10.0.0.1", 8443), () -> {
             if (asker.end.isOpen() && !asker.said) {
                 asker.said = true;
-                checker.expect(new Expected(txn, again, time.nanoTime() + remainingMs * MS, 10 * MS));
+                checker.expect(new ExpectedRequest(txn, again, time.nanoTime() + remainingMs * MS, 10 * MS));
                 say(asker.end, bytes, 0);
             }
             while (asker.end.readable() > 0) {
@@ -188,7 +190,7 @@
         return asker;
     }
 
-    private void say(End end, byte[] bytes, int from) {
+    private void say(SimulatedSocket end, byte[] bytes, int from) {
         int to;
         try {
             to = from + end.write(Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + 4_096)));
@@ -201,21 +203,21 @@
     }
 
     Asker view(long remainingMs) {
-        return ask("view-page", Again.SAFE, remainingMs, 0);
+        return ask("view-page", RetryPolicy.SAFE, remainingMs, 0);
     }
 
     Asker photo(long remainingMs) {
-        return ask("add-photo", Again.KEYED, remainingMs, 10);
+        return ask("add-photo", RetryPolicy.KEYED, remainingMs, 10);
     }
 
     Asker order(long remainingMs) {
-        return ask("place-order", Again.UNSAFE, remainingMs, 10);
+        return ask("place-order", RetryPolicy.UNSAFE, remainingMs, 10);
     }
 
     /** Answers a request as a box would, and has the checker know. */
-    void serve(End end, Message request) {
+    void serve(SimulatedSocket end, Message request) {
         String body = "made for " + request.field("x-txn");
-        checker.made(request.field("x-txn"), body);
+        checker.serverAnswers(request.field("x-txn"), body);
         end.put(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
     }
--- a/src/test/java/vetchpost/simulation/TeethTest.java
+++ b/src/test/java/vetchpost/simulation/TeethTest.java
@@ -14,7 +14,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void everyPlantedFaultIsCaught(Planted planted) {
+    void everyPlantedFaultIsCaught(InjectedFaults planted) {
         Result caught = null;
         for (long seed = 1; seed <= SEEDS && caught == null; seed++) {
             Result result = Simulation.run(Plan.of(seed), planted, null);
@@ -22,7 +22,7 @@
         }
         assertNotNull(caught, planted + " escapes");
         System.out.println(planted + " is caught by seed " + caught.seed() + ": "
-                + caught.violation().what());
-        assertEquals(planted.rule, caught.violation().rule(), caught.violation().what());
+                + caught.violation().description());
+        assertEquals(planted.rule, caught.violation().rule(), caught.violation().description());
     }
 }
--- a/src/test/java/vetchpost/simulation/WitnessTest.java
+++ b/src/test/java/vetchpost/simulation/WitnessTest.java
@@ -15,7 +15,7 @@
 import vetchpost.core.RoutePolicy;
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.node.NodeHooks;
-import vetchpost.routes.Believed;
+import vetchpost.routes.RouteFiles;
 import vetchpost.routes.Violation.Rule;
 import vetchpost.simulation.check.Violation;
 import vetchpost.simulation.net.SimLoop;
@@ -32,7 +32,7 @@
     private static final long WAIT_MS = 300;
 
     /** A file believed by all nodes. */
-    private static final class InForce implements NodeProcess.Planting {
+    private static final class InForce implements NodeProcess.Setup {
         private final String text;
         private final boolean trusting;
         private final boolean coreToo;
@@ -52,7 +52,7 @@
         @Override
         public RoutePolicy routes(Settings given, long seed) {
             settings = given;
-            return Believed.policy(text, given, seed);
+            return RouteFiles.policy(text, given, seed);
         }
     }
 
@@ -83,12 +83,12 @@
         InForce refused = new InForce("[class." + cls + "]\nattempts = 2\n" + bad.replace("; ", "\n"), true, false);
         Violation done = firstOf(refused);
         assertNotNull(done, "no seed breaks a rule with it");
-        assertEquals(Violation.Rule.TWICE, done.rule(), done.what());
-        assertTrue(Believed.isRefused(refused.text, refused.settings, rule));
+        assertEquals(Violation.Rule.TWICE, done.rule(), done.description());
+        assertTrue(RouteFiles.isRejected(refused.text, refused.settings, rule));
         // It is the file that breaks it, neither the module that trusts it nor the faults.
         InForce accepted = new InForce("[class." + cls + "]\n" + good.replace("; ", "\n"), true, false);
         assertNull(firstOf(accepted));
-        assertTrue(Believed.isAccepted(accepted.text, accepted.settings));
+        assertTrue(RouteFiles.isAccepted(accepted.text, accepted.settings));
         // And the module in service guards the rule even then.
         assertNull(firstOf(new InForce(refused.text, false, false)));
     }
@@ -98,14 +98,14 @@
         InForce refused = new InForce("[class.place-order]\ntotal-timeout = \"5s\"", true, true);
         Violation done = firstOf(refused);
         assertNotNull(done, "no seed breaks a rule with it");
-        assertEquals(Violation.Rule.LOST, done.rule(), done.what());
-        assertTrue(Believed.isRefused(refused.text, refused.settings, Rule.PAST_CLIENT));
+        assertEquals(Violation.Rule.LOST, done.rule(), done.description());
+        assertTrue(RouteFiles.isRejected(refused.text, refused.settings, Rule.PAST_CLIENT));
         assertNull(firstOf(new InForce(refused.text, true, false)), "the core in service guards the rule");
     }
 
     private static Stage stage(String text, boolean trusting) {
         Stage stage = new Stage(5, BOXES, 1, new InForce("", trusting, false));
-        stage.node.routes(Believed.policy(text, Stage.settings(), 5));
+        stage.node.setRoutes(RouteFiles.policy(text, Stage.settings(), 5));
         return stage;
     }
 
@@ -121,13 +121,13 @@
     void theLastAttemptWouldNeverBegin() {
         String four = "[class.view-page]\nattempts = 4\nattempt-timeout = \"100ms\"\n";
         assertEquals(3, attemptsOfOneView(four, true));
-        assertTrue(Believed.isRefused(four, Stage.settings(), Rule.SCHEDULE));
+        assertTrue(RouteFiles.isRejected(four, Stage.settings(), Rule.SCHEDULE));
         String three = four.replace("= 4", "= 3");
         assertEquals(3, attemptsOfOneView(three, true));
-        assertTrue(Believed.isAccepted(three, Stage.settings()));
+        assertTrue(RouteFiles.isAccepted(three, Stage.settings()));
         String late = "[class.view-page]\nattempts = 2\ncopy-after = \"330ms\"\n";
         assertEquals(1, attemptsOfOneView(late, true), "the copy is due when the request is over");
-        assertTrue(Believed.isRefused(late, Stage.settings(), Rule.SCHEDULE));
+        assertTrue(RouteFiles.isRejected(late, Stage.settings(), Rule.SCHEDULE));
     }
 
     @Test
@@ -135,9 +135,9 @@
         String longer =
                 "[class.view-page]\ntotal-timeout = \"150ms\"\nattempts = 2\n" + "attempt-timeout = \"200ms\"\n";
         assertEquals(1, attemptsOfOneView(longer, true));
-        assertTrue(Believed.isRefused(longer, Stage.settings(), Rule.PAST_WHOLE));
+        assertTrue(RouteFiles.isRejected(longer, Stage.settings(), Rule.PAST_WHOLE));
         assertEquals(2, attemptsOfOneView(longer.replace("200ms", "60ms"), true));
-        assertTrue(Believed.isAccepted(longer.replace("200ms", "60ms"), Stage.settings()));
+        assertTrue(RouteFiles.isAccepted(longer.replace("200ms", "60ms"), Stage.settings()));
     }
 
     @Test
@@ -146,8 +146,8 @@
         assertEquals(2, attemptsOfOneView(copies, true));
         Settings forbidding = Stage.settings();
         forbidding.allowsHedging = false;
-        assertTrue(Believed.isRefused(copies, forbidding, Rule.NOT_ALLOWED));
-        assertTrue(Believed.isAccepted(copies, Stage.settings()));
+        assertTrue(RouteFiles.isRejected(copies, forbidding, Rule.NOT_ALLOWED));
+        assertTrue(RouteFiles.isAccepted(copies, Stage.settings()));
     }
 
     @Test
@@ -157,7 +157,7 @@
         Stage.Asker order = stage.order(WAIT_MS);
         stage.runMs(WAIT_MS);
         assertEquals(413, order.status(), "no order can be placed");
-        assertTrue(Believed.isRefused(noBody, Stage.settings(), Rule.STARVES));
+        assertTrue(RouteFiles.isRejected(noBody, Stage.settings(), Rule.STARVES));
         String none = "[class.view-page]\nconcurrency = 0\n";
         Stage unlimited = stage(none, false);
         unlimited.script((end, request) -> true);
@@ -166,6 +166,6 @@
         }
         unlimited.runMs(50);
         assertFalse(unlimited.asked.isEmpty(), "none at a time was asked for");
-        assertTrue(Believed.isRefused(none, Stage.settings(), Rule.STARVES));
+        assertTrue(RouteFiles.isRejected(none, Stage.settings(), Rule.STARVES));
     }
 }
--- a/src/test/java/vetchpost/simulation/crowd/CrowdTest.java
+++ b/src/test/java/vetchpost/simulation/crowd/CrowdTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
-import vetchpost.simulation.crowd.Crowd.Plan;
-import vetchpost.simulation.crowd.Crowd.Policy;
+import vetchpost.simulation.crowd.OverloadRun.Plan;
+import vetchpost.simulation.crowd.OverloadRun.Policy;
 
 /** The proofs of the door with the node's core and module behind it. */
 class CrowdTest {
@@ -22,8 +22,9 @@
 
     private static String run(int code, String... arguments) {
         StringWriter out = new StringWriter();
-        CommandLine line =
-                new CommandLine(new CrowdCommand()).setOut(new PrintWriter(out)).setErr(new PrintWriter(out));
+        CommandLine line = new CommandLine(new OverloadCommand())
+                .setOut(new PrintWriter(out))
+                .setErr(new PrintWriter(out));
         assertEquals(code, line.execute(arguments), out::toString);
         return out.toString();
     }
@@ -35,9 +36,9 @@
             double[][] kept = IntStream.rangeClosed(1, SEEDS)
                     .parallel()
                     .mapToObj(seed -> {
-                        CrowdResult calm = Crowd.run(Plan.of(seed, Policy.DOOR, 0.8));
-                        CrowdResult loudly =
-                                Crowd.run(Plan.of(seed, Policy.DOOR, 0.8).loud(asks, 3));
+                        OverloadResult calm = OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8));
+                        OverloadResult loudly =
+                                OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8).loud(asks, 3));
                         assertEquals(0, loudly.stillHeld(), "each request has its answer");
                         // In a crowd by far; in a small one both have nearly all.
                         assertTrue(loudly.serviceOfClass(1) > loudly.serviceOfClass(0) - 0.01, "photos before pages");
@@ -63,9 +64,9 @@
         for (double load : new double[] {1.3, 2, 3}) {
             double truth = IntStream.rangeClosed(1, 10)
                     .parallel()
-                    .mapToDouble(
-                            seed -> Crowd.run(Plan.of(seed, Policy.DOOR, load).patient(20_000_000))
-                                    .truth())
+                    .mapToDouble(seed -> OverloadRun.run(
+                                    Plan.of(seed, Policy.DOOR, load).patient(20_000_000))
+                            .truth())
                     .average()
                     .orElse(0);
             assertTrue(truth >= 0.9, load + ": " + truth);
@@ -76,9 +77,10 @@
     void theDoorIsFairerThanFirstComeFirstServed() {
         double[] jain = new double[2];
         for (int seed = 1; seed <= 10; seed++) {
-            jain[0] +=
-                    Crowd.run(Plan.of(seed, Policy.FIRST_COME, 0.8).loud(0, 3)).jain(CrowdCommand.weights());
-            jain[1] += Crowd.run(Plan.of(seed, Policy.DOOR, 0.8).loud(0, 3)).jain(CrowdCommand.weights());
+            jain[0] += OverloadRun.run(Plan.of(seed, Policy.FIRST_COME, 0.8).loud(0, 3))
+                    .jain(OverloadCommand.weights());
+            jain[1] +=
+                    OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8).loud(0, 3)).jain(OverloadCommand.weights());
         }
         assertTrue(jain[1] > jain[0], jain[1] / 10 + " for " + jain[0] / 10);
         assertTrue(jain[1] > 9.99, "and next to even: " + jain[1] / 10);
@@ -87,7 +89,7 @@
     @Test
     void boxesThatTakeTwiceAsLongCostNoRequestItsAnswer() {
         for (int seed = 1; seed <= 10; seed++) {
-            CrowdResult result = Crowd.run(
+            OverloadResult result = OverloadRun.run(
                     Plan.of(seed, Policy.DOOR, 1.3).patient(20_000_000).halve(5_000_000));
             assertEquals(0, result.stillHeld());
             assertTrue(
@@ -99,8 +101,8 @@
     @Test
     void theSameSeedGivesTheSameResult() {
         Plan plan = Plan.of(3, Policy.DOOR, 2).patient(5_000_000);
-        CrowdResult once = Crowd.run(plan);
-        CrowdResult again = Crowd.run(plan);
+        OverloadResult once = OverloadRun.run(plan);
+        OverloadResult again = OverloadRun.run(plan);
         assertEquals(once.service(), again.service());
         assertEquals(once.told(), again.told());
     }
--- a/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
+++ b/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
@@ -37,9 +37,9 @@
 
     private final VirtualTime time = new VirtualTime();
     private final Tcp tcp = new Tcp(time, new SplittableRandom(5));
-    private final Host server = tcp.host("server", Tap.NONE);
-    private final Host client = tcp.host("client", Tap.NONE);
-    private final List<End> accepted = new ArrayList<>();
+    private final SimulatedHost server = tcp.host("server", Tap.NONE);
+    private final SimulatedHost client = tcp.host("client", Tap.NONE);
+    private final List<SimulatedSocket> accepted = new ArrayList<>();
 
     private void runMs(long ms) {
         boolean[] there = new boolean[1];
@@ -49,9 +49,9 @@
         }
     }
 
-    private End connected() {
+    private SimulatedSocket connected() {
         server.listen(SERVER, accepted::add);
-        End end = client.connect(SERVER, null);
+        SimulatedSocket end = client.connect(SERVER, null);
         runMs(50);
         assertTrue(end.isOpen());
         return end;
@@ -67,7 +67,7 @@
 
     @Test
     void bytesComeInOrderAndInPieces() throws IOException {
-        End end = connected();
+        SimulatedSocket end = connected();
         byte[] sent = bytes(9_000);
         List<Integer> pieces = new ArrayList<>();
         ByteArrayOutputStream got = new ByteArrayOutputStream();
@@ -86,7 +86,7 @@
 
     @Test
     void aPeerThatDoesNotReadStopsItsWriter() throws IOException {
-        End end = connected();
+        SimulatedSocket end = connected();
         int taken = 0;
         for (int i = 0; i < 100; i++) {
             taken += end.write(new byte[4_096]);
@@ -103,24 +103,24 @@
 
     @Test
     void aMachineThatVanishesTakesWritesAndSaysNothing() throws IOException {
-        End end = connected();
+        SimulatedSocket end = connected();
         server.vanish();
         assertEquals(100, end.write(new byte[100]));
-        End second = client.connect(SERVER, null);
+        SimulatedSocket second = client.connect(SERVER, null);
         runMs(10_000);
         assertTrue(end.isOpen() && !end.isReset());
         assertFalse(second.isOpen() || second.isFailed(), "the second connection came up or was refused");
-        server.comeBack();
+        server.reappear();
         runMs(100);
         assertTrue(end.isReset(), "what was under way met a new process");
     }
 
     @Test
     void nobodyThereRefusesAndADeadProcessResets() {
-        End none = client.connect(SERVER, null);
+        SimulatedSocket none = client.connect(SERVER, null);
         runMs(50);
         assertTrue(none.isFailed());
-        End end = connected();
+        SimulatedSocket end = connected();
         server.kill();
         runMs(50);
         assertTrue(end.isReset());
@@ -129,13 +129,13 @@
 
     @Test
     void closingOnUnreadBytesResetsAndElseEnds() throws IOException {
-        End end = connected();
+        SimulatedSocket end = connected();
         end.write(new byte[10]);
         runMs(50);
         accepted.get(0).close();
         runMs(50);
         assertTrue(end.isReset());
-        End other = client.connect(SERVER, null);
+        SimulatedSocket other = client.connect(SERVER, null);
         runMs(50);
         accepted.get(1).put(new byte[3]);
         accepted.get(1).close();
@@ -253,7 +253,7 @@
                         })
                         .bind(SERVER));
         runMs(1);
-        End end = client.connect(SERVER, null);
+        SimulatedSocket end = client.connect(SERVER, null);
         runMs(50);
         end.put("hello".getBytes());
         runMs(50);
--- a/src/test/java/vetchpost/simulation/scale/ReplicationRunTest.java
+++ b/src/test/java/vetchpost/simulation/scale/ReplicationRunTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import vetchpost.replication.Planted;
+import vetchpost.replication.InjectedFaults;
 import vetchpost.replication.Publisher;
 import vetchpost.simulation.scale.ReplicationRun.Broken;
 import vetchpost.simulation.scale.ReplicationRun.Replicas;
@@ -37,7 +37,7 @@
                 new Publisher.Budget(18_000, 4_000, 1_000_000, 400),
                 Replicas.REAL,
                 true);
-        Hollow hollow = run.hollow();
+        LightweightFleet hollow = run.hollow();
         hollow.run(5_000_000);
         run.change(10);
         hollow.run(10_000_000);
@@ -47,11 +47,11 @@
             run.change(50);
         }
         for (int i = 0; i < 30; i += 2) {
-            Hollow.Machine node = run.nodes().get(i);
+            LightweightFleet.Machine node = run.nodes().get(i);
             hollow.at(60_000_000L + i * 15_000_000L, () -> run.restart(node, 1_000_000, null));
         }
         hollow.run(605_000_000);
-        for (Hollow.Machine node : run.nodes()) {
+        for (LightweightFleet.Machine node : run.nodes()) {
             assertEquals(version, node.replica().store().version(), node.name() + " has lost what it had");
         }
         hollow.run(625_000_000);
@@ -72,7 +72,7 @@
 
     @Test
     void plantedFaultsAreFound() {
-        caught("a batch in force before it is whole", Planted::hasty);
-        caught("ranges compared without what went away", Planted::hoarding);
+        caught("a batch in force before it is whole", InjectedFaults::applyingPartialBatches);
+        caught("ranges compared without what went away", InjectedFaults::ignoringRemovals);
     }
 }
--- a/src/test/java/vetchpost/simulation/scale/ScaleCommandTest.java
+++ b/src/test/java/vetchpost/simulation/scale/ScaleCommandTest.java
@@ -77,11 +77,11 @@
 
     @Test
     void aLineIsFoundThroughPointsThatLieOnOneAndOthersAreCalledCrooked() {
-        Fit line = Fit.of(new double[] {1, 10, 100}, new double[] {7, 25, 205});
+        LinearFit line = LinearFit.of(new double[] {1, 10, 100}, new double[] {7, 25, 205});
         assertEquals(5, line.intercept(), 1e-9);
         assertEquals(2, line.slope(), 1e-9);
         assertEquals("straight", line.shape());
-        Fit square = Fit.of(new double[] {1, 10, 100}, new double[] {1, 100, 10_000});
+        LinearFit square = LinearFit.of(new double[] {1, 10, 100}, new double[] {1, 100, 10_000});
         assertEquals(2, square.power(), 1e-9);
         assertEquals("grows by the power of 2.00", square.shape());
     }
--- a/src/test/java/vetchpost/sources/CheckPlanTest.java
+++ b/src/test/java/vetchpost/sources/CheckPlanTest.java
@@ -33,7 +33,7 @@
 
     private CheckPlan plan(int servers) {
         CheckPlan plan = new CheckPlan(rules(1, 0, 100), 1, now);
-        plan.fleet(fleet(servers), now);
+        plan.setServers(fleet(servers), now);
         return plan;
     }
 
@@ -41,25 +41,25 @@
     private int run(CheckPlan plan, long us, Function<String, Finding> answers) {
         int made = 0;
         for (long until = now + us; now < until; now += TICK) {
-            for (String id : plan.due(now, 32)) {
+            for (String id : plan.dueChecks(now, 32)) {
                 made++;
-                plan.checked(id, answers.apply(id), now);
+                plan.checkCompleted(id, answers.apply(id), now);
             }
         }
         return made;
     }
 
     private static Function<String, Finding> ill(String... ids) {
-        return id -> List.of(ids).contains(id) ? Finding.ILL : Finding.WELL;
+        return id -> List.of(ids).contains(id) ? Finding.UNHEALTHY : Finding.HEALTHY;
     }
 
     @Test
     void whoFailsThreeTimesIsOutAndWhoPassesTwiceIsBack() {
         CheckPlan plan = plan(10);
         run(plan, 30 * S, ill("s-3"));
-        assertEquals(Set.of("s-3"), plan.out());
+        assertEquals(Set.of("s-3"), plan.ejected());
         long began = now;
-        while (!plan.out().isEmpty() && now < began + 60 * S) {
+        while (!plan.ejected().isEmpty() && now < began + 60 * S) {
             run(plan, TICK, ill());
         }
         assertTrue(now - began < 10 * S, "back after " + (now - began) / S + " s");
@@ -70,8 +70,8 @@
     void oneFailureIsNoVerdict() {
         CheckPlan plan = plan(4);
         Map<String, Integer> asked = new HashMap<>();
-        run(plan, 60 * S, id -> asked.merge(id, 1, Integer::sum) % 3 == 0 ? Finding.ILL : Finding.WELL);
-        assertEquals(Set.of(), plan.out());
+        run(plan, 60 * S, id -> asked.merge(id, 1, Integer::sum) % 3 == 0 ? Finding.UNHEALTHY : Finding.HEALTHY);
+        assertEquals(Set.of(), plan.ejected());
     }
 
     /** When nothing answers it is the node's own network: the first that fell stay out, up to the share. */
@@ -79,12 +79,12 @@
     void whenAllChecksFailAtOnceNothingIsEmptied() {
         CheckPlan plan = plan(10);
         run(plan, 30 * S, ill("s-1", "s-2"));
-        assertEquals(Set.of("s-1", "s-2"), plan.out());
-        run(plan, 30 * S, id -> Finding.ILL);
-        assertEquals(5, plan.out().size(), "half at most");
-        assertTrue(plan.out().containsAll(Set.of("s-1", "s-2")), "those first that were out before");
+        assertEquals(Set.of("s-1", "s-2"), plan.ejected());
+        run(plan, 30 * S, id -> Finding.UNHEALTHY);
+        assertEquals(5, plan.ejected().size(), "half at most");
+        assertTrue(plan.ejected().containsAll(Set.of("s-1", "s-2")), "those first that were out before");
         run(plan, 60 * S, ill("s-1"));
-        assertEquals(Set.of("s-1"), plan.out());
+        assertEquals(Set.of("s-1"), plan.ejected());
     }
 
     @Test
@@ -92,14 +92,14 @@
         CheckPlan plan = plan(3);
         for (int i = 0; i < 2_000; i++) {
             now += TICK;
-            for (String id : plan.due(now, 32)) {
+            for (String id : plan.dueChecks(now, 32)) {
                 // A real answer comes while the check is out.
-                plan.served(id, now + 1);
-                plan.checked(id, Finding.ILL, now + 2);
+                plan.requestSucceeded(id, now + 1);
+                plan.checkCompleted(id, Finding.UNHEALTHY, now + 2);
             }
         }
-        assertEquals(Set.of(), plan.out());
-        assertTrue(plan.disagreed() > 0);
+        assertEquals(Set.of(), plan.ejected());
+        assertTrue(plan.disagreementCount() > 0);
     }
 
     @Test
@@ -109,7 +109,7 @@
         CheckPlan busy = plan(20);
         int with = 0;
         for (long until = now + 60 * S; now < until; now += TICK) {
-            fleet(20).forEach(id -> busy.served(id, now));
+            fleet(20).forEach(id -> busy.requestSucceeded(id, now));
             with += run(busy, TICK, ill());
             now -= TICK;
         }
@@ -121,12 +121,12 @@
     void whoseRequestsFailIsCheckedSoon() {
         CheckPlan plan = plan(100);
         run(plan, 10 * S, ill());
-        plan.failed("s-7", now);
+        plan.requestFailed("s-7", now);
         long began = now;
         List<String> asked = new ArrayList<>();
         while (!asked.contains("s-7") && now < began + 10 * S) {
             now += TICK;
-            asked.addAll(plan.due(now, 32));
+            asked.addAll(plan.dueChecks(now, 32));
         }
         assertTrue(now - began < S, "asked after " + (now - began) / 1_000 + " ms");
     }
@@ -134,8 +134,8 @@
     @Test
     void anotherApplicationIsOutAtOnce() {
         CheckPlan plan = plan(10);
-        run(plan, 6 * S, id -> id.equals("s-5") ? Finding.STRANGER : Finding.WELL);
-        assertEquals(Set.of("s-5"), plan.out());
+        run(plan, 6 * S, id -> id.equals("s-5") ? Finding.WRONG_SERVER : Finding.HEALTHY);
+        assertEquals(Set.of("s-5"), plan.ejected());
     }
 
     /** 50 nodes and 5,000 servers: neither more nodes nor more servers are more checks for a server. */
@@ -147,13 +147,13 @@
         for (int node = 0; node < 50; node++) {
             now = S;
             CheckPlan plan = new CheckPlan(rules(50, node, 20), node, now);
-            plan.fleet(fleet(servers), now);
+            plan.setServers(fleet(servers), now);
             int made = 0;
             for (long until = now + 30 * S; now < until; now += 5 * TICK) {
-                for (String id : plan.due(now, 32)) {
+                for (String id : plan.dueChecks(now, 32)) {
                     made++;
                     asked.merge(id, 1, Integer::sum);
-                    plan.checked(id, Finding.WELL, now);
+                    plan.checkCompleted(id, Finding.HEALTHY, now);
                 }
             }
             assertTrue(made <= 20 * 30 + 10, "a node's own budget: " + made);
@@ -164,7 +164,7 @@
         assertEquals(servers, asked.size(), "each server has its watchers");
         assertTrue(perServer <= 3 * (30 / 5 + 2), "a server was asked " + perServer + " times in 30 s by all");
         CheckPlan poor = new CheckPlan(rules(1, 0, 2), 1, now);
-        poor.fleet(fleet(5_000), now);
+        poor.setServers(fleet(5_000), now);
         assertTrue(run(poor, 30 * S, ill()) <= 2 * 30 + 1, "the budget holds for any fleet");
     }
 
@@ -174,11 +174,11 @@
         List<String> out = new ArrayList<>();
         while (out.isEmpty()) {
             now += TICK;
-            out = plan.due(now, 1);
+            out = plan.dueChecks(now, 1);
         }
-        plan.fleet(Set.of(), now);
-        plan.checked(out.get(0), Finding.ILL, now);
-        assertEquals(Set.of(), plan.out());
+        plan.setServers(Set.of(), now);
+        plan.checkCompleted(out.get(0), Finding.UNHEALTHY, now);
+        assertEquals(Set.of(), plan.ejected());
         assertEquals(Long.MAX_VALUE, plan.nextUs(now));
     }
 }
--- a/src/test/java/vetchpost/sources/ComposerTest.java
+++ b/src/test/java/vetchpost/sources/ComposerTest.java
@@ -13,8 +13,8 @@
 import vetchpost.core.ServerList;
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.sources.CheckPlan.Finding;
-import vetchpost.sources.Declared.Kind;
-import vetchpost.sources.Declared.May;
+import vetchpost.sources.SourceDeclaration.Kind;
+import vetchpost.sources.SourceDeclaration.Permission;
 
 /** What a node is told: of sources, checks and servers' own words the most careful, and nothing twice. */
 class ComposerTest {
@@ -23,24 +23,24 @@
     private static final CheckRules CHECKS = new CheckRules("", "", 200, 399, 5 * S, S, 2, 3, 100, 3, 1, 0, 0.5);
     private long now = S;
     private final Membership fleet = new Membership(
-            List.of(new Declared(
-                    "a", Kind.FILE, "a", 0, EnumSet.allOf(May.class), S, 0, 600 * S, List.of(), List.of())),
+            List.of(new SourceDeclaration(
+                    "a", Kind.FILE, "a", 0, EnumSet.allOf(Permission.class), S, 0, 600 * S, List.of(), List.of())),
             new MergeRules(0.5, 10 * S, 4, 60 * S, 5 * S));
     private final CheckPlan checks = new CheckPlan(CHECKS, 1, now);
-    private final Composer composer = new Composer(fleet, checks, 20 * S, UNIX_MS, now);
+    private final SourceMerger composer = new SourceMerger(fleet, checks, 20 * S, UNIX_MS, now);
     private final Map<String, ServerList.Target> node = new HashMap<>();
 
     private void said(int... ports) {
-        List<Named> servers = new ArrayList<>();
+        List<ReportedServer> servers = new ArrayList<>();
         for (int port : ports) {
-            servers.add(Named.of(new InetSocketAddress("127.0.0.1", port)));
+            servers.add(ReportedServer.of(new InetSocketAddress("127.0.0.1", port)));
         }
-        fleet.said(0, servers, now);
+        fleet.serversReported(0, servers, now);
     }
 
     /** What is told, as the node would know it. */
     private int tell() {
-        List<ServerList.Target> changes = composer.changes(now);
+        List<ServerList.Target> changes = composer.pollChanges(now);
         for (ServerList.Target change : changes) {
             node.put(change.id(), change);
         }
@@ -60,19 +60,19 @@
             List<String> due = List.of();
             for (int wait = 0; wait < 1_000 && !due.contains("127.0.0.1:" + port); wait++) {
                 now += 20_000;
-                due = checks.due(now, 32);
-                due.forEach(id -> checks.checked(id, id.endsWith(":" + port) ? finding : Finding.WELL, now));
+                due = checks.dueChecks(now, 32);
+                due.forEach(id -> checks.checkCompleted(id, id.endsWith(":" + port) ? finding : Finding.HEALTHY, now));
             }
         }
     }
 
     /** An operator's words, as they are at the moment. */
-    private static final class Words implements Overrule {
+    private static final class Words implements ServerOverrides {
         private String drained = "";
         private boolean held;
 
         @Override
-        public boolean drains(String id) {
+        public boolean isDraining(String id) {
             return id.equals(drained);
         }
 
@@ -82,7 +82,7 @@
         }
 
         @Override
-        public boolean holdsList() {
+        public boolean isListFrozen() {
             return held;
         }
     }
@@ -90,7 +90,7 @@
     @Test
     void anOperatorsWordHoldsWhileItStandsAndWhatSourcesSayGoesOnBelowIt() {
         Words words = new Words();
-        composer.overrule(words);
+        composer.setOverrides(words);
         said(1, 2, 3);
         tell();
         assertEquals(0.25, node.get("127.0.0.1:2").weight());
@@ -107,7 +107,7 @@
     @Test
     void aListThatIsHeldLosesNobodyAndTakesInNobodyButADrainCounts() {
         Words words = new Words();
-        composer.overrule(words);
+        composer.setOverrides(words);
         said(1, 2, 3);
         tell();
         words.held = true;
@@ -117,12 +117,18 @@
         assertEquals(0, tell());
         assertEquals(ServerState.READY, state(3));
         assertEquals(false, node.containsKey("127.0.0.1:4"));
-        fleet.said(
+        fleet.serversReported(
                 0,
                 List.of(
-                        Named.of(new InetSocketAddress("127.0.0.1", 1)),
-                        new Named("", List.of(new InetSocketAddress("127.0.0.1", 2)), Named.Word.DRAINING, 1, ""),
-                        new Named("", List.of(new InetSocketAddress("127.0.0.1", 3)), Named.Word.GONE, 1, "")),
+                        ReportedServer.of(new InetSocketAddress("127.0.0.1", 1)),
+                        new ReportedServer(
+                                "",
+                                List.of(new InetSocketAddress("127.0.0.1", 2)),
+                                ReportedServer.State.DRAINING,
+                                1,
+                                ""),
+                        new ReportedServer(
+                                "", List.of(new InetSocketAddress("127.0.0.1", 3)), ReportedServer.State.GONE, 1, "")),
                 now);
         tell();
         assertEquals(ServerState.DRAINING, state(2));
@@ -150,10 +156,10 @@
     void whoFailsItsChecksIsOutAndBackCold() {
         said(1, 2, 3, 4);
         tell();
-        check(2, Finding.ILL, 3);
+        check(2, Finding.UNHEALTHY, 3);
         assertEquals(1, tell());
         assertEquals(ServerState.DRAINING, state(2));
-        check(2, Finding.WELL, 2);
+        check(2, Finding.HEALTHY, 2);
         assertEquals(1, tell());
         assertEquals(ServerState.READY, state(2));
         assertEquals(UNIX_MS + (now - S) / 1_000, boot(2), "it is spared at first");
@@ -164,11 +170,11 @@
     void aServersOwnWordHoldsForItsLease() {
         said(1, 2, 3);
         tell();
-        composer.drains("127.0.0.1:1", now);
-        composer.drains("127.0.0.1:9", now);
+        composer.reportDraining("127.0.0.1:1", now);
+        composer.reportDraining("127.0.0.1:9", now);
         tell();
         assertEquals(ServerState.DRAINING, state(1));
-        now += Composer.LEASE_US - 1;
+        now += SourceMerger.LEASE_US - 1;
         assertEquals(0, tell());
         assertEquals(now + 1, composer.nextUs(now));
         now += 1;
@@ -186,16 +192,19 @@
         tell();
         now += 11 * S;
         tell();
-        assertEquals(4, composer.whole().targets().size());
-        long cold =
-                composer.whole().targets().stream().filter(t -> t.bootMs() > 0).count();
+        assertEquals(4, composer.fullList().targets().size());
+        long cold = composer.fullList().targets().stream()
+                .filter(t -> t.bootMs() > 0)
+                .count();
         assertTrue(cold <= 3, "half of the six that there were for a while");
         now += S;
         said(21, 22, 23, 24);
         tell();
         now += 11 * S;
         tell();
-        cold = composer.whole().targets().stream().filter(t -> t.bootMs() > 0).count();
+        cold = composer.fullList().targets().stream()
+                .filter(t -> t.bootMs() > 0)
+                .count();
         assertTrue(cold <= 4);
         now += 100 * S;
         said(21, 22, 23, 24, 25);
--- a/src/test/java/vetchpost/sources/MembershipTest.java
+++ b/src/test/java/vetchpost/sources/MembershipTest.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import vetchpost.sources.Declared.Kind;
-import vetchpost.sources.Declared.May;
-import vetchpost.sources.Named.Word;
+import vetchpost.sources.ReportedServer.State;
+import vetchpost.sources.SourceDeclaration.Kind;
+import vetchpost.sources.SourceDeclaration.Permission;
 
 /** One fleet out of several sources' words. */
 class MembershipTest {
@@ -25,25 +25,25 @@
         return new InetSocketAddress("127.0.0.1", port);
     }
 
-    private static Named server(int port) {
-        return Named.of(at(port));
+    private static ReportedServer server(int port) {
+        return ReportedServer.of(at(port));
     }
 
-    private static Named server(String id, Word word, int... ports) {
+    private static ReportedServer server(String id, State word, int... ports) {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int port : ports) {
             addresses.add(at(port));
         }
-        return new Named(id, addresses, word, 1, "");
+        return new ReportedServer(id, addresses, word, 1, "");
     }
 
-    private static Declared file(String name, May... may) {
-        return new Declared(
+    private static SourceDeclaration file(String name, Permission... may) {
+        return new SourceDeclaration(
                 name,
                 Kind.FILE,
                 name,
                 0,
-                may.length == 0 ? EnumSet.allOf(May.class) : Set.of(may),
+                may.length == 0 ? EnumSet.allOf(Permission.class) : Set.of(may),
                 S,
                 0,
                 600 * S,
@@ -51,13 +51,22 @@
                 List.of());
     }
 
-    private static Declared dns(long keepUs) {
-        return new Declared(
-                "dns", Kind.DNS, "web", 80, EnumSet.allOf(May.class), 5 * S, keepUs, 600 * S, List.of(), List.of());
+    private static SourceDeclaration dns(long keepUs) {
+        return new SourceDeclaration(
+                "dns",
+                Kind.DNS,
+                "web",
+                80,
+                EnumSet.allOf(Permission.class),
+                5 * S,
+                keepUs,
+                600 * S,
+                List.of(),
+                List.of());
     }
 
-    private static List<Named> servers(int from, int to) {
-        List<Named> all = new ArrayList<>();
+    private static List<ReportedServer> servers(int from, int to) {
+        List<ReportedServer> all = new ArrayList<>();
         for (int port = from; port < to; port++) {
             all.add(server(port));
         }
@@ -80,7 +89,7 @@
         Membership fleet = new Membership(List.of(dns(30 * S)), RULES);
         Set<String> first = null;
         for (int i = 0; i < 100; i++) {
-            fleet.said(0, i % 2 == 0 ? servers(1, 11) : servers(11, 21), now);
+            fleet.serversReported(0, i % 2 == 0 ? servers(1, 11) : servers(11, 21), now);
             Set<String> is = ids(fleet);
             if (i == 1) {
                 first = is;
@@ -90,9 +99,9 @@
             }
             now += 5 * S;
         }
-        fleet.said(0, servers(1, 11), now);
+        fleet.serversReported(0, servers(1, 11), now);
         now += 26 * S;
-        fleet.said(0, servers(1, 11), now);
+        fleet.serversReported(0, servers(1, 11), now);
         assertEquals(10, ids(fleet).size(), "whom no answer has named for the stated time has gone");
     }
 
@@ -100,22 +109,22 @@
     void aSourceThatEmptiesOrFallsSilentChangesNothingForTheStatedTime() {
         for (boolean silent : new boolean[] {true, false}) {
             Membership fleet = new Membership(List.of(file("a")), RULES);
-            fleet.said(0, servers(1, 6), now);
+            fleet.serversReported(0, servers(1, 6), now);
             assertEquals(5, ids(fleet).size());
             for (int i = 0; i < 60; i++) {
                 now += S;
                 if (silent) {
-                    fleet.silent(0, "NXDOMAIN", now);
+                    fleet.sourceFailed(0, "NXDOMAIN", now);
                 } else {
-                    fleet.said(0, List.of(), now);
+                    fleet.serversReported(0, List.of(), now);
                 }
                 assertEquals(5, ids(fleet).size(), "after " + i + " s");
             }
-            assertFalse(fleet.trouble(0).isEmpty());
-            fleet.said(0, servers(1, 5), now);
+            assertFalse(fleet.failure(0).isEmpty());
+            fleet.serversReported(0, servers(1, 5), now);
             now += 1;
             assertEquals(4, ids(fleet).size(), "its next word counts at once");
-            fleet.silent(0, "it can't be read", now);
+            fleet.sourceFailed(0, "it can't be read", now);
             now += 600 * S + 1;
             ids(fleet);
             now += 10 * S + 1;
@@ -127,18 +136,18 @@
     @Test
     void aListThatShrinksIsBelievedInParts() {
         Membership fleet = new Membership(List.of(file("a")), RULES);
-        fleet.said(0, servers(1, 21), now);
+        fleet.serversReported(0, servers(1, 21), now);
         ids(fleet);
         now += S;
-        fleet.said(0, servers(1, 3), now);
+        fleet.serversReported(0, servers(1, 3), now);
         assertEquals(10, ids(fleet).size(), "half of them at once");
-        assertEquals(8, fleet.heldBack());
+        assertEquals(8, fleet.dampedCount());
         now += 9 * S;
         assertEquals(10, ids(fleet).size());
-        fleet.said(0, servers(1, 21), now);
+        fleet.serversReported(0, servers(1, 21), now);
         assertEquals(20, ids(fleet).size(), "it was a slip");
         now += 30 * S;
-        fleet.said(0, servers(1, 3), now);
+        fleet.serversReported(0, servers(1, 3), now);
         ids(fleet);
         assertTrue(fleet.nextUs(now) <= now + 10 * S, "it asks to be looked at again");
         now += 10 * S;
@@ -148,11 +157,11 @@
     @Test
     void slipsInARowDoNotEachTakeTheirShare() {
         Membership fleet = new Membership(List.of(file("a")), RULES);
-        fleet.said(0, servers(1, 101), now);
+        fleet.serversReported(0, servers(1, 101), now);
         ids(fleet);
         for (int left = 50; left > 3; left /= 2) {
             now += S;
-            fleet.said(0, servers(1, left), now);
+            fleet.serversReported(0, servers(1, left), now);
             ids(fleet);
         }
         assertEquals(50, ids(fleet).size(), "half in all within the stated time, not half each second");
@@ -160,18 +169,18 @@
 
     @Test
     void theMoreCarefulWordHoldsOfThoseThatMaySayIt() {
-        Membership fleet = new Membership(List.of(file("a"), file("b"), file("c", May.ADD)), RULES);
-        fleet.said(0, List.of(server("x", Word.READY, 1), server("y", Word.READY, 2)), now);
-        fleet.said(1, List.of(server("x", Word.DRAINING, 1)), now);
-        fleet.said(2, List.of(server("y", Word.DRAINING, 2), server("z", Word.GONE, 2)), now);
+        Membership fleet = new Membership(List.of(file("a"), file("b"), file("c", Permission.ADD)), RULES);
+        fleet.serversReported(0, List.of(server("x", State.READY, 1), server("y", State.READY, 2)), now);
+        fleet.serversReported(1, List.of(server("x", State.DRAINING, 1)), now);
+        fleet.serversReported(2, List.of(server("y", State.DRAINING, 2), server("z", State.GONE, 2)), now);
         assertTrue(fleet.settle(now).get("x").draining(), "one says that it drains, and may");
         assertFalse(fleet.settle(now).get("y").draining(), "another says so, and may not");
-        fleet.said(1, List.of(server("x", Word.GONE, 1)), now);
+        fleet.serversReported(1, List.of(server("x", State.GONE, 1)), now);
         assertEquals(Set.of("y"), ids(fleet), "gone, by one that may remove, whoever else names it");
-        fleet.said(1, List.of(server("q", Word.READY, 9)), now);
+        fleet.serversReported(1, List.of(server("q", State.READY, 9)), now);
         assertEquals(Set.of("q", "x", "y"), ids(fleet));
-        Membership other = new Membership(List.of(file("only drains", May.DRAIN)), RULES);
-        other.said(0, List.of(server("x", Word.READY, 1)), now);
+        Membership other = new Membership(List.of(file("only drains", Permission.DRAIN)), RULES);
+        other.serversReported(0, List.of(server("x", State.READY, 1)), now);
         assertEquals(Set.of(), ids(other), "who may not add brings nobody in");
     }
 
@@ -179,15 +188,15 @@
     @Test
     void whoeverWasDrainedIsNotBackBecauseItIsLeftOut() {
         Membership fleet = new Membership(List.of(file("a"), dns(30 * S)), RULES);
-        fleet.said(0, List.of(server(1), server(2)), now);
-        fleet.said(1, servers(1, 3), now);
+        fleet.serversReported(0, List.of(server(1), server(2)), now);
+        fleet.serversReported(1, servers(1, 3), now);
         fleet.settle(now);
-        fleet.said(0, List.of(server(1), server("", Word.DRAINING, 2)), now);
+        fleet.serversReported(0, List.of(server(1), server("", State.DRAINING, 2)), now);
         assertTrue(fleet.settle(now).get("127.0.0.1:2").draining());
         now += S;
-        fleet.said(0, List.of(server(1)), now);
+        fleet.serversReported(0, List.of(server(1)), now);
         assertTrue(fleet.settle(now).get("127.0.0.1:2").draining(), "the word stands while the name names it");
-        fleet.said(0, servers(1, 3), now + 1);
+        fleet.serversReported(0, servers(1, 3), now + 1);
         now += 2;
         assertFalse(fleet.settle(now).get("127.0.0.1:2").draining(), "until its source takes it back");
     }
@@ -196,11 +205,11 @@
     @Test
     void entriesThatShareAnAddressAreOneServer() throws Exception {
         Membership fleet = new Membership(List.of(file("a"), dns(30 * S)), RULES);
-        fleet.said(0, List.of(server("web-1", Word.READY, 1), server("web-2", Word.READY, 2, 22)), now);
-        fleet.said(1, List.of(server(1), server(22), server(3)), now);
+        fleet.serversReported(0, List.of(server("web-1", State.READY, 1), server("web-2", State.READY, 2, 22)), now);
+        fleet.serversReported(1, List.of(server(1), server(22), server(3)), now);
         assertEquals(Set.of("127.0.0.1:3", "web-1", "web-2"), ids(fleet));
         assertEquals(2, fleet.settle(now).get("web-2").address().getPort());
-        fleet.said(0, List.of(server("web-2", Word.READY, 2, 22)), now + 1);
+        fleet.serversReported(0, List.of(server("web-2", State.READY, 2, 22)), now + 1);
         now += 2;
         assertTrue(ids(fleet).contains("web-1"), "another source names it still, and its name stays");
         assertEquals(0, fleet.settle(now).get("web-1").sinceUs(), "so it is not taken for a cold one");
@@ -211,14 +220,14 @@
         Membership fleet = new Membership(List.of(file("a")), RULES);
         int in = 0;
         for (int i = 0; i < 40; i++) {
-            fleet.said(0, i % 2 == 0 ? servers(1, 4) : servers(1, 3), now);
+            fleet.serversReported(0, i % 2 == 0 ? servers(1, 4) : servers(1, 3), now);
             in += ids(fleet).size() == 3 ? 1 : 0;
             now += S;
         }
         assertTrue(in <= 5, in + " times in the fleet");
-        fleet.said(0, servers(1, 4), now);
+        fleet.serversReported(0, servers(1, 4), now);
         assertEquals(2, ids(fleet).size());
-        assertEquals(1, fleet.flapping());
+        assertEquals(1, fleet.flappingCount());
         long until = now + 300 * S;
         while (now < until && ids(fleet).size() == 2) {
             now = Math.max(now + 1, Math.min(until, fleet.nextUs(now)));
@@ -230,23 +239,23 @@
     @Test
     void whoIsNewOrBackIsColdAndWhoWasThereIsNot() {
         Membership fleet = new Membership(List.of(file("a")), RULES);
-        fleet.said(0, servers(1, 4), now);
+        fleet.serversReported(0, servers(1, 4), now);
         assertTrue(fleet.settle(now).values().stream().allMatch(m -> m.sinceUs() == 0), "there at the start");
         now += S;
-        fleet.said(0, servers(1, 5), now);
+        fleet.serversReported(0, servers(1, 5), now);
         assertEquals(now, fleet.settle(now).get("127.0.0.1:4").sinceUs());
         long then = now;
         now += S;
-        fleet.said(0, servers(1, 4), now);
+        fleet.serversReported(0, servers(1, 4), now);
         fleet.settle(now);
         now += S;
-        fleet.said(0, servers(1, 5), now);
+        fleet.serversReported(0, servers(1, 5), now);
         assertEquals(0, fleet.settle(now).get("127.0.0.1:4").sinceUs(), "a moment's absence is no restart");
         now += S;
-        fleet.said(0, servers(2, 5), now);
+        fleet.serversReported(0, servers(2, 5), now);
         fleet.settle(now);
         now += 20 * S;
-        fleet.said(0, servers(1, 5), now);
+        fleet.serversReported(0, servers(1, 5), now);
         assertEquals(now, fleet.settle(now).get("127.0.0.1:1").sinceUs(), "but twenty seconds are");
         assertTrue(then < now);
     }
@@ -254,10 +263,10 @@
     @Test
     void anIdThatMovesIsAnotherProcess() {
         Membership fleet = new Membership(List.of(file("a")), RULES);
-        fleet.said(0, List.of(server("x", Word.READY, 1)), now);
+        fleet.serversReported(0, List.of(server("x", State.READY, 1)), now);
         fleet.settle(now);
         now += S;
-        fleet.said(0, List.of(server("x", Word.READY, 2)), now);
+        fleet.serversReported(0, List.of(server("x", State.READY, 2)), now);
         assertEquals(Set.of(2), ports(fleet));
         assertEquals(now, fleet.settle(now).get("x").sinceUs());
     }
@@ -265,26 +274,26 @@
     @Test
     void aNameOfTooManyServersIsCutAndSaidSo() {
         Membership fleet = new Membership(List.of(dns(30 * S)), RULES);
-        List<Named> many = new ArrayList<>();
+        List<ReportedServer> many = new ArrayList<>();
         for (int i = 0; i < 30_000; i++) {
-            many.add(Named.of(at(1 + i)));
+            many.add(ReportedServer.of(at(1 + i)));
         }
-        fleet.said(0, many, now);
-        assertEquals(Register.MOST, ids(fleet).size());
-        fleet.said(0, servers(1, 1_001), now);
-        assertEquals(Register.MOST, ids(fleet).size());
+        fleet.serversReported(0, many, now);
+        assertEquals(SourceState.MOST, ids(fleet).size());
+        fleet.serversReported(0, servers(1, 1_001), now);
+        assertEquals(SourceState.MOST, ids(fleet).size());
     }
 
     @Test
     void otherSourcesTakeOverWithoutAGap() {
         Membership fleet = new Membership(List.of(file("a"), file("b")), RULES);
-        fleet.said(0, servers(1, 5), now);
-        fleet.said(1, servers(3, 9), now);
+        fleet.serversReported(0, servers(1, 5), now);
+        fleet.serversReported(1, servers(3, 9), now);
         assertEquals(8, ids(fleet).size());
-        fleet.renew(List.of(file("b"), file("c")));
+        fleet.reload(List.of(file("b"), file("c")));
         now += 1;
         assertEquals(6, ids(fleet).size(), "what b said holds, what only a said goes");
-        fleet.said(1, servers(1, 3), now);
+        fleet.serversReported(1, servers(1, 3), now);
         assertEquals(8, ids(fleet).size());
     }
 }
--- a/src/test/java/vetchpost/standalone/StandaloneProverTest.java
+++ b/src/test/java/vetchpost/standalone/StandaloneProverTest.java
@@ -21,14 +21,14 @@
     private static final String NODE = "[node]\nlisten = \"127.0.0.1:8080\"\n";
     private static final String POOL = "[pool]\nservers = [\"127.0.0.1:9001\"]\n";
 
-    private static StandaloneProver.Proof prove(String text) {
+    private static StandaloneValidator.Validation prove(String text) {
         RouteFile file = RouteFile.parse("node.toml", text);
         assertEquals(List.of(), file.violations());
-        return StandaloneProver.prove(file.sections());
+        return StandaloneValidator.validate(file.sections());
     }
 
     private static Standalone holds(String text) {
-        StandaloneProver.Proof proof = prove(text);
+        StandaloneValidator.Validation proof = prove(text);
         assertEquals(List.of(), proof.violations());
         return proof.standalone();
     }
@@ -156,7 +156,7 @@
                     .findFirst()
                     .orElse(null);
             assertNotNull(first, each[0] + " -> " + violations);
-            assertEquals(each[2], first.at().line(), first.toString());
+            assertEquals(each[2], first.position().line(), first.toString());
             assertTrue(first.toString().contains((String) each[3]), first.toString());
             assertNull(prove((String) each[0]).standalone());
         }
@@ -165,14 +165,15 @@
     @Test
     void aFileThatSaysTheSameAsksForNoNewCore() {
         Standalone before = holds(NODE + POOL);
-        assertEquals(new Renewal(false, false), Renewal.of(before, holds(NODE + "idle = \"9s\"\n" + POOL)));
-        assertEquals(new Renewal(false, true), Renewal.of(before, holds(NODE.replace("8080", "8081") + POOL)));
+        assertEquals(new ReloadPlan(false, false), ReloadPlan.between(before, holds(NODE + "idle = \"9s\"\n" + POOL)));
+        assertEquals(
+                new ReloadPlan(false, true), ReloadPlan.between(before, holds(NODE.replace("8080", "8081") + POOL)));
         for (String other : List.of(
                 POOL + "attempts = 2\n",
                 POOL + "cold = \"1s\"\n",
                 POOL + "[classes.all]\n",
                 POOL + "[tenants.a]\nshare = 5\n")) {
-            assertEquals(new Renewal(true, false), Renewal.of(before, holds(NODE + other)), other);
+            assertEquals(new ReloadPlan(true, false), ReloadPlan.between(before, holds(NODE + other)), other);
         }
     }
 
@@ -180,7 +181,7 @@
     @Test
     void everyKeyIsOnThePages() throws IOException {
         String page = Files.readString(Path.of("docs/standalone.md")) + Files.readString(Path.of("docs/servers.md"));
-        for (List<String> keys : StandaloneProver.keys()) {
+        for (List<String> keys : StandaloneValidator.keys()) {
             for (String key : keys) {
                 assertTrue(page.lines().anyMatch(l -> l.startsWith("| `" + key + "`")), key);
             }
--- a/src/test/java/vetchpost/state/DoubtTest.java
+++ b/src/test/java/vetchpost/state/DoubtTest.java
@@ -20,43 +20,50 @@
 
     @Test
     void aNodeSaysWhatIsWrongWithIt() {
-        assertEquals(Set.of(), Doubt.ofSelf(self(12, 5, false), 0, HOUR_MS));
-        assertEquals(Set.of(Trouble.MOST_ILL), Doubt.ofSelf(self(12, 6, false), 0, HOUR_MS));
-        assertEquals(Set.of(Trouble.THROTTLED), Doubt.ofSelf(self(12, 0, true), 0, HOUR_MS));
-        assertEquals(Set.of(Trouble.STALLED), Doubt.ofSelf(self(12, 0, false), 150_000, HOUR_MS));
-        assertEquals(Set.of(Trouble.JUST_STARTED), Doubt.ofSelf(self(12, 0, false), 0, 5_000));
-        assertEquals(Set.of(), Doubt.ofSelf(self(0, 0, false), 0, HOUR_MS));
+        assertEquals(Set.of(), SelfFaultDetector.inOwnStatistics(self(12, 5, false), 0, HOUR_MS));
+        assertEquals(
+                Set.of(SelfFault.MOST_SERVERS_FAILING),
+                SelfFaultDetector.inOwnStatistics(self(12, 6, false), 0, HOUR_MS));
+        assertEquals(Set.of(SelfFault.THROTTLED), SelfFaultDetector.inOwnStatistics(self(12, 0, true), 0, HOUR_MS));
+        assertEquals(
+                Set.of(SelfFault.STALLED), SelfFaultDetector.inOwnStatistics(self(12, 0, false), 150_000, HOUR_MS));
+        assertEquals(Set.of(SelfFault.JUST_STARTED), SelfFaultDetector.inOwnStatistics(self(12, 0, false), 0, 5_000));
+        assertEquals(Set.of(), SelfFaultDetector.inOwnStatistics(self(0, 0, false), 0, HOUR_MS));
     }
 
     @Test
     void whatItSaysIsHeard() {
-        assertEquals(Set.of(), Doubt.of(States.of(12, 3, NOW), NOW));
+        assertEquals(Set.of(), SelfFaultDetector.inSnapshot(States.of(12, 3, NOW), NOW));
         assertEquals(
-                Set.of(Trouble.STALLED),
-                Doubt.of(States.snapshot(NOW, States.of(12, 0, NOW).boxes(), Trouble.STALLED), NOW));
+                Set.of(SelfFault.STALLED),
+                SelfFaultDetector.inSnapshot(
+                        States.snapshot(NOW, States.of(12, 0, NOW).servers(), SelfFault.STALLED), NOW));
     }
 
     /** A giver just after a mass failure that finds nothing odd in it. */
     @Test
     void whatWouldLeaveTooFewIsNotBelievedWhateverItSays() {
-        assertEquals(Set.of(), Doubt.of(States.of(12, 5, NOW), NOW));
-        assertEquals(Set.of(Trouble.MOST_ILL), Doubt.of(States.of(12, 6, NOW), NOW));
-        assertEquals(Set.of(Trouble.MOST_ILL), Doubt.of(States.of(1, 1, NOW), NOW));
+        assertEquals(Set.of(), SelfFaultDetector.inSnapshot(States.of(12, 5, NOW), NOW));
+        assertEquals(Set.of(SelfFault.MOST_SERVERS_FAILING), SelfFaultDetector.inSnapshot(States.of(12, 6, NOW), NOW));
+        assertEquals(Set.of(SelfFault.MOST_SERVERS_FAILING), SelfFaultDetector.inSnapshot(States.of(1, 1, NOW), NOW));
     }
 
     /** Boxes of which nothing is known are no evidence that most are well. */
     @Test
     void onlyBoxesThatHaveAnsweredCount() {
-        List<BoxState> boxes = new ArrayList<>(States.of(4, 2, NOW).boxes());
+        List<ServerRecord> boxes = new ArrayList<>(States.of(4, 2, NOW).servers());
         for (int i = 4; i < 40; i++) {
-            boxes.add(States.box(i, NOW, null));
+            boxes.add(States.server(i, NOW, null));
         }
-        assertEquals(Set.of(Trouble.MOST_ILL), Doubt.of(States.snapshot(NOW, boxes), NOW));
+        assertEquals(
+                Set.of(SelfFault.MOST_SERVERS_FAILING), SelfFaultDetector.inSnapshot(States.snapshot(NOW, boxes), NOW));
     }
 
     @Test
     void aSnapshotFromTheFutureIsNotBelieved() {
-        assertTrue(Doubt.of(States.of(12, 0, NOW + 60_000), NOW).contains(Trouble.FUTURE));
-        assertEquals(Set.of(), Doubt.of(States.of(12, 0, NOW + 1_000), NOW), "clocks differ a little");
+        assertTrue(SelfFaultDetector.inSnapshot(States.of(12, 0, NOW + 60_000), NOW)
+                .contains(SelfFault.FUTURE));
+        assertEquals(
+                Set.of(), SelfFaultDetector.inSnapshot(States.of(12, 0, NOW + 1_000), NOW), "clocks differ a little");
     }
 }
--- a/src/test/java/vetchpost/state/PriorsTest.java
+++ b/src/test/java/vetchpost/state/PriorsTest.java
@@ -15,7 +15,7 @@
     private static final long NOW = States.NOW_MS;
 
     private static ServerStatistics priors(Snapshot snapshot, long nowMs) {
-        return Priors.of(snapshot, States.CLASSES, nowMs, true, Map.of());
+        return PriorStatistics.of(snapshot, States.CLASSES, nowMs, true, Map.of());
     }
 
     @Test
@@ -52,10 +52,10 @@
 
     @Test
     void fewAnswersAreLittleEvidence() {
-        PerServer many = States.ill(0, NOW);
+        PerServer many = States.failing(0, NOW);
         PerServer one =
                 new PerServer(many.id(), 0, 1, many.lastAnswerAtUs(), 0, 6, 1, 0.9, 5, 0.25, false, List.of(0, 0, 0));
-        ServerStatistics prior = priors(States.snapshot(NOW, List.of(States.box(0, NOW, one))), NOW);
+        ServerStatistics prior = priors(States.snapshot(NOW, List.of(States.server(0, NOW, one))), NOW);
         assertTrue(prior.servers().get(0).consecutiveErrors() <= 1, prior.toString());
         assertTrue(prior.servers().get(0).relativeLatency() < 2, prior.toString());
     }
@@ -63,20 +63,21 @@
     /** A snapshot taken now may repeat what a box did ten minutes ago. */
     @Test
     void ageCountsFromABoxesLastAnswer() {
-        Snapshot snapshot = States.snapshot(NOW, List.of(States.box(0, NOW, States.ill(0, NOW - 60_000))));
+        Snapshot snapshot = States.snapshot(NOW, List.of(States.server(0, NOW, States.failing(0, NOW - 60_000))));
         assertEquals(0, priors(snapshot, NOW).servers().get(0).consecutiveErrors());
     }
 
     @Test
     void whoIsInDoubtBeginsWithLittleAndUnjudged() {
-        ServerStatistics prior = Priors.of(States.of(2, 2, NOW), States.CLASSES, NOW, true, Map.of("s-0", 0.4));
+        ServerStatistics prior =
+                PriorStatistics.of(States.of(2, 2, NOW), States.CLASSES, NOW, true, Map.of("s-0", 0.4));
         PerServer unsure = prior.servers().get(0);
         assertEquals(0, unsure.consecutiveErrors());
         assertEquals(0.4, unsure.relativeLimit(), 1e-9);
         assertTrue(unsure.attemptCount() > 1_000, "the limit holds in full");
         assertTrue(prior.servers().get(1).consecutiveErrors() > 0);
         assertTrue(
-                Priors.of(States.of(1, 1, NOW), States.CLASSES, NOW, true, Map.of("s-0", 0.95))
+                PriorStatistics.of(States.of(1, 1, NOW), States.CLASSES, NOW, true, Map.of("s-0", 0.95))
                                 .servers()
                                 .get(0)
                                 .consecutiveErrors()
@@ -86,14 +87,16 @@
 
     @Test
     void aConfusedNodesWordOnHealthIsLeftOut() {
-        ServerStatistics prior = Priors.of(States.of(4, 1, NOW), States.CLASSES, NOW, false, Map.of("s-3", 0.4));
+        ServerStatistics prior =
+                PriorStatistics.of(States.of(4, 1, NOW), States.CLASSES, NOW, false, Map.of("s-3", 0.4));
         assertEquals(List.of("s-3"), prior.servers().stream().map(PerServer::id).toList());
         assertTrue(prior.classes().isEmpty());
     }
 
     @Test
     void classesGoByTheirNames() {
-        ServerStatistics prior = Priors.of(States.of(2, 1, NOW), List.of("new", "order", "view"), NOW, true, Map.of());
+        ServerStatistics prior =
+                PriorStatistics.of(States.of(2, 1, NOW), List.of("new", "order", "view"), NOW, true, Map.of());
         assertEquals(List.of(0, 4, 2), prior.servers().get(0).classFailureStreaks());
         assertEquals(
                 List.of(2, 1),
--- a/src/test/java/vetchpost/state/RecollectionTest.java
+++ b/src/test/java/vetchpost/state/RecollectionTest.java
@@ -9,7 +9,7 @@
 import vetchpost.core.ServerList;
 import vetchpost.core.ServerList.Target;
 import vetchpost.decision.Balancer.ServerState;
-import vetchpost.state.Recollection.Rules;
+import vetchpost.state.RestoredState.Rules;
 
 /** With which boxes of an old snapshot a node begins. */
 class RecollectionTest {
@@ -19,35 +19,35 @@
     private static final Rules CANT_ASK = new Rules(24 * HOUR, 30_000, false);
     private static final ServerList NONE = new ServerList(0, true, List.of());
 
-    private static Recollection of(Snapshot snapshot, Rules rules) {
-        return Recollection.of(snapshot, NONE, NOW, rules);
+    private static RestoredState of(Snapshot snapshot, Rules rules) {
+        return RestoredState.of(snapshot, NONE, NOW, rules);
     }
 
     @Test
     void whatWasThereJustNowIsUsedAtOnce() {
-        Recollection fresh = of(States.of(12, 2, NOW - 5_000), CANT_ASK);
-        assertEquals(12, fresh.use().size());
-        assertTrue(fresh.use().values().stream().allMatch(c -> c > 0.99));
+        RestoredState fresh = of(States.of(12, 2, NOW - 5_000), CANT_ASK);
+        assertEquals(12, fresh.usable().size());
+        assertTrue(fresh.usable().values().stream().allMatch(c -> c > 0.99));
     }
 
     /** A retired box's address may be another application's by now: nothing is sent there unasked. */
     @Test
     void aWeekOldListIsAskedBeforeItIsUsedOrNotUsedAtAll() {
         Snapshot old = States.of(12, 0, NOW - 7 * 24 * HOUR);
-        assertEquals(0, of(old, ASKS).use().size());
-        assertEquals(12, of(old, ASKS).ask().size());
-        assertEquals(0, of(old, CANT_ASK).use().size());
-        assertEquals(0, of(old, CANT_ASK).ask().size());
+        assertEquals(0, of(old, ASKS).usable().size());
+        assertEquals(12, of(old, ASKS).toProbe().size());
+        assertEquals(0, of(old, CANT_ASK).usable().size());
+        assertEquals(0, of(old, CANT_ASK).toProbe().size());
         assertEquals(12, of(old, CANT_ASK).dropped());
     }
 
     @Test
     void theLikeliestAreAskedFirst() {
-        List<BoxState> boxes = new ArrayList<>();
+        List<ServerRecord> boxes = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            boxes.add(States.box(i, NOW - HOUR * (1 + i * 7 % 10), null));
+            boxes.add(States.server(i, NOW - HOUR * (1 + i * 7 % 10), null));
         }
-        List<Target> ask = of(States.snapshot(NOW - HOUR, boxes), ASKS).ask();
+        List<Target> ask = of(States.snapshot(NOW - HOUR, boxes), ASKS).toProbe();
         List<Long> ages = ask.stream()
                 .map(t -> boxes.stream()
                         .filter(b -> b.target().equals(t))
@@ -63,12 +63,12 @@
     @Test
     void agesFromTheFutureAreNoAges() {
         Snapshot ahead = States.of(4, 0, NOW + 365 * 24 * HOUR);
-        assertEquals(0, of(ahead, ASKS).use().size(), "the clock was ahead when it was written");
-        assertEquals(4, of(ahead, ASKS).ask().size());
+        assertEquals(0, of(ahead, ASKS).usable().size(), "the clock was ahead when it was written");
+        assertEquals(4, of(ahead, ASKS).toProbe().size());
         assertEquals(4, of(ahead, CANT_ASK).dropped());
-        Recollection set = Recollection.of(States.of(4, 0, NOW), NONE, NOW + 365 * 24 * HOUR, ASKS);
-        assertEquals(0, set.use().size(), "the clock is ahead now");
-        assertEquals(4, set.ask().size());
+        RestoredState set = RestoredState.of(States.of(4, 0, NOW), NONE, NOW + 365 * 24 * HOUR, ASKS);
+        assertEquals(0, set.usable().size(), "the clock is ahead now");
+        assertEquals(4, set.toProbe().size());
     }
 
     @Test
@@ -78,22 +78,23 @@
         for (int i = 0; i < 12; i++) {
             twelve.add(States.target(i));
         }
-        Recollection newer = Recollection.of(snapshot, new ServerList(42, true, twelve), NOW, ASKS);
-        assertEquals(0, newer.use().size() + newer.ask().size());
+        RestoredState newer = RestoredState.of(snapshot, new ServerList(42, true, twelve), NOW, ASKS);
+        assertEquals(0, newer.usable().size() + newer.toProbe().size());
         assertEquals(8, newer.dropped());
         // 20 run now, by the snapshot: the list is from before, when they were 12.
-        Recollection older = Recollection.of(snapshot, new ServerList(40, true, twelve), NOW, ASKS);
-        assertEquals(8, older.use().size());
-        assertTrue(older.use().keySet().stream().noneMatch(twelve::contains));
+        RestoredState older = RestoredState.of(snapshot, new ServerList(40, true, twelve), NOW, ASKS);
+        assertEquals(8, older.usable().size());
+        assertTrue(older.usable().keySet().stream().noneMatch(twelve::contains));
     }
 
     @Test
     void whoDrainedIsNotBroughtBack() {
         Target ready = States.target(1);
         Target drains = new Target(ready.id(), ready.address(), "a", 1, ServerState.DRAINING, 1, 0);
-        Snapshot snapshot = States.snapshot(NOW, List.of(new BoxState(drains, NOW, Confirmed.LIST, 0, null)));
-        assertTrue(of(snapshot, ASKS).use().isEmpty());
-        assertTrue(of(snapshot, ASKS).ask().isEmpty());
+        Snapshot snapshot =
+                States.snapshot(NOW, List.of(new ServerRecord(drains, NOW, ConfirmationSource.LIST, 0, null)));
+        assertTrue(of(snapshot, ASKS).usable().isEmpty());
+        assertTrue(of(snapshot, ASKS).toProbe().isEmpty());
     }
 
     @Test
@@ -103,13 +104,14 @@
         Snapshot snapshot = States.snapshot(
                 NOW,
                 List.of(
-                        new BoxState(first, NOW - 9_000, Confirmed.LIST, 0, null),
-                        new BoxState(second, NOW - 1_000, Confirmed.LIST, 0, null)));
-        assertEquals(List.of(second), List.copyOf(of(snapshot, CANT_ASK).use().keySet()));
+                        new ServerRecord(first, NOW - 9_000, ConfirmationSource.LIST, 0, null),
+                        new ServerRecord(second, NOW - 1_000, ConfirmationSource.LIST, 0, null)));
+        assertEquals(
+                List.of(second), List.copyOf(of(snapshot, CANT_ASK).usable().keySet()));
         // An address that the given list has for somebody else is not the snapshot's to give.
         ServerList listed = new ServerList(1, true, List.of(second));
-        assertTrue(Recollection.of(States.snapshot(NOW, List.of(States.box(1, NOW, null))), listed, NOW, ASKS)
-                .use()
+        assertTrue(RestoredState.of(States.snapshot(NOW, List.of(States.server(1, NOW, null))), listed, NOW, ASKS)
+                .usable()
                 .isEmpty());
     }
 
--- a/src/test/java/vetchpost/state/States.java
+++ b/src/test/java/vetchpost/state/States.java
@@ -27,41 +27,41 @@
                 0);
     }
 
-    public static PerServer well(int number, long heardMs) {
+    public static PerServer healthy(int number, long heardMs) {
         return new PerServer(
                 "s-" + number, 0, 100, 1_000 * heardMs, 1_000 * heardMs, 0, 0, 0, 1.5, 3, false, List.of(0, 0, 0));
     }
 
-    public static PerServer ill(int number, long heardMs) {
+    public static PerServer failing(int number, long heardMs) {
         return new PerServer("s-" + number, 0, 100, 1_000 * heardMs, 0, 6, 10, 0.9, 5, 0.25, true, List.of(2, 0, 4));
     }
 
-    public static BoxState box(int number, long confirmedMs, PerServer knowledge) {
-        return new BoxState(
-                target(number), confirmedMs, Confirmed.LIST, knowledge == null ? 0 : confirmedMs, knowledge);
+    public static ServerRecord server(int number, long confirmedMs, PerServer knowledge) {
+        return new ServerRecord(
+                target(number), confirmedMs, ConfirmationSource.LIST, knowledge == null ? 0 : confirmedMs, knowledge);
     }
 
-    public static Snapshot snapshot(long takenMs, List<BoxState> boxes, Trouble... troubles) {
-        EnumSet<Trouble> all = EnumSet.noneOf(Trouble.class);
+    public static Snapshot snapshot(long takenMs, List<ServerRecord> boxes, SelfFault... troubles) {
+        EnumSet<SelfFault> all = EnumSet.noneOf(SelfFault.class);
         all.addAll(List.of(troubles));
         return new Snapshot(
-                new Origin(takenMs, takenMs, takenMs - 3_600_000, 41, all),
+                new SnapshotOrigin(takenMs, takenMs, takenMs - 3_600_000, 41, all),
                 CLASSES.stream().map(c -> new ClassState(c, 50, 20_000, 15_000)).toList(),
                 boxes);
     }
 
     /** So many boxes, the first few of them ill. */
     public static Snapshot of(int boxes, int ill, long takenMs) {
-        List<BoxState> states = new ArrayList<>();
+        List<ServerRecord> states = new ArrayList<>();
         for (int i = 0; i < boxes; i++) {
-            states.add(box(i, takenMs, i < ill ? ill(i, takenMs) : well(i, takenMs)));
+            states.add(server(i, takenMs, i < ill ? failing(i, takenMs) : healthy(i, takenMs)));
         }
         return snapshot(takenMs, states);
     }
 
     /** Any figures that a snapshot can hold. */
     public static Snapshot random(SplittableRandom random, int boxes) {
-        List<BoxState> states = new ArrayList<>();
+        List<ServerRecord> states = new ArrayList<>();
         for (int i = 0; i < boxes; i++) {
             PerServer known = random.nextInt(4) == 0
                     ? null
@@ -78,22 +78,22 @@
                             20 * random.nextDouble(),
                             random.nextBoolean(),
                             List.of(random.nextInt(9), 0, 3));
-            states.add(new BoxState(
+            states.add(new ServerRecord(
                     target(i),
                     1 + random.nextLong(1L << 42),
-                    Confirmed.values()[random.nextInt(3)],
+                    ConfirmationSource.values()[random.nextInt(3)],
                     known == null ? 0 : 1 + random.nextLong(1L << 42),
                     known));
         }
         return new Snapshot(
-                new Origin(
+                new SnapshotOrigin(
                         random.nextLong(),
                         1 + random.nextLong(1L << 42),
                         1 + random.nextLong(1L << 42),
                         random.nextLong(),
                         random.nextBoolean()
-                                ? EnumSet.of(Trouble.STALLED, Trouble.MOST_ILL)
-                                : EnumSet.noneOf(Trouble.class)),
+                                ? EnumSet.of(SelfFault.STALLED, SelfFault.MOST_SERVERS_FAILING)
+                                : EnumSet.noneOf(SelfFault.class)),
                 List.of(new ClassState("view", 3, 0.5, 0)),
                 states);
     }
--- a/src/test/java/vetchpost/state/codec/PieceCodecTest.java
+++ b/src/test/java/vetchpost/state/codec/PieceCodecTest.java
@@ -14,18 +14,19 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import vetchpost.state.SelfFault;
 import vetchpost.state.Snapshot;
 import vetchpost.state.States;
-import vetchpost.state.Trouble;
 
 /** Pieces as bytes, and all that may be wrong with such bytes. */
 class PieceCodecTest {
     private static byte[] bytes(Snapshot snapshot) {
-        return PieceCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.boxes());
+        return ChunkCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.servers());
     }
 
     private static String refusal(byte[] bytes) {
-        return assertThrows(MalformedState.class, () -> PieceCodec.read(bytes)).getMessage();
+        return assertThrows(MalformedSnapshotException.class, () -> ChunkCodec.read(bytes))
+                .getMessage();
     }
 
     /** A message of protobuf's, with what is to be in it. */
@@ -48,20 +49,20 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws MalformedState {
+    void whatIsWrittenIsRead() throws MalformedSnapshotException {
         SplittableRandom random = new SplittableRandom(14);
         for (int i = 0; i < 200; i++) {
             Snapshot snapshot = States.random(random, random.nextInt(60));
-            PieceCodec.Piece piece = PieceCodec.read(bytes(snapshot));
-            assertEquals(snapshot, piece.part());
-            assertEquals(1, piece.pieces());
+            ChunkCodec.Chunk piece = ChunkCodec.read(bytes(snapshot));
+            assertEquals(snapshot, piece.content());
+            assertEquals(1, piece.chunkCount());
         }
     }
 
     @Test
     void aPieceOfTheMostBoxesFitsItsBound() {
-        Snapshot snapshot = States.random(new SplittableRandom(1), PieceCodec.BOXES);
-        assertTrue(bytes(snapshot).length < PieceCodec.MOST_BYTES / 2, bytes(snapshot).length + " bytes");
+        Snapshot snapshot = States.random(new SplittableRandom(1), ChunkCodec.SERVERS_PER_CHUNK);
+        assertTrue(bytes(snapshot).length < ChunkCodec.MAX_CHUNK_BYTES / 2, bytes(snapshot).length + " bytes");
     }
 
     @Test
@@ -72,11 +73,14 @@
             out.writeFixed32(901, 7);
             out.writeDouble(902, 1.5);
         });
-        assertEquals(snapshot, PieceCodec.read(join(bytes(snapshot), more)).part());
+        assertEquals(snapshot, ChunkCodec.read(join(bytes(snapshot), more)).content());
         byte[] trouble = message(out -> out.writeUInt32(8, 77));
         assertEquals(
-                Set.of(Trouble.MOST_ILL),
-                PieceCodec.read(join(bytes(snapshot), trouble)).part().origin().troubles(),
+                Set.of(SelfFault.MOST_SERVERS_FAILING),
+                ChunkCodec.read(join(bytes(snapshot), trouble))
+                        .content()
+                        .origin()
+                        .selfFaults(),
                 "a trouble of a later version is one all the same");
     }
 
@@ -89,7 +93,7 @@
     void whatCannotBeIsRefused() throws Exception {
         byte[] good = bytes(States.of(2, 0, States.NOW_MS));
         assertTrue(refusal(new byte[0]).contains("no version"));
-        assertTrue(refusal(new byte[PieceCodec.MOST_BYTES + 1]).contains("65537 bytes"));
+        assertTrue(refusal(new byte[ChunkCodec.MAX_CHUNK_BYTES + 1]).contains("65537 bytes"));
         assertTrue(refusal(Arrays.copyOf(good, good.length - 3)).contains("not a piece"));
         // Lengths that nothing stands behind: no room is made for them.
         assertTrue(refusal(join(good, message(out -> {
@@ -126,10 +130,10 @@
         for (int i = 0; i < 10_000; i++) {
             byte[] bytes = corrupted(bytes(States.random(random, random.nextInt(12))), random);
             try {
-                PieceCodec.Piece piece = PieceCodec.read(bytes);
-                assertTrue(piece.part().boxes().size() <= bytes.length);
+                ChunkCodec.Chunk piece = ChunkCodec.read(bytes);
+                assertTrue(piece.content().servers().size() <= bytes.length);
                 read++;
-            } catch (MalformedState e) {
+            } catch (MalformedSnapshotException e) {
                 assertFalse(e.getMessage().isBlank());
                 refused++;
             }
@@ -157,38 +161,38 @@
     }
 
     @Test
-    void piecesArePutTogetherInAnyOrder() throws MalformedState {
+    void piecesArePutTogetherInAnyOrder() throws MalformedSnapshotException {
         Snapshot snapshot = States.of(250, 20, States.NOW_MS);
-        List<byte[]> pieces = Pieces.of(snapshot);
+        List<byte[]> pieces = Chunks.of(snapshot);
         assertEquals(3, pieces.size());
-        Assembly assembly = new Assembly();
+        ChunkAssembler assembly = new ChunkAssembler();
         for (int i : new int[] {2, 0}) {
-            assembly.add(PieceCodec.read(pieces.get(i)));
-            assertFalse(assembly.isWhole());
+            assembly.add(ChunkCodec.read(pieces.get(i)));
+            assertFalse(assembly.isComplete());
         }
-        assertEquals(150, assembly.snapshot().boxes().size(), "what has come is of use on its own");
-        assembly.add(PieceCodec.read(pieces.get(1)));
-        assertTrue(assembly.isWhole());
+        assertEquals(150, assembly.snapshot().servers().size(), "what has come is of use on its own");
+        assembly.add(ChunkCodec.read(pieces.get(1)));
+        assertTrue(assembly.isComplete());
         assertEquals(
-                Set.copyOf(snapshot.boxes()), Set.copyOf(assembly.snapshot().boxes()));
+                Set.copyOf(snapshot.servers()), Set.copyOf(assembly.snapshot().servers()));
     }
 
     @Test
-    void piecesOfTwoSnapshotsDoNotMixAndNoneCountsTwice() throws MalformedState {
-        Assembly assembly = new Assembly();
-        List<byte[]> pieces = Pieces.of(States.of(250, 0, States.NOW_MS));
-        assembly.add(PieceCodec.read(pieces.get(0)));
+    void piecesOfTwoSnapshotsDoNotMixAndNoneCountsTwice() throws MalformedSnapshotException {
+        ChunkAssembler assembly = new ChunkAssembler();
+        List<byte[]> pieces = Chunks.of(States.of(250, 0, States.NOW_MS));
+        assembly.add(ChunkCodec.read(pieces.get(0)));
         Snapshot before = assembly.snapshot();
-        List<byte[]> others = Pieces.of(States.of(250, 0, States.NOW_MS + 1));
-        assertThrows(MalformedState.class, () -> assembly.add(PieceCodec.read(others.get(1))));
-        assertThrows(MalformedState.class, () -> assembly.add(PieceCodec.read(pieces.get(0))));
+        List<byte[]> others = Chunks.of(States.of(250, 0, States.NOW_MS + 1));
+        assertThrows(MalformedSnapshotException.class, () -> assembly.add(ChunkCodec.read(others.get(1))));
+        assertThrows(MalformedSnapshotException.class, () -> assembly.add(ChunkCodec.read(pieces.get(0))));
         Snapshot same = States.of(250, 0, States.NOW_MS);
-        byte[] again = PieceCodec.write(
-                1, 3, same.origin(), same.classes(), same.boxes().subList(99, 120));
-        assertThrows(MalformedState.class, () -> assembly.add(PieceCodec.read(again)), "a box twice");
+        byte[] again = ChunkCodec.write(
+                1, 3, same.origin(), same.classes(), same.servers().subList(99, 120));
+        assertThrows(MalformedSnapshotException.class, () -> assembly.add(ChunkCodec.read(again)), "a box twice");
         assertEquals(before, assembly.snapshot(), "nothing of them was taken");
-        assertFalse(assembly.isWhole());
+        assertFalse(assembly.isComplete());
         assertArrayEquals(
-                pieces.get(0), Pieces.of(States.of(250, 0, States.NOW_MS)).get(0));
+                pieces.get(0), Chunks.of(States.of(250, 0, States.NOW_MS)).get(0));
     }
 }
--- a/src/test/java/vetchpost/state/disk/StateFileTest.java
+++ b/src/test/java/vetchpost/state/disk/StateFileTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import vetchpost.state.Snapshot;
 import vetchpost.state.States;
-import vetchpost.state.codec.MalformedState;
-import vetchpost.state.codec.Pieces;
+import vetchpost.state.codec.Chunks;
+import vetchpost.state.codec.MalformedSnapshotException;
 
 /** One whole snapshot is left, whatever happens to the file, the disk or the process. */
 class StateFileTest {
@@ -36,7 +36,7 @@
 
     private static byte[] bytes(Snapshot snapshot) throws IOException {
         ScriptedDisk disk = new ScriptedDisk();
-        new StateFile(disk, FILE).write(Pieces.of(snapshot));
+        new StateFile(disk, FILE).write(Chunks.of(snapshot));
         return disk.get(FILE);
     }
 
@@ -49,9 +49,9 @@
         ScriptedDisk disk = new ScriptedDisk();
         assertNull(read(disk));
         StateFile file = new StateFile(disk, FILE);
-        file.write(Pieces.of(FIRST));
-        file.write(Pieces.of(SECOND));
-        long length = file.write(Pieces.of(THIRD));
+        file.write(Chunks.of(FIRST));
+        file.write(Chunks.of(SECOND));
+        long length = file.write(Chunks.of(THIRD));
         assertEquals(THIRD, read(disk));
         assertEquals(List.of(), lines);
         assertEquals(length, disk.get(FILE).length);
@@ -64,7 +64,7 @@
     @Test
     void aWriteStoppedAtEachStepLeavesAWholeSnapshot() throws IOException {
         ScriptedDisk count = new ScriptedDisk();
-        new StateFile(count, FILE).write(Pieces.of(THIRD));
+        new StateFile(count, FILE).write(Chunks.of(THIRD));
         int steps = count.calls() + 1;
         assertTrue(steps >= 8, steps + " steps");
         SplittableRandom chance = new SplittableRandom(14);
@@ -74,10 +74,10 @@
             for (int round = 0; round < 200; round++) {
                 ScriptedDisk disk = new ScriptedDisk();
                 StateFile file = new StateFile(disk, FILE);
-                file.write(Pieces.of(FIRST));
-                file.write(Pieces.of(SECOND));
+                file.write(Chunks.of(FIRST));
+                file.write(Chunks.of(SECOND));
                 disk.killAt(step);
-                assertThrows(ScriptedDisk.Killed.class, () -> file.write(Pieces.of(THIRD)));
+                assertThrows(ScriptedDisk.Killed.class, () -> file.write(Chunks.of(THIRD)));
                 boolean power = round > 0;
                 Snapshot left = read(power ? disk.afterPowerLoss(chance) : disk.afterKill());
                 assertNotNull(left, "step " + step + ": " + lines);
@@ -86,7 +86,7 @@
                 powerLost += power ? 1 : 0;
                 // And the next process can write again over whatever lies there.
                 ScriptedDisk next = power ? disk.afterPowerLoss(chance) : disk.afterKill();
-                new StateFile(next, FILE).write(Pieces.of(THIRD));
+                new StateFile(next, FILE).write(Chunks.of(THIRD));
                 assertEquals(THIRD, read(next));
             }
         }
@@ -110,7 +110,7 @@
                 assertEquals(FIRST, file.read(NOW, lines::add));
                 disk.killAt(step);
                 try {
-                    file.write(Pieces.of(THIRD));
+                    file.write(Chunks.of(THIRD));
                 } catch (ScriptedDisk.Killed e) {
                     stopped++;
                 }
@@ -152,7 +152,7 @@
     void whatIsNoSnapshotIsPassedOverWithALine() throws IOException {
         ScriptedDisk disk = new ScriptedDisk();
         disk.put(FILE, "#!/bin/sh\necho another program's file, and long enough\n".getBytes(StandardCharsets.US_ASCII));
-        disk.put(OLDER, new byte[(int) StateFile.MOST_BYTES + 1]);
+        disk.put(OLDER, new byte[(int) StateFile.MAX_BYTES + 1]);
         assertNull(read(disk));
         assertEquals(2, lines.size());
         assertTrue(lines.get(0).contains("no snapshot of this program's"), lines.get(0));
@@ -182,14 +182,14 @@
     void aFullDiskLeavesWhatWasThere() throws IOException {
         ScriptedDisk disk = new ScriptedDisk();
         StateFile file = new StateFile(disk, FILE);
-        file.write(Pieces.of(FIRST));
+        file.write(Chunks.of(FIRST));
         disk.failsWith(new IOException("No space left on device"));
         for (int i = 0; i < 5; i++) {
-            assertThrows(IOException.class, () -> file.write(Pieces.of(SECOND)));
+            assertThrows(IOException.class, () -> file.write(Chunks.of(SECOND)));
         }
         assertEquals(FIRST, read(disk));
         disk.failsWith(null);
-        file.write(Pieces.of(SECOND));
+        file.write(Chunks.of(SECOND));
         assertEquals(SECOND, read(disk));
     }
 
@@ -200,7 +200,7 @@
         for (int i = 0; i < 10_000; i++) {
             byte[] bytes = corrupted(whole, random);
             if (!Arrays.equals(bytes, whole)) {
-                assertThrows(MalformedState.class, () -> StateFile.parse(bytes));
+                assertThrows(MalformedSnapshotException.class, () -> StateFile.parse(bytes));
             }
         }
     }
@@ -223,8 +223,8 @@
     void theMachinesOwnDiskKeepsTwoGenerations(@TempDir Path folder) throws IOException {
         Path path = folder.resolve("boxes");
         StateFile file = new StateFile(path);
-        file.write(Pieces.of(FIRST));
-        file.write(Pieces.of(SECOND));
+        file.write(Chunks.of(FIRST));
+        file.write(Chunks.of(SECOND));
         assertEquals(SECOND, new StateFile(path).read(NOW, lines::add));
         Files.write(path, new byte[] {1, 2, 3});
         assertEquals(FIRST, new StateFile(path).read(NOW, lines::add));
@@ -232,6 +232,6 @@
         Files.delete(path);
         Files.createDirectory(path);
         assertEquals(FIRST, new StateFile(path).read(NOW, lines::add), "a folder is no file");
-        assertThrows(IOException.class, () -> new StateFile(folder.resolve("missing/boxes")).write(Pieces.of(FIRST)));
+        assertThrows(IOException.class, () -> new StateFile(folder.resolve("missing/boxes")).write(Chunks.of(FIRST)));
     }
 }
--- a/src/test/java/vetchpost/store/FieldsTest.java
+++ b/src/test/java/vetchpost/store/FieldsTest.java
@@ -13,7 +13,7 @@
 class FieldsTest {
     private static Map<Integer, Object> read(byte[] bytes) {
         Map<Integer, Object> all = new LinkedHashMap<>();
-        Fields.read(bytes, all::put);
+        FieldCodec.read(bytes, all::put);
         return all;
     }
 
@@ -22,7 +22,7 @@
         SplittableRandom random = new SplittableRandom(7);
         for (int i = 0; i < 2_000; i++) {
             Map<Integer, Object> all = new LinkedHashMap<>();
-            Fields.Packer packer = new Fields.Packer();
+            FieldCodec.Encoder packer = new FieldCodec.Encoder();
             for (int number = random.nextInt(3); number <= 84; number += random.nextInt(1, 30)) {
                 Object value = switch (random.nextInt(3)) {
                     case 0 -> "é\u0001x".repeat(random.nextInt(40));
@@ -38,7 +38,7 @@
 
     @Test
     void whatDoesNotFitIsRefused() {
-        Fields.Packer packer = new Fields.Packer();
+        FieldCodec.Encoder packer = new FieldCodec.Encoder();
         assertThrows(IllegalArgumentException.class, () -> packer.add(85, 1L));
         assertThrows(IllegalArgumentException.class, () -> packer.add(1, true));
         assertThrows(IllegalArgumentException.class, () -> packer.add(1, "x".repeat(2_049)));
@@ -50,7 +50,7 @@
 
     @Test
     void bytesThatAreNoneAreRefused() {
-        Fields.Packer packer = new Fields.Packer();
+        FieldCodec.Encoder packer = new FieldCodec.Encoder();
         packer.add(3, "text");
         packer.add(4, 5L);
         byte[] good = packer.bytes();
--- a/src/test/java/vetchpost/store/PackedTreeTest.java
+++ b/src/test/java/vetchpost/store/PackedTreeTest.java
@@ -97,7 +97,7 @@
                     .map(Map.Entry::getKey)
                     .findFirst()
                     .orElse(null);
-            Item found = tree.nextOver(bytes(from), over);
+            Item found = tree.nextNewer(bytes(from), over);
             assertEquals(next, found == null ? null : text(found.key()));
             Item ceiling = tree.ceiling(bytes(from));
             assertEquals(map.ceilingKey(from), ceiling == null ? null : text(ceiling.key()));
@@ -154,25 +154,25 @@
         assertTrue(Version.of(2, 0) > Version.of(1, (1L << 40) - 1));
         assertEquals(3, Version.epoch(Version.of(3, 9)));
         assertEquals(9, Version.number(Version.of(3, 9)));
-        assertThrows(IllegalArgumentException.class, () -> Version.of(Version.MOST_EPOCH, 0));
+        assertThrows(IllegalArgumentException.class, () -> Version.of(Version.MAX_EPOCH, 0));
     }
 
     @Test
     void aBatchIsInForceAsOneAndRemovedKeysAreKnownUntilTheyAreForgotten() {
-        Key a = new Key(Kind.ROUTE, "a");
-        Key b = new Key(Kind.TENANT, "b");
+        EntryKey a = new EntryKey(EntryKind.ROUTE, "a");
+        EntryKey b = new EntryKey(EntryKind.TENANT, "b");
         VersionedStore one =
-                VersionedStore.EMPTY.with(List.of(Change.put(a, bytes("1")), Change.put(b, bytes("1"))), 5);
-        VersionedStore two = one.with(List.of(Change.delete(a), Change.replace(b, bytes("2"))), 6);
+                VersionedStore.EMPTY.with(List.of(EntryChange.put(a, bytes("1")), EntryChange.put(b, bytes("1"))), 5);
+        VersionedStore two = one.with(List.of(EntryChange.delete(a), EntryChange.replace(b, bytes("2"))), 6);
         assertEquals("1", text(one.get(a).value()), "who reads the one before still does");
         assertNull(two.get(a));
         assertEquals(6, two.get(b).stamp());
         assertEquals(1, two.removed().size());
         assertThrows(IllegalArgumentException.class, () -> two.with(List.of(), 6));
-        assertEquals(0, two.forget(0).removed().size());
-        assertEquals(6, two.forget(0).horizon());
-        assertEquals(a, Key.of(a.bytes()));
-        VersionedStore again = two.with(List.of(Change.put(a, bytes("3"))), 7);
+        assertEquals(0, two.forgetRemovals(0).removed().size());
+        assertEquals(6, two.forgetRemovals(0).horizon());
+        assertEquals(a, EntryKey.of(a.bytes()));
+        VersionedStore again = two.with(List.of(EntryChange.put(a, bytes("3"))), 7);
         assertEquals(0, again.removed().size(), "what is back has not gone");
     }
 }
--- a/src/test/java/vetchpost/testing/FakePeer.java
+++ b/src/test/java/vetchpost/testing/FakePeer.java
@@ -16,7 +16,7 @@
 
 /** A server, or discovery, on a loopback socket: records what it is sent and does as its script says. */
 public final class FakePeer implements Closeable {
-    public static final long PATIENCE_S = 30;
+    public static final long TIMEOUT_S = 30;
 
     /** What to do with a request, or with a connection. */
     public interface Script {
@@ -79,11 +79,11 @@
     }
 
     public String nextRequest() throws InterruptedException {
-        return soon(requests);
+        return takeWithTimeout(requests);
     }
 
-    public static <T> T soon(BlockingQueue<T> queue) throws InterruptedException {
-        T next = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
+    public static <T> T takeWithTimeout(BlockingQueue<T> queue) throws InterruptedException {
+        T next = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("nothing came");
         }
--- a/src/test/java/vetchpost/testing/Fixture.java
+++ b/src/test/java/vetchpost/testing/Fixture.java
@@ -60,7 +60,7 @@
         FakePeer.write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    public static void line(Socket watch, String line) throws IOException {
+    public static void writeLine(Socket watch, String line) throws IOException {
         FakePeer.write(watch, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 }
--- a/src/test/java/vetchpost/testing/Output.java
+++ b/src/test/java/vetchpost/testing/Output.java
@@ -43,13 +43,13 @@
 
     /** Waits for this text behind what was waited for before; fails with what came instead. */
     public synchronized void await(String part) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         int at = text.indexOf(part, seen);
         while (at < 0) {
             long leftMs = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
             if (ended || leftMs <= 0) {
                 throw new AssertionError("\"" + part + "\" was not said "
-                        + (ended ? "before the end" : "within " + FakePeer.PATIENCE_S + " s") + ", but:\n"
+                        + (ended ? "before the end" : "within " + FakePeer.TIMEOUT_S + " s") + ", but:\n"
                         + text.substring(seen));
             }
             wait(leftMs);
@@ -71,8 +71,8 @@
     }
 
     /** All that was said, once the process has ended. */
-    public String whole() throws InterruptedException {
-        reader.join(TimeUnit.SECONDS.toMillis(FakePeer.PATIENCE_S));
+    public String readAll() throws InterruptedException {
+        reader.join(TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         synchronized (this) {
             if (!ended) {
                 throw new AssertionError("it still runs, and has said:\n" + text);
--- a/src/test/java/vetchpost/trial/TryCommandTest.java
+++ b/src/test/java/vetchpost/trial/TryCommandTest.java
@@ -23,7 +23,7 @@
     private static final long MS = 1_000_000;
 
     private final AtomicLong now = new AtomicLong(1);
-    private final Tally tally = new Tally(now::get);
+    private final TrialStatistics tally = new TrialStatistics(now::get);
 
     private List<String> broken(String rule) {
         return tally.rules().get(rule);
@@ -53,8 +53,8 @@
     void aConnectionThatHasEndedIsResetWithoutHarm() throws IOException {
         Socket ended = new Socket();
         ended.close();
-        StandInBox.reset(ended);
-        try (StandInBox box = new StandInBox("s-0", 0, tally)) {
+        StandInServer.reset(ended);
+        try (StandInServer box = new StandInServer("s-0", 0, tally)) {
             String[] at = box.entry("Ready").split("\"")[7].split(":");
             InetSocketAddress address = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
             box.die();
