--- a/src/main/java/vetchpost/daemon/Commands.java
+++ b/src/main/java/vetchpost/daemon/Commands.java
@@ -3,11 +3,11 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ParameterException;
+import vetchpost.demo.TryCommand;
 import vetchpost.simulation.SimulateCommand;
-import vetchpost.simulation.crowd.OverloadCommand;
 import vetchpost.simulation.fleet.FleetCommand;
+import vetchpost.simulation.overload.OverloadCommand;
 import vetchpost.simulation.scale.ScaleCommand;
-import vetchpost.trial.TryCommand;
 
 /** All commands; loaded only where one is given. */
 @Command(
--- a/src/main/java/vetchpost/daemon/ControlLoader.java
+++ b/src/main/java/vetchpost/daemon/ControlLoader.java
@@ -14,7 +14,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import vetchpost.conductor.SourceWatcher;
 import vetchpost.control.AuditLog;
 import vetchpost.control.ControlApi;
 import vetchpost.control.ControlSettings;
@@ -31,6 +30,7 @@
 import vetchpost.operations.ControlSocket;
 import vetchpost.recorder.FlightRecorder;
 import vetchpost.sources.ServerOverrides;
+import vetchpost.sourcewatch.SourceWatcher;
 
 /** Operators' control of one node, put together; loaded only where the file has {@code [control]}. */
 final class ControlLoader implements ServerOverrides, AutoCloseable {
--- a/src/main/java/vetchpost/trial/StandInServer.java
+++ b/src/main/java/vetchpost/demo/StandInServer.java
@@ -1,4 +1,4 @@
-package vetchpost.trial;
+package vetchpost.demo;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/main/java/vetchpost/trial/TrialStatistics.java
+++ b/src/main/java/vetchpost/demo/TrialStatistics.java
@@ -1,4 +1,4 @@
-package vetchpost.trial;
+package vetchpost.demo;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/vetchpost/trial/TryCommand.java
+++ b/src/main/java/vetchpost/demo/TryCommand.java
@@ -1,4 +1,4 @@
-package vetchpost.trial;
+package vetchpost.demo;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
--- a/src/main/java/vetchpost/simwire/Main.java
+++ b/src/main/java/vetchpost/simadapter/Main.java
@@ -1,4 +1,4 @@
-package vetchpost.simwire;
+package vetchpost.simadapter;
 
 import java.io.FileDescriptor;
 import java.io.FileOutputStream;
--- a/src/main/java/vetchpost/simwire/WireException.java
+++ b/src/main/java/vetchpost/simadapter/WireException.java
@@ -1,4 +1,4 @@
-package vetchpost.simwire;
+package vetchpost.simadapter;
 
 /** The input is not what the wire allows; the message is one plain line for the operator. */
 final class WireException extends Exception {
--- a/src/main/java/vetchpost/simulation/crowd/ModelServers.java
+++ b/src/main/java/vetchpost/simulation/overload/ModelServers.java
@@ -1,4 +1,4 @@
-package vetchpost.simulation.crowd;
+package vetchpost.simulation.overload;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/vetchpost/simulation/crowd/OverloadCommand.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadCommand.java
@@ -1,4 +1,4 @@
-package vetchpost.simulation.crowd;
+package vetchpost.simulation.overload;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -19,8 +19,8 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 import vetchpost.simulation.SeedRunException;
-import vetchpost.simulation.crowd.OverloadRun.Plan;
-import vetchpost.simulation.crowd.OverloadRun.Policy;
+import vetchpost.simulation.overload.OverloadRun.Plan;
+import vetchpost.simulation.overload.OverloadRun.Policy;
 
 /** The command {@code crowd}. */
 @Command(
--- a/src/main/java/vetchpost/simulation/crowd/VirtualClock.java
+++ b/src/main/java/vetchpost/simulation/overload/VirtualClock.java
@@ -1,4 +1,4 @@
-package vetchpost.simulation.crowd;
+package vetchpost.simulation.overload;
 
 import java.util.PriorityQueue;
 import vetchpost.core.Clock;
--- a/src/main/java/vetchpost/conductor/FileWatch.java
+++ b/src/main/java/vetchpost/sourcewatch/FileWatch.java
@@ -1,4 +1,4 @@
-package vetchpost.conductor;
+package vetchpost.sourcewatch;
 
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
--- a/src/main/java/vetchpost/conductor/HealthCheck.java
+++ b/src/main/java/vetchpost/sourcewatch/HealthCheck.java
@@ -1,4 +1,4 @@
-package vetchpost.conductor;
+package vetchpost.sourcewatch;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/vetchpost/conductor/NameWatch.java
+++ b/src/main/java/vetchpost/sourcewatch/NameWatch.java
@@ -1,4 +1,4 @@
-package vetchpost.conductor;
+package vetchpost.sourcewatch;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/vetchpost/conductor/SourceListener.java
+++ b/src/main/java/vetchpost/sourcewatch/SourceListener.java
@@ -1,4 +1,4 @@
-package vetchpost.conductor;
+package vetchpost.sourcewatch;
 
 import java.util.List;
 import vetchpost.sources.ReportedServer;
--- a/src/main/java/vetchpost/conductor/SourceWatcher.java
+++ b/src/main/java/vetchpost/sourcewatch/SourceWatcher.java
@@ -1,4 +1,4 @@
-package vetchpost.conductor;
+package vetchpost.sourcewatch;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
--- a/src/main/java/vetchpost/conductor/package-info.java
+++ b/src/main/java/vetchpost/sourcewatch/package-info.java
@@ -1,2 +1,2 @@
 /** Asks sources and checks servers; what that comes to is decided in {@code vetchpost.sources}. */
-package vetchpost.conductor;
+package vetchpost.sourcewatch;
--- a/src/test/java/vetchpost/ArchitectureTest.java
+++ b/src/test/java/vetchpost/ArchitectureTest.java
@@ -61,7 +61,7 @@
                     "vetchpost.recovery..",
                     "vetchpost.state..",
                     "vetchpost.web..",
-                    "vetchpost.conductor..")
+                    "vetchpost.sourcewatch..")
             .should()
             .callMethod(System.class, "nanoTime")
             .orShould()
@@ -78,7 +78,7 @@
                     "vetchpost.handover..",
                     "vetchpost.recovery..",
                     "vetchpost.web..",
-                    "vetchpost.conductor..")
+                    "vetchpost.sourcewatch..")
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage("io.netty.channel.nio..", "io.netty.channel.socket.nio..");
@@ -95,7 +95,7 @@
     @ArchTest
     static final ArchRule THE_ADAPTER_HAS_ONLY_THE_MODULE = noClasses()
             .that()
-            .resideInAPackage("vetchpost.simwire..")
+            .resideInAPackage("vetchpost.simadapter..")
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
@@ -306,7 +306,7 @@
                     "vetchpost.web..",
                     "vetchpost.sources..",
                     "vetchpost.standalone..",
-                    "vetchpost.conductor..",
+                    "vetchpost.sourcewatch..",
                     "vetchpost.control..",
                     "vetchpost.operations..",
                     "vetchpost.recorder..",
@@ -352,7 +352,7 @@
     @ArchTest
     static final ArchRule IN_SERVICE_NOTHING_IS_SIMULATED = noClasses()
             .that()
-            .resideOutsideOfPackages("vetchpost.simulation..", "vetchpost.daemon..", "vetchpost.trial..")
+            .resideOutsideOfPackages("vetchpost.simulation..", "vetchpost.daemon..", "vetchpost.demo..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("vetchpost.simulation..");
--- a/src/test/java/vetchpost/trial/TryCommandTest.java
+++ b/src/test/java/vetchpost/demo/TryCommandTest.java
@@ -1,4 +1,4 @@
-package vetchpost.trial;
+package vetchpost.demo;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/vetchpost/simwire/AdapterSessionTest.java
+++ b/src/test/java/vetchpost/simadapter/AdapterSessionTest.java
@@ -1,4 +1,4 @@
-package vetchpost.simwire;
+package vetchpost.simadapter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/vetchpost/simulation/crowd/CrowdTest.java
+++ b/src/test/java/vetchpost/simulation/overload/CrowdTest.java
@@ -1,4 +1,4 @@
-package vetchpost.simulation.crowd;
+package vetchpost.simulation.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
-import vetchpost.simulation.crowd.OverloadRun.Plan;
-import vetchpost.simulation.crowd.OverloadRun.Policy;
+import vetchpost.simulation.overload.OverloadRun.Plan;
+import vetchpost.simulation.overload.OverloadRun.Policy;
 
 /** The proofs of the door with the node's core and module behind it. */
 class CrowdTest {
--- a/src/test/java/vetchpost/conductor/SourcesTest.java
+++ b/src/test/java/vetchpost/sourcewatch/SourcesTest.java
@@ -1,4 +1,4 @@
-package vetchpost.conductor;
+package vetchpost.sourcewatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
