--- a/src/main/java/vetchpost/config/SettingsReader.java
+++ b/src/main/java/vetchpost/config/SettingsReader.java
@@ -46,7 +46,7 @@
         int tenants = (int) whole("realms.count", 0);
         for (int i = 0; i < tenants; i++) {
             String prefix = "realms." + i + ".";
-            set.tenants.add(new Tenant(need(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
+            set.tenants.add(new Tenant(required(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
         set.overShareWorth = decimal("overShareWorth", set.overShareWorth);
         set.valuePerWorkUnit = "work".equals(values.get("countedBy"));
@@ -83,10 +83,10 @@
     }
 
     private RequestClass requestClass(String prefix) {
-        String repeat = need(prefix + "repeat");
+        String repeat = required(prefix + "repeat");
         String group = values.getOrDefault(prefix + "group", "all");
         return new RequestClass(
-                need(prefix + "name"),
+                required(prefix + "name"),
                 whole(prefix + "onTimeUs"),
                 decimal(prefix + "aimStretch", 0),
                 whole(prefix + "giveUpUs"),
@@ -96,22 +96,22 @@
                     case "safe" -> Idempotency.SAFE;
                     case "keyed" -> Idempotency.KEYED;
                     case "unsafe" -> Idempotency.UNSAFE;
-                    default -> throw bad(prefix + "repeat", "is unknown: " + repeat);
+                    default -> throw invalid(prefix + "repeat", "is unknown: " + repeat);
                 },
                 switch (group) {
                     case "all" -> DeduplicationScope.ALL;
                     case "zone" -> DeduplicationScope.ZONE;
                     case "cell" -> DeduplicationScope.CELL;
-                    default -> throw bad(prefix + "group", "is unknown: " + group);
+                    default -> throw invalid(prefix + "group", "is unknown: " + group);
                 },
                 whole(prefix + "windowUs", 0),
                 flag(prefix + "stream"));
     }
 
-    private String need(String path) {
+    private String required(String path) {
         String value = values.get(path);
         if (value == null) {
-            throw bad(path, "is missing");
+            throw invalid(path, "is missing");
         }
         return value;
     }
@@ -127,7 +127,7 @@
     }
 
     private long whole(String path) {
-        return (long) decimal(path, need(path));
+        return (long) decimal(path, required(path));
     }
 
     private long whole(String path, long otherwise) {
@@ -135,18 +135,18 @@
     }
 
     private double decimal(String path, double otherwise) {
-        return values.containsKey(path) ? decimal(path, need(path)) : otherwise;
+        return values.containsKey(path) ? decimal(path, required(path)) : otherwise;
     }
 
     private double decimal(String path, String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw bad(path, "is not a number");
+            throw invalid(path, "is not a number");
         }
     }
 
-    private static IllegalArgumentException bad(String path, String reason) {
+    private static IllegalArgumentException invalid(String path, String reason) {
         return new IllegalArgumentException(path + " " + reason);
     }
 }
--- a/src/test/java/vetchpost/net/SocketBudgetTest.java
+++ b/src/test/java/vetchpost/net/SocketBudgetTest.java
@@ -74,7 +74,7 @@
     void clientsThatAreOnlyTurnedAwayTakeNoServersPlace(int limit) {
         SocketBudget sockets = new SocketBudget(limit);
         int clients = 0;
-        while (sockets.hasRoomForClient()) {
+        while (sockets.hasCapacityForClient()) {
             sockets.addClient();
             clients++;
         }
