--- a/src/main/java/vetchpost/http/Acceptor.java
+++ b/src/main/java/vetchpost/http/Acceptor.java
@@ -20,21 +20,24 @@
 import vetchpost.net.SocketBudget;
 
 /**
- * One listening socket. A client's connection counts as accepted, and what it sends as taken, once the system
- * has it in the socket's queue; so this tells for how long what it accepts may have lain there, and never
- * closes the socket on a queue that it has not emptied.
+ * Accepts client connections from one listening socket and pauses while there is no capacity. Connections in the
+ * system's accept queue, and their requests, already count as accepted; therefore it reports how long they may have
+ * waited there, and drains the queue before it closes the socket. {@link ClientServer} owns it and calls it on the
+ * event loop.
  */
 final class Acceptor extends ChannelInboundHandlerAdapter {
     private static final int MAX_BACKLOG_CONNECTIONS = 1_024;
-    /** Bytes read at once, at most: what is decoded of them is all kept. */
+    /** Maximum bytes read at once; everything decoded from one read is kept in memory. */
     private static final int MAX_READ_BYTES = 16_384;
 
     private static final long ACCEPT_RETRY_INTERVAL_MS = 20;
-    /** How long connections are left in the queue for want of room; from then on they are accepted to be told
-     * to come again. Long enough for one that has just been answered to count as idle. */
+    /**
+     * How long connections stay in the accept queue for lack of capacity; after that they are accepted to be rejected
+     * with a retry-after. Longer than a connection just answered takes to count as idle.
+     */
     private static final long MAX_QUEUE_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(120);
 
-    /** Sets up a connection that has been accepted. */
+    /** Sets up an accepted connection. */
     interface ConnectionOpener {
         void open(ChannelPipeline pipeline);
     }
@@ -51,31 +54,31 @@
     private boolean paused;
     private long pausedNs;
     private boolean acceptingToReject;
-    /** Whether connections were left in the queue, and since when some may lie there. */
+    /** Whether connections may be left in the accept queue. */
     private boolean hasBacklog;
 
     private long backlogSinceNs;
-    /** When the last so many were accepted that no queue holds more. */
+    /** When counting began of a full queue of connections; once that many are accepted, none is older than this. */
     private long backlogMarkNs;
 
     private long backlogMarkAccepted;
 
     /**
-     * Not listening yet.
+     * Creates an acceptor that does not listen yet.
      *
-     * @param behindUs for how long the loop may not have looked at its sockets, in microseconds
+     * @param eventLoopDelayUs supplies the event-loop delay in microseconds: how long sockets may not have been read
      */
-    Acceptor(EventLoop loop, Network network, SocketBudget sockets, RequestLog log, LongSupplier behindUs) {
+    Acceptor(EventLoop loop, Network network, SocketBudget sockets, RequestLog log, LongSupplier eventLoopDelayUs) {
         this.loop = loop;
         this.network = network;
         this.sockets = sockets;
         maxAcceptsPerTurn = sockets.maxAcceptsPerTurn();
         this.log = log;
-        this.eventLoopDelayUs = behindUs;
+        this.eventLoopDelayUs = eventLoopDelayUs;
     }
 
-    /** Binds the address; the future tells whether it could be had. */
-    ChannelFuture listen(EventLoopGroup group, SocketAddress address, ConnectionOpener opener) {
+    /** Binds the address and starts accepting; the future fails if the address cannot be bound. */
+    ChannelFuture listen(EventLoopGroup group, SocketAddress address, ConnectionOpener connectionOpener) {
         ChannelFuture binding = new ServerBootstrap()
                 .group(group)
                 .channelFactory(network::newServerChannel)
@@ -87,15 +90,15 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        // A second time, however little came: so the end behind a request is seen at once.
+                        // Always read twice, so that a close behind a request is noticed at once.
                         new AdaptiveRecvByteBufAllocator(512, 2_048, MAX_READ_BYTES)
                                 .respectMaybeMoreData(false)
                                 .maxMessagesPerRead(2))
                 .handler(this)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel accepted) {
-                        opener.open(accepted.pipeline());
+                    protected void initChannel(Channel connection) {
+                        connectionOpener.open(connection.pipeline());
                     }
                 })
                 .bind(address);
@@ -104,16 +107,16 @@
     }
 
     /**
-     * For how long a connection accepted just now may have lain in the queue, in nanoseconds; 0 where the
-     * queue was empty a turn ago and the loop is on time. What a loop that was held up accepts in one turn
-     * it reads in the next, when it may be on time again.
+     * Returns how long a connection accepted now may have waited in the accept queue, in nanoseconds; 0 if the queue
+     * was empty a turn ago and the event loop is not delayed. Callers ask at accept time: input is read in the next turn,
+     * when the event loop may no longer be delayed.
      */
     long queuedTimeNs() {
-        long heldUpNs = TimeUnit.MICROSECONDS.toNanos(eventLoopDelayUs.getAsLong());
-        return hasBacklog ? Math.max(heldUpNs, nanos() - backlogSinceNs) : heldUpNs;
+        long delayNs = TimeUnit.MICROSECONDS.toNanos(eventLoopDelayUs.getAsLong());
+        return hasBacklog ? Math.max(delayNs, nanos() - backlogSinceNs) : delayNs;
     }
 
-    /** To be called after each connection that has been accepted: goes on, or pauses. */
+    /** Pauses accepting if there is no capacity left; to be called after each accepted connection. */
     void onAccepted() {
         if (sockets.hasCapacityForClient()) {
             acceptingToReject = false;
@@ -122,7 +125,7 @@
         }
     }
 
-    /** Leaves connections in the system's queue until there is room again, or they have waited enough. */
+    /** Leaves connections in the accept queue until there is capacity or they have waited long enough. */
     private void pause() {
         if (paused || !channel.isOpen()) {
             return;
@@ -137,14 +140,14 @@
         loop.schedule(this::retryAccepting, ACCEPT_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Goes on if there is room, be it only to turn away. */
+    /** Resumes accepting if there is capacity, if only to reject connections that have waited long enough. */
     void resume() {
         if (!paused || !channel.isOpen()) {
             return;
         }
-        boolean room = sockets.hasCapacityForClient();
-        acceptingToReject = !room && (acceptingToReject || nanos() - pausedNs >= MAX_QUEUE_WAIT_NS);
-        if (room || acceptingToReject && sockets.mayAccept()) {
+        boolean hasCapacity = sockets.hasCapacityForClient();
+        acceptingToReject = !hasCapacity && (acceptingToReject || nanos() - pausedNs >= MAX_QUEUE_WAIT_NS);
+        if (hasCapacity || acceptingToReject && sockets.mayAccept()) {
             paused = false;
             if (log.isOn()) {
                 log.write("accepting again", sockets);
@@ -153,7 +156,7 @@
         }
     }
 
-    /** One that has become idle since makes room too, and tells nobody. */
+    /** Polls for capacity while paused, because connections becoming idle are not reported. */
     private void retryAccepting() {
         if (paused && channel.isOpen()) {
             sockets.freeCapacityForClient();
@@ -164,19 +167,19 @@
         }
     }
 
-    /** Accepts all that the system has accepted, whether there is room or not, and gives the address up. */
+    /** Accepts all queued connections, regardless of capacity, and closes the socket. */
     void drainAndClose() {
         if (channel.isActive()) {
-            long before;
+            long acceptedBefore;
             do {
-                before = acceptedTotal;
+                acceptedBefore = acceptedTotal;
                 network.readNow(channel);
-            } while (acceptedTotal > before);
+            } while (acceptedTotal > acceptedBefore);
         }
         close();
     }
 
-    /** Gives the address up; what waits there is reset. */
+    /** Closes the socket; connections in the accept queue are reset. */
     void close() {
         channel.close();
     }
@@ -198,10 +201,10 @@
     public void channelRead(ChannelHandlerContext ctx, Object connection) {
         acceptedTotal++;
         if (++acceptedThisTurn >= maxAcceptsPerTurn) {
-            markBacklog(); // What comes in the batches after this one has lain there since now.
+            markBacklog(); // Connections accepted in later turns may have waited since now.
         }
         if (hasBacklog && acceptedTotal - backlogMarkAccepted >= MAX_BACKLOG_CONNECTIONS) {
-            backlogSinceNs = backlogMarkNs; // Whatever lay there then has been accepted by now.
+            backlogSinceNs = backlogMarkNs; // Whatever was queued then has been accepted by now.
             backlogMarkNs = nanos();
             backlogMarkAccepted = acceptedTotal;
         }
@@ -217,13 +220,13 @@
         ctx.fireChannelReadComplete();
     }
 
-    /** Stops accepting when the system has no descriptor left, whatever the count says. */
+    /** Pauses accepting when the system has no descriptor left, whatever the budget counts. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (log.isOn()) {
             log.write("accepting failed", cause, sockets);
         }
-        // Left alone, the selector would report the same connection without end.
+        // Otherwise the selector would report the same connection again and again.
         pause();
         sockets.closeIdle();
     }
--- a/src/main/java/vetchpost/http/ClientConnection.java
+++ b/src/main/java/vetchpost/http/ClientConnection.java
@@ -30,28 +30,32 @@
 import vetchpost.core.ClientRequest;
 import vetchpost.core.Failure;
 
-/** One client's connection: its requests one by one, an answer to each, and what it may cost meanwhile. */
+/**
+ * Serves one client connection in the platform's protocol. Requests are handled one at a time, pipelined ones wait
+ * in order, and each gets exactly one response unless the client leaves first. The connection enforces limits on
+ * the size, number and memory of requests and rejects malformed ones. {@link ClientServer} creates it and checks it
+ * for timeouts; all calls come on its event loop.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ManagedConnection {
     private static final Logger LOG = System.getLogger(ClientConnection.class.getName());
     private static final int MAX_BODY_BYTES = 64 * 1024;
-    /** Requests that a client may send ahead of its answers before what else comes is kept unread ... */
+    /** Further input is kept undecoded by {@link ReadAhead} once this many requests wait. */
     private static final int MAX_PIPELINED_REQUESTS = 16;
-    /** ... up to so many bytes, so that its end is noticed. */
+    /** Undecoded input is still read up to this limit, so that the client's disconnect is noticed. */
     private static final int MAX_READ_AHEAD_BYTES = 256 * 1024;
-    /** Requests one after the other that can't be used; a client that sends more doesn't mean to ask. */
+    /** Consecutive 4xx responses after which the connection is closed. */
     private static final int MAX_BAD_REQUESTS = 4;
-    /** How long a client may take to read the reason why its connection is closed. */
+    /** How long a rejected client has to read the error response before its connection is closed. */
     private static final long LINGER_TIMEOUT_MS = 500;
-    /** What is read and thrown away meanwhile: closed on unread bytes, the system would take the reason
-     * back. */
+    /** Input discarded meanwhile: closing a socket with unread input resets it and loses the error response. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
     private static final String READY_PATH = "/ready";
-    /** Not the request's fault: a refusal, which may come again. */
+    /** The request itself is fine: the client may retry it. */
     private static final BadRequest OVERLOADED =
             new BadRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much at once");
 
-    /** A request read while an earlier one on its connection still waits for its answer. */
+    /** A complete request that waits for earlier ones on its connection. */
     private record PipelinedRequest(FullHttpRequest http, long arrivedNs, long costBytes) {}
 
     private final ClientServer server;
@@ -68,15 +72,15 @@
     private int unwrittenResponses;
     private int consecutiveBadRequests;
     private boolean hasReceivedRequest;
-    /** There were more than are served when it came. */
+    /** Whether the connection limit was exceeded when this connection was accepted. */
     private boolean overConnectionLimit;
-    /** Once it begins: what is held and waits is answered, then the connection closed. */
+    /** Once it discards input, pending and pipelined requests are answered and the connection is closed. */
     private final InputDiscarder inputDiscarder = new InputDiscarder(MAX_DISCARDED_BYTES);
 
     private final ReadAhead readAhead;
     private boolean closingAfterWrite;
     private boolean encodingFailed;
-    /** Why this side closes it; null until it does. */
+    /** Why the node closes the connection; null while it does not. */
     private String closeReason;
 
     private ClientConnection(ClientServer server, Channel channel) {
@@ -87,7 +91,7 @@
         connectionId = server.nextConnectionId();
     }
 
-    /** Sets up a client's connection. */
+    /** Adds the handlers of a client connection to its pipeline. */
     static void open(ClientServer server, ChannelPipeline pipeline) {
         ClientConnection connection = new ClientConnection(server, pipeline.channel());
         pipeline.addLast(
@@ -109,7 +113,7 @@
         return hasReceivedRequest ? lastResponseNs : openedNs;
     }
 
-    /** Which of its node's connections it is. */
+    /** The connection's number, unique within the node. */
     long connectionId() {
         return connectionId;
     }
@@ -120,9 +124,9 @@
     }
 
     @Override
-    public void close(String why) {
+    public void close(String reason) {
         if (closeReason == null) {
-            closeReason = why;
+            closeReason = reason;
         }
         channel.close();
     }
@@ -138,10 +142,10 @@
         if (!isOverdue(nowNs)) {
             return;
         }
-        // A loop that was held up for a moment has not read what came in time.
-        long before = inputDiscarder.receivedBytes();
+        // A delayed event loop may not have read input that arrived in time.
+        long bytesBefore = inputDiscarder.receivedBytes();
         readNow();
-        if (inputDiscarder.receivedBytes() > before || !isOverdue(nowNs)) {
+        if (inputDiscarder.receivedBytes() > bytesBefore || !isOverdue(nowNs)) {
             return;
         }
         if (decoder.isMidRequest()) {
@@ -151,13 +155,13 @@
         }
     }
 
-    /** Whether the client has not left, as far as its system tells by now. */
+    /** Whether the client is still connected, after reading what the system holds for the connection. */
     boolean isClientConnected() {
         readNow();
         return channel.isActive();
     }
 
-    /** Whether it has waited too long for the rest of a request, or for its first. */
+    /** Whether the first request, or the rest of a partly received one, is overdue. */
     private boolean isOverdue(long nowNs) {
         if (pendingReply != null || !pipelined.isEmpty() || !channel.isActive()) {
             return false;
@@ -184,18 +188,18 @@
                             pipelined.isEmpty() ? "" : pipelined.size() + " not taken");
         }
         server.onClosed(this);
-        for (PipelinedRequest next : pipelined) {
-            next.http.release();
-            server.requestMemory().release(next.costBytes);
+        for (PipelinedRequest request : pipelined) {
+            request.http.release();
+            server.requestMemory().release(request.costBytes);
         }
         pipelined.clear();
         server.requestMemory().release(partialCostBytes + pendingCostBytes);
         partialCostBytes = 0;
         pendingCostBytes = 0;
         if (pendingReply != null) {
-            HttpReply left = pendingReply;
+            HttpReply abandonedReply = pendingReply;
             pendingReply = null;
-            left.onClientDisconnected();
+            abandonedReply.onClientDisconnected();
         }
     }
 
@@ -208,10 +212,10 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        long cost = RequestMemory.costOf(
+        long costBytes = RequestMemory.costOf(
                 http.decoderResult() instanceof HttpMessageDecoderResult size ? size.totalSize() : 0,
                 http.content().readableBytes());
-        if (!server.requestMemory().tryReserve(cost)) {
+        if (!server.requestMemory().tryReserve(costBytes)) {
             http.release();
             rejectAndClose(OVERLOADED);
             return;
@@ -220,14 +224,19 @@
         server.onRequestReceived(this);
         if (server.log().isOn()) {
             server.log()
-                    .write("whole", connectionId, http.uri(), "txn", http.headers().get("X-Txn"));
+                    .write(
+                            "whole",
+                            connectionId,
+                            http.uri(),
+                            "txn",
+                            http.headers().get("X-Txn"));
         }
         if (pendingReply == null && pipelined.isEmpty()) {
-            // Not before all is read that has come: behind the request there may be the client's close. A
-            // node that is behind would else work mostly for clients that have left, and so stay behind.
+            // Started only after all pending input is read, because the client's close may follow the request.
+            // Otherwise an overloaded node works mostly for clients that have left, and stays overloaded.
             channel.eventLoop().execute(this::startNextPipelined);
         }
-        pipelined.add(new PipelinedRequest(http, now - server.acceptDelayNs(), cost));
+        pipelined.add(new PipelinedRequest(http, now - server.acceptDelayNs(), costBytes));
         if (pipelined.size() >= MAX_PIPELINED_REQUESTS) {
             readAhead.startBuffering();
         }
@@ -245,8 +254,8 @@
         }
     }
 
-    private void startRequest(FullHttpRequest http, long arrivedNs, long cost) {
-        pendingCostBytes = cost;
+    private void startRequest(FullHttpRequest http, long arrivedNs, long costBytes) {
+        pendingCostBytes = costBytes;
         if (server.log().isOn()) {
             server.log()
                     .write(
@@ -273,7 +282,8 @@
                 return;
             }
             if (overConnectionLimit && server.isOverConnectionLimit()) {
-                sendResponse(HttpReply.serviceUnavailable("too many connections, try again", server.retryAfterUs()), false);
+                sendResponse(
+                        HttpReply.serviceUnavailable("too many connections, try again", server.retryAfterUs()), false);
                 return;
             }
             overConnectionLimit = false;
@@ -283,15 +293,15 @@
         } catch (BadRequest e) {
             answerBadRequest(e, http);
         } catch (RuntimeException | Error e) {
-            // Errors too: there may be no memory for this one, and some for a short answer.
-            LOG.log(Level.ERROR, "a request could not be taken", e);
+            // Errors too: after an OutOfMemoryError there may still be memory for a short response.
+            LOG.log(Level.ERROR, "handling a client request failed; it is answered with status 500", e);
             failPendingRequest();
         } finally {
             http.release();
         }
     }
 
-    /** A fault of ours: what was taken is still owed its answer. */
+    /** Answers the current request with an internal error. */
     private void failPendingRequest() {
         if (pendingReply != null) {
             pendingReply.failed(Failure.INTERNAL_ERROR);
@@ -306,22 +316,22 @@
 
     private void answerBadRequest(BadRequest e, FullHttpRequest http) {
         FullHttpResponse response = errorResponse(e);
-        boolean head = http.method().equals(HttpMethod.HEAD);
-        if (head) {
-            // An answer to HEAD has no body, whatever its length says.
+        boolean isHead = http.method().equals(HttpMethod.HEAD);
+        if (isHead) {
+            // A response to HEAD has no body, whatever its Content-Length says.
             response = response.replace(Unpooled.EMPTY_BUFFER);
         }
-        sendResponse(response, HttpUtil.isKeepAlive(http) && !head);
+        sendResponse(response, HttpUtil.isKeepAlive(http) && !isHead);
     }
 
     private FullHttpResponse readinessResponse(FullHttpRequest http) {
         if (!http.method().equals(HttpMethod.GET)) {
             return errorResponse(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
         }
-        String not = server.notReadyReason();
-        return not == null
+        String reason = server.notReadyReason();
+        return reason == null
                 ? HttpReply.plain(HttpResponseStatus.OK, server.readyText())
-                : HttpReply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, not);
+                : HttpReply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, reason);
     }
 
     private FullHttpResponse errorResponse(BadRequest e) {
@@ -335,7 +345,10 @@
         return response;
     }
 
-    /** Nothing that follows on the connection can be understood; what is held is answered first. */
+    /**
+     * Discards all further input and closes the connection with this error. Requests that were accepted before it
+     * are answered first; then the error itself is not sent.
+     */
     private void rejectAndClose(BadRequest e) {
         inputDiscarder.startDiscarding();
         if (pendingReply != null || !pipelined.isEmpty() || closingAfterWrite) {
@@ -350,17 +363,18 @@
         });
     }
 
-    /** The answer to the request that is held or has just been read. */
+    /** Sends the response to the current request, then starts the next one or closes the connection. */
     void sendResponse(FullHttpResponse response, boolean keepAlive) {
-        consecutiveBadRequests = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR ? consecutiveBadRequests + 1 : 0;
+        consecutiveBadRequests =
+                response.status().codeClass() == HttpStatusClass.CLIENT_ERROR ? consecutiveBadRequests + 1 : 0;
         pendingReply = null;
         server.requestMemory().release(pendingCostBytes);
         pendingCostBytes = 0;
-        boolean last = pipelined.isEmpty();
+        boolean isLast = pipelined.isEmpty();
         boolean keep = keepAlive
                 && !closingAfterWrite
                 && consecutiveBadRequests < MAX_BAD_REQUESTS
-                && !(last && (inputDiscarder.isDiscarding() || server.closesAfterResponse()));
+                && !(isLast && (inputDiscarder.isDiscarding() || server.closesAfterResponse()));
         ChannelFuture writing = writeResponse(keep ? response : withConnectionClose(response));
         if (!keep) {
             inputDiscarder.startDiscarding();
@@ -370,9 +384,9 @@
                     close("answered");
                 }
             });
-        } else if (!last) {
-            // Later, not from here: a long line of requests that can't be taken would go as deep; and not
-            // before the answer is written: a client that doesn't read must not have them pile up.
+        } else if (!isLast) {
+            // In a later task, since a long run of bad requests would otherwise recurse as deep; and only once
+            // this response is written, so that responses do not pile up for a client that does not read.
             writing.addListener(written -> channel.eventLoop().execute(this::startNextPipelined));
         } else if (server.isClosing()) {
             close("stopping");
@@ -398,9 +412,9 @@
         });
     }
 
-    /** Nothing of an answer has been written, and its connection is well: it could not be put into bytes. */
+    /** Handles a response that could not be encoded: nothing of it was sent, and the connection still works. */
     private void onWriteFailed(Throwable cause) {
-        LOG.log(Level.ERROR, "an answer could not be written", cause);
+        LOG.log(Level.ERROR, "encoding a response failed; an internal error is sent instead", cause);
         if (encodingFailed) {
             close("a fault");
             return;
@@ -412,12 +426,13 @@
     }
 
     private void startNextPipelined() {
-        // One that has closed is told of only by a later task.
+        // After a close, channelInactive comes only in a later task.
         if (pendingReply != null || closingAfterWrite || pipelined.isEmpty() || !channel.isActive()) {
             return;
         }
         if (pipelined.size() <= MAX_PIPELINED_REQUESTS) {
-            // First, while what is taken next still stands in line: what comes may have to be rejected.
+            // Before the next request leaves the queue: the released input may have to be rejected, and a rejection
+            // is sent only when nothing is queued.
             readAhead.releaseBuffered();
         }
         PipelinedRequest next = pipelined.poll();
@@ -432,22 +447,22 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!channel.isActive() || cause instanceof IOException) {
-            // It broke, or ended within a request: nothing is owed any more.
+            // The connection broke, or ended within a request: nobody waits for a response.
             close("broken");
             return;
         }
-        LOG.log(Level.ERROR, "a client's connection failed", cause);
+        LOG.log(Level.ERROR, "unexpected error in a client connection handler", cause);
         if (pendingReply != null) {
             failPendingRequest();
         } else if (pipelined.isEmpty()) {
             close("a fault");
         } else {
-            // What has been read whole is taken and answered, and nothing behind it.
+            // Complete requests are still answered; further input is discarded.
             inputDiscarder.startDiscarding();
         }
     }
 
-    /** Reads a request whole; one that is too large is told so and its connection closed. */
+    /** Aggregates requests with their bodies, reserves memory for them and rejects those that are too large. */
     private final class RequestAggregator extends HttpObjectAggregator {
         RequestAggregator() {
             super(MAX_BODY_BYTES, true);
@@ -455,22 +470,22 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-            int more =
+            int bytes =
                     message instanceof HttpContent content ? content.content().readableBytes() : 0;
-            if (inputDiscarder.isDiscarding() || !server.requestMemory().tryReserve(more)) {
+            if (inputDiscarder.isDiscarding() || !server.requestMemory().tryReserve(bytes)) {
                 ReferenceCountUtil.release(message);
                 rejectAndClose(OVERLOADED);
                 return;
             }
-            partialCostBytes += more;
+            partialCostBytes += bytes;
             super.channelRead(ctx, message);
         }
 
         @Override
-        protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
-            // It would overtake the answer to an earlier request; and a client may go on without it.
+        protected Object newContinueResponse(HttpMessage start, int maxContentLength, ChannelPipeline pipeline) {
+            // Left out while an earlier response is due, which it would overtake; clients may proceed without it.
             return pendingReply == null && pipelined.isEmpty() && unwrittenResponses == 0
-                    ? super.newContinueResponse(start, most, pipeline)
+                    ? super.newContinueResponse(start, maxContentLength, pipeline)
                     : null;
         }
 
--- a/src/main/java/vetchpost/http/ClientServer.java
+++ b/src/main/java/vetchpost/http/ClientServer.java
@@ -24,30 +24,42 @@
 import vetchpost.net.Network;
 import vetchpost.net.SocketBudget;
 
-/** The client side as a whole: which connections are accepted, kept and closed. */
+/**
+ * Accepts client connections and decides which are kept and which are closed. It listens on one address, closes
+ * idle and overdue connections, answers readiness and rehearsal requests, and passes all other requests to a
+ * {@link RequestHandler}. The node starts, drains and closes it. All calls come on its event loop.
+ */
 public final class ClientServer {
-    /** Marks requests of the rehearsal; its value is a token. */
+    /** Header that marks rehearsal requests; its value is the token of {@link #setRehearsal}. */
     public static final String REHEARSAL_HEADER = "X-Rehearsal";
 
-    /** How long a connection may be without a whole request at its start, and how long one may take from its
-     * first byte to its last, or an answer to be read: the longest that a client waits for an answer, by the
-     * settings, but no less than this ... */
+    /**
+     * Lower bound of the request timeout. The timeout is the longest deadline of the request classes, within these
+     * bounds; it limits the wait for a connection's first request, the reception of a request from first byte to
+     * last, and the reading of a response by the client.
+     */
     private static final long MIN_REQUEST_TIMEOUT_US = 2_000_000;
-    /** ... and no more than the longest deadline of the protocol: half a request is not worth waiting for. */
+    /** The protocol's longest deadline: nobody waits longer for the response to a partial request. */
     private static final long MAX_REQUEST_TIMEOUT_US = 3_000_000;
-    /** How long an idle connection is kept once there are many: some clients ask once and never close, and
-     * what the others may open is spent by that. */
+    /**
+     * How long idle connections are kept while there are many: clients that send one request and never close would
+     * otherwise use up the connections of the others.
+     */
     private static final long MAX_IDLE_NS = TimeUnit.MILLISECONDS.toNanos(2_100);
-    /** What has rested for less is not closed to make room. */
+    /** Connections idle for less are not closed to free capacity: their next request may be on its way. */
     private static final long MIN_IDLE_BEFORE_CLOSE_NS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** How often connections are looked through for those that keep the node waiting. */
+    /** How often connections are checked for timeouts. */
     private static final long SWEEP_INTERVAL_MS = 200;
-    /** How long a new connection may stay without a request after the word to stop. */
+    /** How long a new connection may stay without a request once the node no longer accepts connections. */
     private static final long DRAIN_SILENCE_TIMEOUT_NS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** Where requests go. */
+    /** Receives the requests of all connections. */
     public interface RequestHandler {
-        /** Takes a request whose last byte was read so many microseconds ago, and owes its reply. */
+        /**
+         * Handles a request and sends its reply, now or later.
+         *
+         * @param waitedUs time since the request's last byte arrived, in microseconds
+         */
         void handle(ClientRequest request, ClientReply reply, long waitedUs);
     }
 
@@ -59,9 +71,9 @@
     private final ManagedConnection.ConnectionInitializer connectionInitializer;
     private final RequestLog log = new RequestLog();
     private final RequestMemory requestMemory = RequestMemory.fractionOfHeap();
-    /** Open connections that have sent a whole request; those heard from most recently last. */
+    /** Open connections that have sent a complete request, the one with the most recent request last. */
     private final Set<ManagedConnection> connections = new LinkedHashSet<>();
-    /** Those that have sent none so far, oldest first. */
+    /** Open connections without a complete request so far, oldest first. */
     private final Set<ManagedConnection> connectionsWithoutRequest = new LinkedHashSet<>();
 
     private ScheduledFuture<?> sweeper;
@@ -80,36 +92,41 @@
     private boolean draining;
     private boolean closing;
 
-    /** Not listening yet. */
+    /** Creates a server for the platform's protocol that does not listen yet. */
     public ClientServer(
-            EventLoop loop, Network network, SocketBudget sockets, Settings settings, RequestHandler taker) {
-        this(loop, network, sockets, settings, taker, null);
+            EventLoop loop, Network network, SocketBudget sockets, Settings settings, RequestHandler requestHandler) {
+        this(loop, network, sockets, settings, requestHandler, null);
     }
 
-    /** The same, with connections other than the platform's; null for those. */
+    /**
+     * Creates a server that does not listen yet.
+     *
+     * @param connectionInitializer sets up accepted connections; null for the platform's protocol
+     */
     public ClientServer(
             EventLoop loop,
             Network network,
             SocketBudget sockets,
             Settings settings,
-            RequestHandler taker,
-            ManagedConnection.ConnectionInitializer opener) {
-        this.connectionInitializer = opener;
+            RequestHandler requestHandler,
+            ManagedConnection.ConnectionInitializer connectionInitializer) {
+        this.connectionInitializer = connectionInitializer;
         this.loop = loop;
         this.network = network;
         this.sockets = sockets;
         reader = new RequestReader(settings);
         retryAfterUs = settings.maxRetryAfterUs;
-        long longestUs = settings.classes.stream()
+        long longestDeadlineUs = settings.classes.stream()
                 .mapToLong(RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
-        requestTimeoutNs = TimeUnit.MICROSECONDS.toNanos(Math.min(MAX_REQUEST_TIMEOUT_US, Math.max(MIN_REQUEST_TIMEOUT_US, longestUs)));
-        this.requestHandler = taker;
+        requestTimeoutNs = TimeUnit.MICROSECONDS.toNanos(
+                Math.min(MAX_REQUEST_TIMEOUT_US, Math.max(MIN_REQUEST_TIMEOUT_US, longestDeadlineUs)));
+        this.requestHandler = requestHandler;
         sockets.setClientSide(this::closeOldestIdle, this::onCapacityAvailable);
     }
 
-    /** Binds the address; the future tells whether it could be had. */
+    /** Binds the address and starts accepting; the future fails if the address cannot be bound. */
     public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
         acceptor = new Acceptor(loop, network, sockets, log, eventLoopDelayUs);
         ChannelFuture binding = acceptor.listen(group, address, this::open);
@@ -119,46 +136,46 @@
     }
 
     /**
-     * Binds another address and gives up the one before; connections that are open stay.
+     * Binds another address and then releases the previous one; open connections stay.
      *
-     * @return tells whether it could be had; if not, the one before stays
+     * @return fails if the address cannot be bound; the previous one is kept then
      */
     public ChannelFuture rebind(EventLoopGroup group, SocketAddress address) {
-        Acceptor before = acceptor;
-        ScheduledFuture<?> sweeping = sweeper;
+        Acceptor previousAcceptor = acceptor;
+        ScheduledFuture<?> previousSweeper = sweeper;
         ChannelFuture binding = listen(group, address);
         binding.addListener(done -> {
             if (done.isSuccess()) {
-                sweeping.cancel(false);
-                before.drainAndClose();
+                previousSweeper.cancel(false);
+                previousAcceptor.drainAndClose();
             } else {
                 sweeper.cancel(false);
-                sweeper = sweeping;
-                acceptor = before;
+                sweeper = previousSweeper;
+                acceptor = previousAcceptor;
             }
         });
         return binding;
     }
 
-    /** How far the loop may be behind its sockets, in microseconds; to be told before it listens. */
-    public void setEventLoopDelay(LongSupplier us) {
-        eventLoopDelayUs = us;
+    /** Sets the source of the event-loop delay in microseconds; to be called before {@link #listen}. */
+    public void setEventLoopDelay(LongSupplier delayUs) {
+        eventLoopDelayUs = delayUs;
     }
 
     private void sweep() {
         long now = nanos();
-        boolean late = now - lastSweepNs > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_INTERVAL_MS);
+        boolean isLate = now - lastSweepNs > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_INTERVAL_MS);
         lastSweepNs = now;
-        if (late && !skippedLateSweep) {
-            // The loop was held up: what came in time lies unread, and what was written waits. By the next
-            // time it has been read.
+        if (isLate && !skippedLateSweep) {
+            // The event loop was delayed: input that arrived in time is still unread and output still unwritten.
+            // Both are handled by the next sweep.
             skippedLateSweep = true;
             return;
         }
         skippedLateSweep = false;
-        for (Set<ManagedConnection> some : List.of(connectionsWithoutRequest, connections)) {
-            // A copy: what is closed is taken out at once.
-            new ArrayList<>(some).forEach(c -> c.closeIfOverdue(now));
+        for (Set<ManagedConnection> candidates : List.of(connectionsWithoutRequest, connections)) {
+            // Iterate over a copy: closing removes a connection from the set.
+            new ArrayList<>(candidates).forEach(c -> c.closeIfOverdue(now));
         }
         boolean closed = true;
         while (closed && sockets.hasManyClients()) {
@@ -169,39 +186,41 @@
         }
     }
 
-    /** Requests with this token are part of the rehearsal and answered here, also those that one cut short
-     * has left on the way: no server may be sent them. */
+    /**
+     * Sets the token of rehearsal requests, which are answered here and never sent to a server. It stays in effect
+     * after the rehearsal, because requests of one that was cut short may still arrive.
+     */
     public void setRehearsal(String token) {
         rehearsalToken = token;
     }
 
-    /** From now on {@code /ready} says so; the rehearsal is over. */
+    /** Has {@code /ready} report the node as ready from now on. */
     public void setReady() {
         ready = true;
     }
 
-    /** Has {@code /ready} say by what the node serves; null for no more than that it is ready. */
-    public void setReadinessDetail(Supplier<String> by) {
-        readinessDetail = by;
+    /** Sets the text that {@code /ready} adds on what state the node serves from; null for none. */
+    public void setReadinessDetail(Supplier<String> detail) {
+        readinessDetail = detail;
     }
 
-    /** Has {@code /ready} say this besides; what is null says nothing. */
-    public void setReadinessNote(Supplier<String> line) {
-        readinessNote = line;
+    /** Sets an additional note for {@code /ready}; none is added while the supplier returns null. */
+    public void setReadinessNote(Supplier<String> note) {
+        readinessNote = note;
     }
 
     String readyText() {
         String text = readinessDetail == null ? "ready" : "ready: " + readinessDetail.get();
-        String more = readinessNote == null ? null : readinessNote.get();
-        return more == null ? text : text + "; " + more;
+        String note = readinessNote == null ? null : readinessNote.get();
+        return note == null ? text : text + "; " + note;
     }
 
-    /** Every answer from here on closes its connection; new connections are still taken. */
+    /** Closes each connection with its next response from now on; new connections are still accepted. */
     public void drain() {
         draining = true;
     }
 
-    /** No new connections, and none is kept that owes no answer. */
+    /** Stops accepting connections and closes idle ones from now on; pending requests are still answered. */
     public void stopAccepting() {
         closing = true;
         if (log.isOn()) {
@@ -213,7 +232,7 @@
         closeIdleConnections();
     }
 
-    /** Ends what owes no answer, but for what has only just come: its request may be on its way. */
+    /** Closes idle connections, except for those just accepted, whose first request may be on its way. */
     private void closeIdleConnections() {
         long beforeNs = nanos() - DRAIN_SILENCE_TIMEOUT_NS;
         for (ManagedConnection connection : new ArrayList<>(connections)) {
@@ -226,8 +245,8 @@
         }
     }
 
-    /** Closes it if it is idle, also after a last look at what the system holds of it. */
-    private boolean closeIfIdle(ManagedConnection connection, String why) {
+    /** Closes the connection if it is idle, even after pending input has been read; returns whether it closed it. */
+    private boolean closeIfIdle(ManagedConnection connection, String reason) {
         if (!connection.isIdle()) {
             return false;
         }
@@ -235,11 +254,11 @@
         if (!connection.isIdle()) {
             return false;
         }
-        connection.close(why);
+        connection.close(reason);
         return true;
     }
 
-    /** Gives up its timers and its address; connections end as they are. */
+    /** Cancels the timer and releases the address; open connections are left as they are. */
     public void close() {
         if (acceptor != null) {
             sweeper.cancel(false);
@@ -247,27 +266,27 @@
         }
     }
 
-    /** What requests take, over all connections. */
+    /** The memory budget of requests, shared by all connections. */
     public RequestMemory requestMemory() {
         return requestMemory;
     }
 
-    /** Whether connections end with their answers. */
+    /** Whether connections are closed after their responses. */
     public boolean closesAfterResponse() {
         return draining || sockets.shouldCloseAfterResponse();
     }
 
-    /** Whether no connection is kept that owes no answer. */
+    /** Whether idle connections are closed because the node stops. */
     public boolean isClosing() {
         return closing;
     }
 
-    /** Why the node is not to be sent clients, or null. */
+    /** Why the node is not ready for clients, or null if it is. */
     public String notReadyReason() {
         return draining ? "stopping" : ready ? null : "starting";
     }
 
-    /** Whether it is part of the rehearsal, and to be answered on the spot. */
+    /** Whether the request is part of a rehearsal and has to be answered without a server. */
     public boolean isRehearsal(HttpRequest http) {
         return rehearsalToken != null && rehearsalToken.equals(http.headers().get(REHEARSAL_HEADER));
     }
@@ -276,22 +295,26 @@
         return reader.read(http);
     }
 
-    /** Takes a request whose last byte was read then, by the loop's ticker, and owes its reply. */
+    /**
+     * Passes a request to the request handler.
+     *
+     * @param arrivedNs when its last byte arrived, in nanoseconds by the loop's ticker
+     */
     public void handle(ClientRequest request, ClientReply reply, long arrivedNs) {
         requestHandler.handle(request, reply, (nanos() - arrivedNs) / 1_000);
     }
 
-    /** The number of one more connection. */
+    /** Returns the number for a new connection, starting with 1. */
     public long nextConnectionId() {
         return ++lastConnectionId;
     }
 
-    /** The loop's time, also for a connection that has a loop of its own. */
+    /** The loop's ticker in nanoseconds; connections on another loop use it too. */
     public long nanos() {
         return loop.ticker().nanoTime();
     }
 
-    /** Sets up a connection that came another way than through the listening socket. */
+    /** Sets up an accepted connection, or one that did not come through the listening socket. */
     public void open(ChannelPipeline pipeline) {
         if (connectionInitializer == null) {
             ClientConnection.open(this, pipeline);
@@ -300,21 +323,21 @@
         }
     }
 
-    /** Bytes that requests in hand take; 0 when there are none. */
+    /** Memory reserved for requests, in bytes; 0 when there are none. */
     public long pendingRequestBytes() {
         return requestMemory.bytes();
     }
 
-    /** What becomes of connections and requests, where that is wanted. */
+    /** The log of connections and requests; off unless enabled. */
     public RequestLog log() {
         return log;
     }
 
     /**
-     * It has been accepted.
+     * Registers an accepted connection and frees capacity if needed.
      *
-     * @return whether it is one more than are served: if that is still so when its request comes, that is
-     * refused
+     * @return whether the connection limit is exceeded; if it still is when the first request arrives, that request
+     *     is rejected
      */
     public boolean onOpened(ManagedConnection connection, long number, Channel channel) {
         sockets.addClient();
@@ -326,63 +349,64 @@
             acceptor.onAccepted();
         }
         connectionsWithoutRequest.add(connection);
-        boolean unwelcome = isOverConnectionLimit();
+        boolean overLimit = isOverConnectionLimit();
         acceptDelayNs = acceptor == null ? 0 : acceptor.queuedTimeNs();
         if (acceptDelayNs > 0) {
-            // Now, so that what has lain there with it is known from what comes later.
+            // Read now, so that input which waited in the accept queue is told from input that arrives later.
             connection.readNow();
             acceptDelayNs = 0;
         }
-        return unwelcome;
+        return overLimit;
     }
 
-    /** Reads what the system holds for a connection, without waiting for the loop. */
+    /** Reads what the system holds for a connection, without waiting for the event loop. */
     public void readNow(Channel channel) {
         network.readNow(channel);
     }
 
-    /** For how long what is read just now may have lain with its connection before that was accepted. */
+    /** How long input read at this moment may have waited in the accept queue, in nanoseconds. */
     public long acceptDelayNs() {
         return acceptDelayNs;
     }
 
-    /** Whether there are more connections than are served: what comes on new ones is refused. */
+    /** Whether the connection limit is exceeded, so that requests on new connections are rejected. */
     public boolean isOverConnectionLimit() {
         return sockets.isOverClientLimit();
     }
 
-    /** How long a client may keep the node waiting, in nanoseconds. */
+    /** Time limit for receiving a request and for the client to read a response, in nanoseconds. */
     long requestTimeoutNs() {
         return requestTimeoutNs;
     }
 
-    /** What those are told. */
+    /** The retry-after of requests rejected here, in microseconds; 0 for none. */
     public long retryAfterUs() {
         return retryAfterUs;
     }
 
-    /** It has sent a whole request. */
+    /** Records that a connection has sent a complete request. */
     public void onRequestReceived(ManagedConnection connection) {
         if (connectionsWithoutRequest.remove(connection) || connections.remove(connection)) {
             connections.add(connection);
         }
     }
 
-    /** It has closed. */
+    /** Records that a connection has closed; repeated calls have no effect. */
     public void onClosed(ManagedConnection connection) {
         if (connectionsWithoutRequest.remove(connection) || connections.remove(connection)) {
             sockets.removeClient();
         }
     }
 
-    /** Whether all that was taken has been answered and written. */
+    /** Whether no connection is open any more. */
     public boolean isDone() {
         return connections.isEmpty() && connectionsWithoutRequest.isEmpty();
     }
 
     /**
-     * Those first that never asked: closing another can cross its next request. But none that has only just
-     * come or been answered: the system may hold its request already, unread while others are accepted.
+     * Closes the oldest idle connection. Connections without a request go first, since closing another one can race
+     * with its next request. Connections just accepted or answered are kept: their request may already be in
+     * the socket, unread while others are accepted.
      */
     private boolean closeOldestIdle() {
         long beforeNs = nanos() - MIN_IDLE_BEFORE_CLOSE_NS;
@@ -390,13 +414,13 @@
                 || closeOldestIdle(connections, beforeNs, "room, idle");
     }
 
-    private boolean closeOldestIdle(Set<ManagedConnection> some, long beforeNs, String why) {
-        // Looked for anew each time: what the last look brings puts a connection behind the others.
-        for (ManagedConnection connection = oldestIdle(some, beforeNs);
+    private boolean closeOldestIdle(Set<ManagedConnection> candidates, long beforeNs, String reason) {
+        // Searched anew each time: reading a request moves its connection to the end of the set.
+        for (ManagedConnection connection = oldestIdle(candidates, beforeNs);
                 connection != null;
-                connection = oldestIdle(some, beforeNs)) {
-            if (closeIfIdle(connection, why)) {
-                // Counted off here: Netty tells of it only later, and what waits would take it for no room.
+                connection = oldestIdle(candidates, beforeNs)) {
+            if (closeIfIdle(connection, reason)) {
+                // Counted here because Netty reports the close only in a later task.
                 onClosed(connection);
                 return true;
             }
@@ -404,8 +428,8 @@
         return false;
     }
 
-    private static ManagedConnection oldestIdle(Set<ManagedConnection> some, long beforeNs) {
-        for (ManagedConnection connection : some) {
+    private static ManagedConnection oldestIdle(Set<ManagedConnection> candidates, long beforeNs) {
+        for (ManagedConnection connection : candidates) {
             if (connection.isIdle() && connection.idleSinceNs() - beforeNs < 0) {
                 return connection;
             }
--- a/src/main/java/vetchpost/http/Exchange.java
+++ b/src/main/java/vetchpost/http/Exchange.java
@@ -8,51 +8,57 @@
 import vetchpost.decision.Balancer.Result;
 
 /**
- * One request and its answer on a connection to a server: how they are written and read, and what an answer
- * comes to. The pool opens, keeps and closes connections; nothing here sends again.
+ * One request and its response on a connection to a server: how they are written and read, and which result the
+ * response means. {@link ServerPool} calls it on the connection's event loop and manages the connection; nothing here
+ * retries.
  */
 public interface Exchange {
 
-    /** Makes the exchange of an attempt, once there is a connection for it. */
+    /** Creates exchanges for a protocol. */
     interface Factory {
-        /** Of this attempt. */
-        Exchange create(OutgoingRequest sending);
+        /** Creates the exchange of an attempt, once there is a connection for it. */
+        Exchange create(OutgoingRequest request);
     }
 
-    /** What has come can't be the answer to anything. */
+    /** The received data is not a valid response. */
     final class MalformedResponse extends Exception {
         private static final long serialVersionUID = 1;
 
-        /** Without a trace: servers can bring it about at will. */
+        /** Without a stack trace, since servers can cause it at any rate. */
         public MalformedResponse() {
-            super("spoilt answer", null, false, false);
+            super("malformed response", null, false, false);
         }
     }
 
     /**
-     * Writes the request. The future tells whether the system has taken the last byte of it, or, where the
-     * rest of a body follows bit by bit, of what is held.
+     * Writes the request. The future succeeds once the system has accepted its last byte, or, for a streamed body, the
+     * last byte received so far.
      */
     ChannelFuture write(Channel channel);
 
-    /** Whether its answer has no body, whatever the answer's length says. */
+    /** Whether the response has no body, whatever its Content-Length says, as for HEAD. */
     boolean isBodyless();
 
-    /** Takes in the next part of the answer; whether it is now whole. */
+    /**
+     * Reads the next part of the response.
+     *
+     * @return whether the response is now complete
+     * @throws MalformedResponse if the data is not a valid response
+     */
     boolean read(HttpObject part) throws MalformedResponse;
 
-    /** Whether all of the answer has come. */
+    /** Whether the response is complete. */
     boolean isComplete();
 
     /** Whether the connection can carry another request. */
     boolean isReusable();
 
-    /** What the whole answer comes to. */
+    /** The result that the complete response means. */
     Result result();
 
-    /** The whole answer. */
+    /** The complete response. */
     ServerResponse response();
 
-    /** It ends before its answer is whole. */
+    /** Ends the exchange before the response is complete. */
     void abort();
 }
--- a/src/main/java/vetchpost/http/HeaderFields.java
+++ b/src/main/java/vetchpost/http/HeaderFields.java
@@ -13,7 +13,7 @@
 import vetchpost.core.ClientRequest;
 import vetchpost.core.Headers;
 
-/** The headers of HTTP as the core's fields, and the way back. */
+/** Adapts Netty's HTTP headers to the protocol-independent {@link Headers}, and converts requests back to HTTP. */
 public record HeaderFields(HttpHeaders headers) implements Headers {
     @Override
     public String get(String name) {
@@ -28,8 +28,10 @@
     }
 
     /**
-     * The message for a server that is waited for so long. It is to be encoded before the next is made of the
-     * same request: they share their headers, and what differs is set anew for each.
+     * Creates the HTTP message of an attempt. Messages of the same request share its headers, so each has to be encoded
+     * before the next is created.
+     *
+     * @param waitUs how long the server's response is waited for, in microseconds
      */
     static FullHttpRequest message(ClientRequest request, long waitUs) {
         HttpMethod method = HttpMethod.valueOf(request.method());
--- a/src/main/java/vetchpost/http/HttpReply.java
+++ b/src/main/java/vetchpost/http/HttpReply.java
@@ -11,7 +11,10 @@
 import vetchpost.core.Failure;
 import vetchpost.core.ServerResponse;
 
-/** The one answer to a request of a client's connection. */
+/**
+ * Sends the single reply to a request of a {@link ClientConnection}, as an HTTP response; later replies are ignored.
+ * The dispatcher calls it on the event loop. Also builds the node's own short responses.
+ */
 public final class HttpReply implements ClientReply {
     private final ClientConnection connection;
     private final boolean keepAlive;
@@ -38,17 +41,17 @@
         disconnectAction = action;
     }
 
-    /** The client has left. */
+    /** Runs the disconnect action; replies are ignored from now on. */
     void onClientDisconnected() {
         answered = true;
         disconnectAction.run();
     }
 
     @Override
-    public void served(ServerResponse answer) {
-        FullHttpResponse response = response(HttpResponseStatus.OK, answer.body());
-        if (answer.contentType() != null) {
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
+    public void served(ServerResponse serverResponse) {
+        FullHttpResponse response = response(HttpResponseStatus.OK, serverResponse.body());
+        if (serverResponse.contentType() != null) {
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, serverResponse.contentType());
         }
         send(response);
     }
@@ -58,7 +61,11 @@
         send(serviceUnavailable("refused, try again", retryAfterUs));
     }
 
-    /** A refusal, with the time to come back; 0 gives none. */
+    /**
+     * Creates a 503 response.
+     *
+     * @param retryAfterUs value of Retry-After in microseconds, rounded up to milliseconds; 0 for no header
+     */
     public static FullHttpResponse serviceUnavailable(String reason, long retryAfterUs) {
         FullHttpResponse response = plain(HttpResponseStatus.SERVICE_UNAVAILABLE, reason);
         if (retryAfterUs > 0) {
@@ -93,7 +100,7 @@
         connection.sendResponse(response, keepAlive);
     }
 
-    /** A short answer of the node's own. */
+    /** Creates a short plain-text response of the node itself. */
     public static FullHttpResponse plain(HttpResponseStatus status, String reason) {
         FullHttpResponse response = response(status, (reason + "\n").getBytes(StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
--- a/src/main/java/vetchpost/http/InputDiscarder.java
+++ b/src/main/java/vetchpost/http/InputDiscarder.java
@@ -6,9 +6,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Stands before a client's decoder. Once nothing more is taken, bytes cost no decoding, and beyond some of
- * them no
- * reading: closed on unread bytes, the system would take back the reason that the client has not read yet.
+ * Discards the input of a client connection once no further requests are accepted. It precedes the decoder in the
+ * pipeline, so that discarded input is not decoded. Input is read up to a limit, because closing a socket with unread
+ * input resets it, and the client would lose an error response that it has not read yet.
  */
 public final class InputDiscarder extends ChannelInboundHandlerAdapter {
     private final int maxDiscardedBytes;
@@ -16,27 +16,31 @@
     private boolean discarding;
     private long receivedBytes;
 
-    /** Lets all through, for now; later throws away so many bytes before it stops to read. */
-    public InputDiscarder(int most) {
-        this.maxDiscardedBytes = most;
+    /**
+     * Creates a discarder that passes input on until {@link #startDiscarding}.
+     *
+     * @param maxDiscardedBytes number of bytes to discard before the connection is no longer read
+     */
+    public InputDiscarder(int maxDiscardedBytes) {
+        this.maxDiscardedBytes = maxDiscardedBytes;
     }
 
-    /** Nothing more is taken. */
+    /** Discards all input from now on. */
     public void startDiscarding() {
         discarding = true;
     }
 
-    /** Bytes that have come so far. */
+    /** The number of bytes received so far, discarded ones included. */
     long receivedBytes() {
         return receivedBytes;
     }
 
-    /** Whether nothing more is taken. */
+    /** Whether input is discarded. */
     public boolean isDiscarding() {
         return discarding;
     }
 
-    /** Whether what comes should still be read, to be thrown away. */
+    /** Whether the connection should still be read: the limit of discarded bytes is not exceeded. */
     public boolean isReading() {
         return discardedBytes <= maxDiscardedBytes;
     }
--- a/src/main/java/vetchpost/http/ManagedConnection.java
+++ b/src/main/java/vetchpost/http/ManagedConnection.java
@@ -2,27 +2,31 @@
 
 import io.netty.channel.ChannelPipeline;
 
-/** A client's connection, as the client side as a whole looks after it. */
+/** A client connection as seen by {@link ClientServer}, which closes idle and overdue ones on its event loop. */
 public interface ManagedConnection {
 
-    /** Sets up a client's connection. */
+    /** Sets up the client connections of a protocol. */
     interface ConnectionInitializer {
-        /** Puts its handlers into the pipeline. */
+        /** Adds the handlers of a new connection to its pipeline. */
         void open(ClientServer server, ChannelPipeline pipeline);
     }
 
-    /** Whether closing it costs nobody an answer: nothing is held, and nothing has begun to come. */
+    /** Whether it can be closed without losing a request: none is pending or partly received. */
     boolean isIdle();
 
-    /** Since when it has been so, by the loop's ticker. */
+    /** When it became idle, in nanoseconds by the loop's ticker. */
     long idleSinceNs();
 
-    /** Closes it if its client has kept it waiting for too long. */
+    /**
+     * Closes it if its client has exceeded a time limit.
+     *
+     * @param nowNs the current time in nanoseconds by the loop's ticker
+     */
     void closeIfOverdue(long nowNs);
 
-    /** Reads what the system holds of it, without waiting for the loop. */
+    /** Reads the input that the system already holds, without waiting for the event loop. */
     void readNow();
 
-    /** Closes it as it is, for this reason, which the request log tells. */
-    void close(String why);
+    /** Closes it at once; the reason is written to the request log. */
+    void close(String reason);
 }
--- a/src/main/java/vetchpost/http/PlainExchange.java
+++ b/src/main/java/vetchpost/http/PlainExchange.java
@@ -7,7 +7,10 @@
 import vetchpost.core.ServerResponse;
 import vetchpost.decision.Balancer.Result;
 
-/** A request and an answer of the platform's: short, whole, and 200 or nothing. */
+/**
+ * An exchange in the platform's protocol: a buffered request and a buffered response, where only status 200 is a
+ * success and a marked 503 or 504 a rejection.
+ */
 final class PlainExchange implements Exchange {
     private static final String REJECTED_HEADER = "X-Turned-Away";
 
@@ -46,8 +49,8 @@
     @Override
     public Result result() {
         int status = reader.status();
-        boolean away = (status == 503 || status == 504) && "1".equals(reader.header(REJECTED_HEADER));
-        return status == 200 ? Result.OK : away ? Result.FULL : Result.ERROR;
+        boolean isRejected = (status == 503 || status == 504) && "1".equals(reader.header(REJECTED_HEADER));
+        return status == 200 ? Result.OK : isRejected ? Result.FULL : Result.ERROR;
     }
 
     @Override
--- a/src/main/java/vetchpost/http/ReadAhead.java
+++ b/src/main/java/vetchpost/http/ReadAhead.java
@@ -6,12 +6,13 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Stands before a client's decoder and keeps what comes as bytes while enough requests have been read ahead.
- * Not read at all, a client that has left would not be noticed, and all that it has sent would go on to
- * servers; decoded, it would take many times the memory.
+ * Buffers the input of a client connection as raw bytes while enough pipelined requests wait. If the input were not
+ * read, a disconnect would go unnoticed and all requests of that client would still be sent to servers; decoded, it
+ * would take many times the memory. It precedes the decoder in the pipeline and is controlled by
+ * {@link ClientConnection}, on the event loop.
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
-    /** As much as is read off a socket at once. */
+    /** The size of one socket read. */
     private static final int CHUNK_BYTES = 16_384;
 
     private final RequestMemory requestMemory;
@@ -21,10 +22,15 @@
     private long reservedBytes;
     private boolean buffering;
 
-    /** Lets all through, for now; later keeps so many bytes before the connection is no longer read. */
-    ReadAhead(RequestMemory inHand, int most) {
-        this.requestMemory = inHand;
-        this.maxBufferedBytes = most;
+    /**
+     * Creates a buffer that passes input on until {@link #startBuffering}.
+     *
+     * @param requestMemory the budget in which buffered bytes are reserved
+     * @param maxBufferedBytes number of bytes to buffer before the connection is no longer read
+     */
+    ReadAhead(RequestMemory requestMemory, int maxBufferedBytes) {
+        this.requestMemory = requestMemory;
+        this.maxBufferedBytes = maxBufferedBytes;
     }
 
     @Override
@@ -32,12 +38,12 @@
         context = ctx;
     }
 
-    /** Nothing more goes on to the decoder for now. */
+    /** Buffers input instead of passing it to the decoder. */
     void startBuffering() {
         buffering = true;
     }
 
-    /** What has been kept goes on, until it is to be kept again; then what comes does. */
+    /** Passes buffered input to the decoder until buffering starts again, and further input after it. */
     void releaseBuffered() {
         buffering = false;
         if (buffered.isReadable()) {
@@ -74,16 +80,16 @@
             return;
         }
         if (!buffered.isReadable()) {
-            // A copy on the heap: many small reads would keep a large buffer each.
+            // Copied to the heap, because many small reads would each retain a large buffer.
             buffered = Unpooled.buffer(read.readableBytes());
         }
-        boolean room = requestMemory.tryReserve(read.readableBytes());
-        reservedBytes += room ? read.readableBytes() : 0;
-        boolean full = !room || buffered.readableBytes() + read.readableBytes() > maxBufferedBytes;
+        boolean isReserved = requestMemory.tryReserve(read.readableBytes());
+        reservedBytes += isReserved ? read.readableBytes() : 0;
+        boolean isFull = !isReserved || buffered.readableBytes() + read.readableBytes() > maxBufferedBytes;
         buffered.writeBytes(read);
         read.release();
-        if (full) {
-            // What has been read is kept all the same; nothing more is.
+        if (isFull) {
+            // The bytes just read are kept nevertheless, but no more are read.
             ctx.channel().config().setAutoRead(false);
         }
     }
--- a/src/main/java/vetchpost/http/RequestDecoder.java
+++ b/src/main/java/vetchpost/http/RequestDecoder.java
@@ -8,19 +8,21 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.List;
 
-/** Netty's decoder of requests, strict about their length, and telling whether one has begun to come. */
+/** Netty's request decoder, made strict about message lengths; reports whether a request is partly received. */
 public final class RequestDecoder extends HttpRequestDecoder {
     static final int MAX_REQUEST_LINE_BYTES = 8_192;
     static final int MAX_HEADER_BYTES = 16_384;
 
     private boolean messageStarted;
 
-    /** With the bounds of the platform's requests. */
+    /** Creates a decoder with the line and header limits of the platform's requests. */
     public RequestDecoder() {
-        super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES).setMaxHeaderSize(MAX_HEADER_BYTES));
+        super(new HttpDecoderConfig()
+                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEADER_BYTES));
     }
 
-    /** Whether part of a request has come, and not yet its end. */
+    /** Whether part of a request has been received, but not its end. */
     public boolean isMidRequest() {
         return messageStarted || actualReadableBytes() > 0;
     }
@@ -39,7 +41,7 @@
         return super.createMessage(initialLine);
     }
 
-    /** Netty would believe the one and drop the other; who believes the other sees a second request in it. */
+    /** Rejects messages with both lengths: Netty would use one, and a server using the other would see two requests. */
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new IllegalArgumentException("two lengths");
--- a/src/main/java/vetchpost/http/RequestMemory.java
+++ b/src/main/java/vetchpost/http/RequestMemory.java
@@ -1,52 +1,54 @@
 package vetchpost.http;
 
 /**
- * The memory that requests take which are being read, wait their turn or are held, over all connections:
- * each may be small, and hundreds of them are still more than the heap.
+ * Limits the memory of requests that are being received, waiting or pending, over all connections: hundreds of
+ * requests within the size limit can still exceed the heap. Client connections reserve and release it on the event
+ * loop.
  */
 public final class RequestMemory {
-    /** What a request takes besides its body: headers and the objects around them. */
+    /** Memory of a request besides head and body: the objects that represent it. */
     private static final int REQUEST_OVERHEAD_BYTES = 2_048;
-    /** Headers as objects take so many times their bytes. */
+    /** Decoded headers take this many times their size in bytes. */
     private static final int HEADER_SIZE_FACTOR = 4;
 
     private final long maxBytes;
     private long bytes;
 
-    RequestMemory(long most) {
-        this.maxBytes = most;
+    RequestMemory(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** A part of the heap: answers, the module and what the runtime leaves over need the rest. */
+    /** A quarter of the heap; responses, the decision module and the runtime need the rest. */
     static RequestMemory fractionOfHeap() {
         return new RequestMemory(Runtime.getRuntime().maxMemory() / 4);
     }
 
-    /** What a request takes with so many bytes of head and body. */
+    /** Estimates the memory of a request, in bytes, from the sizes of its head and body in bytes. */
     public static long costOf(int headBytes, int bodyBytes) {
         return REQUEST_OVERHEAD_BYTES + (long) HEADER_SIZE_FACTOR * headBytes + bodyBytes;
     }
 
-    /** Counts so much more, if there is room for it. */
-    public boolean tryReserve(long more) {
-        if (bytes + more > maxBytes) {
+    /** Reserves memory; returns false, and reserves nothing, if it would exceed the limit. */
+    public boolean tryReserve(long reserved) {
+        if (bytes + reserved > maxBytes) {
             return false;
         }
-        bytes += more;
+        bytes += reserved;
         return true;
     }
 
-    /** How much there is room for in all. */
+    /** The limit in bytes. */
     long maxBytes() {
         return maxBytes;
     }
 
+    /** The memory reserved now, in bytes. */
     long bytes() {
         return bytes;
     }
 
-    /** Counts so much less. */
-    public void release(long less) {
-        bytes -= less;
+    /** Releases reserved memory, in bytes. */
+    public void release(long released) {
+        bytes -= released;
     }
 }
--- a/src/main/java/vetchpost/http/RequestReader.java
+++ b/src/main/java/vetchpost/http/RequestReader.java
@@ -13,9 +13,9 @@
 import vetchpost.decision.Balancer.RequestClass;
 import vetchpost.decision.Balancer.Settings;
 
-/** Reads clients' requests and checks them by the settings. */
+/** Validates the HTTP requests of clients against the settings and converts them to {@link ClientRequest}. */
 public final class RequestReader {
-    /** What a server is told of the time left, in milliseconds. */
+    /** The time left until the deadline, in milliseconds; sent by clients and passed to servers. */
     static final String REMAINING_MS_HEADER = "X-Remaining-Ms";
 
     private static final String ID_HEADER = "X-Txn";
@@ -24,7 +24,7 @@
     private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
     private static final String RETRY_HEADER = "X-Resent";
     private static final String WORK_ESTIMATE_HEADER = "X-Estimate";
-    /** Of one connection only, or set anew for the next. */
+    /** Headers that apply to one connection only, or are set anew for the server. */
     private static final CharSequence[] HOP_BY_HOP_HEADERS = {
         HttpHeaderNames.CONNECTION,
         "Keep-Alive",
@@ -42,34 +42,38 @@
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
 
-    /** Knows classes and tenants by the names in the settings. */
+    /** Creates a reader for the classes and tenants of the settings. */
     RequestReader(Settings settings) {
         this.settings = settings;
         settings.classes.forEach(c -> classes.put(c.name(), classes.size()));
         settings.tenants.forEach(t -> tenants.put(t.name(), tenants.size()));
     }
 
-    /** Checks a request of HTTP and makes the core's of it. */
+    /**
+     * Validates and converts a request. Removes hop-by-hop headers from {@code http}, whose headers are then passed on.
+     *
+     * @throws BadRequest with the response status if the request is invalid
+     */
     ClientRequest read(FullHttpRequest http) throws BadRequest {
         HttpHeaders headers = http.headers();
         Integer classIndex = classes.get(className(http.uri()));
         if (classIndex == null) {
             throw new BadRequest(HttpResponseStatus.NOT_FOUND, "unknown class of request");
         }
-        RequestClass cls = settings.classes.get(classIndex);
-        HttpMethod method = cls.idempotency() == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        RequestClass requestClass = settings.classes.get(classIndex);
+        HttpMethod method = requestClass.idempotency() == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST;
         if (!http.method().equals(method)) {
             throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + method);
         }
-        if (cls.idempotency() == Idempotency.KEYED && !headers.contains(IDEMPOTENCY_KEY_HEADER)) {
+        if (requestClass.idempotency() == Idempotency.KEYED && !headers.contains(IDEMPOTENCY_KEY_HEADER)) {
             throw badRequest(IDEMPOTENCY_KEY_HEADER + " is missing");
         }
-        String org = headers.get(TENANT_HEADER);
-        Integer tenant = org == null ? Integer.valueOf(-1) : tenants.get(org);
+        String tenantName = headers.get(TENANT_HEADER);
+        Integer tenant = tenantName == null ? Integer.valueOf(-1) : tenants.get(tenantName);
         if (tenant == null) {
             throw badRequest("unknown " + TENANT_HEADER);
         }
-        // Up to nine digits: more than eleven days is no wait.
+        // At most nine digits, which is more than eleven days.
         long remainingMs = parseDigits(headers.get(REMAINING_MS_HEADER), 9);
         if (remainingMs < 0) {
             throw badRequest(REMAINING_MS_HEADER + " is missing or no whole number of milliseconds");
@@ -77,9 +81,9 @@
         long workUs = Math.max(0, parseDigits(headers.get(WORK_ESTIMATE_HEADER), 12));
         long id = parseId(headers);
         boolean retry = "1".equals(headers.get(RETRY_HEADER));
-        // From here on nothing is refused, and nobody else wants the headers: what is left of them goes on.
-        for (String named : headers.getAll(HttpHeaderNames.CONNECTION)) {
-            for (String name : named.split(",")) {
+        // The request is accepted, so its headers can be changed; the remaining ones are passed on to the server.
+        for (String connectionOptions : headers.getAll(HttpHeaderNames.CONNECTION)) {
+            for (String name : connectionOptions.split(",")) {
                 if (!name.isBlank()
                         && !name.trim().equalsIgnoreCase(ID_HEADER)
                         && !name.trim().equalsIgnoreCase(IDEMPOTENCY_KEY_HEADER)) {
@@ -90,8 +94,8 @@
         for (CharSequence name : HOP_BY_HOP_HEADERS) {
             headers.remove(name);
         }
-        // No client waits longer than the settings say, whatever it says itself.
-        long remainingUs = Math.min(1_000 * remainingMs, cls.deadlineUs());
+        // The deadline of the class caps the time that the client claims to wait.
+        long remainingUs = Math.min(1_000 * remainingMs, requestClass.deadlineUs());
         return new ClientRequest(
                 id,
                 classIndex,
@@ -121,7 +125,7 @@
         return Long.parseUnsignedLong(id, 16);
     }
 
-    /** By hand: a pattern takes as long as all the rest of the request. */
+    /** Checks without a regular expression, which would cost as much as the rest of the request. */
     private static boolean isHex(String id) {
         int digits = 0;
         while (digits < id.length() && id.charAt(digits) < 128 && Character.digit(id.charAt(digits), 16) >= 0) {
@@ -130,9 +134,9 @@
         return digits == ID_DIGITS && digits == id.length();
     }
 
-    /** Plain digits, or -1. */
-    public static long parseDigits(String text, int mostDigits) {
-        if (text == null || text.isEmpty() || text.length() > mostDigits) {
+    /** Parses a number of 1 to {@code maxDigits} decimal digits; returns -1 for any other text or null. */
+    public static long parseDigits(String text, int maxDigits) {
+        if (text == null || text.isEmpty() || text.length() > maxDigits) {
             return -1;
         }
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/vetchpost/http/ResponseReader.java
+++ b/src/main/java/vetchpost/http/ResponseReader.java
@@ -16,27 +16,32 @@
 import java.util.Arrays;
 import vetchpost.core.ServerResponse;
 
-/** Puts one answer of a server together, within limits, and takes for an answer only what is surely one. */
+/**
+ * Assembles one response of a server within size limits and accepts only unambiguous, complete ones. Used by
+ * {@link PlainExchange} on the event loop.
+ */
 final class ResponseReader {
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_STATUS_LINE_BYTES = 4_096;
     private static final int MAX_HEADER_BYTES = 16_384;
-    /** Informational answers ahead of the final one; servers send one or two. */
+    /** Informational responses before the final one; servers send one or two. */
     private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
     private static final byte[] EMPTY_BODY = {};
 
-    /** Netty's decoder without its leniency: a line read in two ways may be no header at all. */
+    /** Netty's decoder without its leniency towards ambiguous header lines. */
     static final class Decoder extends HttpResponseDecoder {
-        /** Whether the answer that is read is one to HEAD. */
+        /** Whether the response being read answers a HEAD request. */
         private boolean headRequest;
 
         Decoder() {
-            super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_STATUS_LINE_BYTES).setMaxHeaderSize(MAX_HEADER_BYTES));
+            super(new HttpDecoderConfig()
+                    .setMaxInitialLineLength(MAX_STATUS_LINE_BYTES)
+                    .setMaxHeaderSize(MAX_HEADER_BYTES));
         }
 
-        void expectResponse(boolean toHead) {
-            headRequest = toHead;
+        void expectResponse(boolean isHeadRequest) {
+            headRequest = isHeadRequest;
         }
 
         @Override
@@ -46,9 +51,9 @@
 
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-            // Netty ends a response's name at white space too, and then does without a colon.
+            // Netty also ends a header name at white space, and then accepts it without a colon.
             if (line[start + length] != ':') {
-                throw new IllegalArgumentException("no colon behind a header's name");
+                throw new IllegalArgumentException("no colon after a header name");
             }
             return super.splitHeaderName(line, start, length);
         }
@@ -65,12 +70,12 @@
     private int informationalResponses;
     private boolean complete;
 
-    /** Whether all of the final answer has come. */
+    /** Whether the final response is complete. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Takes in the next part; whether the answer is now whole. */
+    /** Reads the next part; returns whether the response is now complete. */
     boolean read(HttpObject part) throws Exchange.MalformedResponse {
         if (complete || part.decoderResult().isFailure()) {
             throw new Exchange.MalformedResponse();
@@ -90,7 +95,7 @@
     private void onHead(HttpResponse response) throws Exchange.MalformedResponse {
         head = response;
         long length = HttpUtil.getContentLength(response, 0L);
-        // No use reading what can't be passed on; and nobody has asked for another protocol.
+        // A response over the limit cannot be passed on, and no request asks for a protocol switch.
         if (length > MAX_BODY_BYTES
                 || response.protocolVersion().majorVersion() != 1
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
@@ -100,15 +105,15 @@
     }
 
     private void appendBody(ByteBuf content) throws Exchange.MalformedResponse {
-        int more = content.readableBytes();
-        if (bodySize + more > MAX_BODY_BYTES) {
+        int addedBytes = content.readableBytes();
+        if (bodySize + addedBytes > MAX_BODY_BYTES) {
             throw new Exchange.MalformedResponse();
         }
-        if (bodySize + more > body.length) {
-            body = Arrays.copyOf(body, Math.min(MAX_BODY_BYTES, Math.max(bodySize + more, 2 * body.length)));
+        if (bodySize + addedBytes > body.length) {
+            body = Arrays.copyOf(body, Math.min(MAX_BODY_BYTES, Math.max(bodySize + addedBytes, 2 * body.length)));
         }
-        content.readBytes(body, bodySize, more);
-        bodySize += more;
+        content.readBytes(body, bodySize, addedBytes);
+        bodySize += addedBytes;
     }
 
     private void onLastContent() throws Exchange.MalformedResponse {
@@ -121,7 +126,7 @@
             return;
         }
         if (head.status().code() == 200 && !isFramed()) {
-            // It ended with its connection: a process that died half way looks the same.
+            // Delimited by the end of the connection, which looks the same if the server dies half way.
             throw new Exchange.MalformedResponse();
         }
         complete = true;
@@ -146,6 +151,8 @@
 
     ServerResponse response() {
         return new ServerResponse(
-                status(), header(HttpHeaderNames.CONTENT_TYPE), bodySize == body.length ? body : Arrays.copyOf(body, bodySize));
+                status(),
+                header(HttpHeaderNames.CONTENT_TYPE),
+                bodySize == body.length ? body : Arrays.copyOf(body, bodySize));
     }
 }
--- a/src/main/java/vetchpost/http/ServerPool.java
+++ b/src/main/java/vetchpost/http/ServerPool.java
@@ -37,40 +37,42 @@
 import vetchpost.net.SocketBudget;
 
 /**
- * Connections to servers, one request on each at a time, and the attempts on them. It sends where it is
- * told, once, and reports how that ended; nothing here sends again.
+ * Keeps the connections to servers and sends attempts on them, one request per connection at a time. The
+ * dispatcher chooses the server and calls {@link #send}; each attempt is sent at most once and reported exactly
+ * once, and nothing here retries. Idle connections are reused most recent first. All calls come on the pool's
+ * event loop.
  */
 public final class ServerPool implements ServerTransport {
     private static final long SWEEP_INTERVAL_MS = 500;
 
-    /** Who wants an attempt: what to send, and where to report. */
+    /** Supplies the request of an attempt and receives its result. */
     interface ExchangeSource extends AttemptListener {
-        /** The request and its answer, asked for when it goes out. */
+        /** Creates the exchange; called once, when a connection is available for it. */
         Exchange exchange();
     }
 
-    /** A server as the pool knows it. */
+    /** Address, connections and waiting attempts of one server. */
     private static final class Server {
         InetSocketAddress address;
         long bootMs;
         boolean gone;
-        /** Counts addresses and processes: a connection of an earlier one is not reused. */
+        /** Incremented on each change of address or process; connections of an earlier generation are not reused. */
         int generation;
 
         int pendingConnects;
-        /** When it last answered something. */
+        /** When the server last completed a response, by the loop's ticker. */
         long lastResponseNs;
         /** Most recently used first. */
         final Deque<Connection> idleConnections = new ArrayDeque<>();
 
         final Deque<Attempt> waitingAttempts = new ArrayDeque<>();
 
-        Server(long heardNs) {
-            this.lastResponseNs = heardNs;
+        Server(long createdNs) {
+            this.lastResponseNs = createdNs;
         }
     }
 
-    /** One request on its way to one server. */
+    /** One request to one server, waiting for a connection or sent. */
     final class Attempt implements ServerTransport.Attempt {
         private final Server server;
         private final ExchangeSource source;
@@ -78,9 +80,9 @@
         private long sentNs;
         private boolean ended;
 
-        private Attempt(Server server, ExchangeSource caller) {
+        private Attempt(Server server, ExchangeSource source) {
             this.server = server;
-            this.source = caller;
+            this.source = source;
         }
 
         @Override
@@ -89,9 +91,9 @@
         }
 
         /**
-         * Stops waiting. What never went out is MOOT and stays unsent, but for want of a connection when its
-         * time is up: a server that never comes up must not look as if nothing had been tried. What was not
-         * handed over whole can't have run; only what was is reported as the caller says.
+         * Ends the attempt. If it was never sent it is reported as MOOT, or as CONNECT_FAILED on a timeout, so that
+         * an unreachable server does not look untried. A request that was not written whole cannot have run
+         * and is reported as CONNECT_FAILED. Otherwise {@code result} is reported.
          */
         @Override
         public void abandon(Result result) {
@@ -103,30 +105,31 @@
                 end(result == Result.TIMEOUT ? Result.CONNECT_FAILED : Result.MOOT, null);
                 return;
             }
-            Connection used = connection;
+            Connection usedConnection = connection;
             if (result == Result.TIMEOUT) {
-                // A loop that is behind may run its timers before it reads what came in time: the system may
-                // hold the answer already. One that comes just now passes too: it is there to be had.
-                used.isOpenAfterRead();
+                // A delayed event loop may run this timer before it reads a response that arrived in time, so
+                // read the socket first. A response that arrived just after the deadline is accepted too.
+                usedConnection.isOpenAfterRead();
                 if (ended) {
                     return;
                 }
             }
-            used.attempt = null;
-            used.exchange.abort();
-            // Its answer may still come: the connection can't carry another request.
-            used.channel.close();
+            usedConnection.attempt = null;
+            usedConnection.exchange.abort();
+            // The response may still arrive, so the connection cannot carry another request.
+            usedConnection.channel.close();
             if (result == Result.TIMEOUT && server.lastResponseNs - sentNs < 0) {
-                // Nothing from it all the while: fallen silent, it would cost a time-out on each of these.
+                // No response at all since this request was sent: the server is probably unresponsive, and each
+                // idle connection would cost another timeout.
                 closeIdle(server);
             }
-            end(used.requestWritten ? result : Result.CONNECT_FAILED, null);
+            end(usedConnection.requestWritten ? result : Result.CONNECT_FAILED, null);
         }
 
-        private void end(Result result, ServerResponse answer) {
+        private void end(Result result, ServerResponse response) {
             if (!ended) {
                 ended = true;
-                source.onEnded(result, answer);
+                source.onEnded(result, response);
             }
         }
     }
@@ -142,33 +145,40 @@
     private final Map<String, Server> servers = new HashMap<>();
 
     /**
-     * No connections so far, and no servers.
+     * Creates an empty pool that exchanges requests in the platform's protocol.
      *
-     * @param dialTimeoutUs how long a connection may take to come up
-     * @param connIdleUs servers close connections that have stood idle for so long
+     * @param connectTimeoutUs time limit for establishing a connection, in microseconds
+     * @param serverIdleTimeoutUs time after which servers close idle connections, in microseconds
      */
-    public ServerPool(EventLoop loop, Network network, SocketBudget sockets, long dialTimeoutUs, long connIdleUs) {
-        this(loop, network, sockets, dialTimeoutUs, connIdleUs, null);
+    public ServerPool(
+            EventLoop loop, Network network, SocketBudget sockets, long connectTimeoutUs, long serverIdleTimeoutUs) {
+        this(loop, network, sockets, connectTimeoutUs, serverIdleTimeoutUs, null);
     }
 
-    /** The same, with exchanges other than the platform's; null for those. */
+    /**
+     * Creates an empty pool.
+     *
+     * @param connectTimeoutUs time limit for establishing a connection, in microseconds
+     * @param serverIdleTimeoutUs time after which servers close idle connections, in microseconds
+     * @param exchangeFactory creates the exchanges of attempts; null for the platform's protocol
+     */
     public ServerPool(
             EventLoop loop,
             Network network,
             SocketBudget sockets,
-            long dialTimeoutUs,
-            long connIdleUs,
-            Exchange.Factory exchanges) {
-        this.exchangeFactory = exchanges;
+            long connectTimeoutUs,
+            long serverIdleTimeoutUs,
+            Exchange.Factory exchangeFactory) {
+        this.exchangeFactory = exchangeFactory;
         this.loop = loop;
         this.network = network;
         this.sockets = sockets;
-        // A request written to a connection that the server is just closing may have run for all we know.
-        maxIdleNs = TimeUnit.MICROSECONDS.toNanos(connIdleUs) / 2;
+        // Half the server's timeout, because a request written while the server closes the connection may have run.
+        maxIdleNs = TimeUnit.MICROSECONDS.toNanos(serverIdleTimeoutUs) / 2;
         bootstrap = new Bootstrap()
                 .group(loop)
                 .disableResolver()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutUs / 1_000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1_000))
                 .option(ChannelOption.TCP_NODELAY, true);
         sockets.addServerSide(idleCloser);
         sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -186,9 +196,9 @@
 
     @Override
     public void update(ServerList list) {
-        Set<String> named = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (ServerList.Target target : list.targets()) {
-            named.add(target.id());
+            listedIds.add(target.id());
             Server server = servers.computeIfAbsent(target.id(), id -> new Server(nanos()));
             boolean moved = server.address != null && !server.address.equals(target.address());
             boolean restarted = target.bootMs() > server.bootMs;
@@ -202,18 +212,18 @@
                 server.generation++;
                 server.pendingConnects = 0;
                 closeIdle(server);
-                // Those that wait were dialling the old address.
+                // The connects in progress went to the old address: start one for each waiting attempt.
                 for (int i = server.waitingAttempts.size(); i > 0; i--) {
                     connect(server);
                 }
             }
         }
         if (list.isFull()) {
-            servers.forEach((id, server) -> server.gone |= !named.contains(id));
+            servers.forEach((id, server) -> server.gone |= !listedIds.contains(id));
             servers.values().stream().filter(s -> s.gone).forEach(ServerPool::release);
             servers.values().removeIf(s -> s.gone && s.waitingAttempts.isEmpty());
         } else {
-            named.forEach(this::removeIfGone);
+            listedIds.forEach(this::removeIfGone);
         }
     }
 
@@ -232,24 +242,24 @@
     }
 
     @Override
-    public ServerTransport.Attempt send(String serverId, OutgoingRequest sending) {
+    public ServerTransport.Attempt send(String serverId, OutgoingRequest request) {
         return start(serverId, new ExchangeSource() {
             @Override
             public Exchange exchange() {
                 return exchangeFactory != null
-                        ? exchangeFactory.create(sending)
-                        : new PlainExchange(HeaderFields.message(sending.request(), sending.responseTimeoutUs()));
+                        ? exchangeFactory.create(request)
+                        : new PlainExchange(HeaderFields.message(request.request(), request.responseTimeoutUs()));
             }
 
             @Override
-            public void onEnded(Result result, ServerResponse answer) {
-                sending.onEnded(result, answer);
+            public void onEnded(Result result, ServerResponse response) {
+                request.onEnded(result, response);
             }
         });
     }
 
     @Override
-    public ServerTransport.Attempt probe(String serverId, AttemptListener report) {
+    public ServerTransport.Attempt probe(String serverId, AttemptListener listener) {
         return start(serverId, new ExchangeSource() {
             @Override
             public Exchange exchange() {
@@ -259,16 +269,16 @@
             }
 
             @Override
-            public void onEnded(Result result, ServerResponse answer) {
-                report.onEnded(result, answer);
+            public void onEnded(Result result, ServerResponse response) {
+                listener.onEnded(result, response);
             }
         });
     }
 
-    /** Starts an attempt; it may be reported before this returns. */
-    Attempt start(String serverId, ExchangeSource caller) {
+    /** Starts an attempt; {@code source} may be notified of its end before this returns. */
+    Attempt start(String serverId, ExchangeSource source) {
         Server server = servers.get(serverId);
-        Attempt attempt = new Attempt(server, caller);
+        Attempt attempt = new Attempt(server, source);
         if (server == null) {
             attempt.end(Result.CONNECT_FAILED, null);
             return attempt;
@@ -303,7 +313,7 @@
         try {
             channel = network.newClientChannel();
         } catch (ChannelException e) {
-            // Out of descriptors, most likely: an idle one less lets the next dial through.
+            // Most likely out of file descriptors: closing an idle connection lets the next connect succeed.
             sockets.removeServer();
             sockets.closeIdle();
             onConnectFailed(server, generation);
@@ -317,8 +327,9 @@
                 .channelFactory(() -> channel)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel fresh) {
-                        fresh.pipeline()
+                    protected void initChannel(Channel newChannel) {
+                        newChannel
+                                .pipeline()
                                 .addLast(connection.new IdleGuard(), decoder, new HttpRequestEncoder(), connection);
                     }
                 })
@@ -333,7 +344,7 @@
                 });
     }
 
-    /** Each dial answers for one of those that wait: the first in line, if it is not to have another's. */
+    /** Fails the first waiting attempt if fewer connects than waiting attempts are left. */
     private void onConnectFailed(Server server, int generation) {
         if (generation != server.generation) {
             return;
@@ -347,14 +358,18 @@
     private void sweep() {
         long now = nanos();
         for (Server server : servers.values()) {
-            while (!server.idleConnections.isEmpty() && now - server.idleConnections.peekLast().idleSinceNs > maxIdleNs) {
+            while (!server.idleConnections.isEmpty()
+                    && now - server.idleConnections.peekLast().idleSinceNs > maxIdleNs) {
                 server.idleConnections.pollLast().channel.close();
             }
         }
         servers.values().removeIf(s -> s.gone && s.waitingAttempts.isEmpty());
     }
 
-    /** The first byte would leave whenever a connection comes up, maybe past the grace of its drain. */
+    /**
+     * Fails all attempts that wait for a connection: sent once a connection is up, they could reach the server
+     * after its drain grace period.
+     */
     private static void failWaitingAttempts(Server server) {
         while (!server.waitingAttempts.isEmpty()) {
             server.waitingAttempts.poll().end(Result.CONNECT_FAILED, null);
@@ -376,7 +391,10 @@
         Server oldest = null;
         for (Server server : servers.values()) {
             if (!server.idleConnections.isEmpty()
-                    && (oldest == null || server.idleConnections.peekLast().idleSinceNs - oldest.idleConnections.peekLast().idleSinceNs < 0)) {
+                    && (oldest == null
+                            || server.idleConnections.peekLast().idleSinceNs
+                                            - oldest.idleConnections.peekLast().idleSinceNs
+                                    < 0)) {
                 oldest = server;
             }
         }
@@ -387,7 +405,7 @@
         return true;
     }
 
-    /** One connection: idle, or with the one attempt that it carries. */
+    /** One connection to a server, idle or carrying one attempt. */
     private final class Connection extends ChannelInboundHandlerAdapter {
         private final Server server;
         private final int generation;
@@ -406,7 +424,7 @@
             this.channel = channel;
         }
 
-        /** Carries the first attempt in line, or waits for one. */
+        /** Sends the first waiting attempt on this connection, or adds it to the idle ones. */
         void assignOrMakeIdle() {
             if (generation != server.generation || !server.waitingAttempts.isEmpty() && !isOpenAfterRead()) {
                 channel.close();
@@ -424,8 +442,8 @@
         }
 
         /**
-         * Whether nothing has come that was not asked for, nor the end. What the system already holds is
-         * read first: sent right behind an answer, it would else be taken for the next one.
+         * Returns whether the connection is still open once pending input has been read. Reading any unsolicited
+         * input closes an idle connection; left in the socket, it would be taken for the next response.
          */
         boolean isOpenAfterRead() {
             if (channel.isActive()) {
@@ -441,7 +459,7 @@
             requestWritten = false;
             exchange = next.source.exchange();
             decoder.expectResponse(exchange.isBodyless());
-            // The future tells whether the kernel has taken the last byte; Netty never writes it twice.
+            // The future succeeds once the kernel has accepted the last byte; Netty never writes it twice.
             exchange.write(channel).addListener(done -> {
                 if (attempt != next) {
                     return;
@@ -468,7 +486,7 @@
 
         private void read(Object message) {
             if (attempt == null || exchange.isComplete()) {
-                // Nothing was asked for, or more came than the answer.
+                // Unsolicited data, or more data than the response.
                 reusable = false;
                 closeIfUnused();
                 return;
@@ -482,7 +500,7 @@
             }
         }
 
-        /** The report waits for the end of what came at once, so that its connection can be used again. */
+        /** Reports a complete response only after the whole read, so that excess data is seen before reuse. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (isResponseComplete()) {
@@ -495,8 +513,8 @@
         }
 
         private void finishAttempt() {
-            Attempt done = attempt;
-            ServerResponse answer = exchange.response();
+            Attempt completed = attempt;
+            ServerResponse response = exchange.response();
             Result result = exchange.result();
             server.lastResponseNs = nanos();
             attempt = null;
@@ -506,10 +524,13 @@
             } else {
                 channel.close();
             }
-            done.end(result, answer);
+            completed.end(result, response);
         }
 
-        /** The connection or what came on it is broken: only a request not handed over whole never ran. */
+        /**
+         * Ends the attempt after a connection failure or malformed response: RESET if the request was written
+         * whole and may have run, else CONNECT_FAILED.
+         */
         private void failAttempt() {
             Attempt failed = attempt;
             attempt = null;
@@ -546,8 +567,10 @@
             }
         }
 
-        /** Sees bytes before the codec does: part of an answer on an idle connection must not wait there
-         * to become the head of the next one. */
+        /**
+         * Closes an idle connection on any input before the decoder sees it: a partial response kept there would
+         * become the head of the next one.
+         */
         private final class IdleGuard extends ChannelInboundHandlerAdapter {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object message) {
