--- a/src/main/java/vetchpost/config/DescriptorLimit.java
+++ b/src/main/java/vetchpost/config/DescriptorLimit.java
@@ -5,24 +5,24 @@
 import java.nio.file.Path;
 import java.util.stream.Stream;
 
-/** What the system lets this process open, which may be less than the configuration promises. */
+/** Reads the descriptor limit of this process, which may be lower than the configured one. Called at the start. */
 public final class DescriptorLimit {
     private static final Path LIMITS_FILE = Path.of("/proc/self/limits");
     private static final String LIMIT_NAME = "Max open files";
 
     private DescriptorLimit() {}
 
-    /** The limit that holds now; the largest number where the system doesn't tell. */
+    /** Returns the soft limit of open files, or {@link Integer#MAX_VALUE} if the system does not report one. */
     public static int limit() {
         try (Stream<String> lines = Files.lines(LIMITS_FILE)) {
             return limit(lines);
         } catch (IOException e) {
-            // No such file on this system: the configuration has to be believed.
+            // This system has no such file, so only the configured limit applies.
             return Integer.MAX_VALUE;
         }
     }
 
-    /** Of the lines of a table whose columns are name, limit that holds, limit that can be set, unit. */
+    /** Finds the limit in a table whose columns are name, soft limit, hard limit and unit. */
     static int limit(Stream<String> lines) {
         return lines.filter(line -> line.startsWith(LIMIT_NAME))
                 .map(line -> line.substring(LIMIT_NAME.length()).trim().split(" +")[0])
--- a/src/main/java/vetchpost/config/NodeConfig.java
+++ b/src/main/java/vetchpost/config/NodeConfig.java
@@ -20,11 +20,16 @@
 import vetchpost.net.SocketBudget;
 
 /**
- * What a node is told at its start, checked.
+ * The validated configuration of a node, read from a JSON file and the environment. Read at the start and again on a
+ * reload; immutable.
  *
- * @param discovery where the list of servers is told; null where it comes from elsewhere
- * @param sockets descriptors that the process may hold
- * @param connIdleUs servers close connections that have stood idle for so long
+ * @param listen the address for clients
+ * @param discovery the address of discovery; null if the list of servers comes from elsewhere
+ * @param seed the seed of the node's random decisions
+ * @param maxDescriptors the maximum number of descriptors of the process
+ * @param serverIdleTimeoutUs time after which servers close idle connections, in microseconds
+ * @param settings the settings of the decision module
+ * @param knownServers the servers to start with
  */
 public record NodeConfig(
         InetSocketAddress listen,
@@ -39,46 +44,61 @@
     private static final String DISCOVERY_VARIABLE = "LB_DISCOVERY";
     private static final String DEFAULT_SERVER_IDLE_TIMEOUT_US = "15000000";
 
-    /** Throws IllegalArgumentException with one line for the operator on what is missing or wrong. */
+    /**
+     * Reads the file named by {@code LB_CONFIG}; {@code LB_LISTEN} and {@code LB_DISCOVERY} override its addresses.
+     *
+     * @throws IllegalArgumentException with one line for the operator on what is missing or wrong
+     */
     public static NodeConfig read(Map<String, String> environment) {
         String path = environment.get("LB_CONFIG");
         if (path == null || path.isEmpty()) {
-            throw new IllegalArgumentException("LB_CONFIG is not set");
+            throw new IllegalArgumentException("LB_CONFIG is not set; it has to name the configuration file");
         }
         String text;
         try {
             text = Files.readString(Path.of(path));
         } catch (IOException | InvalidPathException e) {
-            throw new IllegalArgumentException("LB_CONFIG can't be read: " + e, e);
+            throw new IllegalArgumentException("LB_CONFIG names a file that cannot be read: " + e, e);
         }
         return parse(text, environment);
     }
 
-    /** As at the start, but that the file has been replaced since and so comes before the environment. */
+    /**
+     * Reads the configuration again after the file has been replaced. The file's discovery address takes precedence
+     * over the environment, which dates from the start.
+     *
+     * @throws IllegalArgumentException as {@link #read} does
+     */
     public static NodeConfig reread(Map<String, String> environment) {
-        Map<String, String> rest = new HashMap<>(environment);
-        rest.remove(DISCOVERY_VARIABLE);
-        return read(rest);
+        Map<String, String> remaining = new HashMap<>(environment);
+        remaining.remove(DISCOVERY_VARIABLE);
+        return read(remaining);
     }
 
-    /** The same with no more descriptors than the system gives. */
-    public NodeConfig withMaxDescriptors(int descriptors) {
+    /** Returns this configuration with the descriptor limit lowered to that of the system. */
+    public NodeConfig withMaxDescriptors(int systemLimit) {
         return new NodeConfig(
                 listen,
                 discovery,
                 seed,
-                Math.min(maxDescriptors, descriptors),
+                Math.min(maxDescriptors, systemLimit),
                 serverIdleTimeoutUs,
                 settings,
                 knownServers);
     }
 
+    /**
+     * Parses the text of a configuration file.
+     *
+     * @throws IllegalArgumentException with one line for the operator on what is missing or wrong
+     */
     public static NodeConfig parse(String text, Map<String, String> environment) {
         JsonObject json;
         try {
             json = JsonParser.parseString(text).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new IllegalArgumentException("LB_CONFIG holds no JSON object: " + e.getMessage(), e);
+            throw new IllegalArgumentException(
+                    "the file named by LB_CONFIG is not a JSON object: " + e.getMessage(), e);
         }
         Map<String, String> values = flatten(requiredObject(json, "settings"));
         Settings settings = SettingsReader.read(values);
@@ -94,10 +114,10 @@
                 known);
     }
 
-    private static JsonObject requiredObject(JsonObject in, String name) {
-        JsonElement value = in.get(name);
+    private static JsonObject requiredObject(JsonObject parent, String name) {
+        JsonElement value = parent.get(name);
         if (value == null || !value.isJsonObject()) {
-            throw new IllegalArgumentException(name + " is missing or no object");
+            throw new IllegalArgumentException(name + " is missing or not a JSON object");
         }
         return value.getAsJsonObject();
     }
@@ -108,7 +128,7 @@
             return value;
         }
         if (!json.has(name) || !json.get(name).isJsonPrimitive()) {
-            throw new IllegalArgumentException(variable + " is not set, nor " + name);
+            throw new IllegalArgumentException(variable + " is not set and the configuration has no " + name);
         }
         return json.get(name).getAsString();
     }
@@ -116,7 +136,7 @@
     private static long seed(JsonObject json) {
         JsonElement seed = json.get("seed");
         if (seed == null || !seed.isJsonPrimitive()) {
-            throw new IllegalArgumentException("seed is missing");
+            throw new IllegalArgumentException("seed is missing or not a string or number");
         }
         try {
             return Long.parseUnsignedLong(seed.getAsString(), 16);
@@ -126,10 +146,14 @@
     }
 
     private static int parseMaxDescriptors(JsonObject json) {
-        JsonElement sockets = json.has("limits") ? requiredObject(json, "limits").get("sockets") : null;
-        long value = sockets == null || !sockets.isJsonPrimitive() ? DEFAULT_MAX_DESCRIPTORS : parseWhole(sockets.getAsString());
+        JsonElement sockets =
+                json.has("limits") ? requiredObject(json, "limits").get("sockets") : null;
+        long value = sockets == null || !sockets.isJsonPrimitive()
+                ? DEFAULT_MAX_DESCRIPTORS
+                : parseWhole(sockets.getAsString());
         if (value < SocketBudget.MIN_DESCRIPTORS) {
-            throw new IllegalArgumentException("limits.sockets is under " + SocketBudget.MIN_DESCRIPTORS);
+            throw new IllegalArgumentException(
+                    "limits.sockets is below the minimum of " + SocketBudget.MIN_DESCRIPTORS);
         }
         return (int) Math.min(Integer.MAX_VALUE, value);
     }
@@ -142,32 +166,32 @@
         }
     }
 
-    /** The wire's path=value form of the settings, which the adapter reads too. */
+    /** Flattens the settings to the path=value pairs of the simulation protocol, which the adapter reads too. */
     static Map<String, String> flatten(JsonObject settings) {
         Map<String, String> values = new TreeMap<>();
         settings.entrySet().forEach(e -> flatten(e.getKey(), e.getValue(), values));
         return values;
     }
 
-    private static void flatten(String path, JsonElement value, Map<String, String> to) {
+    private static void flatten(String path, JsonElement value, Map<String, String> values) {
         if (value.isJsonObject()) {
-            value.getAsJsonObject().entrySet().forEach(e -> flatten(path + "." + e.getKey(), e.getValue(), to));
+            value.getAsJsonObject().entrySet().forEach(e -> flatten(path + "." + e.getKey(), e.getValue(), values));
         } else if (value.isJsonArray()) {
             JsonArray items = value.getAsJsonArray();
             if (!items.isEmpty() && items.get(0).isJsonObject()) {
-                to.put(path + ".count", Integer.toString(items.size()));
+                values.put(path + ".count", Integer.toString(items.size()));
                 for (int i = 0; i < items.size(); i++) {
-                    flatten(path + "." + i, items.get(i), to);
+                    flatten(path + "." + i, items.get(i), values);
                 }
             } else {
                 StringBuilder joined = new StringBuilder();
                 for (JsonElement item : items) {
                     joined.append(joined.isEmpty() ? "" : ",").append(item.isJsonNull() ? "" : item.getAsString());
                 }
-                to.put(path, joined.toString());
+                values.put(path, joined.toString());
             }
         } else if (!value.isJsonNull()) {
-            to.put(path, value.getAsString());
+            values.put(path, value.getAsString());
         }
     }
 }
--- a/src/main/java/vetchpost/config/SettingsReader.java
+++ b/src/main/java/vetchpost/config/SettingsReader.java
@@ -9,9 +9,9 @@
 import vetchpost.decision.Balancer.Tenant;
 
 /**
- * Turns the wire's settings into the module's. Missing settings take the module's documented defaults,
- * but for the classes and their main figures, which are named as missing. The adapter and the real node
- * share it, so that both run the module under the same settings.
+ * Converts path=value settings to the {@link Settings} of the decision module. Missing settings take the module's
+ * documented defaults, except for the required values of request classes, which are reported as missing. The
+ * simulation adapter and the real node share it, so that both run the module with the same settings.
  */
 public final class SettingsReader {
     private final Map<String, String> values;
@@ -21,54 +21,54 @@
     }
 
     /**
-     * Reads settings given as the wire's path=value pairs.
+     * Reads settings given as path=value pairs.
      *
-     * @throws IllegalArgumentException naming the path that is missing or senseless
+     * @throws IllegalArgumentException naming the path whose value is missing or invalid
      */
     public static Settings read(Map<String, String> values) {
         return new SettingsReader(values).settings();
     }
 
     private Settings settings() {
-        Settings set = new Settings();
-        set.nodes = (int) whole("balancers", set.nodes);
-        // A number past the last is no reason to stay away: nodes may have been added since, or the number of
-        // them left out, and two nodes with one part of the servers still serve.
-        set.node = Math.floorMod((int) whole("me", set.node), Math.max(1, set.nodes));
+        Settings settings = new Settings();
+        settings.nodes = (int) whole("balancers", settings.nodes);
+        // A node number beyond the count wraps around instead of failing: nodes may have been added since, or the count
+        // left out, and two nodes with the same part of the servers still serve.
+        settings.node = Math.floorMod((int) whole("me", settings.node), Math.max(1, settings.nodes));
         for (String zone : list("zones")) {
-            set.zones.add(zone);
+            settings.zones.add(zone);
         }
-        set.myZone = Math.max(0, set.zones.indexOf(values.getOrDefault("myZone", "")));
+        settings.myZone = Math.max(0, settings.zones.indexOf(values.getOrDefault("myZone", "")));
         int classes = (int) whole("classes.count", 0);
         for (int i = 0; i < classes; i++) {
-            set.classes.add(requestClass("classes." + i + "."));
+            settings.classes.add(requestClass("classes." + i + "."));
         }
         int tenants = (int) whole("realms.count", 0);
         for (int i = 0; i < tenants; i++) {
             String prefix = "realms." + i + ".";
-            set.tenants.add(new Tenant(required(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
+            settings.tenants.add(new Tenant(required(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
-        set.overShareWorth = decimal("overShareWorth", set.overShareWorth);
-        set.valuePerWorkUnit = "work".equals(values.get("countedBy"));
-        set.maxAttempts = (int) whole("limits.attemptsCap", set.maxAttempts);
-        set.allowsHedging = flag("limits.parallelTries");
-        set.allowsCancellation = flag("limits.cancelling");
-        set.allowsProbes = flag("limits.probes");
-        set.clientsMarkRetries = flag("callers.marksRetry");
-        set.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
-        set.tickUs = whole("quantumUs", set.tickUs);
-        set.connectTimeoutUs = whole("limits.dialTimeoutUs", set.connectTimeoutUs);
-        set.listOnRequest = "on_request".equals(values.get("membershipMode"));
-        set.askWithinUs = whole("rules.askWithinUs", set.askWithinUs);
-        set.drainGraceUs = whole("rules.drainGraceUs", set.drainGraceUs);
-        set.coldFrom = decimal("rules.coldFrom", set.coldFrom);
-        set.coldUs = whole("rules.coldUs", set.coldUs);
-        set.fallMultiple = decimal("rules.overloadFactor", set.fallMultiple);
-        set.fallUs = whole("rules.fallUs", set.fallUs);
-        set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
-        set.probePrice = decimal("costs.probe", set.probePrice);
+        settings.overShareWorth = decimal("overShareWorth", settings.overShareWorth);
+        settings.valuePerWorkUnit = "work".equals(values.get("countedBy"));
+        settings.maxAttempts = (int) whole("limits.attemptsCap", settings.maxAttempts);
+        settings.allowsHedging = flag("limits.parallelTries");
+        settings.allowsCancellation = flag("limits.cancelling");
+        settings.allowsProbes = flag("limits.probes");
+        settings.clientsMarkRetries = flag("callers.marksRetry");
+        settings.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
+        settings.tickUs = whole("quantumUs", settings.tickUs);
+        settings.connectTimeoutUs = whole("limits.dialTimeoutUs", settings.connectTimeoutUs);
+        settings.listOnRequest = "on_request".equals(values.get("membershipMode"));
+        settings.askWithinUs = whole("rules.askWithinUs", settings.askWithinUs);
+        settings.drainGraceUs = whole("rules.drainGraceUs", settings.drainGraceUs);
+        settings.coldFrom = decimal("rules.coldFrom", settings.coldFrom);
+        settings.coldUs = whole("rules.coldUs", settings.coldUs);
+        settings.fallMultiple = decimal("rules.overloadFactor", settings.fallMultiple);
+        settings.fallUs = whole("rules.fallUs", settings.fallUs);
+        settings.crossZonePrice = decimal("costs.crossZone", settings.crossZonePrice);
+        settings.probePrice = decimal("costs.probe", settings.probePrice);
         for (String field : list("report.fields")) {
-            set.reportFields.add(
+            settings.reportFields.add(
                     switch (field) {
                         case "concurrent" -> ReportField.IN_FLIGHT;
                         case "depth" -> ReportField.QUEUED;
@@ -79,12 +79,12 @@
                         default -> ReportField.OTHER;
                     });
         }
-        return set;
+        return settings;
     }
 
     private RequestClass requestClass(String prefix) {
-        String repeat = required(prefix + "repeat");
-        String group = values.getOrDefault(prefix + "group", "all");
+        String idempotency = required(prefix + "repeat");
+        String deduplicationScope = values.getOrDefault(prefix + "group", "all");
         return new RequestClass(
                 required(prefix + "name"),
                 whole(prefix + "onTimeUs"),
@@ -92,17 +92,17 @@
                 whole(prefix + "giveUpUs"),
                 decimal(prefix + "importance", 1),
                 decimal(prefix + "lateWorth", 0),
-                switch (repeat) {
+                switch (idempotency) {
                     case "safe" -> Idempotency.SAFE;
                     case "keyed" -> Idempotency.KEYED;
                     case "unsafe" -> Idempotency.UNSAFE;
-                    default -> throw invalid(prefix + "repeat", "is unknown: " + repeat);
+                    default -> throw invalid(prefix + "repeat", "is unknown: " + idempotency);
                 },
-                switch (group) {
+                switch (deduplicationScope) {
                     case "all" -> DeduplicationScope.ALL;
                     case "zone" -> DeduplicationScope.ZONE;
                     case "cell" -> DeduplicationScope.CELL;
-                    default -> throw invalid(prefix + "group", "is unknown: " + group);
+                    default -> throw invalid(prefix + "group", "is unknown: " + deduplicationScope);
                 },
                 whole(prefix + "windowUs", 0),
                 flag(prefix + "stream"));
@@ -130,12 +130,12 @@
         return (long) decimal(path, required(path));
     }
 
-    private long whole(String path, long otherwise) {
-        return values.containsKey(path) ? whole(path) : otherwise;
+    private long whole(String path, long defaultValue) {
+        return values.containsKey(path) ? whole(path) : defaultValue;
     }
 
-    private double decimal(String path, double otherwise) {
-        return values.containsKey(path) ? decimal(path, required(path)) : otherwise;
+    private double decimal(String path, double defaultValue) {
+        return values.containsKey(path) ? decimal(path, required(path)) : defaultValue;
     }
 
     private double decimal(String path, String text) {
--- a/src/main/java/vetchpost/discovery/DiscoveryClient.java
+++ b/src/main/java/vetchpost/discovery/DiscoveryClient.java
@@ -30,42 +30,49 @@
 import vetchpost.core.ServerList;
 import vetchpost.net.Network;
 
-/** The watch on the list of servers: one at a time, opened when asked for, reported once when it fails. */
+/**
+ * Watches discovery's list of servers. One watch is open at a time; it is opened on request, delivers lists to the
+ * {@link Listener} and reports its failure once. The node decides when to open it again. All calls come on the event
+ * loop; long lists are parsed over several of its turns.
+ */
 public final class DiscoveryClient {
     /**
-     * The longest that a watch may say nothing. A line comes every 2 s. What a silent watch misses counts as
-     * told 6 s after it fell silent, at the earliest just after a line: by then the next watch has to be open
-     * and answered, after a lost connection too.
+     * Time without a line after which a watch has failed. Discovery sends a line every 2 s. Changes that a silent
+     * watch misses count as delivered 6 s after its last line; by then the next watch has to be open and answered,
+     * even after a lost connection.
      */
     public static final long SILENCE_TIMEOUT_MS = 3_000;
-    /** The longest that a call may wait for its first line where calls are taken in turn: discovery itself
-     * gives up after some 2 s, and what is missed counts as told 2 s later. */
+    /**
+     * Time limit for a watch's first line where discovery serves watch requests in turn: it gives up itself after
+     * about 2 s, and missed changes count as delivered 2 s later.
+     */
     public static final long FIRST_MESSAGE_TIMEOUT_MS = 4_000;
-    /** Watches that fell silent together are found out over this part of the time, not all at once. */
+    /** Timeouts are shortened by a random time of up to this fraction, so that watches do not reopen all at once. */
     private static final int SILENCE_JITTER_DIVISOR = 6;
-    /** So many bytes of a line that is not whole are a sign of life: a list may be long, but not trickle. */
+    /** Bytes of an incomplete line that count as progress: a list may be long, but not trickle. */
     private static final int MIN_PROGRESS_BYTES = 4_096;
-    /** No version is known, so that the whole list is wanted. */
+    /** No revision is known, so the full list is requested. */
     private static final long UNKNOWN_REVISION = -1;
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    /** A message with an entry for each of 20,000 servers; past it one is malformed. */
+    /** Enough for entries of 20,000 servers; a longer message is malformed. */
     private static final int MAX_MESSAGE_BYTES = 4 << 20;
-    /** So many entries are read in one turn of the loop. */
+    /** Entries parsed in one turn of the event loop, which a longer run would delay. */
     private static final int MAX_ENTRIES_PER_TURN = 500;
 
     private static final int NEXT_TURN_DELAY_MS = 1;
     private static final int MAX_STATUS_LINE_BYTES = 4_096;
     private static final int MAX_HEADER_BYTES = 8_192;
 
-    /** Where the news goes. */
+    /** Receives lists and failures, on the event loop. */
     public interface Listener {
+        /** A complete list or set of changes has arrived. */
         void onList(ServerList list);
 
-        /** The watch could not be opened or has ended. */
+        /** The watch could not be opened or has ended; called once per watch. */
         void onWatchFailed(String reason);
 
-        /** The watch has said something, if only that nothing has changed. */
+        /** Discovery has sent data, possibly only a heartbeat. */
         default void onContact() {}
     }
 
@@ -81,33 +88,34 @@
     private boolean hasSubscribed;
 
     /**
-     * No watch yet.
+     * Creates a client without an open watch.
      *
-     * @param revision the version of the list that is known
-     * @param silentMs a watch that says nothing for so long has failed, or up to a sixth sooner
-     * @param callMs the same of one that has not said anything yet
-     * @param seed for the spread of that
+     * @param revision the revision of the known list
+     * @param silenceTimeoutMs time without a line after which a watch has failed, in milliseconds; shortened by up
+     *     to a sixth at random
+     * @param firstMessageTimeoutMs the same limit for the first line
+     * @param seed seed of the random shortening
      */
     public DiscoveryClient(
             EventLoop loop,
             Network network,
             InetSocketAddress address,
             long revision,
-            long silentMs,
-            long callMs,
+            long silenceTimeoutMs,
+            long firstMessageTimeoutMs,
             long seed,
             Listener listener) {
         this.loop = loop;
         this.network = network;
         this.address = address;
         this.revision = revision;
-        this.silenceTimeoutMs = silentMs;
-        this.firstMessageTimeoutMs = callMs;
+        this.silenceTimeoutMs = silenceTimeoutMs;
+        this.firstMessageTimeoutMs = firstMessageTimeoutMs;
         random = new SplittableRandom(seed);
         this.listener = listener;
     }
 
-    /** Asks for changes from now on; takes the place of a watch that is still open. */
+    /** Opens a watch for changes after the known revision; replaces one that is still open. */
     public void subscribe() {
         hasSubscribed = true;
         if (watch != null) {
@@ -117,11 +125,13 @@
         watch.open();
     }
 
-    /** Asks there from now on, and at once if it has asked before. The versions of one address say nothing at
-     * another. */
-    public void moveTo(InetSocketAddress to) {
-        if (!to.equals(address)) {
-            address = to;
+    /**
+     * Moves to another discovery address and, if a watch was opened before, opens one there at once. The full list is
+     * requested, since revisions are specific to an address.
+     */
+    public void moveTo(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             revision = UNKNOWN_REVISION;
             if (hasSubscribed) {
                 subscribe();
@@ -129,22 +139,23 @@
         }
     }
 
-    /** Whether a watch is open, or a call on its way to be one. */
+    /** Whether a watch is open or being opened. */
     public boolean isOpen() {
         return watch != null;
     }
 
-    /** Whether a call is on its way and has said nothing yet: what is wanted of another is still to come. */
+    /** Whether a watch is being opened and no line has arrived yet, so that another request is not needed. */
     public boolean isRequestPending() {
         return watch != null && !watch.hasReceivedLine;
     }
 
-    /** Asks for the whole list, whatever version is known, and for changes from then on. */
+    /** Opens a watch that starts with the full list, whatever revision is known. */
     public void requestFullList() {
         revision = UNKNOWN_REVISION;
         subscribe();
     }
 
+    /** Closes the watch without reporting a failure. */
     public void close() {
         if (watch != null) {
             watch.close();
@@ -152,44 +163,48 @@
         }
     }
 
-    /** One call and the answer that stays open. */
+    /** One watch request and its streamed response. */
     private final class Watch extends ChannelInboundHandlerAdapter {
         private final ByteBuf buffer = Unpooled.buffer();
         private Channel channel;
         private ScheduledFuture<?> silenceTimer;
-        /** Whether a whole line has come, and how many bytes since. */
+        /** Whether a complete line has arrived. */
         private boolean hasReceivedLine;
 
         private int bytesSinceProgress;
         private boolean closed;
         private boolean responseEnded;
-        /** How much of the text is known to hold no end of a line. */
+        /** Number of buffered bytes already searched for the end of the line. */
         private int searchedBytes;
-        /** The message that is being read, bit by bit, and its length. */
+        /** Reader of the message being parsed, over several turns; null between messages. */
         private ServerListReader currentReader;
 
         private int currentLineLength;
 
         void open() {
             restartSilenceTimer();
-            Channel fresh;
+            Channel newChannel;
             try {
-                fresh = network.newClientChannel();
+                newChannel = network.newClientChannel();
             } catch (ChannelException e) {
-                // Out of descriptors: as good as no connection. Later, since the caller is mid-call.
-                loop.execute(() -> fail("can't be opened: " + e.getCause()));
+                // Out of descriptors. Reported in a later task, since the caller is still in its call.
+                loop.execute(() -> fail("no socket available: " + e.getCause()));
                 return;
             }
-            channel = fresh;
+            channel = newChannel;
             new Bootstrap()
                     .group(loop)
-                    .channelFactory(() -> fresh)
+                    .channelFactory(() -> newChannel)
                     .disableResolver()
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel to) {
-                            to.pipeline().addLast(new HttpClientCodec(MAX_STATUS_LINE_BYTES, MAX_HEADER_BYTES, 8_192), Watch.this);
+                        protected void initChannel(Channel initialized) {
+                            initialized
+                                    .pipeline()
+                                    .addLast(
+                                            new HttpClientCodec(MAX_STATUS_LINE_BYTES, MAX_HEADER_BYTES, 8_192),
+                                            Watch.this);
                         }
                     })
                     .connect(address)
@@ -197,18 +212,19 @@
                         if (done.isSuccess()) {
                             sendRequest();
                         } else {
-                            fail("can't be connected: " + done.cause());
+                            fail("cannot connect: " + done.cause());
                         }
                     });
         }
 
         private void sendRequest() {
-            DefaultFullHttpRequest call = new DefaultFullHttpRequest(
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     HttpMethod.GET,
                     "/v1/endpoints?watch=1" + (revision == UNKNOWN_REVISION ? "" : "&after=" + revision));
-            call.headers().set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
-            channel.writeAndFlush(call);
+            request.headers()
+                    .set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
+            channel.writeAndFlush(request);
         }
 
         void close() {
@@ -274,19 +290,21 @@
             restartSilenceTimer();
         }
 
-        /** Gives it its time from now on. */
+        /** Restarts the timeout for the next line. */
         private void restartSilenceTimer() {
             if (silenceTimer != null) {
                 silenceTimer.cancel(false);
             }
-            long mostMs = hasReceivedLine ? silenceTimeoutMs : firstMessageTimeoutMs;
+            long timeoutMs = hasReceivedLine ? silenceTimeoutMs : firstMessageTimeoutMs;
             silenceTimer = loop.schedule(
-                    this::onSilence, mostMs - random.nextLong(mostMs / SILENCE_JITTER_DIVISOR + 1), TimeUnit.MILLISECONDS);
+                    this::onSilence,
+                    timeoutMs - random.nextLong(timeoutMs / SILENCE_JITTER_DIVISOR + 1),
+                    TimeUnit.MILLISECONDS);
         }
 
-        /** Its time is up; but a loop that was held up, or a list that takes many turns, is no silence. */
+        /** Fails the watch unless a list is still being parsed or a delayed event loop has not read its input. */
         private void onSilence() {
-            ScheduledFuture<?> due = silenceTimer;
+            ScheduledFuture<?> expiredTimer = silenceTimer;
             if (currentReader != null) {
                 restartSilenceTimer();
                 return;
@@ -294,7 +312,7 @@
             if (channel != null && channel.isActive()) {
                 network.readNow(channel);
             }
-            if (!closed && silenceTimer == due) {
+            if (!closed && silenceTimer == expiredTimer) {
                 fail("silent");
             }
         }
@@ -303,7 +321,7 @@
             while (!closed && (currentReader != null || startNextLine())) {
                 ServerList list = currentReader.read(MAX_ENTRIES_PER_TURN);
                 if (list == null) {
-                    // Nothing more is read off the socket meanwhile.
+                    // The socket is not read until the message is parsed.
                     channel.config().setAutoRead(false);
                     loop.schedule(this::resume, NEXT_TURN_DELAY_MS, TimeUnit.MILLISECONDS);
                     return;
@@ -315,11 +333,11 @@
             }
             buffer.discardSomeReadBytes();
             if (buffer.readableBytes() > MAX_MESSAGE_BYTES) {
-                throw new IllegalArgumentException("a line over " + MAX_MESSAGE_BYTES + " bytes");
+                throw new IllegalArgumentException("line longer than " + MAX_MESSAGE_BYTES + " bytes");
             }
         }
 
-        /** Begins with the next line that is not blank, if there is a whole one. */
+        /** Starts parsing the next non-blank line; returns whether a complete one is buffered. */
         private boolean startNextLine() {
             while (true) {
                 int end = buffer.indexOf(buffer.readerIndex() + searchedBytes, buffer.writerIndex(), (byte) '\n');
@@ -334,7 +352,8 @@
                 if (!isBlank(length)) {
                     currentLineLength = length;
                     currentReader = new ServerListReader(new InputStreamReader(
-                            new ByteBufInputStream(buffer.slice(buffer.readerIndex(), length)), StandardCharsets.UTF_8));
+                            new ByteBufInputStream(buffer.slice(buffer.readerIndex(), length)),
+                            StandardCharsets.UTF_8));
                     return true;
                 }
                 buffer.skipBytes(length + 1);
--- a/src/main/java/vetchpost/discovery/ServerListParser.java
+++ b/src/main/java/vetchpost/discovery/ServerListParser.java
@@ -9,16 +9,24 @@
 import vetchpost.core.ServerList;
 import vetchpost.decision.Balancer.ServerState;
 
-/** Reads what discovery says, and addresses. */
+/** Parses discovery messages and addresses. Used for the watch, the configuration and tests; stateless. */
 public final class ServerListParser {
     private ServerListParser() {}
 
-    /** Throws IllegalArgumentException with a short reason if the text is not such a message. */
+    /**
+     * Parses a discovery message.
+     *
+     * @throws IllegalArgumentException with a short reason if the text is not a valid message
+     */
     public static ServerList parse(String json) {
         return new ServerListReader(new StringReader(json)).read(Integer.MAX_VALUE);
     }
 
-    /** The same of what has been read already, with the configuration. */
+    /**
+     * Reads a discovery message from parsed JSON, such as a part of the configuration.
+     *
+     * @throws IllegalArgumentException with a short reason if it is not a valid message
+     */
     public static ServerList fromJson(JsonElement json) {
         try {
             JsonObject message = json.getAsJsonObject();
@@ -27,7 +35,9 @@
                 targets.add(target(target.getAsJsonObject()));
             }
             return new ServerList(
-                    required(message, "rev").getAsLong(), required(message, "all").getAsBoolean(), List.copyOf(targets));
+                    required(message, "rev").getAsLong(),
+                    required(message, "all").getAsBoolean(),
+                    List.copyOf(targets));
         } catch (IllegalStateException | NullPointerException | UnsupportedOperationException | ClassCastException e) {
             throw new IllegalArgumentException("not a list of servers: " + e.getMessage(), e);
         }
@@ -45,7 +55,7 @@
                 entry.has("boot_ms") ? entry.get("boot_ms").getAsLong() : 0);
     }
 
-    /** Throws IllegalArgumentException if there is no such state. */
+    /** Parses a server state; throws IllegalArgumentException if it is unknown. */
     static ServerState state(String text) {
         return switch (text) {
             case "Ready" -> ServerState.READY;
@@ -63,7 +73,11 @@
         return value;
     }
 
-    /** A numeric host and a port. There is no DNS, and looking a name up would block. */
+    /**
+     * Parses a numeric host and a port. Host names are not accepted: there is no DNS, and a lookup would block.
+     *
+     * @throws IllegalArgumentException if the text is not a numeric address with a port up to 65535
+     */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
--- a/src/main/java/vetchpost/discovery/ServerListReader.java
+++ b/src/main/java/vetchpost/discovery/ServerListReader.java
@@ -10,8 +10,9 @@
 import vetchpost.core.ServerList;
 
 /**
- * Reads a message of discovery's, as much at a time as it is told to: a list of thousands would hold the loop
- * up. A message is taken whole or not at all: half of one would leave a list that never was.
+ * Parses one discovery message in steps, since a list of thousands of servers would delay the event loop.
+ * {@link DiscoveryClient} calls it on its event loop until the list is complete. A message is accepted whole or not at
+ * all: a partial one would produce a list that never existed.
  */
 final class ServerListReader {
     private final JsonReader json;
@@ -23,20 +24,21 @@
     private Boolean all;
     private ServerList list;
 
-    /** Nothing read yet. */
+    /** Creates a reader of one message. */
     ServerListReader(Reader text) {
         json = new JsonReader(text);
     }
 
     /**
-     * Reads so many servers more.
+     * Reads further servers.
      *
-     * @return the list, once it is whole; else null
-     * @throws IllegalArgumentException with a short reason if the text is not such a message
+     * @param maxServers maximum number of servers to read in this call
+     * @return the list once it is complete, else null
+     * @throws IllegalArgumentException with a short reason if the text is not a valid message
      */
-    ServerList read(int most) {
+    ServerList read(int maxServers) {
         try {
-            for (int left = most; list == null && left > 0; ) {
+            for (int left = maxServers; list == null && left > 0; ) {
                 left -= step() ? 1 : 0;
             }
             return list;
@@ -47,7 +49,7 @@
         }
     }
 
-    /** One step; whether it was a server. */
+    /** Reads the next element; returns whether it was a server. */
     private boolean step() throws IOException {
         if (!started) {
             json.beginObject();
@@ -84,7 +86,7 @@
     private void finish() throws IOException {
         json.endObject();
         if (json.peek() != JsonToken.END_DOCUMENT) {
-            throw new IllegalArgumentException("more than a message");
+            throw new IllegalArgumentException("text after the end of the message");
         }
         if (revision == null || all == null || !hasTargets) {
             throw new IllegalArgumentException(
--- a/src/main/java/vetchpost/net/LoopClock.java
+++ b/src/main/java/vetchpost/net/LoopClock.java
@@ -5,17 +5,17 @@
 import java.util.concurrent.TimeUnit;
 import vetchpost.core.Clock;
 
-/** The clock of an event loop. */
+/** A {@link Clock} in Unix time that follows the ticker of one event loop and schedules timers on it. */
 public final class LoopClock implements Clock {
     private final EventLoop loop;
     private final long originNs;
     private final long originUs;
 
     /**
-     * A clock that shows this time now and follows the loop's ticker from here, so that a list's boot times
-     * always convert to the same value: a second one would look like a second start.
+     * Creates a clock that starts at the given time and then follows only the loop's ticker. Boot times of servers
+     * thus always convert to the same value; a different one would look like a restart.
      *
-     * @param unixMs Unix time in milliseconds
+     * @param unixMs the current Unix time in milliseconds
      */
     public LoopClock(EventLoop loop, long unixMs) {
         this.loop = loop;
--- a/src/main/java/vetchpost/net/MemoryChannel.java
+++ b/src/main/java/vetchpost/net/MemoryChannel.java
@@ -18,7 +18,10 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 
-/** One end of a connection inside the process, both on one loop. What is written is read in a later task. */
+/**
+ * One end of a connection inside the process. Both ends are on the same event loop; data written by one is read by
+ * the other in a later task. Created by {@link MemoryNetwork} for clients and by connecting for their peers.
+ */
 final class MemoryChannel extends AbstractChannel {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
     private static final SocketAddress MEMORY_ADDRESS = InetSocketAddress.createUnresolved("memory", 0);
@@ -30,13 +33,13 @@
     private boolean reading;
     private boolean closed;
 
-    /** To be connected; the far end is set up by this. */
+    /** Creates an unconnected channel; on connect, the listener sets up the pipeline of the peer. */
     MemoryChannel(Consumer<ChannelPipeline> listener) {
         super(null);
         this.listener = listener;
     }
 
-    /** Options that only a system's sockets have are taken and passed over. */
+    /** Accepts and ignores TCP_NODELAY, which only system sockets have. */
     private static final class Config extends DefaultChannelConfig {
         Config(Channel channel) {
             super(channel);
@@ -54,22 +57,22 @@
             if (!promise.setUncancellable() || !ensureOpen(promise)) {
                 return;
             }
-            MemoryChannel far = new MemoryChannel(listener);
-            far.peer = MemoryChannel.this;
-            peer = far;
-            far.pipeline().addLast(new ChannelInitializer<Channel>() {
+            MemoryChannel remoteEnd = new MemoryChannel(listener);
+            remoteEnd.peer = MemoryChannel.this;
+            peer = remoteEnd;
+            remoteEnd.pipeline().addLast(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel channel) {
                     listener.accept(channel.pipeline());
                 }
             });
-            eventLoop().register(far);
+            eventLoop().register(remoteEnd);
             promise.setSuccess();
             pipeline().fireChannelActive();
         }
     }
 
-    /** Hands over what has come, if it is wanted, and the far end's close behind it. */
+    /** Delivers unread data if a read is requested, then the peer's close. */
     void deliver() {
         if (reading && !unread.isEmpty()) {
             reading = false;
@@ -120,7 +123,7 @@
 
     @Override
     protected void doBind(SocketAddress local) {
-        throw new UnsupportedOperationException("nobody listens on this network");
+        throw new UnsupportedOperationException("a memory channel cannot be bound");
     }
 
     @Override
--- a/src/main/java/vetchpost/net/MemoryNetwork.java
+++ b/src/main/java/vetchpost/net/MemoryNetwork.java
@@ -6,22 +6,22 @@
 import java.util.function.Consumer;
 
 /**
- * A network inside the process: whoever connects, to whatever address, is one more connection of one
- * listener, on the same event loop. No socket is opened, and nobody from outside can come. For what is to go
- * through the code of a connection before the node may be reached.
+ * A network inside the process. Every connect, to any address, opens a connection to one listener on the same event
+ * loop. No socket is opened and nothing outside the process can connect. The node uses it to run its connection code
+ * in the warm-up, before it listens.
  */
 public final class MemoryNetwork implements Network {
     private final Consumer<ChannelPipeline> listener;
 
-    /** Each connection's far end is set up by this. */
+    /** Creates a network whose listener sets up the pipeline of each accepted connection. */
     public MemoryNetwork(Consumer<ChannelPipeline> listener) {
         this.listener = listener;
     }
 
-    /** None: its one listener is given at its making. */
+    /** Unsupported: the only listener is the one given to the constructor. */
     @Override
     public ServerChannel newServerChannel() {
-        throw new UnsupportedOperationException("nobody else listens on this network");
+        throw new UnsupportedOperationException("a memory network has no further listeners");
     }
 
     @Override
--- a/src/main/java/vetchpost/net/Network.java
+++ b/src/main/java/vetchpost/net/Network.java
@@ -4,29 +4,33 @@
 import io.netty.channel.ServerChannel;
 import io.netty.channel.socket.DatagramChannel;
 
-/** Where sockets come from: the system, or a simulation's network. */
+/** Creates channels, either system sockets or those of a simulated network. Shared by all parts of a node. */
 public interface Network {
-    /** The sockets of this machine, by Java's selector. */
+    /** The sockets of this machine, through Java NIO. */
     Network SYSTEM = new SystemNetwork();
 
-    /** A socket to listen with, not bound yet. */
+    /** Creates a channel to listen with, not bound. */
     ServerChannel newServerChannel();
 
     /**
-     * A socket to connect with.
+     * Creates a channel to connect with.
      *
-     * @throws io.netty.channel.ChannelException if the system has none left
+     * @throws io.netty.channel.ChannelException if the system has no descriptor left
      */
     Channel newClientChannel();
 
-    /** A socket for datagrams, not bound yet; a network that has none throws. */
+    /**
+     * Creates a datagram channel, not bound.
+     *
+     * @throws UnsupportedOperationException if the network has no datagrams
+     */
     default DatagramChannel newDatagramChannel() {
         throw new UnsupportedOperationException("no datagrams on this network");
     }
 
     /**
-     * Reads what the system already holds for the channel, and its end, without waiting for the loop; of a
-     * socket to listen with, some of the connections that wait there. A channel of another network is left
+     * Reads the input that the system already holds for the channel, its close included, without waiting for the
+     * event loop; accepts some of the waiting connections of a listening channel. A channel of another network is left
      * alone.
      */
     void readNow(Channel channel);
--- a/src/main/java/vetchpost/net/SocketBudget.java
+++ b/src/main/java/vetchpost/net/SocketBudget.java
@@ -5,32 +5,42 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Counts the sockets of both sides against the process's limit of descriptors, and makes room by closing
- * idle ones before the system has to refuse one.
+ * Counts connections to clients and servers against the process's descriptor limit, and closes idle ones before the
+ * system runs out of descriptors. {@link vetchpost.http.ClientServer}, its acceptor and the server pools share one per
+ * node and call it on the node's event loop.
  */
 public final class SocketBudget {
-    /** Descriptors kept back, or half of them if that is less: the runtime's own files and selector, the
-     * listening socket, discovery, and those that a close has not given back yet. */
+    /**
+     * Descriptors kept for the runtime's files and selector, the listening socket, discovery and sockets whose close is
+     * not complete; half of the limit if that is less.
+     */
     public static final int RESERVED_DESCRIPTORS = 64;
-    /** With fewer the runtime itself can't work. */
+    /** The runtime itself needs this many. */
     public static final int MIN_DESCRIPTORS = 32;
-    /** From so many on there is nothing that a node has to do without. */
+    /** From this limit on a node is not restricted. */
     private static final int MIN_AMPLE_DESCRIPTORS = 2 * RESERVED_DESCRIPTORS;
-    /** Connections accepted in one turn of the loop: with few, slow turns leave them waiting for several of
-     * them; but the count of sockets may pass its bound by as many. */
+    /**
+     * Connections accepted in one turn of the event loop. With fewer, connections would wait for several slow turns;
+     * with more, the socket count could exceed its limit by more, namely by as many.
+     */
     private static final int MAX_ACCEPTS_PER_TURN = 32;
-    /** Of these, what may be taken by clients that are only told to come again: left in the system's queue,
-     * they would be told nothing, and their requests count as taken there. */
+    /**
+     * Reserved descriptors that may serve clients above the limit, only to reject them with a retry-after. Left in the
+     * accept queue they would get no response, although their requests count as accepted there.
+     */
     private static final int MAX_REJECTED_CLIENTS = 16;
-    /** What the process itself has open. */
+    /** Descriptors that the process itself has open. */
     private static final int PROCESS_DESCRIPTORS = 32;
-    /** Clients may take this share of the rest: what they ask for needs connections to servers. */
+    /** Fraction of the sockets for clients; their requests need the rest for connections to servers. */
     private static final double MAX_CLIENT_FRACTION = 0.75;
 
-    /** From this share of the limit on clients' connections are many: they ask on a third of it at most. */
+    /** Above this fraction of the limit client connections count as many; only a third of the limit sends requests. */
     private static final double MANY_CLIENTS_FRACTION = 1.0 / 6;
 
-    /** From this share on none is kept for a next request: the answer says so, which crosses nothing. */
+    /**
+     * Above this fraction of the limit each response closes its connection, which, unlike closing an idle connection,
+     * cannot race with the next request.
+     */
     private static final double CLOSE_AFTER_RESPONSE_FRACTION = 1.0 / 4;
 
     private final int limit;
@@ -40,14 +50,18 @@
     private final int closeAfterResponseClients;
     private final int manyClients;
     private BooleanSupplier closeIdleClient = () -> false;
-    /** One for each pool, the oldest first: it is the one that takes nothing new. */
+    /** One for each pool, the oldest first, which receives no new requests. */
     private final List<BooleanSupplier> closeIdleServerActions = new ArrayList<>(1);
 
     private Runnable onCapacityAvailable = () -> {};
     private int clients;
     private int servers;
 
-    /** Nothing open yet; at most so many descriptors. */
+    /**
+     * Creates an empty budget.
+     *
+     * @param limit the maximum number of descriptors of the process, at least {@link #MIN_DESCRIPTORS}
+     */
     public SocketBudget(int limit) {
         this.limit = limit;
         maxSockets = Math.max(2, limit - Math.min(RESERVED_DESCRIPTORS, limit / 2));
@@ -57,83 +71,90 @@
         manyClients = Math.min(maxClients, (int) (MANY_CLIENTS_FRACTION * limit));
     }
 
-    /** How to close an idle connection of the client side, and what to do when there is room again. */
-    public void setClientSide(BooleanSupplier closeIdle, Runnable whenRoom) {
+    /**
+     * Sets the actions of the client side.
+     *
+     * @param closeIdle closes one idle client connection; returns whether there was one
+     * @param whenCapacity runs after each closed connection
+     */
+    public void setClientSide(BooleanSupplier closeIdle, Runnable whenCapacity) {
         closeIdleClient = closeIdle;
-        onCapacityAvailable = whenRoom;
+        onCapacityAvailable = whenCapacity;
     }
 
-    /** One more way to close an idle connection to a server. */
+    /** Adds an action that closes one idle server connection and returns whether there was one. */
     public void addServerSide(BooleanSupplier closeIdle) {
         closeIdleServerActions.add(closeIdle);
     }
 
-    /** There is nothing to be closed that way any more. */
+    /** Removes an action added by {@link #addServerSide}. */
     public void removeServerSide(BooleanSupplier closeIdle) {
         closeIdleServerActions.remove(closeIdle);
     }
 
+    /** Whether another client connection can be served. */
     public boolean hasCapacityForClient() {
         return clients < maxClients && clients + servers < maxSockets;
     }
 
-    /** Whether there are so few that clients are refused sooner than they would be for want of time. */
+    /** Whether the limit is so low that clients are rejected for lack of descriptors rather than of time. */
     public boolean isScarce() {
         return limit < MIN_AMPLE_DESCRIPTORS;
     }
 
-    /** How many connections are accepted at once at most. */
+    /** The maximum number of connections accepted in one turn of the event loop. */
     public int maxAcceptsPerTurn() {
         return Math.max(1, Math.min(MAX_ACCEPTS_PER_TURN, limit / 8));
     }
 
-    /** How many clients are served at once at most. */
+    /** The maximum number of client connections served at once. */
     public int maxClients() {
         return maxClients;
     }
 
-    /** Whether one more client's connection may be accepted, be it to tell it to come again. */
+    /** Whether another client connection may be accepted, if only to reject its request. */
     public boolean mayAccept() {
         return clients < maxClients + maxRejectedClients && clients + servers < maxSockets + maxRejectedClients;
     }
 
-    /** Whether there are more clients' connections than are served. */
+    /** Whether more client connections are open than can be served. */
     public boolean isOverClientLimit() {
         return clients > maxClients || clients + servers > maxSockets;
     }
 
-    /** Whether idle ones are better closed than kept. */
+    /** Whether there are so many client connections that idle ones should be closed early. */
     public boolean hasManyClients() {
         return clients > manyClients;
     }
 
-    /** Whether a client's connection is better ended with its answer. */
+    /** Whether client connections should be closed with their response. */
     public boolean shouldCloseAfterResponse() {
         return clients > closeAfterResponseClients;
     }
 
-    /** Counts an accepted connection. */
+    /** Counts an accepted client connection. */
     public void addClient() {
         clients++;
     }
 
-    /** Closes idle connections if another client's may not be accepted; whether it may now. */
+    /** Closes idle connections while there is no capacity for another client; returns whether there is now. */
     public boolean freeCapacityForClient() {
-        // Several are accepted at once: the count may lie beyond the bound by as many.
+        // Several connections are accepted at once, so the count may exceed its limit by as many.
         boolean closed = true;
         while (!hasCapacityForClient() && closed) {
-            // At the clients' own bound a server's connection less would make no room.
+            // At the limit of clients, closing a server connection frees nothing for them.
             closed = clients >= maxClients ? closeIdleClient.getAsBoolean() : closeIdle();
         }
         return hasCapacityForClient();
     }
 
+    /** Counts a closed client connection. */
     public void removeClient() {
         clients--;
         onCapacityAvailable.run();
     }
 
-    /** Counts a connection to a server, or says that there is no room for one. */
+    /** Counts a new server connection, closing an idle one if needed; returns false if there is no capacity. */
     public boolean addServer() {
         if (Math.min(clients, maxClients) + servers >= maxSockets && !closeIdle()) {
             return false;
@@ -142,6 +163,7 @@
         return true;
     }
 
+    /** Counts a closed server connection. */
     public void removeServer() {
         servers--;
         onCapacityAvailable.run();
@@ -152,18 +174,20 @@
         return "clients " + clients + " of " + maxClients + ", all " + (clients + servers) + " of " + maxSockets;
     }
 
-    /** How many are open: both sides together. */
+    /** The number of open connections to clients and servers. */
     public int openCount() {
         return clients + servers;
     }
 
     /**
-     * Closes one idle connection. Servers' first: a request can cross the closing of a client's connection,
-     * but of none to a server.
+     * Closes one idle connection. Server connections go first, because closing a client connection can race with its
+     * next request.
+     *
+     * @return whether there was one
      */
     public boolean closeIdle() {
-        for (BooleanSupplier way : closeIdleServerActions) {
-            if (way.getAsBoolean()) {
+        for (BooleanSupplier closeIdle : closeIdleServerActions) {
+            if (closeIdle.getAsBoolean()) {
                 return true;
             }
         }
--- a/src/main/java/vetchpost/net/SystemNetwork.java
+++ b/src/main/java/vetchpost/net/SystemNetwork.java
@@ -8,7 +8,7 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** TCP by Java's selector. */
+/** System sockets through Java NIO. */
 final class SystemNetwork implements Network {
     @Override
     public ServerChannel newServerChannel() {
--- a/src/main/java/vetchpost/node/Node.java
+++ b/src/main/java/vetchpost/node/Node.java
@@ -32,29 +32,34 @@
 import vetchpost.net.SocketBudget;
 
 /**
- * One node put together: the clients' side, the core with its decision module, the servers' side and the
- * watch on the list, all on one event loop; and its life from start to stop.
+ * Assembles one load-balancing node from its client server, dispatcher with decision module, server pool and
+ * discovery watch, and runs it from warm-up to stop. The daemon and simulations create it, reconfigure it and stop
+ * it. Everything runs on one event loop, on which all methods have to be called.
  */
 public final class Node implements DiscoveryClient.Listener {
     private static final Logger LOG = System.getLogger(Node.class.getName());
 
-    /** Between two calls for a pushed list, which cost nothing, at most: what is missed meanwhile counts. */
+    /** Upper bound of the delay between two watch requests for a pushed list: changes missed meanwhile count. */
     private static final long MAX_WATCH_RETRY_DELAY_MS = 500;
-    /** ... and at most this part of the time in which a drain has to be kept. */
+    /** The delay is also at most the drain grace period divided by this. */
     private static final int WATCH_RETRY_DRAIN_GRACE_DIVISOR = 4;
-    /** How long a new process waits for a pushed list, which counts as told before it asks. An agent that has
-     * said nothing by then is silent because discovery is down: then the known list has to do. */
+    /**
+     * How long a new process waits for a pushed list, which counts as received from the process's start. If the
+     * agent is silent for longer, discovery is down and the known list is used.
+     */
     private static final long FIRST_LIST_TIMEOUT_MS = 1_000;
-    /** Connections come for up to 0.4 s after the word to stop, and their requests just after. */
+    /** Clients connect for up to 0.4 s after the stop signal and send their requests just after. */
     private static final long ACCEPT_WHILE_STOPPING_MS = 600;
 
     private static final long DRAIN_CHECK_INTERVAL_MS = 5;
-    /** From the end of the last connection to the process's: the system really closes a socket only when the
-     * loop has looked at its selector again, and the last answer has its way to go. */
+    /**
+     * Delay between the close of the last connection and the exit of the process: the selector closes a socket only
+     * in its next select, and the last response must still reach its client.
+     */
     private static final long EXIT_DELAY_MS = 50;
 
     private static final long YIELD_DELAY_MS = 1;
-    /** A rehearsal cut short is better than a node that stays away: a slow machine gets this far. */
+    /** Bounds the start of a slow machine, which cuts its rehearsal short. */
     private static final long MAX_REHEARSAL_MS = 1_500;
 
     private NodeConfig config;
@@ -75,9 +80,9 @@
     private NodeLifecycle lifecycle;
     private final long watchRetryDelayNs;
     private long lastSubscribeNs;
-    /** Pushed lists that have come before the known one is taken in, while the node warms up. */
+    /** Pushed lists received during the warm-up, before the known list is applied. */
     private final List<ServerList> listsBeforeStart = new ArrayList<>();
-    /** What waits for the first list, or null. */
+    /** Runs when the first list arrives or its wait times out; null when nothing waits. */
     private Runnable firstListAction;
 
     private boolean hasReceivedList;
@@ -86,39 +91,50 @@
     private boolean stopping;
     private boolean closed;
 
-    /** A core that takes nothing new, and ends once all that it holds is answered. */
+    /** A replaced dispatcher and its pool, closed once all their requests are answered. */
     private record RetiredCore(Dispatcher dispatcher, ServerPool pool) {}
 
     /**
-     * What a node still has in hand; all of it is nothing once the node has stopped.
+     * The requests, memory and sockets in use; all 0 once the node has stopped.
      *
-     * @param requests held, or with an attempt out
-     * @param bytes that clients' requests take
+     * @param requests requests that wait or have an attempt in flight
+     * @param bytes memory reserved for requests, in bytes
      * @param sockets open connections to clients and servers
      */
     public record PendingWork(int requests, long bytes, int sockets) {}
 
     /**
-     * Not started yet.
+     * Creates a node for the platform's protocol, not started.
      *
-     * @param unixMs the time now, Unix time in milliseconds
-     * @throws IllegalArgumentException if the module rejects the settings
+     * @param unixMs the current Unix time in milliseconds
+     * @throws IllegalArgumentException if the decision module rejects the settings
      */
-    public Node(NodeConfig config, EventLoop loop, Network network, long unixMs, NodeHooks seams) {
-        this(config, loop, network, unixMs, seams, null);
+    public Node(NodeConfig config, EventLoop loop, Network network, long unixMs, NodeHooks hooks) {
+        this(config, loop, network, unixMs, hooks, null);
     }
 
-    /** The same, speaking otherwise than the platform has it; null for that. */
+    /**
+     * Creates a node, not started.
+     *
+     * @param unixMs the current Unix time in milliseconds
+     * @param protocolAdapters the protocols towards clients and servers; null for the platform's
+     * @throws IllegalArgumentException if the decision module rejects the settings
+     */
     public Node(
-            NodeConfig config, EventLoop loop, Network network, long unixMs, NodeHooks seams, ProtocolAdapters fronts) {
-        this.protocolAdapters = fronts;
+            NodeConfig config,
+            EventLoop loop,
+            Network network,
+            long unixMs,
+            NodeHooks hooks,
+            ProtocolAdapters protocolAdapters) {
+        this.protocolAdapters = protocolAdapters;
         this.config = config;
         this.loop = loop;
         this.network = network;
         clock = new LoopClock(loop, unixMs);
         eventLoopDelay = new EventLoopDelay(clock);
         sockets = new SocketBudget(config.maxDescriptors());
-        long callMs = config.settings().listOnRequest
+        long firstMessageTimeoutMs = config.settings().listOnRequest
                 ? DiscoveryClient.FIRST_MESSAGE_TIMEOUT_MS
                 : DiscoveryClient.SILENCE_TIMEOUT_MS;
         discovery = new DiscoveryClient(
@@ -127,12 +143,15 @@
                 config.discovery(),
                 config.knownServers().revision(),
                 DiscoveryClient.SILENCE_TIMEOUT_MS,
-                callMs,
+                firstMessageTimeoutMs,
                 config.seed(),
                 this);
-        this.hooks = seams;
-        watchRetryDelayNs = TimeUnit.MILLISECONDS.toNanos(
-                Math.max(1, Math.min(MAX_WATCH_RETRY_DELAY_MS, config.settings().drainGraceUs / 1_000 / WATCH_RETRY_DRAIN_GRACE_DIVISOR)));
+        this.hooks = hooks;
+        watchRetryDelayNs = TimeUnit.MILLISECONDS.toNanos(Math.max(
+                1,
+                Math.min(
+                        MAX_WATCH_RETRY_DELAY_MS,
+                        config.settings().drainGraceUs / 1_000 / WATCH_RETRY_DRAIN_GRACE_DIVISOR)));
         createCore();
         clients = new ClientServer(
                 loop,
@@ -140,12 +159,12 @@
                 sockets,
                 config.settings(),
                 (request, reply, waitedUs) ->
-                        dispatcher.accept(seams.wrapRequest(request), seams.wrapReply(reply), waitedUs),
-                fronts == null ? null : fronts.connectionInitializer());
+                        dispatcher.accept(hooks.wrapRequest(request), hooks.wrapReply(reply), waitedUs),
+                protocolAdapters == null ? null : protocolAdapters.connectionInitializer());
         clients.setEventLoopDelay(eventLoopDelay::currentUs);
     }
 
-    /** The core and its way to servers, by the settings as they are now. */
+    /** Creates the server pool and the dispatcher from the current settings. */
     private void createCore() {
         Settings settings = config.settings();
         pool = new ServerPool(
@@ -155,56 +174,56 @@
                 settings.connectTimeoutUs,
                 config.serverIdleTimeoutUs(),
                 protocolAdapters == null ? null : protocolAdapters.exchangeFactory());
-        // A core that only ends what it has must not have the watch opened anew under the one in its place.
-        Dispatcher[] core = new Dispatcher[1];
+        // A retired dispatcher must not reopen the watch that its successor uses.
+        Dispatcher[] created = new Dispatcher[1];
         dispatcher = new Dispatcher(
                 clock,
                 eventLoopDelay,
                 hooks.wrapTransport(pool),
                 settings.zones,
-                () -> runIfCurrent(core[0], this::subscribe),
-                () -> runIfCurrent(core[0], this::requestFullList),
+                () -> runIfCurrent(created[0], this::subscribe),
+                () -> runIfCurrent(created[0], this::requestFullList),
                 settings.drainGraceUs / 2,
                 actions -> hooks.createBalancer(settings, config.seed(), actions));
-        core[0] = dispatcher;
+        created[0] = dispatcher;
     }
 
-    private void runIfCurrent(Dispatcher core, Runnable action) {
-        if (core == dispatcher) {
+    private void runIfCurrent(Dispatcher caller, Runnable action) {
+        if (caller == dispatcher) {
             action.run();
         }
     }
 
     /**
-     * Takes up other classes and other settings of the module while it runs: requests from now on are the
-     * affair of a new core, which begins with what the old one knows; the old one ends once all that it holds
-     * is answered. Routes and the door are to be set anew.
+     * Applies new request classes and decision settings while the node runs. A new dispatcher, which starts with
+     * the servers and statistics of the old one, receives all requests from now on; the old one is closed once its
+     * requests are answered. Routes and admission control have to be set again.
      *
-     * @throws IllegalArgumentException if the module rejects the settings; then nothing changes
+     * @throws IllegalArgumentException if the decision module rejects the settings; nothing changes then
      */
-    public void reconfigure(NodeConfig fresh) {
-        NodeConfig before = config;
-        Dispatcher old = dispatcher;
-        ServerPool oldPool = pool;
-        config = fresh;
+    public void reconfigure(NodeConfig newConfig) {
+        NodeConfig previousConfig = config;
+        Dispatcher previousDispatcher = dispatcher;
+        ServerPool previousPool = pool;
+        config = newConfig;
         try {
             createCore();
         } catch (RuntimeException e) {
-            config = before;
+            config = previousConfig;
             pool.close();
-            pool = oldPool;
-            dispatcher = old;
+            pool = previousPool;
+            dispatcher = previousDispatcher;
             throw e;
         }
-        retired.add(new RetiredCore(old, oldPool));
+        retired.add(new RetiredCore(previousDispatcher, previousPool));
         dispatcher.setAttemptObserver(attemptObserver);
         dispatcher.setRecorder(recorder);
-        // The watch is past what waits there: nobody would tell it again.
-        old.applyAllLists();
-        List<ServerList.Target> servers = old.knownServers();
+        // The watch has moved past the list changes still queued there; discovery does not repeat them.
+        previousDispatcher.applyAllLists();
+        List<ServerList.Target> servers = previousDispatcher.knownServers();
         dispatcher.onKnownList(new ServerList(0, true, servers));
-        dispatcher.restore(
-                old.statistics(servers.stream().map(ServerList.Target::id).toList()));
+        dispatcher.restore(previousDispatcher.statistics(
+                servers.stream().map(ServerList.Target::id).toList()));
         loop.schedule(this::closeFinishedRetired, DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -223,32 +242,33 @@
     }
 
     /**
-     * Has clients connect there from now on; those that are connected stay.
+     * Moves the listening socket to another address; connected clients stay.
      *
-     * @return tells whether the address could be had; if not, the one before stays
+     * @return fails if the address cannot be bound; the previous one is kept then
      */
     public ChannelFuture rebind(EventLoopGroup group, InetSocketAddress address) {
         return clients.rebind(group, address);
     }
 
-    /** On the system's sockets and clock. */
+    /** Creates a node on the system's sockets and clock. */
     public Node(NodeConfig config, EventLoop loop) {
         this(config, loop, Network.SYSTEM, System.currentTimeMillis(), NodeHooks.NONE);
     }
 
     /**
-     * Goes through so many requests inside the process, before anybody can connect: code that has never run
-     * keeps the loop for up to seconds of a small part of a core, and what a client had sent meanwhile would
-     * lie unread past its time. Then runs {@code then}, which is to start the node, unless it is to stop
-     * by then.
+     * Runs rehearsal requests inside the process before clients can connect. With a small fraction of a CPU core,
+     * cold code blocks the event loop for up to seconds, during which client requests would expire unread. Then
+     * runs {@code next}, which has to start the node, unless {@link #stop} was called meanwhile.
+     *
+     * @param requests number of rehearsal requests
      */
-    public void warmUp(int rehearsed, Runnable then) {
-        // A first line takes as long as fifty requests; it must not be the one that says that it listens.
+    public void warmUp(int requests, Runnable next) {
+        // The first log line costs as much as fifty requests, so it is written before the node listens.
         LOG.log(Level.INFO, "warming up");
         String token = rehearsalToken();
         clients.setRehearsal(token);
         if (isListPushed()) {
-            // Its list counts as told from the first moment on; it comes while the code gets warm.
+            // A pushed list counts as received from the process's start; it arrives during the warm-up.
             subscribePushed();
         }
         new Rehearsal(
@@ -258,11 +278,11 @@
                         protocolAdapters,
                         config.listen(),
                         token,
-                        rehearsed,
+                        requests,
                         MAX_REHEARSAL_MS,
                         () -> runAfterYield(() -> {
                             prepare();
-                            runAfterFirstList(() -> runAfterYield(then));
+                            runAfterFirstList(() -> runAfterYield(next));
                         }))
                 .run();
     }
@@ -271,34 +291,34 @@
         return !config.settings().listOnRequest && config.discovery() != null;
     }
 
-    /** Runs it once a pushed list has come, or has not for a while; at once where lists are asked for. */
-    private void runAfterFirstList(Runnable then) {
+    /** Runs the action once a pushed list arrives or its wait times out; at once if lists are requested. */
+    private void runAfterFirstList(Runnable action) {
         if (!isListPushed() || hasReceivedList) {
-            then.run();
+            action.run();
             return;
         }
-        firstListAction = then;
+        firstListAction = action;
         loop.schedule(this::runFirstListAction, FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
     private void runFirstListAction() {
-        Runnable then = firstListAction;
+        Runnable action = firstListAction;
         firstListAction = null;
-        if (then != null) {
-            then.run();
+        if (action != null) {
+            action.run();
         }
     }
 
     /**
-     * Runs it once the loop has waited, however shortly, unless the node is to stop by then. Where a process
-     * has a part of a processor, it pays for a long stretch of work in that wait; what is opened at the
-     * stretch's end would stand open unattended meanwhile.
+     * Runs the action after the event loop has blocked in its selector at least once, unless the node is stopping
+     * by then. A process with a CPU quota is throttled in that wait after a long run of work; a socket opened at
+     * the end of the run would be left unserved meanwhile.
      */
-    private void runAfterYield(Runnable then) {
+    private void runAfterYield(Runnable action) {
         loop.schedule(
                 () -> {
                     if (!stopping) {
-                        then.run();
+                        action.run();
                     }
                 },
                 YIELD_DELAY_MS,
@@ -309,7 +329,7 @@
         return Long.toHexString(new SplittableRandom(config.seed()).nextLong());
     }
 
-    /** Takes in the known list, once. Before anybody can connect: it takes as long as some requests. */
+    /** Applies the known list, once. Done before clients can connect, since it takes as long as some requests. */
     private void prepare() {
         if (prepared) {
             return;
@@ -318,7 +338,9 @@
         if (sockets.isScarce()) {
             LOG.log(
                     Level.WARNING,
-                    "limits.sockets is small: {0} clients are served at once, others refused",
+                    "limits.sockets is small: at most {0} client connections are served,"
+                            + " requests on others are rejected;"
+                            + " raise limits.sockets or the descriptor limit of the process",
                     sockets.maxClients());
         }
         eventLoopDelay.start();
@@ -334,16 +356,18 @@
     }
 
     /**
-     * Takes in the known list, opens the client side and serves; says that it is ready after a rehearsal
-     * of so many requests, or at once if there are none. To be called on the loop, as all else here.
+     * Applies the known list, listens and serves; reports itself ready after the rehearsal.
+     *
+     * @param requests number of rehearsal requests; 0 for no rehearsal
+     * @return fails if the address cannot be bound
      */
-    public ChannelFuture start(EventLoopGroup group, int rehearsed, Runnable whenReady) {
+    public ChannelFuture start(EventLoopGroup group, int requests, Runnable whenReady) {
         prepare();
         ChannelFuture binding = clients.listen(group, config.listen());
         binding.addListener(done -> {
             if (done.isSuccess()) {
-                // Also because a first line needs files of the runtime: out of descriptors it would throw an
-                // Error, in the loop, where nothing but the log would catch it.
+                // Logged now also because the first line opens files of the runtime: without descriptors left it
+                // would throw an Error on the event loop, where only the log would show it.
                 LOG.log(Level.INFO, "listening on {0}", binding.channel().localAddress());
                 String token = rehearsalToken();
                 clients.setRehearsal(token);
@@ -357,11 +381,11 @@
                     clients.setReadinessDetail(lifecycle::readinessDetail);
                     ready = () -> lifecycle.runWhenPrepared(serve);
                 }
-                if (rehearsed == 0) {
+                if (requests == 0) {
                     ready.run();
                 } else {
-                    // Not before the first look at who has come meanwhile.
-                    Runnable last = ready;
+                    // Only after the event loop has accepted the clients that connected meanwhile.
+                    Runnable onRehearsed = ready;
                     runAfterYield(() -> new Rehearsal(
                                     loop,
                                     network,
@@ -369,9 +393,9 @@
                                     protocolAdapters,
                                     (InetSocketAddress) binding.channel().localAddress(),
                                     token,
-                                    rehearsed,
+                                    requests,
                                     MAX_REHEARSAL_MS,
-                                    last)
+                                    onRehearsed)
                             .run());
                 }
             }
@@ -379,59 +403,59 @@
         return binding;
     }
 
-    /** Has these routes hold for requests from now on; those in hand keep theirs. */
+    /** Sets the routes of requests from now on; pending requests keep theirs. */
     public void setRoutes(RoutePolicy policy) {
         dispatcher.setRoutes(policy);
     }
 
-    /** Has this node keep to a part of the fleet; before it starts. */
-    public void setSubset(Subset part) {
-        dispatcher.setSubset(part);
+    /** Restricts the node to a subset of the servers; to be called before it starts. */
+    public void setSubset(Subset subset) {
+        dispatcher.setSubset(subset);
     }
 
-    /** Has requests stand before this door, or before none if it is null. */
-    public void admission(AdmissionControl door) {
-        dispatcher.admission(door);
+    /** Sets the admission control of requests; null for none. */
+    public void admission(AdmissionControl admission) {
+        dispatcher.admission(admission);
     }
 
-    /** The door that requests stand before, or null. */
+    /** The admission control of requests, or null. */
     public AdmissionControl admission() {
         return dispatcher.admission();
     }
 
-    /** Has this see how attempts end, besides the module; null for nobody. */
-    public void setAttemptObserver(AttemptObserver other) {
-        attemptObserver = other;
-        dispatcher.setAttemptObserver(other);
+    /** Sets an observer of attempt results, notified besides the decision module; null for none. */
+    public void setAttemptObserver(AttemptObserver observer) {
+        attemptObserver = observer;
+        dispatcher.setAttemptObserver(observer);
     }
 
-    /** Has this see what becomes of requests; null for nobody. */
-    public void setRecorder(RequestRecorder other) {
-        recorder = other;
-        dispatcher.setRecorder(other);
+    /** Sets the recorder of request outcomes; null for none. */
+    public void setRecorder(RequestRecorder requestRecorder) {
+        recorder = requestRecorder;
+        dispatcher.setRecorder(requestRecorder);
     }
 
-    /** Why this server is sent nothing, or less than it might be: a line a reason. */
+    /** The reasons why a server receives no or fewer requests, one per line. */
     public List<String> explainServer(String serverId) {
         return dispatcher.explainServer(serverId);
     }
 
-    /** Has {@code /ready} say this besides what else it says; what is null says nothing. */
-    public void setReadinessNote(Supplier<String> line) {
-        clients.setReadinessNote(line);
+    /** Sets an additional note for {@code /ready}; none is added while the supplier returns null. */
+    public void setReadinessNote(Supplier<String> note) {
+        clients.setReadinessNote(note);
     }
 
-    /** Has this go along with the node's life; before it starts. */
-    public void setLifecycle(NodeLifecycle with) {
-        lifecycle = with;
+    /** Sets the component that is notified of start, lists and stop; to be called before the node starts. */
+    public void setLifecycle(NodeLifecycle newLifecycle) {
+        lifecycle = newLifecycle;
     }
 
-    /** Takes up what may change while it runs: where discovery is. */
-    public void moveDiscovery(NodeConfig fresh) {
-        discovery.moveTo(fresh.discovery());
+    /** Moves the watch to the discovery address of {@code newConfig}. */
+    public void moveDiscovery(NodeConfig newConfig) {
+        discovery.moveTo(newConfig.discovery());
     }
 
-    /** Begins as a rehearsal's node: it has a list, no address of its own, and asks for no other list. */
+    /** Starts this node as the client of a rehearsal: it uses its known list, does not listen or watch discovery. */
     void startAsRehearsal() {
         rehearsing = true;
         dispatcher.onKnownList(config.knownServers());
@@ -441,7 +465,7 @@
         clients.open(pipeline);
     }
 
-    /** Gives back all that it holds; for the end of a rehearsal, or of a process that goes on. */
+    /** Releases all resources; for the end of a rehearsal or of a process that goes on. */
     public void close() {
         closed = true;
         if (lifecycle != null) {
@@ -458,7 +482,10 @@
         });
     }
 
-    /** Stops taking requests after a while and runs {@code done} as soon as all are answered. */
+    /**
+     * Stops the node: it accepts connections for another {@value #ACCEPT_WHILE_STOPPING_MS} ms and runs
+     * {@code whenDone} once all requests are answered.
+     */
     public void stop(Runnable whenDone) {
         stopping = true;
         clients.drain();
@@ -475,11 +502,11 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Runs it the second time. */
+    /** Returns an action that runs {@code whenDone} when it is called for the second time. */
     private static Runnable runOnSecondCall(Runnable whenDone) {
-        int[] left = {2};
+        int[] remainingCalls = {2};
         return () -> {
-            if (--left[0] == 0) {
+            if (--remainingCalls[0] == 0) {
                 whenDone.run();
             }
         };
@@ -493,19 +520,19 @@
         }
     }
 
-    /** How many servers it knows, those that drain too. */
+    /** The number of known servers, draining ones included. */
     public int serverCount() {
         return dispatcher.knownServers().size();
     }
 
-    /** What it has in hand just now. */
+    /** The requests, memory and sockets in use now, those of retired dispatchers included. */
     public PendingWork pendingWork() {
-        int held = dispatcher.pendingRequests()
+        int requests = dispatcher.pendingRequests()
                 + retired.stream().mapToInt(r -> r.dispatcher.pendingRequests()).sum();
-        return new PendingWork(held, clients.pendingRequestBytes(), sockets.openCount());
+        return new PendingWork(requests, clients.pendingRequestBytes(), sockets.openCount());
     }
 
-    /** For the module: a call that is on its way already, after a move say, answers it too. */
+    /** Opens the watch for the decision module, unless a request is already pending, as after a move. */
     private void subscribe() {
         if (!rehearsing && !closed && config.discovery() != null && !discovery.isRequestPending()) {
             discovery.subscribe();
@@ -533,7 +560,7 @@
         if (prepared) {
             applyList(list);
         } else {
-            // It is newer than the known list, and must not be gone over by it.
+            // It is newer than the known list, which must not overwrite it.
             listsBeforeStart.add(list);
         }
         runFirstListAction();
@@ -556,13 +583,13 @@
 
     @Override
     public void onWatchFailed(String reason) {
-        LOG.log(Level.INFO, "the watch on the list failed: {0}", reason);
+        LOG.log(Level.INFO, "discovery watch failed: {0}; it is opened again", reason);
         if (isListPushed()) {
-            // At once after one that has been open for a while.
-            long sinceNs = loop.ticker().nanoTime() - lastSubscribeNs;
+            // At once if the failed watch has been open for a while.
+            long elapsedNs = loop.ticker().nanoTime() - lastSubscribeNs;
             loop.schedule(
                     this::subscribePushed,
-                    Math.max(TimeUnit.MILLISECONDS.toNanos(YIELD_DELAY_MS), watchRetryDelayNs - sinceNs),
+                    Math.max(TimeUnit.MILLISECONDS.toNanos(YIELD_DELAY_MS), watchRetryDelayNs - elapsedNs),
                     TimeUnit.NANOSECONDS);
         }
         dispatcher.onListFailed();
--- a/src/main/java/vetchpost/node/NodeHooks.java
+++ b/src/main/java/vetchpost/node/NodeHooks.java
@@ -8,27 +8,27 @@
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.ServiceQBalancer;
 
-/** Where a test can come between the parts of a node. In service nothing does. */
+/** Lets tests intercept the parts of a node; in production {@link #NONE} is used. Called on the node's event loop. */
 public interface NodeHooks {
-    /** Nothing comes between. */
+    /** Intercepts nothing. */
     NodeHooks NONE = new NodeHooks() {};
 
-    /** The decision module. */
+    /** Creates the decision module. */
     default Balancer createBalancer(Settings settings, long seed, Actions actions) {
         return new ServiceQBalancer(settings, seed, actions);
     }
 
-    /** The way to servers. */
+    /** Wraps the transport to the servers. */
     default ServerTransport wrapTransport(ServerTransport real) {
         return real;
     }
 
-    /** A request as the core takes it. */
+    /** Wraps a client's request before the dispatcher accepts it. */
     default ClientRequest wrapRequest(ClientRequest real) {
         return real;
     }
 
-    /** A client's reply. */
+    /** Wraps the reply to a client's request. */
     default ClientReply wrapReply(ClientReply real) {
         return real;
     }
--- a/src/main/java/vetchpost/node/ProtocolAdapters.java
+++ b/src/main/java/vetchpost/node/ProtocolAdapters.java
@@ -4,10 +4,10 @@
 import vetchpost.http.ManagedConnection;
 
 /**
- * How a node speaks that is not the platform's.
+ * The protocols of a node that does not use the platform's.
  *
- * @param clients opens clients' connections
- * @param servers makes the exchanges of attempts
+ * @param connectionInitializer sets up client connections
+ * @param exchangeFactory creates the exchanges of attempts
  */
 public record ProtocolAdapters(
         ManagedConnection.ConnectionInitializer connectionInitializer, Exchange.Factory exchangeFactory) {}
--- a/src/main/java/vetchpost/node/Rehearsal.java
+++ b/src/main/java/vetchpost/node/Rehearsal.java
@@ -20,11 +20,11 @@
 import vetchpost.net.SocketBudget;
 
 /**
- * Made-up requests before the node says that it is ready. A program that has just started loads classes
- * and runs unoptimised code: the first real requests took up to 0.2 s of the processor's time each, which
- * made them and those behind them late, and some unanswered in their time. A second node, of its own
- * memory, sends them over real connections to the first one's address, where they are known by a token
- * and answered on the spot; nothing of them reaches a server or the first node's module.
+ * Sends synthetic requests through a node before it reports itself ready. Right after the start, class loading and
+ * unoptimised code cost the first requests up to 0.2 s of CPU time each, so that they and those behind them missed
+ * their deadlines. A second node with state of its own sends them over real connections to the first node, which
+ * recognises them by a token and answers them itself; none reaches a server or the first node's decision module.
+ * {@link Node} runs it on its event loop.
  */
 final class Rehearsal {
     private static final int CLIENT_COUNT = 4;
@@ -41,33 +41,42 @@
     private int answered;
     private boolean ended;
 
-    /** Sends so many requests, or fewer if that takes too long, and then runs {@code done}. */
+    /**
+     * Prepares a rehearsal.
+     *
+     * @param self the address of the node under rehearsal
+     * @param requests number of requests to send; fewer are sent if that takes too long
+     * @param maxMs time limit in milliseconds
+     * @param onDone runs once, when all are answered or the time is up
+     */
     Rehearsal(
             EventLoop loop,
             Network network,
-            NodeConfig real,
-            ProtocolAdapters fronts,
+            NodeConfig nodeConfig,
+            ProtocolAdapters protocolAdapters,
             InetSocketAddress self,
             String token,
             int requests,
-            long mostMs,
-            Runnable done) {
+            long maxMs,
+            Runnable onDone) {
         this.loop = loop;
         this.token = token;
         this.requests = requests;
-        this.onDone = done;
-        deadlineNs = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
-        String zone =
-                real.settings().zones.isEmpty() ? "" : real.settings().zones.get(0);
-        ServerList itself =
+        this.onDone = onDone;
+        deadlineNs = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMs);
+        String zone = nodeConfig.settings().zones.isEmpty()
+                ? ""
+                : nodeConfig.settings().zones.get(0);
+        ServerList selfList =
                 new ServerList(0, true, List.of(new ServerList.Target("self", self, zone, 0, ServerState.READY, 1, 0)));
-        config = new NodeConfig(self, self, 1, MAX_DESCRIPTORS, real.serverIdleTimeoutUs(), real.settings(), itself);
-        node = new Node(config, loop, network, System.currentTimeMillis(), NodeHooks.NONE, fronts);
+        config = new NodeConfig(
+                self, self, 1, MAX_DESCRIPTORS, nodeConfig.serverIdleTimeoutUs(), nodeConfig.settings(), selfList);
+        node = new Node(config, loop, network, System.currentTimeMillis(), NodeHooks.NONE, protocolAdapters);
     }
 
     void run() {
         node.startAsRehearsal();
-        // Whatever goes wrong here must not keep the node from its work.
+        // A failed rehearsal must not keep the node from starting.
         loop.schedule(this::finish, deadlineNs - loop.ticker().nanoTime(), TimeUnit.NANOSECONDS);
         for (int i = 0; i < CLIENT_COUNT; i++) {
             sendNext(new Client());
@@ -96,25 +105,25 @@
     }
 
     private ByteBuf encodeRequest(int number) {
-        RequestClass cls =
+        RequestClass requestClass =
                 config.settings().classes.get(number % config.settings().classes.size());
-        boolean safe = cls.idempotency() == Idempotency.SAFE;
+        boolean isSafe = requestClass.idempotency() == Idempotency.SAFE;
         String tenant = config.settings().tenants.isEmpty()
                 ? ""
                 : "X-Org: " + config.settings().tenants.get(0).name() + "\r\n";
         return Unpooled.copiedBuffer(
-                (safe ? "GET" : "POST") + " /" + cls.name() + " HTTP/1.1\r\n"
+                (isSafe ? "GET" : "POST") + " /" + requestClass.name() + " HTTP/1.1\r\n"
                         + "Host: backend.local\r\nX-Txn: " + HexFormat.of().toHexDigits((long) number) + "\r\n"
                         + tenant
                         + "Cookie: key=1\r\nX-Remaining-Ms: 3000\r\n" + ClientServer.REHEARSAL_HEADER + ": " + token
                         + "\r\n"
-                        + (safe ? "" : "Content-Length: 4\r\n")
-                        + (cls.idempotency() == Idempotency.KEYED ? "Idempotency-Key: " + number + "\r\n" : "")
-                        + "\r\n" + (safe ? "" : "body"),
+                        + (isSafe ? "" : "Content-Length: 4\r\n")
+                        + (requestClass.idempotency() == Idempotency.KEYED ? "Idempotency-Key: " + number + "\r\n" : "")
+                        + "\r\n" + (isSafe ? "" : "body"),
                 StandardCharsets.US_ASCII);
     }
 
-    /** A client without a socket: what is written to it has been answered. */
+    /** A client without a socket; each response written to it triggers the next request. */
     private final class Client extends EmbeddedChannel {
         Client() {
             node.openRehearsalConnection(pipeline());
