--- a/src/main/java/vetchpost/config/NodeConfig.java
+++ b/src/main/java/vetchpost/config/NodeConfig.java
@@ -109,7 +109,7 @@
                 ServerListParser.address(requiredText(environment, DISCOVERY_VARIABLE, json, "discovery")),
                 seed(json),
                 parseMaxDescriptors(json),
-                parseWhole(values.getOrDefault("limits.connIdleUs", DEFAULT_SERVER_IDLE_TIMEOUT_US)),
+                parseWholeNumber(values.getOrDefault("limits.connIdleUs", DEFAULT_SERVER_IDLE_TIMEOUT_US)),
                 settings,
                 known);
     }
@@ -150,7 +150,7 @@
                 json.has("limits") ? requiredObject(json, "limits").get("sockets") : null;
         long value = sockets == null || !sockets.isJsonPrimitive()
                 ? DEFAULT_MAX_DESCRIPTORS
-                : parseWhole(sockets.getAsString());
+                : parseWholeNumber(sockets.getAsString());
         if (value < SocketBudget.MIN_DESCRIPTORS) {
             throw new IllegalArgumentException(
                     "limits.sockets is below the minimum of " + SocketBudget.MIN_DESCRIPTORS);
@@ -158,7 +158,7 @@
         return (int) Math.min(Integer.MAX_VALUE, value);
     }
 
-    private static long parseWhole(String text) {
+    private static long parseWholeNumber(String text) {
         try {
             return (long) Double.parseDouble(text);
         } catch (NumberFormatException e) {
--- a/src/main/java/vetchpost/config/SettingsReader.java
+++ b/src/main/java/vetchpost/config/SettingsReader.java
@@ -31,40 +31,40 @@
 
     private Settings settings() {
         Settings settings = new Settings();
-        settings.nodes = (int) whole("balancers", settings.nodes);
+        settings.nodes = (int) wholeNumber("balancers", settings.nodes);
         // A node number beyond the count wraps around instead of failing: nodes may have been added since, or the count
         // left out, and two nodes with the same part of the servers still serve.
-        settings.node = Math.floorMod((int) whole("me", settings.node), Math.max(1, settings.nodes));
+        settings.node = Math.floorMod((int) wholeNumber("me", settings.node), Math.max(1, settings.nodes));
         for (String zone : list("zones")) {
             settings.zones.add(zone);
         }
         settings.myZone = Math.max(0, settings.zones.indexOf(values.getOrDefault("myZone", "")));
-        int classes = (int) whole("classes.count", 0);
+        int classes = (int) wholeNumber("classes.count", 0);
         for (int i = 0; i < classes; i++) {
             settings.classes.add(requestClass("classes." + i + "."));
         }
-        int tenants = (int) whole("realms.count", 0);
+        int tenants = (int) wholeNumber("realms.count", 0);
         for (int i = 0; i < tenants; i++) {
             String prefix = "realms." + i + ".";
             settings.tenants.add(new Tenant(required(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
         settings.overShareWorth = decimal("overShareWorth", settings.overShareWorth);
         settings.valuePerWorkUnit = "work".equals(values.get("countedBy"));
-        settings.maxAttempts = (int) whole("limits.attemptsCap", settings.maxAttempts);
+        settings.maxAttempts = (int) wholeNumber("limits.attemptsCap", settings.maxAttempts);
         settings.allowsHedging = flag("limits.parallelTries");
         settings.allowsCancellation = flag("limits.cancelling");
         settings.allowsProbes = flag("limits.probes");
         settings.clientsMarkRetries = flag("callers.marksRetry");
-        settings.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
-        settings.tickUs = whole("quantumUs", settings.tickUs);
-        settings.connectTimeoutUs = whole("limits.dialTimeoutUs", settings.connectTimeoutUs);
+        settings.maxRetryAfterUs = flag("limits.retryAfter") ? wholeNumber("limits.maxRetryAfterUs", 0) : 0;
+        settings.tickUs = wholeNumber("quantumUs", settings.tickUs);
+        settings.connectTimeoutUs = wholeNumber("limits.dialTimeoutUs", settings.connectTimeoutUs);
         settings.listOnRequest = "on_request".equals(values.get("membershipMode"));
-        settings.askWithinUs = whole("rules.askWithinUs", settings.askWithinUs);
-        settings.drainGraceUs = whole("rules.drainGraceUs", settings.drainGraceUs);
+        settings.askWithinUs = wholeNumber("rules.askWithinUs", settings.askWithinUs);
+        settings.drainGraceUs = wholeNumber("rules.drainGraceUs", settings.drainGraceUs);
         settings.coldFrom = decimal("rules.coldFrom", settings.coldFrom);
-        settings.coldUs = whole("rules.coldUs", settings.coldUs);
+        settings.coldUs = wholeNumber("rules.coldUs", settings.coldUs);
         settings.fallMultiple = decimal("rules.overloadFactor", settings.fallMultiple);
-        settings.fallUs = whole("rules.fallUs", settings.fallUs);
+        settings.fallUs = wholeNumber("rules.fallUs", settings.fallUs);
         settings.crossZonePrice = decimal("costs.crossZone", settings.crossZonePrice);
         settings.probePrice = decimal("costs.probe", settings.probePrice);
         for (String field : list("report.fields")) {
@@ -87,9 +87,9 @@
         String deduplicationScope = values.getOrDefault(prefix + "group", "all");
         return new RequestClass(
                 required(prefix + "name"),
-                whole(prefix + "onTimeUs"),
+                wholeNumber(prefix + "onTimeUs"),
                 decimal(prefix + "aimStretch", 0),
-                whole(prefix + "giveUpUs"),
+                wholeNumber(prefix + "giveUpUs"),
                 decimal(prefix + "importance", 1),
                 decimal(prefix + "lateWorth", 0),
                 switch (idempotency) {
@@ -104,7 +104,7 @@
                     case "cell" -> DeduplicationScope.CELL;
                     default -> throw invalid(prefix + "group", "is unknown: " + deduplicationScope);
                 },
-                whole(prefix + "windowUs", 0),
+                wholeNumber(prefix + "windowUs", 0),
                 flag(prefix + "stream"));
     }
 
@@ -126,12 +126,12 @@
         return "1".equals(value) || "true".equals(value);
     }
 
-    private long whole(String path) {
+    private long wholeNumber(String path) {
         return (long) decimal(path, required(path));
     }
 
-    private long whole(String path, long defaultValue) {
-        return values.containsKey(path) ? whole(path) : defaultValue;
+    private long wholeNumber(String path, long defaultValue) {
+        return values.containsKey(path) ? wholeNumber(path) : defaultValue;
     }
 
     private double decimal(String path, double defaultValue) {
