--- a/src/test/java/vetchpost/config/DescriptorLimitTest.java
+++ b/src/test/java/vetchpost/config/DescriptorLimitTest.java
@@ -9,7 +9,7 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** What the system's table of limits is read as. */
+/** Checks how the system's table of limits is read and combined with the configured limit. */
 class DescriptorLimitTest {
     private static int limit(String... lines) {
         return DescriptorLimit.limit(Stream.of(lines));
--- a/src/test/java/vetchpost/config/SettingsReaderTest.java
+++ b/src/test/java/vetchpost/config/SettingsReaderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import vetchpost.decision.Balancer.Settings;
 
-/** What a node takes itself for where the settings' numbers of nodes don't fit. */
+/** Checks the node number where it does not fit the configured node count. */
 class SettingsReaderTest {
     @ParameterizedTest
     @CsvSource({"3, 100, 3, 100", "100, 100, 0, 100", "119, 100, 19, 100", "57, , 0, 1", ", 100, 0, 100", ", , 0, 1"})
--- a/src/test/java/vetchpost/discovery/DiscoveryClientTest.java
+++ b/src/test/java/vetchpost/discovery/DiscoveryClientTest.java
@@ -26,12 +26,12 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** The watch: what it tells, and each way in which it fails, told once. */
+/** Checks what the discovery watch delivers, and that each kind of failure is reported exactly once. */
 @Timeout(120)
 class DiscoveryClientTest implements DiscoveryClient.Listener {
     private final BlockingQueue<ServerList> lists = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> failures = new LinkedBlockingQueue<>();
-    /** The next list holds the loop up until this. */
+    /** If set, the next list blocks the event loop until this latch opens. */
     private volatile CountDownLatch listenerRelease;
 
     private EventLoopGroup group;
@@ -40,12 +40,12 @@
 
     @Override
     public void onList(ServerList list) {
-        CountDownLatch go = listenerRelease;
+        CountDownLatch release = listenerRelease;
         listenerRelease = null;
         lists.add(list);
-        if (go != null) {
+        if (release != null) {
             try {
-                go.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
+                release.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -70,10 +70,10 @@
         peer.close();
     }
 
-    private DiscoveryClient subscribe(long silentMs) throws Exception {
+    private DiscoveryClient subscribe(long timeoutMs) throws Exception {
         EventLoop loop = group.next();
         DiscoveryClient discovery = new DiscoveryClient(
-                loop, Network.SYSTEM, new InetSocketAddress("127.0.0.1", port), 41, silentMs, silentMs, 1, this);
+                loop, Network.SYSTEM, new InetSocketAddress("127.0.0.1", port), 41, timeoutMs, timeoutMs, 1, this);
         loop.submit(discovery::subscribe).get();
         return discovery;
     }
@@ -82,26 +82,26 @@
         FakePeer.takeWithTimeout(failures);
         FakePeer.takeWithTimeout(peer.ended);
         group.next().submit(() -> {}).get();
-        assertTrue(failures.isEmpty(), "told twice");
+        assertTrue(failures.isEmpty(), "reported twice");
     }
 
     @Test
     void deliversListsFromAnyChunking() throws Exception {
         String changes = Fixture.list(42, false, "Ready", peer);
-        String whole = Fixture.list(50, true, "Terminating", peer);
+        String fullList = Fixture.list(50, true, "Terminating", peer);
         peer.script((socket, request) -> {
             Fixture.beginWatch(socket);
             Fixture.writeLine(socket, "");
-            Fixture.writeLine(socket, changes + "\n\n" + whole);
+            Fixture.writeLine(socket, changes + "\n\n" + fullList);
         });
         DiscoveryClient discovery = subscribe(20_000);
         assertEquals(ServerListParser.parse(changes), FakePeer.takeWithTimeout(lists));
-        assertEquals(ServerListParser.parse(whole), FakePeer.takeWithTimeout(lists));
+        assertEquals(ServerListParser.parse(fullList), FakePeer.takeWithTimeout(lists));
         peer.nextRequest();
         group.next().submit(discovery::subscribe).get();
-        assertTrue(peer.nextRequest().contains("&after=50 "), "asks from the version told last");
+        assertTrue(peer.nextRequest().contains("&after=50 "), "does not continue from the last revision");
         FakePeer.takeWithTimeout(peer.ended);
-        assertTrue(failures.isEmpty(), "a watch replaced is not one that failed");
+        assertTrue(failures.isEmpty(), "a replaced watch was reported as failed");
     }
 
     @ParameterizedTest
@@ -149,7 +149,7 @@
         assertFailsOnce();
     }
 
-    /** Bytes that never make a line are no news: only whole lines are, or many bytes. */
+    /** Only complete lines or many bytes count as progress, not a few bytes of an endless line. */
     @Test
     void failsWhenLineOnlyTrickles() throws Exception {
         subscribe(500);
@@ -164,23 +164,23 @@
         assertEquals("silent", failure);
     }
 
-    /** The loop is held up past the time by what a line brought, and the next line lies unread meanwhile. */
+    /** Handling one line blocks the event loop past the timeout while the next line is already in the socket. */
     @Test
     void readsPendingLineBeforeReportingSilence() throws Exception {
         subscribe(1_000);
         Socket watch = FakePeer.takeWithTimeout(peer.accepted);
         peer.nextRequest();
-        CountDownLatch go = new CountDownLatch(1);
-        listenerRelease = go;
+        CountDownLatch release = new CountDownLatch(1);
+        listenerRelease = release;
         Fixture.beginWatch(watch);
-        String held = Fixture.list(42, false, "Ready", peer);
-        Fixture.writeLine(watch, held);
-        assertEquals(ServerListParser.parse(held), FakePeer.takeWithTimeout(lists));
+        String first = Fixture.list(42, false, "Ready", peer);
+        Fixture.writeLine(watch, first);
+        assertEquals(ServerListParser.parse(first), FakePeer.takeWithTimeout(lists));
         String unread = Fixture.list(43, false, "Ready", peer);
         Fixture.writeLine(watch, unread);
-        // Its time passes, and nothing is read.
+        // The timeout passes while nothing is read.
         assertEquals(null, failures.poll(1_100, TimeUnit.MILLISECONDS));
-        go.countDown();
+        release.countDown();
         assertEquals(ServerListParser.parse(unread), FakePeer.takeWithTimeout(lists));
         assertTrue(failures.isEmpty(), () -> "failed: " + failures);
     }
--- a/src/test/java/vetchpost/discovery/ServerListReaderTest.java
+++ b/src/test/java/vetchpost/discovery/ServerListReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A message is read as far as it is told to, and is a list only when it is whole. */
+/** Checks that a message is read in steps of the requested size and is rejected as a whole if malformed. */
 class ServerListReaderTest {
     private static String message(int servers, String end) {
         StringBuilder text = new StringBuilder("{\"rev\":7,\"all\":true,\"targets\":[");
--- a/src/test/java/vetchpost/http/ClientConnectionTest.java
+++ b/src/test/java/vetchpost/http/ClientConnectionTest.java
@@ -35,10 +35,10 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** An error in any handler of a client's connection costs no request its answer. */
+/** Checks that errors, delays and missing memory in a client connection never leave a request without a response. */
 class ClientConnectionTest {
     private final List<ClientReply> pendingReplies = new ArrayList<>();
-    /** What the system holds for the connection, as its bytes; read when it is looked at. */
+    /** Input that the system holds for the connection; each read takes one entry. */
     private final Deque<String> unread = new ArrayDeque<>();
 
     private final Network network = new Network() {
@@ -53,7 +53,7 @@
         }
 
         @Override
-        public void readNow(Channel looked) {
+        public void readNow(Channel ignored) {
             if (!unread.isEmpty()) {
                 channel.writeInbound(Unpooled.copiedBuffer(unread.poll(), StandardCharsets.ISO_8859_1));
             }
@@ -127,7 +127,7 @@
         handlerFailure = null;
         sendRequest(2);
         pendingReplies.get(pendingReplies.size() - 1).served(new ServerResponse(200, null, new byte[0]));
-        assertTrue(readResponses().startsWith("HTTP/1.1 200 "), "the next one is not served");
+        assertTrue(readResponses().startsWith("HTTP/1.1 200 "), "the next request is not served");
     }
 
     private void closeIfOverdue() {
@@ -140,7 +140,7 @@
         String request = Fixture.request("GET", "/view", 1, "", "");
         unread.add(request);
         closeIfOverdue();
-        assertEquals(1, pendingReplies.size(), "its request was there");
+        assertEquals(1, pendingReplies.size(), "the unread request was not read");
         pendingReplies.get(0).served(new ServerResponse(200, null, new byte[0]));
         assertTrue(readResponses().startsWith("HTTP/1.1 200 "));
         assertTrue(channel.isOpen());
@@ -152,12 +152,12 @@
         unread.addAll(List.of(request.substring(0, 20), request.substring(20, 90), request.substring(90)));
         closeIfOverdue();
         closeIfOverdue();
-        assertEquals("", readResponses(), "rejected while more was there");
+        assertEquals("", readResponses(), "rejected while input was unread");
         closeIfOverdue();
         assertEquals(1, pendingReplies.size());
     }
 
-    /** As long as the settings' clients wait for an answer, up to the protocol's 3 s: here for longer. */
+    /** The time limit is the longest deadline of the settings, at most the protocol's 3 s; here it is over 2.8 s. */
     @Test
     void waitsForPartialRequestUntilLongestDeadline() {
         channel.writeInbound(Unpooled.copiedBuffer("GET /view HTTP/1.1\r\n", StandardCharsets.ISO_8859_1));
@@ -179,13 +179,13 @@
 
     @Test
     void rejectsWithRetryAfterWhenMemoryIsExhausted() {
-        long taken = server.requestMemory().maxBytes();
-        assertTrue(server.requestMemory().tryReserve(taken));
+        long reserved = server.requestMemory().maxBytes();
+        assertTrue(server.requestMemory().tryReserve(reserved));
         sendRequest(1);
         String answer = readResponses();
         assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
         assertEquals("1", FakePeer.header(answer, "Retry-After"));
-        server.requestMemory().release(taken);
+        server.requestMemory().release(reserved);
         assertEquals(0, pendingReplies.size());
     }
 
@@ -195,7 +195,7 @@
         channel.pipeline().fireExceptionCaught(new IllegalStateException("by the test"));
         assertInternalError();
         pendingReplies.get(0).served(new ServerResponse(200, null, new byte[0]));
-        assertEquals("", readResponses(), "a second answer");
+        assertEquals("", readResponses(), "a second response");
     }
 
     @Test
@@ -203,21 +203,21 @@
         channel.pipeline()
                 .fireChannelRead(
                         Unpooled.copiedBuffer(Fixture.request("GET", "/view", 1, "", ""), StandardCharsets.ISO_8859_1));
-        // Read whole, and to be taken once all that has come is read.
+        // The request is complete and starts once all pending input is read.
         channel.pipeline().fireExceptionCaught(new IllegalStateException("by the test"));
-        assertTrue(channel.isOpen(), "closed on a request");
+        assertTrue(channel.isOpen(), "closed before the request was served");
         channel.runPendingTasks();
         pendingReplies.get(0).served(new ServerResponse(200, null, new byte[0]));
         assertTrue(readResponses().startsWith("HTTP/1.1 200 "), "not served");
         assertFalse(channel.isOpen());
     }
 
-    /** Throws at so many answers. */
+    /** Throws on the given number of responses. */
     private static final class FailingEncoder extends ChannelOutboundHandlerAdapter {
         private int remainingFailures;
 
-        FailingEncoder(int answers) {
-            remainingFailures = answers;
+        FailingEncoder(int failures) {
+            remainingFailures = failures;
         }
 
         @Override
--- a/src/test/java/vetchpost/http/ServerPoolTest.java
+++ b/src/test/java/vetchpost/http/ServerPoolTest.java
@@ -41,7 +41,7 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** Every line of the protocol's table of outcomes, and the care of connections. */
+/** Checks every attempt result of the protocol and the reuse and closing of server connections. */
 @Timeout(120)
 class ServerPoolTest {
     private static final long SERVER_IDLE_TIMEOUT_US = 60_000_000;
@@ -50,7 +50,7 @@
     private EventLoop loop;
     private FakePeer server;
 
-    /** The report on an attempt. */
+    /** The reported end of an attempt. */
     private record AttemptResult(Result result, ServerResponse response) {}
 
     private static final class RecordingSource implements ServerPool.ExchangeSource {
@@ -70,8 +70,8 @@
         }
 
         @Override
-        public void onEnded(Result result, ServerResponse answer) {
-            results.add(new AttemptResult(result, answer));
+        public void onEnded(Result result, ServerResponse response) {
+            results.add(new AttemptResult(result, response));
         }
 
         AttemptResult takeResult() throws InterruptedException {
@@ -92,9 +92,9 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    private ServerPool createPool(String address, long idleUs) throws Exception {
+    private ServerPool createPool(String address, long serverIdleTimeoutUs) throws Exception {
         SocketBudget sockets = new SocketBudget(1_024);
-        ServerPool pool = loop.submit(() -> new ServerPool(loop, Network.SYSTEM, sockets, 300_000, idleUs))
+        ServerPool pool = loop.submit(() -> new ServerPool(loop, Network.SYSTEM, sockets, 300_000, serverIdleTimeoutUs))
                 .get();
         updateList(pool, address, 0);
         return pool;
@@ -107,31 +107,32 @@
         loop.submit(() -> pool.update(list)).get();
     }
 
-    private ServerPool.Attempt start(ServerPool pool, RecordingSource probe) throws Exception {
-        return loop.submit(() -> pool.start("s", probe)).get();
+    private ServerPool.Attempt start(ServerPool pool, RecordingSource source) throws Exception {
+        return loop.submit(() -> pool.start("s", source)).get();
     }
 
     private AttemptResult resultFor(FakePeer.Script script) throws Exception {
         server.script(script);
-        RecordingSource probe = new RecordingSource(10);
-        start(createPool(server.address(), SERVER_IDLE_TIMEOUT_US), probe);
-        AttemptResult report = probe.takeResult();
+        RecordingSource source = new RecordingSource(10);
+        start(createPool(server.address(), SERVER_IDLE_TIMEOUT_US), source);
+        AttemptResult attemptResult = source.takeResult();
         loop.submit(() -> {}).get();
-        assertTrue(probe.results.isEmpty(), "reported twice");
-        return report;
+        assertTrue(source.results.isEmpty(), "reported twice");
+        return attemptResult;
     }
 
     @Test
     void passesOnComplete200Unchanged() throws Exception {
-        AttemptResult report = resultFor(FakePeer.answer("200 OK", "Content-Type: text/x\r\n", "h\u00e9llo"));
-        assertEquals(Result.OK, report.result());
+        AttemptResult attemptResult = resultFor(FakePeer.answer("200 OK", "Content-Type: text/x\r\n", "h\u00e9llo"));
+        assertEquals(Result.OK, attemptResult.result());
         assertArrayEquals(
                 "h\u00e9llo".getBytes(StandardCharsets.ISO_8859_1),
-                report.response().body());
-        assertEquals("text/x", report.response().contentType());
+                attemptResult.response().body());
+        assertEquals("text/x", attemptResult.response().contentType());
         assertEquals(
                 Result.OK,
-                resultFor(FakePeer.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + "2\r\nab\r\n0\r\n\r\n"))
+                resultFor(FakePeer.raw(
+                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + "2\r\nab\r\n0\r\n\r\n"))
                         .result());
         assertEquals(
                 Result.OK,
@@ -169,15 +170,16 @@
         assertEquals(
                 Result.RESET,
                 resultFor((socket, request) -> {
-                            // Without a length the end of the connection is all there is, and says nothing.
+                            // Without a length the end of the connection does not show that the body is complete.
                             FakePeer.write(socket, "HTTP/1.1 200 OK\r\n\r\nmaybe half");
                             socket.close();
                         })
                         .result());
-        assertEquals(Result.RESET, resultFor(FakePeer.raw("HELLO THERE\r\n\r\n")).result());
+        assertEquals(
+                Result.RESET, resultFor(FakePeer.raw("HELLO THERE\r\n\r\n")).result());
     }
 
-    /** The connection stays open behind each of these: nothing but the reading may end the attempt. */
+    /** The connection stays open after each response, so only the malformed input can end the attempt. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -193,8 +195,8 @@
                 "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nno",
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
             })
-    void reportsResetAndClosesOnMalformedResponse(String spoilt) throws Exception {
-        assertEquals(Result.RESET, resultFor(FakePeer.raw(spoilt)).result());
+    void reportsResetAndClosesOnMalformedResponse(String malformed) throws Exception {
+        assertEquals(Result.RESET, resultFor(FakePeer.raw(malformed)).result());
         FakePeer.takeWithTimeout(server.ended);
     }
 
@@ -220,7 +222,7 @@
         Socket idle = FakePeer.takeWithTimeout(server.accepted);
         RecordingSource second = new RecordingSource(10);
         loop.submit(() -> {
-                    // The loop is busy here: what comes is in the system's buffer and read only afterwards.
+                    // The event loop is busy here, so the input stays in the socket buffer until later.
                     FakePeer.write(idle, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
                     return pool.start("s", second);
                 })
@@ -234,9 +236,9 @@
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
         }
-        RecordingSource probe = new RecordingSource(10);
-        start(createPool("127.0.0.1:" + port, SERVER_IDLE_TIMEOUT_US), probe);
-        assertEquals(Result.CONNECT_FAILED, probe.takeResult().result());
+        RecordingSource source = new RecordingSource(10);
+        start(createPool("127.0.0.1:" + port, SERVER_IDLE_TIMEOUT_US), source);
+        assertEquals(Result.CONNECT_FAILED, source.takeResult().result());
     }
 
     @Test
@@ -251,21 +253,21 @@
 
     private void assertConnectFailsWhenNeverAccepted(Consumer<ServerPool.Attempt> meanwhile) throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // Linux drops what comes when the queue of connections not accepted is full.
-            List<Socket> fill = new ArrayList<>();
+            // Linux drops connection attempts while the accept queue is full.
+            List<Socket> fillers = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 Socket socket = new Socket();
-                fill.add(socket);
+                fillers.add(socket);
                 try {
                     socket.connect(full.getLocalSocketAddress(), 200);
                 } catch (java.net.SocketTimeoutException e) {
                     break;
                 }
             }
-            RecordingSource probe = new RecordingSource(10);
-            meanwhile.accept(start(createPool("127.0.0.1:" + full.getLocalPort(), SERVER_IDLE_TIMEOUT_US), probe));
-            assertEquals(Result.CONNECT_FAILED, probe.takeResult().result());
-            for (Socket socket : fill) {
+            RecordingSource source = new RecordingSource(10);
+            meanwhile.accept(start(createPool("127.0.0.1:" + full.getLocalPort(), SERVER_IDLE_TIMEOUT_US), source));
+            assertEquals(Result.CONNECT_FAILED, source.takeResult().result());
+            for (Socket socket : fillers) {
                 socket.close();
             }
         }
@@ -273,43 +275,43 @@
 
     @Test
     void reportsConnectFailedWhenConnectionBreaksBeforeRequestIsWritten() throws Exception {
-        try (ServerSocket deaf = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            RecordingSource probe = new RecordingSource(64 << 20);
-            start(createPool("127.0.0.1:" + deaf.getLocalPort(), SERVER_IDLE_TIMEOUT_US), probe);
-            Socket accepted = deaf.accept();
+        try (ServerSocket silentServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+            RecordingSource source = new RecordingSource(64 << 20);
+            start(createPool("127.0.0.1:" + silentServer.getLocalPort(), SERVER_IDLE_TIMEOUT_US), source);
+            Socket accepted = silentServer.accept();
             accepted.getInputStream().read();
             accepted.setSoLinger(true, 0);
             accepted.close();
-            assertEquals(Result.CONNECT_FAILED, probe.takeResult().result());
+            assertEquals(Result.CONNECT_FAILED, source.takeResult().result());
         }
     }
 
     @Test
     void closesConnectionOfAbandonedAttempt() throws Exception {
         server.script(FakePeer.SILENT);
-        RecordingSource probe = new RecordingSource(10);
-        ServerPool.Attempt attempt = start(createPool(server.address(), SERVER_IDLE_TIMEOUT_US), probe);
+        RecordingSource source = new RecordingSource(10);
+        ServerPool.Attempt attempt = start(createPool(server.address(), SERVER_IDLE_TIMEOUT_US), source);
         server.nextRequest();
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
-        assertEquals(Result.TIMEOUT, probe.takeResult().result());
+        assertEquals(Result.TIMEOUT, source.takeResult().result());
         FakePeer.takeWithTimeout(server.ended);
     }
 
     @Test
     void closesIdleConnectionsOfUnresponsiveServer() throws Exception {
         ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
-        RecordingSource[] probes = {new RecordingSource(1), new RecordingSource(2)};
-        // Answered only once both are there, so that neither can use the other's connection.
+        RecordingSource[] sources = {new RecordingSource(1), new RecordingSource(2)};
+        // Answered only once both have arrived, so that neither can use the other's connection.
         CountDownLatch both = new CountDownLatch(2);
         server.script((socket, request) -> {
             both.countDown();
             both.await();
             FakePeer.answer("200 OK", "", "done").run(socket, request);
         });
-        start(pool, probes[0]);
-        start(pool, probes[1]);
-        assertEquals(Result.OK, probes[0].takeResult().result());
-        assertEquals(Result.OK, probes[1].takeResult().result());
+        start(pool, sources[0]);
+        start(pool, sources[1]);
+        assertEquals(Result.OK, sources[0].takeResult().result());
+        assertEquals(Result.OK, sources[1].takeResult().result());
         server.script(FakePeer.SILENT);
         RecordingSource silent = new RecordingSource(3);
         ServerPool.Attempt attempt = start(pool, silent);
@@ -322,10 +324,10 @@
     @Test
     void doesNotSendAttemptAbandonedWhileConnecting() throws Exception {
         ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
-        RecordingSource probe = new RecordingSource(10);
-        loop.submit(() -> pool.start("s", probe).abandon(Result.CANCELLED)).get();
-        assertEquals(Result.MOOT, probe.takeResult().result());
-        // Its connection, once up, carries the next attempt: the only request that the server sees.
+        RecordingSource source = new RecordingSource(10);
+        loop.submit(() -> pool.start("s", source).abandon(Result.CANCELLED)).get();
+        assertEquals(Result.MOOT, source.takeResult().result());
+        // Its connection, once up, carries the next attempt, the only request that the server receives.
         FakePeer.takeWithTimeout(server.accepted);
         RecordingSource next = new RecordingSource(11);
         start(pool, next);
@@ -334,28 +336,28 @@
         assertTrue(server.requests.isEmpty());
     }
 
-    /** Told between the dial and the connection: however late that comes up, nothing is sent on it. */
+    /** The list changes between connect and connection; however late that is up, nothing is sent on it. */
     @ParameterizedTest
     @ValueSource(strings = {"Terminating", "Gone", "left out"})
     void failsWaitingAttemptsWhenServerDrains(String state) throws Exception {
         ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
-        RecordingSource probe = new RecordingSource(10);
-        boolean named = !state.equals("left out");
+        RecordingSource source = new RecordingSource(10);
+        boolean isListed = !state.equals("left out");
         String entry = "{\"uid\":\"s\",\"endpoint\":\"" + server.address() + "\",\"state\":\"" + state + "\"}";
-        ServerList list =
-                ServerListParser.parse("{\"rev\":2,\"all\":" + !named + ",\"targets\":[" + (named ? entry : "") + "]}");
+        ServerList list = ServerListParser.parse(
+                "{\"rev\":2,\"all\":" + !isListed + ",\"targets\":[" + (isListed ? entry : "") + "]}");
         loop.submit(() -> {
-                    pool.start("s", probe);
+                    pool.start("s", source);
                     pool.update(list);
                 })
                 .get();
-        assertEquals(Result.CONNECT_FAILED, probe.takeResult().result());
-        // Its dial is through, and has been looked at.
+        assertEquals(Result.CONNECT_FAILED, source.takeResult().result());
+        // The connection is accepted and the event loop has handled it.
         FakePeer.takeWithTimeout(server.accepted);
         loop.submit(() -> {}).get();
         loop.submit(pool::close).get();
         FakePeer.takeWithTimeout(server.ended);
-        assertTrue(server.requests.isEmpty(), "sent after it was told");
+        assertTrue(server.requests.isEmpty(), "sent after the state change");
     }
 
     @Test
@@ -367,26 +369,27 @@
         RecordingSource second = new RecordingSource(2);
         start(pool, first);
         start(pool, second);
-        Socket a = FakePeer.takeWithTimeout(used);
-        Socket b = FakePeer.takeWithTimeout(used);
-        FakePeer.write(a, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        Socket firstUsed = FakePeer.takeWithTimeout(used);
+        Socket secondUsed = FakePeer.takeWithTimeout(used);
+        FakePeer.write(firstUsed, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         FakePeer.takeWithTimeout(
                 first.results.isEmpty() && second.results.isEmpty()
                         ? awaitEitherResult(first, second)
                         : first.results.isEmpty() ? second.results : first.results);
-        FakePeer.write(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        FakePeer.write(secondUsed, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         FakePeer.takeWithTimeout(awaitEitherResult(first, second));
         RecordingSource third = new RecordingSource(3);
         start(pool, third);
-        assertSame(b, FakePeer.takeWithTimeout(used));
+        assertSame(secondUsed, FakePeer.takeWithTimeout(used));
     }
 
-    private static BlockingQueue<AttemptResult> awaitEitherResult(RecordingSource a, RecordingSource b) throws InterruptedException {
+    private static BlockingQueue<AttemptResult> awaitEitherResult(RecordingSource a, RecordingSource b)
+            throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         while (a.results.isEmpty() && b.results.isEmpty() && System.nanoTime() < until) {
-            AttemptResult report = a.results.poll(1, TimeUnit.MILLISECONDS);
-            if (report != null) {
-                a.results.add(report);
+            AttemptResult attemptResult = a.results.poll(1, TimeUnit.MILLISECONDS);
+            if (attemptResult != null) {
+                a.results.add(attemptResult);
             }
         }
         return a.results.isEmpty() ? b.results : a.results;
@@ -396,15 +399,15 @@
     void doesNotReuseConnectionClosedOrWrittenByServer() throws Exception {
         ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
         String wrong = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-        for (String unasked : Arrays.asList(null, wrong, "HTT")) {
+        for (String unsolicited : Arrays.asList(null, wrong, "HTT")) {
             RecordingSource first = new RecordingSource(10);
             start(pool, first);
             assertEquals(Result.OK, first.takeResult().result());
             Socket idle = FakePeer.takeWithTimeout(server.accepted);
-            if (unasked == null) {
+            if (unsolicited == null) {
                 idle.close();
             } else {
-                FakePeer.write(idle, unasked);
+                FakePeer.write(idle, unsolicited);
             }
             assertSame(idle, FakePeer.takeWithTimeout(server.ended));
             RecordingSource second = new RecordingSource(10);
@@ -417,10 +420,10 @@
 
     @Test
     void closesIdleConnectionBeforeServerTimeout() throws Exception {
-        RecordingSource probe = new RecordingSource(10);
-        start(createPool(server.address(), 100_000), probe);
-        assertEquals(Result.OK, probe.takeResult().result());
-        // The fake never closes: the end of the connection is the pool's doing.
+        RecordingSource source = new RecordingSource(10);
+        start(createPool(server.address(), 100_000), source);
+        assertEquals(Result.OK, source.takeResult().result());
+        // The fake server never closes, so the pool closed the connection.
         FakePeer.takeWithTimeout(server.ended);
     }
 
@@ -452,7 +455,7 @@
         loop.submit(() -> pool.update(ServerListParser.parse(Fixture.list(1, true, "Ready", server))))
                 .get();
         LinkedBlockingQueue<Result> results = new LinkedBlockingQueue<>();
-        ServerPool.ExchangeSource caller = new ServerPool.ExchangeSource() {
+        ServerPool.ExchangeSource source = new ServerPool.ExchangeSource() {
             @Override
             public Exchange exchange() {
                 return new PlainExchange(
@@ -460,22 +463,22 @@
             }
 
             @Override
-            public void onEnded(Result result, ServerResponse answer) {
+            public void onEnded(Result result, ServerResponse response) {
                 results.add(result);
             }
         };
         String id = "s-" + server.port();
-        loop.submit(() -> pool.start(id, caller)).get();
+        loop.submit(() -> pool.start(id, source)).get();
         assertEquals(Result.OK, FakePeer.takeWithTimeout(results));
-        // The second goes out on the first one's connection, and nothing is read until its time is up.
-        CountDownLatch again = new CountDownLatch(1);
+        // The second attempt uses the same connection, and nothing is read until its timeout.
+        CountDownLatch answeredAgain = new CountDownLatch(1);
         server.script((socket, request) -> {
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-            again.countDown();
+            answeredAgain.countDown();
         });
         loop.submit(() -> {
-                    ServerPool.Attempt attempt = pool.start(id, caller);
-                    await(again);
+                    ServerPool.Attempt attempt = pool.start(id, source);
+                    await(answeredAgain);
                     attempt.abandon(Result.TIMEOUT);
                 })
                 .get();
@@ -485,7 +488,7 @@
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "nothing came");
+            assertTrue(latch.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "the expected event did not happen");
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/vetchpost/net/MemoryNetworkTest.java
+++ b/src/test/java/vetchpost/net/MemoryNetworkTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections inside the process: bytes and ends come over, in order, and nothing is kept. */
+/** Checks that in-process connections deliver data and closes in order and release all buffers. */
 @Timeout(30)
 class MemoryNetworkTest {
     private EventLoopGroup group;
@@ -41,7 +41,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    /** Answers each piece with itself, and closes on a full stop. */
+    /** Echoes each chunk and closes after a full stop. */
     private final class Echo extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -71,14 +71,14 @@
         }
     }
 
-    private Channel connect(Network network, ReceivedText heard) throws Exception {
+    private Channel connect(Network network, ReceivedText received) throws Exception {
         return new Bootstrap()
                 .group(group.next())
                 .channelFactory(network::newClientChannel)
                 .disableResolver()
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 50)
-                .handler(heard)
+                .handler(received)
                 .connect(new InetSocketAddress("127.0.0.1", 1))
                 .sync()
                 .channel();
@@ -90,53 +90,53 @@
 
     @Test
     void deliversBytesInOrderThenClose() throws Exception {
-        ReceivedText heard = new ReceivedText();
-        Channel channel = connect(new MemoryNetwork(p -> p.addLast(new Echo())), heard);
+        ReceivedText received = new ReceivedText();
+        Channel channel = connect(new MemoryNetwork(p -> p.addLast(new Echo())), received);
         assertTrue(channel.isActive());
         channel.write(text("a"));
         channel.writeAndFlush(text("b"));
         channel.writeAndFlush(text("c."));
         channel.closeFuture().sync();
-        assertEquals("abc.", heard.text.toString());
-        assertTrue(heard.readCompletes > 0);
-        echoedBuffers.forEach(bytes -> assertEquals(0, bytes.refCnt(), "a buffer is kept"));
+        assertEquals("abc.", received.text.toString());
+        assertTrue(received.readCompletes > 0);
+        echoedBuffers.forEach(bytes -> assertEquals(0, bytes.refCnt(), "a buffer is not released"));
     }
 
     @Test
     void keepsInputUnreadUntilRead() throws Exception {
-        ReceivedText heard = new ReceivedText();
+        ReceivedText received = new ReceivedText();
         MemoryNetwork network = new MemoryNetwork(p -> p.addLast(new Echo()));
-        Channel channel = connect(network, heard);
-        // Its being open is told before its first read begins.
+        Channel channel = connect(network, received);
+        // Becoming active is reported before the first read begins.
         channel.eventLoop().submit(() -> {}).sync();
         channel.config().setAutoRead(false);
-        // The read that was begun before still takes one.
+        // The read already requested still delivers one chunk.
         channel.writeAndFlush(text("1")).sync();
         channel.eventLoop().submit(() -> {}).sync();
         channel.eventLoop().submit(() -> {}).sync();
         channel.writeAndFlush(text("2")).sync();
         channel.eventLoop().submit(() -> {}).sync();
         channel.eventLoop().submit(() -> {}).sync();
-        assertEquals("1", heard.text.toString());
+        assertEquals("1", received.text.toString());
         channel.eventLoop()
                 .submit(() -> {
                     channel.read();
                     network.readNow(channel);
                 })
                 .sync();
-        assertEquals("12", heard.text.toString());
+        assertEquals("12", received.text.toString());
         channel.close().sync();
     }
 
     @Test
     void closesPeerOnClose() throws Exception {
-        List<Channel> far = new ArrayList<>();
-        Channel channel = connect(new MemoryNetwork(p -> far.add(p.channel())), new ReceivedText());
+        List<Channel> peers = new ArrayList<>();
+        Channel channel = connect(new MemoryNetwork(p -> peers.add(p.channel())), new ReceivedText());
         channel.eventLoop().submit(() -> {}).sync();
-        assertTrue(far.get(0).isActive());
+        assertTrue(peers.get(0).isActive());
         channel.close().sync();
-        far.get(0).closeFuture().sync();
-        assertFalse(far.get(0).isOpen());
+        peers.get(0).closeFuture().sync();
+        assertFalse(peers.get(0).isOpen());
     }
 
     @Test
--- a/src/test/java/vetchpost/net/SocketBudgetTest.java
+++ b/src/test/java/vetchpost/net/SocketBudgetTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How many connections each side may have, for small and large limits of descriptors. */
+/** Checks the connection limits of clients and servers for small and large descriptor limits. */
 class SocketBudgetTest {
-    /** What a node's process had open before any connection: 11, and 2 to discovery. */
+    /** Descriptors of a process without client or server connections: 11, and 2 for discovery. */
     private static final int PROCESS_DESCRIPTORS = 13;
 
     private static SocketBudget fullBudget(int limit) {
@@ -34,7 +34,7 @@
     void staysWithinDescriptorLimit(int limit) {
         SocketBudget sockets = fullBudget(limit);
         assertTrue(sockets.openCount() + PROCESS_DESCRIPTORS <= limit, sockets + " with " + limit);
-        // The other way round: clients first.
+        // Clients before servers.
         SocketBudget clientsFirst = new SocketBudget(limit);
         while (clientsFirst.mayAccept()) {
             clientsFirst.addClient();
@@ -47,16 +47,16 @@
             servers++;
         }
         assertTrue(clientsFirst.openCount() + PROCESS_DESCRIPTORS <= limit, clientsFirst + " with " + limit);
-        assertTrue(servers > 0, "no room for servers");
+        assertTrue(servers > 0, "no capacity for servers");
     }
 
-    /** While a core ends what it has, its pool and the one in its place both hold idle connections. */
+    /** After a reconfiguration the pool of the retired dispatcher and the new one both have idle connections. */
     @Test
     void closesIdleConnectionsOfOldestPoolFirst() {
         SocketBudget sockets = new SocketBudget(1_024);
         List<String> closed = new ArrayList<>();
-        BooleanSupplier old = () -> closed.size() < 2 && closed.add("old");
-        sockets.addServerSide(old);
+        BooleanSupplier oldPool = () -> closed.size() < 2 && closed.add("old");
+        sockets.addServerSide(oldPool);
         sockets.addServerSide(() -> closed.size() < 3 && closed.add("new"));
         for (int i = 0; i < 3; i++) {
             assertTrue(sockets.closeIdle());
@@ -64,7 +64,7 @@
         assertFalse(sockets.closeIdle());
         assertEquals(List.of("old", "old", "new"), closed);
         closed.clear();
-        sockets.removeServerSide(old);
+        sockets.removeServerSide(oldPool);
         assertTrue(sockets.closeIdle());
         assertEquals(List.of("new"), closed);
     }
@@ -80,7 +80,7 @@
         }
         assertEquals((limit - SocketBudget.RESERVED_DESCRIPTORS) * 3 / 4, clients);
         assertFalse(sockets.isOverClientLimit());
-        assertTrue(sockets.mayAccept(), "nobody is told to come again");
+        assertTrue(sockets.mayAccept(), "no capacity to reject clients with a retry-after");
         sockets.addClient();
         assertTrue(sockets.isOverClientLimit());
         int servers = 0;
--- a/src/test/java/vetchpost/node/EventLoopDelayTest.java
+++ b/src/test/java/vetchpost/node/EventLoopDelayTest.java
@@ -24,11 +24,11 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** A node whose event loop is behind with its sockets. */
+/** Checks requests that arrive while the event loop is blocked: their waiting time counts, and disconnects are seen. */
 @Timeout(120)
 class EventLoopDelayTest {
     private static final int DELAY_MS = 500;
-    /** A beat and what the test's own threads take. */
+    /** One measuring interval of the delay, plus the overhead of the test's threads. */
     private static final int TOLERANCE_MS = 100;
 
     private EventLoopGroup group;
@@ -64,29 +64,29 @@
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Keeps the loop from everything until the latch opens, and for some time after. */
+    /** Blocks the event loop until the latch opens and for {@code thenMs} after that. */
     private void blockLoop(CountDownLatch until, int thenMs) throws Exception {
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch started = new CountDownLatch(1);
         loop.execute(() -> {
-            begun.countDown();
+            started.countDown();
             await(until);
             park(thenMs);
         });
-        await(begun);
+        await(started);
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            assertTrue(latch.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "nothing came");
+            assertTrue(latch.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "the expected event did not happen");
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private static void park(int ms) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
-        while (System.nanoTime() - end < 0) {
-            LockSupport.parkNanos(end - System.nanoTime());
+        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ms);
+        while (System.nanoTime() - endNs < 0) {
+            LockSupport.parkNanos(endNs - System.nanoTime());
         }
     }
 
@@ -105,7 +105,7 @@
         int port = start();
         CountDownLatch left = new CountDownLatch(1);
         try (Socket kept = connect(port)) {
-            // Accepted and heard from before, so that both requests are read in the turn after the stall.
+            // Both connections are accepted and used before, so their requests are read in the turn after the block.
             FakePeer.write(kept, viewRequest(1));
             FakePeer.read(kept);
             server.nextRequest();
@@ -124,7 +124,7 @@
         }
         assertEquals("0000000000000004", FakePeer.header(server.nextRequest(), "X-Txn"));
         assertEquals("0000000000000005", FakePeer.header(server.nextRequest(), "X-Txn"));
-        assertTrue(server.requests.isEmpty(), "sent on for nobody");
+        assertTrue(server.requests.isEmpty(), "forwarded for a disconnected client");
     }
 
     @Test
@@ -143,12 +143,12 @@
 
     @Test
     void reportsDelayAfterBlockedLoop() throws Exception {
-        EventLoopDelay stall = new EventLoopDelay(new LoopClock(loop, 0));
-        loop.submit(stall::start).get();
+        EventLoopDelay delay = new EventLoopDelay(new LoopClock(loop, 0));
+        loop.submit(delay::start).get();
         blockLoop(new CountDownLatch(0), DELAY_MS);
-        // In the turn after: what came during the stall is read then.
-        long us = loop.submit(stall::currentUs).get();
+        // Asked in the next turn, in which input received during the block is read.
+        long us = loop.submit(delay::currentUs).get();
         assertTrue(us >= TimeUnit.MILLISECONDS.toMicros(DELAY_MS - TOLERANCE_MS), us + " us");
-        loop.submit(stall::close).get();
+        loop.submit(delay::close).get();
     }
 }
--- a/src/test/java/vetchpost/node/NodeTest.java
+++ b/src/test/java/vetchpost/node/NodeTest.java
@@ -39,7 +39,7 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** The whole node between fake clients, servers and discovery. */
+/** Checks a complete node between fake clients, servers and discovery. */
 @Timeout(120)
 class NodeTest {
     private static final FakePeer.Script SERVED = FakePeer.answer("200 OK", "", "done");
@@ -134,7 +134,7 @@
                 new SplittableRandom(Long.parseUnsignedLong(json.get("seed").getAsString(), 16)).nextLong());
         String header = ClientServer.REHEARSAL_HEADER + ": " + token + "\r\n";
         assertTrue(send(Fixture.request("GET", "/view/1", 98, header, "")).contains("rehearsed"));
-        assertTrue(first.requests.isEmpty(), "sent on");
+        assertTrue(first.requests.isEmpty(), "forwarded");
     }
 
     @Test
@@ -144,11 +144,11 @@
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + path.length() + "\r\n\r\n" + path);
         });
         start(first);
-        StringBuilder all = new StringBuilder();
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 40; i++) {
-            all.append(Fixture.request("GET", "/view/" + i, i, "", ""));
+            pipelined.append(Fixture.request("GET", "/view/" + i, i, "", ""));
         }
-        FakePeer.write(client, all.toString());
+        FakePeer.write(client, pipelined.toString());
         for (int i = 0; i < 40; i++) {
             String answer = FakePeer.read(client);
             assertTrue(answer.endsWith("\r\n\r\n/view/" + i), answer);
@@ -157,14 +157,16 @@
 
     @Test
     void answersLongPipelineCompletely() throws Exception {
-        int most = 3_000;
+        int requestCount = 3_000;
         first.script(FakePeer.SILENT);
         start(first);
-        FakePeer.write(client, Fixture.request("GET", "/view", 1, "", "") + "GET /ready HTTP/1.1\r\n\r\n".repeat(most));
+        FakePeer.write(
+                client,
+                Fixture.request("GET", "/view", 1, "", "") + "GET /ready HTTP/1.1\r\n\r\n".repeat(requestCount));
         first.nextRequest();
         FakePeer.write(FakePeer.takeWithTimeout(first.accepted), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         assertEquals(200, status(FakePeer.read(client)));
-        for (int i = 0; i < most; i++) {
+        for (int i = 0; i < requestCount; i++) {
             assertEquals(200, status(FakePeer.read(client)));
         }
     }
@@ -176,12 +178,12 @@
         start(first, second);
         int status = status(send(Fixture.request("POST", "/order", 1, "", "")));
         assertTrue(status >= 500 && status != 503, "answered " + status);
-        // Answers come after all sends: what follows would be seen only later than this round trip.
+        // A retry would be sent before the error response, so it would have arrived by the end of this round trip.
         assertEquals(200, status(send("GET /ready HTTP/1.1\r\n\r\n")));
         assertEquals(1, first.requests.size() + second.requests.size());
     }
 
-    /** Two zones that only the list names are two: what may have run in one does not go to the other. */
+    /** Zones that only the list names are distinct too: a request that may have run in one is not sent to the other. */
     @Test
     void keepsKeyedRequestInZoneMissingFromSettings() throws Exception {
         FakePeer.Script failing = FakePeer.answer("500 Error", "", "");
@@ -200,7 +202,7 @@
         zones.add("a");
         json.getAsJsonObject("settings").add("zones", zones);
         for (int i = 0; i < 6; i++) {
-            // A node of its own each time: what it learns of the one that failed would choose for it.
+            // A new node each time, because a node would learn to avoid the server that failed.
             client = connect(start(json));
             String key = "Idempotency-Key: k" + i + "\r\n";
             FakePeer.write(
@@ -259,7 +261,7 @@
         first.nextRequest();
         client.close();
         FakePeer.takeWithTimeout(first.ended);
-        assertTrue(first.requests.isEmpty(), "sent again for nobody");
+        assertTrue(first.requests.isEmpty(), "retried for a disconnected client");
     }
 
     @Test
@@ -282,17 +284,17 @@
         assertEquals(200, status(send(Fixture.request("GET", "/view", 0, "", ""))));
         Fixture.beginWatch(watch);
         Fixture.writeLine(watch, Fixture.list(42, false, "Terminating", first));
-        // Its idle connections go back as soon as it has gone: the sign that the node has read the line.
+        // A run of requests to the other server only shows that the node has read the line.
         Fixture.writeLine(watch, Fixture.list(43, false, "Ready", second));
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
-        int quiet = 0;
-        for (int i = 1; quiet < 20; i++) {
+        int requestsToOtherServer = 0;
+        for (int i = 1; requestsToOtherServer < 20; i++) {
             int before = first.requests.size();
             assertEquals(200, status(send(Fixture.request("GET", "/view", i, "", ""))));
-            quiet = first.requests.size() == before ? quiet + 1 : 0;
+            requestsToOtherServer = first.requests.size() == before ? requestsToOtherServer + 1 : 0;
             assertTrue(System.nanoTime() < until, "the draining server is still sent to");
         }
-        // Broken, the watch is asked for again with the version that was told last.
+        // A broken watch is reopened with the last revision.
         watch.close();
         assertTrue(discovery.nextRequest().contains("after=43 "));
     }
@@ -346,7 +348,7 @@
         assertEquals(1, first.requests.size());
     }
 
-    /** An order with these headers for its length. */
+    /** An order request with the given length headers. */
     private static String orderRequest(String lengths, String body) {
         return Fixture.request("POST", "/order", 1, "", "").replace("Content-Length: 0\r\n", lengths) + body;
     }
@@ -360,7 +362,7 @@
                 "0\r\n\r\n" + hidden));
         assertEquals(400, status(answer));
         assertEquals("close", FakePeer.header(answer, "Connection"));
-        assertNull(FakePeer.read(client), "the connection goes on");
+        assertNull(FakePeer.read(client), "the connection stays open");
         assertTrue(first.requests.isEmpty());
     }
 
@@ -374,7 +376,7 @@
             answers++;
             if ("close".equals(FakePeer.header(answer, "Connection"))) {
                 assertNull(FakePeer.read(client));
-                assertTrue(answers > 1, "closed for one mistake");
+                assertTrue(answers > 1, "closed after one bad request");
                 return;
             }
         }
@@ -421,10 +423,10 @@
         JsonObject json = Fixture.config(discovery, first);
         json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.MIN_DESCRIPTORS);
         int port = start(json);
-        List<Socket> all = new ArrayList<>();
+        List<Socket> connections = new ArrayList<>();
         for (int i = 0; i < new SocketBudget(SocketBudget.MIN_DESCRIPTORS).maxClients(); i++) {
             client = connect(port);
-            all.add(client);
+            connections.add(client);
             assertEquals(200, status(send(Fixture.request("GET", "/view", i, "", ""))));
         }
         CountDownLatch sent = new CountDownLatch(1);
@@ -435,18 +437,18 @@
                 Thread.currentThread().interrupt();
             }
         });
-        List<Socket> fresh = new ArrayList<>();
+        List<Socket> newConnections = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             Socket socket = connect(port);
-            fresh.add(socket);
+            newConnections.add(socket);
             FakePeer.write(socket, Fixture.request("GET", "/view", 100 + i, "", ""));
         }
         sent.countDown();
-        for (Socket socket : fresh) {
+        for (Socket socket : newConnections) {
             assertEquals(200, status(FakePeer.read(socket)));
         }
-        all.addAll(fresh);
-        for (Socket socket : all) {
+        connections.addAll(newConnections);
+        for (Socket socket : connections) {
             socket.close();
         }
     }
@@ -456,16 +458,16 @@
         JsonObject json = Fixture.config(discovery, first);
         json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.RESERVED_DESCRIPTORS + 80);
         int port = start(json);
-        List<Socket> all = new ArrayList<>();
-        // A sixth of 144 is 24: one of these is too many, and all have room.
+        List<Socket> connections = new ArrayList<>();
+        // A sixth of 144 is 24: 25 connections are many, but below the limit.
         for (int i = 0; i < 25; i++) {
             client = connect(port);
-            all.add(client);
+            connections.add(client);
             assertEquals(200, status(send(Fixture.request("GET", "/view", i, "", ""))));
         }
-        assertNull(FakePeer.read(all.get(0)), "the oldest is kept");
+        assertNull(FakePeer.read(connections.get(0)), "the oldest connection is still open");
         assertEquals(200, status(send(Fixture.request("GET", "/view", 99, "", ""))));
-        for (Socket socket : all) {
+        for (Socket socket : connections) {
             socket.close();
         }
     }
@@ -475,16 +477,16 @@
         JsonObject json = Fixture.config(discovery, first);
         json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.RESERVED_DESCRIPTORS + 56);
         int port = start(json);
-        List<Socket> all = new ArrayList<>();
-        // A quarter of 120 is 30.
+        List<Socket> connections = new ArrayList<>();
+        // A quarter of 120 is 30, which 32 connections exceed.
         for (int i = 0; i < 31; i++) {
-            all.add(connect(port));
+            connections.add(connect(port));
         }
         client = connect(port);
         String answer = send(Fixture.request("GET", "/view", 1, "", ""));
         assertEquals(200, status(answer));
         assertEquals("close", FakePeer.header(answer, "Connection"));
-        for (Socket socket : all) {
+        for (Socket socket : connections) {
             socket.close();
         }
     }
@@ -507,22 +509,22 @@
         JsonObject json = Fixture.config(discovery, first);
         json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.MIN_DESCRIPTORS);
         int port = start(json);
-        List<Socket> all = new ArrayList<>();
+        List<Socket> connections = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             client = connect(port);
-            all.add(client);
+            connections.add(client);
             assertEquals(200, status(send(Fixture.request("GET", "/view", i, "", ""))));
         }
-        assertNull(FakePeer.read(all.get(0)), "the oldest idle connection is still open");
-        for (Socket socket : all) {
+        assertNull(FakePeer.read(connections.get(0)), "the oldest idle connection is still open");
+        for (Socket socket : connections) {
             socket.close();
         }
     }
 
     @Test
     void warmsUpBeforeListeningAndKeepsNoState() throws Exception {
-        // Guards the full fleet's herd days: what clients sent to nodes that had only just begun to listen
-        // lay unread past its time while the code was cold.
+        // In the full fleet, after a mass restart, requests to nodes that had just begun to listen expired unread while
+        // their code was cold.
         EventLoop loop = group.next();
         String file = Fixture.write(Fixture.config(discovery, first)).toString();
         NodeConfig config = NodeConfig.read(Map.of("LB_CONFIG", file));
@@ -544,14 +546,14 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1_024, 1_025})
-    void acceptsAThousandNodesAndServers(int many) throws Exception {
+    void acceptsAThousandNodesAndServers(int count) throws Exception {
         JsonObject json = Fixture.config(discovery);
         JsonObject settings = json.getAsJsonObject("settings");
-        settings.addProperty("balancers", many);
-        settings.addProperty("me", many - 1);
+        settings.addProperty("balancers", count);
+        settings.addProperty("me", count - 1);
         JsonArray peers = new JsonArray();
         JsonArray targets = json.getAsJsonObject("known").getAsJsonArray("targets");
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < count; i++) {
             peers.add("127.1." + i / 256 + "." + i % 256 + ":7946");
             JsonObject server = new JsonObject();
             server.addProperty("uid", "s-" + i);
@@ -567,9 +569,9 @@
         json.add("peers", peers);
         NodeConfig config =
                 NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
-        assertEquals(many, config.knownServers().targets().size());
-        assertEquals(many, config.settings().nodes);
-        assertEquals(many - 1, config.settings().node);
+        assertEquals(count, config.knownServers().targets().size());
+        assertEquals(count, config.settings().nodes);
+        assertEquals(count - 1, config.settings().node);
         EventLoop loop = group.next();
         Node node = loop.submit(() -> new Node(config, loop)).get();
         CountDownLatch ready = new CountDownLatch(1);
@@ -578,12 +580,12 @@
                 .sync()
                 .channel();
         assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never ready");
-        assertEquals(many, loop.submit(node::serverCount).get());
+        assertEquals(count, loop.submit(node::serverCount).get());
         client = connect(((InetSocketAddress) channel.localAddress()).getPort());
         assertEquals(200, status(send(Fixture.request("GET", "/view", 1, "", ""))));
     }
 
-    /** A loop that counts the turns in which it could wait for something to do. */
+    /** Creates event loops that count the turns in which they could block in the selector. */
     private static IoHandlerFactory countingWaits(AtomicInteger waits) {
         IoHandlerFactory system = NioIoHandler.newFactory();
         return executor -> {
@@ -600,9 +602,8 @@
 
     @Test
     void yieldsAfterWarmUpBeforeListening() throws Exception {
-        // Guards the full fleet's herd days: a process that has a part of a processor pays for a long stretch
-        // of work in the wait behind it; a socket opened in that stretch stood open, and unread, for a
-        // second.
+        // In the full fleet, processes with a CPU quota were throttled in the wait after a long run of work; a socket
+        // opened within that run was left unread for a second.
         AtomicInteger waits = new AtomicInteger();
         EventLoopGroup counted = new MultiThreadIoEventLoopGroup(1, countingWaits(waits));
         try {
@@ -621,7 +622,7 @@
                     })
                     .get();
             assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
-            // Once before it takes in the known list, and once more before it listens.
+            // Once before it applies the known list, and once more before it listens.
             assertTrue(seen[1] - seen[0] >= 2, "waits: " + seen[0] + ", then " + seen[1]);
             loop.submit(node::close).get();
         } finally {
@@ -629,7 +630,7 @@
         }
     }
 
-    /** A socket that is closed is closed by the system when its loop has waited again, and not before. */
+    /** The selector closes a socket only in its next select, so the node must not stop before that. */
     @Test
     void yieldsAfterLastConnectionBeforeStopping() throws Exception {
         AtomicInteger waits = new AtomicInteger();
@@ -653,8 +654,8 @@
                 seen[1] = waits.get();
                 stopped.countDown();
             }));
-            // Long after it has ceased to listen, so that the answer is the last thing of all.
-            assertFalse(stopped.await(1, TimeUnit.SECONDS), "stopped with a request in hand");
+            // Long after it stopped listening, so that the response is the last event.
+            assertFalse(stopped.await(1, TimeUnit.SECONDS), "stopped with a pending request");
             loop.execute(new Runnable() {
                 @Override
                 public void run() {
@@ -677,7 +678,7 @@
 
     @Test
     void doesNotListenWhenStoppedDuringWarmUp() throws Exception {
-        // What came to it then would be taken by a process that is about to end.
+        // Requests would be accepted by a process that is about to exit.
         EventLoop loop = group.next();
         String file = Fixture.write(Fixture.config(discovery, first)).toString();
         NodeConfig config = NodeConfig.read(Map.of("LB_CONFIG", file));
--- a/src/test/java/vetchpost/node/OverloadedNodeTest.java
+++ b/src/test/java/vetchpost/node/OverloadedNodeTest.java
@@ -38,13 +38,13 @@
 import vetchpost.testing.Fixture;
 
 /**
- * What the system has accepted counts as taken, whether the node has read it or not: it is answered when
- * there are more clients than descriptors, when the loop was held up, and when the node stops.
+ * Checks that every request that the system has accepted gets a response, even if unread so far: with more clients than
+ * descriptors, after a blocked event loop, and while the node stops.
  */
 @Timeout(120)
 class OverloadedNodeTest {
     private static final FakePeer.Script SERVED = FakePeer.answer("200 OK", "", "done");
-    /** Past the time after which one that never asked is closed, and past several sweeps. */
+    /** Longer than the timeout of connections without a request, and longer than several sweeps. */
     private static final long LOOP_BLOCK_MS = 2_300;
 
     private final List<Socket> clients = new ArrayList<>();
@@ -111,22 +111,22 @@
     }
 
     /**
-     * Keeps the loop from its sockets and timers until the latch is down, and for so long at least. It does
-     * so while the loop reads, so that timers which have become due come before what lies unread.
+     * Blocks the event loop until the returned latch opens, and for at least {@code minMs}. It blocks during a read, so
+     * that timers due by then run before unread input is handled.
      */
-    private CountDownLatch blockLoop(long leastMs) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        Channel holder = new ServerBootstrap()
+    private CountDownLatch blockLoop(long minMs) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        Channel listener = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
                         ReferenceCountUtil.release(message);
-                        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(leastMs);
-                        held.countDown();
-                        go.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
+                        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(minMs);
+                        blocked.countDown();
+                        release.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
                         while (System.nanoTime() < end) {
                             Thread.onSpinWait();
                         }
@@ -135,10 +135,10 @@
                 .bind("127.0.0.1", 0)
                 .sync()
                 .channel();
-        blockingClient = new Socket("127.0.0.1", ((InetSocketAddress) holder.localAddress()).getPort());
+        blockingClient = new Socket("127.0.0.1", ((InetSocketAddress) listener.localAddress()).getPort());
         FakePeer.write(blockingClient, "hold");
-        held.await();
-        return go;
+        blocked.await();
+        return release;
     }
 
     @ParameterizedTest
@@ -151,16 +151,16 @@
         });
         start(descriptors);
         int served = new SocketBudget(descriptors).maxClients();
-        int all = 4 * served;
-        for (int i = 0; i < all; i++) {
+        int total = 4 * served;
+        for (int i = 0; i < total; i++) {
             sendRequest(i);
         }
-        // Their servers say nothing yet, so that no place becomes free: whoever comes last is told so.
-        for (Socket client : clients.subList(2 * served, all)) {
-            String refused = FakePeer.read(client);
-            assertEquals(503, status(refused));
-            assertEquals("1", FakePeer.header(refused, "Retry-After"));
-            assertEquals("close", FakePeer.header(refused, "Connection"));
+        // The server does not respond yet, so no capacity becomes free and the last clients are rejected.
+        for (Socket client : clients.subList(2 * served, total)) {
+            String rejection = FakePeer.read(client);
+            assertEquals(503, status(rejection));
+            assertEquals("1", FakePeer.header(rejection, "Retry-After"));
+            assertEquals("close", FakePeer.header(rejection, "Connection"));
         }
         answer.countDown();
         int done = 0;
@@ -168,8 +168,8 @@
             done += status(FakePeer.read(client)) == 200 ? 1 : 0;
         }
         assertTrue(done > 0, "none was served");
-        // And then there is room again.
-        assertEquals(200, status(FakePeer.read(sendRequest(all))));
+        // Then there is capacity again.
+        assertEquals(200, status(FakePeer.read(sendRequest(total))));
     }
 
     @Test
@@ -182,12 +182,12 @@
         String request = Fixture.request("GET", "/view", 2, "", "");
         FakePeer.write(half, request.substring(0, 40));
         loop.submit(() -> {}).get();
-        CountDownLatch go = blockLoop(LOOP_BLOCK_MS);
+        CountDownLatch release = blockLoop(LOOP_BLOCK_MS);
         sendRequest(kept, 3);
         sendRequest(silent, 4);
         FakePeer.write(half, request.substring(40));
         sendRequest(5);
-        go.countDown();
+        release.countDown();
         for (Socket client : clients) {
             assertEquals(200, status(FakePeer.read(client)), "client " + clients.indexOf(client));
         }
@@ -196,10 +196,10 @@
     @Test
     void doesNotCloseConnectionWithUnreadRequest() throws Exception {
         start(SocketBudget.MIN_DESCRIPTORS);
-        int most = new SocketBudget(SocketBudget.MIN_DESCRIPTORS).maxClients();
-        for (int i = 0; i < most; i++) {
-            // In a crowd an answer ends its connection: some are kept after one, and the others have not
-            // asked.
+        int maxClients = new SocketBudget(SocketBudget.MIN_DESCRIPTORS).maxClients();
+        for (int i = 0; i < maxClients; i++) {
+            // With many connections a response closes its own: some connections have been answered before that, the
+            // others have not sent a request.
             Socket client = connect();
             if (i < SocketBudget.MIN_DESCRIPTORS / 4) {
                 sendRequest(client, i);
@@ -207,37 +207,36 @@
             }
         }
         List<Socket> idle = List.copyOf(clients);
-        // Past the time for which what has just been answered is left alone; who comes first is accepted
-        // first.
-        CountDownLatch go = blockLoop(300);
+        // Longer than a connection just answered is protected; connections are accepted in order of arrival.
+        CountDownLatch release = blockLoop(300);
         for (int i = 0; i < 4; i++) {
             sendRequest(100 + i);
         }
         for (Socket client : idle) {
             sendRequest(client, 200 + idle.indexOf(client));
         }
-        go.countDown();
+        release.countDown();
         for (Socket client : idle) {
             assertEquals(200, status(FakePeer.read(client)), "client " + clients.indexOf(client));
         }
-        for (Socket client : clients.subList(most, clients.size())) {
+        for (Socket client : clients.subList(maxClients, clients.size())) {
             int status = status(FakePeer.read(client));
-            assertTrue(status == 200 || status == 503, "a new one was answered " + status);
+            assertTrue(status == 200 || status == 503, "a new client was answered " + status);
         }
     }
 
     @Test
     void countsAcceptQueueTimeAgainstDeadline() throws Exception {
         start(1_024);
-        CountDownLatch go = blockLoop(1_000);
+        CountDownLatch release = blockLoop(1_000);
         for (int i = 0; i < 200; i++) {
             sendRequest(i);
         }
-        go.countDown();
+        release.countDown();
         for (Socket client : clients) {
             assertEquals(200, status(FakePeer.read(client)));
             int left = Integer.parseInt(FakePeer.header(server.nextRequest(), "X-Remaining-Ms"));
-            assertTrue(left <= Fixture.REMAINING_MS - 700, "it came a second ago, and has " + left + " ms");
+            assertTrue(left <= Fixture.REMAINING_MS - 700, "it arrived a second ago, and has " + left + " ms");
         }
     }
 
@@ -250,7 +249,7 @@
                 Fixture.request("GET", "/view", 1, "", "")
                         .replace("X-Remaining-Ms: " + Fixture.REMAINING_MS, "X-Remaining-Ms: 0"));
         assertTrue(status(FakePeer.read(client)) >= 500);
-        assertTrue(server.requests.isEmpty(), "sent on");
+        assertTrue(server.requests.isEmpty(), "forwarded");
     }
 
     @Test
@@ -260,16 +259,16 @@
         assertEquals(200, status(FakePeer.read(kept)));
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop(stopped::countDown));
-        List<Future<Socket>> comers = new ArrayList<>();
+        List<Future<Socket>> connecting = new ArrayList<>();
         ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
         try {
             for (int i = 0; i <= 40; i++) {
                 int id = i;
-                comers.add(clock.schedule(() -> sendRequest(id), 10L * i, TimeUnit.MILLISECONDS));
+                connecting.add(clock.schedule(() -> sendRequest(id), 10L * i, TimeUnit.MILLISECONDS));
             }
-            for (Future<Socket> comer : comers) {
-                String answer = FakePeer.read(comer.get());
-                assertEquals(200, status(answer), "client " + comers.indexOf(comer));
+            for (Future<Socket> pending : connecting) {
+                String answer = FakePeer.read(pending.get());
+                assertEquals(200, status(answer), "client " + connecting.indexOf(pending));
                 assertEquals("close", FakePeer.header(answer, "Connection"));
             }
         } finally {
@@ -281,10 +280,10 @@
     @Test
     void completesLongResponseAfterStop() throws Exception {
         String body = "x".repeat(64 * 1_024);
-        CountDownLatch asked = new CountDownLatch(1);
+        CountDownLatch requestReceived = new CountDownLatch(1);
         CountDownLatch answer = new CountDownLatch(1);
         server.script((socket, request) -> {
-            asked.countDown();
+            requestReceived.countDown();
             answer.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             FakePeer.answer("200 OK", "", body).run(socket, request);
         });
@@ -292,11 +291,11 @@
         Socket client = connect();
         client.setReceiveBufferSize(4_096);
         sendRequest(client, 1);
-        asked.await();
+        requestReceived.await();
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop(stopped::countDown));
         answer.countDown();
-        assertTrue(FakePeer.read(client).endsWith("\r\n\r\n" + body), "not whole");
+        assertTrue(FakePeer.read(client).endsWith("\r\n\r\n" + body), "incomplete response");
         assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never stopped");
     }
 
@@ -310,12 +309,12 @@
         slow.setReceiveBufferSize(1_024);
         slow.connect(new InetSocketAddress("127.0.0.1", port));
         slow.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
-        // Sixteen answers are more than the system's buffers of both sides hold.
-        StringBuilder all = new StringBuilder();
+        // Sixteen responses exceed the socket buffers of both sides.
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 16; i++) {
-            all.append(Fixture.request("GET", "/view", i, "", ""));
+            pipelined.append(Fixture.request("GET", "/view", i, "", ""));
         }
-        FakePeer.write(slow, all.toString());
+        FakePeer.write(slow, pipelined.toString());
         assertTrue(slow.getInputStream().read() >= 0);
         for (int i = 0; i < 20; i++) {
             assertEquals(200, status(FakePeer.read(sendRequest(100 + i))));
@@ -323,7 +322,7 @@
         long bytes = 1;
         ScheduledExecutorService reader = Executors.newSingleThreadScheduledExecutor();
         try {
-            // A byte each 50 ms for longer than an answer may take to be read.
+            // One byte per 50 ms, for longer than the client may take to read a response.
             for (int i = 0; i < 50; i++) {
                 int read = reader.schedule(() -> slow.getInputStream().read(), 50, TimeUnit.MILLISECONDS)
                         .get();
@@ -337,34 +336,34 @@
         } catch (IOException e) {
             assertNotNull(e.getMessage());
         }
-        assertTrue(bytes < 16 * body.length(), "all of it came: " + bytes);
+        assertTrue(bytes < 16 * body.length(), "the slow client received everything: " + bytes);
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
     }
 
     @Test
     void releasesPipelinedRequestsOfDisconnectedClient() throws Exception {
-        CountDownLatch gone = new CountDownLatch(1);
-        server.script((socket, request) -> gone.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
+        CountDownLatch clientGone = new CountDownLatch(1);
+        server.script((socket, request) -> clientGone.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         start(1_024);
         Socket client = connect();
-        StringBuilder all = new StringBuilder();
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 16; i++) {
-            all.append(Fixture.request("GET", "/view", i, "", ""));
+            pipelined.append(Fixture.request("GET", "/view", i, "", ""));
         }
-        FakePeer.write(client, all.toString());
+        FakePeer.write(client, pipelined.toString());
         server.nextRequest();
         client.close();
-        // Its one attempt is given up, and the server sees its connection end.
+        // Its one attempt is abandoned, and the server sees its connection close.
         FakePeer.takeWithTimeout(server.accepted);
-        gone.countDown();
+        clientGone.countDown();
         FakePeer.takeWithTimeout(server.ended);
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
         assertEquals(200, status(responseFor(FakePeer.answer("200 OK", "", "done"))));
     }
 
     /**
-     * More than are read ahead, sent at once, and the client gone behind them while the first waits at its
-     * server: neither the rest nor a further try is sent on, and the node notices without an answer.
+     * The client sends more requests than the node reads ahead and disconnects while the server handles the first. The
+     * node has to notice without a response and must neither forward the rest nor retry.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -372,54 +371,54 @@
         server.script(FakePeer.SILENT);
         start(1_024);
         Socket client = connect();
-        StringBuilder all = new StringBuilder();
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 400; i++) {
-            all.append(Fixture.request("GET", "/view/" + "x".repeat(100), i, "", ""));
+            pipelined.append(Fixture.request("GET", "/view/" + "x".repeat(100), i, "", ""));
         }
-        FakePeer.write(client, all.toString());
+        FakePeer.write(client, pipelined.toString());
         server.nextRequest();
         if (reset) {
             client.setSoLinger(true, 0);
         }
         client.close();
-        // The attempt is given up long before its time, which is ten seconds and more.
-        assertNotNull(server.ended.poll(5, TimeUnit.SECONDS), "nobody has noticed");
+        // The attempt is abandoned long before its timeout of over ten seconds.
+        assertNotNull(server.ended.poll(5, TimeUnit.SECONDS), "the disconnect was not noticed");
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
-        assertTrue(server.requests.isEmpty(), "sent on for nobody: " + server.requests.size());
+        assertTrue(server.requests.isEmpty(), "forwarded for a disconnected client: " + server.requests.size());
     }
 
-    /** The same, found out when the answer comes, in the turn in which the next would be taken. */
+    /** The disconnect is noticed with the response, in the turn in which the next request would start. */
     @Test
     void forwardsNothingWhenResponseAndDisconnectArriveTogether() throws Exception {
         server.script(FakePeer.SILENT);
         start(1_024);
         Socket client = connect();
-        StringBuilder all = new StringBuilder();
+        StringBuilder pipelined = new StringBuilder();
         for (int i = 0; i < 100; i++) {
-            all.append(Fixture.request("GET", "/view", i, "", ""));
+            pipelined.append(Fixture.request("GET", "/view", i, "", ""));
         }
-        FakePeer.write(client, all.toString());
+        FakePeer.write(client, pipelined.toString());
         server.nextRequest();
         Socket attempt = FakePeer.takeWithTimeout(server.accepted);
-        // Held up, so that the end and the answer lie there together.
-        CountDownLatch go = blockLoop(0);
+        // Blocked, so that disconnect and response are read in the same turn.
+        CountDownLatch release = blockLoop(0);
         client.close();
         FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
-        go.countDown();
+        release.countDown();
         sendRequest(connect(), 500);
-        assertTrue(server.nextRequest().contains(String.format("%016x", 500)), "sent on for nobody");
+        assertTrue(server.nextRequest().contains(String.format("%016x", 500)), "forwarded for a disconnected client");
         assertEquals(0, loop.submit(() -> node.pendingWork().requests()).get() - 1);
     }
 
-    /** What waits for room is not sent in the turn in which a loop that was held up finds its client gone. */
+    /** Requests waiting for capacity must not be sent in the turn in which their clients' disconnect is noticed. */
     @Test
     void forwardsNothingForClientGoneDuringDelay() throws Exception {
         server.script(FakePeer.SILENT);
         start(1_024);
         List<Socket> waiting = new ArrayList<>();
         List<Socket> attempts = new ArrayList<>();
-        // As many as one server is given at first; what comes behind waits in the module.
-        int out = 0;
+        // A server first receives only some of them; the rest waits in the decision module.
+        int attemptCount = 0;
         for (int i = 0; i < 40; i++) {
             waiting.add(sendRequest(i));
         }
@@ -427,22 +426,22 @@
                 attempt != null;
                 attempt = server.accepted.poll(500, TimeUnit.MILLISECONDS)) {
             attempts.add(attempt);
-            out++;
+            attemptCount++;
         }
-        assertTrue(out < 40, "none waits: " + out);
+        assertTrue(attemptCount < 40, "no request waits; sent: " + attemptCount);
         List<String> sent = new ArrayList<>();
         server.requests.drainTo(sent);
-        CountDownLatch go = blockLoop(400);
+        CountDownLatch release = blockLoop(400);
         for (Socket attempt : attempts) {
             FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         }
         for (Socket client : waiting) {
             client.close();
         }
-        go.countDown();
+        release.countDown();
         sendRequest(500);
         String next = server.nextRequest();
-        assertTrue(next.contains(String.format("%016x", 500)), "sent on for nobody: " + next);
+        assertTrue(next.contains(String.format("%016x", 500)), "forwarded for a disconnected client: " + next);
     }
 
     private String responseFor(FakePeer.Script script) throws Exception {
@@ -455,15 +454,15 @@
         start(1_024);
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop(stopped::countDown));
-        // Over the time at which it would stop to listen.
-        CountDownLatch go = blockLoop(1_000);
+        // Past the time at which the node stops listening.
+        CountDownLatch release = blockLoop(1_000);
         for (int i = 0; i < 200; i++) {
             Socket client = connect();
             if (i % 2 == 0) {
                 sendRequest(client, i);
             }
         }
-        go.countDown();
+        release.countDown();
         for (int i = 0; i < 200; i += 2) {
             assertEquals(200, status(FakePeer.read(clients.get(i))), "client " + i);
         }
--- a/src/test/java/vetchpost/node/RequestLogTest.java
+++ b/src/test/java/vetchpost/node/RequestLogTest.java
@@ -33,7 +33,7 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** What the request log tells of a request's way, and that it is silent unless asked for. */
+/** Checks which lines the request log has for a request, and that it has none unless enabled. */
 @Timeout(60)
 class RequestLogTest {
     private static final Logger LOGGER = Logger.getLogger(RequestLog.LOGGER_NAME);
@@ -73,7 +73,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    /** One request of a client that leaves behind its answer. */
+    /** Sends one request, reads its response and closes the connection. */
     private void sendOneRequest() throws Exception {
         EventLoop loop = group.next();
         try (FakePeer discovery = new FakePeer(FakePeer.SILENT);
--- a/src/test/java/vetchpost/node/WatchRacesTest.java
+++ b/src/test/java/vetchpost/node/WatchRacesTest.java
@@ -28,7 +28,7 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** A list, a reload or a failed watch that comes between two steps of the node's; each order is forced. */
+/** Checks lists, reconfigurations and watch failures between two steps of a node; each order is forced. */
 @Timeout(120)
 class WatchRacesTest {
     private static final FakePeer.Script SERVED = FakePeer.answer("200 OK", "", "done");
@@ -62,18 +62,18 @@
         readyServer.close();
     }
 
-    private void createNode(boolean pushed) throws Exception {
+    private void createNode(boolean isPushed) throws Exception {
         JsonObject json = Fixture.config(discovery, drainingServer, readyServer);
-        if (pushed) {
+        if (isPushed) {
             json.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
         }
         config = NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
         node = loop.submit(() -> new Node(config, loop)).get();
     }
 
-    /** The node's configuration, but with discovery elsewhere. */
-    private NodeConfig configWithDiscovery(FakePeer elsewhere) throws Exception {
-        JsonObject json = Fixture.config(elsewhere, drainingServer, readyServer);
+    /** Returns the node's configuration with another discovery address. */
+    private NodeConfig configWithDiscovery(FakePeer otherDiscovery) throws Exception {
+        JsonObject json = Fixture.config(otherDiscovery, drainingServer, readyServer);
         return NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
     }
 
@@ -97,69 +97,71 @@
                 assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
             }
         }
-        assertTrue(drainingServer.requests.isEmpty(), "sent to what it had been told of");
+        assertTrue(drainingServer.requests.isEmpty(), "sent to a draining server");
     }
 
-    /** What the agent has counts as told from the first moment: nobody may come before it is known. */
+    /** The agent's list counts as received from the start, so it has to be applied before clients can connect. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void appliesPushedListBeforeListening(boolean late) throws Exception {
+    void appliesPushedListBeforeListening(boolean isLate) throws Exception {
         createNode(true);
-        CountDownLatch said = new CountDownLatch(1);
-        if (!late) {
-            said.countDown();
+        CountDownLatch listSent = new CountDownLatch(1);
+        if (!isLate) {
+            listSent.countDown();
         }
         discovery.script((socket, request) -> {
-            said.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
+            listSent.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             Fixture.beginWatch(socket);
             Fixture.writeLine(socket, Fixture.list(42, false, "Terminating", drainingServer));
         });
         CountDownLatch warm = warmUp();
         assertTrue(discovery.nextRequest().contains("&after=41 "));
-        if (late) {
+        if (isLate) {
             assertFalse(warm.await(400, TimeUnit.MILLISECONDS), "did not wait for the agent");
-            said.countDown();
+            listSent.countDown();
         }
         assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
         assertOnlyReadyServerReceivesRequests(listen());
         assertTrue(discovery.requests.isEmpty(), "asked twice");
     }
 
-    /** An agent that is silent, since discovery is down, keeps no node away. */
+    /** A silent agent means that discovery is down; the node must start nevertheless. */
     @Test
     void startsWithKnownListWhenAgentIsSilent() throws Exception {
         createNode(true);
         CountDownLatch warm = warmUp();
         discovery.nextRequest();
-        assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "waits for ever");
+        assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still waits for the agent");
         assertEquals(2, loop.submit(node::serverCount).get());
     }
 
-    /** Opened before the known list is taken in, its watch would bring news that the known list goes over. */
+    /** A watch opened before the known list is applied would deliver changes that the known list overwrites. */
     @Test
     void usesNewDiscoveryAddressMovedDuringWarmUp() throws Exception {
         createNode(false);
-        FakePeer.Script told = (socket, request) -> {
+        FakePeer.Script sendsList = (socket, request) -> {
             Fixture.beginWatch(socket);
             Fixture.writeLine(socket, Fixture.list(7, true, "Ready", readyServer));
         };
-        discovery.script(told);
-        newDiscovery.script(told);
-        NodeConfig elsewhere = configWithDiscovery(newDiscovery);
+        discovery.script(sendsList);
+        newDiscovery.script(sendsList);
+        NodeConfig newConfig = configWithDiscovery(newDiscovery);
         CountDownLatch warm = new CountDownLatch(1);
         loop.submit(() -> {
                     node.warmUp(20, warm::countDown);
-                    node.moveDiscovery(elsewhere);
+                    node.moveDiscovery(newConfig);
                 })
                 .get();
         assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
-        assertTrue(newDiscovery.nextRequest().startsWith("GET /v1/endpoints?watch=1 "), "a version of the old one");
+        assertTrue(
+                newDiscovery.nextRequest().startsWith("GET /v1/endpoints?watch=1 "),
+                "sent a revision of the old address");
         assertNull(newDiscovery.requests.poll(300, TimeUnit.MILLISECONDS), "asked twice");
-        assertTrue(discovery.requests.isEmpty(), "the old address was asked");
+        assertTrue(discovery.requests.isEmpty(), "the old address received a request");
         assertOnlyReadyServerReceivesRequests(listen());
     }
 
-    /** The module's own next call is due just when the one that a move has made waits for its answer. */
+    /** The decision module wants its next watch just while the one opened by a move waits for its response. */
     @Test
     void doesNotRepeatPendingWatchRequest() throws Exception {
         discovery.script(FakePeer.answer("503 Later", "", "busy"));
@@ -174,16 +176,16 @@
         assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
         discovery.nextRequest();
         FakePeer.takeWithTimeout(discovery.ended);
-        NodeConfig elsewhere = configWithDiscovery(newDiscovery);
-        loop.submit(() -> node.moveDiscovery(elsewhere)).get();
+        NodeConfig newConfig = configWithDiscovery(newDiscovery);
+        loop.submit(() -> node.moveDiscovery(newConfig)).get();
         assertNotNull(newDiscovery.nextRequest());
-        // Its back-off after the failure is 375 ms at most.
+        // The module retries at most 375 ms after the failure.
         assertNull(newDiscovery.requests.poll(800, TimeUnit.MILLISECONDS), "asked twice");
         answer.countDown();
         assertOnlyReadyServerReceivesRequests(listen());
     }
 
-    /** What waits of a large list in the old core is past the watch's version: nobody tells it again. */
+    /** Changes of a large list still queued in the old dispatcher are not sent again by discovery. */
     @Test
     void keepsPartlyAppliedListOnReconfigure() throws Exception {
         createNode(false);
@@ -199,33 +201,33 @@
                     .append(i % 250)
                     .append(":9\",\"state\":\"Ready\"}");
         }
-        String many = "{\"rev\":42,\"all\":false,\"targets\":[" + targets + "]}";
+        String largeList = "{\"rev\":42,\"all\":false,\"targets\":[" + targets + "]}";
         assertEquals(
                 3_002,
                 loop.submit(() -> {
                             node.start(group, 0, () -> {});
-                            node.onList(ServerListParser.parse(many));
+                            node.onList(ServerListParser.parse(largeList));
                             node.reconfigure(config);
                             return node.serverCount();
                         })
                         .get());
     }
 
-    /** Opened again as soon as it is lost, and paced if it is lost at once. */
+    /** A lost watch is reopened at once, but with a delay if it was open only briefly. */
     @Test
     void reopensLostPushedWatchWithinDrainGrace() throws Exception {
         createNode(true);
         discovery.script((socket, request) -> Fixture.beginWatch(socket));
         loop.submit(() -> node.start(group, 0, () -> {})).get();
-        long calls = 0;
-        long began = System.nanoTime();
+        long requests = 0;
+        long startNs = System.nanoTime();
         discovery.script(FakePeer.RESET);
         FakePeer.RESET.run(FakePeer.takeWithTimeout(discovery.accepted), "");
         discovery.nextRequest();
-        while (System.nanoTime() - began < TimeUnit.SECONDS.toNanos(1)) {
-            calls += discovery.requests.poll(100, TimeUnit.MILLISECONDS) == null ? 0 : 1;
+        while (System.nanoTime() - startNs < TimeUnit.SECONDS.toNanos(1)) {
+            requests += discovery.requests.poll(100, TimeUnit.MILLISECONDS) == null ? 0 : 1;
         }
-        // A quarter of the grace of half a second.
-        assertTrue(calls >= 3 && calls <= 9, "calls in a second: " + calls);
+        // One request per quarter of the drain grace period of 500 ms.
+        assertTrue(requests >= 3 && requests <= 9, "watch requests in a second: " + requests);
     }
 }
