--- a/src/main/java/vetchpost/discovery/ServerListReader.java
+++ b/src/main/java/vetchpost/discovery/ServerListReader.java
@@ -21,7 +21,7 @@
     private boolean inTargets;
     private boolean hasTargets;
     private Long revision;
-    private Boolean all;
+    private Boolean isFullList;
     private ServerList list;
 
     /** Creates a reader of one message. */
@@ -72,7 +72,7 @@
     private void readField() throws IOException {
         switch (json.nextName()) {
             case "rev" -> revision = json.nextLong();
-            case "all" -> all = json.nextBoolean();
+            case "all" -> isFullList = json.nextBoolean();
             case "targets" -> {
                 json.beginArray();
                 targets.clear();
@@ -88,11 +88,11 @@
         if (json.peek() != JsonToken.END_DOCUMENT) {
             throw new IllegalArgumentException("text after the end of the message");
         }
-        if (revision == null || all == null || !hasTargets) {
+        if (revision == null || isFullList == null || !hasTargets) {
             throw new IllegalArgumentException(
-                    (revision == null ? "rev" : all == null ? "all" : "targets") + " is missing");
+                    (revision == null ? "rev" : isFullList == null ? "all" : "targets") + " is missing");
         }
-        list = new ServerList(revision, all, List.copyOf(targets));
+        list = new ServerList(revision, isFullList, List.copyOf(targets));
     }
 
     private ServerList.Target readTarget() throws IOException {
--- a/src/main/java/vetchpost/http/Acceptor.java
+++ b/src/main/java/vetchpost/http/Acceptor.java
@@ -58,7 +58,10 @@
     private boolean hasBacklog;
 
     private long backlogSinceNs;
-    /** When counting began of a full queue of connections; once that many are accepted, none is older than this. */
+    /**
+     * When the current count of accepted connections began; once it reaches the size of the queue, all that waited
+     * then has been accepted.
+     */
     private long backlogMarkNs;
 
     private long backlogMarkAccepted;
@@ -108,8 +111,8 @@
 
     /**
      * Returns how long a connection accepted now may have waited in the accept queue, in nanoseconds; 0 if the queue
-     * was empty a turn ago and the event loop is not delayed. Callers ask at accept time: input is read in the next turn,
-     * when the event loop may no longer be delayed.
+     * was empty a turn ago and the event loop is not delayed. Callers ask at accept time, because input is read in the
+     * next turn, when the event loop may no longer be delayed.
      */
     long queuedTimeNs() {
         long delayNs = TimeUnit.MICROSECONDS.toNanos(eventLoopDelayUs.getAsLong());
--- a/src/main/java/vetchpost/http/HttpReply.java
+++ b/src/main/java/vetchpost/http/HttpReply.java
@@ -12,7 +12,7 @@
 import vetchpost.core.ServerResponse;
 
 /**
- * Sends the single reply to a request of a {@link ClientConnection}, as an HTTP response; later replies are ignored.
+ * Sends the single reply to a request of a client connection, as an HTTP response; later replies are ignored.
  * The dispatcher calls it on the event loop. Also builds the node's own short responses.
  */
 public final class HttpReply implements ClientReply {
--- a/src/main/java/vetchpost/http/ServerPool.java
+++ b/src/main/java/vetchpost/http/ServerPool.java
@@ -376,6 +376,7 @@
         }
     }
 
+    /** Closes the idle connections of a server that is gone and fails its waiting attempts. */
     private static void release(Server server) {
         closeIdle(server);
         failWaitingAttempts(server);
--- a/src/main/java/vetchpost/net/SocketBudget.java
+++ b/src/main/java/vetchpost/net/SocketBudget.java
@@ -6,8 +6,8 @@
 
 /**
  * Counts connections to clients and servers against the process's descriptor limit, and closes idle ones before the
- * system runs out of descriptors. {@link vetchpost.http.ClientServer}, its acceptor and the server pools share one per
- * node and call it on the node's event loop.
+ * system runs out of descriptors. The client server, its acceptor and the server pools
+ * of a node share one and call it on the node's event loop.
  */
 public final class SocketBudget {
     /**
@@ -34,7 +34,7 @@
     /** Fraction of the sockets for clients; their requests need the rest for connections to servers. */
     private static final double MAX_CLIENT_FRACTION = 0.75;
 
-    /** Above this fraction of the limit client connections count as many; only a third of the limit sends requests. */
+    /** Above this fraction of the limit client connections count as many; requests use at most a third of the limit. */
     private static final double MANY_CLIENTS_FRACTION = 1.0 / 6;
 
     /**
--- a/src/main/java/vetchpost/node/Node.java
+++ b/src/main/java/vetchpost/node/Node.java
@@ -39,7 +39,10 @@
 public final class Node implements DiscoveryClient.Listener {
     private static final Logger LOG = System.getLogger(Node.class.getName());
 
-    /** Upper bound of the delay between two watch requests for a pushed list: changes missed meanwhile count. */
+    /**
+     * Upper bound of the delay between two watch requests for a pushed list. Requests cost nothing, and changes missed
+     * meanwhile count as delivered.
+     */
     private static final long MAX_WATCH_RETRY_DELAY_MS = 500;
     /** The delay is also at most the drain grace period divided by this. */
     private static final int WATCH_RETRY_DRAIN_GRACE_DIVISOR = 4;
@@ -483,7 +486,7 @@
     }
 
     /**
-     * Stops the node: it accepts connections for another {@value #ACCEPT_WHILE_STOPPING_MS} ms and runs
+     * Stops the node: it accepts connections for a short while longer, closes each with its response and runs
      * {@code whenDone} once all requests are answered.
      */
     public void stop(Runnable whenDone) {
--- a/src/main/java/vetchpost/node/NodeHooks.java
+++ b/src/main/java/vetchpost/node/NodeHooks.java
@@ -19,17 +19,17 @@
     }
 
     /** Wraps the transport to the servers. */
-    default ServerTransport wrapTransport(ServerTransport real) {
-        return real;
+    default ServerTransport wrapTransport(ServerTransport transport) {
+        return transport;
     }
 
     /** Wraps a client's request before the dispatcher accepts it. */
-    default ClientRequest wrapRequest(ClientRequest real) {
-        return real;
+    default ClientRequest wrapRequest(ClientRequest request) {
+        return request;
     }
 
     /** Wraps the reply to a client's request. */
-    default ClientReply wrapReply(ClientReply real) {
-        return real;
+    default ClientReply wrapReply(ClientReply reply) {
+        return reply;
     }
 }
