--- a/src/main/java/vetchpost/http/ClientConnection.java
+++ b/src/main/java/vetchpost/http/ClientConnection.java
@@ -414,7 +414,10 @@
 
     /** Handles a response that could not be encoded: nothing of it was sent, and the connection still works. */
     private void onWriteFailed(Throwable cause) {
-        LOG.log(Level.ERROR, "encoding a response failed; an internal error is sent instead", cause);
+        LOG.log(
+                Level.ERROR,
+                "encoding a response failed; an internal error is sent, or the connection closed if that fails too",
+                cause);
         if (encodingFailed) {
             close("a fault");
             return;
