--- a/src/main/java/vetchpost/admission/AdmissionValidator.java
+++ b/src/main/java/vetchpost/admission/AdmissionValidator.java
@@ -71,7 +71,7 @@
         section.entries().forEach((key, entry) -> {
             if (!KEYS.contains(key)) {
                 violated(
-                        entry.at(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'", "one of " + String.join(", ", KEYS));
+                        entry.position(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'", "one of " + String.join(", ", KEYS));
             }
         });
         int waiting = whole(section, "waiting", DEFAULT_WAITING, 1, MAX_WAITING);
@@ -80,7 +80,7 @@
         int bookings = whole(section, "bookings", DEFAULT_RESERVATIONS, MIN_RESERVATIONS, MAX_RESERVATIONS);
         if (Integer.bitCount(bookings) != 1) {
             violated(
-                    section.entries().get("bookings").at(),
+                    section.entries().get("bookings").position(),
                     Rule.OUT_OF_RANGE,
                     "bookings = " + bookings + " is no power of two",
                     Integer.toString(Integer.highestOneBit(bookings)));
@@ -89,7 +89,7 @@
         long longest = duration(section, "longest-advice", settings.maxRetryAfterUs);
         if (longest > settings.maxRetryAfterUs) {
             violated(
-                    section.entries().get("longest-advice").at(),
+                    section.entries().get("longest-advice").position(),
                     Rule.NOT_ALLOWED,
                     "longest-advice is over the " + settings.maxRetryAfterUs / 1_000 + "ms that the settings allow",
                     settings.maxRetryAfterUs / 1_000 + "ms");
@@ -112,11 +112,11 @@
             return otherwise;
         }
         if (!(entry.value() instanceof Long number)) {
-            violated(entry.at(), Rule.WRONG_UNIT, key + " is no whole number", key + " = " + otherwise);
+            violated(entry.position(), Rule.WRONG_UNIT, key + " is no whole number", key + " = " + otherwise);
             return otherwise;
         }
         if (number < least || number > most) {
-            violated(entry.at(), Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
+            violated(entry.position(), Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
             return otherwise;
         }
         return number.intValue();
@@ -129,7 +129,7 @@
         }
         Matcher m = entry.value() instanceof String text ? DURATION.matcher(text) : null;
         if (m == null || !m.matches()) {
-            violated(entry.at(), Rule.WRONG_UNIT, key + " is no time with its unit", "\"500ms\"");
+            violated(entry.position(), Rule.WRONG_UNIT, key + " is no time with its unit", "\"500ms\"");
             return otherwise;
         }
         long us = (long) (Double.parseDouble(m.group(1))
@@ -139,7 +139,7 @@
                     default -> 60e6;
                 });
         if (us > HOUR_US) {
-            violated(entry.at(), Rule.OUT_OF_RANGE, key + " is over an hour", "\"60m\"");
+            violated(entry.position(), Rule.OUT_OF_RANGE, key + " is over an hour", "\"60m\"");
             return otherwise;
         }
         return us;
@@ -151,29 +151,29 @@
             return weights(settings, Map.of());
         }
         if (!(entry.value() instanceof Map<?, ?> table)) {
-            violated(entry.at(), Rule.WRONG_UNIT, "weights is no table", "weights = { school = 2.0 }");
+            violated(entry.position(), Rule.WRONG_UNIT, "weights is no table", "weights = { school = 2.0 }");
             return List.of();
         }
         List<String> names = settings.tenants.stream().map(Tenant::name).toList();
         table.forEach((name, value) -> {
             if (!names.contains(name)) {
                 violated(
-                        entry.at(),
+                        entry.position(),
                         Rule.UNKNOWN_TENANT,
                         "there is no tenant '" + name + "'",
                         names.isEmpty()
                                 ? ""
                                 : "one of " + String.join(", ", names.subList(0, Math.min(names.size(), 20))));
             } else if (!(value instanceof Number)) {
-                violated(entry.at(), Rule.WRONG_UNIT, "the weight of " + name + " is no number", "1.0");
+                violated(entry.position(), Rule.WRONG_UNIT, "the weight of " + name + " is no number", "1.0");
             } else if (!(((Number) value).doubleValue() >= 1 / MAX_WEIGHT)) {
                 violated(
-                        entry.at(),
+                        entry.position(),
                         Rule.STARVES,
                         name + " weighs " + value + ": it would get nothing while " + "others wait",
                         "from " + 1 / MAX_WEIGHT + " on");
             } else if (((Number) value).doubleValue() > MAX_WEIGHT) {
-                violated(entry.at(), Rule.OUT_OF_RANGE, name + " weighs " + value, "to " + MAX_WEIGHT);
+                violated(entry.position(), Rule.OUT_OF_RANGE, name + " weighs " + value, "to " + MAX_WEIGHT);
             }
         });
         return violations.isEmpty() ? weights(settings, table) : List.of();
--- a/src/main/java/vetchpost/standalone/StandaloneValidator.java
+++ b/src/main/java/vetchpost/standalone/StandaloneValidator.java
@@ -128,7 +128,7 @@
             for (Section section : file) {
                 if (isStandaloneSection(section)) {
                     violations.add(new Violation(
-                            section.at(),
+                            section.position(),
                             section.name(),
                             Rule.INCOMPLETE,
                             "there is no table [node], without which this says nothing",
@@ -174,7 +174,7 @@
         }
         Section pool = first(file, Kind.POOL);
         SectionReader servers = new SectionReader(
-                pool == null ? new Section(Kind.POOL, "pool", node.at(), Map.of()) : pool, "pool", violations);
+                pool == null ? new Section(Kind.POOL, "pool", node.position(), Map.of()) : pool, "pool", violations);
         servers.rejectUnknownKeys(POOL);
         WebLimits limits = limits(own, servers.text("expect-header", ""));
         long idleUs = pool(servers);
@@ -370,7 +370,7 @@
             for (int j = 0; j < i; j++) {
                 if (rules.get(j).covers(rules.get(i))) {
                     violations.add(new Violation(
-                            classes.get(i).at(),
+                            classes.get(i).position(),
                             classes.get(i).name(),
                             Rule.UNREACHABLE,
                             "all its requests are of class " + classes.get(j).name() + ", which comes first",
--- a/src/test/java/vetchpost/changes/CatalogTest.java
+++ b/src/test/java/vetchpost/changes/RouteConfigurationTest.java
@@ -29,7 +29,7 @@
 /**
  * Batches are taken or refused as one, with the place and the rule, and what they break together is found.
  */
-class CatalogTest {
+class RouteConfigurationTest {
     private static final Position AT = new Position("x", 1, 1);
 
     private final ChangeWriter writer = new ChangeWriter(RouteConfiguration.empty(settings()), 1);
@@ -50,7 +50,7 @@
         for (int i = 0; i < keysAndValues.length; i += 2) {
             entries.put((String) keysAndValues[i], new Section.Entry(keysAndValues[i + 1], AT));
         }
-        return RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", AT, entries));
+        return RouteCodec.encode(new Section(Section.Kind.ROUTE, "", AT, entries));
     }
 
     private static EntryKey key(String route) {
--- a/src/test/java/vetchpost/routes/ChangesProperty.java
+++ b/src/test/java/vetchpost/routes/ChangesProperty.java
@@ -25,7 +25,7 @@
 
 /** Changes one after the other, proved by themselves, against the proof of the whole file with them in it. */
 class ChangesProperty {
-    private static final Settings SETTINGS = ProverTest.settings();
+    private static final Settings SETTINGS = RouteValidatorTest.settings();
     private static final List<String> CLASSES = List.of("view-page", "add-photo", "place-order", "nothing");
     private static final List<String> TAILS = List.of("/a", "/{n}", "/*", "/a/{n}", "/{x}/b", "/a/../b", "");
     private static final List<String> TARGETS = List.of("/a", "/b", "/a/1", "/1/b", "/a/b", "", "/a/b/c");
@@ -142,7 +142,7 @@
             }
             for (RouteChange change : batch.values()) {
                 if (change.section() != null) {
-                    byte[] bytes = RouteCodec.bytes(change.section());
+                    byte[] bytes = RouteCodec.encode(change.section());
                     live = live.put(
                             new EntryKey(vetchpost.store.EntryKind.ROUTE, change.name()).bytes(), bytes, version);
                     settled = settled.withRoute(change.name(), bytes, live);
@@ -154,7 +154,7 @@
     }
 
     private static void same(RouteTable whole, RouteTable changed) {
-        assertEquals(whole.all(), changed.all());
+        assertEquals(whole.allRoutes(), changed.allRoutes());
         for (String cls : CLASSES.subList(0, 3)) {
             for (String tail : TARGETS) {
                 for (int tenant = -1; tenant < 2; tenant++) {
--- a/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
+++ b/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
@@ -30,7 +30,7 @@
     };
 
     private static FileRoutePolicy policy(String text) {
-        return new FileRoutePolicy(ProverTest.prove(text).table(), ProverTest.settings(), 1);
+        return new FileRoutePolicy(RouteValidatorTest.prove(text).table(), RouteValidatorTest.settings(), 1);
     }
 
     private static RouteLimits bounds(FileRoutePolicy policy, int tenant) {
@@ -67,12 +67,12 @@
                 file.sections().stream()
                         .filter(s -> s.kind() != Section.Kind.ROUTE)
                         .toList(),
-                ProverTest.settings(),
+                RouteValidatorTest.settings(),
                 false,
                 before,
                 version);
-        file.sections().stream().filter(s -> s.kind() == Section.Kind.ROUTE).forEach(prover::add);
-        return prover.end().table();
+        file.sections().stream().filter(s -> s.kind() == Section.Kind.ROUTE).forEach(prover::addRoute);
+        return prover.finish().table();
     }
 
     private static RouteLimits at(FileRoutePolicy policy, String target) {
@@ -94,13 +94,13 @@
     @Test
     void routesThatStayKeepTheirBudgetsAndThoseThatChangeWhatIsInHand() {
         RouteTable first = table(ONE + TWO, null, 1);
-        FileRoutePolicy policy = new FileRoutePolicy(first, ProverTest.settings(), 1);
+        FileRoutePolicy policy = new FileRoutePolicy(first, RouteValidatorTest.settings(), 1);
         spend(at(policy, "/view-page/one"));
         spend(at(policy, "/view-page/two"));
         assertTrue(at(policy, "/view-page/two").tryAcquire());
         String changed = TWO.replace("concurrency = 1000", "concurrency = 1");
         RouteTable second = table("# another file\n" + changed + ONE, first, 2);
-        policy.replaceTable(second, ProverTest.settings());
+        policy.replaceTable(second, RouteValidatorTest.settings());
         assertFalse(at(policy, "/view-page/one").mayRetry(), "its budget is back");
         assertTrue(at(policy, "/view-page/two").mayRetry(), "it has another budget now");
         assertFalse(at(policy, "/view-page/two").tryAcquire(), "what it has in hand is not counted any more");
@@ -110,21 +110,21 @@
                                 EntryChange.Op.DELETE, "/view-page/two", null, new Position("f", 1, 1))),
                         3)
                 .table();
-        policy.replaceTable(third, ProverTest.settings());
+        policy.replaceTable(third, RouteValidatorTest.settings());
         assertFalse(at(policy, "/view-page/one").mayRetry());
         // Another class says something else: that is nothing to this route.
         RouteTable aside = table("[class.add-photo]\nconcurrency = 5\n" + ONE, third, 4);
-        policy.replaceTable(aside, ProverTest.settings());
+        policy.replaceTable(aside, RouteValidatorTest.settings());
         assertFalse(at(policy, "/view-page/one").mayRetry(), "its budget is back for a change of another class");
         // With other defaults each route has other limits.
-        policy.replaceTable(table("[defaults]\nconcurrency = 5\n" + ONE, third, 4), ProverTest.settings());
+        policy.replaceTable(table("[defaults]\nconcurrency = 5\n" + ONE, third, 4), RouteValidatorTest.settings());
         assertTrue(at(policy, "/view-page/one").mayRetry());
     }
 
     @Test
     void aRouteIsTakenOutWhileAThousandRequestsHoldIt() {
         RouteTable first = table(ONE + TWO, null, 1);
-        FileRoutePolicy policy = new FileRoutePolicy(first, ProverTest.settings(), 1);
+        FileRoutePolicy policy = new FileRoutePolicy(first, RouteValidatorTest.settings(), 1);
         List<RouteLimits> held = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
             held.add(at(policy, "/view-page/two"));
@@ -138,7 +138,7 @@
                                         EntryChange.Op.DELETE, "/view-page/two", null, new Position("f", 1, 1))),
                                 2)
                         .table(),
-                ProverTest.settings());
+                RouteValidatorTest.settings());
         RouteLimits other = at(policy, "/view-page/two");
         assertTrue(other.tryAcquire(), "its class has no limit");
         for (RouteLimits each : held) {
@@ -147,7 +147,7 @@
         }
         spend(held.get(0));
         // Back under its name, it counts from none on, and what it had saved up is as it was left.
-        policy.replaceTable(first, ProverTest.settings());
+        policy.replaceTable(first, RouteValidatorTest.settings());
         assertTrue(at(policy, "/view-page/two").tryAcquire());
         assertFalse(at(policy, "/view-page/two").mayRetry());
     }
@@ -158,7 +158,7 @@
      */
     @Test
     void whatIsKeptIsBounded() {
-        Settings many = ProverTest.settings();
+        Settings many = RouteValidatorTest.settings();
         for (int i = 0; i < 70_000; i++) {
             many.tenants.add(new vetchpost.decision.Balancer.Tenant("t" + i, 1));
         }
--- a/src/test/java/vetchpost/routes/RouteFiles.java
+++ b/src/test/java/vetchpost/routes/RouteFiles.java
@@ -15,7 +15,7 @@
     /** The routes of a file, whatever rule it breaks. */
     public static RoutePolicy policy(String text, Settings settings, long seed) {
         return new FileRoutePolicy(
-                RouteValidator.believe(sections(text), settings).table(), settings, seed);
+                RouteValidator.readUnchecked(sections(text), settings).table(), settings, seed);
     }
 
     /** Whether the prover refuses the file for this rule, perhaps beside others. */
--- a/src/test/java/vetchpost/routes/ProverTest.java
+++ b/src/test/java/vetchpost/routes/RouteValidatorTest.java
@@ -18,7 +18,7 @@
 import vetchpost.routes.file.RouteFile;
 
 /** Files are taken or refused with the place, the rule and what would pass. */
-class ProverTest {
+class RouteValidatorTest {
     private static final long MS = 1_000;
 
     static Settings settings() {
--- a/src/test/java/vetchpost/routes/file/FileIndexTest.java
+++ b/src/test/java/vetchpost/routes/file/FileIndexTest.java
@@ -25,20 +25,20 @@
     private Path folder;
 
     /** What a file came to. */
-    private static final class Read implements FileIndex.Tables {
+    private static final class Read implements FileIndex.SectionHandler {
         private final List<Section> others = new ArrayList<>();
         private final List<Section> routes = new ArrayList<>();
         private final List<Violation> violations = new ArrayList<>();
         private FileIndex index;
 
         @Override
-        public void otherSections(List<Section> sections) {
+        public void acceptOtherSections(List<Section> sections) {
             assertTrue(others.isEmpty() && routes.isEmpty(), "told twice, or after routes");
             others.addAll(sections);
         }
 
         @Override
-        public void route(Section section) {
+        public void acceptRoute(Section section) {
             routes.add(section);
         }
     }
@@ -157,7 +157,7 @@
                 List.of("/r7", "/r50"),
                 some.changedRoutes().stream().map(RouteCodec::nameOf).toList());
         assertEquals(List.of("/r7", "/r9"), new ArrayList<>(new TreeSet<>(some.removedRoutes())));
-        assertEquals(24, some.changedRoutes().get(0).at().line(), "where it stands now");
+        assertEquals(24, some.changedRoutes().get(0).position().line(), "where it stands now");
         FileIndex.Difference back = some.index().reread(write(text.toString()));
         assertEquals(
                 List.of("/r7", "/r9"),
@@ -189,9 +189,9 @@
         try {
             FileIndex.read(
                     file,
-                    new FileIndex.Tables() {
+                    new FileIndex.SectionHandler() {
                         @Override
-                        public void otherSections(List<Section> sections) {
+                        public void acceptOtherSections(List<Section> sections) {
                             try {
                                 Files.writeString(file, "[[route]]\npath = \"/b\"\n");
                             } catch (IOException e) {
@@ -200,7 +200,7 @@
                         }
 
                         @Override
-                        public void route(Section section) {
+                        public void acceptRoute(Section section) {
                             assertNotNull(section);
                         }
                     },
--- a/src/test/java/vetchpost/store/FieldsTest.java
+++ b/src/test/java/vetchpost/store/FieldCodecTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Values as bytes, whatever they are, and bytes that are none. */
-class FieldsTest {
+class FieldCodecTest {
     private static Map<Integer, Object> read(byte[] bytes) {
         Map<Integer, Object> all = new LinkedHashMap<>();
         FieldCodec.read(bytes, all::put);
--- a/src/test/java/vetchpost/store/PackedTreeTest.java
+++ b/src/test/java/vetchpost/store/PackedTreeTest.java
@@ -154,7 +154,7 @@
         assertTrue(Version.of(2, 0) > Version.of(1, (1L << 40) - 1));
         assertEquals(3, Version.epoch(Version.of(3, 9)));
         assertEquals(9, Version.number(Version.of(3, 9)));
-        assertThrows(IllegalArgumentException.class, () -> Version.of(Version.MAX_EPOCH, 0));
+        assertThrows(IllegalArgumentException.class, () -> Version.of(Version.EPOCH_LIMIT, 0));
     }
 
     @Test
