--- a/src/main/java/vetchpost/changes/ChangeWriter.java
+++ b/src/main/java/vetchpost/changes/ChangeWriter.java
@@ -8,46 +8,48 @@
 import vetchpost.store.VersionedStore;
 
 /**
- * Gives batches of changes their versions, one after the other, once each has been proved. It alone writes in
- * its epoch; who takes over begins a later one, and nodes that have seen that take nothing more of this
- * one's.
+ * Validates batches of changes and assigns their versions, one after the other. It is the only writer of its epoch:
+ * a successor begins a later epoch, and nodes that have seen that one accept no more changes of this one. The
+ * control machine that publishes the configuration has one. Not thread-safe.
  */
 public final class ChangeWriter {
     private final long epoch;
     private RouteConfiguration configuration;
 
     /**
-     * Goes on where a configuration is.
+     * Continues from a configuration.
      *
-     * @param epoch over that of the last version there, unless that is this writer's own
+     * @param epoch greater than that of the last version in the configuration, or equal if that is this writer's own
+     * @throws IllegalArgumentException if the epoch is lower
      */
-    public ChangeWriter(RouteConfiguration catalog, long epoch) {
-        if (epoch < Version.epoch(catalog.store().version())) {
-            throw new IllegalArgumentException(
-                    "epoch " + epoch + " after " + Version.format(catalog.store().version()));
+    public ChangeWriter(RouteConfiguration configuration, long epoch) {
+        if (epoch < Version.epoch(configuration.store().version())) {
+            throw new IllegalArgumentException("writer epoch " + epoch + " is below that of the last version "
+                    + Version.format(configuration.store().version()));
         }
-        this.configuration = catalog;
+        this.configuration = configuration;
         this.epoch = epoch;
     }
 
     /**
-     * Takes a batch in, as one or not at all.
+     * Validates a batch and applies it as a whole, or not at all.
      *
-     * @return what it breaks; empty if it has a version now
+     * @return every violation; empty if the batch was applied
      */
     public List<Violation> submit(List<EntryChange> batch) {
         long before = configuration.store().version();
-        Outcome outcome = configuration.apply(batch, Version.epoch(before) == epoch ? before + 1 : Version.of(epoch, 1));
+        Outcome outcome =
+                configuration.apply(batch, Version.epoch(before) == epoch ? before + 1 : Version.of(epoch, 1));
         configuration = outcome.configuration() == null ? configuration : outcome.configuration();
         return outcome.violations();
     }
 
-    /** What is there now. */
+    /** The configuration with all batches so far. */
     public RouteConfiguration configuration() {
         return configuration;
     }
 
-    /** The same, to be told. */
+    /** The entries of the configuration, to be published to replicas. */
     public VersionedStore store() {
         return configuration.store();
     }
--- a/src/main/java/vetchpost/changes/ChangesSettings.java
+++ b/src/main/java/vetchpost/changes/ChangesSettings.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What an operator's file says of where its node's routes come from.
+ * The settings of a node that receives its routes from control machines, as read from the operator's file.
  *
- * @param publishers addresses of control machines, {@code host:port}
- * @param secretFile path of the file with the secret
- * @param file path of the store on the disk; empty for none
- * @param name by which control machines know the node, and by which it has its own order of them; empty to
- * draw one
+ * @param publishers addresses of the control machines, {@code host:port}
+ * @param secretFile path of the file with the shared secret
+ * @param file path of the store on disk; empty for none
+ * @param name of the node, known to control machines and used to order them differently on each node; empty for a
+ *     random name
  */
 public record ChangesSettings(List<String> publishers, String secretFile, String file, String name) {}
--- a/src/main/java/vetchpost/changes/ChangesValidator.java
+++ b/src/main/java/vetchpost/changes/ChangesValidator.java
@@ -9,7 +9,10 @@
 import vetchpost.routes.Violation;
 import vetchpost.routes.Violation.Rule;
 
-/** Reads the table of an operator's file by which its routes come from control machines. It does no I/O. */
+/**
+ * Validates the {@code [changes]} table of the operator's file, by which a node receives its routes from control
+ * machines. Called whenever the file is loaded or checked. Stateless; does no I/O.
+ */
 public final class ChangesValidator {
     private static final List<String> KEYS = List.of("publishers", "secret-file", "file", "name");
     private static final int MAX_PUBLISHERS = 1_024;
@@ -18,13 +21,18 @@
     private ChangesValidator() {}
 
     /**
-     * What the table comes to.
+     * The result of a validation.
      *
-     * @param settings null if there is no table, or any violation
+     * @param settings null if there is no such table, or any violation
+     * @param violations every one
      */
     public record Validation(ChangesSettings settings, List<Violation> violations) {}
 
-    /** Looks at the tables of a file that are no routes. */
+    /**
+     * Validates the table.
+     *
+     * @param file the sections of the file that are not routes
+     */
     public static Validation validate(List<Section> file) {
         Section changes =
                 file.stream().filter(s -> s.kind() == Kind.CHANGES).findFirst().orElse(null);
@@ -32,45 +40,52 @@
         if (changes == null) {
             return new Validation(null, violations);
         }
-        SectionReader own = new SectionReader(changes, "changes", violations);
-        own.rejectUnknownKeys(KEYS);
-        List<String> publishers = own.texts("publishers", List.of());
+        SectionReader reader = new SectionReader(changes, "changes", violations);
+        reader.rejectUnknownKeys(KEYS);
+        List<String> publishers = reader.texts("publishers", List.of());
         if (publishers.isEmpty() || publishers.size() > MAX_PUBLISHERS) {
-            own.addViolation(
+            reader.addViolation(
                     "publishers",
                     Rule.INCOMPLETE,
                     publishers.size() + " publishers",
                     "publishers = [\"10.0.0.1:9100\"]");
         }
-        for (String each : publishers) {
-            if (!each.matches(ADDRESS_PATTERN)) {
-                own.addViolation(
-                        "publishers", Rule.BAD_PATTERN, each + " is no address with a port", "\"10.0.0.1:9100\"");
+        for (String publisher : publishers) {
+            if (!publisher.matches(ADDRESS_PATTERN)) {
+                reader.addViolation(
+                        "publishers",
+                        Rule.BAD_PATTERN,
+                        publisher + " is not an address with a port",
+                        "\"10.0.0.1:9100\"");
             }
         }
         if (new HashSet<>(publishers).size() < publishers.size()) {
-            own.addViolation("publishers", Rule.SAME_MATCH, "a publisher is named twice", "each once");
+            reader.addViolation("publishers", Rule.SAME_MATCH, "a publisher is listed twice", "each publisher once");
         }
-        if (!own.has("secret-file")) {
-            own.addViolation(
+        if (!reader.has("secret-file")) {
+            reader.addViolation(
                     "secret-file",
                     Rule.INCOMPLETE,
                     "it does not say secret-file",
                     "secret-file = \"/etc/vetchpost/secret\"");
         }
-        String name = own.text("name", "");
+        String name = reader.text("name", "");
         if (name.length() > 64) {
-            own.addViolation("name", Rule.OUT_OF_RANGE, "a name of " + name.length() + " characters", "64 or fewer");
+            reader.addViolation("name", Rule.OUT_OF_RANGE, "a name of " + name.length() + " characters", "64 or fewer");
         }
         for (Section section : file) {
             if (section.kind() == Kind.DEFAULTS || section.kind() == Kind.CLASS) {
                 violations.add(new Violation(
-                        section.position(), section.name(), Rule.UNREACHABLE, "limits come from [changes]", "no such table"));
+                        section.position(),
+                        section.name(),
+                        Rule.UNREACHABLE,
+                        "with [changes], limits come from the control machines",
+                        "no such table"));
             }
         }
         return new Validation(
                 violations.isEmpty()
-                        ? new ChangesSettings(publishers, own.text("secret-file", ""), own.text("file", ""), name)
+                        ? new ChangesSettings(publishers, reader.text("secret-file", ""), reader.text("file", ""), name)
                         : null,
                 violations);
     }
--- a/src/main/java/vetchpost/changes/RouteConfiguration.java
+++ b/src/main/java/vetchpost/changes/RouteConfiguration.java
@@ -26,9 +26,11 @@
 import vetchpost.store.VersionedStore;
 
 /**
- * A configuration at one version: its entries, the routes that requests are looked up in, and which of them
- * are a tenant's. It never changes. A batch is proved by what it can break: each route with those of its
- * name, match and tenant; all routes where defaults or a class change.
+ * A configuration at one version: its entries, the route table that requests are looked up in, and an index of the
+ * routes of each tenant. It is immutable and may be read by any thread. {@link ChangeWriter} validates batches with
+ * {@link #apply}; replicas apply entries that were validated elsewhere through {@link Index}. A batch is validated
+ * against only what it can break: each route with those of its name, match and tenant, or all routes where the
+ * defaults or a class change.
  */
 public final class RouteConfiguration implements Index {
     private static final byte[] EMPTY_BYTES = new byte[0];
@@ -39,15 +41,16 @@
     private final Settings settings;
     private final VersionedStore store;
     private final RouteTable routes;
-    /** Of routes that are one tenant's: the tenant's name, a byte of 0, the route's. */
+    /** One key for each route that names a tenant: the tenant's name, a zero byte, the route's name. */
     private final PackedTree tenantRoutes;
-    /** While entries are taken in one by one: whether what holds for classes is among them. */
+    /** While entries are applied one by one: whether defaults or class limits are among them. */
     private final boolean limitsChanged;
 
     /**
-     * What a batch comes to.
+     * The result of a batch.
      *
-     * @param catalog null if there is any violation
+     * @param configuration with the batch applied; null if there is any violation
+     * @param violations every one; empty if the batch was applied
      */
     public record Outcome(RouteConfiguration configuration, List<Violation> violations) {}
 
@@ -61,9 +64,9 @@
     }
 
     /**
-     * Nothing, for requests of these classes.
+     * A configuration without entries.
      *
-     * @param settings its tenants are those that requests can have; those that routes may name are entries
+     * @param settings with the classes and tenants of requests; the tenants that routes may name are entries
      */
     public static RouteConfiguration empty(Settings settings) {
         return new RouteConfiguration(
@@ -74,115 +77,134 @@
                 false);
     }
 
-    /** The entries, with their versions. */
+    /** The entries with their versions. */
     public VersionedStore store() {
         return store;
     }
 
-    /** The same entries with their own versions, as somebody has kept them, for a writer to go on from. */
-    public RouteConfiguration withStore(VersionedStore kept) {
-        return new RouteConfiguration(settings, kept, routes.backedBy(kept.live()), tenantRoutes, false);
+    /**
+     * The same configuration with its entries at the versions of a saved store, for a writer to continue from.
+     *
+     * @param saved store with the same entries
+     */
+    public RouteConfiguration withStore(VersionedStore saved) {
+        return new RouteConfiguration(settings, saved, routes.backedBy(saved.live()), tenantRoutes, false);
     }
 
-    /** Where requests' routes are found. */
+    /** The table that finds the route of a request. */
     public RouteTable routes() {
         return routes;
     }
 
-    /** Bytes that it keeps beside the entries. */
+    /** Bytes retained by the indexes, without the entries. */
     public long indexBytes() {
         return routes.indexBytes() + tenantRoutes.retainedBytes();
     }
 
-    // ---------------------------------------------------------------- a batch that is proved
+    // ---------------------------------------------------------------- validated batches
 
     /**
-     * The batch at that version, or all that it would break; of several changes of one key the last counts.
+     * Validates a batch and applies it as a whole, or not at all; of several changes of one key the last counts.
+     *
+     * @param batch up to 10,000 changes
+     * @param version of the changes, greater than the store's
+     * @return the configuration with the batch, or every violation
      */
     public Outcome apply(List<EntryChange> batch, long version) {
         List<Violation> violations = new ArrayList<>();
-        Map<EntryKey, EntryChange> last = new LinkedHashMap<>();
+        Map<EntryKey, EntryChange> lastChangeOf = new LinkedHashMap<>();
         if (batch.size() > MAX_BATCH_CHANGES) {
             violations.add(new Violation(
-                    withStore(MAX_BATCH_CHANGES), "batch", Rule.OUT_OF_RANGE, batch.size() + " changes", MAX_BATCH_CHANGES + " or fewer"));
+                    positionOf(MAX_BATCH_CHANGES),
+                    "batch",
+                    Rule.OUT_OF_RANGE,
+                    batch.size() + " changes",
+                    MAX_BATCH_CHANGES + " or fewer"));
             return new Outcome(null, violations);
         }
         for (int i = 0; i < batch.size(); i++) {
             EntryChange change = batch.get(i);
-            boolean there = last.containsKey(change.key())
-                    ? last.get(change.key()).value() != null
+            boolean exists = lastChangeOf.containsKey(change.key())
+                    ? lastChangeOf.get(change.key()).value() != null
                     : store.get(change.key()) != null;
-            if (there != (change.op() != Op.PUT)) {
+            if (exists != (change.op() != Op.PUT)) {
                 violations.add(new Violation(
-                        withStore(i),
+                        positionOf(i),
                         change.key().toString(),
-                        there ? Rule.SAME_NAME : Rule.UNKNOWN_ENTRY,
-                        there ? "it is there already" : "it is not there",
-                        there ? "a replace" : "a put"));
+                        exists ? Rule.SAME_NAME : Rule.UNKNOWN_ENTRY,
+                        exists ? "there is already such an entry" : "there is no such entry",
+                        exists ? "a replace" : "a put"));
             }
-            last.remove(change.key());
-            last.put(change.key(), change);
+            lastChangeOf.remove(change.key());
+            lastChangeOf.put(change.key(), change);
         }
         if (!violations.isEmpty()) {
             return new Outcome(null, violations);
         }
-        List<EntryChange> changes = List.copyOf(last.values());
-        VersionedStore after = store.with(changes, version);
-        RouteValidation proof = validateRoutes(changes, after, version, violations);
+        List<EntryChange> changes = List.copyOf(lastChangeOf.values());
+        VersionedStore newStore = store.with(changes, version);
+        RouteValidation validation = validateRoutes(changes, newStore, version, violations);
         if (!violations.isEmpty()) {
-            // Some can't be read, so that nothing more can be said of them.
-            violations.addAll(proof.violations());
+            // Some entries could not be decoded, so the batch cannot be checked further.
+            violations.addAll(validation.violations());
             return new Outcome(null, violations);
         }
-        PackedTree owned = tenantRoutes;
+        PackedTree newTenantRoutes = tenantRoutes;
         for (int i = 0; i < changes.size(); i++) {
             EntryChange change = changes.get(i);
             switch (change.key().kind()) {
-                case TENANT -> validateTenant(change, withStore(i), violations);
-                case SERVICE -> validateService(change, withStore(i), violations);
-                case ROUTE -> owned = updateTenantRoutes(owned, change.key().bytes(), change.value());
+                case TENANT -> validateTenant(change, positionOf(i), violations);
+                case SERVICE -> validateService(change, positionOf(i), violations);
+                case ROUTE ->
+                    newTenantRoutes =
+                            updateTenantRoutes(newTenantRoutes, change.key().bytes(), change.value());
                 default -> {}
             }
         }
         for (int i = 0; i < changes.size(); i++) {
             EntryChange change = changes.get(i);
             if (change.key().kind() == EntryKind.TENANT && change.value() == null) {
-                requireNoRoutes(owned, change.key().name(), withStore(i), violations);
+                requireNoRoutes(newTenantRoutes, change.key().name(), positionOf(i), violations);
             }
         }
-        violations.addAll(proof.violations());
+        violations.addAll(validation.violations());
         return violations.isEmpty()
                 ? new Outcome(
-                        new RouteConfiguration(settings, after, proof.table().backedBy(after.live()), owned, false),
+                        new RouteConfiguration(
+                                settings,
+                                newStore,
+                                validation.table().backedBy(newStore.live()),
+                                newTenantRoutes,
+                                false),
                         violations)
                 : new Outcome(null, violations);
     }
 
-    /** Where a change stands in its batch, as messages have it. */
-    private static Position withStore(int change) {
-        return new Position("batch", change + 1, 1);
+    /** The position that violations report for a change: its place in the batch, from 1, as the line. */
+    private static Position positionOf(int changeIndex) {
+        return new Position("batch", changeIndex + 1, 1);
     }
 
     private RouteValidation validateRoutes(
-            List<EntryChange> changes, VersionedStore after, long version, List<Violation> violations) {
+            List<EntryChange> changes, VersionedStore newStore, long version, List<Violation> violations) {
         RouteValidator.Tenants tenants = new RouteValidator.Tenants() {
             @Override
             public boolean contains(String name) {
-                return after.get(new EntryKey(EntryKind.TENANT, name)) != null;
+                return newStore.get(new EntryKey(EntryKind.TENANT, name)) != null;
             }
 
             @Override
             public Iterable<String> names() {
-                return () -> after.live().range(TENANTS_START, null, 1_001).stream()
+                return () -> newStore.live().range(TENANTS_START, null, 1_001).stream()
                         .filter(i -> i.key()[0] == TENANTS_START[0])
                         .map(i -> EntryKey.of(i.key()).name())
                         .iterator();
             }
         };
         if (changes.stream().anyMatch(c -> c.key().kind() == EntryKind.LIMITS)) {
-            return validateAllRoutes(after, version, tenants, violations);
+            return validateAllRoutes(newStore, version, tenants, violations);
         }
-        List<RouteChange> ofRoutes = new ArrayList<>();
+        List<RouteChange> routeChanges = new ArrayList<>();
         for (int i = 0; i < changes.size(); i++) {
             EntryChange change = changes.get(i);
             if (change.key().kind() == EntryKind.ROUTE) {
@@ -190,25 +212,27 @@
                 try {
                     section = change.value() == null
                             ? null
-                            : requireName(change.key().name(), RouteCodec.decode(change.value(), withStore(i)));
+                            : requireName(change.key().name(), RouteCodec.decode(change.value(), positionOf(i)));
                 } catch (IllegalArgumentException e) {
-                    violations.add(new Violation(withStore(i), change.key().toString(), Rule.SYNTAX, e.getMessage(), ""));
+                    violations.add(
+                            new Violation(positionOf(i), change.key().toString(), Rule.SYNTAX, e.getMessage(), ""));
                 }
                 if (section != null || change.value() == null) {
-                    // Whether it was there has been looked at, whatever came of it within the batch.
-                    ofRoutes.add(new RouteChange(
+                    // Whether the entry exists was checked above, with all changes of the batch. The operation here
+                    // is relative to the store, since only the last change of each key counts.
+                    routeChanges.add(new RouteChange(
                             store.get(change.key()) == null ? Op.PUT : change.op() == Op.PUT ? Op.REPLACE : change.op(),
                             change.key().name(),
                             section,
-                            withStore(i)));
+                            positionOf(i)));
                 }
             }
         }
-        ofRoutes.removeIf(c -> c.section() == null && store.get(new EntryKey(EntryKind.ROUTE, c.name())) == null);
-        return RouteValidator.validateChanges(routes, ofRoutes, version, tenants);
+        routeChanges.removeIf(c -> c.section() == null && store.get(new EntryKey(EntryKind.ROUTE, c.name())) == null);
+        return RouteValidator.validateChanges(routes, routeChanges, version, tenants);
     }
 
-    /** A route's own name is its entry's, and is not kept twice; where it has none it is its path. */
+    /** Checks that a route's name, which is its path if it has none, is the name of its entry. */
     private static Section requireName(String name, Section route) {
         if (name.equals(RouteCodec.nameOf(route))) {
             return route;
@@ -216,27 +240,27 @@
         throw new IllegalArgumentException("the entry of route " + name + " has the name " + RouteCodec.nameOf(route));
     }
 
-    /** Defaults or a class have changed: all routes are proved by them. */
+    /** Validates all routes, because the defaults or a class have changed. */
     private RouteValidation validateAllRoutes(
-            VersionedStore after, long version, RouteValidator.Tenants tenants, List<Violation> violations) {
-        List<Section> others = readLimits(after.live(), violations);
-        RouteValidator prover = RouteValidator.begin(others, settings, true, routes, version, tenants);
-        byte[] first = new EntryKey(EntryKind.ROUTE, "").bytes();
-        for (Item route = after.live().ceiling(first);
-                route != null && route.key()[0] == first[0];
-                route = after.live().ceiling(PackedTree.successor(route.key()))) {
+            VersionedStore newStore, long version, RouteValidator.Tenants tenants, List<Violation> violations) {
+        List<Section> limits = readLimits(newStore.live(), violations);
+        RouteValidator validator = RouteValidator.begin(limits, settings, true, routes, version, tenants);
+        byte[] routesStart = new EntryKey(EntryKind.ROUTE, "").bytes();
+        for (Item route = newStore.live().ceiling(routesStart);
+                route != null && route.key()[0] == routesStart[0];
+                route = newStore.live().ceiling(PackedTree.successor(route.key()))) {
             String name = EntryKey.of(route.key()).name();
-            Position at = new Position("route " + name, 1, 1);
+            Position position = new Position("route " + name, 1, 1);
             try {
-                prover.addRoute(requireName(name, RouteCodec.decode(route.value(), at)));
+                validator.addRoute(requireName(name, RouteCodec.decode(route.value(), position)));
             } catch (IllegalArgumentException e) {
-                violations.add(new Violation(at, "route " + name, Rule.SYNTAX, e.getMessage(), ""));
+                violations.add(new Violation(position, "route " + name, Rule.SYNTAX, e.getMessage(), ""));
             }
         }
-        return prover.finish();
+        return validator.finish();
     }
 
-    private static void validateTenant(EntryChange change, Position at, List<Violation> violations) {
+    private static void validateTenant(EntryChange change, Position position, List<Violation> violations) {
         if (change.value() == null) {
             return;
         }
@@ -248,7 +272,7 @@
             });
         } catch (IllegalArgumentException e) {
             violations.add(new Violation(
-                    at,
+                    position,
                     change.key().toString(),
                     Rule.OUT_OF_RANGE,
                     e.getMessage(),
@@ -256,70 +280,81 @@
         }
     }
 
-    private static void validateService(EntryChange change, Position at, List<Violation> violations) {
+    private static void validateService(EntryChange change, Position position, List<Violation> violations) {
         try {
             if (change.value() != null) {
                 FieldCodec.read(change.value(), (number, value) -> {});
             }
         } catch (IllegalArgumentException e) {
-            violations.add(new Violation(at, change.key().toString(), Rule.SYNTAX, e.getMessage(), ""));
+            violations.add(new Violation(position, change.key().toString(), Rule.SYNTAX, e.getMessage(), ""));
         }
     }
 
-    private static void requireNoRoutes(PackedTree owned, String tenant, Position at, List<Violation> violations) {
+    private static void requireNoRoutes(
+            PackedTree tenantRoutes, String tenant, Position position, List<Violation> violations) {
         byte[] prefix = tenantRouteKey(tenant, EMPTY_BYTES);
-        Item item = owned.ceiling(prefix);
+        Item item = tenantRoutes.ceiling(prefix);
         if (item != null
                 && Arrays.equals(prefix, 0, prefix.length, item.key(), 0, Math.min(prefix.length, item.key().length))) {
             violations.add(new Violation(
-                    at,
+                    position,
                     "tenant " + tenant,
                     Rule.UNKNOWN_TENANT,
                     "route " + FieldCodec.text(Arrays.copyOfRange(item.key(), prefix.length, item.key().length))
-                            + " is its",
-                    "without that route"));
+                            + " belongs to it",
+                    "deleting that route first"));
         }
     }
 
     private static byte[] tenantRouteKey(String tenant, byte[] route) {
-        byte[] name = FieldCodec.utf8(tenant);
-        byte[] key = Arrays.copyOf(name, name.length + 1 + route.length);
-        System.arraycopy(route, 0, key, name.length + 1, route.length);
+        byte[] tenantName = FieldCodec.utf8(tenant);
+        byte[] key = Arrays.copyOf(tenantName, tenantName.length + 1 + route.length);
+        System.arraycopy(route, 0, key, tenantName.length + 1, route.length);
         return key;
     }
 
     private PackedTree updateTenantRoutes(PackedTree before, byte[] key, byte[] value) {
         PackedTree after = before;
-        byte[] name = Arrays.copyOfRange(key, 1, key.length);
-        Item old = routes.entries().get(key);
-        String was = old == null ? null : RouteCodec.tenantOf(old.value());
-        if (was != null) {
-            after = after.remove(tenantRouteKey(was, name));
+        byte[] routeName = Arrays.copyOfRange(key, 1, key.length);
+        Item oldEntry = routes.entries().get(key);
+        String oldTenant = oldEntry == null ? null : RouteCodec.tenantOf(oldEntry.value());
+        if (oldTenant != null) {
+            after = after.remove(tenantRouteKey(oldTenant, routeName));
         }
-        String is = value == null ? null : RouteCodec.tenantOf(value);
-        return is == null ? after : after.put(tenantRouteKey(is, name), EMPTY_BYTES, 0);
+        String newTenant = value == null ? null : RouteCodec.tenantOf(value);
+        return newTenant == null ? after : after.put(tenantRouteKey(newTenant, routeName), EMPTY_BYTES, 0);
     }
 
-    // ---------------------------------------------------------------- what was proved elsewhere
+    // ---------------------------------------------------------------- entries validated elsewhere
 
     @Override
     public RouteConfiguration withEntry(byte[] key, byte[] value, PackedTree live) {
-        EntryKey of = EntryKey.of(key);
-        if (of.kind() == EntryKind.LIMITS) {
+        EntryKey entryKey = EntryKey.of(key);
+        if (entryKey.kind() == EntryKind.LIMITS) {
             return new RouteConfiguration(settings, store, routes, tenantRoutes, true);
         }
-        if (of.kind() != EntryKind.ROUTE) {
+        if (entryKey.kind() != EntryKind.ROUTE) {
             return this;
         }
         return new RouteConfiguration(
-                settings, store, routes.withRoute(of.name(), value, live), updateTenantRoutes(tenantRoutes, key, value), limitsChanged);
+                settings,
+                store,
+                routes.withRoute(entryKey.name(), value, live),
+                updateTenantRoutes(tenantRoutes, key, value),
+                limitsChanged);
     }
 
-    /** With an entry of a tree that all of it is read from already; for a start from what was kept. */
+    /**
+     * A configuration whose indexes also have an entry that is already in the tree that backs it; used on a start
+     * from a saved store.
+     *
+     * @param key bytes of an {@link EntryKey}
+     * @throws IllegalArgumentException if the key or a route's value cannot be decoded
+     */
     public RouteConfiguration withIndexedEntry(byte[] key, byte[] value) {
-        EntryKey of = EntryKey.of(key);
-        if (of.kind() != EntryKind.ROUTE) {
-            return of.kind() == EntryKind.LIMITS
+        EntryKey entryKey = EntryKey.of(key);
+        if (entryKey.kind() != EntryKind.ROUTE) {
+            return entryKey.kind() == EntryKind.LIMITS
                     ? new RouteConfiguration(settings, store, routes, tenantRoutes, true)
                     : this;
         }
@@ -327,10 +362,11 @@
         return new RouteConfiguration(
                 settings,
                 store,
-                routes.withIndexedRoute(of.name(), value),
+                routes.withIndexedRoute(entryKey.name(), value),
                 tenant == null
                         ? tenantRoutes
-                        : tenantRoutes.put(tenantRouteKey(tenant, Arrays.copyOfRange(key, 1, key.length)), EMPTY_BYTES, 0),
+                        : tenantRoutes.put(
+                                tenantRouteKey(tenant, Arrays.copyOfRange(key, 1, key.length)), EMPTY_BYTES, 0),
                 limitsChanged);
     }
 
@@ -345,7 +381,11 @@
                 false);
     }
 
-    /** What holds for all and for classes. */
+    /**
+     * The sections of the defaults and of the classes.
+     *
+     * @param violations receives a violation for each entry that cannot be decoded; null to throw instead
+     */
     private static List<Section> readLimits(PackedTree live, List<Violation> violations) {
         List<Section> sections = new ArrayList<>();
         for (Item item : live.range(
@@ -353,18 +393,18 @@
                 new EntryKey(EntryKind.SERVICE, "").bytes(),
                 Integer.MAX_VALUE)) {
             EntryKey key = EntryKey.of(item.key());
-            Position at = new Position(key.toString(), 1, 1);
+            Position position = new Position(key.toString(), 1, 1);
             try {
                 sections.add(new Section(
                         key.name().isEmpty() ? Section.Kind.DEFAULTS : Section.Kind.CLASS,
                         key.name(),
-                        at,
-                        RouteCodec.decode(item.value(), at).entries()));
+                        position,
+                        RouteCodec.decode(item.value(), position).entries()));
             } catch (IllegalArgumentException e) {
                 if (violations == null) {
                     throw e;
                 }
-                violations.add(new Violation(at, key.toString(), Rule.SYNTAX, e.getMessage(), ""));
+                violations.add(new Violation(position, key.toString(), Rule.SYNTAX, e.getMessage(), ""));
             }
         }
         return sections;
--- a/src/main/java/vetchpost/routes/ClosestMatch.java
+++ b/src/main/java/vetchpost/routes/ClosestMatch.java
@@ -1,36 +1,37 @@
 package vetchpost.routes;
 
-/** What was meant by a word that is not known. */
+/** Suggests what an unknown word in the operator's file was meant to be. Stateless. */
 final class ClosestMatch {
-    /** How far a misspelt word may be from the one that was meant. */
+    /** Maximum edit distance of a misspelt word from the word that is suggested. */
     private static final int MAX_EDIT_DISTANCE = 3;
-    /**
-     * Among more than this nobody looks: each word costs some microseconds, and a file may have many wrong
-     * ones.
-     */
+    /** No suggestion among more words: each costs some microseconds, and a file may have many unknown words. */
     private static final int MAX_CANDIDATES = 1_000;
 
     private ClosestMatch() {}
 
-    /** The known word that is nearest, or all of them where none is near. */
+    /**
+     * The known word closest to a text in single quotes, or a list of all known words where none is close.
+     *
+     * @return empty if there are more than 1,000 known words
+     */
     static String of(String text, Iterable<String> known) {
-        String best = "";
-        int least = MAX_EDIT_DISTANCE + 1;
-        int seen = 0;
-        for (String each : known) {
-            if (++seen > MAX_CANDIDATES) {
+        String closest = "";
+        int minDistance = MAX_EDIT_DISTANCE + 1;
+        int candidates = 0;
+        for (String word : known) {
+            if (++candidates > MAX_CANDIDATES) {
                 return "";
             }
-            int distance = editDistance(text, each);
-            if (distance < least) {
-                least = distance;
-                best = each;
+            int distance = editDistance(text, word);
+            if (distance < minDistance) {
+                minDistance = distance;
+                closest = word;
             }
         }
-        return best.isEmpty() ? "one of " + String.join(", ", known) : "'" + best + "'";
+        return closest.isEmpty() ? "one of " + String.join(", ", known) : "'" + closest + "'";
     }
 
-    /** Edits between two words (Wagner and Fischer, 1974). */
+    /** The number of edits between two words (Wagner and Fischer, 1974). */
     private static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
--- a/src/main/java/vetchpost/routes/Explanation.java
+++ b/src/main/java/vetchpost/routes/Explanation.java
@@ -2,25 +2,32 @@
 
 import java.util.Locale;
 
-/** What holds for a route, in words, and the worst course that its attempts can take, as a small picture. */
+/**
+ * Describes the limits of a route as text, with a chart of the latest possible schedule of its attempts. Used by
+ * {@code vetchpost check}. Stateless.
+ */
 public final class Explanation {
     private static final int CHART_WIDTH_CHARS = 60;
 
     private Explanation() {}
 
-    /** Some lines on the route, the last with its end. */
+    /** The description, in several lines of which each ends with a line break. */
     public static String of(Route route) {
         Limits limits = route.limits();
         StringBuilder text = new StringBuilder("route " + route.name() + "\n");
         appendLine(
                 text,
                 "attempt-timeout",
-                limits.attemptTimeoutUs() == 0 ? "with the request" : RouteValidator.formatDuration(limits.attemptTimeoutUs()));
+                limits.attemptTimeoutUs() == 0
+                        ? "none, ends with the request"
+                        : RouteValidator.formatDuration(limits.attemptTimeoutUs()));
         appendLine(
                 text,
                 "total-timeout",
-                limits.requestTimeoutUs() == 0 ? "with the client" : RouteValidator.formatDuration(limits.requestTimeoutUs()));
-        appendLine(text, "attempts", limits.maxAttempts() + " that may have run");
+                limits.requestTimeoutUs() == 0
+                        ? "none, ends when the client gives up"
+                        : RouteValidator.formatDuration(limits.requestTimeoutUs()));
+        appendLine(text, "attempts", limits.maxAttempts() + " at most");
         appendLine(
                 text,
                 "backoff",
@@ -30,17 +37,17 @@
                                 + Math.round(100 * limits.jitter()) + "% longer");
         appendLine(
                 text,
-                "second copy",
+                "hedged request",
                 limits.hedgeAfterUs() > 0
                         ? "after " + RouteValidator.formatDuration(limits.hedgeAfterUs()) + ", at the latest "
                                 + RouteValidator.formatDuration(limits.latestHedgeUs())
                         : limits.hedgePercentile() > 0
-                                ? "after the " + limits.hedgePercentile() + "th percentile of its answers"
+                                ? "after the " + limits.hedgePercentile() + "th percentile of its latencies"
                                 : "none");
         appendLine(
                 text,
                 "retry-budget",
-                limits.retryBudgetFraction() == 0 ? "none" : limits.retryBudgetFraction() + " of first tries");
+                limits.retryBudgetFraction() == 0 ? "none" : limits.retryBudgetFraction() + " of first attempts");
         appendLine(
                 text,
                 "concurrency",
@@ -49,7 +56,9 @@
         appendLine(
                 text,
                 "retry-after",
-                limits.retryAfterUs() < 0 ? "as the module says" : RouteValidator.formatDuration(limits.retryAfterUs()));
+                limits.retryAfterUs() < 0
+                        ? "as the balancer advises"
+                        : RouteValidator.formatDuration(limits.retryAfterUs()));
         if (limits.attemptTimeoutUs() > 0) {
             appendChart(text, limits);
         }
@@ -63,20 +72,20 @@
     private static void appendChart(StringBuilder text, Limits limits) {
         int shown = Math.min(limits.maxAttempts(), 12);
         long endUs = limits.latestStartUs(shown) + limits.attemptTimeoutUs();
-        text.append("the latest course of its attempts, if none is answered:\n");
+        text.append("the latest schedule of its attempts, if none is answered:\n");
         for (int attempt = 1; attempt <= shown; attempt++) {
-            long from = limits.latestStartUs(attempt);
-            int before = (int) (CHART_WIDTH_CHARS * from / endUs);
-            int bars = Math.max(1, (int) (CHART_WIDTH_CHARS * limits.attemptTimeoutUs() / endUs));
+            long startUs = limits.latestStartUs(attempt);
+            int leadingSpaces = (int) (CHART_WIDTH_CHARS * startUs / endUs);
+            int barChars = Math.max(1, (int) (CHART_WIDTH_CHARS * limits.attemptTimeoutUs() / endUs));
             text.append(String.format(
                     Locale.ROOT,
                     "  %2d |%s%s%s| from %s to %s%n",
                     attempt,
-                    " ".repeat(before),
-                    "=".repeat(bars),
-                    " ".repeat(Math.max(0, CHART_WIDTH_CHARS - before - bars)),
-                    RouteValidator.formatDuration(from),
-                    RouteValidator.formatDuration(from + limits.attemptTimeoutUs())));
+                    " ".repeat(leadingSpaces),
+                    "=".repeat(barChars),
+                    " ".repeat(Math.max(0, CHART_WIDTH_CHARS - leadingSpaces - barChars)),
+                    RouteValidator.formatDuration(startUs),
+                    RouteValidator.formatDuration(startUs + limits.attemptTimeoutUs())));
         }
         if (limits.maxAttempts() > shown) {
             text.append("  and ").append(limits.maxAttempts() - shown).append(" more\n");
--- a/src/main/java/vetchpost/routes/FileRoutePolicy.java
+++ b/src/main/java/vetchpost/routes/FileRoutePolicy.java
@@ -12,17 +12,18 @@
 import vetchpost.store.PackedTree;
 
 /**
- * The routes of a proved file, with what they count: requests in hand for each route, and a retry budget for
- * each tenant of each, so that no tenant can spend another's. All of it is made when first used; of what was
- * used longest ago and has nothing in hand no more is kept than {@link #MAX_TRACKED_STATES}, and begins anew when used
- * again.
+ * Applies the limits of a validated route table to requests. It counts the requests in flight of each route, and
+ * has a retry budget for each tenant of each route, so that no tenant can spend another's. State is created on
+ * first use. At most {@link #MAX_TRACKED_STATES} states are kept: the least recently used ones are dropped, unless
+ * they have requests in flight, and start again when used again.
  *
- * <p>Another table comes into force at once and for requests from then on: what a route that stays the same
- * has counted goes on, one that changed counts on what it has in hand, and requests keep the bounds that they
- * began with.
+ * <p>A new table applies at once to requests that start from then on. Unchanged routes keep their counts and
+ * budgets, changed routes keep their requests in flight, and requests keep the limits that they started with.
+ *
+ * <p>The node's dispatcher calls it for each request. Not thread-safe: one instance belongs to one event loop.
  */
 public final class FileRoutePolicy implements RoutePolicy {
-    /** Routes, and tenants of routes; some 15 MB of each if all were kept. */
+    /** Maximum number of routes, and of tenants of routes, with state; each takes some 15 MB when full. */
     static final int MAX_TRACKED_STATES = 65_536;
 
     private RouteTable table;
@@ -34,8 +35,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<RouteId, RouteState> eldest) {
-            // One with requests in hand would lose count of them; it goes on being kept, and is looked at
-            // again.
+            // Dropping a route with requests in flight would lose their count. It stays, and is checked again.
             return size() > MAX_TRACKED_STATES && eldest.getValue().inFlight == 0;
         }
     };
@@ -48,19 +48,21 @@
         }
     };
 
-    /** A route for one class: its entry's key, or null for the class's own. */
+    /** Identifies a route for one class: the key of its entry, or null for the route of the class itself. */
     private static final class RouteId {
         private final int classIndex;
         private final byte[] entryKey;
 
-        RouteId(int cls, byte[] key) {
-            this.classIndex = cls;
-            this.entryKey = key;
+        RouteId(int classIndex, byte[] entryKey) {
+            this.classIndex = classIndex;
+            this.entryKey = entryKey;
         }
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof RouteId place && classIndex == place.classIndex && Arrays.equals(entryKey, place.entryKey);
+            return other instanceof RouteId that
+                    && classIndex == that.classIndex
+                    && Arrays.equals(entryKey, that.entryKey);
         }
 
         @Override
@@ -69,7 +71,7 @@
         }
     }
 
-    /** What a route counts, and by what entry and rules its limits were made. */
+    /** The requests in flight of a route, its limits, and the entry and table that they were decoded from. */
     private static final class RouteState {
         private Limits limits;
         private PackedTree.Item entry;
@@ -77,11 +79,14 @@
         private int inFlight;
     }
 
-    /** One tenant's of a route, as long as its limits are these. */
+    /** Identifies a tenant of a route, for as long as the route has these limits. */
     private record TenantRoute(RouteState state, Limits limits, int tenant) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof TenantRoute slot && state == slot.state && tenant == slot.tenant && limits == slot.limits;
+            return other instanceof TenantRoute that
+                    && state == that.state
+                    && tenant == that.tenant
+                    && limits == that.limits;
         }
 
         @Override
@@ -91,10 +96,11 @@
     }
 
     /**
-     * Nothing counted so far.
+     * A policy with no requests counted.
      *
-     * @param table of a file that holds
-     * @param seed of the jitter
+     * @param table of a valid file
+     * @param settings with the classes and tenants that requests refer to by index
+     * @param seed of the random jitter
      */
     public FileRoutePolicy(RouteTable table, Settings settings, long seed) {
         replaceTable(table, settings);
@@ -102,21 +108,24 @@
     }
 
     /**
-     * Has this table hold for requests from now on, by these classes and tenants; takes no time to speak of.
+     * Applies another table to requests from now on. Takes little time, whatever the number of routes: all
+     * state is decoded on first use.
+     *
+     * @param settings with the classes and tenants that requests refer to by index
      */
-    public void replaceTable(RouteTable now, Settings settings) {
-        List<String> names = settings.classes.stream().map(c -> c.name()).toList();
-        if (classes != null && !(classes.equals(names) && now.rules().sharesTenants(table.rules()))) {
-            // Counts are kept by the places of both.
+    public void replaceTable(RouteTable newTable, Settings settings) {
+        List<String> classNames = settings.classes.stream().map(c -> c.name()).toList();
+        if (classes != null && !(classes.equals(classNames) && newTable.rules().sharesTenants(table.rules()))) {
+            // The states are keyed by the indexes of classes and tenants, which have changed.
             states.clear();
             tenantLimits.clear();
         }
-        table = now;
-        classes = names;
+        table = newTable;
+        classes = classNames;
         defaultRetryAfterUs = settings.maxRetryAfterUs;
     }
 
-    /** The table in force. */
+    /** The table that applies to new requests. */
     public RouteTable table() {
         return table;
     }
@@ -129,31 +138,31 @@
             return null;
         }
         RouteState state = updateState(request.classIndex(), match);
-        TenantRoute slot = new TenantRoute(state, state.limits, request.tenant());
-        TenantLimits found = tenantLimits.get(slot);
-        if (found == null) {
-            found = new TenantLimits(state, state.limits);
-            tenantLimits.put(slot, found);
+        TenantRoute tenantRoute = new TenantRoute(state, state.limits, request.tenant());
+        TenantLimits limits = tenantLimits.get(tenantRoute);
+        if (limits == null) {
+            limits = new TenantLimits(state, state.limits);
+            tenantLimits.put(tenantRoute, limits);
         }
-        return found;
+        return limits;
     }
 
-    private RouteState updateState(int cls, RouteTable.Match match) {
+    private RouteState updateState(int classIndex, RouteTable.Match match) {
         PackedTree.Item entry = match.entry();
-        RouteId place = new RouteId(cls, entry == null ? null : entry.key());
-        RouteState state = states.get(place);
+        RouteId routeId = new RouteId(classIndex, entry == null ? null : entry.key());
+        RouteState state = states.get(routeId);
         if (state == null) {
             state = new RouteState();
-            states.put(place, state);
+            states.put(routeId, state);
         }
-        boolean sameEntry = entry == null
+        boolean isSameEntry = entry == null
                 ? state.entry == null
                 : state.entry != null
                         && state.entry.stamp() == entry.stamp()
                         && Arrays.equals(state.entry.value(), entry.value());
-        if (state.limits == null || !sameEntry || state.table != table && !state.table.hasSameRulesAs(table)) {
+        if (state.limits == null || !isSameEntry || state.table != table && !state.table.hasSameRulesAs(table)) {
             Limits limits = table.route(match).limits();
-            // The same limits go on as they are, with all that is counted by them.
+            // Equal limits stay the same object: the budgets of tenants are keyed by its identity.
             state.limits = limits.equals(state.limits) ? state.limits : limits;
         }
         state.entry = entry;
@@ -161,7 +170,7 @@
         return state;
     }
 
-    /** A route's bounds for one tenant. */
+    /** The limits of a route for one tenant, with that tenant's retry budget and latencies. */
     private final class TenantLimits implements RouteLimits {
         private final RouteState state;
         private final Limits limits;
@@ -194,8 +203,8 @@
 
         @Override
         public long hedgeDelayUs() {
-            long leastUs = latencies == null ? limits.hedgeAfterUs() : latencies.percentileUs();
-            return leastUs == 0 ? 0 : (long) (leastUs * (1 + limits.jitter() * random.nextDouble()));
+            long minDelayUs = latencies == null ? limits.hedgeAfterUs() : latencies.percentileUs();
+            return minDelayUs == 0 ? 0 : (long) (minDelayUs * (1 + limits.jitter() * random.nextDouble()));
         }
 
         @Override
@@ -207,8 +216,8 @@
 
         @Override
         public long retryDelayUs(int attempts) {
-            long leastUs = limits.backoffUs(attempts);
-            return leastUs == 0 ? 0 : (long) (leastUs * (1 + limits.jitter() * random.nextDouble()));
+            long minDelayUs = limits.backoffUs(attempts);
+            return minDelayUs == 0 ? 0 : (long) (minDelayUs * (1 + limits.jitter() * random.nextDouble()));
         }
 
         @Override
@@ -244,8 +253,10 @@
         }
 
         @Override
-        public long retryAfterUs(long otherwiseUs) {
-            return limits.retryAfterUs() >= 0 ? limits.retryAfterUs() : otherwiseUs > 0 ? otherwiseUs : defaultRetryAfterUs;
+        public long retryAfterUs(long fallbackUs) {
+            return limits.retryAfterUs() >= 0
+                    ? limits.retryAfterUs()
+                    : fallbackUs > 0 ? fallbackUs : defaultRetryAfterUs;
         }
     }
 }
--- a/src/main/java/vetchpost/routes/Limits.java
+++ b/src/main/java/vetchpost/routes/Limits.java
@@ -1,19 +1,19 @@
 package vetchpost.routes;
 
 /**
- * What holds for the requests of a route.
+ * The limits of a route's requests. Times are in microseconds.
  *
- * @param attemptUs an attempt is given up after so long; 0: with the request
- * @param totalUs a request is given up after so long; 0: with its client
- * @param attempts how many attempts may have run, the first included
+ * @param attemptTimeoutUs after which an attempt is given up; 0: only with the request
+ * @param requestTimeoutUs after which a request is given up; 0: only when its client gives up
+ * @param maxAttempts including the first
  * @param backoffUs wait before the second attempt, doubled before each further one
- * @param jitter each wait is drawn from itself to this share longer
- * @param copyUs a second copy is sent after so long without an answer; 0: none, or by the percentile
- * @param copyPercentile or after this percentile of the route's own answers; 0: none
- * @param retryBudget repeats as a share of first tries; 0: without a budget
- * @param concurrency requests in hand at a time; 0: without a limit
- * @param bodyBytes longest body
- * @param retryAfterUs what refusals advise; -1: as the module says
+ * @param jitter each wait is lengthened by a random fraction of itself, from 0 to this
+ * @param hedgeAfterUs a hedged request is sent after this time without an answer; 0: none, or by the percentile
+ * @param hedgePercentile a hedged request is sent after this percentile of the route's latencies; 0: none
+ * @param retryBudgetFraction retries as a fraction of first attempts, from 0 to 1; 0: no budget
+ * @param maxConcurrency requests in flight; 0: no limit
+ * @param maxBodyBytes of a request
+ * @param retryAfterUs advised by rejections; -1: as the balancer advises
  */
 public record Limits(
         long attemptTimeoutUs,
@@ -28,24 +28,29 @@
         long maxBodyBytes,
         long retryAfterUs) {
 
-    /** When the latest attempt of so many could begin, counted from the first, in microseconds. */
+    /**
+     * The latest start of an attempt after that of the first, in microseconds.
+     *
+     * @param attempt number of the attempt, from 1
+     */
     public long latestStartUs(int attempt) {
-        double at = 0;
+        double startUs = 0;
         for (int i = 1; i < attempt; i++) {
-            at += attemptTimeoutUs + backoffUs(i) * (1 + jitter);
+            startUs += attemptTimeoutUs + backoffUs(i) * (1 + jitter);
         }
-        return (long) Math.ceil(at);
+        return (long) Math.ceil(startUs);
     }
 
-    /**
-     * When a second copy could be sent at the latest, with its jitter; 0 if there are none by a fixed
-     * wait.
-     */
+    /** The latest start of a hedged request with jitter, in microseconds; 0 if none is sent after a fixed time. */
     public long latestHedgeUs() {
         return (long) Math.ceil(hedgeAfterUs * (1 + jitter));
     }
 
-    /** The shortest wait after so many attempts. */
+    /**
+     * The wait before the next attempt without jitter, in microseconds.
+     *
+     * @param attemptsMade so far, from 1; the wait is no longer doubled from 11 on
+     */
     public long backoffUs(int attemptsMade) {
         return backoffUs << Math.min(attemptsMade - 1, 10);
     }
--- a/src/main/java/vetchpost/routes/MatchKey.java
+++ b/src/main/java/vetchpost/routes/MatchKey.java
@@ -4,9 +4,9 @@
 import vetchpost.store.FieldCodec;
 
 /**
- * Builds the bytes by which a route is found: its segments, whether it is a prefix, and its tenant, method
- * and class. No key begins with another's segments unless its path does, so that what lies below a path is a
- * range of keys.
+ * Builds the key of the match index of {@link RouteTable}: the path segments, whether the path is a prefix, then
+ * tenant, method and class. A key begins with the segments of another only if its path does, so that all keys below
+ * a path are one range. Mutable; used by one thread for one lookup or insertion.
  */
 final class MatchKey {
     private static final byte FIELD_END = 1;
@@ -14,7 +14,7 @@
     private static final byte PATH_PREFIX = 3;
     private static final byte ANY_SEGMENT = 4;
     private static final byte TEXT_SEGMENT = 5;
-    /** Bytes under 8 are written as this and a letter: none in a text is taken for one of ours. */
+    /** Written before a letter in place of a text byte below 8, so that texts cannot contain the markers above. */
     private static final byte ESCAPE = 7;
 
     private static final int MIN_PLAIN_BYTE = 8;
@@ -22,20 +22,21 @@
     private byte[] bytes = new byte[96];
     private int length;
 
-    /** Where it ends now; {@link #truncate} goes back there. */
+    /** The current length, for {@link #truncate}. */
     int mark() {
         return length;
     }
 
+    /** Removes all that was added since the mark. */
     void truncate(int mark) {
         length = mark;
     }
 
-    private void addByte(byte b) {
+    private void addByte(byte value) {
         if (length == bytes.length) {
             bytes = Arrays.copyOf(bytes, 2 * length);
         }
-        bytes[length++] = b;
+        bytes[length++] = value;
     }
 
     private void addText(String text) {
@@ -51,15 +52,16 @@
         }
     }
 
-    private void addEscaped(byte b) {
-        if (b >= 0 && b < MIN_PLAIN_BYTE) {
+    private void addEscaped(byte value) {
+        if (value >= 0 && value < MIN_PLAIN_BYTE) {
             addByte(ESCAPE);
-            addByte((byte) ('a' + b));
+            addByte((byte) ('a' + value));
         } else {
-            addByte(b);
+            addByte(value);
         }
     }
 
+    /** Adds a segment that matches only this text. */
     MatchKey addSegment(String text) {
         addByte(TEXT_SEGMENT);
         addText(text);
@@ -67,19 +69,20 @@
         return this;
     }
 
+    /** Adds a segment that matches any text. */
     MatchKey addAnySegment() {
         addByte(ANY_SEGMENT);
         addByte(FIELD_END);
         return this;
     }
 
-    /** The path ends here, or more may follow. */
-    MatchKey addPathEnd(boolean prefix) {
-        addByte(prefix ? PATH_PREFIX : EXACT_PATH);
+    /** Ends the path; a prefix matches paths with more segments too. */
+    MatchKey addPathEnd(boolean isPrefix) {
+        addByte(isPrefix ? PATH_PREFIX : EXACT_PATH);
         return this;
     }
 
-    /** Each empty for all. */
+    /** Adds the other conditions, each of which is empty if it matches everything. */
     MatchKey addConditions(String tenant, String method, String cls) {
         addText(tenant);
         addByte(FIELD_END);
@@ -93,7 +96,7 @@
         return Arrays.copyOf(bytes, length);
     }
 
-    /** Whether that key begins with what is here. */
+    /** Whether a key begins with this one. */
     boolean isPrefixOf(byte[] key) {
         return key.length >= length && Arrays.equals(key, 0, length, bytes, 0, length);
     }
--- a/src/main/java/vetchpost/routes/Position.java
+++ b/src/main/java/vetchpost/routes/Position.java
@@ -1,8 +1,9 @@
 package vetchpost.routes;
 
 /**
- * Where something stands in the operator's file.
+ * A position in the operator's file, or of a change in a batch.
  *
+ * @param file name, or what stands for it in messages
  * @param line from 1
  * @param column from 1
  */
--- a/src/main/java/vetchpost/routes/RetryBudget.java
+++ b/src/main/java/vetchpost/routes/RetryBudget.java
@@ -1,19 +1,19 @@
 package vetchpost.routes;
 
 /**
- * Repeats as a share of first tries, as in Finagle's RetryBudget and gRPC's retry throttling: each first try
- * pays in the share, each repeat takes one out. What is saved up is bounded, so that a long calm does not
- * pay for a storm.
+ * Limits retries to a fraction of first attempts, as Finagle's RetryBudget and gRPC's retry throttling do: each
+ * first attempt adds the fraction, each retry takes one. The balance is bounded, so that a long quiet period does
+ * not pay for a retry storm. {@link FileRoutePolicy} has one for each tenant of a route. Not thread-safe.
  */
 final class RetryBudget {
-    /** Repeats that can be saved up, and that a route begins with: its first failures are no storm. */
+    /** Maximum and initial balance; a route starts with it, as its first few failures are not a retry storm. */
     private static final double MAX_SAVED_RETRIES = 10;
 
     private final double retriesPerFirstAttempt;
     private double savedRetries = MAX_SAVED_RETRIES;
 
-    RetryBudget(double share) {
-        this.retriesPerFirstAttempt = share;
+    RetryBudget(double retriesPerFirstAttempt) {
+        this.retriesPerFirstAttempt = retriesPerFirstAttempt;
     }
 
     void recordFirstAttempt() {
--- a/src/main/java/vetchpost/routes/RouteCodec.java
+++ b/src/main/java/vetchpost/routes/RouteCodec.java
@@ -8,28 +8,29 @@
 import vetchpost.store.FieldCodec;
 
 /**
- * A route's keys and values as bytes, without its name: in the order of the keys, each with its type, so that
- * the same route has the same bytes whatever order it was written in.
+ * Encodes the keys and values of a route as bytes, in the order of {@link RouteValidator.Key} and with their types,
+ * so that a route has the same bytes whatever the order of its lines. Route tables, configurations and file indexes
+ * use it. Stateless.
  */
 public final class RouteCodec {
     private RouteCodec() {}
 
     /**
-     * The name of a route: what it says, else its path, else empty.
+     * The name of a route: the one that it is given, else its path, else empty.
      *
-     * @return null if what it says is no text
+     * @return null if the value is not a text
      */
     public static String nameOf(Section route) {
         Entry name = route.entries().get(Key.NAME.text());
         Entry path = route.entries().get(Key.PATH.text());
-        Object said = name != null ? name.value() : path != null ? path.value() : "";
-        return said instanceof String text ? text : null;
+        Object value = name != null ? name.value() : path != null ? path.value() : "";
+        return value instanceof String text ? text : null;
     }
 
     /**
-     * Bytes of a route.
+     * Encodes a route, or the limits of a class.
      *
-     * @throws IllegalArgumentException if it holds what no proved route does
+     * @throws IllegalArgumentException if a key is unknown or a value cannot be encoded
      */
     public static byte[] encode(Section route) {
         for (String key : route.entries().keySet()) {
@@ -37,17 +38,21 @@
                 throw new IllegalArgumentException("unknown key '" + key + "'");
             }
         }
-        FieldCodec.Encoder packer = new FieldCodec.Encoder();
+        FieldCodec.Encoder encoder = new FieldCodec.Encoder();
         for (Key key : Key.values()) {
             Entry entry = route.entries().get(key.text());
             if (entry != null) {
-                packer.add(key.ordinal(), entry.value());
+                encoder.add(key.ordinal(), entry.value());
             }
         }
-        return packer.bytes();
+        return encoder.bytes();
     }
 
-    /** The tenant that a route's bytes name, or null. */
+    /**
+     * The name of the tenant of an encoded route, or null if it has none.
+     *
+     * @throws IllegalArgumentException if the bytes are not a route
+     */
     public static String tenantOf(byte[] route) {
         String[] found = new String[1];
         FieldCodec.read(route, (number, value) -> {
@@ -59,20 +64,20 @@
     }
 
     /**
-     * A route from its bytes.
+     * Decodes a route, or the limits of a class.
      *
-     * @param at where messages say that it stands
-     * @throws IllegalArgumentException if these are no route's
+     * @param position given to the section and its entries, for messages
+     * @throws IllegalArgumentException if the bytes are not a route
      */
-    public static Section decode(byte[] bytes, Position at) {
+    public static Section decode(byte[] bytes, Position position) {
         Map<String, Entry> entries = new LinkedHashMap<>();
         Key[] keys = Key.values();
         FieldCodec.read(bytes, (number, value) -> {
             if (number >= keys.length) {
-                throw new IllegalArgumentException("key " + number + " of " + keys.length);
+                throw new IllegalArgumentException("key number " + number + " is not below " + keys.length);
             }
-            entries.put(keys[number].text(), new Entry(value, at));
+            entries.put(keys[number].text(), new Entry(value, position));
         });
-        return new Section(Kind.ROUTE, "", at, entries);
+        return new Section(Kind.ROUTE, "", position, entries);
     }
 }
--- a/src/main/java/vetchpost/routes/RouteKey.java
+++ b/src/main/java/vetchpost/routes/RouteKey.java
@@ -4,51 +4,56 @@
 import java.util.List;
 
 /**
- * What a route matches.
+ * The requests that a route matches, and the parser of path patterns and request paths.
  *
- * @param method or empty for any
- * @param segments of the path after the class; {@link #ANY_SEGMENT} for one of any text
+ * @param cls class; empty for any, on a node without a platform
+ * @param method empty for any
+ * @param segments of the path, without the class where the path begins with it; {@link #ANY_SEGMENT} matches any text
  * @param prefix whether more segments may follow
- * @param cls or empty for any, where paths are the application's own
- * @param tenant its name, or empty for every
+ * @param tenant name of the tenant; empty for any
  */
 record RouteKey(String cls, String method, List<String> segments, boolean prefix, String tenant) {
-    /** A segment of any text. */
+    /** A segment that matches any text. */
     static final String ANY_SEGMENT = "{}";
 
     private static final int MAX_SEGMENTS = 32;
     private static final int MAX_PATTERN_CHARS = 1_024;
 
-    /** A path that is not written as it would match. */
+    /** Thrown for a path pattern that is not valid; the message gives the reason. */
     static final class InvalidPatternException extends Exception {
         private static final long serialVersionUID = 1;
 
-        InvalidPatternException(String what) {
-            super(what, null, false, false);
+        InvalidPatternException(String problem) {
+            super(problem, null, false, false);
         }
     }
 
     /**
-     * Cuts a pattern: a path of plain segments and {@code {name}}, with {@code /*} at its end for a prefix.
+     * Splits a pattern into segments: a path of plain segments and {@code {name}}, with {@code /*} at the end for a
+     * prefix.
      *
-     * @return the segments, and as the last one "*" for a prefix
+     * @return the segments, the last of which is "*" for a prefix
      */
     static List<String> parsePattern(String path) throws InvalidPatternException {
         if (!path.startsWith("/") || path.length() > MAX_PATTERN_CHARS) {
-            throw new InvalidPatternException("a path begins with / and has " + MAX_PATTERN_CHARS + " characters at most");
+            throw new InvalidPatternException(
+                    "a path begins with / and has " + MAX_PATTERN_CHARS + " characters at most");
         }
         List<String> segments = new ArrayList<>();
         String[] parts = path.substring(1).split("/", -1);
         for (int i = 0; i < parts.length; i++) {
-            String part = parts[i];
-            if (part.matches("\\{[A-Za-z][A-Za-z0-9_-]*\\}")) {
+            String segment = parts[i];
+            if (segment.matches("\\{[A-Za-z][A-Za-z0-9_-]*\\}")) {
                 segments.add(ANY_SEGMENT);
-            } else if (part.equals("*") && i == parts.length - 1 && i > 0) {
+            } else if (segment.equals("*") && i == parts.length - 1 && i > 0) {
                 segments.add("*");
-            } else if (part.matches("[A-Za-z0-9._~!$&'()+,;=:@-]+") && !part.equals(".") && !part.equals("..")) {
-                segments.add(part);
+            } else if (segment.matches("[A-Za-z0-9._~!$&'()+,;=:@-]+")
+                    && !segment.equals(".")
+                    && !segment.equals("..")) {
+                segments.add(segment);
             } else {
-                throw new InvalidPatternException("'" + part + "' is neither plain text, nor {name}, nor * at the end");
+                throw new InvalidPatternException(
+                        "'" + segment + "' is neither plain text, nor {name}, nor * at the end");
             }
         }
         if (segments.size() > MAX_SEGMENTS) {
@@ -58,11 +63,12 @@
     }
 
     /**
-     * Cuts a request's path as patterns are: without the query, percent-decoded, empty segments left out. Dot
-     * segments, encoded slashes and broken escapes are no paths at all: a server that reads them in another
-     * way would be a way round a limit.
+     * Splits the path of a request into segments, without the query, percent-decoded and without empty segments.
+     * Dot segments, encoded slashes and broken escapes are rejected: a server that reads them in another way would
+     * allow a client to evade a limit.
      *
-     * @return null if it can be read in two ways
+     * @param target path and query as received
+     * @return null if the path is ambiguous or has more than 32 segments
      */
     static List<String> parsePath(String target) {
         int end = 0;
@@ -70,17 +76,17 @@
             end++;
         }
         List<String> segments = new ArrayList<>();
-        int from = 1;
+        int start = 1;
         for (int i = 1; i <= end; i++) {
             if (i == end || target.charAt(i) == '/') {
-                if (i > from) {
-                    String segment = decode(target.substring(from, i));
+                if (i > start) {
+                    String segment = decode(target.substring(start, i));
                     if (segment == null || segments.size() == MAX_SEGMENTS) {
                         return null;
                     }
                     segments.add(segment);
                 }
-                from = i + 1;
+                start = i + 1;
             }
         }
         return segments;
--- a/src/main/java/vetchpost/routes/RouteTable.java
+++ b/src/main/java/vetchpost/routes/RouteTable.java
@@ -16,14 +16,14 @@
 import vetchpost.store.PackedTree.Item;
 
 /**
- * Finds the route of a request: the most specific that matches. Paths count first, segment by segment from
- * the left, plain text before {@code {name}} before a prefix; then the tenant; then the method. It never
- * changes: a change of a route makes another table, which shares all but the way to that route
- * (docs/changes.md).
+ * Finds the most specific route that matches a request. Paths are compared first, segment by segment from the
+ * left, plain text before {@code {name}} before a prefix; then the tenant; then the method. A table is immutable
+ * and may be read by any thread: a change makes another table, which shares all nodes of its trees but those on
+ * the path to the changed route (docs/changes.md). {@link FileRoutePolicy} looks up requests in it.
  *
- * <p>Routes are kept as the bytes that were proved, by name, and found by match: a look-up is a few searches
- * in sorted bytes, so that its cost grows with the logarithm of the number of routes. Limits are made of the
- * bytes when asked for.
+ * <p>Routes are stored by name as their validated, encoded bytes, and indexed by what they match. A lookup is a few
+ * searches in sorted bytes, so its cost grows with the logarithm of the number of routes. Limits are decoded on
+ * demand.
  */
 public final class RouteTable {
     private static final String ANY_VALUE = "";
@@ -31,62 +31,62 @@
     private static final byte[] ROUTES_START = new EntryKey(EntryKind.ROUTE, "").bytes();
     private static final byte[] ROUTES_END = {(byte) (ROUTES_START[0] + 1)};
 
-    /** How limits are made of what a route says, its class and the defaults. */
+    /** Combines the limits of a route with those of its class and the defaults. */
     private final RouteValidator rules;
 
     private final boolean standalone;
     private final Map<String, Route> classRoutes;
-    /** By the bytes of their keys; entries of other kinds may be among them. */
+    /** Encoded routes by the bytes of their keys; entries of other kinds may be among them. */
     private final PackedTree entries;
-    /** Names, by match. */
+    /** Names of routes, by the bytes of {@link MatchKey}. */
     private final PackedTree namesByMatch;
-    /** How many routes requests of each class can have. */
+    /** The number of routes that requests of each class can match. */
     private final Map<String, Integer> routeCountByClass;
 
     private final int routeCount;
 
     /**
-     * The route of a request, before its limits are made.
+     * The route of a request, before its limits are decoded.
      *
-     * @param entry null for the route of its class
+     * @param cls name of the request's class
+     * @param entry of the route; null for the route of the class
      */
     record Match(String cls, Item entry) {}
 
-    /** No routes so far but one for each class, by its name. */
-    RouteTable(RouteValidator rules, boolean alone, Map<String, Route> otherwise) {
-        this(rules, alone, otherwise, PackedTree.EMPTY, PackedTree.EMPTY, Map.of(), 0);
+    /** A table with one route for each class, by the class's name, and no others. */
+    RouteTable(RouteValidator rules, boolean standalone, Map<String, Route> classRoutes) {
+        this(rules, standalone, classRoutes, PackedTree.EMPTY, PackedTree.EMPTY, Map.of(), 0);
     }
 
     private RouteTable(
             RouteValidator rules,
-            boolean alone,
-            Map<String, Route> otherwise,
+            boolean standalone,
+            Map<String, Route> classRoutes,
             PackedTree entries,
-            PackedTree matches,
-            Map<String, Integer> counts,
-            int routes) {
+            PackedTree namesByMatch,
+            Map<String, Integer> routeCountByClass,
+            int routeCount) {
         this.rules = rules;
-        this.standalone = alone;
-        this.classRoutes = otherwise;
+        this.standalone = standalone;
+        this.classRoutes = classRoutes;
         this.entries = entries;
-        this.namesByMatch = matches;
-        this.routeCountByClass = counts;
-        this.routeCount = routes;
+        this.namesByMatch = namesByMatch;
+        this.routeCountByClass = routeCountByClass;
+        this.routeCount = routeCount;
     }
 
-    /** The same routes, with what holds for classes and for all in the other one. */
+    /** The same routes, with the defaults and class limits of the other table. */
     RouteTable withRulesOf(RouteTable other) {
-        return new RouteTable(other.rules, standalone, other.classRoutes, entries, namesByMatch, routeCountByClass, routeCount);
+        return new RouteTable(
+                other.rules, standalone, other.classRoutes, entries, namesByMatch, routeCountByClass, routeCount);
     }
 
-    /**
-     * The same routes, read from a tree that holds the same entries of theirs, so that they are kept once.
-     */
-    public RouteTable backedBy(PackedTree same) {
-        return new RouteTable(rules, standalone, classRoutes, same, namesByMatch, routeCountByClass, routeCount);
+    /** The same routes, read from another tree with the same route entries, so that they are stored only once. */
+    public RouteTable backedBy(PackedTree sameEntries) {
+        return new RouteTable(rules, standalone, classRoutes, sameEntries, namesByMatch, routeCountByClass, routeCount);
     }
 
-    /** Whether these have the same limits for classes, and by their classes for all routes. */
+    /** Whether both tables apply the same defaults and class limits to their routes. */
     boolean hasSameRulesAs(RouteTable other) {
         return rules == other.rules;
     }
@@ -99,36 +99,36 @@
         return standalone;
     }
 
-    /** The entries of its routes, perhaps among others. */
+    /** The entries of the routes; entries of other kinds may be among them. */
     public PackedTree entries() {
         return entries;
     }
 
-    /** How many routes there are, besides those of classes. */
+    /** The number of routes, without those of classes. */
     public int size() {
         return routeCount;
     }
 
-    /** What the places come to by which its routes are found. */
+    /** Count and hash of the match index; equal for tables whose routes have the same names and matches. */
     public PackedTree.Sum matchSum() {
         return namesByMatch.sum();
     }
 
-    /** Bytes that it keeps beside its entries. */
+    /** Bytes retained by the match index, without the entries. */
     public long indexBytes() {
         return namesByMatch.retainedBytes();
     }
 
-    private static byte[] keyOf(String name) {
+    private static byte[] entryKeyOf(String name) {
         return new EntryKey(EntryKind.ROUTE, name).bytes();
     }
 
     /** Whether a route or a class has this name. */
     boolean isNamed(String name) {
-        return classRoutes.containsKey(name) || entries.get(keyOf(name)) != null;
+        return classRoutes.containsKey(name) || entries.get(entryKeyOf(name)) != null;
     }
 
-    /** The name of the route that matches the same as this would, or null. */
+    /** The name of a route that matches the same requests as this key, or null. */
     String findSameMatch(RouteKey key) {
         List<String> classes = new ArrayList<>(List.of(key.cls()));
         if (key.cls().isEmpty()) {
@@ -146,78 +146,80 @@
     }
 
     private byte[] matchBytes(RouteKey key, String cls) {
-        MatchKey into = new MatchKey();
+        MatchKey matchKey = new MatchKey();
         for (String segment : key.segments()) {
             if (segment.equals(RouteKey.ANY_SEGMENT)) {
-                into.addAnySegment();
+                matchKey.addAnySegment();
             } else {
-                into.addSegment(segment);
+                matchKey.addSegment(segment);
             }
         }
-        return into.addPathEnd(key.prefix()).addConditions(key.tenant(), key.method(), cls).bytes();
+        return matchKey.addPathEnd(key.prefix())
+                .addConditions(key.tenant(), key.method(), cls)
+                .bytes();
     }
 
-    private Map<String, Integer> adjustCounts(String cls, int by) {
-        Map<String, Integer> all = new LinkedHashMap<>(routeCountByClass);
-        for (String each : cls.isEmpty() ? classRoutes.keySet() : Set.of(cls)) {
-            all.merge(each, by, Integer::sum);
+    private Map<String, Integer> adjustCounts(String cls, int delta) {
+        Map<String, Integer> adjusted = new LinkedHashMap<>(routeCountByClass);
+        for (String name : cls.isEmpty() ? classRoutes.keySet() : Set.of(cls)) {
+            adjusted.merge(name, delta, Integer::sum);
         }
-        return all;
+        return adjusted;
     }
 
-    /** With one more route, which has been proved, from that version on. */
+    /** A table with one more, validated route, which was last changed at that version. */
     RouteTable with(String name, RouteKey key, byte[] route, long version) {
-        byte[] text = FieldCodec.utf8(name);
+        byte[] encodedName = FieldCodec.utf8(name);
         return new RouteTable(
                 rules,
                 standalone,
                 classRoutes,
-                entries.put(keyOf(name), route, version),
-                namesByMatch.put(matchBytes(key, key.cls()), text, 0),
+                entries.put(entryKeyOf(name), route, version),
+                namesByMatch.put(matchBytes(key, key.cls()), encodedName, 0),
                 adjustCounts(key.cls(), 1),
                 routeCount + 1);
     }
 
-    /** The version of a route if it has these bytes here too, else the other one. */
-    long versionOf(String name, byte[] route, long otherwise) {
-        Item item = entries.get(keyOf(name));
-        return item != null && Arrays.equals(item.value(), route) ? item.stamp() : otherwise;
+    /** The version of a route if this table has it with the same bytes, else the fallback. */
+    long versionOf(String name, byte[] route, long fallback) {
+        Item item = entries.get(entryKeyOf(name));
+        return item != null && Arrays.equals(item.value(), route) ? item.stamp() : fallback;
     }
 
-    /** Without a route; itself if there is none. */
+    /** A table without the route; this table if it has no such route. */
     RouteTable without(String name) {
         return without(name, null);
     }
 
-    /** The same, whose entries are these without it; null for its own less this one. */
+    /** A table without the route, backed by the given entries; null for this table's entries less the route's. */
     private RouteTable without(String name, PackedTree live) {
-        Item item = entries.get(keyOf(name));
+        Item item = entries.get(entryKeyOf(name));
         if (item == null) {
             return live == null ? this : backedBy(live);
         }
         RouteKey key = keyOf(item);
         byte[] match = matchBytes(key, key.cls());
-        Item found = namesByMatch.get(match);
-        // While many changes are taken in one by one, another may have taken its place by now.
-        boolean own = found != null
-                && Arrays.equals(found.value(), 0, found.value().length, item.key(), 1, item.key().length);
+        Item indexed = namesByMatch.get(match);
+        // While changes are applied one by one, another route may already have the same match.
+        boolean isIndexed = indexed != null
+                && Arrays.equals(indexed.value(), 0, indexed.value().length, item.key(), 1, item.key().length);
         return new RouteTable(
                 rules,
                 standalone,
                 classRoutes,
                 live == null ? entries.remove(item.key()) : live,
-                own ? namesByMatch.remove(match) : namesByMatch,
+                isIndexed ? namesByMatch.remove(match) : namesByMatch,
                 adjustCounts(key.cls(), -1),
                 routeCount - 1);
     }
 
     /**
-     * With what a change that was proved elsewhere makes of a route, in any order among other changes of
-     * theirs; it need not hold before the last is taken in.
+     * A table with a change that another node has validated. The changes of a batch may be applied in any order;
+     * the table is consistent only after the last one.
      *
-     * @param route null if it goes
-     * @param live all entries, this one among them as it is now
-     * @throws IllegalArgumentException if these bytes are no route's
+     * @param route the encoded route; null if it is deleted
+     * @param live all entries, with this change applied
+     * @throws IllegalArgumentException if the bytes are not a route
      */
     public RouteTable withRoute(String name, byte[] route, PackedTree live) {
         RouteTable without = without(name, live);
@@ -235,7 +237,11 @@
                 without.routeCount + 1);
     }
 
-    /** With a route that is among the entries already, and not found yet. */
+    /**
+     * A table whose match index also has a route that is already among its entries.
+     *
+     * @throws IllegalArgumentException if the bytes are not a route
+     */
     public RouteTable withIndexedRoute(String name, byte[] route) {
         RouteKey key = keyOf(RouteCodec.decode(route, NO_POSITION));
         return new RouteTable(
@@ -256,43 +262,44 @@
         return rules.keyOf(section);
     }
 
-    // ---------------------------------------------------------------- look-up
+    // ---------------------------------------------------------------- lookup
 
     /**
-     * The route of a request.
+     * Finds the route of a request.
      *
-     * @param cls name of its class, one of the settings'
-     * @param target its path and query as written
-     * @param tenant index into the settings' tenants, or -1
-     * @return null if the path can be read in two ways
+     * @param cls name of the request's class, one of the settings
+     * @param target path and query as received
+     * @param tenant index into the tenants of the settings, or -1 for none
+     * @return null if the path is ambiguous
      */
     public Route find(String cls, String method, String target, int tenant) {
         Match match = match(cls, method, target, tenant);
         return match == null ? null : route(match);
     }
 
-    /** The same, with no limits made of it yet. */
+    /** Finds the route of a request without decoding its limits; null if the path is ambiguous. */
     Match match(String cls, String method, String target, int tenant) {
-        boolean any = routeCountByClass.getOrDefault(cls, 0) > 0;
-        if (standalone && !any) {
-            return new Match(cls, null); // No route has a path, so that no path has to be read.
+        boolean hasRoutes = routeCountByClass.getOrDefault(cls, 0) > 0;
+        if (standalone && !hasRoutes) {
+            return new Match(cls, null); // No route has a path, so the path need not be parsed.
         }
         List<String> path = RouteKey.parsePath(target);
         if (path == null || !standalone && (path.isEmpty() || !path.get(0).equals(cls))) {
             return null;
         }
-        Item name =
-                any ? find(new MatchKey(), path, standalone ? 0 : 1, rules.tenants().nameAt(tenant), method, cls) : null;
-        if (name == null) {
+        Item routeName = hasRoutes
+                ? find(new MatchKey(), path, standalone ? 0 : 1, rules.tenants().nameAt(tenant), method, cls)
+                : null;
+        if (routeName == null) {
             return new Match(cls, null);
         }
-        byte[] key = new byte[1 + name.value().length];
-        key[0] = ROUTES_START[0];
-        System.arraycopy(name.value(), 0, key, 1, name.value().length);
-        return new Match(cls, entries.get(key));
+        byte[] entryKey = new byte[1 + routeName.value().length];
+        entryKey[0] = ROUTES_START[0];
+        System.arraycopy(routeName.value(), 0, entryKey, 1, routeName.value().length);
+        return new Match(cls, entries.get(entryKey));
     }
 
-    /** With its limits. */
+    /** Decodes the limits of a match. */
     Route route(Match match) {
         return match.entry() == null
                 ? classRoutes.get(match.cls())
@@ -302,56 +309,59 @@
                         RouteCodec.decode(match.entry().value(), NO_POSITION));
     }
 
-    private Item find(MatchKey at, List<String> path, int from, String tenant, String method, String cls) {
-        int here = at.mark();
-        if (from < path.size()) {
-            Item found = hasKeyWithPrefix(at.addSegment(path.get(from))) ? find(at, path, from + 1, tenant, method, cls) : null;
-            at.truncate(here);
-            if (found == null && hasKeyWithPrefix(at.addAnySegment())) {
-                found = find(at, path, from + 1, tenant, method, cls);
+    private Item find(MatchKey matchKey, List<String> path, int segment, String tenant, String method, String cls) {
+        int mark = matchKey.mark();
+        if (segment < path.size()) {
+            Item found = hasKeyWithPrefix(matchKey.addSegment(path.get(segment)))
+                    ? find(matchKey, path, segment + 1, tenant, method, cls)
+                    : null;
+            matchKey.truncate(mark);
+            if (found == null && hasKeyWithPrefix(matchKey.addAnySegment())) {
+                found = find(matchKey, path, segment + 1, tenant, method, cls);
             }
-            at.truncate(here);
+            matchKey.truncate(mark);
             if (found != null) {
                 return found;
             }
         } else {
-            Item exact = findAtPathEnd(at, false, tenant, method, cls);
+            Item exact = findAtPathEnd(matchKey, false, tenant, method, cls);
             if (exact != null) {
                 return exact;
             }
         }
-        return findAtPathEnd(at, true, tenant, method, cls);
+        return findAtPathEnd(matchKey, true, tenant, method, cls);
     }
 
-    private boolean hasKeyWithPrefix(MatchKey at) {
-        Item next = namesByMatch.ceiling(at.bytes());
-        return next != null && at.isPrefixOf(next.key());
+    private boolean hasKeyWithPrefix(MatchKey prefix) {
+        Item next = namesByMatch.ceiling(prefix.bytes());
+        return next != null && prefix.isPrefixOf(next.key());
     }
 
-    private Item findAtPathEnd(MatchKey at, boolean prefix, String tenant, String method, String cls) {
-        int here = at.mark();
-        at.addPathEnd(prefix);
+    private Item findAtPathEnd(MatchKey matchKey, boolean isPrefix, String tenant, String method, String cls) {
+        int mark = matchKey.mark();
+        matchKey.addPathEnd(isPrefix);
         Item found = null;
-        if (hasKeyWithPrefix(at)) {
-            int leaf = at.mark();
-            for (String ofTenant : tenant.isEmpty() ? List.of(ANY_VALUE) : List.of(tenant, ANY_VALUE)) {
-                for (String ofMethod : List.of(method, ANY_VALUE)) {
-                    for (String ofClass : standalone ? List.of(cls, ANY_VALUE) : List.of(cls)) {
-                        at.truncate(leaf);
+        if (hasKeyWithPrefix(matchKey)) {
+            int pathMark = matchKey.mark();
+            for (String eachTenant : tenant.isEmpty() ? List.of(ANY_VALUE) : List.of(tenant, ANY_VALUE)) {
+                for (String eachMethod : List.of(method, ANY_VALUE)) {
+                    for (String eachClass : standalone ? List.of(cls, ANY_VALUE) : List.of(cls)) {
+                        matchKey.truncate(pathMark);
                         found = found == null
-                                ? namesByMatch.get(at.addConditions(ofTenant, ofMethod, ofClass).bytes())
+                                ? namesByMatch.get(matchKey.addConditions(eachTenant, eachMethod, eachClass)
+                                        .bytes())
                                 : found;
                     }
                 }
             }
         }
-        at.truncate(here);
+        matchKey.truncate(mark);
         return found;
     }
 
-    // ---------------------------------------------------------------- all of them
+    // ---------------------------------------------------------------- iteration
 
-    /** All routes and classes by name, with limits that are made as they are asked for. */
+    /** A view of all routes and classes by name, which decodes limits on access. */
     Map<String, Route> allRoutes() {
         return new AbstractMap<>() {
             @Override
@@ -369,9 +379,9 @@
                 if (!(name instanceof String text)) {
                     return null;
                 }
-                Route ofClass = classRoutes.get(text);
-                Item item = ofClass != null ? null : entries.get(keyOf(text));
-                return item == null ? ofClass : routeForFirstClass(item);
+                Route classRoute = classRoutes.get(text);
+                Item item = classRoute != null ? null : entries.get(entryKeyOf(text));
+                return item == null ? classRoute : routeForFirstClass(item);
             }
 
             @Override
--- a/src/main/java/vetchpost/routes/RouteValidation.java
+++ b/src/main/java/vetchpost/routes/RouteValidation.java
@@ -4,24 +4,24 @@
 import java.util.Map;
 
 /**
- * What a file comes to.
+ * The result of validating the routes of a file or batch.
  *
- * @param table the routes in force; null if there is any violation
- * @param routes all of them, by name
- * @param part of the fleet that a node is to keep to; null for all of it
+ * @param table of the valid routes; null if there is any violation
+ * @param routes all routes and classes by name
+ * @param fleetSubset that the node sends to; null for the whole fleet
  * @param violations every one, in the order of the file
  */
 public record RouteValidation(
         RouteTable table, Map<String, Route> routes, FleetSubset fleetSubset, List<Violation> violations) {
     /**
-     * The part of a fleet that one node sends to.
+     * The subset of the fleet that one node sends to.
      *
-     * @param node its number, from 0
-     * @param subset how many servers it has at least
+     * @param node number of the node, from 0
+     * @param subset minimum number of servers in it
      */
     public record FleetSubset(int node, int subset) {}
 
-    /** Whether the file may be used. */
+    /** Whether there is no violation, so that the table may be used. */
     public boolean isValid() {
         return violations.isEmpty();
     }
--- a/src/main/java/vetchpost/routes/RouteValidator.java
+++ b/src/main/java/vetchpost/routes/RouteValidator.java
@@ -18,18 +18,21 @@
 import vetchpost.store.EntryChange;
 
 /**
- * Proves the operator's file against the four rules before the first request, as a compiler would, and makes
- * the table of routes of it. It returns every violation, and does no I/O.
+ * Validates the operator's file before the first request, and builds the route table from it. The rules keep
+ * every accepted file from losing requests, repeating unsafe effects, starving a route or exceeding the
+ * platform's settings; see {@link Violation.Rule}. All violations are returned, not only the first. Loaders of
+ * the node's file and {@code vetchpost check} call it, and so does {@code RouteConfiguration} for each batch of
+ * changes. An instance is used by one thread and does no I/O.
  */
 public final class RouteValidator {
-    /** Between planning a repeat and its first byte at a server: a turn of the loop, a connect, the way. */
+    /** From planning a retry to its first byte at a server: event-loop delay, connect and network time. */
     static final long RETRY_SEND_MARGIN_US = 25_000;
 
     static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_ROUTES = 1_000_000;
     private static final int MAX_ATTEMPTS = 100;
     private static final int MAX_LABEL_CHARS = 1_024;
-    /** Copies of half of all requests and more are no hedge, and of less than one in a hundred none. */
+    /** Below 50, half of all requests or more would be hedged; above 99, fewer than one in a hundred. */
     private static final int MIN_HEDGE_PERCENTILE = 50;
 
     private static final int MAX_HEDGE_PERCENTILE = 99;
@@ -42,7 +45,10 @@
     private static final Pattern DURATION_PATTERN = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s)");
     private static final Pattern SIZE_PATTERN = Pattern.compile("(\\d{1,9})(B|KiB|MiB|GiB)");
 
-    /** The keys of limits, in the order of the page for operators. */
+    /**
+     * The keys of a route, limits first, in the order of the operators' page. {@link RouteCodec} writes the
+     * ordinal, so the order must not change.
+     */
     enum Key {
         ATTEMPT_TIMEOUT("attempt-timeout"),
         TOTAL_TIMEOUT("total-timeout"),
@@ -87,13 +93,13 @@
 
     private final Settings settings;
     private final boolean checksRules;
-    /** Whether paths are the application's own, and bodies of any length. */
+    /** Whether the node runs without a platform: paths need not begin with the class, and bodies have any size. */
     private final boolean standalone;
 
     private final List<Violation> violations = new ArrayList<>();
     private final Map<String, RequestClass> classes = new LinkedHashMap<>();
     private final TenantNames tenants;
-    /** Those that routes may name; the settings' unless said otherwise. */
+    /** The tenants that routes may name; those of the settings unless the caller gives others. */
     private Tenants knownTenants;
 
     private Map<Key, PositionedValue> defaults = Map.of();
@@ -101,141 +107,170 @@
 
     private RouteValidation.FleetSubset fleetSubset;
     private RouteTable table;
-    /** Of routes that are not the same as in the table before; those have theirs. */
+    /** For routes that differ from those in the previous table; unchanged routes keep their versions. */
     private long version;
 
     private RouteTable previousTable;
     private int routeCount;
     private Position lastPosition;
 
-    /** A value that has been read, and where it stands. */
+    /** A value in microseconds, bytes or without a unit, depending on its key, and its position in the file. */
     private record PositionedValue(double value, Position position) {}
 
-    private RouteValidator(Settings settings, boolean checking, boolean alone, TenantNames tenants) {
+    private RouteValidator(Settings settings, boolean checksRules, boolean standalone, TenantNames tenants) {
         this.settings = settings;
-        this.checksRules = checking;
-        this.standalone = alone;
+        this.checksRules = checksRules;
+        this.standalone = standalone;
         this.tenants = tenants;
         knownTenants = tenants;
         settings.classes.forEach(c -> classes.put(c.name(), c));
     }
 
-    /** Names of tenants. */
+    /** The names of the tenants that routes may refer to. */
     public interface Tenants {
-        /** Whether there is one of this name. */
+        /** Whether a tenant has this name. */
         boolean contains(String name);
 
-        /** All names, or more than anybody would read. */
+        /** The names, for suggestions in messages; may stop after 1,001, more than are searched or listed. */
         Iterable<String> names();
     }
 
-    private RouteValidator(Settings settings, boolean checking, boolean alone) {
-        this(settings, checking, alone, new TenantNames(settings.tenants));
+    private RouteValidator(Settings settings, boolean checksRules, boolean standalone) {
+        this(settings, checksRules, standalone, new TenantNames(settings.tenants));
     }
 
-    /** Proves a file by the platform's settings. */
+    /**
+     * Validates the file of a node whose settings come from the platform.
+     *
+     * @return the table, or every violation
+     */
     public static RouteValidation validate(List<Section> file, Settings settings) {
         return new RouteValidator(settings, true, false).validate(file);
     }
 
-    /** Proves the file of a node without a platform, by the settings that the same file comes to. */
+    /**
+     * Validates the file of a node without a platform.
+     *
+     * @param settings made of the same file
+     * @return the table, or every violation
+     */
     public static RouteValidation validateStandalone(List<Section> file, Settings settings) {
         return new RouteValidator(settings, true, true).validate(file);
     }
 
-    /** The same without the rules that need proof, to see in a test what they are for. */
+    /** Reads a file without checking the limits against each other, so that tests can show what breaks then. */
     static RouteValidation readUnchecked(List<Section> file, Settings settings) {
         return new RouteValidator(settings, false, false).validate(file);
     }
 
     /**
-     * Begins with the tables of a file that are not routes; {@link #addRoute} takes those one by one, so that not
-     * all have to be in memory, and {@link #finish} tells what all comes to.
+     * Starts the validation of a file with the sections that are not routes. {@link #addRoute} takes the routes
+     * one by one, so that not all have to be in memory, and {@link #finish} returns the result.
      *
-     * @param alone whether the file makes a node without a platform
-     * @param before what held before: routes that are the same keep their versions; null for nothing
-     * @param version of the others
+     * @param standalone whether the node runs without a platform
+     * @param previousTable routes that are the same as in this one keep their versions; may be null
+     * @param version of new and changed routes
      */
     public static RouteValidator begin(
-            List<Section> others, Settings settings, boolean alone, RouteTable before, long version) {
-        return begin(others, settings, alone, before, version, null);
+            List<Section> otherSections,
+            Settings settings,
+            boolean standalone,
+            RouteTable previousTable,
+            long version) {
+        return begin(otherSections, settings, standalone, previousTable, version, null);
     }
 
-    /** The same with other tenants than the settings'; null for those. */
+    /**
+     * Starts the validation of a file whose routes may name tenants other than those of the settings.
+     *
+     * @param tenants that routes may name; null for those of the settings
+     */
     public static RouteValidator begin(
-            List<Section> others, Settings settings, boolean alone, RouteTable before, long version, Tenants tenants) {
-        RouteValidator prover = before != null && before.rules().settings == settings
-                ? new RouteValidator(settings, true, alone, before.rules().tenants)
-                : new RouteValidator(settings, true, alone);
-        prover.knownTenants = tenants == null ? prover.tenants : tenants;
-        prover.previousTable = before;
-        prover.version = version;
-        prover.readOtherSections(others);
-        return prover;
+            List<Section> otherSections,
+            Settings settings,
+            boolean standalone,
+            RouteTable previousTable,
+            long version,
+            Tenants tenants) {
+        RouteValidator validator = previousTable != null && previousTable.rules().settings == settings
+                ? new RouteValidator(settings, true, standalone, previousTable.rules().tenants)
+                : new RouteValidator(settings, true, standalone);
+        validator.knownTenants = tenants == null ? validator.tenants : tenants;
+        validator.previousTable = previousTable;
+        validator.version = version;
+        validator.readOtherSections(otherSections);
+        return validator;
     }
 
     /**
-     * What becomes of a route.
+     * A change of one route.
      *
-     * @param section what it says from then on, its name too if it has one; null if it goes
-     * @param at where messages say that this stands
+     * @param op whether the route is added, replaced or deleted
+     * @param name of the route, also if the section has none
+     * @param section the new content, with the route's name if it has one; null for a delete
+     * @param position reported in violations
      */
     public record RouteChange(EntryChange.Op op, String name, Section section, Position position) {}
 
     /**
-     * Proves changes by what they can break, which is their routes and those of the same name or match, and
-     * not by all routes. It says the same as the proof of a file with the changes in it would.
+     * Validates changes against only what they can break: the changed routes, and those of the same name or match.
+     * The result is that of validating a whole file with the changes in it.
      *
-     * @param version that the changes have
-     * @return a table with all of them, or what they violate
+     * @param version of the changed routes
+     * @return the table with all changes, or every violation
      */
     public static RouteValidation validateChanges(RouteTable base, List<RouteChange> changes, long version) {
         return validateChanges(base, changes, version, base.rules().tenants);
     }
 
-    /** The same routes, with what these tables say for all and for classes, which was proved elsewhere. */
+    /**
+     * Replaces the limits of classes and the defaults of a table, without validating them again.
+     *
+     * @param limits sections that another node has validated
+     */
     public static RouteTable withLimits(RouteTable table, List<Section> limits) {
-        RouteValidator prover = table.rules().withoutChecks();
-        prover.defaults = Map.of();
-        prover.classLimits.clear();
-        prover.previousTable = table;
-        prover.readOtherSections(limits);
-        return table.withRulesOf(prover.table);
+        RouteValidator validator = table.rules().withoutChecks();
+        validator.defaults = Map.of();
+        validator.classLimits.clear();
+        validator.previousTable = table;
+        validator.readOtherSections(limits);
+        return table.withRulesOf(validator.table);
     }
 
-    /** The same with other tenants than the settings'. */
+    /** Validates changes whose routes may name tenants other than those of the settings. */
     public static RouteValidation validateChanges(
             RouteTable base, List<RouteChange> changes, long version, Tenants tenants) {
-        RouteValidator rules = base.rules();
-        RouteValidator prover = new RouteValidator(rules.settings, true, rules.standalone, rules.tenants);
-        prover.knownTenants = tenants;
-        prover.defaults = rules.defaults;
-        prover.classLimits.putAll(rules.classLimits);
-        prover.table = base;
-        prover.version = version;
-        // What goes makes room first, wherever in the batch it is told.
+        RouteValidator baseValidator = base.rules();
+        RouteValidator validator =
+                new RouteValidator(baseValidator.settings, true, baseValidator.standalone, baseValidator.tenants);
+        validator.knownTenants = tenants;
+        validator.defaults = baseValidator.defaults;
+        validator.classLimits.putAll(baseValidator.classLimits);
+        validator.table = base;
+        validator.version = version;
+        // Deletes and replaces go first, wherever in the batch, so that they free their names and matches.
         for (RouteChange change : changes) {
-            boolean there = base.isNamed(change.name());
-            if (change.op() != EntryChange.Op.PUT && !there) {
-                prover.addViolation(
+            boolean exists = base.isNamed(change.name());
+            if (change.op() != EntryChange.Op.PUT && !exists) {
+                validator.addViolation(
                         change.position(),
                         "route " + change.name(),
                         Rule.UNKNOWN_ENTRY,
-                        "there is no route of this name",
+                        "there is no route with this name",
                         "a put");
             } else if (change.op() != EntryChange.Op.PUT) {
-                prover.table = prover.table.without(change.name());
+                validator.table = validator.table.without(change.name());
             }
         }
         for (RouteChange change : changes) {
             if (change.section() != null) {
-                prover.addRoute(change.section());
+                validator.addRoute(change.section());
             }
         }
-        return prover.finish();
+        return validator.finish();
     }
 
-    /** These limits with no more proof, for a table to read its routes by. */
+    /** A copy with these limits that checks nothing more; a table reads its routes with it. */
     private RouteValidator withoutChecks() {
         RouteValidator reader = new RouteValidator(settings, false, standalone, tenants);
         reader.defaults = defaults;
@@ -243,7 +278,7 @@
         return reader;
     }
 
-    /** Whether tenants have the same places by both. */
+    /** Whether a tenant has the same index in both. */
     boolean sharesTenants(RouteValidator other) {
         return tenants == other.tenants || settings.tenants.equals(other.settings.tenants);
     }
@@ -252,9 +287,9 @@
         return tenants;
     }
 
-    private void addViolation(Position at, String route, Rule rule, String what, String fits) {
+    private void addViolation(Position position, String label, Rule rule, String problem, String accepted) {
         if (violations.size() < MAX_VIOLATIONS) {
-            violations.add(new Violation(at, route, rule, what, fits));
+            violations.add(new Violation(position, label, rule, problem, accepted));
         }
     }
 
@@ -291,7 +326,7 @@
                             section.position(),
                             "",
                             Rule.UNKNOWN_TABLE,
-                            "'" + section.name() + "' is no table of this file",
+                            "unknown table '" + section.name() + "'",
                             ClosestMatch.of(
                                     section.name(),
                                     List.of(
@@ -313,10 +348,10 @@
                 default -> {}
             }
         }
-        Map<String, Route> ofClasses = new LinkedHashMap<>();
+        Map<String, Route> classRoutes = new LinkedHashMap<>();
         for (RequestClass cls : classes.values()) {
             Section section = classSections.get(cls.name());
-            ofClasses.put(
+            classRoutes.put(
                     cls.name(),
                     new Route(
                             cls.name(),
@@ -327,10 +362,14 @@
                                     section == null ? null : section.position())));
         }
         table = new RouteTable(
-                previousTable != null && hasSameLimitsAs(previousTable.rules()) ? previousTable.rules() : withoutChecks(), standalone, ofClasses);
+                previousTable != null && hasSameLimitsAs(previousTable.rules())
+                        ? previousTable.rules()
+                        : withoutChecks(),
+                standalone,
+                classRoutes);
     }
 
-    /** Whether all routes that say the same have the same limits by both. */
+    /** Whether a route with the same entries has the same limits in both. */
     private boolean hasSameLimitsAs(RouteValidator other) {
         return standalone == other.standalone
                 && settings.maxAttempts == other.settings.maxAttempts
@@ -339,38 +378,39 @@
                 && limitValues().equals(other.limitValues());
     }
 
-    /** What the defaults and classes say, without the places where they say it. */
+    /** The values of the defaults and of each class, without their positions in the file. */
     private Map<String, Map<Key, Double>> limitValues() {
         Map<String, Map<Key, Double>> all = new HashMap<>();
         all.put("", limitValues(defaults));
-        classLimits.forEach((cls, own) -> all.put("class " + cls, limitValues(own)));
+        classLimits.forEach((cls, limits) -> all.put("class " + cls, limitValues(limits)));
         return all;
     }
 
-    private static Map<Key, Double> limitValues(Map<Key, PositionedValue> figures) {
+    private static Map<Key, Double> limitValues(Map<Key, PositionedValue> limits) {
         Map<Key, Double> values = new TreeMap<>();
-        figures.forEach((key, figure) -> values.put(key, figure.value()));
+        limits.forEach((key, limit) -> values.put(key, limit.value()));
         return values;
     }
 
-    private Map<Key, PositionedValue> mergeLimits(String cls, Map<Key, PositionedValue> own) {
-        Map<Key, PositionedValue> all = new TreeMap<>(defaults);
-        all.putAll(classLimits.getOrDefault(cls, Map.of()));
-        all.putAll(own);
-        return all;
+    private Map<Key, PositionedValue> mergeLimits(String cls, Map<Key, PositionedValue> routeLimits) {
+        Map<Key, PositionedValue> merged = new TreeMap<>(defaults);
+        merged.putAll(classLimits.getOrDefault(cls, Map.of()));
+        merged.putAll(routeLimits);
+        return merged;
     }
 
-    /** What all comes to, with every violation in the order of the file. */
+    /** Ends the validation, and returns the table or every violation in the order of the file. */
     public RouteValidation finish() {
         if (routeCount > MAX_ROUTES) {
             addViolation(lastPosition, "", Rule.OUT_OF_RANGE, routeCount + " routes", MAX_ROUTES + "");
         }
         violations.sort(Comparator.comparingInt((Violation v) -> v.position().line())
                 .thenComparingInt(v -> v.position().column()));
-        return new RouteValidation(violations.isEmpty() ? table : null, table.allRoutes(), fleetSubset, List.copyOf(violations));
+        return new RouteValidation(
+                violations.isEmpty() ? table : null, table.allRoutes(), fleetSubset, List.copyOf(violations));
     }
 
-    // ---------------------------------------------------------------- the part of the fleet
+    // ---------------------------------------------------------------- the subset of the fleet
 
     private RouteValidation.FleetSubset readFleetSubset(Section section) {
         section.entries().forEach((text, entry) -> {
@@ -383,16 +423,16 @@
                         ClosestMatch.of(text, FLEET_KEYS));
             }
         });
-        int node = figure(section, "node", 0, settings.nodes - 1);
-        int subset = figure(section, "subset", 1, MAX_SUBSET_SERVERS);
+        int node = requireInteger(section, "node", 0, settings.nodes - 1);
+        int subset = requireInteger(section, "subset", 1, MAX_SUBSET_SERVERS);
         return node < 0 || subset < 0 ? null : new RouteValidation.FleetSubset(node, subset);
     }
 
-    /** A whole number that must be there, or -1. */
-    private int figure(Section section, String key, int least, int most) {
+    /** A whole number that is required; -1 and a violation if it is missing or not valid. */
+    private int requireInteger(Section section, String key, int min, int max) {
         Entry entry = section.entries().get(key);
         if (entry == null) {
-            addViolation(section.position(), "fleet", Rule.OUT_OF_RANGE, "it does not say " + key, key + " = " + least);
+            addViolation(section.position(), "fleet", Rule.OUT_OF_RANGE, "it does not say " + key, key + " = " + min);
             return -1;
         }
         if (!(entry.value() instanceof Long number)) {
@@ -401,17 +441,17 @@
                     "fleet",
                     Rule.WRONG_UNIT,
                     key + " = " + format(entry.value()) + " is no whole number",
-                    key + " = " + least);
+                    key + " = " + min);
             return -1;
         }
-        if (number < least || number > most) {
+        if (number < min || number > max) {
             addViolation(
                     entry.position(),
                     "fleet",
                     Rule.OUT_OF_RANGE,
                     key + " = " + number
                             + (key.equals("node") ? ", and the settings have " + settings.nodes + " nodes" : ""),
-                    "from " + least + " to " + most);
+                    "from " + min + " to " + max);
             return -1;
         }
         return number.intValue();
@@ -419,7 +459,7 @@
 
     // ---------------------------------------------------------------- routes
 
-    /** Takes one more route. */
+    /** Validates one more route and adds it to the table; its violations are returned by {@link #finish}. */
     public void addRoute(Section section) {
         lastPosition = section.position();
         if (++routeCount > MAX_ROUTES) {
@@ -443,7 +483,7 @@
             cls = segments.get(0);
         }
         if (cls == null && path == null) {
-            addViolation(section.position(), label, Rule.UNREACHABLE, "it says neither class nor path", "class or path");
+            addViolation(section.position(), label, Rule.UNREACHABLE, "it has neither class nor path", "class or path");
             return;
         }
         if (cls == null && !standalone) {
@@ -469,32 +509,32 @@
         }
         String method = standalone ? readText(section, Key.METHOD) : readMethod(section, classes.get(cls), label);
         String tenant = readTenant(section, label);
-        Map<Key, PositionedValue> own = readLimits(section);
-        boolean readable = tenant != null && (path == null || segments != null);
-        if (!readable && standalone) {
+        Map<Key, PositionedValue> limits = readLimits(section);
+        boolean isMatchValid = tenant != null && (path == null || segments != null);
+        if (!isMatchValid && standalone) {
             return;
         }
-        int found = violations.size();
-        for (RequestClass each : classes.values()) {
-            if (cls == null || cls.equals(each.name())) {
-                resolveLimits(each, mergeLimits(each.name(), own), label, section.position());
+        int violationsBefore = violations.size();
+        for (RequestClass requestClass : classes.values()) {
+            if (cls == null || cls.equals(requestClass.name())) {
+                resolveLimits(requestClass, mergeLimits(requestClass.name(), limits), label, section.position());
             }
         }
-        if (readable) {
-            insert(section, label, routeKey(segments, cls, method, tenant), found);
+        if (isMatchValid) {
+            insert(section, label, routeKey(segments, cls, method, tenant), violationsBefore);
         }
     }
 
-    /** A proved route takes its place, if nobody has its name or matches the same. */
-    private void insert(Section section, String label, RouteKey key, int found) {
+    /** Adds a validated route to the table, unless its name or its match is in use. */
+    private void insert(Section section, String label, RouteKey key, int violationsBefore) {
         String name = label.substring("route ".length());
-        String same = table.findSameMatch(key);
-        if (same != null) {
+        String conflicting = table.findSameMatch(key);
+        if (conflicting != null) {
             addViolation(
                     section.position(),
                     label,
                     Rule.SAME_MATCH,
-                    "it matches the same as route " + same,
+                    "it matches the same requests as route " + conflicting,
                     "another path, tenant or method");
             return;
         }
@@ -503,14 +543,17 @@
                     positionOf(section, Key.NAME, Key.PATH),
                     label,
                     Rule.SAME_NAME,
-                    "there is another of this name",
+                    "another route or class has this name",
                     "another name");
             return;
         }
-        if (violations.size() > found && checksRules) {
-            // Not to be read by its bytes, which may be none; but it has its place among the others.
+        if (violations.size() > violationsBefore && checksRules) {
+            // Its limits are not valid and may have no encoding, but later routes are still compared with its match.
             table = table.with(
-                    name, key, RouteCodec.encode(new Section(Kind.ROUTE, "", section.position(), matchEntriesOf(section))), version);
+                    name,
+                    key,
+                    RouteCodec.encode(new Section(Kind.ROUTE, "", section.position(), matchEntriesOf(section))),
+                    version);
             return;
         }
         byte[] bytes;
@@ -522,29 +565,31 @@
             }
             bytes = RouteCodec.encode(new Section(Kind.ROUTE, "", section.position(), matchEntriesOf(section)));
         }
-        table = table.with(name, key, bytes, previousTable == null ? version : previousTable.versionOf(name, bytes, version));
+        table = table.with(
+                name, key, bytes, previousTable == null ? version : previousTable.versionOf(name, bytes, version));
     }
 
-    /** What a route says of where it stands, without its limits. */
+    /** The entries that decide which requests a route matches, without its limits. */
     private static Map<String, Entry> matchEntriesOf(Section section) {
-        Map<String, Entry> place = new LinkedHashMap<>();
+        Map<String, Entry> entries = new LinkedHashMap<>();
         section.entries().forEach((text, entry) -> {
             Key key = Key.of(text);
             if (key != null && !key.isLimit() && entry.value() instanceof String) {
-                place.put(text, entry);
+                entries.put(text, entry);
             }
         });
-        return place;
+        return entries;
     }
 
     private RouteKey routeKey(List<String> segments, String cls, String method, String tenant) {
-        boolean prefix = segments == null || segments.get(segments.size() - 1).equals("*");
-        List<String> rest =
-                segments == null ? List.of() : segments.subList(standalone ? 0 : 1, segments.size() - (prefix ? 1 : 0));
-        return new RouteKey(cls == null ? "" : cls, method == null ? "" : method, rest, prefix, tenant);
+        boolean isPrefix = segments == null || segments.get(segments.size() - 1).equals("*");
+        List<String> pathSegments = segments == null
+                ? List.of()
+                : segments.subList(standalone ? 0 : 1, segments.size() - (isPrefix ? 1 : 0));
+        return new RouteKey(cls == null ? "" : cls, method == null ? "" : method, pathSegments, isPrefix, tenant);
     }
 
-    /** Where a route that was proved has its place. */
+    /** What a validated route matches. */
     RouteKey keyOf(Section section) {
         List<String> segments = parsePattern(section, textOf(section, Key.PATH), "");
         String cls = textOf(section, Key.CLASS);
@@ -561,9 +606,10 @@
         return entry == null ? null : (String) entry.value();
     }
 
-    /** A route that was proved, for requests of a class. */
+    /** A validated route with its limits for requests of a class. */
     Route route(String name, String cls, Section section) {
-        return new Route(name, resolveLimits(classes.get(cls), mergeLimits(cls, readLimits(section)), name, section.position()));
+        return new Route(
+                name, resolveLimits(classes.get(cls), mergeLimits(cls, readLimits(section)), name, section.position()));
     }
 
     private List<String> parsePattern(Section section, String path, String label) {
@@ -574,7 +620,11 @@
             return RouteKey.parsePattern(path);
         } catch (RouteKey.InvalidPatternException e) {
             addViolation(
-                    positionOf(section, Key.PATH, Key.PATH), label, Rule.BAD_PATTERN, e.getMessage(), "\"/class/{name}/text\"");
+                    positionOf(section, Key.PATH, Key.PATH),
+                    label,
+                    Rule.BAD_PATTERN,
+                    e.getMessage(),
+                    "\"/class/{name}/text\"");
             return null;
         }
     }
@@ -593,7 +643,7 @@
         return method == null ? "" : method;
     }
 
-    /** Its name, empty for every tenant; null for one that is not known. */
+    /** The name of the route's tenant; empty for every tenant, null for an unknown one. */
     private String readTenant(Section section, String label) {
         String tenant = readText(section, Key.TENANT);
         if (tenant == null) {
@@ -611,9 +661,9 @@
         return tenant;
     }
 
-    private static Position positionOf(Section section, Key key, Key orElse) {
+    private static Position positionOf(Section section, Key key, Key fallback) {
         Entry entry = section.entries().get(key.text());
-        entry = entry == null ? section.entries().get(orElse.text()) : entry;
+        entry = entry == null ? section.entries().get(fallback.text()) : entry;
         return entry == null ? section.position() : entry.position();
     }
 
@@ -629,10 +679,10 @@
         return null;
     }
 
-    // ---------------------------------------------------------------- figures
+    // ---------------------------------------------------------------- values
 
     private Map<Key, PositionedValue> readLimits(Section section) {
-        Map<Key, PositionedValue> figures = new TreeMap<>();
+        Map<Key, PositionedValue> limits = new TreeMap<>();
         section.entries().forEach((text, entry) -> {
             Key key = Key.of(text);
             if (key == null || !key.isLimit() && section.kind() != Kind.ROUTE) {
@@ -643,13 +693,13 @@
                         "unknown key '" + text + "'",
                         ClosestMatch.of(text, keysOf(section.kind())));
             } else if (key.isLimit()) {
-                Double value = figure(key, entry, section.name());
+                Double value = parseLimit(key, entry, section.name());
                 if (value != null) {
-                    figures.put(key, new PositionedValue(value, entry.position()));
+                    limits.put(key, new PositionedValue(value, entry.position()));
                 }
             }
         });
-        return figures;
+        return limits;
     }
 
     private static List<String> keysOf(Kind kind) {
@@ -662,7 +712,7 @@
         return keys;
     }
 
-    private Double figure(Key key, Entry entry, String route) {
+    private Double parseLimit(Key key, Entry entry, String route) {
         return switch (key) {
             case ATTEMPT_TIMEOUT, TOTAL_TIMEOUT, BACKOFF, RETRY_AFTER, HEDGE_AFTER -> parseDuration(key, entry, route);
             case MAX_BODY -> parseSize(key, entry, route);
@@ -674,8 +724,8 @@
     }
 
     private Double parseDuration(Key key, Entry entry, String route) {
-        Matcher m = entry.value() instanceof String text ? DURATION_PATTERN.matcher(text) : null;
-        if (m == null || !m.matches()) {
+        Matcher matcher = entry.value() instanceof String text ? DURATION_PATTERN.matcher(text) : null;
+        if (matcher == null || !matcher.matches()) {
             addViolation(
                     entry.position(),
                     route,
@@ -686,10 +736,10 @@
                             : "a number and us, ms or s, as \"250ms\",");
             return null;
         }
-        double us = Double.parseDouble(m.group(1))
-                * (m.group(2).equals("s") ? 1e6 : m.group(2).equals("ms") ? 1e3 : 1);
-        boolean mayBeNone = key == Key.BACKOFF || key == Key.RETRY_AFTER;
-        if (us > MAX_DURATION_US || us < 1 && !(mayBeNone && us == 0)) {
+        double us = Double.parseDouble(matcher.group(1))
+                * (matcher.group(2).equals("s") ? 1e6 : matcher.group(2).equals("ms") ? 1e3 : 1);
+        boolean mayBeZero = key == Key.BACKOFF || key == Key.RETRY_AFTER;
+        if (us > MAX_DURATION_US || us < 1 && !(mayBeZero && us == 0)) {
             addViolation(
                     entry.position(),
                     route,
@@ -702,8 +752,8 @@
     }
 
     private Double parseSize(Key key, Entry entry, String route) {
-        Matcher m = entry.value() instanceof String text ? SIZE_PATTERN.matcher(text) : null;
-        if (m == null || !m.matches()) {
+        Matcher matcher = entry.value() instanceof String text ? SIZE_PATTERN.matcher(text) : null;
+        if (matcher == null || !matcher.matches()) {
             addViolation(
                     entry.position(),
                     route,
@@ -714,33 +764,42 @@
                             : "a number and B or KiB, as \"16KiB\",");
             return null;
         }
-        double bytes = Double.parseDouble(m.group(1))
-                * switch (m.group(2)) {
+        double bytes = Double.parseDouble(matcher.group(1))
+                * switch (matcher.group(2)) {
                     case "B" -> 1.0;
                     case "KiB" -> 1_024.0;
                     case "MiB" -> 1_048_576.0;
                     default -> 1_073_741_824.0;
                 };
         if (bytes > MAX_BODY_BYTES && !standalone) {
-            addViolation(entry.position(), route, Rule.OUT_OF_RANGE, key.text() + " is over what a node takes", "\"64KiB\"");
+            addViolation(
+                    entry.position(),
+                    route,
+                    Rule.OUT_OF_RANGE,
+                    key.text() + " is over the maximum that a node accepts",
+                    "\"64KiB\"");
             return null;
         }
         return bytes;
     }
 
-    private Double parseInteger(Key key, Entry entry, String route, int least, int most) {
+    private Double parseInteger(Key key, Entry entry, String route, int min, int max) {
         if (!(entry.value() instanceof Long number)) {
             addViolation(
                     entry.position(),
                     route,
                     Rule.WRONG_UNIT,
                     key.text() + " = " + format(entry.value()) + " is no whole number",
-                    least + " or more");
+                    min + " or more");
             return null;
         }
-        if (number < least || number > most) {
+        if (number < min || number > max) {
             addViolation(
-                    entry.position(), route, Rule.OUT_OF_RANGE, key.text() + " = " + number, "from " + least + " to " + most);
+                    entry.position(),
+                    route,
+                    Rule.OUT_OF_RANGE,
+                    key.text() + " = " + number,
+                    "from " + min + " to " + max);
             return null;
         }
         return (double) number;
@@ -772,173 +831,190 @@
 
     // ---------------------------------------------------------------- the rules
 
-    private Limits resolveLimits(RequestClass cls, Map<Key, PositionedValue> own, String route, Position where) {
-        long clientUs = cls.deadlineUs();
-        long totalUs = (long) valueOf(own, Key.TOTAL_TIMEOUT, 0);
-        long attemptUs = (long) valueOf(own, Key.ATTEMPT_TIMEOUT, 0);
-        int usual = cls.idempotency() == Idempotency.UNSAFE ? 1 : settings.maxAttempts;
-        int attempts = (int) valueOf(own, Key.ATTEMPTS, usual);
+    private Limits resolveLimits(RequestClass cls, Map<Key, PositionedValue> values, String route, Position position) {
+        long clientTimeoutUs = cls.deadlineUs();
+        long totalTimeoutUs = (long) valueOf(values, Key.TOTAL_TIMEOUT, 0);
+        long attemptTimeoutUs = (long) valueOf(values, Key.ATTEMPT_TIMEOUT, 0);
+        int defaultAttempts = cls.idempotency() == Idempotency.UNSAFE ? 1 : settings.maxAttempts;
+        int attempts = (int) valueOf(values, Key.ATTEMPTS, defaultAttempts);
         Limits limits = new Limits(
-                attemptUs,
-                totalUs,
+                attemptTimeoutUs,
+                totalTimeoutUs,
                 attempts,
-                (long) valueOf(own, Key.BACKOFF, 0),
-                valueOf(own, Key.JITTER, 0),
-                (long) valueOf(own, Key.HEDGE_AFTER, 0),
-                (int) valueOf(own, Key.HEDGE_PERCENTILE, 0),
-                valueOf(own, Key.RETRY_BUDGET, 0),
-                (int) valueOf(own, Key.CONCURRENCY, 0),
-                (long) valueOf(own, Key.MAX_BODY, standalone ? Long.MAX_VALUE : MAX_BODY_BYTES),
-                (long) valueOf(own, Key.RETRY_AFTER, -1));
+                (long) valueOf(values, Key.BACKOFF, 0),
+                valueOf(values, Key.JITTER, 0),
+                (long) valueOf(values, Key.HEDGE_AFTER, 0),
+                (int) valueOf(values, Key.HEDGE_PERCENTILE, 0),
+                valueOf(values, Key.RETRY_BUDGET, 0),
+                (int) valueOf(values, Key.CONCURRENCY, 0),
+                (long) valueOf(values, Key.MAX_BODY, standalone ? Long.MAX_VALUE : MAX_BODY_BYTES),
+                (long) valueOf(values, Key.RETRY_AFTER, -1));
         if (!checksRules) {
             return limits;
         }
-        long wholeUs = totalUs == 0 ? clientUs : totalUs;
-        if (totalUs > clientUs) {
+        long availableUs = totalTimeoutUs == 0 ? clientTimeoutUs : totalTimeoutUs;
+        if (totalTimeoutUs > clientTimeoutUs) {
             addViolation(
-                    own.get(Key.TOTAL_TIMEOUT).position(),
+                    values.get(Key.TOTAL_TIMEOUT).position(),
                     route,
                     Rule.PAST_CLIENT,
-                    "total-timeout is " + formatDuration(totalUs) + ", and clients wait " + formatDuration(clientUs),
-                    "total-timeout = \"" + formatDuration(clientUs) + "\"");
+                    "total-timeout is " + formatDuration(totalTimeoutUs) + ", and clients wait "
+                            + formatDuration(clientTimeoutUs),
+                    "total-timeout = \"" + formatDuration(clientTimeoutUs) + "\"");
         }
-        if (attemptUs > wholeUs) {
+        if (attemptTimeoutUs > availableUs) {
             addViolation(
-                    own.get(Key.ATTEMPT_TIMEOUT).position(),
+                    values.get(Key.ATTEMPT_TIMEOUT).position(),
                     route,
                     Rule.PAST_WHOLE,
-                    "attempt-timeout is " + formatDuration(attemptUs) + ", and the request has " + formatDuration(wholeUs) + " in all",
-                    "attempt-timeout = \"" + formatDuration(wholeUs) + "\"");
+                    "attempt-timeout is " + formatDuration(attemptTimeoutUs) + ", and the request has "
+                            + formatDuration(availableUs) + " in total",
+                    "attempt-timeout = \"" + formatDuration(availableUs) + "\"");
         }
         if (cls.idempotency() == Idempotency.UNSAFE && attempts > 1) {
             addViolation(
-                    own.get(Key.ATTEMPTS).position(),
+                    values.get(Key.ATTEMPTS).position(),
                     route,
                     Rule.UNSAFE_AGAIN,
                     "attempts is " + attempts + " and " + cls.name() + " must never run twice",
                     "attempts = 1");
         }
-        if (cls.idempotency() == Idempotency.KEYED && attempts > 1 && own.containsKey(Key.ATTEMPT_TIMEOUT)) {
-            long latestUs = limits.latestStartUs(attempts) + RETRY_SEND_MARGIN_US;
-            if (latestUs > cls.deduplicationWindowUs()) {
-                long fitsUs = (cls.deduplicationWindowUs()
+        if (cls.idempotency() == Idempotency.KEYED && attempts > 1 && values.containsKey(Key.ATTEMPT_TIMEOUT)) {
+            long latestStartUs = limits.latestStartUs(attempts) + RETRY_SEND_MARGIN_US;
+            if (latestStartUs > cls.deduplicationWindowUs()) {
+                long fittingTimeoutUs = (cls.deduplicationWindowUs()
                                 - RETRY_SEND_MARGIN_US
-                                - (limits.latestStartUs(attempts) - (attempts - 1) * attemptUs))
+                                - (limits.latestStartUs(attempts) - (attempts - 1) * attemptTimeoutUs))
                         / (attempts - 1);
                 addViolation(
-                        own.get(Key.ATTEMPT_TIMEOUT).position(),
+                        values.get(Key.ATTEMPT_TIMEOUT).position(),
                         route,
                         Rule.KEYED_LATE,
                         "attempt " + attempts
-                                + " may begin " + formatDuration(latestUs) + " after the first, with waits, jitter and "
+                                + " may begin " + formatDuration(latestStartUs)
+                                + " after the first, with backoff, jitter and "
                                 + formatDuration(RETRY_SEND_MARGIN_US)
-                                + " margin, and racks drop repeats for " + formatDuration(cls.deduplicationWindowUs()),
-                        fitsUs > 0 ? "attempt-timeout = \"" + formatDuration(fitsUs) + "\"" : "attempts = 1");
+                                + " margin, and racks deduplicate retries for "
+                                + formatDuration(cls.deduplicationWindowUs()),
+                        fittingTimeoutUs > 0
+                                ? "attempt-timeout = \"" + formatDuration(fittingTimeoutUs) + "\""
+                                : "attempts = 1");
             }
         }
-        if (attempts > 1 && attemptUs > 0 && attemptUs <= wholeUs) {
-            long endUs = limits.latestStartUs(attempts) + attemptUs;
-            if (endUs > wholeUs && (own.containsKey(Key.ATTEMPTS) || own.containsKey(Key.BACKOFF))) {
-                int fits = attempts;
-                while (fits > 1 && limits.latestStartUs(fits) + attemptUs > wholeUs) {
-                    fits--;
+        if (attempts > 1 && attemptTimeoutUs > 0 && attemptTimeoutUs <= availableUs) {
+            long endUs = limits.latestStartUs(attempts) + attemptTimeoutUs;
+            if (endUs > availableUs && (values.containsKey(Key.ATTEMPTS) || values.containsKey(Key.BACKOFF))) {
+                int fittingAttempts = attempts;
+                while (fittingAttempts > 1 && limits.latestStartUs(fittingAttempts) + attemptTimeoutUs > availableUs) {
+                    fittingAttempts--;
                 }
                 addViolation(
-                        positionOf(own, Key.ATTEMPTS, Key.BACKOFF),
+                        positionOf(values, Key.ATTEMPTS, Key.BACKOFF),
                         route,
                         Rule.SCHEDULE,
                         attempts + " attempts of "
-                                + formatDuration(attemptUs) + " and the waits between them take " + formatDuration(endUs)
-                                + ", and the request has " + formatDuration(wholeUs) + " in all",
-                        "attempts = " + fits);
+                                + formatDuration(attemptTimeoutUs) + " and the backoff between them take "
+                                + formatDuration(endUs)
+                                + ", and the request has " + formatDuration(availableUs) + " in total",
+                        "attempts = " + fittingAttempts);
             }
         }
-        checkHedging(cls, own, limits, route, wholeUs);
-        if (own.containsKey(Key.CONCURRENCY) && limits.maxConcurrency() == 0) {
+        checkHedging(cls, values, limits, route, availableUs);
+        if (values.containsKey(Key.CONCURRENCY) && limits.maxConcurrency() == 0) {
             addViolation(
-                    own.get(Key.CONCURRENCY).position(),
+                    values.get(Key.CONCURRENCY).position(),
                     route,
                     Rule.STARVES,
                     "concurrency is 0",
-                    "concurrency = 1 or more, or none said");
+                    "concurrency = 1 or more, or no such key");
         }
         if (cls.idempotency() != Idempotency.SAFE && limits.maxBodyBytes() == 0) {
             addViolation(
-                    own.get(Key.MAX_BODY).position(),
+                    values.get(Key.MAX_BODY).position(),
                     route,
                     Rule.STARVES,
                     "max-body is 0 and its requests have bodies",
                     "max-body = \"1B\" or more");
         }
-        long adviceUs = limits.retryAfterUs();
-        if (adviceUs > settings.maxRetryAfterUs) {
+        long retryAfterUs = limits.retryAfterUs();
+        if (retryAfterUs > settings.maxRetryAfterUs) {
             addViolation(
-                    own.get(Key.RETRY_AFTER).position(),
+                    values.get(Key.RETRY_AFTER).position(),
                     route,
                     Rule.OUT_OF_RANGE,
-                    "retry-after is " + formatDuration(adviceUs) + ", and the longest advice allowed is "
+                    "retry-after is " + formatDuration(retryAfterUs) + ", and the maximum in the settings is "
                             + formatDuration(settings.maxRetryAfterUs),
                     "retry-after = \"" + formatDuration(settings.maxRetryAfterUs) + "\"");
         }
         return limits;
     }
 
-    private void checkHedging(RequestClass cls, Map<Key, PositionedValue> own, Limits limits, String route, long wholeUs) {
+    private void checkHedging(
+            RequestClass cls, Map<Key, PositionedValue> values, Limits limits, String route, long availableUs) {
         if (limits.hedgeAfterUs() == 0 && limits.hedgePercentile() == 0) {
             return;
         }
-        Position at = positionOf(own, Key.HEDGE_AFTER, Key.HEDGE_PERCENTILE);
+        Position position = positionOf(values, Key.HEDGE_AFTER, Key.HEDGE_PERCENTILE);
         if (limits.hedgeAfterUs() > 0 && limits.hedgePercentile() > 0) {
-            addViolation(at, route, Rule.SCHEDULE, "copy-after and copy-percentile both say when", "one of them");
+            addViolation(position, route, Rule.SCHEDULE, "copy-after and copy-percentile are both set", "one of them");
         }
         if (!settings.allowsHedging) {
-            addViolation(at, route, Rule.NOT_ALLOWED, "the platform allows no second copies", "no copy-after");
+            addViolation(
+                    position, route, Rule.NOT_ALLOWED, "the settings do not allow hedged requests", "no copy-after");
         }
         if (cls.idempotency() == Idempotency.UNSAFE) {
             addViolation(
-                    at,
+                    position,
                     route,
                     Rule.UNSAFE_AGAIN,
-                    "a second copy of " + cls.name() + ", which must never run " + "twice",
+                    "a hedged request of " + cls.name() + ", which must never run twice",
                     "no copy-after");
         } else if (limits.maxAttempts() < 2) {
-            addViolation(at, route, Rule.SCHEDULE, "a second copy is a second attempt, and attempts is 1", "attempts = 2");
+            addViolation(
+                    position,
+                    route,
+                    Rule.SCHEDULE,
+                    "a hedged request is a second attempt, and attempts is 1",
+                    "attempts = 2");
         }
-        long latestUs = limits.latestHedgeUs();
+        long latestHedgeUs = limits.latestHedgeUs();
         if (cls.idempotency() == Idempotency.KEYED
-                && latestUs > 0
-                && latestUs + RETRY_SEND_MARGIN_US > cls.deduplicationWindowUs()) {
+                && latestHedgeUs > 0
+                && latestHedgeUs + RETRY_SEND_MARGIN_US > cls.deduplicationWindowUs()) {
             addViolation(
-                    at,
+                    position,
                     route,
                     Rule.KEYED_LATE,
-                    "the copy may be sent " + formatDuration(latestUs + RETRY_SEND_MARGIN_US)
+                    "the hedged request may be sent " + formatDuration(latestHedgeUs + RETRY_SEND_MARGIN_US)
                             + " after the first, with jitter and " + formatDuration(RETRY_SEND_MARGIN_US)
-                            + " margin, and racks drop repeats for "
+                            + " margin, and racks deduplicate retries for "
                             + formatDuration(cls.deduplicationWindowUs()),
-                    "copy-after = \"" + formatDuration((long) ((cls.deduplicationWindowUs() - RETRY_SEND_MARGIN_US) / (1 + limits.jitter())))
+                    "copy-after = \""
+                            + formatDuration((long)
+                                    ((cls.deduplicationWindowUs() - RETRY_SEND_MARGIN_US) / (1 + limits.jitter())))
                             + "\"");
         }
-        if (latestUs >= wholeUs) {
+        if (latestHedgeUs >= availableUs) {
             addViolation(
-                    at,
+                    position,
                     route,
                     Rule.SCHEDULE,
-                    "the copy may be sent after " + formatDuration(latestUs) + ", and the request has " + formatDuration(wholeUs) + " in all",
+                    "the hedged request may be sent after " + formatDuration(latestHedgeUs) + ", and the request has "
+                            + formatDuration(availableUs) + " in total",
                     "a shorter copy-after");
         }
     }
 
-    private static Position positionOf(Map<Key, PositionedValue> own, Key key, Key orElse) {
-        return own.getOrDefault(key, own.get(orElse)).position();
+    private static Position positionOf(Map<Key, PositionedValue> values, Key key, Key fallback) {
+        return values.getOrDefault(key, values.get(fallback)).position();
     }
 
-    private static double valueOf(Map<Key, PositionedValue> own, Key key, double otherwise) {
-        PositionedValue figure = own.get(key);
-        return figure == null ? otherwise : figure.value();
+    private static double valueOf(Map<Key, PositionedValue> values, Key key, double fallback) {
+        PositionedValue value = values.get(key);
+        return value == null ? fallback : value.value();
     }
 
-    /** A length of time as the file would have it. */
+    /** A duration in the syntax of the file, in milliseconds where that is exact. */
     static String formatDuration(long us) {
         return us % 1_000 == 0 ? us / 1_000 + "ms" : us + "us";
     }
--- a/src/main/java/vetchpost/routes/Section.java
+++ b/src/main/java/vetchpost/routes/Section.java
@@ -3,14 +3,16 @@
 import java.util.Map;
 
 /**
- * A table of the operator's file as it was read, not checked yet.
+ * A table of the operator's file as it was read, before any validation.
  *
- * @param name of the class or route; empty for the defaults, and for a route without a name
- * @param entries by key; what is nested deeper is there as it was read
+ * @param kind of the table
+ * @param name of the class or tenant, or the key of the table; empty for the defaults, routes and sources
+ * @param position of the table's header
+ * @param entries by key; nested tables and lists are values as they were read
  */
 public record Section(Kind kind, String name, Position position, Map<String, Entry> entries) {
 
-    /** What a table speaks of, from the general to the special. */
+    /** The kinds of tables, from the general to the special. */
     public enum Kind {
         DEFAULTS,
         CLASS,
@@ -20,6 +22,7 @@
         HANDOVER,
         ADMISSION,
         NODE,
+        /** {@code [classes.NAME]}: a class of requests of a node without a platform. */
         REQUESTS,
         TENANT,
         POOL,
@@ -30,6 +33,11 @@
         UNKNOWN
     }
 
-    /** A value: text, a number, a list or a table of such, or whatever else TOML knows, which is no use. */
+    /**
+     * A value with its position.
+     *
+     * @param value a text, a number, a boolean, a list or a table of such, or another TOML type that no key allows
+     * @param position of the value's key
+     */
     public record Entry(Object value, Position position) {}
 }
--- a/src/main/java/vetchpost/routes/SectionReader.java
+++ b/src/main/java/vetchpost/routes/SectionReader.java
@@ -8,9 +8,10 @@
 import vetchpost.routes.Violation.Rule;
 
 /**
- * Reads the values of one table of an operator's file, and says of each that can't be used where it stands,
- * what is wrong with it and what would pass. A value that is not there, or can't be used, is the one given
- * for that case; whoever reads looks at the violations before using any.
+ * Reads the values of one table of the operator's file. For each value that is not valid it adds a violation with
+ * the position, the problem and what would be accepted. A missing or invalid value is replaced by the given
+ * fallback, so callers check the violations before they use any value. The validators of the file's tables each use
+ * one per table. Not thread-safe.
  */
 public final class SectionReader {
     private static final Pattern DURATION_PATTERN = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)");
@@ -22,10 +23,10 @@
     private final List<Violation> violations;
 
     /**
-     * Reads that table.
+     * A reader of one table.
      *
-     * @param label what messages call it
-     * @param violations where what is wrong is added
+     * @param label names the table in messages
+     * @param violations receives the violations
      */
     public SectionReader(Section section, String label, List<Violation> violations) {
         this.section = section;
@@ -33,33 +34,42 @@
         this.violations = violations;
     }
 
-    /** Whether the table says this. */
+    /** Whether the table has this key. */
     public boolean has(String key) {
         return section.entries().containsKey(key);
     }
 
-    /** Where a key stands, or the table if it does not. */
+    /** The position of a key, or of the table if it does not have the key. */
     public Position positionOf(String key) {
         Entry entry = section.entries().get(key);
         return entry == null ? section.position() : entry.position();
     }
 
-    /** Adds a violation at the key, or at the table if the key is not there. */
-    public void addViolation(String key, Rule rule, String what, String fits) {
-        violations.add(new Violation(positionOf(key), label, rule, what, fits));
+    /**
+     * Adds a violation at the key, or at the table if it does not have the key.
+     *
+     * @param problem what is wrong, with the value
+     * @param accepted what would be accepted; may be empty
+     */
+    public void addViolation(String key, Rule rule, String problem, String accepted) {
+        violations.add(new Violation(positionOf(key), label, rule, problem, accepted));
     }
 
-    /** Names all keys that are none of these. */
+    /** Adds a violation for each key of the table that is not among these. */
     public void rejectUnknownKeys(List<String> keys) {
         section.entries().forEach((key, entry) -> {
             if (!keys.contains(key)) {
                 violations.add(new Violation(
-                        entry.position(), label, Rule.UNKNOWN_KEY, "unknown key '" + key + "'", ClosestMatch.of(key, keys)));
+                        entry.position(),
+                        label,
+                        Rule.UNKNOWN_KEY,
+                        "unknown key '" + key + "'",
+                        ClosestMatch.of(key, keys)));
             }
         });
     }
 
-    /** A value of any kind, or null. */
+    /** The value of a key as it was read, or null. */
     public Object value(String key) {
         Entry entry = section.entries().get(key);
         return entry == null ? null : entry.value();
@@ -69,38 +79,38 @@
         return value instanceof String ? "\"" + value + "\"" : String.valueOf(value);
     }
 
-    private void addWrongUnit(String key, String what, String fits) {
-        addViolation(key, Rule.WRONG_UNIT, key + " = " + format(value(key)) + " is " + what, key + " = " + fits);
+    private void addWrongUnit(String key, String problem, String accepted) {
+        addViolation(key, Rule.WRONG_UNIT, key + " = " + format(value(key)) + " is " + problem, key + " = " + accepted);
     }
 
-    /** A text that is not empty. */
-    public String text(String key, String otherwise) {
+    /** Reads a text that is not empty. */
+    public String text(String key, String fallback) {
         Object value = value(key);
         if (value == null) {
-            return otherwise;
+            return fallback;
         }
         if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
         addWrongUnit(key, "no text", "\"...\"");
-        return otherwise;
+        return fallback;
     }
 
-    /** One of these words. */
-    public String choice(String key, String otherwise, List<String> words) {
-        String text = text(key, otherwise);
+    /** Reads a text that is one of these words. */
+    public String choice(String key, String fallback, List<String> words) {
+        String text = text(key, fallback);
         if (words.contains(text)) {
             return text;
         }
         addViolation(key, Rule.OUT_OF_RANGE, key + " = \"" + text + "\"", ClosestMatch.of(text, words));
-        return otherwise;
+        return fallback;
     }
 
-    /** A list of texts. */
-    public List<String> texts(String key, List<String> otherwise) {
+    /** Reads a list of texts that are not empty. */
+    public List<String> texts(String key, List<String> fallback) {
         Object value = value(key);
         if (value == null) {
-            return otherwise;
+            return fallback;
         }
         List<String> texts = new ArrayList<>();
         if (value instanceof List<?> list) {
@@ -114,117 +124,116 @@
             }
         }
         addWrongUnit(key, "no list of texts", "[\"...\"]");
-        return otherwise;
+        return fallback;
     }
 
-    /** True or false. */
-    public boolean flag(String key, boolean otherwise) {
+    /** Reads a boolean. */
+    public boolean flag(String key, boolean fallback) {
         Object value = value(key);
         if (value == null || value instanceof Boolean) {
-            return value == null ? otherwise : (Boolean) value;
+            return value == null ? fallback : (Boolean) value;
         }
-        addWrongUnit(key, "neither true nor false", Boolean.toString(otherwise));
-        return otherwise;
+        addWrongUnit(key, "neither true nor false", Boolean.toString(fallback));
+        return fallback;
     }
 
-    /** A whole number within these bounds. */
-    public int integer(String key, int otherwise, int least, int most) {
+    /** Reads a whole number within these inclusive bounds. */
+    public int integer(String key, int fallback, int min, int max) {
         Object value = value(key);
         if (value == null) {
-            return otherwise;
+            return fallback;
         }
         if (!(value instanceof Long number)) {
-            addWrongUnit(key, "no whole number", Integer.toString(otherwise));
-            return otherwise;
+            addWrongUnit(key, "no whole number", Integer.toString(fallback));
+            return fallback;
         }
-        if (number < least || number > most) {
-            addViolation(key, Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
-            return otherwise;
+        if (number < min || number > max) {
+            addViolation(key, Rule.OUT_OF_RANGE, key + " = " + number, "from " + min + " to " + max);
+            return fallback;
         }
         return number.intValue();
     }
 
-    /** A number within these bounds. */
-    public double number(String key, double otherwise, double least, double most) {
+    /** Reads a number within these inclusive bounds. */
+    public double number(String key, double fallback, double min, double max) {
         Object value = value(key);
         if (value == null) {
-            return otherwise;
+            return fallback;
         }
         if (!(value instanceof Number number)) {
-            addWrongUnit(key, "no number", Double.toString(otherwise));
-            return otherwise;
+            addWrongUnit(key, "no number", Double.toString(fallback));
+            return fallback;
         }
-        if (!(number.doubleValue() >= least && number.doubleValue() <= most)) {
-            addViolation(key, Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
-            return otherwise;
+        if (!(number.doubleValue() >= min && number.doubleValue() <= max)) {
+            addViolation(key, Rule.OUT_OF_RANGE, key + " = " + number, "from " + min + " to " + max);
+            return fallback;
         }
         return number.doubleValue();
     }
 
-    /** A length of time in microseconds, within these bounds. */
-    public long duration(String key, long otherwiseUs, long leastUs, long mostUs) {
+    /** Reads a duration such as {@code "250ms"}, in microseconds, within these inclusive bounds. */
+    public long duration(String key, long fallbackUs, long minUs, long maxUs) {
         Object value = value(key);
         if (value == null) {
-            return otherwiseUs;
+            return fallbackUs;
         }
-        Matcher m = value instanceof String text ? DURATION_PATTERN.matcher(text) : null;
-        if (m == null || !m.matches()) {
+        Matcher matcher = value instanceof String text ? DURATION_PATTERN.matcher(text) : null;
+        if (matcher == null || !matcher.matches()) {
             addWrongUnit(key, "no length of time", value instanceof Long ? "\"" + value + "ms\"" : "\"250ms\"");
-            return otherwiseUs;
+            return fallbackUs;
         }
-        double us = Double.parseDouble(m.group(1))
-                * switch (m.group(2)) {
+        double us = Double.parseDouble(matcher.group(1))
+                * switch (matcher.group(2)) {
                     case "us" -> 1;
                     case "ms" -> 1e3;
                     case "s" -> 1e6;
                     case "m" -> 60e6;
                     default -> 3_600e6;
                 };
-        if (us < leastUs || us > mostUs) {
+        if (us < minUs || us > maxUs) {
             addViolation(
                     key,
                     Rule.OUT_OF_RANGE,
                     key + " = " + format(value),
-                    "from " + formatDuration(leastUs) + " to " + formatDuration(mostUs));
-            return otherwiseUs;
+                    "from " + formatDuration(minUs) + " to " + formatDuration(maxUs));
+            return fallbackUs;
         }
         return (long) us;
     }
 
-    /** A size in bytes, within these bounds. */
-    public long size(String key, long otherwise, long least, long most) {
+    /** Reads a size such as {@code "64KiB"}, in bytes, within these inclusive bounds. */
+    public long size(String key, long fallback, long min, long max) {
         Object value = value(key);
         if (value == null) {
-            return otherwise;
+            return fallback;
         }
-        Matcher m = value instanceof String text ? SIZE_PATTERN.matcher(text) : null;
-        if (m == null || !m.matches()) {
+        Matcher matcher = value instanceof String text ? SIZE_PATTERN.matcher(text) : null;
+        if (matcher == null || !matcher.matches()) {
             addWrongUnit(key, "no size", value instanceof Long ? "\"" + value + "B\"" : "\"64KiB\"");
-            return otherwise;
+            return fallback;
         }
-        long bytes = Long.parseLong(m.group(1))
-                * switch (m.group(2)) {
+        long bytes = Long.parseLong(matcher.group(1))
+                * switch (matcher.group(2)) {
                     case "B" -> 1L;
                     case "KiB" -> KIB_BYTES;
                     case "MiB" -> KIB_BYTES * KIB_BYTES;
                     default -> (long) KIB_BYTES * KIB_BYTES * KIB_BYTES;
                 };
-        if (bytes < least || bytes > most) {
-            addViolation(
-                    key, Rule.OUT_OF_RANGE, key + " = " + format(value), "from " + size(least) + " to " + size(most));
-            return otherwise;
+        if (bytes < min || bytes > max) {
+            addViolation(key, Rule.OUT_OF_RANGE, key + " = " + format(value), "from " + size(min) + " to " + size(max));
+            return fallback;
         }
         return bytes;
     }
 
-    /** A length of time as a file would have it. */
+    /** A duration in microseconds in the syntax of the file. */
     public static String formatDuration(long us) {
         return us != 0 && us % 3_600_000_000L == 0
                 ? us / 3_600_000_000L + "h"
                 : us % 1_000_000 == 0 ? us / 1_000_000 + "s" : us % 1_000 == 0 ? us / 1_000 + "ms" : us + "us";
     }
 
-    /** A size as a file would have it. */
+    /** A size in bytes in the syntax of the file. */
     public static String size(long bytes) {
         long gib = (long) KIB_BYTES * KIB_BYTES * KIB_BYTES;
         return bytes != 0 && bytes % gib == 0
--- a/src/main/java/vetchpost/routes/TenantNames.java
+++ b/src/main/java/vetchpost/routes/TenantNames.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import vetchpost.decision.Balancer.Tenant;
 
-/** Finds tenants by name among any number, for four bytes each. */
+/** Finds tenants by name in logarithmic time, with four bytes of index each. Immutable; used by route tables. */
 final class TenantNames implements RouteValidator.Tenants {
     private final List<Tenant> tenants;
-    /** Their indexes, by the order of their names. */
+    /** The indexes of the tenants, sorted by their names. */
     private final int[] indexesByName;
 
     TenantNames(List<Tenant> tenants) {
         this.tenants = tenants;
-        Integer[] places = new Integer[tenants.size()];
-        Arrays.setAll(places, i -> i);
-        Arrays.sort(places, Comparator.comparing(i -> tenants.get(i).name()));
-        indexesByName = Arrays.stream(places).mapToInt(Integer::intValue).toArray();
+        Integer[] indexes = new Integer[tenants.size()];
+        Arrays.setAll(indexes, i -> i);
+        Arrays.sort(indexes, Comparator.comparing(i -> tenants.get(i).name()));
+        indexesByName = Arrays.stream(indexes).mapToInt(Integer::intValue).toArray();
     }
 
-    /** The index of a tenant, or -1. */
+    /** The index of a tenant in the settings, or -1 if there is none of that name. */
     int indexOf(String name) {
         int low = 0;
         int high = indexesByName.length - 1;
@@ -44,7 +44,7 @@
         return indexOf(name) >= 0;
     }
 
-    /** The name of one, by its index; empty for an index that is none. */
+    /** The name of the tenant at an index; empty if the index is out of range. */
     String nameAt(int index) {
         return index >= 0 && index < tenants.size() ? tenants.get(index).name() : "";
     }
--- a/src/main/java/vetchpost/routes/file/FileIndex.java
+++ b/src/main/java/vetchpost/routes/file/FileIndex.java
@@ -20,8 +20,9 @@
 import vetchpost.store.PackedTree;
 
 /**
- * What an operator's file said when it was read: of each route a hash of its lines with its name, and one
- * hash of all else. By it the same file is read again for no more than what has changed in its routes.
+ * An index of the operator's file as it was last read: for each route a hash of its lines with its name, and one
+ * hash of all other tables. With it {@link #reread} parses only the routes that have changed. Loaders of the node's
+ * file use it. Immutable; {@link #read} and {@link #reread} do blocking I/O.
  */
 public final class FileIndex {
     private static final byte[] EMPTY_BYTES = new byte[0];
@@ -35,177 +36,182 @@
         this.otherTablesHash = others;
     }
 
-    /** Bytes that it keeps. */
+    /** Bytes retained by the index. */
     public long retainedBytes() {
         return namesByHash.retainedBytes();
     }
 
     /**
-     * How a file differs from what it said before.
+     * The difference between a file and its index.
      *
-     * @param fresh routes that are new or say something else, with their places in the file
-     * @param gone names of routes whose lines are there no more; some may be among the fresh ones
+     * @param changedRoutes new and changed routes, with their positions in the file
+     * @param removedRoutes names of routes whose former lines are no longer there; changed routes are among them
      * @param index of the file as it is now
-     * @param violations what keeps the fresh ones from being TOML
+     * @param violations syntax errors in changed routes
      */
     public record Difference(
             List<Section> changedRoutes, List<String> removedRoutes, FileIndex index, List<Violation> violations) {}
 
-    /** Takes a file's tables; routes come after all others. */
+    /** Receives the tables of a file, routes after all others. */
     public interface SectionHandler {
-        /** All that are no routes. */
+        /** Called once, with all tables that are not routes. */
         void acceptOtherSections(List<Section> sections);
 
-        /** A route. */
+        /** Called for each route. */
         void acceptRoute(Section section);
     }
 
+    /** A hash of 128 bits, so that different routes do not collide; the first 64 are that of {@link HashSet64}. */
     private static byte[] hash(CharSequence text) {
-        long second = text.length() * SECOND_HASH_MULTIPLIER;
+        long secondHash = text.length() * SECOND_HASH_MULTIPLIER;
         for (int i = 0; i < text.length(); i++) {
-            second = Long.rotateLeft(second ^ text.charAt(i), 7) * SECOND_HASH_MULTIPLIER;
+            secondHash = Long.rotateLeft(secondHash ^ text.charAt(i), 7) * SECOND_HASH_MULTIPLIER;
         }
         return ByteBuffer.allocate(2 * Long.BYTES)
                 .putLong(HashSet64.hash(text))
-                .putLong(second)
+                .putLong(secondHash)
                 .array();
     }
 
-    private static void readBlocks(Path file, BlockReader.BlockHandler sink) throws IOException, BlockReader.UnsplittableFileException {
+    private static void readBlocks(Path file, BlockReader.BlockHandler handler)
+            throws IOException, BlockReader.UnsplittableFileException {
         if (Files.size(file) > RouteFile.MAX_FILE_BYTES) {
-            throw new IOException(file + " is over " + (RouteFile.MAX_FILE_BYTES >> 20) + " MiB");
+            throw new IOException(file + " is larger than " + (RouteFile.MAX_FILE_BYTES >> 20) + " MiB");
         }
-        try (Reader in = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
-            RouteFile.blockReader(sink).read(in);
+        try (Reader reader = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
+            RouteFile.blockReader(handler).read(reader);
         } catch (CharacterCodingException e) {
             throw new IOException(file + " is not UTF-8", e);
         }
     }
 
     /**
-     * Reads a file table by table, its routes last, so that no more of it is in memory than one of them at a
-     * time.
+     * Reads a file table by table, its routes last, so that only one route at a time is in memory.
      *
-     * @param violations is added what keeps it from being TOML; the tables are then not to be used
-     * @return its index; null if the file had to be read as a whole, or its index is of no use
-     * @throws IOException if it can't be read, or has changed while it was
+     * @param handler receives the tables
+     * @param violations receives syntax errors; if there is any, the tables must not be used
+     * @return the index; null if the file had to be parsed as a whole, or two routes have the same text, or the
+     *     name of one is not a text
+     * @throws IOException if the file cannot be read, is too large, or changes while it is read
      */
-    public static FileIndex read(Path file, SectionHandler into, Consumer<Violation> violations) throws IOException {
+    public static FileIndex read(Path file, SectionHandler handler, Consumer<Violation> violations) throws IOException {
         try {
-            return readByBlocks(file, into, violations);
+            return readByBlocks(file, handler, violations);
         } catch (BlockReader.UnsplittableFileException e) {
-            // Nothing was told so far: routes come last, and all blocks are looked at before.
-            RouteFile whole = RouteFile.read(file);
-            whole.violations().forEach(violations);
-            into.acceptOtherSections(whole.sections().stream()
+            // The handler has received nothing yet: the first pass reads all blocks before it is called.
+            RouteFile wholeFile = RouteFile.read(file);
+            wholeFile.violations().forEach(violations);
+            handler.acceptOtherSections(wholeFile.sections().stream()
                     .filter(s -> s.kind() != Kind.ROUTE)
                     .toList());
-            whole.sections().stream().filter(s -> s.kind() == Kind.ROUTE).forEach(into::acceptRoute);
+            wholeFile.sections().stream().filter(s -> s.kind() == Kind.ROUTE).forEach(handler::acceptRoute);
             return null;
         }
     }
 
-    private static FileIndex readByBlocks(Path file, SectionHandler into, Consumer<Violation> violations)
+    private static FileIndex readByBlocks(Path file, SectionHandler handler, Consumer<Violation> violations)
             throws IOException, BlockReader.UnsplittableFileException {
-        List<Section> others = new ArrayList<>();
-        long[] sums = new long[4];
-        boolean[] bad = new boolean[1];
+        List<Section> otherSections = new ArrayList<>();
+        // Routes and other tables of the first pass, then of the second, to detect a change between them.
+        long[] hashes = new long[4];
+        boolean[] hasErrors = new boolean[1];
         String name = file.toString();
-        readBlocks(file, (kind, of, line, text) -> {
+        readBlocks(file, (kind, tableName, line, text) -> {
             if (kind == Kind.ROUTE) {
-                sums[0] += HashSet64.hash(text);
+                hashes[0] += HashSet64.hash(text);
                 return;
             }
-            sums[1] = sums[1] * SECOND_HASH_MULTIPLIER + HashSet64.hash(text);
-            RouteFile one = RouteFile.parseBlock(name, kind, text.toString(), line);
-            bad[0] |= !one.violations().isEmpty();
-            one.violations().forEach(violations);
-            others.addAll(one.sections());
+            hashes[1] = hashes[1] * SECOND_HASH_MULTIPLIER + HashSet64.hash(text);
+            RouteFile parsed = RouteFile.parseBlock(name, kind, text.toString(), line);
+            hasErrors[0] |= !parsed.violations().isEmpty();
+            parsed.violations().forEach(violations);
+            otherSections.addAll(parsed.sections());
         });
-        if (!bad[0]) {
-            into.acceptOtherSections(others);
+        if (!hasErrors[0]) {
+            handler.acceptOtherSections(otherSections);
         }
-        PackedTree[] index = {PackedTree.EMPTY};
-        boolean[] twice = new boolean[1];
-        readBlocks(file, (kind, of, line, text) -> {
+        PackedTree[] namesByHash = {PackedTree.EMPTY};
+        boolean[] isAmbiguous = new boolean[1];
+        readBlocks(file, (kind, tableName, line, text) -> {
             if (kind != Kind.ROUTE) {
-                sums[3] = sums[3] * SECOND_HASH_MULTIPLIER + HashSet64.hash(text);
+                hashes[3] = hashes[3] * SECOND_HASH_MULTIPLIER + HashSet64.hash(text);
                 return;
             }
-            sums[2] += HashSet64.hash(text);
-            RouteFile one = RouteFile.parseBlock(name, kind, text.toString(), line);
-            one.violations().forEach(violations);
-            for (Section section : one.sections()) {
-                if (!bad[0]) {
-                    into.acceptRoute(section);
+            hashes[2] += HashSet64.hash(text);
+            RouteFile parsed = RouteFile.parseBlock(name, kind, text.toString(), line);
+            parsed.violations().forEach(violations);
+            for (Section section : parsed.sections()) {
+                if (!hasErrors[0]) {
+                    handler.acceptRoute(section);
                 }
                 byte[] hash = hash(text);
-                String known = RouteCodec.nameOf(section);
-                twice[0] |= known == null || index[0].get(hash) != null;
-                index[0] = index[0].put(hash, known == null ? EMPTY_BYTES : FieldCodec.utf8(known), 0);
+                String routeName = RouteCodec.nameOf(section);
+                isAmbiguous[0] |= routeName == null || namesByHash[0].get(hash) != null;
+                namesByHash[0] =
+                        namesByHash[0].put(hash, routeName == null ? EMPTY_BYTES : FieldCodec.utf8(routeName), 0);
             }
         });
-        if (sums[0] != sums[2] || sums[1] != sums[3]) {
+        if (hashes[0] != hashes[2] || hashes[1] != hashes[3]) {
             throw new IOException(file + " has changed while it was read");
         }
-        return twice[0] ? null : new FileIndex(index[0], sums[1]);
+        return isAmbiguous[0] ? null : new FileIndex(namesByHash[0], hashes[1]);
     }
 
     /**
-     * Reads the file again for what has changed in its routes.
+     * Reads the file again and parses the routes that have changed.
      *
-     * @return null if something else may have changed too, so that all of it has to be read
-     * @throws IOException if it can't be read
+     * @return null if more than routes may have changed, so that the whole file has to be read
+     * @throws IOException if the file cannot be read or is too large
      */
     public Difference reread(Path file) throws IOException {
-        List<Section> fresh = new ArrayList<>();
+        List<Section> changedRoutes = new ArrayList<>();
         List<Violation> violations = new ArrayList<>();
-        HashSet64 seen = new HashSet64();
-        Map<String, byte[]> added = new LinkedHashMap<>();
-        long[] other = new long[1];
-        long[] known = new long[1];
-        boolean[] odd = new boolean[1];
+        HashSet64 seenHashes = new HashSet64();
+        Map<String, byte[]> hashesByName = new LinkedHashMap<>();
+        long[] otherHash = new long[1];
+        long[] unchangedCount = new long[1];
+        boolean[] isAmbiguous = new boolean[1];
         try {
-            readBlocks(file, (kind, of, line, text) -> {
+            readBlocks(file, (kind, tableName, line, text) -> {
                 if (kind != Kind.ROUTE) {
-                    other[0] = other[0] * SECOND_HASH_MULTIPLIER + HashSet64.hash(text);
+                    otherHash[0] = otherHash[0] * SECOND_HASH_MULTIPLIER + HashSet64.hash(text);
                     return;
                 }
                 byte[] hash = hash(text);
-                odd[0] |= !seen.add(ByteBuffer.wrap(hash).getLong());
+                isAmbiguous[0] |= !seenHashes.add(ByteBuffer.wrap(hash).getLong());
                 if (namesByHash.contains(hash)) {
-                    known[0]++;
+                    unchangedCount[0]++;
                     return;
                 }
-                RouteFile one = RouteFile.parseBlock(file.toString(), kind, text.toString(), line);
-                violations.addAll(one.violations());
-                for (Section section : one.sections()) {
-                    fresh.add(section);
+                RouteFile parsed = RouteFile.parseBlock(file.toString(), kind, text.toString(), line);
+                violations.addAll(parsed.violations());
+                for (Section section : parsed.sections()) {
+                    changedRoutes.add(section);
                     String name = RouteCodec.nameOf(section);
-                    odd[0] |= name == null || added.put(name, hash) != null;
+                    isAmbiguous[0] |= name == null || hashesByName.put(name, hash) != null;
                 }
             });
         } catch (BlockReader.UnsplittableFileException e) {
             return null;
         }
-        if (odd[0] || other[0] != otherTablesHash) {
+        if (isAmbiguous[0] || otherHash[0] != otherTablesHash) {
             return null;
         }
-        List<String> gone = new ArrayList<>();
-        PackedTree now = namesByHash;
-        if (known[0] != namesByHash.size()) {
+        List<String> removedRoutes = new ArrayList<>();
+        PackedTree newNamesByHash = namesByHash;
+        if (unchangedCount[0] != namesByHash.size()) {
             for (PackedTree.Item item = namesByHash.ceiling(EMPTY_BYTES);
                     item != null;
                     item = namesByHash.ceiling(PackedTree.successor(item.key()))) {
-                if (!seen.contains(ByteBuffer.wrap(item.key()).getLong())) {
-                    gone.add(FieldCodec.text(item.value()));
-                    now = now.remove(item.key());
+                if (!seenHashes.contains(ByteBuffer.wrap(item.key()).getLong())) {
+                    removedRoutes.add(FieldCodec.text(item.value()));
+                    newNamesByHash = newNamesByHash.remove(item.key());
                 }
             }
         }
-        for (Map.Entry<String, byte[]> each : added.entrySet()) {
-            now = now.put(each.getValue(), FieldCodec.utf8(each.getKey()), 0);
+        for (Map.Entry<String, byte[]> route : hashesByName.entrySet()) {
+            newNamesByHash = newNamesByHash.put(route.getValue(), FieldCodec.utf8(route.getKey()), 0);
         }
-        return new Difference(fresh, gone, new FileIndex(now, otherTablesHash), violations);
+        return new Difference(changedRoutes, removedRoutes, new FileIndex(newNamesByHash, otherTablesHash), violations);
     }
 }
--- a/src/main/java/vetchpost/store/EntryChange.java
+++ b/src/main/java/vetchpost/store/EntryChange.java
@@ -1,32 +1,34 @@
 package vetchpost.store;
 
 /**
- * What becomes of one entry.
+ * A change of one entry of the configuration.
  *
- * @param value null for a delete
+ * @param op how the entry changes
+ * @param key of the entry
+ * @param value the new value; null for a delete
  */
 public record EntryChange(Op op, EntryKey key, byte[] value) {
-    /** How. */
+    /** How an entry changes. */
     public enum Op {
-        /** An entry that is not there yet. */
+        /** Adds an entry that does not exist yet. */
         PUT,
-        /** One that is there. */
+        /** Gives an existing entry another value. */
         REPLACE,
-        /** One that is there goes. */
+        /** Removes an existing entry. */
         DELETE
     }
 
-    /** A new entry. */
+    /** Adds an entry. */
     public static EntryChange put(EntryKey key, byte[] value) {
         return new EntryChange(Op.PUT, key, value);
     }
 
-    /** Another value for an entry. */
+    /** Replaces the value of an entry. */
     public static EntryChange replace(EntryKey key, byte[] value) {
         return new EntryChange(Op.REPLACE, key, value);
     }
 
-    /** An entry less. */
+    /** Removes an entry. */
     public static EntryChange delete(EntryKey key) {
         return new EntryChange(Op.DELETE, key, null);
     }
--- a/src/main/java/vetchpost/store/EntryKey.java
+++ b/src/main/java/vetchpost/store/EntryKey.java
@@ -4,21 +4,26 @@
 import java.util.Arrays;
 
 /**
- * What an entry is found by.
+ * The key of an entry of the configuration.
  *
- * @param name up to 2 KiB of UTF-8
+ * @param kind of the entry
+ * @param name up to 2,048 characters; empty for the defaults
  */
 public record EntryKey(EntryKind kind, String name) {
     private static final int MAX_NAME_CHARS = 2_048;
 
-    /** @throws IllegalArgumentException if the name is too long */
+    /**
+     * Checks the length of the name.
+     *
+     * @throws IllegalArgumentException if the name is too long
+     */
     public EntryKey {
         if (name.length() > MAX_NAME_CHARS) {
-            throw new IllegalArgumentException("a name of " + name.length() + " characters");
+            throw new IllegalArgumentException("a name of " + name.length() + " characters is too long");
         }
     }
 
-    /** As trees have it: a byte for the kind, and the name. */
+    /** The key in a {@link PackedTree}: one byte for the kind, then the name in UTF-8. */
     public byte[] bytes() {
         byte[] text = name.getBytes(StandardCharsets.UTF_8);
         byte[] bytes = new byte[1 + text.length];
@@ -27,11 +32,15 @@
         return bytes;
     }
 
-    /** @throws IllegalArgumentException if these bytes are no key's */
+    /**
+     * Decodes a key.
+     *
+     * @throws IllegalArgumentException if the bytes are not a key
+     */
     public static EntryKey of(byte[] bytes) {
         EntryKind kind = bytes.length == 0 ? null : EntryKind.ofOrdinal(bytes[0] - 1);
         if (kind == null) {
-            throw new IllegalArgumentException("no key: " + Arrays.toString(Arrays.copyOf(bytes, 1)));
+            throw new IllegalArgumentException("not a key, begins with " + Arrays.toString(Arrays.copyOf(bytes, 1)));
         }
         return new EntryKey(kind, new String(bytes, 1, bytes.length - 1, StandardCharsets.UTF_8));
     }
--- a/src/main/java/vetchpost/store/EntryKind.java
+++ b/src/main/java/vetchpost/store/EntryKind.java
@@ -1,8 +1,8 @@
 package vetchpost.store;
 
-/** What an entry of a configuration is of; entries are ordered by it first. */
+/** The kind of an entry of the configuration. Entries are ordered by kind first; stored keys have the ordinal. */
 public enum EntryKind {
-    /** What holds for all requests, or for those of a class. */
+    /** The default limits, or those of a class. */
     LIMITS,
     SERVICE,
     TENANT,
@@ -10,8 +10,8 @@
 
     private static final EntryKind[] ALL = values();
 
-    /** By its place, or null if there is none. */
-    static EntryKind ofOrdinal(int place) {
-        return place >= 0 && place < ALL.length ? ALL[place] : null;
+    /** The kind with this ordinal, or null if there is none. */
+    static EntryKind ofOrdinal(int ordinal) {
+        return ordinal >= 0 && ordinal < ALL.length ? ALL[ordinal] : null;
     }
 }
--- a/src/main/java/vetchpost/store/FieldCodec.java
+++ b/src/main/java/vetchpost/store/FieldCodec.java
@@ -5,38 +5,43 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Numbered values as bytes, in the order of their numbers: texts, whole numbers and others. */
+/**
+ * Encodes numbered fields, which are texts, longs or doubles, as bytes in the order of their numbers. The values of
+ * a configuration's entries are stored and replicated in this form. Stateless.
+ */
 public final class FieldCodec {
     private static final int TEXT = 0;
     private static final int INTEGER = 1;
     private static final int FLOATING_POINT = 2;
     private static final int TYPE_COUNT = 3;
     private static final int MAX_TEXT_BYTES = 2_048;
-    /** All of an entry's. */
+    /** Maximum size of all fields of an entry. */
     public static final int MAX_ENTRY_BYTES = 8_192;
 
     private static final int MAX_FIELD_NUMBER = 84;
 
     private FieldCodec() {}
 
-    /** Takes each value as it is read. */
+    /** Receives each field as it is read. */
     public interface Visitor {
-        /** A value, which is a text, a Long or a Double. */
+        /** Called for each field, in the order of their numbers; the value is a String, a Long or a Double. */
         void visit(int number, Object value);
     }
 
-    /** Puts values together. */
+    /** Encodes the fields of one entry. */
     public static final class Encoder {
         private final ByteBuffer buffer = ByteBuffer.allocate(MAX_ENTRY_BYTES);
 
         /**
-         * Adds a value with a number over the last one's, up to 84.
+         * Adds a field.
          *
-         * @throws IllegalArgumentException if it is of no such kind, or too long
+         * @param number greater than that of the last field, and at most 84
+         * @param value a String, a Long or a Double
+         * @throws IllegalArgumentException if the value has another type or is too long, or the number is out of range
          */
         public void add(int number, Object value) {
             if (number < 0 || number > MAX_FIELD_NUMBER) {
-                throw new IllegalArgumentException("field " + number);
+                throw new IllegalArgumentException("field number out of range: " + number);
             }
             if (value instanceof String text) {
                 byte[] utf8 = utf8(text);
@@ -55,52 +60,53 @@
             }
         }
 
-        /** All that was added. */
+        /** The encoded fields. */
         public byte[] bytes() {
             return Arrays.copyOf(buffer.array(), buffer.position());
         }
     }
 
     /**
-     * Reads what was packed.
+     * Decodes fields.
      *
-     * @throws IllegalArgumentException if these bytes are nothing of the kind
+     * @throws IllegalArgumentException if the bytes are not encoded fields
      */
-    public static void read(byte[] bytes, Visitor taker) {
-        ByteBuffer from = ByteBuffer.wrap(bytes);
-        int last = -1;
+    public static void read(byte[] bytes, Visitor visitor) {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        int lastNumber = -1;
         try {
-            while (from.hasRemaining()) {
-                int tag = from.get() & 0xFF;
+            while (buffer.hasRemaining()) {
+                int tag = buffer.get() & 0xFF;
                 int number = tag / TYPE_COUNT;
-                if (number <= last) {
-                    throw new IllegalArgumentException("field " + number + " after field " + last);
+                if (number <= lastNumber) {
+                    throw new IllegalArgumentException(
+                            "field " + number + " is not in order after field " + lastNumber);
                 }
-                last = number;
+                lastNumber = number;
                 if (tag % TYPE_COUNT == TEXT) {
-                    int length = from.getShort();
-                    if (length < 0 || length > from.remaining()) {
-                        throw new IllegalArgumentException("a text of " + length + " bytes");
+                    int length = buffer.getShort();
+                    if (length < 0 || length > buffer.remaining()) {
+                        throw new IllegalArgumentException("text length " + length + " exceeds the entry");
                     }
-                    taker.visit(number, new String(bytes, from.position(), length, StandardCharsets.UTF_8));
-                    from.position(from.position() + length);
+                    visitor.visit(number, new String(bytes, buffer.position(), length, StandardCharsets.UTF_8));
+                    buffer.position(buffer.position() + length);
                 } else if (tag % TYPE_COUNT == INTEGER) {
-                    taker.visit(number, from.getLong());
+                    visitor.visit(number, buffer.getLong());
                 } else {
-                    taker.visit(number, from.getDouble());
+                    visitor.visit(number, buffer.getDouble());
                 }
             }
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("it ends within a value", e);
+            throw new IllegalArgumentException("the bytes end within a field", e);
         }
     }
 
-    /** A text's bytes in UTF-8. */
+    /** Encodes a text in UTF-8. */
     public static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The text of bytes in UTF-8. */
+    /** Decodes a text in UTF-8. */
     public static String text(byte[] utf8) {
         return new String(utf8, StandardCharsets.UTF_8);
     }
