--- a/src/main/java/vetchpost/store/PackedTree.java
+++ b/src/main/java/vetchpost/store/PackedTree.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * A persistent sorted map of bytes to bytes: a B+ tree whose leaves are packed into one array each, so that
+ * A persistent sorted map of bytes to bytes. It is a B+ tree whose leaves are packed into one array each, so that
  * an entry costs little more than its own bytes, and whose nodes carry their count, the sum of their entries'
- * hashes and their newest stamp. A change copies one leaf and the way to it and leaves the tree before as it
- * was; whoever has a reference may read it for as long as wanted, from any thread.
+ * hashes and their newest stamp. A change copies one leaf and the path to it, and leaves the earlier tree as it
+ * was; any thread may read a tree for as long as it has a reference. Keys are ordered as unsigned bytes.
  *
- * <p>The sum is commutative (as in a Merkle tree of additive hashes), so that two trees with the same entries
- * have the same sums however they came to be. It tells differences by accident, not by an adversary.
+ * <p>The sum is commutative (as in a Merkle tree of additive hashes): trees with the same entries have the same
+ * sums, whatever the order of their changes. It detects accidental differences, not those made by an adversary.
  */
 public final class PackedTree {
-    /** Nothing. */
+    /** The tree without entries. */
     public static final PackedTree EMPTY = new PackedTree(new Leaf(new byte[0], 0, 0, 0));
 
-    /** A leaf is copied for each change in it, and read through for each look-up: ten to twenty entries. */
+    /** Holds ten to twenty entries: each change copies a leaf, and each lookup scans one. */
     private static final int MAX_LEAF_BYTES = 1_024;
 
     private static final int MAX_CHILDREN = 64;
-    /** Under a part of the most, a node is joined with one beside it. */
+    /** A node that is filled to no more than this fraction of its maximum, 1/4, is merged with a neighbour. */
     private static final int MERGE_DIVISOR = 4;
 
     private static final int OBJECT_HEADER_BYTES = 16;
@@ -34,13 +34,14 @@
     /**
      * An entry.
      *
-     * @param stamp tells when it changed last; 0 or more
+     * @param stamp the version of the last change; 0 or more
      */
     public record Item(byte[] key, byte[] value, long stamp) {}
 
     /**
-     * What the entries of a range come to.
+     * Count and hash of the entries in a range.
      *
+     * @param count number of entries
      * @param hash the sum of their hashes
      */
     public record Sum(long count, long hash) {}
@@ -50,34 +51,34 @@
         final long sum;
         final long newestStamp;
 
-        Node(long count, long sum, long newest) {
+        Node(long count, long sum, long newestStamp) {
             this.count = count;
             this.sum = sum;
-            this.newestStamp = newest;
+            this.newestStamp = newestStamp;
         }
 
-        /** A node with the entry, or two. */
+        /** Returns one node with the entry, or the two that this node is split into. */
         abstract Node[] put(byte[] key, byte[] value, long stamp);
 
-        /** Itself if there is no such key, null if nothing is left. */
+        /** Returns this node if it does not have the key, null if no entry is left. */
         abstract Node remove(byte[] key);
 
         abstract Item get(byte[] key);
 
         abstract boolean contains(byte[] key);
 
-        /** The first entry whose key is not before this, and whose stamp is over that; null for none. */
-        abstract Item nextNewer(byte[] from, long over);
+        /** The first entry with key >= {@code from} (null for the first) and stamp > {@code stamp}; null for none. */
+        abstract Item nextNewer(byte[] from, long stamp);
 
         abstract Item at(long index);
 
         abstract byte[] firstKey();
 
         /**
-         * Adds count and hashes of the entries from one key (null for the first) to before another (null:
-         * all).
+         * Adds count and hashes of the entries from one key, inclusive (null for the first), to another, exclusive
+         * (null for no end), to the two elements of {@code total}.
          */
-        abstract void addSum(byte[] from, byte[] to, long[] into);
+        abstract void addSum(byte[] from, byte[] to, long[] total);
 
         abstract long retainedBytes();
     }
@@ -85,92 +86,96 @@
     private static final class Leaf extends Node {
         private final byte[] data;
 
-        Leaf(byte[] data, long count, long sum, long newest) {
-            super(count, sum, newest);
+        Leaf(byte[] data, long count, long sum, long newestStamp) {
+            super(count, sum, newestStamp);
             this.data = data;
         }
 
         @Override
         Node[] put(byte[] key, byte[] value, long stamp) {
-            int at = 0;
+            int start = 0;
             int end = 0;
-            long without = sum;
-            int entries = (int) count + 1;
+            long sumOfOthers = sum;
+            int newCount = (int) count + 1;
             Reader reader = new Reader(data, 0);
             while (reader.offset < data.length) {
-                at = reader.offset;
+                start = reader.offset;
                 int order = reader.compareKey(key);
                 reader.skip();
                 if (order == 0) {
-                    without -= reader.hash(at);
-                    entries--;
+                    sumOfOthers -= reader.hash(start);
+                    newCount--;
                     end = reader.offset;
                     break;
                 }
                 if (order > 0) {
-                    end = at;
+                    end = start;
                     break;
                 }
-                at = reader.offset;
-                end = at;
+                start = reader.offset;
+                end = start;
             }
-            byte[] packed = new byte[at + Writer.length(key, value, stamp) + data.length - end];
-            System.arraycopy(data, 0, packed, 0, at);
-            int after = Writer.write(packed, at, key, value, stamp);
-            System.arraycopy(data, end, packed, after, data.length - end);
-            if (packed.length <= MAX_LEAF_BYTES || entries == 1) {
-                // A newest stamp that was this entry's own only grows: stamps do.
-                return new Node[] {new Leaf(packed, entries, without + hash(key, value, stamp), Math.max(newestStamp, stamp))
+            byte[] packed = new byte[start + Writer.length(key, value, stamp) + data.length - end];
+            System.arraycopy(data, 0, packed, 0, start);
+            int entryEnd = Writer.write(packed, start, key, value, stamp);
+            System.arraycopy(data, end, packed, entryEnd, data.length - end);
+            if (packed.length <= MAX_LEAF_BYTES || newCount == 1) {
+                // Replacing the newest entry cannot lower the newest stamp, since stamps only grow.
+                return new Node[] {
+                    new Leaf(packed, newCount, sumOfOthers + hash(key, value, stamp), Math.max(newestStamp, stamp))
                 };
             }
-            // What is written in order fills its leaves; else they are halved.
-            int cut = after == packed.length ? at : findSplitOffset(packed);
-            return new Node[] {buildLeaf(Arrays.copyOf(packed, cut)), buildLeaf(Arrays.copyOfRange(packed, cut, packed.length))};
+            // Entries written in key order fill their leaves; otherwise a full leaf is halved.
+            int splitOffset = entryEnd == packed.length ? start : findSplitOffset(packed);
+            return new Node[] {
+                buildLeaf(Arrays.copyOf(packed, splitOffset)),
+                buildLeaf(Arrays.copyOfRange(packed, splitOffset, packed.length))
+            };
         }
 
         private static int findSplitOffset(byte[] packed) {
             Reader reader = new Reader(packed, 0);
             reader.skip();
-            int cut = reader.offset;
-            while (cut < packed.length / 2) {
+            int splitOffset = reader.offset;
+            while (splitOffset < packed.length / 2) {
                 reader.skip();
                 if (reader.offset == packed.length) {
                     break;
                 }
-                cut = reader.offset;
+                splitOffset = reader.offset;
             }
-            return cut;
+            return splitOffset;
         }
 
         private static Leaf buildLeaf(byte[] packed) {
             Reader reader = new Reader(packed, 0);
             long count = 0;
             long sum = 0;
-            long newest = 0;
+            long newestStamp = 0;
             while (reader.offset < packed.length) {
-                int at = reader.offset;
+                int start = reader.offset;
                 reader.skip();
-                sum += reader.hash(at);
-                newest = Math.max(newest, reader.stamp);
+                sum += reader.hash(start);
+                newestStamp = Math.max(newestStamp, reader.stamp);
                 count++;
             }
-            return new Leaf(packed, count, sum, newest);
+            return new Leaf(packed, count, sum, newestStamp);
         }
 
         @Override
         Node remove(byte[] key) {
             Reader reader = new Reader(data, 0);
             while (reader.offset < data.length) {
-                int at = reader.offset;
+                int start = reader.offset;
                 int order = reader.compareKey(key);
                 reader.skip();
                 if (order == 0) {
                     if (count == 1) {
                         return null;
                     }
-                    byte[] packed = new byte[data.length - (reader.offset - at)];
-                    System.arraycopy(data, 0, packed, 0, at);
-                    System.arraycopy(data, reader.offset, packed, at, data.length - reader.offset);
+                    byte[] packed = new byte[data.length - (reader.offset - start)];
+                    System.arraycopy(data, 0, packed, 0, start);
+                    System.arraycopy(data, reader.offset, packed, start, data.length - reader.offset);
                     return buildLeaf(packed);
                 }
                 if (order > 0) {
@@ -208,14 +213,14 @@
         }
 
         @Override
-        Item nextNewer(byte[] from, long over) {
+        Item nextNewer(byte[] from, long stamp) {
             Reader reader = new Reader(data, 0);
             while (reader.offset < data.length) {
-                int at = reader.offset;
-                boolean in = from == null || reader.compareKey(from) >= 0;
+                int start = reader.offset;
+                boolean isInRange = from == null || reader.compareKey(from) >= 0;
                 reader.skip();
-                if (in && reader.stamp > over) {
-                    return new Reader(data, at).item();
+                if (isInRange && reader.stamp > stamp) {
+                    return new Reader(data, start).item();
                 }
             }
             return null;
@@ -236,16 +241,16 @@
         }
 
         @Override
-        void addSum(byte[] from, byte[] to, long[] into) {
+        void addSum(byte[] from, byte[] to, long[] total) {
             Reader reader = new Reader(data, 0);
             while (reader.offset < data.length) {
-                int at = reader.offset;
-                boolean in =
+                int start = reader.offset;
+                boolean isInRange =
                         (from == null || reader.compareKey(from) >= 0) && (to == null || reader.compareKey(to) < 0);
                 reader.skip();
-                if (in) {
-                    into[0]++;
-                    into[1] += reader.hash(at);
+                if (isInRange) {
+                    total[0]++;
+                    total[1] += reader.hash(start);
                 }
             }
         }
@@ -258,19 +263,22 @@
 
     private static final class Inner extends Node {
         private final Node[] children;
-        /** Each one's least key, or what was so when it was made: a border between it and the one before. */
+        /** For each child but the first, a lower bound of its keys that is above all keys of the child before it. */
         private final byte[][] separators;
 
-        Inner(Node[] kids, byte[][] borders) {
-            super(total(kids, 0), total(kids, 1), total(kids, 2));
-            this.children = kids;
-            this.separators = borders;
+        Inner(Node[] children, byte[][] separators) {
+            super(total(children, 0), total(children, 1), total(children, 2));
+            this.children = children;
+            this.separators = separators;
         }
 
-        private static long total(Node[] kids, int what) {
+        /** The count (field 0), sum (1) or newest stamp (2) of an inner node. */
+        private static long total(Node[] children, int field) {
             long total = 0;
-            for (Node kid : kids) {
-                total = what == 0 ? total + kid.count : what == 1 ? total + kid.sum : Math.max(total, kid.newestStamp);
+            for (Node child : children) {
+                total = field == 0
+                        ? total + child.count
+                        : field == 1 ? total + child.sum : Math.max(total, child.newestStamp);
             }
             return total;
         }
@@ -291,61 +299,68 @@
 
         @Override
         Node[] put(byte[] key, byte[] value, long stamp) {
-            int at = childIndex(key);
-            Node[] fresh = children[at].put(key, value, stamp);
-            Node[] all = new Node[children.length + fresh.length - 1];
-            byte[][] keys = new byte[all.length][];
-            System.arraycopy(children, 0, all, 0, at);
-            System.arraycopy(separators, 0, keys, 0, at);
-            System.arraycopy(fresh, 0, all, at, fresh.length);
-            keys[at] = separators[at];
-            if (fresh.length > 1) {
-                keys[at + 1] = fresh[1].firstKey();
+            int index = childIndex(key);
+            Node[] replacement = children[index].put(key, value, stamp);
+            Node[] newChildren = new Node[children.length + replacement.length - 1];
+            byte[][] newSeparators = new byte[newChildren.length][];
+            System.arraycopy(children, 0, newChildren, 0, index);
+            System.arraycopy(separators, 0, newSeparators, 0, index);
+            System.arraycopy(replacement, 0, newChildren, index, replacement.length);
+            newSeparators[index] = separators[index];
+            if (replacement.length > 1) {
+                newSeparators[index + 1] = replacement[1].firstKey();
             }
-            System.arraycopy(children, at + 1, all, at + fresh.length, children.length - at - 1);
-            System.arraycopy(separators, at + 1, keys, at + fresh.length, children.length - at - 1);
-            if (all.length <= MAX_CHILDREN) {
-                return new Node[] {new Inner(all, keys)};
+            System.arraycopy(children, index + 1, newChildren, index + replacement.length, children.length - index - 1);
+            System.arraycopy(
+                    separators, index + 1, newSeparators, index + replacement.length, children.length - index - 1);
+            if (newChildren.length <= MAX_CHILDREN) {
+                return new Node[] {new Inner(newChildren, newSeparators)};
             }
-            int cut = at == children.length - 1 ? all.length - 1 : all.length / 2;
-            return new Node[] {slice(all, keys, 0, cut), slice(all, keys, cut, all.length)};
+            int splitIndex = index == children.length - 1 ? newChildren.length - 1 : newChildren.length / 2;
+            return new Node[] {
+                slice(newChildren, newSeparators, 0, splitIndex),
+                slice(newChildren, newSeparators, splitIndex, newChildren.length)
+            };
         }
 
-        private static Node slice(Node[] kids, byte[][] keys, int from, int to) {
+        private static Node slice(Node[] children, byte[][] separators, int from, int to) {
             return to - from == 1
-                    ? kids[from]
-                    : new Inner(Arrays.copyOfRange(kids, from, to), Arrays.copyOfRange(keys, from, to));
+                    ? children[from]
+                    : new Inner(Arrays.copyOfRange(children, from, to), Arrays.copyOfRange(separators, from, to));
         }
 
         @Override
         Node remove(byte[] key) {
-            int at = childIndex(key);
-            Node fresh = children[at].remove(key);
-            if (fresh == children[at]) {
+            int index = childIndex(key);
+            Node replacement = children[index].remove(key);
+            if (replacement == children[index]) {
                 return this;
             }
-            if (fresh == null) {
-                return children.length == 1 ? null : withoutChild(at);
+            if (replacement == null) {
+                return children.length == 1 ? null : withoutChild(index);
             }
-            Node[] all = children.clone();
-            all[at] = fresh;
-            for (int beside : new int[] {at - 1, at + 1}) {
-                Node joined = beside < 0 || beside >= children.length ? null : merge(all, separators, Math.min(at, beside));
-                if (joined != null) {
-                    all[Math.min(at, beside)] = joined;
-                    return new Inner(all, separators).withoutChild(Math.max(at, beside));
+            Node[] newChildren = children.clone();
+            newChildren[index] = replacement;
+            for (int neighbour : new int[] {index - 1, index + 1}) {
+                Node merged = neighbour < 0 || neighbour >= children.length
+                        ? null
+                        : merge(newChildren, separators, Math.min(index, neighbour));
+                if (merged != null) {
+                    newChildren[Math.min(index, neighbour)] = merged;
+                    return new Inner(newChildren, separators).withoutChild(Math.max(index, neighbour));
                 }
             }
-            return new Inner(all, separators);
+            return new Inner(newChildren, separators);
         }
 
-        /** Two neighbours as one, if the one has become small and the other has room; else null. */
-        private static Node merge(Node[] kids, byte[][] keys, int left) {
-            Node a = kids[left];
-            Node b = kids[left + 1];
+        /** Merges two neighbours if one has become small and both fit into one node; else returns null. */
+        private static Node merge(Node[] children, byte[][] separators, int left) {
+            Node a = children[left];
+            Node b = children[left + 1];
             if (a instanceof Leaf x && b instanceof Leaf y) {
                 int length = x.data.length + y.data.length;
-                if (Math.min(x.data.length, y.data.length) > MAX_LEAF_BYTES / MERGE_DIVISOR || length > MAX_LEAF_BYTES) {
+                if (Math.min(x.data.length, y.data.length) > MAX_LEAF_BYTES / MERGE_DIVISOR
+                        || length > MAX_LEAF_BYTES) {
                     return null;
                 }
                 byte[] packed = Arrays.copyOf(x.data, length);
@@ -356,24 +371,24 @@
                     && b instanceof Inner y
                     && Math.min(x.children.length, y.children.length) <= MAX_CHILDREN / MERGE_DIVISOR
                     && x.children.length + y.children.length <= MAX_CHILDREN) {
-                Node[] all = Arrays.copyOf(x.children, x.children.length + y.children.length);
-                System.arraycopy(y.children, 0, all, x.children.length, y.children.length);
-                byte[][] borders = Arrays.copyOf(x.separators, all.length);
-                System.arraycopy(y.separators, 0, borders, x.children.length, y.children.length);
-                borders[x.children.length] = keys[left + 1];
-                return new Inner(all, borders);
+                Node[] newChildren = Arrays.copyOf(x.children, x.children.length + y.children.length);
+                System.arraycopy(y.children, 0, newChildren, x.children.length, y.children.length);
+                byte[][] newSeparators = Arrays.copyOf(x.separators, newChildren.length);
+                System.arraycopy(y.separators, 0, newSeparators, x.children.length, y.children.length);
+                newSeparators[x.children.length] = separators[left + 1];
+                return new Inner(newChildren, newSeparators);
             }
             return null;
         }
 
-        private Node withoutChild(int at) {
-            Node[] all = new Node[children.length - 1];
-            byte[][] keys = new byte[all.length][];
-            System.arraycopy(children, 0, all, 0, at);
-            System.arraycopy(children, at + 1, all, at, all.length - at);
-            System.arraycopy(separators, 0, keys, 0, at);
-            System.arraycopy(separators, at + 1, keys, at, all.length - at);
-            return all.length == 1 ? all[0] : new Inner(all, keys);
+        private Node withoutChild(int index) {
+            Node[] newChildren = new Node[children.length - 1];
+            byte[][] newSeparators = new byte[newChildren.length][];
+            System.arraycopy(children, 0, newChildren, 0, index);
+            System.arraycopy(children, index + 1, newChildren, index, newChildren.length - index);
+            System.arraycopy(separators, 0, newSeparators, 0, index);
+            System.arraycopy(separators, index + 1, newSeparators, index, newChildren.length - index);
+            return newChildren.length == 1 ? newChildren[0] : new Inner(newChildren, newSeparators);
         }
 
         @Override
@@ -387,10 +402,10 @@
         }
 
         @Override
-        Item nextNewer(byte[] from, long over) {
+        Item nextNewer(byte[] from, long stamp) {
             for (int i = from == null ? 0 : childIndex(from); i < children.length; i++) {
-                if (children[i].newestStamp > over) {
-                    Item found = children[i].nextNewer(from, over);
+                if (children[i].newestStamp > stamp) {
+                    Item found = children[i].nextNewer(from, stamp);
                     if (found != null) {
                         return found;
                     }
@@ -401,12 +416,12 @@
 
         @Override
         Item at(long index) {
-            long left = index;
+            long remaining = index;
             int i = 0;
-            while (left >= children[i].count) {
-                left -= children[i++].count;
+            while (remaining >= children[i].count) {
+                remaining -= children[i++].count;
             }
-            return children[i].at(left);
+            return children[i].at(remaining);
         }
 
         @Override
@@ -415,24 +430,25 @@
         }
 
         @Override
-        void addSum(byte[] from, byte[] to, long[] into) {
+        void addSum(byte[] from, byte[] to, long[] total) {
             int first = from == null ? 0 : childIndex(from);
             int last = to == null ? children.length - 1 : childIndex(to);
             for (int i = first; i <= last; i++) {
-                boolean cutLeft = from != null && i == first;
-                boolean cutRight = to != null && i == last;
-                if (cutLeft || cutRight) {
-                    children[i].addSum(cutLeft ? from : null, cutRight ? to : null, into);
+                boolean isFirstPartial = from != null && i == first;
+                boolean isLastPartial = to != null && i == last;
+                if (isFirstPartial || isLastPartial) {
+                    children[i].addSum(isFirstPartial ? from : null, isLastPartial ? to : null, total);
                 } else {
-                    into[0] += children[i].count;
-                    into[1] += children[i].sum;
+                    total[0] += children[i].count;
+                    total[1] += children[i].sum;
                 }
             }
         }
 
         @Override
         long retainedBytes() {
-            long bytes = NODE_FIELDS_BYTES + 2 * alignUp(OBJECT_HEADER_BYTES + (long) REFERENCE_BYTES * children.length);
+            long bytes =
+                    NODE_FIELDS_BYTES + 2 * alignUp(OBJECT_HEADER_BYTES + (long) REFERENCE_BYTES * children.length);
             for (int i = 0; i < children.length; i++) {
                 bytes += alignUp(OBJECT_HEADER_BYTES + separators[i].length) + children[i].retainedBytes();
             }
@@ -440,15 +456,15 @@
         }
     }
 
-    /** Reads the entries of a leaf one after the other. */
+    /** Reads the entries of a leaf in order. */
     private static final class Reader {
         private final byte[] data;
         private int offset;
         private long stamp;
 
-        Reader(byte[] data, int at) {
+        Reader(byte[] data, int offset) {
             this.data = data;
-            this.offset = at;
+            this.offset = offset;
         }
 
         private long readVarint() {
@@ -462,12 +478,12 @@
             }
         }
 
-        /** The next key against this one; the place stays. */
+        /** Compares the next key with this one, without advancing. */
         int compareKey(byte[] key) {
-            int before = offset;
+            int start = offset;
             int length = (int) readVarint();
             int order = Arrays.compareUnsigned(data, offset, offset + length, key, 0, key.length);
-            offset = before;
+            offset = start;
             return order;
         }
 
@@ -479,7 +495,7 @@
             offset += length;
         }
 
-        /** The hash of the entry from there to here. */
+        /** The hash of the entry that begins at that offset and ends at the current one. */
         long hash(int from) {
             return PackedTree.hash(data, from, offset);
         }
@@ -496,36 +512,40 @@
         }
     }
 
-    /** Writes an entry: its key's length and bytes, its stamp, its value's length and bytes. */
+    /** Writes an entry: key length, key, stamp, value length, value; numbers as variable-length integers. */
     private static final class Writer {
         private Writer() {}
 
         static int length(byte[] key, byte[] value, long stamp) {
-            return varintLength(key.length) + key.length + varintLength(stamp) + varintLength(value.length) + value.length;
+            return varintLength(key.length)
+                    + key.length
+                    + varintLength(stamp)
+                    + varintLength(value.length)
+                    + value.length;
         }
 
         private static int varintLength(long number) {
             return (Long.SIZE - Long.numberOfLeadingZeros(number | 1) + 6) / 7;
         }
 
-        static int write(byte[] into, int from, byte[] key, byte[] value, long stamp) {
-            int at = writeVarint(into, from, key.length);
-            System.arraycopy(key, 0, into, at, key.length);
-            at = writeVarint(into, at + key.length, stamp);
-            at = writeVarint(into, at, value.length);
-            System.arraycopy(value, 0, into, at, value.length);
-            return at + value.length;
+        static int write(byte[] data, int start, byte[] key, byte[] value, long stamp) {
+            int offset = writeVarint(data, start, key.length);
+            System.arraycopy(key, 0, data, offset, key.length);
+            offset = writeVarint(data, offset + key.length, stamp);
+            offset = writeVarint(data, offset, value.length);
+            System.arraycopy(value, 0, data, offset, value.length);
+            return offset + value.length;
         }
 
-        private static int writeVarint(byte[] into, int from, long number) {
-            int at = from;
-            long left = number;
-            while (left > 0x7F) {
-                into[at++] = (byte) (left & 0x7F | 0x80);
-                left >>>= 7;
+        private static int writeVarint(byte[] data, int start, long number) {
+            int offset = start;
+            long remaining = number;
+            while (remaining > 0x7F) {
+                data[offset++] = (byte) (remaining & 0x7F | 0x80);
+                remaining >>>= 7;
             }
-            into[at++] = (byte) left;
-            return at;
+            data[offset++] = (byte) remaining;
+            return offset;
         }
     }
 
@@ -537,7 +557,7 @@
         return (bytes + ALIGNMENT_BYTES - 1) / ALIGNMENT_BYTES * ALIGNMENT_BYTES;
     }
 
-    /** What an entry adds to the sum: FNV-1a over its packed bytes, finished as MurmurHash3 does. */
+    /** The hash of an entry: FNV-1a over its packed bytes, with the finalizer of MurmurHash3. */
     static long hash(byte[] key, byte[] value, long stamp) {
         byte[] packed = new byte[Writer.length(key, value, stamp)];
         return hash(packed, 0, Writer.write(packed, 0, key, value, stamp));
@@ -553,22 +573,27 @@
         return hash ^ hash >>> 33;
     }
 
-    /** What an entry adds to a sum. */
+    /** The hash of an entry, of which {@link Sum#hash} is the sum. */
     public static long hash(Item item) {
         return hash(item.key(), item.value(), item.stamp());
     }
 
-    /** With this entry, in place of one that has the key. */
+    /**
+     * A tree with this entry, which replaces one with the same key.
+     *
+     * @param stamp the version of the change; 0 or more
+     * @throws IllegalArgumentException if the stamp is negative
+     */
     public PackedTree put(byte[] key, byte[] value, long stamp) {
         if (stamp < 0) {
-            throw new IllegalArgumentException("a stamp of " + stamp);
+            throw new IllegalArgumentException("negative stamp " + stamp);
         }
         Node[] nodes = root.put(key, value, stamp);
         return new PackedTree(
                 nodes.length == 1 ? nodes[0] : new Inner(nodes, new byte[][] {new byte[0], nodes[1].firstKey()}));
     }
 
-    /** Without this key; itself if it is not there. */
+    /** A tree without this key; this tree if it does not have the key. */
     public PackedTree remove(byte[] key) {
         Node node = root.remove(key);
         return node == root ? this : node == null ? EMPTY : new PackedTree(node);
@@ -579,22 +604,26 @@
         return root.get(key);
     }
 
-    /** Whether there is such a key; makes nothing. */
+    /** Whether the tree has this key; allocates no entry. */
     public boolean contains(byte[] key) {
         return root.contains(key);
     }
 
-    /** The first entry whose key is this or comes after it, or null. */
+    /** The first entry whose key is equal or greater, or null. */
     public Item ceiling(byte[] key) {
         return root.nextNewer(key, -1);
     }
 
-    /** The first entry whose key is this or comes after it and whose stamp is over that, or null. */
+    /** The first entry whose key is equal or greater and whose stamp is greater, or null. */
     public Item nextNewer(byte[] key, long stamp) {
         return root.newestStamp > stamp ? root.nextNewer(key, stamp) : null;
     }
 
-    /** The entry that so many come before, from 0. */
+    /**
+     * The entry at an index in key order, from 0.
+     *
+     * @throws IndexOutOfBoundsException if there are not that many entries
+     */
     public Item at(long index) {
         if (index < 0 || index >= root.count) {
             throw new IndexOutOfBoundsException(index + " of " + root.count);
@@ -602,47 +631,47 @@
         return root.at(index);
     }
 
-    /** The entries from one key (null for the first) to before another (null for no end), so many at most. */
-    public List<Item> range(byte[] from, byte[] to, int most) {
+    /** Up to {@code maxItems} entries from one key, inclusive (null: first), to another, exclusive (null: no end). */
+    public List<Item> range(byte[] from, byte[] to, int maxItems) {
         List<Item> items = new ArrayList<>();
         Item item = root.nextNewer(from, -1);
-        while (item != null && items.size() < most && (to == null || Arrays.compareUnsigned(item.key(), to) < 0)) {
+        while (item != null && items.size() < maxItems && (to == null || Arrays.compareUnsigned(item.key(), to) < 0)) {
             items.add(item);
             item = root.nextNewer(successor(item.key()), -1);
         }
         return items;
     }
 
-    /** The least key that comes after this one. */
+    /** The smallest key that is greater than this one. */
     public static byte[] successor(byte[] key) {
         return Arrays.copyOf(key, key.length + 1);
     }
 
-    /** What the entries from one key (null for the first) to before another (null for no end) come to. */
+    /** Count and hash of the entries from one key, inclusive (null: first), to another, exclusive (null: no end). */
     public Sum sum(byte[] from, byte[] to) {
-        long[] into = new long[2];
+        long[] total = new long[2];
         if (from == null || to == null || Arrays.compareUnsigned(from, to) < 0) {
-            root.addSum(from, to, into);
+            root.addSum(from, to, total);
         }
-        return new Sum(into[0], into[1]);
+        return new Sum(total[0], total[1]);
     }
 
-    /** What all come to. */
+    /** Count and hash of all entries. */
     public Sum sum() {
         return new Sum(root.count, root.sum);
     }
 
-    /** How many entries there are. */
+    /** The number of entries. */
     public long size() {
         return root.count;
     }
 
-    /** No stamp is over this. */
+    /** An upper bound of all stamps; 0 for an empty tree. */
     public long newestStamp() {
         return root.newestStamp;
     }
 
-    /** Bytes that it keeps on a heap of references of four bytes, by counting its arrays and objects. */
+    /** Bytes retained on a heap with four-byte references, counted from the sizes of arrays and objects. */
     public long retainedBytes() {
         return OBJECT_HEADER_BYTES + root.retainedBytes();
     }
--- a/src/main/java/vetchpost/store/VersionedStore.java
+++ b/src/main/java/vetchpost/store/VersionedStore.java
@@ -4,12 +4,13 @@
 import vetchpost.store.PackedTree.Item;
 
 /**
- * The entries of a configuration at one version, and which went away lately. It never changes: a batch of
- * changes makes another one that shares all but what changed, and comes into force by the exchange of one
- * reference, all of it or nothing. Each entry's stamp is the version of its last change.
+ * The entries of a configuration at one version, and the keys that were removed lately. It is immutable and may be
+ * read by any thread. A batch of changes makes another store that shares what did not change, and takes effect
+ * as a whole when one reference is replaced. Each entry's stamp is the version of its last change. Writers,
+ * replicas and publishers of the configuration use it.
  */
 public final class VersionedStore {
-    /** Of no version. */
+    /** The store without entries, at {@link Version#NONE}. */
     public static final VersionedStore EMPTY =
             new VersionedStore(PackedTree.EMPTY, PackedTree.EMPTY, Version.NONE, Version.NONE);
 
@@ -28,69 +29,72 @@
     }
 
     /**
-     * Entries that somebody else told, at that version. Which went away before is not known.
+     * A store of entries received from another node. Its removed keys are not known.
      *
-     * @param live by the bytes of their keys
+     * @param live entries by the bytes of their keys
+     * @param version of the last change; also the horizon
      */
     public static VersionedStore of(PackedTree live, long version) {
         return new VersionedStore(live, PackedTree.EMPTY, version, version);
     }
 
-    /** As it was kept: with what went away after that horizon. */
+    /** A store as it was saved, with the keys that were removed after the horizon. */
     public static VersionedStore restored(PackedTree live, PackedTree removed, long version, long horizon) {
         return new VersionedStore(live, removed, version, horizon);
     }
 
     /**
-     * With a batch of changes, at that version; of several of one key the last counts. Whether the changes
-     * make sense is for whoever proves them.
+     * A store with a batch of changes; of several changes of one key the last counts. The caller validates the
+     * changes.
      *
-     * @throws IllegalArgumentException if the version is not past this one's
+     * @param newVersion of the batch
+     * @throws IllegalArgumentException if the version is not greater than this store's
      */
-    public VersionedStore with(List<EntryChange> batch, long at) {
-        if (at <= version) {
-            throw new IllegalArgumentException("version " + Version.format(at) + " after " + Version.format(version));
+    public VersionedStore with(List<EntryChange> batch, long newVersion) {
+        if (newVersion <= version) {
+            throw new IllegalArgumentException(
+                    "version " + Version.format(newVersion) + " is not after the store's " + Version.format(version));
         }
         PackedTree entries = live;
-        PackedTree gone = removed;
+        PackedTree removedKeys = removed;
         for (EntryChange change : batch) {
             byte[] key = change.key().bytes();
             if (change.value() == null) {
                 entries = entries.remove(key);
-                gone = gone.put(key, EMPTY_VALUE, at);
+                removedKeys = removedKeys.put(key, EMPTY_VALUE, newVersion);
             } else {
-                entries = entries.put(key, change.value(), at);
-                gone = gone.remove(key);
+                entries = entries.put(key, change.value(), newVersion);
+                removedKeys = removedKeys.remove(key);
             }
         }
-        return new VersionedStore(entries, gone, at, horizon);
+        return new VersionedStore(entries, removedKeys, newVersion, horizon);
     }
 
-    /** As it is, with entries and removed keys that were brought to that version one by one. */
-    public VersionedStore withEntries(PackedTree entries, PackedTree gone, long at) {
-        return new VersionedStore(entries, gone, at, horizon);
+    /** A store with entries and removed keys that were brought to that version one by one. */
+    public VersionedStore withEntries(PackedTree entries, PackedTree removedKeys, long newVersion) {
+        return new VersionedStore(entries, removedKeys, newVersion, horizon);
     }
 
     /**
-     * Forgets the oldest removed keys until so many are left. Whoever is at a version before {@link #horizon}
-     * then can't be told by versions what went away.
+     * Forgets the oldest removed keys until at most {@code maxRemovals} are left. A replica at a version before
+     * {@link #horizon} then cannot learn by versions which keys were removed.
      */
-    public VersionedStore forgetRemovals(long most) {
-        if (removed.size() <= most) {
+    public VersionedStore forgetRemovals(long maxRemovals) {
+        if (removed.size() <= maxRemovals) {
             return this;
         }
         long[] stamps = removed.range(null, null, Integer.MAX_VALUE).stream()
                 .mapToLong(Item::stamp)
                 .sorted()
                 .toArray();
-        long past = stamps[(int) (stamps.length - most - 1)];
+        long newHorizon = stamps[(int) (stamps.length - maxRemovals - 1)];
         PackedTree kept = PackedTree.EMPTY;
-        for (Item item = removed.nextNewer(EMPTY_VALUE, past);
+        for (Item item = removed.nextNewer(EMPTY_VALUE, newHorizon);
                 item != null;
-                item = removed.nextNewer(PackedTree.successor(item.key()), past)) {
+                item = removed.nextNewer(PackedTree.successor(item.key()), newHorizon)) {
             kept = kept.put(item.key(), EMPTY_VALUE, item.stamp());
         }
-        return new VersionedStore(live, kept, version, Math.max(horizon, past));
+        return new VersionedStore(live, kept, version, Math.max(horizon, newHorizon));
     }
 
     /** The entry of a key, or null. */
@@ -103,7 +107,7 @@
         return live;
     }
 
-    /** Keys of entries that went away, with the version at which they did. */
+    /** The keys of removed entries, stamped with the version of their removal. */
     public PackedTree removed() {
         return removed;
     }
@@ -113,7 +117,7 @@
         return version;
     }
 
-    /** From this version on it is known what went away. */
+    /** The version after which all removals are known. */
     public long horizon() {
         return horizon;
     }
--- a/src/test/java/vetchpost/routes/RouteValidatorTest.java
+++ b/src/test/java/vetchpost/routes/RouteValidatorTest.java
@@ -135,7 +135,7 @@
                 "[class.view-page]~attempts = 1~copy-percentile = 95 | SCHEDULE | attempts = 2",
                 "[class.view-page]~copy-after = \"9ms\"~copy-percentile = 95 | SCHEDULE | one of them",
                 "[class.view-page]~copy-percentile = 30 | OUT_OF_RANGE | from 50 to 99",
-                "[class.view-page]~concurrency = 0 | STARVES | concurrency = 1 or more, or none said",
+                "[class.view-page]~concurrency = 0 | STARVES | concurrency = 1 or more, or no such key",
                 "[class.add-photo]~max-body = \"0B\" | STARVES | max-body = \"1B\" or more",
                 "[class.view-page]~attempt-timeout = 300 | WRONG_UNIT | \"300ms\"",
                 "[class.view-page]~attempt-timeout = \"300 min\" | WRONG_UNIT"
--- a/src/test/java/vetchpost/routes/RoutesPageTest.java
+++ b/src/test/java/vetchpost/routes/RoutesPageTest.java
@@ -52,6 +52,7 @@
         assertEquals(List.of(), file.violations());
         assertEquals(
                 List.of(),
-                RouteValidator.validate(file.sections(), RouteValidatorTest.settings()).violations());
+                RouteValidator.validate(file.sections(), RouteValidatorTest.settings())
+                        .violations());
     }
 }
