--- a/src/main/java/vetchpost/routes/Section.java
+++ b/src/main/java/vetchpost/routes/Section.java
@@ -23,7 +23,7 @@
         ADMISSION,
         NODE,
         /** {@code [classes.NAME]}: a class of requests of a node without a platform. */
-        REQUESTS,
+        REQUEST_CLASS,
         TENANT,
         POOL,
         SOURCE,
--- a/src/main/java/vetchpost/routes/file/RouteFile.java
+++ b/src/main/java/vetchpost/routes/file/RouteFile.java
@@ -43,7 +43,7 @@
             Map.entry("changes", Kind.CHANGES));
     /** Tables whose keys are the names of nested tables. */
     private static final Map<String, Kind> NAMED_TABLES =
-            Map.of("class", Kind.CLASS, "classes", Kind.REQUESTS, "tenants", Kind.TENANT);
+            Map.of("class", Kind.CLASS, "classes", Kind.REQUEST_CLASS, "tenants", Kind.TENANT);
 
     private static final Map<String, Kind> ARRAY_TABLES = Map.of("route", Kind.ROUTE, "source", Kind.SOURCE);
 
--- a/src/main/java/vetchpost/standalone/StandaloneValidator.java
+++ b/src/main/java/vetchpost/standalone/StandaloneValidator.java
@@ -112,7 +112,7 @@
     /** The same of one table. */
     public static boolean isStandaloneSection(Section section) {
         return switch (section.kind()) {
-            case NODE, REQUESTS, TENANT, POOL, SOURCE, CHECKS -> true;
+            case NODE, REQUEST_CLASS, TENANT, POOL, SOURCE, CHECKS -> true;
             default -> false;
         };
     }
@@ -159,7 +159,7 @@
         settings.allowsCancellation = true;
         settings.allowsProbes = false;
         for (Section section : file) {
-            if (section.kind() == Kind.REQUESTS) {
+            if (section.kind() == Kind.REQUEST_CLASS) {
                 requests(section);
             }
         }
@@ -365,7 +365,7 @@
     /** Whether each class can be reached, and each request has one. */
     private void reached(List<Section> file, SectionReader own) {
         List<Section> classes =
-                file.stream().filter(s -> s.kind() == Kind.REQUESTS).toList();
+                file.stream().filter(s -> s.kind() == Kind.REQUEST_CLASS).toList();
         for (int i = 0; i < classes.size(); i++) {
             for (int j = 0; j < i; j++) {
                 if (rules.get(j).covers(rules.get(i))) {
--- a/src/test/java/vetchpost/routes/RouteFiles.java
+++ b/src/test/java/vetchpost/routes/RouteFiles.java
@@ -13,7 +13,7 @@
     private RouteFiles() {}
 
     /** The routes of a file, whatever rule it breaks. */
-    public static RoutePolicy policy(String text, Settings settings, long seed) {
+    public static RoutePolicy uncheckedPolicy(String text, Settings settings, long seed) {
         return new FileRoutePolicy(
                 RouteValidator.readUnchecked(sections(text), settings).table(), settings, seed);
     }
--- a/src/test/java/vetchpost/store/FieldCodecTest.java
+++ b/src/test/java/vetchpost/store/FieldCodecTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void valuesComeBackAsTheyWere() {
+    void encodedFieldsDecodeToTheSameValues() {
         SplittableRandom random = new SplittableRandom(7);
         for (int i = 0; i < 2_000; i++) {
             Map<Integer, Object> all = new LinkedHashMap<>();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void whatDoesNotFitIsRefused() {
+    void invalidFieldsAreRejected() {
         FieldCodec.Encoder packer = new FieldCodec.Encoder();
         assertThrows(IllegalArgumentException.class, () -> packer.add(85, 1L));
         assertThrows(IllegalArgumentException.class, () -> packer.add(1, true));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void bytesThatAreNoneAreRefused() {
+    void invalidBytesAreRejected() {
         FieldCodec.Encoder packer = new FieldCodec.Encoder();
         packer.add(3, "text");
         packer.add(4, 5L);
