--- a/src/test/java/vetchpost/changes/RouteConfigurationTest.java
+++ b/src/test/java/vetchpost/changes/RouteConfigurationTest.java
@@ -27,7 +27,8 @@
 import vetchpost.store.Version;
 
 /**
- * Batches are taken or refused as one, with the place and the rule, and what they break together is found.
+ * Batches are accepted or rejected as a whole, with the position and the rule of each violation, including those that
+ * only several changes of a batch cause together.
  */
 class RouteConfigurationTest {
     private static final Position AT = new Position("x", 1, 1);
@@ -35,14 +36,14 @@
     private final ChangeWriter writer = new ChangeWriter(RouteConfiguration.empty(settings()), 1);
 
     static Settings settings() {
-        Settings set = new Settings();
-        set.maxAttempts = 3;
-        set.maxRetryAfterUs = 1_000_000;
-        set.classes.add(new RequestClass(
+        Settings settings = new Settings();
+        settings.maxAttempts = 3;
+        settings.maxRetryAfterUs = 1_000_000;
+        settings.classes.add(new RequestClass(
                 "read", 500_000, 0, 1_000_000, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
-        set.classes.add(new RequestClass(
+        settings.classes.add(new RequestClass(
                 "write", 500_000, 0, 1_000_000, 1, 0, Idempotency.UNSAFE, DeduplicationScope.ALL, 0, false));
-        return set;
+        return settings;
     }
 
     private static byte[] route(Object... keysAndValues) {
@@ -62,23 +63,23 @@
     }
 
     private static byte[] share(double share) {
-        FieldCodec.Encoder packer = new FieldCodec.Encoder();
-        packer.add(0, share);
-        return packer.bytes();
+        FieldCodec.Encoder encoder = new FieldCodec.Encoder();
+        encoder.add(0, share);
+        return encoder.bytes();
     }
 
     private void assertAccepted(EntryChange... batch) {
         assertEquals(List.of(), writer.submit(List.of(batch)));
     }
 
-    private void assertRejected(Rule rule, int place, EntryChange... batch) {
+    private void assertRejected(Rule rule, int line, EntryChange... batch) {
         long before = writer.store().version();
         List<Violation> violations = writer.submit(List.of(batch));
         assertTrue(
                 violations.stream()
-                        .anyMatch(v -> v.rule() == rule && v.position().line() == place),
+                        .anyMatch(v -> v.rule() == rule && v.position().line() == line),
                 () -> violations.toString());
-        assertEquals(before, writer.store().version(), "a refused batch has a version");
+        assertEquals(before, writer.store().version(), "a rejected batch changed the version");
     }
 
     @Test
@@ -88,7 +89,7 @@
                 2,
                 EntryChange.put(key("/a"), route("path", "/a", "class", "read")),
                 EntryChange.put(key("/b"), route("path", "/b", "class", "write", "attempts", 2L)));
-        assertNull(writer.store().get(key("/a")), "half a batch is there");
+        assertNull(writer.store().get(key("/a")), "half a batch was applied");
         assertAccepted(EntryChange.put(key("/a"), route("path", "/a", "class", "read")));
         assertRejected(Rule.SAME_NAME, 1, EntryChange.put(key("/a"), route("path", "/a", "class", "read")));
         assertRejected(Rule.UNKNOWN_ENTRY, 1, EntryChange.replace(key("/c"), route("path", "/c")));
@@ -104,7 +105,7 @@
         assertEquals(Version.of(1, 1), writer.store().version());
     }
 
-    /** Each alone would do; both in one batch don't. */
+    /** Each change alone is valid; both in one batch are not. */
     @Test
     void changesThatConflictOnlyTogetherAreRejected() {
         assertAccepted(EntryChange.put(tenant("ann"), share(1)), EntryChange.put(key("/a"), route("path", "/a")));
@@ -179,7 +180,7 @@
                         .maxConcurrency());
     }
 
-    /** As it comes to nodes: entry by entry, in any order, without a proof. */
+    /** Replicas receive entries one by one, in any order, and do not validate them again. */
     @Test
     void entriesAppliedWithoutValidationGiveTheSameConfiguration() {
         RouteConfiguration before = writer.configuration();
@@ -188,20 +189,25 @@
                 EntryChange.put(key("/a"), route("path", "/a", "tenant", "ann")),
                 EntryChange.put(key("/b"), route("path", "/b/{x}", "name", "/b")),
                 EntryChange.put(new EntryKey(EntryKind.LIMITS, "read"), route("concurrency", 7L)));
-        RouteConfiguration told = before;
+        RouteConfiguration replica = before;
         PackedTree live = PackedTree.EMPTY;
         for (var item : writer.store().live().range(null, null, 100)) {
             live = live.put(item.key(), item.value(), item.stamp());
-            told = told.withEntry(item.key(), item.value(), live);
+            replica = replica.withEntry(item.key(), item.value(), live);
         }
-        told = told.backedBy(writer.store().live());
-        assertEquals(writer.configuration().routes().matchSum(), told.routes().matchSum());
-        assertEquals(7, told.routes().find("read", "GET", "/b/1", -1).limits().maxConcurrency());
-        PackedTree without = live.remove(key("/b").bytes());
-        RouteConfiguration less =
-                told.withEntry(key("/b").bytes(), null, without).backedBy(without);
-        assertNotNull(told.routes().find("read", "GET", "/b/1", -1));
-        assertEquals("read", less.routes().find("read", "GET", "/b/1", -1).name(), "its class's own again");
+        replica = replica.backedBy(writer.store().live());
+        assertEquals(
+                writer.configuration().routes().matchSum(), replica.routes().matchSum());
+        assertEquals(
+                7, replica.routes().find("read", "GET", "/b/1", -1).limits().maxConcurrency());
+        PackedTree remaining = live.remove(key("/b").bytes());
+        RouteConfiguration withoutRoute =
+                replica.withEntry(key("/b").bytes(), null, remaining).backedBy(remaining);
+        assertNotNull(replica.routes().find("read", "GET", "/b/1", -1));
+        assertEquals(
+                "read",
+                withoutRoute.routes().find("read", "GET", "/b/1", -1).name(),
+                "the class's default route applies again");
         assertThrows(
                 IllegalArgumentException.class, () -> before.withEntry(new byte[] {77}, new byte[0], PackedTree.EMPTY));
     }
--- a/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
+++ b/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
@@ -24,7 +24,7 @@
 import vetchpost.simulation.net.SimLoop;
 import vetchpost.simulation.world.NodeProcess;
 
-/** Whatever file the prover accepts, the four rules hold with it, whatever goes wrong. */
+/** With any file that the validator accepts, simulated nodes keep the four rules, whatever faults occur. */
 class AcceptedFilesProperty {
     private static final AtomicInteger ACCEPTED = new AtomicInteger();
     private static final AtomicInteger REJECTED = new AtomicInteger();
@@ -52,18 +52,19 @@
                 Arbitraries.integers().between(0, 900).map(n -> "max-body = \"" + n + "B\""),
                 Arbitraries.integers().between(0, 1_100).map(n -> "retry-after = \"" + n + "ms\""));
         Arbitrary<String> sections = Combinators.combine(tables, lines.list().ofMaxSize(4))
-                .as((table, some) -> table + "\n"
-                        + String.join("\n", some.stream().filter(distinctKeys()).toList()) + "\n");
-        return sections.list().ofMinSize(1).ofMaxSize(4).map(some -> String.join("\n", some));
+                .as((table, parts) -> table + "\n"
+                        + String.join(
+                                "\n", parts.stream().filter(distinctKeys()).toList()) + "\n");
+        return sections.list().ofMinSize(1).ofMaxSize(4).map(parts -> String.join("\n", parts));
     }
 
-    /** TOML takes no key twice. */
+    /** TOML does not allow a key twice in a table. */
     private static Predicate<String> distinctKeys() {
         Set<String> seen = new HashSet<>();
         return line -> seen.add(line.substring(0, line.indexOf(' ')));
     }
 
-    /** The file in force in all nodes, if it is accepted by the settings that they are given. */
+    /** Applies the file to all nodes, if it is accepted with the settings that they receive. */
     private record AppliedFile(List<Section> sections, boolean[] rejected) implements NodeProcess.Setup {
         @Override
         public NodeHooks seams(SimLoop loop) {
@@ -72,9 +73,9 @@
 
         @Override
         public RoutePolicy routes(Settings settings, long seed) {
-            RouteValidation proof = RouteValidator.validate(sections, settings);
-            rejected[0] = !proof.isValid();
-            return rejected[0] ? RoutePolicy.NONE : new FileRoutePolicy(proof.table(), settings, seed);
+            RouteValidation validation = RouteValidator.validate(sections, settings);
+            rejected[0] = !validation.isValid();
+            return rejected[0] ? RoutePolicy.NONE : new FileRoutePolicy(validation.table(), settings, seed);
         }
     }
 
@@ -86,10 +87,10 @@
             REJECTED.incrementAndGet();
             return true;
         }
-        boolean[] refused = new boolean[1];
+        boolean[] rejected = new boolean[1];
         Plan plan = Plan.of(Math.abs((long) seed) % 100_000);
-        Result result = Simulation.run(plan, new AppliedFile(file.sections(), refused), null);
-        (refused[0] ? REJECTED : ACCEPTED).incrementAndGet();
+        Result result = Simulation.run(plan, new AppliedFile(file.sections(), rejected), null);
+        (rejected[0] ? REJECTED : ACCEPTED).incrementAndGet();
         if (!result.isGood()) {
             throw new AssertionError("seed " + result.seed() + ": " + result.violation() + " with\n" + text);
         }
@@ -98,7 +99,7 @@
 
     @AfterContainer
     static void enoughFilesAreAccepted() {
-        System.out.println("random files: " + ACCEPTED + " accepted and run, " + REJECTED + " refused");
+        System.out.println("random files: " + ACCEPTED + " accepted and run, " + REJECTED + " rejected");
         if (ACCEPTED.get() < 50) {
             throw new AssertionError("only " + ACCEPTED + " files were accepted");
         }
--- a/src/test/java/vetchpost/routes/ChangesProperty.java
+++ b/src/test/java/vetchpost/routes/ChangesProperty.java
@@ -23,7 +23,7 @@
 import vetchpost.store.EntryKey;
 import vetchpost.store.PackedTree;
 
-/** Changes one after the other, proved by themselves, against the proof of the whole file with them in it. */
+/** Compares validating random changes one batch after the other with validating the whole file with them in it. */
 class ChangesProperty {
     private static final Settings SETTINGS = RouteValidatorTest.settings();
     private static final List<String> CLASSES = List.of("view-page", "add-photo", "place-order", "nothing");
@@ -34,47 +34,50 @@
 
     private final Position position = new Position("f", 1, 1);
 
-    private Section randomRoute(SplittableRandom random, String name, boolean alone) {
-        Map<String, Object> said = new LinkedHashMap<>();
+    private Section randomRoute(SplittableRandom random, String name, boolean standalone) {
+        Map<String, Object> values = new LinkedHashMap<>();
         String cls = CLASSES.get(random.nextInt(random.nextInt(20) == 0 ? 4 : 3));
-        said.put("name", name);
+        values.put("name", name);
         if (random.nextInt(10) > 0) {
-            said.put("path", "/" + cls + TAILS.get(random.nextInt(random.nextInt(20) == 0 ? 7 : 5)));
+            values.put("path", "/" + cls + TAILS.get(random.nextInt(random.nextInt(20) == 0 ? 7 : 5)));
         }
-        if (!said.containsKey("path") || random.nextInt(4) == 0) {
-            said.put("class", alone && random.nextInt(3) == 0 ? CLASSES.get(random.nextInt(3)) : cls);
+        if (!values.containsKey("path") || random.nextInt(4) == 0) {
+            values.put("class", standalone && random.nextInt(3) == 0 ? CLASSES.get(random.nextInt(3)) : cls);
         }
         if (random.nextInt(3) == 0) {
-            said.put("tenant", random.nextInt(20) == 0 ? "nobody" : random.nextBoolean() ? "school-a" : "school-b");
+            values.put("tenant", random.nextInt(20) == 0 ? "nobody" : random.nextBoolean() ? "school-a" : "school-b");
         }
         if (random.nextInt(5) == 0) {
-            said.put("method", random.nextInt(3) == 0 ? "POST" : "GET");
+            values.put("method", random.nextInt(3) == 0 ? "POST" : "GET");
         }
         if (random.nextInt(2) == 0) {
-            said.put("concurrency", (long) random.nextInt(30));
+            values.put("concurrency", (long) random.nextInt(30));
         }
         if (random.nextInt(3) == 0) {
-            said.put("attempts", (long) random.nextInt(1, 4));
+            values.put("attempts", (long) random.nextInt(1, 4));
         }
         if (random.nextInt(3) == 0) {
-            said.put("attempt-timeout", random.nextInt(20, 700) + "ms");
+            values.put("attempt-timeout", random.nextInt(20, 700) + "ms");
         }
         if (random.nextInt(30) == 0) {
-            said.put("retry-after", 3L);
+            values.put("retry-after", 3L);
         }
         Map<String, Entry> entries = new LinkedHashMap<>();
-        said.forEach((key, value) -> entries.put(key, new Entry(value, position)));
+        values.forEach((key, value) -> entries.put(key, new Entry(value, position)));
         return new Section(Kind.ROUTE, "", position, entries);
     }
 
-    private static RouteValidation validateWholeFile(List<Section> all, boolean alone) {
-        return alone ? RouteValidator.validateStandalone(all, SETTINGS) : RouteValidator.validate(all, SETTINGS);
+    private static RouteValidation validateWholeFile(List<Section> sections, boolean standalone) {
+        return standalone
+                ? RouteValidator.validateStandalone(sections, SETTINGS)
+                : RouteValidator.validate(sections, SETTINGS);
     }
 
-    /** Which of two that are the same is named depends on their order in the file. */
-    private static Set<String> brokenRules(RouteValidation proof) {
+    /** Which of two conflicting routes is reported depends on their order in the file, so both rules count as one. */
+    private static Set<String> brokenRules(RouteValidation validation) {
         Set<String> rules = new TreeSet<>();
-        proof.violations()
+        validation
+                .violations()
                 .forEach(v -> rules.add(
                         v.rule() == Rule.SAME_MATCH || v.rule() == Rule.SAME_NAME
                                 ? "SAME"
@@ -85,81 +88,84 @@
     @Property(tries = 10_000, seed = "45", shrinking = ShrinkingMode.OFF)
     boolean validatingChangesEqualsValidatingTheWholeFile(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        boolean alone = random.nextBoolean();
+        boolean standalone = random.nextBoolean();
         Section defaults = new Section(Kind.DEFAULTS, "", position, Map.of("retry-budget", new Entry(0.2, position)));
         Map<String, Section> file = new LinkedHashMap<>();
-        RouteTable table = validateWholeFile(List.of(defaults), alone).table();
+        RouteTable table = validateWholeFile(List.of(defaults), standalone).table();
         for (int version = 1; version <= 6; version++) {
             Map<String, RouteChange> batch = new LinkedHashMap<>();
-            boolean known = true;
+            boolean allExist = true;
             for (int i = random.nextInt(1, 4); i > 0; i--) {
                 String name = "r" + random.nextInt(8);
                 Op op = !file.containsKey(name)
                         ? random.nextInt(20) == 0 ? Op.REPLACE : Op.PUT
                         : random.nextInt(20) == 0 ? Op.PUT : random.nextBoolean() ? Op.REPLACE : Op.DELETE;
-                batch.put(name, new RouteChange(op, name, op == Op.DELETE ? null : randomRoute(random, name, alone), position));
+                batch.put(
+                        name,
+                        new RouteChange(
+                                op, name, op == Op.DELETE ? null : randomRoute(random, name, standalone), position));
             }
-            Map<String, Section> after = new LinkedHashMap<>(file);
-            List<Section> twice = new ArrayList<>();
+            Map<String, Section> newFile = new LinkedHashMap<>(file);
+            List<Section> duplicates = new ArrayList<>();
             for (RouteChange change : batch.values()) {
-                known &= change.op() == Op.PUT || file.containsKey(change.name());
+                allExist &= change.op() == Op.PUT || file.containsKey(change.name());
                 if (change.section() == null) {
-                    after.remove(change.name());
+                    newFile.remove(change.name());
                 } else if (change.op() == Op.PUT && file.containsKey(change.name())) {
-                    twice.add(change.section());
+                    duplicates.add(change.section());
                 } else {
-                    after.put(change.name(), change.section());
+                    newFile.put(change.name(), change.section());
                 }
             }
             List<Section> sections = new ArrayList<>(List.of(defaults));
-            sections.addAll(after.values());
-            sections.addAll(twice);
-            RouteValidation whole = validateWholeFile(sections, alone);
-            RouteValidation changed = RouteValidator.validateChanges(table, new ArrayList<>(batch.values()), version);
-            if (!known) {
-                assertTrue(brokenRules(changed).contains("UNKNOWN_ENTRY"));
+            sections.addAll(newFile.values());
+            sections.addAll(duplicates);
+            RouteValidation expected = validateWholeFile(sections, standalone);
+            RouteValidation actual = RouteValidator.validateChanges(table, new ArrayList<>(batch.values()), version);
+            if (!allExist) {
+                assertTrue(brokenRules(actual).contains("UNKNOWN_ENTRY"));
                 rejected++;
                 continue;
             }
             assertEquals(
-                    brokenRules(whole),
-                    brokenRules(changed),
-                    () -> sections + "\n" + whole.violations() + "\n" + changed.violations());
-            if (!whole.isValid()) {
+                    brokenRules(expected),
+                    brokenRules(actual),
+                    () -> sections + "\n" + expected.violations() + "\n" + actual.violations());
+            if (!expected.isValid()) {
                 rejected++;
                 continue;
             }
             accepted++;
-            table = changed.table();
-            file = after;
-            assertSameTable(whole.table(), table);
-            RouteTable settled = table;
+            table = actual.table();
+            file = newFile;
+            assertSameTable(expected.table(), table);
+            RouteTable replicaTable = table;
             PackedTree live = table.entries();
-            // And who takes them in without a proof, in any order, comes to the same.
+            // Applying the changes without validation, in any order, gives the same table.
             for (RouteChange change : batch.values()) {
                 live = live.remove(new EntryKey(vetchpost.store.EntryKind.ROUTE, change.name()).bytes());
-                settled = settled.withRoute(change.name(), null, live);
+                replicaTable = replicaTable.withRoute(change.name(), null, live);
             }
             for (RouteChange change : batch.values()) {
                 if (change.section() != null) {
                     byte[] bytes = RouteCodec.encode(change.section());
                     live = live.put(
                             new EntryKey(vetchpost.store.EntryKind.ROUTE, change.name()).bytes(), bytes, version);
-                    settled = settled.withRoute(change.name(), bytes, live);
+                    replicaTable = replicaTable.withRoute(change.name(), bytes, live);
                 }
             }
-            assertSameTable(table, settled);
+            assertSameTable(table, replicaTable);
         }
         return true;
     }
 
-    private static void assertSameTable(RouteTable whole, RouteTable changed) {
-        assertEquals(whole.allRoutes(), changed.allRoutes());
+    private static void assertSameTable(RouteTable expected, RouteTable actual) {
+        assertEquals(expected.allRoutes(), actual.allRoutes());
         for (String cls : CLASSES.subList(0, 3)) {
             for (String tail : TARGETS) {
                 for (int tenant = -1; tenant < 2; tenant++) {
                     String target = "/" + cls + tail;
-                    assertEquals(whole.find(cls, "GET", target, tenant), changed.find(cls, "GET", target, tenant));
+                    assertEquals(expected.find(cls, "GET", target, tenant), actual.find(cls, "GET", target, tenant));
                 }
             }
         }
@@ -167,7 +173,7 @@
 
     @AfterContainer
     static void bothOutcomesOccur() {
-        System.out.println("batches of changes: " + accepted + " held, " + rejected + " refused");
+        System.out.println("batches of changes: " + accepted + " accepted, " + rejected + " rejected");
         assertTrue(accepted > 1_000 && rejected > 1_000, accepted + " and " + rejected);
     }
 }
--- a/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
+++ b/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
@@ -15,7 +15,7 @@
 import vetchpost.routes.file.RouteFile;
 import vetchpost.store.EntryChange;
 
-/** What is counted for each route, and for each tenant of it. */
+/** Requests in flight are counted for each route, and retry budgets for each tenant of a route. */
 class FileRoutePolicyTest {
     private static final Headers NO_FIELDS = new Headers() {
         @Override
@@ -25,7 +25,7 @@
 
         @Override
         public void forEach(BiConsumer<String, String> action) {
-            // There are none.
+            // This request has no headers.
         }
     };
 
@@ -41,38 +41,40 @@
     @Test
     void tenantsDoNotSpendEachOthersRetryBudget() {
         FileRoutePolicy policy = policy("[class.view-page]\nretry-budget = 0.1\n");
-        RouteLimits loud = limitsOf(policy, 0);
-        int repeats = 0;
+        RouteLimits busyTenant = limitsOf(policy, 0);
+        int retries = 0;
         for (int i = 0; i < 1_000; i++) {
-            loud.tryAcquire();
-            if (loud.mayRetry()) {
-                loud.recordRetry();
-                repeats++;
+            busyTenant.tryAcquire();
+            if (busyTenant.mayRetry()) {
+                busyTenant.recordRetry();
+                retries++;
             }
         }
-        assertTrue(repeats >= 100 && repeats <= 111, repeats + " of 1,000, and ten saved up");
+        assertTrue(
+                retries >= 100 && retries <= 111,
+                retries + " retries of 1,000 requests, with ten in the initial budget");
         for (int tenant : new int[] {1, -1}) {
-            RouteLimits quiet = limitsOf(policy, tenant);
+            RouteLimits otherTenant = limitsOf(policy, tenant);
             for (int i = 0; i < 10; i++) {
-                assertTrue(quiet.mayRetry(), "tenant " + tenant + " has " + i + " repeats left");
-                quiet.recordRetry();
+                assertTrue(otherTenant.mayRetry(), "tenant " + tenant + " has " + i + " retries spent");
+                otherTenant.recordRetry();
             }
-            assertFalse(quiet.mayRetry());
+            assertFalse(otherTenant.mayRetry());
         }
     }
 
-    private static RouteTable table(String text, RouteTable before, long version) {
+    private static RouteTable table(String text, RouteTable previousTable, long version) {
         RouteFile file = RouteFile.parse("f.toml", text);
-        RouteValidator prover = RouteValidator.begin(
+        RouteValidator validator = RouteValidator.begin(
                 file.sections().stream()
                         .filter(s -> s.kind() != Section.Kind.ROUTE)
                         .toList(),
                 RouteValidatorTest.settings(),
                 false,
-                before,
+                previousTable,
                 version);
-        file.sections().stream().filter(s -> s.kind() == Section.Kind.ROUTE).forEach(prover::addRoute);
-        return prover.finish().table();
+        file.sections().stream().filter(s -> s.kind() == Section.Kind.ROUTE).forEach(validator::addRoute);
+        return validator.finish().table();
     }
 
     private static RouteLimits limitsAt(FileRoutePolicy policy, String target) {
@@ -83,14 +85,14 @@
     private static final String ROUTE_TWO =
             "[[route]]\npath = \"/view-page/two\"\nretry-budget = " + "0.2\nconcurrency = 1000\n";
 
-    private static void spendBudget(RouteLimits bounds) {
+    private static void spendBudget(RouteLimits limits) {
         for (int i = 0; i < 10; i++) {
-            bounds.recordRetry();
+            limits.recordRetry();
         }
-        assertFalse(bounds.mayRetry());
+        assertFalse(limits.mayRetry());
     }
 
-    /** Another file, or a change of another route: what is counted goes on. */
+    /** Neither another file nor a change of another route resets the counts of an unchanged route. */
     @Test
     void unchangedRoutesKeepBudgetsAndChangedOnesRequestsInFlight() {
         RouteTable first = table(ROUTE_ONE + ROUTE_TWO, null, 1);
@@ -101,9 +103,9 @@
         String changed = ROUTE_TWO.replace("concurrency = 1000", "concurrency = 1");
         RouteTable second = table("# another file\n" + changed + ROUTE_ONE, first, 2);
         policy.replaceTable(second, RouteValidatorTest.settings());
-        assertFalse(limitsAt(policy, "/view-page/one").mayRetry(), "its budget is back");
-        assertTrue(limitsAt(policy, "/view-page/two").mayRetry(), "it has another budget now");
-        assertFalse(limitsAt(policy, "/view-page/two").tryAcquire(), "what it has in hand is not counted any more");
+        assertFalse(limitsAt(policy, "/view-page/one").mayRetry(), "the budget was reset");
+        assertTrue(limitsAt(policy, "/view-page/two").mayRetry(), "the changed route has a new budget");
+        assertFalse(limitsAt(policy, "/view-page/two").tryAcquire(), "requests in flight are no longer counted");
         RouteTable third = RouteValidator.validateChanges(
                         second,
                         List.of(new RouteValidator.RouteChange(
@@ -112,12 +114,13 @@
                 .table();
         policy.replaceTable(third, RouteValidatorTest.settings());
         assertFalse(limitsAt(policy, "/view-page/one").mayRetry());
-        // Another class says something else: that is nothing to this route.
-        RouteTable aside = table("[class.add-photo]\nconcurrency = 5\n" + ROUTE_ONE, third, 4);
-        policy.replaceTable(aside, RouteValidatorTest.settings());
-        assertFalse(limitsAt(policy, "/view-page/one").mayRetry(), "its budget is back for a change of another class");
-        // With other defaults each route has other limits.
-        policy.replaceTable(table("[defaults]\nconcurrency = 5\n" + ROUTE_ONE, third, 4), RouteValidatorTest.settings());
+        // A change of another class does not affect this route.
+        RouteTable otherClassChanged = table("[class.add-photo]\nconcurrency = 5\n" + ROUTE_ONE, third, 4);
+        policy.replaceTable(otherClassChanged, RouteValidatorTest.settings());
+        assertFalse(limitsAt(policy, "/view-page/one").mayRetry(), "a change of another class reset the budget");
+        // Other defaults change the limits of every route.
+        policy.replaceTable(
+                table("[defaults]\nconcurrency = 5\n" + ROUTE_ONE, third, 4), RouteValidatorTest.settings());
         assertTrue(limitsAt(policy, "/view-page/one").mayRetry());
     }
 
@@ -125,10 +128,10 @@
     void requestsInFlightKeepTheLimitsOfADeletedRoute() {
         RouteTable first = table(ROUTE_ONE + ROUTE_TWO, null, 1);
         FileRoutePolicy policy = new FileRoutePolicy(first, RouteValidatorTest.settings(), 1);
-        List<RouteLimits> held = new ArrayList<>();
+        List<RouteLimits> inFlight = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
-            held.add(limitsAt(policy, "/view-page/two"));
-            assertTrue(held.get(i).tryAcquire());
+            inFlight.add(limitsAt(policy, "/view-page/two"));
+            assertTrue(inFlight.get(i).tryAcquire());
         }
         assertFalse(limitsAt(policy, "/view-page/two").tryAcquire());
         policy.replaceTable(
@@ -139,32 +142,29 @@
                                 2)
                         .table(),
                 RouteValidatorTest.settings());
-        RouteLimits other = limitsAt(policy, "/view-page/two");
-        assertTrue(other.tryAcquire(), "its class has no limit");
-        for (RouteLimits each : held) {
-            assertTrue(each.mayRetry(), "it goes by what it began with");
+        RouteLimits classLimits = limitsAt(policy, "/view-page/two");
+        assertTrue(classLimits.tryAcquire(), "the class has no concurrency limit");
+        for (RouteLimits each : inFlight) {
+            assertTrue(each.mayRetry(), "a request keeps the limits that it started with");
             each.release();
         }
-        spendBudget(held.get(0));
-        // Back under its name, it counts from none on, and what it had saved up is as it was left.
+        spendBudget(inFlight.get(0));
+        // The restored route has no requests in flight, and its retry budget is as the earlier requests left it.
         policy.replaceTable(first, RouteValidatorTest.settings());
         assertTrue(limitsAt(policy, "/view-page/two").tryAcquire());
         assertFalse(limitsAt(policy, "/view-page/two").mayRetry());
     }
 
-    /**
-     * Tenants by the hundred thousand, of which few ask: what is kept is bounded, and nothing in hand is
-     * forgotten.
-     */
+    /** With many tenants the number of tracked states is bounded, and requests in flight stay counted. */
     @Test
     void trackedStateIsBounded() {
-        Settings many = RouteValidatorTest.settings();
+        Settings settings = RouteValidatorTest.settings();
         for (int i = 0; i < 70_000; i++) {
-            many.tenants.add(new vetchpost.decision.Balancer.Tenant("t" + i, 1));
+            settings.tenants.add(new vetchpost.decision.Balancer.Tenant("t" + i, 1));
         }
         RouteFile file = RouteFile.parse("f.toml", "[class.view-page]\nretry-budget = 0.1\nconcurrency = " + "2\n");
         FileRoutePolicy policy = new FileRoutePolicy(
-                RouteValidator.validate(file.sections(), many).table(), many, 1);
+                RouteValidator.validate(file.sections(), settings).table(), settings, 1);
         RouteLimits first = limitsOf(policy, 0);
         assertTrue(first.tryAcquire());
         spendBudget(first);
@@ -172,9 +172,9 @@
         for (int tenant = 1; tenant <= FileRoutePolicy.MAX_TRACKED_STATES; tenant++) {
             limitsOf(policy, tenant);
         }
-        assertTrue(limitsOf(policy, 0).mayRetry(), "the longest unused begins anew");
+        assertTrue(limitsOf(policy, 0).mayRetry(), "the least recently used state starts again");
         assertTrue(limitsOf(policy, 5).tryAcquire());
-        assertFalse(limitsOf(policy, 6).tryAcquire(), "what is in hand is counted on");
+        assertFalse(limitsOf(policy, 6).tryAcquire(), "requests in flight are still counted");
         first.release();
         assertTrue(limitsOf(policy, 6).tryAcquire());
     }
@@ -187,6 +187,6 @@
         assertFalse(limitsOf(policy, -1).tryAcquire());
         limitsOf(policy, 0).release();
         assertTrue(limitsOf(policy, -1).tryAcquire());
-        assertEquals(1_000_000, limitsOf(policy, 0).retryAfterUs(0), "the settings' advice where nothing else is said");
+        assertEquals(1_000_000, limitsOf(policy, 0).retryAfterUs(0), "the default is that of the settings");
     }
 }
--- a/src/test/java/vetchpost/routes/RouteFiles.java
+++ b/src/test/java/vetchpost/routes/RouteFiles.java
@@ -8,23 +8,23 @@
 import vetchpost.routes.Violation.Rule;
 import vetchpost.routes.file.RouteFile;
 
-/** Files taken at their word, as if there were no prover. */
+/** Builds route policies from files without validation, and asks the validator about files. For tests. */
 public final class RouteFiles {
     private RouteFiles() {}
 
-    /** The routes of a file, whatever rule it breaks. */
+    /** The routes of a file, even if it breaks a rule. */
     public static RoutePolicy uncheckedPolicy(String text, Settings settings, long seed) {
         return new FileRoutePolicy(
                 RouteValidator.readUnchecked(sections(text), settings).table(), settings, seed);
     }
 
-    /** Whether the prover refuses the file for this rule, perhaps beside others. */
+    /** Whether the validator rejects the file for this rule, possibly among others. */
     public static boolean isRejected(String text, Settings settings, Rule rule) {
         return RouteValidator.validate(sections(text), settings).violations().stream()
                 .anyMatch(v -> v.rule() == rule);
     }
 
-    /** Whether the prover takes it. */
+    /** Whether the validator accepts the file. */
     public static boolean isAccepted(String text, Settings settings) {
         return RouteValidator.validate(sections(text), settings).isValid();
     }
--- a/src/test/java/vetchpost/routes/RouteValidatorTest.java
+++ b/src/test/java/vetchpost/routes/RouteValidatorTest.java
@@ -17,33 +17,33 @@
 import vetchpost.routes.Violation.Rule;
 import vetchpost.routes.file.RouteFile;
 
-/** Files are taken or refused with the place, the rule and what would pass. */
+/** Valid files are accepted; invalid ones are rejected with the position, the rule and what would be accepted. */
 class RouteValidatorTest {
     private static final long MS = 1_000;
 
     static Settings settings() {
-        Settings set = new Settings();
-        set.maxAttempts = 4;
-        set.maxRetryAfterUs = 1_000 * MS;
-        set.allowsHedging = true;
-        set.classes.add(cls("view-page", 500, Idempotency.SAFE));
-        set.classes.add(cls("add-photo", 3_000, Idempotency.KEYED));
-        set.classes.add(cls("place-order", 1_000, Idempotency.UNSAFE));
-        set.tenants.add(new Tenant("school-a", 10));
-        set.tenants.add(new Tenant("school-b", 10));
-        return set;
+        Settings settings = new Settings();
+        settings.maxAttempts = 4;
+        settings.maxRetryAfterUs = 1_000 * MS;
+        settings.allowsHedging = true;
+        settings.classes.add(cls("view-page", 500, Idempotency.SAFE));
+        settings.classes.add(cls("add-photo", 3_000, Idempotency.KEYED));
+        settings.classes.add(cls("place-order", 1_000, Idempotency.UNSAFE));
+        settings.tenants.add(new Tenant("school-a", 10));
+        settings.tenants.add(new Tenant("school-b", 10));
+        return settings;
     }
 
-    private static RequestClass cls(String name, long giveUpMs, Idempotency repeat) {
+    private static RequestClass cls(String name, long deadlineMs, Idempotency idempotency) {
         return new RequestClass(
                 name,
-                giveUpMs * MS / 2,
+                deadlineMs * MS / 2,
                 0,
-                giveUpMs * MS,
+                deadlineMs * MS,
                 1,
                 0,
-                repeat,
-                repeat == Idempotency.KEYED ? DeduplicationScope.CELL : DeduplicationScope.ALL,
+                idempotency,
+                idempotency == Idempotency.KEYED ? DeduplicationScope.CELL : DeduplicationScope.ALL,
                 1_200 * MS,
                 false);
     }
@@ -55,25 +55,27 @@
     }
 
     private static Violation validateSingleViolation(String text) {
-        RouteValidation proof = validate(text);
-        assertEquals(1, proof.violations().size(), proof.violations().toString());
-        assertNull(proof.table());
-        return proof.violations().get(0);
+        RouteValidation validation = validate(text);
+        assertEquals(1, validation.violations().size(), validation.violations().toString());
+        assertNull(validation.table());
+        return validation.violations().get(0);
     }
 
     @Test
     void emptyFileIsValid() {
-        RouteValidation proof = validate("");
-        assertTrue(proof.isValid());
+        RouteValidation validation = validate("");
+        assertTrue(validation.isValid());
         assertEquals(
                 4,
-                proof.table()
+                validation
+                        .table()
                         .find("view-page", "GET", "/view-page/1", -1)
                         .limits()
                         .maxAttempts());
         assertEquals(
                 1,
-                proof.table()
+                validation
+                        .table()
                         .find("place-order", "POST", "/place-order/1", -1)
                         .limits()
                         .maxAttempts());
@@ -81,7 +83,7 @@
 
     @Test
     void routeOverridesClassAndClassOverridesDefaults() {
-        RouteValidation proof = validate("""
+        RouteValidation validation = validate("""
                 [defaults]
                 retry-budget = 0.3
                 concurrency = 9
@@ -92,21 +94,25 @@
                 path = "/view-page/large/*"
                 attempts = 3
                 """);
-        assertEquals(List.of(), proof.violations());
-        Limits large =
-                proof.table().find("view-page", "GET", "/view-page/large/1", -1).limits();
+        assertEquals(List.of(), validation.violations());
+        Limits large = validation
+                .table()
+                .find("view-page", "GET", "/view-page/large/1", -1)
+                .limits();
         assertEquals(3, large.maxAttempts());
         assertEquals(8, large.maxConcurrency());
         assertEquals(0.3, large.retryBudgetFraction());
         assertEquals(
                 2,
-                proof.table()
+                validation
+                        .table()
                         .find("view-page", "GET", "/view-page/small", -1)
                         .limits()
                         .maxAttempts());
         assertEquals(
                 9,
-                proof.table()
+                validation
+                        .table()
                         .find("add-photo", "POST", "/add-photo", -1)
                         .limits()
                         .maxConcurrency());
@@ -160,14 +166,14 @@
                         + " \"x\" | SAME_NAME"
                         + " | another name"
             })
-    void fileThatBreaksARuleIsRejected(String lines, Rule rule, String fits) {
+    void fileThatBreaksARuleIsRejected(String lines, Rule rule, String accepted) {
         Violation violation = validateSingleViolation(lines.replace("~", "\n"));
         assertEquals(rule, violation.rule(), violation.toString());
-        assertEquals(fits, violation.accepted(), violation.toString());
+        assertEquals(accepted, violation.accepted(), violation.toString());
         assertTrue(violation.position().line() >= 1);
     }
 
-    /** What a message says would pass does pass. */
+    /** A value that a violation suggests is accepted. */
     @Test
     void suggestedValuesAreAccepted() {
         assertTrue(validate("[class.add-photo]\nattempts = 3\nattempt-timeout = \"587500us\"")
@@ -183,7 +189,7 @@
 
     @Test
     void everyViolationIsReportedWithItsPosition() {
-        RouteValidation proof = validate("""
+        RouteValidation validation = validate("""
                 [class.place-order]
                 attempts = 3
                 speed = 1
@@ -195,13 +201,15 @@
                 """);
         assertEquals(
                 List.of("f.toml:2:1", "f.toml:3:1", "f.toml:8:1"),
-                proof.violations().stream().map(v -> v.position().toString()).toList());
+                validation.violations().stream()
+                        .map(v -> v.position().toString())
+                        .toList());
         assertEquals(
                 "f.toml:8:1: route photos: total-timeout is 9000ms, and clients wait 3000ms"
                         + " [PAST_CLIENT: no "
                         + "request is lost: an answer comes while its client waits]; total-timeout ="
                         + " \"3000ms\" would pass",
-                proof.violations().get(2).toString());
+                validation.violations().get(2).toString());
     }
 
     @Test
@@ -211,14 +219,14 @@
         assertEquals(2, file.violations().get(0).position().line());
     }
 
-    private static String found(RouteValidation proof, String cls, String target, int tenant) {
-        Route route = proof.table().find(cls, cls.equals("view-page") ? "GET" : "POST", target, tenant);
+    private static String findRoute(RouteValidation validation, String cls, String target, int tenant) {
+        Route route = validation.table().find(cls, cls.equals("view-page") ? "GET" : "POST", target, tenant);
         return route == null ? null : route.name();
     }
 
     @Test
     void mostSpecificRouteMatches() {
-        RouteValidation proof = validate("""
+        RouteValidation validation = validate("""
                 [[route]]
                 name = "all-of-a"
                 class = "view-page"
@@ -240,28 +248,28 @@
                 name = "other"
                 path = "/view-page/{kind}/7/small"
                 """);
-        assertEquals(List.of(), proof.violations());
-        assertEquals("plain", found(proof, "view-page", "/view-page/proofs/7/large?x=1", -1));
-        assertEquals("plain-of-b", found(proof, "view-page", "/view-page/proofs/7/large", 1));
-        assertEquals("any", found(proof, "view-page", "/view-page/proofs/8/large", 0));
-        assertEquals("prefix", found(proof, "view-page", "/view-page/proofs/8/medium/1", 0));
-        // Two match; the plain text further left is the more specific.
-        assertEquals("prefix", found(proof, "view-page", "/view-page/proofs/7/small", -1));
-        assertEquals("other", found(proof, "view-page", "/view-page/covers/7/small", -1));
-        assertEquals("all-of-a", found(proof, "view-page", "/view-page/x", 0));
-        assertEquals("view-page", found(proof, "view-page", "/view-page/x", 1));
-        assertEquals("place-order", found(proof, "place-order", "/place-order", -1));
+        assertEquals(List.of(), validation.violations());
+        assertEquals("plain", findRoute(validation, "view-page", "/view-page/proofs/7/large?x=1", -1));
+        assertEquals("plain-of-b", findRoute(validation, "view-page", "/view-page/proofs/7/large", 1));
+        assertEquals("any", findRoute(validation, "view-page", "/view-page/proofs/8/large", 0));
+        assertEquals("prefix", findRoute(validation, "view-page", "/view-page/proofs/8/medium/1", 0));
+        // Two routes match; the one with plain text further left is more specific.
+        assertEquals("prefix", findRoute(validation, "view-page", "/view-page/proofs/7/small", -1));
+        assertEquals("other", findRoute(validation, "view-page", "/view-page/covers/7/small", -1));
+        assertEquals("all-of-a", findRoute(validation, "view-page", "/view-page/x", 0));
+        assertEquals("view-page", findRoute(validation, "view-page", "/view-page/x", 1));
+        assertEquals("place-order", findRoute(validation, "place-order", "/place-order", -1));
     }
 
     @Test
     void ambiguousPathsCannotEvadeARoute() {
-        RouteValidation proof =
+        RouteValidation validation =
                 validate("[[route]]\nname = \"large\"\npath =" + " \"/add-photo/large/{id}\"\nconcurrency = 1\n");
-        assertEquals("large", found(proof, "add-photo", "/add-photo/large/1", -1));
-        assertEquals("large", found(proof, "add-photo", "/add-photo/%6Carge/1", -1));
-        assertEquals("large", found(proof, "add-photo", "/add-photo//large///1", -1));
-        assertEquals("large", found(proof, "add-photo", "/add-photo/large/1/?a", -1));
-        for (String twoWays : List.of(
+        assertEquals("large", findRoute(validation, "add-photo", "/add-photo/large/1", -1));
+        assertEquals("large", findRoute(validation, "add-photo", "/add-photo/%6Carge/1", -1));
+        assertEquals("large", findRoute(validation, "add-photo", "/add-photo//large///1", -1));
+        assertEquals("large", findRoute(validation, "add-photo", "/add-photo/large/1/?a", -1));
+        for (String ambiguousPath : List.of(
                 "/add-photo/x/../large/1",
                 "/add-photo/./large/1",
                 "/add-photo/%2e%2e/x",
@@ -273,7 +281,7 @@
                 "/add-photo/%2561",
                 "/add-photo/a%00",
                 "/view-page/large/1")) {
-            assertNull(found(proof, "add-photo", twoWays, -1), twoWays);
+            assertNull(findRoute(validation, "add-photo", ambiguousPath, -1), ambiguousPath);
         }
     }
 
@@ -290,17 +298,17 @@
                     .append("\"\nattempt-timeout = \"200ms\"\n");
         }
         validate("[[route]]\npath = \"/view-page/warm\"\n");
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         RouteFile file = RouteFile.parse("f.toml", text.toString());
-        long read = System.nanoTime();
-        RouteValidation proof = RouteValidator.validate(file.sections(), settings());
-        long ms = (System.nanoTime() - began) / 1_000_000;
-        System.out.println(
-                "10,000 routes read in " + (read - began) / 1_000_000 + " ms and proved, " + ms + " ms in all");
-        assertTrue(proof.isValid());
-        assertNotNull(proof.table());
-        assertEquals("r4321", found(proof, "view-page", "/view-page/s43/x/p21", -1));
-        // Generous: a busy machine is no failure of the file's.
+        long readNanos = System.nanoTime();
+        RouteValidation validation = RouteValidator.validate(file.sections(), settings());
+        long ms = (System.nanoTime() - startNanos) / 1_000_000;
+        System.out.println("10,000 routes read in " + (readNanos - startNanos) / 1_000_000 + " ms and validated, " + ms
+                + " ms in all");
+        assertTrue(validation.isValid());
+        assertNotNull(validation.table());
+        assertEquals("r4321", findRoute(validation, "view-page", "/view-page/s43/x/p21", -1));
+        // Generous, so that the test does not fail on a busy machine.
         assertTrue(ms < 10_000, ms + " ms");
     }
 
@@ -320,10 +328,10 @@
             subset = 9            | OUT_OF_RANGE | 1 | node = 0
             node = 0;subset = 9;subsets = 2 | UNKNOWN_KEY | 4 | subset
             """)
-    void invalidFleetSubsetIsRejected(String lines, Rule rule, int line, String fits) {
+    void invalidFleetSubsetIsRejected(String lines, Rule rule, int line, String accepted) {
         Violation violation = validateSingleViolation("[fleet]\n" + lines.replace(';', '\n') + "\n");
         assertEquals(rule, violation.rule());
         assertEquals(line, violation.position().line());
-        assertEquals(fits, violation.accepted().replace("'", ""));
+        assertEquals(accepted, violation.accepted().replace("'", ""));
     }
 }
--- a/src/test/java/vetchpost/routes/RoutesPageTest.java
+++ b/src/test/java/vetchpost/routes/RoutesPageTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.routes.file.RouteFile;
 
-/** The page for operators says what the code does, and the file that is shipped holds. */
+/** The operators' page documents every key and rule of the code, and the shipped file is valid. */
 class RoutesPageTest {
     private final String page = read("docs/routes.md");
 
--- a/src/test/java/vetchpost/routes/file/FileIndexTest.java
+++ b/src/test/java/vetchpost/routes/file/FileIndexTest.java
@@ -19,12 +19,12 @@
 import vetchpost.routes.Section.Kind;
 import vetchpost.routes.Violation;
 
-/** A file table by table, and again for what has changed, against the same file read as a whole. */
+/** Reading a file table by table, and rereading its changed routes, gives what parsing the whole file gives. */
 class FileIndexTest {
     @TempDir
     private Path folder;
 
-    /** What a file came to. */
+    /** Collects what is read from a file. */
     private static final class ReadResult implements FileIndex.SectionHandler {
         private final List<Section> others = new ArrayList<>();
         private final List<Section> routes = new ArrayList<>();
@@ -33,7 +33,7 @@
 
         @Override
         public void acceptOtherSections(List<Section> sections) {
-            assertTrue(others.isEmpty() && routes.isEmpty(), "told twice, or after routes");
+            assertTrue(others.isEmpty() && routes.isEmpty(), "called twice, or after routes");
             others.addAll(sections);
         }
 
@@ -93,18 +93,19 @@
 
     private static String randomFile(SplittableRandom random) {
         StringBuilder text = new StringBuilder(random.nextInt(30) == 0 ? "attempts = 1\n" : "# a file\n");
-        boolean nasty = random.nextBoolean();
+        boolean hasUnusualLines = random.nextBoolean();
         for (int i = random.nextInt(6); i >= 0; i--) {
-            text.append(HEADERS.get(random.nextInt(nasty ? HEADERS.size() : 6))).append('\n');
+            text.append(HEADERS.get(random.nextInt(hasUnusualLines ? HEADERS.size() : 6)))
+                    .append('\n');
             for (int j = random.nextInt(4); j > 0; j--) {
-                text.append(LINES.get(random.nextInt(nasty ? LINES.size() : 12)))
+                text.append(LINES.get(random.nextInt(hasUnusualLines ? LINES.size() : 12)))
                         .append(random.nextInt(9) == 0 ? "\r\n" : "\n");
             }
         }
         return random.nextInt(5) == 0 ? text.toString().stripTrailing() : text.toString();
     }
 
-    /** Lists within lists have no word of their own on whether they are the same. */
+    /** The sections of a kind as text; nested TOML values, whose text is an object's identity, are masked. */
     private static String textOf(List<Section> sections, Kind kind) {
         return sections.stream()
                 .filter(s -> s.kind() == kind)
@@ -116,26 +117,26 @@
     @Test
     void readingByTablesEqualsParsingTheWholeFile() throws Exception {
         int byTables = 0;
-        int refused = 0;
+        int rejected = 0;
         for (int seed = 0; seed < 4_000; seed++) {
             String text = randomFile(new SplittableRandom(seed));
-            RouteFile whole = RouteFile.parse(folder.resolve("f.toml").toString(), text);
+            RouteFile wholeFile = RouteFile.parse(folder.resolve("f.toml").toString(), text);
             ReadResult read = read(text);
             assertEquals(
-                    whole.violations().isEmpty(),
+                    wholeFile.violations().isEmpty(),
                     read.violations.isEmpty(),
-                    () -> text + whole.violations() + read.violations);
-            if (!whole.violations().isEmpty()) {
-                refused++;
+                    () -> text + wholeFile.violations() + read.violations);
+            if (!wholeFile.violations().isEmpty()) {
+                rejected++;
                 continue;
             }
             byTables += read.index == null ? 0 : 1;
             for (Kind kind : Kind.values()) {
-                List<Section> parts = kind == Kind.ROUTE ? read.routes : read.others;
-                assertEquals(textOf(whole.sections(), kind), textOf(parts, kind), text);
+                List<Section> sections = kind == Kind.ROUTE ? read.routes : read.others;
+                assertEquals(textOf(wholeFile.sections(), kind), textOf(sections, kind), text);
             }
         }
-        assertTrue(byTables > 400 && refused > 400, byTables + " by tables, " + refused + " refused");
+        assertTrue(byTables > 400 && rejected > 400, byTables + " by tables, " + rejected + " rejected");
     }
 
     @Test
@@ -145,30 +146,34 @@
             text.append("[[route]]\npath = \"/r").append(i).append("\"\nconcurrency = 5\n");
         }
         FileIndex index = read(text.toString()).index;
-        FileIndex.Difference none = index.reread(write(text.toString()));
-        assertEquals(List.of(), none.changedRoutes());
-        assertEquals(List.of(), none.removedRoutes());
-        String changed = text.toString()
+        FileIndex.Difference unchanged = index.reread(write(text.toString()));
+        assertEquals(List.of(), unchanged.changedRoutes());
+        assertEquals(List.of(), unchanged.removedRoutes());
+        String changedText = text.toString()
                         .replace("\"/r7\"\nconcurrency = 5", "\"/r7\"\nconcurrency = 6 # more")
                         .replace("[[route]]\npath = \"/r9\"\nconcurrency = 5\n", "")
                 + "[[route]]\npath = \"/r50\"\n";
-        FileIndex.Difference some = index.reread(write(changed));
+        FileIndex.Difference difference = index.reread(write(changedText));
         assertEquals(
                 List.of("/r7", "/r50"),
-                some.changedRoutes().stream().map(RouteCodec::nameOf).toList());
-        assertEquals(List.of("/r7", "/r9"), new ArrayList<>(new TreeSet<>(some.removedRoutes())));
-        assertEquals(24, some.changedRoutes().get(0).position().line(), "where it stands now");
-        FileIndex.Difference back = some.index().reread(write(text.toString()));
+                difference.changedRoutes().stream().map(RouteCodec::nameOf).toList());
+        assertEquals(List.of("/r7", "/r9"), new ArrayList<>(new TreeSet<>(difference.removedRoutes())));
+        assertEquals(24, difference.changedRoutes().get(0).position().line(), "its position in the changed file");
+        FileIndex.Difference reverted = difference.index().reread(write(text.toString()));
         assertEquals(
                 List.of("/r7", "/r9"),
-                back.changedRoutes().stream().map(RouteCodec::nameOf).sorted().toList());
+                reverted.changedRoutes().stream()
+                        .map(RouteCodec::nameOf)
+                        .sorted()
+                        .toList());
         assertEquals(
-                List.of("/r50", "/r7"), back.removedRoutes().stream().sorted().toList());
+                List.of("/r50", "/r7"),
+                reverted.removedRoutes().stream().sorted().toList());
         assertNull(
                 index.reread(write(text.toString().replace("attempts = 2", "attempts = 3"))),
-                "more than a route has changed");
-        assertNull(index.reread(write(text + "[[route]]\npath = \"/r7\"\nconcurrency = 5\n")), "one is there twice");
-        assertNull(index.reread(write(text + "[[route]\n")), "it is no TOML");
+                "the defaults have changed too");
+        assertNull(index.reread(write(text + "[[route]]\npath = \"/r7\"\nconcurrency = 5\n")), "a route appears twice");
+        assertNull(index.reread(write(text + "[[route]\n")), "the header is not valid TOML");
         assertEquals(
                 1,
                 index.reread(write(text + "[[route]]\npath = \n")).violations().size());
@@ -209,6 +214,6 @@
             assertTrue(e.getMessage().endsWith("has changed while it was read"), e.getMessage());
             return;
         }
-        throw new AssertionError("it was believed");
+        throw new AssertionError("the changed file was accepted");
     }
 }
--- a/src/test/java/vetchpost/store/PackedTreeTest.java
+++ b/src/test/java/vetchpost/store/PackedTreeTest.java
@@ -19,7 +19,7 @@
 import vetchpost.store.PackedTree.Item;
 import vetchpost.store.PackedTree.Sum;
 
-/** The tree against a sorted map, whatever is done to it. */
+/** Compares the tree with a sorted map under random changes, and checks versions and versioned stores. */
 class PackedTreeTest {
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
@@ -55,10 +55,10 @@
         SplittableRandom random = new SplittableRandom(seed);
         TreeMap<String, ExpectedEntry> map = new TreeMap<>();
         PackedTree tree = PackedTree.EMPTY;
-        int keys = 20 << random.nextInt(8);
+        int keyCount = 20 << random.nextInt(8);
         for (int step = 1; step <= 6_000; step++) {
-            String key = "k" + (random.nextInt(4) == 0 ? "" : "/deep/") + random.nextInt(keys);
-            // Now it grows and now it shrinks to nothing.
+            String key = "k" + (random.nextInt(4) == 0 ? "" : "/deep/") + random.nextInt(keyCount);
+            // Phases in which the tree grows alternate with phases in which it shrinks to nothing.
             if (random.nextInt(10) < (step / 1_500 % 2 == 0 ? 8 : 2)) {
                 String value = "v".repeat(random.nextInt(step % 500 == 0 ? 3_000 : 60));
                 map.put(key, new ExpectedEntry(value, step));
@@ -71,16 +71,17 @@
             }
             if (step % 500 == 0) {
                 assertSameEntries(map, tree);
-                assertSameRanges(map, tree, random, keys);
+                assertSameRanges(map, tree, random, keyCount);
             }
         }
     }
 
-    private static void assertSameRanges(TreeMap<String, ExpectedEntry> map, PackedTree tree, SplittableRandom random, int keys) {
+    private static void assertSameRanges(
+            TreeMap<String, ExpectedEntry> map, PackedTree tree, SplittableRandom random, int keyCount) {
         for (int i = 0; i < 20; i++) {
-            String from = "k/deep/" + random.nextInt(keys);
-            String to = "k/deep/" + random.nextInt(keys);
-            long over = random.nextInt(6_000);
+            String from = "k/deep/" + random.nextInt(keyCount);
+            String to = "k/deep/" + random.nextInt(keyCount);
+            long stamp = random.nextInt(6_000);
             if (from.compareTo(to) < 0) {
                 long[] sum = new long[2];
                 map.subMap(from, to).forEach((k, v) -> {
@@ -92,13 +93,13 @@
                         Math.min(3, sum[0]),
                         tree.range(bytes(from), bytes(to), 3).size());
             }
-            String next = map.tailMap(from).entrySet().stream()
-                    .filter(e -> e.getValue().stamp > over)
+            String expectedKey = map.tailMap(from).entrySet().stream()
+                    .filter(e -> e.getValue().stamp > stamp)
                     .map(Map.Entry::getKey)
                     .findFirst()
                     .orElse(null);
-            Item found = tree.nextNewer(bytes(from), over);
-            assertEquals(next, found == null ? null : text(found.key()));
+            Item found = tree.nextNewer(bytes(from), stamp);
+            assertEquals(expectedKey, found == null ? null : text(found.key()));
             Item ceiling = tree.ceiling(bytes(from));
             assertEquals(map.ceilingKey(from), ceiling == null ? null : text(ceiling.key()));
         }
@@ -120,33 +121,34 @@
         assertSame(PackedTree.EMPTY, trees.get(1).remove(bytes("k1")));
     }
 
-    /** However it came to be, and also where a stamp alone differs. */
+    /** The sum does not depend on the order of changes, and differs if only a stamp differs. */
     @Test
     void equalEntriesHaveEqualSumsAndOthersDiffer() {
-        PackedTree up = PackedTree.EMPTY;
-        PackedTree down = PackedTree.EMPTY;
+        PackedTree ascending = PackedTree.EMPTY;
+        PackedTree descending = PackedTree.EMPTY;
         for (int i = 0; i < 500; i++) {
-            up = up.put(bytes("k" + i), bytes("v"), 1);
-            down = down.put(bytes("k" + (499 - i)), bytes("v"), 1);
+            ascending = ascending.put(bytes("k" + i), bytes("v"), 1);
+            descending = descending.put(bytes("k" + (499 - i)), bytes("v"), 1);
         }
-        assertEquals(up.sum(), down.sum());
-        assertTrue(!up.put(bytes("k7"), bytes("v"), 2).sum().equals(up.sum()));
-        assertTrue(!up.remove(bytes("k7")).sum().equals(up.sum()));
+        assertEquals(ascending.sum(), descending.sum());
+        assertTrue(!ascending.put(bytes("k7"), bytes("v"), 2).sum().equals(ascending.sum()));
+        assertTrue(!ascending.remove(bytes("k7")).sum().equals(ascending.sum()));
         assertEquals(
-                up.sum(), up.put(bytes("x"), bytes(""), 9).remove(bytes("x")).sum());
+                ascending.sum(),
+                ascending.put(bytes("x"), bytes(""), 9).remove(bytes("x")).sum());
     }
 
     @Test
     void entryOverheadIsSmall() {
         PackedTree tree = PackedTree.EMPTY;
-        long own = 0;
+        long entryBytes = 0;
         for (int i = 0; i < 50_000; i++) {
             String key = String.format("/s%04d/r%06d", i % 3_700, i);
             tree = tree.put(bytes(key), new byte[40], i);
-            own += key.length() + 40;
+            entryBytes += key.length() + 40;
         }
-        double times = (double) tree.retainedBytes() / own;
-        assertTrue(times < 1.8, times + " times its own bytes");
+        double ratio = (double) tree.retainedBytes() / entryBytes;
+        assertTrue(ratio < 1.8, ratio + " times the bytes of its entries");
     }
 
     @Test
@@ -161,18 +163,18 @@
     void batchAppliesAtomicallyAndRemovedKeysAreKeptUntilForgotten() {
         EntryKey a = new EntryKey(EntryKind.ROUTE, "a");
         EntryKey b = new EntryKey(EntryKind.TENANT, "b");
-        VersionedStore one =
+        VersionedStore first =
                 VersionedStore.EMPTY.with(List.of(EntryChange.put(a, bytes("1")), EntryChange.put(b, bytes("1"))), 5);
-        VersionedStore two = one.with(List.of(EntryChange.delete(a), EntryChange.replace(b, bytes("2"))), 6);
-        assertEquals("1", text(one.get(a).value()), "who reads the one before still does");
-        assertNull(two.get(a));
-        assertEquals(6, two.get(b).stamp());
-        assertEquals(1, two.removed().size());
-        assertThrows(IllegalArgumentException.class, () -> two.with(List.of(), 6));
-        assertEquals(0, two.forgetRemovals(0).removed().size());
-        assertEquals(6, two.forgetRemovals(0).horizon());
+        VersionedStore second = first.with(List.of(EntryChange.delete(a), EntryChange.replace(b, bytes("2"))), 6);
+        assertEquals("1", text(first.get(a).value()), "the earlier store is unchanged");
+        assertNull(second.get(a));
+        assertEquals(6, second.get(b).stamp());
+        assertEquals(1, second.removed().size());
+        assertThrows(IllegalArgumentException.class, () -> second.with(List.of(), 6));
+        assertEquals(0, second.forgetRemovals(0).removed().size());
+        assertEquals(6, second.forgetRemovals(0).horizon());
         assertEquals(a, EntryKey.of(a.bytes()));
-        VersionedStore again = two.with(List.of(EntryChange.put(a, bytes("3"))), 7);
-        assertEquals(0, again.removed().size(), "what is back has not gone");
+        VersionedStore readded = second.with(List.of(EntryChange.put(a, bytes("3"))), 7);
+        assertEquals(0, readded.removed().size(), "a key that was added again is not among the removed ones");
     }
 }
