--- a/src/main/java/vetchpost/changes/RouteConfiguration.java
+++ b/src/main/java/vetchpost/changes/RouteConfiguration.java
@@ -55,12 +55,16 @@
     public record Outcome(RouteConfiguration configuration, List<Violation> violations) {}
 
     private RouteConfiguration(
-            Settings settings, VersionedStore store, RouteTable routes, PackedTree byTenant, boolean limitsChanged) {
+            Settings settings,
+            VersionedStore store,
+            RouteTable routes,
+            PackedTree tenantRoutes,
+            boolean limitsChanged) {
         this.limitsChanged = limitsChanged;
         this.settings = settings;
         this.store = store;
         this.routes = routes;
-        this.tenantRoutes = byTenant;
+        this.tenantRoutes = tenantRoutes;
     }
 
     /**
--- a/src/main/java/vetchpost/routes/file/FileIndex.java
+++ b/src/main/java/vetchpost/routes/file/FileIndex.java
@@ -31,9 +31,9 @@
     private final PackedTree namesByHash;
     private final long otherTablesHash;
 
-    private FileIndex(PackedTree routes, long others) {
-        this.namesByHash = routes;
-        this.otherTablesHash = others;
+    private FileIndex(PackedTree namesByHash, long otherTablesHash) {
+        this.namesByHash = namesByHash;
+        this.otherTablesHash = otherTablesHash;
     }
 
     /** Bytes retained by the index. */
--- a/src/main/java/vetchpost/routes/file/RouteFile.java
+++ b/src/main/java/vetchpost/routes/file/RouteFile.java
@@ -20,8 +20,8 @@
 import vetchpost.routes.Violation.Rule;
 
 /**
- * The operator's file, parsed as TOML 1.0.0 into tables whose values have their positions. Loaders and {@link
- * FileIndex} create it; the validators read its sections. Immutable.
+ * The operator's file, parsed as TOML 1.0.0 into tables whose values have their positions. Loaders and
+ * {@link FileIndex} create it; the validators read its sections. Immutable.
  *
  * @param sections the tables; empty if there is any violation
  * @param violations syntax errors
--- a/src/main/java/vetchpost/store/FieldCodec.java
+++ b/src/main/java/vetchpost/store/FieldCodec.java
@@ -86,7 +86,7 @@
                 if (tag % TYPE_COUNT == TEXT) {
                     int length = buffer.getShort();
                     if (length < 0 || length > buffer.remaining()) {
-                        throw new IllegalArgumentException("text length " + length + " exceeds the entry");
+                        throw new IllegalArgumentException("text length " + length + " does not fit into the entry");
                     }
                     visitor.visit(number, new String(bytes, buffer.position(), length, StandardCharsets.UTF_8));
                     buffer.position(buffer.position() + length);
