--- a/src/main/java/vetchpost/admission/AdmissionValidator.java
+++ b/src/main/java/vetchpost/admission/AdmissionValidator.java
@@ -71,7 +71,10 @@
         section.entries().forEach((key, entry) -> {
             if (!KEYS.contains(key)) {
                 violated(
-                        entry.position(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'", "one of " + String.join(", ", KEYS));
+                        entry.position(),
+                        Rule.UNKNOWN_KEY,
+                        "unknown key '" + key + "'",
+                        "one of " + String.join(", ", KEYS));
             }
         });
         int waiting = whole(section, "waiting", DEFAULT_WAITING, 1, MAX_WAITING);
--- a/src/main/java/vetchpost/daemon/ChangesLoader.java
+++ b/src/main/java/vetchpost/daemon/ChangesLoader.java
@@ -147,8 +147,9 @@
     /** What it serves by, and how old that is. */
     String words() {
         VersionedStore now = store;
-        String what =
-                now.version() == Version.NONE ? "no configuration yet" : "configuration " + Version.format(now.version());
+        String what = now.version() == Version.NONE
+                ? "no configuration yet"
+                : "configuration " + Version.format(now.version());
         String age = currentUs < 0
                 ? ", not confirmed since the start"
                 : ", confirmed " + Math.max(0, (client.nowUs() - currentUs) / 1_000_000) + " s ago";
--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -87,8 +87,8 @@
         void take(Entry entry) throws FrameRejectedException {
             Item own = live.get(entry.key());
             if (own != null && isOlder(entry.stamp(), own)) {
-                throw new FrameRejectedException(
-                        "an entry goes back from " + Version.format(own.stamp()) + " to " + Version.format(entry.stamp()));
+                throw new FrameRejectedException("an entry goes back from " + Version.format(own.stamp()) + " to "
+                        + Version.format(entry.stamp()));
             }
             if (entry.value() == null) {
                 live = live.remove(entry.key());
@@ -235,8 +235,9 @@
         draft = begins ? new Draft(frame.to()) : draft;
         for (Entry entry : frame.items()) {
             if (!belongs(entry, frame)) {
-                throw new MalformedFrameException("an entry of " + Version.format(entry.stamp()) + " in what came after "
-                        + Version.format(store.version()) + " up to " + Version.format(frame.to()));
+                throw new MalformedFrameException(
+                        "an entry of " + Version.format(entry.stamp()) + " in what came after "
+                                + Version.format(store.version()) + " up to " + Version.format(frame.to()));
             }
             draft.take(entry);
         }
@@ -385,8 +386,8 @@
             }
             Item own = store.live().get(entry.key());
             if (own != null && own.stamp() > entry.stamp()) {
-                throw new FrameRejectedException(
-                        "an entry goes back from " + Version.format(own.stamp()) + " to " + Version.format(entry.stamp()));
+                throw new FrameRejectedException("an entry goes back from " + Version.format(own.stamp()) + " to "
+                        + Version.format(entry.stamp()));
             }
             draft.take(entry);
         }
--- a/src/main/java/vetchpost/simulation/scale/Slopes.java
+++ b/src/main/java/vetchpost/simulation/scale/Slopes.java
@@ -471,8 +471,8 @@
             try {
                 FileIndex.Difference difference = index.reread(file);
                 List<RouteValidator.RouteChange> changes = difference.changedRoutes().stream()
-                        .map(s ->
-                                new RouteValidator.RouteChange(EntryChange.Op.REPLACE, RouteCodec.nameOf(s), s, s.position()))
+                        .map(s -> new RouteValidator.RouteChange(
+                                EntryChange.Op.REPLACE, RouteCodec.nameOf(s), s, s.position()))
                         .toList();
                 require(RouteValidator.validateChanges(proof.table(), changes, 2)
                         .isValid());
