--- a/src/main/java/vetchpost/http/Acceptor.java
+++ b/src/main/java/vetchpost/http/Acceptor.java
@@ -136,7 +136,7 @@
         paused = true;
         pausedNs = nanos();
         markBacklog();
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("accepting stops", sockets);
         }
         channel.config().setAutoRead(false);
@@ -152,7 +152,7 @@
         acceptingToReject = !hasCapacity && (acceptingToReject || nanos() - pausedNs >= MAX_QUEUE_WAIT_NS);
         if (hasCapacity || acceptingToReject && sockets.mayAccept()) {
             paused = false;
-            if (log.isOn()) {
+            if (log.isEnabled()) {
                 log.write("accepting again", sockets);
             }
             channel.config().setAutoRead(true);
@@ -226,7 +226,7 @@
     /** Pauses accepting when the system has no descriptor left, whatever the budget counts. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("accepting failed", cause, sockets);
         }
         // Otherwise the selector would report the same connection again and again.
--- a/src/main/java/vetchpost/http/ClientConnection.java
+++ b/src/main/java/vetchpost/http/ClientConnection.java
@@ -178,7 +178,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "closed",
@@ -222,7 +222,7 @@
         }
         hasReceivedRequest = true;
         server.onRequestReceived(this);
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "whole",
@@ -248,7 +248,7 @@
             requestStartNs = 0;
         } else if (requestStartNs == 0) {
             requestStartNs = server.nanos();
-            if (server.log().isOn()) {
+            if (server.log().isEnabled()) {
                 server.log().write("begun", connectionId);
             }
         }
@@ -256,7 +256,7 @@
 
     private void startRequest(FullHttpRequest http, long arrivedNs, long costBytes) {
         pendingCostBytes = costBytes;
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "take",
@@ -396,7 +396,7 @@
     private ChannelFuture writeResponse(FullHttpResponse response) {
         unwrittenResponses++;
         lastResponseNs = server.nanos();
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "answer",
--- a/src/main/java/vetchpost/http/ClientServer.java
+++ b/src/main/java/vetchpost/http/ClientServer.java
@@ -223,7 +223,7 @@
     /** Stops accepting connections and closes idle ones from now on; pending requests are still answered. */
     public void stopAccepting() {
         closing = true;
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("no longer listening", sockets);
         }
         if (acceptor != null) {
@@ -341,7 +341,7 @@
      */
     public boolean onOpened(ManagedConnection connection, long number, Channel channel) {
         sockets.addClient();
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("accept", number, channel.remoteAddress(), "at", channel.localAddress(), sockets);
         }
         sockets.freeCapacityForClient();
--- a/src/main/java/vetchpost/node/Node.java
+++ b/src/main/java/vetchpost/node/Node.java
@@ -224,7 +224,7 @@
         // The watch has moved past the list changes still queued there; discovery does not repeat them.
         previousDispatcher.applyAllLists();
         List<ServerList.Target> servers = previousDispatcher.knownServers();
-        dispatcher.onKnownList(new ServerList(0, true, servers));
+        dispatcher.onCachedList(new ServerList(0, true, servers));
         dispatcher.restore(previousDispatcher.statistics(
                 servers.stream().map(ServerList.Target::id).toList()));
         loop.schedule(this::closeFinishedRetired, DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -347,7 +347,7 @@
                     sockets.maxClients());
         }
         eventLoopDelay.start();
-        dispatcher.onKnownList(
+        dispatcher.onCachedList(
                 lifecycle == null
                         ? config.knownServers()
                         : lifecycle.beforeStart(config.knownServers(), clock.nowUs()));
@@ -461,7 +461,7 @@
     /** Starts this node as the client of a rehearsal: it uses its known list, does not listen or watch discovery. */
     void startAsRehearsal() {
         rehearsing = true;
-        dispatcher.onKnownList(config.knownServers());
+        dispatcher.onCachedList(config.knownServers());
     }
 
     void openRehearsalConnection(ChannelPipeline pipeline) {
