--- a/src/main/java/vetchpost/http/Acceptor.java
+++ b/src/main/java/vetchpost/http/Acceptor.java
@@ -130,7 +130,7 @@
         paused = true;
         pausedNs = nanos();
         fallBehind();
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("accepting stops", sockets);
         }
         channel.config().setAutoRead(false);
@@ -146,7 +146,7 @@
         turningAway = !room && (turningAway || nanos() - pausedNs >= WAIT_NS);
         if (room || turningAway && sockets.mayAccept()) {
             paused = false;
-            if (log.isOn()) {
+            if (log.isEnabled()) {
                 log.write("accepting again", sockets);
             }
             channel.config().setAutoRead(true);
@@ -220,7 +220,7 @@
     /** Stops accepting when the system has no descriptor left, whatever the count says. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("accepting failed", cause, sockets);
         }
         // Left alone, the selector would report the same connection without end.
--- a/src/main/java/vetchpost/http/ClientConnection.java
+++ b/src/main/java/vetchpost/http/ClientConnection.java
@@ -174,7 +174,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "closed",
@@ -218,7 +218,7 @@
         }
         asked = true;
         server.onRequestReceived(this);
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
                     .write("whole", number, http.uri(), "txn", http.headers().get("X-Txn"));
         }
@@ -239,7 +239,7 @@
             begunNs = 0;
         } else if (begunNs == 0) {
             begunNs = server.nanos();
-            if (server.log().isOn()) {
+            if (server.log().isEnabled()) {
                 server.log().write("begun", number);
             }
         }
@@ -247,7 +247,7 @@
 
     private void take(FullHttpRequest http, long arrivedNs, long cost) {
         heldCost = cost;
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "take",
@@ -382,7 +382,7 @@
     private ChannelFuture write(FullHttpResponse response) {
         unwritten++;
         answeredNs = server.nanos();
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "answer",
--- a/src/main/java/vetchpost/http/ClientServer.java
+++ b/src/main/java/vetchpost/http/ClientServer.java
@@ -204,7 +204,7 @@
     /** No new connections, and none is kept that owes no answer. */
     public void stopAccepting() {
         closing = true;
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("no longer listening", sockets);
         }
         if (acceptor != null) {
@@ -318,7 +318,7 @@
      */
     public boolean onOpened(ManagedConnection connection, long number, Channel channel) {
         sockets.addClient();
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("accept", number, channel.remoteAddress(), "at", channel.localAddress(), sockets);
         }
         sockets.makeRoomForClient();
--- a/src/main/java/vetchpost/node/Node.java
+++ b/src/main/java/vetchpost/node/Node.java
@@ -202,7 +202,7 @@
         // The watch is past what waits there: nobody would tell it again.
         old.applyAllLists();
         List<ServerList.Target> servers = old.knownServers();
-        dispatcher.onKnownList(new ServerList(0, true, servers));
+        dispatcher.onCachedList(new ServerList(0, true, servers));
         dispatcher.restore(
                 old.statistics(servers.stream().map(ServerList.Target::id).toList()));
         loop.schedule(this::forgetRetired, DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -322,7 +322,7 @@
                     sockets.maxClients());
         }
         stall.start();
-        dispatcher.onKnownList(
+        dispatcher.onCachedList(
                 companion == null
                         ? config.knownServers()
                         : companion.beforeStart(config.knownServers(), clock.nowUs()));
@@ -434,7 +434,7 @@
     /** Begins as a rehearsal's node: it has a list, no address of its own, and asks for no other list. */
     void rehearse() {
         rehearsing = true;
-        dispatcher.onKnownList(config.knownServers());
+        dispatcher.onCachedList(config.knownServers());
     }
 
     void openRehearsal(ChannelPipeline pipeline) {
