--- a/src/main/java/vetchpost/admission/ExpectedWork.java
+++ b/src/main/java/vetchpost/admission/ExpectedWork.java
@@ -28,7 +28,9 @@
         sampleCounts[cls] = Math.min(Integer.MAX_VALUE - 1, sampleCounts[cls] + 1);
         meanLatencyUs[cls] += Math.max(SMOOTHING_FACTOR, 1.0 / sampleCounts[cls]) * (latencyUs - meanLatencyUs[cls]);
         if (sampleCounts[cls] >= MIN_SAMPLES) {
-            minLatencyUs[cls] = minLatencyUs[cls] == 0 ? meanLatencyUs[cls] : Math.min(minLatencyUs[cls] * MIN_LATENCY_GROWTH, meanLatencyUs[cls]);
+            minLatencyUs[cls] = minLatencyUs[cls] == 0
+                    ? meanLatencyUs[cls]
+                    : Math.min(minLatencyUs[cls] * MIN_LATENCY_GROWTH, meanLatencyUs[cls]);
         }
     }
 
--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -136,14 +136,17 @@
         int c = request.classIndex();
         TenantState book = tenantState(tenant);
         long client = clientIdentity.of(request, connection);
-        QueuedRequest waiter = createRequest(request, ClientIdentity.withClass(client, c), waitedUs, deadlineUs, entrant);
+        QueuedRequest waiter =
+                createRequest(request, ClientIdentity.withClass(client, c), waitedUs, deadlineUs, entrant);
         int place = book.heavyHitters.recordRequest(client, currentUs);
         int booking = reservations.find(waiter.clientKey, currentUs);
         counts.arrived++;
         boolean isBack = booking >= 0 && currentUs >= reservations.dueUs(booking) - ReservationTable.MAX_EARLY_US;
         if (booking >= 0 && !isBack) {
             counts.returnedEarly++;
-            if (request.retry() && hasWaiting(tenant) && (place >= 0 || reservations.hasMaxReservations(waiter.clientKey))) {
+            if (request.retry()
+                    && hasWaiting(tenant)
+                    && (place >= 0 || reservations.hasMaxReservations(waiter.clientKey))) {
                 // It was told, says itself that it repeats, and others wait: this look is all that it costs.
                 return scheduleRejection(waiter, reservations.dueUs(booking) - currentUs);
             }
@@ -165,7 +168,8 @@
         // Who was told goes in as it comes: the next look through the queues sees whether it can be kept.
         waiter.dueAtDrainedCost = isBack ? 0 : book.drainedCost(c, waiter.isWithinShare) + costAhead(cls, line);
         double waitUs = isBack ? 0 : expectedWaitUs(waiter, cls);
-        if (currentUs + waitUs > waiter.latestStartUs || root.waitingCount >= settings.maxWaiting() && !evictFromLongestQueue(waiter, line)) {
+        if (currentUs + waitUs > waiter.latestStartUs
+                || root.waitingCount >= settings.maxWaiting() && !evictFromLongestQueue(waiter, line)) {
             counts.count(
                     currentUs + waitUs > waiter.latestStartUs
                             ? AdmissionCounts.RejectionReason.TOO_LATE
@@ -190,11 +194,14 @@
                 : 0;
         long aimUs = Math.min(
                 cls.deadlineUs(), cls.latencyTargetUs() + (long) (cls.latencyTargetWorkFactor() * request.workUs()));
-        long inTimeUs =
-                cls.lateValueFraction() > 0 ? deadlineUs : Math.min(deadlineUs, currentUs - waitedUs + aimUs - elapsedUs);
+        long inTimeUs = cls.lateValueFraction() > 0
+                ? deadlineUs
+                : Math.min(deadlineUs, currentUs - waitedUs + aimUs - elapsedUs);
         long leftUs = inTimeUs - currentUs;
-        long latestUs =
-                inTimeUs - (long) Math.min(MAX_RESPONSE_TIME_FRACTION * leftUs, RESPONSE_TIME_FACTOR * expectedWork.usualLatencyUs(request.classIndex()));
+        long latestUs = inTimeUs
+                - (long) Math.min(
+                        MAX_RESPONSE_TIME_FRACTION * leftUs,
+                        RESPONSE_TIME_FACTOR * expectedWork.usualLatencyUs(request.classIndex()));
         long patienceUs = currentUs
                 - waitedUs
                 - elapsedUs
@@ -214,19 +221,23 @@
     private TenantState tenantState(int tenant) {
         TenantState book = tenantStates[tenant];
         if (book == null) {
-            double quota = tenant == 0 ? 0 : nodeSettings.tenants.get(tenant - 1).quotaPerS() / nodeSettings.nodes;
+            double quota =
+                    tenant == 0 ? 0 : nodeSettings.tenants.get(tenant - 1).quotaPerS() / nodeSettings.nodes;
             double[] worths = new double[blockedClasses.length];
             for (int c = 0; c < worths.length; c++) {
                 worths[c] = classWeight(c);
             }
-            book = new TenantState(new double[] {shareWeight(2 * tenant), shareWeight(2 * tenant + 1)}, worths, quota, currentUs);
+            book = new TenantState(
+                    new double[] {shareWeight(2 * tenant), shareWeight(2 * tenant + 1)}, worths, quota, currentUs);
             tenantStates[tenant] = book;
         }
         book.lastSeenUs = currentUs;
         if (currentUs >= nextTenantExpiryUs) {
             nextTenantExpiryUs = currentUs + TENANT_IDLE_TIMEOUT_US;
             for (int t = 0; t < tenantStates.length; t++) {
-                if (tenantStates[t] != null && currentUs - tenantStates[t].lastSeenUs > TENANT_IDLE_TIMEOUT_US && !hasWaiting(t)) {
+                if (tenantStates[t] != null
+                        && currentUs - tenantStates[t].lastSeenUs > TENANT_IDLE_TIMEOUT_US
+                        && !hasWaiting(t)) {
                     tenantStates[t] = null;
                     root.forgetIfIdle(2 * t);
                     root.forgetIfIdle(2 * t + 1);
@@ -278,7 +289,9 @@
     private RequestQueue queueFor(SchedulingNode cls, long client, int place) {
         return queueFor(
                 cls,
-                place >= 0 ? settings.queuesPerClass() + place : (int) Long.remainderUnsigned(client, settings.queuesPerClass()));
+                place >= 0
+                        ? settings.queuesPerClass() + place
+                        : (int) Long.remainderUnsigned(client, settings.queuesPerClass()));
     }
 
     private static RequestQueue queueFor(SchedulingNode cls, int key) {
@@ -347,7 +360,9 @@
         TenantState book = tenantStates[of.tenant];
         return Math.max(
                 tenantFraction(of) * book.classFraction(of.classIndex, of.isWithinShare, currentUs),
-                constrainedFraction.rate(MIN_SHARE_WINDOW_COST / 2) * constrainedContention.fraction(book.leafContender(of.classIndex, of.isWithinShare), currentUs));
+                constrainedFraction.rate(MIN_SHARE_WINDOW_COST / 2)
+                        * constrainedContention.fraction(
+                                book.leafContender(of.classIndex, of.isWithinShare), currentUs));
     }
 
     /**
@@ -378,9 +393,11 @@
         if (all == 0) {
             return 0; // Not known yet; the sweep has an eye on what waits.
         }
-        double left = Math.max(0, of.dueAtDrainedCost - tenantStates[of.tenant].drainedCost(of.classIndex, of.isWithinShare));
+        double left =
+                Math.max(0, of.dueAtDrainedCost - tenantStates[of.tenant].drainedCost(of.classIndex, of.isWithinShare));
         double part = classFraction(of);
-        double us = Math.max(0, left / (all * part) + root.lag(cls.parent) / (all * Math.max(part, tenantFraction(of))));
+        double us =
+                Math.max(0, left / (all * part) + root.lag(cls.parent) / (all * Math.max(part, tenantFraction(of))));
         return Math.min(us, (isBusy() ? MAX_OVERTAKING_FACTOR : 1) * root.backlogCost / all);
     }
 
@@ -495,8 +512,10 @@
         }
         tenantStates[waiter.tenant].recordDrained(waiter.classIndex, waiter.isWithinShare, waiter.cost);
         drainedCost += waiter.cost;
-        constrainedFraction.advanceTo(drainedCost, Math.max(MIN_SHARE_WINDOW_COST, DRAIN_RATE_TIME_CONSTANT_US * drainPerUs()), true);
-        if (constrainedContention.isContending(tenantStates[waiter.tenant].leafContender(waiter.classIndex, waiter.isWithinShare), currentUs)) {
+        constrainedFraction.advanceTo(
+                drainedCost, Math.max(MIN_SHARE_WINDOW_COST, DRAIN_RATE_TIME_CONSTANT_US * drainPerUs()), true);
+        if (constrainedContention.isContending(
+                tenantStates[waiter.tenant].leafContender(waiter.classIndex, waiter.isWithinShare), currentUs)) {
             constrainedFraction.add(waiter.cost);
         }
     }
@@ -533,7 +552,8 @@
      * @return in how many microseconds, or 0 for no promise
      */
     private long reserve(QueuedRequest waiter) {
-        constrainedContention.recordRequest(tenantStates[waiter.tenant].leafContender(waiter.classIndex, waiter.isWithinShare), currentUs);
+        constrainedContention.recordRequest(
+                tenantStates[waiter.tenant].leafContender(waiter.classIndex, waiter.isWithinShare), currentUs);
         if (waiter.hasConsumedQuota) {
             waiter.hasConsumedQuota = false;
             tenantStates[waiter.tenant].refundQuota();
@@ -546,9 +566,11 @@
         }
         TenantState book = tenantState(waiter.tenant);
         double allUs = totalReserved.remainingUs(all, currentUs);
-        double leastUs = MIN_RETRY_AFTER_US + Math.max(allUs, book.reservedByClass[waiter.classIndex].remainingUs(perUs, currentUs));
-        long inUs = (long)
-                (leastUs + waiter.cost / perUs * RETRY_AFTER_JITTER * random.nextDouble() + MIN_RETRY_AFTER_US * random.nextDouble());
+        double leastUs = MIN_RETRY_AFTER_US
+                + Math.max(allUs, book.reservedByClass[waiter.classIndex].remainingUs(perUs, currentUs));
+        long inUs = (long) (leastUs
+                + waiter.cost / perUs * RETRY_AFTER_JITTER * random.nextDouble()
+                + MIN_RETRY_AFTER_US * random.nextDouble());
         if (inUs > longestUs
                 || currentUs + inUs + expectedWork.usualLatencyUs(waiter.classIndex) > waiter.retryDeadlineUs
                 || !reservations.add(waiter.clientKey, currentUs + inUs, waiter.isWithinShare, currentUs)) {
@@ -611,7 +633,8 @@
         Arrays.fill(blockedClasses, false);
         int fresh = 0;
         for (QueuedRequest waiter : unsentRequests) {
-            if (sentCount - waiter.sentCountAtAdmission >= BLOCKED_AFTER_SENDS || currentUs - waiter.admittedUs >= BLOCKED_AFTER_US) {
+            if (sentCount - waiter.sentCountAtAdmission >= BLOCKED_AFTER_SENDS
+                    || currentUs - waiter.admittedUs >= BLOCKED_AFTER_US) {
                 blockedClasses[waiter.classIndex] = true;
             } else {
                 fresh++;
--- a/src/main/java/vetchpost/admission/SchedulingNode.java
+++ b/src/main/java/vetchpost/admission/SchedulingNode.java
@@ -111,7 +111,8 @@
      * credit.
      */
     double lag(Flow child) {
-        return ((child.isReady ? child.startTag : Math.max(virtualTime - credit, child.finishTag)) - virtualTime) * child.weight;
+        return ((child.isReady ? child.startTag : Math.max(virtualTime - credit, child.finishTag)) - virtualTime)
+                * child.weight;
     }
 
     /** A child has nothing waiting any more, and was not served for it. */
--- a/src/main/java/vetchpost/core/AddressOwners.java
+++ b/src/main/java/vetchpost/core/AddressOwners.java
@@ -8,45 +8,46 @@
 import vetchpost.decision.Balancer.ServerState;
 
 /**
- * Who lives at which address. Two servers can't share one: where the list names a new one at the address of
- * another that it has not taken back yet, the other has gone. Left in, it would get a warm server's share,
- * and its successor, which is cold, would be sent all of it (found by the simulation, seed 3722).
+ * Tracks which server owns which address, for {@link ServerListQueue}. Two servers can't share an address: where a list
+ * names a new server at the address of one that was not reported gone, the former one is taken for gone. If it stayed,
+ * it would get a warm server's share, and all of that would be sent to its successor, which is cold (the simulation's
+ * seed 3722 shows this). Used on the node's event loop only.
  */
 final class AddressOwners {
     private final Map<InetSocketAddress, ServerList.Target> ownersByAddress = new HashMap<>();
     private final Map<String, InetSocketAddress> addressesById = new HashMap<>();
 
-    /** The list with what it implies: whoever has lost its address is in it as gone. */
+    /** Returns the list with each server that has lost its address added, or replaced, as gone. */
     ServerList resolveConflicts(ServerList list) {
         if (list.isFull()) {
             ownersByAddress.clear();
             addressesById.clear();
         }
-        List<ServerList.Target> settled = new ArrayList<>(list.targets().size());
+        List<ServerList.Target> resolved = new ArrayList<>(list.targets().size());
         for (ServerList.Target target : list.targets()) {
             releaseAddress(target.id());
-            ServerList.Target holder = ownersByAddress.get(target.address());
+            ServerList.Target owner = ownersByAddress.get(target.address());
             if (target.state() == ServerState.GONE) {
-                settled.add(target);
-            } else if (holder != null && holder.bootMs() > target.bootMs()) {
-                settled.add(asGone(target));
+                resolved.add(target);
+            } else if (owner != null && owner.bootMs() > target.bootMs()) {
+                resolved.add(asGone(target));
             } else {
-                settled.add(target);
-                if (holder != null) {
-                    releaseAddress(holder.id());
-                    settled.add(asGone(holder));
+                resolved.add(target);
+                if (owner != null) {
+                    releaseAddress(owner.id());
+                    resolved.add(asGone(owner));
                 }
                 ownersByAddress.put(target.address(), target);
                 addressesById.put(target.id(), target.address());
             }
         }
-        return new ServerList(list.revision(), list.isFull(), settled);
+        return new ServerList(list.revision(), list.isFull(), resolved);
     }
 
     private void releaseAddress(String id) {
-        InetSocketAddress home = addressesById.remove(id);
-        if (home != null) {
-            ownersByAddress.remove(home);
+        InetSocketAddress address = addressesById.remove(id);
+        if (address != null) {
+            ownersByAddress.remove(address);
         }
     }
 
--- a/src/main/java/vetchpost/core/AttemptObserver.java
+++ b/src/main/java/vetchpost/core/AttemptObserver.java
@@ -2,13 +2,18 @@
 
 import vetchpost.decision.Balancer.Result;
 
-/** Sees how attempts end, beside the module: what they tell of a server is evidence for others too. */
+/**
+ * Observes how attempts end, beside the decision module: what they show of a server is evidence for other parts too.
+ * Called by the {@link Dispatcher} on the node's event loop.
+ */
 public interface AttemptObserver {
     /**
      * An attempt has ended.
      *
-     * @param answer what the server said, or null
-     * @param stalled whether the node was behind for so long that its time-outs say nothing
+     * @param response the server's response, or null
+     * @param isLoopDelayed whether the event-loop delay makes up more than half of the attempt's time, so that a
+     *     timeout says nothing of the server
+     * @param nowUs the node's time in microseconds
      */
-    void onAttemptEnded(String serverId, Result result, ServerResponse answer, boolean stalled, long nowUs);
+    void onAttemptEnded(String serverId, Result result, ServerResponse response, boolean isLoopDelayed, long nowUs);
 }
--- a/src/main/java/vetchpost/core/BodySink.java
+++ b/src/main/java/vetchpost/core/BodySink.java
@@ -1,18 +1,18 @@
 package vetchpost.core;
 
-/** Where a body goes that is passed on bit by bit. All calls come on the node's loop. */
+/** Receives a streamed body from a {@link BodySource}. All calls come on the node's event loop. */
 public interface BodySink {
     /**
-     * Takes the next bytes.
+     * Accepts the next bytes.
      *
-     * @return false if no more should come until {@link BodySource#resume} is called; what comes all the same
-     *     is taken, and bounded by what its source had read already
+     * @return false if no more should come until {@link BodySource#resume} is called; bytes that come all the same are
+     *     accepted, and are limited by what the source had read already
      */
     boolean write(byte[] bytes);
 
-    /** That was all of it. */
+    /** The body is complete. */
     void complete();
 
-    /** It has broken off: what has come so far must not be taken for the whole. */
+    /** The body has broken off; what has come so far must not be treated as complete. */
     void abort();
 }
--- a/src/main/java/vetchpost/core/BodySource.java
+++ b/src/main/java/vetchpost/core/BodySource.java
@@ -1,16 +1,19 @@
 package vetchpost.core;
 
 /**
- * The rest of a body that is too long to be held, from the first byte on that is not. It can be read once: a
- * request whose rest has been begun can't be sent a second time. All calls come on the node's loop.
+ * The part of a body that is too long to be buffered, from the first byte that is not. It can be read once: a request
+ * whose remainder has been started can't be sent a second time. All calls come on the node's event loop.
  */
 public interface BodySource {
-    /** Has the rest go there; once. What is there already may come before this returns. */
+    /**
+     * Streams the remainder to this sink; to be called once. Bytes that are already there may be written before this
+     * returns.
+     */
     void streamTo(BodySink sink);
 
-    /** The sink can take more, after it had said no. */
+    /** The sink accepts more again, after a {@code write} that returned false. */
     void resume();
 
-    /** Nobody wants what is left of it. */
+    /** The remainder is no longer needed. */
     void abandon();
 }
--- a/src/main/java/vetchpost/core/ClientReply.java
+++ b/src/main/java/vetchpost/core/ClientReply.java
@@ -1,43 +1,55 @@
 package vetchpost.core;
 
 /**
- * The one answer that is owed to a client. Of the first three calls only the first has an effect: a protocol
- * passes over what comes after it, and all that comes after the client has left.
+ * The one answer to a client, implemented by each protocol and called by the {@link Dispatcher} on the node's event
+ * loop. Of {@code served}, {@code rejected} and {@code failed} only the first call has an effect: a protocol ignores
+ * later calls, and all calls after the client has disconnected.
  */
 public interface ClientReply {
-    /** A server's answer, passed on whole. */
-    void served(ServerResponse answer);
+    /** Answers with a server's response. */
+    void served(ServerResponse response);
 
-    /** Told before it is refused or has failed if an attempt of it may have run; else it surely has not. */
+    /**
+     * Called before {@link #rejected} or {@link #failed} if an attempt may have run; if it was not called, surely none
+     * has.
+     */
     default void markMayHaveRun() {}
 
-    /** Trying again is harmless, and best done after so many microseconds; 0 gives no advice. */
+    /**
+     * Answers that a retry is safe.
+     *
+     * @param retryAfterUs the best time for it, in microseconds from now; 0 for no advice
+     */
     void rejected(long retryAfterUs);
 
-    /** No promise about its effect, unless {@link #markMayHaveRun} was not told. */
+    /**
+     * Answers with a failure. Whether the request took effect is unknown if {@link #markMayHaveRun} was called; else it
+     * has not.
+     */
     void failed(Failure why);
 
     /**
-     * A server's own word for what went wrong, once nothing more is tried. A protocol that passes such words
-     * on has now answered; the others return false and are told in their own.
+     * Answers with a server's own error response, once nothing more is tried.
+     *
+     * @return whether the protocol passes such responses on and has now answered; if false, another answer must follow
      */
     default boolean passOnError(ServerResponse error) {
         return false;
     }
 
-    /** A number that all requests of a client's connection have, and no other's; 0 where there are none. */
+    /** A number that the requests of one client connection share with no other's; 0 if the protocol has none. */
     default long connectionId() {
         return 0;
     }
 
     /**
-     * Whether the client has left, as far as its system already tells, though nothing may have been told of
-     * it yet: a loop that was held up has not looked. Costs a system call.
+     * Whether the operating system already knows that the client has disconnected, though no event has been delivered
+     * yet: a delayed event loop has not read it. Costs a system call.
      */
     default boolean hasDisconnected() {
         return false;
     }
 
-    /** What to do, once, if the client leaves before its answer. */
+    /** Sets an action that runs once if the client disconnects before its answer. */
     void onDisconnect(Runnable action);
 }
--- a/src/main/java/vetchpost/core/Dispatcher.java
+++ b/src/main/java/vetchpost/core/Dispatcher.java
@@ -18,25 +18,34 @@
 import vetchpost.decision.ServerStatistics;
 
 /**
- * The life of requests: it holds them and their attempts from the moment they are taken until each has its
- * one final answer and no attempt is out. It alone calls the decision module, carries out what that decides
- * over a {@link ServerTransport}, and turns what comes back into outcomes. It decides nothing, and knows
- * neither protocols nor sockets. All of it runs on one event loop.
+ * Accepts client requests and keeps each of them, with its attempts, until it has its one final answer and no attempt
+ * is in flight. It is the only caller of the decision module (the {@link Balancer}): it carries out the module's
+ * decisions over a {@link ServerTransport} and reports the results back as outcomes. It makes no decisions itself and
+ * knows neither protocols nor sockets.
+ *
+ * <p>The protocol adapters call it with requests, and the node with server lists. All calls, timers and callbacks run
+ * on the node's one event loop; nothing here is thread-safe.
  */
 public final class Dispatcher implements Balancer.Actions {
     private static final Logger LOG = System.getLogger(Dispatcher.class.getName());
 
-    /** The module's deadline lies so far before the client's, or this part of the time left if that is
-     * less: the answer's way, timers, and a processor that is busy just after a start. */
+    /**
+     * The balancer's deadline is this much earlier than the client's, or the remaining time divided by {@link
+     * #RESPONSE_MARGIN_DIVISOR} if that is less. It leaves time to transmit the answer, for timers, and for a processor
+     * that is busy just after a start.
+     */
     private static final long MAX_RESPONSE_MARGIN_US = 25_000;
 
     private static final int RESPONSE_MARGIN_DIVISOR = 8;
     private static final long PROBE_TIMEOUT_US = 250_000;
-    /** A loop that is so far behind may not have read yet that a client has left: it is looked at before more
-     * is done for it. A sixth of the time in which that has to be known, and rare on a loop that keeps up. */
+    /**
+     * From this event-loop delay on, a request's connection is checked for a disconnect before an attempt is sent,
+     * since the loop may not have read it yet. It is a sixth of the time within which a disconnect must be noticed, and
+     * rare on a loop that keeps up.
+     */
     private static final long DISCONNECT_CHECK_MIN_DELAY_US = 50_000;
 
-    /** Names of zones that are told apart, those of the settings and others; far more than any list has. */
+    /** Distinct zone names, from the settings and from lists together; far more than any list has. */
     private static final int MAX_ZONES = 4_096;
 
     private final Clock clock;
@@ -63,10 +72,10 @@
     private boolean isCallingBalancer;
     private Clock.Timer wakeTimer;
 
-    /** A call of the module that is due, and the request that it touches, if any. */
+    /** A queued call of the balancer, and the request that it concerns; null if it concerns none. */
     private record BalancerCall(PendingRequest request, Runnable call) {}
 
-    /** A request taken, until it is answered and no attempt is out. */
+    /** An accepted request, kept until it is answered and no attempt is in flight. */
     private final class PendingRequest implements AdmissionControl.Applicant {
         private final ClientRequest request;
         private final ClientReply reply;
@@ -81,30 +90,33 @@
         private Clock.Timer deadlineTimer;
         private int attemptsInFlight;
         private boolean isCompleted;
-        /** The answer is on its way to the client, bit by bit. */
+        /** Whether the answer is being streamed to the client. */
         private boolean isStreaming;
-        /** An attempt has ended so that it may have run. */
+        /** Whether an attempt has ended that may have run on a server. */
         private boolean mayHaveRun;
-        /** The last error that a server has answered, for clients that are passed such on. */
+        /** The last error response of a server, for protocols that pass such responses on to clients. */
         private ServerResponse lastServerError;
 
         PendingRequest(
                 ClientRequest request,
                 ClientReply reply,
-                RouteLimits bounds,
+                RouteLimits limits,
                 long deadlineUs,
-                long takenUs,
+                long acceptedUs,
                 long arrivedUs) {
             this.request = request;
             this.reply = reply;
-            this.limits = bounds;
+            this.limits = limits;
             this.id = request.id();
             this.deadlineUs = deadlineUs;
-            this.acceptedUs = takenUs;
+            this.acceptedUs = acceptedUs;
             this.arrivedUs = arrivedUs;
         }
 
-        /** Nothing is owed any more; what waits for a connection must not be sent. */
+        /**
+         * Ends the request once it is answered or its client has left. Attempts still waiting for a connection are
+         * abandoned unsent.
+         */
         void complete() {
             if (!isCompleted && !isStreaming) {
                 releaseLimits();
@@ -119,7 +131,9 @@
             removeIfDone();
         }
 
-        /** Counts it off; of an answer that is passed on bit by bit, at its end. */
+        /**
+         * Releases its route's limits and notifies admission control; for a streamed answer when the stream has ended.
+         */
         void releaseLimits() {
             limits.release();
             if (admissionProgress != null) {
@@ -135,15 +149,16 @@
         @Override
         public void rejected(long retryAfterUs) {
             if (isOffered) {
-                return; // By a door that has failed: the module has it now, and may have sent it.
+                // From an admission control that has failed: the balancer has the request and may have sent it.
+                return;
             }
-            tell(this, RequestRecorder.Completion.REFUSED, retryAfterUs);
-            // A time that it may count on comes before what its route says in general.
+            recordCompletion(this, RequestRecorder.Completion.REFUSED, retryAfterUs);
+            // A retry time reserved by admission control takes precedence over the route's general one.
             reply.rejected(retryAfterUs > 0 ? retryAfterUs : limits.retryAfterUs(0));
             complete();
         }
 
-        /** To be called before an answer of the node's own. */
+        /** Marks the reply if an attempt may have run. Called before any answer that the node itself makes up. */
         void markReplyIfMayHaveRun() {
             if (mayHaveRun || attemptsInFlight > 0) {
                 reply.markMayHaveRun();
@@ -157,7 +172,7 @@
         }
     }
 
-    /** An attempt of a request. */
+    /** One attempt of a request at one server. */
     private final class SentAttempt implements ServerTransport.OutgoingRequest {
         private final PendingRequest pending;
         private final int number;
@@ -168,20 +183,20 @@
         private Clock.Timer timeoutTimer;
         private long loopDelayUs;
         private boolean isEnded;
-        /** When its answer began to be passed on, or 0. */
+        /** When streaming of its answer to the client began, or 0. */
         private long streamingSinceUs;
 
-        SentAttempt(PendingRequest request, int number, String serverId, long sentUs, long untilUs) {
-            this.pending = request;
+        SentAttempt(PendingRequest pending, int number, String serverId, long sentUs, long timeoutAtUs) {
+            this.pending = pending;
             this.number = number;
             this.serverId = serverId;
             this.sentUs = sentUs;
-            this.timeoutAtUs = untilUs;
+            this.timeoutAtUs = timeoutAtUs;
         }
 
         @Override
         public ClientRequest request() {
-            // Sent late for want of a connection: what the loop was behind by then is not the server's.
+            // The request may have waited for a connection; the event-loop delay up to now is not the server's.
             loopDelayUs = Math.min(loopDelay.currentUs(), clock.nowUs() - sentUs);
             return pending.request;
         }
@@ -192,23 +207,23 @@
         }
 
         @Override
-        public boolean onResponseStarted(ServerResponse answer) {
+        public boolean onResponseStarted(ServerResponse response) {
             if (pending.isCompleted) {
                 return false;
             }
             streamingSinceUs = clock.nowUs();
-            // From here on it takes as long as it takes, and whoever passes it on watches that it goes on.
+            // No timeout while streaming: whoever passes the answer on watches that it makes progress.
             timeoutTimer.cancel();
             pending.isStreaming = true;
-            tell(pending, RequestRecorder.Completion.SERVED, 0);
+            recordCompletion(pending, RequestRecorder.Completion.SERVED, 0);
             pending.complete();
-            pending.reply.served(answer);
+            pending.reply.served(response);
             callBalancer(pending, () -> balancer.onFirstByte(clock.nowUs(), pending.id, number));
             return true;
         }
 
         @Override
-        public void onEnded(Result result, ServerResponse answer) {
+        public void onEnded(Result result, ServerResponse response) {
             isEnded = true;
             if (log.isEnabled()) {
                 log.write(
@@ -234,66 +249,70 @@
             if (streamingSinceUs > 0) {
                 pending.releaseLimits();
             } else if (result == Result.OK && !pending.isCompleted) {
-                pending.reply.served(answer);
-                tell(pending, RequestRecorder.Completion.SERVED, 0);
+                pending.reply.served(response);
+                recordCompletion(pending, RequestRecorder.Completion.SERVED, 0);
                 pending.complete();
             } else if (result == Result.ERROR) {
-                pending.lastServerError = answer;
+                pending.lastServerError = response;
             }
             pending.removeIfDone();
-            // How long a body takes is its length's affair and its reader's.
-            long tookUs = (streamingSinceUs > 0 ? streamingSinceUs : clock.nowUs()) - sentUs;
+            // The time to stream a body depends on its length and its reader, not on the server's latency.
+            long latencyUs = (streamingSinceUs > 0 ? streamingSinceUs : clock.nowUs()) - sentUs;
             if (admission != null && result == Result.OK) {
-                notifyAdmission(() -> admission.recordLatency(pending.request.classIndex(), tookUs));
+                notifyAdmission(() -> admission.recordLatency(pending.request.classIndex(), latencyUs));
             }
-            loopDelayUs = Math.min(loopDelayUs + loopDelay.currentUs(), tookUs);
+            loopDelayUs = Math.min(loopDelayUs + loopDelay.currentUs(), latencyUs);
             callBalancer(
                     pending,
                     () -> balancer.onOutcome(
                             clock.nowUs(),
-                            new Outcome(pending.id, number, result, tookUs, pending.isCompleted, null, loopDelayUs)));
+                            new Outcome(
+                                    pending.id, number, result, latencyUs, pending.isCompleted, null, loopDelayUs)));
             if (attemptObserver != null) {
-                attemptObserver.onAttemptEnded(serverId, result, answer, loopDelayUs > tookUs / 2, clock.nowUs());
+                attemptObserver.onAttemptEnded(serverId, result, response, loopDelayUs > latencyUs / 2, clock.nowUs());
             }
             if (subset != null) {
                 List<ServerList.Target> changes = subset.onAttemptEnded(serverId, result, clock.nowUs());
                 if (!changes.isEmpty()) {
-                    tell(new ServerListQueue.ListChunk(ListKind.CHANGES, new ServerList(0, false, changes)));
+                    publishChunk(new ServerListQueue.ListChunk(ListKind.CHANGES, new ServerList(0, false, changes)));
                 }
             }
         }
     }
 
     /**
-     * A node's requests, none so far.
+     * Creates a dispatcher without requests or servers.
      *
+     * @param clock the node's time and timers
+     * @param loopDelay tells how far the event loop is behind
+     * @param transport sends attempts and probes to servers
      * @param zones the names of the settings' zones, in their order
-     * @param listSubscription how to ask for changes of the list
-     * @param wholeList how to ask for all of it
-     * @param doubtUs for how long servers stay that a doubtful list leaves out
-     * @param module makes the decision module for its actions
-     * @throws IllegalArgumentException if the module rejects its settings
+     * @param subscribeToList subscribes to changes of the server list
+     * @param requestFullList asks discovery for the full server list
+     * @param suspectRetentionUs how long servers are kept that a suspect list leaves out, in microseconds
+     * @param balancerFactory creates the decision module, given the actions that it may take
+     * @throws IllegalArgumentException if the decision module rejects its settings
      */
     public Dispatcher(
             Clock clock,
-            EventLoopDelay stall,
-            ServerTransport servers,
+            EventLoopDelay loopDelay,
+            ServerTransport transport,
             List<String> zones,
-            Runnable listSubscription,
-            Runnable wholeList,
-            long doubtUs,
-            Function<Balancer.Actions, Balancer> module) {
+            Runnable subscribeToList,
+            Runnable requestFullList,
+            long suspectRetentionUs,
+            Function<Balancer.Actions, Balancer> balancerFactory) {
         this.clock = clock;
-        this.loopDelay = stall;
-        this.transport = servers;
-        this.subscribeToList = listSubscription;
-        this.requestFullList = wholeList;
-        this.suspectRetentionUs = doubtUs;
-        zones.forEach(z -> this.zoneIndices.put(z, this.zoneIndices.size()));
-        balancer = module.apply(this);
+        this.loopDelay = loopDelay;
+        this.transport = transport;
+        this.subscribeToList = subscribeToList;
+        this.requestFullList = requestFullList;
+        this.suspectRetentionUs = suspectRetentionUs;
+        zones.forEach(zone -> zoneIndices.put(zone, zoneIndices.size()));
+        balancer = balancerFactory.apply(this);
     }
 
-    /** Gives up its timers; what is held stays unanswered. For the end of a rehearsal. */
+    /** Cancels all timers; pending requests stay unanswered. Used at the end of a rehearsal. */
     public void close() {
         if (wakeTimer != null) {
             wakeTimer.cancel();
@@ -301,35 +320,38 @@
         if (admissionTimer != null) {
             admissionTimer.cancel();
         }
-        pendingById.values().forEach(h -> h.deadlineTimer.cancel());
+        pendingById.values().forEach(request -> request.deadlineTimer.cancel());
     }
 
-    /** Has these routes hold for requests from now on; those in hand keep theirs. */
+    /** Applies this policy to requests that arrive from now on; pending requests keep theirs. */
     public void setRoutes(RoutePolicy policy) {
         routes = policy;
     }
 
-    /** Has this node keep to a part of the fleet; before the first list. */
-    public void setSubset(Subset part) {
-        subset = part;
+    /** Restricts this node to a subset of the fleet; to be called before the first list. */
+    public void setSubset(Subset newSubset) {
+        subset = newSubset;
     }
 
-    /** Has this see how attempts end, besides the module; null for nobody. */
-    public void setAttemptObserver(AttemptObserver other) {
-        attemptObserver = other;
+    /** Sets the observer of ended attempts, beside the balancer; null for none. */
+    public void setAttemptObserver(AttemptObserver observer) {
+        attemptObserver = observer;
     }
 
-    /** Has this see what becomes of requests from now on; null for nobody. */
-    public void setRecorder(RequestRecorder other) {
-        recorder = other;
+    /** Sets the recorder of requests from now on; null for none. */
+    public void setRecorder(RequestRecorder newRecorder) {
+        recorder = newRecorder;
     }
 
-    /** Has requests from now on stand before this door, or before none if it is null. */
-    public void admission(AdmissionControl door) {
-        AdmissionControl before = admission;
-        admission = door;
-        if (before != null) {
-            before.admitAll();
+    /**
+     * Puts admission control before the balancer for requests from now on; null for none. The previous one admits all
+     * requests that wait in it.
+     */
+    public void admission(AdmissionControl newAdmission) {
+        AdmissionControl previous = admission;
+        admission = newAdmission;
+        if (previous != null) {
+            previous.admitAll();
         }
         if (admissionTimer != null) {
             admissionTimer.cancel();
@@ -337,23 +359,24 @@
         }
     }
 
-    /** The door that requests stand before, or null. */
+    /** The admission control in use, or null. */
     public AdmissionControl admission() {
         return admission;
     }
 
-    /** How many requests are held: unanswered, or with an attempt out. */
+    /** Number of requests that are unanswered or have an attempt in flight. */
     public int pendingRequests() {
         return pendingById.size();
     }
 
     /**
-     * Calls the module, or queues the call while one is running: the module is not re-entrant, and what
-     * its own actions bring about at once (a connection refused, a send that is moot) comes back to it
-     * only after the call that caused it.
+     * Calls the balancer, or queues the call while another is running. The balancer is not re-entrant: what its own
+     * actions cause at once (a refused connection, a cancelled send) is reported only after the call that caused it.
+     *
+     * @param request the request that the call concerns, or null
      */
-    private void callBalancer(PendingRequest touches, Runnable call) {
-        queuedCalls.add(new BalancerCall(touches, call));
+    private void callBalancer(PendingRequest request, Runnable call) {
+        queuedCalls.add(new BalancerCall(request, call));
         if (isCallingBalancer) {
             return;
         }
@@ -370,7 +393,7 @@
         }
     }
 
-    /** Lets the door do what is due; what that brings about comes back to it in the same turn. */
+    /** Lets admission control do what is due and schedules its next wake-up. Nested calls do nothing. */
     private void advanceAdmission() {
         if (isAdvancingAdmission || isCallingBalancer) {
             return;
@@ -378,20 +401,20 @@
         isAdvancingAdmission = true;
         try {
             admission.advance(clock.nowUs());
-        } catch (RuntimeException | Error e) {
-            removeFailedAdmission(e);
+        } catch (RuntimeException | Error failure) {
+            removeFailedAdmission(failure);
         } finally {
             isAdvancingAdmission = false;
         }
-        long at = admission == null ? Long.MAX_VALUE : admission.nextWakeUpUs();
-        if (at != admissionWakeUpUs) {
+        long wakeUpUs = admission == null ? Long.MAX_VALUE : admission.nextWakeUpUs();
+        if (wakeUpUs != admissionWakeUpUs) {
             if (admissionTimer != null) {
                 admissionTimer.cancel();
             }
-            admissionWakeUpUs = at;
-            admissionTimer = at == Long.MAX_VALUE
+            admissionWakeUpUs = wakeUpUs;
+            admissionTimer = wakeUpUs == Long.MAX_VALUE
                     ? null
-                    : clock.schedule(at, () -> {
+                    : clock.schedule(wakeUpUs, () -> {
                         admissionWakeUpUs = Long.MAX_VALUE;
                         if (admission != null) {
                             advanceAdmission();
@@ -400,21 +423,26 @@
         }
     }
 
-    /** A fault in what the door makes of it is the door's alone. */
-    private void notifyAdmission(Runnable what) {
+    /** Notifies admission control; if that throws, admission control is removed and the request goes on without it. */
+    private void notifyAdmission(Runnable notification) {
         if (admission == null) {
             return;
         }
         try {
-            what.run();
-        } catch (RuntimeException | Error e) {
-            removeFailedAdmission(e);
+            notification.run();
+        } catch (RuntimeException | Error failure) {
+            removeFailedAdmission(failure);
         }
     }
 
-    /** The node goes on without a door rather than behind a broken one, and what stood there goes in. */
-    private void removeFailedAdmission(Throwable why) {
-        LOG.log(Level.ERROR, "the door has failed and is taken out", why);
+    /**
+     * Removes a failed admission control, so that the node keeps serving, and offers to the balancer what waited there.
+     */
+    private void removeFailedAdmission(Throwable cause) {
+        LOG.log(
+                Level.ERROR,
+                "admission control has failed and is switched off; waiting requests are admitted; report this error",
+                cause);
         admission = null;
         for (PendingRequest waiting : List.copyOf(pendingById.values())) {
             if (!waiting.isCompleted && !waiting.isOffered) {
@@ -423,13 +451,16 @@
         }
     }
 
-    /** A fault of one call must not take the node with it; its request still gets the answer it is owed. */
+    /** Runs a queued call. If it throws, only its request fails; the node goes on. */
     private void runCall(BalancerCall event) {
         try {
             event.call.run();
-        } catch (RuntimeException | Error e) {
-            // Errors too: out of memory for one request, the next may be small.
-            LOG.log(Level.ERROR, "a call of the module failed", e);
+        } catch (RuntimeException | Error failure) {
+            // Errors are caught too: out of memory for one request, but the next one may be small.
+            LOG.log(
+                    Level.ERROR,
+                    "a call of the decision module failed; its request is answered with an internal error",
+                    failure);
             if (event.request != null) {
                 fail(event.request, Failure.INTERNAL_ERROR);
             }
@@ -439,9 +470,12 @@
     // ---------------------------------------------------------------- clients
 
     /**
-     * Takes a request; its reply is owed from here on.
+     * Accepts a request. From here on it gets exactly one answer, which may come before this returns.
      *
-     * @param waitedUs how long ago its last byte was read
+     * @param request the request; rejected at once if its id is in use, its path is ambiguous, its body too large or
+     *     its route's limit reached
+     * @param reply where its answer goes
+     * @param waitedUs how long ago its last byte was read, in microseconds
      */
     public void accept(ClientRequest request, ClientReply reply, long waitedUs) {
         if (pendingById.containsKey(request.id())) {
@@ -449,187 +483,202 @@
             reply.failed(Failure.DUPLICATE_ID);
             return;
         }
-        RouteLimits bounds = routes.limitsOf(request);
-        if (bounds == null) {
+        RouteLimits limits = routes.limitsOf(request);
+        if (limits == null) {
             recordRejection(request, RequestRecorder.RejectionReason.AMBIGUOUS_PATH);
             reply.failed(Failure.AMBIGUOUS_PATH);
             return;
         }
-        if (request.bodyLength() > bounds.maxBodyBytes()) {
+        if (request.bodyLength() > limits.maxBodyBytes()) {
             recordRejection(request, RequestRecorder.RejectionReason.BODY_TOO_LARGE);
             reply.failed(Failure.BODY_TOO_LARGE);
             return;
         }
-        if (!bounds.tryAcquire()) {
+        if (!limits.tryAcquire()) {
             recordRejection(request, RequestRecorder.RejectionReason.ROUTE_LIMIT);
-            reply.rejected(bounds.retryAfterUs(0));
+            reply.rejected(limits.retryAfterUs(0));
             return;
         }
-        // The client's time has been running while a loop that was behind left the request unread.
-        long takenUs = clock.nowUs();
-        long arrivedUs = takenUs - Math.max(waitedUs, loopDelay.currentUs());
-        long leftUs = Math.min(request.remainingUs(), bounds.requestTimeoutUs());
-        PendingRequest taken = new PendingRequest(
+        // The client's time also ran while a delayed event loop left the request unread.
+        long acceptedUs = clock.nowUs();
+        long arrivedUs = acceptedUs - Math.max(waitedUs, loopDelay.currentUs());
+        long remainingUs = Math.min(request.remainingUs(), limits.requestTimeoutUs());
+        PendingRequest pending = new PendingRequest(
                 request,
                 reply,
-                request.bodyRemainder() == null ? bounds : new SingleAttemptLimits(bounds),
-                arrivedUs + leftUs - Math.min(MAX_RESPONSE_MARGIN_US, leftUs / RESPONSE_MARGIN_DIVISOR),
-                takenUs,
+                request.bodyRemainder() == null ? limits : new SingleAttemptLimits(limits),
+                arrivedUs + remainingUs - Math.min(MAX_RESPONSE_MARGIN_US, remainingUs / RESPONSE_MARGIN_DIVISOR),
+                acceptedUs,
                 arrivedUs);
-        pendingById.put(request.id(), taken);
+        pendingById.put(request.id(), pending);
         if (log.isEnabled()) {
             log.write(
                     "taken",
-                    RequestLog.id(taken.id),
+                    RequestLog.id(pending.id),
                     "class",
                     request.classIndex(),
                     "left",
-                    taken.deadlineUs - takenUs,
+                    pending.deadlineUs - acceptedUs,
                     "us, lay",
-                    takenUs - arrivedUs,
+                    acceptedUs - arrivedUs,
                     "us");
         }
         if (recorder != null) {
-            recorder.accepted(takenUs, request, arrivedUs + leftUs - takenUs, takenUs - arrivedUs);
+            recorder.accepted(acceptedUs, request, arrivedUs + remainingUs - acceptedUs, acceptedUs - arrivedUs);
         }
-        taken.deadlineTimer = clock.schedule(arrivedUs + leftUs, () -> expire(taken));
-        reply.onDisconnect(() -> onClientDisconnected(taken));
+        pending.deadlineTimer = clock.schedule(arrivedUs + remainingUs, () -> expire(pending));
+        reply.onDisconnect(() -> onClientDisconnected(pending));
         if (admission == null) {
-            offerToBalancer(taken);
+            offerToBalancer(pending);
             return;
         }
         try {
-            taken.admissionProgress = admission.arrive(
-                    taken.acceptedUs, request, reply.connectionId(), taken.acceptedUs - arrivedUs, taken.deadlineUs, taken);
-        } catch (RuntimeException | Error e) {
-            removeFailedAdmission(e);
+            pending.admissionProgress = admission.arrive(
+                    pending.acceptedUs,
+                    request,
+                    reply.connectionId(),
+                    pending.acceptedUs - arrivedUs,
+                    pending.deadlineUs,
+                    pending);
+        } catch (RuntimeException | Error failure) {
+            removeFailedAdmission(failure);
             return;
         }
         advanceAdmission();
     }
 
-    private void recordRejection(ClientRequest request, RequestRecorder.RejectionReason why) {
+    private void recordRejection(ClientRequest request, RequestRecorder.RejectionReason reason) {
         if (recorder != null) {
-            recorder.rejected(clock.nowUs(), request, why);
+            recorder.rejected(clock.nowUs(), request, reason);
         }
     }
 
-    /** Its client hears this now. */
-    private void tell(PendingRequest request, RequestRecorder.Completion what, long retryAfterUs) {
+    /** Tells the recorder that the request's client now has this answer, or has left. */
+    private void recordCompletion(PendingRequest request, RequestRecorder.Completion completion, long retryAfterUs) {
         if (recorder != null) {
-            recorder.completed(clock.nowUs(), request.id, what, retryAfterUs);
+            recorder.completed(clock.nowUs(), request.id, completion, retryAfterUs);
         }
     }
 
-    /** Has the module decide on it. */
-    private void offerToBalancer(PendingRequest taken) {
-        if (taken.isOffered) {
+    /** Hands the request to the balancer, once. */
+    private void offerToBalancer(PendingRequest pending) {
+        if (pending.isOffered) {
             return;
         }
-        taken.isOffered = true;
+        pending.isOffered = true;
         if (recorder != null) {
-            recorder.admitted(clock.nowUs(), taken.id);
+            recorder.admitted(clock.nowUs(), pending.id);
         }
-        callBalancer(taken, () -> {
-            ClientRequest request = taken.request;
-            long now = clock.nowUs();
-            long queuedUs = taken.admissionProgress == null ? 0 : now - taken.acceptedUs;
+        callBalancer(pending, () -> {
+            ClientRequest request = pending.request;
+            long nowUs = clock.nowUs();
+            long queuedUs = pending.admissionProgress == null ? 0 : nowUs - pending.acceptedUs;
             balancer.onRequest(
-                    now,
+                    nowUs,
                     new Request(
                             request.id(),
                             request.classIndex(),
                             request.tenant(),
-                            Math.max(0, taken.deadlineUs - now),
+                            Math.max(0, pending.deadlineUs - nowUs),
                             request.workUs(),
                             request.retry(),
-                            now - taken.arrivedUs - queuedUs,
+                            nowUs - pending.arrivedUs - queuedUs,
                             queuedUs,
-                            taken.limits));
+                            pending.limits));
         });
     }
 
-    private void onClientDisconnected(PendingRequest left) {
+    private void onClientDisconnected(PendingRequest request) {
         if (log.isEnabled()) {
-            log.write("left by its client", RequestLog.id(left.id), left.attemptsInFlight, "out");
+            log.write("left by its client", RequestLog.id(request.id), request.attemptsInFlight, "out");
         }
-        if (!left.isCompleted) {
-            tell(left, RequestRecorder.Completion.LEFT, 0);
+        if (!request.isCompleted) {
+            recordCompletion(request, RequestRecorder.Completion.LEFT, 0);
         }
-        left.complete();
-        callBalancer(left, () -> balancer.onClientDisconnected(clock.nowUs(), left.id));
+        request.complete();
+        callBalancer(request, () -> balancer.onClientDisconnected(clock.nowUs(), request.id));
     }
 
-    /** The client's time is up and the module has said nothing: no request may stay without an answer. */
-    private void expire(PendingRequest late) {
-        if (!late.isCompleted) {
-            LOG.log(Level.WARNING, "a request ran out of time unanswered");
+    /** Fails a request whose client's time is up and that the balancer has not ended. */
+    private void expire(PendingRequest request) {
+        if (!request.isCompleted) {
+            LOG.log(Level.WARNING, "a request reached its client's deadline without an answer and is failed");
             if (log.isEnabled()) {
-                log.write("ran out of time", RequestLog.id(late.id));
+                log.write("ran out of time", RequestLog.id(request.id));
             }
-            fail(late, Failure.DEADLINE_EXCEEDED);
-            callBalancer(late, () -> balancer.onClientDisconnected(clock.nowUs(), late.id));
+            fail(request, Failure.DEADLINE_EXCEEDED);
+            callBalancer(request, () -> balancer.onClientDisconnected(clock.nowUs(), request.id));
         }
     }
 
-    private void fail(PendingRequest request, Failure why) {
+    private void fail(PendingRequest request, Failure reason) {
         if (!request.isCompleted) {
-            if (why != Failure.UNSERVED || !passOnServerError(request)) {
+            if (reason != Failure.UNSERVED || !passOnServerError(request)) {
                 request.markReplyIfMayHaveRun();
-                request.reply.failed(why);
+                request.reply.failed(reason);
             }
-            tell(request, RequestRecorder.Completion.FAILED, 0);
+            recordCompletion(request, RequestRecorder.Completion.FAILED, 0);
             request.complete();
         }
     }
 
-    /** Whether a server's own error was passed on for what the module has given up. */
+    /** Passes on the last error response of a server, if any. Returns whether the protocol did so. */
     private static boolean passOnServerError(PendingRequest request) {
         return request.lastServerError != null && request.reply.passOnError(request.lastServerError);
     }
 
-    // ---------------------------------------------------------------- the module's actions
+    // ---------------------------------------------------------------- actions of the balancer
 
     @Override
     public void send(long requestId, String serverId, long untilUs) {
         PendingRequest request = pendingById.get(requestId);
         if (request == null) {
-            LOG.log(Level.ERROR, "the module sent a request that is not held");
+            LOG.log(Level.ERROR, "the decision module sent an attempt of an unknown request; the attempt is ignored");
             return;
         }
-        long now = clock.nowUs();
-        long until = untilUs <= 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
-        until = Math.min(until - now, request.limits.attemptTimeoutUs()) + now;
+        long nowUs = clock.nowUs();
+        long timeoutAtUs = untilUs <= 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
+        timeoutAtUs = Math.min(timeoutAtUs - nowUs, request.limits.attemptTimeoutUs()) + nowUs;
         if (request.admissionProgress != null && request.attempts.isEmpty()) {
             notifyAdmission(request.admissionProgress::onFirstAttemptSent);
         }
-        SentAttempt sent = new SentAttempt(request, request.attempts.size(), serverId, now, until);
-        request.attempts.add(sent);
+        SentAttempt attempt = new SentAttempt(request, request.attempts.size(), serverId, nowUs, timeoutAtUs);
+        request.attempts.add(attempt);
         request.attemptsInFlight++;
         if (recorder != null) {
-            recorder.attemptSent(now, requestId, serverId, until);
+            recorder.attemptSent(nowUs, requestId, serverId, timeoutAtUs);
         }
         if (log.isEnabled()) {
-            log.write("send", RequestLog.id(requestId), "attempt", sent.number, serverId, "for", until - now, "us");
+            log.write(
+                    "send",
+                    RequestLog.id(requestId),
+                    "attempt",
+                    attempt.number,
+                    serverId,
+                    "for",
+                    timeoutAtUs - nowUs,
+                    "us");
         }
-        if (!request.isCompleted && loopDelay.currentUs() >= DISCONNECT_CHECK_MIN_DELAY_US && request.reply.hasDisconnected()) {
+        if (!request.isCompleted
+                && loopDelay.currentUs() >= DISCONNECT_CHECK_MIN_DELAY_US
+                && request.reply.hasDisconnected()) {
             onClientDisconnected(request);
         }
-        if (request.isCompleted || now >= until) {
-            sent.onEnded(Result.MOOT, null);
+        if (request.isCompleted || nowUs >= timeoutAtUs) {
+            attempt.onEnded(Result.MOOT, null);
             return;
         }
-        sent.timeoutTimer = clock.schedule(until, () -> sent.transportAttempt.abandon(Result.TIMEOUT));
-        sent.transportAttempt = transport.send(serverId, sent);
+        attempt.timeoutTimer = clock.schedule(timeoutAtUs, () -> attempt.transportAttempt.abandon(Result.TIMEOUT));
+        attempt.transportAttempt = transport.send(serverId, attempt);
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
         PendingRequest request = pendingById.get(requestId);
         if (request != null && attempt >= 0 && attempt < request.attempts.size()) {
-            SentAttempt sent = request.attempts.get(attempt);
-            if (!sent.isEnded) {
-                sent.transportAttempt.abandon(Result.CANCELLED);
+            SentAttempt sentAttempt = request.attempts.get(attempt);
+            if (!sentAttempt.isEnded) {
+                sentAttempt.transportAttempt.abandon(Result.CANCELLED);
             }
         }
     }
@@ -642,7 +691,7 @@
                 request.markReplyIfMayHaveRun();
                 request.reply.rejected(request.limits.retryAfterUs(retryAfterUs));
             }
-            tell(request, RequestRecorder.Completion.REFUSED, retryAfterUs);
+            recordCompletion(request, RequestRecorder.Completion.REFUSED, retryAfterUs);
             request.complete();
         }
     }
@@ -657,7 +706,7 @@
 
     @Override
     public void wakeAt(long atUs) {
-        // It keeps one wake-up pending at most, so a new one takes the place of the last.
+        // At most one wake-up is pending, so a new one replaces the previous one.
         if (wakeTimer != null) {
             wakeTimer.cancel();
         }
@@ -668,11 +717,11 @@
     public void probe(String serverId) {
         long sentUs = clock.nowUs();
         ServerTransport.Attempt[] probe = new ServerTransport.Attempt[1];
-        Clock.Timer timer = clock.schedule(sentUs + PROBE_TIMEOUT_US, () -> probe[0].abandon(Result.TIMEOUT));
-        probe[0] = transport.probe(serverId, (result, answer) -> {
-            timer.cancel();
-            long tookUs = clock.nowUs() - sentUs;
-            callBalancer(null, () -> balancer.onProbe(clock.nowUs(), serverId, result, tookUs, null));
+        Clock.Timer timeoutTimer = clock.schedule(sentUs + PROBE_TIMEOUT_US, () -> probe[0].abandon(Result.TIMEOUT));
+        probe[0] = transport.probe(serverId, (result, response) -> {
+            timeoutTimer.cancel();
+            long latencyUs = clock.nowUs() - sentUs;
+            callBalancer(null, () -> balancer.onProbe(clock.nowUs(), serverId, result, latencyUs, null));
         });
     }
 
@@ -699,51 +748,51 @@
     }
 
     @Override
-    public void reportReason(long requestId, Balancer.UnservedReason why) {
+    public void reportReason(long requestId, Balancer.UnservedReason reason) {
         if (recorder != null) {
-            recorder.reasonGiven(requestId, why);
+            recorder.reasonGiven(requestId, reason);
         }
     }
 
-    // ---------------------------------------------------------------- what the module knows
+    // ---------------------------------------------------------------- state of the balancer
 
-    /** Why this server is sent nothing, or less than it might be. */
+    /** Explains, a line each, why this server is sent nothing or less than it might be. */
     public List<String> explainServer(String serverId) {
         return balancer.explainServer(clock.nowUs(), serverId);
     }
 
-    /** What the module has learned of these servers, and of the classes. */
+    /** What the balancer has learned of these servers and of the request classes. */
     public ServerStatistics statistics(List<String> serverIds) {
         return balancer.statistics(serverIds);
     }
 
-    /** Has the module begin with this where it has learned nothing yet. */
+    /** Restores earlier statistics for whatever the balancer has learned nothing about yet. */
     public void restore(ServerStatistics prior) {
         callBalancer(null, () -> balancer.onPrior(clock.nowUs(), prior));
     }
 
-    /** The servers as they were told last, those that drain too. */
+    /** The servers of the last list, draining ones included. */
     public List<ServerList.Target> knownServers() {
-        return listQueue.known();
+        return listQueue.knownServers();
     }
 
     // ---------------------------------------------------------------- the list of servers
 
-    /** Takes in a list, at once or after the call of the module that is running; a large one bit by bit. */
+    /** Applies a server list, at once or after the running call of the balancer; a large one in chunks. */
     public void onList(ServerList list) {
         listQueue.add(list);
         applyLists();
     }
 
-    /** Takes in the list as the node last had it, which may be old; at the start. */
+    /** Applies the list that the node had before its start; it may be old. To be called at the start. */
     public void onCachedList(ServerList list) {
-        applyChunk(listQueue.known(list));
+        applyChunk(listQueue.restoreCached(list));
     }
 
     private void applyLists() {
         while (listQueue.hasNext() && (!hasScheduledChunk || listQueue.isBacklogged())) {
             applyChunk(listQueue.next());
-            // What is left of a large list waits for the next turn, and lists behind it wait with it.
+            // The rest of a large list waits for the next turn of the loop, and later lists wait behind it.
             hasScheduledChunk |= listQueue.isPartiallyApplied();
             if (hasScheduledChunk && !listQueue.isBacklogged()) {
                 clock.schedule(clock.nowUs(), this::resumeLists);
@@ -753,7 +802,8 @@
         if (listQueue.pollNewSuspects()) {
             LOG.log(
                     Level.WARNING,
-                    "a list leaves out {0} servers, more than it names: they stay until" + " another does so too",
+                    "a full server list leaves out {0} known servers, more than it keeps: they stay until another full"
+                            + " list leaves them out too or the configured time has passed; check discovery",
                     listQueue.suspectCount());
             clock.schedule(clock.nowUs() + suspectRetentionUs, () -> {
                 listQueue.removeSuspects();
@@ -768,36 +818,39 @@
         applyLists();
     }
 
-    /** Goes through with all that waits of lists, in this turn. */
+    /** Applies all pending lists in this turn of the loop. */
     public void applyAllLists() {
         while (listQueue.hasNext()) {
             applyChunk(listQueue.next());
         }
     }
 
-    /** The watch on the list has failed. */
+    /** To be called when the watch on the server list has failed. */
     public void onListFailed() {
         callBalancer(null, () -> balancer.onListFailed(clock.nowUs()));
     }
 
-    private void applyChunk(ServerListQueue.ListChunk told) {
-        tell(subset == null ? told : subset.filter(told));
+    private void applyChunk(ServerListQueue.ListChunk chunk) {
+        publishChunk(subset == null ? chunk : subset.filter(chunk));
     }
 
-    /** A zone that the settings don't name is one all the same: what may have run there must stay there. */
+    /**
+     * The index of a zone. A zone that the settings don't name gets an index of its own (-2 and below): requests that
+     * may have run in it must stay in it. Beyond {@link #MAX_ZONES} it is -1.
+     */
     private int zoneIndex(String name) {
-        Integer known = zoneIndices.get(name);
-        if (known == null) {
-            known = zoneIndices.size() < MAX_ZONES ? -2 - zoneIndices.size() : -1;
-            if (known != -1) {
-                zoneIndices.put(name, known);
+        Integer index = zoneIndices.get(name);
+        if (index == null) {
+            index = zoneIndices.size() < MAX_ZONES ? -2 - zoneIndices.size() : -1;
+            if (index != -1) {
+                zoneIndices.put(name, index);
             }
         }
-        return known;
+        return index;
     }
 
-    private void tell(ServerListQueue.ListChunk slice) {
-        ServerList list = slice.list();
+    private void publishChunk(ServerListQueue.ListChunk chunk) {
+        ServerList list = chunk.list();
         List<ServerEntry> entries = new ArrayList<>();
         for (ServerList.Target target : list.targets()) {
             entries.add(new ServerEntry(
@@ -810,7 +863,7 @@
         }
         callBalancer(null, () -> {
             transport.update(list);
-            balancer.onServers(clock.nowUs(), slice.kind(), entries);
+            balancer.onServers(clock.nowUs(), chunk.kind(), entries);
         });
     }
 }
--- a/src/main/java/vetchpost/core/EventLoopDelay.java
+++ b/src/main/java/vetchpost/core/EventLoopDelay.java
@@ -1,16 +1,17 @@
 package vetchpost.core;
 
 /**
- * Tells how far the event loop is behind. What is read while it is may have lain in the system's buffers for
- * so long: that time is the node's own, and no server's. It comes from whatever keeps the loop from its
- * sockets: unoptimised code just after a start, a processor that others use, a pause for memory.
+ * Measures how far the event loop is behind, with a periodic probe timer. Whatever is read while the loop is behind may
+ * have waited in the system's buffers for that long, which is the node's own time and not a server's. Causes are
+ * unoptimised code just after a start, a processor shared with others, and garbage collection pauses. Used on the
+ * node's event loop only.
  */
 public final class EventLoopDelay {
-    /** Far under any aim; a beat costs some microseconds. */
+    /** Short against any latency target; a probe costs some microseconds. */
     private static final long PROBE_INTERVAL_US = 10_000;
 
     private final Clock clock;
-    /** When the last beat that has run was due. */
+    /** When the last probe that has run was due. */
     private long lastProbeDueUs;
 
     private Clock.Timer probeTimer;
@@ -19,7 +20,7 @@
         this.clock = clock;
     }
 
-    /** Begins to watch; to be called on the loop. */
+    /** Starts probing; to be called on the event loop. */
     public void start() {
         lastProbeDueUs = clock.nowUs();
         scheduleProbe();
@@ -32,9 +33,9 @@
     }
 
     /**
-     * How long what is read now may have waited for the loop, in microseconds; 0 on a loop that keeps up.
-     * Counted from when the last beat was due and not from when it ran: what comes during a long turn of the
-     * loop is read in the next one, after the beat at the turn's end.
+     * How long what is read now may have waited for the loop, in microseconds; 0 on a loop that keeps up. Counted from
+     * when the last probe was due, not from when it ran: what arrives during a long turn of the loop is read in the
+     * next turn, after the probe at the end of the long one.
      */
     public long currentUs() {
         return probeTimer == null ? 0 : Math.max(0, clock.nowUs() - lastProbeDueUs - PROBE_INTERVAL_US);
--- a/src/main/java/vetchpost/core/Failure.java
+++ b/src/main/java/vetchpost/core/Failure.java
@@ -1,17 +1,17 @@
 package vetchpost.core;
 
-/** Why a request has failed; each protocol has its own word for it. */
+/** Why a request has failed; each protocol has its own representation of it. */
 public enum Failure {
-    /** A request of the same id is in hand. */
+    /** A request with the same id is pending. */
     DUPLICATE_ID,
-    /** Given up on, with no promise about its effect. */
+    /** Given up; whether it took effect is unknown. */
     UNSERVED,
-    /** The client's time has passed. */
+    /** The client's deadline has passed. */
     DEADLINE_EXCEEDED,
-    /** Its path can be read in two ways, which would be a way round its route. */
+    /** The path can be read in two ways, which could bypass the request's route. */
     AMBIGUOUS_PATH,
-    /** Its body is longer than its route allows. */
+    /** The body is longer than the route allows. */
     BODY_TOO_LARGE,
-    /** A fault of the node's own. */
+    /** An internal error of the node. */
     INTERNAL_ERROR
 }
--- a/src/main/java/vetchpost/core/NodeLifecycle.java
+++ b/src/main/java/vetchpost/core/NodeLifecycle.java
@@ -1,36 +1,40 @@
 package vetchpost.core;
 
 /**
- * What goes along with a node's life beside its requests: what it knew before, and what is kept of it. A node
- * on the platform has none. All calls come on the node's loop.
+ * Accompanies a node from start to stop, beside its requests: restores what it knew before and saves it. A node on the
+ * platform has none. All calls come on the node's event loop.
  */
 public interface NodeLifecycle {
     /**
-     * The node is about to begin.
+     * The node is about to start.
      *
-     * @param known the list that it is given
-     * @return the list that it is to begin with
+     * @param known the server list that it is given
+     * @param nowUs the node's time in microseconds
+     * @return the server list that it is to start with
      */
     ServerList beforeStart(ServerList known, long nowUs);
 
-    /** It has begun; it does not say that it is ready yet. */
-    void afterStart(Dispatcher dispatcher, EventLoopDelay stall, Clock clock);
+    /** The node has started; it does not report itself ready yet. */
+    void afterStart(Dispatcher dispatcher, EventLoopDelay loopDelay, Clock clock);
 
-    /** Runs this once the companion needs no more time before requests come, which it bounds itself. */
+    /**
+     * Runs this once no more preparation time is needed before requests come; the implementation bounds that time
+     * itself.
+     */
     void runWhenPrepared(Runnable ready);
 
-    /** Discovery has said something, if only that nothing has changed. */
+    /** Discovery has sent a message, if only that nothing has changed. */
     void onDiscoveryContact();
 
-    /** Discovery has told this, and the node has taken it. */
+    /** Discovery has sent this list, and the node has applied it. */
     void onServerList(ServerList list);
 
-    /** By what the node serves, for whoever asks whether it is ready. */
+    /** On what state the node serves, for the readiness report. */
     String readinessDetail();
 
-    /** The node stops; runs this once, soon, when the companion needs no more time. */
+    /** The node stops; runs this once, soon, when the implementation needs no more time. */
     void stop(Runnable done);
 
-    /** Gives back all that it holds. */
+    /** Releases all resources. */
     void close();
 }
--- a/src/main/java/vetchpost/core/RequestLog.java
+++ b/src/main/java/vetchpost/core/RequestLog.java
@@ -4,24 +4,24 @@
 import java.lang.System.Logger.Level;
 
 /**
- * What became of each client's connection and each request, a line an event, for finding one request's way by
- * its id. Off unless the logger {@value #LOGGER_NAME} takes messages of level DEBUG as the node is put together, and
- * then a boolean's test an event; on, it costs more than a request does (docs/request-log.md).
+ * Writes one line for each event of a client connection or a request, so that a request can be followed by its id. Off
+ * unless the logger {@value #LOGGER_NAME} accepts level DEBUG when the node is created. Off, it costs a boolean test
+ * for each event; on, it costs more than serving a request (docs/request-log.md).
  */
 public final class RequestLog {
-    /** The logger's name. */
+    /** The name of the logger. */
     public static final String LOGGER_NAME = "vetchpost.requests";
 
     private static final Logger LOG = System.getLogger(LOGGER_NAME);
 
     private final boolean enabled = LOG.isLoggable(Level.DEBUG);
 
-    /** Whether lines are wanted; to be asked first, so that none is made for nothing. */
+    /** Whether lines are written; to be asked before {@link #write}, so that no arguments are built in vain. */
     public boolean isEnabled() {
         return enabled;
     }
 
-    /** Writes the parts one behind the other, a space between. */
+    /** Writes the parts as one line, separated by spaces. */
     public void write(Object... parts) {
         StringBuilder text = new StringBuilder();
         for (Object part : parts) {
--- a/src/main/java/vetchpost/core/RequestRecorder.java
+++ b/src/main/java/vetchpost/core/RequestRecorder.java
@@ -4,9 +4,12 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.UnservedReason;
 
-/** Sees what becomes of each request, for whoever asks later. It decides nothing. Times are the loop's. */
+/**
+ * Records the course of each request, for later queries by operators. It decides nothing. Called by the {@link
+ * Dispatcher} on the node's event loop; times are the node's, in microseconds.
+ */
 public interface RequestRecorder {
-    /** What a request's client was told. */
+    /** How a request ended for its client. */
     enum Completion {
         SERVED,
         REFUSED,
@@ -14,16 +17,16 @@
         LEFT
     }
 
-    /** Where a request was turned away before the module had it. */
+    /** Why a request was rejected before the decision module had it. */
     enum RejectionReason {
-        /** Its route has as many as it may, or operators refuse a part of its class. */
-        ROUTE_LIMIT("its route has as many as it may, or operators refuse a part of its class"),
-        /** Its path can be read in two ways. */
+        /** The route's limit of concurrent requests is reached, or operators shed a fraction of the request's class. */
+        ROUTE_LIMIT("its route's limit of concurrent requests is reached, or operators shed a fraction of its class"),
+        /** The path can be read in two ways. */
         AMBIGUOUS_PATH("its path can be read in two ways"),
-        /** Its body is longer than its route takes. */
-        BODY_TOO_LARGE("its body is longer than its route takes"),
-        /** One of its id is in hand. */
-        DUPLICATE_ID("a request of its id is in hand");
+        /** The body is longer than the route allows. */
+        BODY_TOO_LARGE("its body is longer than its route allows"),
+        /** A request with the same id is pending. */
+        DUPLICATE_ID("a request with the same id is pending");
 
         private final String text;
 
@@ -31,38 +34,38 @@
             this.text = text;
         }
 
-        /** In words. */
+        /** The reason as operators see it. */
         public String text() {
             return text;
         }
     }
 
-    /** It was turned away before the module had it. */
-    void rejected(long nowUs, ClientRequest request, RejectionReason why);
+    /** The request was rejected before the decision module had it. */
+    void rejected(long nowUs, ClientRequest request, RejectionReason reason);
 
     /**
-     * It was taken.
+     * The request was accepted.
      *
-     * @param leftUs until its client gives up
-     * @param layUs how long it may have lain unread
+     * @param remainingUs until its client gives up, in microseconds
+     * @param queuedUs how long it may have lain unread, in microseconds
      */
-    void accepted(long nowUs, ClientRequest request, long leftUs, long layUs);
+    void accepted(long nowUs, ClientRequest request, long remainingUs, long queuedUs);
 
-    /** The module has it; before that it stood at the node's door. */
+    /** The request was handed to the decision module; before that it waited for admission. */
     void admitted(long nowUs, long id);
 
-    /** Two servers were drawn for its next attempt; the second may be null. */
+    /** Two candidate servers were drawn for the next attempt; the second may be null. */
     void candidatesDrawn(long id, Candidate first, Candidate second);
 
-    /** An attempt goes out, to be given up then. */
-    void attemptSent(long nowUs, long id, String serverId, long untilUs);
+    /** An attempt is sent, to be abandoned at {@code timeoutAtUs}. */
+    void attemptSent(long nowUs, long id, String serverId, long timeoutAtUs);
 
-    /** An attempt has ended; they are numbered from 0. */
-    void attemptEnded(long nowUs, long id, int attempt, Result result, long tookUs);
+    /** An attempt has ended; attempts are numbered from 0. */
+    void attemptEnded(long nowUs, long id, int attempt, Result result, long latencyUs);
 
-    /** Why the next {@link #completed} is a refusal or failure. */
-    void reasonGiven(long id, UnservedReason why);
+    /** Why the request will be rejected or failed by the next {@link #completed}. */
+    void reasonGiven(long id, UnservedReason reason);
 
-    /** Its client has its answer, or has left. */
-    void completed(long nowUs, long id, Completion what, long retryAfterUs);
+    /** The client has its answer, or has disconnected. */
+    void completed(long nowUs, long id, Completion completion, long retryAfterUs);
 }
--- a/src/main/java/vetchpost/core/RouteLimits.java
+++ b/src/main/java/vetchpost/core/RouteLimits.java
@@ -2,36 +2,41 @@
 
 import vetchpost.decision.Balancer;
 
-/** What an operator allows to the requests of a route, beside what the module decides within it. */
+/**
+ * The operator's limits for the requests of a route, beside what the decision module decides within them. Called on the
+ * node's event loop. Times are microseconds.
+ */
 public interface RouteLimits extends Balancer.RetryLimits {
-    /** Of no route: all is as the settings say. */
+    /** No limits: everything is as the settings say. */
     RouteLimits NONE = new RouteLimits() {};
 
-    /** An attempt is given up after so long, in microseconds; the largest number for never. */
+    /** An attempt times out after this; {@link Long#MAX_VALUE} for never. */
     default long attemptTimeoutUs() {
         return Long.MAX_VALUE;
     }
 
-    /** A request is given up after so long. */
+    /** A request times out after this; {@link Long#MAX_VALUE} for never. */
     default long requestTimeoutUs() {
         return Long.MAX_VALUE;
     }
 
-    /** The longest body, in bytes; the largest number for any. */
+    /** The longest body in bytes; {@link Long#MAX_VALUE} for any. */
     default long maxBodyBytes() {
         return Long.MAX_VALUE;
     }
 
-    /** Takes one more request in hand; false if there are as many as may be. */
+    /** Counts one more pending request; false if the limit is reached. */
     default boolean tryAcquire() {
         return true;
     }
 
-    /** A request that had entered has its answer, or needs none. */
+    /** A request that was counted by {@link #tryAcquire} has its answer, or needs none. */
     default void release() {}
 
-    /** What a refusal advises, where the module or the node would say this; 0 for nothing. */
-    default long retryAfterUs(long otherwiseUs) {
-        return otherwiseUs;
+    /**
+     * The retry-after of a rejection, where the decision module or the node would say {@code defaultUs}; 0 for none.
+     */
+    default long retryAfterUs(long defaultUs) {
+        return defaultUs;
     }
 }
--- a/src/main/java/vetchpost/core/ServerList.java
+++ b/src/main/java/vetchpost/core/ServerList.java
@@ -5,16 +5,18 @@
 import vetchpost.decision.Balancer.ServerState;
 
 /**
- * A message of discovery: the whole list of servers, or what changed since the version before.
+ * A message of discovery: the full list of servers, or the changes since the revision before.
  *
- * @param revision the version of the list
- * @param all whether it is the whole list
+ * @param revision the revision of the list
+ * @param isFull whether it is the full list
+ * @param targets the servers, or those that changed
  */
 public record ServerList(long revision, boolean isFull, List<Target> targets) {
 
     /**
-     * One server in it.
+     * One server of a list.
      *
+     * @param weight the server's weight relative to others
      * @param bootMs when it last started, Unix time in milliseconds; 0 for long ago
      */
     public record Target(
--- a/src/main/java/vetchpost/core/ServerListQueue.java
+++ b/src/main/java/vetchpost/core/ServerListQueue.java
@@ -14,26 +14,29 @@
 import vetchpost.decision.Balancer.ServerState;
 
 /**
- * How lists come in: a small one whole, as it is told; a large one by what differs from what is known, in
- * slices, so that no turn of the loop is long. A whole list that leaves out more servers than it names, of
- * those that were told before, is doubted: what it does tell holds, drains too, but what it leaves out stays
- * until another whole list leaves it out too, or until the doubt's time is up. No I/O.
+ * Turns server lists into the chunks that the {@link Dispatcher} applies: a small list as one chunk, a large one as its
+ * differences from the known servers, at most {@link #MAX_CHUNK_SERVERS} at a time, so that no turn of the event loop
+ * takes long.
+ *
+ * <p>A full list that leaves out more of the known servers than it keeps is suspect: what it names is applied, drains
+ * included, but the servers that it leaves out are kept until another full list leaves them out too or their retention
+ * time is up ({@link #removeSuspects}). No I/O; used on the node's event loop only.
  */
 final class ServerListQueue {
-    /** Servers in a list up to which it is taken whole, and taken of a larger one at a time. */
+    /** Lists up to this many servers are applied whole; larger ones in chunks of at most this many. */
     static final int MAX_CHUNK_SERVERS = 1_000;
-    /** Fewer than this may go at once without a doubt. */
+    /** Fewer servers than this may go at once without making a list suspect. */
     static final int MIN_SUSPECT_SERVERS = 8;
-    /** Lists that wait for a large one before them; beyond, the loop has to go through with it. */
+    /** More lists than this behind a partly applied one make the event loop apply them at once. */
     private static final int MAX_PENDING_LISTS = 64;
 
     private final AddressOwners addressOwners = new AddressOwners();
-    /** What was told last of each server that has not gone. */
+    /** The last reported state of each server that has not gone. */
     private final Map<String, Target> knownServers = new HashMap<>();
 
     private final Map<String, Target> suspects = new LinkedHashMap<>();
     private final Deque<ServerList> pendingLists = new ArrayDeque<>();
-    /** The list at hand, how far it is taken in, whom it has named, and who has gone by it. */
+    /** The list being applied, the index of its next server, the ids it has named, and those that go by it. */
     private ServerList current;
 
     private int nextIndex;
@@ -42,11 +45,14 @@
     private boolean hasFullList;
     private boolean hasUnreportedSuspects;
 
-    /** What is to be taken in now. */
+    /** One step of applying a list. */
     record ListChunk(ListKind kind, ServerList list) {}
 
-    /** The list as it was known before the start: of any age, so that what goes by the next is not odd. */
-    ListChunk known(ServerList list) {
+    /**
+     * Starts from the list that was known before the start. It may be of any age, so servers that the next full list
+     * leaves out are not suspects.
+     */
+    ListChunk restoreCached(ServerList list) {
         knownServers.clear();
         for (Target target : list.targets()) {
             updateKnown(target);
@@ -54,12 +60,12 @@
         return new ListChunk(ListKind.CACHED, addressOwners.resolveConflicts(list));
     }
 
-    /** All that has been told and not gone since. */
-    List<Target> known() {
+    /** All servers that have been reported and have not gone since. */
+    List<Target> knownServers() {
         return List.copyOf(knownServers.values());
     }
 
-    /** A list to be taken in, after those before; a whole one takes the place of all that still wait. */
+    /** Queues a list behind those that still wait; a full list replaces all of them. */
     void add(ServerList list) {
         if (list.isFull()) {
             pendingLists.clear();
@@ -72,17 +78,17 @@
         return current != null || !pendingLists.isEmpty();
     }
 
-    /** Whether a list has been taken in in part. */
+    /** Whether a list has been applied in part. */
     boolean isPartiallyApplied() {
         return current != null;
     }
 
-    /** Whether so many wait that they must be gone through at once. */
+    /** Whether so many lists wait that they must be applied at once. */
     boolean isBacklogged() {
         return pendingLists.size() > MAX_PENDING_LISTS;
     }
 
-    /** The next slice; only if there is one. */
+    /** The next chunk; to be called only if {@link #hasNext}. */
     ListChunk next() {
         if (current == null) {
             startList(pendingLists.poll());
@@ -90,32 +96,32 @@
                 return applyWhole();
             }
         }
-        List<Target> slice = new ArrayList<>();
-        List<Target> all = current.targets();
-        for (int end = Math.min(all.size(), nextIndex + MAX_CHUNK_SERVERS); nextIndex < end; nextIndex++) {
-            Target target = all.get(nextIndex);
+        List<Target> changes = new ArrayList<>();
+        List<Target> targets = current.targets();
+        for (int end = Math.min(targets.size(), nextIndex + MAX_CHUNK_SERVERS); nextIndex < end; nextIndex++) {
+            Target target = targets.get(nextIndex);
             boolean changed = target.state() == ServerState.GONE
                     ? knownServers.containsKey(target.id())
                     : !target.equals(knownServers.get(target.id()));
             if (changed) {
-                slice.add(target);
+                changes.add(target);
             }
             recordNamed(target);
         }
-        if (nextIndex == all.size()) {
+        if (nextIndex == targets.size()) {
             if (current.isFull() && missing == null) {
                 missing = new ArrayList<>(findMissing().values());
             }
             for (int i = 0; i < MAX_CHUNK_SERVERS && missing != null && !missing.isEmpty(); i++) {
                 Target gone = asGone(missing.remove(missing.size() - 1));
                 knownServers.remove(gone.id());
-                slice.add(gone);
+                changes.add(gone);
             }
         }
         ServerList list = current;
-        current = nextIndex == all.size() && (missing == null || missing.isEmpty()) ? null : current;
-        ServerList settled = addressOwners.resolveConflicts(new ServerList(list.revision(), false, slice));
-        // Whoever has lost its address is offered again by the next whole list.
+        current = nextIndex == targets.size() && (missing == null || missing.isEmpty()) ? null : current;
+        ServerList settled = addressOwners.resolveConflicts(new ServerList(list.revision(), false, changes));
+        // A server that lost its address is offered again by the next full list.
         settled.targets().stream().filter(t -> t.state() == ServerState.GONE).forEach(this::updateKnown);
         return new ListChunk(ListKind.CHANGES, settled);
     }
@@ -128,7 +134,8 @@
     }
 
     private boolean isSmall() {
-        return current.targets().size() <= MAX_CHUNK_SERVERS && (!current.isFull() || knownServers.size() <= MAX_CHUNK_SERVERS);
+        return current.targets().size() <= MAX_CHUNK_SERVERS
+                && (!current.isFull() || knownServers.size() <= MAX_CHUNK_SERVERS);
     }
 
     private void recordNamed(Target target) {
@@ -147,7 +154,7 @@
         }
     }
 
-    /** A small list: all that it names, and what it leaves out and is doubted for. */
+    /** A small list as one chunk: all that it names, and the suspects that it leaves out. */
     private ListChunk applyWhole() {
         ServerList list = current;
         for (Target target : list.targets()) {
@@ -165,37 +172,41 @@
             targets = new ArrayList<>(targets);
             targets.addAll(suspects.values());
         }
-        return new ListChunk(ListKind.FULL, addressOwners.resolveConflicts(new ServerList(list.revision(), true, targets)));
+        return new ListChunk(
+                ListKind.FULL, addressOwners.resolveConflicts(new ServerList(list.revision(), true, targets)));
     }
 
-    /** What the whole list leaves out, to be taken for gone; or nothing if it is doubted. */
+    /** The known servers that the full list leaves out and that are to be removed; none if the list is suspect. */
     private Map<String, Target> findMissing() {
-        Map<String, Target> left = new LinkedHashMap<>(knownServers);
-        left.keySet().removeAll(namedIds);
-        boolean confirms = !suspects.isEmpty();
+        Map<String, Target> missingServers = new LinkedHashMap<>(knownServers);
+        missingServers.keySet().removeAll(namedIds);
+        boolean confirmsSuspects = !suspects.isEmpty();
         suspects.clear();
-        if (hasFullList && !confirms && left.size() >= MIN_SUSPECT_SERVERS && left.size() > knownServers.size() - left.size()) {
-            suspects.putAll(left);
+        if (hasFullList
+                && !confirmsSuspects
+                && missingServers.size() >= MIN_SUSPECT_SERVERS
+                && missingServers.size() > knownServers.size() - missingServers.size()) {
+            suspects.putAll(missingServers);
             hasUnreportedSuspects = true;
-            left.clear();
+            missingServers.clear();
         }
         hasFullList = true;
-        return left;
+        return missingServers;
     }
 
-    /** Whether there is a doubt that this has not told yet; a whole list should be asked for. */
+    /** Whether there are suspects that this has not reported yet; a full list should then be requested. */
     boolean pollNewSuspects() {
-        boolean is = hasUnreportedSuspects;
+        boolean hasNew = hasUnreportedSuspects;
         hasUnreportedSuspects = false;
-        return is;
+        return hasNew;
     }
 
-    /** How many servers are kept against a list's word. */
+    /** Number of servers that are kept although a full list left them out. */
     int suspectCount() {
         return suspects.size();
     }
 
-    /** The doubt's time is up: what is still left out goes, as a list that is to be taken in. */
+    /** Queues the removal of all remaining suspects; to be called when their retention time is up. */
     void removeSuspects() {
         if (!suspects.isEmpty()) {
             pendingLists.add(new ServerList(
--- a/src/main/java/vetchpost/core/ServerTransport.java
+++ b/src/main/java/vetchpost/core/ServerTransport.java
@@ -3,57 +3,62 @@
 import vetchpost.decision.Balancer.Result;
 
 /**
- * The way to servers by some protocol. It sends where it is told, once, and reports how that ended, once;
- * nothing in it sends again.
+ * Sends attempts and probes to servers by some protocol, for the {@link Dispatcher}, on the node's event loop. It sends
+ * each once, to the given server, and reports the result once; it never retries.
  */
 public interface ServerTransport {
 
-    /** One request on its way to one server. */
+    /** One attempt or probe at one server. */
     interface Attempt {
-        /** Whether anything of it may have reached a server. */
+        /** Whether any of it may have reached a server. */
         boolean mayHaveReachedServer();
 
         /**
-         * Stops waiting, for this reason: TIMEOUT, CANCELLED or MOOT. What had not been handed over whole
-         * is reported as never run, the rest as the caller says, unless its answer turns out to be there.
+         * Stops waiting for the response, for this reason: TIMEOUT, CANCELLED or MOOT. An attempt that was not
+         * completely handed over is reported as never run; otherwise the reason is reported, unless the response turns
+         * out to be there.
          */
         void abandon(Result reason);
     }
 
-    /** Where an attempt is reported. */
+    /** Receives the result of an attempt. */
     interface AttemptListener {
-        /** The one report; the answer is there when the result is OK or ERROR, else null. */
-        void onEnded(Result result, ServerResponse answer);
+        /**
+         * Reports the result, once.
+         *
+         * @param response the server's response if the result is OK or ERROR, else null
+         */
+        void onEnded(Result result, ServerResponse response);
     }
 
-    /** A request to be sent. */
+    /** An attempt to be sent. */
     interface OutgoingRequest extends AttemptListener {
-        /** Asked for when it goes out, which may be a while after it was started. */
+        /** The request to send. Asked for when it is written, which may be a while after {@link #send}. */
         ClientRequest request();
 
-        /** How long the server is waited for from now on, in microseconds. */
+        /** How long to wait for the server from now on, in microseconds. */
         long responseTimeoutUs();
 
         /**
-         * The answer has begun and is passed on as it comes: it is the final one, whatever becomes of it. The
-         * report, once it has ended, tells whether it was whole.
+         * The response has started and is streamed as it comes. It is the final answer, whatever becomes of it; the
+         * report at its end tells whether it was complete.
          *
          * @return false if nobody waits for it any more
          */
-        default boolean onResponseStarted(ServerResponse answer) {
+        default boolean onResponseStarted(ServerResponse response) {
             return false;
         }
     }
 
-    /** Takes in the list: new servers, moved ones, restarted ones and those that are gone. */
+    /** Applies a list: new servers, moved ones, restarted ones and those that have gone. */
     void update(ServerList list);
 
-    /** Starts an attempt; it may be reported before this returns. */
-    Attempt send(String serverId, OutgoingRequest sending);
+    /** Starts an attempt; its result may be reported before this returns. */
+    Attempt send(String serverId, OutgoingRequest request);
 
-    /** Asks a server for its health: OK, or whatever an attempt may end as. */
-    Attempt probe(String serverId, AttemptListener report);
+    /** Asks a server for its health; the result is OK or any other that an attempt may have. */
+    Attempt probe(String serverId, AttemptListener listener);
 
-    /** Closes what is idle and keeps nothing that is not. */
+    /** Closes idle connections, and the others as soon as they are idle. */
     void close();
 }
--- a/src/main/java/vetchpost/core/SingleAttemptLimits.java
+++ b/src/main/java/vetchpost/core/SingleAttemptLimits.java
@@ -1,8 +1,8 @@
 package vetchpost.core;
 
 /**
- * The bounds of a request whose body comes bit by bit: once any of what is not held has been passed on it
- * may have run, and can't be sent again. What surely never ran can, since nothing of the rest was taken then.
+ * The limits of a request whose body is streamed: once any of the unbuffered part has been sent it may have run and
+ * can't be sent again. An attempt that surely never ran can be, since none of that part was read then.
  */
 record SingleAttemptLimits(RouteLimits route) implements RouteLimits {
     @Override
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public long retryAfterUs(long otherwiseUs) {
-        return route.retryAfterUs(otherwiseUs);
+    public long retryAfterUs(long defaultUs) {
+        return route.retryAfterUs(defaultUs);
     }
 }
--- a/src/main/java/vetchpost/core/Subset.java
+++ b/src/main/java/vetchpost/core/Subset.java
@@ -13,18 +13,20 @@
 import vetchpost.decision.HashRing;
 
 /**
- * The part of a large fleet that one of many nodes sends to, so that not every node holds connections to
- * every server. All ready servers stand on a ring in the order of a hash of their ids, or their cells do,
- * where repeats must stay in one; node i of N begins at the i-th of N equal parts and takes as many in a row
- * as it is to have (deterministic aperture, as in Finagle). So each server has as many nodes as any other,
- * but for one, and one more or less in the fleet changes little. A node whose servers are ill by half takes
- * twice as many, and again, up to the whole fleet, and goes back when they are well. No I/O, and no clock
- * but what it is told.
+ * Selects the servers of a large fleet that this node, one of many, sends to, so that not every node holds connections
+ * to every server (deterministic aperture, as in Finagle). All ready servers stand on a ring in the order of a hash of
+ * their ids; or their cells do, where retries must stay within one. Node i of N starts at the i-th of N equal parts and
+ * takes as many servers in a row as it is to have. So the numbers of nodes per server differ by one at most, and a
+ * server more or less changes little.
+ *
+ * <p>A node with more than half of its servers unhealthy doubles its subset, up to the whole fleet, and narrows it
+ * again when they are healthy. The {@link Dispatcher} passes lists and ended attempts through it. No I/O and no clock
+ * of its own.
  */
 public final class Subset {
-    /** Failures in a row from which on a server counts as ill. */
+    /** Consecutive failures from which on a server counts as unhealthy. */
     static final int UNHEALTHY_FAILURE_COUNT = 3;
-    /** A widened node takes half as many again after so long without half of them ill. */
+    /** A widened subset is halved after this long without half of its servers unhealthy. */
     static final long NARROWING_INTERVAL_US = 10_000_000;
 
     private static final int MAX_NODES = 100_000;
@@ -34,7 +36,7 @@
     private final int minServers;
     private final boolean selectsWholeCells;
     private final Map<String, Target> knownServers = new LinkedHashMap<>();
-    /** The ready servers by the places of their units on the ring. */
+    /** The ready servers by the ring positions of their units (a server or a cell). */
     private final TreeMap<Long, List<Target>> ring = new TreeMap<>();
 
     private Map<String, Target> selected = new LinkedHashMap<>();
@@ -44,43 +46,46 @@
     private long healthySinceUs;
 
     /**
-     * Nobody known yet.
+     * Creates a subset without servers.
      *
-     * @param node this node's number, from 0
-     * @param nodes how many there are
-     * @param size how many servers it is to have at least, if there are as many
-     * @param byCell whether all servers of a cell are taken or none
-     * @throws IllegalArgumentException if a figure is out of range
+     * @param nodeIndex this node's number, from 0 to {@code nodeCount} - 1
+     * @param nodeCount number of nodes, from 1 to 100,000
+     * @param minServers how many servers this node is to have at least, from 1, as far as the fleet has them
+     * @param selectsWholeCells whether all servers of a cell are selected or none
+     * @throws IllegalArgumentException if an argument is out of range
      */
-    public Subset(int node, int nodes, int size, boolean byCell) {
-        if (nodes < 1 || nodes > MAX_NODES || node < 0 || node >= nodes || size < 1) {
-            throw new IllegalArgumentException("node " + node + " of " + nodes + " can't have " + size);
+    public Subset(int nodeIndex, int nodeCount, int minServers, boolean selectsWholeCells) {
+        if (nodeCount < 1 || nodeCount > MAX_NODES || nodeIndex < 0 || nodeIndex >= nodeCount || minServers < 1) {
+            throw new IllegalArgumentException(
+                    "node index " + nodeIndex + " of " + nodeCount + " nodes with at least " + minServers
+                            + " servers: the index must be from 0 to nodes - 1, nodes from 1 to 100000, servers from 1");
         }
-        this.nodeIndex = node;
-        this.nodeCount = nodes;
-        this.minServers = size;
-        this.selectsWholeCells = byCell;
+        this.nodeIndex = nodeIndex;
+        this.nodeCount = nodeCount;
+        this.minServers = minServers;
+        this.selectsWholeCells = selectsWholeCells;
     }
 
-    /** What of a list this node is to know; nothing has changed for it if the result is empty. */
-    ServerListQueue.ListChunk filter(ServerListQueue.ListChunk slice) {
-        ServerList list = slice.list();
-        if (slice.kind() != ListKind.CHANGES) {
+    /** The part of a list chunk that concerns this node; an empty one if nothing has changed for it. */
+    ServerListQueue.ListChunk filter(ServerListQueue.ListChunk chunk) {
+        ServerList list = chunk.list();
+        if (chunk.kind() != ListKind.CHANGES) {
             knownServers.clear();
             ring.clear();
         }
-        boolean moved = slice.kind() != ListKind.CHANGES;
+        boolean hasRingChanged = chunk.kind() != ListKind.CHANGES;
         for (Target target : list.targets()) {
-            Target before =
-                    target.state() == ServerState.GONE ? knownServers.remove(target.id()) : knownServers.put(target.id(), target);
-            moved |= removeFromRing(before);
-            moved |= addToRing(target);
+            Target previous = target.state() == ServerState.GONE
+                    ? knownServers.remove(target.id())
+                    : knownServers.put(target.id(), target);
+            hasRingChanged |= removeFromRing(previous);
+            hasRingChanged |= addToRing(target);
         }
-        List<Target> changes = moved ? reselect() : new ArrayList<>();
-        if (slice.kind() != ListKind.CHANGES) {
+        List<Target> changes = hasRingChanged ? reselect() : new ArrayList<>();
+        if (chunk.kind() != ListKind.CHANGES) {
             changes = new ArrayList<>(selected.values());
         } else {
-            // What has changed of one that stays, or drains.
+            // Changes of selected servers that stay, drain or have gone.
             for (Target target : list.targets()) {
                 if (target.state() == ServerState.GONE) {
                     if (selected.remove(target.id()) != null) {
@@ -92,12 +97,13 @@
                 }
             }
         }
-        return new ServerListQueue.ListChunk(slice.kind(), new ServerList(list.revision(), list.isFull(), changes));
+        return new ServerListQueue.ListChunk(chunk.kind(), new ServerList(list.revision(), list.isFull(), changes));
     }
 
     private boolean addToRing(Target target) {
         if (target.state() == ServerState.READY) {
-            ring.computeIfAbsent(ringPosition(target), s -> new ArrayList<>(1)).add(target);
+            ring.computeIfAbsent(ringPosition(target), position -> new ArrayList<>(1))
+                    .add(target);
             return true;
         }
         return false;
@@ -108,50 +114,51 @@
             return false;
         }
         List<Target> unit = ring.get(ringPosition(target));
-        unit.removeIf(t -> t.id().equals(target.id()));
+        unit.removeIf(server -> server.id().equals(target.id()));
         if (unit.isEmpty()) {
             ring.remove(ringPosition(target));
         }
         return true;
     }
 
-    /** Where a server, or its cell, stands. */
+    /** The position of a server, or of its cell. */
     private long ringPosition(Target target) {
         return HashRing.position(selectsWholeCells ? Integer.toString(target.cell()) : target.id());
     }
 
-    /** Chooses anew; what is new to the node, and as gone what it is to leave alone. */
+    /** Selects anew. Returns the servers that are new to the node, and those it no longer has as gone. */
     private List<Target> reselect() {
-        Map<String, Target> next = new LinkedHashMap<>();
+        Map<String, Target> newlySelected = new LinkedHashMap<>();
         List<List<Target>> units = new ArrayList<>(ring.values());
-        long wanted = (long) minServers * wideningFactor;
-        int first = (int) ((long) nodeIndex * units.size() / nodeCount);
-        for (int i = 0; i < units.size() && next.size() < wanted; i++) {
-            units.get((first + i) % units.size()).forEach(t -> next.put(t.id(), t));
+        long targetCount = (long) minServers * wideningFactor;
+        int firstUnit = (int) ((long) nodeIndex * units.size() / nodeCount);
+        for (int i = 0; i < units.size() && newlySelected.size() < targetCount; i++) {
+            units.get((firstUnit + i) % units.size()).forEach(target -> newlySelected.put(target.id(), target));
         }
         List<Target> changes = new ArrayList<>();
         selected.forEach((id, target) -> {
-            Target now = knownServers.get(id);
-            if (now != null && now.state() == ServerState.DRAINING) {
-                next.put(id, target);
-            } else if (!next.containsKey(id)) {
+            Target current = knownServers.get(id);
+            if (current != null && current.state() == ServerState.DRAINING) {
+                newlySelected.put(id, target);
+            } else if (!newlySelected.containsKey(id)) {
                 clearFailures(id);
                 changes.add(asGone(target));
             }
         });
-        next.forEach((id, target) -> {
+        newlySelected.forEach((id, target) -> {
             if (!selected.containsKey(id)) {
                 changes.add(target);
             }
         });
-        selected = next;
+        selected = newlySelected;
         return changes;
     }
 
     /**
-     * An attempt at a server has ended.
+     * Counts the end of an attempt at a server, and widens or narrows the subset if that is due.
      *
-     * @return what changes for this node by it, empty as a rule
+     * @param nowUs the node's time in microseconds
+     * @return the changes for this node; usually empty
      */
     List<Target> onAttemptEnded(String id, Result result, long nowUs) {
         switch (result) {
@@ -182,7 +189,7 @@
         unhealthyCount -= count != null && count >= UNHEALTHY_FAILURE_COUNT ? 1 : 0;
     }
 
-    /** How many servers this node has just now. */
+    /** Number of servers that this node has now. */
     int serverCount() {
         return selected.size();
     }
--- a/src/test/java/vetchpost/admission/AdmissionHarness.java
+++ b/src/test/java/vetchpost/admission/AdmissionHarness.java
@@ -184,7 +184,9 @@
     }
 
     long servedCount(int tenant) {
-        return submitted.stream().filter(a -> a.tenant == tenant && a.isServed()).count();
+        return submitted.stream()
+                .filter(a -> a.tenant == tenant && a.isServed())
+                .count();
     }
 
     long submittedCount(int tenant) {
--- a/src/test/java/vetchpost/admission/FairAdmissionTest.java
+++ b/src/test/java/vetchpost/admission/FairAdmissionTest.java
@@ -72,7 +72,8 @@
     @Test
     void dividesCapacityByTenantWeights() {
         Settings platform = AdmissionHarness.settings(2, LATENCY_TARGET_US);
-        AdmissionHarness way = new AdmissionHarness(4, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 3.0, 1.0)));
+        AdmissionHarness way =
+                new AdmissionHarness(4, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 3.0, 1.0)));
         long until = way.currentUs + 10 * SECOND_US;
         int[] n = new int[1];
         way.submitEvery(1_000, until, () -> way.submit(0, "a" + n[0]++ % 500));
@@ -99,7 +100,8 @@
     @Test
     void appliesNewWeightsToFullQueuesWithoutLosingRequests() {
         Settings platform = AdmissionHarness.settings(2, LATENCY_TARGET_US);
-        AdmissionHarness way = new AdmissionHarness(4, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 1.0, 1.0)));
+        AdmissionHarness way =
+                new AdmissionHarness(4, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 1.0, 1.0)));
         long until = way.currentUs + 20 * SECOND_US;
         int[] n = new int[1];
         way.submitEvery(1_000, until, () -> way.submit(0, "a" + n[0]++ % 500));
@@ -190,9 +192,12 @@
         way.submit(0, "k");
         way.run(15 * SECOND_US);
         way.submit(0, "k");
-        assertTrue(way.admission.tableSizes()[2] <= 1, "and have gone: " + way.admission.tableSizes()[2]);
         assertTrue(
-                way.admission.tableSizes()[0] <= 4, "with their flows: " + way.admission.tableSizes()[0]);
+                way.admission.tableSizes()[2] <= 1,
+                "and have gone: " + way.admission.tableSizes()[2]);
+        assertTrue(
+                way.admission.tableSizes()[0] <= 4,
+                "with their flows: " + way.admission.tableSizes()[0]);
         assertTrue(way.submitted.stream().limit(n[0]).allMatch(a -> a.endedUs >= 0));
     }
 
@@ -207,8 +212,9 @@
         way.run(10 * SECOND_US);
         List<SubmittedRequest> later = way.submitted.subList(from, way.submitted.size());
         long refused = later.stream().filter(a -> a.isRejected).count();
-        long atOnce =
-                later.stream().filter(a -> a.isRejected && a.endedUs == a.submittedUs).count();
+        long atOnce = later.stream()
+                .filter(a -> a.isRejected && a.endedUs == a.submittedUs)
+                .count();
         long late = later.stream()
                 .filter(a -> a.isServed() && a.endedUs - a.submittedUs > LATENCY_TARGET_US)
                 .count();
@@ -301,7 +307,9 @@
         keys.forEach(k -> back.add(way.submit(0, k)));
         way.run(5 * SECOND_US);
         assertTrue(back.stream().allMatch(a -> a.endedUs >= 0), "each has its answer");
-        assertTrue(back.stream().noneMatch(a -> a.isServed() && a.endedUs - a.submittedUs > LATENCY_TARGET_US), "none is late");
+        assertTrue(
+                back.stream().noneMatch(a -> a.isServed() && a.endedUs - a.submittedUs > LATENCY_TARGET_US),
+                "none is late");
         long served = back.stream().filter(SubmittedRequest::isServed).count();
         assertTrue(served >= 50, "as many as fit are served: " + served);
         List<Long> again = back.stream()
@@ -322,7 +330,9 @@
         way.submitEvery(1_000, way.currentUs + 4 * SECOND_US, () -> way.submit(0, "c" + n[0]++));
         way.run(SECOND_US);
         List<SubmittedRequest> told = way.submitted.stream()
-                .filter(a -> a.isRejected && a.retryAfterUs > 100_000 && a.endedUs + a.retryAfterUs > way.currentUs + 100_000)
+                .filter(a -> a.isRejected
+                        && a.retryAfterUs > 100_000
+                        && a.endedUs + a.retryAfterUs > way.currentUs + 100_000)
                 .toList();
         SubmittedRequest one = told.get(0);
         SubmittedRequest other = told.get(told.size() - 1);
@@ -331,7 +341,8 @@
         SubmittedRequest back = way.submit(0, one.key);
         way.run(LATENCY_TARGET_US);
         assertTrue(back.isServed(), "it was told, and came");
-        assertTrue(back.endedUs - back.submittedUs < 40_000, "ahead of what waits: " + (back.endedUs - back.submittedUs));
+        assertTrue(
+                back.endedUs - back.submittedUs < 40_000, "ahead of what waits: " + (back.endedUs - back.submittedUs));
         assertTrue(early.isRejected || early.endedUs > back.endedUs, "early gains nothing");
         assertEquals(1, way.admission.counts().returnedOnTime());
         assertEquals(1, way.admission.counts().reservationsKept());
@@ -353,8 +364,10 @@
         assertEquals(1, way.admission.waitingRequests());
         way.run(SECOND_US);
         assertEquals(4, way.servedCount(0));
-        List<Long> ends =
-                asked.stream().filter(a -> !a.isDisconnected).map(a -> a.endedUs).toList();
+        List<Long> ends = asked.stream()
+                .filter(a -> !a.isDisconnected)
+                .map(a -> a.endedUs)
+                .toList();
         assertEquals(ends.stream().sorted().toList(), ends, "in the order in which they came");
         assertEquals(3, way.admission.counts().disconnected());
         assertEquals(0, way.admission.waitingRequests());
@@ -370,7 +383,9 @@
             way.submit(1, "b" + i);
         }
         way.run(2 * SECOND_US);
-        assertTrue(Math.abs(way.servedCount(0) - way.servedCount(1)) <= 6, way.servedCount(0) + " and " + way.servedCount(1));
+        assertTrue(
+                Math.abs(way.servedCount(0) - way.servedCount(1)) <= 6,
+                way.servedCount(0) + " and " + way.servedCount(1));
         way.run(2 * SECOND_US);
         assertEquals(300, way.servedCount(0) + way.servedCount(1));
         for (int i = 0; i < 300; i++) {
@@ -386,7 +401,8 @@
     @Test
     void appliesWeightsAfterAnIdlePeriod() {
         Settings platform = AdmissionHarness.settings(2, 100 * SECOND_US);
-        AdmissionHarness way = new AdmissionHarness(1, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 1.0, 4.0)));
+        AdmissionHarness way =
+                new AdmissionHarness(1, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 1.0, 4.0)));
         for (int i = 0; i < 300; i++) {
             way.submit(i % 2, "first" + i);
         }
@@ -412,20 +428,34 @@
         way.run(LATENCY_TARGET_US);
         assertEquals(0, way.admission.waitingRequests());
         // One look later at most, where nothing was known yet of how fast it goes.
-        assertTrue(way.submitted.stream().allMatch(a -> !a.isRejected || a.endedUs - a.submittedUs <= LATENCY_TARGET_US + 10_000));
+        assertTrue(way.submitted.stream()
+                .allMatch(a -> !a.isRejected || a.endedUs - a.submittedUs <= LATENCY_TARGET_US + 10_000));
     }
 
     @Test
     void prefersTheMoreValuableClassWithoutStarvingTheOther() {
         Settings platform = AdmissionHarness.settings(1, LATENCY_TARGET_US);
         platform.classes.add(new RequestClass(
-                "place-order", LATENCY_TARGET_US, 0, 10 * LATENCY_TARGET_US, 5, 0, Idempotency.UNSAFE, DeduplicationScope.ALL, 0, false));
+                "place-order",
+                LATENCY_TARGET_US,
+                0,
+                10 * LATENCY_TARGET_US,
+                5,
+                0,
+                Idempotency.UNSAFE,
+                DeduplicationScope.ALL,
+                0,
+                false));
         AdmissionHarness way = new AdmissionHarness(4, platform);
         int[] n = new int[1];
         way.submitEvery(1_000, way.currentUs + 10 * SECOND_US, () -> way.submit(0, n[0] % 2, "c" + n[0]++));
         way.run(12 * SECOND_US);
-        long pages = way.submitted.stream().filter(a -> a.classIndex == 0 && a.isServed()).count();
-        long orders = way.submitted.stream().filter(a -> a.classIndex == 1 && a.isServed()).count();
+        long pages = way.submitted.stream()
+                .filter(a -> a.classIndex == 0 && a.isServed())
+                .count();
+        long orders = way.submitted.stream()
+                .filter(a -> a.classIndex == 1 && a.isServed())
+                .count();
         assertTrue(orders > 5 * pages && pages > 30, orders + " orders and " + pages + " pages");
     }
 
@@ -435,9 +465,11 @@
         AdmissionHarness way = new AdmissionHarness(
                 4,
                 platform,
-                settingsWith(platform, 12, 4, AdmissionValidator.defaults(platform).tenantWeights()));
+                settingsWith(
+                        platform, 12, 4, AdmissionValidator.defaults(platform).tenantWeights()));
         SplittableRandom random = new SplittableRandom(5);
-        way.submitEvery(700, way.currentUs + 20 * SECOND_US, () -> way.submit(random.nextInt(40), "c" + random.nextInt(9)));
+        way.submitEvery(
+                700, way.currentUs + 20 * SECOND_US, () -> way.submit(random.nextInt(40), "c" + random.nextInt(9)));
         way.run(22 * SECOND_US);
         assertTrue(way.submitted.stream().allMatch(a -> a.endedUs >= 0), "each has its answer");
         assertTrue(way.admission.counts().rejected(RejectionReason.QUEUE_FULL) > 1_000);
@@ -490,7 +522,9 @@
         int[] n = new int[1];
         way.submitEvery(1_000, way.currentUs + 5 * SECOND_US, () -> way.submit(0, "c" + n[0]++));
         way.run(6 * SECOND_US);
-        assertTrue(way.submitted.stream().allMatch(a -> a.retryAfterUs < 10 * LATENCY_TARGET_US), "ten aims are all that it waits");
+        assertTrue(
+                way.submitted.stream().allMatch(a -> a.retryAfterUs < 10 * LATENCY_TARGET_US),
+                "ten aims are all that it waits");
         assertTrue(way.admission.counts().rejectedWithoutReservation() > 0);
     }
 
@@ -538,7 +572,9 @@
         way.submitEvery(1_000, until, () -> way.submit(1 + n[0] % 3, "b" + n[0]++ % 300));
         way.run(12 * SECOND_US);
         // By weights alone it would have a quarter, 100 a second of the 222 that it asks.
-        assertTrue(way.servedCount(0) >= 0.75 * way.submittedCount(0), way.servedCount(0) + " of " + way.submittedCount(0));
+        assertTrue(
+                way.servedCount(0) >= 0.75 * way.submittedCount(0),
+                way.servedCount(0) + " of " + way.submittedCount(0));
         assertTrue(way.submitted.stream().filter(SubmittedRequest::isServed).count() > 3_600, "what is left is used");
     }
 
--- a/src/test/java/vetchpost/admission/FairQueueTest.java
+++ b/src/test/java/vetchpost/admission/FairQueueTest.java
@@ -45,7 +45,9 @@
             for (RequestQueue a : flows) {
                 for (RequestQueue b : flows) {
                     double apart = served[a.key] / a.weight - served[b.key] / b.weight;
-                    assertTrue(apart <= MAX_REQUEST_COST / a.weight + MAX_REQUEST_COST / b.weight + 1e-6, "step " + i + ": " + apart);
+                    assertTrue(
+                            apart <= MAX_REQUEST_COST / a.weight + MAX_REQUEST_COST / b.weight + 1e-6,
+                            "step " + i + ": " + apart);
                 }
             }
         }
--- a/src/test/java/vetchpost/core/AdmissionControlTest.java
+++ b/src/test/java/vetchpost/core/AdmissionControlTest.java
@@ -60,7 +60,16 @@
     private static Settings settings() {
         Settings set = new Settings();
         set.classes.add(new RequestClass(
-                "view-page", LATENCY_TARGET_US, 0, 5 * LATENCY_TARGET_US, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
+                "view-page",
+                LATENCY_TARGET_US,
+                0,
+                5 * LATENCY_TARGET_US,
+                1,
+                0,
+                Idempotency.SAFE,
+                DeduplicationScope.ALL,
+                0,
+                false));
         set.maxRetryAfterUs = 1_000_000;
         return set;
     }
@@ -140,7 +149,16 @@
         replies.add(reply);
         dispatcher.accept(
                 new ClientRequest(
-                        ++lastNumber, 0, -1, 5 * LATENCY_TARGET_US, 0, false, "GET", "/view-page", new NoHeaders(), new byte[0]),
+                        ++lastNumber,
+                        0,
+                        -1,
+                        5 * LATENCY_TARGET_US,
+                        0,
+                        false,
+                        "GET",
+                        "/view-page",
+                        new NoHeaders(),
+                        new byte[0]),
                 reply,
                 0);
         return reply;
--- a/src/test/java/vetchpost/core/ServerListQueueTest.java
+++ b/src/test/java/vetchpost/core/ServerListQueueTest.java
@@ -181,7 +181,7 @@
         apply(true, fleet(0, 1));
         assertFalse(queue.pollNewSuspects());
         ServerListQueue fresh = new ServerListQueue();
-        apply(fresh.known(new ServerList(0, true, fleet(0, 100))));
+        apply(fresh.restoreCached(new ServerList(0, true, fleet(0, 100))));
         fresh.add(new ServerList(1, true, fleet(100, 110)));
         apply(fresh.next());
         assertFalse(fresh.pollNewSuspects());
--- a/src/test/java/vetchpost/core/SubsetTest.java
+++ b/src/test/java/vetchpost/core/SubsetTest.java
@@ -122,7 +122,9 @@
         List<Target> turned = new ArrayList<>(fleet(500));
         Collections.reverse(turned);
         for (int i = 0; i < 10; i++) {
-            assertEquals(new SimulatedNode(i, 10, 20, false, fleet(500)).servers, new SimulatedNode(i, 10, 20, false, turned).servers);
+            assertEquals(
+                    new SimulatedNode(i, 10, 20, false, fleet(500)).servers,
+                    new SimulatedNode(i, 10, 20, false, turned).servers);
         }
     }
 
