--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -16,56 +16,75 @@
 import vetchpost.decision.Balancer.Settings;
 
 /**
- * Fair queues before the decision module: tenants share what the fleet can do by their weights, within a
- * tenant its classes by their worth, within a class its clients evenly. Nothing here measures the fleet's
- * capacity: the door lets in as long as the module has next to nothing unsent, so that the module's own
- * limits are the only ones, and what goes out of the queues is how fast the fleet drains them. What can't
- * be in time by that is turned away when it comes, with a time to come back at which there is a place for it.
+ * Weighted fair queues before the decision module: tenants share the fleet's capacity by their weights, within a tenant
+ * its classes by their value, and within a class its clients evenly. Capacity is not configured or probed: requests are
+ * admitted while the decision module has next to nothing unsent, so that its own limits are the only ones, and the rate
+ * at which the queues drain shows what the fleet can do. A request that can't be answered in time at that rate is
+ * rejected on arrival, with a retry-after for which capacity is reserved where there is some.
  *
- * <p>It does no I/O and has no clock of its own. docs/admission.md has the options weighed and the bounds.
+ * <p>The {@link vetchpost.core.Dispatcher} calls it, on the node's event loop only. It does no I/O and has no clock of
+ * its own; times are microseconds. docs/admission.md has the design's alternatives and bounds.
  */
 public final class FairAdmission implements AdmissionControl {
-    /** What waits is looked through so often: far under any aim. */
+    /** How often waiting requests are checked for lateness; short against any latency target. */
     private static final long SWEEP_INTERVAL_US = 10_000;
-    /** Let in and passed over by so many, or unsent for so long, a request waits for something of its own. */
+    /**
+     * An admitted request that stays unsent while this many others are sent, or for {@link #BLOCKED_AFTER_US}, is
+     * blocked by a limit of its own class.
+     */
     private static final int BLOCKED_AFTER_SENDS = 8;
 
     private static final long BLOCKED_AFTER_US = 50_000;
-    /** At most this share of a wait is for the answer itself; the module gives up later than that. */
+    /**
+     * At most this fraction of the remaining time is set aside for the answer; the decision module gives up later than
+     * that.
+     */
     private static final double MAX_RESPONSE_TIME_FRACTION = 0.8;
-    /** An answer is expected within so many times its class's usual latency, as the module does. */
+    /** An answer is expected within this many times its class's usual latency, as in the decision module. */
     private static final double RESPONSE_TIME_FACTOR = 2;
-    /** What the door drained so long ago counts a third: halved capacity is known after about this time. */
+    /**
+     * Time constant of the drain rate: older work counts less than a third, so halved capacity shows after about this
+     * time.
+     */
     private static final double DRAIN_RATE_TIME_CONSTANT_US = 300_000;
-    /** A queue counts once something has waited in it for so long without a break. */
+    /** The drain rate is measured only after requests have waited for this long without a break. */
     private static final long MIN_BUSY_US = 50_000;
-    /** What goes out at all is a mean over about this time. */
+    /** Time constant of the rate of all admitted work, whether or not requests wait. */
     private static final double THROUGHPUT_TIME_CONSTANT_US = 1_000_000;
-    /** Promises are made by what is drained over about this time, or by less as soon as it is less. */
+    /** Reservations are made by the drain rate over about this time, or by the quicker one where that is lower. */
     private static final double STEADY_RATE_TIME_CONSTANT_US = 3_000_000;
-    /** A tenant that took less than its part may catch up on so much of it at once. */
+    /** A tenant that used less than its share may catch up on this much of it at once. */
     private static final double MAX_CREDIT_US = 200_000;
-    /** A tenant that takes less than this of its part goes before others' that have come back when told. */
+    /**
+     * A tenant that uses less than this fraction of its share goes before other tenants' requests that retry on time.
+     */
     private static final double LIGHT_TENANT_FRACTION = 0.75;
-    /** So much of what waits may go before one while more keeps coming. */
+    /** While more requests keep arriving, this many times the current backlog may go before a request. */
     private static final double MAX_OVERTAKING_FACTOR = 1.5;
-    /** Of a shorter time nothing can be said. */
+    /** A rate measured over a shorter time counts as unknown. */
     private static final double MIN_MEASURED_US = 50_000;
-    /** Parts of what goes out are of about the last 400 requests, or more where many go. */
+    /**
+     * Fractions of the admitted work are taken over at least this cost, about 400 requests; over more where many are
+     * admitted.
+     */
     private static final double MIN_SHARE_WINDOW_COST = 400 * 20_000;
-    /** Part of what a class of a tenant drains that is promised: the rest is for chance. */
+    /** Fraction of a tenant class's drain rate that may be reserved; the rest absorbs fluctuations. */
     private static final double MAX_RESERVED_FRACTION = 0.85;
-    /** Nobody is called back sooner: a way there and back, and a look through the queues. */
+    /** No retry-after is shorter: a round trip and one sweep of the queues. */
     private static final long MIN_RETRY_AFTER_US = 20_000;
-    /** Advice is spread over this part more, so that those turned away together don't come together. */
+    /**
+     * Retry times are spread by up to this fraction of a request's drain time, so that clients rejected together don't
+     * retry together.
+     */
     private static final double RETRY_AFTER_JITTER = 0.1;
-    /** What lies beyond a tenant's share weighs this part at least, so that it is not stopped for good. */
+    /** Least weight of a class, and of requests over a tenant's share, so that none starves. */
     private static final double MIN_WEIGHT = 0.001;
     /**
-     * Power of a class's value in its weight: at 1 the most valuable leave too much, without end all starve.
+     * Exponent of a class's value in its weight: at 1 the most valuable classes leave too much capacity to others, and
+     * with a very large one all others starve.
      */
     private static final double VALUE_EXPONENT = 2;
-    /** A tenant that has been quiet for so long is forgotten. */
+    /** A tenant without requests for this long is forgotten. */
     private static final long TENANT_IDLE_TIMEOUT_US = 10_000_000;
 
     private final Settings nodeSettings;
@@ -75,11 +94,12 @@
     private final ReservationTable reservations;
     private final SchedulingNode root = new SchedulingNode(null, 0, 1);
     /**
-     * Those that came back when they were told, by when they must go: they go before all others, and what
-     * they take counts as their flows'.
+     * Requests that were retried on time, ordered by their latest start. They go before all queued requests, and their
+     * cost is charged to their flows.
      */
-    private final NavigableSet<QueuedRequest> returnedRequests = new TreeSet<>(
-            Comparator.<QueuedRequest>comparingLong(w -> w.latestStartUs).thenComparingLong(w -> w.sequence));
+    private final NavigableSet<QueuedRequest> returnedRequests =
+            new TreeSet<>(Comparator.<QueuedRequest>comparingLong(queued -> queued.latestStartUs)
+                    .thenComparingLong(queued -> queued.sequence));
 
     private final TenantState[] tenantStates;
     private final boolean[] blockedClasses;
@@ -89,7 +109,7 @@
     private final List<Flow> skippedClasses = new ArrayList<>();
     private final AdmissionCounts counts = new AdmissionCounts();
     private final Contention tenantContention = new Contention();
-    /** Those classes of tenants of which some was turned away lately, and their part of what goes out. */
+    /** Classes of tenants of which some request was rejected lately, and their fraction of the admitted work. */
     private final Contention constrainedContention = new Contention();
 
     private final DrainRate constrainedFraction = new DrainRate();
@@ -100,7 +120,7 @@
     private long lastSequence;
     private long sentCount;
     private double drainedCost;
-    /** What goes out while something has waited for a while, and what goes out at all. */
+    /** Work admitted while requests have waited for a while (quick and steady mean), and all admitted work. */
     private final DrainRate drainRate = new DrainRate();
 
     private final DrainRate steadyDrainRate = new DrainRate();
@@ -110,210 +130,233 @@
     private long nextTenantExpiryUs;
 
     /**
-     * A door before an idle module.
+     * Creates admission control without waiting requests.
      *
-     * @param platform the node's settings: classes, tenants, what advice is allowed
-     * @param seed of jitter and of which clients share a line
+     * @param settings the operator's settings
+     * @param nodeSettings the node's settings: classes, tenants and the longest retry-after allowed
+     * @param seed of the jitter and of the assignment of clients to queues
      */
-    public FairAdmission(AdmissionSettings settings, Settings platform, long seed) {
+    public FairAdmission(AdmissionSettings settings, Settings nodeSettings, long seed) {
         this.settings = settings;
-        this.nodeSettings = platform;
+        this.nodeSettings = nodeSettings;
         random = new SplittableRandom(seed);
         clientIdentity = new ClientIdentity(seed);
-        expectedWork = new ExpectedWork(platform.classes.size());
+        expectedWork = new ExpectedWork(nodeSettings.classes.size());
         reservations = new ReservationTable(settings.reservationTableSize());
-        tenantStates = new TenantState[platform.tenants.size() + 1];
-        blockedClasses = new boolean[platform.classes.size()];
+        tenantStates = new TenantState[nodeSettings.tenants.size() + 1];
+        blockedClasses = new boolean[nodeSettings.classes.size()];
     }
 
     // ---------------------------------------------------------------- arrivals
 
     @Override
     public RequestProgress arrive(
-            long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Applicant entrant) {
+            long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Applicant applicant) {
         currentUs = nowUs;
         int tenant = request.tenant() + 1;
-        int c = request.classIndex();
-        TenantState book = tenantState(tenant);
+        int classIndex = request.classIndex();
+        TenantState tenantState = tenantState(tenant);
         long client = clientIdentity.of(request, connection);
-        QueuedRequest waiter =
-                createRequest(request, ClientIdentity.withClass(client, c), waitedUs, deadlineUs, entrant);
-        int place = book.heavyHitters.recordRequest(client, currentUs);
-        int booking = reservations.find(waiter.clientKey, currentUs);
+        QueuedRequest queued =
+                createRequest(request, ClientIdentity.withClass(client, classIndex), waitedUs, deadlineUs, applicant);
+        int heavyHitterIndex = tenantState.heavyHitters.recordRequest(client, currentUs);
+        int reservation = reservations.find(queued.clientKey, currentUs);
         counts.arrived++;
-        boolean isBack = booking >= 0 && currentUs >= reservations.dueUs(booking) - ReservationTable.MAX_EARLY_US;
-        if (booking >= 0 && !isBack) {
+        boolean isOnTime =
+                reservation >= 0 && currentUs >= reservations.dueUs(reservation) - ReservationTable.MAX_EARLY_US;
+        if (reservation >= 0 && !isOnTime) {
             counts.returnedEarly++;
             if (request.retry()
                     && hasWaiting(tenant)
-                    && (place >= 0 || reservations.hasMaxReservations(waiter.clientKey))) {
-                // It was told, says itself that it repeats, and others wait: this look is all that it costs.
-                return scheduleRejection(waiter, reservations.dueUs(booking) - currentUs);
+                    && (heavyHitterIndex >= 0 || reservations.hasMaxReservations(queued.clientKey))) {
+                // The client was given a retry time, marks this as a retry, and others wait: this check is all that it
+                // costs.
+                return scheduleRejection(queued, reservations.dueUs(reservation) - currentUs);
             }
         }
-        if (isBack) {
+        if (isOnTime) {
             counts.returnedOnTime++;
-            waiter.isWithinShare = reservations.isWithinShare(booking);
-            waiter.hasConsumedQuota = waiter.isWithinShare && book.tryConsumeQuota(currentUs);
-            reservations.remove(booking);
+            queued.isWithinShare = reservations.isWithinShare(reservation);
+            queued.hasConsumedQuota = queued.isWithinShare && tenantState.tryConsumeQuota(currentUs);
+            reservations.remove(reservation);
         } else {
-            waiter.hasConsumedQuota = nodeSettings.overShareWorth < 1 && book.tryConsumeQuota(currentUs);
-            waiter.isWithinShare = nodeSettings.overShareWorth >= 1 || waiter.hasConsumedQuota;
+            queued.hasConsumedQuota = nodeSettings.overShareWorth < 1 && tenantState.tryConsumeQuota(currentUs);
+            queued.isWithinShare = nodeSettings.overShareWorth >= 1 || queued.hasConsumedQuota;
         }
-        SchedulingNode cls = childNode(childNode(root, shareKey(waiter)), c);
-        tenantContention.recordRequest(book.shareContenders[waiter.isWithinShare ? 0 : 1], currentUs);
-        book.recordRequest(c, waiter.isWithinShare, currentUs);
-        RequestQueue line = isBack ? null : queueFor(cls, client, place);
+        SchedulingNode classNode = childNode(childNode(root, shareKey(queued)), classIndex);
+        tenantContention.recordRequest(tenantState.shareContenders[queued.isWithinShare ? 0 : 1], currentUs);
+        tenantState.recordRequest(classIndex, queued.isWithinShare, currentUs);
+        RequestQueue queue = isOnTime ? null : queueFor(classNode, client, heavyHitterIndex);
         updateRates();
-        // Who was told goes in as it comes: the next look through the queues sees whether it can be kept.
-        waiter.dueAtDrainedCost = isBack ? 0 : book.drainedCost(c, waiter.isWithinShare) + costAhead(cls, line);
-        double waitUs = isBack ? 0 : expectedWaitUs(waiter, cls);
-        if (currentUs + waitUs > waiter.latestStartUs
-                || root.waitingCount >= settings.maxWaiting() && !evictFromLongestQueue(waiter, line)) {
+        // A retry on time is queued as it is; the next sweep checks whether its reservation can be kept.
+        queued.dueAtDrainedCost =
+                isOnTime ? 0 : tenantState.drainedCost(classIndex, queued.isWithinShare) + costAhead(classNode, queue);
+        double waitUs = isOnTime ? 0 : expectedWaitUs(queued, classNode);
+        if (currentUs + waitUs > queued.latestStartUs
+                || root.waitingCount >= settings.maxWaiting() && !evictFromLongestQueue(queued, queue)) {
             counts.count(
-                    currentUs + waitUs > waiter.latestStartUs
+                    currentUs + waitUs > queued.latestStartUs
                             ? AdmissionCounts.RejectionReason.TOO_LATE
                             : AdmissionCounts.RejectionReason.QUEUE_FULL);
-            counts.reservationsMissed += isBack ? 1 : 0;
-            long advice = reserve(waiter);
-            prune(isBack ? cls : line);
-            return scheduleRejection(waiter, advice);
+            counts.reservationsMissed += isOnTime ? 1 : 0;
+            long retryAfterUs = reserve(queued);
+            prune(isOnTime ? classNode : queue);
+            return scheduleRejection(queued, retryAfterUs);
         }
-        counts.reservationsKept += isBack ? 1 : 0;
-        // Looked up again: making room may have ended the flows of its own that had nothing waiting.
-        enqueue(waiter, isBack ? null : queueFor(childNode(childNode(root, shareKey(waiter)), c), client, place));
-        return waiter;
+        counts.reservationsKept += isOnTime ? 1 : 0;
+        // Looked up again, since the eviction may have removed flows of this client that had nothing waiting.
+        enqueue(
+                queued,
+                isOnTime
+                        ? null
+                        : queueFor(childNode(childNode(root, shareKey(queued)), classIndex), client, heavyHitterIndex));
+        return queued;
     }
 
     private QueuedRequest createRequest(
-            ClientRequest request, long fingerprint, long waitedUs, long deadlineUs, Applicant entrant) {
-        RequestClass cls = nodeSettings.classes.get(request.classIndex());
-        // Without the mark nothing tells a repeat from a first try with less time.
+            ClientRequest request, long clientKey, long waitedUs, long deadlineUs, Applicant applicant) {
+        RequestClass requestClass = nodeSettings.classes.get(request.classIndex());
+        // Without the retry mark, a retry can't be told from a first attempt with less time.
         long elapsedUs = nodeSettings.clientsMarkRetries && request.retry()
-                ? Math.max(0, cls.deadlineUs() - request.remainingUs())
+                ? Math.max(0, requestClass.deadlineUs() - request.remainingUs())
                 : 0;
-        long aimUs = Math.min(
-                cls.deadlineUs(), cls.latencyTargetUs() + (long) (cls.latencyTargetWorkFactor() * request.workUs()));
-        long inTimeUs = cls.lateValueFraction() > 0
+        long latencyTargetUs = Math.min(
+                requestClass.deadlineUs(),
+                requestClass.latencyTargetUs() + (long) (requestClass.latencyTargetWorkFactor() * request.workUs()));
+        long answerDueUs = requestClass.lateValueFraction() > 0
                 ? deadlineUs
-                : Math.min(deadlineUs, currentUs - waitedUs + aimUs - elapsedUs);
-        long leftUs = inTimeUs - currentUs;
-        long latestUs = inTimeUs
+                : Math.min(deadlineUs, currentUs - waitedUs + latencyTargetUs - elapsedUs);
+        long remainingUs = answerDueUs - currentUs;
+        long latestStartUs = answerDueUs
                 - (long) Math.min(
-                        MAX_RESPONSE_TIME_FRACTION * leftUs,
+                        MAX_RESPONSE_TIME_FRACTION * remainingUs,
                         RESPONSE_TIME_FACTOR * expectedWork.usualLatencyUs(request.classIndex()));
-        long patienceUs = currentUs
+        long retryDeadlineUs = currentUs
                 - waitedUs
                 - elapsedUs
-                + (settings.clientRetryWindowUs() > 0 ? settings.clientRetryWindowUs() : cls.deadlineUs());
+                + (settings.clientRetryWindowUs() > 0 ? settings.clientRetryWindowUs() : requestClass.deadlineUs());
         return new QueuedRequest(
                 this,
-                entrant,
+                applicant,
                 request.tenant() + 1,
                 request.classIndex(),
-                fingerprint,
+                clientKey,
                 currentUs,
-                latestUs,
-                patienceUs,
+                latestStartUs,
+                retryDeadlineUs,
                 expectedWork.costUs(request.classIndex()));
     }
 
+    /** The tenant's state, created if needed. From time to time this also forgets idle tenants. */
     private TenantState tenantState(int tenant) {
-        TenantState book = tenantStates[tenant];
-        if (book == null) {
-            double quota =
+        TenantState state = tenantStates[tenant];
+        if (state == null) {
+            double quotaPerS =
                     tenant == 0 ? 0 : nodeSettings.tenants.get(tenant - 1).quotaPerS() / nodeSettings.nodes;
-            double[] worths = new double[blockedClasses.length];
-            for (int c = 0; c < worths.length; c++) {
-                worths[c] = classWeight(c);
+            double[] classWeights = new double[blockedClasses.length];
+            for (int classIndex = 0; classIndex < classWeights.length; classIndex++) {
+                classWeights[classIndex] = classWeight(classIndex);
             }
-            book = new TenantState(
-                    new double[] {shareWeight(2 * tenant), shareWeight(2 * tenant + 1)}, worths, quota, currentUs);
-            tenantStates[tenant] = book;
-        }
-        book.lastSeenUs = currentUs;
+            state = new TenantState(
+                    new double[] {shareWeight(2 * tenant), shareWeight(2 * tenant + 1)},
+                    classWeights,
+                    quotaPerS,
+                    currentUs);
+            tenantStates[tenant] = state;
+        }
+        state.lastSeenUs = currentUs;
         if (currentUs >= nextTenantExpiryUs) {
             nextTenantExpiryUs = currentUs + TENANT_IDLE_TIMEOUT_US;
-            for (int t = 0; t < tenantStates.length; t++) {
-                if (tenantStates[t] != null
-                        && currentUs - tenantStates[t].lastSeenUs > TENANT_IDLE_TIMEOUT_US
-                        && !hasWaiting(t)) {
-                    tenantStates[t] = null;
-                    root.forgetIfIdle(2 * t);
-                    root.forgetIfIdle(2 * t + 1);
+            for (int idleTenant = 0; idleTenant < tenantStates.length; idleTenant++) {
+                if (tenantStates[idleTenant] != null
+                        && currentUs - tenantStates[idleTenant].lastSeenUs > TENANT_IDLE_TIMEOUT_US
+                        && !hasWaiting(idleTenant)) {
+                    tenantStates[idleTenant] = null;
+                    root.forgetIfIdle(2 * idleTenant);
+                    root.forgetIfIdle(2 * idleTenant + 1);
                 }
             }
         }
-        return book;
+        return state;
     }
 
     private boolean hasWaiting(int tenant) {
-        Flow within = root.children.get(2 * tenant);
-        Flow beyond = root.children.get(2 * tenant + 1);
-        return within != null && within.waitingCount > 0 || beyond != null && beyond.waitingCount > 0;
+        Flow withinShare = root.children.get(2 * tenant);
+        Flow overShare = root.children.get(2 * tenant + 1);
+        return withinShare != null && withinShare.waitingCount > 0 || overShare != null && overShare.waitingCount > 0;
     }
 
-    private static int shareKey(QueuedRequest of) {
-        return 2 * of.tenant + (of.isWithinShare ? 0 : 1);
+    /** The key of a request's flow below the root: each tenant has one for requests within its share and one for others. */
+    private static int shareKey(QueuedRequest queued) {
+        return 2 * queued.tenant + (queued.isWithinShare ? 0 : 1);
     }
 
     private SchedulingNode childNode(SchedulingNode parent, int key) {
         Flow child = parent.children.get(key);
         if (child == null) {
-            SchedulingNode made = new SchedulingNode(parent, key, parent == root ? shareWeight(key) : classWeight(key));
-            parent.children.put(key, made);
-            return made;
+            SchedulingNode created =
+                    new SchedulingNode(parent, key, parent == root ? shareWeight(key) : classWeight(key));
+            parent.children.put(key, created);
+            return created;
         }
         return (SchedulingNode) child;
     }
 
-    private double shareWeight(int share) {
-        double weight = settings.tenantWeights().get(share / 2);
-        return share % 2 == 0 ? weight : weight * Math.max(MIN_WEIGHT, nodeSettings.overShareWorth);
+    private double shareWeight(int shareKey) {
+        double weight = settings.tenantWeights().get(shareKey / 2);
+        return shareKey % 2 == 0 ? weight : weight * Math.max(MIN_WEIGHT, nodeSettings.overShareWorth);
     }
 
-    /** By what a request earns for the work it takes, as the module has it, and squared: most, not all. */
-    private double classWeight(int cls) {
-        double most = 0;
-        for (int c = 0; c < blockedClasses.length; c++) {
-            most = Math.max(most, classValue(c));
+    /**
+     * The weight of a class: its value for the work it takes, as the decision module reckons it, relative to the most
+     * valuable class, to the power of {@link #VALUE_EXPONENT}.
+     */
+    private double classWeight(int classIndex) {
+        double maxValue = 0;
+        for (int other = 0; other < blockedClasses.length; other++) {
+            maxValue = Math.max(maxValue, classValue(other));
         }
-        return Math.max(MIN_WEIGHT, StrictMath.pow(classValue(cls) / Math.max(1e-12, most), VALUE_EXPONENT));
+        return Math.max(MIN_WEIGHT, StrictMath.pow(classValue(classIndex) / Math.max(1e-12, maxValue), VALUE_EXPONENT));
     }
 
-    private double classValue(int cls) {
-        return nodeSettings.classes.get(cls).value() / (nodeSettings.valuePerWorkUnit ? 1 : expectedWork.costUs(cls));
+    private double classValue(int classIndex) {
+        return nodeSettings.classes.get(classIndex).value()
+                / (nodeSettings.valuePerWorkUnit ? 1 : expectedWork.costUs(classIndex));
     }
 
-    /** The line of a client: its own if it is heavy, else one that its number names and the crowd shares. */
-    private RequestQueue queueFor(SchedulingNode cls, long client, int place) {
+    /**
+     * The queue of a client: its own if it is a heavy hitter, else a shared one that its number selects.
+     *
+     * @param heavyHitterIndex the client's index among its tenant's heavy hitters, or -1
+     */
+    private RequestQueue queueFor(SchedulingNode classNode, long client, int heavyHitterIndex) {
         return queueFor(
-                cls,
-                place >= 0
-                        ? settings.queuesPerClass() + place
+                classNode,
+                heavyHitterIndex >= 0
+                        ? settings.queuesPerClass() + heavyHitterIndex
                         : (int) Long.remainderUnsigned(client, settings.queuesPerClass()));
     }
 
-    private static RequestQueue queueFor(SchedulingNode cls, int key) {
-        return (RequestQueue) cls.children.computeIfAbsent(key, k -> new RequestQueue(cls, k));
+    private static RequestQueue queueFor(SchedulingNode classNode, int key) {
+        return (RequestQueue) classNode.children.computeIfAbsent(key, newKey -> new RequestQueue(classNode, newKey));
     }
 
-    /** What was made for a request that did not stay is not kept. */
+    /** Removes the flows that were created for a request that was then rejected. */
     private void prune(Flow unused) {
         for (Flow flow = unused;
                 flow.parent != null
                         && !flow.isReady
                         && flow.waitingCount == 0
                         && flow.finishTag == 0
-                        && !(flow instanceof SchedulingNode branch && !branch.children.isEmpty());
+                        && !(flow instanceof SchedulingNode node && !node.children.isEmpty());
                 flow = flow.parent) {
             flow.parent.children.remove(flow.key, flow);
         }
     }
 
-    // ---------------------------------------------------------------- how long it takes
+    // ---------------------------------------------------------------- rates and waiting times
 
-    /** To be called before anything goes in or out. */
+    /** Advances the rates to now. To be called before any request enters or leaves a queue. */
     private void updateRates() {
         throughput.advanceTo(currentUs, THROUGHPUT_TIME_CONSTANT_US, true);
         if (isBusy()) {
@@ -328,121 +371,133 @@
     }
 
     /**
-     * Whether something has waited for a while without a break. What waits for a moment only goes out as
-     * soon as one answer comes, which would look like any speed.
+     * Whether requests have waited for a while without a break. What waits only for a moment is admitted as soon as one
+     * answer comes, which would look like an arbitrarily high rate.
      */
     private boolean isBusy() {
         return root.waitingCount > 0 && currentUs > busySinceUs + MIN_BUSY_US;
     }
 
-    /** What the door drains, as the work of so many servers; 0 while that is not known. */
+    /** The drain rate in cost per microsecond, which is the work of that many servers; 0 while it is not known. */
     private double drainPerUs() {
-        double settled = drainRate.rate(MIN_MEASURED_US);
-        return settled == 0 ? 0 : Math.max(settled, throughput.rate(THROUGHPUT_TIME_CONSTANT_US / 2));
+        double busyRate = drainRate.rate(MIN_MEASURED_US);
+        return busyRate == 0 ? 0 : Math.max(busyRate, throughput.rate(THROUGHPUT_TIME_CONSTANT_US / 2));
     }
 
-    /** Weight of all that have asked lately; of this one alone where it has waited for longer than that. */
-    private double contendingWeight(QueuedRequest one) {
-        return Math.max(tenantContention.totalWeight(), shareWeight(shareKey(one)));
+    /**
+     * Total weight of the tenants that have sent requests lately; at least that of this request's, which may have
+     * waited for longer than that.
+     */
+    private double contendingWeight(QueuedRequest queued) {
+        return Math.max(tenantContention.totalWeight(), shareWeight(shareKey(queued)));
     }
 
-    /** The part of all that a tenant surely gets. */
-    private double tenantFraction(QueuedRequest of) {
-        return tenantContention.fraction(tenantStates[of.tenant].shareContenders[of.isWithinShare ? 0 : 1], currentUs);
+    /** The fraction of the capacity that a tenant surely gets. */
+    private double tenantFraction(QueuedRequest queued) {
+        return tenantContention.fraction(
+                tenantStates[queued.tenant].shareContenders[queued.isWithinShare ? 0 : 1], currentUs);
     }
 
     /**
-     * The part of all that a class of a tenant gets: what is surely its, or if that is more, by its weight
-     * of what those get together of whom some was turned away lately (max-min fairness: the others have all
-     * they want).
+     * The fraction of the capacity that a class of a tenant gets: what it surely gets or, if that is more, its weighted
+     * share of what the classes get together of which requests were rejected lately (max-min fairness: the others have
+     * all they want).
      */
-    private double classFraction(QueuedRequest of) {
-        TenantState book = tenantStates[of.tenant];
+    private double classFraction(QueuedRequest queued) {
+        TenantState state = tenantStates[queued.tenant];
         return Math.max(
-                tenantFraction(of) * book.classFraction(of.classIndex, of.isWithinShare, currentUs),
+                tenantFraction(queued) * state.classFraction(queued.classIndex, queued.isWithinShare, currentUs),
                 constrainedFraction.rate(MIN_SHARE_WINDOW_COST / 2)
                         * constrainedContention.fraction(
-                                book.leafContender(of.classIndex, of.isWithinShare), currentUs));
+                                state.leafContender(queued.classIndex, queued.isWithinShare), currentUs));
     }
 
     /**
-     * What clients may be told to come back with: the quicker mean has luck in it, and the slower one is
-     * late.
+     * The rate at which retries may be reserved. The quick mean has random peaks in it and the steady one lags behind a
+     * drop, so the lower one counts.
      */
     private double reservablePerUs() {
         return MAX_RESERVED_FRACTION * Math.min(drainRate.rate(MIN_MEASURED_US), steadyDrainRate.rate(MIN_MEASURED_US));
     }
 
     /**
-     * How much of its class of its tenant goes out before a request at the end of this line: until its
-     * class's turn, and its line's. While queues come and go, no more than waits there.
+     * The cost of this tenant's class that is admitted before a request at the end of this queue: until the turn of its
+     * class and of its queue. While queues are short-lived it is at most what waits in the class.
      */
-    private double costAhead(SchedulingNode cls, RequestQueue line) {
-        double inLine = (cls.lag(line) + line.backlogCost) / line.fraction();
-        return Math.max(0, cls.parent.lag(cls)) + (isBusy() ? inLine : Math.min(cls.backlogCost, inLine));
+    private double costAhead(SchedulingNode classNode, RequestQueue queue) {
+        double aheadInClass = (classNode.lag(queue) + queue.backlogCost) / queue.fraction();
+        return Math.max(0, classNode.parent.lag(classNode))
+                + (isBusy() ? aheadInClass : Math.min(classNode.backlogCost, aheadInClass));
     }
 
     /**
-     * How long a request still waits, by what its class of its tenant has drained since it came and drains
-     * now, and by how far its tenant is before or behind its turn. What came after it counts only where it
-     * makes its part smaller. Whatever the turns are, all that waits has gone out by a time, if not much
-     * more comes.
+     * How long a request still waits, by what its class of its tenant has drained since it arrived and drains now, and
+     * by how far its tenant is before or behind its turn. Requests that arrived later count only where they lessen its
+     * fraction. Whatever the order, everything that waits has been admitted after a time if not much more arrives,
+     * which is the upper bound.
      */
-    private double expectedWaitUs(QueuedRequest of, SchedulingNode cls) {
-        double all = drainPerUs();
-        if (all == 0) {
-            return 0; // Not known yet; the sweep has an eye on what waits.
-        }
-        double left =
-                Math.max(0, of.dueAtDrainedCost - tenantStates[of.tenant].drainedCost(of.classIndex, of.isWithinShare));
-        double part = classFraction(of);
-        double us =
-                Math.max(0, left / (all * part) + root.lag(cls.parent) / (all * Math.max(part, tenantFraction(of))));
-        return Math.min(us, (isBusy() ? MAX_OVERTAKING_FACTOR : 1) * root.backlogCost / all);
-    }
-
-    // ---------------------------------------------------------------- in and out of the lines
-
-    private void enqueue(QueuedRequest waiter, RequestQueue line) {
-        waiter.stage = QueuedRequest.Stage.WAITING;
-        waiter.queue = line;
-        waiter.sequence = ++lastSequence;
+    private double expectedWaitUs(QueuedRequest queued, SchedulingNode classNode) {
+        double totalPerUs = drainPerUs();
+        if (totalPerUs == 0) {
+            return 0; // Not known yet; the sweep checks waiting requests later.
+        }
+        double remainingCost = Math.max(
+                0,
+                queued.dueAtDrainedCost
+                        - tenantStates[queued.tenant].drainedCost(queued.classIndex, queued.isWithinShare));
+        double fraction = classFraction(queued);
+        double waitUs = Math.max(
+                0,
+                remainingCost / (totalPerUs * fraction)
+                        + root.lag(classNode.parent) / (totalPerUs * Math.max(fraction, tenantFraction(queued))));
+        return Math.min(waitUs, (isBusy() ? MAX_OVERTAKING_FACTOR : 1) * root.backlogCost / totalPerUs);
+    }
+
+    // ---------------------------------------------------------------- queues
+
+    private void enqueue(QueuedRequest queued, RequestQueue queue) {
+        queued.stage = QueuedRequest.Stage.WAITING;
+        queued.queue = queue;
+        queued.sequence = ++lastSequence;
         busySinceUs = root.waitingCount == 0 ? currentUs : busySinceUs;
-        if (line == null) {
-            returnedRequests.add(waiter);
+        if (queue == null) {
+            returnedRequests.add(queued);
         } else {
-            line.append(waiter);
+            queue.append(queued);
         }
-        updateBacklog(waiter, 1);
-        root.credit = MAX_CREDIT_US * drainPerUs() / contendingWeight(waiter);
-        for (Flow flow = line; flow != null && flow.parent != null; flow = flow.parent) {
+        updateBacklog(queued, 1);
+        root.credit = MAX_CREDIT_US * drainPerUs() / contendingWeight(queued);
+        for (Flow flow = queue; flow != null && flow.parent != null; flow = flow.parent) {
             flow.parent.activate(flow, ++lastSequence);
         }
         nextSweepUs = Math.min(nextSweepUs, currentUs + SWEEP_INTERVAL_US);
     }
 
-    /** Counts it in or out, all the way up. */
-    private void updateBacklog(QueuedRequest waiter, int sign) {
-        for (Flow flow = waiter.queue == null ? root : waiter.queue; flow != null; flow = flow.parent) {
+    /**
+     * Adds a request to the backlog of its flow and all flows above ({@code sign} 1), or takes it off ({@code sign}
+     * -1).
+     */
+    private void updateBacklog(QueuedRequest queued, int sign) {
+        for (Flow flow = queued.queue == null ? root : queued.queue; flow != null; flow = flow.parent) {
             flow.waitingCount += sign;
-            flow.backlogCost = flow.waitingCount == 0 ? 0 : flow.backlogCost + sign * waiter.cost;
+            flow.backlogCost = flow.waitingCount == 0 ? 0 : flow.backlogCost + sign * queued.cost;
         }
     }
 
-    private void unlink(QueuedRequest waiter) {
+    private void unlink(QueuedRequest queued) {
         updateRates();
-        if (waiter.queue == null) {
-            returnedRequests.remove(waiter);
+        if (queued.queue == null) {
+            returnedRequests.remove(queued);
         } else {
-            waiter.queue.unlink(waiter);
+            queued.queue.unlink(queued);
         }
-        updateBacklog(waiter, -1);
+        updateBacklog(queued, -1);
     }
 
-    /** It leaves without having been served. */
-    private void removeUnserved(QueuedRequest waiter) {
-        unlink(waiter);
-        for (Flow flow = waiter.queue; flow != null && flow.parent != null; flow = flow.parent) {
+    /** Removes a waiting request that was not admitted. */
+    private void removeUnserved(QueuedRequest queued) {
+        unlink(queued);
+        for (Flow flow = queued.queue; flow != null && flow.parent != null; flow = flow.parent) {
             flow.parent.deactivateIfEmpty(flow);
         }
         if (root.waitingCount == 0) {
@@ -450,29 +505,33 @@
         }
     }
 
-    /** The next to go, or null. */
+    /**
+     * The next request to admit, or null. Retries on time go first, except before a tenant that is below its fair
+     * share.
+     */
     private QueuedRequest nextRequest() {
-        QueuedRequest back = nextReturned(-1);
+        QueuedRequest returned = nextReturned(-1);
         QueuedRequest found = null;
         while (found == null) {
-            SchedulingNode share = (SchedulingNode) root.next(k -> true, skippedShares);
-            if (share == null || back != null && !root.isBelowFairShare(share)) {
-                found = back;
+            SchedulingNode shareNode = (SchedulingNode) root.next(key -> true, skippedShares);
+            if (shareNode == null || returned != null && !root.isBelowFairShare(shareNode)) {
+                found = returned;
                 break;
             }
-            if (back != null) {
-                found = nextReturned(share.key);
+            if (returned != null) {
+                found = nextReturned(shareNode.key);
                 if (found != null) {
                     break;
                 }
             }
-            SchedulingNode cls = (SchedulingNode) share.next(c -> !blockedClasses[c], skippedClasses);
-            share.restore(skippedClasses);
-            if (cls == null) {
-                // All that this tenant has waiting is of classes that can't go just now.
-                root.next(k -> k != share.key, skippedShares);
+            SchedulingNode classNode =
+                    (SchedulingNode) shareNode.next(classIndex -> !blockedClasses[classIndex], skippedClasses);
+            shareNode.restore(skippedClasses);
+            if (classNode == null) {
+                // All that this tenant has waiting is of blocked classes.
+                root.next(key -> key != shareNode.key, skippedShares);
             } else {
-                found = ((RequestQueue) cls.next(k -> true, skippedClasses)).head;
+                found = ((RequestQueue) classNode.next(key -> true, skippedClasses)).head;
             }
         }
         root.restore(skippedShares);
@@ -480,52 +539,56 @@
     }
 
     /**
-     * The first of those that have come back whose class can go, of this share or of any if it is -1; or
-     * null.
+     * The first retry on time whose class is not blocked, of this share or, if {@code shareKey} is -1, of any; or null.
      */
-    private QueuedRequest nextReturned(int share) {
-        for (QueuedRequest waiter : returnedRequests) {
-            if (!blockedClasses[waiter.classIndex] && (share < 0 || shareKey(waiter) == share)) {
-                return waiter;
+    private QueuedRequest nextReturned(int shareKey) {
+        for (QueuedRequest queued : returnedRequests) {
+            if (!blockedClasses[queued.classIndex] && (shareKey < 0 || shareKey(queued) == shareKey)) {
+                return queued;
             }
         }
         return null;
     }
 
-    private void serve(QueuedRequest waiter) {
-        boolean settled = isBusy();
-        unlink(waiter);
-        if (waiter.queue == null) {
-            SchedulingNode share = childNode(root, shareKey(waiter));
-            share.charge(childNode(share, waiter.classIndex), waiter.cost);
-            root.charge(share, waiter.cost);
+    /** Takes a request out of its queue as admitted and charges its cost to its flows and rates. */
+    private void serve(QueuedRequest queued) {
+        boolean wasBusy = isBusy();
+        unlink(queued);
+        if (queued.queue == null) {
+            SchedulingNode shareNode = childNode(root, shareKey(queued));
+            shareNode.charge(childNode(shareNode, queued.classIndex), queued.cost);
+            root.charge(shareNode, queued.cost);
         } else {
-            for (Flow flow = waiter.queue; flow.parent != null; flow = flow.parent) {
-                flow.parent.serve(flow, waiter.cost, ++lastSequence);
+            for (Flow flow = queued.queue; flow.parent != null; flow = flow.parent) {
+                flow.parent.serve(flow, queued.cost, ++lastSequence);
             }
         }
-        root.advanceVirtualTime(LIGHT_TENANT_FRACTION * waiter.cost / contendingWeight(waiter));
-        throughput.add(waiter.cost);
-        if (settled) {
-            drainRate.add(waiter.cost);
-            steadyDrainRate.add(waiter.cost);
+        root.advanceVirtualTime(LIGHT_TENANT_FRACTION * queued.cost / contendingWeight(queued));
+        throughput.add(queued.cost);
+        if (wasBusy) {
+            drainRate.add(queued.cost);
+            steadyDrainRate.add(queued.cost);
         }
-        tenantStates[waiter.tenant].recordDrained(waiter.classIndex, waiter.isWithinShare, waiter.cost);
-        drainedCost += waiter.cost;
+        tenantStates[queued.tenant].recordDrained(queued.classIndex, queued.isWithinShare, queued.cost);
+        drainedCost += queued.cost;
         constrainedFraction.advanceTo(
                 drainedCost, Math.max(MIN_SHARE_WINDOW_COST, DRAIN_RATE_TIME_CONSTANT_US * drainPerUs()), true);
         if (constrainedContention.isContending(
-                tenantStates[waiter.tenant].leafContender(waiter.classIndex, waiter.isWithinShare), currentUs)) {
-            constrainedFraction.add(waiter.cost);
+                tenantStates[queued.tenant].leafContender(queued.classIndex, queued.isWithinShare), currentUs)) {
+            constrainedFraction.add(queued.cost);
         }
     }
 
-    /** Makes room where the most waits for its weight; false if that is the newcomer's own line. */
-    private boolean evictFromLongestQueue(QueuedRequest newcomer, RequestQueue its) {
-        SchedulingNode share = (SchedulingNode) root.longestBacklog();
-        SchedulingNode cls = share == null ? null : (SchedulingNode) share.longestBacklog();
-        RequestQueue longest = cls == null ? null : (RequestQueue) cls.longestBacklog();
-        if (longest == null || longest == its || longest.tail == null) {
+    /**
+     * Rejects the last request of the flow with the largest backlog for its weight.
+     *
+     * @return false if that is the newcomer's own queue, and nothing was rejected
+     */
+    private boolean evictFromLongestQueue(QueuedRequest newcomer, RequestQueue ownQueue) {
+        SchedulingNode shareNode = (SchedulingNode) root.longestBacklog();
+        SchedulingNode classNode = shareNode == null ? null : (SchedulingNode) shareNode.longestBacklog();
+        RequestQueue longest = classNode == null ? null : (RequestQueue) classNode.longestBacklog();
+        if (longest == null || longest == ownQueue || longest.tail == null) {
             return false;
         }
         QueuedRequest last = longest.tail;
@@ -535,66 +598,68 @@
         return newcomer != last;
     }
 
-    // ---------------------------------------------------------------- turning away
+    // ---------------------------------------------------------------- rejections
 
-    /** It is told so with the next turn: nothing is answered from within another's arrival. */
-    private QueuedRequest scheduleRejection(QueuedRequest waiter, long adviceUs) {
-        waiter.stage = QueuedRequest.Stage.REJECTED;
-        waiter.retryAfterUs = adviceUs;
-        pendingRejections.add(waiter);
-        return waiter;
+    /** Rejects a request with the next {@link #advance}: no request is answered from within another's arrival. */
+    private QueuedRequest scheduleRejection(QueuedRequest queued, long retryAfterUs) {
+        queued.stage = QueuedRequest.Stage.REJECTED;
+        queued.retryAfterUs = retryAfterUs;
+        pendingRejections.add(queued);
+        return queued;
     }
 
     /**
-     * A place at a time to come for one that is turned away, where there is one soon enough: so much of what
-     * its class of its tenant drains is promised, one after the other.
+     * Reserves capacity for the retry of a rejected request, where there is some soon enough. Reservations of a
+     * tenant's class follow one after the other, up to a fraction of what it drains.
      *
-     * @return in how many microseconds, or 0 for no promise
+     * @return the retry-after in microseconds, or 0 if there is no reservation
      */
-    private long reserve(QueuedRequest waiter) {
+    private long reserve(QueuedRequest queued) {
         constrainedContention.recordRequest(
-                tenantStates[waiter.tenant].leafContender(waiter.classIndex, waiter.isWithinShare), currentUs);
-        if (waiter.hasConsumedQuota) {
-            waiter.hasConsumedQuota = false;
-            tenantStates[waiter.tenant].refundQuota();
-        }
-        double all = reservablePerUs();
-        double perUs = all * classFraction(waiter);
-        long longestUs = Math.min(settings.maxRetryAfterUs(), nodeSettings.maxRetryAfterUs);
-        if (longestUs == 0 || perUs == 0) {
+                tenantStates[queued.tenant].leafContender(queued.classIndex, queued.isWithinShare), currentUs);
+        if (queued.hasConsumedQuota) {
+            queued.hasConsumedQuota = false;
+            tenantStates[queued.tenant].refundQuota();
+        }
+        double totalPerUs = reservablePerUs();
+        double perUs = totalPerUs * classFraction(queued);
+        long maxRetryAfterUs = Math.min(settings.maxRetryAfterUs(), nodeSettings.maxRetryAfterUs);
+        if (maxRetryAfterUs == 0 || perUs == 0) {
             return 0;
         }
-        TenantState book = tenantState(waiter.tenant);
-        double allUs = totalReserved.remainingUs(all, currentUs);
-        double leastUs = MIN_RETRY_AFTER_US
-                + Math.max(allUs, book.reservedByClass[waiter.classIndex].remainingUs(perUs, currentUs));
-        long inUs = (long) (leastUs
-                + waiter.cost / perUs * RETRY_AFTER_JITTER * random.nextDouble()
+        TenantState state = tenantState(queued.tenant);
+        double totalReservedUs = totalReserved.remainingUs(totalPerUs, currentUs);
+        double earliestUs = MIN_RETRY_AFTER_US
+                + Math.max(totalReservedUs, state.reservedByClass[queued.classIndex].remainingUs(perUs, currentUs));
+        long retryAfterUs = (long) (earliestUs
+                + queued.cost / perUs * RETRY_AFTER_JITTER * random.nextDouble()
                 + MIN_RETRY_AFTER_US * random.nextDouble());
-        if (inUs > longestUs
-                || currentUs + inUs + expectedWork.usualLatencyUs(waiter.classIndex) > waiter.retryDeadlineUs
-                || !reservations.add(waiter.clientKey, currentUs + inUs, waiter.isWithinShare, currentUs)) {
-            // One that has as many as it may is told of the first.
-            int first = reservations.find(waiter.clientKey, currentUs);
-            counts.rejectedWithoutReservation += first < 0 ? 1 : 0;
-            return first < 0 ? 0 : Math.max(MIN_RETRY_AFTER_US, reservations.dueUs(first) - currentUs);
-        }
-        book.reservedByClass[waiter.classIndex].add(waiter.cost);
-        totalReserved.add(waiter.cost);
+        if (retryAfterUs > maxRetryAfterUs
+                || currentUs + retryAfterUs + expectedWork.usualLatencyUs(queued.classIndex) > queued.retryDeadlineUs
+                || !reservations.add(queued.clientKey, currentUs + retryAfterUs, queued.isWithinShare, currentUs)) {
+            // A client with the maximum of reservations is given the time of its first one.
+            int firstReservation = reservations.find(queued.clientKey, currentUs);
+            counts.rejectedWithoutReservation += firstReservation < 0 ? 1 : 0;
+            return firstReservation < 0
+                    ? 0
+                    : Math.max(MIN_RETRY_AFTER_US, reservations.dueUs(firstReservation) - currentUs);
+        }
+        state.reservedByClass[queued.classIndex].add(queued.cost);
+        totalReserved.add(queued.cost);
         counts.reservationsMade++;
-        return inUs;
+        return retryAfterUs;
     }
 
     private void deliverRejections() {
-        for (QueuedRequest waiter = pendingRejections.poll(); waiter != null; waiter = pendingRejections.poll()) {
-            if (waiter.stage == QueuedRequest.Stage.REJECTED) {
-                waiter.stage = QueuedRequest.Stage.DONE;
-                waiter.applicant.rejected(waiter.retryAfterUs);
+        for (QueuedRequest queued = pendingRejections.poll(); queued != null; queued = pendingRejections.poll()) {
+            if (queued.stage == QueuedRequest.Stage.REJECTED) {
+                queued.stage = QueuedRequest.Stage.DONE;
+                queued.applicant.rejected(queued.retryAfterUs);
             }
         }
     }
 
-    // ---------------------------------------------------------------- turns
+    // ---------------------------------------------------------------- admission
 
     @Override
     public void advance(long nowUs) {
@@ -604,63 +669,63 @@
             sweep();
         }
         while (root.waitingCount > 0 && (admitsAll || hasCapacity())) {
-            QueuedRequest waiter = nextRequest();
-            if (waiter == null) {
+            QueuedRequest queued = nextRequest();
+            if (queued == null) {
                 break;
             }
-            if (currentUs > waiter.latestStartUs && !admitsAll) {
-                rejectLate(waiter);
+            if (currentUs > queued.latestStartUs && !admitsAll) {
+                rejectLate(queued);
                 deliverRejections();
                 continue;
             }
-            serve(waiter);
-            waiter.stage = QueuedRequest.Stage.UNSENT;
-            waiter.admittedUs = currentUs;
-            waiter.sentCountAtAdmission = sentCount;
-            unsentRequests.add(waiter);
+            serve(queued);
+            queued.stage = QueuedRequest.Stage.UNSENT;
+            queued.admittedUs = currentUs;
+            queued.sentCountAtAdmission = sentCount;
+            unsentRequests.add(queued);
             counts.admitted++;
-            waiter.applicant.admitted();
+            queued.applicant.admitted();
         }
         deliverRejections();
         nextSweepUs = root.waitingCount == 0 ? Long.MAX_VALUE : Math.max(nextSweepUs, currentUs + 1);
     }
 
     /**
-     * Whether the module has so little unsent that it can do with more. What it has passed over keeps its
-     * class shut, and doesn't count: others may go where that can't.
+     * Whether the decision module has so little unsent that another request may be admitted. Requests that it has
+     * passed over block their class and don't count: requests of other classes may be sent where these can't.
      */
     private boolean hasCapacity() {
         Arrays.fill(blockedClasses, false);
-        int fresh = 0;
-        for (QueuedRequest waiter : unsentRequests) {
-            if (sentCount - waiter.sentCountAtAdmission >= BLOCKED_AFTER_SENDS
-                    || currentUs - waiter.admittedUs >= BLOCKED_AFTER_US) {
-                blockedClasses[waiter.classIndex] = true;
+        int unblockedCount = 0;
+        for (QueuedRequest queued : unsentRequests) {
+            if (sentCount - queued.sentCountAtAdmission >= BLOCKED_AFTER_SENDS
+                    || currentUs - queued.admittedUs >= BLOCKED_AFTER_US) {
+                blockedClasses[queued.classIndex] = true;
             } else {
-                fresh++;
+                unblockedCount++;
             }
         }
-        return fresh < settings.maxUnsent();
+        return unblockedCount < settings.maxUnsent();
     }
 
-    /** Turns away what can't be in time any more, now that more or less goes out than when it came. */
+    /** Rejects waiting requests that can't be in time any more, since the drain rate has changed after they arrived. */
     private void sweep() {
         nextSweepUs = currentUs + SWEEP_INTERVAL_US;
         updateRates();
         List<QueuedRequest> late = new ArrayList<>();
-        double back = 0;
-        for (QueuedRequest waiter : returnedRequests) {
-            if (drainPerUs() > 0 && currentUs + back / drainPerUs() > waiter.latestStartUs) {
-                late.add(waiter);
+        double returnedCost = 0;
+        for (QueuedRequest queued : returnedRequests) {
+            if (drainPerUs() > 0 && currentUs + returnedCost / drainPerUs() > queued.latestStartUs) {
+                late.add(queued);
             } else {
-                back += waiter.cost;
+                returnedCost += queued.cost;
             }
         }
-        for (Flow share : root.readyChildren()) {
-            for (Flow flow : ((SchedulingNode) share).readyChildren()) {
-                SchedulingNode cls = (SchedulingNode) flow;
-                for (Flow line : cls.readyChildren()) {
-                    collectLate(cls, (RequestQueue) line, late);
+        for (Flow shareNode : root.readyChildren()) {
+            for (Flow classFlow : ((SchedulingNode) shareNode).readyChildren()) {
+                SchedulingNode classNode = (SchedulingNode) classFlow;
+                for (Flow queue : classNode.readyChildren()) {
+                    collectLate(classNode, (RequestQueue) queue, late);
                 }
             }
         }
@@ -668,21 +733,21 @@
         deliverRejections();
     }
 
-    private void collectLate(SchedulingNode cls, RequestQueue line, List<QueuedRequest> late) {
-        for (QueuedRequest waiter = line.head; waiter != null; waiter = waiter.next) {
-            if (currentUs + expectedWaitUs(waiter, cls) > waiter.latestStartUs) {
-                late.add(waiter);
+    private void collectLate(SchedulingNode classNode, RequestQueue queue, List<QueuedRequest> late) {
+        for (QueuedRequest queued = queue.head; queued != null; queued = queued.next) {
+            if (currentUs + expectedWaitUs(queued, classNode) > queued.latestStartUs) {
+                late.add(queued);
             }
         }
     }
 
-    private void rejectLate(QueuedRequest waiter) {
-        counts.reservationsMissed += waiter.queue == null ? 1 : 0;
-        counts.reservationsKept -= waiter.queue == null ? 1 : 0;
-        removeUnserved(waiter);
+    private void rejectLate(QueuedRequest queued) {
+        counts.reservationsMissed += queued.queue == null ? 1 : 0;
+        counts.reservationsKept -= queued.queue == null ? 1 : 0;
+        removeUnserved(queued);
         counts.count(AdmissionCounts.RejectionReason.TOO_LATE);
-        counts.queuedBeforeRejectionUs += currentUs - waiter.arrivedUs;
-        scheduleRejection(waiter, reserve(waiter));
+        counts.queuedBeforeRejectionUs += currentUs - queued.arrivedUs;
+        scheduleRejection(queued, reserve(queued));
     }
 
     @Override
@@ -698,47 +763,49 @@
     }
 
     /**
-     * Takes up other figures; what waits stays where it is, and weights count from the next turn on. The
-     * table of bookings keeps its size.
+     * Applies new settings. Waiting requests stay where they are, new weights count from the next admission on, and the
+     * reservation table keeps its size.
      *
-     * @throws IllegalArgumentException if they are of other tenants than those that this door began with
+     * @throws IllegalArgumentException if the settings have another number of tenant weights than the first ones
      */
-    public void reconfigure(AdmissionSettings fresh) {
-        if (fresh.tenantWeights().size() != tenantStates.length) {
-            throw new IllegalArgumentException("the tenants are others than at the start");
+    public void reconfigure(AdmissionSettings newSettings) {
+        if (newSettings.tenantWeights().size() != tenantStates.length) {
+            throw new IllegalArgumentException(
+                    "tenant weights don't match the tenants of this node's start; restart the node to change its tenants");
         }
-        settings = fresh;
+        settings = newSettings;
         root.children.values().forEach(share -> root.setWeight(share, shareWeight(share.key)));
-        for (int t = 0; t < tenantStates.length; t++) {
-            for (int i = 0; tenantStates[t] != null && i < 2; i++) {
-                double before = tenantStates[t].shareContenders[i].weight();
-                tenantContention.setWeight(tenantStates[t].shareContenders[i], shareWeight(2 * t + i));
-                for (int c = 0; c < blockedClasses.length; c++) {
-                    Contender leaf = tenantStates[t].leafContender(c, i == 0);
-                    constrainedContention.setWeight(leaf, leaf.weight() * shareWeight(2 * t + i) / before);
+        for (int tenant = 0; tenant < tenantStates.length; tenant++) {
+            for (int side = 0; tenantStates[tenant] != null && side < 2; side++) {
+                double previousWeight = tenantStates[tenant].shareContenders[side].weight();
+                tenantContention.setWeight(tenantStates[tenant].shareContenders[side], shareWeight(2 * tenant + side));
+                for (int classIndex = 0; classIndex < blockedClasses.length; classIndex++) {
+                    Contender leaf = tenantStates[tenant].leafContender(classIndex, side == 0);
+                    constrainedContention.setWeight(
+                            leaf, leaf.weight() * shareWeight(2 * tenant + side) / previousWeight);
                 }
             }
         }
     }
 
-    // ---------------------------------------------------------------- what the node tells
+    // ---------------------------------------------------------------- progress of requests
 
-    void onFirstAttemptSent(QueuedRequest waiter) {
-        if (waiter.stage == QueuedRequest.Stage.UNSENT) {
-            waiter.stage = QueuedRequest.Stage.DONE;
-            unsentRequests.remove(waiter);
+    void onFirstAttemptSent(QueuedRequest queued) {
+        if (queued.stage == QueuedRequest.Stage.UNSENT) {
+            queued.stage = QueuedRequest.Stage.DONE;
+            unsentRequests.remove(queued);
             sentCount++;
         }
     }
 
-    void onCompleted(QueuedRequest waiter) {
-        if (waiter.stage == QueuedRequest.Stage.WAITING) {
+    void onCompleted(QueuedRequest queued) {
+        if (queued.stage == QueuedRequest.Stage.WAITING) {
             counts.disconnected++;
-            removeUnserved(waiter);
-        } else if (waiter.stage == QueuedRequest.Stage.UNSENT) {
-            unsentRequests.remove(waiter);
+            removeUnserved(queued);
+        } else if (queued.stage == QueuedRequest.Stage.UNSENT) {
+            unsentRequests.remove(queued);
         }
-        waiter.stage = QueuedRequest.Stage.DONE;
+        queued.stage = QueuedRequest.Stage.DONE;
     }
 
     @Override
@@ -746,22 +813,22 @@
         expectedWork.recordLatency(classIndex, latencyUs);
     }
 
-    /** What it has counted so far. */
+    /** Counts since the start. */
     public AdmissionCounts counts() {
         return counts;
     }
 
-    /** How many requests wait. */
+    /** Number of waiting requests. */
     public int waitingRequests() {
         return root.waitingCount;
     }
 
-    /** How many flows it keeps, bookings it has, and tenants it knows: all that its memory goes into. */
+    /** Numbers of flows, reservations and known tenants, in this order; these are all that grows in memory. */
     public int[] tableSizes() {
-        int known = 0;
-        for (TenantState book : tenantStates) {
-            known += book == null ? 0 : 1;
+        int knownTenants = 0;
+        for (TenantState state : tenantStates) {
+            knownTenants += state == null ? 0 : 1;
         }
-        return new int[] {root.flowCount(), reservations.size(), known};
+        return new int[] {root.flowCount(), reservations.size(), knownTenants};
     }
 }
