--- a/src/main/java/vetchpost/admission/AdmissionCounts.java
+++ b/src/main/java/vetchpost/admission/AdmissionCounts.java
@@ -3,13 +3,16 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What a door has done so far. */
+/**
+ * Counters of what an admission control has done so far, kept by {@link FairAdmission} and read for reports, both on
+ * the node's event loop.
+ */
 public final class AdmissionCounts {
-    /** Why a request is turned away. */
+    /** Why a request was rejected. */
     public enum RejectionReason {
-        /** It could not be in time. */
+        /** It could not be answered in time. */
         TOO_LATE,
-        /** As many wait as may. */
+        /** The maximum number of requests waits. */
         QUEUE_FULL
     }
 
@@ -25,61 +28,63 @@
     long disconnected;
     long queuedBeforeRejectionUs;
 
-    void count(RejectionReason why) {
-        rejected.merge(why, 1L, Long::sum);
+    void count(RejectionReason reason) {
+        rejected.merge(reason, 1L, Long::sum);
     }
 
-    /** Requests that have come. */
+    /** Requests that have arrived. */
     public long arrived() {
         return arrived;
     }
 
-    /** Those that went on to the module. */
+    /** Requests that were admitted to the decision module. */
     public long admitted() {
         return admitted;
     }
 
-    /** Those turned away for this reason; what came before its time is not among them. */
-    public long rejected(RejectionReason why) {
-        return rejected.getOrDefault(why, 0L);
+    /** Requests rejected for this reason; those rejected because they were retried too early are not among them. */
+    public long rejected(RejectionReason reason) {
+        return rejected.getOrDefault(reason, 0L);
     }
 
-    /** Those that came before the time that they were told. */
+    /** Requests that were retried before the time that they were given. */
     public long returnedEarly() {
         return returnedEarly;
     }
 
-    /** Those that came when they were told. */
+    /** Requests that were retried on time. */
     public long returnedOnTime() {
         return returnedOnTime;
     }
 
-    /** Those of them that found the place that they were promised. */
+    /** Retries on time whose reservation was kept. */
     public long reservationsKept() {
         return reservationsKept;
     }
 
-    /** And those that did not. */
+    /** Retries on time whose reservation could not be kept. */
     public long reservationsMissed() {
         return reservationsMissed;
     }
 
-    /** Times to come back that were promised. */
+    /** Reservations made, each told to a client as its retry-after. */
     public long reservationsMade() {
         return reservationsMade;
     }
 
-    /** Those turned away without: no place soon enough, or none of the table's. */
+    /**
+     * Requests rejected without a reservation, since there was no capacity soon enough or no free entry in the table.
+     */
     public long rejectedWithoutReservation() {
         return rejectedWithoutReservation;
     }
 
-    /** Those whose clients left while they waited. */
+    /** Requests whose clients disconnected while they waited. */
     public long disconnected() {
         return disconnected;
     }
 
-    /** How long those have waited in all that were turned away after a while, in microseconds. */
+    /** Total waiting time of the requests that were rejected after having waited, in microseconds. */
     public long queuedBeforeRejectionUs() {
         return queuedBeforeRejectionUs;
     }
--- a/src/main/java/vetchpost/admission/AdmissionSettings.java
+++ b/src/main/java/vetchpost/admission/AdmissionSettings.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What an operator says of the door. Times in microseconds.
+ * The operator's settings of admission control.
  *
- * @param waiting most requests that wait at once
- * @param lines how many lines the clients of one class of a tenant are spread over
- * @param unsent how many of those let in the module may hold unsent, so that its limits are what holds the
+ * @param maxWaiting the most requests that wait at once
+ * @param queuesPerClass how many queues the clients of one class of a tenant are spread over
+ * @param maxUnsent how many admitted requests the decision module may hold unsent, so that its own limits keep back the
  *     rest
- * @param patienceUs so long after its first try a client still comes back; 0 for its class's deadline
- * @param longestUs the longest advice on when to come back; 0 for none
- * @param bookings places in the table of bookings, a power of two
- * @param weights by tenant, first that of requests of no tenant
+ * @param clientRetryWindowUs how long after its first attempt a client still retries, in microseconds; 0 for its
+ *     class's deadline
+ * @param maxRetryAfterUs the longest retry-after, in microseconds; 0 for none
+ * @param reservationTableSize entries of the reservation table, a power of two
+ * @param tenantWeights by tenant, first that of requests without a tenant
  */
 public record AdmissionSettings(
         int maxWaiting,
@@ -22,7 +23,7 @@
         long maxRetryAfterUs,
         int reservationTableSize,
         List<Double> tenantWeights) {
-    /** Lists don't change once they are here. */
+    /** Copies the list, so that the settings are immutable. */
     public AdmissionSettings {
         tenantWeights = List.copyOf(tenantWeights);
     }
--- a/src/main/java/vetchpost/admission/AdmissionValidator.java
+++ b/src/main/java/vetchpost/admission/AdmissionValidator.java
@@ -14,7 +14,10 @@
 import vetchpost.routes.Violation;
 import vetchpost.routes.Violation.Rule;
 
-/** Reads the table of an operator's file that speaks of the door. It does no I/O. */
+/**
+ * Validates the {@code [admission]} table of an operator's file and makes {@link AdmissionSettings} of it. Called when
+ * a file is loaded or checked. It does no I/O.
+ */
 public final class AdmissionValidator {
     static final List<String> KEYS =
             List.of("waiting", "lines", "unsent", "patience", "longest-advice", "bookings", "weights");
@@ -35,9 +38,10 @@
     private final List<Violation> violations = new ArrayList<>();
 
     /**
-     * What the table comes to.
+     * The result of a validation.
      *
-     * @param settings null if there is no table, or any violation
+     * @param settings null if there is no such table, or any violation
+     * @param violations all violations of the table
      */
     public record ValidationResult(AdmissionSettings settings, List<Violation> violations) {}
 
@@ -45,7 +49,11 @@
         this.settings = settings;
     }
 
-    /** Looks at the table of a file that is its affair; {@code settings} are the platform's. */
+    /**
+     * Validates the file's {@code [admission]} table, if it has one.
+     *
+     * @param settings the platform's settings: tenants, and the longest retry-after allowed
+     */
     public static ValidationResult validate(List<Section> file, Settings settings) {
         for (Section section : file) {
             if (section.kind() == Kind.ADMISSION) {
@@ -55,7 +63,7 @@
         return new ValidationResult(null, List.of());
     }
 
-    /** What holds where the table says nothing. */
+    /** The settings for an empty table. */
     public static AdmissionSettings defaults(Settings settings) {
         return new AdmissionSettings(
                 DEFAULT_WAITING_REQUESTS,
@@ -74,75 +82,84 @@
                         entry.at(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'", "one of " + String.join(", ", KEYS));
             }
         });
-        int waiting = integerValue(section, "waiting", DEFAULT_WAITING_REQUESTS, 1, MAX_WAITING_REQUESTS);
-        int lines = integerValue(section, "lines", DEFAULT_QUEUES_PER_CLASS, 1, MAX_QUEUES_PER_CLASS);
-        int unsent = integerValue(section, "unsent", DEFAULT_UNSENT_REQUESTS, 1, MAX_UNSENT_REQUESTS);
-        int bookings = integerValue(section, "bookings", DEFAULT_RESERVATIONS, MIN_RESERVATIONS, MAX_RESERVATIONS);
-        if (Integer.bitCount(bookings) != 1) {
+        int maxWaiting = integerValue(section, "waiting", DEFAULT_WAITING_REQUESTS, 1, MAX_WAITING_REQUESTS);
+        int queuesPerClass = integerValue(section, "lines", DEFAULT_QUEUES_PER_CLASS, 1, MAX_QUEUES_PER_CLASS);
+        int maxUnsent = integerValue(section, "unsent", DEFAULT_UNSENT_REQUESTS, 1, MAX_UNSENT_REQUESTS);
+        int reservationTableSize =
+                integerValue(section, "bookings", DEFAULT_RESERVATIONS, MIN_RESERVATIONS, MAX_RESERVATIONS);
+        if (Integer.bitCount(reservationTableSize) != 1) {
             addViolation(
                     section.entries().get("bookings").at(),
                     Rule.OUT_OF_RANGE,
-                    "bookings = " + bookings + " is no power of two",
-                    Integer.toString(Integer.highestOneBit(bookings)));
+                    "bookings = " + reservationTableSize + " is not a power of two",
+                    Integer.toString(Integer.highestOneBit(reservationTableSize)));
         }
-        long patience = durationUs(section, "patience", 0);
-        long longest = durationUs(section, "longest-advice", settings.maxRetryAfterUs);
-        if (longest > settings.maxRetryAfterUs) {
+        long clientRetryWindowUs = durationUs(section, "patience", 0);
+        long maxRetryAfterUs = durationUs(section, "longest-advice", settings.maxRetryAfterUs);
+        if (maxRetryAfterUs > settings.maxRetryAfterUs) {
             addViolation(
                     section.entries().get("longest-advice").at(),
                     Rule.NOT_ALLOWED,
-                    "longest-advice is over the " + settings.maxRetryAfterUs / 1_000 + "ms that the settings allow",
+                    "longest-advice is longer than the " + settings.maxRetryAfterUs / 1_000
+                            + "ms that the settings allow",
                     settings.maxRetryAfterUs / 1_000 + "ms");
         }
         List<Double> weights = weights(section);
         return new ValidationResult(
                 violations.isEmpty()
-                        ? new AdmissionSettings(waiting, lines, unsent, patience, longest, bookings, weights)
+                        ? new AdmissionSettings(
+                                maxWaiting,
+                                queuesPerClass,
+                                maxUnsent,
+                                clientRetryWindowUs,
+                                maxRetryAfterUs,
+                                reservationTableSize,
+                                weights)
                         : null,
                 List.copyOf(violations));
     }
 
-    private void addViolation(Position at, Rule rule, String what, String fits) {
-        violations.add(new Violation(at, "admission", rule, what, fits));
+    private void addViolation(Position position, Rule rule, String message, String suggestion) {
+        violations.add(new Violation(position, "admission", rule, message, suggestion));
     }
 
-    private int integerValue(Section section, String key, int otherwise, int least, int most) {
+    private int integerValue(Section section, String key, int defaultValue, int min, int max) {
         Entry entry = section.entries().get(key);
         if (entry == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!(entry.value() instanceof Long number)) {
-            addViolation(entry.at(), Rule.WRONG_UNIT, key + " is no whole number", key + " = " + otherwise);
-            return otherwise;
+            addViolation(entry.at(), Rule.WRONG_UNIT, key + " is not a whole number", key + " = " + defaultValue);
+            return defaultValue;
         }
-        if (number < least || number > most) {
-            addViolation(entry.at(), Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
-            return otherwise;
+        if (number < min || number > max) {
+            addViolation(entry.at(), Rule.OUT_OF_RANGE, key + " = " + number, "from " + min + " to " + max);
+            return defaultValue;
         }
         return number.intValue();
     }
 
-    private long durationUs(Section section, String key, long otherwise) {
+    private long durationUs(Section section, String key, long defaultValue) {
         Entry entry = section.entries().get(key);
         if (entry == null) {
-            return otherwise;
+            return defaultValue;
         }
-        Matcher m = entry.value() instanceof String text ? DURATION.matcher(text) : null;
-        if (m == null || !m.matches()) {
-            addViolation(entry.at(), Rule.WRONG_UNIT, key + " is no time with its unit", "\"500ms\"");
-            return otherwise;
+        Matcher matcher = entry.value() instanceof String text ? DURATION.matcher(text) : null;
+        if (matcher == null || !matcher.matches()) {
+            addViolation(entry.at(), Rule.WRONG_UNIT, key + " is not a duration with a unit", "\"500ms\"");
+            return defaultValue;
         }
-        long us = (long) (Double.parseDouble(m.group(1))
-                * switch (m.group(2)) {
+        long valueUs = (long) (Double.parseDouble(matcher.group(1))
+                * switch (matcher.group(2)) {
                     case "ms" -> 1e3;
                     case "s" -> 1e6;
                     default -> 60e6;
                 });
-        if (us > MAX_DURATION_US) {
-            addViolation(entry.at(), Rule.OUT_OF_RANGE, key + " is over an hour", "\"60m\"");
-            return otherwise;
+        if (valueUs > MAX_DURATION_US) {
+            addViolation(entry.at(), Rule.OUT_OF_RANGE, key + " is longer than an hour", "\"60m\"");
+            return defaultValue;
         }
-        return us;
+        return valueUs;
     }
 
     private List<Double> weights(Section section) {
@@ -151,7 +168,7 @@
             return weights(settings, Map.of());
         }
         if (!(entry.value() instanceof Map<?, ?> table)) {
-            addViolation(entry.at(), Rule.WRONG_UNIT, "weights is no table", "weights = { school = 2.0 }");
+            addViolation(entry.at(), Rule.WRONG_UNIT, "weights is not a table", "weights = { school = 2.0 }");
             return List.of();
         }
         List<String> names = settings.tenants.stream().map(Tenant::name).toList();
@@ -165,38 +182,39 @@
                                 ? ""
                                 : "one of " + String.join(", ", names.subList(0, Math.min(names.size(), 20))));
             } else if (!(value instanceof Number)) {
-                addViolation(entry.at(), Rule.WRONG_UNIT, "the weight of " + name + " is no number", "1.0");
+                addViolation(entry.at(), Rule.WRONG_UNIT, "the weight of " + name + " is not a number", "1.0");
             } else if (!(((Number) value).doubleValue() >= 1 / MAX_TENANT_WEIGHT)) {
                 addViolation(
                         entry.at(),
                         Rule.STARVES,
-                        name + " weighs " + value + ": it would get nothing while " + "others wait",
-                        "from " + 1 / MAX_TENANT_WEIGHT + " on");
+                        name + " has weight " + value + ": it would get nothing while others wait",
+                        "at least " + 1 / MAX_TENANT_WEIGHT);
             } else if (((Number) value).doubleValue() > MAX_TENANT_WEIGHT) {
-                addViolation(entry.at(), Rule.OUT_OF_RANGE, name + " weighs " + value, "to " + MAX_TENANT_WEIGHT);
+                addViolation(
+                        entry.at(), Rule.OUT_OF_RANGE, name + " has weight " + value, "at most " + MAX_TENANT_WEIGHT);
             }
         });
         return violations.isEmpty() ? weights(settings, table) : List.of();
     }
 
     /**
-     * A tenant's share where the settings say one, in proportion to their mean so that 1 is usual; else 1.
-     * What the file says comes first. Requests of no tenant weigh as the usual one.
+     * The weight of each tenant: the configured one, else its quota in proportion to the mean quota so that 1 is usual,
+     * else 1. Requests without a tenant have weight 1.
      */
-    private static List<Double> weights(Settings settings, Map<?, ?> said) {
+    private static List<Double> weights(Settings settings, Map<?, ?> configured) {
         double mean = settings.tenants.stream()
                 .mapToDouble(Tenant::quotaPerS)
-                .filter(q -> q > 0)
+                .filter(quota -> quota > 0)
                 .average()
                 .orElse(1);
         List<Double> weights = new ArrayList<>();
         weights.add(1.0);
         for (Tenant tenant : settings.tenants) {
-            double share = tenant.quotaPerS() > 0 ? tenant.quotaPerS() / mean : 1;
+            double quotaRatio = tenant.quotaPerS() > 0 ? tenant.quotaPerS() / mean : 1;
             weights.add(
-                    said.get(tenant.name()) instanceof Number number
+                    configured.get(tenant.name()) instanceof Number number
                             ? number.doubleValue()
-                            : Math.min(MAX_TENANT_WEIGHT, Math.max(1 / MAX_TENANT_WEIGHT, share)));
+                            : Math.min(MAX_TENANT_WEIGHT, Math.max(1 / MAX_TENANT_WEIGHT, quotaRatio)));
         }
         return weights;
     }
--- a/src/main/java/vetchpost/admission/Contention.java
+++ b/src/main/java/vetchpost/admission/Contention.java
@@ -4,16 +4,18 @@
 import java.util.Deque;
 
 /**
- * Who has asked for something lately, by weight. What waits just now doesn't tell: in overload most is turned
- * away when it comes, and a queue that looks empty is not a part that nobody wants.
+ * Tracks which contenders (tenants or classes) have sent requests lately, and their total weight. The queues alone
+ * don't show that: in overload most requests are rejected on arrival, so an empty queue doesn't mean that nobody wants
+ * its share. Used by {@link FairAdmission}, on the node's event loop.
  */
 final class Contention {
+    /** A request counts for this long. */
     private static final long CONTENTION_WINDOW_US = 500_000;
 
     private final Deque<Contender> queue = new ArrayDeque<>();
     private double totalWeight;
 
-    /** One of those that contend. */
+    /** A contender and its weight. */
     static final class Contender {
         private double weight;
         private long activeUntilUs;
@@ -28,19 +30,19 @@
         }
     }
 
-    /** It has asked for something. */
-    void recordRequest(Contender one, long nowUs) {
-        one.activeUntilUs = nowUs + CONTENTION_WINDOW_US;
-        if (!one.isQueued) {
-            one.isQueued = true;
-            totalWeight += one.weight;
-            queue.add(one);
+    /** Records a request of this contender. */
+    void recordRequest(Contender contender, long nowUs) {
+        contender.activeUntilUs = nowUs + CONTENTION_WINDOW_US;
+        if (!contender.isQueued) {
+            contender.isQueued = true;
+            totalWeight += contender.weight;
+            queue.add(contender);
         }
     }
 
-    /** Its part while all that have asked lately want theirs, itself among them. */
-    double fraction(Contender one, long nowUs) {
-        // Each is looked at once in a while: first in the queue is who was looked at longest ago.
+    /** The contender's fraction while all that have sent requests lately want theirs; it counts as one of them. */
+    double fraction(Contender contender, long nowUs) {
+        // Each contender is checked from time to time: the first in the queue was checked the longest ago.
         while (!queue.isEmpty() && queue.peek().activeUntilUs <= nowUs) {
             Contender first = queue.poll();
             first.isQueued = false;
@@ -49,22 +51,25 @@
         if (!queue.isEmpty()) {
             queue.add(queue.poll());
         }
-        return one.weight / (totalWeight + (one.isQueued ? 0 : one.weight));
+        return contender.weight / (totalWeight + (contender.isQueued ? 0 : contender.weight));
     }
 
-    /** Whether it has asked lately. */
-    boolean isContending(Contender one, long nowUs) {
-        return one.isQueued && one.activeUntilUs > nowUs;
+    /** Whether the contender has sent a request lately. */
+    boolean isContending(Contender contender, long nowUs) {
+        return contender.isQueued && contender.activeUntilUs > nowUs;
     }
 
-    /** Of all that have asked lately, as far as they were looked at; 0 once nobody has. */
+    /**
+     * Total weight of the contenders that have sent requests lately, as far as they were checked; 0 once there are
+     * none.
+     */
     double totalWeight() {
         return totalWeight;
     }
 
-    /** It weighs this from now on. */
-    void setWeight(Contender one, double other) {
-        totalWeight += one.isQueued ? other - one.weight : 0;
-        one.weight = other;
+    /** Changes a contender's weight. */
+    void setWeight(Contender contender, double newWeight) {
+        totalWeight += contender.isQueued ? newWeight - contender.weight : 0;
+        contender.weight = newWeight;
     }
 }
--- a/src/main/java/vetchpost/admission/DrainRate.java
+++ b/src/main/java/vetchpost/admission/DrainRate.java
@@ -1,10 +1,10 @@
 package vetchpost.admission;
 
 /**
- * How much goes out of a queue, measured only while something waits: what a quiet door lets through tells
- * nothing of how much could go. What it is measured against is the caller's: microseconds for the whole
- * door, so that the rate is the work of so many servers, or what goes out of the door for a part of it, so
- * that it is that part's share.
+ * An exponentially weighted mean of the cost that leaves a queue, measured only while requests wait: what an idle
+ * admission control lets through says nothing of how much it could. The caller chooses what it is measured against:
+ * microseconds, which gives the work of a number of servers, or the cost that all queues drain, which gives a fraction
+ * of it. Used by {@link FairAdmission}, on the node's event loop.
  */
 final class DrainRate {
     private double drainedCost;
@@ -12,33 +12,33 @@
     private double position;
 
     /**
-     * Measured until now.
+     * Advances the measurement.
      *
-     * @param at the place on what it is measured against; it only grows
-     * @param memory what lies so far back counts a third
-     * @param busy whether something waited all the while
+     * @param newPosition the current position on what it is measured against; it only grows
+     * @param timeConstant time constant in the same unit: what lies this far back counts a third
+     * @param isBusy whether requests waited all the while
      */
-    void advanceTo(double at, double memory, boolean busy) {
-        if (busy && at > position) {
-            double kept = StrictMath.exp(-(at - position) / memory);
-            drainedCost *= kept;
-            measuredSpan = measuredSpan * kept + memory * (1 - kept);
+    void advanceTo(double newPosition, double timeConstant, boolean isBusy) {
+        if (isBusy && newPosition > position) {
+            double decay = StrictMath.exp(-(newPosition - position) / timeConstant);
+            drainedCost *= decay;
+            measuredSpan = measuredSpan * decay + timeConstant * (1 - decay);
         }
-        position = Math.max(position, at);
+        position = Math.max(position, newPosition);
     }
 
-    /** What lies before this does not count. */
-    void skipTo(double at) {
-        position = Math.max(position, at);
+    /** Excludes everything before this position from the measurement. */
+    void skipTo(double newPosition) {
+        position = Math.max(position, newPosition);
     }
 
-    /** Something of this cost has gone out. */
+    /** Adds a cost that has left the queue. */
     void add(double cost) {
         drainedCost += cost;
     }
 
-    /** What went out for one of what it is measured against; 0 where less than {@code least} has passed. */
-    double rate(double least) {
-        return measuredSpan < least ? 0 : drainedCost / measuredSpan;
+    /** The mean cost for each unit that it is measured against; 0 if less than {@code minSpan} was measured. */
+    double rate(double minSpan) {
+        return measuredSpan < minSpan ? 0 : drainedCost / measuredSpan;
     }
 }
--- a/src/main/java/vetchpost/admission/ExpectedWork.java
+++ b/src/main/java/vetchpost/admission/ExpectedWork.java
@@ -1,17 +1,21 @@
 package vetchpost.admission;
 
 /**
- * What a request of a class takes. What clients say of it ({@code X-Estimate}) is not used: one that said
- * less would get more than its share.
+ * Learns from latencies how much work a request of each class takes. The clients' own estimate ({@code X-Estimate}) is
+ * not used: a client that stated less would get more than its share. Used by {@link FairAdmission}, on the node's event
+ * loop.
  */
 final class ExpectedWork {
-    /** Share of a new latency in the usual one. */
+    /** Weight of a new latency in the mean. */
     private static final double SMOOTHING_FACTOR = 1.0 / 32;
-    /** Growth of the least with each answer, so that it follows a change of work, but not a crowd's hours. */
+    /**
+     * Factor by which the minimum grows with each response, so that it follows a change of work but not hours of
+     * overload.
+     */
     private static final double MIN_LATENCY_GROWTH = 1.000002;
-    /** Answers of a class before they count: the first ones are slow, and few. */
+    /** Responses of a class before its latency counts as known: the first ones are slow, and few. */
     private static final int MIN_SAMPLES = 16;
-    /** Taken for all classes until there are. */
+    /** Cost of a class whose latency is not known yet. */
     private static final double DEFAULT_COST_US = 20_000;
 
     private final double[] meanLatencyUs;
@@ -24,25 +28,25 @@
         sampleCounts = new int[classes];
     }
 
-    void recordLatency(int cls, long latencyUs) {
-        sampleCounts[cls] = Math.min(Integer.MAX_VALUE - 1, sampleCounts[cls] + 1);
-        meanLatencyUs[cls] += Math.max(SMOOTHING_FACTOR, 1.0 / sampleCounts[cls]) * (latencyUs - meanLatencyUs[cls]);
-        if (sampleCounts[cls] >= MIN_SAMPLES) {
-            minLatencyUs[cls] = minLatencyUs[cls] == 0
-                    ? meanLatencyUs[cls]
-                    : Math.min(minLatencyUs[cls] * MIN_LATENCY_GROWTH, meanLatencyUs[cls]);
+    /** Records the latency of a successful attempt. */
+    void recordLatency(int classIndex, long latencyUs) {
+        sampleCounts[classIndex] = Math.min(Integer.MAX_VALUE - 1, sampleCounts[classIndex] + 1);
+        meanLatencyUs[classIndex] +=
+                Math.max(SMOOTHING_FACTOR, 1.0 / sampleCounts[classIndex]) * (latencyUs - meanLatencyUs[classIndex]);
+        if (sampleCounts[classIndex] >= MIN_SAMPLES) {
+            minLatencyUs[classIndex] = minLatencyUs[classIndex] == 0
+                    ? meanLatencyUs[classIndex]
+                    : Math.min(minLatencyUs[classIndex] * MIN_LATENCY_GROWTH, meanLatencyUs[classIndex]);
         }
     }
 
-    /**
-     * Cost of a request: the least of the mean latencies, which has the least of other requests' work in it.
-     */
-    double costUs(int cls) {
-        return Math.max(1, minLatencyUs[cls] > 0 ? minLatencyUs[cls] : DEFAULT_COST_US);
+    /** Cost of a request: the minimum of the mean latencies, which contains the least of other requests' work. */
+    double costUs(int classIndex) {
+        return Math.max(1, minLatencyUs[classIndex] > 0 ? minLatencyUs[classIndex] : DEFAULT_COST_US);
     }
 
-    /** How long an answer usually takes from the first attempt on; 0 if that is not known. */
-    double usualLatencyUs(int cls) {
-        return sampleCounts[cls] < MIN_SAMPLES ? 0 : meanLatencyUs[cls];
+    /** Mean latency from the first attempt on; 0 if it is not known. */
+    double usualLatencyUs(int classIndex) {
+        return sampleCounts[classIndex] < MIN_SAMPLES ? 0 : meanLatencyUs[classIndex];
     }
 }
--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -286,7 +286,10 @@
         return withinShare != null && withinShare.waitingCount > 0 || overShare != null && overShare.waitingCount > 0;
     }
 
-    /** The key of a request's flow below the root: each tenant has one for requests within its share and one for others. */
+    /**
+     * The key of a request's flow below the root. Each tenant has one flow for requests within its share and one for
+     * others.
+     */
     private static int shareKey(QueuedRequest queued) {
         return 2 * queued.tenant + (queued.isWithinShare ? 0 : 1);
     }
@@ -771,7 +774,7 @@
     public void reconfigure(AdmissionSettings newSettings) {
         if (newSettings.tenantWeights().size() != tenantStates.length) {
             throw new IllegalArgumentException(
-                    "tenant weights don't match the tenants of this node's start; restart the node to change its tenants");
+                    "the tenants differ from those at this node's start; restart the node to change its tenants");
         }
         settings = newSettings;
         root.children.values().forEach(share -> root.setWeight(share, shareWeight(share.key)));
--- a/src/main/java/vetchpost/admission/Flow.java
+++ b/src/main/java/vetchpost/admission/Flow.java
@@ -3,17 +3,17 @@
 import java.util.Comparator;
 
 /**
- * One of those that share what its parent gets, in proportion to their weights: a tenant, a class of it, or a
- * line of clients of that. Its tags are of start-time fair queueing: it starts at its parent's virtual time
- * or where its last request finished, whichever is later, and finishes by its cost over its weight later
- * (P. Goyal, H. Vin, H. Cheng, "Start-Time Fair Queueing", IEEE/ACM Transactions on Networking 5(5), 1997).
+ * One of the flows that share their parent's capacity in proportion to their weights: a tenant's share, a class in it,
+ * or a queue of clients in that. Its tags are those of start-time fair queueing: a request starts at its parent's
+ * virtual time or at the finish of its flow's last one, whichever is later, and finishes later by its cost divided by
+ * the weight (P. Goyal, H. Vin, H. Cheng, "Start-Time Fair Queueing", IEEE/ACM Transactions on Networking 5(5), 1997).
  */
 abstract class Flow {
-    /** The next to be served first; of equal ones the one that has waited longer. */
+    /** Order of service: by start tag, and of equal ones the flow that has waited longer. */
     static final Comparator<Flow> BY_START =
-            Comparator.<Flow>comparingDouble(f -> f.startTag).thenComparingLong(f -> f.sequence);
+            Comparator.<Flow>comparingDouble(flow -> flow.startTag).thenComparingLong(flow -> flow.sequence);
 
-    static final Comparator<Flow> BY_FINISH = Comparator.comparingDouble(f -> f.finishTag);
+    static final Comparator<Flow> BY_FINISH = Comparator.comparingDouble(flow -> flow.finishTag);
 
     final SchedulingNode parent;
     final int key;
@@ -22,7 +22,7 @@
     double finishTag;
     long sequence;
     boolean isReady;
-    /** Cost of all that waits in it, and how many requests that is. */
+    /** Cost of all requests that wait in it, and their number. */
     double backlogCost;
 
     int waitingCount;
@@ -33,7 +33,10 @@
         this.weight = weight;
     }
 
-    /** Its part of what its parent gets while all that have something waiting do, itself among them. */
+    /**
+     * Its fraction of its parent's capacity while all siblings with waiting requests use theirs; it counts as one of
+     * them.
+     */
     final double fraction() {
         return weight / (parent.readyWeight + (isReady ? 0 : weight));
     }
--- a/src/main/java/vetchpost/admission/HeavyHitters.java
+++ b/src/main/java/vetchpost/admission/HeavyHitters.java
@@ -1,16 +1,16 @@
 package vetchpost.admission;
 
 /**
- * The few clients of a tenant that ask for much, told from the crowd in fixed memory: the space-saving sketch
- * (A. Metwally, D. Agrawal, A. El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data
- * Streams", ICDT 2005), halved with time. What a client is known to have asked for is its counter less what
- * it took over from the one whose place it got.
+ * Finds the few clients of a tenant that send many of its requests, in fixed memory: the space-saving sketch (A.
+ * Metwally, D. Agrawal, A. El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams", ICDT
+ * 2005), with counts that halve with time. A client's known count is its counter less what it took over from the client
+ * whose entry it got. Used by {@link FairAdmission}, on the node's event loop.
  */
 final class HeavyHitters {
     static final int MAX_TRACKED_CLIENTS = 16;
-    /** A client with more than this part of what its tenant asks for has a line of its own. */
+    /** A client with more than this fraction of its tenant's requests has a queue of its own. */
     private static final double HEAVY_FRACTION = 1.0 / 32;
-    /** Of so little nobody can be told heavy, in requests. */
+    /** A client with fewer requests than this is never a heavy hitter. */
     private static final double MIN_HEAVY_REQUESTS = 8;
 
     private static final long HALF_LIFE_US = 1_000_000;
@@ -22,39 +22,39 @@
     private long decayedUs;
 
     /**
-     * A client has asked once more.
+     * Records a request of a client.
      *
-     * @return its place if it is heavy, else -1
+     * @return the client's entry if it is a heavy hitter, else -1
      */
     int recordRequest(long client, long nowUs) {
         decay(nowUs);
         totalRequests++;
-        int place = 0;
-        int least = 0;
-        while (place < MAX_TRACKED_CLIENTS && (clientIds[place] != client || counts[place] == 0)) {
-            least = counts[place] < counts[least] ? place : least;
-            place++;
+        int entry = 0;
+        int minEntry = 0;
+        while (entry < MAX_TRACKED_CLIENTS && (clientIds[entry] != client || counts[entry] == 0)) {
+            minEntry = counts[entry] < counts[minEntry] ? entry : minEntry;
+            entry++;
         }
-        if (place == MAX_TRACKED_CLIENTS) {
-            place = least;
-            clientIds[place] = client;
-            errors[place] = counts[place];
+        if (entry == MAX_TRACKED_CLIENTS) {
+            entry = minEntry;
+            clientIds[entry] = client;
+            errors[entry] = counts[entry];
         }
-        counts[place]++;
-        double known = counts[place] - errors[place];
-        return known >= MIN_HEAVY_REQUESTS && known > HEAVY_FRACTION * totalRequests ? place : -1;
+        counts[entry]++;
+        double knownCount = counts[entry] - errors[entry];
+        return knownCount >= MIN_HEAVY_REQUESTS && knownCount > HEAVY_FRACTION * totalRequests ? entry : -1;
     }
 
     private void decay(long nowUs) {
         if (nowUs - decayedUs < HALF_LIFE_US) {
             return;
         }
-        double kept = StrictMath.pow(0.5, (nowUs - decayedUs) / HALF_LIFE_US);
+        double factor = StrictMath.pow(0.5, (nowUs - decayedUs) / HALF_LIFE_US);
         decayedUs += (nowUs - decayedUs) / HALF_LIFE_US * HALF_LIFE_US;
-        totalRequests *= kept;
+        totalRequests *= factor;
         for (int i = 0; i < MAX_TRACKED_CLIENTS; i++) {
-            counts[i] *= kept;
-            errors[i] *= kept;
+            counts[i] *= factor;
+            errors[i] *= factor;
         }
     }
 }
--- a/src/main/java/vetchpost/admission/QueuedRequest.java
+++ b/src/main/java/vetchpost/admission/QueuedRequest.java
@@ -3,17 +3,20 @@
 import vetchpost.core.AdmissionControl.Applicant;
 import vetchpost.core.AdmissionControl.RequestProgress;
 
-/** A request from its arrival to its end. */
+/**
+ * A request and its scheduling state, from its arrival to its end. Created by {@link FairAdmission}, which also changes
+ * its fields; the {@link vetchpost.core.Dispatcher} reports its progress through it. Event loop only.
+ */
 final class QueuedRequest implements RequestProgress {
-    /** Where it stands. */
+    /** The stages of a request. */
     enum Stage {
-        /** Just come, and turned away with the next turn. */
+        /** Just arrived, or being rejected with the next {@link FairAdmission#advance}. */
         REJECTED,
-        /** In a line. */
+        /** In a queue, or among the retries on time. */
         WAITING,
-        /** Let in; the module has not sent it yet. */
+        /** Admitted; the decision module has not sent it yet. */
         UNSENT,
-        /** Sent, or over. */
+        /** Sent, or ended. */
         DONE
     }
 
@@ -21,54 +24,54 @@
     final Applicant applicant;
     final int tenant;
     final int classIndex;
-    /** Of its client and class. */
+    /** Identifies its client and class. */
     final long clientKey;
 
     final long arrivedUs;
-    /** Let in later than this it would be late. */
+    /** Admitted later than this it would be answered late. */
     final long latestStartUs;
-    /** The client comes back no later than this. */
+    /** The client retries no later than this. */
     final long retryDeadlineUs;
 
     final double cost;
     /** Whether it counts as within its tenant's share. */
     boolean isWithinShare;
-    /** Whether it has used up a part of that, which it gives back if it is turned away. */
+    /** Whether it has used up one request of that share, which is refunded if it is rejected. */
     boolean hasConsumedQuota;
 
     Stage stage = Stage.REJECTED;
     long retryAfterUs;
-    /** It goes when this much has gone out of its class of its tenant, as it looked when it came. */
+    /** The drained cost of its tenant's class at which it was due, as estimated on arrival. */
     double dueAtDrainedCost;
-    /** Its line, or null if it goes before all lines. */
+    /** Its queue, or null if it is a retry on time and goes before all queues. */
     RequestQueue queue;
 
     long sequence;
     QueuedRequest previous;
     QueuedRequest next;
-    /** When it was let in, and how many had been sent by then. */
+    /** When it was admitted, and how many requests had been sent by then. */
     long admittedUs;
 
     long sentCountAtAdmission;
 
     QueuedRequest(
-            FairAdmission door,
-            Applicant entrant,
+            FairAdmission admission,
+            Applicant applicant,
             int tenant,
-            int cls,
-            long fingerprint,
+            int classIndex,
+            long clientKey,
             long arrivedUs,
-            long latestUs,
-            long patienceUs,
+            long latestStartUs,
+            long retryDeadlineUs,
             double cost) {
-        this.admission = door;
-        this.applicant = entrant;
+        this.admission = admission;
+        this.applicant = applicant;
         this.tenant = tenant;
-        this.classIndex = cls;
-        this.clientKey = fingerprint;
+        this.classIndex = classIndex;
+        this.clientKey = clientKey;
         this.arrivedUs = arrivedUs;
-        this.latestStartUs = latestUs;
-        this.retryDeadlineUs = patienceUs;
+        this.latestStartUs = latestStartUs;
+        this.retryDeadlineUs = retryDeadlineUs;
         this.cost = cost;
     }
 
--- a/src/main/java/vetchpost/admission/RequestQueue.java
+++ b/src/main/java/vetchpost/admission/RequestQueue.java
@@ -1,8 +1,11 @@
 package vetchpost.admission;
 
-/** Requests that wait one behind the other: those of a client, or of the few that share its line. */
+/**
+ * A first-in, first-out queue of the requests of one client, or of the few clients that share it; a linked list, so
+ * that a request can be removed from anywhere. Used by {@link FairAdmission}, on the node's event loop.
+ */
 final class RequestQueue extends Flow {
-    /** The one that goes first, and the one that came last; null if nobody waits. */
+    /** The first and the last request; null if the queue is empty. */
     QueuedRequest head;
 
     QueuedRequest tail;
@@ -11,29 +14,29 @@
         super(parent, key, 1);
     }
 
-    void append(QueuedRequest waiter) {
-        waiter.previous = tail;
+    void append(QueuedRequest request) {
+        request.previous = tail;
         if (tail == null) {
-            head = waiter;
+            head = request;
         } else {
-            tail.next = waiter;
+            tail.next = request;
         }
-        tail = waiter;
+        tail = request;
     }
 
-    /** Takes one out wherever it stands. */
-    void unlink(QueuedRequest waiter) {
-        if (waiter.previous == null) {
-            head = waiter.next;
+    /** Removes a request from any position. */
+    void unlink(QueuedRequest request) {
+        if (request.previous == null) {
+            head = request.next;
         } else {
-            waiter.previous.next = waiter.next;
+            request.previous.next = request.next;
         }
-        if (waiter.next == null) {
-            tail = waiter.previous;
+        if (request.next == null) {
+            tail = request.previous;
         } else {
-            waiter.next.previous = waiter.previous;
+            request.next.previous = request.previous;
         }
-        waiter.previous = null;
-        waiter.next = null;
+        request.previous = null;
+        request.next = null;
     }
 }
--- a/src/main/java/vetchpost/admission/ReservationTable.java
+++ b/src/main/java/vetchpost/admission/ReservationTable.java
@@ -1,15 +1,16 @@
 package vetchpost.admission;
 
 /**
- * When clients were told to come back: a table of fixed size, four places to a row, in which what is past
- * makes room. A client whose row is full gets no booking.
+ * Holds the reservations for clients' retries in a table of fixed size with {@value #ASSOCIATIVITY} entries to a row,
+ * in which expired reservations are overwritten. A client whose row is full gets no reservation. Used by
+ * {@link FairAdmission}, on the node's event loop.
  */
 final class ReservationTable {
     private static final int ASSOCIATIVITY = 4;
     private static final int MAX_RESERVATIONS_PER_CLIENT = 2;
-    /** A client's timers and its way here. */
+    /** A retry this much early still counts as on time: a client's timers and network latency vary. */
     static final long MAX_EARLY_US = 5_000;
-    /** So long after the time one has still come when told. */
+    /** A retry this much late still counts as on time; the reservation expires then. */
     static final long MAX_LATE_US = 500_000;
 
     private final long[] clientKeys;
@@ -18,72 +19,80 @@
     private final int mask;
     private int liveCount;
 
-    /** Places for so many, a power of two from 4 on. */
-    ReservationTable(int places) {
-        clientKeys = new long[places];
-        dueUs = new long[places];
-        withinShareFlags = new boolean[places];
-        mask = places / ASSOCIATIVITY - 1;
+    /**
+     * Creates an empty table.
+     *
+     * @param entries its size, a power of two from 4 on
+     */
+    ReservationTable(int entries) {
+        clientKeys = new long[entries];
+        dueUs = new long[entries];
+        withinShareFlags = new boolean[entries];
+        mask = entries / ASSOCIATIVITY - 1;
     }
 
     private int rowStart(long client) {
         return ((int) (client ^ client >>> 32) & mask) * ASSOCIATIVITY;
     }
 
-    /** The place of the first of a client's bookings that has not gone by, or -1. */
+    /** The entry of a client's first reservation that has not expired, or -1. */
     int find(long client, long nowUs) {
-        int row = rowStart(client);
-        int first = -1;
-        for (int i = row; i < row + ASSOCIATIVITY; i++) {
-            if (clientKeys[i] == client && dueUs[i] != 0) {
-                if (nowUs > dueUs[i] + MAX_LATE_US) {
-                    remove(i);
-                } else if (first < 0 || dueUs[i] < dueUs[first]) {
-                    first = i;
+        int rowStart = rowStart(client);
+        int firstEntry = -1;
+        for (int entry = rowStart; entry < rowStart + ASSOCIATIVITY; entry++) {
+            if (clientKeys[entry] == client && dueUs[entry] != 0) {
+                if (nowUs > dueUs[entry] + MAX_LATE_US) {
+                    remove(entry);
+                } else if (firstEntry < 0 || dueUs[entry] < dueUs[firstEntry]) {
+                    firstEntry = entry;
                 }
             }
         }
-        return first;
+        return firstEntry;
     }
 
-    /** Whether a client has as many as one may; it can want several things at a time. */
+    /**
+     * Whether a client has the maximum of reservations; there may be several since it may want several things at a
+     * time.
+     */
     boolean hasMaxReservations(long client) {
-        int row = rowStart(client);
-        int its = 0;
-        for (int i = row; i < row + ASSOCIATIVITY; i++) {
-            its += clientKeys[i] == client && dueUs[i] != 0 ? 1 : 0;
+        int rowStart = rowStart(client);
+        int reservationCount = 0;
+        for (int entry = rowStart; entry < rowStart + ASSOCIATIVITY; entry++) {
+            reservationCount += clientKeys[entry] == client && dueUs[entry] != 0 ? 1 : 0;
         }
-        return its >= MAX_RESERVATIONS_PER_CLIENT;
+        return reservationCount >= MAX_RESERVATIONS_PER_CLIENT;
     }
 
-    long dueUs(int place) {
-        return dueUs[place];
+    /** When the retry of a reservation is due. */
+    long dueUs(int entry) {
+        return dueUs[entry];
     }
 
-    /** Whether it was within its tenant's share. */
-    boolean isWithinShare(int place) {
-        return withinShareFlags[place];
+    /** Whether the reserved request is within its tenant's share. */
+    boolean isWithinShare(int entry) {
+        return withinShareFlags[entry];
     }
 
-    void remove(int place) {
-        dueUs[place] = 0;
+    void remove(int entry) {
+        dueUs[entry] = 0;
         liveCount--;
     }
 
-    /** Whether there was room for it. */
+    /** Adds a reservation; false if the client has the maximum, or its row is full. */
     boolean add(long client, long atUs, boolean withinShare, long nowUs) {
-        int row = rowStart(client);
+        int rowStart = rowStart(client);
         if (hasMaxReservations(client)) {
             return false;
         }
-        for (int i = row; i < row + ASSOCIATIVITY; i++) {
-            if (dueUs[i] != 0 && nowUs > dueUs[i] + MAX_LATE_US) {
-                remove(i);
+        for (int entry = rowStart; entry < rowStart + ASSOCIATIVITY; entry++) {
+            if (dueUs[entry] != 0 && nowUs > dueUs[entry] + MAX_LATE_US) {
+                remove(entry);
             }
-            if (dueUs[i] == 0) {
-                clientKeys[i] = client;
-                dueUs[i] = atUs;
-                withinShareFlags[i] = withinShare;
+            if (dueUs[entry] == 0) {
+                clientKeys[entry] = client;
+                dueUs[entry] = atUs;
+                withinShareFlags[entry] = withinShare;
                 liveCount++;
                 return true;
             }
@@ -91,7 +100,7 @@
         return false;
     }
 
-    /** How many there are, with those that have gone by and were not noticed yet. */
+    /** Number of reservations, including expired ones that were not noticed yet. */
     int size() {
         return liveCount;
     }
--- a/src/main/java/vetchpost/admission/SchedulingNode.java
+++ b/src/main/java/vetchpost/admission/SchedulingNode.java
@@ -7,18 +7,21 @@
 import java.util.PriorityQueue;
 import java.util.function.IntPredicate;
 
-/** A flow that is divided among others. */
+/**
+ * A flow whose capacity is divided among child flows by start-time fair queueing; an inner node of the scheduling tree
+ * of {@link FairAdmission}. Event loop only.
+ */
 final class SchedulingNode extends Flow {
     final Map<Integer, Flow> children = new HashMap<>();
     double readyWeight;
     /**
-     * A child that has had nothing waiting may start so much before now, in virtual time: bursts are no
-     * crowd.
+     * How far before the virtual time a child that was idle may start, so that a short burst is not treated as a
+     * backlog.
      */
     double credit;
 
     private final PriorityQueue<Flow> readyQueue = new PriorityQueue<>(BY_START);
-    /** What has nothing waiting but a finish that lies ahead: to forget that would be to let it go first. */
+    /** Idle children whose finish tag lies ahead: to forget them would let them go first. */
     private final PriorityQueue<Flow> idleQueue = new PriorityQueue<>(BY_FINISH);
 
     private double virtualTime;
@@ -28,18 +31,18 @@
         super(parent, key, weight);
     }
 
-    /** All that have something waiting. */
+    /** All children with waiting requests. */
     List<Flow> readyChildren() {
         return List.copyOf(readyQueue);
     }
 
-    /** The next one whose key passes, or null. */
+    /** The next child whose key passes, or null; children before it are moved to {@code skipped}. */
     Flow next(IntPredicate passes, List<Flow> skipped) {
         Flow found = null;
         while (found == null && !readyQueue.isEmpty()) {
-            Flow first = readyQueue.peek();
-            if (passes.test(first.key)) {
-                found = first;
+            Flow candidate = readyQueue.peek();
+            if (passes.test(candidate.key)) {
+                found = candidate;
             } else {
                 skipped.add(readyQueue.poll());
             }
@@ -47,34 +50,34 @@
         return found;
     }
 
-    /** Puts back what was passed over. */
+    /** Puts skipped children back. */
     void restore(List<Flow> skipped) {
         readyQueue.addAll(skipped);
         skipped.clear();
     }
 
-    /** A child has something waiting. */
-    void activate(Flow child, long turn) {
+    /** A child has a waiting request now. */
+    void activate(Flow child, long sequence) {
         if (child.isReady) {
             return;
         }
         idleQueue.remove(child);
         child.startTag = Math.max(virtualTime - credit, child.finishTag);
-        child.sequence = turn;
+        child.sequence = sequence;
         child.isReady = true;
         readyWeight += child.weight;
         readyQueue.add(child);
     }
 
-    /** A child's request of this cost goes out. */
-    void serve(Flow child, double cost, long turn) {
+    /** A request of this cost was taken from a child. */
+    void serve(Flow child, double cost, long sequence) {
         readyQueue.remove(child);
         virtualTime = Math.max(virtualTime, child.startTag);
         child.finishTag = child.startTag + cost / child.weight;
         maxFinishTag = Math.max(maxFinishTag, child.finishTag);
         if (child.waitingCount > 0) {
             child.startTag = child.finishTag;
-            child.sequence = turn;
+            child.sequence = sequence;
             readyQueue.add(child);
         } else {
             deactivate(child);
@@ -82,7 +85,7 @@
         pruneIdle();
     }
 
-    /** A child has had this much outside its turn: its next turns come so much later. */
+    /** Charges a child a cost outside its turn: its next turns come later by that. */
     void charge(Flow child, double cost) {
         if (child.isReady) {
             readyQueue.remove(child);
@@ -96,26 +99,23 @@
         }
     }
 
-    /** Something has gone out that moves the turns on by so much, whose turn it was or not. */
+    /** Advances the virtual time for a request that was served, whether or not it was in turn. */
     void advanceVirtualTime(double time) {
         virtualTime += time;
     }
 
-    /** Whether a child with something waiting has had clearly less than its part so far. */
+    /** Whether a child with waiting requests has had clearly less than its share so far. */
     boolean isBelowFairShare(Flow child) {
         return child.startTag < virtualTime - credit / 2;
     }
 
-    /**
-     * How much a child's next turn lies behind what is served now, in cost of its own; less than 0 for
-     * credit.
-     */
+    /** How far a child's next turn lies behind the virtual time, in cost of its own; negative while it has credit. */
     double lag(Flow child) {
         return ((child.isReady ? child.startTag : Math.max(virtualTime - credit, child.finishTag)) - virtualTime)
                 * child.weight;
     }
 
-    /** A child has nothing waiting any more, and was not served for it. */
+    /** Deactivates a child whose last waiting request was removed without having been served. */
     void deactivateIfEmpty(Flow child) {
         if (child.isReady && child.waitingCount == 0) {
             readyQueue.remove(child);
@@ -130,19 +130,22 @@
         idleQueue.add(child);
     }
 
-    /** What finished before now is as good as new; with nothing waiting at all, that is everything. */
+    /**
+     * Removes idle children whose finish tag has passed: a new flow would start alike. With no request waiting at all,
+     * these are all of them.
+     */
     private void pruneIdle() {
         if (readyQueue.isEmpty()) {
             virtualTime = Math.max(virtualTime, maxFinishTag);
-            readyWeight = 0; // What rounding has left would else stay for good.
+            readyWeight = 0; // Else rounding errors would accumulate.
         }
         while (!idleQueue.isEmpty() && idleQueue.peek().finishTag <= virtualTime - credit) {
-            Flow past = idleQueue.poll();
-            children.remove(past.key, past);
+            Flow expired = idleQueue.poll();
+            children.remove(expired.key, expired);
         }
     }
 
-    /** A child of this key that has nothing waiting is as good as new. */
+    /** Removes the child of this key if it is idle. */
     void forgetIfIdle(int key) {
         Flow child = children.get(key);
         if (child != null && !child.isReady && child.waitingCount == 0) {
@@ -151,7 +154,7 @@
         }
     }
 
-    /** Those of its children with the most waiting for their weight, or null. */
+    /** The child with the largest backlog for its weight, or null. */
     Flow longestBacklog() {
         Flow longest = null;
         for (Flow child : readyQueue) {
@@ -162,17 +165,17 @@
         return longest;
     }
 
-    /** Has a child weigh this from now on. */
+    /** Changes a child's weight. */
     void setWeight(Flow child, double weight) {
         readyWeight += child.isReady ? weight - child.weight : 0;
         child.weight = weight;
     }
 
-    /** How many flows there are below, itself counted. */
+    /** Number of flows in this subtree, itself included. */
     int flowCount() {
         int size = 1;
         for (Flow child : new ArrayList<>(children.values())) {
-            size += child instanceof SchedulingNode branch ? branch.flowCount() : 1;
+            size += child instanceof SchedulingNode node ? node.flowCount() : 1;
         }
         return size;
     }
--- a/src/main/java/vetchpost/admission/TenantState.java
+++ b/src/main/java/vetchpost/admission/TenantState.java
@@ -2,20 +2,23 @@
 
 import vetchpost.admission.Contention.Contender;
 
-/** What is kept of a tenant that has asked for something lately. */
+/**
+ * The state of a tenant that has sent requests lately: its heavy hitters, reservations, contention among its classes,
+ * drained cost and quota. Used by {@link FairAdmission}, on the node's event loop.
+ */
 final class TenantState {
-    /** A tenant may use up this much of its share at once, as in the module. */
+    /** A tenant may use this much of its quota in a burst, as in the decision module. */
     private static final double MAX_QUOTA_BURST_S = 1;
 
     final HeavyHitters heavyHitters = new HeavyHitters();
-    /** By class. */
+    /** Reserved work by class. */
     final ReservedWork[] reservedByClass;
-    /** What lies within its share, and what beyond, among those of all tenants; and in each its classes. */
+    /** The tenant's requests within its share (0) and over it (1), as contenders among those of all tenants. */
     final Contender[] shareContenders = new Contender[2];
 
     private final Contention[] classContention = {new Contention(), new Contention()};
     private final Contender[][] classContenders;
-    /** The classes again, among those of all tenants. */
+    /** The classes again, as contenders among those of all tenants. */
     private final Contender[][] leafContenders;
 
     private final double[] drainedCosts;
@@ -25,32 +28,33 @@
     long lastSeenUs;
 
     /**
-     * Nothing asked yet.
+     * Creates the state of a tenant without requests.
      *
-     * @param weights of what lies within its share and beyond it
-     * @param worths of its classes
-     * @param quotaPerS requests a second inside its share at this node; 0 for no limit
+     * @param shareWeights of the requests within its share and over it
+     * @param classWeights of its classes
+     * @param quotaPerS requests a second within its share at this node; 0 for no limit
      */
-    TenantState(double[] weights, double[] worths, double quotaPerS, long nowUs) {
-        int classes = worths.length;
-        this.classContenders = new Contender[2][classes];
-        leafContenders = new Contender[2][classes];
-        double all = 0;
-        for (double worth : worths) {
-            all += worth;
+    TenantState(double[] shareWeights, double[] classWeights, double quotaPerS, long nowUs) {
+        int classCount = classWeights.length;
+        this.classContenders = new Contender[2][classCount];
+        leafContenders = new Contender[2][classCount];
+        double totalClassWeight = 0;
+        for (double classWeight : classWeights) {
+            totalClassWeight += classWeight;
         }
-        for (int i = 0; i < 2; i++) {
-            shareContenders[i] = new Contender(weights[i]);
-            for (int c = 0; c < classes; c++) {
-                this.classContenders[i][c] = new Contender(worths[c]);
-                leafContenders[i][c] = new Contender(weights[i] * worths[c] / all);
+        for (int side = 0; side < 2; side++) {
+            shareContenders[side] = new Contender(shareWeights[side]);
+            for (int classIndex = 0; classIndex < classCount; classIndex++) {
+                this.classContenders[side][classIndex] = new Contender(classWeights[classIndex]);
+                leafContenders[side][classIndex] =
+                        new Contender(shareWeights[side] * classWeights[classIndex] / totalClassWeight);
             }
         }
         this.quotaPerS = quotaPerS;
-        drainedCosts = new double[2 * classes];
-        reservedByClass = new ReservedWork[classes];
-        for (int c = 0; c < classes; c++) {
-            reservedByClass[c] = new ReservedWork();
+        drainedCosts = new double[2 * classCount];
+        reservedByClass = new ReservedWork[classCount];
+        for (int classIndex = 0; classIndex < classCount; classIndex++) {
+            reservedByClass[classIndex] = new ReservedWork();
         }
         remainingQuota = maxQuotaBurst();
         quotaUpdatedUs = nowUs;
@@ -60,34 +64,34 @@
         return Math.max(1, quotaPerS * MAX_QUOTA_BURST_S);
     }
 
-    /** It has asked for something of this class. */
-    void recordRequest(int cls, boolean inShare, long nowUs) {
-        int i = inShare ? 0 : 1;
-        classContention[i].recordRequest(classContenders[i][cls], nowUs);
+    /** Records a request of this class. */
+    void recordRequest(int classIndex, boolean isWithinShare, long nowUs) {
+        int side = isWithinShare ? 0 : 1;
+        classContention[side].recordRequest(classContenders[side][classIndex], nowUs);
     }
 
-    /** What part of the tenant's is this class's while all that it asked for lately want theirs. */
-    double classFraction(int cls, boolean inShare, long nowUs) {
-        int i = inShare ? 0 : 1;
-        return classContention[i].fraction(classContenders[i][cls], nowUs);
+    /** The class's fraction of the tenant's capacity while all classes with recent requests want theirs. */
+    double classFraction(int classIndex, boolean isWithinShare, long nowUs) {
+        int side = isWithinShare ? 0 : 1;
+        return classContention[side].fraction(classContenders[side][classIndex], nowUs);
     }
 
-    /** A class of it among those of all tenants. */
-    Contender leafContender(int cls, boolean inShare) {
-        return leafContenders[inShare ? 0 : 1][cls];
+    /** The contender of a class among those of all tenants. */
+    Contender leafContender(int classIndex, boolean isWithinShare) {
+        return leafContenders[isWithinShare ? 0 : 1][classIndex];
     }
 
-    /** A request of this class and cost has gone out. */
-    void recordDrained(int cls, boolean inShare, double cost) {
-        drainedCosts[2 * cls + (inShare ? 0 : 1)] += cost;
+    /** Records an admitted request of this class and cost. */
+    void recordDrained(int classIndex, boolean isWithinShare, double cost) {
+        drainedCosts[2 * classIndex + (isWithinShare ? 0 : 1)] += cost;
     }
 
-    /** What has gone out so far. */
-    double drainedCost(int cls, boolean inShare) {
-        return drainedCosts[2 * cls + (inShare ? 0 : 1)];
+    /** The cost that was admitted of this class so far. */
+    double drainedCost(int classIndex, boolean isWithinShare) {
+        return drainedCosts[2 * classIndex + (isWithinShare ? 0 : 1)];
     }
 
-    /** Uses up one request of its share; false if there is none left. */
+    /** Consumes one request of the quota; false if there is none left. */
     boolean tryConsumeQuota(long nowUs) {
         if (quotaPerS <= 0) {
             return true;
@@ -101,7 +105,7 @@
         return true;
     }
 
-    /** A request that had used up one was turned away. */
+    /** Returns the consumed quota of a request that was rejected. */
     void refundQuota() {
         remainingQuota = Math.min(maxQuotaBurst(), remainingQuota + 1);
     }
--- a/src/main/java/vetchpost/core/Subset.java
+++ b/src/main/java/vetchpost/core/Subset.java
@@ -57,8 +57,8 @@
     public Subset(int nodeIndex, int nodeCount, int minServers, boolean selectsWholeCells) {
         if (nodeCount < 1 || nodeCount > MAX_NODES || nodeIndex < 0 || nodeIndex >= nodeCount || minServers < 1) {
             throw new IllegalArgumentException(
-                    "node index " + nodeIndex + " of " + nodeCount + " nodes with at least " + minServers
-                            + " servers: the index must be from 0 to nodes - 1, nodes from 1 to 100000, servers from 1");
+                    "invalid subset (index from 0 to nodes - 1, nodes from 1 to 100000, at least 1 server): index "
+                            + nodeIndex + ", nodes " + nodeCount + ", servers " + minServers);
         }
         this.nodeIndex = nodeIndex;
         this.nodeCount = nodeCount;
