--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -78,7 +78,7 @@
      */
     private static final double RETRY_AFTER_JITTER = 0.1;
     /** Least weight of a class, and of requests over a tenant's share, so that none starves. */
-    private static final double MIN_WEIGHT = 0.001;
+    private static final double MIN_FLOW_WEIGHT = 0.001;
     /**
      * Exponent of a class's value in its weight: at 1 the most valuable classes leave too much capacity to others, and
      * with a very large one all others starve.
@@ -307,7 +307,7 @@
 
     private double shareWeight(int shareKey) {
         double weight = settings.tenantWeights().get(shareKey / 2);
-        return shareKey % 2 == 0 ? weight : weight * Math.max(MIN_WEIGHT, nodeSettings.overShareWorth);
+        return shareKey % 2 == 0 ? weight : weight * Math.max(MIN_FLOW_WEIGHT, nodeSettings.overShareWorth);
     }
 
     /**
@@ -319,7 +319,7 @@
         for (int other = 0; other < blockedClasses.length; other++) {
             maxValue = Math.max(maxValue, classValue(other));
         }
-        return Math.max(MIN_WEIGHT, StrictMath.pow(classValue(classIndex) / Math.max(1e-12, maxValue), VALUE_EXPONENT));
+        return Math.max(MIN_FLOW_WEIGHT, StrictMath.pow(classValue(classIndex) / Math.max(1e-12, maxValue), VALUE_EXPONENT));
     }
 
     private double classValue(int classIndex) {
--- a/src/test/java/vetchpost/admission/AdmissionHarness.java
+++ b/src/test/java/vetchpost/admission/AdmissionHarness.java
@@ -17,22 +17,22 @@
 
 /** A door on virtual time, before a module that sends as soon as one of so many servers is free. */
 final class AdmissionHarness {
-    static final long WORK_US = 10_000;
-    private static final long START_US = 1_000_000_000_000L;
+    static final long REQUEST_WORK_US = 10_000;
+    private static final long START_TIME_US = 1_000_000_000_000L;
 
     final Settings settings;
     final FairAdmission admission;
     final List<SubmittedRequest> submitted = new ArrayList<>();
-    long currentUs = START_US;
+    long currentUs = START_TIME_US;
     int serverCount;
-    long workUs = WORK_US;
+    long workUs = REQUEST_WORK_US;
     private int busyServers;
     private long lastNumber;
     private final List<SubmittedRequest> unsentRequests = new ArrayList<>();
-    private final PriorityQueue<Due> timers =
-            new PriorityQueue<>(Comparator.comparingLong(Due::us).thenComparingLong(Due::number));
+    private final PriorityQueue<ScheduledTask> timers =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::dueUs).thenComparingLong(ScheduledTask::number));
 
-    private record Due(long us, long number, Runnable task) {}
+    private record ScheduledTask(long dueUs, long number, Runnable task) {}
 
     /** What has become of a request. */
     final class SubmittedRequest implements AdmissionControl.Applicant {
@@ -144,7 +144,7 @@
     }
 
     void schedule(long us, Runnable task) {
-        timers.add(new Due(us, ++lastNumber, task));
+        timers.add(new ScheduledTask(us, ++lastNumber, task));
     }
 
     private void sendUnsent() {
@@ -167,7 +167,7 @@
     void run(long us) {
         long until = currentUs + us;
         while (true) {
-            long dueUs = timers.isEmpty() ? Long.MAX_VALUE : timers.peek().us;
+            long dueUs = timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueUs;
             long wakeUs = Math.max(currentUs, admission.nextWakeUpUs());
             if (Math.min(dueUs, wakeUs) > until) {
                 break;
--- a/src/test/java/vetchpost/admission/FairAdmissionTest.java
+++ b/src/test/java/vetchpost/admission/FairAdmissionTest.java
@@ -319,7 +319,7 @@
                 .toList();
         assertTrue(again.size() > 100, again.size() + " are told another time");
         long span = again.get(again.size() - 1) - again.get(0);
-        assertTrue(span > again.size() * AdmissionHarness.WORK_US / 4 / 2, "spread over " + span);
+        assertTrue(span > again.size() * AdmissionHarness.REQUEST_WORK_US / 4 / 2, "spread over " + span);
     }
 
     @Test
--- a/src/test/java/vetchpost/core/AdmissionControlTest.java
+++ b/src/test/java/vetchpost/core/AdmissionControlTest.java
@@ -50,10 +50,10 @@
             1_000_000,
             actions -> new ServiceQBalancer(settings(), 1, actions));
 
-    private record ScheduledTask(long us, long number, Runnable task) implements Comparable<ScheduledTask> {
+    private record ScheduledTask(long dueUs, long number, Runnable task) implements Comparable<ScheduledTask> {
         @Override
         public int compareTo(ScheduledTask other) {
-            return us != other.us ? Long.compare(us, other.us) : Long.compare(number, other.number);
+            return dueUs != other.dueUs ? Long.compare(dueUs, other.dueUs) : Long.compare(number, other.number);
         }
     }
 
@@ -166,9 +166,9 @@
 
     private void run(long us) {
         long until = currentUs + us;
-        while (!timers.isEmpty() && timers.peek().us <= until) {
+        while (!timers.isEmpty() && timers.peek().dueUs <= until) {
             ScheduledTask due = timers.poll();
-            currentUs = Math.max(currentUs, due.us);
+            currentUs = Math.max(currentUs, due.dueUs);
             due.task.run();
         }
         currentUs = until;
--- a/src/test/java/vetchpost/core/AnswerMarginTest.java
+++ b/src/test/java/vetchpost/core/ResponseMarginTest.java
@@ -10,7 +10,7 @@
 import vetchpost.decision.Balancer;
 
 /** The module's deadline lies before the client's: an answer needs time to be written and read. */
-class AnswerMarginTest {
+class ResponseMarginTest {
     private static final long NOW_US = 1_000_000;
     private final List<Balancer.Request> receivedRequests = new ArrayList<>();
     private final Clock clock = new Clock() {
