--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -319,7 +319,8 @@
         for (int other = 0; other < blockedClasses.length; other++) {
             maxValue = Math.max(maxValue, classValue(other));
         }
-        return Math.max(MIN_FLOW_WEIGHT, StrictMath.pow(classValue(classIndex) / Math.max(1e-12, maxValue), VALUE_EXPONENT));
+        return Math.max(
+                MIN_FLOW_WEIGHT, StrictMath.pow(classValue(classIndex) / Math.max(1e-12, maxValue), VALUE_EXPONENT));
     }
 
     private double classValue(int classIndex) {
--- a/src/test/java/vetchpost/admission/AdmissionHarness.java
+++ b/src/test/java/vetchpost/admission/AdmissionHarness.java
@@ -15,7 +15,10 @@
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
 
-/** A door on virtual time, before a module that sends as soon as one of so many servers is free. */
+/**
+ * Runs a {@link FairAdmission} on virtual time, before a stand-in for the decision module that sends a request as soon
+ * as one of a number of simulated servers is free. Single-threaded; {@link #run} advances the time.
+ */
 final class AdmissionHarness {
     static final long REQUEST_WORK_US = 10_000;
     private static final long START_TIME_US = 1_000_000_000_000L;
@@ -29,12 +32,12 @@
     private int busyServers;
     private long lastNumber;
     private final List<SubmittedRequest> unsentRequests = new ArrayList<>();
-    private final PriorityQueue<ScheduledTask> timers =
-            new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::dueUs).thenComparingLong(ScheduledTask::number));
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::dueUs).thenComparingLong(ScheduledTask::number));
 
     private record ScheduledTask(long dueUs, long number, Runnable task) {}
 
-    /** What has become of a request. */
+    /** A submitted request and what has become of it. */
     final class SubmittedRequest implements AdmissionControl.Applicant {
         final int tenant;
         final int classIndex;
@@ -48,9 +51,9 @@
         long retryAfterUs;
         Runnable onRejected = () -> {};
 
-        SubmittedRequest(int tenant, int cls, String key) {
+        SubmittedRequest(int tenant, int classIndex, String key) {
             this.tenant = tenant;
-            this.classIndex = cls;
+            this.classIndex = classIndex;
             this.key = key;
         }
 
@@ -60,7 +63,7 @@
 
         @Override
         public void admitted() {
-            require(!isAdmitted && !isRejected && !isDisconnected, "admitted twice, or after its end");
+            require(!isAdmitted && !isRejected && !isDisconnected, "admitted twice, or after the request ended");
             isAdmitted = true;
             unsentRequests.add(this);
             sendUnsent();
@@ -68,7 +71,7 @@
 
         @Override
         public void rejected(long retryAfterUs) {
-            require(!isAdmitted && !isRejected && !isDisconnected, "refused twice, or after its end");
+            require(!isAdmitted && !isRejected && !isDisconnected, "rejected twice, or after the request ended");
             isRejected = true;
             this.retryAfterUs = retryAfterUs;
             endedUs = currentUs;
@@ -84,92 +87,110 @@
         }
     }
 
-    AdmissionHarness(int servers, Settings platform, AdmissionSettings settings) {
-        this.serverCount = servers;
-        this.settings = platform;
-        admission = new FairAdmission(settings, platform, 7);
+    AdmissionHarness(int serverCount, Settings settings, AdmissionSettings admissionSettings) {
+        this.serverCount = serverCount;
+        this.settings = settings;
+        admission = new FairAdmission(admissionSettings, settings, 7);
     }
 
-    AdmissionHarness(int servers, Settings platform) {
-        this(servers, platform, AdmissionValidator.defaults(platform));
+    AdmissionHarness(int serverCount, Settings settings) {
+        this(serverCount, settings, AdmissionValidator.defaults(settings));
     }
 
-    static void require(boolean holds, String otherwise) {
-        if (!holds) {
-            throw new AssertionError(otherwise);
+    static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 
-    /** So many tenants of equal shares, one class of requests with this aim. */
-    static Settings settings(int tenants, long aimUs) {
-        Settings set = new Settings();
-        set.classes.add(new RequestClass(
-                "view-page", aimUs, 0, 10 * aimUs, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
-        for (int i = 0; i < tenants; i++) {
-            set.tenants.add(new Tenant("school-" + i, 0));
+    /** Settings with this many tenants of equal weight and one class of requests with this latency target. */
+    static Settings settings(int tenantCount, long latencyTargetUs) {
+        Settings settings = new Settings();
+        settings.classes.add(new RequestClass(
+                "view-page",
+                latencyTargetUs,
+                0,
+                10 * latencyTargetUs,
+                1,
+                0,
+                Idempotency.SAFE,
+                DeduplicationScope.ALL,
+                0,
+                false));
+        for (int i = 0; i < tenantCount; i++) {
+            settings.tenants.add(new Tenant("school-" + i, 0));
         }
-        set.maxRetryAfterUs = 10_000_000;
-        set.clientsMarkRetries = true;
-        return set;
+        settings.maxRetryAfterUs = 10_000_000;
+        settings.clientsMarkRetries = true;
+        return settings;
     }
 
     SubmittedRequest submit(int tenant, String key) {
         return submit(tenant, 0, key);
     }
 
-    SubmittedRequest submit(int tenant, int cls, String key) {
-        SubmittedRequest asked = new SubmittedRequest(tenant, cls, key);
-        submitted.add(asked);
-        long deadlineUs = settings.classes.get(cls).deadlineUs();
-        asked.progress = admission.arrive(
+    SubmittedRequest submit(int tenant, int classIndex, String key) {
+        SubmittedRequest request = new SubmittedRequest(tenant, classIndex, key);
+        submitted.add(request);
+        long deadlineUs = settings.classes.get(classIndex).deadlineUs();
+        request.progress = admission.arrive(
                 currentUs,
                 new ClientRequest(
-                        ++lastNumber, cls, tenant, deadlineUs, 0, false, "GET", "/", new Cookie(key), new byte[0]),
+                        ++lastNumber,
+                        classIndex,
+                        tenant,
+                        deadlineUs,
+                        0,
+                        false,
+                        "GET",
+                        "/",
+                        new Cookie(key),
+                        new byte[0]),
                 lastNumber,
                 0,
                 currentUs + deadlineUs,
-                asked);
+                request);
         admission.advance(currentUs);
-        return asked;
+        return request;
     }
 
-    /** Asks for something every so often. */
-    void submitEvery(long us, long untilUs, Runnable ask) {
-        schedule(currentUs + us, () -> {
+    /** Runs this action once an interval, until that time. */
+    void submitEvery(long intervalUs, long untilUs, Runnable action) {
+        schedule(currentUs + intervalUs, () -> {
             if (currentUs < untilUs) {
-                ask.run();
-                submitEvery(us, untilUs, ask);
+                action.run();
+                submitEvery(intervalUs, untilUs, action);
             }
         });
     }
 
-    void schedule(long us, Runnable task) {
-        timers.add(new ScheduledTask(us, ++lastNumber, task));
+    void schedule(long dueUs, Runnable task) {
+        timers.add(new ScheduledTask(dueUs, ++lastNumber, task));
     }
 
     private void sendUnsent() {
         while (busyServers < serverCount && !unsentRequests.isEmpty()) {
-            SubmittedRequest next = unsentRequests.remove(0);
+            SubmittedRequest request = unsentRequests.remove(0);
             busyServers++;
-            next.progress.onFirstAttemptSent();
+            request.progress.onFirstAttemptSent();
             long sentUs = currentUs;
             schedule(currentUs + workUs, () -> {
                 busyServers--;
-                next.endedUs = currentUs;
-                admission.recordLatency(next.classIndex, currentUs - sentUs);
-                next.progress.onCompleted();
+                request.endedUs = currentUs;
+                admission.recordLatency(request.classIndex, currentUs - sentUs);
+                request.progress.onCompleted();
                 sendUnsent();
                 admission.advance(currentUs);
             });
         }
     }
 
-    void run(long us) {
-        long until = currentUs + us;
+    void run(long durationUs) {
+        long untilUs = currentUs + durationUs;
         while (true) {
             long dueUs = timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueUs;
             long wakeUs = Math.max(currentUs, admission.nextWakeUpUs());
-            if (Math.min(dueUs, wakeUs) > until) {
+            if (Math.min(dueUs, wakeUs) > untilUs) {
                 break;
             }
             if (wakeUs < dueUs) {
@@ -180,17 +201,17 @@
                 timers.poll().task.run();
             }
         }
-        currentUs = until;
+        currentUs = untilUs;
     }
 
     long servedCount(int tenant) {
         return submitted.stream()
-                .filter(a -> a.tenant == tenant && a.isServed())
+                .filter(request -> request.tenant == tenant && request.isServed())
                 .count();
     }
 
     long submittedCount(int tenant) {
-        return submitted.stream().filter(a -> a.tenant == tenant).count();
+        return submitted.stream().filter(request -> request.tenant == tenant).count();
     }
 
     private record Cookie(String key) implements Headers {
--- a/src/test/java/vetchpost/admission/AdmissionValidatorTest.java
+++ b/src/test/java/vetchpost/admission/AdmissionValidatorTest.java
@@ -18,43 +18,48 @@
 import vetchpost.routes.Violation.Rule;
 import vetchpost.routes.file.RouteFile;
 
-/** What an operator may say of the door, and how it is told what it may not. */
+/**
+ * Validation of the operator's admission table: which values are accepted, and that a wrong one is reported with its
+ * position and rule.
+ */
 class AdmissionValidatorTest {
     private static Settings settings() {
-        Settings set = AdmissionHarness.settings(0, 200_000);
-        set.tenants.add(new Tenant("school-a", 30));
-        set.tenants.add(new Tenant("school-b", 10));
-        set.maxRetryAfterUs = 2_000_000;
-        return set;
+        Settings settings = AdmissionHarness.settings(0, 200_000);
+        settings.tenants.add(new Tenant("school-a", 30));
+        settings.tenants.add(new Tenant("school-b", 10));
+        settings.maxRetryAfterUs = 2_000_000;
+        return settings;
     }
 
     private static AdmissionValidator.ValidationResult validate(String text) {
         RouteFile file = RouteFile.parse("door.toml", text);
         assertEquals(List.of(), file.violations());
         assertEquals(
-                List.of(), RouteValidator.validate(file.sections(), settings()).violations(), "the table is known");
+                List.of(),
+                RouteValidator.validate(file.sections(), settings()).violations(),
+                "the route validator accepts the table");
         return AdmissionValidator.validate(file.sections(), settings());
     }
 
     @Test
     void returnsNoSettingsWithoutTheTable() {
-        AdmissionValidator.ValidationResult proof = validate("[defaults]\nattempts = 1\n");
-        assertNull(proof.settings());
-        assertEquals(List.of(), proof.violations());
+        AdmissionValidator.ValidationResult result = validate("[defaults]\nattempts = 1\n");
+        assertNull(result.settings());
+        assertEquals(List.of(), result.violations());
     }
 
     @Test
     void usesDefaultsForAnEmptyTable() {
-        AdmissionSettings door = validate("[admission]\n").settings();
-        assertEquals(AdmissionValidator.defaults(settings()), door);
-        assertEquals(List.of(1.0, 1.5, 0.5), door.tenantWeights(), "shares over their mean");
-        assertEquals(2_000_000, door.maxRetryAfterUs());
-        assertEquals(0, door.clientRetryWindowUs());
+        AdmissionSettings admissionSettings = validate("[admission]\n").settings();
+        assertEquals(AdmissionValidator.defaults(settings()), admissionSettings);
+        assertEquals(List.of(1.0, 1.5, 0.5), admissionSettings.tenantWeights(), "quotas over their mean");
+        assertEquals(2_000_000, admissionSettings.maxRetryAfterUs());
+        assertEquals(0, admissionSettings.clientRetryWindowUs());
     }
 
     @Test
     void readsAllKeys() {
-        AdmissionSettings door = validate("""
+        AdmissionSettings admissionSettings = validate("""
                 [admission]
                 waiting = 20
                 lines = 8
@@ -65,7 +70,8 @@
                 [admission.weights]
                 school-b = 4
                 """).settings();
-        assertEquals(new AdmissionSettings(20, 8, 3, 30_000_000, 500_000, 1_024, List.of(1.0, 1.5, 4.0)), door);
+        assertEquals(
+                new AdmissionSettings(20, 8, 3, 30_000_000, 500_000, 1_024, List.of(1.0, 1.5, 4.0)), admissionSettings);
     }
 
     @ParameterizedTest
@@ -89,10 +95,10 @@
         "weights = { school-a = true }, WRONG_UNIT"
     })
     void reportsABadValueWithItsPositionAndRule(String line, Rule rule) {
-        AdmissionValidator.ValidationResult proof = validate("[admission]\n" + line.replace('~', '"') + "\n");
-        assertNull(proof.settings());
-        assertEquals(1, proof.violations().size(), proof.violations().toString());
-        Violation violation = proof.violations().get(0);
+        AdmissionValidator.ValidationResult result = validate("[admission]\n" + line.replace('~', '"') + "\n");
+        assertNull(result.settings());
+        assertEquals(1, result.violations().size(), result.violations().toString());
+        Violation violation = result.violations().get(0);
         assertEquals(rule, violation.rule());
         assertEquals(2, violation.position().line());
         assertTrue(violation.toString().startsWith("door.toml:2:"), violation.toString());
@@ -100,11 +106,12 @@
 
     @Test
     void documentsEveryKeyAndNoOther() throws IOException {
-        String page = Files.readString(Path.of("docs/admission.md"));
-        List<String> named = page.lines()
-                .filter(l -> l.matches("\\| `[a-z-]+` \\| .*"))
-                .map(l -> l.split("`")[1])
+        String documentation = Files.readString(Path.of("docs/admission.md"));
+        List<String> documentedKeys = documentation
+                .lines()
+                .filter(line -> line.matches("\\| `[a-z-]+` \\| .*"))
+                .map(line -> line.split("`")[1])
                 .toList();
-        assertEquals(AdmissionValidator.KEYS, named);
+        assertEquals(AdmissionValidator.KEYS, documentedKeys);
     }
 }
--- a/src/test/java/vetchpost/admission/FairAdmissionTest.java
+++ b/src/test/java/vetchpost/admission/FairAdmissionTest.java
@@ -16,426 +16,451 @@
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.Balancer.Tenant;
 
-/** The hard cases of the door, on virtual time. Four servers do 400 requests a second unless said. */
+/**
+ * Admission control under overload, on virtual time: unfair shares between tenants or clients, requests answered late
+ * or never, broken reservations and unbounded state. Four servers with a capacity of 400 requests a second unless
+ * stated otherwise.
+ */
 class FairAdmissionTest {
     private static final long SECOND_US = 1_000_000;
     private static final long LATENCY_TARGET_US = 200_000;
 
-    private static AdmissionSettings settingsWith(Settings platform, int waiting, int lines, List<Double> weights) {
-        AdmissionSettings d = AdmissionValidator.defaults(platform);
+    private static AdmissionSettings settingsWith(
+            Settings settings, int maxWaiting, int queuesPerClass, List<Double> weights) {
+        AdmissionSettings defaults = AdmissionValidator.defaults(settings);
         return new AdmissionSettings(
-                waiting,
-                lines,
-                d.maxUnsent(),
-                d.clientRetryWindowUs(),
-                d.maxRetryAfterUs(),
-                d.reservationTableSize(),
+                maxWaiting,
+                queuesPerClass,
+                defaults.maxUnsent(),
+                defaults.clientRetryWindowUs(),
+                defaults.maxRetryAfterUs(),
+                defaults.reservationTableSize(),
                 weights);
     }
 
     @Test
     void admitsAtOnceWhenTheFleetIsIdle() {
-        AdmissionHarness way = new AdmissionHarness(4, AdmissionHarness.settings(2, LATENCY_TARGET_US));
+        AdmissionHarness harness = new AdmissionHarness(4, AdmissionHarness.settings(2, LATENCY_TARGET_US));
         for (int i = 0; i < 4; i++) {
-            SubmittedRequest asked = way.submit(0, "k" + i);
-            assertTrue(asked.isAdmitted);
+            SubmittedRequest request = harness.submit(0, "k" + i);
+            assertTrue(request.isAdmitted);
         }
-        way.run(SECOND_US);
-        assertEquals(4, way.servedCount(0));
-        assertEquals(0, way.admission.waitingRequests());
-        assertEquals(Long.MAX_VALUE, way.admission.nextWakeUpUs(), "an idle door wants no timer");
+        harness.run(SECOND_US);
+        assertEquals(4, harness.servedCount(0));
+        assertEquals(0, harness.admission.waitingRequests());
+        assertEquals(Long.MAX_VALUE, harness.admission.nextWakeUpUs(), "no wake-up is due while nothing waits");
     }
 
     @Test
     void limitsUnsentRequestsInTheBalancer() {
-        AdmissionHarness way = new AdmissionHarness(4, AdmissionHarness.settings(1, LATENCY_TARGET_US));
+        AdmissionHarness harness = new AdmissionHarness(4, AdmissionHarness.settings(1, LATENCY_TARGET_US));
         for (int i = 0; i < 20; i++) {
-            way.submit(0, "k" + i);
+            harness.submit(0, "k" + i);
         }
-        assertEquals(6, way.submitted.stream().filter(a -> a.isAdmitted).count(), "four at work and two unsent");
-        assertEquals(14, way.admission.waitingRequests());
+        assertEquals(
+                6,
+                harness.submitted.stream().filter(request -> request.isAdmitted).count(),
+                "four in progress and two unsent");
+        assertEquals(14, harness.admission.waitingRequests());
     }
 
     @Test
     void servesATenantWithOneClientAsMuchAsATenantWithAThousand() {
-        AdmissionHarness way = new AdmissionHarness(4, AdmissionHarness.settings(2, LATENCY_TARGET_US));
-        long until = way.currentUs + 10 * SECOND_US;
-        way.submitEvery(1_000, until, () -> way.submit(0, "the one"));
-        int[] n = new int[1];
-        way.submitEvery(1_000, until, () -> way.submit(1, "c" + n[0]++ % 1_000));
-        way.run(12 * SECOND_US);
-        double ratio = way.servedCount(0) / (double) way.servedCount(1);
-        assertTrue(ratio > 0.85 && ratio < 1.15, way.servedCount(0) + " and " + way.servedCount(1));
-        assertTrue(way.servedCount(0) + way.servedCount(1) > 3_800, "nothing of the fleet lies idle");
+        AdmissionHarness harness = new AdmissionHarness(4, AdmissionHarness.settings(2, LATENCY_TARGET_US));
+        long untilUs = harness.currentUs + 10 * SECOND_US;
+        harness.submitEvery(1_000, untilUs, () -> harness.submit(0, "the one"));
+        int[] counter = new int[1];
+        harness.submitEvery(1_000, untilUs, () -> harness.submit(1, "c" + counter[0]++ % 1_000));
+        harness.run(12 * SECOND_US);
+        double servedRatio = harness.servedCount(0) / (double) harness.servedCount(1);
+        assertTrue(servedRatio > 0.85 && servedRatio < 1.15, harness.servedCount(0) + " and " + harness.servedCount(1));
+        assertTrue(harness.servedCount(0) + harness.servedCount(1) > 3_800, "the fleet is fully used");
     }
 
     @Test
     void dividesCapacityByTenantWeights() {
-        Settings platform = AdmissionHarness.settings(2, LATENCY_TARGET_US);
-        AdmissionHarness way =
-                new AdmissionHarness(4, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 3.0, 1.0)));
-        long until = way.currentUs + 10 * SECOND_US;
-        int[] n = new int[1];
-        way.submitEvery(1_000, until, () -> way.submit(0, "a" + n[0]++ % 500));
-        way.submitEvery(1_000, until, () -> way.submit(1, "b" + n[0]++ % 500));
-        way.run(12 * SECOND_US);
-        double ratio = way.servedCount(0) / (double) way.servedCount(1);
-        assertTrue(ratio > 2.6 && ratio < 3.4, "three to one: " + ratio);
+        Settings settings = AdmissionHarness.settings(2, LATENCY_TARGET_US);
+        AdmissionHarness harness =
+                new AdmissionHarness(4, settings, settingsWith(settings, 1_000, 64, List.of(1.0, 3.0, 1.0)));
+        long untilUs = harness.currentUs + 10 * SECOND_US;
+        int[] counter = new int[1];
+        harness.submitEvery(1_000, untilUs, () -> harness.submit(0, "a" + counter[0]++ % 500));
+        harness.submitEvery(1_000, untilUs, () -> harness.submit(1, "b" + counter[0]++ % 500));
+        harness.run(12 * SECOND_US);
+        double servedRatio = harness.servedCount(0) / (double) harness.servedCount(1);
+        assertTrue(servedRatio > 2.6 && servedRatio < 3.4, "three to one: " + servedRatio);
     }
 
     @Test
     void givesUnusedCapacityToOtherTenants() {
-        AdmissionHarness way = new AdmissionHarness(4, AdmissionHarness.settings(2, LATENCY_TARGET_US));
-        long until = way.currentUs + 10 * SECOND_US;
-        int[] n = new int[1];
-        way.submitEvery(1_000, until, () -> way.submit(0, "a" + n[0]++ % 500));
-        way.submitEvery(20_000, until, () -> way.submit(1, "b" + n[0]++ % 500));
-        way.run(12 * SECOND_US);
+        AdmissionHarness harness = new AdmissionHarness(4, AdmissionHarness.settings(2, LATENCY_TARGET_US));
+        long untilUs = harness.currentUs + 10 * SECOND_US;
+        int[] counter = new int[1];
+        harness.submitEvery(1_000, untilUs, () -> harness.submit(0, "a" + counter[0]++ % 500));
+        harness.submitEvery(20_000, untilUs, () -> harness.submit(1, "b" + counter[0]++ % 500));
+        harness.run(12 * SECOND_US);
         assertTrue(
-                way.servedCount(1) >= 0.99 * way.submittedCount(1),
-                "the quiet one has all: " + way.servedCount(1) + " of " + way.submittedCount(1));
-        assertTrue(way.servedCount(0) > 3_300, "and the loud one what is left: " + way.servedCount(0));
+                harness.servedCount(1) >= 0.99 * harness.submittedCount(1),
+                "the tenant with little load has all served: " + harness.servedCount(1) + " of "
+                        + harness.submittedCount(1));
+        assertTrue(harness.servedCount(0) > 3_300, "the other tenant gets the rest: " + harness.servedCount(0));
     }
 
     @Test
     void appliesNewWeightsToFullQueuesWithoutLosingRequests() {
-        Settings platform = AdmissionHarness.settings(2, LATENCY_TARGET_US);
-        AdmissionHarness way =
-                new AdmissionHarness(4, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 1.0, 1.0)));
-        long until = way.currentUs + 20 * SECOND_US;
-        int[] n = new int[1];
-        way.submitEvery(1_000, until, () -> way.submit(0, "a" + n[0]++ % 500));
-        way.submitEvery(1_000, until, () -> way.submit(1, "b" + n[0]++ % 500));
-        way.run(10 * SECOND_US);
-        assertTrue(way.admission.waitingRequests() > 10, "queues are full");
-        long before0 = way.servedCount(0);
-        long before1 = way.servedCount(1);
-        way.admission.reconfigure(settingsWith(platform, 1_000, 64, List.of(1.0, 1.0, 4.0)));
-        way.run(12 * SECOND_US);
-        double ratio = (way.servedCount(1) - before1) / (double) (way.servedCount(0) - before0);
-        assertTrue(ratio > 3.3 && ratio < 4.7, "four to one from then on: " + ratio);
-        assertTrue(way.submitted.stream().allMatch(a -> a.endedUs >= 0), "each has its one answer");
+        Settings settings = AdmissionHarness.settings(2, LATENCY_TARGET_US);
+        AdmissionHarness harness =
+                new AdmissionHarness(4, settings, settingsWith(settings, 1_000, 64, List.of(1.0, 1.0, 1.0)));
+        long untilUs = harness.currentUs + 20 * SECOND_US;
+        int[] counter = new int[1];
+        harness.submitEvery(1_000, untilUs, () -> harness.submit(0, "a" + counter[0]++ % 500));
+        harness.submitEvery(1_000, untilUs, () -> harness.submit(1, "b" + counter[0]++ % 500));
+        harness.run(10 * SECOND_US);
+        assertTrue(harness.admission.waitingRequests() > 10, "requests are waiting");
+        long before0 = harness.servedCount(0);
+        long before1 = harness.servedCount(1);
+        harness.admission.reconfigure(settingsWith(settings, 1_000, 64, List.of(1.0, 1.0, 4.0)));
+        harness.run(12 * SECOND_US);
+        double servedRatio = (harness.servedCount(1) - before1) / (double) (harness.servedCount(0) - before0);
+        assertTrue(servedRatio > 3.3 && servedRatio < 4.7, "four to one with the new weights: " + servedRatio);
+        assertTrue(harness.submitted.stream().allMatch(request -> request.endedUs >= 0), "each request has one answer");
     }
 
     @Test
     void limitsAClientWithManyKeysToItsTenantsShare() {
-        AdmissionHarness way = new AdmissionHarness(4, AdmissionHarness.settings(2, LATENCY_TARGET_US));
-        long until = way.currentUs + 10 * SECOND_US;
-        int[] n = new int[1];
-        way.submitEvery(200, until, () -> way.submit(0, "liar" + n[0]++));
-        way.submitEvery(2_000, until, () -> way.submit(1, "honest" + n[0]++ % 50));
-        way.run(12 * SECOND_US);
-        // The honest school asks 500 a second of the 200 that are its part.
-        assertTrue(way.servedCount(1) > 1_850, "the other school keeps its half: " + way.servedCount(1));
+        AdmissionHarness harness = new AdmissionHarness(4, AdmissionHarness.settings(2, LATENCY_TARGET_US));
+        long untilUs = harness.currentUs + 10 * SECOND_US;
+        int[] counter = new int[1];
+        harness.submitEvery(200, untilUs, () -> harness.submit(0, "liar" + counter[0]++));
+        harness.submitEvery(2_000, untilUs, () -> harness.submit(1, "honest" + counter[0]++ % 50));
+        harness.run(12 * SECOND_US);
+        // The second tenant submits 500 requests a second; its share is 200.
+        assertTrue(harness.servedCount(1) > 1_850, "the other tenant keeps its half: " + harness.servedCount(1));
     }
 
     @Test
     void servesOtherClientsBesideOneInATightLoop() {
-        AdmissionHarness way = new AdmissionHarness(4, AdmissionHarness.settings(1, LATENCY_TARGET_US));
-        long until = way.currentUs + 5 * SECOND_US;
-        way.run(SECOND_US);
-        int[] n = new int[1];
-        way.submitEvery(10, until, () -> way.submit(0, "loop"));
-        way.submitEvery(5_000, until, () -> way.submit(0, "c" + n[0]++));
-        way.run(7 * SECOND_US);
-        long others = way.submitted.stream().filter(a -> !a.key.equals("loop")).count();
-        long served = way.submitted.stream()
-                .filter(a -> !a.key.equals("loop") && a.isServed())
+        AdmissionHarness harness = new AdmissionHarness(4, AdmissionHarness.settings(1, LATENCY_TARGET_US));
+        long untilUs = harness.currentUs + 5 * SECOND_US;
+        harness.run(SECOND_US);
+        int[] counter = new int[1];
+        harness.submitEvery(10, untilUs, () -> harness.submit(0, "loop"));
+        harness.submitEvery(5_000, untilUs, () -> harness.submit(0, "c" + counter[0]++));
+        harness.run(7 * SECOND_US);
+        long others = harness.submitted.stream()
+                .filter(request -> !request.key.equals("loop"))
                 .count();
-        long late = way.submitted.stream()
-                .filter(a -> !a.key.equals("loop") && a.isServed() && a.endedUs - a.submittedUs > LATENCY_TARGET_US)
+        long served = harness.submitted.stream()
+                .filter(request -> !request.key.equals("loop") && request.isServed())
                 .count();
-        assertTrue(way.submitted.size() > 350_000, "a hundred thousand a second: " + way.submitted.size());
+        long late = harness.submitted.stream()
+                .filter(request -> !request.key.equals("loop")
+                        && request.isServed()
+                        && request.endedUs - request.submittedUs > LATENCY_TARGET_US)
+                .count();
+        assertTrue(
+                harness.submitted.size() > 350_000,
+                "a hundred thousand requests a second: " + harness.submitted.size());
         assertTrue(served - late >= 0.98 * others, served - late + " of " + others);
         assertTrue(
-                way.admission.counts().returnedEarly() > 300_000,
-                "nearly all of its tries were one look each: "
-                        + way.admission.counts().returnedEarly());
+                harness.admission.counts().returnedEarly() > 300_000,
+                "nearly all of its requests were rejected as too early: "
+                        + harness.admission.counts().returnedEarly());
         assertTrue(
-                way.admission.tableSizes()[0] < 100 && way.admission.tableSizes()[1] < 50,
-                "and nothing is kept of them: " + way.admission.tableSizes()[0] + " flows, "
-                        + way.admission.tableSizes()[1] + " bookings");
+                harness.admission.tableSizes()[0] < 100 && harness.admission.tableSizes()[1] < 50,
+                "no state is kept of them: " + harness.admission.tableSizes()[0] + " flows, "
+                        + harness.admission.tableSizes()[1] + " reservations");
     }
 
     @Test
     void boundsStateForTenThousandClients() {
-        AdmissionHarness way = new AdmissionHarness(4, AdmissionHarness.settings(6, LATENCY_TARGET_US));
-        long until = way.currentUs + 60 * SECOND_US;
-        int[] n = new int[1];
-        int[] most = new int[2];
-        way.submitEvery(2_000, until, () -> {
-            way.submit(n[0] % 6, "c" + n[0]++ % 10_000);
-            int[] kept = way.admission.tableSizes();
-            most[0] = Math.max(most[0], kept[0]);
-            most[1] = Math.max(most[1], kept[1]);
+        AdmissionHarness harness = new AdmissionHarness(4, AdmissionHarness.settings(6, LATENCY_TARGET_US));
+        long untilUs = harness.currentUs + 60 * SECOND_US;
+        int[] counter = new int[1];
+        int[] maxSizes = new int[2];
+        harness.submitEvery(2_000, untilUs, () -> {
+            harness.submit(counter[0] % 6, "c" + counter[0]++ % 10_000);
+            int[] sizes = harness.admission.tableSizes();
+            maxSizes[0] = Math.max(maxSizes[0], sizes[0]);
+            maxSizes[1] = Math.max(maxSizes[1], sizes[1]);
         });
-        way.run(61 * SECOND_US);
-        assertEquals(29_999, n[0]);
-        // Root, tenants, classes, and lines: shared and of heavy clients.
-        int lines = 64 + HeavyHitters.MAX_TRACKED_CLIENTS;
-        assertTrue(most[0] <= 1 + 6 * 2 * (1 + lines), most[0] + " flows");
-        assertTrue(most[1] <= 16_384, most[1] + " bookings");
-        assertEquals(0, way.admission.waitingRequests());
+        harness.run(61 * SECOND_US);
+        assertEquals(29_999, counter[0]);
+        // Root, tenants, classes and queues: shared ones and those of heavy hitters.
+        int queueCount = 64 + HeavyHitters.MAX_TRACKED_CLIENTS;
+        assertTrue(maxSizes[0] <= 1 + 6 * 2 * (1 + queueCount), maxSizes[0] + " flows");
+        assertTrue(maxSizes[1] <= 16_384, maxSizes[1] + " reservations");
+        assertEquals(0, harness.admission.waitingRequests());
     }
 
     @Test
     void forgetsIdleTenants() {
-        Settings platform = AdmissionHarness.settings(5_000, LATENCY_TARGET_US);
-        AdmissionHarness way = new AdmissionHarness(4, platform);
-        int[] n = new int[1];
-        way.submitEvery(500, way.currentUs + 10 * SECOND_US, () -> way.submit(n[0]++ % 5_000, "k"));
-        way.run(10 * SECOND_US);
+        Settings settings = AdmissionHarness.settings(5_000, LATENCY_TARGET_US);
+        AdmissionHarness harness = new AdmissionHarness(4, settings);
+        int[] counter = new int[1];
+        harness.submitEvery(500, harness.currentUs + 10 * SECOND_US, () -> harness.submit(counter[0]++ % 5_000, "k"));
+        harness.run(10 * SECOND_US);
         assertTrue(
-                way.admission.tableSizes()[2] > 4_000,
-                "thousands have been here: " + way.admission.tableSizes()[2]);
-        way.run(15 * SECOND_US);
-        way.submit(0, "k");
-        way.run(15 * SECOND_US);
-        way.submit(0, "k");
+                harness.admission.tableSizes()[2] > 4_000,
+                "thousands of tenants are known: " + harness.admission.tableSizes()[2]);
+        harness.run(15 * SECOND_US);
+        harness.submit(0, "k");
+        harness.run(15 * SECOND_US);
+        harness.submit(0, "k");
         assertTrue(
-                way.admission.tableSizes()[2] <= 1,
-                "and have gone: " + way.admission.tableSizes()[2]);
+                harness.admission.tableSizes()[2] <= 1,
+                "idle tenants are forgotten: " + harness.admission.tableSizes()[2]);
         assertTrue(
-                way.admission.tableSizes()[0] <= 4,
-                "with their flows: " + way.admission.tableSizes()[0]);
-        assertTrue(way.submitted.stream().limit(n[0]).allMatch(a -> a.endedUs >= 0));
+                harness.admission.tableSizes()[0] <= 4,
+                "their flows are removed: " + harness.admission.tableSizes()[0]);
+        assertTrue(harness.submitted.stream().limit(counter[0]).allMatch(request -> request.endedUs >= 0));
     }
 
     @Test
     void rejectsOnArrivalWhatCannotMeetItsLatencyTarget() {
-        AdmissionHarness way = new AdmissionHarness(4, AdmissionHarness.settings(1, LATENCY_TARGET_US));
-        long until = way.currentUs + 10 * SECOND_US;
-        int[] n = new int[1];
-        way.submitEvery(1_000, until, () -> way.submit(0, "c" + n[0]++));
-        way.run(2 * SECOND_US);
-        int from = way.submitted.size();
-        way.run(10 * SECOND_US);
-        List<SubmittedRequest> later = way.submitted.subList(from, way.submitted.size());
-        long refused = later.stream().filter(a -> a.isRejected).count();
-        long atOnce = later.stream()
-                .filter(a -> a.isRejected && a.endedUs == a.submittedUs)
+        AdmissionHarness harness = new AdmissionHarness(4, AdmissionHarness.settings(1, LATENCY_TARGET_US));
+        long untilUs = harness.currentUs + 10 * SECOND_US;
+        int[] counter = new int[1];
+        harness.submitEvery(1_000, untilUs, () -> harness.submit(0, "c" + counter[0]++));
+        harness.run(2 * SECOND_US);
+        int firstIndex = harness.submitted.size();
+        harness.run(10 * SECOND_US);
+        List<SubmittedRequest> later = harness.submitted.subList(firstIndex, harness.submitted.size());
+        long rejectedCount =
+                later.stream().filter(request -> request.isRejected).count();
+        long rejectedOnArrival = later.stream()
+                .filter(request -> request.isRejected && request.endedUs == request.submittedUs)
                 .count();
         long late = later.stream()
-                .filter(a -> a.isServed() && a.endedUs - a.submittedUs > LATENCY_TARGET_US)
+                .filter(request -> request.isServed() && request.endedUs - request.submittedUs > LATENCY_TARGET_US)
                 .count();
-        assertTrue(refused > 3_000, "more is asked than can be done: " + refused);
-        assertTrue(atOnce >= 0.88 * refused, atOnce + " of " + refused + " at once");
-        assertEquals(0, late, "and what is let in is in time");
+        assertTrue(rejectedCount > 3_000, "more is submitted than can be served: " + rejectedCount);
+        assertTrue(
+                rejectedOnArrival >= 0.88 * rejectedCount,
+                rejectedOnArrival + " of " + rejectedCount + " rejected on arrival");
+        assertEquals(0, late, "admitted requests are in time");
     }
 
     @Test
     void servesInTimeAndGivesLaterRetryTimesWhenTheFleetHalves() {
-        Settings platform = AdmissionHarness.settings(1, LATENCY_TARGET_US);
-        AdmissionSettings d = AdmissionValidator.defaults(platform);
-        AdmissionHarness way = new AdmissionHarness(
+        Settings settings = AdmissionHarness.settings(1, LATENCY_TARGET_US);
+        AdmissionSettings defaults = AdmissionValidator.defaults(settings);
+        AdmissionHarness harness = new AdmissionHarness(
                 4,
-                platform,
+                settings,
                 new AdmissionSettings(
-                        d.maxWaiting(),
-                        d.queuesPerClass(),
-                        d.maxUnsent(),
+                        defaults.maxWaiting(),
+                        defaults.queuesPerClass(),
+                        defaults.maxUnsent(),
                         30 * SECOND_US,
-                        d.maxRetryAfterUs(),
-                        d.reservationTableSize(),
-                        d.tenantWeights()));
-        long until = way.currentUs + 6 * SECOND_US;
-        int[] n = new int[1];
-        way.submitEvery(1_000, until, () -> submitAndRetryWhenTold(way, "c" + n[0]++, 0, new int[2]));
-        way.run(3 * SECOND_US);
-        assertTrue(way.admission.waitingRequests() > 10);
-        long told = way.submitted.get(way.submitted.size() - 1).retryAfterUs;
-        int from = way.submitted.size();
-        way.serverCount = 2;
-        way.run(30 * SECOND_US);
-        List<SubmittedRequest> later = way.submitted.subList(from, way.submitted.size());
+                        defaults.maxRetryAfterUs(),
+                        defaults.reservationTableSize(),
+                        defaults.tenantWeights()));
+        long untilUs = harness.currentUs + 6 * SECOND_US;
+        int[] counter = new int[1];
+        harness.submitEvery(1_000, untilUs, () -> submitAndRetryWhenTold(harness, "c" + counter[0]++, 0, new int[2]));
+        harness.run(3 * SECOND_US);
+        assertTrue(harness.admission.waitingRequests() > 10);
+        long previousRetryAfterUs = harness.submitted.get(harness.submitted.size() - 1).retryAfterUs;
+        int firstIndex = harness.submitted.size();
+        harness.serverCount = 2;
+        harness.run(30 * SECOND_US);
+        List<SubmittedRequest> later = harness.submitted.subList(firstIndex, harness.submitted.size());
         long late = later.stream()
-                .filter(a -> a.isServed() && a.endedUs - a.submittedUs > LATENCY_TARGET_US)
+                .filter(request -> request.isServed() && request.endedUs - request.submittedUs > LATENCY_TARGET_US)
                 .count();
         long served = later.stream().filter(SubmittedRequest::isServed).count();
-        assertTrue(served > 1_500, "it goes on: " + served);
+        assertTrue(served > 1_500, "requests are still served: " + served);
         assertTrue(late <= 0.01 * served, late + " late of " + served);
-        assertTrue(way.admission.counts().reservationsMissed() > 0, "some promises can't be kept");
-        long longest = later.stream().mapToLong(a -> a.retryAfterUs).max().orElse(0);
-        assertTrue(longest > told, "and are made anew, for later: " + told + " before, " + longest);
+        assertTrue(harness.admission.counts().reservationsMissed() > 0, "some reservations can't be kept");
+        long maxRetryAfterUs =
+                later.stream().mapToLong(request -> request.retryAfterUs).max().orElse(0);
+        assertTrue(
+                maxRetryAfterUs > previousRetryAfterUs,
+                "new reservations are for later times: " + previousRetryAfterUs + " before, " + maxRetryAfterUs);
     }
 
-    /** Asks, and comes back when told. */
-    private static void submitAndRetryWhenTold(AdmissionHarness way, String key, int tries, int[] counts) {
-        SubmittedRequest asked = way.submit(0, key);
-        asked.onRejected = () -> {
-            if (asked.retryAfterUs > 0 && tries < 5) {
-                way.schedule(way.currentUs + asked.retryAfterUs, () -> {
-                    counts[0]++;
-                    submitAndRetryWhenTold(way, key, tries + 1, counts);
+    /** Submits a request and, when rejected with a retry-after, retries on time, up to five times. */
+    private static void submitAndRetryWhenTold(AdmissionHarness harness, String key, int attempts, int[] retryCounts) {
+        SubmittedRequest request = harness.submit(0, key);
+        request.onRejected = () -> {
+            if (request.retryAfterUs > 0 && attempts < 5) {
+                harness.schedule(harness.currentUs + request.retryAfterUs, () -> {
+                    retryCounts[0]++;
+                    submitAndRetryWhenTold(harness, key, attempts + 1, retryCounts);
                 });
             }
         };
-        if (asked.isRejected) {
-            asked.onRejected.run();
+        if (request.isRejected) {
+            request.onRejected.run();
         }
     }
 
     @Test
     void servesInTimeOrReschedulesClientsThatRetryTogether() {
-        Settings platform = AdmissionHarness.settings(1, LATENCY_TARGET_US);
-        AdmissionSettings d = AdmissionValidator.defaults(platform);
-        AdmissionHarness way = new AdmissionHarness(
+        Settings settings = AdmissionHarness.settings(1, LATENCY_TARGET_US);
+        AdmissionSettings defaults = AdmissionValidator.defaults(settings);
+        AdmissionHarness harness = new AdmissionHarness(
                 4,
-                platform,
+                settings,
                 new AdmissionSettings(
-                        d.maxWaiting(),
-                        d.queuesPerClass(),
-                        d.maxUnsent(),
+                        defaults.maxWaiting(),
+                        defaults.queuesPerClass(),
+                        defaults.maxUnsent(),
                         60 * SECOND_US,
-                        d.maxRetryAfterUs(),
-                        d.reservationTableSize(),
-                        d.tenantWeights()));
-        int[] n = new int[1];
-        List<SubmittedRequest> told = new ArrayList<>();
-        way.submitEvery(1_000, way.currentUs + 2 * SECOND_US, () -> {
-            SubmittedRequest asked = way.submit(0, "c" + n[0]++);
-            told.add(asked);
+                        defaults.maxRetryAfterUs(),
+                        defaults.reservationTableSize(),
+                        defaults.tenantWeights()));
+        int[] counter = new int[1];
+        List<SubmittedRequest> rejected = new ArrayList<>();
+        harness.submitEvery(1_000, harness.currentUs + 2 * SECOND_US, () -> {
+            SubmittedRequest request = harness.submit(0, "c" + counter[0]++);
+            rejected.add(request);
         });
-        way.run(2 * SECOND_US);
-        List<String> keys = told.stream()
-                .filter(a -> a.isRejected && a.retryAfterUs > 0)
-                .map(a -> a.key)
+        harness.run(2 * SECOND_US);
+        List<String> keys = rejected.stream()
+                .filter(request -> request.isRejected && request.retryAfterUs > 0)
+                .map(request -> request.key)
                 .toList();
-        assertTrue(keys.size() > 500, "many were told: " + keys.size());
-        way.run(SECOND_US);
-        List<SubmittedRequest> back = new ArrayList<>();
-        keys.forEach(k -> back.add(way.submit(0, k)));
-        way.run(5 * SECOND_US);
-        assertTrue(back.stream().allMatch(a -> a.endedUs >= 0), "each has its answer");
+        assertTrue(keys.size() > 500, "many were given a retry time: " + keys.size());
+        harness.run(SECOND_US);
+        List<SubmittedRequest> retries = new ArrayList<>();
+        keys.forEach(k -> retries.add(harness.submit(0, k)));
+        harness.run(5 * SECOND_US);
+        assertTrue(retries.stream().allMatch(request -> request.endedUs >= 0), "each request has its answer");
         assertTrue(
-                back.stream().noneMatch(a -> a.isServed() && a.endedUs - a.submittedUs > LATENCY_TARGET_US),
-                "none is late");
-        long served = back.stream().filter(SubmittedRequest::isServed).count();
-        assertTrue(served >= 50, "as many as fit are served: " + served);
-        List<Long> again = back.stream()
-                .filter(a -> a.isRejected && a.retryAfterUs > 0)
-                .map(a -> a.retryAfterUs)
+                retries.stream()
+                        .noneMatch(request ->
+                                request.isServed() && request.endedUs - request.submittedUs > LATENCY_TARGET_US),
+                "no retry is answered late");
+        long served = retries.stream().filter(SubmittedRequest::isServed).count();
+        assertTrue(served >= 50, "as many as capacity allows are served: " + served);
+        List<Long> retryAfterUs = retries.stream()
+                .filter(request -> request.isRejected && request.retryAfterUs > 0)
+                .map(request -> request.retryAfterUs)
                 .sorted()
                 .toList();
-        assertTrue(again.size() > 100, again.size() + " are told another time");
-        long span = again.get(again.size() - 1) - again.get(0);
-        assertTrue(span > again.size() * AdmissionHarness.REQUEST_WORK_US / 4 / 2, "spread over " + span);
+        assertTrue(retryAfterUs.size() > 100, retryAfterUs.size() + " are given another retry time");
+        long span = retryAfterUs.get(retryAfterUs.size() - 1) - retryAfterUs.get(0);
+        assertTrue(span > retryAfterUs.size() * AdmissionHarness.REQUEST_WORK_US / 4 / 2, "spread over " + span);
     }
 
     @Test
     void prefersClientsThatRetryOnTimeButNotEarlyOnes() {
-        Settings platform = AdmissionHarness.settings(1, LATENCY_TARGET_US);
-        AdmissionHarness way = new AdmissionHarness(4, platform);
-        int[] n = new int[1];
-        way.submitEvery(1_000, way.currentUs + 4 * SECOND_US, () -> way.submit(0, "c" + n[0]++));
-        way.run(SECOND_US);
-        List<SubmittedRequest> told = way.submitted.stream()
-                .filter(a -> a.isRejected
-                        && a.retryAfterUs > 100_000
-                        && a.endedUs + a.retryAfterUs > way.currentUs + 100_000)
+        Settings settings = AdmissionHarness.settings(1, LATENCY_TARGET_US);
+        AdmissionHarness harness = new AdmissionHarness(4, settings);
+        int[] counter = new int[1];
+        harness.submitEvery(1_000, harness.currentUs + 4 * SECOND_US, () -> harness.submit(0, "c" + counter[0]++));
+        harness.run(SECOND_US);
+        List<SubmittedRequest> rejected = harness.submitted.stream()
+                .filter(request -> request.isRejected
+                        && request.retryAfterUs > 100_000
+                        && request.endedUs + request.retryAfterUs > harness.currentUs + 100_000)
                 .toList();
-        SubmittedRequest one = told.get(0);
-        SubmittedRequest other = told.get(told.size() - 1);
-        way.run(one.endedUs + one.retryAfterUs - way.currentUs);
-        SubmittedRequest early = way.submit(0, other.key);
-        SubmittedRequest back = way.submit(0, one.key);
-        way.run(LATENCY_TARGET_US);
-        assertTrue(back.isServed(), "it was told, and came");
+        SubmittedRequest onTime = rejected.get(0);
+        SubmittedRequest tooEarly = rejected.get(rejected.size() - 1);
+        harness.run(onTime.endedUs + onTime.retryAfterUs - harness.currentUs);
+        SubmittedRequest earlyRetry = harness.submit(0, tooEarly.key);
+        SubmittedRequest retries = harness.submit(0, onTime.key);
+        harness.run(LATENCY_TARGET_US);
+        assertTrue(retries.isServed(), "the retry on time is served");
         assertTrue(
-                back.endedUs - back.submittedUs < 40_000, "ahead of what waits: " + (back.endedUs - back.submittedUs));
-        assertTrue(early.isRejected || early.endedUs > back.endedUs, "early gains nothing");
-        assertEquals(1, way.admission.counts().returnedOnTime());
-        assertEquals(1, way.admission.counts().reservationsKept());
-        assertEquals(1, way.admission.counts().returnedEarly());
+                retries.endedUs - retries.submittedUs < 40_000,
+                "ahead of waiting requests: " + (retries.endedUs - retries.submittedUs));
+        assertTrue(earlyRetry.isRejected || earlyRetry.endedUs > retries.endedUs, "the early retry gains nothing");
+        assertEquals(1, harness.admission.counts().returnedOnTime());
+        assertEquals(1, harness.admission.counts().reservationsKept());
+        assertEquals(1, harness.admission.counts().returnedEarly());
     }
 
     @Test
     void servesTheRestWhenClientsDisconnectFromAQueue() {
-        AdmissionHarness way = new AdmissionHarness(1, AdmissionHarness.settings(1, 10 * SECOND_US));
-        List<SubmittedRequest> asked = new ArrayList<>();
-        // Fewer than make a client heavy, which would have a line of its own from then on.
+        AdmissionHarness harness = new AdmissionHarness(1, AdmissionHarness.settings(1, 10 * SECOND_US));
+        List<SubmittedRequest> submitted = new ArrayList<>();
+        // Few enough that the client is no heavy hitter, which would get a queue of its own from then on.
         for (int i = 0; i < 7; i++) {
-            asked.add(way.submit(0, "same"));
+            submitted.add(harness.submit(0, "same"));
         }
-        assertEquals(4, way.admission.waitingRequests());
-        asked.get(3).disconnect();
-        asked.get(5).disconnect();
-        asked.get(6).disconnect();
-        assertEquals(1, way.admission.waitingRequests());
-        way.run(SECOND_US);
-        assertEquals(4, way.servedCount(0));
-        List<Long> ends = asked.stream()
-                .filter(a -> !a.isDisconnected)
-                .map(a -> a.endedUs)
+        assertEquals(4, harness.admission.waitingRequests());
+        submitted.get(3).disconnect();
+        submitted.get(5).disconnect();
+        submitted.get(6).disconnect();
+        assertEquals(1, harness.admission.waitingRequests());
+        harness.run(SECOND_US);
+        assertEquals(4, harness.servedCount(0));
+        List<Long> ends = submitted.stream()
+                .filter(request -> !request.isDisconnected)
+                .map(request -> request.endedUs)
                 .toList();
-        assertEquals(ends.stream().sorted().toList(), ends, "in the order in which they came");
-        assertEquals(3, way.admission.counts().disconnected());
-        assertEquals(0, way.admission.waitingRequests());
+        assertEquals(ends.stream().sorted().toList(), ends, "in order of arrival");
+        assertEquals(3, harness.admission.counts().disconnected());
+        assertEquals(0, harness.admission.waitingRequests());
     }
 
     @Test
     void sharesEquallyAfterAnIdlePeriod() {
-        AdmissionHarness way = new AdmissionHarness(1, AdmissionHarness.settings(2, 100 * SECOND_US));
+        AdmissionHarness harness = new AdmissionHarness(1, AdmissionHarness.settings(2, 100 * SECOND_US));
         for (int i = 0; i < 150; i++) {
-            way.submit(0, "a" + i);
+            harness.submit(0, "a" + i);
         }
         for (int i = 0; i < 150; i++) {
-            way.submit(1, "b" + i);
+            harness.submit(1, "b" + i);
         }
-        way.run(2 * SECOND_US);
+        harness.run(2 * SECOND_US);
         assertTrue(
-                Math.abs(way.servedCount(0) - way.servedCount(1)) <= 6,
-                way.servedCount(0) + " and " + way.servedCount(1));
-        way.run(2 * SECOND_US);
-        assertEquals(300, way.servedCount(0) + way.servedCount(1));
+                Math.abs(harness.servedCount(0) - harness.servedCount(1)) <= 6,
+                harness.servedCount(0) + " and " + harness.servedCount(1));
+        harness.run(2 * SECOND_US);
+        assertEquals(300, harness.servedCount(0) + harness.servedCount(1));
         for (int i = 0; i < 300; i++) {
-            way.submit(i / 150, "again" + i);
+            harness.submit(i / 150, "again" + i);
         }
-        way.run(SECOND_US);
-        // Who came first had the more to catch up on, and no more than that.
+        harness.run(SECOND_US);
+        // The first tenant may have more to catch up on, but no more than that.
         assertTrue(
-                Math.abs(way.servedCount(0) - way.servedCount(1)) <= 40,
-                way.servedCount(0) + " and " + way.servedCount(1) + " afterwards");
+                Math.abs(harness.servedCount(0) - harness.servedCount(1)) <= 40,
+                harness.servedCount(0) + " and " + harness.servedCount(1) + " after the idle period");
     }
 
     @Test
     void appliesWeightsAfterAnIdlePeriod() {
-        Settings platform = AdmissionHarness.settings(2, 100 * SECOND_US);
-        AdmissionHarness way =
-                new AdmissionHarness(1, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 1.0, 4.0)));
+        Settings settings = AdmissionHarness.settings(2, 100 * SECOND_US);
+        AdmissionHarness harness =
+                new AdmissionHarness(1, settings, settingsWith(settings, 1_000, 64, List.of(1.0, 1.0, 4.0)));
         for (int i = 0; i < 300; i++) {
-            way.submit(i % 2, "first" + i);
+            harness.submit(i % 2, "first" + i);
         }
-        way.run(4 * SECOND_US);
-        assertEquals(300, way.servedCount(0) + way.servedCount(1));
+        harness.run(4 * SECOND_US);
+        assertEquals(300, harness.servedCount(0) + harness.servedCount(1));
         for (int i = 0; i < 400; i++) {
-            way.submit(i % 2, "again" + i);
+            harness.submit(i % 2, "again" + i);
         }
-        way.run(2 * SECOND_US);
+        harness.run(2 * SECOND_US);
         assertTrue(
-                way.servedCount(1) - way.servedCount(0) > 70,
-                "four to one of two hundred: " + way.servedCount(0) + " and " + way.servedCount(1));
+                harness.servedCount(1) - harness.servedCount(0) > 70,
+                "four to one of 200: " + harness.servedCount(0) + " and " + harness.servedCount(1));
     }
 
     @Test
     void rejectsWaitingRequestsWhenTheFleetStops() {
-        AdmissionHarness way = new AdmissionHarness(1, AdmissionHarness.settings(1, LATENCY_TARGET_US));
-        int[] n = new int[1];
-        way.submitEvery(5_000, way.currentUs + SECOND_US, () -> way.submit(0, "k" + n[0]++));
-        way.run(SECOND_US);
-        assertTrue(way.admission.waitingRequests() > 5, way.admission.waitingRequests() + " wait");
-        way.serverCount = 0;
-        way.run(LATENCY_TARGET_US);
-        assertEquals(0, way.admission.waitingRequests());
-        // One look later at most, where nothing was known yet of how fast it goes.
-        assertTrue(way.submitted.stream()
-                .allMatch(a -> !a.isRejected || a.endedUs - a.submittedUs <= LATENCY_TARGET_US + 10_000));
+        AdmissionHarness harness = new AdmissionHarness(1, AdmissionHarness.settings(1, LATENCY_TARGET_US));
+        int[] counter = new int[1];
+        harness.submitEvery(5_000, harness.currentUs + SECOND_US, () -> harness.submit(0, "k" + counter[0]++));
+        harness.run(SECOND_US);
+        assertTrue(harness.admission.waitingRequests() > 5, harness.admission.waitingRequests() + " requests wait");
+        harness.serverCount = 0;
+        harness.run(LATENCY_TARGET_US);
+        assertEquals(0, harness.admission.waitingRequests());
+        // At most one sweep later, where the drain rate was not known yet.
+        assertTrue(harness.submitted.stream()
+                .allMatch(request ->
+                        !request.isRejected || request.endedUs - request.submittedUs <= LATENCY_TARGET_US + 10_000));
     }
 
     @Test
     void prefersTheMoreValuableClassWithoutStarvingTheOther() {
-        Settings platform = AdmissionHarness.settings(1, LATENCY_TARGET_US);
-        platform.classes.add(new RequestClass(
+        Settings settings = AdmissionHarness.settings(1, LATENCY_TARGET_US);
+        settings.classes.add(new RequestClass(
                 "place-order",
                 LATENCY_TARGET_US,
                 0,
@@ -446,92 +471,103 @@
                 DeduplicationScope.ALL,
                 0,
                 false));
-        AdmissionHarness way = new AdmissionHarness(4, platform);
-        int[] n = new int[1];
-        way.submitEvery(1_000, way.currentUs + 10 * SECOND_US, () -> way.submit(0, n[0] % 2, "c" + n[0]++));
-        way.run(12 * SECOND_US);
-        long pages = way.submitted.stream()
-                .filter(a -> a.classIndex == 0 && a.isServed())
+        AdmissionHarness harness = new AdmissionHarness(4, settings);
+        int[] counter = new int[1];
+        harness.submitEvery(
+                1_000, harness.currentUs + 10 * SECOND_US, () -> harness.submit(0, counter[0] % 2, "c" + counter[0]++));
+        harness.run(12 * SECOND_US);
+        long pages = harness.submitted.stream()
+                .filter(request -> request.classIndex == 0 && request.isServed())
                 .count();
-        long orders = way.submitted.stream()
-                .filter(a -> a.classIndex == 1 && a.isServed())
+        long orders = harness.submitted.stream()
+                .filter(request -> request.classIndex == 1 && request.isServed())
                 .count();
         assertTrue(orders > 5 * pages && pages > 30, orders + " orders and " + pages + " pages");
     }
 
     @Test
     void keepsAllFlowsWhileEvictingRepeatedly() {
-        Settings platform = AdmissionHarness.settings(40, 300_000);
-        AdmissionHarness way = new AdmissionHarness(
+        Settings settings = AdmissionHarness.settings(40, 300_000);
+        AdmissionHarness harness = new AdmissionHarness(
                 4,
-                platform,
+                settings,
                 settingsWith(
-                        platform, 12, 4, AdmissionValidator.defaults(platform).tenantWeights()));
+                        settings, 12, 4, AdmissionValidator.defaults(settings).tenantWeights()));
         SplittableRandom random = new SplittableRandom(5);
-        way.submitEvery(
-                700, way.currentUs + 20 * SECOND_US, () -> way.submit(random.nextInt(40), "c" + random.nextInt(9)));
-        way.run(22 * SECOND_US);
-        assertTrue(way.submitted.stream().allMatch(a -> a.endedUs >= 0), "each has its answer");
-        assertTrue(way.admission.counts().rejected(RejectionReason.QUEUE_FULL) > 1_000);
-        assertEquals(0, way.admission.waitingRequests());
-        long least =
-                LongStream.range(0, 40).map(t -> way.servedCount((int) t)).min().orElse(0);
-        long most =
-                LongStream.range(0, 40).map(t -> way.servedCount((int) t)).max().orElse(0);
-        assertTrue(least > 0.7 * most, "evenly: " + least + " to " + most);
+        harness.submitEvery(
+                700,
+                harness.currentUs + 20 * SECOND_US,
+                () -> harness.submit(random.nextInt(40), "c" + random.nextInt(9)));
+        harness.run(22 * SECOND_US);
+        assertTrue(harness.submitted.stream().allMatch(request -> request.endedUs >= 0), "each request has its answer");
+        assertTrue(harness.admission.counts().rejected(RejectionReason.QUEUE_FULL) > 1_000);
+        assertEquals(0, harness.admission.waitingRequests());
+        long minServed = LongStream.range(0, 40)
+                .map(t -> harness.servedCount((int) t))
+                .min()
+                .orElse(0);
+        long maxServed = LongStream.range(0, 40)
+                .map(t -> harness.servedCount((int) t))
+                .max()
+                .orElse(0);
+        assertTrue(minServed > 0.7 * maxServed, "evenly served: " + minServed + " to " + maxServed);
     }
 
     @Test
     void evictsFromTheTenantWithTheLongestBacklog() {
-        Settings platform = AdmissionHarness.settings(2, 10 * SECOND_US);
-        AdmissionHarness way = new AdmissionHarness(1, platform, settingsWith(platform, 50, 4, List.of(1.0, 1.0, 1.0)));
+        Settings settings = AdmissionHarness.settings(2, 10 * SECOND_US);
+        AdmissionHarness harness =
+                new AdmissionHarness(1, settings, settingsWith(settings, 50, 4, List.of(1.0, 1.0, 1.0)));
         for (int i = 0; i < 200; i++) {
-            way.submit(0, "loud" + i);
+            harness.submit(0, "loud" + i);
         }
-        assertEquals(50, way.admission.waitingRequests());
+        assertEquals(50, harness.admission.waitingRequests());
         List<SubmittedRequest> quiet = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            quiet.add(way.submit(1, "quiet" + i));
+            quiet.add(harness.submit(1, "quiet" + i));
         }
-        assertEquals(50, way.admission.waitingRequests());
-        assertTrue(quiet.stream().noneMatch(a -> a.isRejected), "the quiet school finds room");
-        assertTrue(way.admission.counts().rejected(RejectionReason.QUEUE_FULL) >= 147);
-        way.run(SECOND_US);
-        assertEquals(10, way.servedCount(1));
+        assertEquals(50, harness.admission.waitingRequests());
+        assertTrue(quiet.stream().noneMatch(request -> request.isRejected), "the tenant with little load is queued");
+        assertTrue(harness.admission.counts().rejected(RejectionReason.QUEUE_FULL) >= 147);
+        harness.run(SECOND_US);
+        assertEquals(10, harness.servedCount(1));
     }
 
     @Test
     void limitsRetryAfterToTheConfiguredMaximum() {
-        for (long longest : new long[] {0, 300_000}) {
-            Settings platform = AdmissionHarness.settings(1, LATENCY_TARGET_US);
-            platform.maxRetryAfterUs = longest;
-            AdmissionHarness way = new AdmissionHarness(4, platform);
-            int[] n = new int[1];
-            way.submitEvery(1_000, way.currentUs + 3 * SECOND_US, () -> way.submit(0, "c" + n[0]++));
-            way.run(4 * SECOND_US);
-            assertTrue(way.submitted.stream().filter(a -> a.isRejected).count() > 500);
-            assertTrue(way.submitted.stream().allMatch(a -> a.retryAfterUs <= longest));
-            assertEquals(longest > 0, way.submitted.stream().anyMatch(a -> a.retryAfterUs > 0));
+        for (long maxRetryAfterUs : new long[] {0, 300_000}) {
+            Settings settings = AdmissionHarness.settings(1, LATENCY_TARGET_US);
+            settings.maxRetryAfterUs = maxRetryAfterUs;
+            AdmissionHarness harness = new AdmissionHarness(4, settings);
+            int[] counter = new int[1];
+            harness.submitEvery(1_000, harness.currentUs + 3 * SECOND_US, () -> harness.submit(0, "c" + counter[0]++));
+            harness.run(4 * SECOND_US);
+            assertTrue(harness.submitted.stream()
+                            .filter(request -> request.isRejected)
+                            .count()
+                    > 500);
+            assertTrue(harness.submitted.stream().allMatch(request -> request.retryAfterUs <= maxRetryAfterUs));
+            assertEquals(maxRetryAfterUs > 0, harness.submitted.stream().anyMatch(request -> request.retryAfterUs > 0));
         }
     }
 
     @Test
     void givesNoRetryTimeAfterTheClientGaveUp() {
-        Settings platform = AdmissionHarness.settings(1, LATENCY_TARGET_US);
-        AdmissionHarness way = new AdmissionHarness(4, platform);
-        int[] n = new int[1];
-        way.submitEvery(1_000, way.currentUs + 5 * SECOND_US, () -> way.submit(0, "c" + n[0]++));
-        way.run(6 * SECOND_US);
+        Settings settings = AdmissionHarness.settings(1, LATENCY_TARGET_US);
+        AdmissionHarness harness = new AdmissionHarness(4, settings);
+        int[] counter = new int[1];
+        harness.submitEvery(1_000, harness.currentUs + 5 * SECOND_US, () -> harness.submit(0, "c" + counter[0]++));
+        harness.run(6 * SECOND_US);
         assertTrue(
-                way.submitted.stream().allMatch(a -> a.retryAfterUs < 10 * LATENCY_TARGET_US),
-                "ten aims are all that it waits");
-        assertTrue(way.admission.counts().rejectedWithoutReservation() > 0);
+                harness.submitted.stream().allMatch(request -> request.retryAfterUs < 10 * LATENCY_TARGET_US),
+                "the client gives up after ten latency targets");
+        assertTrue(harness.admission.counts().rejectedWithoutReservation() > 0);
     }
 
     @Test
     void admitsOtherClassesWhileOneIsBlocked() {
-        Settings platform = AdmissionHarness.settings(1, 10 * SECOND_US);
-        platform.classes.add(new RequestClass(
+        Settings settings = AdmissionHarness.settings(1, 10 * SECOND_US);
+        settings.classes.add(new RequestClass(
                 "place-order",
                 10 * SECOND_US,
                 0,
@@ -542,51 +578,55 @@
                 DeduplicationScope.ALL,
                 0,
                 false));
-        FairAdmission door = new FairAdmission(AdmissionValidator.defaults(platform), platform, 1);
-        // A module that sends class 1 only.
-        SingleClassBalancer module = new SingleClassBalancer(door);
+        FairAdmission admission = new FairAdmission(AdmissionValidator.defaults(settings), settings, 1);
+        // Sends requests of class 1 only.
+        SingleClassBalancer balancer = new SingleClassBalancer(admission);
         for (int i = 0; i < 10; i++) {
-            module.submit(0, i);
+            balancer.submit(0, i);
         }
         for (int i = 0; i < 30; i++) {
-            module.submit(1, i);
+            balancer.submit(1, i);
         }
-        module.run(400_000);
-        assertEquals(30, module.sentCount, "those of the other class have gone");
-        assertTrue(module.unsentCount() <= 4, "and few of the stuck one are inside: " + module.unsentCount());
+        balancer.run(400_000);
+        assertEquals(30, balancer.sentCount, "all requests of the other class are sent");
+        assertTrue(
+                balancer.unsentCount() <= 4,
+                "few requests of the blocked class are admitted: " + balancer.unsentCount());
     }
 
     @Test
     void weighsRequestsOverATenantsShareAsConfigured() {
-        Settings platform = AdmissionHarness.settings(0, LATENCY_TARGET_US);
-        platform.tenants.add(new Tenant("within", 250));
+        Settings settings = AdmissionHarness.settings(0, LATENCY_TARGET_US);
+        settings.tenants.add(new Tenant("within", 250));
         for (int i = 1; i < 4; i++) {
-            platform.tenants.add(new Tenant("beyond-" + i, 40));
+            settings.tenants.add(new Tenant("beyond-" + i, 40));
         }
-        platform.overShareWorth = 0.1;
-        AdmissionHarness way =
-                new AdmissionHarness(4, platform, settingsWith(platform, 1_000, 64, List.of(1.0, 1.0, 1.0, 1.0, 1.0)));
-        long until = way.currentUs + 10 * SECOND_US;
-        int[] n = new int[1];
-        way.submitEvery(4_500, until, () -> way.submit(0, "a" + n[0]++ % 300));
-        way.submitEvery(1_000, until, () -> way.submit(1 + n[0] % 3, "b" + n[0]++ % 300));
-        way.run(12 * SECOND_US);
-        // By weights alone it would have a quarter, 100 a second of the 222 that it asks.
+        settings.overShareWorth = 0.1;
+        AdmissionHarness harness =
+                new AdmissionHarness(4, settings, settingsWith(settings, 1_000, 64, List.of(1.0, 1.0, 1.0, 1.0, 1.0)));
+        long untilUs = harness.currentUs + 10 * SECOND_US;
+        int[] counter = new int[1];
+        harness.submitEvery(4_500, untilUs, () -> harness.submit(0, "a" + counter[0]++ % 300));
+        harness.submitEvery(1_000, untilUs, () -> harness.submit(1 + counter[0] % 3, "b" + counter[0]++ % 300));
+        harness.run(12 * SECOND_US);
+        // By weights alone it would have a quarter: 100 a second of the 222 that it submits.
+        assertTrue(
+                harness.servedCount(0) >= 0.75 * harness.submittedCount(0),
+                harness.servedCount(0) + " of " + harness.submittedCount(0));
         assertTrue(
-                way.servedCount(0) >= 0.75 * way.submittedCount(0),
-                way.servedCount(0) + " of " + way.submittedCount(0));
-        assertTrue(way.submitted.stream().filter(SubmittedRequest::isServed).count() > 3_600, "what is left is used");
+                harness.submitted.stream().filter(SubmittedRequest::isServed).count() > 3_600,
+                "the remaining capacity is used");
     }
 
     @Test
     void admitAllAdmitsAllWaitingRequests() {
-        AdmissionHarness way = new AdmissionHarness(1, AdmissionHarness.settings(1, 10 * SECOND_US));
+        AdmissionHarness harness = new AdmissionHarness(1, AdmissionHarness.settings(1, 10 * SECOND_US));
         for (int i = 0; i < 20; i++) {
-            way.submit(0, "k" + i);
+            harness.submit(0, "k" + i);
         }
-        assertEquals(17, way.admission.waitingRequests());
-        way.admission.admitAll();
-        assertEquals(0, way.admission.waitingRequests());
-        assertTrue(way.submitted.stream().allMatch(a -> a.isAdmitted));
+        assertEquals(17, harness.admission.waitingRequests());
+        harness.admission.admitAll();
+        assertEquals(0, harness.admission.waitingRequests());
+        assertTrue(harness.submitted.stream().allMatch(request -> request.isAdmitted));
     }
 }
--- a/src/test/java/vetchpost/admission/FairQueueTest.java
+++ b/src/test/java/vetchpost/admission/FairQueueTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One level of the queues, against the theorems of start-time fair queueing (Goyal, Vin, Cheng, 1997). */
+/**
+ * One scheduling node, against the theorems of start-time fair queueing (Goyal, Vin, Cheng, 1997): a wrong tag would
+ * serve a flow more or less than its weight allows.
+ */
 class FairQueueTest {
     private static final int FLOW_COUNT = 12;
     private static final double MAX_REQUEST_COST = 40;
@@ -30,7 +33,7 @@
         }
     }
 
-    /** While two have something waiting, what they get over their weights differs by a request of each. */
+    /** While two flows have waiting requests, their service over their weights differs by at most a request of each. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void servesTwoBackloggedFlowsInProportionUpToOneRequestOfEach(long seed) {
@@ -38,42 +41,44 @@
         activateFlows(random);
         double[] served = new double[FLOW_COUNT];
         for (int i = 0; i < 5_000; i++) {
-            RequestQueue next = (RequestQueue) root.next(k -> true, new ArrayList<>());
+            RequestQueue next = (RequestQueue) root.next(key -> true, new ArrayList<>());
             double cost = 1 + (MAX_REQUEST_COST - 1) * random.nextDouble();
             served[next.key] += cost;
             root.serve(next, cost, ++lastSequence);
-            for (RequestQueue a : flows) {
-                for (RequestQueue b : flows) {
-                    double apart = served[a.key] / a.weight - served[b.key] / b.weight;
+            for (RequestQueue first : flows) {
+                for (RequestQueue second : flows) {
+                    double difference = served[first.key] / first.weight - served[second.key] / second.weight;
                     assertTrue(
-                            apart <= MAX_REQUEST_COST / a.weight + MAX_REQUEST_COST / b.weight + 1e-6,
-                            "step " + i + ": " + apart);
+                            difference <= MAX_REQUEST_COST / first.weight + MAX_REQUEST_COST / second.weight + 1e-6,
+                            "step " + i + ": " + difference);
                 }
             }
         }
     }
 
     /**
-     * The bound of the page: between two requests of a flow no more goes out than its turn and one of each.
+     * The bound stated in docs/admission.md: between two requests of a flow, no more is served than its weight's turn
+     * and one request of each other flow.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void boundsTheServiceBetweenTwoRequestsOfAFlow(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         activateFlows(random);
-        double weights = flows.stream().mapToDouble(f -> f.weight).sum();
-        double[] lastAt = new double[FLOW_COUNT];
+        double totalWeight = flows.stream().mapToDouble(flow -> flow.weight).sum();
+        double[] lastServedAt = new double[FLOW_COUNT];
         double[] lastCost = new double[FLOW_COUNT];
-        double out = 0;
+        double servedCost = 0;
         for (int i = 0; i < 20_000; i++) {
-            RequestQueue next = (RequestQueue) root.next(k -> true, new ArrayList<>());
-            double bound = lastCost[next.key] * weights / next.weight + (FLOW_COUNT - 1) * MAX_REQUEST_COST;
+            RequestQueue next = (RequestQueue) root.next(key -> true, new ArrayList<>());
+            double bound = lastCost[next.key] * totalWeight / next.weight + (FLOW_COUNT - 1) * MAX_REQUEST_COST;
             assertTrue(
-                    out - lastAt[next.key] <= bound + 1e-6,
-                    "flow " + next.key + " waited for " + (out - lastAt[next.key]) + " of " + bound);
+                    servedCost - lastServedAt[next.key] <= bound + 1e-6,
+                    "flow " + next.key + " waited for a cost of " + (servedCost - lastServedAt[next.key]) + ", bound "
+                            + bound);
             double cost = 1 + (MAX_REQUEST_COST - 1) * random.nextDouble();
-            out += cost;
-            lastAt[next.key] = out;
+            servedCost += cost;
+            lastServedAt[next.key] = servedCost;
             lastCost[next.key] = cost;
             root.serve(next, cost, ++lastSequence);
         }
@@ -82,21 +87,21 @@
     @Test
     void keepsAnIdleFlowWhileItsFinishTagLiesAhead() {
         RequestQueue busy = new RequestQueue(root, 1);
-        RequestQueue shy = new RequestQueue(root, 2);
+        RequestQueue occasional = new RequestQueue(root, 2);
         root.children.put(1, busy);
-        root.children.put(2, shy);
+        root.children.put(2, occasional);
         busy.waitingCount = 1;
         root.activate(busy, ++lastSequence);
         for (int i = 0; i < 100; i++) {
             root.serve(busy, 10, ++lastSequence);
         }
-        shy.waitingCount = 1;
-        root.activate(shy, ++lastSequence);
-        shy.waitingCount = 0;
-        root.serve(shy, 10, ++lastSequence);
-        assertEquals(shy, root.children.get(2), "its finish lies ahead");
-        shy.waitingCount = 1;
-        root.activate(shy, ++lastSequence);
-        assertEquals(busy, root.next(k -> true, new ArrayList<>()), "and it has had its turn");
+        occasional.waitingCount = 1;
+        root.activate(occasional, ++lastSequence);
+        occasional.waitingCount = 0;
+        root.serve(occasional, 10, ++lastSequence);
+        assertEquals(occasional, root.children.get(2), "its finish lies ahead");
+        occasional.waitingCount = 1;
+        root.activate(occasional, ++lastSequence);
+        assertEquals(busy, root.next(key -> true, new ArrayList<>()), "it has had its turn");
     }
 }
--- a/src/test/java/vetchpost/admission/SingleClassBalancer.java
+++ b/src/test/java/vetchpost/admission/SingleClassBalancer.java
@@ -7,7 +7,10 @@
 import vetchpost.core.ClientRequest;
 import vetchpost.core.Headers;
 
-/** A module that can send the second class only, one request every ten milliseconds. */
+/**
+ * A stand-in for the decision module that sends requests of class 1 only, one every 10 ms; requests of other classes
+ * stay unsent.
+ */
 final class SingleClassBalancer {
     private final FairAdmission admission;
     private final List<SubmittedRequest> unsentRequests = new ArrayList<>();
@@ -19,8 +22,8 @@
         private final int classIndex;
         private AdmissionControl.RequestProgress progress;
 
-        SubmittedRequest(int cls) {
-            this.classIndex = cls;
+        SubmittedRequest(int classIndex) {
+            this.classIndex = classIndex;
         }
 
         @Override
@@ -30,21 +33,21 @@
 
         @Override
         public void rejected(long retryAfterUs) {
-            throw new AssertionError("there is all the time");
+            throw new AssertionError("unexpected rejection: the deadline is far away");
         }
     }
 
-    SingleClassBalancer(FairAdmission door) {
-        this.admission = door;
+    SingleClassBalancer(FairAdmission admission) {
+        this.admission = admission;
     }
 
     int unsentCount() {
         return unsentRequests.size();
     }
 
-    void submit(int cls, int client) {
-        SubmittedRequest entrant = new SubmittedRequest(cls);
-        Headers none = new Headers() {
+    void submit(int classIndex, int client) {
+        SubmittedRequest request = new SubmittedRequest(classIndex);
+        Headers noHeaders = new Headers() {
             @Override
             public String get(String name) {
                 return null;
@@ -53,25 +56,26 @@
             @Override
             public void forEach(BiConsumer<String, String> action) {}
         };
-        entrant.progress = admission.arrive(
+        request.progress = admission.arrive(
                 currentUs,
-                new ClientRequest(++lastNumber, cls, 0, 100_000_000, 0, false, "GET", "/", none, new byte[0]),
+                new ClientRequest(
+                        ++lastNumber, classIndex, 0, 100_000_000, 0, false, "GET", "/", noHeaders, new byte[0]),
                 client,
                 0,
                 currentUs + 100_000_000,
-                entrant);
+                request);
         admission.advance(currentUs);
     }
 
-    void run(long us) {
-        for (long until = currentUs + us; currentUs < until; ) {
+    void run(long durationUs) {
+        for (long untilUs = currentUs + durationUs; currentUs < untilUs; ) {
             currentUs += 10_000;
-            for (SubmittedRequest one : unsentRequests) {
-                if (one.classIndex == 1) {
-                    unsentRequests.remove(one);
+            for (SubmittedRequest request : unsentRequests) {
+                if (request.classIndex == 1) {
+                    unsentRequests.remove(request);
                     sentCount++;
-                    one.progress.onFirstAttemptSent();
-                    one.progress.onCompleted();
+                    request.progress.onFirstAttemptSent();
+                    request.progress.onCompleted();
                     break;
                 }
             }
--- a/src/test/java/vetchpost/core/AddressOwnersTest.java
+++ b/src/test/java/vetchpost/core/AddressOwnersTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.decision.Balancer.ServerState;
 
-/** Two servers can't share an address. */
+/**
+ * A list that names a new server at the address of one that was not reported gone: unless the old one is taken for
+ * gone, its share goes to the new, cold server.
+ */
 class AddressOwnersTest {
     private final AddressOwners addressOwners = new AddressOwners();
 
@@ -15,20 +18,27 @@
         return new ServerList.Target(id, new InetSocketAddress("10.1.0." + host, 1), "a", 0, state, 1, bootMs);
     }
 
-    private String resolveConflicts(boolean all, ServerList.Target... targets) {
-        StringBuilder said = new StringBuilder();
+    private String resolveConflicts(boolean isFull, ServerList.Target... targets) {
+        StringBuilder description = new StringBuilder();
         addressOwners
-                .resolveConflicts(new ServerList(1, all, List.of(targets)))
+                .resolveConflicts(new ServerList(1, isFull, List.of(targets)))
                 .targets()
-                .forEach(t -> said.append(t.id()).append(' ').append(t.state()).append(' '));
-        return said.toString().trim();
+                .forEach(server -> description
+                        .append(server.id())
+                        .append(' ')
+                        .append(server.state())
+                        .append(' '));
+        return description.toString().trim();
     }
 
     @Test
     void marksTheFormerOwnerOfAnAddressAsGone() {
         resolveConflicts(true, target("old", 1, ServerState.READY, 0), target("other", 2, ServerState.READY, 0));
         assertEquals("new READY old GONE", resolveConflicts(false, target("new", 1, ServerState.READY, 5)));
-        assertEquals("old GONE", resolveConflicts(false, target("old", 1, ServerState.READY, 0)), "told late");
+        assertEquals(
+                "old GONE",
+                resolveConflicts(false, target("old", 1, ServerState.READY, 0)),
+                "a late report of the former owner");
         assertEquals("old GONE", resolveConflicts(false, target("old", 1, ServerState.GONE, 0)));
         assertEquals("new DRAINING", resolveConflicts(false, target("new", 1, ServerState.DRAINING, 5)));
     }
--- a/src/test/java/vetchpost/core/AdmissionControlTest.java
+++ b/src/test/java/vetchpost/core/AdmissionControlTest.java
@@ -19,7 +19,10 @@
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.ServiceQBalancer;
 
-/** A door before the core: each request taken has one answer, whatever the door does. */
+/**
+ * The dispatcher with admission control before it: each accepted request gets exactly one answer, even if admission
+ * control is removed, throws, or the client disconnects while the request waits.
+ */
 class AdmissionControlTest {
     private static final long LATENCY_TARGET_US = 100_000;
     private long currentUs = 1_000_000_000L;
@@ -35,9 +38,9 @@
 
         @Override
         public Timer schedule(long us, Runnable task) {
-            ScheduledTask due = new ScheduledTask(us, ++lastNumber, task);
-            timers.add(due);
-            return () -> timers.remove(due);
+            ScheduledTask scheduled = new ScheduledTask(us, ++lastNumber, task);
+            timers.add(scheduled);
+            return () -> timers.remove(scheduled);
         }
     };
     private final Dispatcher dispatcher = new Dispatcher(
@@ -58,8 +61,8 @@
     }
 
     private static Settings settings() {
-        Settings set = new Settings();
-        set.classes.add(new RequestClass(
+        Settings settings = new Settings();
+        settings.classes.add(new RequestClass(
                 "view-page",
                 LATENCY_TARGET_US,
                 0,
@@ -70,8 +73,8 @@
                 DeduplicationScope.ALL,
                 0,
                 false));
-        set.maxRetryAfterUs = 1_000_000;
-        return set;
+        settings.maxRetryAfterUs = 1_000_000;
+        return settings;
     }
 
     private final class RecordingTransport implements ServerTransport {
@@ -79,9 +82,9 @@
         public void update(ServerList list) {}
 
         @Override
-        public Attempt send(String serverId, OutgoingRequest sending) {
-            sent.add(sending);
-            sending.request();
+        public Attempt send(String serverId, OutgoingRequest outgoing) {
+            sent.add(outgoing);
+            outgoing.request();
             return new Attempt() {
                 @Override
                 public boolean mayHaveReachedServer() {
@@ -90,15 +93,15 @@
 
                 @Override
                 public void abandon(Result reason) {
-                    sent.remove(sending);
-                    sending.onEnded(reason, null);
+                    sent.remove(outgoing);
+                    outgoing.onEnded(reason, null);
                 }
             };
         }
 
         @Override
-        public Attempt probe(String serverId, AttemptListener report) {
-            throw new AssertionError("no probes are allowed");
+        public Attempt probe(String serverId, AttemptListener listener) {
+            throw new AssertionError("unexpected probe");
         }
 
         @Override
@@ -112,7 +115,7 @@
         private Runnable onDisconnect;
 
         @Override
-        public void served(ServerResponse answer) {
+        public void served(ServerResponse response) {
             answerCount++;
             isServed = true;
         }
@@ -164,14 +167,14 @@
         return reply;
     }
 
-    private void run(long us) {
-        long until = currentUs + us;
-        while (!timers.isEmpty() && timers.peek().dueUs <= until) {
-            ScheduledTask due = timers.poll();
-            currentUs = Math.max(currentUs, due.dueUs);
-            due.task.run();
+    private void run(long durationUs) {
+        long untilUs = currentUs + durationUs;
+        while (!timers.isEmpty() && timers.peek().dueUs <= untilUs) {
+            ScheduledTask task = timers.poll();
+            currentUs = Math.max(currentUs, task.dueUs);
+            task.task.run();
         }
-        currentUs = until;
+        currentUs = untilUs;
     }
 
     private void publishServerList() {
@@ -195,17 +198,17 @@
     @Test
     void admitsWaitingRequestsAsResponsesArrive() {
         publishServerList();
-        FairAdmission door = fairAdmission();
-        dispatcher.admission(door);
+        FairAdmission admission = fairAdmission();
+        dispatcher.admission(admission);
         for (int i = 0; i < 30; i++) {
             submit();
         }
         assertEquals(30, dispatcher.pendingRequests());
-        assertTrue(sent.size() >= 4, "the module sends by its own limits: " + sent.size());
-        assertEquals(30 - sent.size() - 2, door.waitingRequests());
+        assertTrue(sent.size() >= 4, "sent up to the decision module's own limits: " + sent.size());
+        assertEquals(30 - sent.size() - 2, admission.waitingRequests());
         serveAll();
         assertEquals(0, dispatcher.pendingRequests());
-        assertTrue(replies.stream().allMatch(a -> a.isServed && a.answerCount == 1));
+        assertTrue(replies.stream().allMatch(reply -> reply.isServed && reply.answerCount == 1));
     }
 
     @Test
@@ -216,48 +219,50 @@
             submit();
         }
         run(LATENCY_TARGET_US);
-        assertTrue(replies.stream().filter(a -> a.answerCount == 0).count() <= 6, "only what is out may be open");
-        assertTrue(replies.stream().filter(a -> a.retryAfterUs >= 0).count() >= 24);
+        assertTrue(
+                replies.stream().filter(reply -> reply.answerCount == 0).count() <= 6,
+                "only requests with an attempt in flight may be unanswered");
+        assertTrue(replies.stream().filter(reply -> reply.retryAfterUs >= 0).count() >= 24);
         run(5 * LATENCY_TARGET_US);
-        assertTrue(replies.stream().allMatch(a -> a.answerCount == 1), "each has its one answer");
+        assertTrue(replies.stream().allMatch(reply -> reply.answerCount == 1), "each request has exactly one answer");
         assertEquals(0, dispatcher.pendingRequests());
-        assertTrue(timers.isEmpty(), "and no timer is left");
+        assertTrue(timers.isEmpty(), "no timer is left");
     }
 
     @Test
     void neverSendsARequestWhoseClientLeftWhileItWaited() {
         publishServerList();
-        FairAdmission door = fairAdmission();
-        dispatcher.admission(door);
+        FairAdmission admission = fairAdmission();
+        dispatcher.admission(admission);
         for (int i = 0; i < 12; i++) {
             submit();
         }
-        int waiting = door.waitingRequests();
+        int waiting = admission.waitingRequests();
         replies.get(11).onDisconnect.run();
         replies.get(9).onDisconnect.run();
-        assertEquals(waiting - 2, door.waitingRequests());
+        assertEquals(waiting - 2, admission.waitingRequests());
         serveAll();
         assertEquals(0, dispatcher.pendingRequests());
-        assertEquals(10, replies.stream().filter(a -> a.isServed).count());
+        assertEquals(10, replies.stream().filter(reply -> reply.isServed).count());
     }
 
     @Test
     void admitsWaitingRequestsWhenAdmissionControlIsRemoved() {
         publishServerList();
-        FairAdmission door = fairAdmission();
-        dispatcher.admission(door);
+        FairAdmission admission = fairAdmission();
+        dispatcher.admission(admission);
         for (int i = 0; i < 12; i++) {
             submit();
         }
-        assertTrue(door.waitingRequests() > 0);
+        assertTrue(admission.waitingRequests() > 0);
         dispatcher.admission(null);
-        assertEquals(0, door.waitingRequests());
+        assertEquals(0, admission.waitingRequests());
         submit();
         serveAll();
-        assertTrue(replies.stream().allMatch(a -> a.isServed && a.answerCount == 1));
+        assertTrue(replies.stream().allMatch(reply -> reply.isServed && reply.answerCount == 1));
     }
 
-    /** What a door is told; it fails at the first word, or passes over all. */
+    /** A progress listener that ignores all calls or fails at the first. */
     private record ProgressStub(boolean fails) implements AdmissionControl.RequestProgress {
         @Override
         public void onFirstAttemptSent() {
@@ -267,12 +272,12 @@
         @Override
         public void onCompleted() {
             if (fails) {
-                throw new IllegalStateException("planted");
+                throw new IllegalStateException("injected fault");
             }
         }
     }
 
-    /** Fails when it is asked for the third time, or with what it is told, holding all back. */
+    /** Admits nothing, and throws at the third arrival or advance, or in its progress listener. */
     private static final class FailingAdmission implements AdmissionControl {
         private final boolean failsOnArrival;
         private final boolean failsOnProgress;
@@ -285,9 +290,14 @@
 
         @Override
         public RequestProgress arrive(
-                long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Applicant entrant) {
+                long nowUs,
+                ClientRequest request,
+                long connection,
+                long waitedUs,
+                long deadlineUs,
+                Applicant applicant) {
             if (failsOnArrival && ++callCount == 3) {
-                throw new IllegalStateException("planted");
+                throw new IllegalStateException("injected fault");
             }
             return new ProgressStub(failsOnProgress);
         }
@@ -298,7 +308,7 @@
         @Override
         public void advance(long nowUs) {
             if (!failsOnArrival && ++callCount == 3) {
-                throw new IllegalStateException("planted");
+                throw new IllegalStateException("injected fault");
             }
         }
 
@@ -321,8 +331,10 @@
                 submit();
             }
             serveAll();
-            assertEquals(null, dispatcher.admission(), "it is taken out");
-            assertTrue(replies.stream().allMatch(a -> a.isServed && a.answerCount == 1), "and all goes in");
+            assertEquals(null, dispatcher.admission(), "admission control is removed");
+            assertTrue(
+                    replies.stream().allMatch(reply -> reply.isServed && reply.answerCount == 1),
+                    "all requests are admitted");
             assertEquals(0, dispatcher.pendingRequests());
         }
     }
@@ -332,11 +344,11 @@
         publishServerList();
         dispatcher.admission(new FailingAdmission(false, true));
         submit();
-        RecordingReply leaver = submit();
-        leaver.onDisconnect.run();
-        assertEquals(null, dispatcher.admission(), "it is taken out");
+        RecordingReply disconnecting = submit();
+        disconnecting.onDisconnect.run();
+        assertEquals(null, dispatcher.admission(), "admission control is removed");
         serveAll();
-        assertTrue(replies.get(0).isServed && replies.get(0).answerCount == 1, "and what it held goes in");
+        assertTrue(replies.get(0).isServed && replies.get(0).answerCount == 1, "the waiting request is admitted");
         assertEquals(0, dispatcher.pendingRequests());
     }
 
@@ -349,10 +361,10 @@
                 return 77;
             }
         });
-        long[] advice = {123_000, 0};
-        int[] n = new int[1];
+        long[] retryAfterUs = {123_000, 0};
+        int[] index = new int[1];
         dispatcher.admission(new AdmissionControl() {
-            private final List<Applicant> come = new ArrayList<>();
+            private final List<Applicant> arrived = new ArrayList<>();
 
             @Override
             public RequestProgress arrive(
@@ -361,8 +373,8 @@
                     long connection,
                     long waitedUs,
                     long deadlineUs,
-                    Applicant entrant) {
-                come.add(entrant);
+                    Applicant applicant) {
+                arrived.add(applicant);
                 return new ProgressStub(false);
             }
 
@@ -371,8 +383,8 @@
 
             @Override
             public void advance(long nowUs) {
-                while (!come.isEmpty()) {
-                    come.remove(0).rejected(advice[n[0]++]);
+                while (!arrived.isEmpty()) {
+                    arrived.remove(0).rejected(retryAfterUs[index[0]++]);
                 }
             }
 
--- a/src/test/java/vetchpost/core/ResponseMarginTest.java
+++ b/src/test/java/vetchpost/core/ResponseMarginTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.decision.Balancer;
 
-/** The module's deadline lies before the client's: an answer needs time to be written and read. */
+/**
+ * The decision module's deadline lies before the client's, since an answer needs time to be written and read; else it
+ * arrives after the client has given up.
+ */
 class ResponseMarginTest {
     private static final long NOW_US = 1_000_000;
     private final List<Balancer.Request> receivedRequests = new ArrayList<>();
@@ -65,7 +68,7 @@
         return receivedRequests.get(receivedRequests.size() - 1).remainingUs();
     }
 
-    /** A reply whose numbers need no value. */
+    /** A reply whose primitive result the stub need not provide. */
     interface NoReply extends ClientReply {
         @Override
         default long connectionId() {
@@ -75,9 +78,10 @@
 
     @Test
     void givesTheBalancerAnEarlierDeadlineThanTheClients() {
-        assertEquals(475_000, remainingUsInBalancer(500_000, 0), "25 ms of a long wait are kept");
+        assertEquals(475_000, remainingUsInBalancer(500_000, 0), "25 ms of a long remaining time");
         assertEquals(175_000, remainingUsInBalancer(200_000, 0), "an eighth and 25 ms are the same here");
-        assertEquals(70_000, remainingUsInBalancer(80_000, 0), "an eighth of a short one");
-        assertEquals(375_000, remainingUsInBalancer(500_000, 100_000), "what it lay unread is the client's time too");
+        assertEquals(70_000, remainingUsInBalancer(80_000, 0), "an eighth of a short remaining time");
+        assertEquals(
+                375_000, remainingUsInBalancer(500_000, 100_000), "the time that the request lay unread counts too");
     }
 }
--- a/src/test/java/vetchpost/core/ServerListQueueTest.java
+++ b/src/test/java/vetchpost/core/ServerListQueueTest.java
@@ -19,10 +19,13 @@
 import vetchpost.decision.Balancer.ListKind;
 import vetchpost.decision.Balancer.ServerState;
 
-/** Lists come in whole or in slices, with the same end; shrunken ones are doubted. */
+/**
+ * Server lists are applied whole or in chunks, with the same result. A full list that leaves out most servers, as after
+ * a fault of discovery, doesn't remove them until another one confirms it or their retention time is up.
+ */
 class ServerListQueueTest {
     private final ServerListQueue queue = new ServerListQueue();
-    /** What a node that takes in the slices has. */
+    /** The servers of a node that applies the chunks. */
     private final Map<String, Target> applied = new HashMap<>();
 
     private int chunkCount;
@@ -41,8 +44,8 @@
         return fleet;
     }
 
-    private void apply(boolean all, List<Target> targets) {
-        queue.add(new ServerList(1, all, targets));
+    private void apply(boolean isFull, List<Target> targets) {
+        queue.add(new ServerList(1, isFull, targets));
         applyAll();
     }
 
@@ -54,13 +57,13 @@
         }
     }
 
-    private void apply(ListChunk slice) {
+    private void apply(ListChunk chunk) {
         chunkCount++;
-        maxChunkSize = Math.max(maxChunkSize, slice.list().targets().size());
-        if (slice.kind() != ListKind.CHANGES) {
+        maxChunkSize = Math.max(maxChunkSize, chunk.list().targets().size());
+        if (chunk.kind() != ListKind.CHANGES) {
             applied.clear();
         }
-        for (Target target : slice.list().targets()) {
+        for (Target target : chunk.list().targets()) {
             if (target.state() == ServerState.GONE) {
                 applied.remove(target.id());
             } else {
@@ -70,25 +73,25 @@
     }
 
     private void assertApplied(List<Target> targets) {
-        Map<String, Target> wanted = new HashMap<>();
-        targets.forEach(t -> wanted.put(t.id(), t));
-        assertEquals(wanted, applied);
+        Map<String, Target> expected = new HashMap<>();
+        targets.forEach(target -> expected.put(target.id(), target));
+        assertEquals(expected, applied);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {3, 1_000, 1_001, 20_000})
-    void appliesListsOfAnyLength(int count) {
-        apply(true, fleet(0, count));
-        assertApplied(fleet(0, count));
-        assertTrue(maxChunkSize <= ServerListQueue.MAX_CHUNK_SERVERS, maxChunkSize + " in one");
-        List<Target> next = new ArrayList<>(fleet(count / 3, count + 5));
-        next.set(0, target(count / 3, ServerState.DRAINING));
+    void appliesListsOfAnyLength(int serverCount) {
+        apply(true, fleet(0, serverCount));
+        assertApplied(fleet(0, serverCount));
+        assertTrue(maxChunkSize <= ServerListQueue.MAX_CHUNK_SERVERS, maxChunkSize + " servers in one chunk");
+        List<Target> next = new ArrayList<>(fleet(serverCount / 3, serverCount + 5));
+        next.set(0, target(serverCount / 3, ServerState.DRAINING));
         Collections.shuffle(next, new Random(2));
         apply(true, next);
         assertApplied(next);
-        assertTrue(maxChunkSize <= ServerListQueue.MAX_CHUNK_SERVERS, maxChunkSize + " in one");
-        apply(false, List.of(target(count / 3 + 1, ServerState.GONE), target(90_000, ServerState.READY)));
-        next.removeIf(t -> t.id().equals("s" + (count / 3 + 1)));
+        assertTrue(maxChunkSize <= ServerListQueue.MAX_CHUNK_SERVERS, maxChunkSize + " servers in one chunk");
+        apply(false, List.of(target(serverCount / 3 + 1, ServerState.GONE), target(90_000, ServerState.READY)));
+        next.removeIf(target -> target.id().equals("s" + (serverCount / 3 + 1)));
         next.add(target(90_000, ServerState.READY));
         assertApplied(next);
     }
@@ -128,46 +131,46 @@
 
     @ParameterizedTest
     @ValueSource(ints = {100, 15_000})
-    void keepsMissingServersUntilASecondListConfirms(int count) {
-        apply(true, fleet(0, count));
+    void keepsMissingServersUntilASecondListConfirms(int serverCount) {
+        apply(true, fleet(0, serverCount));
         assertFalse(queue.pollNewSuspects());
-        List<Target> few = new ArrayList<>(fleet(0, count / 10));
-        few.set(3, target(3, ServerState.DRAINING));
-        apply(true, few);
+        List<Target> shrunken = new ArrayList<>(fleet(0, serverCount / 10));
+        shrunken.set(3, target(3, ServerState.DRAINING));
+        apply(true, shrunken);
         assertTrue(queue.pollNewSuspects());
-        assertFalse(queue.pollNewSuspects(), "it is new once");
-        assertEquals(count - count / 10, queue.suspectCount());
-        List<Target> kept = new ArrayList<>(fleet(0, count));
+        assertFalse(queue.pollNewSuspects(), "reported once");
+        assertEquals(serverCount - serverCount / 10, queue.suspectCount());
+        List<Target> kept = new ArrayList<>(fleet(0, serverCount));
         kept.set(3, target(3, ServerState.DRAINING));
         assertApplied(kept);
-        // A drain of one that is kept against the list's word holds.
-        apply(false, List.of(target(count - 1, ServerState.DRAINING)));
-        assertEquals(ServerState.DRAINING, applied.get("s" + (count - 1)).state());
-        apply(true, few);
+        // A suspect server still drains.
+        apply(false, List.of(target(serverCount - 1, ServerState.DRAINING)));
+        assertEquals(ServerState.DRAINING, applied.get("s" + (serverCount - 1)).state());
+        apply(true, shrunken);
         assertFalse(queue.pollNewSuspects());
-        assertApplied(few);
+        assertApplied(shrunken);
         assertEquals(0, queue.suspectCount());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {100, 15_000})
-    void clearsSuspectsWhenAListNamesThemAgain(int count) {
-        apply(true, fleet(0, count));
+    void clearsSuspectsWhenAListNamesThemAgain(int serverCount) {
+        apply(true, fleet(0, serverCount));
         apply(true, fleet(0, 5));
         assertTrue(queue.pollNewSuspects());
-        apply(true, fleet(0, count));
+        apply(true, fleet(0, serverCount));
         assertEquals(0, queue.suspectCount());
         queue.removeSuspects();
         applyAll();
-        assertApplied(fleet(0, count));
+        assertApplied(fleet(0, serverCount));
         apply(true, List.of());
-        assertTrue(queue.pollNewSuspects(), "an empty list is a shrunken one");
+        assertTrue(queue.pollNewSuspects(), "an empty list is suspect too");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {100, 15_000})
-    void removesSuspectsWhenTheirTimeIsUp(int count) {
-        apply(true, fleet(0, count));
+    void removesSuspectsWhenTheirTimeIsUp(int serverCount) {
+        apply(true, fleet(0, serverCount));
         apply(true, fleet(0, 5));
         queue.removeSuspects();
         applyAll();
@@ -180,15 +183,15 @@
         apply(true, fleet(0, ServerListQueue.MIN_SUSPECT_SERVERS));
         apply(true, fleet(0, 1));
         assertFalse(queue.pollNewSuspects());
-        ServerListQueue fresh = new ServerListQueue();
-        apply(fresh.restoreCached(new ServerList(0, true, fleet(0, 100))));
-        fresh.add(new ServerList(1, true, fleet(100, 110)));
-        apply(fresh.next());
-        assertFalse(fresh.pollNewSuspects());
+        ServerListQueue freshQueue = new ServerListQueue();
+        apply(freshQueue.restoreCached(new ServerList(0, true, fleet(0, 100))));
+        freshQueue.add(new ServerList(1, true, fleet(100, 110)));
+        apply(freshQueue.next());
+        assertFalse(freshQueue.pollNewSuspects());
         assertApplied(fleet(100, 110));
     }
 
-    /** All under new names, as after a release: as many as before, so that nothing has shrunk. */
+    /** All servers under new ids, as after a release: as many as before, so the list has not shrunk. */
     @Test
     void doesNotSuspectAReplacedFleet() {
         apply(true, fleet(0, 50));
