--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -17,10 +17,10 @@
 
 /**
  * Weighted fair queues before the decision module: tenants share the fleet's capacity by their weights, within a tenant
- * its classes by their value, and within a class its clients evenly. Capacity is not configured or probed: requests are
- * admitted while the decision module has next to nothing unsent, so that its own limits are the only ones, and the rate
- * at which the queues drain shows what the fleet can do. A request that can't be answered in time at that rate is
- * rejected on arrival, with a retry-after for which capacity is reserved where there is some.
+ * its classes by their value, and within a class its clients evenly. Capacity is neither configured nor probed:
+ * requests are admitted while the decision module has almost no unsent ones, so that its own limits are the only ones,
+ * and the rate at which the queues drain shows what the fleet can do. A request that can't be answered in time at that
+ * rate is rejected on arrival, with a retry-after for which capacity is reserved where there is some.
  *
  * <p>The {@link vetchpost.core.Dispatcher} calls it, on the node's event loop only. It does no I/O and has no clock of
  * its own; times are microseconds. docs/admission.md has the design's alternatives and bounds.
@@ -280,6 +280,7 @@
         return state;
     }
 
+    /** Whether the tenant has waiting requests. */
     private boolean hasWaiting(int tenant) {
         Flow withinShare = root.children.get(2 * tenant);
         Flow overShare = root.children.get(2 * tenant + 1);
@@ -311,7 +312,7 @@
     }
 
     /**
-     * The weight of a class: its value for the work it takes, as the decision module reckons it, relative to the most
+     * The weight of a class: its value for the work it takes, as the decision module computes it, relative to the most
      * valuable class, to the power of {@link #VALUE_EXPONENT}.
      */
     private double classWeight(int classIndex) {
@@ -329,7 +330,7 @@
     }
 
     /**
-     * The queue of a client: its own if it is a heavy hitter, else a shared one that its number selects.
+     * The queue of a client: its own if it is a heavy hitter, else a shared one selected by its identity.
      *
      * @param heavyHitterIndex the client's index among its tenant's heavy hitters, or -1
      */
@@ -695,8 +696,8 @@
     }
 
     /**
-     * Whether the decision module has so little unsent that another request may be admitted. Requests that it has
-     * passed over block their class and don't count: requests of other classes may be sent where these can't.
+     * Whether the decision module has so few unsent requests that another may be admitted. Requests that it has passed
+     * over block their class and don't count: requests of other classes may be sent where these can't.
      */
     private boolean hasCapacity() {
         Arrays.fill(blockedClasses, false);
--- a/src/main/java/vetchpost/admission/ReservationTable.java
+++ b/src/main/java/vetchpost/admission/ReservationTable.java
@@ -74,12 +74,13 @@
         return withinShareFlags[entry];
     }
 
+    /** Removes a reservation. */
     void remove(int entry) {
         dueUs[entry] = 0;
         liveCount--;
     }
 
-    /** Adds a reservation; false if the client has the maximum, or its row is full. */
+    /** Adds a reservation for a retry at {@code atUs}; false if the client has the maximum, or its row is full. */
     boolean add(long client, long atUs, boolean withinShare, long nowUs) {
         int rowStart = rowStart(client);
         if (hasMaxReservations(client)) {
--- a/src/main/java/vetchpost/admission/SchedulingNode.java
+++ b/src/main/java/vetchpost/admission/SchedulingNode.java
@@ -109,7 +109,10 @@
         return child.startTag < virtualTime - credit / 2;
     }
 
-    /** How far a child's next turn lies behind the virtual time, in cost of its own; negative while it has credit. */
+    /**
+     * How far ahead of the virtual time a child's next turn lies, in cost of the child's own; negative while it has
+     * credit.
+     */
     double lag(Flow child) {
         return ((child.isReady ? child.startTag : Math.max(virtualTime - credit, child.finishTag)) - virtualTime)
                 * child.weight;
--- a/src/main/java/vetchpost/admission/TenantState.java
+++ b/src/main/java/vetchpost/admission/TenantState.java
@@ -33,6 +33,7 @@
      * @param shareWeights of the requests within its share and over it
      * @param classWeights of its classes
      * @param quotaPerS requests a second within its share at this node; 0 for no limit
+     * @param nowUs the node's time in microseconds
      */
     TenantState(double[] shareWeights, double[] classWeights, double quotaPerS, long nowUs) {
         int classCount = classWeights.length;
--- a/src/main/java/vetchpost/core/AdmissionControl.java
+++ b/src/main/java/vetchpost/core/AdmissionControl.java
@@ -38,7 +38,7 @@
      *
      * @param nowUs the current time
      * @param connection a number that stays the same for its client's connection
-     * @param waitedUs how long the request may have lain unread, in microseconds
+     * @param waitedUs how long the request may have waited unread, in microseconds
      * @param deadlineUs the time by which the node must have answered
      * @param applicant is told whether the request is admitted
      * @return receives the request's progress
--- a/src/main/java/vetchpost/core/BodySink.java
+++ b/src/main/java/vetchpost/core/BodySink.java
@@ -5,8 +5,8 @@
     /**
      * Accepts the next bytes.
      *
-     * @return false if no more should come until {@link BodySource#resume} is called; bytes that come all the same are
-     *     accepted, and are limited by what the source had read already
+     * @return false if no more should be written until {@link BodySource#resume} is called; bytes written all the same
+     *     are accepted, and are limited by what the source had read already
      */
     boolean write(byte[] bytes);
 
--- a/src/main/java/vetchpost/core/NodeLifecycle.java
+++ b/src/main/java/vetchpost/core/NodeLifecycle.java
@@ -18,7 +18,7 @@
     void afterStart(Dispatcher dispatcher, EventLoopDelay loopDelay, Clock clock);
 
     /**
-     * Runs this once no more preparation time is needed before requests come; the implementation bounds that time
+     * Runs this once no more preparation time is needed before requests arrive; the implementation bounds that time
      * itself.
      */
     void runWhenPrepared(Runnable ready);
--- a/src/main/java/vetchpost/core/RequestRecorder.java
+++ b/src/main/java/vetchpost/core/RequestRecorder.java
@@ -47,9 +47,9 @@
      * The request was accepted.
      *
      * @param remainingUs until its client gives up, in microseconds
-     * @param queuedUs how long it may have lain unread, in microseconds
+     * @param waitedUs how long it may have waited unread, in microseconds
      */
-    void accepted(long nowUs, ClientRequest request, long remainingUs, long queuedUs);
+    void accepted(long nowUs, ClientRequest request, long remainingUs, long waitedUs);
 
     /** The request was handed to the decision module; before that it waited for admission. */
     void admitted(long nowUs, long id);
--- a/src/main/java/vetchpost/core/Subset.java
+++ b/src/main/java/vetchpost/core/Subset.java
@@ -20,8 +20,8 @@
  * server more or less changes little.
  *
  * <p>A node with more than half of its servers unhealthy doubles its subset, up to the whole fleet, and narrows it
- * again when they are healthy. The {@link Dispatcher} passes lists and ended attempts through it. No I/O and no clock
- * of its own.
+ * again when they have recovered. The {@link Dispatcher} passes lists and ended attempts through it, on the node's
+ * event loop. No I/O and no clock of its own.
  */
 public final class Subset {
     /** Consecutive failures from which on a server counts as unhealthy. */
--- a/src/test/java/vetchpost/admission/AdmissionValidatorTest.java
+++ b/src/test/java/vetchpost/admission/AdmissionValidatorTest.java
@@ -32,7 +32,7 @@
     }
 
     private static AdmissionValidator.ValidationResult validate(String text) {
-        RouteFile file = RouteFile.parse("door.toml", text);
+        RouteFile file = RouteFile.parse("admission.toml", text);
         assertEquals(List.of(), file.violations());
         assertEquals(
                 List.of(),
@@ -101,7 +101,7 @@
         Violation violation = result.violations().get(0);
         assertEquals(rule, violation.rule());
         assertEquals(2, violation.position().line());
-        assertTrue(violation.toString().startsWith("door.toml:2:"), violation.toString());
+        assertTrue(violation.toString().startsWith("admission.toml:2:"), violation.toString());
     }
 
     @Test
