--- a/src/main/java/vetchpost/core/Dispatcher.java
+++ b/src/main/java/vetchpost/core/Dispatcher.java
@@ -30,9 +30,9 @@
     private static final Logger LOG = System.getLogger(Dispatcher.class.getName());
 
     /**
-     * The balancer's deadline is this much earlier than the client's, or the remaining time divided by {@link
-     * #RESPONSE_MARGIN_DIVISOR} if that is less. It leaves time to transmit the answer, for timers, and for a processor
-     * that is busy just after a start.
+     * The balancer's deadline is this much earlier than the client's, or the remaining time divided by
+     * {@link #RESPONSE_MARGIN_DIVISOR} if that is less. It leaves time to transmit the answer, for timers, and for a
+     * processor that is busy just after a start.
      */
     private static final long MAX_RESPONSE_MARGIN_US = 25_000;
 
@@ -45,7 +45,7 @@
      */
     private static final long DISCONNECT_CHECK_MIN_DELAY_US = 50_000;
 
-    /** Distinct zone names, from the settings and from lists together; far more than any list has. */
+    /** Limit of distinct zone names, from the settings and from lists together; far more than any list has. */
     private static final int MAX_ZONES = 4_096;
 
     private final Clock clock;
@@ -382,8 +382,8 @@
         }
         isCallingBalancer = true;
         try {
-            for (BalancerCall event = queuedCalls.poll(); event != null; event = queuedCalls.poll()) {
-                runCall(event);
+            for (BalancerCall next = queuedCalls.poll(); next != null; next = queuedCalls.poll()) {
+                runCall(next);
             }
         } finally {
             isCallingBalancer = false;
@@ -452,17 +452,17 @@
     }
 
     /** Runs a queued call. If it throws, only its request fails; the node goes on. */
-    private void runCall(BalancerCall event) {
+    private void runCall(BalancerCall queued) {
         try {
-            event.call.run();
+            queued.call.run();
         } catch (RuntimeException | Error failure) {
             // Errors are caught too: out of memory for one request, but the next one may be small.
             LOG.log(
                     Level.ERROR,
                     "a call of the decision module failed; its request is answered with an internal error",
                     failure);
-            if (event.request != null) {
-                fail(event.request, Failure.INTERNAL_ERROR);
+            if (queued.request != null) {
+                fail(queued.request, Failure.INTERNAL_ERROR);
             }
         }
     }
@@ -784,7 +784,7 @@
         applyLists();
     }
 
-    /** Applies the list that the node had before its start; it may be old. To be called at the start. */
+    /** Applies the list that the node had before its start, which may be old. To be called at the start. */
     public void onCachedList(ServerList list) {
         applyChunk(listQueue.restoreCached(list));
     }
--- a/src/main/java/vetchpost/core/ServerTransport.java
+++ b/src/main/java/vetchpost/core/ServerTransport.java
@@ -4,7 +4,7 @@
 
 /**
  * Sends attempts and probes to servers by some protocol, for the {@link Dispatcher}, on the node's event loop. It sends
- * each once, to the given server, and reports the result once; it never retries.
+ * each of them once, to the given server, and reports its result once; it never retries.
  */
 public interface ServerTransport {
 
