--- a/src/main/java/vetchpost/admission/AdmissionValidator.java
+++ b/src/main/java/vetchpost/admission/AdmissionValidator.java
@@ -79,7 +79,10 @@
         section.entries().forEach((key, entry) -> {
             if (!KEYS.contains(key)) {
                 addViolation(
-                        entry.at(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'", "one of " + String.join(", ", KEYS));
+                        entry.position(),
+                        Rule.UNKNOWN_KEY,
+                        "unknown key '" + key + "'",
+                        "one of " + String.join(", ", KEYS));
             }
         });
         int maxWaiting = integerValue(section, "waiting", DEFAULT_WAITING_REQUESTS, 1, MAX_WAITING_REQUESTS);
@@ -89,7 +92,7 @@
                 integerValue(section, "bookings", DEFAULT_RESERVATIONS, MIN_RESERVATIONS, MAX_RESERVATIONS);
         if (Integer.bitCount(reservationTableSize) != 1) {
             addViolation(
-                    section.entries().get("bookings").at(),
+                    section.entries().get("bookings").position(),
                     Rule.OUT_OF_RANGE,
                     "bookings = " + reservationTableSize + " is not a power of two",
                     Integer.toString(Integer.highestOneBit(reservationTableSize)));
@@ -98,7 +101,7 @@
         long maxRetryAfterUs = durationUs(section, "longest-advice", settings.maxRetryAfterUs);
         if (maxRetryAfterUs > settings.maxRetryAfterUs) {
             addViolation(
-                    section.entries().get("longest-advice").at(),
+                    section.entries().get("longest-advice").position(),
                     Rule.NOT_ALLOWED,
                     "longest-advice is longer than the " + settings.maxRetryAfterUs / 1_000
                             + "ms that the settings allow",
@@ -129,11 +132,11 @@
             return defaultValue;
         }
         if (!(entry.value() instanceof Long number)) {
-            addViolation(entry.at(), Rule.WRONG_UNIT, key + " is not a whole number", key + " = " + defaultValue);
+            addViolation(entry.position(), Rule.WRONG_UNIT, key + " is not a whole number", key + " = " + defaultValue);
             return defaultValue;
         }
         if (number < min || number > max) {
-            addViolation(entry.at(), Rule.OUT_OF_RANGE, key + " = " + number, "from " + min + " to " + max);
+            addViolation(entry.position(), Rule.OUT_OF_RANGE, key + " = " + number, "from " + min + " to " + max);
             return defaultValue;
         }
         return number.intValue();
@@ -146,7 +149,7 @@
         }
         Matcher matcher = entry.value() instanceof String text ? DURATION.matcher(text) : null;
         if (matcher == null || !matcher.matches()) {
-            addViolation(entry.at(), Rule.WRONG_UNIT, key + " is not a duration with a unit", "\"500ms\"");
+            addViolation(entry.position(), Rule.WRONG_UNIT, key + " is not a duration with a unit", "\"500ms\"");
             return defaultValue;
         }
         long valueUs = (long) (Double.parseDouble(matcher.group(1))
@@ -156,7 +159,7 @@
                     default -> 60e6;
                 });
         if (valueUs > MAX_DURATION_US) {
-            addViolation(entry.at(), Rule.OUT_OF_RANGE, key + " is longer than an hour", "\"60m\"");
+            addViolation(entry.position(), Rule.OUT_OF_RANGE, key + " is longer than an hour", "\"60m\"");
             return defaultValue;
         }
         return valueUs;
@@ -168,30 +171,33 @@
             return weights(settings, Map.of());
         }
         if (!(entry.value() instanceof Map<?, ?> table)) {
-            addViolation(entry.at(), Rule.WRONG_UNIT, "weights is not a table", "weights = { school = 2.0 }");
+            addViolation(entry.position(), Rule.WRONG_UNIT, "weights is not a table", "weights = { school = 2.0 }");
             return List.of();
         }
         List<String> names = settings.tenants.stream().map(Tenant::name).toList();
         table.forEach((name, value) -> {
             if (!names.contains(name)) {
                 addViolation(
-                        entry.at(),
+                        entry.position(),
                         Rule.UNKNOWN_TENANT,
                         "there is no tenant '" + name + "'",
                         names.isEmpty()
                                 ? ""
                                 : "one of " + String.join(", ", names.subList(0, Math.min(names.size(), 20))));
             } else if (!(value instanceof Number)) {
-                addViolation(entry.at(), Rule.WRONG_UNIT, "the weight of " + name + " is not a number", "1.0");
+                addViolation(entry.position(), Rule.WRONG_UNIT, "the weight of " + name + " is not a number", "1.0");
             } else if (!(((Number) value).doubleValue() >= 1 / MAX_TENANT_WEIGHT)) {
                 addViolation(
-                        entry.at(),
+                        entry.position(),
                         Rule.STARVES,
                         name + " has weight " + value + ": it would get nothing while others wait",
                         "at least " + 1 / MAX_TENANT_WEIGHT);
             } else if (((Number) value).doubleValue() > MAX_TENANT_WEIGHT) {
                 addViolation(
-                        entry.at(), Rule.OUT_OF_RANGE, name + " has weight " + value, "at most " + MAX_TENANT_WEIGHT);
+                        entry.position(),
+                        Rule.OUT_OF_RANGE,
+                        name + " has weight " + value,
+                        "at most " + MAX_TENANT_WEIGHT);
             }
         });
         return violations.isEmpty() ? weights(settings, table) : List.of();
