--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -180,8 +180,8 @@
             queued.hasConsumedQuota = queued.isWithinShare && tenantState.tryConsumeQuota(currentUs);
             reservations.remove(reservation);
         } else {
-            queued.hasConsumedQuota = nodeSettings.overShareWorth < 1 && tenantState.tryConsumeQuota(currentUs);
-            queued.isWithinShare = nodeSettings.overShareWorth >= 1 || queued.hasConsumedQuota;
+            queued.hasConsumedQuota = nodeSettings.overShareValueFraction < 1 && tenantState.tryConsumeQuota(currentUs);
+            queued.isWithinShare = nodeSettings.overShareValueFraction >= 1 || queued.hasConsumedQuota;
         }
         SchedulingNode classNode = childNode(childNode(root, shareKey(queued)), classIndex);
         tenantContention.recordRequest(tenantState.shareContenders[queued.isWithinShare ? 0 : 1], currentUs);
@@ -308,7 +308,7 @@
 
     private double shareWeight(int shareKey) {
         double weight = settings.tenantWeights().get(shareKey / 2);
-        return shareKey % 2 == 0 ? weight : weight * Math.max(MIN_FLOW_WEIGHT, nodeSettings.overShareWorth);
+        return shareKey % 2 == 0 ? weight : weight * Math.max(MIN_FLOW_WEIGHT, nodeSettings.overShareValueFraction);
     }
 
     /**
--- a/src/main/java/vetchpost/config/SettingsReader.java
+++ b/src/main/java/vetchpost/config/SettingsReader.java
@@ -48,7 +48,7 @@
             String prefix = "realms." + i + ".";
             settings.tenants.add(new Tenant(required(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
-        settings.overShareWorth = decimal("overShareWorth", settings.overShareWorth);
+        settings.overShareValueFraction = decimal("overShareWorth", settings.overShareValueFraction);
         settings.valuePerWorkUnit = "work".equals(values.get("countedBy"));
         settings.maxAttempts = (int) wholeNumber("limits.attemptsCap", settings.maxAttempts);
         settings.allowsHedging = flag("limits.parallelTries");
@@ -58,13 +58,13 @@
         settings.maxRetryAfterUs = flag("limits.retryAfter") ? wholeNumber("limits.maxRetryAfterUs", 0) : 0;
         settings.tickUs = wholeNumber("quantumUs", settings.tickUs);
         settings.connectTimeoutUs = wholeNumber("limits.dialTimeoutUs", settings.connectTimeoutUs);
-        settings.listOnRequest = "on_request".equals(values.get("membershipMode"));
-        settings.askWithinUs = wholeNumber("rules.askWithinUs", settings.askWithinUs);
+        settings.mustRequestList = "on_request".equals(values.get("membershipMode"));
+        settings.maxListIntervalUs = wholeNumber("rules.askWithinUs", settings.maxListIntervalUs);
         settings.drainGraceUs = wholeNumber("rules.drainGraceUs", settings.drainGraceUs);
-        settings.coldFrom = decimal("rules.coldFrom", settings.coldFrom);
+        settings.coldStartFraction = decimal("rules.coldFrom", settings.coldStartFraction);
         settings.coldUs = wholeNumber("rules.coldUs", settings.coldUs);
-        settings.fallMultiple = decimal("rules.overloadFactor", settings.fallMultiple);
-        settings.fallUs = wholeNumber("rules.fallUs", settings.fallUs);
+        settings.coldOverloadMultiple = decimal("rules.overloadFactor", settings.coldOverloadMultiple);
+        settings.coldOverloadWindowUs = wholeNumber("rules.fallUs", settings.coldOverloadWindowUs);
         settings.crossZonePrice = decimal("costs.crossZone", settings.crossZonePrice);
         settings.probePrice = decimal("costs.probe", settings.probePrice);
         for (String field : list("report.fields")) {
--- a/src/main/java/vetchpost/node/Node.java
+++ b/src/main/java/vetchpost/node/Node.java
@@ -137,7 +137,7 @@
         clock = new LoopClock(loop, unixMs);
         eventLoopDelay = new EventLoopDelay(clock);
         sockets = new SocketBudget(config.maxDescriptors());
-        long firstMessageTimeoutMs = config.settings().listOnRequest
+        long firstMessageTimeoutMs = config.settings().mustRequestList
                 ? DiscoveryClient.FIRST_MESSAGE_TIMEOUT_MS
                 : DiscoveryClient.SILENCE_TIMEOUT_MS;
         discovery = new DiscoveryClient(
@@ -291,7 +291,7 @@
     }
 
     private boolean isListPushed() {
-        return !config.settings().listOnRequest && config.discovery() != null;
+        return !config.settings().mustRequestList && config.discovery() != null;
     }
 
     /** Runs the action once a pushed list arrives or its wait times out; at once if lists are requested. */
--- a/src/test/java/vetchpost/admission/FairAdmissionTest.java
+++ b/src/test/java/vetchpost/admission/FairAdmissionTest.java
@@ -601,7 +601,7 @@
         for (int i = 1; i < 4; i++) {
             settings.tenants.add(new Tenant("beyond-" + i, 40));
         }
-        settings.overShareWorth = 0.1;
+        settings.overShareValueFraction = 0.1;
         AdmissionHarness harness =
                 new AdmissionHarness(4, settings, settingsWith(settings, 1_000, 64, List.of(1.0, 1.0, 1.0, 1.0, 1.0)));
         long untilUs = harness.currentUs + 10 * SECOND_US;
