--- a/src/main/java/vetchpost/admission/FairAdmission.java
+++ b/src/main/java/vetchpost/admission/FairAdmission.java
@@ -154,8 +154,8 @@
             waiter.tookShare = waiter.inShare && book.takeShare(now);
             bookings.drop(booking);
         } else {
-            waiter.tookShare = platform.overShareWorth < 1 && book.takeShare(now);
-            waiter.inShare = platform.overShareWorth >= 1 || waiter.tookShare;
+            waiter.tookShare = platform.overShareValueFraction < 1 && book.takeShare(now);
+            waiter.inShare = platform.overShareValueFraction >= 1 || waiter.tookShare;
         }
         SchedulingNode cls = branch(branch(root, share(waiter)), c);
         contention.asks(book.shares[waiter.inShare ? 0 : 1], now);
@@ -258,7 +258,7 @@
 
     private double weight(int share) {
         double weight = set.tenantWeights().get(share / 2);
-        return share % 2 == 0 ? weight : weight * Math.max(MIN_WEIGHT, platform.overShareWorth);
+        return share % 2 == 0 ? weight : weight * Math.max(MIN_WEIGHT, platform.overShareValueFraction);
     }
 
     /** By what a request earns for the work it takes, as the module has it, and squared: most, not all. */
--- a/src/main/java/vetchpost/config/SettingsReader.java
+++ b/src/main/java/vetchpost/config/SettingsReader.java
@@ -48,7 +48,7 @@
             String prefix = "realms." + i + ".";
             set.tenants.add(new Tenant(need(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
-        set.overShareWorth = decimal("overShareWorth", set.overShareWorth);
+        set.overShareValueFraction = decimal("overShareWorth", set.overShareValueFraction);
         set.valuePerWorkUnit = "work".equals(values.get("countedBy"));
         set.maxAttempts = (int) whole("limits.attemptsCap", set.maxAttempts);
         set.allowsHedging = flag("limits.parallelTries");
@@ -58,13 +58,13 @@
         set.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
         set.tickUs = whole("quantumUs", set.tickUs);
         set.connectTimeoutUs = whole("limits.dialTimeoutUs", set.connectTimeoutUs);
-        set.listOnRequest = "on_request".equals(values.get("membershipMode"));
-        set.askWithinUs = whole("rules.askWithinUs", set.askWithinUs);
+        set.mustRequestList = "on_request".equals(values.get("membershipMode"));
+        set.maxListIntervalUs = whole("rules.askWithinUs", set.maxListIntervalUs);
         set.drainGraceUs = whole("rules.drainGraceUs", set.drainGraceUs);
-        set.coldFrom = decimal("rules.coldFrom", set.coldFrom);
+        set.coldStartFraction = decimal("rules.coldFrom", set.coldStartFraction);
         set.coldUs = whole("rules.coldUs", set.coldUs);
-        set.fallMultiple = decimal("rules.overloadFactor", set.fallMultiple);
-        set.fallUs = whole("rules.fallUs", set.fallUs);
+        set.coldOverloadMultiple = decimal("rules.overloadFactor", set.coldOverloadMultiple);
+        set.coldOverloadWindowUs = whole("rules.fallUs", set.coldOverloadWindowUs);
         set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
         set.probePrice = decimal("costs.probe", set.probePrice);
         for (String field : list("report.fields")) {
--- a/src/main/java/vetchpost/node/Node.java
+++ b/src/main/java/vetchpost/node/Node.java
@@ -118,7 +118,7 @@
         clock = new LoopClock(loop, unixMs);
         stall = new EventLoopDelay(clock);
         sockets = new SocketBudget(config.maxDescriptors());
-        long callMs = config.settings().listOnRequest
+        long callMs = config.settings().mustRequestList
                 ? DiscoveryClient.FIRST_MESSAGE_TIMEOUT_MS
                 : DiscoveryClient.SILENCE_TIMEOUT_MS;
         discovery = new DiscoveryClient(
@@ -268,7 +268,7 @@
     }
 
     private boolean isPushed() {
-        return !config.settings().listOnRequest && config.discovery() != null;
+        return !config.settings().mustRequestList && config.discovery() != null;
     }
 
     /** Runs it once a pushed list has come, or has not for a while; at once where lists are asked for. */
--- a/src/main/java/vetchpost/standalone/ReloadPlan.java
+++ b/src/main/java/vetchpost/standalone/ReloadPlan.java
@@ -28,8 +28,8 @@
                 set.connectTimeoutUs,
                 set.drainGraceUs,
                 set.coldUs,
-                set.coldFrom,
-                set.fallMultiple,
+                set.coldStartFraction,
+                set.coldOverloadMultiple,
                 set.allowsHedging,
                 set.maxRetryAfterUs,
                 set.nodes);
--- a/src/main/java/vetchpost/standalone/StandaloneValidator.java
+++ b/src/main/java/vetchpost/standalone/StandaloneValidator.java
@@ -414,8 +414,8 @@
         settings.connectTimeoutUs = own.duration("connect-timeout", 250 * MS, MS, 60 * SECOND);
         settings.drainGraceUs = own.duration("grace", SECOND, 10 * MS, HOUR);
         settings.coldUs = own.duration("cold", 20 * SECOND, 0, HOUR);
-        settings.coldFrom = own.number("cold-from", 0.2, 0.001, 1);
-        settings.fallMultiple = own.number("overload", 3, 1, 1_000);
+        settings.coldStartFraction = own.number("cold-from", 0.2, 0.001, 1);
+        settings.coldOverloadMultiple = own.number("overload", 3, 1, 1_000);
         settings.allowsHedging = own.flag("second-copies", true);
         return 2 * own.duration("idle", 5 * SECOND, 0, HOUR);
     }
--- a/src/test/java/vetchpost/admission/FairAdmissionTest.java
+++ b/src/test/java/vetchpost/admission/FairAdmissionTest.java
@@ -529,7 +529,7 @@
         for (int i = 1; i < 4; i++) {
             platform.tenants.add(new Tenant("beyond-" + i, 40));
         }
-        platform.overShareWorth = 0.1;
+        platform.overShareValueFraction = 0.1;
         AdmissionHarness way =
                 new AdmissionHarness(4, platform, with(platform, 1_000, 64, List.of(1.0, 1.0, 1.0, 1.0, 1.0)));
         long until = way.now + 10 * SECOND;
--- a/src/test/java/vetchpost/decision/ListCallsTest.java
+++ b/src/test/java/vetchpost/decision/ListCallsTest.java
@@ -32,8 +32,8 @@
             Settings set = Node.settings();
             set.nodes = NODES;
             set.node = number;
-            set.listOnRequest = true;
-            set.askWithinUs = 10 * SECOND_US;
+            set.mustRequestList = true;
+            set.maxListIntervalUs = 10 * SECOND_US;
             node = new Node(set, number + 1);
         }
     }
--- a/src/test/java/vetchpost/decision/RandomEventsTest.java
+++ b/src/test/java/vetchpost/decision/RandomEventsTest.java
@@ -36,10 +36,10 @@
     }
 
     /** A probe's end to come. */
-    private record Echo(long atUs, String server) {}
+    private record PendingProbe(long atUs, String server) {}
 
     /** A request as the judge knows it. */
-    private static final class Held {
+    private static final class TrackedRequest {
         RequestClass cls;
         long deadlineAt;
         boolean over;
@@ -54,15 +54,15 @@
     }
 
     /** Plays a node's part and fails the test on the first broken rule. */
-    private static final class Judge implements Balancer.Actions {
+    private static final class RuleChecker implements Balancer.Actions {
         final SplittableRandom random;
         final Settings set = Node.settings();
         final Balancer balancer;
-        final Map<Long, Held> held = new LinkedHashMap<>();
+        final Map<Long, TrackedRequest> held = new LinkedHashMap<>();
         final Map<String, ServerEntry> servers = new LinkedHashMap<>();
         final Map<ServerEntry, List<long[]>> coldSends = new LinkedHashMap<>();
         final PriorityQueue<long[]> answers = new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-        final PriorityQueue<Echo> echoes = new PriorityQueue<>(Comparator.comparingLong(Echo::atUs));
+        final PriorityQueue<PendingProbe> echoes = new PriorityQueue<>(Comparator.comparingLong(PendingProbe::atUs));
         int probes;
         final PriorityQueue<Long> wakes = new PriorityQueue<>();
         final StringBuilder trace = new StringBuilder();
@@ -71,7 +71,7 @@
         long served;
         int finals;
 
-        Judge(long seed) {
+        RuleChecker(long seed) {
             random = new SplittableRandom(seed);
             set.classes.replaceAll(c -> new RequestClass(
                     c.name(),
@@ -90,12 +90,12 @@
             set.allowsHedging = random.nextBoolean();
             set.allowsProbes = random.nextBoolean();
             set.nodes *= random.nextBoolean() ? 1 : 10;
-            set.listOnRequest = random.nextBoolean();
+            set.mustRequestList = random.nextBoolean();
             set.crossZonePrice = random.nextBoolean() ? 0.02 : 0;
             set.tickUs = 1_000 * (1 + random.nextInt(5));
             set.drainGraceUs = 0;
             set.coldUs = 8_000_000;
-            set.coldFrom = 0.2;
+            set.coldStartFraction = 0.2;
             balancer = new ServiceQBalancer(set, seed, this);
         }
 
@@ -106,7 +106,7 @@
                     .append(requestId)
                     .append(serverId)
                     .append('\n');
-            Held request = held.get(requestId);
+            TrackedRequest request = held.get(requestId);
             ServerEntry server = servers.get(serverId);
             assertNotNull(request, "a request that is held");
             assertFalse(request.over, "rule 1: nothing is sent after the end");
@@ -155,7 +155,7 @@
 
         private void finish(long id, boolean refusal) {
             trace.append(now).append(refusal ? " refuse " : " fail ").append(id).append('\n');
-            Held request = held.get(id);
+            TrackedRequest request = held.get(id);
             assertNotNull(request);
             assertFalse(request.over, "rule 1: one final answer only");
             assertTrue(now <= request.deadlineAt + set.tickUs, "rule 1: the answer comes in time");
@@ -200,12 +200,12 @@
         public void probe(String serverId) {
             assertTrue(set.allowsProbes);
             probes++;
-            echoes.add(new Echo(now + 500 + random.nextInt(40_000), serverId));
+            echoes.add(new PendingProbe(now + 500 + random.nextInt(40_000), serverId));
         }
 
         @Override
         public void subscribe() {
-            assertTrue(set.listOnRequest);
+            assertTrue(set.mustRequestList);
         }
 
         @Override
@@ -214,7 +214,7 @@
         }
 
         void ask() {
-            Held request = new Held();
+            TrackedRequest request = new TrackedRequest();
             int classIndex = random.nextInt(set.classes.size());
             request.cls = set.classes.get(classIndex);
             long left = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
@@ -253,7 +253,7 @@
         }
 
         void answer(long[] due) {
-            Held request = held.get(due[1]);
+            TrackedRequest request = held.get(due[1]);
             Attempt attempt = request.attempts.get((int) due[2]);
             attempt.result = Result.values()[(int) due[3]];
             if (attempt.result == Result.OK && !request.over) {
@@ -315,7 +315,7 @@
         }
 
         private void leave(long id) {
-            Held request = held.get(id);
+            TrackedRequest request = held.get(id);
             if (!request.over) {
                 request.over = true;
                 finals++;
@@ -327,7 +327,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
     void allRulesHoldOverOddSequences(long seed) {
-        Judge judge = new Judge(seed);
+        RuleChecker judge = new RuleChecker(seed);
         judge.run(1_500);
         assertEquals(judge.held.size(), judge.finals, "rule 1: every request has its one final answer");
         assertTrue(judge.served > 100, "the run must do real work: " + judge.served);
@@ -339,14 +339,14 @@
         judge.coldSends.forEach((start, sends) -> {
             for (long[] first : sends) {
                 List<long[]> span = sends.stream()
-                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.fallUs)
+                        .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.coldOverloadWindowUs)
                         .toList();
                 double ready =
                         Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
-                double age = Math.min(1, (first[0] + set.fallUs - start.startedAtUs()) / (double) set.coldUs);
-                double share = set.coldFrom + (1 - set.coldFrom) * age;
+                double age = Math.min(1, (first[0] + set.coldOverloadWindowUs - start.startedAtUs()) / (double) set.coldUs);
+                double share = set.coldStartFraction + (1 - set.coldStartFraction) * age;
                 assertTrue(
-                        span.size() - 2 <= set.fallMultiple * share * rate / ready * set.fallUs / 1e6,
+                        span.size() - 2 <= set.coldOverloadMultiple * share * rate / ready * set.coldOverloadWindowUs / 1e6,
                         "rule 4: " + span.size() + " sends in one span");
             }
         });
@@ -355,8 +355,8 @@
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
     void theSameEventsAndSeedGiveTheSameActions(long seed) {
-        Judge one = new Judge(seed);
-        Judge two = new Judge(seed);
+        RuleChecker one = new RuleChecker(seed);
+        RuleChecker two = new RuleChecker(seed);
         one.run(800);
         two.run(800);
         assertEquals(one.trace.toString(), two.trace.toString());
--- a/src/test/java/vetchpost/decision/SimulatedClusterTest.java
+++ b/src/test/java/vetchpost/decision/SimulatedClusterTest.java
@@ -63,7 +63,7 @@
             crew.replace(servers / 4);
             crew.restart(70);
             crew.run(20 * SECOND_US);
-            int most = crew.boxes.values().stream()
+            int most = crew.servers.values().stream()
                     .mapToInt(b -> b.nodes.size())
                     .max()
                     .orElseThrow();
