--- a/src/main/java/vetchpost/decision/Balancer.java
+++ b/src/main/java/vetchpost/decision/Balancer.java
@@ -4,129 +4,141 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: what a proxy node tells it (settings, server lists, requests,
- * outcomes, timers) and what it asks the node to do ({@link Actions}).
+ * The interface between a proxy node and its decision module: what the node reports (settings, server lists, requests,
+ * outcomes, timers), and what the module asks the node to do ({@link Actions}).
  *
- * <p>Times are microseconds of the caller's clock, which never goes backwards; lengths of time are
- * microseconds too. An instance serves one node, is single-threaded, never blocks and calls its
- * {@link Actions} only from within an event method. The same events and seed give the same actions.
+ * <p>Times are microseconds of the caller's clock, which never goes backwards; durations are microseconds too. An
+ * instance serves one node, is single-threaded, never blocks and calls its {@link Actions} only from within an event
+ * method. The same events and seed give the same actions.
  */
 public interface Balancer {
 
-    /** The server list as it stands; servers missing from a {@link ListKind#FULL} list have gone. */
+    /**
+     * Applies a server list.
+     *
+     * @param nowUs time of the event
+     * @param kind what the entries are; servers missing from a list that is not {@link ListKind#CHANGES} have gone
+     * @param entries the entries; of several for one server the last one counts
+     */
     void onServers(long nowUs, ListKind kind, List<ServerEntry> entries);
 
-    /** A list call failed or the subscription broke; the old list stands. */
+    /** Reports that a list request failed or the subscription broke; the old list stays in use. */
     void onListFailed(long nowUs);
 
     /**
-     * A client's request; it is owed exactly one final answer.
+     * Accepts a client's request, which gets exactly one final answer.
      *
-     * @throws IllegalArgumentException if its class or tenant is not in the settings, or its id is still
-     * held
+     * @throws IllegalArgumentException if its class or tenant is not in the settings, or a request with its id is
+     *     pending
      */
     void onRequest(long nowUs, Request request);
 
-    /** How one attempt ended. Attempts that are not known are passed over. */
+    /** Reports how one attempt ended. Unknown attempts are ignored. */
     void onOutcome(long nowUs, Outcome outcome);
 
-    /** An attempt of a streamed class has begun to answer; it has no deadline from here on. */
+    /** Reports that an attempt of a streamed class has begun to answer; it has no deadline from here on. */
     void onFirstByte(long nowUs, long requestId, int attempt);
 
-    /** The client has left; nothing more is owed. Ids that are not held are passed over. */
+    /** Reports that the client has disconnected; the request needs no answer any more. Unknown ids are ignored. */
     void onClientDisconnected(long nowUs, long requestId);
 
-    /** How a probe ended; {@code report} as in {@link Outcome}. */
+    /** Reports how a probe ended; {@code report} as in {@link Outcome}. */
     void onProbe(long nowUs, String serverId, Result result, long latencyUs, double[] report);
 
-    /** The time asked for with {@link Actions#wakeAt} has come. */
+    /** Reports that the time requested with {@link Actions#wakeAt} has come. */
     void onWake(long nowUs);
 
-    /** What it has learned of these servers, as far as they are ready, and of the classes. */
+    /** Returns the statistics of those of these servers that are ready, and of all classes. */
     default ServerStatistics statistics(List<String> serverIds) {
         return ServerStatistics.NONE;
     }
 
     /**
-     * What was known of servers and classes before the start, or to another node, as far as it is still
-     * believed. It counts only where nothing has been found out since, and outweighs nothing.
+     * Supplies statistics from before a restart, or from another node. They are used only for servers and classes
+     * without observations of this module's own.
      */
     default void onPrior(long nowUs, ServerStatistics prior) {}
 
     /**
-     * Why this server is sent nothing, or less than it might be: a line a reason, for people; none if it is
-     * drawn as any other.
+     * Returns why this server is sent nothing, or less than others, one reason for operators per element; empty if it
+     * is selected as any other.
      */
     default List<String> explainServer(long nowUs, String serverId) {
         return List.of();
     }
 
-    /** What the module asks of its node. Calls take effect in order, at the time of the event. */
+    /** Performs the module's decisions. Calls take effect in order, at the time of the event. */
     interface Actions {
-        /** Start the next attempt of a request (numbered 0, 1, 2 ...), to be given up at {@code untilUs}. */
+        /** Starts the next attempt of a request (numbered 0, 1, 2 ...), which times out at {@code untilUs}. */
         void send(long requestId, String serverId, long untilUs);
 
-        /** Stop waiting for an attempt; it still gets its outcome. */
+        /** Cancels an attempt; its outcome is still reported. */
         void cancel(long requestId, int attempt);
 
-        /** Final answer: turned away, trying again is harmless; 0 gives no advice on when. */
+        /**
+         * Final answer: rejected, and a retry is harmless.
+         *
+         * @param retryAfterUs when the client should retry, in microseconds from now; 0 for no advice
+         */
         void reject(long requestId, long retryAfterUs);
 
-        /** Final answer: failed, with no promise about its effect. */
+        /** Final answer: failed; the request may or may not have taken effect. */
         void fail(long requestId);
 
-        /** Call {@link #onWake} at this time or soon after. The module keeps one wake-up pending at most. */
+        /** Has {@link #onWake} called at this time or soon after. The module keeps at most one wake-up pending. */
         void wakeAt(long atUs);
 
-        /** Check a server. */
+        /** Probes a server. */
         void probe(String serverId);
 
-        /** Ask for changes of the server list from now on. */
+        /** Subscribes to changes of the server list. */
         void subscribe();
 
-        /** A line for the operators. */
+        /** Writes a line to the operators' log. */
         void log(String line);
 
-        /** Whether anybody wants to be told of draws and reasons; asked before they are put together. */
+        /** Whether candidates and reasons are to be reported; asked before they are built. */
         default boolean wantsExplanations() {
             return false;
         }
 
-        /** Which servers were drawn for an attempt, before one is sent to; the second may be null. */
+        /** Reports which servers were drawn for an attempt, before one is sent to; the second may be null. */
         default void reportCandidates(long requestId, Candidate first, Candidate second) {}
 
-        /** Why the refusal or failure that comes next is the answer. */
+        /** Reports why the rejection or failure that follows is the answer. */
         default void reportReason(long requestId, UnservedReason why) {}
     }
 
     /**
      * A server as it was drawn.
      *
-     * @param weight by which it is drawn: its size, less for errors in a row
+     * @param serverId the server's id
+     * @param weight its draw weight: its list weight, reduced by consecutive errors
      * @param inFlight this node's requests there
      * @param limit how many this node may have there
-     * @param pace how long it takes for what takes others 1
+     * @param relativeLatency its latency as a multiple of the usual
      */
     record Candidate(String serverId, double weight, int inFlight, double limit, double relativeLatency) {}
 
-    /** Why a request has its final answer without having been served. */
+    /** Why a request got its final answer without being served. */
     enum UnservedReason {
-        /** No answer could come in time, or earn anything, by the time it was read. */
-        TOO_LATE_ON_ARRIVAL("no answer could be in time when it came"),
-        /** The node refuses a part of what is worth little, since what is worth more finds no room. */
-        SHED("the fleet is full, and what is worth less is refused as it comes"),
-        /** The node itself is behind. */
-        EVENT_LOOP_DELAY("the node was behind, and its answer would have been late"),
-        /** No server had room for it in time. */
-        NO_CAPACITY("no server had room for it in time"),
-        /** Its time was up after an attempt. */
+        /** No answer could arrive in time, or have any value, when the request was read. */
+        TOO_LATE_ON_ARRIVAL("no answer could be in time when it arrived"),
+        /** The node sheds a fraction of the low-value requests, since those of higher value find no capacity. */
+        SHED("the fleet is overloaded, and requests of lower value are shed"),
+        /** The node's event loop is delayed. */
+        EVENT_LOOP_DELAY("the node's event loop was delayed, and its answer would have been late"),
+        /** No server had capacity for it in time. */
+        NO_CAPACITY("no server had capacity for it in time"),
+        /** Its time ran out after an attempt. */
         DEADLINE_EXCEEDED("no time was left for another attempt"),
-        /** It has had as many attempts as may be. */
-        ATTEMPTS_EXHAUSTED("it has had all its attempts"),
+        /** It used all attempts that the settings allow. */
+        ATTEMPTS_EXHAUSTED("it has used all its attempts"),
         /** It may have run, and must not run twice. */
         MAY_HAVE_RUN("it may have run, and must not run twice"),
-        /** Servers no longer know its key. */
-        DEDUPLICATION_WINDOW_EXPIRED("servers no longer drop repeats of its key"),
+        /** Its deduplication window has passed. */
+        DEDUPLICATION_WINDOW_EXPIRED(
+                "its deduplication window has passed, and servers no longer drop duplicates of its key"),
         /** Its route's attempts or retry budget are used up. */
         ROUTE_LIMIT("its route's attempts, or its retry budget, are used up");
 
@@ -136,23 +148,23 @@
             this.text = text;
         }
 
-        /** In words. */
+        /** Returns the reason in words, for operators. */
         public String text() {
             return text;
         }
     }
 
-    /** What a server list event holds. */
+    /** What a server list event contains. */
     enum ListKind {
         /** Only the entries that changed. */
         CHANGES,
         /** All entries. */
         FULL,
-        /** All entries as the node last had them, maybe old; given once, at the start. */
+        /** All entries as the node last stored them, possibly out of date; given once, at the start. */
         CACHED
     }
 
-    /** The life of a server as its list tells it. */
+    /** The lifecycle state of a server in its list. */
     enum ServerState {
         READY,
         DRAINING,
@@ -160,13 +172,13 @@
     }
 
     /**
-     * One line of a server list.
+     * One entry of a server list.
      *
-     * @param id what attempts name; stays the same over restarts
+     * @param id the name that attempts use; stays the same over restarts
      * @param zone index into {@link Settings#zones}
-     * @param cell number of the group of servers that shares which keys it has seen
+     * @param cell number of the group of servers that share the keys they have seen
      * @param state whether it takes requests
-     * @param weight the list's figure for its size, compared with other servers' only
+     * @param weight relative capacity, comparable only with other servers'
      * @param startedAtUs when it last started; 0 means long ago
      */
     record ServerEntry(String id, int zone, int cell, ServerState state, double weight, long startedAtUs) {}
@@ -174,15 +186,15 @@
     /**
      * A client's request.
      *
-     * @param id unique among the requests held
+     * @param id unique among the pending requests
      * @param classIndex index into {@link Settings#classes}
      * @param tenant index into {@link Settings#tenants}, or -1
-     * @param leftUs time until the client gives up on this try
+     * @param remainingUs time until the client gives up on this try
      * @param workUs rough expected work on a standard core; 0 if not known
-     * @param retry true if the client is known to repeat itself
-     * @param waitedUs how long it may have waited before the node could read it
-     * @param queuedUs how long it has waited at the node's door since
-     * @param bounds what its route allows beside what its class and the settings do
+     * @param retry true if the client is known to be retrying
+     * @param loopDelayUs how long it may have waited before the node could read it
+     * @param admissionDelayUs how long it has waited in the node's admission queue since
+     * @param retryLimits what its route allows beside its class and the settings
      */
     record Request(
             long id,
@@ -195,44 +207,45 @@
             long admissionDelayUs,
             RetryLimits retryLimits) {
 
-        /** Of no route. */
-        public Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry, long waitedUs) {
-            this(id, classIndex, tenant, leftUs, workUs, retry, waitedUs, 0, RetryLimits.NONE);
+        /** A request without a route's limits, which did not wait for admission. */
+        public Request(
+                long id, int classIndex, int tenant, long remainingUs, long workUs, boolean retry, long loopDelayUs) {
+            this(id, classIndex, tenant, remainingUs, workUs, retry, loopDelayUs, 0, RetryLimits.NONE);
         }
 
-        /** Read as soon as it came. */
-        public Request(long id, int classIndex, int tenant, long leftUs, long workUs, boolean retry) {
-            this(id, classIndex, tenant, leftUs, workUs, retry, 0);
+        /** A request that was read without delay. */
+        public Request(long id, int classIndex, int tenant, long remainingUs, long workUs, boolean retry) {
+            this(id, classIndex, tenant, remainingUs, workUs, retry, 0);
         }
     }
 
-    /** The bounds that an operator has set to the repeats of a request. */
+    /** Limits that an operator has set on the retries and hedges of a request's route. */
     interface RetryLimits {
-        /** None. */
+        /** No limits. */
         RetryLimits NONE = new RetryLimits() {};
 
-        /** How many attempts may have run, the first included. */
+        /** Returns how many attempts may have run, the first included. */
         default int maxAttempts() {
             return Integer.MAX_VALUE;
         }
 
-        /** Whether one more attempt after the first is within the budget. */
+        /** Whether the budget allows one more attempt after the first. */
         default boolean mayRetry() {
             return true;
         }
 
-        /** One more attempt after the first is sent. */
+        /** Records that one more attempt after the first is sent. */
         default void recordRetry() {}
 
-        /** So long after the first attempt a second copy is sent, in microseconds; 0 for none. */
+        /** Returns how long after the first attempt a hedge is sent, in microseconds; 0 for never. */
         default long hedgeDelayUs() {
             return 0;
         }
 
-        /** An attempt was served in so many microseconds. */
+        /** Records the latency of an attempt that was served, in microseconds. */
         default void recordLatency(long latencyUs) {}
 
-        /** How long to wait after so many attempts before the next, in microseconds. */
+        /** Returns the delay before the next attempt after this many, in microseconds. */
         default long retryDelayUs(int attempts) {
             return 0;
         }
@@ -244,7 +257,7 @@
         OK(false),
         /** The server answered with an error; the request may have run. */
         ERROR(false),
-        /** Turned away by the server without a look. */
+        /** The server rejected the request without processing it. */
         FULL(true),
         /** No answer in time; it may have run or still be running. */
         TIMEOUT(false),
@@ -252,7 +265,7 @@
         CONNECT_FAILED(true),
         /** The connection broke; it may have run. */
         RESET(false),
-        /** Called off; it may have run. */
+        /** Cancelled; it may have run. */
         CANCELLED(false),
         /** Never sent. */
         MOOT(true);
@@ -268,15 +281,14 @@
     /**
      * The end of one attempt.
      *
-     * @param requestId the request
-     * @param attempt its number
+     * @param requestId the request's id
+     * @param attempt the attempt's number, from 0
      * @param result how it ended
      * @param latencyUs time since it was sent
-     * @param requestEnded true if the request is over, by this outcome or before; else an answer is
-     *     still owed
+     * @param requestEnded true if the request has ended, by this outcome or before; otherwise it still needs an answer
      * @param report the server's load report in the order of {@link Settings#reportFields}, or null
-     * @param stallUs how much of the latency the node may have added itself, because it was behind with its
-     *     sockets: that much says nothing of the server
+     * @param loopDelayUs how much of the latency the node's delayed event loop may have added; that much says nothing
+     *     about the server
      */
     record Outcome(
             long requestId,
@@ -287,24 +299,26 @@
             double[] report,
             long loopDelayUs) {
 
-        /** By a node that keeps up. */
+        /** An outcome that was read without delay. */
         public Outcome(
                 long requestId, int attempt, Result result, long latencyUs, boolean requestEnded, double[] report) {
             this(requestId, attempt, result, latencyUs, requestEnded, report, 0);
         }
 
-        /** What of the latency is surely the server's. */
+        /** Returns the part of the latency that is surely the server's, in microseconds. */
         public long serverLatencyUs() {
             return latencyUs - loopDelayUs;
         }
 
-        /** Whether the latency is mostly the node's own, so that nothing can be told by it. */
+        /** Whether the latency is mostly the node's own, so that it says nothing. */
         public boolean isMostlyLoopDelay() {
             return serverLatencyUs() < loopDelayUs;
         }
 
-        /** Whether it says anything of its server: a node that is behind runs out of time on answers that
-         * have come. One that stays behind finds a silent server only by what fails otherwise. */
+        /**
+         * Whether it says anything about its server: a delayed node times out on answers that have arrived. A node that
+         * stays delayed detects a silent server only by other failures.
+         */
         public boolean isInformative() {
             return result != Result.CANCELLED
                     && result != Result.MOOT
@@ -312,24 +326,24 @@
         }
     }
 
-    /** Whether a request may run again. */
+    /** Whether a request may run more than once. */
     enum Idempotency {
-        /** As often as wanted. */
+        /** Any number of times. */
         SAFE,
-        /** Within a group of servers that drops repeats, for a while. */
+        /** Within a group of servers that drop duplicates for a while. */
         KEYED,
         /** Never. */
         UNSAFE
     }
 
-    /** The servers among which the repeats of a keyed request are dropped. */
+    /** The servers among which duplicates of a keyed request are dropped. */
     enum DeduplicationScope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** What a server may tell of its load. */
+    /** A field of a server's load report. */
     enum ReportField {
         IN_FLIGHT,
         QUEUED,
@@ -343,15 +357,17 @@
     /**
      * A class of requests.
      *
-     * @param aimUs answers within this time earn the full worth
-     * @param aimStretch the aim grows by this many times the request's own work, up to the deadline
+     * @param name its name
+     * @param latencyTargetUs answers within this time have the full value
+     * @param latencyTargetWorkFactor the latency target grows by this many times the request's own work, up to the
+     *     deadline
      * @param deadlineUs how long a client waits over all its tries
-     * @param worth worth of a request
-     * @param lateWorth share of it for an answer after the aim
-     * @param repeat whether it may run again
-     * @param group keyed classes: who drops repeats
-     * @param windowUs keyed classes: for how long, from the first attempt that may have run
-     * @param stream whether answers are streamed
+     * @param value value of a request, at least 0
+     * @param lateValueFraction fraction of the value that an answer after the latency target has, at least 0
+     * @param idempotency whether it may run more than once
+     * @param deduplicationScope keyed classes: which servers drop duplicates
+     * @param deduplicationWindowUs keyed classes: for how long, from the first attempt that may have run
+     * @param isStreaming whether answers are streamed
      */
     record RequestClass(
             String name,
@@ -368,11 +384,12 @@
     /**
      * A tenant.
      *
-     * @param quotaPerS requests a second, over all nodes, inside its share; 0 means without limit
+     * @param name its name
+     * @param quotaPerS requests per second of its share, over all nodes; 0 for no limit
      */
     record Tenant(String name, double quotaPerS) {}
 
-    /** The settings of one node. Fields left alone keep the defaults given here. */
+    /** The settings of one node. Fields that are not set keep these defaults. */
     final class Settings {
         /** Number of nodes, this one included. */
         public int nodes = 1;
@@ -386,90 +403,87 @@
         public List<RequestClass> classes = new ArrayList<>();
         /** Tenants; may be empty. */
         public List<Tenant> tenants = new ArrayList<>();
-        /** Worth of a request beyond its tenant's share, as a part of its class's worth. */
+        /** Value of a request over its tenant's share, as a fraction of its class's value. */
         public double overShareValueFraction = 1;
-        /** Whether worth counts for each unit of work and not for each request. */
+        /** Whether value counts per unit of work instead of per request. */
         public boolean valuePerWorkUnit;
-        /** Most attempts for a request. */
+        /** Maximum attempts of a request. */
         public int maxAttempts = 3;
-        /** Whether a request may have two attempts out at once. */
+        /** Whether a request may have two attempts in flight at once. */
         public boolean allowsHedging;
         /** Whether attempts may be cancelled. */
         public boolean allowsCancellation;
         /** Whether servers may be probed. */
         public boolean allowsProbes;
-        /** Whether clients mark their repeats, so that what is not marked is a first try. */
+        /** Whether clients mark their retries, so that an unmarked request is a first try. */
         public boolean clientsMarkRetries;
-        /** Longest advice to a client on when to come back; 0 means none may be given. */
+        /** Maximum retry-after given to a client; 0 if none may be given. */
         public long maxRetryAfterUs;
-        /** Events come at most this often. */
+        /** Events arrive at most this often. */
         public long tickUs = 1_000;
-        /** Time allowed to open a connection. */
+        /** Timeout for opening a connection. */
         public long connectTimeoutUs = 250_000;
-        /** Whether the server list must be asked for. */
+        /** Whether the server list must be requested. */
         public boolean mustRequestList;
-        /** Where it must be asked for: without a subscription, ask at least this often. */
+        /** Maximum interval between list requests while there is no subscription, where the list must be requested. */
         public long maxListIntervalUs = 10_000_000;
-        /** Sends to a server must end this long after word that it drains or has gone. */
+        /** Sends to a server must end this long after it is reported as draining or gone. */
         public long drainGraceUs = 1_000_000;
-        /** A server starts with this share of its capacity or more. */
+        /** Minimum fraction of its capacity that a server has when it starts. */
         public double coldStartFraction = 0.2;
-        /** And is warm after this long at most. */
+        /** Maximum time until a started server is warm. */
         public long coldUs = 20_000_000;
-        /**
-         * A cold server falls over when all nodes together send it more than this many times what it
-         * can do.
-         */
+        /** A cold server is overloaded when all nodes together send it more than this many times its capacity. */
         public double coldOverloadMultiple = 3;
-        /** For this long. */
+        /** The time window over which that load is counted. */
         public long coldOverloadWindowUs = 2_000_000;
         /** Price of an attempt that crosses zones; 0 if crossing is free. */
         public double crossZonePrice;
-        /** Price of one probe for each request, in the unit in which all worth asked for is 1. */
+        /** Price of one probe per request, in a unit in which the value of all requests is 1. */
         public double probePrice;
-        /** What load reports hold, in order; empty if there are none. */
+        /** Fields of the load reports, in order; empty if there are none. */
         public List<ReportField> reportFields = new ArrayList<>();
 
         /** Throws IllegalArgumentException, naming the field, if a setting is missing or out of range. */
         void validate() {
             require(!classes.isEmpty(), "classes is empty");
-            require(nodes >= 1, "nodes is under 1");
-            require(node >= 0 && node < nodes, "node is not among nodes");
-            require(maxAttempts >= 1, "maxAttempts is under 1");
-            require(myZone >= 0 && myZone < Math.max(1, zones.size()), "myZone is not among zones");
+            require(nodes >= 1, "nodes must be at least 1");
+            require(node >= 0 && node < nodes, "node must be from 0 to nodes - 1");
+            require(maxAttempts >= 1, "maxAttempts must be at least 1");
+            require(myZone >= 0 && myZone < Math.max(1, zones.size()), "myZone must be an index into zones");
             requireTime(tickUs, "tickUs");
             requireTime(coldUs, "coldUs");
-            requireTime(coldOverloadWindowUs, "fallUs");
+            requireTime(coldOverloadWindowUs, "coldOverloadWindowUs");
             requireTime(drainGraceUs, "drainGraceUs");
             requireTime(connectTimeoutUs, "connectTimeoutUs");
-            requireTime(maxListIntervalUs, "askWithinUs");
+            requireTime(maxListIntervalUs, "maxListIntervalUs");
             requireTime(maxRetryAfterUs, "maxRetryAfterUs");
-            require(overShareValueFraction >= 0, "overShareWorth is negative");
-            require(crossZonePrice >= 0, "crossZonePrice is negative");
-            require(probePrice >= 0, "probePrice is negative");
-            require(coldStartFraction > 0 && coldStartFraction <= 1, "coldFrom is not in (0, 1]");
-            require(coldOverloadMultiple > 0, "fallMultiple is not above 0");
+            require(overShareValueFraction >= 0, "overShareValueFraction must not be negative");
+            require(crossZonePrice >= 0, "crossZonePrice must not be negative");
+            require(probePrice >= 0, "probePrice must not be negative");
+            require(coldStartFraction > 0 && coldStartFraction <= 1, "coldStartFraction must be above 0 and at most 1");
+            require(coldOverloadMultiple > 0, "coldOverloadMultiple must be above 0");
             for (RequestClass c : classes) {
                 require(
                         c.latencyTargetUs() >= 0
                                 && c.deadlineUs() > 0
                                 && c.deduplicationWindowUs() >= 0
                                 && c.latencyTargetWorkFactor() >= 0,
-                        "class " + c.name() + " has a length of time out of range");
-                require(c.value() >= 0 && c.lateValueFraction() >= 0, "class " + c.name() + " has a negative worth");
+                        "class " + c.name() + " has a latency target, deadline or deduplication window out of range");
+                require(c.value() >= 0 && c.lateValueFraction() >= 0, "class " + c.name() + " has a negative value");
                 require(
                         c.idempotency() != Idempotency.KEYED || c.deduplicationScope() != null,
-                        "class " + c.name() + " has no group");
+                        "class " + c.name() + " is keyed and has no deduplication scope");
             }
         }
 
         private static void requireTime(long us, String field) {
-            require(us >= 0, field + " is negative");
+            require(us >= 0, field + " must not be negative");
         }
 
-        private static void require(boolean holds, String otherwise) {
-            if (!holds) {
-                throw new IllegalArgumentException(otherwise);
+        private static void require(boolean condition, String message) {
+            if (!condition) {
+                throw new IllegalArgumentException(message);
             }
         }
     }
--- a/src/main/java/vetchpost/decision/PendingRequest.java
+++ b/src/main/java/vetchpost/decision/PendingRequest.java
@@ -5,7 +5,10 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.Settings;
 
-/** A request that is held, or whose attempts are still out. */
+/**
+ * A request without its final answer, or with attempts still in flight. It belongs to one {@link ServiceQBalancer} and
+ * its thread; times are microseconds of the balancer's clock.
+ */
 final class PendingRequest {
     final Request request;
     final RequestClass requestClass;
@@ -17,7 +20,7 @@
     final long[] sentAt;
     final Result[] results;
     double value;
-    /** Worth more than requests are on average. */
+    /** Whether its value is above the mean of all requests. */
     boolean aboveMeanValue;
 
     double priority;
@@ -30,21 +33,23 @@
     boolean streaming;
     boolean ended;
 
-    PendingRequest(Request request, Settings set, long now, long elapsedUs) {
+    PendingRequest(Request request, Settings settings, long now, long elapsedUs) {
         this.request = request;
-        requestClass = set.classes.get(request.classIndex());
-        long aim = Math.min(
-                requestClass.deadlineUs(), requestClass.latencyTargetUs() + (long) (requestClass.latencyTargetWorkFactor() * request.workUs()));
+        requestClass = settings.classes.get(request.classIndex());
+        long targetUs = Math.min(
+                requestClass.deadlineUs(),
+                requestClass.latencyTargetUs() + (long) (requestClass.latencyTargetWorkFactor() * request.workUs()));
         arrivedAt = now;
         deadlineAt = now + Math.max(0, request.remainingUs());
-        latencyTargetUs = aim;
-        latencyTargetAt = Math.min(deadlineAt, now + aim - elapsedUs - request.loopDelayUs() - request.admissionDelayUs());
-        servers = new Server[set.maxAttempts];
-        sentAt = new long[set.maxAttempts];
-        results = new Result[set.maxAttempts];
+        latencyTargetUs = targetUs;
+        latencyTargetAt =
+                Math.min(deadlineAt, now + targetUs - elapsedUs - request.loopDelayUs() - request.admissionDelayUs());
+        servers = new Server[settings.maxAttempts];
+        sentAt = new long[settings.maxAttempts];
+        results = new Result[settings.maxAttempts];
     }
 
-    /** The earliest attempt not known never to have run, or -1: it binds repeats and refusals. */
+    /** Returns the number of the first attempt that may have run, or -1. It restricts retries and rejections. */
     int firstAttemptThatMayHaveRun() {
         for (int i = 0; i < attemptCount; i++) {
             if (results[i] == null || !results[i].neverRan) {
--- a/src/main/java/vetchpost/decision/Server.java
+++ b/src/main/java/vetchpost/decision/Server.java
@@ -3,13 +3,16 @@
 import java.util.Comparator;
 import vetchpost.decision.Balancer.ServerState;
 
-/** A server as this node knows it: what the list says of it, and what its answers have told. */
+/**
+ * A server of the list with this node's statistics of it, which the balancer updates from its own thread. Times are
+ * microseconds of the balancer's clock.
+ */
 final class Server extends IndexedSet.Member {
     final String id;
     final long sequenceNumber;
-    /** Where it stands on the ring of all servers. */
+    /** Its position on the hash ring of all servers. */
     final long ringPosition;
-    /** The last whole list, by number, that named it. */
+    /** Number of the last list event that named it. */
     int lastListNumber;
 
     int zone;
@@ -18,16 +21,16 @@
     long startedAt;
     double weight = 1;
     int inFlight;
-    /** Share of its answers that failed, and not by being late or full. */
+    /** Running mean of its answers that failed other than by timeout or rejection, from 0 to 1. */
     double failureFraction;
 
     double relativeLatency = 1;
     long relativeLatencyAt;
     double limit;
     long limitDecreasedAt;
-    /** Until then it gets nothing: this node has had its part of its time. */
+    /** Until then it gets no requests of this node, whose limit there is below one. */
     long pausedUntil;
-    /** When it was last wanted while at its limit, and since when it is there, or -1. */
+    /** When a request was last held back by its limit, and since when it has been at its limit, or -1. */
     long limitedDemandAt;
 
     long atLimitSince = -1;
@@ -39,27 +42,32 @@
     int successfulTrials;
     long lastResponseAt;
     long lastServedAt;
-    /** Ended attempts that told something of it, since it started; and when the last of them ended. */
+    /** Ended attempts since it started that say something about it, and when the last of them ended. */
     int attemptCount;
 
     long lastAttemptEndedAt;
-    /** By class: failures in a row, when it last served it, and until when it gets no more of it. */
+    /** By class: consecutive failures, when it last served the class, and until when it is excluded from it. */
     final int[] classFailureStreaks;
 
     final long[] classLastServedAt;
     final long[] classExcludedUntil;
-    /** When it was last sent to while cold, or began, and what part of a gap must have passed since. */
+    /**
+     * When it was last sent a request while cold, or started, and the fraction of an interval that must pass after
+     * that.
+     */
     long coldLastSentAt;
 
     double coldIntervalFraction;
 
-    /** By the ends of a class's exclusion, or by trials; no lambdas, which cost a start more. */
+    /**
+     * Orders servers by the end of a class's exclusion, or by their next trial. Not lambdas, which slow down the start.
+     */
     static final class DueTimeOrder implements Comparator<Server> {
         static final int TRIALS = -1;
         private final int classIndex;
 
-        DueTimeOrder(int cls) {
-            this.classIndex = cls;
+        DueTimeOrder(int classIndex) {
+            this.classIndex = classIndex;
         }
 
         private long dueTime(Server server) {
