--- a/src/main/java/vetchpost/decision/Aperture.java
+++ b/src/main/java/vetchpost/decision/Aperture.java
@@ -8,28 +8,30 @@
 import java.util.Set;
 
 /**
- * Which of the ready servers this node chooses from, where nodes are many: a part that is as large as makes
- * this node's part of each server one request at once. All ready servers stand on a ring in the order of a
- * hash of their ids; node i of N begins at the i-th of N equal parts and takes as many in a row as it is to
- * have (deterministic aperture, as in Finagle), so that each server has as many nodes as any other, but for
- * one. A node that is asked for more than its part of what all servers can do takes as many times as much,
- * so that its load on each is no more than any other node's; one whose servers are ill by half takes twice as
- * many for a while. With few nodes it is all servers. No I/O, and no clock but what it is told.
+ * Selects the servers that this node uses where there are many nodes: a subset so large that this node's fraction of
+ * each server is one concurrent request. All ready servers are on a hash ring of their ids; node i of N starts at the
+ * i-th of N equal sections and uses as many servers in a row as it needs (deterministic aperture, as in Finagle), so
+ * that node counts per server differ by at most one.
+ *
+ * <p>A node that is asked for a multiple of its fraction of the fleet's capacity uses that multiple of servers, so that
+ * its load on each is no higher than any other node's. A node of whose servers half fail uses twice as many for a
+ * while. With few nodes the subset is all servers. No I/O and no clock; {@link ServiceQBalancer} calls it on its
+ * thread.
  */
 final class Aperture {
-    /** What comes is counted over so long. */
+    /** Window over which demand is measured. */
     private static final long WINDOW_US = 1_000_000;
-    /** Share of a new span in the running mean: some seconds of them even out chance. */
+    /** Weight of a new window in the running mean: some seconds even out chance. */
     private static final double DEMAND_GAIN = 0.3;
-    /** A node that is asked for less takes less after so many spans: a pause is no change. */
+    /** Windows of lower demand after which the subset shrinks: a pause is no change. */
     private static final int MAX_WINDOWS_BEFORE_NARROWING = 5;
-    /** Widened for ill servers, it takes half as many again after so long without half of them ill. */
+    /** Time after which a subset widened for failures is halved, unless half of it fails again. */
     private static final long FAILURE_WIDENING_US = 10_000_000;
-    /** Two are drawn, and one more may be gone before the list says so. */
+    /** Minimum servers of a subset: two are drawn, and one more may be gone before the list says so. */
     private static final int MIN_SERVERS = 3;
 
     private static final Comparator<Server> BY_RING_POSITION =
-            Comparator.comparingLong((Server s) -> s.ringPosition).thenComparing(s -> s.id);
+            Comparator.comparingLong((Server server) -> server.ringPosition).thenComparing(server -> server.id);
 
     private final int nodeIndex;
     private final int nodeCount;
@@ -39,7 +41,7 @@
     private long windowStart;
     private double windowWorkUs;
     private int windowCount;
-    /** Servers that what comes would keep busy, in the mean. */
+    /** Servers that the demand would keep busy, as a running mean. */
     private double busyServers;
 
     private int demandMultiple = 1;
@@ -48,82 +50,82 @@
     private long failureMultipleAt;
 
     /**
-     * No servers so far.
+     * Creates an aperture without servers.
      *
-     * @param node this node's number, from 0
-     * @param nodes how many there are
-     * @param bears requests that a server bears at once, from all nodes together
+     * @param nodeIndex this node's number, from 0
+     * @param nodeCount how many nodes there are
+     * @param concurrencyPerServer concurrent requests that a server can handle, from all nodes together
      */
-    Aperture(int node, int nodes, double bears) {
-        this.nodeIndex = node;
-        this.nodeCount = nodes;
-        this.concurrencyPerServer = bears;
+    Aperture(int nodeIndex, int nodeCount, double concurrencyPerServer) {
+        this.nodeIndex = nodeIndex;
+        this.nodeCount = nodeCount;
+        this.concurrencyPerServer = concurrencyPerServer;
     }
 
-    /** Takes in a server that is ready. */
+    /** Adds a server that is ready. */
     void add(Server server) {
-        int place = Collections.binarySearch(ring, server, BY_RING_POSITION);
-        if (place < 0) {
-            ring.add(-place - 1, server);
+        int position = Collections.binarySearch(ring, server, BY_RING_POSITION);
+        if (position < 0) {
+            ring.add(-position - 1, server);
             changed = true;
         }
     }
 
-    /** Takes out one that may not be in. */
+    /** Removes a server; no effect if it is not present. */
     void remove(Server server) {
-        int place = Collections.binarySearch(ring, server, BY_RING_POSITION);
-        if (place >= 0) {
-            ring.remove(place);
+        int position = Collections.binarySearch(ring, server, BY_RING_POSITION);
+        if (position >= 0) {
+            ring.remove(position);
             changed = true;
         }
     }
 
-    /** Whether the part may have changed since this was asked last. */
+    /** Whether the subset may have changed since the last call. */
     boolean hasChangedSinceLastCheck() {
-        boolean was = changed;
+        boolean hadChanged = changed;
         changed = false;
-        return was;
+        return hadChanged;
     }
 
-    /** How many nodes have one server, in the mean; the whole number of them if each has all. */
+    /** Returns how many nodes use one server, as a mean; the number of nodes if each uses all servers. */
     double meanNodesPerServer() {
-        int each = Math.min(ring.size(), baseSize());
-        return ring.isEmpty() ? nodeCount : Math.max(1, (double) nodeCount * each / ring.size());
+        int serversPerNode = Math.min(ring.size(), baseSize());
+        return ring.isEmpty() ? nodeCount : Math.max(1, (double) nodeCount * serversPerNode / ring.size());
     }
 
-    /** How many servers a node has that is asked for no more than its part. */
+    /** Returns how many servers a node uses whose demand is within its fraction. */
     private int baseSize() {
         return Math.max(MIN_SERVERS, (int) Math.ceil(concurrencyPerServer * ring.size() / nodeCount));
     }
 
-    /** How many servers this node has. */
+    /** Returns how many servers this node uses. */
     int size() {
         return (int) Math.min(ring.size(), (long) baseSize() * demandMultiple * failureMultiple);
     }
 
-    /** The servers of the part, in ring order. */
+    /** Returns the servers of the subset, in ring order. */
     private List<Server> selectedServers() {
-        List<Server> part = new ArrayList<>();
-        int first = (int) ((long) nodeIndex * ring.size() / nodeCount);
+        List<Server> subset = new ArrayList<>();
+        int start = (int) ((long) nodeIndex * ring.size() / nodeCount);
         for (int i = 0; i < size(); i++) {
-            part.add(ring.get((first + i) % ring.size()));
+            subset.add(ring.get((start + i) % ring.size()));
         }
-        return part;
+        return subset;
     }
 
-    /** Which of those in use are not of the part any more. */
+    /** Returns the servers in use that are no longer in the subset. */
     List<Server> serversToRemove(IndexedSet<Server> inUse) {
         List<Server> leaving = new ArrayList<>();
-        Set<Server> part = new HashSet<>(selectedServers());
+        Set<Server> subset = new HashSet<>(selectedServers());
         for (int i = 0; i < inUse.size(); i++) {
-            if (!part.contains(inUse.get(i))) {
+            if (!subset.contains(inUse.get(i))) {
                 leaving.add(inUse.get(i));
             }
         }
         return leaving;
     }
 
-    /** Which are of the part and not in use yet, in the order in which they were named first. */
+    /** Returns the servers of the subset that are not in use yet, in the order in which the list first named them. */
     List<Server> serversToAdd(IndexedSet<Server> inUse) {
         List<Server> joining = selectedServers();
         joining.removeIf(inUse::contains);
@@ -132,40 +134,41 @@
     }
 
     /**
-     * A request has come.
+     * Records a request.
      *
-     * @param workUs how long a server takes for such a one at least; not below 0, and Double.MAX_VALUE if
-     *     that is not known
-     * @return whether the part may have changed
+     * @param nowUs its time
+     * @param workUs minimum time that a server takes for such a request; not below 0, and Double.MAX_VALUE if it is not
+     *     known
+     * @return whether the subset may have changed
      */
     boolean recordRequest(long nowUs, double workUs) {
         if (windowStart == 0) {
             windowStart = nowUs;
         }
         windowWorkUs += workUs < Double.MAX_VALUE ? workUs : 0;
-        long spanUs = nowUs - windowStart;
-        if (spanUs < WINDOW_US) {
+        long windowUs = nowUs - windowStart;
+        if (windowUs < WINDOW_US) {
             return false;
         }
-        busyServers += Math.max(DEMAND_GAIN, 1.0 / ++windowCount) * (windowWorkUs / spanUs - busyServers);
+        busyServers += Math.max(DEMAND_GAIN, 1.0 / ++windowCount) * (windowWorkUs / windowUs - busyServers);
         windowStart = nowUs;
         windowWorkUs = 0;
-        int before = size();
-        int wanted = Math.max(1, (int) Math.round(busyServers * nodeCount / Math.max(1, ring.size())));
-        lowDemandWindows = wanted < demandMultiple ? lowDemandWindows + 1 : 0;
-        if (wanted > demandMultiple || lowDemandWindows > MAX_WINDOWS_BEFORE_NARROWING) {
-            demandMultiple = wanted;
+        int previousSize = size();
+        int wantedMultiple = Math.max(1, (int) Math.round(busyServers * nodeCount / Math.max(1, ring.size())));
+        lowDemandWindows = wantedMultiple < demandMultiple ? lowDemandWindows + 1 : 0;
+        if (wantedMultiple > demandMultiple || lowDemandWindows > MAX_WINDOWS_BEFORE_NARROWING) {
+            demandMultiple = wantedMultiple;
             lowDemandWindows = 0;
         }
         if (failureMultiple > 1 && nowUs - failureMultipleAt >= FAILURE_WIDENING_US) {
             failureMultipleAt = nowUs;
             failureMultiple /= 2;
         }
-        changed |= before != size();
+        changed |= previousSize != size();
         return changed;
     }
 
-    /** Half of the part is ill. */
+    /** Widens the subset because half of its servers fail. */
     void widenForFailures(long nowUs) {
         failureMultipleAt = nowUs;
         if (size() < ring.size()) {
--- a/src/main/java/vetchpost/decision/DrawIndex.java
+++ b/src/main/java/vetchpost/decision/DrawIndex.java
@@ -5,20 +5,23 @@
 import java.util.function.Predicate;
 
 /**
- * Members to be drawn by the paper's weights, in a time that does not grow with their number. A weight is the
- * member's size times {@code ceil(E / (1 + errors))}, where E, {@code floor((1 + most errors)^1.5)}, is the
- * same for all: a change of E would change every weight. So members lie in buckets of one count of errors and
- * of sizes that differ by less than twice; a bucket is drawn by its sum, and its member by rejection, with
- * two tries on average at most. A member moves in constant time but for the number of buckets, which is that
- * of the different counts at hand: one in a healthy fleet, some dozens in a failing one.
- * docs/large-fleets.md has what else was weighed.
+ * Draws members by the paper's weights, in a time that does not grow with their number. A weight is the member's size
+ * times {@code ceil(E / (1 + errors))}, where E, {@code floor((1 + maximum errors)^1.5)}, is the same for all members,
+ * so that a change of E would change every weight.
  *
- * @param <M> what is drawn
+ * <p>Members are therefore kept in buckets of one error count and of sizes that differ by less than a factor of two. A
+ * bucket is drawn by its total weight and its member by rejection sampling, with at most two tries on average. A member
+ * moves in constant time except for the number of buckets, which is the number of different error counts: one in a
+ * healthy fleet, some dozens in a failing one. docs/large-fleets.md describes the alternatives.
+ *
+ * <p>Not thread-safe; {@link Fleet} and {@link ServiceQBalancer} use it on the balancer's thread.
+ *
+ * @param <M> type of the members
  */
 final class DrawIndex<M extends DrawIndex.Member> {
     /** Indexes that a member can be in at once. */
     static final int MAX_INDEXES_PER_MEMBER = 4;
-    /** So many buckets stay when they are empty: their kind comes again soon. */
+    /** Number of buckets up to which empty ones are kept, since members of their kind soon return. */
     private static final int MIN_RETAINED_BUCKETS = 8;
 
     private final int slot;
@@ -31,11 +34,11 @@
     private int maxErrors;
     private double weightScale = 1;
 
-    /** What can be drawn. Errors and size change only while it is in no index, or before it is put anew. */
+    /** A possible member. Errors and size change only while it is in no index, or before it is put again. */
     abstract static class Member {
         /** Failures since the last success. */
         int errors;
-        /** Its part in the weight, finite and above 0. */
+        /** Its size as a factor of the weight, finite and above 0. */
         double size = 1;
 
         final Bucket<?>[] buckets = new Bucket<?>[MAX_INDEXES_PER_MEMBER];
@@ -43,7 +46,7 @@
         final double[] indexedSizes = new double[MAX_INDEXES_PER_MEMBER];
     }
 
-    /** Members of one count of errors, with sizes above half of {@code top} and up to it. */
+    /** Members of one error count, with sizes above half of {@code maxSize} and up to it. */
     private static final class Bucket<M extends Member> {
         final int errors;
         final double maxSize;
@@ -51,9 +54,9 @@
         int count;
         double totalSize;
 
-        Bucket(int errors, double top) {
+        Bucket(int errors, double maxSize) {
             this.errors = errors;
-            this.maxSize = top;
+            this.maxSize = maxSize;
         }
 
         @SuppressWarnings("unchecked")
@@ -62,9 +65,13 @@
         }
     }
 
-    /** Nobody yet; {@code place} tells it from the others that its members are in, from 0. */
-    DrawIndex(int place) {
-        this.slot = place;
+    /**
+     * Creates an empty index.
+     *
+     * @param slot tells the index from the others that its members are in, from 0
+     */
+    DrawIndex(int slot) {
+        this.slot = slot;
     }
 
     @SuppressWarnings({"unchecked", "rawtypes"})
@@ -76,13 +83,13 @@
         return memberCount;
     }
 
-    /** The largest power of two under which sizes of its bucket lie, or reach. */
+    /** Returns the maximum size of the bucket for a size: the smallest power of two that is not below it. */
     private static double maxSizeOfBucket(double size) {
         double power = Math.scalb(1.0, Math.getExponent(size));
         return size > power ? 2 * power : power;
     }
 
-    /** Takes a member in, or to where it belongs by now. */
+    /** Adds a member, or moves it to the bucket of its current errors and size. */
     void put(M member) {
         Bucket<?> old = member.buckets[slot];
         if (old != null && old.errors == member.errors && member.indexedSizes[slot] == member.size) {
@@ -102,9 +109,9 @@
         weightsOutdated = true;
     }
 
-    private Bucket<M> bucket(int errors, double top) {
+    private Bucket<M> bucket(int errors, double maxSize) {
         for (int i = 0; i < bucketCount; i++) {
-            if (buckets[i].errors == errors && buckets[i].maxSize == top) {
+            if (buckets[i].errors == errors && buckets[i].maxSize == maxSize) {
                 return buckets[i];
             }
         }
@@ -112,11 +119,11 @@
             buckets = Arrays.copyOf(buckets, 2 * bucketCount);
             cumulativeWeights = new double[2 * bucketCount];
         }
-        buckets[bucketCount] = new Bucket<>(errors, top);
+        buckets[bucketCount] = new Bucket<>(errors, maxSize);
         return buckets[bucketCount++];
     }
 
-    /** Without effect on who is not in it. */
+    /** Removes a member; no effect if it is not in the index. */
     void remove(M member) {
         Bucket<?> bucket = member.buckets[slot];
         if (bucket == null) {
@@ -148,49 +155,53 @@
         }
     }
 
-    /** The paper's E of the members in it. */
+    /** Returns the paper's E for the members of this index. */
     double weightScale() {
-        int most = 0;
+        int max = 0;
         for (int i = 0; i < bucketCount; i++) {
-            most = buckets[i].count > 0 ? Math.max(most, buckets[i].errors) : most;
+            max = buckets[i].count > 0 ? Math.max(max, buckets[i].errors) : max;
         }
-        if (most != maxErrors) {
-            maxErrors = most;
-            weightScale = Math.floor(StrictMath.pow(1 + (double) most, 1.5));
+        if (max != maxErrors) {
+            maxErrors = max;
+            weightScale = Math.floor(StrictMath.pow(1 + (double) max, 1.5));
         }
         return weightScale;
     }
 
-    /** The paper's weight for one unit of size. */
-    private static double weight(int errors, double largestEffect) {
-        return Math.ceil(largestEffect / (1 + (double) errors));
+    /** Returns the paper's weight per unit of size. */
+    private static double weight(int errors, double weightScale) {
+        return Math.ceil(weightScale / (1 + (double) errors));
     }
 
-    private void updateCumulativeWeights(double largestEffect) {
+    private void updateCumulativeWeights(double weightScale) {
         double sum = 0;
         for (int i = 0; i < bucketCount; i++) {
-            sum += buckets[i].totalSize * weight(buckets[i].errors, largestEffect);
+            sum += buckets[i].totalSize * weight(buckets[i].errors, weightScale);
             cumulativeWeights[i] = sum;
         }
         weightsOutdated = false;
-        cumulativeWeightScale = largestEffect;
+        cumulativeWeightScale = weightScale;
     }
 
-    /** One of them by weight, or null if there is none. */
-    M draw(SplittableRandom random, double largestEffect) {
+    /**
+     * Draws a member by weight; null if there is none.
+     *
+     * @param weightScale the paper's E
+     */
+    M draw(SplittableRandom random, double weightScale) {
         if (memberCount == 0) {
             return null;
         }
-        if (weightsOutdated || cumulativeWeightScale != largestEffect) {
-            updateCumulativeWeights(largestEffect);
+        if (weightsOutdated || cumulativeWeightScale != weightScale) {
+            updateCumulativeWeights(weightScale);
         }
-        double at = random.nextDouble() * cumulativeWeights[bucketCount - 1];
+        double target = random.nextDouble() * cumulativeWeights[bucketCount - 1];
         int i = 0;
-        while (i < bucketCount - 1 && cumulativeWeights[i] <= at) {
+        while (i < bucketCount - 1 && cumulativeWeights[i] <= target) {
             i++;
         }
         while (buckets[i].count == 0) {
-            i--; // Rounded up to the sum of all, past the last that is not empty.
+            i--; // Rounding selected the end of the table, past the last bucket that is not empty.
         }
         Bucket<M> bucket = buckets[i];
         M drawn = bucket.get(random.nextInt(bucket.count));
@@ -201,25 +212,25 @@
     }
 
     /**
-     * One of those that fit, by weight, or null: all are looked at if they are no more than {@code most},
-     * else so many in a row, from anywhere.
+     * Draws one of the members that match, by weight, or null. All members are scanned if there are no more than {@code
+     * maxScanned}, else that many in a row from a random position.
      */
-    M drawAmong(int most, SplittableRandom random, double largestEffect, Predicate<M> fits) {
-        int skip = memberCount <= most ? 0 : random.nextInt(memberCount);
+    M drawAmong(int maxScanned, SplittableRandom random, double weightScale, Predicate<M> matches) {
+        int skip = memberCount <= maxScanned ? 0 : random.nextInt(memberCount);
         int i = 0;
         while (skip > 0 && skip >= buckets[i].count) {
             skip -= buckets[i++].count;
         }
         M drawn = null;
         double total = 0;
-        for (int looked = 0; looked < Math.min(most, memberCount); looked++, skip++) {
+        for (int scanned = 0; scanned < Math.min(maxScanned, memberCount); scanned++, skip++) {
             while (skip >= buckets[i].count) {
                 skip = 0;
                 i = (i + 1) % bucketCount;
             }
             M member = buckets[i].get(skip);
-            if (fits.test(member)) {
-                double weight = member.size * weight(member.errors, largestEffect);
+            if (matches.test(member)) {
+                double weight = member.size * weight(member.errors, weightScale);
                 total += weight;
                 drawn = random.nextDouble() * total < weight ? member : drawn;
             }
--- a/src/main/java/vetchpost/decision/Fleet.java
+++ b/src/main/java/vetchpost/decision/Fleet.java
@@ -5,49 +5,50 @@
 import java.util.TreeSet;
 
 /**
- * The ready servers, and indexes of them by all that is asked for: draws, room, zones and cells, ejection and
- * trials. A change of one server costs no more in a large fleet than in a small one, but for a logarithm.
+ * Indexes the servers in use by what the balancer selects them by: draw weight, capacity, zone, cell, ejection and
+ * trial time. An update of one server costs constant or logarithmic time whatever the size of the fleet. It belongs to
+ * one {@link ServiceQBalancer} and its thread.
  */
 final class Fleet {
-    /** No zone is nearer than another. */
+    /** Stands for no zone, where none is preferred. */
     private static final int NO_ZONE = Integer.MIN_VALUE;
 
     private static final IndexedSet<Server> EMPTY = new IndexedSet<>(0);
 
-    /** The servers that are ready, in list order, and those of them that are ejected. */
+    /** The servers in use, in list order, and those of them that are ejected. */
     final IndexedSet<Server> ready = new IndexedSet<>(0);
 
     final IndexedSet<Server> ejected = new IndexedSet<>(1);
-    /** What is drawn from: all servers that are ready, and of this node's own zone; of both, who has room. */
+    /** Indexes to draw from: all servers in use and those of this node's zone; of both, those with capacity. */
     final DrawIndex<Server> allZones = new DrawIndex<>(0);
 
     final DrawIndex<Server> allZonesWithCapacity = new DrawIndex<>(1);
     final DrawIndex<Server> localZone;
     final DrawIndex<Server> localZoneWithCapacity;
-    /** Ejected servers with nothing in flight, by the times of their trials. */
+    /** Ejected servers with nothing in flight, by the time of their next trial. */
     final TreeSet<Server> ejectedByTrialTime = new TreeSet<>(new Server.DueTimeOrder(Server.DueTimeOrder.TRIALS));
-    /** The sizes of the ready servers, by the list. */
+    /** Sum of the list weights of the servers in use. */
     double totalWeight;
 
     private final Map<Integer, IndexedSet<Server>> serversByZone = new HashMap<>();
     private final Map<Integer, IndexedSet<Server>> serversByCell = new HashMap<>();
     private final int myZone;
 
-    /** Without zones: what is nearby is what is anywhere. */
+    /** Creates a fleet without zones: the local zone's indexes are those of all zones. */
     Fleet() {
         myZone = NO_ZONE;
         localZone = allZones;
         localZoneWithCapacity = allZonesWithCapacity;
     }
 
-    /** With a zone of this node's own. */
+    /** Creates a fleet in which the servers of this node's zone have indexes of their own. */
     Fleet(int myZone) {
         this.myZone = myZone;
         localZone = new DrawIndex<>(2);
         localZoneWithCapacity = new DrawIndex<>(3);
     }
 
-    /** Takes in a server that is ready; to be settled. */
+    /** Adds a server; {@link #updateIndexes} must follow. */
     void add(Server server) {
         ready.add(server);
         add(serversByZone, server.zone, 2, server);
@@ -55,19 +56,19 @@
         totalWeight += server.weight;
     }
 
-    /** Takes out one that is in, before anything of it changes; to be settled. */
+    /** Removes a server before anything of it changes; {@link #updateIndexes} must follow. */
     void remove(Server server) {
         ready.remove(server);
         remove(serversByZone, server.zone, server);
         remove(serversByCell, server.cell, server);
-        // A sum of fractions: what rounding has left would else stay for good.
+        // Rounding errors would otherwise accumulate.
         totalWeight = ready.size() == 0 ? 0 : totalWeight - server.weight;
     }
 
-    private static void add(Map<Integer, IndexedSet<Server>> groups, int key, int place, Server server) {
+    private static void add(Map<Integer, IndexedSet<Server>> groups, int key, int slot, Server server) {
         IndexedSet<Server> group = groups.get(key);
         if (group == null) {
-            group = new IndexedSet<>(place);
+            group = new IndexedSet<>(slot);
             groups.put(key, group);
         }
         group.add(server);
@@ -81,18 +82,22 @@
         }
     }
 
-    /** Has the indexes follow what has changed of a server: errors, size, room, ejection, what is out. */
-    void updateIndexes(Server server, boolean full) {
-        boolean listed = ready.contains(server);
-        boolean near = listed && server.zone == myZone;
-        boolean room = listed && !server.ejected && !full;
-        setMembership(allZones, server, listed);
-        setMembership(allZonesWithCapacity, server, room);
+    /**
+     * Updates the indexes after a change of a server's errors, weight, limit, ejection or requests in flight.
+     *
+     * @param atLimit whether the server is at its limit
+     */
+    void updateIndexes(Server server, boolean atLimit) {
+        boolean inUse = ready.contains(server);
+        boolean local = inUse && server.zone == myZone;
+        boolean hasCapacity = inUse && !server.ejected && !atLimit;
+        setMembership(allZones, server, inUse);
+        setMembership(allZonesWithCapacity, server, hasCapacity);
         if (localZone != allZones) {
-            setMembership(localZone, server, near);
-            setMembership(localZoneWithCapacity, server, near && room);
+            setMembership(localZone, server, local);
+            setMembership(localZoneWithCapacity, server, local && hasCapacity);
         }
-        if (listed && server.ejected) {
+        if (inUse && server.ejected) {
             ejected.add(server);
             if (server.inFlight == 0) {
                 ejectedByTrialTime.add(server);
@@ -105,20 +110,20 @@
         }
     }
 
-    private static void setMembership(DrawIndex<Server> index, Server server, boolean in) {
-        if (in) {
+    private static void setMembership(DrawIndex<Server> index, Server server, boolean isMember) {
+        if (isMember) {
             index.put(server);
         } else {
             index.remove(server);
         }
     }
 
-    /** The ready servers of a zone. */
+    /** Returns the servers in use of a zone. */
     IndexedSet<Server> serversInZone(int zone) {
         return serversByZone.getOrDefault(zone, EMPTY);
     }
 
-    /** The ready servers of a cell. */
+    /** Returns the servers in use of a cell. */
     IndexedSet<Server> serversInCell(int cell) {
         return serversByCell.getOrDefault(cell, EMPTY);
     }
--- a/src/main/java/vetchpost/decision/HashRing.java
+++ b/src/main/java/vetchpost/decision/HashRing.java
@@ -1,10 +1,10 @@
 package vetchpost.decision;
 
-/** A ring on which all servers stand, at the same places for every node. */
+/** Hash ring on which every node computes the same positions for servers. Stateless. */
 public final class HashRing {
     private HashRing() {}
 
-    /** Where a name stands: 64 well-mixed bits (FNV-1a, and the finalizer of MurmurHash3 by Appleby). */
+    /** Returns the position of a name: 64 well-mixed bits (FNV-1a, and the finalizer of MurmurHash3 by Appleby). */
     public static long position(String name) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < name.length(); i++) {
--- a/src/main/java/vetchpost/decision/IndexedSet.java
+++ b/src/main/java/vetchpost/decision/IndexedSet.java
@@ -4,27 +4,32 @@
 import java.util.List;
 
 /**
- * Members in an order that lasts while they stay, of whom any can leave at once: the last one takes the place
- * of who leaves.
+ * A set with constant-time insertion, removal and access by position. Members keep their positions while they stay,
+ * except that the last one takes the position of a removed one. A member can be in several sets at once. Not
+ * thread-safe; {@link Fleet} uses it on the balancer's thread.
  *
- * @param <M> who is in it
+ * @param <M> type of the members
  */
 final class IndexedSet<M extends IndexedSet.Member> {
-    /** Rosters that a member can be in at once. */
+    /** Sets that a member can be in at once. */
     static final int MAX_SETS_PER_MEMBER = 4;
 
     private final int slot;
     private final List<M> members = new ArrayList<>();
 
-    /** Who can be in it. */
+    /** A possible member. */
     abstract static class Member extends DrawIndex.Member {
-        /** Its position and one, by roster; 0 in none. */
+        /** By set slot: its position plus one; 0 if it is not in that set. */
         final int[] positionsPlusOne = new int[MAX_SETS_PER_MEMBER];
     }
 
-    /** Nobody yet; {@code place} tells it from the others that its members are in, from 0. */
-    IndexedSet(int place) {
-        this.slot = place;
+    /**
+     * Creates an empty set.
+     *
+     * @param slot tells the set from the others that its members are in, from 0
+     */
+    IndexedSet(int slot) {
+        this.slot = slot;
     }
 
     int size() {
@@ -39,12 +44,12 @@
         return member.positionsPlusOne[slot] > 0;
     }
 
-    /** The position of a member, or -1. */
+    /** Returns the position of a member, or -1. */
     int indexOf(M member) {
         return member.positionsPlusOne[slot] - 1;
     }
 
-    /** Without effect on who is in it. */
+    /** Adds a member; no effect if it is in the set already. */
     void add(M member) {
         if (!contains(member)) {
             members.add(member);
@@ -52,7 +57,7 @@
         }
     }
 
-    /** Without effect on who is not in it. */
+    /** Removes a member; no effect if it is not in the set. */
     void remove(M member) {
         int position = indexOf(member);
         if (position >= 0) {
--- a/src/main/java/vetchpost/decision/StatisticsTransfer.java
+++ b/src/main/java/vetchpost/decision/StatisticsTransfer.java
@@ -8,39 +8,46 @@
 import vetchpost.decision.ServerStatistics.PerServer;
 
 /**
- * Turns what a node knows of servers into {@link ServerStatistics}, and such knowledge into a server's beginning.
+ * Converts a node's view of servers and classes to {@link ServerStatistics} and back into initial values. Stateless;
+ * called by {@link ServiceQBalancer} on its thread.
  */
 final class StatisticsTransfer {
     private static final int HISTORY_LENGTH = 16;
-    /** With more, E = (1 + e)^1.5 would keep a server that has recovered from being drawn at all. */
+    /** With more errors, E = (1 + e)^1.5 would keep a recovered server from being drawn at all. */
     private static final int MAX_RESTORED_ERRORS = 8;
-    /** A usual latency that others have found counts for no more answers than this. */
+    /** A restored latency counts for at most this many answers. */
     private static final int MAX_RESTORED_ANSWERS = 8;
-    /** Answers with which a limit is believed by half, and the bounds to what is believed. */
+    /** Answers at which a restored limit has a confidence of one half. */
     private static final double HALF_CONFIDENCE_ANSWERS = 4;
 
+    /** Bounds of a restored limit as a multiple of the initial one. */
     private static final double MIN_RELATIVE_LIMIT = 0.25;
+
     private static final double MAX_RELATIVE_LIMIT = 8;
-    /** The slowest pace that a module takes down itself. */
+    /** The largest relative latency that a module records itself. */
     private static final double MAX_RELATIVE_LATENCY = 5;
 
     private static final double MAX_LATENCY_US = 3.6e9;
 
     private StatisticsTransfer() {}
 
-    /** Of those of these servers that are ready; limits as multiples of the one that a server starts with. */
-    static List<PerServer> of(List<String> ids, Map<String, Server> byId, double firstLimit) {
-        List<PerServer> known = new ArrayList<>();
+    /**
+     * Returns the statistics of those of these servers that are ready.
+     *
+     * @param initialLimit the limit with which a server starts at this node
+     */
+    static List<PerServer> of(List<String> ids, Map<String, Server> byId, double initialLimit) {
+        List<PerServer> statistics = new ArrayList<>();
         for (String id : ids) {
             Server server = byId.get(id);
             if (server == null || server.state != ServerState.READY) {
                 continue;
             }
-            List<Integer> misses = new ArrayList<>(server.classFailureStreaks.length);
+            List<Integer> classFailureStreaks = new ArrayList<>(server.classFailureStreaks.length);
             for (int count : server.classFailureStreaks) {
-                misses.add(count);
+                classFailureStreaks.add(count);
             }
-            known.add(new PerServer(
+            statistics.add(new PerServer(
                     server.id,
                     server.startedAt,
                     server.attemptCount,
@@ -50,68 +57,76 @@
                     Integer.bitCount(server.failureHistory & (1 << HISTORY_LENGTH) - 1),
                     server.failureFraction,
                     server.relativeLatency,
-                    server.limit / firstLimit,
+                    server.limit / initialLimit,
                     server.ejected,
-                    misses));
+                    classFailureStreaks));
         }
-        return known;
+        return statistics;
     }
 
-    /** Of all classes. */
-    static List<PerClass> of(int[] answers, double[] latencyUs, double[] leastUs) {
-        List<PerClass> known = new ArrayList<>();
-        for (int c = 0; c < answers.length; c++) {
-            known.add(new PerClass(c, answers[c], latencyUs[c], leastUs[c] < Double.MAX_VALUE ? leastUs[c] : 0));
+    /** Returns the statistics of all classes. */
+    static List<PerClass> of(int[] answerCounts, double[] latencyUs, double[] minLatencyUs) {
+        List<PerClass> statistics = new ArrayList<>();
+        for (int classIndex = 0; classIndex < answerCounts.length; classIndex++) {
+            statistics.add(new PerClass(
+                    classIndex,
+                    answerCounts[classIndex],
+                    latencyUs[classIndex],
+                    minLatencyUs[classIndex] < Double.MAX_VALUE ? minLatencyUs[classIndex] : 0));
         }
-        return known;
+        return statistics;
     }
 
-    /** Has classes of which nothing is known begin with what was usual. */
-    static void restore(List<PerClass> prior, int[] answers, double[] latencyUs) {
-        for (PerClass known : prior) {
-            int c = known.index();
-            if (c >= 0
-                    && c < answers.length
-                    && answers[c] == 0
-                    && known.answerCount() > 0
-                    && known.latencyUs() > 0
-                    && known.latencyUs() < MAX_LATENCY_US) {
-                answers[c] = Math.min(MAX_RESTORED_ANSWERS, known.answerCount());
-                latencyUs[c] = known.latencyUs();
+    /** Sets the usual latency of classes without answers. */
+    static void restore(List<PerClass> prior, int[] answerCounts, double[] latencyUs) {
+        for (PerClass statistics : prior) {
+            int classIndex = statistics.index();
+            if (classIndex >= 0
+                    && classIndex < answerCounts.length
+                    && answerCounts[classIndex] == 0
+                    && statistics.answerCount() > 0
+                    && statistics.latencyUs() > 0
+                    && statistics.latencyUs() < MAX_LATENCY_US) {
+                answerCounts[classIndex] = Math.min(MAX_RESTORED_ANSWERS, statistics.answerCount());
+                latencyUs[classIndex] = statistics.latencyUs();
             }
         }
     }
 
     /**
-     * Has a server of which nothing is known begin with a prior. It is one failure short of what would eject
-     * it or keep a class from it at the worst: only answers of its own bring a verdict, and the first success
-     * clears its errors.
+     * Sets the initial values of a server without answers. They are at most one failure short of ejecting it or
+     * excluding it from a class: only its own answers do that, and the first success clears its errors.
      *
-     * @param ejectAt failures that eject
-     * @param classOutAt failures in a row that keep a class from it
+     * @param minFailuresToEject failures that eject a server
+     * @param minStreakToExcludeClass consecutive failures that exclude a server from a class
      */
-    static void restore(Server server, PerServer prior, int ejectAt, int classOutAt, long now) {
+    static void restore(Server server, PerServer prior, int minFailuresToEject, int minStreakToExcludeClass, long now) {
         server.errors = Math.max(0, Math.min(MAX_RESTORED_ERRORS, prior.consecutiveErrors()));
-        int failures = Math.max(0, Math.min(ejectAt - 1, prior.recentFailures()));
+        int failures = Math.max(0, Math.min(minFailuresToEject - 1, prior.recentFailures()));
         server.failureHistory = (1 << failures) - 1;
         server.failureFraction = clamp(prior.failureFraction(), 0, 1);
         server.relativeLatency = clamp(prior.relativeLatency(), 1 / MAX_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
         server.relativeLatencyAt = now;
-        // As sure as the answers that it rests on are many; more of them than a giver can have had tell
-        // nothing.
-        double weight = prior.attemptCount() / (prior.attemptCount() + HALF_CONFIDENCE_ANSWERS);
-        server.limit *=
-                1 + clamp(weight, 0, 1) * (clamp(prior.relativeLimit(), MIN_RELATIVE_LIMIT, MAX_RELATIVE_LIMIT) - 1);
-        for (int c = 0;
-                c < Math.min(server.classFailureStreaks.length, prior.classFailureStreaks().size());
-                c++) {
-            server.classFailureStreaks[c] = Math.max(
-                    0, Math.min(classOutAt - 1, prior.classFailureStreaks().get(c)));
+        // Confidence grows with the answers that the limit rests on; it is bounded, whatever count the sender gives.
+        double confidence = prior.attemptCount() / (prior.attemptCount() + HALF_CONFIDENCE_ANSWERS);
+        server.limit *= 1
+                + clamp(confidence, 0, 1) * (clamp(prior.relativeLimit(), MIN_RELATIVE_LIMIT, MAX_RELATIVE_LIMIT) - 1);
+        for (int classIndex = 0;
+                classIndex
+                        < Math.min(
+                                server.classFailureStreaks.length,
+                                prior.classFailureStreaks().size());
+                classIndex++) {
+            server.classFailureStreaks[classIndex] = Math.max(
+                    0,
+                    Math.min(
+                            minStreakToExcludeClass - 1,
+                            prior.classFailureStreaks().get(classIndex)));
         }
     }
 
-    /** Not a number counts as the least. */
-    private static double clamp(double value, double least, double most) {
-        return value > least ? Math.min(most, value) : least;
+    /** Bounds a value; NaN becomes {@code min}. */
+    private static double clamp(double value, double min, double max) {
+        return value > min ? Math.min(max, value) : min;
     }
 }
--- a/src/test/java/vetchpost/decision/HealthTest.java
+++ b/src/test/java/vetchpost/decision/HealthTest.java
@@ -66,7 +66,8 @@
         List<String> servers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             long id = node.request(i < 20 ? Node.UNSAFE : Node.SAFE);
-            servers.add(node.lastAttempt(id) == null ? "none" : node.lastAttempt(id).server());
+            servers.add(
+                    node.lastAttempt(id) == null ? "none" : node.lastAttempt(id).server());
         }
         assertTrue(servers.subList(0, 20).stream().noneMatch("s0"::equals), servers.toString());
         assertTrue(servers.subList(20, 30).contains("s0"), servers.toString());
@@ -176,7 +177,9 @@
         for (int i = 0; i < 40; i++) {
             long id = node.request(Node.SAFE);
             for (int j = 0;
-                    j < 4 && node.lastAttempt(id) != null && node.lastAttempt(id).server().equals("s0");
+                    j < 4
+                            && node.lastAttempt(id) != null
+                            && node.lastAttempt(id).server().equals("s0");
                     j++) {
                 node.complete(id, Result.CONNECT_FAILED, 100);
             }
--- a/src/test/java/vetchpost/decision/MechanismTest.java
+++ b/src/test/java/vetchpost/decision/MechanismTest.java
@@ -143,9 +143,13 @@
     @Test
     void anAttemptThatNobodyRepeatsEndsAtTheAimAndOthersRunOn() {
         Node node = new Node().withServers(3);
-        assertEquals(node.now + 200_000, node.lastAttempt(node.request(Node.UNSAFE)).untilUs());
-        assertEquals(node.now + 200_000, node.lastAttempt(node.request(Node.KEYED_CELL)).untilUs());
-        assertEquals(node.now + 1_000_000, node.lastAttempt(node.request(Node.SAFE)).untilUs());
+        assertEquals(
+                node.now + 200_000, node.lastAttempt(node.request(Node.UNSAFE)).untilUs());
+        assertEquals(
+                node.now + 200_000,
+                node.lastAttempt(node.request(Node.KEYED_CELL)).untilUs());
+        assertEquals(
+                node.now + 1_000_000, node.lastAttempt(node.request(Node.SAFE)).untilUs());
     }
 
     @Test
--- a/src/test/java/vetchpost/decision/RandomEventsTest.java
+++ b/src/test/java/vetchpost/decision/RandomEventsTest.java
@@ -343,10 +343,12 @@
                         .toList();
                 double ready =
                         Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
-                double age = Math.min(1, (first[0] + set.coldOverloadWindowUs - start.startedAtUs()) / (double) set.coldUs);
+                double age =
+                        Math.min(1, (first[0] + set.coldOverloadWindowUs - start.startedAtUs()) / (double) set.coldUs);
                 double share = set.coldStartFraction + (1 - set.coldStartFraction) * age;
                 assertTrue(
-                        span.size() - 2 <= set.coldOverloadMultiple * share * rate / ready * set.coldOverloadWindowUs / 1e6,
+                        span.size() - 2
+                                <= set.coldOverloadMultiple * share * rate / ready * set.coldOverloadWindowUs / 1e6,
                         "rule 4: " + span.size() + " sends in one span");
             }
         });
--- a/src/test/java/vetchpost/decision/SimulatedCluster.java
+++ b/src/test/java/vetchpost/decision/SimulatedCluster.java
@@ -49,7 +49,8 @@
                     ? 1
                     : Math.min(
                             1,
-                            settings.coldStartFraction + (1 - settings.coldStartFraction) * (now - startedAt) / (double) settings.coldUs);
+                            settings.coldStartFraction
+                                    + (1 - settings.coldStartFraction) * (now - startedAt) / (double) settings.coldUs);
         }
 
         long accept(int node) {
@@ -224,6 +225,9 @@
 
     /** The most that any cold server was sent in a span, over what the rule allows. */
     double worst() {
-        return servers.values().stream().mapToDouble(b -> b.maxOverloadRatio).max().orElse(0);
+        return servers.values().stream()
+                .mapToDouble(b -> b.maxOverloadRatio)
+                .max()
+                .orElse(0);
     }
 }
