--- a/src/main/java/vetchpost/simadapter/ActionWriter.java
+++ b/src/main/java/vetchpost/simadapter/ActionWriter.java
@@ -6,28 +6,32 @@
 import java.util.Arrays;
 import vetchpost.decision.Balancer;
 
-/** Writes the actions of the instance whose event is being handled; a reply goes out whole or not at all. */
+/**
+ * Writes the actions of the instance whose event is being handled in the simulator's line format. {@link
+ * AdapterSession} calls it on its one thread. Lines are buffered until {@link #flush}, so that a reply is written as a
+ * whole or not at all.
+ */
 final class ActionWriter implements Balancer.Actions {
     private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
-    private final OutputStream out;
+    private final OutputStream output;
     private byte[] buffer = new byte[1 << 16];
-    private int filled;
-    private String node = "";
+    private int bufferedBytes;
+    private String currentNode = "";
 
-    ActionWriter(OutputStream out) {
-        this.out = out;
+    ActionWriter(OutputStream output) {
+        this.output = output;
     }
 
-    void setNode(String instance) {
-        node = instance;
+    void setNode(String node) {
+        currentNode = node;
     }
 
     void flush() throws IOException {
         writeText("next\n");
-        out.write(buffer, 0, filled);
-        out.flush();
-        filled = 0;
+        output.write(buffer, 0, bufferedBytes);
+        output.flush();
+        bufferedBytes = 0;
     }
 
     @Override
@@ -93,39 +97,39 @@
     }
 
     @Override
-    public void log(String line) {
+    public void log(String message) {
         beginAction("record");
-        writeNote(line);
+        writeNote(message);
     }
 
-    /** The module has thrown: the day ends with this text. */
-    void reportFault(String line) {
+    /** Reports that the module has thrown; the simulator ends its run with this text. */
+    void reportFault(String message) {
         beginAction("fault");
-        writeNote(line);
+        writeNote(message);
     }
 
-    private void writeNote(String line) {
+    private void writeNote(String message) {
         writeText(" noteText=");
-        writeText(line.replace('\n', ' ').replace('\r', ' '));
+        writeText(message.replace('\n', ' ').replace('\r', ' '));
         endAction();
     }
 
     private void beginAction(String action) {
         writeText(action);
         writeText(" node=");
-        writeText(node);
+        writeText(currentNode);
     }
 
     private void endAction() {
         ensureCapacity(1);
-        buffer[filled++] = '\n';
+        buffer[bufferedBytes++] = '\n';
     }
 
     private void writeHandle(long id) {
         writeText(" handle=");
         ensureCapacity(16);
         for (int shift = 60; shift >= 0; shift -= 4) {
-            buffer[filled++] = HEX[(int) (id >>> shift) & 15];
+            buffer[bufferedBytes++] = HEX[(int) (id >>> shift) & 15];
         }
     }
 
@@ -135,12 +139,12 @@
         for (int i = 0; i < length; i++) {
             char c = text.charAt(i);
             if (c >= 128) {
-                byte[] rest = text.substring(i).getBytes(StandardCharsets.UTF_8);
-                System.arraycopy(rest, 0, buffer, filled, rest.length);
-                filled += rest.length;
+                byte[] encoded = text.substring(i).getBytes(StandardCharsets.UTF_8);
+                System.arraycopy(encoded, 0, buffer, bufferedBytes, encoded.length);
+                bufferedBytes += encoded.length;
                 return;
             }
-            buffer[filled++] = (byte) c;
+            buffer[bufferedBytes++] = (byte) c;
         }
     }
 
@@ -151,21 +155,21 @@
         }
         ensureCapacity(20);
         int digits = 1;
-        for (long v = value; v >= 10; v /= 10) {
+        for (long remaining = value; remaining >= 10; remaining /= 10) {
             digits++;
         }
-        int at = filled + digits;
-        filled = at;
-        long v = value;
+        int position = bufferedBytes + digits;
+        bufferedBytes = position;
+        long remaining = value;
         do {
-            buffer[--at] = (byte) ('0' + v % 10);
-            v /= 10;
-        } while (v > 0);
+            buffer[--position] = (byte) ('0' + remaining % 10);
+            remaining /= 10;
+        } while (remaining > 0);
     }
 
     private void ensureCapacity(int bytes) {
-        if (filled + bytes > buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, filled + bytes));
+        if (bufferedBytes + bytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, bufferedBytes + bytes));
         }
     }
 }
--- a/src/main/java/vetchpost/simadapter/AdapterSession.java
+++ b/src/main/java/vetchpost/simadapter/AdapterSession.java
@@ -18,25 +18,28 @@
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.decision.ServiceQBalancer;
 
-/** Carries events from the wire to the instances and their actions back. It decides nothing. */
+/**
+ * Translates the simulator's events into calls of balancer instances, and their actions into replies. It holds one
+ * instance per simulated node and makes no decisions. {@link Main} runs it on its one thread.
+ */
 final class AdapterSession {
     private static final int MAX_ROSTERS = 16;
 
-    /** One node's module with what is needed to translate for it. */
+    /** One node's balancer, with the indexes that its settings give to names. */
     private record Instance(
             Balancer balancer,
             Map<String, Integer> classes,
             Map<String, Integer> tenants,
             Map<String, Integer> zones) {}
 
-    /** A roster's line; its zone is still a name, since instances number zones by their own settings. */
+    /** One entry of a roster. Its zone is a name, since instances number zones by their own settings. */
     private record RosterEntry(String id, String zone, int cell, ServerState state, double weight, long startedAt) {}
 
     private final LineReader line;
     private final ActionWriter reply;
     private final Map<String, Instance> instances = new HashMap<>();
     private final List<List<RosterEntry>> rosters = new ArrayList<>();
-    private long now;
+    private long batchTimeUs;
 
     AdapterSession(InputStream in, OutputStream out) {
         line = new LineReader(in);
@@ -46,7 +49,12 @@
         }
     }
 
-    /** Answers batch after batch until the input ends. */
+    /**
+     * Answers one batch after another until the input ends.
+     *
+     * @throws WireException if the input is malformed
+     * @throws IOException if reading or writing fails
+     */
     void run() throws IOException, WireException {
         while (line.next()) {
             if (line.name().isEmpty()) {
@@ -55,7 +63,7 @@
             if (!line.is("begin_batch")) {
                 throw line.malformed("a batch must open with begin_batch, not " + line.name());
             }
-            now = line.wholeNumber("timeUs");
+            batchTimeUs = line.wholeNumber("timeUs");
             nextLine();
             while (!line.is("eob")) {
                 handleEvent();
@@ -90,18 +98,18 @@
             instances.remove(node);
             return;
         }
-        Runnable call = translate(instance);
+        Runnable event = translate(instance);
         try {
-            call.run();
+            event.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             reply.reportFault(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private Runnable translate(Instance to) throws WireException {
-        Balancer balancer = to.balancer;
-        long at = now;
+    private Runnable translate(Instance target) throws WireException {
+        Balancer balancer = target.balancer;
+        long eventTimeUs = batchTimeUs;
         if (line.is("resolved")) {
             Outcome outcome = new Outcome(
                     line.requestId("handle"),
@@ -110,41 +118,41 @@
                     line.wholeNumber("latencyUs", 0),
                     line.flag("ended"),
                     line.decimals("metrics"));
-            return () -> balancer.onOutcome(at, outcome);
+            return () -> balancer.onOutcome(eventTimeUs, outcome);
         }
         if (line.is("work_item")) {
             String tenant = line.textOrNull("realm");
-            boolean anyTenant = tenant != null && !tenant.equals("0");
+            boolean hasTenant = tenant != null && !tenant.equals("0");
             Request request = new Request(
                     line.requestId("handle"),
-                    requireIndex(to.classes, "lane", line.text("lane")),
-                    anyTenant ? requireIndex(to.tenants, "realm", tenant) : -1,
+                    requireIndex(target.classes, "lane", line.text("lane")),
+                    hasTenant ? requireIndex(target.tenants, "realm", tenant) : -1,
                     line.wholeNumber("patienceLeftUs"),
                     line.wholeNumber("workUs", 0),
                     line.flag("resent"));
-            return () -> balancer.onRequest(at, request);
+            return () -> balancer.onRequest(eventTimeUs, request);
         }
         if (line.is("bell")) {
-            return () -> balancer.onWake(at);
+            return () -> balancer.onWake(eventTimeUs);
         }
         if (line.is("topology")) {
-            return translateTopology(to);
+            return translateTopology(target);
         }
         if (line.is("client_gone")) {
             long id = line.requestId("handle");
-            return () -> balancer.onClientDisconnected(at, id);
+            return () -> balancer.onClientDisconnected(eventTimeUs, id);
         }
         if (line.is("first_byte")) {
             long id = line.requestId("handle");
             int attempt = (int) line.wholeNumber("seqNo");
-            return () -> balancer.onFirstByte(at, id, attempt);
+            return () -> balancer.onFirstByte(eventTimeUs, id, attempt);
         }
         if (line.is("echo")) {
             String server = line.text("server");
             Result result = readResult();
             long latency = line.wholeNumber("latencyUs", 0);
             double[] report = line.decimals("metrics");
-            return () -> balancer.onProbe(at, server, result, latency, report);
+            return () -> balancer.onProbe(eventTimeUs, server, result, latency, report);
         }
         if (line.is("memo")) {
             return () -> {};
@@ -165,11 +173,11 @@
             throw line.malformed("boot: field " + e.getMessage());
         }
         Map<String, Integer> classes = new HashMap<>();
-        settings.classes.forEach(c -> classes.put(c.name(), classes.size()));
+        settings.classes.forEach(entry -> classes.put(entry.name(), classes.size()));
         Map<String, Integer> tenants = new HashMap<>();
-        settings.tenants.forEach(t -> tenants.put(t.name(), tenants.size()));
+        settings.tenants.forEach(tenant -> tenants.put(tenant.name(), tenants.size()));
         Map<String, Integer> zones = new HashMap<>();
-        settings.zones.forEach(z -> zones.put(z, zones.size()));
+        settings.zones.forEach(zone -> zones.put(zone, zones.size()));
         try {
             Balancer balancer = new ServiceQBalancer(settings, seed, reply);
             instances.put(node, new Instance(balancer, classes, tenants, zones));
@@ -185,7 +193,7 @@
         for (long i = 0; i < count; i++) {
             nextLine();
             if (!line.is("server")) {
-                throw line.malformed("a roster's line must be server, not " + line.name());
+                throw line.malformed("a roster must consist of server lines, not " + line.name());
             }
             String state = line.text("lifecycle");
             entries.add(new RosterEntry(
@@ -212,11 +220,11 @@
         return (int) number;
     }
 
-    private Runnable translateTopology(Instance to) throws WireException {
-        long at = now;
+    private Runnable translateTopology(Instance target) throws WireException {
+        long eventTimeUs = batchTimeUs;
         String kind = line.text("kind");
         if (kind.equals("broken")) {
-            return () -> to.balancer.onListFailed(at);
+            return () -> target.balancer.onListFailed(eventTimeUs);
         }
         ListKind listKind = switch (kind) {
             case "patch" -> ListKind.CHANGES;
@@ -232,13 +240,13 @@
         for (RosterEntry entry : roster) {
             entries.add(new ServerEntry(
                     entry.id,
-                    to.zones.getOrDefault(entry.zone, -1),
+                    target.zones.getOrDefault(entry.zone, -1),
                     entry.cell,
                     entry.state,
                     entry.weight,
                     entry.startedAt));
         }
-        return () -> to.balancer.onServers(at, listKind, entries);
+        return () -> target.balancer.onServers(eventTimeUs, listKind, entries);
     }
 
     private int requireIndex(Map<String, Integer> names, String field, String name) throws WireException {
--- a/src/main/java/vetchpost/simadapter/LineReader.java
+++ b/src/main/java/vetchpost/simadapter/LineReader.java
@@ -5,15 +5,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads the wire line by line: a name, then name=value pairs, parted by single spaces. Keeps no garbage. */
+/**
+ * Reads the simulator's events line by line: a name, then name=value pairs, separated by single spaces. Values are
+ * parsed from its buffer on request, so that a line leaves no objects behind. {@link AdapterSession} calls it on its
+ * one thread; malformed fields throw {@link WireException}, which names line and field.
+ */
 final class LineReader {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
-    private final InputStream in;
+    private final InputStream input;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
-    private int filled;
-    private int start;
-    private int end;
+    private int bufferedBytes;
+    private int lineStart;
+    private int lineEnd;
     private long lineNumber;
 
     private int nameEnd;
@@ -22,65 +26,65 @@
     private int[] valueStart = new int[16];
     private int[] valueEnd = new int[16];
 
-    LineReader(InputStream in) {
-        this.in = in;
+    LineReader(InputStream input) {
+        this.input = input;
     }
 
     /** Moves to the next line; false at the end of input. */
     boolean next() throws IOException {
-        start = lineNumber == 0 ? 0 : end + 1;
+        lineStart = lineNumber == 0 ? 0 : lineEnd + 1;
         lineNumber++;
-        int scan = start;
+        int position = lineStart;
         while (true) {
-            while (scan < filled && buffer[scan] != '\n') {
-                scan++;
+            while (position < bufferedBytes && buffer[position] != '\n') {
+                position++;
             }
-            if (scan < filled) {
-                end = scan;
+            if (position < bufferedBytes) {
+                lineEnd = position;
                 split();
                 return true;
             }
-            if (start > 0) {
-                System.arraycopy(buffer, start, buffer, 0, filled - start);
-                filled -= start;
-                scan -= start;
-                start = 0;
+            if (lineStart > 0) {
+                System.arraycopy(buffer, lineStart, buffer, 0, bufferedBytes - lineStart);
+                bufferedBytes -= lineStart;
+                position -= lineStart;
+                lineStart = 0;
             }
-            if (filled == buffer.length) {
+            if (bufferedBytes == buffer.length) {
                 buffer = Arrays.copyOf(buffer, 2 * buffer.length);
             }
-            int read = in.read(buffer, filled, buffer.length - filled);
-            if (read < 0) {
-                end = filled;
-                if (filled == start) {
+            int readBytes = input.read(buffer, bufferedBytes, buffer.length - bufferedBytes);
+            if (readBytes < 0) {
+                lineEnd = bufferedBytes;
+                if (bufferedBytes == lineStart) {
                     return false;
                 }
                 split();
-                // The next call must find nothing more.
-                buffer[end < buffer.length ? end : end - 1] = '\n';
-                filled = Math.min(end + 1, buffer.length);
+                // Terminates the last line, so that the next call finds nothing more.
+                buffer[lineEnd < buffer.length ? lineEnd : lineEnd - 1] = '\n';
+                bufferedBytes = Math.min(lineEnd + 1, buffer.length);
                 return true;
             }
-            filled += read;
+            bufferedBytes += readBytes;
         }
     }
 
     private void split() {
-        int at = start;
-        while (at < end && buffer[at] != ' ') {
-            at++;
+        int position = lineStart;
+        while (position < lineEnd && buffer[position] != ' ') {
+            position++;
         }
-        nameEnd = at;
+        nameEnd = position;
         fieldCount = 0;
-        while (at < end) {
-            int key = at + 1;
+        while (position < lineEnd) {
+            int key = position + 1;
             int equals = key;
-            while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
+            while (equals < lineEnd && buffer[equals] != '=' && buffer[equals] != ' ') {
                 equals++;
             }
-            at = equals;
-            while (at < end && buffer[at] != ' ') {
-                at++;
+            position = equals;
+            while (position < lineEnd && buffer[position] != ' ') {
+                position++;
             }
             if (fieldCount == keyStart.length) {
                 keyStart = Arrays.copyOf(keyStart, 2 * fieldCount);
@@ -88,18 +92,18 @@
                 valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
             }
             keyStart[fieldCount] = key;
-            valueStart[fieldCount] = Math.min(equals + 1, at);
-            valueEnd[fieldCount] = at;
+            valueStart[fieldCount] = Math.min(equals + 1, position);
+            valueEnd[fieldCount] = position;
             fieldCount++;
         }
     }
 
     String name() {
-        return new String(buffer, start, nameEnd - start, StandardCharsets.UTF_8);
+        return new String(buffer, lineStart, nameEnd - lineStart, StandardCharsets.UTF_8);
     }
 
     boolean is(String name) {
-        return matches(start, nameEnd, name);
+        return matches(lineStart, nameEnd, name);
     }
 
     int fieldCount() {
@@ -145,7 +149,7 @@
         return field;
     }
 
-    /** A field's text, or null if it is left out. */
+    /** Returns a field's text, or null if the field is missing. */
     String textOrNull(String key) {
         int field = indexOfField(key);
         return field < 0 ? null : value(field);
@@ -159,22 +163,22 @@
         return wholeNumber(key, requireField(key));
     }
 
-    long wholeNumber(String key, long otherwise) throws WireException {
+    long wholeNumber(String key, long defaultValue) throws WireException {
         int field = indexOfField(key);
-        return field < 0 ? otherwise : wholeNumber(key, field);
+        return field < 0 ? defaultValue : wholeNumber(key, field);
     }
 
     private long wholeNumber(String key, int field) throws WireException {
-        int at = valueStart[field];
+        int position = valueStart[field];
         int to = valueEnd[field];
-        boolean minus = at < to && buffer[at] == '-';
-        at += minus ? 1 : 0;
-        if (at == to || to - at > 18) {
+        boolean minus = position < to && buffer[position] == '-';
+        position += minus ? 1 : 0;
+        if (position == to || to - position > 18) {
             throw malformed(key, "is not a whole number");
         }
         long value = 0;
-        for (; at < to; at++) {
-            int digit = buffer[at] - '0';
+        for (; position < to; position++) {
+            int digit = buffer[position] - '0';
             if (digit < 0 || digit > 9) {
                 throw malformed(key, "is not a whole number");
             }
@@ -196,9 +200,9 @@
         throw malformed(key, "is neither 1 nor 0: " + value(field));
     }
 
-    double decimal(String key, double otherwise) throws WireException {
+    double decimal(String key, double defaultValue) throws WireException {
         int field = indexOfField(key);
-        return field < 0 ? otherwise : decimal(key, value(field));
+        return field < 0 ? defaultValue : decimal(key, value(field));
     }
 
     private double decimal(String key, String text) throws WireException {
@@ -209,30 +213,32 @@
         }
     }
 
-    /** Numbers parted by commas, or null if the field is left out. */
+    /** Returns a field's comma-separated numbers, or null if the field is missing or empty. */
     double[] decimals(String key) throws WireException {
         int field = indexOfField(key);
         if (field < 0 || valueStart[field] == valueEnd[field]) {
             return null;
         }
         String[] parts = value(field).split(",", -1);
-        double[] row = new double[parts.length];
+        double[] numbers = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            row[i] = decimal(key, parts[i]);
+            numbers[i] = decimal(key, parts[i]);
         }
-        return row;
+        return numbers;
     }
 
-    /** A request id: 16 hex digits. */
+    /** Returns a request id, which is 16 hex digits. */
     long requestId(String key) throws WireException {
         int field = requireField(key);
         if (valueEnd[field] - valueStart[field] != 16) {
             throw malformed(key, "is not 16 hex digits");
         }
         long id = 0;
-        for (int at = valueStart[field]; at < valueEnd[field]; at++) {
-            int b = buffer[at];
-            int digit = b >= '0' && b <= '9' ? b - '0' : b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
+        for (int position = valueStart[field]; position < valueEnd[field]; position++) {
+            int character = buffer[position];
+            int digit = character >= '0' && character <= '9'
+                    ? character - '0'
+                    : character >= 'a' && character <= 'f' ? character - 'a' + 10 : -1;
             if (digit < 0) {
                 throw malformed(key, "is not 16 hex digits");
             }
--- a/src/main/java/vetchpost/simadapter/Main.java
+++ b/src/main/java/vetchpost/simadapter/Main.java
@@ -4,13 +4,17 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Hosts instances of the module for the bench: the wire on standard input and output, nothing else there. */
+/**
+ * Runs balancer instances for the simulator: events on standard input, actions on standard output, nothing else there.
+ */
 public final class Main {
     private Main() {}
 
     /**
-     * Runs until the input ends; a malformed input ends it with one line on standard error and exit
-     * code 2.
+     * Runs until the input ends. Malformed input or a read or write error ends it with one line on standard error and
+     * exit code 2.
+     *
+     * @param args not used
      */
     public static void main(String[] args) {
         try {
--- a/src/main/java/vetchpost/simadapter/WireException.java
+++ b/src/main/java/vetchpost/simadapter/WireException.java
@@ -1,6 +1,6 @@
 package vetchpost.simadapter;
 
-/** The input is not what the wire allows; the message is one plain line for the operator. */
+/** Malformed input. The message is one line for the operator that names the line and field. */
 final class WireException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/test/java/vetchpost/simadapter/AdapterSessionTest.java
+++ b/src/test/java/vetchpost/simadapter/AdapterSessionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter on small pieces of the wire. */
+/** Translation of single events and actions of the simulator's line format. */
 class AdapterSessionTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
@@ -32,12 +32,12 @@
     }
 
     @Test
-    void anEmptyBatchAndTheEndOfInput() throws Exception {
+    void answersAnEmptyBatchAndStopsAtTheEndOfInput() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob\n"));
     }
 
     @Test
-    void aRequestIsRoutedAndItsIdGivenBackUnchanged() throws Exception {
+    void routesARequestUnderItsUnchangedId() throws Exception {
         String reply = run(OPEN + BOOT + LIST + ITEM + "eob\n");
         assertTrue(
                 reply.contains("route node=node-3 handle=b7c6f2075d3a91c4" + " server=10.0.0.7:8003 untilUs=1240000\n"),
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void anOutcomeEndsARequestAndAFailureFollowsTheModule() throws Exception {
+    void reportsAnOutcomeAndWritesTheBalancersFinalAnswer() throws Exception {
         String reply = run(OPEN + BOOT + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
                 + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
         assertTrue(reply.contains("decline node=node-3 handle=b7c6f2075d3a91c4\n"), reply);
@@ -75,37 +75,37 @@
                 "begin_batch timeUs=1;boot node=n initSeed=1 classes.count=1;eob | classes.0.",
                 "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"
             })
-    void malformedInputIsNamedByLineAndFieldAndNothingIsWritten(String lines, String named) {
+    void rejectsMalformedInputByLineAndFieldWithoutWriting(String lines, String expectedText) {
         String input = lines.trim().replace("B;", OPEN + BOOT).replace(';', '\n') + "\n";
-        WireException e = assertThrows(WireException.class, () -> run(input));
-        assertTrue(e.getMessage().contains(named.trim()), e.getMessage());
-        assertTrue(e.getMessage().startsWith("line "), e.getMessage());
-        assertEquals(-1, e.getMessage().indexOf('\n'));
+        WireException exception = assertThrows(WireException.class, () -> run(input));
+        assertTrue(exception.getMessage().contains(expectedText.trim()), exception.getMessage());
+        assertTrue(exception.getMessage().startsWith("line "), exception.getMessage());
+        assertEquals(-1, exception.getMessage().indexOf('\n'));
         assertEquals(0, out.size());
     }
 
     @Test
-    void anExceptionInTheModuleIsReportedAsAFault() throws Exception {
+    void reportsAnExceptionOfTheBalancerAsAFault() throws Exception {
         String reply = run(OPEN + BOOT + LIST + ITEM + ITEM + "eob\n");
         assertTrue(reply.contains("fault node=node-3 noteText=java.lang.IllegalArgumentException"), reply);
         assertTrue(reply.endsWith("next\n"));
     }
 
     @Test
-    void aLineWithoutItsEndIsStillRead() throws Exception {
+    void readsALastLineWithoutLineBreak() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob"));
     }
 
     @Test
-    void instancesActAlikeAloneAndTogether() throws Exception {
-        String one = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+    void keepsInstancesIndependentOfEachOther() throws Exception {
+        String alone = run(OPEN + BOOT + LIST + ITEM + "eob\n");
         out.reset();
-        String both = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5") + BOOT
-                + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
-        StringBuilder own = new StringBuilder();
-        both.lines()
+        String together = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5")
+                + BOOT + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
+        StringBuilder ownLines = new StringBuilder();
+        together.lines()
                 .filter(l -> !l.contains("node-5"))
-                .forEach(l -> own.append(l).append('\n'));
-        assertEquals(one, own.toString());
+                .forEach(l -> ownLines.append(l).append('\n'));
+        assertEquals(alone, ownLines.toString());
     }
 }
