--- a/src/main/java/vetchpost/decision/ServiceQBalancer.java
+++ b/src/main/java/vetchpost/decision/ServiceQBalancer.java
@@ -454,7 +454,7 @@
         if (server != null) {
             send(pending, server);
         } else {
-            defer(pending);
+            enqueue(pending);
             dispatchQueued();
         }
         scheduleWake();
@@ -926,7 +926,7 @@
         long retryDelayUs = pending.request.retryLimits().retryDelayUs(pending.attemptCount);
         if (retryDelayUs > 0) {
             pending.notBefore = now + retryDelayUs;
-            defer(pending);
+            enqueue(pending);
             return;
         }
         List<Server> tried = Arrays.asList(pending.servers);
@@ -944,7 +944,7 @@
                 }
             }
         }
-        defer(pending);
+        enqueue(pending);
     }
 
     /** Returns the ready servers among which a request that may have run must stay. */
@@ -961,7 +961,7 @@
     // ---------------------------------------------------------------- the queue
 
     /** Queues a request if there is time; requests of equal priority are first come first served. */
-    private void defer(PendingRequest pending) {
+    private void enqueue(PendingRequest pending) {
         if (hasExpired(pending)) {
             finishUnserved(pending, unservedReason(pending));
             return;
--- a/src/test/java/vetchpost/decision/ApertureTest.java
+++ b/src/test/java/vetchpost/decision/ApertureTest.java
@@ -18,11 +18,11 @@
 
 /** Which servers each of many nodes has: as many nodes for each, more for a node that is asked for more. */
 class ApertureTest {
-    private static final double BEARS = 4;
+    private static final double CONCURRENCY_PER_SERVER = 4;
     private static final long SECOND_US = 1_000_000;
 
     private static Aperture of(int node, int nodes, int servers) {
-        Aperture aperture = new Aperture(node, nodes, BEARS);
+        Aperture aperture = new Aperture(node, nodes, CONCURRENCY_PER_SERVER);
         for (int i = 0; i < servers; i++) {
             aperture.add(new Server("s" + i, i, 1, 1));
         }
@@ -133,14 +133,14 @@
             for (int second = 0; second < 16; second++) {
                 int sent = node.sent.size();
                 for (int i = 0; i < asks; i++) {
-                    long id = node.request(Node.UNSAFE);
+                    long id = node.sendRequest(Node.UNSAFE);
                     if (node.lastAttempt(id) != null) {
                         node.complete(id, Result.OK, 60_000);
                     }
                     node.advance(Math.max(0, SECOND_US / asks - 60_000));
                 }
                 if (second >= 8) {
-                    for (Node.Sent each : node.sent.subList(sent, node.sent.size())) {
+                    for (Node.SentAttempt each : node.sent.subList(sent, node.sent.size())) {
                         load.merge(each.server(), 1, Integer::sum);
                         if (n == 47) {
                             byHot.add(each.server());
@@ -173,11 +173,11 @@
         Node node = new Node(set, 2).withServers(60);
         Set<String> ill = new HashSet<>();
         for (int i = 0; i < 60; i++) {
-            long id = node.request(Node.SAFE);
-            Node.Sent sent = node.lastAttempt(id);
+            long id = node.sendRequest(Node.SAFE);
+            Node.SentAttempt sent = node.lastAttempt(id);
             ill.add(sent.server());
             node.complete(id, ill.size() <= 3 ? Result.ERROR : Result.OK, 20_000);
-            for (Node.Sent more : List.copyOf(node.outstanding)) {
+            for (Node.SentAttempt more : List.copyOf(node.outstanding)) {
                 node.complete(more.request(), ill.contains(more.server()) ? Result.ERROR : Result.OK, 20_000);
             }
             node.advance(100_000);
@@ -194,7 +194,7 @@
         Node node = new Node(set, 2).withServers(60);
         List<Long> asked = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            asked.add(node.request(Node.SAFE));
+            asked.add(node.sendRequest(Node.SAFE));
         }
         String server = node.lastAttempt(asked.get(0)).server();
         node.complete(asked.get(0), Result.OK, 20_000);
--- a/src/test/java/vetchpost/decision/ColdServerTest.java
+++ b/src/test/java/vetchpost/decision/ColdServerTest.java
@@ -30,7 +30,7 @@
         for (int round = 0; round < 200; round++) {
             List<Long> burst = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                burst.add(node.request(Node.SAFE));
+                burst.add(node.sendRequest(Node.SAFE));
             }
             node.advance(10_000);
             // Only one of ten is answered, so that arrivals are ten times what the fleet gets done.
@@ -49,7 +49,7 @@
         Node node = new Node();
         node.list(ListKind.CACHED, List.of(started("cold", node.now - 100_000), Node.server("warm")));
         for (int i = 0; i < 200; i++) {
-            node.request(Node.SAFE);
+            node.sendRequest(Node.SAFE);
             node.advance(1_000);
         }
         long toCold = node.sentTo("cold");
@@ -66,11 +66,11 @@
             Node node = new Node();
             node.now += begins;
             node.list(ListKind.CACHED, List.of(started("cold", node.now)));
-            node.request(Node.SAFE);
+            node.sendRequest(Node.SAFE);
             long until = node.now + 5_000_000;
             while (node.now < until && node.sentTo("cold") == 0) {
                 node.advance(100_000);
-                node.request(Node.SAFE);
+                node.sendRequest(Node.SAFE);
             }
             assertTrue(node.sentTo("cold") > 0, "nothing was sent in 5 s");
         }
@@ -108,10 +108,10 @@
         int answered = 0;
         while (node.now < warmAt) {
             for (int i = 0; i < 3; i++) {
-                node.request(Node.SAFE);
+                node.sendRequest(Node.SAFE);
             }
             for (; answered < node.sent.size(); answered++) {
-                Node.Sent sent = node.sent.get(answered);
+                Node.SentAttempt sent = node.sent.get(answered);
                 node.complete(sent.request(), Result.OK, sent.server().equals("cold") ? 10_000 : 150_000);
             }
             node.advance(50_000);
@@ -119,7 +119,7 @@
         node.advance(3_000_000);
         long before = node.sentTo("cold");
         for (int i = 0; i < 20; i++) {
-            node.request(Node.SAFE);
+            node.sendRequest(Node.SAFE);
         }
         long atOnce = node.sentTo("cold") - before;
         assertTrue(atOnce <= 1, "sent at once to the server that is now warm: " + atOnce);
--- a/src/test/java/vetchpost/decision/ExplanationTest.java
+++ b/src/test/java/vetchpost/decision/ExplanationTest.java
@@ -27,7 +27,7 @@
     @Test
     void reportsTheReasonForARequestThatIsNeverSent() {
         Node node = node(Node.settings());
-        long unserved = node.request(Node.SAFE);
+        long unserved = node.sendRequest(Node.SAFE);
         node.advance(1_000_000);
         assertEquals(UnservedReason.NO_CAPACITY, node.reasons.get(unserved));
         node.withServers(2);
@@ -41,15 +41,15 @@
     @Test
     void reportsTheReasonForARequestThatMayNotBeRetried() {
         Node node = node(Node.settings()).withServers(4);
-        long unsafe = node.request(Node.UNSAFE);
+        long unsafe = node.sendRequest(Node.UNSAFE);
         node.complete(unsafe, Result.ERROR, 1_000);
         assertEquals(UnservedReason.MAY_HAVE_RUN, node.reasons.get(unsafe));
-        long exhausted = node.request(Node.SAFE);
+        long exhausted = node.sendRequest(Node.SAFE);
         for (int i = 0; i < 4; i++) {
             node.complete(exhausted, Result.ERROR, 1_000);
         }
         assertEquals(UnservedReason.ATTEMPTS_EXHAUSTED, node.reasons.get(exhausted));
-        long slow = node.request(Node.SAFE);
+        long slow = node.sendRequest(Node.SAFE);
         node.complete(slow, Result.ERROR, 250_000);
         assertEquals(UnservedReason.DEADLINE_EXCEEDED, node.reasons.get(slow));
         long bounded = 2_000;
@@ -68,7 +68,7 @@
     void reportsAnExpiredDeduplicationWindow() {
         Settings settings = Node.settingsWithLateValue();
         Node node = node(settings).withServers(4);
-        long keyed = node.request(Node.KEYED_ALL);
+        long keyed = node.sendRequest(Node.KEYED_ALL);
         node.complete(keyed, Result.ERROR, 450_000);
         assertEquals(UnservedReason.DEDUPLICATION_WINDOW_EXPIRED, node.reasons.get(keyed));
     }
@@ -76,8 +76,8 @@
     @Test
     void reportsBothCandidatesWithLoadAndLimit() {
         Node node = node(Node.settings()).withServers(2);
-        long first = node.request(Node.SAFE);
-        long second = node.request(Node.SAFE);
+        long first = node.sendRequest(Node.SAFE);
+        long second = node.sendRequest(Node.SAFE);
         List<Candidate> both = node.candidates.get(second);
         assertEquals(2, both.size());
         Candidate busy = both.stream()
@@ -105,7 +105,7 @@
                 explain(node, "s3").contains("it is in slow start, and gets its next request in "),
                 explain(node, "s3"));
         for (int i = 0; i < 12; i++) {
-            node.request(Node.UNSAFE);
+            node.sendRequest(Node.UNSAFE);
         }
         assertTrue(explain(node, "s0").contains("it is at its limit: 4 in flight of 4.0"), explain(node, "s0"));
     }
@@ -114,7 +114,7 @@
     void explainsThatAServerIsExcludedFromOneClass() {
         Node node = new Node().withServers(5);
         for (int i = 0; i < 300 && !explain(node, "s0").contains("it gets no"); i++) {
-            long id = node.request(Node.UNSAFE);
+            long id = node.sendRequest(Node.UNSAFE);
             node.complete(id, node.lastAttempt(id).server().equals("s0") ? Result.RESET : Result.OK, 2_000);
         }
         assertTrue(
@@ -144,7 +144,7 @@
         Node explained = node(Node.settings()).withServers(5);
         for (Node node : List.of(plain, explained)) {
             for (int i = 0; i < 400; i++) {
-                long id = node.request(i % 5);
+                long id = node.sendRequest(i % 5);
                 if (node.lastAttempt(id) != null && i % 3 == 0) {
                     node.complete(id, i % 7 == 0 ? Result.ERROR : Result.OK, 3_000 + i * 10);
                 }
--- a/src/test/java/vetchpost/decision/HealthTest.java
+++ b/src/test/java/vetchpost/decision/HealthTest.java
@@ -18,7 +18,7 @@
 
     /** Serves one request; {@code s0} fails, all others succeed. */
     private static boolean hitsBad(Node node, int classIndex) {
-        long id = node.request(classIndex);
+        long id = node.sendRequest(classIndex);
         boolean bad = node.lastAttempt(id).server().equals("s0");
         node.complete(id, bad ? Result.ERROR : Result.OK, 5_000);
         if (bad && node.attemptCount(id) > 1) {
@@ -57,7 +57,7 @@
         Node node = new Node().withServers(2);
         boolean fails = false;
         for (int i = 0; i < 4_000; i++) {
-            long id = node.request(Node.UNSAFE);
+            long id = node.sendRequest(Node.UNSAFE);
             boolean first = node.lastAttempt(id).server().equals("s0");
             fails = first != fails;
             node.complete(id, first && fails ? Result.ERROR : Result.OK, 5_000);
@@ -65,7 +65,7 @@
         assertEjected(node);
         List<String> servers = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            long id = node.request(i < 20 ? Node.UNSAFE : Node.SAFE);
+            long id = node.sendRequest(i < 20 ? Node.UNSAFE : Node.SAFE);
             servers.add(
                     node.lastAttempt(id) == null ? "none" : node.lastAttempt(id).server());
         }
@@ -75,7 +75,7 @@
 
     /** Sends one request; {@code s0} leaves the class without any answer, all else is served. */
     private static boolean missedBy(Node node, int silentFor, int classIndex) {
-        long id = node.request(classIndex);
+        long id = node.sendRequest(classIndex);
         boolean missed = node.lastAttempt(id).server().equals("s0") && classIndex == silentFor;
         if (missed) {
             // The others go on being answered meanwhile.
@@ -106,7 +106,7 @@
         Node node = new Node().withServers(2);
         int repeated = 0;
         for (int i = 0; i < 4_000; i++) {
-            long id = node.request(Node.KEYED_CELL);
+            long id = node.sendRequest(Node.KEYED_CELL);
             long from = node.now;
             if (node.lastAttempt(id).server().equals("s0")) {
                 node.complete(id, Result.TIMEOUT, node.lastAttempt(id).untilUs() - from);
@@ -128,7 +128,7 @@
         }
         int held = node.sent.size();
         for (int i = 0; i < 2; i++) {
-            node.request(Node.UNSAFE);
+            node.sendRequest(Node.UNSAFE);
         }
         assertEquals(held + 2, node.sent.size());
     }
@@ -153,7 +153,7 @@
         for (int i = 0; i < 100; i++) {
             node.serve(Node.SAFE, Result.OK, 10_000);
         }
-        long id = node.request(Node.SAFE);
+        long id = node.sendRequest(Node.SAFE);
         node.complete(id, Result.FULL, 100);
         assertEquals(1, node.attemptCount(id), "tried again at once");
         node.advance(20_000);
@@ -165,7 +165,7 @@
     void anEjectedServerThatTakesNoConnectionIsNoLastResort() {
         Node node = new Node().withServers(2);
         for (int i = 0; i < 4_000 && node.logged.isEmpty(); i++) {
-            long id = node.request(Node.SAFE);
+            long id = node.sendRequest(Node.SAFE);
             boolean bad = node.lastAttempt(id).server().equals("s0") && i >= 200;
             node.complete(id, bad ? Result.CONNECT_FAILED : Result.OK, 5_000);
             if (bad && node.attemptCount(id) > 1) {
@@ -175,7 +175,7 @@
         assertEjected(node);
         long before = node.sentTo("s0");
         for (int i = 0; i < 40; i++) {
-            long id = node.request(Node.SAFE);
+            long id = node.sendRequest(Node.SAFE);
             for (int j = 0;
                     j < 4
                             && node.lastAttempt(id) != null
@@ -215,7 +215,7 @@
             node.serve(Node.UNSAFE, Result.ERROR, 5_000);
         }
         // All fail: two may be out, and requests must still be tried on the others, not held.
-        long id = node.request(Node.UNSAFE);
+        long id = node.sendRequest(Node.UNSAFE);
         assertNotEquals(null, node.lastAttempt(id));
     }
 
@@ -227,7 +227,7 @@
         }
         int toSilent = 0;
         for (int i = 0; i < 80; i++) {
-            long id = node.request(Node.UNSAFE);
+            long id = node.sendRequest(Node.UNSAFE);
             if (node.lastAttempt(id).server().equals("s0")) {
                 toSilent++;
             } else {
@@ -244,13 +244,13 @@
             // Ever one more than fits, so that the limits are met and grow.
             List<Long> burst = new ArrayList<>();
             do {
-                burst.add(node.request(Node.SAFE));
+                burst.add(node.sendRequest(Node.SAFE));
             } while (node.lastAttempt(burst.get(burst.size() - 1)) != null && burst.size() < 40);
             burst.forEach(id -> node.complete(id, Result.OK, 100));
         }
         List<Long> crowd = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            crowd.add(node.request(Node.SAFE, 30_000));
+            crowd.add(node.sendRequest(Node.SAFE, 30_000));
         }
         for (String server : List.of("s0", "s1")) {
             long answered = crowd.stream()
@@ -280,7 +280,7 @@
         }
         long crossed = 0;
         for (int i = 0; i < 12; i++) {
-            long id = node.request(Node.SAFE);
+            long id = node.sendRequest(Node.SAFE);
             crossed += List.of("s0", "s1").contains(node.lastAttempt(id).server()) ? 0 : 1;
         }
         assertTrue(crossed >= 6, "crossed " + crossed);
@@ -291,11 +291,11 @@
         // Guards against a node whose whole allowance in flight hangs at servers no longer in use.
         Node node = new Node().withServers(1);
         for (int i = 0; i < 4; i++) {
-            assertNotEquals(null, node.lastAttempt(node.request(Node.UNSAFE)));
+            assertNotEquals(null, node.lastAttempt(node.sendRequest(Node.UNSAFE)));
         }
         node.list(ListKind.FULL, List.of(Node.server("other")));
         for (int i = 0; i < 3; i++) {
-            Node.Sent sent = node.lastAttempt(node.request(Node.UNSAFE));
+            Node.SentAttempt sent = node.lastAttempt(node.sendRequest(Node.UNSAFE));
             assertTrue(sent != null && sent.server().equals("other"), "request " + i + " at " + sent);
         }
     }
@@ -304,8 +304,8 @@
     private static Node afterTimeouts(long stallUs) {
         Node node = new Node().withServers(4);
         for (int i = 0; i < 60; i++) {
-            long id = node.request(Node.UNSAFE);
-            Node.Sent attempt = node.lastAttempt(id);
+            long id = node.sendRequest(Node.UNSAFE);
+            Node.SentAttempt attempt = node.lastAttempt(id);
             if (attempt != null) {
                 node.advance(200_000);
                 node.balancer.onOutcome(
@@ -345,7 +345,7 @@
         assertEquals(1, node.sent.size(), "time enough");
         node.complete(1, Result.OK, 30_000);
         for (int i = 0; i < 100; i++) {
-            node.complete(node.request(Node.SAFE), Result.OK, 30_000);
+            node.complete(node.sendRequest(Node.SAFE), Result.OK, 30_000);
         }
         node.balancer.onRequest(node.now, new Balancer.Request(500, Node.SAFE, 0, 900_000, 0, false, 130_000));
         assertEquals(1, node.rejected.size(), "sent though its answer would be late");
@@ -355,7 +355,7 @@
     void latenciesAreNotLearntFromWhatWasReadLate() {
         Node node = new Node().withServers(1);
         for (int i = 0; i < 100; i++) {
-            long id = node.request(Node.SAFE);
+            long id = node.sendRequest(Node.SAFE);
             node.advance(90_000);
             node.balancer.onOutcome(node.now, new Balancer.Outcome(id, 0, Result.OK, 90_000, true, null, 40_000));
         }
--- a/src/test/java/vetchpost/decision/LargeFleetTest.java
+++ b/src/test/java/vetchpost/decision/LargeFleetTest.java
@@ -36,7 +36,7 @@
         return node;
     }
 
-    private static Node.Sent last(Node node) {
+    private static Node.SentAttempt last(Node node) {
         return node.sent.get(node.sent.size() - 1);
     }
 
@@ -44,7 +44,7 @@
     void aKeyedRepeatFindsTheThreeOfItsRackAmongTenThousand() {
         Node node = node(MANY);
         for (int i = 0; i < 50; i++) {
-            long id = node.request(Node.KEYED_CELL);
+            long id = node.sendRequest(Node.KEYED_CELL);
             String first = last(node).server();
             node.complete(id, Result.RESET, 1_000);
             String second = last(node).server();
@@ -82,7 +82,7 @@
         assertEquals(Set.of("s0"), servers(node));
         node.balancer.onServers(node.now, ListKind.FULL, List.of());
         int before = node.sent.size();
-        long waits = node.request(Node.SAFE);
+        long waits = node.sendRequest(Node.SAFE);
         assertEquals(before, node.sent.size());
         node.balancer.onServers(node.now, ListKind.FULL, fleet(MANY));
         assertEquals(waits, last(node).request(), "what waited goes out when there are servers");
@@ -118,7 +118,7 @@
     @Test
     void aServerRemovedWhileDrawnIsForgottenWithItsLastAttempt() {
         Node node = node(3);
-        long id = node.request(Node.SAFE);
+        long id = node.sendRequest(Node.SAFE);
         String server = last(node).server();
         node.balancer.onServers(
                 node.now, ListKind.CHANGES, List.of(new ServerEntry(server, 0, 0, ServerState.GONE, 1, 0)));
@@ -147,7 +147,7 @@
         }
         Map<String, Integer> served = new HashMap<>();
         for (int i = 0; i < 8_000; i++) {
-            long id = node.request(Node.UNSAFE);
+            long id = node.sendRequest(Node.UNSAFE);
             served.merge(last(node).server(), 1, Integer::sum);
             node.complete(id, Result.OK, 1_000);
         }
--- a/src/test/java/vetchpost/decision/LoadShedderTest.java
+++ b/src/test/java/vetchpost/decision/LoadShedderTest.java
@@ -43,17 +43,17 @@
         }
         int before = node.rejected.size();
         while (node.rejected.size() < before + upperRefused) {
-            node.request(UPPER);
+            node.sendRequest(UPPER);
             node.advance(10_000);
         }
-        for (Node.Sent attempt : List.copyOf(node.outstanding)) {
+        for (Node.SentAttempt attempt : List.copyOf(node.outstanding)) {
             node.complete(attempt.request(), Result.OK, 0);
         }
         node.advance(2_000_000);
         before = node.rejected.size();
         for (int i = 0; i < 40; i++) {
-            node.request(LOWER);
-            for (Node.Sent attempt : List.copyOf(node.outstanding)) {
+            node.sendRequest(LOWER);
+            for (Node.SentAttempt attempt : List.copyOf(node.outstanding)) {
                 node.complete(attempt.request(), Result.OK, 20_000);
             }
         }
@@ -113,8 +113,8 @@
         for (int n = 0; n < NODES; n++) {
             Node node = new Node(settings(), n + 1).withServers(5);
             for (int i = 0; i < 2_000; i++) {
-                node.request(LOWER);
-                for (Node.Sent attempt : List.copyOf(node.outstanding)) {
+                node.sendRequest(LOWER);
+                for (Node.SentAttempt attempt : List.copyOf(node.outstanding)) {
                     boolean bad = attempt.server().equals("s0");
                     if (bad || attempt.atUs() + 60_000 <= node.now) {
                         boolean fails = bad && node.sent.size() % 8 != 0;
--- a/src/test/java/vetchpost/decision/ManyNodesTest.java
+++ b/src/test/java/vetchpost/decision/ManyNodesTest.java
@@ -33,7 +33,7 @@
         for (long step = 0; step < steps; step++) {
             for (Node node : nodes) {
                 answerAll(node, afterUs);
-                node.request(Node.UNSAFE);
+                node.sendRequest(Node.UNSAFE);
                 out += node.outstanding.size();
                 node.advance(STEP_US);
             }
@@ -42,7 +42,7 @@
     }
 
     private static void answerAll(Node node, long afterUs) {
-        for (Node.Sent sent : List.copyOf(node.outstanding)) {
+        for (Node.SentAttempt sent : List.copyOf(node.outstanding)) {
             if (sent.atUs() + afterUs <= node.now) {
                 node.complete(sent.request(), Result.OK, 0);
             }
@@ -64,8 +64,8 @@
                 node.serve(Node.SAFE, Result.OK, 40_000);
             }
             for (int i = 0; i < 10; i++) {
-                node.request(Node.UNSAFE);
-                for (Node.Sent sent : List.copyOf(node.outstanding)) {
+                node.sendRequest(Node.UNSAFE);
+                for (Node.SentAttempt sent : List.copyOf(node.outstanding)) {
                     if (sent.server().equals("s0")) {
                         asked++;
                         node.complete(sent.request(), Result.FULL, 0);
@@ -83,7 +83,7 @@
         // The last node of fourteen: the others are dead, and its part is all that is served.
         Node node = nodes().get(0);
         for (int i = 0; i < 200; i++) {
-            long id = node.request(Node.UNSAFE);
+            long id = node.sendRequest(Node.UNSAFE);
             assertTrue(node.attemptCount(id) == 1, "sent at once");
             node.complete(id, Result.OK, 150_000);
         }
@@ -95,7 +95,7 @@
             Node node = nodes().get(0);
             // Five requests a second for a minute, of which an eighth would be 37.
             for (int i = 0; i < 300; i++) {
-                long id = node.request(Node.UNSAFE);
+                long id = node.sendRequest(Node.UNSAFE);
                 boolean bad = node.lastAttempt(id).server().equals("s0");
                 long tookUs = bad && result == Result.TIMEOUT ? 200_000 : 30_000;
                 node.complete(id, bad ? result : Result.OK, tookUs);
--- a/src/test/java/vetchpost/decision/Node.java
+++ b/src/test/java/vetchpost/decision/Node.java
@@ -28,12 +28,12 @@
     static final int UNSAFE = 4;
 
     /** An attempt as it was asked for. */
-    record Sent(long atUs, long request, int attempt, String server, long untilUs) {}
+    record SentAttempt(long atUs, long request, int attempt, String server, long untilUs) {}
 
     final Settings settings;
-    final List<Sent> sent = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
     /** What has no outcome yet. */
-    final List<Sent> outstanding = new ArrayList<>();
+    final List<SentAttempt> outstanding = new ArrayList<>();
 
     final List<Long> rejected = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
@@ -115,22 +115,22 @@
         return this;
     }
 
-    long request(int classIndex) {
-        return request(classIndex, 1_000_000);
+    long sendRequest(int classIndex) {
+        return sendRequest(classIndex, 1_000_000);
     }
 
-    long request(int classIndex, long leftUs) {
-        return request(classIndex, 0, leftUs);
+    long sendRequest(int classIndex, long leftUs) {
+        return sendRequest(classIndex, 0, leftUs);
     }
 
-    long request(int classIndex, int tenant, long leftUs) {
+    long sendRequest(int classIndex, int tenant, long leftUs) {
         long id = nextId++;
         balancer.onRequest(now, new Request(id, classIndex, tenant, leftUs, 0, false));
         return id;
     }
 
     /** The newest attempt of a request, or null. */
-    Sent lastAttempt(long request) {
+    SentAttempt lastAttempt(long request) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (sent.get(i).request == request) {
                 return sent.get(i);
@@ -150,7 +150,7 @@
     /** Ends a request's newest attempt after some time. */
     void complete(long request, Result result, long afterUs) {
         advance(afterUs);
-        Sent attempt = lastAttempt(request);
+        SentAttempt attempt = lastAttempt(request);
         outstanding.remove(attempt);
         balancer.onOutcome(
                 now, new Outcome(request, attempt.attempt, result, now - attempt.atUs, result == Result.OK, null));
@@ -158,7 +158,7 @@
 
     /** One request sent and ended; its server. */
     String serve(int classIndex, Result result, long afterUs) {
-        long id = request(classIndex);
+        long id = sendRequest(classIndex);
         String server = lastAttempt(id).server;
         complete(id, result, afterUs);
         return server;
@@ -181,7 +181,7 @@
 
     @Override
     public void send(long requestId, String serverId, long untilUs) {
-        Sent attempt = new Sent(now, requestId, attemptCount(requestId), serverId, untilUs);
+        SentAttempt attempt = new SentAttempt(now, requestId, attemptCount(requestId), serverId, untilUs);
         sent.add(attempt);
         outstanding.add(attempt);
     }
--- a/src/test/java/vetchpost/decision/RestoredStatisticsTest.java
+++ b/src/test/java/vetchpost/decision/RestoredStatisticsTest.java
@@ -36,10 +36,10 @@
             node.advance(5_000);
             int before = node.sent.size();
             for (int j = 0; j < 6; j++) {
-                node.request(Node.UNSAFE);
+                node.sendRequest(Node.UNSAFE);
             }
             node.advance(2_000);
-            for (Node.Sent sent : List.copyOf(node.sent.subList(before, node.sent.size()))) {
+            for (Node.SentAttempt sent : List.copyOf(node.sent.subList(before, node.sent.size()))) {
                 node.complete(sent.request(), sent.server().equals("s0") ? ofS0 : Result.OK, 0);
             }
         }
@@ -51,7 +51,7 @@
         // Of all classes in turn: one that only one class fails at is kept from that class alone.
         for (int i = 0; i < 300; i++) {
             node.advance(1_000);
-            long id = node.request(i % 5);
+            long id = node.sendRequest(i % 5);
             for (int attempt = 0; attempt < node.attemptCount(id); attempt++) {
                 node.complete(id, node.lastAttempt(id).server().equals("s0") ? Result.ERROR : Result.OK, 2_000);
             }
@@ -142,13 +142,13 @@
         unsure.add(of("s1", Integer.MAX_VALUE / 2, 0, 0, 0.01));
         node.balancer.onPrior(node.now, new ServerStatistics(unsure, List.of(), 0, 0, false));
         for (int i = 0; i < 12; i++) {
-            node.request(Node.SAFE);
+            node.sendRequest(Node.SAFE);
         }
         assertTrue(sentTo(node, "s0") <= 2 && sentTo(node, "s1") <= 2, node.sent.toString());
         assertTrue(node.sent.size() >= 2);
         Node sure = new Node().withServers(2);
         for (int i = 0; i < 12; i++) {
-            sure.request(Node.SAFE);
+            sure.sendRequest(Node.SAFE);
         }
         assertTrue(sure.sent.size() > 2 * node.sent.size(), sure.sent.size() + " and " + node.sent.size());
     }
@@ -169,7 +169,7 @@
                 node.balancer.onPrior(node.now, new ServerStatistics(little, List.of(), 0, 0, false));
             }
             for (int i = 0; i < 12; i++) {
-                node.request(Node.SAFE);
+                node.sendRequest(Node.SAFE);
             }
             out[taught] = node.sent.size();
         }
--- a/src/test/java/vetchpost/decision/RulesTest.java
+++ b/src/test/java/vetchpost/decision/RulesTest.java
@@ -51,7 +51,7 @@
     })
     void repeatsFollowTheClass(int classIndex, Result result, String then) {
         Node node = new Node().withServers(4);
-        long id = node.request(classIndex);
+        long id = node.sendRequest(classIndex);
         node.complete(id, result, 1_000);
         assertEquals(then.equals("again") ? 2 : 1, node.attemptCount(id));
         assertEquals(then.equals("failed") ? List.of(id) : List.of(), node.failed);
@@ -69,7 +69,7 @@
                             in("x", 1, 2, ServerState.READY),
                             in("b", 0, 1, ServerState.READY),
                             in("y", 1, 2, ServerState.READY)));
-            long id = node.request(classIndex);
+            long id = node.sendRequest(classIndex);
             String first = node.lastAttempt(id).server();
             node.complete(id, Result.RESET, 1_000);
             String second = node.lastAttempt(id).server();
@@ -82,7 +82,7 @@
     void aKeyedRequestThatSurelyNeverRanMayGoAnywhere() {
         Node node = new Node();
         node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY), in("x", 1, 2, ServerState.READY)));
-        long id = node.request(Node.KEYED_CELL);
+        long id = node.sendRequest(Node.KEYED_CELL);
         node.complete(id, Result.FULL, 1_000);
         assertEquals(2, node.attemptCount(id));
     }
@@ -91,7 +91,7 @@
     void aKeyedRequestIsNotRepeatedAfterItsWindowAndRefusedOnlyIfAllDropRepeats() {
         for (int classIndex : new int[] {Node.KEYED_ALL, Node.KEYED_CELL}) {
             Node node = new Node(Node.settingsWithLateValue(), 7).withServers(3);
-            long id = node.request(classIndex);
+            long id = node.sendRequest(classIndex);
             node.complete(id, Result.ERROR, 400_001);
             assertEquals(1, node.attemptCount(id));
             assertEquals(classIndex == Node.KEYED_ALL ? List.of(id) : List.of(), node.rejected);
@@ -102,7 +102,7 @@
     @Test
     void theWindowCountsFromTheFirstAttemptThatMayHaveRun() {
         Node node = new Node(Node.settingsWithLateValue(), 7).withServers(4);
-        long id = node.request(Node.KEYED_ALL);
+        long id = node.sendRequest(Node.KEYED_ALL);
         node.complete(id, Result.CONNECT_FAILED, 300_000);
         node.complete(id, Result.ERROR, 300_000);
         assertEquals(3, node.attemptCount(id));
@@ -113,8 +113,8 @@
     @Test
     void aTimeOutAtTheDeadlineIsAnsweredAtOnceAndNothingFollows() {
         Node node = new Node().withServers(3);
-        long safe = node.request(Node.SAFE, 100_000);
-        long unsafe = node.request(Node.UNSAFE, 100_000);
+        long safe = node.sendRequest(Node.SAFE, 100_000);
+        long unsafe = node.sendRequest(Node.UNSAFE, 100_000);
         node.complete(safe, Result.TIMEOUT, 100_000);
         node.complete(unsafe, Result.TIMEOUT, 0);
         assertEquals(List.of(safe), node.rejected);
@@ -126,14 +126,14 @@
     @Test
     void noAttemptIsSentToEndAfterTheClientsTime() {
         Node node = new Node().withServers(3);
-        long id = node.request(Node.SAFE, 123_000);
+        long id = node.sendRequest(Node.SAFE, 123_000);
         assertEquals(node.now + 123_000, node.lastAttempt(id).untilUs());
     }
 
     @Test
     void nothingIsOwedToAClientThatHasGone() {
         Node node = new Node().withServers(1);
-        long id = node.request(Node.SAFE);
+        long id = node.sendRequest(Node.SAFE);
         node.balancer.onClientDisconnected(node.now, id);
         node.complete(id, Result.ERROR, 1_000);
         node.advance(2_000_000);
@@ -214,7 +214,7 @@
         zone.myZone = 9;
         assertThrows(IllegalArgumentException.class, () -> new Node(zone, 1));
         Node node = new Node().withServers(1);
-        assertThrows(IllegalArgumentException.class, () -> node.request(99));
+        assertThrows(IllegalArgumentException.class, () -> node.sendRequest(99));
         assertThrows(
                 IllegalArgumentException.class,
                 () -> node.balancer.onRequest(node.now, new Request(5, 0, 7, 1_000, 0, false)));
--- a/src/test/java/vetchpost/decision/MechanismTest.java
+++ b/src/test/java/vetchpost/decision/SelectionAndQueueTest.java
@@ -18,7 +18,7 @@
 import vetchpost.decision.Balancer.Settings;
 
 /** The ordinary path of DESIGN: weighted draws, own requests in flight, counting, pass-on, deferral. */
-class MechanismTest {
+class SelectionAndQueueTest {
 
     @Test
     void aFirstTryIsNotTakenForALateOneBecauseItsClientWaitsLessThanOthers() {
@@ -29,15 +29,15 @@
         for (int i = 0; i < 100; i++) {
             node.serve(Node.SAFE, Result.OK, 10_000);
         }
-        assertNotNull(node.lastAttempt(node.request(Node.SAFE, 400_000)), "given up at once");
+        assertNotNull(node.lastAttempt(node.sendRequest(Node.SAFE, 400_000)), "given up at once");
     }
 
     @Test
     void twoServersWithUnequalOwnRequestsInFlightSendToTheEmptierOne() {
         Node node = new Node().withServers(2);
-        String busy = node.lastAttempt(node.request(Node.SAFE)).server();
+        String busy = node.lastAttempt(node.sendRequest(Node.SAFE)).server();
         for (int i = 0; i < 20; i++) {
-            long id = node.request(Node.SAFE);
+            long id = node.sendRequest(Node.SAFE);
             assertNotEquals(busy, node.lastAttempt(id).server());
             node.complete(id, Result.OK, 10_000);
         }
@@ -58,21 +58,21 @@
     @Test
     void aFailureLowersTheWeightAndASuccessClearsIt() {
         Node node = new Node().withServers(2);
-        long id = node.request(Node.UNSAFE);
+        long id = node.sendRequest(Node.UNSAFE);
         String bad = node.lastAttempt(id).server();
         node.complete(id, Result.ERROR, 1_000);
-        long held = node.request(Node.SAFE);
+        long held = node.sendRequest(Node.SAFE);
         String other = node.lastAttempt(held).server();
         // With one error the draw of two still sees both; the emptier one takes it.
         String emptier = other.equals("s0") ? "s1" : "s0";
-        assertEquals(emptier, node.lastAttempt(node.request(Node.SAFE)).server());
+        assertEquals(emptier, node.lastAttempt(node.sendRequest(Node.SAFE)).server());
         assertTrue(List.of("s0", "s1").contains(bad));
     }
 
     @Test
     void aRepeatableFailureGoesToTheNextServerInListOrder() {
         Node node = new Node().withServers(5);
-        long id = node.request(Node.SAFE);
+        long id = node.sendRequest(Node.SAFE);
         for (int i = 0; i < 3; i++) {
             int from = Integer.parseInt(node.lastAttempt(id).server().substring(1));
             node.complete(id, Result.ERROR, 1_000);
@@ -86,7 +86,7 @@
     @Test
     void anUnsafeRequestPassesOnOnlyWhenItSurelyNeverRan() {
         Node node = new Node().withServers(3);
-        long id = node.request(Node.UNSAFE);
+        long id = node.sendRequest(Node.UNSAFE);
         node.complete(id, Result.CONNECT_FAILED, 1_000);
         assertEquals(2, node.attemptCount(id));
         node.complete(id, Result.RESET, 1_000);
@@ -97,20 +97,20 @@
     @Test
     void withNothingToSendToARequestWaitsAndIsServedInOrderWhenAServerComes() {
         Node node = new Node().withServers(0);
-        long first = node.request(Node.UNSAFE);
-        long second = node.request(Node.SAFE);
+        long first = node.sendRequest(Node.UNSAFE);
+        long second = node.sendRequest(Node.SAFE);
         node.advance(50_000);
         assertTrue(node.sent.isEmpty());
         node.list(ListKind.CHANGES, List.of(Node.server("s0"), Node.server("s1")));
         assertEquals(
                 List.of(first, second),
-                node.sent.stream().map(Node.Sent::request).toList());
+                node.sent.stream().map(Node.SentAttempt::request).toList());
     }
 
     @Test
     void whatWaitsInVainIsRefusedBeforeTheClientsTimeIsUp() {
         Node node = new Node(Node.settingsWithLateValue(), 7).withServers(0);
-        long id = node.request(Node.UNSAFE, 300_000);
+        long id = node.sendRequest(Node.UNSAFE, 300_000);
         node.advance(299_999);
         assertEquals(List.of(id), node.rejected);
         assertFalse(node.failed.contains(id));
@@ -121,10 +121,10 @@
         // Guards i9ce813: in a jam most work was for tries whose request could earn nothing any more.
         Node node = new Node().withServers(2);
         for (int i = 0; i < 10; i++) {
-            node.complete(node.request(Node.SAFE, 500_000), Result.OK, 10_000);
+            node.complete(node.sendRequest(Node.SAFE, 500_000), Result.OK, 10_000);
         }
-        long inTime = node.request(Node.SAFE, 900_000);
-        long tooLate = node.request(Node.SAFE, 700_000);
+        long inTime = node.sendRequest(Node.SAFE, 900_000);
+        long tooLate = node.sendRequest(Node.SAFE, 700_000);
         assertEquals(1, node.attemptCount(inTime));
         assertEquals(0, node.attemptCount(tooLate));
         assertTrue(node.rejected.contains(tooLate));
@@ -134,7 +134,7 @@
     void timesLeftThatAllDifferTellNothingOfEarlierTries() {
         Node node = new Node().withServers(2);
         for (int i = 0; i < 20; i++) {
-            long id = node.request(Node.SAFE, 200_000 + i % 10 * 70_000);
+            long id = node.sendRequest(Node.SAFE, 200_000 + i % 10 * 70_000);
             assertEquals(1, node.attemptCount(id));
             node.complete(id, Result.OK, 10_000);
         }
@@ -144,12 +144,14 @@
     void anAttemptThatNobodyRepeatsEndsAtTheAimAndOthersRunOn() {
         Node node = new Node().withServers(3);
         assertEquals(
-                node.now + 200_000, node.lastAttempt(node.request(Node.UNSAFE)).untilUs());
+                node.now + 200_000,
+                node.lastAttempt(node.sendRequest(Node.UNSAFE)).untilUs());
         assertEquals(
                 node.now + 200_000,
-                node.lastAttempt(node.request(Node.KEYED_CELL)).untilUs());
+                node.lastAttempt(node.sendRequest(Node.KEYED_CELL)).untilUs());
         assertEquals(
-                node.now + 1_000_000, node.lastAttempt(node.request(Node.SAFE)).untilUs());
+                node.now + 1_000_000,
+                node.lastAttempt(node.sendRequest(Node.SAFE)).untilUs());
     }
 
     @Test
@@ -157,7 +159,7 @@
         Node node = new Node().withServers(4);
         Map<String, Integer> hits = new HashMap<>();
         for (int i = 0; i < 400; i++) {
-            long id = node.request(Node.SAFE);
+            long id = node.sendRequest(Node.SAFE);
             String server = node.lastAttempt(id).server();
             hits.merge(server, 1, Integer::sum);
             node.complete(id, Result.OK, server.equals("s0") ? 60_000 : 20_000);
@@ -183,9 +185,9 @@
         Node node = new Node(set, 3).withServers(2);
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            ids.add(node.request(Node.SAFE));
+            ids.add(node.sendRequest(Node.SAFE));
         }
-        long dear = node.request(5);
+        long dear = node.sendRequest(5);
         // Two nodes start with room for two each at two servers: the fifth request and the dear one wait.
         assertEquals(4, node.sent.size());
         node.complete(ids.get(0), Result.OK, 10_000);
@@ -198,13 +200,13 @@
         Node fast = new Node().withServers(1);
         for (int i = 0; i < 30; i++) {
             slow.serve(Node.SAFE, Result.OK, 150_000);
-            long[] pair = {fast.request(Node.SAFE), fast.request(Node.SAFE)};
+            long[] pair = {fast.sendRequest(Node.SAFE), fast.sendRequest(Node.SAFE)};
             fast.complete(pair[0], Result.OK, 5_000);
             fast.complete(pair[1], Result.OK, 5_000);
         }
         for (int i = 0; i < 8; i++) {
-            slow.request(Node.SAFE);
-            fast.request(Node.SAFE);
+            slow.sendRequest(Node.SAFE);
+            fast.sendRequest(Node.SAFE);
         }
         assertEquals(1, slow.sent.size() - 30);
         assertTrue(fast.sent.size() - 60 >= 3, "sent " + fast.sent.size());
@@ -220,17 +222,21 @@
         Node node = new Node(set, 3).withServers(1);
         List<Long> first = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            first.add(node.request(Node.SAFE, 1, 1_000_000));
+            first.add(node.sendRequest(Node.SAFE, 1, 1_000_000));
         }
         List<Long> greedy = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            greedy.add(node.request(Node.SAFE, 0, 1_000_000));
+            greedy.add(node.sendRequest(Node.SAFE, 0, 1_000_000));
         }
-        long modest = node.request(Node.SAFE, 1, 1_000_000);
+        long modest = node.sendRequest(Node.SAFE, 1, 1_000_000);
         first.forEach(id -> node.complete(id, Result.OK, 1_000));
         assertEquals(
                 List.of(greedy.get(0), modest, greedy.get(1), greedy.get(2)),
-                node.sent.stream().skip(4).limit(4).map(Node.Sent::request).toList());
+                node.sent.stream()
+                        .skip(4)
+                        .limit(4)
+                        .map(Node.SentAttempt::request)
+                        .toList());
     }
 
     @Test
@@ -239,8 +245,8 @@
         set.nodes = 8;
         Node node = new Node(set, 3).withServers(1);
         node.serve(Node.SAFE, Result.OK, 150_000);
-        long first = node.request(Node.SAFE);
-        long second = node.request(Node.SAFE);
+        long first = node.sendRequest(Node.SAFE);
+        long second = node.sendRequest(Node.SAFE);
         assertEquals(1, node.attemptCount(first));
         assertEquals(0, node.attemptCount(second));
         node.complete(first, Result.OK, 20_000);
@@ -272,7 +278,7 @@
         set.nodes = 200;
         Node node = new Node(set, 3).withServers(32);
         for (int i = 0; i < 32; i++) {
-            node.request(Node.SAFE);
+            node.sendRequest(Node.SAFE);
         }
         // Three servers that each have 19 nodes: 0.64 by the bare sum, and two with the burst.
         assertEquals(2, node.sent.size());
@@ -298,7 +304,7 @@
         }
         int before = node.sent.size();
         for (int i = 0; i < 4; i++) {
-            node.request(5, 30_000_000);
+            node.sendRequest(5, 30_000_000);
         }
         assertEquals(1, node.sent.size() - before);
     }
@@ -315,7 +321,7 @@
             node.serve(Node.UNSAFE, Result.OK, usualUs);
         }
         node.list(ListKind.FULL, List.of());
-        long id = node.request(Node.UNSAFE);
+        long id = node.sendRequest(Node.UNSAFE);
         node.advance(stillWaitsUs);
         assertFalse(node.rejected.contains(id));
         node.advance(30_000);
@@ -340,7 +346,7 @@
         int before = node.sent.size();
         int answered = before;
         for (int i = 0; i < asks; i++) {
-            node.request(Node.SAFE);
+            node.sendRequest(Node.SAFE);
             for (; answered < node.sent.size(); answered++) {
                 node.complete(node.sent.get(answered).request(), Result.OK, latencyUs);
             }
@@ -360,7 +366,7 @@
             entries.add(new Balancer.ServerEntry("s" + i, i % 3 == 0 ? 0 : 1, 0, Balancer.ServerState.READY, 1, 0));
         }
         node.list(ListKind.CACHED, entries);
-        long id = node.request(Node.SAFE);
+        long id = node.sendRequest(Node.SAFE);
         List<String> local = List.of("s0", "s3");
         assertTrue(local.contains(node.lastAttempt(id).server()));
         node.complete(id, Result.FULL, 1_000);
--- a/src/test/java/vetchpost/decision/SimulatedCluster.java
+++ b/src/test/java/vetchpost/decision/SimulatedCluster.java
@@ -80,11 +80,11 @@
             this.number = number;
             Settings own = settings(number);
             balancer = new ServiceQBalancer(own, seed, this);
-            balancer.onServers(now, ListKind.CACHED, list);
+            balancer.onServers(now, ListKind.CACHED, serverList);
         }
 
         void sendRequest() {
-            long id = ++requests;
+            long id = ++requestCount;
             attempts.put(id, 0);
             balancer.onRequest(now, new Request(id, Node.UNSAFE, 0, DEADLINE_US, 0, false));
         }
@@ -136,17 +136,17 @@
         public void log(String line) {}
     }
 
-    private record Event(long at, long number, Runnable what) {}
+    private record Event(long timeUs, long number, Runnable action) {}
 
     final Settings settings;
     final Map<String, SimulatedServer> servers = new HashMap<>();
     final List<SimulatedNode> nodes = new ArrayList<>();
     private final SplittableRandom random;
-    private final PriorityQueue<Event> due =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-    private List<ServerEntry> list = new ArrayList<>();
-    private long events;
-    private long requests;
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (a, b) -> a.timeUs != b.timeUs ? Long.compare(a.timeUs, b.timeUs) : Long.compare(a.number, b.number));
+    private List<ServerEntry> serverList = new ArrayList<>();
+    private long eventCount;
+    private long requestCount;
     private int serverCount;
     long now = 1_000_000;
     int served;
@@ -158,7 +158,7 @@
         settings = settings(0);
         settings.nodes = nodeCount;
         for (int i = 0; i < initialServers; i++) {
-            add(0);
+            addServer(0);
         }
         for (int n = 0; n < nodeCount; n++) {
             nodes.add(new SimulatedNode(n, random.nextLong()));
@@ -176,34 +176,34 @@
         return set;
     }
 
-    private void add(long startedAt) {
+    private void addServer(long startedAt) {
         String id = "s" + serverCount++;
         servers.put(id, new SimulatedServer(startedAt));
-        list.add(new ServerEntry(id, 0, serverCount / 8, ServerState.READY, 1, startedAt));
+        serverList.add(new ServerEntry(id, 0, serverCount / 8, ServerState.READY, 1, startedAt));
     }
 
     private void schedule(long when, Runnable what) {
-        due.add(new Event(when, events++, what));
+        events.add(new Event(when, eventCount++, what));
     }
 
     /** Has a node ask so often from now on, as chance will have it. */
-    void load(int node, double perSecond, long untilUs) {
+    void generateLoad(int node, double perSecond, long untilUs) {
         long next = now + (long) (-Math.log(1 - random.nextDouble()) * 1e6 / perSecond);
         if (next < untilUs) {
             schedule(next, () -> {
                 nodes.get(node).sendRequest();
-                load(node, perSecond, untilUs);
+                generateLoad(node, perSecond, untilUs);
             });
         }
     }
 
     /** So many of the servers are replaced by cold ones, and all nodes told at once. */
     void replace(int count) {
-        list = new ArrayList<>(list.subList(count, list.size()));
+        serverList = new ArrayList<>(serverList.subList(count, serverList.size()));
         for (int i = 0; i < count; i++) {
-            add(now);
+            addServer(now);
         }
-        nodes.forEach(m -> m.balancer.onServers(now, ListKind.FULL, list));
+        nodes.forEach(m -> m.balancer.onServers(now, ListKind.FULL, serverList));
     }
 
     /** These nodes are killed and back from nothing, knowing the list. */
@@ -215,16 +215,16 @@
     }
 
     void run(long untilUs) {
-        while (!due.isEmpty() && due.peek().at <= untilUs) {
-            Event event = due.poll();
-            now = event.at;
-            event.what.run();
+        while (!events.isEmpty() && events.peek().timeUs <= untilUs) {
+            Event event = events.poll();
+            now = event.timeUs;
+            event.action.run();
         }
         now = untilUs;
     }
 
     /** The most that any cold server was sent in a span, over what the rule allows. */
-    double worst() {
+    double maxOverloadRatio() {
         return servers.values().stream()
                 .mapToDouble(b -> b.maxOverloadRatio)
                 .max()
