--- a/src/test/java/vetchpost/decision/ApertureTest.java
+++ b/src/test/java/vetchpost/decision/ApertureTest.java
@@ -16,12 +16,12 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.Settings;
 
-/** Which servers each of many nodes has: as many nodes for each, more for a node that is asked for more. */
+/** Which servers each of many nodes uses: as many nodes per server, and more servers for a node with more demand. */
 class ApertureTest {
     private static final double CONCURRENCY_PER_SERVER = 4;
     private static final long SECOND_US = 1_000_000;
 
-    private static Aperture of(int node, int nodes, int servers) {
+    private static Aperture aperture(int node, int nodes, int servers) {
         Aperture aperture = new Aperture(node, nodes, CONCURRENCY_PER_SERVER);
         for (int i = 0; i < servers; i++) {
             aperture.add(new Server("s" + i, i, 1, 1));
@@ -29,14 +29,14 @@
         return aperture;
     }
 
-    private static List<String> part(Aperture aperture) {
+    private static List<String> subset(Aperture aperture) {
         List<String> ids = new ArrayList<>();
         aperture.serversToAdd(new IndexedSet<>(0)).forEach(s -> ids.add(s.id));
         return ids;
     }
 
-    /** Requests that take servers so long, evenly spread over so many seconds. */
-    private static long asked(Aperture aperture, long fromUs, int seconds, double busyServers) {
+    /** Records requests, evenly spread over these seconds, that keep this many servers busy; returns the end time. */
+    private static long recordRequests(Aperture aperture, long fromUs, int seconds, double busyServers) {
         for (int i = 0; i < seconds * 20; i++) {
             aperture.recordRequest(fromUs + i * 50_000L, busyServers * 50_000);
         }
@@ -45,49 +45,50 @@
 
     @ParameterizedTest
     @CsvSource({"94, 60", "100, 200", "14, 60", "50, 20", "7, 200", "200, 3", "120, 600", "1024, 1024", "1025, 1025"})
-    void eachServerHasAsManyNodesAsAnyOtherButForOne(int nodes, int servers) {
-        Map<String, Integer> has = new HashMap<>();
+    void spreadsNodesOverServersWithADifferenceOfAtMostOne(int nodes, int servers) {
+        Map<String, Integer> nodesByServer = new HashMap<>();
         for (int n = 0; n < nodes; n++) {
-            Aperture aperture = of(n, nodes, servers);
-            assertEquals(aperture.size(), part(aperture).size());
-            part(aperture).forEach(id -> has.merge(id, 1, Integer::sum));
+            Aperture aperture = aperture(n, nodes, servers);
+            assertEquals(aperture.size(), subset(aperture).size());
+            subset(aperture).forEach(id -> nodesByServer.merge(id, 1, Integer::sum));
         }
-        int least = has.values().stream().mapToInt(x -> x).min().orElseThrow();
-        int most = has.values().stream().mapToInt(x -> x).max().orElseThrow();
-        assertEquals(servers, has.size(), "servers that any node has");
-        assertTrue(most <= least + 1, least + " to " + most);
-        assertTrue(least >= 4 || nodes < 4, "a node's part of a server is one request at most: " + least);
+        int min = nodesByServer.values().stream().mapToInt(x -> x).min().orElseThrow();
+        int max = nodesByServer.values().stream().mapToInt(x -> x).max().orElseThrow();
+        assertEquals(servers, nodesByServer.size(), "servers in use by any node");
+        assertTrue(max <= min + 1, min + " to " + max);
+        assertTrue(
+                min >= 4 || nodes < 4, "a node's fraction of a server is at most one request; minimum nodes: " + min);
     }
 
     @Test
-    void fewNodesHaveAllServersAndSoHaveManyWithFewServers() {
-        assertEquals(60, of(2, 4, 60).size());
-        assertEquals(4, of(2, 4, 60).meanNodesPerServer());
-        assertEquals(3, of(9, 94, 3).size());
-        assertEquals(94, of(9, 94, 3).meanNodesPerServer());
-        assertEquals(0, of(9, 94, 0).size());
-        assertEquals(94, of(9, 94, 0).meanNodesPerServer());
+    void usesAllServersWithFewNodesOrFewServers() {
+        assertEquals(60, aperture(2, 4, 60).size());
+        assertEquals(4, aperture(2, 4, 60).meanNodesPerServer());
+        assertEquals(3, aperture(9, 94, 3).size());
+        assertEquals(94, aperture(9, 94, 3).meanNodesPerServer());
+        assertEquals(0, aperture(9, 94, 0).size());
+        assertEquals(94, aperture(9, 94, 0).meanNodesPerServer());
     }
 
     @Test
-    void aNodeThatIsAskedForMoreThanItsPartTakesAsManyTimesAsMuch() {
-        Aperture aperture = of(3, 60, 60);
+    void widensInProportionToDemandAndNarrowsAfterAWhile() {
+        Aperture aperture = aperture(3, 60, 60);
         assertEquals(4, aperture.size());
-        // Its part of what 60 servers can do is one server's; it is asked for the work of three.
-        long at = asked(aperture, SECOND_US, 8, 3);
+        // Its fraction of 60 servers' capacity is one server; it is asked for the work of three.
+        long timeUs = recordRequests(aperture, SECOND_US, 8, 3);
         assertTrue(aperture.hasChangedSinceLastCheck());
         assertEquals(12, aperture.size());
-        // What it had stays.
-        assertTrue(part(aperture).containsAll(part(of(3, 60, 60))));
-        at = asked(aperture, at, 3, 0.5);
+        // It keeps the servers that it had.
+        assertTrue(subset(aperture).containsAll(subset(aperture(3, 60, 60))));
+        timeUs = recordRequests(aperture, timeUs, 3, 0.5);
         assertEquals(12, aperture.size(), "a short pause is no change");
-        asked(aperture, at, 20, 0.5);
+        recordRequests(aperture, timeUs, 20, 0.5);
         assertEquals(4, aperture.size());
     }
 
     @Test
-    void workThatIsNotKnownCountsForNothing() {
-        Aperture aperture = of(3, 60, 60);
+    void ignoresRequestsOfUnknownWork() {
+        Aperture aperture = aperture(3, 60, 60);
         for (int i = 0; i < 200; i++) {
             aperture.recordRequest(SECOND_US + i * 50_000L, Double.MAX_VALUE);
         }
@@ -95,12 +96,12 @@
     }
 
     @Test
-    void itMovesOnlyWhenServersOrItsWidthDo() {
-        Aperture aperture = of(3, 60, 60);
+    void changesOnlyWithServersOrDemand() {
+        Aperture aperture = aperture(3, 60, 60);
         assertTrue(aperture.hasChangedSinceLastCheck());
         assertFalse(aperture.hasChangedSinceLastCheck());
         aperture.add(new Server("s1", 1, 1, 1));
-        assertFalse(aperture.hasChangedSinceLastCheck(), "it stands there already");
+        assertFalse(aperture.hasChangedSinceLastCheck(), "it is present already");
         aperture.remove(new Server("none", 1, 1, 1));
         assertFalse(aperture.hasChangedSinceLastCheck());
         aperture.remove(new Server("s1", 1, 1, 1));
@@ -108,42 +109,42 @@
     }
 
     @Test
-    void oneServerMoreMovesNoNodesPartByMoreThanAStep() {
+    void changesAtMostOneServerPerNodeWhenAServerIsAdded() {
         int changes = 0;
         for (int n = 0; n < 94; n++) {
-            Set<String> before = new HashSet<>(part(of(n, 94, 60)));
-            List<String> after = part(of(n, 94, 61));
+            Set<String> before = new HashSet<>(subset(aperture(n, 94, 60)));
+            List<String> after = subset(aperture(n, 94, 61));
             after.removeAll(before);
             changes += after.size();
             assertTrue(after.size() <= 1, "node " + n + " has new " + after);
         }
-        assertTrue(changes <= 94, "new ones over all nodes: " + changes);
+        assertTrue(changes <= 94, "new servers over all nodes: " + changes);
     }
 
-    /** What 94 nodes before 60 servers send, if one is asked so many times as much as the others. */
-    private static Map<String, Integer> load(int times, Set<String> byHot) {
+    /** Returns the requests by server of 94 nodes and 60 servers, one node with this multiple of the others' demand. */
+    private static Map<String, Integer> load(int times, Set<String> highDemandServers) {
         Map<String, Integer> load = new HashMap<>();
         for (int n = 0; n < 94; n++) {
-            Settings set = Node.settings();
-            set.nodes = 94;
-            set.node = n;
-            Node node = new Node(set, n).withServers(60);
-            int asks = n == 47 ? 5 * times : 5;
-            // The first seconds are for what a node learns of its part.
+            Settings settings = Node.settings();
+            settings.nodes = 94;
+            settings.node = n;
+            Node node = new Node(settings, n).withServers(60);
+            int requestsPerSecond = n == 47 ? 5 * times : 5;
+            // In the first seconds a node learns its demand.
             for (int second = 0; second < 16; second++) {
                 int sent = node.sent.size();
-                for (int i = 0; i < asks; i++) {
+                for (int i = 0; i < requestsPerSecond; i++) {
                     long id = node.sendRequest(Node.UNSAFE);
                     if (node.lastAttempt(id) != null) {
                         node.complete(id, Result.OK, 60_000);
                     }
-                    node.advance(Math.max(0, SECOND_US / asks - 60_000));
+                    node.advance(Math.max(0, SECOND_US / requestsPerSecond - 60_000));
                 }
                 if (second >= 8) {
-                    for (Node.SentAttempt each : node.sent.subList(sent, node.sent.size())) {
-                        load.merge(each.server(), 1, Integer::sum);
+                    for (Node.SentAttempt attempt : node.sent.subList(sent, node.sent.size())) {
+                        load.merge(attempt.server(), 1, Integer::sum);
                         if (n == 47) {
-                            byHot.add(each.server());
+                            highDemandServers.add(attempt.server());
                         }
                     }
                 }
@@ -153,53 +154,53 @@
     }
 
     @Test
-    void aNodeOfManyKeepsToItsPartAndALoudOneSpreads() {
-        Set<String> quiet = new HashSet<>();
-        Set<String> loud = new HashSet<>();
-        load(1, quiet);
-        Map<String, Integer> load = load(4, loud);
-        assertEquals(3, quiet.size());
-        assertTrue(loud.size() >= 6, "servers of a node with thrice the load and more: " + loud);
+    void keepsANodeToItsSubsetAndSpreadsOneWithHighDemand() {
+        Set<String> lowDemandServers = new HashSet<>();
+        Set<String> highDemandServers = new HashSet<>();
+        load(1, lowDemandServers);
+        Map<String, Integer> load = load(4, highDemandServers);
+        assertEquals(3, lowDemandServers.size());
+        assertTrue(highDemandServers.size() >= 6, "servers of a node with three times the load: " + highDemandServers);
         double mean = load.values().stream().mapToInt(x -> x).average().orElseThrow();
-        int most = load.values().stream().mapToInt(x -> x).max().orElseThrow();
-        assertTrue(most < 1.6 * mean, "most " + most + ", in the mean " + mean);
+        int max = load.values().stream().mapToInt(x -> x).max().orElseThrow();
+        assertTrue(max < 1.6 * mean, "maximum " + max + ", mean " + mean);
     }
 
     @Test
-    void aNodeWhoseServersAreIllTakesOthers() {
-        Settings set = Node.settings();
-        set.nodes = 94;
-        set.node = 5;
-        Node node = new Node(set, 2).withServers(60);
-        Set<String> ill = new HashSet<>();
+    void widensWhenServersOfTheSubsetFail() {
+        Settings settings = Node.settings();
+        settings.nodes = 94;
+        settings.node = 5;
+        Node node = new Node(settings, 2).withServers(60);
+        Set<String> failing = new HashSet<>();
         for (int i = 0; i < 60; i++) {
             long id = node.sendRequest(Node.SAFE);
             Node.SentAttempt sent = node.lastAttempt(id);
-            ill.add(sent.server());
-            node.complete(id, ill.size() <= 3 ? Result.ERROR : Result.OK, 20_000);
+            failing.add(sent.server());
+            node.complete(id, failing.size() <= 3 ? Result.ERROR : Result.OK, 20_000);
             for (Node.SentAttempt more : List.copyOf(node.outstanding)) {
-                node.complete(more.request(), ill.contains(more.server()) ? Result.ERROR : Result.OK, 20_000);
+                node.complete(more.request(), failing.contains(more.server()) ? Result.ERROR : Result.OK, 20_000);
             }
             node.advance(100_000);
         }
-        assertTrue(ill.size() > 3, "servers sent to: " + ill);
+        assertTrue(failing.size() > 3, "servers sent to: " + failing);
     }
 
     @Test
-    void limitsGrowAsTheNodesAtAServerAreManyAndNotAllNodes() {
-        // By all of 94 a limit grew by a twentieth for a good answer, where five share a server.
-        Settings set = Node.settings();
-        set.nodes = 94;
-        set.node = 5;
-        Node node = new Node(set, 2).withServers(60);
-        List<Long> asked = new ArrayList<>();
+    void scalesLimitGrowthByTheNodesPerServer() {
+        // Divided by all 94 nodes, a limit grew by a twentieth per good answer, although only five share a server.
+        Settings settings = Node.settings();
+        settings.nodes = 94;
+        settings.node = 5;
+        Node node = new Node(settings, 2).withServers(60);
+        List<Long> recordRequests = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            asked.add(node.sendRequest(Node.SAFE));
+            recordRequests.add(node.sendRequest(Node.SAFE));
         }
-        String server = node.lastAttempt(asked.get(0)).server();
-        node.complete(asked.get(0), Result.OK, 20_000);
-        double grown =
+        String server = node.lastAttempt(recordRequests.get(0)).server();
+        node.complete(recordRequests.get(0), Result.OK, 20_000);
+        double relativeLimit =
                 node.balancer.statistics(List.of(server)).servers().get(0).relativeLimit();
-        assertTrue(grown > 1.1 && grown < 1.2, "limit as a multiple of the first: " + grown);
+        assertTrue(relativeLimit > 1.1 && relativeLimit < 1.2, "limit as a multiple of the first: " + relativeLimit);
     }
 }
--- a/src/test/java/vetchpost/decision/ColdServerTest.java
+++ b/src/test/java/vetchpost/decision/ColdServerTest.java
@@ -11,7 +11,7 @@
 import vetchpost.decision.Balancer.ServerEntry;
 import vetchpost.decision.Balancer.ServerState;
 
-/** Rule 4: a node's part of a cold server's budget. */
+/** Rule 4: a node's fraction of a cold server's budget. */
 class ColdServerTest {
 
     private static ServerEntry started(String id, long atUs) {
@@ -19,21 +19,20 @@
     }
 
     @Test
-    void aColdServerGetsAtMostItsShareOfAnEvenPartEvenWhenClientsAskManyTimesOver() {
+    void limitsAColdServerToItsBudgetWhateverClientsRequest() {
         Node node = new Node().withServers(4);
         for (int i = 0; i < 400; i++) {
             node.serve(Node.SAFE, Result.OK, 10_000);
         }
         node.list(ListKind.CHANGES, List.of(started("cold", node.now)));
-        // 100 answers a second from five servers: an even part is 20 a second, a fifth of which a cold
-        // one can do.
+        // 100 answers a second from five servers: 20 a second each, a fifth of which a cold server can handle.
         for (int round = 0; round < 200; round++) {
             List<Long> burst = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 burst.add(node.sendRequest(Node.SAFE));
             }
             node.advance(10_000);
-            // Only one of ten is answered, so that arrivals are ten times what the fleet gets done.
+            // Only one request in ten is answered, so that arrivals are ten times the answers.
             burst.stream()
                     .map(node::lastAttempt)
                     .filter(s -> s != null && !s.server().equals("cold"))
@@ -45,7 +44,7 @@
     }
 
     @Test
-    void aNodeThatHasJustStartedDoesNotFloodAColdServer() {
+    void doesNotFloodAColdServerFromAFreshlyStartedNode() {
         Node node = new Node();
         node.list(ListKind.CACHED, List.of(started("cold", node.now - 100_000), Node.server("warm")));
         for (int i = 0; i < 200; i++) {
@@ -56,15 +55,12 @@
         assertTrue(toCold <= 2, "sent to the cold server in 0.2 s: " + toCold);
     }
 
-    /**
-     * Where all servers are cold, a node that has never sent anything waits a moment, not until they are
-     * warm.
-     */
+    /** Where all servers are cold, a node that has never sent anything waits a moment, not until they are warm. */
     @Test
-    void theFirstRequestsOfANodeWithOnlyColdServersAreSent() {
-        for (long begins : new long[] {0, 1_700_000_000_000_000L}) {
+    void sendsFirstRequestsWhereAllServersAreCold() {
+        for (long clockOrigin : new long[] {0, 1_700_000_000_000_000L}) {
             Node node = new Node();
-            node.now += begins;
+            node.now += clockOrigin;
             node.list(ListKind.CACHED, List.of(started("cold", node.now)));
             node.sendRequest(Node.SAFE);
             long until = node.now + 5_000_000;
@@ -77,7 +73,7 @@
     }
 
     @Test
-    void slowStartDoesNotDependOnWhereTheClockBegins() {
+    void isIndependentOfTheClocksOrigin() {
         // Guards against a first gap between answers that was counted from the start of the clock.
         List<Long> sentToCold = new ArrayList<>();
         for (long epoch : new long[] {1_000_000, 900_000_000_000L}) {
@@ -98,13 +94,13 @@
     }
 
     @Test
-    void aColdServersLimitDoesNotGrowPastTheOthersWhileOnlySlowStartHoldsItBack() {
-        // Guards i3a094a: quick answers to single requests raised limits that choked servers once warm.
-        Balancer.Settings set = Node.settings();
-        set.nodes = 8;
-        Node node = new Node(set, 5);
+    void doesNotRaiseAColdServersLimitAboveTheOthers() {
+        // Guards i3a094a: quick answers to single requests raised limits, which overloaded servers once they were warm.
+        Balancer.Settings settings = Node.settings();
+        settings.nodes = 8;
+        Node node = new Node(settings, 5);
         node.list(ListKind.CACHED, List.of(started("cold", node.now), Node.server("warm")));
-        long warmAt = node.now + set.coldUs;
+        long warmAt = node.now + settings.coldUs;
         int answered = 0;
         while (node.now < warmAt) {
             for (int i = 0; i < 3; i++) {
@@ -126,18 +122,18 @@
     }
 
     @Test
-    void manyNodesThatLearnOfAStartAtOnceDoNotTogetherPushTheServerOver() {
-        // Guards icd7515: each node's first request to a cold server went out as soon as it was drawn.
-        Balancer.Settings set = Node.settings();
-        set.nodes = 100;
-        set.coldStartFraction = 0.2;
-        set.coldUs = 20_000_000;
+    void doesNotOverloadAServerWhoseStartAllNodesLearnOfAtOnce() {
+        // Guards icd7515: each node's first request to a cold server was sent as soon as the server was drawn.
+        Balancer.Settings settings = Node.settings();
+        settings.nodes = 100;
+        settings.coldStartFraction = 0.2;
+        settings.coldUs = 20_000_000;
         int toCold = 0;
-        for (int n = 0; n < set.nodes; n++) {
-            set.node = n;
-            Node node = new Node(set, n);
+        for (int n = 0; n < settings.nodes; n++) {
+            settings.node = n;
+            Node node = new Node(settings, n);
             node.withServers(10);
-            // Two requests a second: all nodes together give each of ten servers twenty.
+            // Two requests a second per node: all nodes together send twenty to each of ten servers.
             for (int i = 0; i < 20; i++) {
                 node.serve(Node.SAFE, Result.OK, 10_000);
                 node.advance(490_000);
@@ -149,22 +145,22 @@
             }
             toCold += (int) node.sentTo("cold");
         }
-        // A fifth of 200/11 a second, times two seconds, times the rule's three: 22 at most.
+        // A fifth of 200/11 a second, times two seconds, times the rule's multiple of three: at most 22.
         assertTrue(toCold >= 1 && toCold <= 22, "sent by all nodes in two seconds: " + toCold);
     }
 
     @Test
-    void aColdServerGetsNoLessBecauseTheLoadHasFallen() {
-        // Guards the many-node days: where 36 of 60 servers were cold the rest drowned, since the cold ones'
-        // budgets followed what was answered just then, which had fallen with the rest.
+    void keepsAColdServersBudgetWhenTheLoadFalls() {
+        // Guards against overload of the warm servers where 36 of 60 are cold: budgets of the cold ones followed the
+        // current rate of answers, which had fallen with the warm ones.
         long[] toCold = new long[2];
-        for (int quieter = 0; quieter < 2; quieter++) {
+        for (int run = 0; run < 2; run++) {
             Node node = new Node().withServers(4);
             for (int i = 0; i < 600; i++) {
                 node.serve(Node.SAFE, Result.OK, 10_000);
             }
-            // Then the same, or a quarter of it, and one server in five is new.
-            long pauseUs = quieter * 30_000;
+            // Then the same load or a quarter of it, and one server in five is new.
+            long pauseUs = run * 30_000;
             for (int i = 0; i < 50; i++) {
                 node.serve(Node.SAFE, Result.OK, 10_000);
                 node.advance(pauseUs);
@@ -175,7 +171,7 @@
                 node.serve(Node.SAFE, Result.OK, 10_000);
                 node.advance(pauseUs);
             }
-            toCold[quieter] = node.sentTo("cold");
+            toCold[run] = node.sentTo("cold");
         }
         assertTrue(
                 toCold[1] >= 0.45 * toCold[0],
--- a/src/test/java/vetchpost/decision/DrawIndexTest.java
+++ b/src/test/java/vetchpost/decision/DrawIndexTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Draws go by the paper's weights, whatever has come, gone and changed before. */
+/** Draws follow the paper's weights, whatever members were added, removed and changed before. */
 class DrawIndexTest {
-    private static final int DRAWS_EACH = 30;
-    /** One in a thousand right indexes would fail; seeds are fixed. */
-    private static final double QUANTILE = 3.09;
+    private static final int DRAWS_PER_ITEM = 30;
+    /** Normal quantile at which one correct index in a thousand would fail; seeds are fixed. */
+    private static final double CHI_SQUARE_QUANTILE = 3.09;
 
     private static final class Item extends DrawIndex.Member {
         private final int number;
@@ -33,74 +33,77 @@
     private final DrawIndex<Item> index = new DrawIndex<>(0);
     private final List<Item> items = new ArrayList<>();
 
-    private void fill(int count, double mostSize, int mostErrors) {
+    private void fill(int count, double maxSize, int maxErrors) {
         for (int i = 0; i < count; i++) {
-            double size = mostSize == 1 ? 1 : Math.pow(mostSize, random.nextDouble());
-            // Few have errors, and of those most have few.
+            double size = maxSize == 1 ? 1 : Math.pow(maxSize, random.nextDouble());
+            // Few members have errors, and most of those have few.
             int errors =
-                    mostErrors == 0 || random.nextInt(4) > 0 ? 0 : (int) Math.pow(mostErrors + 1, random.nextDouble());
+                    maxErrors == 0 || random.nextInt(4) > 0 ? 0 : (int) Math.pow(maxErrors + 1, random.nextDouble());
             Item item = new Item(i, size, errors);
             items.add(item);
             index.put(item);
         }
     }
 
-    /** As the paper has it, summed over all: what the index must come to. */
-    private double[] shares() {
-        int most = items.stream().mapToInt(i -> i.errors).max().orElse(0);
-        double effect = Math.floor(Math.pow(1.0 + most, 1.5));
-        double[] shares = new double[items.size()];
+    /** Returns the members' probabilities by the paper's formula, summed over all members. */
+    private double[] probabilities() {
+        int max = items.stream().mapToInt(i -> i.errors).max().orElse(0);
+        double weightScale = Math.floor(Math.pow(1.0 + max, 1.5));
+        double[] probabilities = new double[items.size()];
         double sum = 0;
-        for (int i = 0; i < shares.length; i++) {
-            shares[i] = items.get(i).size * Math.ceil(effect / (1 + items.get(i).errors));
-            sum += shares[i];
+        for (int i = 0; i < probabilities.length; i++) {
+            probabilities[i] = items.get(i).size * Math.ceil(weightScale / (1 + items.get(i).errors));
+            sum += probabilities[i];
         }
-        for (int i = 0; i < shares.length; i++) {
-            shares[i] /= sum;
+        for (int i = 0; i < probabilities.length; i++) {
+            probabilities[i] /= sum;
         }
-        return shares;
+        return probabilities;
     }
 
-    /** Pearson's chi-square; what is expected less than five times is taken together. */
-    private static void assertDrawnBy(double[] shares, int[] drawn, int draws) {
-        double square = 0;
+    /** Pearson's chi-square test; members expected less than five times are pooled. */
+    private static void assertDrawnBy(double[] probabilities, int[] drawn, int draws) {
+        double chiSquare = 0;
         int cells = 0;
-        double expectedRest = 0;
-        int drawnRest = 0;
-        for (int i = 0; i < shares.length; i++) {
-            double expected = shares[i] * draws;
+        double pooledExpected = 0;
+        int pooledDrawn = 0;
+        for (int i = 0; i < probabilities.length; i++) {
+            double expected = probabilities[i] * draws;
             if (expected < 5) {
-                expectedRest += expected;
-                drawnRest += drawn[i];
+                pooledExpected += expected;
+                pooledDrawn += drawn[i];
                 continue;
             }
-            square += (drawn[i] - expected) * (drawn[i] - expected) / expected;
+            chiSquare += (drawn[i] - expected) * (drawn[i] - expected) / expected;
             cells++;
         }
-        if (expectedRest >= 5) {
-            square += (drawnRest - expectedRest) * (drawnRest - expectedRest) / expectedRest;
+        if (pooledExpected >= 5) {
+            chiSquare += (pooledDrawn - pooledExpected) * (pooledDrawn - pooledExpected) / pooledExpected;
             cells++;
         }
-        // The limit by Wilson and Hilferty (1931).
-        double k = cells - 1;
-        double limit = k * Math.pow(1 - 2 / (9 * k) + QUANTILE * Math.sqrt(2 / (9 * k)), 3);
-        assertTrue(square < limit, "chi-square " + square + " of " + cells + " cells, limit " + limit);
+        // The critical value by Wilson and Hilferty (1931).
+        double degreesOfFreedom = cells - 1;
+        double limit = degreesOfFreedom
+                * Math.pow(
+                        1 - 2 / (9 * degreesOfFreedom) + CHI_SQUARE_QUANTILE * Math.sqrt(2 / (9 * degreesOfFreedom)),
+                        3);
+        assertTrue(chiSquare < limit, "chi-square " + chiSquare + " of " + cells + " cells, limit " + limit);
     }
 
     private void assertDrawnByWeight() {
-        int draws = Math.max(20_000, DRAWS_EACH * items.size());
+        int draws = Math.max(20_000, DRAWS_PER_ITEM * items.size());
         int[] drawn = new int[items.size()];
-        int[] looked = new int[items.size()];
+        int[] scanned = new int[items.size()];
         boolean all = items.size() <= 1_000;
         for (int i = 0; i < draws; i++) {
             drawn[index.draw(random, index.weightScale()).number]++;
             if (all) {
-                looked[index.drawAmong(1_000, random, index.weightScale(), m -> true).number]++;
+                scanned[index.drawAmong(1_000, random, index.weightScale(), m -> true).number]++;
             }
         }
-        assertDrawnBy(shares(), drawn, draws);
+        assertDrawnBy(probabilities(), drawn, draws);
         if (all) {
-            assertDrawnBy(shares(), looked, draws);
+            assertDrawnBy(probabilities(), scanned, draws);
         }
     }
 
@@ -116,13 +119,13 @@
         "10000, 1, 40",
         "10000, 30, 200"
     })
-    void drawsGoByWeight(int count, double mostSize, int mostErrors) {
-        fill(count, mostSize, mostErrors);
+    void drawsByWeight(int count, double maxSize, int maxErrors) {
+        fill(count, maxSize, maxErrors);
         assertDrawnByWeight();
     }
 
     @Test
-    void whatHasChangedIsDrawnByWhatItIsNow() {
+    void drawsChangedMembersByTheirCurrentWeight() {
         fill(300, 20, 20);
         for (int i = 0; i < 20_000; i++) {
             Item item = items.get(random.nextInt(items.size()));
@@ -138,16 +141,16 @@
         assertDrawnByWeight();
     }
 
-    /** The largest effect jumps to that of a million and back; nothing overflows, nobody is left out. */
+    /** The weight scale jumps to that of a million errors and back; nothing overflows and every member can be drawn. */
     @Test
-    void oneWithAMillionErrorsBesideCleanOnes() {
+    void drawsAMemberWithAMillionErrorsAlmostNever() {
         fill(12, 1, 0);
         Item bad = items.get(4);
         bad.errors = 1_000_000;
         index.put(bad);
         assertEquals(Math.floor(Math.pow(1_000_001.0, 1.5)), index.weightScale());
         for (int i = 0; i < 10_000; i++) {
-            assertTrue(index.draw(random, index.weightScale()) != bad, "a share of one in eleven million");
+            assertTrue(index.draw(random, index.weightScale()) != bad, "a probability of one in eleven million");
         }
         for (Item item : items) {
             item.errors = 1_000_000;
@@ -167,7 +170,7 @@
     }
 
     @Test
-    void itEmptiesAndFillsAgain() {
+    void canBeEmptiedAndRefilled() {
         assertNull(index.draw(random, index.weightScale()));
         fill(50, 5, 30);
         for (Item item : items) {
@@ -184,18 +187,18 @@
     }
 
     @Test
-    void manyAreLookedThroughInPart() {
+    void scansAtMostTheGivenNumberOfMembers() {
         fill(1_000, 1, 5);
-        int[] looks = new int[1];
+        int[] scannedCount = new int[1];
         for (int i = 0; i < 100; i++) {
-            looks[0] = 0;
+            scannedCount[0] = 0;
             assertNull(index.drawAmong(64, random, index.weightScale(), m -> {
-                looks[0]++;
+                scannedCount[0]++;
                 return false;
             }));
-            assertEquals(64, looks[0]);
+            assertEquals(64, scannedCount[0]);
         }
-        // From anywhere: whoever fits is found before long.
+        // Scans start at random positions, so that a matching member is found before long.
         int tries = 0;
         while (index.drawAmong(64, random, index.weightScale(), m -> m.number == 777) == null) {
             assertTrue(++tries < 1_000);
@@ -206,23 +209,23 @@
     }
 
     @Test
-    void aRosterKeepsItsOrderButForWhoLeaves() {
-        IndexedSet<Server> roster = new IndexedSet<>(0);
+    void indexedSetKeepsItsOrderExceptForRemovals() {
+        IndexedSet<Server> set = new IndexedSet<>(0);
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             servers.add(new Server("s" + i, i, 1, 1));
-            roster.add(servers.get(i));
-            roster.add(servers.get(i));
-        }
-        roster.remove(servers.get(1));
-        roster.remove(servers.get(1));
-        assertEquals(4, roster.size());
-        assertEquals(-1, roster.indexOf(servers.get(1)));
-        List<String> left = new ArrayList<>();
-        for (int i = 0; i < roster.size(); i++) {
-            assertEquals(i, roster.indexOf(roster.get(i)));
-            left.add(roster.get(i).id);
-        }
-        assertEquals(List.of("s0", "s4", "s2", "s3"), left);
+            set.add(servers.get(i));
+            set.add(servers.get(i));
+        }
+        set.remove(servers.get(1));
+        set.remove(servers.get(1));
+        assertEquals(4, set.size());
+        assertEquals(-1, set.indexOf(servers.get(1)));
+        List<String> remaining = new ArrayList<>();
+        for (int i = 0; i < set.size(); i++) {
+            assertEquals(i, set.indexOf(set.get(i)));
+            remaining.add(set.get(i).id);
+        }
+        assertEquals(List.of("s0", "s4", "s2", "s3"), remaining);
     }
 }
--- a/src/test/java/vetchpost/decision/HealthTest.java
+++ b/src/test/java/vetchpost/decision/HealthTest.java
@@ -13,11 +13,11 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
 
-/** Exceptions: ejection and trials, silent servers, zones. */
+/** Ejection and trials, class exclusion, silent servers, zones, and delayed event loops. */
 class HealthTest {
 
-    /** Serves one request; {@code s0} fails, all others succeed. */
-    private static boolean hitsBad(Node node, int classIndex) {
+    /** Serves one request, which fails at {@code s0} only; returns whether it went there. */
+    private static boolean serveWithFailingS0(Node node, int classIndex) {
         long id = node.sendRequest(classIndex);
         boolean bad = node.lastAttempt(id).server().equals("s0");
         node.complete(id, bad ? Result.ERROR : Result.OK, 5_000);
@@ -27,11 +27,11 @@
         return bad;
     }
 
-    /** Four servers, of which {@code s0} has failed all it was sent among 400 requests. */
+    /** A node with four servers after 4,000 requests, all of which failed at {@code s0}. */
     private static Node withFailingServer() {
         Node node = new Node().withServers(4);
         for (int i = 0; i < 4_000; i++) {
-            hitsBad(node, Node.SAFE);
+            serveWithFailingS0(node, Node.SAFE);
         }
         return node;
     }
@@ -41,19 +41,19 @@
     }
 
     @Test
-    void aServerThatKeepsFailingIsEjectedAndTriedEverMoreSparingly() {
+    void ejectsAFailingServerAndSpacesItsTrialsOut() {
         Node node = withFailingServer();
         assertEjected(node);
-        int hits = 0;
+        int trials = 0;
         long from = node.now;
         while (node.now < from + 20_000_000) {
-            hits += hitsBad(node, Node.SAFE) ? 1 : 0;
+            trials += serveWithFailingS0(node, Node.SAFE) ? 1 : 0;
         }
-        assertTrue(hits >= 2 && hits <= 14, "trials in 20 s: " + hits);
+        assertTrue(trials >= 2 && trials <= 14, "trials in 20 s: " + trials);
     }
 
     @Test
-    void anEjectedServerThatServesSomeStillHelpsWhenAllOthersAreFull() {
+    void usesAnEjectedServerThatServesSomeWhenAllOthersAreFull() {
         Node node = new Node().withServers(2);
         boolean fails = false;
         for (int i = 0; i < 4_000; i++) {
@@ -73,12 +73,15 @@
         assertTrue(servers.subList(20, 30).contains("s0"), servers.toString());
     }
 
-    /** Sends one request; {@code s0} leaves the class without any answer, all else is served. */
-    private static boolean missedBy(Node node, int silentFor, int classIndex) {
+    /**
+     * Sends one request, which gets no answer from {@code s0} if it is of the silent class; returns whether it went
+     * there.
+     */
+    private static boolean serveWithSilentS0(Node node, int silentFor, int classIndex) {
         long id = node.sendRequest(classIndex);
         boolean missed = node.lastAttempt(id).server().equals("s0") && classIndex == silentFor;
         if (missed) {
-            // The others go on being answered meanwhile.
+            // Other requests are answered meanwhile.
             node.serve(Node.SAFE, Result.OK, 5_000);
             node.complete(id, Result.TIMEOUT, node.lastAttempt(id).untilUs() - node.now);
         }
@@ -89,12 +92,12 @@
     }
 
     @Test
-    void aServerThatLeavesOneClassUnansweredGetsNearlyNothingOfItAndAllTheRest() {
+    void excludesASilentServerFromTheAffectedClassOnly() {
         for (int silentFor : new int[] {Node.KEYED_CELL, Node.UNSAFE}) {
             Node node = new Node().withServers(4);
             int missed = 0;
             for (int i = 0; i < 4_000; i++) {
-                missed += missedBy(node, silentFor, i % 2 == 0 ? silentFor : Node.SAFE) ? 1 : 0;
+                missed += serveWithSilentS0(node, silentFor, i % 2 == 0 ? silentFor : Node.SAFE) ? 1 : 0;
             }
             assertTrue(missed >= 2 && missed <= 25, silentFor + " missed: " + missed);
             assertTrue(node.sentTo("s0") > 100, "sent at all: " + node.sentTo("s0"));
@@ -102,42 +105,42 @@
     }
 
     @Test
-    void aClassThatAServerMissedIsRepeatedInTimeElsewhere() {
+    void retriesAClassThatAServerMissedInTimeElsewhere() {
         Node node = new Node().withServers(2);
-        int repeated = 0;
+        int retriedInTime = 0;
         for (int i = 0; i < 4_000; i++) {
             long id = node.sendRequest(Node.KEYED_CELL);
             long from = node.now;
             if (node.lastAttempt(id).server().equals("s0")) {
                 node.complete(id, Result.TIMEOUT, node.lastAttempt(id).untilUs() - from);
-                repeated += node.attemptCount(id) == 2 && node.now - from <= 100_000 ? 1 : 0;
+                retriedInTime += node.attemptCount(id) == 2 && node.now - from <= 100_000 ? 1 : 0;
             }
             if (!node.failed.contains(id)) {
                 node.complete(id, Result.OK, 5_000);
             }
         }
-        assertTrue(repeated > 0, "none repeated in time");
+        assertTrue(retriedInTime > 0, "none retried in time");
         assertTrue(node.failed.size() <= 3, "failed: " + node.failed.size());
     }
 
     @Test
-    void moreThanHalfOfTheServersAreNeverKeptFromAClass() {
+    void neverExcludesMoreThanHalfOfTheServersFromAClass() {
         Node node = new Node().withServers(4);
         for (int i = 0; i < 400; i++) {
             node.serve(Node.UNSAFE, Result.ERROR, 5_000);
         }
-        int held = node.sent.size();
+        int sentBefore = node.sent.size();
         for (int i = 0; i < 2; i++) {
             node.sendRequest(Node.UNSAFE);
         }
-        assertEquals(held + 2, node.sent.size());
+        assertEquals(sentBefore + 2, node.sent.size());
     }
 
     @Test
-    void whatAServerWasKeptFromComesBackOnceItServesIt() {
+    void endsAClassExclusionOnceTheServerServesTheClass() {
         Node node = new Node().withServers(4);
         for (int i = 0; i < 400; i++) {
-            missedBy(node, Node.UNSAFE, Node.UNSAFE);
+            serveWithSilentS0(node, Node.UNSAFE, Node.UNSAFE);
         }
         node.advance(8_000_000);
         long before = node.sentTo("s0");
@@ -148,21 +151,21 @@
     }
 
     @Test
-    void aRequestDoesNotSpendItsAttemptsAtOnceOnAServerThatTurnsItAway() {
+    void doesNotSpendAllAttemptsAtOnceOnARejectingServer() {
         Node node = new Node().withServers(1);
         for (int i = 0; i < 100; i++) {
             node.serve(Node.SAFE, Result.OK, 10_000);
         }
         long id = node.sendRequest(Node.SAFE);
         node.complete(id, Result.FULL, 100);
-        assertEquals(1, node.attemptCount(id), "tried again at once");
+        assertEquals(1, node.attemptCount(id), "retried at once");
         node.advance(20_000);
-        assertEquals(2, node.attemptCount(id), "not tried again");
+        assertEquals(2, node.attemptCount(id), "not retried");
         assertTrue(node.rejected.isEmpty(), "given up");
     }
 
     @Test
-    void anEjectedServerThatTakesNoConnectionIsNoLastResort() {
+    void doesNotFallBackToAnEjectedServerThatRefusesConnections() {
         Node node = new Node().withServers(2);
         for (int i = 0; i < 4_000 && node.logged.isEmpty(); i++) {
             long id = node.sendRequest(Node.SAFE);
@@ -189,16 +192,16 @@
     }
 
     @Test
-    void unsafeRequestsAreNotUsedForTrials() {
+    void doesNotUseUnsafeRequestsForTrials() {
         Node node = withFailingServer();
         node.advance(20_000_000);
         for (int i = 0; i < 200; i++) {
-            assertTrue(!hitsBad(node, Node.UNSAFE));
+            assertTrue(!serveWithFailingS0(node, Node.UNSAFE));
         }
     }
 
     @Test
-    void oneLuckySuccessDoesNotRestoreAServerButSeveralInARowDo() {
+    void restoresAServerAfterSeveralSuccessesInARowOnly() {
         Node node = withFailingServer();
         node.advance(20_000_000);
         assertEquals("s0", node.serve(Node.SAFE, Result.OK, 5_000));
@@ -209,18 +212,18 @@
     }
 
     @Test
-    void neverAreMoreThanHalfOfTheServersEjected() {
+    void neverEjectsMoreThanHalfOfTheServers() {
         Node node = new Node().withServers(4);
         for (int i = 0; i < 300; i++) {
             node.serve(Node.UNSAFE, Result.ERROR, 5_000);
         }
-        // All fail: two may be out, and requests must still be tried on the others, not held.
+        // All servers fail: two may be ejected, and requests must still be sent to the others, not queued.
         long id = node.sendRequest(Node.UNSAFE);
         assertNotEquals(null, node.lastAttempt(id));
     }
 
     @Test
-    void aServerThatAnswersNothingIsLeftAloneBeforeAnyDeadlinePasses() {
+    void avoidsASilentServerBeforeAnyDeadlinePasses() {
         Node node = new Node().withServers(4);
         for (int i = 0; i < 100; i++) {
             node.serve(Node.SAFE, Result.OK, 10_000);
@@ -238,38 +241,38 @@
     }
 
     @Test
-    void aCrowdedServerThatStillAnswersIsNotEjectedForTimeOuts() {
+    void doesNotEjectAnOverloadedServerForTimeouts() {
         Node node = new Node(Node.settingsWithLateValue(), 7).withServers(2);
         for (int round = 0; round < 80; round++) {
-            // Ever one more than fits, so that the limits are met and grow.
+            // Always one request more than there is capacity, so that the limits are reached and grow.
             List<Long> burst = new ArrayList<>();
             do {
                 burst.add(node.sendRequest(Node.SAFE));
             } while (node.lastAttempt(burst.get(burst.size() - 1)) != null && burst.size() < 40);
             burst.forEach(id -> node.complete(id, Result.OK, 100));
         }
-        List<Long> crowd = new ArrayList<>();
+        List<Long> shortRequests = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            crowd.add(node.sendRequest(Node.SAFE, 30_000));
+            shortRequests.add(node.sendRequest(Node.SAFE, 30_000));
         }
         for (String server : List.of("s0", "s1")) {
-            long answered = crowd.stream()
+            long answered = shortRequests.stream()
                     .filter(id -> node.lastAttempt(id).server().equals(server))
                     .findFirst()
                     .get();
             node.complete(answered, Result.OK, 1_000);
-            crowd.remove(answered);
+            shortRequests.remove(answered);
         }
         node.advance(28_000);
-        crowd.forEach(id -> node.complete(id, Result.TIMEOUT, 0));
+        shortRequests.forEach(id -> node.complete(id, Result.TIMEOUT, 0));
         assertTrue(node.logged.stream().noneMatch(l -> l.startsWith("ejected")), node.logged.toString());
     }
 
     @Test
-    void whereCrossingZonesCostsLocalServersComeFirstAndOthersWhenTheyAreBusy() {
-        Settings set = Node.settings();
-        set.crossZonePrice = 0.02;
-        Node node = new Node(set, 5);
+    void prefersLocalServersUntilTheyAreBusyWhereCrossingZonesCosts() {
+        Settings settings = Node.settings();
+        settings.crossZonePrice = 0.02;
+        Node node = new Node(settings, 5);
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             entries.add(new ServerEntry("s" + i, i < 2 ? 0 : 1, 0, ServerState.READY, 1, 0));
@@ -287,8 +290,8 @@
     }
 
     @Test
-    void whatHangsAtAServerThatHasGoneDoesNotHoldBackTheOthers() {
-        // Guards against a node whose whole allowance in flight hangs at servers no longer in use.
+    void doesNotCountRequestsAtAServerThatHasGone() {
+        // Guards against a node whose whole limit in flight is used up by requests at servers no longer in use.
         Node node = new Node().withServers(1);
         for (int i = 0; i < 4; i++) {
             assertNotEquals(null, node.lastAttempt(node.sendRequest(Node.UNSAFE)));
@@ -300,8 +303,10 @@
         }
     }
 
-    /** Requests that end by time-out, of which the node may have added so much itself. */
-    private static Node afterTimeouts(long stallUs) {
+    /**
+     * Returns a node after requests that timed out, of whose latency the node's event loop may have added this much.
+     */
+    private static Node afterTimeouts(long loopDelayUs) {
         Node node = new Node().withServers(4);
         for (int i = 0; i < 60; i++) {
             long id = node.sendRequest(Node.UNSAFE);
@@ -310,37 +315,38 @@
                 node.advance(200_000);
                 node.balancer.onOutcome(
                         node.now,
-                        new Balancer.Outcome(id, attempt.attempt(), Result.TIMEOUT, 200_000, false, null, stallUs));
+                        new Balancer.Outcome(id, attempt.attempt(), Result.TIMEOUT, 200_000, false, null, loopDelayUs));
             }
         }
         return node;
     }
 
     @Test
-    void whatTheNodeItselfHeldUpSaysNothingOfItsServers() {
-        Node behind = afterTimeouts(150_000);
-        assertTrue(behind.logged.isEmpty(), behind.logged.toString());
-        assertEquals(60, behind.sent.size(), "held back");
-        // The same from servers that are silent ejects them and holds the rest back.
-        Node silent = afterTimeouts(0);
-        assertTrue(silent.logged.stream().anyMatch(l -> l.startsWith("ejected")), silent.logged.toString());
-        assertTrue(silent.sent.size() < 60, "all sent");
+    void doesNotBlameServersForTheNodesOwnDelay() {
+        Node delayedNode = afterTimeouts(150_000);
+        assertTrue(delayedNode.logged.isEmpty(), delayedNode.logged.toString());
+        assertEquals(60, delayedNode.sent.size(), "held back");
+        // The same timeouts without loop delay come from silent servers, which are ejected and hold back the rest.
+        Node silentServers = afterTimeouts(0);
+        assertTrue(
+                silentServers.logged.stream().anyMatch(l -> l.startsWith("ejected")), silentServers.logged.toString());
+        assertTrue(silentServers.sent.size() < 60, "all sent");
     }
 
     @Test
-    void timeThatARequestLayUnreadIsGoneFromItsAim() {
+    void countsTimeUnreadAgainstTheLatencyTarget() {
         Node node = new Node().withServers(1);
         node.balancer.onRequest(node.now, new Balancer.Request(1, Node.SAFE, 0, 900_000, 0, false, 200_000));
-        assertTrue(node.sent.isEmpty(), "past its aim and still sent");
+        assertTrue(node.sent.isEmpty(), "past its latency target and still sent");
         assertEquals(1, node.rejected.size());
         node.balancer.onRequest(node.now, new Balancer.Request(2, Node.UNSAFE, 0, 900_000, 0, false, 100_000));
         assertEquals(node.now + 100_000, node.lastAttempt(2).untilUs());
     }
 
     @Test
-    void aNodeThatIsBehindTakesNothingThatCantBeInTime() {
+    void rejectsOnADelayedNodeWhatCannotBeInTime() {
         Node node = new Node().withServers(1);
-        // 70 ms of the aim are left, and the answer may lie unread for as long as the request has.
+        // 70 ms until the latency target are left, and the answer may wait unread for as long as the request has.
         node.balancer.onRequest(node.now, new Balancer.Request(1, Node.SAFE, 0, 900_000, 0, false, 130_000));
         assertEquals(1, node.sent.size(), "time enough");
         node.complete(1, Result.OK, 30_000);
@@ -352,14 +358,14 @@
     }
 
     @Test
-    void latenciesAreNotLearntFromWhatWasReadLate() {
+    void doesNotLearnLatenciesFromAnswersThatWereReadLate() {
         Node node = new Node().withServers(1);
         for (int i = 0; i < 100; i++) {
             long id = node.sendRequest(Node.SAFE);
             node.advance(90_000);
             node.balancer.onOutcome(node.now, new Balancer.Outcome(id, 0, Result.OK, 90_000, true, null, 40_000));
         }
-        // With a usual latency of 50 ms and more it would be refused.
+        // With a usual latency of 50 ms or more it would be rejected.
         node.balancer.onRequest(node.now, new Balancer.Request(500, Node.SAFE, 0, 900_000, 0, false, 120_000));
         assertTrue(node.rejected.isEmpty(), "refused");
     }
--- a/src/test/java/vetchpost/decision/LargeFleetTest.java
+++ b/src/test/java/vetchpost/decision/LargeFleetTest.java
@@ -18,9 +18,9 @@
 import vetchpost.decision.Balancer.ServerEntry;
 import vetchpost.decision.Balancer.ServerState;
 
-/** Fleets of thousands, and lists that do odd things to them. */
+/** Fleets of thousands of servers, and unusual changes of the list. */
 class LargeFleetTest {
-    private static final int MANY = 10_000;
+    private static final int SERVER_COUNT = 10_000;
 
     private static List<ServerEntry> fleet(int count) {
         List<ServerEntry> entries = new ArrayList<>();
@@ -41,8 +41,8 @@
     }
 
     @Test
-    void aKeyedRepeatFindsTheThreeOfItsRackAmongTenThousand() {
-        Node node = node(MANY);
+    void retriesAKeyedRequestWithinItsCellAmongTenThousandServers() {
+        Node node = node(SERVER_COUNT);
         for (int i = 0; i < 50; i++) {
             long id = node.sendRequest(Node.KEYED_CELL);
             String first = last(node).server();
@@ -56,10 +56,10 @@
     }
 
     @Test
-    void aListThatReordersEverythingChangesNothing() {
-        Node node = node(MANY);
-        Node same = node(MANY);
-        List<ServerEntry> shuffled = new ArrayList<>(fleet(MANY));
+    void ignoresTheOrderOfAList() {
+        Node node = node(SERVER_COUNT);
+        Node unchanged = node(SERVER_COUNT);
+        List<ServerEntry> shuffled = new ArrayList<>(fleet(SERVER_COUNT));
         Collections.shuffle(shuffled, new Random(3));
         for (int i = 0; i < 300; i++) {
             if (i % 100 == 50) {
@@ -67,14 +67,14 @@
             }
             Result result = i % 7 == 0 ? Result.ERROR : Result.OK;
             node.serve(Node.UNSAFE, result, 1_000);
-            same.serve(Node.UNSAFE, result, 1_000);
+            unchanged.serve(Node.UNSAFE, result, 1_000);
         }
-        assertEquals(same.sent, node.sent);
+        assertEquals(unchanged.sent, node.sent);
     }
 
     @Test
-    void aFleetShrinksToOneAndToNoneAndComesBack() {
-        Node node = node(MANY);
+    void servesAFleetThatShrinksToNoneAndReturns() {
+        Node node = node(SERVER_COUNT);
         node.balancer.onServers(node.now, ListKind.FULL, fleet(1));
         for (int i = 0; i < 20; i++) {
             node.serve(Node.SAFE, Result.OK, 1_000);
@@ -82,11 +82,11 @@
         assertEquals(Set.of("s0"), servers(node));
         node.balancer.onServers(node.now, ListKind.FULL, List.of());
         int before = node.sent.size();
-        long waits = node.sendRequest(Node.SAFE);
+        long queued = node.sendRequest(Node.SAFE);
         assertEquals(before, node.sent.size());
-        node.balancer.onServers(node.now, ListKind.FULL, fleet(MANY));
-        assertEquals(waits, last(node).request(), "what waited goes out when there are servers");
-        node.complete(waits, Result.OK, 1_000);
+        node.balancer.onServers(node.now, ListKind.FULL, fleet(SERVER_COUNT));
+        assertEquals(queued, last(node).request(), "the queued request is sent when there are servers");
+        node.complete(queued, Result.OK, 1_000);
         for (int i = 0; i < 200; i++) {
             node.serve(Node.SAFE, Result.OK, 1_000);
         }
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void theLastOfSeveralEntriesOfOneServerHolds() {
+    void appliesTheLastOfSeveralEntriesOfOneServer() {
         Node node = new Node();
         List<ServerEntry> entries = new ArrayList<>(fleet(4));
         entries.add(new ServerEntry("s0", 0, 0, ServerState.DRAINING, 1, 0));
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aServerRemovedWhileDrawnIsForgottenWithItsLastAttempt() {
+    void dropsARemovedServerWithItsLastAttempt() {
         Node node = node(3);
         long id = node.sendRequest(Node.SAFE);
         String server = last(node).server();
@@ -125,40 +125,40 @@
         node.complete(id, Result.RESET, 1_000);
         assertFalse(last(node).server().equals(server));
         node.complete(id, Result.OK, 1_000);
-        // It comes back as one that nobody has failed at.
+        // It returns without errors.
         node.balancer.onServers(
                 node.now, ListKind.CHANGES, List.of(new ServerEntry(server, 0, 0, ServerState.READY, 1, 0)));
         int before = node.sent.size();
         for (int i = 0; i < 300; i++) {
             node.serve(Node.SAFE, Result.OK, 1_000);
         }
-        long back = node.sent.subList(before, node.sent.size()).stream()
+        long sentAfterReturn = node.sent.subList(before, node.sent.size()).stream()
                 .filter(s -> s.server().equals(server))
                 .count();
-        assertTrue(back > 60, back + " of 300");
+        assertTrue(sentAfterReturn > 60, sentAfterReturn + " of 300");
     }
 
-    /** Everything fails, so that every weight changes at once; then everything is served. */
+    /** All requests fail, so that every weight changes at once; then all are served. */
     @Test
-    void allServersFailAtOnceAndRecover() {
+    void spreadsLoadAfterAllServersFailedAndRecovered() {
         Node node = node(1_000);
         for (int i = 0; i < 4_000; i++) {
             node.serve(Node.UNSAFE, Result.ERROR, 1_000);
         }
-        Map<String, Integer> served = new HashMap<>();
+        Map<String, Integer> servedByServer = new HashMap<>();
         for (int i = 0; i < 8_000; i++) {
             long id = node.sendRequest(Node.UNSAFE);
-            served.merge(last(node).server(), 1, Integer::sum);
+            servedByServer.merge(last(node).server(), 1, Integer::sum);
             node.complete(id, Result.OK, 1_000);
         }
-        // Whoever answers first is preferred until the others' failures are forgotten, and still nobody is
-        // crowded.
-        assertTrue(served.size() > 250, served.size() + " of 1000");
-        assertTrue(served.values().stream().mapToInt(n -> n).max().orElse(0) < 100);
+        // Servers that answer first are preferred until the others' failures have decayed, and still none is
+        // overloaded.
+        assertTrue(servedByServer.size() > 250, servedByServer.size() + " of 1000");
+        assertTrue(servedByServer.values().stream().mapToInt(n -> n).max().orElse(0) < 100);
     }
 
     @Test
-    void sizesOutOfAllMeasureAreBounded() {
+    void boundsExtremeWeights() {
         Node node = new Node();
         node.balancer.onServers(
                 node.now,
--- a/src/test/java/vetchpost/decision/Node.java
+++ b/src/test/java/vetchpost/decision/Node.java
@@ -19,7 +19,7 @@
 import vetchpost.decision.Balancer.Tenant;
 import vetchpost.decision.Balancer.UnservedReason;
 
-/** A node for tests: a clock, a module and a record of what it asked for. */
+/** A proxy node for tests: drives a balancer with a simulated clock and records what it asks for. */
 final class Node implements Actions {
     static final int SAFE = 0;
     static final int KEYED_ALL = 1;
@@ -27,12 +27,12 @@
     static final int KEYED_CELL = 3;
     static final int UNSAFE = 4;
 
-    /** An attempt as it was asked for. */
+    /** An attempt as the balancer requested it. */
     record SentAttempt(long atUs, long request, int attempt, String server, long untilUs) {}
 
     final Settings settings;
     final List<SentAttempt> sent = new ArrayList<>();
-    /** What has no outcome yet. */
+    /** Attempts without an outcome. */
     final List<SentAttempt> outstanding = new ArrayList<>();
 
     final List<Long> rejected = new ArrayList<>();
@@ -41,13 +41,13 @@
     final List<String> logged = new ArrayList<>();
     final List<String> probed = new ArrayList<>();
     int subscriptions;
-    /** Whether it wants to be told why; what it is told then. */
+    /** Whether candidates and reasons are requested, and those reported by request id. */
     boolean wantsExplanations;
 
     final Map<Long, UnservedReason> reasons = new HashMap<>();
     final Map<Long, List<Candidate>> candidates = new HashMap<>();
     long now = 1_000_000;
-    private final List<Long> wakes = new ArrayList<>();
+    private final List<Long> wakeTimes = new ArrayList<>();
     private long nextId = 1;
     Balancer balancer;
 
@@ -61,29 +61,29 @@
     }
 
     static Settings settings() {
-        Settings set = new Settings();
-        set.zones.add("here");
-        set.zones.add("there");
-        set.classes.add(requestClass("safe", Idempotency.SAFE, DeduplicationScope.ALL));
-        set.classes.add(requestClass("keyed-all", Idempotency.KEYED, DeduplicationScope.ALL));
-        set.classes.add(requestClass("keyed-zone", Idempotency.KEYED, DeduplicationScope.ZONE));
-        set.classes.add(requestClass("keyed-cell", Idempotency.KEYED, DeduplicationScope.CELL));
-        set.classes.add(requestClass("unsafe", Idempotency.UNSAFE, DeduplicationScope.ALL));
-        set.tenants.add(new Tenant("tenant", 0));
-        set.maxAttempts = 4;
-        set.allowsHedging = true;
-        set.allowsCancellation = true;
-        return set;
-    }
-
-    static RequestClass requestClass(String name, Idempotency repeat, DeduplicationScope group) {
-        return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, repeat, group, 400_000, false);
-    }
-
-    /** Settings under which an answer past the aim still earns something, so that its request goes on. */
+        Settings settings = new Settings();
+        settings.zones.add("here");
+        settings.zones.add("there");
+        settings.classes.add(requestClass("safe", Idempotency.SAFE, DeduplicationScope.ALL));
+        settings.classes.add(requestClass("keyed-all", Idempotency.KEYED, DeduplicationScope.ALL));
+        settings.classes.add(requestClass("keyed-zone", Idempotency.KEYED, DeduplicationScope.ZONE));
+        settings.classes.add(requestClass("keyed-cell", Idempotency.KEYED, DeduplicationScope.CELL));
+        settings.classes.add(requestClass("unsafe", Idempotency.UNSAFE, DeduplicationScope.ALL));
+        settings.tenants.add(new Tenant("tenant", 0));
+        settings.maxAttempts = 4;
+        settings.allowsHedging = true;
+        settings.allowsCancellation = true;
+        return settings;
+    }
+
+    static RequestClass requestClass(String name, Idempotency idempotency, DeduplicationScope scope) {
+        return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, idempotency, scope, 400_000, false);
+    }
+
+    /** Settings under which an answer after the latency target still has value, so that late requests are retried. */
     static Settings settingsWithLateValue() {
-        Settings set = settings();
-        set.classes.replaceAll(c -> new RequestClass(
+        Settings settings = settings();
+        settings.classes.replaceAll(c -> new RequestClass(
                 c.name(),
                 c.latencyTargetUs(),
                 0,
@@ -94,14 +94,14 @@
                 c.deduplicationScope(),
                 c.deduplicationWindowUs(),
                 c.isStreaming()));
-        return set;
+        return settings;
     }
 
     static ServerEntry server(String id) {
         return new ServerEntry(id, 0, 0, ServerState.READY, 1, 0);
     }
 
-    /** Gives the first list: servers s0, s1, ... all warm, in one zone and cell. */
+    /** Delivers the first list: servers s0, s1, ..., all warm, in one zone and cell. */
     Node withServers(int servers) {
         List<ServerEntry> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
@@ -119,17 +119,17 @@
         return sendRequest(classIndex, 1_000_000);
     }
 
-    long sendRequest(int classIndex, long leftUs) {
-        return sendRequest(classIndex, 0, leftUs);
+    long sendRequest(int classIndex, long remainingUs) {
+        return sendRequest(classIndex, 0, remainingUs);
     }
 
-    long sendRequest(int classIndex, int tenant, long leftUs) {
+    long sendRequest(int classIndex, int tenant, long remainingUs) {
         long id = nextId++;
-        balancer.onRequest(now, new Request(id, classIndex, tenant, leftUs, 0, false));
+        balancer.onRequest(now, new Request(id, classIndex, tenant, remainingUs, 0, false));
         return id;
     }
 
-    /** The newest attempt of a request, or null. */
+    /** Returns the newest attempt of a request, or null. */
     SentAttempt lastAttempt(long request) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (sent.get(i).request == request) {
@@ -140,11 +140,11 @@
     }
 
     int attemptCount(long request) {
-        return (int) sent.stream().filter(s -> s.request == request).count();
+        return (int) sent.stream().filter(attempt -> attempt.request == request).count();
     }
 
     long sentTo(String server) {
-        return sent.stream().filter(s -> s.server.equals(server)).count();
+        return sent.stream().filter(attempt -> attempt.server.equals(server)).count();
     }
 
     /** Ends a request's newest attempt after some time. */
@@ -156,7 +156,7 @@
                 now, new Outcome(request, attempt.attempt, result, now - attempt.atUs, result == Result.OK, null));
     }
 
-    /** One request sent and ended; its server. */
+    /** Sends one request and ends its attempt; returns the server. */
     String serve(int classIndex, Result result, long afterUs) {
         long id = sendRequest(classIndex);
         String server = lastAttempt(id).server;
@@ -164,15 +164,15 @@
         return server;
     }
 
-    /** Moves the clock on, firing the wake-ups that come due. */
-    void advance(long us) {
-        long until = now + us;
+    /** Advances the clock and fires the wake-ups that are due. */
+    void advance(long durationUs) {
+        long until = now + durationUs;
         while (true) {
-            long first = wakes.stream().mapToLong(w -> w).min().orElse(Long.MAX_VALUE);
+            long first = wakeTimes.stream().mapToLong(wake -> wake).min().orElse(Long.MAX_VALUE);
             if (first > until) {
                 break;
             }
-            wakes.remove(first);
+            wakeTimes.remove(first);
             now = Math.max(now, first);
             balancer.onWake(now);
         }
@@ -205,7 +205,7 @@
 
     private void assertReason(long requestId) {
         if (wantsExplanations && !reasons.containsKey(requestId)) {
-            throw new AssertionError("given up without a reason");
+            throw new AssertionError("rejected or failed without a reason");
         }
     }
 
@@ -222,13 +222,13 @@
     @Override
     public void reportReason(long requestId, UnservedReason why) {
         if (reasons.put(requestId, why) != null) {
-            throw new AssertionError("two reasons");
+            throw new AssertionError("two reasons for one answer");
         }
     }
 
     @Override
     public void wakeAt(long atUs) {
-        wakes.add(atUs);
+        wakeTimes.add(atUs);
     }
 
     @Override
--- a/src/test/java/vetchpost/decision/RandomEventsTest.java
+++ b/src/test/java/vetchpost/decision/RandomEventsTest.java
@@ -25,20 +25,20 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
 
-/** Long odd sequences of events with fixed seeds; what the module does is held against all four rules. */
+/** Checks the balancer against all four rules under long random event sequences with fixed seeds. */
 class RandomEventsTest {
 
-    /** An attempt as the judge knows it. */
+    /** An attempt that the balancer requested. */
     private static final class Attempt {
         ServerEntry server;
         long sentAt;
         Result result;
     }
 
-    /** A probe's end to come. */
+    /** A probe whose result is due. */
     private record PendingProbe(long atUs, String server) {}
 
-    /** A request as the judge knows it. */
+    /** A request and its attempts. */
     private static final class TrackedRequest {
         RequestClass requestClass;
         long deadlineAt;
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Plays a node's part and fails the test on the first broken rule. */
+    /** Plays the node's part and fails the test on the first violated rule. */
     private static final class RuleChecker implements Balancer.Actions {
         final SplittableRandom random;
         final Settings settings = Node.settings();
@@ -109,23 +109,23 @@
                     .append('\n');
             TrackedRequest request = requests.get(requestId);
             ServerEntry server = servers.get(serverId);
-            assertNotNull(request, "a request that is held");
-            assertFalse(request.ended, "rule 1: nothing is sent after the end");
+            assertNotNull(request, "a pending request");
+            assertFalse(request.ended, "rule 1: nothing is sent after the final answer");
             assertTrue(untilUs <= request.deadlineAt, "rule 1: inside the client's time");
             assertTrue(now < request.deadlineAt, "rule 1: time is left");
             assertTrue(request.attempts.size() < settings.maxAttempts);
-            Attempt binding = request.firstAttemptThatMayHaveRun();
-            if (binding != null) {
+            Attempt firstAttempt = request.firstAttemptThatMayHaveRun();
+            if (firstAttempt != null) {
                 assertTrue(
                         request.requestClass.idempotency() != Idempotency.UNSAFE,
                         "rule 2: an unsafe request may have run");
                 if (request.requestClass.idempotency() == Idempotency.KEYED) {
                     assertTrue(
-                            now <= binding.sentAt + request.requestClass.deduplicationWindowUs(),
-                            "rule 2: inside the window");
+                            now <= firstAttempt.sentAt + request.requestClass.deduplicationWindowUs(),
+                            "rule 2: inside the deduplication window");
                     assertTrue(
-                            sameGroup(request.requestClass.deduplicationScope(), binding.server, server),
-                            "rule 2: in the group");
+                            sameGroup(request.requestClass.deduplicationScope(), firstAttempt.server, server),
+                            "rule 2: in the deduplication scope");
                 }
                 assertTrue(settings.allowsHedging || request.attempts.stream().allMatch(a -> a.result != null));
             }
@@ -152,23 +152,26 @@
             return (random.nextInt(8) > 0 ? Result.OK : bad[random.nextInt(bad.length)]).ordinal();
         }
 
-        private static boolean sameGroup(DeduplicationScope group, ServerEntry a, ServerEntry b) {
-            return group == DeduplicationScope.ALL
-                    || (group == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
+        private static boolean sameGroup(DeduplicationScope scope, ServerEntry a, ServerEntry b) {
+            return scope == DeduplicationScope.ALL
+                    || (scope == DeduplicationScope.ZONE ? a.zone() == b.zone() : a.cell() == b.cell());
         }
 
-        private void recordFinalAnswer(long id, boolean refusal) {
-            trace.append(now).append(refusal ? " refuse " : " fail ").append(id).append('\n');
+        private void recordFinalAnswer(long id, boolean isRejection) {
+            trace.append(now)
+                    .append(isRejection ? " refuse " : " fail ")
+                    .append(id)
+                    .append('\n');
             TrackedRequest request = requests.get(id);
             assertNotNull(request);
             assertFalse(request.ended, "rule 1: one final answer only");
             assertTrue(now <= request.deadlineAt + settings.tickUs, "rule 1: the answer comes in time");
-            if (refusal && request.firstAttemptThatMayHaveRun() != null) {
+            if (isRejection && request.firstAttemptThatMayHaveRun() != null) {
                 assertTrue(
                         request.requestClass.idempotency() == Idempotency.SAFE
                                 || request.requestClass.idempotency() == Idempotency.KEYED
                                         && request.requestClass.deduplicationScope() == DeduplicationScope.ALL,
-                        "rule 2: a refusal promises that trying again is harmless");
+                        "rule 2: a rejection says that a retry is harmless");
             }
             request.ended = true;
             finalAnswers++;
@@ -221,11 +224,11 @@
             TrackedRequest request = new TrackedRequest();
             int classIndex = random.nextInt(settings.classes.size());
             request.requestClass = settings.classes.get(classIndex);
-            long left = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
-            request.deadlineAt = now + left;
+            long remainingUs = random.nextInt(10) == 0 ? random.nextInt(3_000) : 20_000 + random.nextInt(900_000);
+            request.deadlineAt = now + remainingUs;
             long id = nextId++;
             requests.put(id, request);
-            balancer.onRequest(now, new Request(id, classIndex, random.nextInt(2) - 1, left, 0, false));
+            balancer.onRequest(now, new Request(id, classIndex, random.nextInt(2) - 1, remainingUs, 0, false));
         }
 
         void changeList() {
@@ -275,8 +278,8 @@
                 changeList();
             }
             long nextEvent = now;
-            for (int done = 0; done < events || !pendingOutcomes.isEmpty() || unansweredRequests() > 0; ) {
-                long at = done < events ? nextEvent : Long.MAX_VALUE;
+            for (int eventsDone = 0; eventsDone < events || !pendingOutcomes.isEmpty() || unansweredRequests() > 0; ) {
+                long at = eventsDone < events ? nextEvent : Long.MAX_VALUE;
                 at = Math.min(
                         at,
                         pendingOutcomes.isEmpty()
@@ -288,7 +291,7 @@
                                 ? Long.MAX_VALUE
                                 : pendingProbes.peek().atUs());
                 at = Math.min(at, wakes.isEmpty() ? Long.MAX_VALUE : wakes.peek());
-                assertTrue(at < Long.MAX_VALUE, "rule 1: requests held and nothing to wake the module");
+                assertTrue(at < Long.MAX_VALUE, "rule 1: requests are pending and no wake-up is due");
                 now = Math.max(now, at);
                 if (!pendingOutcomes.isEmpty() && pendingOutcomes.peek()[0] <= now) {
                     deliverOutcome(pendingOutcomes.poll());
@@ -299,14 +302,14 @@
                     wakes.poll();
                     balancer.onWake(now);
                 } else {
-                    done++;
+                    eventsDone++;
                     nextEvent = now + random.nextInt(30_000);
-                    int what = random.nextInt(100);
-                    if (what < 2) {
+                    int choice = random.nextInt(100);
+                    if (choice < 2) {
                         changeList();
-                    } else if (what < 3) {
+                    } else if (choice < 3) {
                         balancer.onListFailed(now);
-                    } else if (what < 5 && nextId > 1) {
+                    } else if (choice < 5 && nextId > 1) {
                         disconnectClient(1 + random.nextLong(nextId - 1));
                     } else {
                         sendRequest();
@@ -337,37 +340,42 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-    void allRulesHoldOverOddSequences(long seed) {
-        RuleChecker judge = new RuleChecker(seed);
-        judge.run(1_500);
-        assertEquals(judge.requests.size(), judge.finalAnswers, "rule 1: every request has its one final answer");
-        assertTrue(judge.served > 100, "the run must do real work: " + judge.served);
-        // Rule 4: in any span this node stays under its part of the multiple of what a cold server can
-        // do, taking its answers over the servers then ready (three at most: many are always gone) as its
-        // part of what a warm one does; two requests more are chance.
-        double rate = judge.served / ((judge.now - 5_000_000) / 1e6);
-        Settings set = judge.settings;
-        judge.coldSends.forEach((start, sends) -> {
+    void keepsAllRulesUnderRandomEvents(long seed) {
+        RuleChecker checker = new RuleChecker(seed);
+        checker.run(1_500);
+        assertEquals(checker.requests.size(), checker.finalAnswers, "rule 1: every request has its one final answer");
+        assertTrue(checker.served > 100, "requests served: " + checker.served);
+        // Rule 4: within any window this node stays below its fraction of the multiple of a cold server's capacity. A
+        // warm server's capacity is taken as this node's answers divided by the servers then ready (three at most: many
+        // are always gone). Two requests more are chance.
+        double servedPerS = checker.served / ((checker.now - 5_000_000) / 1e6);
+        Settings set = checker.settings;
+        checker.coldSends.forEach((start, sends) -> {
             for (long[] first : sends) {
-                List<long[]> span = sends.stream()
+                List<long[]> window = sends.stream()
                         .filter(s -> s[0] >= first[0] && s[0] < first[0] + set.coldOverloadWindowUs)
                         .toList();
                 double ready =
-                        Math.min(3, span.stream().mapToLong(s -> s[1]).min().getAsLong());
-                double age =
+                        Math.min(3, window.stream().mapToLong(s -> s[1]).min().getAsLong());
+                double ageFraction =
                         Math.min(1, (first[0] + set.coldOverloadWindowUs - start.startedAtUs()) / (double) set.coldUs);
-                double share = set.coldStartFraction + (1 - set.coldStartFraction) * age;
+                double capacityFraction = set.coldStartFraction + (1 - set.coldStartFraction) * ageFraction;
                 assertTrue(
-                        span.size() - 2
-                                <= set.coldOverloadMultiple * share * rate / ready * set.coldOverloadWindowUs / 1e6,
-                        "rule 4: " + span.size() + " sends in one span");
+                        window.size() - 2
+                                <= set.coldOverloadMultiple
+                                        * capacityFraction
+                                        * servedPerS
+                                        / ready
+                                        * set.coldOverloadWindowUs
+                                        / 1e6,
+                        "rule 4: " + window.size() + " sends in one window");
             }
         });
     }
 
     @ParameterizedTest
     @ValueSource(longs = {21, 22})
-    void theSameEventsAndSeedGiveTheSameActions(long seed) {
+    void givesTheSameActionsForTheSameEventsAndSeed(long seed) {
         RuleChecker one = new RuleChecker(seed);
         RuleChecker two = new RuleChecker(seed);
         one.run(800);
--- a/src/test/java/vetchpost/decision/RulesTest.java
+++ b/src/test/java/vetchpost/decision/RulesTest.java
@@ -16,14 +16,14 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
 
-/** Rules 1 to 3 in named cases. */
+/** Rules 1 to 3 in single cases. */
 class RulesTest {
 
-    private static ServerEntry in(String id, int zone, int cell, ServerState state) {
+    private static ServerEntry entry(String id, int zone, int cell, ServerState state) {
         return new ServerEntry(id, zone, cell, state, 1, 0);
     }
 
-    /** After a first attempt that ends so: does another follow, and else which final answer? */
+    /** Whether a retry follows a first attempt with this result, and otherwise which final answer. */
     @ParameterizedTest
     @CsvSource({
         "0, ERROR, again",
@@ -49,26 +49,26 @@
         "4, CANCELLED, failed",
         "4, MOOT, again"
     })
-    void repeatsFollowTheClass(int classIndex, Result result, String then) {
+    void retriesByTheIdempotencyOfTheClass(int classIndex, Result result, String expected) {
         Node node = new Node().withServers(4);
         long id = node.sendRequest(classIndex);
         node.complete(id, result, 1_000);
-        assertEquals(then.equals("again") ? 2 : 1, node.attemptCount(id));
-        assertEquals(then.equals("failed") ? List.of(id) : List.of(), node.failed);
+        assertEquals(expected.equals("again") ? 2 : 1, node.attemptCount(id));
+        assertEquals(expected.equals("failed") ? List.of(id) : List.of(), node.failed);
         assertEquals(List.of(), node.rejected);
     }
 
     @Test
-    void aKeyedRequestThatMayHaveRunStaysInItsCellAndZone() {
+    void keepsAKeyedRequestThatMayHaveRunInItsDeduplicationScope() {
         for (int classIndex : new int[] {Node.KEYED_CELL, Node.KEYED_ZONE}) {
             Node node = new Node();
             node.list(
                     ListKind.CACHED,
                     List.of(
-                            in("a", 0, 1, ServerState.READY),
-                            in("x", 1, 2, ServerState.READY),
-                            in("b", 0, 1, ServerState.READY),
-                            in("y", 1, 2, ServerState.READY)));
+                            entry("a", 0, 1, ServerState.READY),
+                            entry("x", 1, 2, ServerState.READY),
+                            entry("b", 0, 1, ServerState.READY),
+                            entry("y", 1, 2, ServerState.READY)));
             long id = node.sendRequest(classIndex);
             String first = node.lastAttempt(id).server();
             node.complete(id, Result.RESET, 1_000);
@@ -79,16 +79,16 @@
     }
 
     @Test
-    void aKeyedRequestThatSurelyNeverRanMayGoAnywhere() {
+    void retriesAKeyedRequestThatNeverRanAnywhere() {
         Node node = new Node();
-        node.list(ListKind.CACHED, List.of(in("a", 0, 1, ServerState.READY), in("x", 1, 2, ServerState.READY)));
+        node.list(ListKind.CACHED, List.of(entry("a", 0, 1, ServerState.READY), entry("x", 1, 2, ServerState.READY)));
         long id = node.sendRequest(Node.KEYED_CELL);
         node.complete(id, Result.FULL, 1_000);
         assertEquals(2, node.attemptCount(id));
     }
 
     @Test
-    void aKeyedRequestIsNotRepeatedAfterItsWindowAndRefusedOnlyIfAllDropRepeats() {
+    void rejectsAKeyedRequestAfterItsWindowOnlyIfAllServersDropDuplicates() {
         for (int classIndex : new int[] {Node.KEYED_ALL, Node.KEYED_CELL}) {
             Node node = new Node(Node.settingsWithLateValue(), 7).withServers(3);
             long id = node.sendRequest(classIndex);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void theWindowCountsFromTheFirstAttemptThatMayHaveRun() {
+    void countsTheWindowFromTheFirstAttemptThatMayHaveRun() {
         Node node = new Node(Node.settingsWithLateValue(), 7).withServers(4);
         long id = node.sendRequest(Node.KEYED_ALL);
         node.complete(id, Result.CONNECT_FAILED, 300_000);
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aTimeOutAtTheDeadlineIsAnsweredAtOnceAndNothingFollows() {
+    void answersATimeoutAtTheDeadlineAtOnceAndDoesNotRetry() {
         Node node = new Node().withServers(3);
         long safe = node.sendRequest(Node.SAFE, 100_000);
         long unsafe = node.sendRequest(Node.UNSAFE, 100_000);
@@ -124,14 +124,14 @@
     }
 
     @Test
-    void noAttemptIsSentToEndAfterTheClientsTime() {
+    void endsEveryAttemptByTheClientsDeadline() {
         Node node = new Node().withServers(3);
         long id = node.sendRequest(Node.SAFE, 123_000);
         assertEquals(node.now + 123_000, node.lastAttempt(id).untilUs());
     }
 
     @Test
-    void nothingIsOwedToAClientThatHasGone() {
+    void givesNoAnswerToAClientThatHasDisconnected() {
         Node node = new Node().withServers(1);
         long id = node.sendRequest(Node.SAFE);
         node.balancer.onClientDisconnected(node.now, id);
@@ -144,10 +144,10 @@
     }
 
     @Test
-    void nothingGoesToADrainingOrGoneServer() {
+    void sendsNothingToADrainingOrGoneServer() {
         for (ServerState state : new ServerState[] {ServerState.DRAINING, ServerState.GONE}) {
             Node node = new Node().withServers(2);
-            node.list(ListKind.CHANGES, List.of(in("s0", 0, 0, state)));
+            node.list(ListKind.CHANGES, List.of(entry("s0", 0, 0, state)));
             for (int i = 0; i < 50; i++) {
                 assertEquals("s1", node.serve(Node.UNSAFE, i % 3 == 0 ? Result.ERROR : Result.OK, 1_000));
                 node.advance(1_100_000);
@@ -156,20 +156,20 @@
     }
 
     @Test
-    void serversThatComeAndGoLeaveNothingBehind() throws ReflectiveOperationException {
+    void keepsNoStateOfServersThatHaveGone() throws ReflectiveOperationException {
         Node node = new Node().withServers(1);
         for (int i = 0; i < 500; i++) {
             node.list(ListKind.CHANGES, List.of(Node.server("t" + i)));
             node.serve(Node.UNSAFE, Result.ERROR, 1_000);
-            node.list(ListKind.CHANGES, List.of(in("t" + i, 0, 0, ServerState.GONE)));
+            node.list(ListKind.CHANGES, List.of(entry("t" + i, 0, 0, ServerState.GONE)));
         }
-        var known = ServiceQBalancer.class.getDeclaredField("byId");
-        known.setAccessible(true);
-        assertEquals(1, ((java.util.Map<?, ?>) known.get(node.balancer)).size());
+        var serversById = ServiceQBalancer.class.getDeclaredField("byId");
+        serversById.setAccessible(true);
+        assertEquals(1, ((java.util.Map<?, ?>) serversById.get(node.balancer)).size());
     }
 
     @Test
-    void aServerThatAFullListLeavesOutHasGone() {
+    void removesAServerThatAFullListOmits() {
         Node node = new Node().withServers(2);
         node.list(ListKind.FULL, List.of(Node.server("s1")));
         for (int i = 0; i < 20; i++) {
@@ -178,35 +178,35 @@
     }
 
     @Test
-    void aListOnRequestIsAskedForAtOnceAndAgainAfterFailuresWithGrowingJitteredWaits() {
-        Settings set = Node.settings();
-        set.mustRequestList = true;
-        Node node = new Node(set, 1).withServers(1);
+    void requestsTheListAtOnceAndRetriesWithJitteredBackoff() {
+        Settings settings = Node.settings();
+        settings.mustRequestList = true;
+        Node node = new Node(settings, 1).withServers(1);
         assertEquals(1, node.subscriptions);
         for (int failures = 1; failures <= 6; failures++) {
             node.balancer.onListFailed(node.now);
             assertEquals(failures, node.subscriptions);
-            node.advance(set.maxListIntervalUs / 2);
+            node.advance(settings.maxListIntervalUs / 2);
             assertEquals(failures + 1, node.subscriptions);
         }
         node.list(ListKind.CHANGES, List.of());
-        node.advance(10 * set.maxListIntervalUs);
+        node.advance(10 * settings.maxListIntervalUs);
         assertEquals(7, node.subscriptions);
     }
 
     @Test
-    void aCallThatIsNeverAnsweredIsMadeAgainInsideTheTimeAllowed() {
-        Settings set = Node.settings();
-        set.mustRequestList = true;
-        Node node = new Node(set, 1).withServers(1);
-        node.advance(set.maxListIntervalUs - 1);
+    void retriesAnUnansweredListRequestWithinTheMaximumInterval() {
+        Settings settings = Node.settings();
+        settings.mustRequestList = true;
+        Node node = new Node(settings, 1).withServers(1);
+        node.advance(settings.maxListIntervalUs - 1);
         assertTrue(node.subscriptions >= 2);
     }
 
     @Test
-    void settingsAndRequestsOutOfRangeAreRejectedByName() {
-        Settings none = new Settings();
-        assertThrows(IllegalArgumentException.class, () -> new Node(none, 1));
+    void rejectsInvalidSettingsAndRequests() {
+        Settings empty = new Settings();
+        assertThrows(IllegalArgumentException.class, () -> new Node(empty, 1));
         Settings negative = Node.settings();
         negative.coldUs = -1;
         assertThrows(IllegalArgumentException.class, () -> new Node(negative, 1));
--- a/src/test/java/vetchpost/decision/SelectionAndQueueTest.java
+++ b/src/test/java/vetchpost/decision/SelectionAndQueueTest.java
@@ -17,23 +17,26 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.Settings;
 
-/** The ordinary path of DESIGN: weighted draws, own requests in flight, counting, pass-on, deferral. */
+/**
+ * The ordinary path of docs/design.md: weighted draws, own requests in flight, error counts, retries, the queue and
+ * limits.
+ */
 class SelectionAndQueueTest {
 
     @Test
-    void aFirstTryIsNotTakenForALateOneBecauseItsClientWaitsLessThanOthers() {
-        // Guards against giving up at once what had only come slowly, where clients mark their repeats.
+    void doesNotTakeAFirstTryWithAShortDeadlineForARetry() {
+        // Guards against rejecting a first try that was only delayed, where clients mark their retries.
         Balancer.Settings set = Node.settings();
         set.clientsMarkRetries = true;
         Node node = new Node(set, 7).withServers(3);
         for (int i = 0; i < 100; i++) {
             node.serve(Node.SAFE, Result.OK, 10_000);
         }
-        assertNotNull(node.lastAttempt(node.sendRequest(Node.SAFE, 400_000)), "given up at once");
+        assertNotNull(node.lastAttempt(node.sendRequest(Node.SAFE, 400_000)), "rejected at once");
     }
 
     @Test
-    void twoServersWithUnequalOwnRequestsInFlightSendToTheEmptierOne() {
+    void sendsToTheServerWithFewerOwnRequestsInFlight() {
         Node node = new Node().withServers(2);
         String busy = node.lastAttempt(node.sendRequest(Node.SAFE)).server();
         for (int i = 0; i < 20; i++) {
@@ -44,33 +47,33 @@
     }
 
     @Test
-    void withoutErrorsTiesAreSpreadEvenly() {
+    void spreadsTiesEvenlyWithoutErrors() {
         Node node = new Node().withServers(4);
-        Map<String, Integer> hits = new HashMap<>();
+        Map<String, Integer> requestsByServer = new HashMap<>();
         for (int i = 0; i < 4_000; i++) {
-            hits.merge(node.serve(Node.SAFE, Result.OK, 1_000), 1, Integer::sum);
+            requestsByServer.merge(node.serve(Node.SAFE, Result.OK, 1_000), 1, Integer::sum);
         }
         for (int i = 0; i < 4; i++) {
-            assertTrue(Math.abs(hits.get("s" + i) - 1_000) < 150, hits.toString());
+            assertTrue(Math.abs(requestsByServer.get("s" + i) - 1_000) < 150, requestsByServer.toString());
         }
     }
 
     @Test
-    void aFailureLowersTheWeightAndASuccessClearsIt() {
+    void lowersTheWeightOnFailureAndRestoresItOnSuccess() {
         Node node = new Node().withServers(2);
         long id = node.sendRequest(Node.UNSAFE);
         String bad = node.lastAttempt(id).server();
         node.complete(id, Result.ERROR, 1_000);
-        long held = node.sendRequest(Node.SAFE);
-        String other = node.lastAttempt(held).server();
-        // With one error the draw of two still sees both; the emptier one takes it.
+        long second = node.sendRequest(Node.SAFE);
+        String other = node.lastAttempt(second).server();
+        // With one error the two draws still cover both servers; the emptier one gets the request.
         String emptier = other.equals("s0") ? "s1" : "s0";
         assertEquals(emptier, node.lastAttempt(node.sendRequest(Node.SAFE)).server());
         assertTrue(List.of("s0", "s1").contains(bad));
     }
 
     @Test
-    void aRepeatableFailureGoesToTheNextServerInListOrder() {
+    void retriesAtTheNextServerInListOrder() {
         Node node = new Node().withServers(5);
         long id = node.sendRequest(Node.SAFE);
         for (int i = 0; i < 3; i++) {
@@ -84,7 +87,7 @@
     }
 
     @Test
-    void anUnsafeRequestPassesOnOnlyWhenItSurelyNeverRan() {
+    void retriesAnUnsafeRequestOnlyIfItNeverRan() {
         Node node = new Node().withServers(3);
         long id = node.sendRequest(Node.UNSAFE);
         node.complete(id, Result.CONNECT_FAILED, 1_000);
@@ -95,7 +98,7 @@
     }
 
     @Test
-    void withNothingToSendToARequestWaitsAndIsServedInOrderWhenAServerComes() {
+    void queuesRequestsInOrderUntilAServerIsAvailable() {
         Node node = new Node().withServers(0);
         long first = node.sendRequest(Node.UNSAFE);
         long second = node.sendRequest(Node.SAFE);
@@ -108,7 +111,7 @@
     }
 
     @Test
-    void whatWaitsInVainIsRefusedBeforeTheClientsTimeIsUp() {
+    void rejectsAQueuedRequestBeforeItsDeadline() {
         Node node = new Node(Node.settingsWithLateValue(), 7).withServers(0);
         long id = node.sendRequest(Node.UNSAFE, 300_000);
         node.advance(299_999);
@@ -117,8 +120,8 @@
     }
 
     @Test
-    void aClientsLaterTryThatComesAfterTheAimTakesNoServersTime() {
-        // Guards i9ce813: in a jam most work was for tries whose request could earn nothing any more.
+    void rejectsALaterTryThatArrivesAfterTheLatencyTarget() {
+        // Guards i9ce813: in overload most work was for retries of requests that could have no value any more.
         Node node = new Node().withServers(2);
         for (int i = 0; i < 10; i++) {
             node.complete(node.sendRequest(Node.SAFE, 500_000), Result.OK, 10_000);
@@ -131,7 +134,7 @@
     }
 
     @Test
-    void timesLeftThatAllDifferTellNothingOfEarlierTries() {
+    void infersNoEarlierTriesFromRemainingTimesThatAllDiffer() {
         Node node = new Node().withServers(2);
         for (int i = 0; i < 20; i++) {
             long id = node.sendRequest(Node.SAFE, 200_000 + i % 10 * 70_000);
@@ -141,7 +144,7 @@
     }
 
     @Test
-    void anAttemptThatNobodyRepeatsEndsAtTheAimAndOthersRunOn() {
+    void timesOutAtTheLatencyTargetOnlyWhereClientsDoNotRetry() {
         Node node = new Node().withServers(3);
         assertEquals(
                 node.now + 200_000,
@@ -155,23 +158,23 @@
     }
 
     @Test
-    void amongServersWithNothingInFlightTheQuickerOneIsPreferred() {
+    void prefersTheServerWithLowerLatencyWhenNoneHasRequestsInFlight() {
         Node node = new Node().withServers(4);
-        Map<String, Integer> hits = new HashMap<>();
+        Map<String, Integer> requestsByServer = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             long id = node.sendRequest(Node.SAFE);
             String server = node.lastAttempt(id).server();
-            hits.merge(server, 1, Integer::sum);
+            requestsByServer.merge(server, 1, Integer::sum);
             node.complete(id, Result.OK, server.equals("s0") ? 60_000 : 20_000);
         }
-        assertTrue(hits.get("s0") < 60, hits.toString());
+        assertTrue(requestsByServer.get("s0") < 60, requestsByServer.toString());
     }
 
     @Test
-    void aServerAtItsLimitIsPassedOverAndTheQueueServesWorthFirst() {
+    void skipsAServerAtItsLimitAndServesTheQueueByValue() {
         Settings set = Node.settings();
         set.classes.add(new Balancer.RequestClass(
-                "dear",
+                "high-value",
                 200_000,
                 0,
                 1_000_000,
@@ -187,15 +190,15 @@
         for (int i = 0; i < 5; i++) {
             ids.add(node.sendRequest(Node.SAFE));
         }
-        long dear = node.sendRequest(5);
-        // Two nodes start with room for two each at two servers: the fifth request and the dear one wait.
+        long highValue = node.sendRequest(5);
+        // Two nodes start with a limit of two each at two servers: the fifth request and the high-value one wait.
         assertEquals(4, node.sent.size());
         node.complete(ids.get(0), Result.OK, 10_000);
-        assertEquals(dear, node.sent.get(4).request());
+        assertEquals(highValue, node.sent.get(4).request());
     }
 
     @Test
-    void slowAnswersLowerAServersLimitAndTimelyOnesRaiseIt() {
+    void lowersALimitOnSlowAnswersAndRaisesItOnTimelyOnes() {
         Node slow = new Node().withServers(1);
         Node fast = new Node().withServers(1);
         for (int i = 0; i < 30; i++) {
@@ -213,7 +216,7 @@
     }
 
     @Test
-    void aTenantBeyondItsShareWaitsBehindOneInsideIt() {
+    void queuesATenantOverItsShareBehindOneWithinIt() {
         Settings set = Node.settings();
         set.tenants.clear();
         set.overShareValueFraction = 0.1;
@@ -240,7 +243,7 @@
     }
 
     @Test
-    void aServerWhoseLimitIsUnderOneGetsOneRequestAtATime() {
+    void sendsOneRequestAtATimeToAServerWithALimitBelowOne() {
         Settings set = Node.settings();
         set.nodes = 8;
         Node node = new Node(set, 3).withServers(1);
@@ -254,7 +257,7 @@
     }
 
     @Test
-    void aServerTwiceAsLargeByTheListIsDrawnMoreOftenThanTwice() {
+    void drawsAServerOfTwiceTheWeightMoreThanTwiceAsOften() {
         Node node = new Node();
         node.list(
                 ListKind.CACHED,
@@ -262,30 +265,32 @@
                         new Balancer.ServerEntry("large", 0, 0, Balancer.ServerState.READY, 2, 0),
                         new Balancer.ServerEntry("small", 0, 0, Balancer.ServerState.READY, 1, 0),
                         new Balancer.ServerEntry("same", 0, 0, Balancer.ServerState.READY, 1, 0)));
-        Map<String, Integer> hits = new HashMap<>();
+        Map<String, Integer> requestsByServer = new HashMap<>();
         for (int i = 0; i < 3_000; i++) {
-            hits.merge(node.serve(Node.SAFE, Result.OK, 1_000), 1, Integer::sum);
+            requestsByServer.merge(node.serve(Node.SAFE, Result.OK, 1_000), 1, Integer::sum);
         }
-        assertTrue(hits.get("large") > 1_200, hits.toString());
-        assertTrue(Math.abs(hits.get("small") - hits.get("same")) < 150, hits.toString());
+        assertTrue(requestsByServer.get("large") > 1_200, requestsByServer.toString());
+        assertTrue(
+                Math.abs(requestsByServer.get("small") - requestsByServer.get("same")) < 150,
+                requestsByServer.toString());
     }
 
     @Test
-    void aNodeAmongManyHoldsNoMoreThanTheSumOfItsLimitsAndABurst() {
-        // Guards i2064fa (one request from each node at every server choked the fleet) and i9ce813 (a node
-        // held to the bare sum kept requests back while servers were idle).
+    void limitsANodeAmongManyToTheSumOfItsLimitsAndABurst() {
+        // Guards i2064fa (one request of each node at every server overloaded the fleet) and i9ce813 (a node limited to
+        // the bare sum kept requests queued while servers were idle).
         Settings set = Node.settings();
         set.nodes = 200;
         Node node = new Node(set, 3).withServers(32);
         for (int i = 0; i < 32; i++) {
             node.sendRequest(Node.SAFE);
         }
-        // Three servers that each have 19 nodes: 0.64 by the bare sum, and two with the burst.
+        // Three servers with 19 nodes each: 0.64 by the bare sum, and two with the burst.
         assertEquals(2, node.sent.size());
     }
 
     @Test
-    void answersFarSlowerThanTheirClassCanBeLowerALimitHoweverFarTheAim() {
+    void lowersALimitOnSlowAnswersHoweverFarTheLatencyTarget() {
         Settings set = Node.settings();
         set.classes.add(new Balancer.RequestClass(
                 "patient",
@@ -310,42 +315,42 @@
     }
 
     /**
-     * Guards i75e589: with the mark at half a usual latency, an overloaded fleet answered mostly late.
-     * Where servers take longer than the aim, something may still wait a while.
+     * Guards i75e589: with the threshold at half a usual latency, an overloaded fleet answered mostly late. Where
+     * servers take longer than the latency target, requests may still wait a while.
      */
     @ParameterizedTest
     @CsvSource({"50000, 80000", "250000, 30000"})
-    void whatWaitsIsRefusedWhileItStillHasAChanceAndNotAtTheLastMoment(long usualUs, long stillWaitsUs) {
+    void rejectsAQueuedRequestWellBeforeTheLatencyTarget(long usualLatencyUs, long queuedForUs) {
         Node node = new Node().withServers(1);
         for (int i = 0; i < 40; i++) {
-            node.serve(Node.UNSAFE, Result.OK, usualUs);
+            node.serve(Node.UNSAFE, Result.OK, usualLatencyUs);
         }
         node.list(ListKind.FULL, List.of());
         long id = node.sendRequest(Node.UNSAFE);
-        node.advance(stillWaitsUs);
+        node.advance(queuedForUs);
         assertFalse(node.rejected.contains(id));
         node.advance(30_000);
         assertTrue(node.rejected.contains(id));
     }
 
     @Test
-    void aNodeWhoseRequestsAllComeLateSendsNearlyNothingAndComesBackQuickly() {
-        // Guards ia25714 and i6d5d9b: servers turned slow by their load, and nodes kept them busy for half
-        // a minute.
+    void throttlesWhileAllAnswersAreLateAndRecoversQuickly() {
+        // Guards ia25714 and i6d5d9b: servers turned slow under their load, and nodes kept them overloaded for half a
+        // minute.
         Node node = new Node().withServers(10);
-        serveAll(node, 60, 20_000);
-        int jammed = serveAll(node, 200, 300_000);
-        assertTrue(jammed <= 45, "sent while all comes late: " + jammed);
-        serveAll(node, 150, 20_000);
-        int recovered = serveAll(node, 100, 20_000);
-        assertTrue(recovered >= 50, "sent once answers are quick again: " + recovered);
+        completeAll(node, 60, 20_000);
+        int sentWhileLate = completeAll(node, 200, 300_000);
+        assertTrue(sentWhileLate <= 45, "sent while all answers are late: " + sentWhileLate);
+        completeAll(node, 150, 20_000);
+        int sentAfterRecovery = completeAll(node, 100, 20_000);
+        assertTrue(sentAfterRecovery >= 50, "sent once answers are quick again: " + sentAfterRecovery);
     }
 
-    /** Asks again and again, answering all that is sent; how many were sent. */
-    private static int serveAll(Node node, int asks, long latencyUs) {
+    /** Sends requests and completes all attempts with this latency; returns how many attempts were sent. */
+    private static int completeAll(Node node, int requestCount, long latencyUs) {
         int before = node.sent.size();
         int answered = before;
-        for (int i = 0; i < asks; i++) {
+        for (int i = 0; i < requestCount; i++) {
             node.sendRequest(Node.SAFE);
             for (; answered < node.sent.size(); answered++) {
                 node.complete(node.sent.get(answered).request(), Result.OK, latencyUs);
@@ -356,8 +361,8 @@
     }
 
     @Test
-    void whereCrossingCostsAFailureIsPassedOnInsideTheZoneFirst() {
-        // Guards i9ce813: a request turned away next door was passed to a server three times as far.
+    void retriesInTheLocalZoneFirstWhereCrossingZonesCosts() {
+        // Guards i9ce813: a request rejected by a local server was retried at one with three times the network delay.
         Settings set = Node.settings();
         set.crossZonePrice = 0.01;
         Node node = new Node(set, 3);
--- a/src/test/java/vetchpost/decision/ServedRateTest.java
+++ b/src/test/java/vetchpost/decision/ServedRateTest.java
@@ -5,19 +5,20 @@
 
 import org.junit.jupiter.api.Test;
 
+/** The current and the peak rate of answers. */
 class ServedRateTest {
     private final ServedRate rate = new ServedRate();
     private long now = 1_000_000;
 
-    private void answers(int count, long gapUs, double fleetSize) {
+    private void recordAnswers(int count, long gapUs, double totalWeight) {
         for (int i = 0; i < count; i++) {
             now += gapUs;
-            rate.recordAnswer(now, fleetSize);
+            rate.recordAnswer(now, totalWeight);
         }
     }
 
     @Test
-    void withoutAnswersNothingIsPromised() {
+    void assumesALongGapWithoutAnswers() {
         assertEquals(1_000_000, rate.meanGapUs());
         assertEquals(10_000_000, rate.gapPerUnitUs(now, 10));
         rate.start(now);
@@ -26,40 +27,40 @@
     }
 
     @Test
-    void theBestStaysWhenLessIsAsked() {
+    void keepsThePeakWhenDemandFalls() {
         rate.start(now);
-        answers(1_000, 10_000, 10);
-        answers(100, 100_000, 10);
+        recordAnswers(1_000, 10_000, 10);
+        recordAnswers(100, 100_000, 10);
         assertTrue(rate.meanGapUs() > 90_000, "now: " + rate.meanGapUs());
-        // Ten servers, 100 answers a second: each has one in 100 ms.
+        // Ten servers with 100 answers a second: each answers every 100 ms.
         assertEquals(100_000, rate.gapPerUnitUs(now, 10), 10_000);
     }
 
     @Test
-    void theBestIsForgottenInTheEnd() {
+    void decaysThePeakInTheEnd() {
         rate.start(now);
-        answers(1_000, 10_000, 10);
-        answers(20_000, 100_000, 10);
+        recordAnswers(1_000, 10_000, 10);
+        recordAnswers(20_000, 100_000, 10);
         assertEquals(1_000_000, rate.gapPerUnitUs(now, 10), 1_000);
     }
 
     @Test
-    void answersThatAStallHeldBackMakeNoBest() {
+    void ignoresBurstsOfDelayedAnswersForThePeak() {
         rate.start(now);
         for (int i = 0; i < 40; i++) {
             now += 500_000;
-            answers(50, 0, 10);
+            recordAnswers(50, 0, 10);
         }
         assertEquals(100_000, rate.gapPerUnitUs(now + 500_000, 10), 30_000);
     }
 
     @Test
-    void answersOfServersThatHaveGoneCountAsTheirs() {
+    void countsAnswersAgainstTheServersInUseAtTheirTime() {
         rate.start(now);
-        answers(1_000, 10_000, 10);
-        // In the midst of a span four of five servers go: what is left did not do all that by itself.
-        answers(150, 10_000, 10);
-        answers(200, 50_000, 2);
+        recordAnswers(1_000, 10_000, 10);
+        // Within a window four of five servers go: the remaining ones did not answer all of that.
+        recordAnswers(150, 10_000, 10);
+        recordAnswers(200, 50_000, 2);
         assertEquals(100_000, rate.gapPerUnitUs(now, 2), 10_000);
     }
 }
--- a/src/test/java/vetchpost/decision/SimulatedCluster.java
+++ b/src/test/java/vetchpost/decision/SimulatedCluster.java
@@ -20,30 +20,30 @@
 import vetchpost.decision.Balancer.Settings;
 
 /**
- * Many modules before servers that work on one request at a time, first come first served, and are cold
- * after a start: what all nodes together do to one server, by a seed. No network; answers take no time on
- * their way.
+ * Simulates many nodes' balancers before servers that process one request at a time, first come first served, and are
+ * cold after a start. Shows what all nodes together do to one server, reproducibly by seed. There is no network:
+ * answers arrive without delay.
  */
 final class SimulatedCluster {
     static final long WORK_US = 60_000;
-    /** Nobody waits longer for an answer. */
+    /** How long clients wait for an answer. */
     static final long DEADLINE_US = 1_000_000;
 
-    /** A server: its queue, and the sends that have reached it in the rule's span. */
+    /** A simulated server: its queue, and the requests that reached it within the rule's time window. */
     final class SimulatedServer {
         final long startedAt;
         private long busyUntil;
         private final Deque<Long> windowSends = new ArrayDeque<>();
-        /** Most work sent in any span, over what the rule allows there. */
+        /** Maximum work sent within any window, as a multiple of what the rule allows. */
         double maxOverloadRatio;
-        /** Which nodes have sent to it: each would hold a connection. */
+        /** Nodes that have sent to it; each would hold a connection. */
         final Set<Integer> nodes = new HashSet<>();
 
         SimulatedServer(long startedAt) {
             this.startedAt = startedAt;
         }
 
-        /** The least share of its capacity that it may have, by the settings. */
+        /** Returns the minimum fraction of its capacity that it may have, by the settings. */
         private double capacityFraction() {
             return startedAt == 0
                     ? 1
@@ -60,15 +60,15 @@
                 windowSends.poll();
             }
             if (startedAt > 0 && now < startedAt + settings.coldUs) {
-                double most = settings.coldOverloadMultiple * capacityFraction() * settings.coldOverloadWindowUs;
-                maxOverloadRatio = Math.max(maxOverloadRatio, windowSends.size() * WORK_US / most);
+                double maxWorkUs = settings.coldOverloadMultiple * capacityFraction() * settings.coldOverloadWindowUs;
+                maxOverloadRatio = Math.max(maxOverloadRatio, windowSends.size() * WORK_US / maxWorkUs);
             }
             busyUntil = Math.max(now, busyUntil) + (long) (WORK_US / capacityFraction() * (0.5 + random.nextDouble()));
             return busyUntil;
         }
     }
 
-    /** A node's module, its clock and what it has out. */
+    /** A simulated node: its balancer and its attempts in flight. */
     final class SimulatedNode implements Actions {
         private final Balancer balancer;
         private final Map<Long, Integer> attempts = new HashMap<>();
@@ -78,8 +78,8 @@
 
         SimulatedNode(int number, long seed) {
             this.number = number;
-            Settings own = settings(number);
-            balancer = new ServiceQBalancer(own, seed, this);
+            Settings nodeSettings = settings(number);
+            balancer = new ServiceQBalancer(nodeSettings, seed, this);
             balancer.onServers(now, ListKind.CACHED, serverList);
         }
 
@@ -152,7 +152,7 @@
     int served;
     int rejected;
 
-    /** So many nodes before so many warm servers; they ask nothing yet. */
+    /** Creates nodes and warm servers; the nodes send nothing yet. */
     SimulatedCluster(int nodeCount, int initialServers, long seed) {
         random = new SplittableRandom(seed);
         settings = settings(0);
@@ -166,14 +166,14 @@
     }
 
     private Settings settings(int node) {
-        Settings set = Node.settings();
-        set.nodes = settings == null ? 1 : settings.nodes;
-        set.node = node;
-        set.coldStartFraction = 0.12;
-        set.coldUs = 23_000_000;
-        set.coldOverloadMultiple = 4;
-        set.coldOverloadWindowUs = 2_000_000;
-        return set;
+        Settings nodeSettings = Node.settings();
+        nodeSettings.nodes = settings == null ? 1 : settings.nodes;
+        nodeSettings.node = node;
+        nodeSettings.coldStartFraction = 0.12;
+        nodeSettings.coldUs = 23_000_000;
+        nodeSettings.coldOverloadMultiple = 4;
+        nodeSettings.coldOverloadWindowUs = 2_000_000;
+        return nodeSettings;
     }
 
     private void addServer(long startedAt) {
@@ -182,11 +182,11 @@
         serverList.add(new ServerEntry(id, 0, serverCount / 8, ServerState.READY, 1, startedAt));
     }
 
-    private void schedule(long when, Runnable what) {
-        events.add(new Event(when, eventCount++, what));
+    private void schedule(long timeUs, Runnable action) {
+        events.add(new Event(timeUs, eventCount++, action));
     }
 
-    /** Has a node ask so often from now on, as chance will have it. */
+    /** Has a node send requests at random times from now on, at this mean rate. */
     void generateLoad(int node, double perSecond, long untilUs) {
         long next = now + (long) (-Math.log(1 - random.nextDouble()) * 1e6 / perSecond);
         if (next < untilUs) {
@@ -197,16 +197,16 @@
         }
     }
 
-    /** So many of the servers are replaced by cold ones, and all nodes told at once. */
+    /** Replaces servers by cold ones and notifies all nodes at once. */
     void replace(int count) {
         serverList = new ArrayList<>(serverList.subList(count, serverList.size()));
         for (int i = 0; i < count; i++) {
             addServer(now);
         }
-        nodes.forEach(m -> m.balancer.onServers(now, ListKind.FULL, serverList));
+        nodes.forEach(node -> node.balancer.onServers(now, ListKind.FULL, serverList));
     }
 
-    /** These nodes are killed and back from nothing, knowing the list. */
+    /** Restarts the first nodes without statistics; they know the list. */
     void restart(int count) {
         for (int n = 0; n < count; n++) {
             nodes.get(n).dead[0] = true;
@@ -223,10 +223,10 @@
         now = untilUs;
     }
 
-    /** The most that any cold server was sent in a span, over what the rule allows. */
+    /** Returns the maximum that any cold server was sent within a window, as a multiple of what the rule allows. */
     double maxOverloadRatio() {
         return servers.values().stream()
-                .mapToDouble(b -> b.maxOverloadRatio)
+                .mapToDouble(server -> server.maxOverloadRatio)
                 .max()
                 .orElse(0);
     }
