--- a/src/main/java/vetchpost/decision/DrawIndex.java
+++ b/src/main/java/vetchpost/decision/DrawIndex.java
@@ -68,7 +68,7 @@
     /**
      * Creates an empty index.
      *
-     * @param slot tells the index from the others that its members are in, from 0
+     * @param slot number of the index among those that its members can be in, from 0
      */
     DrawIndex(int slot) {
         this.slot = slot;
--- a/src/main/java/vetchpost/decision/IndexedSet.java
+++ b/src/main/java/vetchpost/decision/IndexedSet.java
@@ -26,7 +26,7 @@
     /**
      * Creates an empty set.
      *
-     * @param slot tells the set from the others that its members are in, from 0
+     * @param slot number of the set among those that its members can be in, from 0
      */
     IndexedSet(int slot) {
         this.slot = slot;
--- a/src/main/java/vetchpost/decision/LoadShedder.java
+++ b/src/main/java/vetchpost/decision/LoadShedder.java
@@ -11,7 +11,7 @@
 final class LoadShedder {
     /** Fraction of above-mean requests that may be rejected: just enough to show that the fleet is full. */
     static final double TARGET_REJECTED_FRACTION = 0.04;
-    /** Increase of the fraction per rejection: twenty in a row raise it from 0 to 1. */
+    /** Increase of the fraction per rejection: twenty in a row would raise it from 0 to 1. */
     static final double SHED_STEP = 0.05;
     /** Maximum fraction shed: the requests let through show when there is capacity again. */
     static final double MAX_SHED_FRACTION = 0.75;
--- a/src/main/java/vetchpost/decision/ServiceQBalancer.java
+++ b/src/main/java/vetchpost/decision/ServiceQBalancer.java
@@ -37,8 +37,8 @@
     /** Remaining times that differ by less than this fraction of the deadline count as equal: network delay varies. */
     private static final double COMMON_REMAINING_TOLERANCE = 0.02;
     /**
-     * Fraction of a class's requests from which on a remaining time is that of first tries; in overload most are
-     * retries.
+     * Fraction of a class's requests from which on a common remaining time is taken for that of first tries; in
+     * overload most requests are retries.
      */
     private static final double MIN_COMMON_REMAINING_FRACTION = 0.2;
     /** A failure counts in the relative latency as an answer that took this many times the usual. */
@@ -86,8 +86,8 @@
     /** Growth of the minimum mean latency with each answer, so that it follows a change of work. */
     private static final double MIN_LATENCY_GROWTH = 1.0001;
     /**
-     * Exponent of the number of nodes per server by which limits change faster. At 0 many nodes learn too slowly, at
-     * 0.5 they overload the servers.
+     * Exponent of the number of nodes per server in the factor that divides increases and compounds decreases of
+     * limits. At 0 many nodes learn too slowly, at 0.5 they overload the servers.
      */
     private static final double LIMIT_CHANGE_NODE_EXPONENT = 0.25;
     /** Decrease of a limit for an attempt that timed out, which is worse than a slow answer. */
@@ -1156,8 +1156,8 @@
 
     /** Whether the node has in flight what all limits together allow. Guards against all capacity being out at once. */
     private boolean isAtTotalLimit() {
-        // The burst shrinks as fewer answers are in time, to none at half: it would tip an overloaded fleet over
-        // (i6d5d9b).
+        // The burst shrinks with the fraction of answers in time, to none at one half: it would push an overloaded
+        // fleet into collapse (i6d5d9b).
         double burst = BURST_ROOT_FACTOR * Math.max(0, 2 * onTimeFraction - 1) * Math.sqrt(totalLimit);
         return totalInFlight > 0 && totalInFlight + 1 > totalLimit + burst;
     }
--- a/src/test/java/vetchpost/decision/HealthTest.java
+++ b/src/test/java/vetchpost/decision/HealthTest.java
@@ -147,7 +147,7 @@
         for (int i = 0; i < 400; i++) {
             node.serve(Node.UNSAFE, Result.OK, 5_000);
         }
-        assertTrue(node.sentTo("s0") - before > 40, "sent again: " + (node.sentTo("s0") - before));
+        assertTrue(node.sentTo("s0") - before > 40, "sent after the exclusion: " + (node.sentTo("s0") - before));
     }
 
     @Test
@@ -161,7 +161,7 @@
         assertEquals(1, node.attemptCount(id), "retried at once");
         node.advance(20_000);
         assertEquals(2, node.attemptCount(id), "not retried");
-        assertTrue(node.rejected.isEmpty(), "given up");
+        assertTrue(node.rejected.isEmpty(), "rejected");
     }
 
     @Test
@@ -188,7 +188,7 @@
             }
         }
         assertTrue(node.sentTo("s0") - before <= 3, "sent to it: " + (node.sentTo("s0") - before));
-        assertTrue(node.rejected.isEmpty(), "given up: " + node.rejected.size());
+        assertTrue(node.rejected.isEmpty(), "rejected: " + node.rejected.size());
     }
 
     @Test
@@ -325,8 +325,8 @@
     void doesNotBlameServersForTheNodesOwnDelay() {
         Node delayedNode = afterTimeouts(150_000);
         assertTrue(delayedNode.logged.isEmpty(), delayedNode.logged.toString());
-        assertEquals(60, delayedNode.sent.size(), "held back");
-        // The same timeouts without loop delay come from silent servers, which are ejected and hold back the rest.
+        assertEquals(60, delayedNode.sent.size(), "requests not sent");
+        // The same timeouts without loop delay come from silent servers, which are ejected, and the node throttles.
         Node silentServers = afterTimeouts(0);
         assertTrue(
                 silentServers.logged.stream().anyMatch(l -> l.startsWith("ejected")), silentServers.logged.toString());
@@ -367,6 +367,6 @@
         }
         // With a usual latency of 50 ms or more it would be rejected.
         node.balancer.onRequest(node.now, new Balancer.Request(500, Node.SAFE, 0, 900_000, 0, false, 120_000));
-        assertTrue(node.rejected.isEmpty(), "refused");
+        assertTrue(node.rejected.isEmpty(), "rejected");
     }
 }
--- a/src/test/java/vetchpost/decision/LargeFleetTest.java
+++ b/src/test/java/vetchpost/decision/LargeFleetTest.java
@@ -48,7 +48,7 @@
             String first = last(node).server();
             node.complete(id, Result.RESET, 1_000);
             String second = last(node).server();
-            assertEquals(id, last(node).request(), "no repeat was sent");
+            assertEquals(id, last(node).request(), "no retry was sent");
             assertEquals(Integer.parseInt(first.substring(1)) / 3, Integer.parseInt(second.substring(1)) / 3);
             assertFalse(first.equals(second));
             node.complete(id, Result.OK, 1_000);
--- a/src/test/java/vetchpost/decision/RandomEventsTest.java
+++ b/src/test/java/vetchpost/decision/RandomEventsTest.java
@@ -159,7 +159,7 @@
 
         private void recordFinalAnswer(long id, boolean isRejection) {
             trace.append(now)
-                    .append(isRejection ? " refuse " : " fail ")
+                    .append(isRejection ? " reject " : " fail ")
                     .append(id)
                     .append('\n');
             TrackedRequest request = requests.get(id);
--- a/src/test/java/vetchpost/decision/RestoredStatisticsTest.java
+++ b/src/test/java/vetchpost/decision/RestoredStatisticsTest.java
@@ -56,7 +56,7 @@
                 node.complete(id, node.lastAttempt(id).server().equals("s0") ? Result.ERROR : Result.OK, 2_000);
             }
         }
-        ServerStatistics statistics = node.balancer.statistics(List.of("s0", "s1", "nobody"));
+        ServerStatistics statistics = node.balancer.statistics(List.of("s0", "s1", "unknown"));
         assertEquals(2, statistics.servers().size());
         assertEquals(2, statistics.readyCount());
         assertEquals(1, statistics.ejectedCount());
--- a/src/test/java/vetchpost/decision/RulesTest.java
+++ b/src/test/java/vetchpost/decision/RulesTest.java
@@ -26,34 +26,34 @@
     /** Whether a retry follows a first attempt with this result, and otherwise which final answer. */
     @ParameterizedTest
     @CsvSource({
-        "0, ERROR, again",
-        "0, FULL, again",
-        "0, TIMEOUT, again",
-        "0, CONNECT_FAILED, again",
-        "0, RESET, again",
-        "1, ERROR, again",
-        "1, FULL, again",
-        "1, TIMEOUT, again",
-        "1, CONNECT_FAILED, again",
-        "1, RESET, again",
-        "3, ERROR, again",
-        "3, FULL, again",
-        "3, TIMEOUT, again",
-        "3, CONNECT_FAILED, again",
-        "3, RESET, again",
+        "0, ERROR, retried",
+        "0, FULL, retried",
+        "0, TIMEOUT, retried",
+        "0, CONNECT_FAILED, retried",
+        "0, RESET, retried",
+        "1, ERROR, retried",
+        "1, FULL, retried",
+        "1, TIMEOUT, retried",
+        "1, CONNECT_FAILED, retried",
+        "1, RESET, retried",
+        "3, ERROR, retried",
+        "3, FULL, retried",
+        "3, TIMEOUT, retried",
+        "3, CONNECT_FAILED, retried",
+        "3, RESET, retried",
         "4, ERROR, failed",
-        "4, FULL, again",
+        "4, FULL, retried",
         "4, TIMEOUT, failed",
-        "4, CONNECT_FAILED, again",
+        "4, CONNECT_FAILED, retried",
         "4, RESET, failed",
         "4, CANCELLED, failed",
-        "4, MOOT, again"
+        "4, MOOT, retried"
     })
     void retriesByTheIdempotencyOfTheClass(int classIndex, Result result, String expected) {
         Node node = new Node().withServers(4);
         long id = node.sendRequest(classIndex);
         node.complete(id, result, 1_000);
-        assertEquals(expected.equals("again") ? 2 : 1, node.attemptCount(id));
+        assertEquals(expected.equals("retried") ? 2 : 1, node.attemptCount(id));
         assertEquals(expected.equals("failed") ? List.of(id) : List.of(), node.failed);
         assertEquals(List.of(), node.rejected);
     }
--- a/src/test/java/vetchpost/decision/SelectionAndQueueTest.java
+++ b/src/test/java/vetchpost/decision/SelectionAndQueueTest.java
@@ -343,7 +343,7 @@
         assertTrue(sentWhileLate <= 45, "sent while all answers are late: " + sentWhileLate);
         completeAll(node, 150, 20_000);
         int sentAfterRecovery = completeAll(node, 100, 20_000);
-        assertTrue(sentAfterRecovery >= 50, "sent once answers are quick again: " + sentAfterRecovery);
+        assertTrue(sentAfterRecovery >= 50, "sent after answers are fast: " + sentAfterRecovery);
     }
 
     /** Sends requests and completes all attempts with this latency; returns how many attempts were sent. */
