--- a/src/main/java/vetchpost/simulation/overload/OverloadRun.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadRun.java
@@ -154,7 +154,7 @@
                 () -> {},
                 1_000_000,
                 actions -> new ServiceQBalancer(settings, plan.seed, actions));
-        node.onKnownList(boxes.list());
+        node.onCachedList(boxes.list());
         AdmissionSettings defaults = AdmissionValidator.defaults(settings);
         door = plan.policy != Policy.DOOR
                 ? null
--- a/src/main/java/vetchpost/standalone/StandaloneValidator.java
+++ b/src/main/java/vetchpost/standalone/StandaloneValidator.java
@@ -112,7 +112,7 @@
     /** The same of one table. */
     public static boolean isStandaloneSection(Section section) {
         return switch (section.kind()) {
-            case NODE, REQUESTS, TENANT, POOL, SOURCE, CHECKS -> true;
+            case NODE, REQUEST_CLASS, TENANT, POOL, SOURCE, CHECKS -> true;
             default -> false;
         };
     }
@@ -128,7 +128,7 @@
             for (Section section : file) {
                 if (isStandaloneSection(section)) {
                     violations.add(new Violation(
-                            section.at(),
+                            section.position(),
                             section.name(),
                             Rule.INCOMPLETE,
                             "there is no table [node], without which this says nothing",
@@ -159,7 +159,7 @@
         settings.allowsCancellation = true;
         settings.allowsProbes = false;
         for (Section section : file) {
-            if (section.kind() == Kind.REQUESTS) {
+            if (section.kind() == Kind.REQUEST_CLASS) {
                 requests(section);
             }
         }
@@ -174,7 +174,7 @@
         }
         Section pool = first(file, Kind.POOL);
         SectionReader servers = new SectionReader(
-                pool == null ? new Section(Kind.POOL, "pool", node.at(), Map.of()) : pool, "pool", violations);
+                pool == null ? new Section(Kind.POOL, "pool", node.position(), Map.of()) : pool, "pool", violations);
         servers.rejectUnknownKeys(POOL);
         WebLimits limits = limits(own, servers.text("expect-header", ""));
         long idleUs = pool(servers);
@@ -365,12 +365,12 @@
     /** Whether each class can be reached, and each request has one. */
     private void reached(List<Section> file, SectionReader own) {
         List<Section> classes =
-                file.stream().filter(s -> s.kind() == Kind.REQUESTS).toList();
+                file.stream().filter(s -> s.kind() == Kind.REQUEST_CLASS).toList();
         for (int i = 0; i < classes.size(); i++) {
             for (int j = 0; j < i; j++) {
                 if (rules.get(j).covers(rules.get(i))) {
                     violations.add(new Violation(
-                            classes.get(i).at(),
+                            classes.get(i).position(),
                             classes.get(i).name(),
                             Rule.UNREACHABLE,
                             "all its requests are of class " + classes.get(j).name() + ", which comes first",
