--- a/src/main/java/vetchpost/decision/Balancer.java
+++ b/src/main/java/vetchpost/decision/Balancer.java
@@ -444,7 +444,7 @@
         /** Fields of the load reports, in order; empty if there are none. */
         public List<ReportField> reportFields = new ArrayList<>();
 
-        /** Throws IllegalArgumentException, naming the field, if a setting is missing or out of range. */
+        /** Throws IllegalArgumentException, naming the configuration key, if a setting is missing or out of range. */
         void validate() {
             require(!classes.isEmpty(), "classes is empty");
             require(nodes >= 1, "nodes must be at least 1");
@@ -453,16 +453,16 @@
             require(myZone >= 0 && myZone < Math.max(1, zones.size()), "myZone must be an index into zones");
             requireTime(tickUs, "tickUs");
             requireTime(coldUs, "coldUs");
-            requireTime(coldOverloadWindowUs, "coldOverloadWindowUs");
+            requireTime(coldOverloadWindowUs, "fallUs");
             requireTime(drainGraceUs, "drainGraceUs");
             requireTime(connectTimeoutUs, "connectTimeoutUs");
-            requireTime(maxListIntervalUs, "maxListIntervalUs");
+            requireTime(maxListIntervalUs, "askWithinUs");
             requireTime(maxRetryAfterUs, "maxRetryAfterUs");
-            require(overShareValueFraction >= 0, "overShareValueFraction must not be negative");
+            require(overShareValueFraction >= 0, "overShareWorth must not be negative");
             require(crossZonePrice >= 0, "crossZonePrice must not be negative");
             require(probePrice >= 0, "probePrice must not be negative");
-            require(coldStartFraction > 0 && coldStartFraction <= 1, "coldStartFraction must be above 0 and at most 1");
-            require(coldOverloadMultiple > 0, "coldOverloadMultiple must be above 0");
+            require(coldStartFraction > 0 && coldStartFraction <= 1, "coldFrom must be above 0 and at most 1");
+            require(coldOverloadMultiple > 0, "overloadFactor must be above 0");
             for (RequestClass c : classes) {
                 require(
                         c.latencyTargetUs() >= 0
