--- a/src/main/java/vetchpost/simulation/fleet/FleetRun.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetRun.java
@@ -191,7 +191,7 @@
     }
 
     private static String id(int box) {
-        return ReportedServer.text(address(box));
+        return ReportedServer.formatAddress(address(box));
     }
 
     private static InetSocketAddress address(int box) {
