--- a/src/main/java/vetchpost/control/AuditEntryJson.java
+++ b/src/main/java/vetchpost/control/AuditEntryJson.java
@@ -7,11 +7,14 @@
 import vetchpost.control.AuditLog.Entry;
 import vetchpost.control.AuditLog.Event;
 
-/** A trail's entries as JSON, the text behind each line's hash. */
+/**
+ * Converts audit log entries to and from JSON, the text that each line's hash covers. Called by {@link ControlApi} when
+ * it records a change and by the audit file when a node starts. Stateless.
+ */
 public final class AuditEntryJson {
     private AuditEntryJson() {}
 
-    /** An entry's text, without a line's end. */
+    /** Formats an entry as one line of JSON, without a line break. */
     public static String format(Entry entry) {
         JsonObject json = new JsonObject();
         json.addProperty("event", entry.event().name().toLowerCase(Locale.ROOT));
@@ -25,7 +28,7 @@
         return json.toString();
     }
 
-    /** A change with all of its fields. */
+    /** Formats a requested change with all of its fields. */
     static JsonObject changeJson(OverrideRequest change) {
         JsonObject json = new JsonObject();
         json.addProperty("kind", change.kind().commandName());
@@ -40,23 +43,27 @@
         return json;
     }
 
-    /** Reads an entry; throws IllegalArgumentException if the text is none. */
+    /**
+     * Parses an entry.
+     *
+     * @throws IllegalArgumentException if the text is not an audit entry
+     */
     public static Entry parse(String text) {
         try {
             JsonObject json = JsonParser.parseString(text).getAsJsonObject();
             OverrideRequest change = null;
             if (json.has("change")) {
-                JsonObject of = json.getAsJsonObject("change");
+                JsonObject changeJson = json.getAsJsonObject("change");
                 change = new OverrideRequest(
-                        OverrideKind.valueOf(textField(of, "kind").toUpperCase(Locale.ROOT)),
-                        textField(of, "subject"),
-                        of.get("per-mille").getAsInt(),
-                        of.get("for-ms").getAsLong(),
-                        textField(of, "owner"),
-                        textField(of, "reason"),
-                        of.get("priority").getAsInt(),
-                        textField(of, "key"),
-                        of.get("anyway").getAsBoolean());
+                        OverrideKind.valueOf(textField(changeJson, "kind").toUpperCase(Locale.ROOT)),
+                        textField(changeJson, "subject"),
+                        changeJson.get("per-mille").getAsInt(),
+                        changeJson.get("for-ms").getAsLong(),
+                        textField(changeJson, "owner"),
+                        textField(changeJson, "reason"),
+                        changeJson.get("priority").getAsInt(),
+                        textField(changeJson, "key"),
+                        changeJson.get("anyway").getAsBoolean());
             }
             return new Entry(
                     Event.valueOf(textField(json, "event").toUpperCase(Locale.ROOT)),
@@ -66,7 +73,7 @@
                     textField(json, "by"),
                     textField(json, "note"));
         } catch (JsonParseException | IllegalStateException | NullPointerException | UnsupportedOperationException e) {
-            throw new IllegalArgumentException("no entry: " + e.getMessage(), e);
+            throw new IllegalArgumentException("not an audit entry: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/vetchpost/control/ControlApi.java
+++ b/src/main/java/vetchpost/control/ControlApi.java
@@ -23,9 +23,10 @@
 import vetchpost.recorder.FlightRecorder;
 
 /**
- * What operators' messages come to. One JSON object a message, and one a reply, by {@code docs/control.md}.
- * Reading changes nothing. Changes are taken one after the other: each is judged, recorded, and only then has
- * an effect; where it can't be recorded it has none. All calls are on one loop.
+ * Answers operators' control messages: one JSON object per message and per reply, as {@code docs/control.md} describes.
+ * Reads change nothing. Changes run one at a time: each is checked, written to the audit log, and only then applied; a
+ * change that can't be recorded has no effect. Called by the control socket and the node, always on the node's event
+ * loop.
  */
 public final class ControlApi {
     private static final int PROTOCOL_VERSION = 1;
@@ -67,116 +68,136 @@
     private Consumer<Consumer<String>> reloader;
     private Supplier<String> statusNote = () -> null;
 
-    /** Where entries are kept. */
+    /** Stores audit entries durably. */
     public interface AuditSink {
-        /** Keeps an entry for good, and then says null, or why it can't; later, on the loop. */
+        /**
+         * Appends an entry durably.
+         *
+         * @param text the entry, without a line break
+         * @param done receives null once the entry is durable, or why it can't be stored; called later, on the event
+         *     loop
+         */
         void append(String text, Consumer<String> done);
     }
 
-    /** The time of a call. */
+    /**
+     * The time of a call.
+     *
+     * @param us monotonic time in microseconds
+     * @param unixMs Unix time in milliseconds
+     */
     public record Now(long us, long unixMs) {}
 
     /**
-     * A desk.
+     * Creates a control API.
      *
-     * @param counts figures that status tells, by their names
-     * @param changed called when what holds has changed
+     * @param fleetState gives the servers and classes known now
+     * @param counts figures for the status reply, by name
+     * @param auditLog stores every change before it is applied
+     * @param onChange called after the set of active leases has changed
      */
     public ControlApi(
             Leases leases,
-            Supplier<FleetState> situation,
+            Supplier<FleetState> fleetState,
             Supplier<Map<String, Long>> counts,
-            AuditSink trail,
-            Runnable changed) {
+            AuditSink auditLog,
+            Runnable onChange) {
         this.leases = leases;
-        this.fleetState = situation;
+        this.fleetState = fleetState;
         this.counts = counts;
-        this.auditLog = trail;
-        this.onChange = changed;
+        this.auditLog = auditLog;
+        this.onChange = onChange;
     }
 
-    /** Has it explain by this; null for nothing, as at first. */
-    public void setExplanations(Explanations by) {
-        explanations = by;
+    /** Sets the source of explanations; null for none, as at first. */
+    public void setExplanations(Explanations source) {
+        explanations = source;
     }
 
     /**
-     * Has it read the operator's file again by this, which hears null, or why nothing was changed; later, on
-     * the loop.
+     * Sets what rereads the operator's file. It passes its callback null, or why nothing was changed; later, on the
+     * event loop.
      */
-    public void setReloader(Consumer<Consumer<String>> by) {
-        reloader = by;
+    public void setReloader(Consumer<Consumer<String>> fileReloader) {
+        reloader = fileReloader;
     }
 
-    /** Has its status say this besides; what is null says nothing. */
-    public void setStatusNote(Supplier<String> line) {
-        statusNote = line;
+    /** Sets an additional note for the status reply; a null note is left out. */
+    public void setStatusNote(Supplier<String> note) {
+        statusNote = note;
     }
 
-    private static Set<String> changeFields(String... own) {
-        Set<String> all = new HashSet<>(Set.of("for", "owner", "reason", "priority", "key", "anyway", "dry"));
-        all.addAll(List.of(own));
-        return Set.copyOf(all);
+    private static Set<String> changeFields(String... commandFields) {
+        Set<String> fields = new HashSet<>(Set.of("for", "owner", "reason", "priority", "key", "anyway", "dry"));
+        fields.addAll(List.of(commandFields));
+        return Set.copyOf(fields);
     }
 
-    /** What is wrong with a message. */
+    /** An operator's message is malformed; the exception's message says how. */
     private static final class InvalidRequest extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        InvalidRequest(String what) {
-            super(what);
+        InvalidRequest(String reason) {
+            super(reason);
         }
     }
 
-    /** Takes a message; the reply comes once, now or later, and is one line. */
+    /**
+     * Handles a message.
+     *
+     * @param message the text of one JSON object
+     * @param now gives the current time; asked again once a change has been recorded
+     * @param reply receives exactly one line, now or later
+     */
     public void handle(String message, Supplier<Now> now, Consumer<String> reply) {
-        JsonObject asked = null;
+        JsonObject request = null;
         try {
-            JsonElement read = gson.fromJson(message, JsonElement.class);
-            if (read == null || !read.isJsonObject()) {
+            JsonElement element = gson.fromJson(message, JsonElement.class);
+            if (element == null || !element.isJsonObject()) {
                 throw new InvalidRequest("a message is one JSON object");
             }
-            asked = read.getAsJsonObject();
-            handle(asked, now, reply);
+            request = element.getAsJsonObject();
+            handle(request, now, reply);
         } catch (JsonParseException e) {
-            reply.accept(errorReply(asked, "bad", List.of("a message is one JSON object: " + e.getMessage())));
+            reply.accept(errorReply(request, "bad", List.of("a message is one JSON object: " + e.getMessage())));
         } catch (InvalidRequest | IllegalArgumentException e) {
-            reply.accept(errorReply(asked, "bad", List.of(e.getMessage())));
+            reply.accept(errorReply(request, "bad", List.of(e.getMessage())));
         }
     }
 
-    private void handle(JsonObject asked, Supplier<Now> now, Consumer<String> reply) {
-        if (integerField(asked, "v", PROTOCOL_VERSION, PROTOCOL_VERSION, PROTOCOL_VERSION) != PROTOCOL_VERSION) {
+    private void handle(JsonObject request, Supplier<Now> now, Consumer<String> reply) {
+        if (integerField(request, "v", PROTOCOL_VERSION, PROTOCOL_VERSION, PROTOCOL_VERSION) != PROTOCOL_VERSION) {
             throw new InvalidRequest("v is " + PROTOCOL_VERSION);
         }
-        String verb = textField(asked, "do", null);
-        Set<String> fields = FIELDS_BY_COMMAND.get(verb);
+        String command = textField(request, "do", null);
+        Set<String> fields = FIELDS_BY_COMMAND.get(command);
         if (fields == null) {
             throw new InvalidRequest("do is one of "
-                    + String.join(", ", FIELDS_BY_COMMAND.keySet().stream().sorted().toList()));
+                    + String.join(
+                            ", ", FIELDS_BY_COMMAND.keySet().stream().sorted().toList()));
         }
-        for (String key : asked.keySet()) {
+        for (String key : request.keySet()) {
             if (!COMMON_FIELDS.contains(key) && !fields.contains(key)) {
-                throw new InvalidRequest("'" + key + "' is no field of " + verb);
+                throw new InvalidRequest("'" + key + "' is no field of " + command);
             }
         }
-        switch (verb) {
-            case "status" -> reply.accept(statusReply(asked));
-            case "servers" -> reply.accept(serversReply(asked));
-            case "overrides" -> reply.accept(overridesReply(asked, now.get()));
-            case "explain" -> reply.accept(explainReply(asked, now.get()));
-            case "reload" -> reload(asked, reply);
+        switch (command) {
+            case "status" -> reply.accept(statusReply(request));
+            case "servers" -> reply.accept(serversReply(request));
+            case "overrides" -> reply.accept(overridesReply(request, now.get()));
+            case "explain" -> reply.accept(explainReply(request, now.get()));
+            case "reload" -> reload(request, reply);
             case "undo" -> {
-                long number = integerField(asked, "number", -1, 1, Long.MAX_VALUE);
-                String owner = textField(asked, "owner", null);
-                enqueueChange(() -> undo(asked, number, owner, now, reply), asked, reply);
+                long number = integerField(request, "number", -1, 1, Long.MAX_VALUE);
+                String owner = textField(request, "owner", null);
+                enqueueChange(() -> undo(request, number, owner, now, reply), request, reply);
             }
             default -> {
-                OverrideRequest change = parseChange(verb, asked);
-                if (booleanField(asked, "dry")) {
-                    reply.accept(dryRunReply(asked, change, now.get()));
+                OverrideRequest change = parseChange(command, request);
+                if (booleanField(request, "dry")) {
+                    reply.accept(dryRunReply(request, change, now.get()));
                 } else {
-                    enqueueChange(() -> grant(asked, change, now, reply), asked, reply);
+                    enqueueChange(() -> grant(request, change, now, reply), request, reply);
                 }
             }
         }
@@ -184,9 +205,9 @@
 
     // ---------------------------------------------------------------- changes
 
-    private void enqueueChange(Runnable change, JsonObject asked, Consumer<String> reply) {
+    private void enqueueChange(Runnable change, JsonObject request, Consumer<String> reply) {
         if (waitingChanges.size() >= MAX_WAITING_CHANGES) {
-            reply.accept(errorReply(asked, "busy", List.of(MAX_WAITING_CHANGES + " changes wait already")));
+            reply.accept(errorReply(request, "busy", List.of(MAX_WAITING_CHANGES + " changes wait already")));
             return;
         }
         waitingChanges.add(change);
@@ -205,25 +226,25 @@
         runNextChange();
     }
 
-    private void grant(JsonObject asked, OverrideRequest change, Supplier<Now> now, Consumer<String> reply) {
-        Now at = now.get();
-        expire(at); // Judging would let them end without a word.
-        Decision verdict = leases.check(change, fleetState.get(), at.us(), at.unixMs());
-        if (verdict.repeated() || verdict.lease() == null) {
+    private void grant(JsonObject request, OverrideRequest change, Supplier<Now> now, Consumer<String> reply) {
+        Now receivedAt = now.get();
+        expire(receivedAt); // The check expires leases without recording it, so this must come first.
+        Decision decision = leases.check(change, fleetState.get(), receivedAt.us(), receivedAt.unixMs());
+        if (decision.repeated() || decision.lease() == null) {
             reply.accept(
-                    verdict.lease() == null
-                            ? errorReply(asked, "refused", verdict.objections())
-                            : grantedReply(asked, verdict, at));
-            if (!verdict.repeated()) {
+                    decision.lease() == null
+                            ? errorReply(request, "refused", decision.objections())
+                            : grantedReply(request, decision, receivedAt));
+            if (!decision.repeated()) {
                 appendToAuditLog(
                         new Entry(
                                 Event.REFUSED,
                                 0,
-                                at.unixMs(),
+                                receivedAt.unixMs(),
                                 change,
                                 change.owner(),
-                                String.join("; ", verdict.objections())),
-                        why -> {});
+                                String.join("; ", decision.objections())),
+                        failure -> {});
             }
             finishChange();
             return;
@@ -231,19 +252,19 @@
         appendToAuditLog(
                 new Entry(
                         Event.GRANTED,
-                        verdict.lease().number(),
-                        at.unixMs(),
+                        decision.lease().number(),
+                        receivedAt.unixMs(),
                         change,
                         change.owner(),
-                        String.join("; ", verdict.objections())),
-                why -> {
+                        String.join("; ", decision.objections())),
+                failure -> {
                     try {
-                        if (why != null) {
-                            reply.accept(unrecordedReply(asked, why));
+                        if (failure != null) {
+                            reply.accept(unrecordedReply(request, failure));
                         } else {
-                            leases.grant(verdict.lease());
+                            leases.grant(decision.lease());
                             onChange.run();
-                            reply.accept(grantedReply(asked, verdict, now.get()));
+                            reply.accept(grantedReply(request, decision, now.get()));
                         }
                     } finally {
                         finishChange();
@@ -251,20 +272,20 @@
                 });
     }
 
-    private void undo(JsonObject asked, long number, String owner, Supplier<Now> now, Consumer<String> reply) {
+    private void undo(JsonObject request, long number, String owner, Supplier<Now> now, Consumer<String> reply) {
         if (!leases.contains(number)) {
-            reply.accept(errorReply(asked, "refused", List.of("no override " + number + " holds")));
+            reply.accept(errorReply(request, "refused", List.of("no override " + number + " holds")));
             finishChange();
             return;
         }
-        appendToAuditLog(new Entry(Event.UNDONE, number, now.get().unixMs(), null, owner, ""), why -> {
+        appendToAuditLog(new Entry(Event.UNDONE, number, now.get().unixMs(), null, owner, ""), failure -> {
             try {
-                if (why != null) {
-                    reply.accept(unrecordedReply(asked, why));
+                if (failure != null) {
+                    reply.accept(unrecordedReply(request, failure));
                 } else {
                     leases.undo(number);
                     onChange.run();
-                    reply.accept(successReply(asked).toString());
+                    reply.accept(successReply(request).toString());
                 }
             } finally {
                 finishChange();
@@ -276,95 +297,96 @@
         auditLog.append(AuditEntryJson.format(entry), done);
     }
 
-    /** Ends what is due; that is recorded if it can be, and ends in any case. */
+    /** Ends the leases that are due. Their end is recorded if possible, and takes place in any case. */
     public void expire(Now now) {
-        List<Lease> ended = leases.expire(now.us());
-        for (Lease lease : ended) {
-            appendToAuditLog(new Entry(Event.ENDED, lease.number(), now.unixMs(), null, "", ""), why -> {});
+        List<Lease> expired = leases.expire(now.us());
+        for (Lease lease : expired) {
+            appendToAuditLog(new Entry(Event.ENDED, lease.number(), now.unixMs(), null, "", ""), failure -> {});
         }
-        if (!ended.isEmpty()) {
+        if (!expired.isEmpty()) {
             onChange.run();
         }
     }
 
     // ---------------------------------------------------------------- replies
 
-    private static JsonObject successReply(JsonObject asked) {
+    private static JsonObject successReply(JsonObject request) {
         JsonObject json = new JsonObject();
         json.addProperty("v", PROTOCOL_VERSION);
-        if (asked != null && asked.get("id") instanceof JsonPrimitive id) {
+        if (request != null && request.get("id") instanceof JsonPrimitive id) {
             json.add("id", id);
         }
         json.addProperty("ok", true);
         return json;
     }
 
-    private static String errorReply(JsonObject asked, String error, List<String> why) {
-        JsonObject json = successReply(asked);
+    private static String errorReply(JsonObject request, String error, List<String> reasons) {
+        JsonObject json = successReply(request);
         json.addProperty("ok", false);
         json.addProperty("error", error);
-        json.add("why", toJsonArray(why));
+        json.add("why", toJsonArray(reasons));
         return json.toString();
     }
 
-    private static String unrecordedReply(JsonObject asked, String why) {
+    private static String unrecordedReply(JsonObject request, String failure) {
         return errorReply(
-                asked,
+                request,
                 "unrecorded",
-                List.of("nothing was changed, since the record of changes can't" + " be kept: " + why));
+                List.of("nothing was changed, since the record of changes can't be kept: " + failure));
     }
 
-    private static JsonArray toJsonArray(List<String> all) {
+    private static JsonArray toJsonArray(List<String> texts) {
         JsonArray array = new JsonArray();
-        all.forEach(array::add);
+        texts.forEach(array::add);
         return array;
     }
 
-    private String grantedReply(JsonObject asked, Decision verdict, Now now) {
-        JsonObject json = successReply(asked);
-        json.add("override", leaseJson(verdict.lease(), now));
-        json.add("against", toJsonArray(verdict.objections()));
-        json.addProperty("repeated", verdict.repeated());
+    private String grantedReply(JsonObject request, Decision decision, Now now) {
+        JsonObject json = successReply(request);
+        json.add("override", leaseJson(decision.lease(), now));
+        json.add("against", toJsonArray(decision.objections()));
+        json.addProperty("repeated", decision.repeated());
         return json.toString();
     }
 
-    /** Before and after, by the servers that take requests. */
-    private String dryRunReply(JsonObject asked, OverrideRequest change, Now now) {
+    /** Compares the servers that accept requests before and after the change, without applying it. */
+    private String dryRunReply(JsonObject request, OverrideRequest change, Now now) {
         expire(now);
-        FleetState there = fleetState.get();
-        Decision verdict = leases.check(change, there, now.us(), now.unixMs());
-        List<Lease> with = new ArrayList<>(leases.activeLeases());
-        with.add(new Lease(0, change, 0, 0));
-        JsonObject json = successReply(asked);
-        json.addProperty("would", verdict.lease() != null);
-        json.add("against", toJsonArray(verdict.objections()));
-        json.add("before", describeCapacity(there, leases.effects()));
-        json.add("after", describeCapacity(there, new OverrideEffects(with)));
+        FleetState currentState = fleetState.get();
+        Decision decision = leases.check(change, currentState, now.us(), now.unixMs());
+        List<Lease> leasesWithChange = new ArrayList<>(leases.activeLeases());
+        leasesWithChange.add(new Lease(0, change, 0, 0));
+        JsonObject json = successReply(request);
+        json.addProperty("would", decision.lease() != null);
+        json.add("against", toJsonArray(decision.objections()));
+        json.add("before", describeCapacity(currentState, leases.effects()));
+        json.add("after", describeCapacity(currentState, new OverrideEffects(leasesWithChange)));
         return json.toString();
     }
 
-    private static JsonObject describeCapacity(FleetState there, OverrideEffects effects) {
+    private static JsonObject describeCapacity(FleetState fleetState, OverrideEffects effects) {
         JsonObject json = new JsonObject();
-        List<FleetState.Server> taking = there.servers().stream()
-                .filter(s -> !s.draining() && !effects.isDraining(s.id()))
+        List<FleetState.Server> accepting = fleetState.servers().stream()
+                .filter(server -> !server.draining() && !effects.isDraining(server.id()))
                 .toList();
-        json.addProperty("servers", taking.size());
+        json.addProperty("servers", accepting.size());
         json.addProperty(
                 "weight",
-                taking.stream()
-                        .mapToDouble(s -> effects.weight(s.id(), s.weight()))
+                accepting.stream()
+                        .mapToDouble(server -> effects.weight(server.id(), server.weight()))
                         .sum());
         return json;
     }
 
-    private String statusReply(JsonObject asked) {
-        JsonObject json = successReply(asked);
-        FleetState there = fleetState.get();
-        json.addProperty("servers", there.servers().size());
+    private String statusReply(JsonObject request) {
+        JsonObject json = successReply(request);
+        FleetState currentState = fleetState.get();
+        json.addProperty("servers", currentState.servers().size());
         json.addProperty(
                 "taking",
-                there.servers().stream()
-                        .filter(s -> !s.draining() && !leases.effects().isDraining(s.id()))
+                currentState.servers().stream()
+                        .filter(server ->
+                                !server.draining() && !leases.effects().isDraining(server.id()))
                         .count());
         json.addProperty("overrides", leases.activeLeases().size());
         json.addProperty("frozen", leases.effects().isFrozen());
@@ -375,70 +397,75 @@
         return json.toString();
     }
 
-    private void reload(JsonObject asked, Consumer<String> reply) {
+    private void reload(JsonObject request, Consumer<String> reply) {
         if (reloader == null) {
-            reply.accept(errorReply(asked, "refused", List.of("there is no file that could be read again")));
+            reply.accept(errorReply(request, "refused", List.of("there is no file that could be read again")));
             return;
         }
-        reloader.accept(why -> reply.accept(
-                why == null
-                        ? successReply(asked).toString()
-                        : errorReply(asked, "refused", why.lines().toList())));
+        reloader.accept(failure -> reply.accept(
+                failure == null
+                        ? successReply(request).toString()
+                        : errorReply(request, "refused", failure.lines().toList())));
     }
 
-    private String explainReply(JsonObject asked, Now now) {
+    private String explainReply(JsonObject request, Now now) {
         if (explanations == null) {
-            return errorReply(asked, "refused", List.of("nothing is recorded: keep = 0 in [control]"));
+            return errorReply(request, "refused", List.of("nothing is recorded: keep = 0 in [control]"));
         }
-        JsonObject json = successReply(asked);
-        if (asked.has("txn")) {
-            String txn = textField(asked, "txn", null);
+        JsonObject json = successReply(request);
+        if (request.has("txn")) {
+            String txn = textField(request, "txn", null);
             if (!txn.matches("[0-9a-fA-F]{1,16}")) {
                 throw new InvalidRequest("txn is up to 16 hexadecimal digits");
             }
-            JsonObject flight = explanations.findRequest(Long.parseUnsignedLong(txn, 16), now);
-            if (flight == null) {
+            JsonObject trace = explanations.findRequest(Long.parseUnsignedLong(txn, 16), now);
+            if (trace == null) {
                 return errorReply(
-                        asked,
+                        request,
                         "refused",
                         List.of("request " + txn + " is not kept: of those that were"
                                 + " served in time at once, one in " + FlightRecorder.SAMPLING_INTERVAL + " is"));
             }
-            json.add("flight", flight);
-        } else if (asked.has("server")) {
-            json.add("reasons", explanations.serverReasons(textField(asked, "server", null)));
-        } else if (asked.has("refused")) {
-            json.add("counts", explanations.rejectionCounts(integerField(asked, "refused", -1, 1, MAX_REJECTION_SPAN_MS), now));
+            json.add("flight", trace);
+        } else if (request.has("server")) {
+            json.add("reasons", explanations.serverReasons(textField(request, "server", null)));
+        } else if (request.has("refused")) {
+            json.add(
+                    "counts",
+                    explanations.rejectionCounts(integerField(request, "refused", -1, 1, MAX_REJECTION_SPAN_MS), now));
         } else {
-            json.add("flights", explanations.lastRequests((int) integerField(asked, "last", 20, 1, Explanations.MAX_LISTED_REQUESTS), now));
+            json.add(
+                    "flights",
+                    explanations.lastRequests(
+                            (int) integerField(request, "last", 20, 1, Explanations.MAX_LISTED_REQUESTS), now));
         }
         return json.toString();
     }
 
-    private String serversReply(JsonObject asked) {
-        JsonObject json = successReply(asked);
-        JsonArray all = new JsonArray();
+    private String serversReply(JsonObject request) {
+        JsonObject json = successReply(request);
+        JsonArray servers = new JsonArray();
         for (FleetState.Server server : fleetState.get().servers()) {
-            JsonObject one = new JsonObject();
-            one.addProperty("id", server.id());
-            one.addProperty("zone", server.zone());
-            one.addProperty("weight", leases.effects().weight(server.id(), server.weight()));
-            one.addProperty(
+            JsonObject serverJson = new JsonObject();
+            serverJson.addProperty("id", server.id());
+            serverJson.addProperty("zone", server.zone());
+            serverJson.addProperty("weight", leases.effects().weight(server.id(), server.weight()));
+            serverJson.addProperty(
                     "state",
                     leases.effects().isDraining(server.id())
                             ? "drained by override"
                             : server.draining() ? "draining" : "taking");
-            all.add(one);
+            servers.add(serverJson);
         }
-        json.add("list", all);
+        json.add("list", servers);
         return json.toString();
     }
 
-    private String overridesReply(JsonObject asked, Now now) {
-        JsonObject json = successReply(asked);
-        JsonArray all = new JsonArray();
-        leases.activeLeases().forEach(lease -> all.add(leaseJson(lease, now)));
-        json.add("list", all);
+    private String overridesReply(JsonObject request, Now now) {
+        JsonObject json = successReply(request);
+        JsonArray overrides = new JsonArray();
+        leases.activeLeases().forEach(lease -> overrides.add(leaseJson(lease, now)));
+        json.add("list", overrides);
         return json.toString();
     }
 
@@ -452,72 +479,72 @@
 
     // ---------------------------------------------------------------- reading
 
-    private static OverrideRequest parseChange(String verb, JsonObject asked) {
-        OverrideKind kind = OverrideKind.valueOf(verb.toUpperCase(java.util.Locale.ROOT));
+    private static OverrideRequest parseChange(String command, JsonObject request) {
+        OverrideKind kind = OverrideKind.valueOf(command.toUpperCase(java.util.Locale.ROOT));
         String subject = switch (kind) {
-            case DRAIN, WEIGHT -> textField(asked, "server", null);
-            case SHED -> textField(asked, "class", null);
+            case DRAIN, WEIGHT -> textField(request, "server", null);
+            case SHED -> textField(request, "class", null);
             case FREEZE -> "";
         };
         int perMille = 0;
         if (kind == OverrideKind.WEIGHT || kind == OverrideKind.SHED) {
-            double share = numberField(asked, "share");
-            perMille = (int) Math.round(Math.max(-1, Math.min(2, share)) * PER_MILLE);
+            double fraction = numberField(request, "share");
+            perMille = (int) Math.round(Math.max(-1, Math.min(2, fraction)) * PER_MILLE);
         }
         return new OverrideRequest(
                 kind,
                 subject,
                 perMille,
-                integerField(asked, "for", -1, 0, Long.MAX_VALUE),
-                textField(asked, "owner", null),
-                textField(asked, "reason", null),
-                (int) integerField(asked, "priority", 0, 0, Integer.MAX_VALUE),
-                textField(asked, "key", null),
-                booleanField(asked, "anyway"));
+                integerField(request, "for", -1, 0, Long.MAX_VALUE),
+                textField(request, "owner", null),
+                textField(request, "reason", null),
+                (int) integerField(request, "priority", 0, 0, Integer.MAX_VALUE),
+                textField(request, "key", null),
+                booleanField(request, "anyway"));
     }
 
-    private static JsonPrimitive primitiveField(JsonObject asked, String key) {
-        JsonElement value = asked.get(key);
+    private static JsonPrimitive primitiveField(JsonObject request, String key) {
+        JsonElement value = request.get(key);
         if (value != null && !(value instanceof JsonPrimitive)) {
             throw new InvalidRequest(key + " is one value");
         }
         return (JsonPrimitive) value;
     }
 
-    private static String textField(JsonObject asked, String key, String otherwise) {
-        JsonPrimitive value = primitiveField(asked, key);
-        if (value == null ? otherwise == null : !value.isString()) {
+    private static String textField(JsonObject request, String key, String defaultValue) {
+        JsonPrimitive value = primitiveField(request, key);
+        if (value == null ? defaultValue == null : !value.isString()) {
             throw new InvalidRequest(key + " is a text, and must be said");
         }
-        return value == null ? otherwise : value.getAsString();
+        return value == null ? defaultValue : value.getAsString();
     }
 
-    private static double numberField(JsonObject asked, String key) {
-        JsonPrimitive value = primitiveField(asked, key);
+    private static double numberField(JsonObject request, String key) {
+        JsonPrimitive value = primitiveField(request, key);
         if (value == null || !value.isNumber()) {
             throw new InvalidRequest(key + " is a number, and must be said");
         }
         return value.getAsDouble();
     }
 
-    private static long integerField(JsonObject asked, String key, long otherwise, long least, long most) {
-        JsonPrimitive value = primitiveField(asked, key);
-        if (value == null && otherwise >= least) {
-            return otherwise;
+    private static long integerField(JsonObject request, String key, long defaultValue, long min, long max) {
+        JsonPrimitive value = primitiveField(request, key);
+        if (value == null && defaultValue >= min) {
+            return defaultValue;
         }
         if (value == null
                 || !value.isNumber()
                 || !value.getAsString().matches("-?\\d{1,18}")
-                || value.getAsLong() < least
-                || value.getAsLong() > most) {
-            throw new InvalidRequest(key + " is a whole number from " + least + (most < Integer.MAX_VALUE ? " to " + most : "")
-                    + ", and must be said");
+                || value.getAsLong() < min
+                || value.getAsLong() > max) {
+            throw new InvalidRequest(key + " is a whole number from " + min
+                    + (max < Integer.MAX_VALUE ? " to " + max : "") + ", and must be said");
         }
         return value.getAsLong();
     }
 
-    private static boolean booleanField(JsonObject asked, String key) {
-        JsonPrimitive value = primitiveField(asked, key);
+    private static boolean booleanField(JsonObject request, String key) {
+        JsonPrimitive value = primitiveField(request, key);
         if (value != null && !value.isBoolean()) {
             throw new InvalidRequest(key + " is true or false");
         }
--- a/src/main/java/vetchpost/control/ControlValidator.java
+++ b/src/main/java/vetchpost/control/ControlValidator.java
@@ -7,10 +7,13 @@
 import vetchpost.routes.Violation;
 import vetchpost.routes.Violation.Rule;
 
-/** Reads the table {@code [control]} of an operator's file. */
+/**
+ * Reads and validates the table {@code [control]} of an operator's file. Called when a file is checked or loaded;
+ * stateless, without I/O.
+ */
 public final class ControlValidator {
     private static final List<String> KEYS = List.of("socket", "audit", "least-left", "most-shed", "keep");
-    /** What the systems' addresses of Unix sockets hold. */
+    /** The length of a Unix socket's address on the supported systems. */
     private static final int MAX_PATH_LENGTH = 100;
 
     private static final double DEFAULT_MIN_REMAINING_FRACTION = 0.5;
@@ -21,13 +24,13 @@
     private ControlValidator() {}
 
     /**
-     * What the table comes to.
+     * The result of validating the table.
      *
-     * @param settings null if there is none, or any violation
+     * @param settings null if there is no such table, or any violation
      */
     public record Validation(ControlSettings settings, List<Violation> violations) {}
 
-    /** Looks at the table of a file that is its affair. */
+    /** Validates the table {@code [control]}, if the file has one. */
     public static Validation validate(List<Section> file) {
         List<Violation> violations = new ArrayList<>();
         ControlSettings settings = null;
@@ -52,11 +55,13 @@
     private static String readPath(SectionReader table, String key) {
         String path = table.text(key, null);
         if (!table.has(key)) {
-            table.addViolation(
-                    key, Rule.INCOMPLETE, "it does not say " + key, key + " = \"/run/vetchpost/" + key + "\"");
+            table.addViolation(key, Rule.INCOMPLETE, "missing key " + key, key + " = \"/run/vetchpost/" + key + "\"");
         } else if (path != null && (path.length() > MAX_PATH_LENGTH || path.indexOf('\0') >= 0)) {
             table.addViolation(
-                    key, Rule.OUT_OF_RANGE, key + " is a path of over " + MAX_PATH_LENGTH + " characters", "a shorter one");
+                    key,
+                    Rule.OUT_OF_RANGE,
+                    key + " must be a path of at most " + MAX_PATH_LENGTH + " characters",
+                    "a shorter one");
         }
         return path;
     }
--- a/src/main/java/vetchpost/control/Explanations.java
+++ b/src/main/java/vetchpost/control/Explanations.java
@@ -12,9 +12,12 @@
 import vetchpost.recorder.RejectionCounts;
 import vetchpost.recorder.RequestTrace;
 
-/** Why the node did what it did, as replies to operators. Reading changes nothing. */
+/**
+ * Builds the replies that explain to operators why the node handled a request or a server as it did. Called by {@link
+ * ControlApi} on the event loop; it only reads.
+ */
 public final class Explanations {
-    /** Flights that one reply holds at most. */
+    /** Requests listed in one reply at most. */
     static final int MAX_LISTED_REQUESTS = 100;
 
     private static final double US_PER_MS = 1_000;
@@ -25,53 +28,61 @@
     private final Supplier<OverrideEffects> effects;
 
     /**
-     * Of this record.
+     * Creates explanations from these sources.
      *
-     * @param standing why the module sends a server nothing or less, in words
+     * @param recorder holds the recorded requests
+     * @param serverStatus gives the balancer's reasons for sending a server nothing or less
+     * @param fleetState gives the servers and classes known now
+     * @param effects gives the effects of the active overrides
      */
     public Explanations(
             FlightRecorder recorder,
-            Function<String, List<String>> standing,
-            Supplier<FleetState> situation,
+            Function<String, List<String>> serverStatus,
+            Supplier<FleetState> fleetState,
             Supplier<OverrideEffects> effects) {
         this.recorder = recorder;
-        this.serverStatus = standing;
-        this.fleetState = situation;
+        this.serverStatus = serverStatus;
+        this.fleetState = fleetState;
         this.effects = effects;
     }
 
-    /** The request of this id, or null if it is not known. */
+    /** The recorded request of this id, or null if it is not known. */
     JsonObject findRequest(long id, ControlApi.Now now) {
-        RequestTrace flight = recorder.find(id);
-        return flight == null ? null : traceJson(flight, now);
+        RequestTrace trace = recorder.find(id);
+        return trace == null ? null : traceJson(trace, now);
     }
 
-    /** The last that were refused, failed, were repeated or slow. */
-    JsonArray lastRequests(int many, ControlApi.Now now) {
-        JsonArray all = new JsonArray();
-        recorder.lastNotable(Math.min(MAX_LISTED_REQUESTS, many)).forEach(f -> all.add(traceJson(f, now)));
-        return all;
+    /**
+     * The last requests that were rejected, failed, were retried or were slow.
+     *
+     * @param count at most {@link #MAX_LISTED_REQUESTS} are returned
+     */
+    JsonArray lastRequests(int count, ControlApi.Now now) {
+        JsonArray requests = new JsonArray();
+        recorder.lastNotable(Math.min(MAX_LISTED_REQUESTS, count))
+                .forEach(trace -> requests.add(traceJson(trace, now)));
+        return requests;
     }
 
-    /** What was refused or failed in so long a time, by class and cause. */
+    /** Counts of what was rejected or failed within this time, by class and cause. */
     JsonArray rejectionCounts(long spanMs, ControlApi.Now now) {
-        JsonArray all = new JsonArray();
-        for (RejectionCounts.Row line : recorder.rejectionCounts().withinLast(now.us(), 1_000 * spanMs)) {
-            JsonObject one = new JsonObject();
-            one.addProperty("count", line.count());
-            one.addProperty("class", className(line.classIndex()));
-            one.addProperty("told", line.rejected() ? "refused" : "failed");
-            one.addProperty("cause", line.cause());
-            all.add(one);
+        JsonArray rows = new JsonArray();
+        for (RejectionCounts.Row row : recorder.rejectionCounts().withinLast(now.us(), 1_000 * spanMs)) {
+            JsonObject rowJson = new JsonObject();
+            rowJson.addProperty("count", row.count());
+            rowJson.addProperty("class", className(row.classIndex()));
+            rowJson.addProperty("told", row.rejected() ? "refused" : "failed");
+            rowJson.addProperty("cause", row.cause());
+            rows.add(rowJson);
         }
-        return all;
+        return rows;
     }
 
-    /** Why a server gets nothing, or less: operators' words first, then sources', then the module's. */
+    /** Why a server receives nothing, or less: overrides first, then sources, then the balancer's reasons. */
     JsonArray serverReasons(String server) {
         List<String> reasons = new ArrayList<>();
         FleetState.Server known = fleetState.get().servers().stream()
-                .filter(s -> s.id().equals(server))
+                .filter(candidate -> candidate.id().equals(server))
                 .findFirst()
                 .orElse(null);
         if (known == null) {
@@ -90,9 +101,9 @@
             }
             reasons.addAll(serverStatus.apply(server));
         }
-        JsonArray all = new JsonArray();
-        reasons.forEach(all::add);
-        return all;
+        JsonArray reasonsJson = new JsonArray();
+        reasons.forEach(reasonsJson::add);
+        return reasonsJson;
     }
 
     private String className(int index) {
@@ -100,59 +111,57 @@
         return index < names.size() ? names.get(index) : Integer.toString(index);
     }
 
-    private JsonObject traceJson(RequestTrace flight, ControlApi.Now now) {
+    private JsonObject traceJson(RequestTrace trace, ControlApi.Now now) {
         JsonObject json = new JsonObject();
-        json.addProperty("txn", String.format("%016x", flight.id()));
-        json.addProperty("request", flight.request());
-        json.addProperty("class", className(flight.classIndex()));
-        json.addProperty("taken", now.unixMs() - (now.us() - flight.acceptedUs()) / 1_000);
-        json.addProperty("lay-ms", flight.eventLoopDelayUs() / US_PER_MS);
-        json.addProperty("left-ms", flight.remainingUs() / US_PER_MS);
-        json.addProperty("queued-ms", flight.queuedUs() / US_PER_MS);
+        json.addProperty("txn", String.format("%016x", trace.id()));
+        json.addProperty("request", trace.request());
+        json.addProperty("class", className(trace.classIndex()));
+        json.addProperty("taken", now.unixMs() - (now.us() - trace.acceptedUs()) / 1_000);
+        json.addProperty("lay-ms", trace.eventLoopDelayUs() / US_PER_MS);
+        json.addProperty("left-ms", trace.remainingUs() / US_PER_MS);
+        json.addProperty("queued-ms", trace.queuedUs() / US_PER_MS);
         JsonArray attempts = new JsonArray();
-        for (RequestTrace.Attempt attempt : flight.attempts()) {
-            JsonObject one = new JsonObject();
-            one.addProperty("server", attempt.serverId());
-            one.addProperty("after-ms", attempt.startedAfterUs() / US_PER_MS);
-            one.addProperty("for-ms", attempt.timeoutUs() / US_PER_MS);
-            one.addProperty(
+        for (RequestTrace.Attempt attempt : trace.attempts()) {
+            JsonObject attemptJson = new JsonObject();
+            attemptJson.addProperty("server", attempt.serverId());
+            attemptJson.addProperty("after-ms", attempt.startedAfterUs() / US_PER_MS);
+            attemptJson.addProperty("for-ms", attempt.timeoutUs() / US_PER_MS);
+            attemptJson.addProperty(
                     "outcome",
                     attempt.result() == null ? "out" : attempt.result().name().toLowerCase(Locale.ROOT));
             if (attempt.result() != null) {
-                one.addProperty("took-ms", attempt.durationUs() / US_PER_MS);
+                attemptJson.addProperty("took-ms", attempt.durationUs() / US_PER_MS);
             }
             if (attempt.candidates() != null) {
-                JsonArray drawn = new JsonArray();
-                attempt.candidates().forEach(c -> drawn.add(candidateJson(c)));
-                one.add("drawn", drawn);
+                JsonArray candidates = new JsonArray();
+                attempt.candidates().forEach(candidate -> candidates.add(candidateJson(candidate)));
+                attemptJson.add("drawn", candidates);
             }
-            attempts.add(one);
+            attempts.add(attemptJson);
         }
         json.add("attempts", attempts);
         json.addProperty(
                 "told",
-                flight.outcome() == null
-                        ? "nothing yet"
-                        : flight.outcome().name().toLowerCase(Locale.ROOT));
-        if (flight.outcome() != null) {
-            json.addProperty("took-ms", flight.durationUs() / US_PER_MS);
+                trace.outcome() == null ? "nothing yet" : trace.outcome().name().toLowerCase(Locale.ROOT));
+        if (trace.outcome() != null) {
+            json.addProperty("took-ms", trace.durationUs() / US_PER_MS);
         }
-        if (flight.reason() != null) {
-            json.addProperty("why", flight.reason());
+        if (trace.reason() != null) {
+            json.addProperty("why", trace.reason());
         }
-        if (flight.retryAfterUs() > 0) {
-            json.addProperty("come-back-ms", flight.retryAfterUs() / US_PER_MS);
+        if (trace.retryAfterUs() > 0) {
+            json.addProperty("come-back-ms", trace.retryAfterUs() / US_PER_MS);
         }
         return json;
     }
 
-    private static JsonObject candidateJson(Candidate drawn) {
+    private static JsonObject candidateJson(Candidate candidate) {
         JsonObject json = new JsonObject();
-        json.addProperty("server", drawn.serverId());
-        json.addProperty("weight", drawn.weight());
-        json.addProperty("in-flight", drawn.inFlight());
-        json.addProperty("limit", drawn.limit());
-        json.addProperty("pace", drawn.relativeLatency());
+        json.addProperty("server", candidate.serverId());
+        json.addProperty("weight", candidate.weight());
+        json.addProperty("in-flight", candidate.inFlight());
+        json.addProperty("limit", candidate.limit());
+        json.addProperty("pace", candidate.relativeLatency());
         return json;
     }
 }
--- a/src/main/java/vetchpost/control/FleetState.java
+++ b/src/main/java/vetchpost/control/FleetState.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What is known of a node now, for a judgement.
+ * The servers and classes of a node at one moment, as the safety check needs them.
  *
- * @param classes names of the classes of requests
+ * @param classes names of the request classes, in the settings' order
  */
 public record FleetState(List<Server> servers, List<String> classes) {
     /**
      * A server of the list.
      *
-     * @param zone empty if none is told
-     * @param weight its size as its sources tell it
-     * @param drains whether it takes nothing new, whoever said so, but for overrides
+     * @param zone empty if unknown
+     * @param weight its relative capacity as its sources report it
+     * @param draining whether it accepts no new requests for any reason other than overrides
      */
     public record Server(String id, String zone, double weight, boolean draining) {}
 }
--- a/src/main/java/vetchpost/control/Lease.java
+++ b/src/main/java/vetchpost/control/Lease.java
@@ -1,10 +1,11 @@
 package vetchpost.control;
 
 /**
- * An override that holds.
+ * An active override.
  *
- * @param number by which it is undone; grows
- * @param grantedMs Unix time
- * @param endUs when it ends by itself, by the clock of the calls
+ * @param number identifies the lease when it is undone; ascending
+ * @param change the request that was granted
+ * @param grantedMs Unix time in milliseconds
+ * @param endUs when it expires, in microseconds of the caller's monotonic clock
  */
 public record Lease(long number, OverrideRequest change, long grantedMs, long endUs) {}
--- a/src/main/java/vetchpost/control/Leases.java
+++ b/src/main/java/vetchpost/control/Leases.java
@@ -7,11 +7,12 @@
 import java.util.Map;
 
 /**
- * The overrides that hold, and how each came and went. Bounded; each ends by itself at its time by the clock
- * of the calls, which nobody can set.
+ * Keeps the active overrides as leases: checks requests, grants, undoes and expires them. Each lease ends by itself at
+ * its time. The number of leases is bounded. {@link ControlApi} calls it on the node's event loop. Times come from the
+ * caller's monotonic clock, which nobody can set.
  */
 public final class Leases {
-    /** More are refused. */
+    /** Requests beyond this number of active leases are rejected. */
     public static final int MAX_LEASES = 1_000;
 
     private static final int MAX_REMEMBERED_KEYS = 10_000;
@@ -19,54 +20,67 @@
 
     private final SafetyCheck safetyCheck;
     private final Map<Long, Lease> activeLeases = new LinkedHashMap<>();
-    /** Of what commands came to, by their keys, so that a repeated one acts once. */
+    /** Lease numbers by idempotency key, so that a repeated command takes effect once. */
     private final Map<String, Long> leaseNumberByKey = new LinkedHashMap<>();
 
     private OverrideEffects effects = OverrideEffects.NONE;
     private long lastNumber;
 
     /**
-     * What became of a wish.
+     * The outcome of checking a request.
      *
-     * @param lease null if it was refused
-     * @param against what was said against it, also where it was carried out anyway
-     * @param repeated whether it had been carried out before, by its key
+     * @param lease the lease to grant, or the one already granted to a repeated command; null if rejected or ended
+     * @param objections what the safety check objected to, also where the request was forced
+     * @param repeated whether a command with the same key was granted before
      */
     public record Decision(Lease lease, List<String> objections, boolean repeated) {}
 
-    /** None so far. */
-    public Leases(SafetyCheck judge) {
-        this.safetyCheck = judge;
+    /**
+     * Creates an empty set of leases.
+     *
+     * @param safetyCheck checks each request against the leases that are active
+     */
+    public Leases(SafetyCheck safetyCheck) {
+        this.safetyCheck = safetyCheck;
     }
 
-    /** What a change would come to; nothing is changed by asking. */
-    public Decision check(OverrideRequest change, FleetState now, long nowUs, long unixMs) {
+    /**
+     * Checks a request without granting it. Expires leases that are due.
+     *
+     * @param fleetState the servers and classes known at this moment
+     * @param nowUs monotonic time in microseconds
+     * @param unixMs Unix time in milliseconds, kept as the time of the grant
+     * @return the lease to grant, or the objections
+     */
+    public Decision check(OverrideRequest change, FleetState fleetState, long nowUs, long unixMs) {
         expire(nowUs);
-        Long known = leaseNumberByKey.get(change.key());
-        if (known != null) {
-            Lease lease = activeLeases.get(known);
+        Long previousNumber = leaseNumberByKey.get(change.key());
+        if (previousNumber != null) {
+            Lease lease = activeLeases.get(previousNumber);
             return new Decision(
                     lease,
-                    lease != null ? List.of() : List.of("override " + known + ", which this command made, has ended"),
+                    lease != null
+                            ? List.of()
+                            : List.of("override " + previousNumber + ", which this command made, has ended"),
                     true);
         }
         if (activeLeases.size() >= MAX_LEASES) {
             return new Decision(null, List.of(MAX_LEASES + " overrides hold already, and more are not kept"), false);
         }
-        List<String> against = safetyCheck.objections(change, activeLeases.values(), now);
-        if (!against.isEmpty() && !change.force()) {
-            return new Decision(null, against, false);
+        List<String> objections = safetyCheck.objections(change, activeLeases.values(), fleetState);
+        if (!objections.isEmpty() && !change.force()) {
+            return new Decision(null, objections, false);
         }
         return new Decision(
-                new Lease(lastNumber + 1, change, unixMs, nowUs + change.durationMs() * US_PER_MS), against, false);
+                new Lease(lastNumber + 1, change, unixMs, nowUs + change.durationMs() * US_PER_MS), objections, false);
     }
 
-    /** Has numbers go on behind this one, which was given before a restart. */
+    /** Continues numbering after this number, which was assigned before a restart. */
     public void resumeNumberingAfter(long number) {
         lastNumber = Math.max(lastNumber, number);
     }
 
-    /** Has a lease hold that has been judged, or that held before a restart. */
+    /** Activates a lease that has passed the check, or that was active before a restart. */
     public void grant(Lease lease) {
         lastNumber = Math.max(lastNumber, lease.number());
         activeLeases.put(lease.number(), lease);
@@ -77,44 +91,53 @@
         effects = new OverrideEffects(activeLeases.values());
     }
 
-    /** Whether there is one of this number. */
+    /** Whether a lease of this number is active. */
     public boolean contains(long number) {
         return activeLeases.containsKey(number);
     }
 
-    /** Ends one before its time; false if there is none of this number. */
+    /**
+     * Ends a lease before its time.
+     *
+     * @return whether a lease of this number was active
+     */
     public boolean undo(long number) {
-        boolean there = activeLeases.remove(number) != null;
-        effects = there ? new OverrideEffects(activeLeases.values()) : effects;
-        return there;
+        boolean isActive = activeLeases.remove(number) != null;
+        effects = isActive ? new OverrideEffects(activeLeases.values()) : effects;
+        return isActive;
     }
 
-    /** Ends those whose time has come, and says which. */
+    /**
+     * Ends the leases that are due.
+     *
+     * @param nowUs monotonic time in microseconds
+     * @return the leases that have ended
+     */
     public List<Lease> expire(long nowUs) {
-        List<Lease> ended = new ArrayList<>();
+        List<Lease> expired = new ArrayList<>();
         for (Lease lease : activeLeases.values()) {
             if (lease.endUs() <= nowUs) {
-                ended.add(lease);
+                expired.add(lease);
             }
         }
-        if (!ended.isEmpty()) {
-            ended.forEach(lease -> activeLeases.remove(lease.number()));
+        if (!expired.isEmpty()) {
+            expired.forEach(lease -> activeLeases.remove(lease.number()));
             effects = new OverrideEffects(activeLeases.values());
         }
-        return ended;
+        return expired;
     }
 
-    /** When the next ends by itself; the largest number for never. */
+    /** When the next lease expires, in microseconds; {@link Long#MAX_VALUE} if none is active. */
     public long nextExpiryUs() {
         return activeLeases.values().stream().mapToLong(Lease::endUs).min().orElse(Long.MAX_VALUE);
     }
 
-    /** What they come to. */
+    /** The combined effects of all active leases. */
     public OverrideEffects effects() {
         return effects;
     }
 
-    /** All that hold, the oldest first. */
+    /** All active leases, the oldest first. */
     public Collection<Lease> activeLeases() {
         return List.copyOf(activeLeases.values());
     }
--- a/src/main/java/vetchpost/control/OverrideRequest.java
+++ b/src/main/java/vetchpost/control/OverrideRequest.java
@@ -3,14 +3,14 @@
 import java.util.regex.Pattern;
 
 /**
- * An override as an operator asks for it.
+ * An override as an operator requests it.
  *
- * @param subject the server's id or the class's name; empty where there is only one
- * @param perMille the amount, where the kind has one; else 0
- * @param lengthMs for how long; never endless
- * @param priority 0 to 9: of several that set one amount the highest counts
- * @param key the same in repeats of one command, which acts once
- * @param anyway to be carried out although it is judged to be harmful
+ * @param subject the server's id or the class's name; empty for a freeze
+ * @param perMille the amount in thousandths, 1 to 1,000, where the kind has one; else 0
+ * @param durationMs how long it lasts, from {@link #MIN_DURATION_MS} to {@link #MAX_DURATION_MS}
+ * @param priority 0 to 9: of several overrides of the same amount the highest applies
+ * @param key idempotency key, the same in repeats of one command, which takes effect once
+ * @param force whether to grant it in spite of the safety check's objections
  */
 public record OverrideRequest(
         OverrideKind kind,
@@ -22,9 +22,9 @@
         int priority,
         String key,
         boolean force) {
-    /** A night and a day. */
+    /** 24 hours: no override lasts without end. */
     public static final long MAX_DURATION_MS = 86_400_000;
-    /** A second. */
+
     public static final long MIN_DURATION_MS = 1_000;
 
     private static final int MAX_TEXT_LENGTH = 256;
@@ -33,19 +33,21 @@
     private static final Pattern TEXT_PATTERN = Pattern.compile("[^\\p{Cntrl}]*");
 
     /**
-     * Checked in itself.
+     * Validates each field.
      *
-     * @throws IllegalArgumentException with the rule and what would pass
+     * @throws IllegalArgumentException with the rule that is broken and what would pass
      */
     public OverrideRequest {
         requireText("subject", subject, kind == OverrideKind.FREEZE ? 0 : 1);
         requireText("owner", owner, 1);
         requireText("reason", reason, 1);
         requireText("key", key, 1);
-        boolean amount = kind == OverrideKind.WEIGHT || kind == OverrideKind.SHED;
-        if (amount ? perMille < 1 || perMille > PER_MILLE : perMille != 0) {
+        boolean hasAmount = kind == OverrideKind.WEIGHT || kind == OverrideKind.SHED;
+        if (hasAmount ? perMille < 1 || perMille > PER_MILLE : perMille != 0) {
             throw new IllegalArgumentException(
-                    amount ? kind.commandName() + " is more than 0 and at most 100 %" : kind.commandName() + " has no amount");
+                    hasAmount
+                            ? kind.commandName() + " is more than 0 and at most 100 %"
+                            : kind.commandName() + " has no amount");
         }
         if (durationMs < MIN_DURATION_MS || durationMs > MAX_DURATION_MS) {
             throw new IllegalArgumentException("an override ends: it lasts from 1s to 24h");
@@ -55,12 +57,12 @@
         }
     }
 
-    private static void requireText(String name, String value, int least) {
+    private static void requireText(String name, String value, int minLength) {
         if (value == null
-                || value.length() < least
+                || value.length() < minLength
                 || value.length() > MAX_TEXT_LENGTH
                 || !TEXT_PATTERN.matcher(value).matches()) {
-            throw new IllegalArgumentException(name + " is a text of " + least + " to " + MAX_TEXT_LENGTH
+            throw new IllegalArgumentException(name + " is a text of " + minLength + " to " + MAX_TEXT_LENGTH
                     + " characters, none of them a control character");
         }
     }
--- a/src/main/java/vetchpost/control/SafetyCheck.java
+++ b/src/main/java/vetchpost/control/SafetyCheck.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 
 /**
- * Judges an override before it has an effect, by what is left once it has: with all that holds already, so
- * that the tenth small step is refused where the first was not.
+ * Checks an override before it takes effect. It evaluates the state that would result together with all active leases,
+ * so that many small steps are rejected where a single large one would be. Called by {@link Leases}; it has no state of
+ * its own.
  */
 public final class SafetyCheck {
     private static final double PERCENT = 100;
@@ -18,72 +19,76 @@
     private final double maxShedFraction;
 
     /**
-     * What must be left.
+     * Creates a check with these bounds, both fractions from 0 to 1.
      *
-     * @param leastLeft share of the fleet's weight, of all servers on the list, that goes on taking requests
-     * @param mostShed share of a class's requests that may be refused
+     * @param minRemainingFraction fraction of the weight of all listed servers that must keep accepting requests
+     * @param maxShedFraction largest fraction of a class's requests that may be rejected
      */
-    public SafetyCheck(double leastLeft, double mostShed) {
-        this.minRemainingFraction = leastLeft;
-        this.maxShedFraction = mostShed;
+    public SafetyCheck(double minRemainingFraction, double maxShedFraction) {
+        this.minRemainingFraction = minRemainingFraction;
+        this.maxShedFraction = maxShedFraction;
     }
 
     /**
-     * What can be said against a change, each with figures; empty if nothing.
+     * Objections to a change, each with figures; empty if there are none.
      *
-     * @param held the leases that hold, without the change
+     * @param activeLeases the active leases, without the change
      */
-    public List<String> objections(OverrideRequest change, Collection<Lease> held, FleetState now) {
-        List<Lease> with = new ArrayList<>(held);
-        with.add(new Lease(0, change, 0, 0));
-        OverrideEffects before = new OverrideEffects(held);
-        OverrideEffects after = new OverrideEffects(with);
-        List<String> against = new ArrayList<>();
+    public List<String> objections(OverrideRequest change, Collection<Lease> activeLeases, FleetState fleetState) {
+        List<Lease> leasesWithChange = new ArrayList<>(activeLeases);
+        leasesWithChange.add(new Lease(0, change, 0, 0));
+        OverrideEffects before = new OverrideEffects(activeLeases);
+        OverrideEffects after = new OverrideEffects(leasesWithChange);
+        List<String> objections = new ArrayList<>();
         switch (change.kind()) {
             case DRAIN, WEIGHT -> {
-                FleetState.Server server = now.servers().stream()
-                        .filter(s -> s.id().equals(change.subject()))
+                FleetState.Server server = fleetState.servers().stream()
+                        .filter(candidate -> candidate.id().equals(change.subject()))
                         .findFirst()
                         .orElse(null);
                 if (server == null) {
-                    against.add("there is no server '" + change.subject() + "' on the list of "
-                            + now.servers().size());
+                    objections.add("there is no server '" + change.subject() + "' on the list of "
+                            + fleetState.servers().size());
                     break;
                 }
-                checkRemainingWeight(before, after, now, against);
+                checkRemainingWeight(before, after, fleetState, objections);
                 if (change.kind() == OverrideKind.DRAIN) {
-                    checkZone(server, before, after, now, against);
+                    checkZone(server, before, after, fleetState, objections);
                 }
             }
             case SHED -> {
-                if (!now.classes().contains(change.subject())) {
-                    against.add("there is no class '" + change.subject() + "'; there are "
-                            + String.join(", ", now.classes()));
+                if (!fleetState.classes().contains(change.subject())) {
+                    objections.add("there is no class '" + change.subject() + "'; there are "
+                            + String.join(", ", fleetState.classes()));
                 } else if (after.shedPerMille(change.subject()) > maxShedFraction * 1_000
                         && after.shedPerMille(change.subject()) > before.shedPerMille(change.subject())) {
-                    against.add("it refuses " + formatPercent(after.shedPerMille(change.subject()) / 1_000.0) + " of "
-                            + change.subject() + ", and most is " + formatPercent(maxShedFraction));
+                    objections.add("it refuses " + formatPercent(after.shedPerMille(change.subject()) / 1_000.0)
+                            + " of " + change.subject() + ", and most is " + formatPercent(maxShedFraction));
                 }
             }
             default -> {}
         }
-        return against;
+        return objections;
     }
 
-    private void checkRemainingWeight(OverrideEffects before, OverrideEffects after, FleetState now, List<String> against) {
-        double all =
-                now.servers().stream().mapToDouble(FleetState.Server::weight).sum();
-        double left = remainingWeight(after, now);
-        if (left < minRemainingFraction * all && left < remainingWeight(before, now)) {
-            against.add(String.format(
+    private void checkRemainingWeight(
+            OverrideEffects before, OverrideEffects after, FleetState fleetState, List<String> objections) {
+        double totalWeight = fleetState.servers().stream()
+                .mapToDouble(FleetState.Server::weight)
+                .sum();
+        double remaining = remainingWeight(after, fleetState);
+        if (remaining < minRemainingFraction * totalWeight && remaining < remainingWeight(before, fleetState)) {
+            objections.add(String.format(
                     Locale.ROOT,
                     "it leaves %s of the fleet's weight (%s before), and least"
                             + " is %s; %d of %d servers take requests then",
-                    formatPercent(left / all),
-                    formatPercent(remainingWeight(before, now) / all),
+                    formatPercent(remaining / totalWeight),
+                    formatPercent(remainingWeight(before, fleetState) / totalWeight),
                     formatPercent(minRemainingFraction),
-                    now.servers().stream().filter(s -> acceptsRequests(s, after)).count(),
-                    now.servers().size()));
+                    fleetState.servers().stream()
+                            .filter(server -> acceptsRequests(server, after))
+                            .count(),
+                    fleetState.servers().size()));
         }
     }
 
@@ -91,12 +96,15 @@
             FleetState.Server server,
             OverrideEffects before,
             OverrideEffects after,
-            FleetState now,
-            List<String> against) {
-        Map<String, Integer> left = new HashMap<>();
-        now.servers().forEach(s -> left.merge(s.zone(), acceptsRequests(s, after) ? 1 : 0, Integer::sum));
-        if (!server.zone().isEmpty() && left.get(server.zone()) == 0 && acceptsRequests(server, before)) {
-            against.add(server.id() + " is the last server of zone " + server.zone() + " that takes requests");
+            FleetState fleetState,
+            List<String> objections) {
+        Map<String, Integer> remainingByZone = new HashMap<>();
+        fleetState
+                .servers()
+                .forEach(listed ->
+                        remainingByZone.merge(listed.zone(), acceptsRequests(listed, after) ? 1 : 0, Integer::sum));
+        if (!server.zone().isEmpty() && remainingByZone.get(server.zone()) == 0 && acceptsRequests(server, before)) {
+            objections.add(server.id() + " is the last server of zone " + server.zone() + " that takes requests");
         }
     }
 
@@ -104,14 +112,14 @@
         return !server.draining() && !effects.isDraining(server.id());
     }
 
-    private static double remainingWeight(OverrideEffects effects, FleetState now) {
-        return now.servers().stream()
-                .filter(s -> acceptsRequests(s, effects))
-                .mapToDouble(s -> effects.weight(s.id(), s.weight()))
+    private static double remainingWeight(OverrideEffects effects, FleetState fleetState) {
+        return fleetState.servers().stream()
+                .filter(server -> acceptsRequests(server, effects))
+                .mapToDouble(server -> effects.weight(server.id(), server.weight()))
                 .sum();
     }
 
-    private static String formatPercent(double share) {
-        return Math.round(share * PERCENT) + " %";
+    private static String formatPercent(double fraction) {
+        return Math.round(fraction * PERCENT) + " %";
     }
 }
--- a/src/main/java/vetchpost/control/SheddingRoutePolicy.java
+++ b/src/main/java/vetchpost/control/SheddingRoutePolicy.java
@@ -6,7 +6,10 @@
 import vetchpost.core.RouteLimits;
 import vetchpost.core.RoutePolicy;
 
-/** Routes of which a share of a class's requests is refused on arrival: evenly, not by chance. */
+/**
+ * Sheds a fraction of each class's requests on arrival, as the active overrides demand, and passes the rest to the next
+ * route policy. Requests are shed at even intervals, not at random. Called on the event loop for every request.
+ */
 public final class SheddingRoutePolicy implements RoutePolicy {
     private static final int PER_MILLE = 1_000;
     private static final RouteLimits REJECTING_LIMITS = new RouteLimits() {
@@ -22,10 +25,11 @@
     private final int[] shedRemainders;
 
     /**
-     * Before these routes.
+     * Creates a policy in front of another.
      *
-     * @param classes the settings' names of classes, in their order
-     * @param effects what holds now
+     * @param routes decides on the requests that are not shed
+     * @param classes names of the request classes, in the settings' order
+     * @param effects gives the effects of the active overrides
      */
     public SheddingRoutePolicy(RoutePolicy routes, List<String> classes, Supplier<OverrideEffects> effects) {
         this.routes = routes;
@@ -36,12 +40,12 @@
 
     @Override
     public RouteLimits limitsOf(ClientRequest request) {
-        int cls = request.classIndex();
-        int perMille = effects.get().shedPerMille(classes.get(cls));
+        int classIndex = request.classIndex();
+        int perMille = effects.get().shedPerMille(classes.get(classIndex));
         if (perMille > 0) {
-            shedRemainders[cls] += perMille;
-            if (shedRemainders[cls] >= PER_MILLE) {
-                shedRemainders[cls] -= PER_MILLE;
+            shedRemainders[classIndex] += perMille;
+            if (shedRemainders[classIndex] >= PER_MILLE) {
+                shedRemainders[classIndex] -= PER_MILLE;
                 return REJECTING_LIMITS;
             }
         }
--- a/src/main/java/vetchpost/control/package-info.java
+++ b/src/main/java/vetchpost/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What operators have asked of a running node: overrides as leases, the judgement of each before it takes
- * effect, and the chain of records. No I/O and no clock.
+ * Overrides that operators request on a running node: leases, the safety check before each takes effect, and the audit
+ * log's format. Performs no I/O and reads no clock.
  */
 package vetchpost.control;
--- a/src/main/java/vetchpost/operations/AuditFile.java
+++ b/src/main/java/vetchpost/operations/AuditFile.java
@@ -16,7 +16,10 @@
 import vetchpost.control.AuditLog;
 import vetchpost.control.ControlApi;
 
-/** The trail in a file: read and checked at the start, then appended to and forced to the disk each time. */
+/**
+ * Stores the audit log in a file: reads and verifies it at start, then appends each entry and forces it to disk. The
+ * constructor runs at start; appends run on the writer's thread and report back on the event loop.
+ */
 public final class AuditFile implements ControlApi.AuditSink {
     private static final long MAX_FILE_BYTES = 64L << 20;
 
@@ -25,13 +28,16 @@
     private final Executor loop;
     private final List<AuditLog.Entry> entries = new ArrayList<>();
     private String failure = "";
-    // The writer's alone from the start on.
+    // Used by the writer's thread only, after construction.
     private String lastHash = AuditLog.ROOT_HASH;
     private long fileLength;
 
     /**
-     * Reads what is there. A last line that was not written to its end is taken off; what is broken before
-     * that is left as it is, and nothing is recorded behind it.
+     * Opens and verifies the log, or creates it. An incomplete last line is cut off. A log that is broken before that
+     * is left as it is, and nothing is appended to it.
+     *
+     * @param writer runs the writes, one at a time
+     * @param loop where callbacks run
      */
     public AuditFile(Path path, Executor writer, Executor loop) {
         this.path = path;
@@ -40,7 +46,7 @@
         try {
             read();
         } catch (IOException | IllegalArgumentException e) {
-            failure = "the trail " + path + " can't be used: " + e.getMessage();
+            failure = "audit log " + path + " can't be used: " + e.getMessage();
             entries.clear();
         }
     }
@@ -51,29 +57,29 @@
             return;
         }
         if (Files.size(path) > MAX_FILE_BYTES) {
-            throw new IOException("it is over " + (MAX_FILE_BYTES >> 20) + " MiB; move it away");
+            throw new IOException("it is over " + (MAX_FILE_BYTES >> 20) + " MiB; move it away and restart the node");
         }
         String text = Files.readString(path);
-        String whole = text.substring(0, text.lastIndexOf('\n') + 1);
-        List<String> lines = whole.lines().toList();
-        int broken = AuditLog.firstBrokenLine(lines);
-        if (broken > 0) {
-            throw new IOException("line " + broken + " does not follow from those before; look who"
-                    + " changed it, and move it away");
+        String completeLines = text.substring(0, text.lastIndexOf('\n') + 1);
+        List<String> lines = completeLines.lines().toList();
+        int brokenLine = AuditLog.firstBrokenLine(lines);
+        if (brokenLine > 0) {
+            throw new IOException("line " + brokenLine + " does not follow from those before; find out who"
+                    + " changed it, move it away and restart the node");
         }
         for (String line : lines) {
             entries.add(AuditEntryJson.parse(AuditLog.textOf(line)));
             lastHash = AuditLog.hashOf(line);
         }
-        fileLength = whole.getBytes(StandardCharsets.UTF_8).length;
+        fileLength = completeLines.getBytes(StandardCharsets.UTF_8).length;
     }
 
-    /** What it held at the start; nothing if it can't be used. */
+    /** The entries that the file held at start; none if it can't be used. */
     public List<AuditLog.Entry> entries() {
         return List.copyOf(entries);
     }
 
-    /** Why nothing can be recorded, by the start; empty if it can. */
+    /** Why nothing can be recorded, as found at start; empty if entries can be recorded. */
     public String failure() {
         return failure;
     }
@@ -81,8 +87,8 @@
     @Override
     public void append(String text, Consumer<String> done) {
         writer.execute(() -> {
-            String why = failure.isEmpty() ? write(text) : failure;
-            loop.execute(() -> done.accept(why));
+            String error = failure.isEmpty() ? write(text) : failure;
+            loop.execute(() -> done.accept(error));
         });
     }
 
@@ -90,10 +96,10 @@
         String line = AuditLog.chainedLine(lastHash, text);
         byte[] bytes = (line + "\n").getBytes(StandardCharsets.UTF_8);
         if (fileLength + bytes.length > MAX_FILE_BYTES) {
-            return path + " is full at " + (MAX_FILE_BYTES >> 20) + " MiB; move it away and start the node anew";
+            return path + " is full at " + (MAX_FILE_BYTES >> 20) + " MiB; move it away and restart the node";
         }
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.WRITE)) {
-            // In the place of what an earlier write has left unfinished.
+            // Overwrites what an earlier failed write may have left.
             channel.truncate(fileLength);
             channel.position(fileLength);
             ByteBuffer buffer = ByteBuffer.wrap(bytes);
--- a/src/main/java/vetchpost/operations/ControlSocket.java
+++ b/src/main/java/vetchpost/operations/ControlSocket.java
@@ -28,8 +28,9 @@
 import vetchpost.control.ControlApi;
 
 /**
- * Takes operators' messages on a Unix socket that only its owner may open: a line each way, one message at a
- * time on a connection, bounded in length, time and number, so that no client holds up the loop or another.
+ * Accepts operators' messages on a Unix socket that only its owner may open: one line per message and reply, one
+ * message at a time per connection. Message length, idle time and the number of connections are bounded, so that no
+ * client can block the event loop or another client. Runs on the event loop; replies come from {@link ControlApi}.
  */
 public final class ControlSocket implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ControlSocket.class.getName());
@@ -43,28 +44,32 @@
     private int connections;
     private Channel listeningChannel;
 
-    /** Not open yet. */
-    public ControlSocket(Path path, ControlApi desk, Supplier<ControlApi.Now> now) {
+    /**
+     * Creates a socket that is not open yet.
+     *
+     * @param now gives the current time
+     */
+    public ControlSocket(Path path, ControlApi controlApi, Supplier<ControlApi.Now> now) {
         this.path = path;
-        this.controlApi = desk;
+        this.controlApi = controlApi;
         this.now = now;
     }
 
     /**
-     * Listens. A socket that an ended process has left behind is taken away; one that answers, and a file
-     * that is no socket, are not.
+     * Starts listening. A socket that an ended process left behind is removed; one that accepts connections, or a file
+     * that is not a socket, is not.
      *
-     * @throws IOException if there is such a one
+     * @throws IOException if the path is in use by one of those
      */
     public ChannelFuture open(EventLoopGroup group) throws IOException {
         if (Files.exists(path)) {
             if (Files.isRegularFile(path) || Files.isDirectory(path)) {
-                throw new IOException(path + " is there and is no socket");
+                throw new IOException(path + " exists and is not a socket");
             }
             try (SocketChannel other = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
-                throw new IOException(path + " is another process's: " + other.isConnected());
+                throw new IOException(path + " is in use by another process: " + other.isConnected());
             } catch (java.net.ConnectException e) {
-                LOG.log(Level.INFO, "{0} was left behind and is taken away: {1}", path, e.getMessage());
+                LOG.log(Level.INFO, "removing stale control socket {0}: {1}", path, e.getMessage());
                 Files.delete(path);
             }
         }
@@ -101,7 +106,7 @@
                         new MessageHandler());
     }
 
-    /** One client's messages. */
+    /** Handles one client's messages. */
     private final class MessageHandler extends SimpleChannelInboundHandler<String> {
         private ScheduledFuture<?> messageTimeout;
 
@@ -123,11 +128,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, String line) {
             messageTimeout.cancel(false);
-            // One at a time: what comes behind it waits unread.
+            // One message at a time: the next stays unread until this one is answered.
             ctx.channel().config().setAutoRead(false);
             controlApi.handle(line, now, reply -> {
                 if (!ctx.channel().isWritable()) {
-                    ctx.close(); // It asks and does not read.
+                    ctx.close(); // The client sends messages and does not read the replies.
                     return;
                 }
                 ctx.writeAndFlush(ByteBufUtil.writeUtf8(ctx.alloc(), reply + "\n"));
@@ -153,7 +158,7 @@
                 return;
             }
             if (!(cause instanceof IOException)) {
-                LOG.log(Level.WARNING, "an operator's connection failed", cause);
+                LOG.log(Level.WARNING, "control connection failed", cause);
             }
             ctx.close();
         }
--- a/src/main/java/vetchpost/operations/package-info.java
+++ b/src/main/java/vetchpost/operations/package-info.java
@@ -1,2 +1,2 @@
-/** Operators' way in: the Unix socket and the file of records. What messages come to is {@code control}'s. */
+/** The operators' interface: the Unix socket and the audit log file. {@code control} handles the messages. */
 package vetchpost.operations;
