--- a/src/main/java/vetchpost/recorder/FlightRecorder.java
+++ b/src/main/java/vetchpost/recorder/FlightRecorder.java
@@ -14,14 +14,14 @@
 import vetchpost.decision.Balancer.UnservedReason;
 
 /**
- * The last requests, in bounded memory: all that failed, were refused, took more than one attempt or were
- * slow, and one in {@value #SAMPLING_INTERVAL} of the others. For whoever asks why; it decides nothing, and does no
- * I/O.
+ * Records the last requests in bounded memory: all that failed, were rejected, took more than one attempt or were slow,
+ * and one in {@value #SAMPLING_INTERVAL} of the others. The core reports to it on the event loop, and explanations read
+ * it there. It decides nothing and performs no I/O.
  */
 public final class FlightRecorder implements RequestRecorder {
-    /** One in so many of the requests that nothing was special about is kept. */
+    /** Of the requests that are not notable, one in this many is kept. */
     public static final int SAMPLING_INTERVAL = 16;
-    /** Requests in hand that are followed at once; what comes beyond is not recorded. */
+    /** Open requests traced at once; further ones are not recorded. */
     static final int MAX_OPEN_REQUESTS = 4_096;
 
     private static final int SAMPLED_CAPACITY_DIVISOR = 4;
@@ -35,151 +35,162 @@
     private long completedCount;
 
     /**
-     * Empty.
+     * Creates an empty recorder.
      *
-     * @param most so many special ones are kept, and a quarter as many usual ones
-     * @param slowUs by class, from when on an answer is slow, in microseconds
+     * @param maxNotable number of notable requests to keep; a quarter as many sampled ones are kept
+     * @param slowThresholdsUs for each class, the duration beyond which an answer is slow, in microseconds
      */
-    public FlightRecorder(int most, long[] slowUs) {
-        this.maxNotable = most;
-        this.slowThresholdsUs = slowUs.clone();
+    public FlightRecorder(int maxNotable, long[] slowThresholdsUs) {
+        this.maxNotable = maxNotable;
+        this.slowThresholdsUs = slowThresholdsUs.clone();
     }
 
     @Override
-    public void rejected(long nowUs, ClientRequest request, RejectionReason why) {
-        rejectionCounts.add(nowUs, request.classIndex(), why == RejectionReason.ROUTE_LIMIT, why.text());
-        RequestTrace flight = startTrace(nowUs, request, request.remainingUs(), 0);
-        flight.outcome(nowUs, why == RejectionReason.ROUTE_LIMIT ? Completion.REFUSED : Completion.FAILED, 0);
-        flight.setReason(why.text());
-        keep(notable, flight, maxNotable);
+    public void rejected(long nowUs, ClientRequest request, RejectionReason reason) {
+        rejectionCounts.add(nowUs, request.classIndex(), reason == RejectionReason.ROUTE_LIMIT, reason.text());
+        RequestTrace trace = startTrace(nowUs, request, request.remainingUs(), 0);
+        trace.complete(nowUs, reason == RejectionReason.ROUTE_LIMIT ? Completion.REFUSED : Completion.FAILED, 0);
+        trace.setReason(reason.text());
+        keep(notable, trace, maxNotable);
     }
 
     @Override
-    public void accepted(long nowUs, ClientRequest request, long leftUs, long layUs) {
+    public void accepted(long nowUs, ClientRequest request, long remainingUs, long loopDelayUs) {
         if (openTraces.size() < MAX_OPEN_REQUESTS) {
-            openTraces.put(request.id(), startTrace(nowUs, request, leftUs, layUs));
+            openTraces.put(request.id(), startTrace(nowUs, request, remainingUs, loopDelayUs));
         }
     }
 
-    private static RequestTrace startTrace(long nowUs, ClientRequest request, long leftUs, long layUs) {
+    private static RequestTrace startTrace(long nowUs, ClientRequest request, long remainingUs, long loopDelayUs) {
         return new RequestTrace(
-                request.id(), request.classIndex(), request.method(), request.target(), nowUs, leftUs, layUs);
+                request.id(),
+                request.classIndex(),
+                request.method(),
+                request.target(),
+                nowUs,
+                remainingUs,
+                loopDelayUs);
     }
 
     @Override
     public void admitted(long nowUs, long id) {
-        RequestTrace flight = openTraces.get(id);
-        if (flight != null) {
-            flight.setAdmitted(nowUs);
+        RequestTrace trace = openTraces.get(id);
+        if (trace != null) {
+            trace.setAdmitted(nowUs);
         }
     }
 
     @Override
     public void candidatesDrawn(long id, Candidate first, Candidate second) {
-        RequestTrace flight = openTraces.get(id);
-        if (flight != null) {
-            flight.setCandidates(first, second);
+        RequestTrace trace = openTraces.get(id);
+        if (trace != null) {
+            trace.setCandidates(first, second);
         }
     }
 
     @Override
-    public void attemptSent(long nowUs, long id, String serverId, long untilUs) {
-        RequestTrace flight = openTraces.get(id);
-        if (flight != null) {
-            flight.addAttempt(nowUs, serverId, untilUs);
+    public void attemptSent(long nowUs, long id, String serverId, long deadlineUs) {
+        RequestTrace trace = openTraces.get(id);
+        if (trace != null) {
+            trace.addAttempt(nowUs, serverId, deadlineUs);
         }
     }
 
     @Override
-    public void attemptEnded(long nowUs, long id, int attempt, Result result, long tookUs) {
-        RequestTrace flight = openTraces.get(id);
-        if (flight != null) {
-            flight.endAttempt(attempt, result, tookUs);
-            closeIfComplete(flight);
+    public void attemptEnded(long nowUs, long id, int attempt, Result result, long durationUs) {
+        RequestTrace trace = openTraces.get(id);
+        if (trace != null) {
+            trace.endAttempt(attempt, result, durationUs);
+            closeIfComplete(trace);
         }
     }
 
     @Override
-    public void reasonGiven(long id, UnservedReason why) {
-        RequestTrace flight = openTraces.get(id);
-        if (flight != null) {
-            flight.setReason(why.text());
+    public void reasonGiven(long id, UnservedReason reason) {
+        RequestTrace trace = openTraces.get(id);
+        if (trace != null) {
+            trace.setReason(reason.text());
         }
     }
 
     @Override
-    public void completed(long nowUs, long id, Completion what, long retryAfterUs) {
-        RequestTrace flight = openTraces.get(id);
-        if (flight == null) {
+    public void completed(long nowUs, long id, Completion completion, long retryAfterUs) {
+        RequestTrace trace = openTraces.get(id);
+        if (trace == null) {
             return;
         }
-        flight.outcome(nowUs, what, retryAfterUs);
-        if (what == Completion.REFUSED || what == Completion.FAILED) {
-            String cause = flight.reason() != null
-                    ? flight.reason()
-                    : what == Completion.REFUSED
+        trace.complete(nowUs, completion, retryAfterUs);
+        if (completion == Completion.REFUSED || completion == Completion.FAILED) {
+            String cause = trace.reason() != null
+                    ? trace.reason()
+                    : completion == Completion.REFUSED
                             ? "the node's door has no place for it"
                             : "its client's time was up, or a fault of the node's";
-            flight.setReason(cause);
-            rejectionCounts.add(nowUs, flight.classIndex(), what == Completion.REFUSED, cause);
+            trace.setReason(cause);
+            rejectionCounts.add(nowUs, trace.classIndex(), completion == Completion.REFUSED, cause);
         }
-        closeIfComplete(flight);
+        closeIfComplete(trace);
     }
 
-    private void closeIfComplete(RequestTrace flight) {
-        if (!flight.isComplete()) {
+    private void closeIfComplete(RequestTrace trace) {
+        if (!trace.isComplete()) {
             return;
         }
-        openTraces.remove(flight.id(), flight);
+        openTraces.remove(trace.id(), trace);
         completedCount++;
-        if (isNotable(flight)) {
-            keep(notable, flight, maxNotable);
+        if (isNotable(trace)) {
+            keep(notable, trace, maxNotable);
         } else if (completedCount % SAMPLING_INTERVAL == 0) {
-            keep(sampled, flight, Math.max(1, maxNotable / SAMPLED_CAPACITY_DIVISOR));
+            keep(sampled, trace, Math.max(1, maxNotable / SAMPLED_CAPACITY_DIVISOR));
         }
     }
 
-    private boolean isNotable(RequestTrace flight) {
-        return flight.outcome() != Completion.SERVED
-                || flight.attempts().size() > 1
-                || flight.classIndex() >= slowThresholdsUs.length
-                || flight.durationUs() > slowThresholdsUs[flight.classIndex()];
+    private boolean isNotable(RequestTrace trace) {
+        return trace.outcome() != Completion.SERVED
+                || trace.attempts().size() > 1
+                || trace.classIndex() >= slowThresholdsUs.length
+                || trace.durationUs() > slowThresholdsUs[trace.classIndex()];
     }
 
-    private static void keep(Deque<RequestTrace> some, RequestTrace flight, int most) {
-        if (some.size() >= most) {
-            some.poll();
+    private static void keep(Deque<RequestTrace> traces, RequestTrace trace, int capacity) {
+        if (traces.size() >= capacity) {
+            traces.poll();
         }
-        some.add(flight);
+        traces.add(trace);
     }
 
-    /** The request of this id that came last, in hand or kept; null if it is not known (any more). */
+    /** The latest request of this id, open or kept; null if it is not, or no longer, known. */
     public RequestTrace find(long id) {
         RequestTrace found = openTraces.get(id);
-        for (Deque<RequestTrace> some : List.of(notable, sampled)) {
-            for (Iterator<RequestTrace> last = some.descendingIterator(); found == null && last.hasNext(); ) {
-                RequestTrace flight = last.next();
-                found = flight.id() == id ? flight : null;
+        for (Deque<RequestTrace> traces : List.of(notable, sampled)) {
+            for (Iterator<RequestTrace> iterator = traces.descendingIterator(); found == null && iterator.hasNext(); ) {
+                RequestTrace trace = iterator.next();
+                found = trace.id() == id ? trace : null;
             }
         }
         return found;
     }
 
-    /** The last special ones, the latest first. */
-    public List<RequestTrace> lastNotable(int many) {
-        List<RequestTrace> last = new ArrayList<>();
-        for (Iterator<RequestTrace> next = notable.descendingIterator(); next.hasNext() && last.size() < many; ) {
-            last.add(next.next());
+    /**
+     * The last notable requests, the latest first.
+     *
+     * @param count the largest number to return
+     */
+    public List<RequestTrace> lastNotable(int count) {
+        List<RequestTrace> traces = new ArrayList<>();
+        for (Iterator<RequestTrace> iterator = notable.descendingIterator();
+                iterator.hasNext() && traces.size() < count; ) {
+            traces.add(iterator.next());
         }
-        return last;
+        return traces;
     }
 
-    /** What was refused or has failed, counted. */
+    /** Counts of rejected and failed requests. */
     public RejectionCounts rejectionCounts() {
         return rejectionCounts;
     }
 
-    /** How many are kept or followed. */
+    /** How many requests are open or kept. */
     public int size() {
         return openTraces.size() + notable.size() + sampled.size();
     }
--- a/src/main/java/vetchpost/recorder/RequestTrace.java
+++ b/src/main/java/vetchpost/recorder/RequestTrace.java
@@ -7,7 +7,10 @@
 import vetchpost.decision.Balancer.Candidate;
 import vetchpost.decision.Balancer.Result;
 
-/** What is kept of one request. Times are microseconds of the loop's clock, lengths of time microseconds. */
+/**
+ * The recorded course of one request. {@link FlightRecorder} fills it on the event loop and explanations read it there.
+ * Times are microseconds of the loop's monotonic clock, and so are durations.
+ */
 public final class RequestTrace {
     private static final int MAX_RECORDED_ATTEMPTS = 8;
     private static final int MAX_TARGET_LENGTH = 128;
@@ -31,8 +34,12 @@
     /**
      * One attempt.
      *
-     * @param drawn of which two it was chosen, the second maybe null; null where it was not drawn
-     * @param tookUs until its end, or -1 while it is out
+     * @param startedAfterUs time from the request's acceptance to the start of the attempt
+     * @param timeoutUs time that the attempt had, from its start
+     * @param candidates the two servers drawn, of which one was chosen; the second may be missing; null if none were
+     *     drawn
+     * @param result null while the attempt is running
+     * @param durationUs time until its end, or -1 while it is running
      */
     public record Attempt(
             String serverId,
@@ -42,35 +49,47 @@
             Result result,
             long durationUs) {}
 
-    RequestTrace(long id, int classIndex, String method, String target, long takenUs, long leftUs, long layUs) {
+    RequestTrace(
+            long id,
+            int classIndex,
+            String method,
+            String target,
+            long acceptedUs,
+            long remainingUs,
+            long eventLoopDelayUs) {
         this.id = id;
         this.classIndex = classIndex;
         this.method = method;
         this.target = target.length() <= MAX_TARGET_LENGTH ? target : target.substring(0, MAX_TARGET_LENGTH);
-        this.acceptedUs = takenUs;
-        this.remainingUs = leftUs;
-        this.eventLoopDelayUs = layUs;
+        this.acceptedUs = acceptedUs;
+        this.remainingUs = remainingUs;
+        this.eventLoopDelayUs = eventLoopDelayUs;
     }
 
     void setAdmitted(long nowUs) {
         admittedUs = nowUs;
     }
 
-    void setCandidates(Candidate one, Candidate other) {
-        firstCandidate = one;
-        secondCandidate = other;
+    void setCandidates(Candidate first, Candidate second) {
+        firstCandidate = first;
+        secondCandidate = second;
     }
 
-    void addAttempt(long nowUs, String serverId, long untilUs) {
+    void addAttempt(long nowUs, String serverId, long deadlineUs) {
         if (attempts.size() < MAX_RECORDED_ATTEMPTS) {
-            boolean drawn = firstCandidate != null
+            boolean isDrawn = firstCandidate != null
                     && (firstCandidate.serverId().equals(serverId)
-                            || secondCandidate != null && secondCandidate.serverId().equals(serverId));
+                            || secondCandidate != null
+                                    && secondCandidate.serverId().equals(serverId));
             attempts.add(new Attempt(
                     serverId,
                     nowUs - acceptedUs,
-                    untilUs - nowUs,
-                    !drawn ? null : secondCandidate == null ? List.of(firstCandidate) : List.of(firstCandidate, secondCandidate),
+                    deadlineUs - nowUs,
+                    !isDrawn
+                            ? null
+                            : secondCandidate == null
+                                    ? List.of(firstCandidate)
+                                    : List.of(firstCandidate, secondCandidate),
                     null,
                     -1));
         }
@@ -78,10 +97,18 @@
         secondCandidate = null;
     }
 
-    void endAttempt(int number, Result result, long tookUs) {
+    void endAttempt(int number, Result result, long durationUs) {
         if (number < attempts.size()) {
-            Attempt a = attempts.get(number);
-            attempts.set(number, new Attempt(a.serverId, a.startedAfterUs, a.timeoutUs, a.candidates, result, tookUs));
+            Attempt attempt = attempts.get(number);
+            attempts.set(
+                    number,
+                    new Attempt(
+                            attempt.serverId,
+                            attempt.startedAfterUs,
+                            attempt.timeoutUs,
+                            attempt.candidates,
+                            result,
+                            durationUs));
         }
     }
 
@@ -89,68 +116,68 @@
         decisionReason = reason;
     }
 
-    void outcome(long nowUs, Completion what, long advisedUs) {
-        outcome = what;
+    void complete(long nowUs, Completion completion, long retryAfterUs) {
+        outcome = completion;
         completedUs = nowUs;
-        retryAfterUs = advisedUs;
+        this.retryAfterUs = retryAfterUs;
     }
 
-    /** Its id. */
+    /** The request's id. */
     public long id() {
         return id;
     }
 
-    /** Index into the settings' classes. */
+    /** Index of its class in the settings. */
     public int classIndex() {
         return classIndex;
     }
 
-    /** Method and path, cut where it is long. */
+    /** Method and target; a long target is cut. */
     public String request() {
         return method + " " + target;
     }
 
-    /** When it was taken. */
+    /** When it was accepted. */
     public long acceptedUs() {
         return acceptedUs;
     }
 
-    /** Until its client gives up, from its taking. */
+    /** Time from acceptance until its client gives up. */
     public long remainingUs() {
         return remainingUs;
     }
 
-    /** How long it may have lain unread before. */
+    /** How long it may have waited unread before it was accepted: the event-loop delay. */
     public long eventLoopDelayUs() {
         return eventLoopDelayUs;
     }
 
-    /** How long it stood at the node's door; 0 where there is none. */
+    /** Time in the admission queue; 0 where there is none. */
     public long queuedUs() {
         return admittedUs < 0 ? 0 : admittedUs - acceptedUs;
     }
 
-    /** All its attempts, those that are still out too. */
+    /** All its attempts, including running ones. */
     public List<Attempt> attempts() {
         return Collections.unmodifiableList(attempts);
     }
 
-    /** What its client was told; null while it waits. */
+    /** How it was completed; null while it is pending. */
     public Completion outcome() {
         return outcome;
     }
 
-    /** From its taking to its answer, or -1. */
+    /** Time from acceptance to completion, or -1 while it is pending. */
     public long durationUs() {
         return outcome == null ? -1 : completedUs - acceptedUs;
     }
 
-    /** When to come again, as its refusal said; 0 for nothing. */
+    /** The retry-after of its rejection; 0 for none. */
     public long retryAfterUs() {
         return retryAfterUs;
     }
 
-    /** Why it was refused or has failed, in words; null where it was not, or nobody said why. */
+    /** Why it was rejected or failed, as text; null if it was neither, or no reason is known. */
     public String reason() {
         return decisionReason;
     }
