--- a/src/main/java/vetchpost/sources/CheckPlan.java
+++ b/src/main/java/vetchpost/sources/CheckPlan.java
@@ -10,18 +10,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Which servers are checked when, and what checks come to. Answers of real requests come first: a server that
- * has just served is not checked, and a check that fails while real requests are served counts for nothing.
- * A server is checked regularly by a few nodes of a group only, chosen by hashes of both (rendezvous
- * hashing, Thaler and Ravishankar 1998), so that neither more nodes nor more servers mean more checks for a
- * server; whoever a node's own requests have failed at is checked by that node soon. All of it is bounded by
- * a number of checks a second. Checks take out no more than a share of the fleet, the first that failed: when
- * all fail at once it is the node's own network.
+ * Decides which servers to check when, and which ones the results eject. Real requests come first: a server that has
+ * just served one is not checked, and a check that fails while real requests succeed is ignored.
+ *
+ * <p>A server is checked regularly by only a few nodes of a group, chosen by rendezvous hashing (Thaler and Ravishankar
+ * 1998), so that neither more nodes nor more servers mean more checks of one server. A server at which a node's own
+ * requests have failed is checked by that node soon. A budget bounds the checks per second. Checks eject at most a
+ * fraction of the fleet, those that failed first: when all fail at once, the fault is in the node's own network.
+ *
+ * <p>{@code SourceWatcher} runs the checks and reports their results, on the event loop.
  */
 public final class CheckPlan {
-    /** Checks that may be made at once after a while without any, in seconds of the budget. */
+    /** Checks that may be made at once after a pause, in seconds of the budget. */
     private static final double BURST_S = 0.5;
-    /** Failures of real requests bring a check on after this part of the usual time. */
+    /** A failed request brings the next check forward to this part of the interval. */
     private static final int FAILURE_INTERVAL_DIVISOR = 20;
 
     private static final double JITTER_FRACTION = 0.1;
@@ -35,7 +37,7 @@
     private long skippedCount;
     private long disagreementCount;
 
-    /** What is known of a server by checks. */
+    /** The state of one server. */
     private static final class CheckedServer {
         private final String id;
         private final boolean isCheckedRegularly;
@@ -54,23 +56,28 @@
             this.isCheckedRegularly = watched;
         }
 
-        /** Whoever is out, or suspected, before whoever is only due. */
+        /** Ejected and suspect servers come before those that are only due. */
         int priority() {
             return isSuspect || isDown || consecutiveFailures > 0 ? 0 : 1;
         }
     }
 
-    /** What a check has found. */
+    /** The result of a check. */
     public enum Finding {
-        /** It is well. */
+        /** The server is healthy. */
         HEALTHY,
-        /** It does not answer, or badly. */
+        /** The server does not answer, or answers with an error. */
         UNHEALTHY,
-        /** Another application answers at its address. */
+        /** A different application answers at its address. */
         WRONG_SERVER
     }
 
-    /** No servers so far. */
+    /**
+     * Creates a plan without servers.
+     *
+     * @param seed for the jitter
+     * @param nowUs monotonic time in microseconds
+     */
     public CheckPlan(CheckRules rules, long seed, long nowUs) {
         this.rules = rules;
         random = new SplittableRandom(seed);
@@ -78,34 +85,34 @@
         tokensUpdatedUs = nowUs;
     }
 
-    /** The fleet is these now. */
+    /** Replaces the servers of the fleet. */
     public void setServers(Set<String> ids, long nowUs) {
         servers.keySet().retainAll(ids);
         for (String id : ids) {
             if (!servers.containsKey(id)) {
-                CheckedServer fresh = new CheckedServer(id, isRegularChecker(id));
-                // Spread over a whole period: a fleet that comes up at once is not checked at once.
-                fresh.nextCheckUs = nowUs + (long) (random.nextDouble() * rules.intervalUs());
-                servers.put(id, fresh);
+                CheckedServer server = new CheckedServer(id, isRegularChecker(id));
+                // Spread over a whole interval, so that a fleet that appears at once is not checked at once.
+                server.nextCheckUs = nowUs + (long) (random.nextDouble() * rules.intervalUs());
+                servers.put(id, server);
             }
         }
     }
 
-    /** Whether this node is among the few that check the server regularly. */
+    /** Whether this node is one of the few that check the server regularly. */
     private boolean isRegularChecker(String id) {
         if (rules.nodeCount() <= rules.checkersPerServer()) {
             return true;
         }
-        long own = hash(id, rules.nodeNumber());
-        int before = 0;
-        for (int node = 0; node < rules.nodeCount() && before < rules.checkersPerServer(); node++) {
-            long other = node == rules.nodeNumber() ? own : hash(id, node);
-            before += other > own || other == own && node < rules.nodeNumber() ? 1 : 0;
+        long ownHash = hash(id, rules.nodeNumber());
+        int nodesBefore = 0;
+        for (int node = 0; node < rules.nodeCount() && nodesBefore < rules.checkersPerServer(); node++) {
+            long nodeHash = node == rules.nodeNumber() ? ownHash : hash(id, node);
+            nodesBefore += nodeHash > ownHash || nodeHash == ownHash && node < rules.nodeNumber() ? 1 : 0;
         }
-        return before < rules.checkersPerServer();
+        return nodesBefore < rules.checkersPerServer();
     }
 
-    /** Of a server's name and a node's number, well mixed (the finalizer of SplitMix64, Steele 2014). */
+    /** Hash of a server's id and a node's number, mixed by the finalizer of SplitMix64 (Steele 2014). */
     private static long hash(String id, int node) {
         long z = node * 0x9E3779B97F4A7C15L;
         for (int i = 0; i < id.length(); i++) {
@@ -116,7 +123,7 @@
         return (z ^ z >>> 31) >>> 1;
     }
 
-    /** A real request was served there. */
+    /** A real request succeeded at this server. */
     public void requestSucceeded(String id, long nowUs) {
         CheckedServer server = servers.get(id);
         if (server == null) {
@@ -131,13 +138,14 @@
         }
     }
 
-    /** A real request failed there, and not by being late alone. */
+    /** A real request failed at this server, for another reason than a timeout alone. */
     public void requestFailed(String id, long nowUs) {
         CheckedServer server = servers.get(id);
         if (server != null && !server.isSuspect) {
             server.isSuspect = true;
             if (!server.isChecking) {
-                server.nextCheckUs = Math.min(server.nextCheckUs, nowUs + withJitter(rules.intervalUs() / FAILURE_INTERVAL_DIVISOR));
+                server.nextCheckUs =
+                        Math.min(server.nextCheckUs, nowUs + withJitter(rules.intervalUs() / FAILURE_INTERVAL_DIVISOR));
             }
         }
     }
@@ -147,9 +155,13 @@
     }
 
     /**
-     * The servers to be checked now, as far as the budget goes and so many at most; each is reported once.
+     * Starts the checks that are due, as far as the budget allows; each is returned once.
+     *
+     * @param nowUs monotonic time in microseconds
+     * @param maxChecks largest number of checks to start
+     * @return ids of the servers to check now
      */
-    public List<String> dueChecks(long nowUs, int most) {
+    public List<String> dueChecks(long nowUs, int maxChecks) {
         refillTokens(nowUs);
         List<CheckedServer> due = new ArrayList<>();
         for (CheckedServer server : servers.values()) {
@@ -158,20 +170,20 @@
             }
         }
         due.sort(Comparator.comparingInt(CheckedServer::priority)
-                .thenComparingLong(s -> s.nextCheckUs)
-                .thenComparing(s -> s.id));
-        List<String> now = new ArrayList<>();
+                .thenComparingLong(server -> server.nextCheckUs)
+                .thenComparing(server -> server.id));
+        List<String> started = new ArrayList<>();
         for (CheckedServer server : due) {
-            if (tokens < 1 || now.size() >= most) {
+            if (tokens < 1 || started.size() >= maxChecks) {
                 break;
             }
             tokens--;
             checkCount++;
             server.isChecking = true;
             server.checkStartedUs = nowUs;
-            now.add(server.id);
+            started.add(server.id);
         }
-        return now;
+        return started;
     }
 
     private static boolean needsChecks(CheckedServer server) {
@@ -180,27 +192,28 @@
 
     private void refillTokens(long nowUs) {
         tokens = Math.min(
-                Math.max(1, rules.budgetPerS() * BURST_S), tokens + rules.budgetPerS() * (nowUs - tokensUpdatedUs) / 1e6);
+                Math.max(1, rules.budgetPerS() * BURST_S),
+                tokens + rules.budgetPerS() * (nowUs - tokensUpdatedUs) / 1e6);
         tokensUpdatedUs = nowUs;
     }
 
-    /** When the next check is due; the largest number for never. */
+    /** When the next check is due, in microseconds; {@link Long#MAX_VALUE} for never. */
     public long nextCheckUs(long nowUs) {
-        long next = Long.MAX_VALUE;
+        long nextUs = Long.MAX_VALUE;
         for (CheckedServer server : servers.values()) {
             if (!server.isChecking && needsChecks(server)) {
-                next = Math.min(next, server.nextCheckUs);
+                nextUs = Math.min(nextUs, server.nextCheckUs);
             }
         }
-        if (next == Long.MAX_VALUE) {
-            return next;
+        if (nextUs == Long.MAX_VALUE) {
+            return nextUs;
         }
         refillTokens(nowUs);
-        long affordUs = tokens >= 1 ? nowUs : nowUs + (long) Math.ceil((1 - tokens) * 1e6 / rules.budgetPerS());
-        return Math.max(next, affordUs);
+        long budgetUs = tokens >= 1 ? nowUs : nowUs + (long) Math.ceil((1 - tokens) * 1e6 / rules.budgetPerS());
+        return Math.max(nextUs, budgetUs);
     }
 
-    /** How a check has ended. */
+    /** Records the result of a check. */
     public void checkCompleted(String id, Finding finding, long nowUs) {
         CheckedServer server = servers.get(id);
         if (server == null || !server.isChecking) {
@@ -221,7 +234,7 @@
         }
         server.consecutivePasses = 0;
         if (server.lastServedUs >= server.checkStartedUs) {
-            // What is served meanwhile says more than a path that nobody else asks for.
+            // Requests that succeed meanwhile are better evidence than a path that no client requests.
             disagreementCount++;
             server.consecutiveFailures = 0;
             return;
@@ -231,41 +244,42 @@
             server.isDown = true;
             server.downSinceUs = nowUs;
         } else if (!server.isDown) {
-            // Between the first failure and the last it is asked sooner.
+            // Between the first failure and ejection it is checked more often.
             server.nextCheckUs = nowUs + withJitter(rules.intervalUs() / 4);
         }
     }
 
-    /** Who is out by checks: those that fell first, up to the share that may be out. */
+    /** The servers that checks eject: those that failed first, up to the largest fraction. */
     public Set<String> ejectedServers() {
-        List<CheckedServer> down = new ArrayList<>();
+        List<CheckedServer> failed = new ArrayList<>();
         for (CheckedServer server : servers.values()) {
             if (server.isDown) {
-                down.add(server);
+                failed.add(server);
             }
         }
-        int most = (int) (rules.maxEjectedFraction() * servers.size());
-        if (down.size() > most) {
-            down.sort(Comparator.comparingLong((CheckedServer s) -> s.downSinceUs).thenComparing(s -> s.id));
+        int maxEjected = (int) (rules.maxEjectedFraction() * servers.size());
+        if (failed.size() > maxEjected) {
+            failed.sort(Comparator.comparingLong((CheckedServer server) -> server.downSinceUs)
+                    .thenComparing(server -> server.id));
         }
-        Set<String> out = new HashSet<>();
-        for (CheckedServer server : down.subList(0, Math.min(most, down.size()))) {
-            out.add(server.id);
+        Set<String> ejected = new HashSet<>();
+        for (CheckedServer server : failed.subList(0, Math.min(maxEjected, failed.size()))) {
+            ejected.add(server.id);
         }
-        return out;
+        return ejected;
     }
 
-    /** Checks made so far. */
+    /** Number of checks made so far. */
     public long checkCount() {
         return checkCount;
     }
 
-    /** Checks that an answer of a real request has put off. */
+    /** Number of checks postponed because a real request succeeded. */
     public long skippedCount() {
         return skippedCount;
     }
 
-    /** Checks that failed while real requests were served. */
+    /** Number of checks that failed while real requests succeeded. */
     public long disagreementCount() {
         return disagreementCount;
     }
--- a/src/main/java/vetchpost/sources/CheckRules.java
+++ b/src/main/java/vetchpost/sources/CheckRules.java
@@ -3,19 +3,19 @@
 /**
  * How servers are checked. Times are in microseconds.
  *
- * @param path what is asked for; empty to open a connection only
- * @param host the host that is named
- * @param least lowest status that is well
- * @param most highest status that is well
- * @param everyUs how often a server is checked that nothing else is heard of
- * @param withinUs how long a check may take
- * @param rise passed in a row after which a server is back
- * @param fall failed in a row after which it is out
- * @param budgetPerS checks of this node in a second, however many servers there are
- * @param watchers nodes that check a server regularly, however many nodes there are
- * @param nodes of the group
- * @param number of this one, from 0
- * @param mostOut share of the fleet that checks may take out
+ * @param path path of the request; empty to only open a connection
+ * @param host value of the Host header
+ * @param minStatus lowest healthy status
+ * @param maxStatus highest healthy status
+ * @param intervalUs how often a server without other traffic is checked
+ * @param timeoutUs how long a check may take
+ * @param rise consecutive passes after which an ejected server returns
+ * @param fall consecutive failures after which a server is ejected
+ * @param budgetPerS checks this node makes per second, however many servers there are
+ * @param checkersPerServer nodes that check a server regularly, however many nodes there are
+ * @param nodeCount number of nodes in the group
+ * @param nodeNumber this node's number, from 0
+ * @param maxEjectedFraction fraction of the fleet, 0 to 1, that checks may eject
  */
 public record CheckRules(
         String path,
--- a/src/main/java/vetchpost/sources/FlapDamping.java
+++ b/src/main/java/vetchpost/sources/FlapDamping.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * Keeps out for a while whoever comes and goes: each return adds one to a count that halves with time, as
- * routers do with routes (RFC 2439). Over a bound a server is held back until the count has fallen to half
- * of that bound. At most so many servers are counted; the calmest is forgotten first.
+ * Keeps out servers that come and go repeatedly. Each return adds one to a count that decays exponentially, as route
+ * flap damping does (RFC 2439). At a threshold the server is suppressed until its count has fallen to half of that. The
+ * number of counted servers is bounded; negligible counts are discarded first. Used by {@link Membership} on the event
+ * loop.
  */
 final class FlapDamping {
     private static final int MAX_COUNTED_SERVERS = 20_000;
@@ -23,14 +24,14 @@
     }
 
     /**
-     * Nothing counted.
+     * Creates empty counts.
      *
-     * @param bound returns from which on a server is held back
-     * @param calmUs in which a count halves
+     * @param suppressThreshold count from which on a server is suppressed
+     * @param halfLifeUs time in which a count halves, in microseconds
      */
-    FlapDamping(int bound, long calmUs) {
-        this.suppressThreshold = bound;
-        this.halfLifeUs = calmUs;
+    FlapDamping(int suppressThreshold, long halfLifeUs) {
+        this.suppressThreshold = suppressThreshold;
+        this.halfLifeUs = halfLifeUs;
     }
 
     private double decay(FlapCount count, long nowUs) {
@@ -39,7 +40,7 @@
         return count.value;
     }
 
-    /** A server is back. */
+    /** A server has returned after an absence. */
     void serverReturned(String id, long nowUs) {
         if (!counts.containsKey(id) && counts.size() >= MAX_COUNTED_SERVERS) {
             counts.values().removeIf(c -> decay(c, nowUs) < NEGLIGIBLE_COUNT);
@@ -53,7 +54,7 @@
         count.isSuppressed |= count.value >= suppressThreshold;
     }
 
-    /** Whether it is to be held back now. */
+    /** Whether a server is suppressed now. */
     boolean isSuppressed(String id, long nowUs) {
         FlapCount count = counts.get(id);
         if (count == null || !count.isSuppressed) {
@@ -63,11 +64,13 @@
         return count.isSuppressed;
     }
 
-    /** When it can come back; now if it is not held back. */
+    /** When a server's suppression ends, in microseconds; now if it is not suppressed. */
     long suppressedUntilUs(String id, long nowUs) {
         if (!isSuppressed(id, nowUs)) {
             return nowUs;
         }
-        return nowUs + (long) Math.ceil(halfLifeUs * Math.log(counts.get(id).value / (suppressThreshold / 2)) / Math.log(2)) + 1;
+        return nowUs
+                + (long) Math.ceil(halfLifeUs * Math.log(counts.get(id).value / (suppressThreshold / 2)) / Math.log(2))
+                + 1;
     }
 }
--- a/src/main/java/vetchpost/sources/Membership.java
+++ b/src/main/java/vetchpost/sources/Membership.java
@@ -13,36 +13,42 @@
 import vetchpost.sources.SourceDeclaration.Permission;
 
 /**
- * Who is in the fleet by all sources together. In this order: a word that a server has gone, by a source that
- * may remove; that it drains, by one that may drain; that it is ready, by one that may add. So the more
- * careful word holds, and who is trusted more decides only on names, sizes and zones. What nobody names any
- * more goes at once, but for more than a share of the fleet, which goes only after it has been left out for a
- * stated time; and whoever comes and goes is held back for a while. Two entries that share an address are
- * one server, whatever they are called.
+ * Decides which servers are in the fleet by combining all sources. In this order: a server is gone if a source that may
+ * remove says so, draining if one that may drain says so, and ready if one that may add says so. The most restrictive
+ * state therefore wins; the order of trust decides only names, weights and zones.
+ *
+ * <p>A server that no source names any more leaves at once, unless more than a fraction of the fleet would leave: those
+ * leave only after they have been missing for a configured time. A server that comes and goes repeatedly is kept out
+ * for a while. Entries that share an address are one server, whatever their ids.
+ *
+ * <p>{@link SourceMerger} and the source watcher call it on the node's event loop.
  */
 public final class Membership {
-    /** So many may always go at once: of three servers one or two are no slip. */
+    /**
+     * This many may always leave at once: in a fleet of three, one or two missing servers are no sign of a faulty list.
+     */
     private static final int MIN_IMMEDIATE_REMOVALS = 2;
-    /** So many of those that went are remembered. */
+    /** Servers that have left and whose time of leaving is remembered. */
     private static final int MAX_DEPARTED_SERVERS = 20_000;
 
     private final MergeRules rules;
     private final List<SourceState> sourceStates = new ArrayList<>();
     private final FlapDamping flapDamping;
-    /** The fleet as it stands, by id. */
+    /** Current members by id. */
     private final Map<String, Member> members = new LinkedHashMap<>();
 
     private final Map<InetSocketAddress, String> idByAddress = new HashMap<>();
     private final Map<String, List<InetSocketAddress>> addressesById = new HashMap<>();
-    /** Of those that nobody names: since when. */
+    /** Since when members that no source names have been missing, in microseconds. */
     private final Map<String, Long> unnamedSinceUs = new HashMap<>();
-    /** When those that are out went, to know who is back. */
+    /** When former members left, to recognize the ones that return. */
     private final Map<String, Long> departedUs = new LinkedHashMap<>();
     /**
-     * When those went that have gone lately because nobody names them; one that comes and goes counts once.
+     * When members were removed recently because no source named them; each id counts once, however often it comes and
+     * goes.
      */
     private final Map<String, Long> recentRemovalsUs = new HashMap<>();
-    /** Of those that were named last, which some source says have gone. */
+    /** Servers that a permitted source reported as gone at the last update. */
     private final Set<String> reportedGone = new HashSet<>();
 
     private int pendingRemovals;
@@ -50,74 +56,89 @@
     private boolean isStarted;
 
     /**
-     * A server that is in the fleet.
+     * A server in the fleet.
      *
-     * @param draining whether it takes no new requests
-     * @param sinceUs when it came in, or came back after being away, by the clock of the calls; 0 if it was
+     * @param draining whether it accepts no new requests
+     * @param weight its relative capacity
+     * @param zone empty if unknown
+     * @param sinceUs when it joined, or returned after an absence, in microseconds of the caller's clock; 0 if it was
      *     there from the start
      */
     public record Member(
             String id, InetSocketAddress address, boolean draining, double weight, String zone, long sinceUs) {}
 
-    /** Nothing said so far; the sources in the order of trust. */
+    /**
+     * Creates an empty fleet.
+     *
+     * @param sources the declared sources, the most trusted first
+     */
     public Membership(List<SourceDeclaration> sources, MergeRules rules) {
         this.rules = rules;
-        sources.forEach(s -> sourceStates.add(new SourceState(s)));
+        sources.forEach(source -> sourceStates.add(new SourceState(source)));
         flapDamping = new FlapDamping(rules.maxFlaps(), rules.flapHalfLifeUs());
     }
 
     /**
-     * Has these be the sources from now on. One that is declared as before keeps what it has said; what only
-     * those named that are no more is left out from now on.
+     * Replaces the sources. A source whose declaration is unchanged keeps what it has reported; servers that only
+     * removed sources named count as missing from now on.
      */
     public void reload(List<SourceDeclaration> sources) {
         Map<SourceDeclaration, SourceState> before = new HashMap<>();
-        sourceStates.forEach(r -> before.put(r.declared(), r));
+        sourceStates.forEach(state -> before.put(state.declared(), state));
         sourceStates.clear();
-        sources.forEach(s -> sourceStates.add(before.getOrDefault(s, new SourceState(s))));
+        sources.forEach(source -> sourceStates.add(before.getOrDefault(source, new SourceState(source))));
     }
 
-    /** A source has named these. */
+    /**
+     * A source has reported its list of servers.
+     *
+     * @param source index of the source in the declared order
+     * @param nowUs time in microseconds
+     */
     public void serversReported(int source, List<ReportedServer> servers, long nowUs) {
         sourceStates.get(source).serversReported(servers, nowUs);
     }
 
-    /** A source says nothing that can be used. */
+    /**
+     * A source has failed to give a usable list.
+     *
+     * @param source index of the source in the declared order
+     */
     public void sourceFailed(int source, String why, long nowUs) {
         sourceStates.get(source).sourceFailed(why, nowUs);
     }
 
-    /** Why what a source said last is old; empty if it is not. */
+    /** Why a source's last list is out of date; empty if it is current. */
     public String failure(int source) {
         return sourceStates.get(source).failure();
     }
 
-    /** Whether each source has been heard, so that a server that comes now is a new one. */
+    /** Whether every source has reported, so that a server that appears now is a new one. */
     public boolean isStarted() {
         return isStarted;
     }
 
-    /** Has what comes from now on count as new, though a source has not been heard yet. */
+    /** Treats servers that appear from now on as new, even if a source has not reported yet. */
     public void start() {
         isStarted = true;
     }
 
-    /** Whether a source that may remove says of this server that it has gone. */
+    /** Whether a source that may remove reports this server as gone. */
     public boolean isReportedGone(String id) {
         return reportedGone.contains(id);
     }
 
-    /** How many stay though nobody names them any more. */
+    /** How many servers remain members although no source names them. */
     public int pendingRemovalCount() {
         return pendingRemovals;
     }
 
-    /** How many are named and held back since they come and go. */
+    /** How many servers are named but kept out because they come and go. */
     public int flappingCount() {
         return flappingServers;
     }
 
-    /** What is named, with all that is said of it. */
+    /** A server named by sources, with everything reported about it. */
     private static final class Candidate {
         private final String id;
         private final List<InetSocketAddress> addresses = new ArrayList<>();
@@ -131,7 +152,7 @@
             this.id = id;
         }
 
-        void add(SourceState from, ReportedServer named) {
+        void add(SourceState source, ReportedServer named) {
             for (InetSocketAddress address : named.addresses()) {
                 if (!addresses.contains(address)) {
                     addresses.add(address);
@@ -141,53 +162,54 @@
                 weight = named.weight();
             }
             zone = zone.isEmpty() ? named.zone() : zone;
-            // A source that says that a server drains names it, too.
-            isReady |= named.state() != State.GONE && from.isPermitted(Permission.ADD);
-            addState(from, named);
+            // A source that reports a server as draining names it too.
+            isReady |= named.state() != State.GONE && source.isPermitted(Permission.ADD);
+            addState(source, named);
         }
 
-        /** What counts of a word though its source does not name the server any more. */
-        void addState(SourceState from, ReportedServer named) {
-            isDraining |= named.state() == State.DRAINING && from.acceptsState(State.DRAINING);
-            isGone |= named.state() == State.GONE && from.acceptsState(State.GONE);
+        /** Adds a reported state; it may count although its source no longer names the server. */
+        void addState(SourceState source, ReportedServer named) {
+            isDraining |= named.state() == State.DRAINING && source.acceptsState(State.DRAINING);
+            isGone |= named.state() == State.GONE && source.acceptsState(State.GONE);
         }
     }
 
     /**
-     * Makes the fleet of what has been said.
+     * Recomputes the fleet from the sources' reports.
      *
-     * @return all that are in it, in no order that means anything
+     * @param nowUs time in microseconds
+     * @return all members by id
      */
     public Map<String, Member> update(long nowUs) {
-        sourceStates.forEach(r -> r.expire(nowUs));
+        sourceStates.forEach(source -> source.expire(nowUs));
         Map<String, Candidate> candidates = mergeCandidates();
         pendingRemovals = 0;
         flappingServers = 0;
         reportedGone.clear();
         candidates.values().stream().filter(c -> c.isGone).forEach(c -> reportedGone.add(c.id));
-        List<String> unnamed = new ArrayList<>();
+        List<String> missing = new ArrayList<>();
         for (String id : members.keySet()) {
             Candidate candidate = candidates.get(id);
             if (candidate != null && candidate.isGone) {
-                unnamed.add(id);
+                missing.add(id);
             } else if (candidate == null || !candidate.isReady) {
-                unnamed.add(id);
+                missing.add(id);
             } else {
                 unnamedSinceUs.remove(id);
             }
         }
-        int mayGo = removableCount(nowUs);
-        for (String id : unnamed) {
+        int removable = removableCount(nowUs);
+        for (String id : missing) {
             Candidate candidate = candidates.get(id);
             if (candidate != null && candidate.isGone) {
                 removeMember(id, nowUs);
                 continue;
             }
             long sinceUs = unnamedSinceUs.computeIfAbsent(id, i -> nowUs);
-            boolean confirmed = nowUs - sinceUs >= rules.removalConfirmationUs();
-            if (mayGo > 0 || confirmed || recentRemovalsUs.containsKey(id)) {
-                if (!confirmed) {
-                    mayGo -= recentRemovalsUs.containsKey(id) ? 0 : 1;
+            boolean isConfirmed = nowUs - sinceUs >= rules.removalConfirmationUs();
+            if (removable > 0 || isConfirmed || recentRemovalsUs.containsKey(id)) {
+                if (!isConfirmed) {
+                    removable -= recentRemovalsUs.containsKey(id) ? 0 : 1;
                     recentRemovalsUs.put(id, nowUs);
                 }
                 removeMember(id, nowUs);
@@ -201,37 +223,38 @@
             }
         });
         isStarted |= sourceStates.stream().allMatch(SourceState::hasReported);
-        // In an order of its own: that of Map.copyOf is another in each process, as a seed's run would be.
+        // Insertion order: the order of Map.copyOf differs between processes, so a run with the same seed would too.
         return Collections.unmodifiableMap(new LinkedHashMap<>(members));
     }
 
-    /** How many more may go now without having been left out for long. */
+    /** How many more may leave now without having been missing for the confirmation time. */
     private int removableCount(long nowUs) {
-        recentRemovalsUs.values().removeIf(at -> nowUs - at >= rules.removalConfirmationUs());
-        int before = members.size();
+        recentRemovalsUs.values().removeIf(removedUs -> nowUs - removedUs >= rules.removalConfirmationUs());
+        int fleetSize = members.size();
         for (String id : recentRemovalsUs.keySet()) {
-            before += members.containsKey(id) ? 0 : 1;
+            fleetSize += members.containsKey(id) ? 0 : 1;
         }
-        return Math.max(MIN_IMMEDIATE_REMOVALS, (int) (rules.maxRemovedFraction() * before)) - recentRemovalsUs.size();
+        return Math.max(MIN_IMMEDIATE_REMOVALS, (int) (rules.maxRemovedFraction() * fleetSize))
+                - recentRemovalsUs.size();
     }
 
-    /** What is named, entries that share an address as one. */
+    /** Everything that sources name; entries that share an address are merged. */
     private Map<String, Candidate> mergeCandidates() {
         Map<String, Candidate> byId = new LinkedHashMap<>();
         Map<InetSocketAddress, Candidate> byAddress = new HashMap<>();
-        for (SourceState register : sourceStates) {
-            for (ReportedServer named : register.reportedServers()) {
-                Candidate candidate = findCandidate(named, byId, byAddress);
-                candidate.add(register, named);
-                named.addresses().forEach(a -> byAddress.putIfAbsent(a, candidate));
+        for (SourceState source : sourceStates) {
+            for (ReportedServer server : source.reportedServers()) {
+                Candidate candidate = findCandidate(server, byId, byAddress);
+                candidate.add(source, server);
+                server.addresses().forEach(address -> byAddress.putIfAbsent(address, candidate));
             }
         }
-        for (SourceState register : sourceStates) {
-            for (ReportedServer last : register.drainingWhenDropped()) {
-                for (InetSocketAddress address : last.addresses()) {
+        for (SourceState source : sourceStates) {
+            for (ReportedServer server : source.drainingWhenDropped()) {
+                for (InetSocketAddress address : server.addresses()) {
                     Candidate candidate = byAddress.get(address);
                     if (candidate != null) {
-                        candidate.addState(register, last);
+                        candidate.addState(source, server);
                     }
                 }
             }
@@ -240,26 +263,28 @@
     }
 
     private Candidate findCandidate(
-            ReportedServer named, Map<String, Candidate> byId, Map<InetSocketAddress, Candidate> byAddress) {
-        for (InetSocketAddress address : named.addresses()) {
-            Candidate known = byAddress.get(address);
-            if (known != null) {
-                return known;
+            ReportedServer server, Map<String, Candidate> byId, Map<InetSocketAddress, Candidate> byAddress) {
+        for (InetSocketAddress address : server.addresses()) {
+            Candidate candidate = byAddress.get(address);
+            if (candidate != null) {
+                return candidate;
             }
         }
-        // It keeps the name that it has in the fleet, by whichever source it was brought there: another
-        // name would look like another server, and a cold one.
+        // A member keeps its id, whichever source it came from: under another id it would look like a new, cold
+        // server.
         String id = null;
-        for (InetSocketAddress address : named.addresses()) {
+        for (InetSocketAddress address : server.addresses()) {
             String owner = idByAddress.get(address);
-            // But not one that its source calls by the name of another that is there.
-            if (owner != null && (named.id().isEmpty() || !members.containsKey(named.id()))) {
+            // Unless its source gives it the id of another current member.
+            if (owner != null && (server.id().isEmpty() || !members.containsKey(server.id()))) {
                 id = owner;
                 break;
             }
         }
         if (id == null) {
-            id = named.id().isEmpty() ? ReportedServer.formatAddress(named.addresses().get(0)) : named.id();
+            id = server.id().isEmpty()
+                    ? ReportedServer.formatAddress(server.addresses().get(0))
+                    : server.id();
         }
         return byId.computeIfAbsent(id, Candidate::new);
     }
@@ -281,8 +306,8 @@
                 : candidate.addresses.get(0);
         long sinceUs = 0;
         if (member == null) {
-            Long went = departedUs.get(candidate.id);
-            if (went != null) {
+            Long leftUs = departedUs.get(candidate.id);
+            if (leftUs != null) {
                 departedUs.remove(candidate.id);
                 flapDamping.serverReturned(candidate.id, nowUs);
             }
@@ -290,10 +315,10 @@
                 flappingServers++;
                 return;
             }
-            // What was away for a moment only has hardly been started anew.
-            sinceUs = went == null ? isStarted ? nowUs : 0 : nowUs - went >= rules.coldAfterAbsenceUs() ? nowUs : 0;
+            // A short absence is hardly a restart.
+            sinceUs = leftUs == null ? isStarted ? nowUs : 0 : nowUs - leftUs >= rules.coldAfterAbsenceUs() ? nowUs : 0;
         } else if (!address.equals(member.address())) {
-            sinceUs = nowUs; // Another address is another process.
+            sinceUs = nowUs; // A new address means a new process.
         } else {
             sinceUs = member.sinceUs();
         }
@@ -309,30 +334,31 @@
         setAddresses(candidate.id, candidate.addresses);
     }
 
-    /** Has a server be found by these addresses, and by no others. */
-    private void setAddresses(String id, List<InetSocketAddress> now) {
-        List<InetSocketAddress> before = now.isEmpty() ? addressesById.remove(id) : addressesById.put(id, now);
-        if (before != null && !before.equals(now)) {
-            before.forEach(a -> idByAddress.remove(a, id));
+    /** Replaces the addresses by which a server is found. */
+    private void setAddresses(String id, List<InetSocketAddress> newAddresses) {
+        List<InetSocketAddress> oldAddresses =
+                newAddresses.isEmpty() ? addressesById.remove(id) : addressesById.put(id, newAddresses);
+        if (oldAddresses != null && !oldAddresses.equals(newAddresses)) {
+            oldAddresses.forEach(address -> idByAddress.remove(address, id));
         }
-        if (!now.equals(before)) {
-            now.forEach(a -> idByAddress.put(a, id));
+        if (!newAddresses.equals(oldAddresses)) {
+            newAddresses.forEach(address -> idByAddress.put(address, id));
         }
     }
 
-    /** When something changes though nothing is said; the largest number for never. */
+    /** When the fleet may change without a new report, in microseconds; {@link Long#MAX_VALUE} for never. */
     public long nextUpdateUs(long nowUs) {
-        long next = Long.MAX_VALUE;
-        for (SourceState register : sourceStates) {
-            next = Math.min(next, register.nextExpiryUs());
+        long nextUs = Long.MAX_VALUE;
+        for (SourceState source : sourceStates) {
+            nextUs = Math.min(nextUs, source.nextExpiryUs());
         }
-        for (long since : unnamedSinceUs.values()) {
-            next = Math.min(next, since + rules.removalConfirmationUs());
+        for (long missingSinceUs : unnamedSinceUs.values()) {
+            nextUs = Math.min(nextUs, missingSinceUs + rules.removalConfirmationUs());
         }
         if (flappingServers > 0) {
-            // Looked at again once in a while: the counts halve slowly.
-            next = Math.min(next, nowUs + Math.max(1, rules.flapHalfLifeUs() / 8));
+            // Checked again from time to time: the counts halve slowly.
+            nextUs = Math.min(nextUs, nowUs + Math.max(1, rules.flapHalfLifeUs() / 8));
         }
-        return next;
+        return nextUs;
     }
 }
--- a/src/main/java/vetchpost/sources/MergeRules.java
+++ b/src/main/java/vetchpost/sources/MergeRules.java
@@ -1,13 +1,13 @@
 package vetchpost.sources;
 
 /**
- * How several sources' words are made one list. Times are in microseconds.
+ * How the reports of several sources are merged. Times are in microseconds.
  *
- * @param mostGone share of the fleet that may go at once because nobody names it any more
- * @param confirmUs what more than that has to be left out for, before it goes
- * @param flaps returns after which a server is kept out for a while
- * @param calmUs half of what is counted of them is forgotten in so long
- * @param absentUs who was away for so long is taken for cold when it is back
+ * @param maxRemovedFraction fraction of the fleet, 0 to 1, that may leave at once because no source names it any more
+ * @param removalConfirmationUs how long further servers must be missing before they leave
+ * @param maxFlaps returns after which a server is kept out for a while
+ * @param flapHalfLifeUs time in which the count of returns halves
+ * @param coldAfterAbsenceUs a server that returns after this long an absence counts as cold
  */
 public record MergeRules(
         double maxRemovedFraction,
--- a/src/main/java/vetchpost/sources/ReportedServer.java
+++ b/src/main/java/vetchpost/sources/ReportedServer.java
@@ -4,32 +4,32 @@
 import java.util.List;
 
 /**
- * A server as one source names it.
+ * A server as one source reports it.
  *
- * @param id its name there; empty if the source has only addresses
- * @param addresses all that lead to it, the preferred first; at least one
- * @param word what is said of it
- * @param weight its size, compared with other servers' only
- * @param zone where it stands; empty if that is not said
+ * @param id its id at that source; empty if the source only gives addresses
+ * @param addresses all its addresses, the preferred one first; at least one
+ * @param state the reported state
+ * @param weight its capacity relative to other servers; above 0
+ * @param zone empty if unknown
  */
 public record ReportedServer(String id, List<InetSocketAddress> addresses, State state, double weight, String zone) {
 
-    /** What a source may say of a server. */
+    /** The state that a source reports for a server. The constants are read from files by name. */
     public enum State {
-        /** It takes requests. */
+        /** It accepts requests. */
         READY,
-        /** It takes no new ones. */
+        /** It accepts no new requests. */
         DRAINING,
-        /** It is not there any more, whatever others say. */
+        /** It has left, whatever other sources say. */
         GONE
     }
 
-    /** Ready, of usual size. */
+    /** A ready server of weight 1. */
     public static ReportedServer of(InetSocketAddress address) {
         return new ReportedServer("", List.of(address), State.READY, 1, "");
     }
 
-    /** An address as it is written. */
+    /** Formats an address as {@code host:port}, an IPv6 host in brackets. */
     public static String formatAddress(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + address.getPort();
--- a/src/main/java/vetchpost/sources/ServerOverrides.java
+++ b/src/main/java/vetchpost/sources/ServerOverrides.java
@@ -1,21 +1,28 @@
 package vetchpost.sources;
 
-/** What operators say of servers, beside what sources, checks and the servers themselves do. */
+/**
+ * The operators' overrides for servers, applied on top of sources, checks and the servers' own reports. Called by
+ * {@link SourceMerger} on the event loop.
+ */
 public interface ServerOverrides {
-    /** Nothing. */
+    /** No overrides. */
     ServerOverrides NONE = new ServerOverrides() {};
 
-    /** Whether this server takes nothing new. */
+    /** Whether an override drains this server. */
     default boolean isDraining(String id) {
         return false;
     }
 
-    /** A server's weight, of the one that its sources tell; more than 0. */
-    default double weight(String id, double said) {
-        return said;
+    /**
+     * A server's weight with overrides applied; above 0.
+     *
+     * @param reportedWeight its weight as its sources report it
+     */
+    default double weight(String id, double reportedWeight) {
+        return reportedWeight;
     }
 
-    /** Whether the list is held as it is. */
+    /** Whether the list of servers is frozen. */
     default boolean isListFrozen() {
         return false;
     }
--- a/src/main/java/vetchpost/sources/SourceDeclaration.java
+++ b/src/main/java/vetchpost/sources/SourceDeclaration.java
@@ -5,18 +5,18 @@
 import java.util.Set;
 
 /**
- * A source as the operator's file declares it.
+ * A source as the operator's file declares it. Times are in microseconds.
  *
  * @param name for messages
- * @param where the file's path, or the name that is looked up; empty for the operator's file itself
- * @param port of the servers that a name's addresses stand for
- * @param may what its word can do
- * @param everyUs how often it is asked; for names, at the most
- * @param keepUs how long a server stays that an answer leaves out, since it was last named; 0 where a source
+ * @param location the file's path, or the name to look up; empty for the operator's file itself
+ * @param port port of the servers at a name's addresses
+ * @param permissions what its reports may do
+ * @param intervalUs how often it is read; for names, the longest interval between queries
+ * @param retentionUs how long a server stays that an answer leaves out, since it was last named; 0 where a source
  *     always names all
- * @param staleUs how long what it said last holds while it says nothing, or nothing at all is left
- * @param own what the operator's file itself names; else empty
- * @param resolvers who is asked for names; empty for the system's
+ * @param staleAfterUs how long its last report stays in use while it fails, or reports no servers at all
+ * @param inlineServers the servers that the operator's file itself names; else empty
+ * @param resolvers the name servers to query; empty for the system's
  */
 public record SourceDeclaration(
         String name,
@@ -30,25 +30,25 @@
         List<ReportedServer> inlineServers,
         List<InetSocketAddress> resolvers) {
 
-    /** What a source is. */
+    /** The type of a source. */
     public enum Kind {
         /** The operator's file itself. */
         ITSELF,
         /** Another file, in JSON or TOML. */
         FILE,
-        /** A name's addresses, of both families. */
+        /** The addresses of a DNS name, IPv4 or IPv6. */
         DNS,
-        /** A name's servers (RFC 2782). */
+        /** The SRV records of a DNS name (RFC 2782). */
         SRV
     }
 
-    /** What a source's word can do. */
+    /** What a source's reports may do. */
     public enum Permission {
-        /** Bring a server into the fleet. */
+        /** Add a server to the fleet. */
         ADD,
-        /** Have one take no new requests. */
+        /** Drain a server. */
         DRAIN,
-        /** Take one out that others name. */
+        /** Remove a server that other sources name. */
         REMOVE
     }
 }
--- a/src/main/java/vetchpost/sources/SourceMerger.java
+++ b/src/main/java/vetchpost/sources/SourceMerger.java
@@ -13,45 +13,46 @@
 import vetchpost.sources.Membership.Member;
 
 /**
- * One list of servers out of what sources say, checks find and servers say of themselves. Gone comes before
- * draining, and draining before ready, whoever says it; {@code docs/servers.md} has the table. Nothing in it
- * keeps a clock or a socket.
+ * Merges what sources report, checks find, servers report of themselves and operators override into one list of
+ * servers. Gone takes precedence over draining, and draining over ready, whoever reports it; {@code docs/servers.md}
+ * has the table. The source watcher calls it on the event loop; it has no clock or socket of its own.
  */
 public final class SourceMerger {
-    /** For so long a server's own word that it drains holds, unless its address or process changes. */
+    /** How long a server's own report that it drains applies, unless its address or process changes. */
     public static final long SELF_DRAIN_LEASE_US = 60_000_000;
 
     private final Membership membership;
     private final CheckPlan checks;
     private final long unixOriginMs;
     private final long originUs;
-    /** What was told last of each. */
+    /** The target last reported to the node for each server. */
     private final Map<String, ServerList.Target> reportedTargets = new LinkedHashMap<>();
-    /** By their own word: until when. */
+    /** Until when each server counts as draining by its own report. */
     private final Map<String, Long> selfDrainUntilUs = new HashMap<>();
-    /** When those came back that checks, or their own word, had taken out. */
+    /** When servers returned that checks or their own reports had excluded. */
     private final Map<String, Long> returnedUs = new HashMap<>();
-    /** When a server is to be taken for started, by the clock of the calls; 0 for long ago. */
+    /** When each server counts as started, in microseconds of the caller's clock; 0 for long ago. */
     private final Map<String, Start> starts = new HashMap<>();
 
     private final long coldUs;
     private Set<String> excludedServers = new HashSet<>();
-    /** The list as sources and a hold make it. */
+    /** The list as sources and a freeze make it. */
     private Map<String, Member> lastMembers = Map.of();
 
     private ServerOverrides overrides = ServerOverrides.NONE;
-    /** The list as it was when it began to be held; null while it is not. */
+    /** The list since it was frozen; null while it is not. */
     private Map<String, Member> frozenMembers;
 
-    /** Since when it is there, and whether it is spared for that. */
+    /** When a server started, and whether slow start applies to it. */
     private record Start(long sinceUs, boolean usesSlowStart) {}
 
     /**
-     * Nothing told so far.
+     * Creates a merger that has reported nothing.
      *
-     * @param checks null where there are none
-     * @param coldUs for so long a server is cold that is new or back
-     * @param unixMs Unix time at {@code nowUs}
+     * @param checks null where servers are not checked
+     * @param coldUs how long a new or returned server counts as cold, in microseconds
+     * @param unixMs Unix time in milliseconds at {@code nowUs}
+     * @param nowUs monotonic time in microseconds
      */
     public SourceMerger(Membership membership, CheckPlan checks, long coldUs, long unixMs, long nowUs) {
         this.coldUs = coldUs;
@@ -61,43 +62,49 @@
         originUs = nowUs;
     }
 
-    /** Has operators' words count from now on. */
-    public void setOverrides(ServerOverrides other) {
-        overrides = other;
+    /** Applies these overrides from now on. */
+    public void setOverrides(ServerOverrides newOverrides) {
+        overrides = newOverrides;
     }
 
-    /** The servers as they are but for what operators say of each. */
+    /** The current servers without the operators' overrides of single servers. */
     public List<Member> members() {
         return lastMembers.values().stream()
-                .map(m -> !excludedServers.contains(m.id())
-                        ? m
-                        : new Member(m.id(), m.address(), true, m.weight(), m.zone(), m.sinceUs()))
+                .map(member -> !excludedServers.contains(member.id())
+                        ? member
+                        : new Member(
+                                member.id(), member.address(), true, member.weight(), member.zone(), member.sinceUs()))
                 .toList();
     }
 
-    /** A server says of itself that it takes no new requests. */
+    /** A server has reported that it accepts no new requests. */
     public void reportDraining(String id, long nowUs) {
         if (reportedTargets.containsKey(id)) {
             selfDrainUntilUs.put(id, nowUs + SELF_DRAIN_LEASE_US);
         }
     }
 
-    /** What has changed since it was asked last, to be told to a node; empty if nothing has. */
+    /**
+     * Computes what has changed since the last call.
+     *
+     * @param nowUs monotonic time in microseconds
+     * @return the changes to report to the node; empty if there are none
+     */
     public List<ServerList.Target> pollChanges(long nowUs) {
         Map<String, Member> members = applyFreeze(membership.update(nowUs));
         lastMembers = members;
         selfDrainUntilUs.values().removeIf(until -> until <= nowUs);
-        Set<String> outNow = new HashSet<>(selfDrainUntilUs.keySet());
+        Set<String> nowExcluded = new HashSet<>(selfDrainUntilUs.keySet());
         if (checks != null) {
             checks.setServers(members.keySet(), nowUs);
-            outNow.addAll(checks.ejectedServers());
+            nowExcluded.addAll(checks.ejectedServers());
         }
         for (String id : excludedServers) {
-            if (!outNow.contains(id)) {
+            if (!nowExcluded.contains(id)) {
                 returnedUs.put(id, nowUs);
             }
         }
-        excludedServers = outNow;
+        excludedServers = nowExcluded;
         returnedUs.keySet().retainAll(members.keySet());
         selfDrainUntilUs.keySet().retainAll(members.keySet());
         List<ServerList.Target> changes = new ArrayList<>();
@@ -109,17 +116,17 @@
             }
         }
         starts.keySet().retainAll(members.keySet());
-        long cold = starts.values().stream()
-                .filter(s -> s.usesSlowStart() && nowUs - s.sinceUs() < coldUs)
+        long coldCount = starts.values().stream()
+                .filter(start -> start.usesSlowStart() && nowUs - start.sinceUs() < coldUs)
                 .count();
         for (Member member : members.values()) {
-            long since = Math.max(member.sinceUs(), returnedUs.getOrDefault(member.id(), 0L));
+            long sinceUs = Math.max(member.sinceUs(), returnedUs.getOrDefault(member.id(), 0L));
             Start start = starts.get(member.id());
-            if (start == null || start.sinceUs() != since) {
-                // Where most are new at once there is nobody warm to take what they are spared.
-                boolean spared = since > 0 && cold + 1 <= members.size() / 2;
-                cold += spared ? 1 : 0;
-                starts.put(member.id(), new Start(since, spared));
+            if (start == null || start.sinceUs() != sinceUs) {
+                // No slow start where most servers are new: no warm server could take the load.
+                boolean usesSlowStart = sinceUs > 0 && coldCount + 1 <= members.size() / 2;
+                coldCount += usesSlowStart ? 1 : 0;
+                starts.put(member.id(), new Start(sinceUs, usesSlowStart));
             }
             ServerList.Target target = toTarget(member);
             if (!target.equals(reportedTargets.put(target.id(), target))) {
@@ -130,55 +137,56 @@
     }
 
     /**
-     * The list as it was told last, while it is held: who has come waits, who is left out stays, who has gone
-     * by a source's own word drains, and who drains does.
+     * The frozen list while a freeze is active: new servers wait, missing ones stay, those that a source reports as
+     * gone drain, and draining ones drain.
      */
-    private Map<String, Member> applyFreeze(Map<String, Member> now) {
+    private Map<String, Member> applyFreeze(Map<String, Member> current) {
         if (!overrides.isListFrozen()) {
             frozenMembers = null;
-            return now;
+            return current;
         }
         if (frozenMembers == null) {
-            frozenMembers = new LinkedHashMap<>(lastMembers.isEmpty() ? now : lastMembers);
+            frozenMembers = new LinkedHashMap<>(lastMembers.isEmpty() ? current : lastMembers);
         }
-        // Who is not named any more stays as it was when it was named last: also draining.
-        frozenMembers.replaceAll((id, old) -> {
-            Member fresh = now.getOrDefault(id, old);
+        // A server that is no longer named keeps its last reported state, draining included.
+        frozenMembers.replaceAll((id, frozen) -> {
+            Member latest = current.getOrDefault(id, frozen);
             return new Member(
                     id,
-                    fresh.address(),
-                    fresh.draining() || membership.isReportedGone(id),
-                    fresh.weight(),
-                    fresh.zone(),
-                    fresh.sinceUs());
+                    latest.address(),
+                    latest.draining() || membership.isReportedGone(id),
+                    latest.weight(),
+                    latest.zone(),
+                    latest.sinceUs());
         });
         return Collections.unmodifiableMap(new LinkedHashMap<>(frozenMembers));
     }
 
     private ServerList.Target toTarget(Member member) {
-        boolean drains = member.draining() || excludedServers.contains(member.id()) || overrides.isDraining(member.id());
+        boolean isDraining =
+                member.draining() || excludedServers.contains(member.id()) || overrides.isDraining(member.id());
         Start start = starts.get(member.id());
         return new ServerList.Target(
                 member.id(),
                 member.address(),
                 member.zone(),
                 0,
-                drains ? ServerState.DRAINING : ServerState.READY,
+                isDraining ? ServerState.DRAINING : ServerState.READY,
                 overrides.weight(member.id(), member.weight()),
                 start.usesSlowStart() ? unixOriginMs + (start.sinceUs() - originUs) / 1_000 : 0);
     }
 
-    /** All that is told, as a whole list. */
+    /** All reported servers, as a full list. */
     public ServerList fullList() {
         return new ServerList(0, true, List.copyOf(reportedTargets.values()));
     }
 
-    /** When to ask again though nothing has happened; the largest number for never. */
+    /** When to poll again without a new report, in microseconds; {@link Long#MAX_VALUE} for never. */
     public long nextUpdateUs(long nowUs) {
-        long next = membership.nextUpdateUs(nowUs);
-        for (long until : selfDrainUntilUs.values()) {
-            next = Math.min(next, until);
+        long nextUs = membership.nextUpdateUs(nowUs);
+        for (long untilUs : selfDrainUntilUs.values()) {
+            nextUs = Math.min(nextUs, untilUs);
         }
-        return next;
+        return nextUs;
     }
 }
--- a/src/main/java/vetchpost/sources/SourceState.java
+++ b/src/main/java/vetchpost/sources/SourceState.java
@@ -8,29 +8,29 @@
 import vetchpost.sources.ReportedServer.State;
 
 /**
- * What one source has said, and for how long that holds. An answer that leaves a server out is no word on it
- * where the source never names all; one that is empty, or none at all, changes nothing for a stated time: a
- * slip must not empty a fleet.
+ * What one source has reported, and how long that stays valid. Where a source never names all its servers, one that an
+ * answer leaves out stays for a retention time. An empty or failed answer changes nothing until the source counts as
+ * stale, because a short fault must not empty the fleet. Used by {@link Membership} on the event loop.
  */
 final class SourceState {
-    /** What is kept of one source at most; the rest is passed over, and said so. */
+    /** Servers kept of one source; further ones are ignored and counted. */
     static final int MAX_SERVERS = 20_000;
 
     private final SourceDeclaration declared;
     private final Map<String, Observation> observations = new LinkedHashMap<>();
     /**
-     * Who was said to drain when it was named last, and is not named any more. That it is left
-     * out then does not take the word back: another source may go on naming it for a while.
+     * Servers that were draining when they were last named, and are not named any more. Leaving a server out does not
+     * end its drain, because another source may keep naming it for a while.
      */
     private final Map<String, Observation> drainingWhenDropped = new LinkedHashMap<>();
-    /** Since when it has said nothing, or that there is nothing; or -1. */
+    /** Since when it has failed or reported no servers; -1 if it has not. */
     private long failingSinceUs = -1;
 
     private String failure = "";
     private int ignoredCount;
     private boolean hasReported;
 
-    /** A server as it was named last, and when. */
+    /** A server as it was last reported, and when. */
     private record Observation(ReportedServer server, long observedUs) {}
 
     SourceState(SourceDeclaration declared) {
@@ -41,121 +41,125 @@
         return declared;
     }
 
-    /** Whether it has ever said anything that could be used. */
+    /** Whether it has ever given a usable report. */
     boolean hasReported() {
         return hasReported;
     }
 
-    /** Why what it said last is old; empty if it is not. */
+    /** Why its last report is out of date; empty if it is current. */
     String failure() {
         return failure;
     }
 
-    /** Servers that its last answer named beyond what is kept. */
+    /** Servers of its last report beyond the limit. */
     int ignoredCount() {
         return ignoredCount;
     }
 
-    private static String keyOf(ReportedServer named) {
-        return named.id().isEmpty() ? ReportedServer.formatAddress(named.addresses().get(0)) : named.id();
+    private static String keyOf(ReportedServer server) {
+        return server.id().isEmpty()
+                ? ReportedServer.formatAddress(server.addresses().get(0))
+                : server.id();
     }
 
-    /** It has named these. */
+    /** The source has reported these servers. */
     void serversReported(List<ReportedServer> servers, long nowUs) {
         if (servers.isEmpty()) {
-            sourceFailed("it names no server", nowUs);
+            sourceFailed("it reports no servers", nowUs);
             return;
         }
         hasReported = true;
         failingSinceUs = -1;
         failure = "";
         if (declared.retentionUs() == 0) {
-            observations.forEach((key, last) -> {
-                if (last.server().state() == State.DRAINING && drainingWhenDropped.size() < MAX_SERVERS) {
-                    drainingWhenDropped.put(key, new Observation(last.server(), nowUs));
+            observations.forEach((key, observation) -> {
+                if (observation.server().state() == State.DRAINING && drainingWhenDropped.size() < MAX_SERVERS) {
+                    drainingWhenDropped.put(key, new Observation(observation.server(), nowUs));
                 }
             });
             observations.clear();
         }
         ignoredCount = 0;
-        for (ReportedServer named : servers) {
-            String key = keyOf(named);
+        for (ReportedServer server : servers) {
+            String key = keyOf(server);
             drainingWhenDropped.remove(key);
             if (observations.size() >= MAX_SERVERS && !observations.containsKey(key)) {
                 ignoredCount++;
             } else {
-                observations.put(key, new Observation(named, nowUs));
+                observations.put(key, new Observation(server, nowUs));
             }
         }
         expire(nowUs);
     }
 
-    /** It says nothing that can be used, or that there is nothing. */
-    void sourceFailed(String why, long nowUs) {
-        failure = why;
+    /** The source has failed, or reported no servers. */
+    void sourceFailed(String reason, long nowUs) {
+        failure = reason;
         if (failingSinceUs < 0) {
             failingSinceUs = nowUs;
         }
     }
 
-    /** Lets go of what does not hold any more. */
+    /** Discards what is no longer valid. */
     void expire(long nowUs) {
-        drainingWhenDropped.values().removeIf(last -> nowUs - last.observedUs() >= declared.staleAfterUs());
+        drainingWhenDropped
+                .values()
+                .removeIf(observation -> nowUs - observation.observedUs() >= declared.staleAfterUs());
         if (failingSinceUs >= 0) {
-            // While it says nothing, nobody is left out either: all that it said holds, or none of it.
+            // While the source fails, no single server expires: its whole last report stays, or none of it.
             if (nowUs - failingSinceUs >= declared.staleAfterUs()) {
                 observations.clear();
             }
             return;
         }
         if (declared.retentionUs() > 0) {
-            for (Iterator<Observation> each = observations.values().iterator(); each.hasNext(); ) {
-                if (nowUs - each.next().observedUs() >= declared.retentionUs()) {
-                    each.remove();
+            for (Iterator<Observation> iterator = observations.values().iterator(); iterator.hasNext(); ) {
+                if (nowUs - iterator.next().observedUs() >= declared.retentionUs()) {
+                    iterator.remove();
                 }
             }
         }
     }
 
-    /** What it names. */
+    /** The servers that it currently names. */
     List<ReportedServer> reportedServers() {
-        List<ReportedServer> all = new ArrayList<>(observations.size());
-        observations.values().forEach(s -> all.add(s.server()));
-        return all;
+        List<ReportedServer> servers = new ArrayList<>(observations.size());
+        observations.values().forEach(observation -> servers.add(observation.server()));
+        return servers;
     }
 
-    /** Who is not named any more, and was said to drain when it was. */
+    /** The servers that are not named any more and were draining when they last were. */
     List<ReportedServer> drainingWhenDropped() {
-        List<ReportedServer> all = new ArrayList<>(drainingWhenDropped.size());
-        drainingWhenDropped.values().forEach(s -> all.add(s.server()));
-        return all;
+        List<ReportedServer> servers = new ArrayList<>(drainingWhenDropped.size());
+        drainingWhenDropped.values().forEach(observation -> servers.add(observation.server()));
+        return servers;
     }
 
-    /** When something of it ends, if nothing is said before; the largest number for never. */
+    /** When part of the report expires without a new one, in microseconds; {@link Long#MAX_VALUE} for never. */
     long nextExpiryUs() {
-        long next = Long.MAX_VALUE;
-        for (Observation each : drainingWhenDropped.values()) {
-            next = Math.min(next, each.observedUs() + declared.staleAfterUs());
+        long nextUs = Long.MAX_VALUE;
+        for (Observation observation : drainingWhenDropped.values()) {
+            nextUs = Math.min(nextUs, observation.observedUs() + declared.staleAfterUs());
         }
         if (failingSinceUs >= 0) {
-            return observations.isEmpty() ? next : Math.min(next, failingSinceUs + declared.staleAfterUs());
+            return observations.isEmpty() ? nextUs : Math.min(nextUs, failingSinceUs + declared.staleAfterUs());
         }
         if (declared.retentionUs() > 0) {
-            for (Observation each : observations.values()) {
-                next = Math.min(next, each.observedUs() + declared.retentionUs());
+            for (Observation observation : observations.values()) {
+                nextUs = Math.min(nextUs, observation.observedUs() + declared.retentionUs());
             }
         }
-        return next;
+        return nextUs;
     }
 
-    /** Whether its word on a server can do this. */
-    boolean isPermitted(SourceDeclaration.Permission what) {
-        return declared.permissions().contains(what);
+    /** Whether its reports have this permission. */
+    boolean isPermitted(SourceDeclaration.Permission permission) {
+        return declared.permissions().contains(permission);
     }
 
-    /** Whether a word of it counts: what it may not say is not said. */
-    boolean acceptsState(State word) {
-        return switch (word) {
+    /** Whether it is permitted to report this state; otherwise the state is ignored. */
+    boolean acceptsState(State state) {
+        return switch (state) {
             case READY -> isPermitted(SourceDeclaration.Permission.ADD);
             case DRAINING -> isPermitted(SourceDeclaration.Permission.DRAIN);
             case GONE -> isPermitted(SourceDeclaration.Permission.REMOVE);
--- a/src/main/java/vetchpost/sources/package-info.java
+++ b/src/main/java/vetchpost/sources/package-info.java
@@ -1,2 +1,2 @@
-/** Which servers there are, by several sources and by checks; every decision of it, and no I/O. */
+/** Decides which servers are in the fleet, from several sources and health checks. Performs no I/O. */
 package vetchpost.sources;
--- a/src/main/java/vetchpost/sourcewatch/FileWatch.java
+++ b/src/main/java/vetchpost/sourcewatch/FileWatch.java
@@ -24,9 +24,10 @@
 import vetchpost.standalone.ServerEntryReader;
 
 /**
- * Watches a file of servers. It is looked at once in a while, on a thread of its own, and read when it looks
- * other than before: a file that is replaced many times in between is read once. What is half written, can't
- * be read or is no list of servers is said to be so, and looked at again the next time.
+ * Watches a file that lists servers. It polls the file's attributes on the file thread and reads the file when they
+ * differ, so a file that is replaced many times between two polls is read once. A file that is incomplete, unreadable
+ * or not a list of servers is reported as failed and read again at the next poll. Created and closed by {@link
+ * SourceWatcher} on the event loop; the listener is called there.
  */
 final class FileWatch implements AutoCloseable {
     private static final long MAX_FILE_BYTES = 4L << 20;
@@ -37,19 +38,19 @@
     private final ScheduledFuture<?> pollTask;
     private Stamp lastStamp;
 
-    /** How a file looks from outside. */
+    /** The attributes by which a change of the file is noticed. */
     private record Stamp(long size, long modifiedMs, Object key) {
         static Stamp of(Path path) throws IOException {
-            BasicFileAttributes look = Files.readAttributes(path, BasicFileAttributes.class);
-            return new Stamp(look.size(), look.lastModifiedTime().toMillis(), look.fileKey());
+            BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+            return new Stamp(attributes.size(), attributes.lastModifiedTime().toMillis(), attributes.fileKey());
         }
     }
 
     /**
-     * Begins at once.
+     * Creates a watch that starts at once.
      *
-     * @param thread where files are read
-     * @param loop where the listener is told
+     * @param thread where the file is polled and read
+     * @param loop where the listener is called
      */
     FileWatch(SourceDeclaration source, ScheduledExecutorService thread, Executor loop, SourceListener listener) {
         path = Path.of(source.location());
@@ -60,43 +61,44 @@
 
     private void poll() {
         try {
-            Stamp now = Stamp.of(path);
-            if (now.equals(lastStamp)) {
+            Stamp stamp = Stamp.of(path);
+            if (stamp.equals(lastStamp)) {
                 return;
             }
-            if (now.size() > MAX_FILE_BYTES) {
-                throw new IllegalArgumentException("over " + (MAX_FILE_BYTES >> 20) + " MiB");
+            if (stamp.size() > MAX_FILE_BYTES) {
+                throw new IllegalArgumentException("the file is over " + (MAX_FILE_BYTES >> 20) + " MiB");
             }
             List<ReportedServer> servers = parse(path.toString(), Files.readString(path));
-            if (!Stamp.of(path).equals(now)) {
-                return; // It is being written just now.
+            if (!Stamp.of(path).equals(stamp)) {
+                return; // It changed while it was read.
             }
-            lastStamp = now;
+            lastStamp = stamp;
             loop.execute(() -> listener.serversReported(servers));
         } catch (CharacterCodingException e) {
-            reportFailure("it is no UTF-8");
+            reportFailure("the file is not valid UTF-8");
         } catch (IOException e) {
-            reportFailure("it can't be read: " + e.getMessage());
+            reportFailure("the file can't be read: " + e.getMessage());
         } catch (RuntimeException e) {
             reportFailure(e.getMessage());
         }
     }
 
-    private void reportFailure(String why) {
+    private void reportFailure(String reason) {
         lastStamp = null;
-        loop.execute(() -> listener.sourceFailed(why));
+        loop.execute(() -> listener.sourceFailed(reason));
     }
 
     /**
-     * Reads a list of servers in JSON, or in TOML where the file's name ends so.
+     * Parses a list of servers.
      *
-     * @throws IllegalArgumentException with a short reason if it is none
+     * @param name the file's name; TOML if it ends in {@code .toml}, else JSON
+     * @throws IllegalArgumentException with a short reason if the text is not such a list
      */
     static List<ReportedServer> parse(String name, String text) {
         List<?> entries = name.endsWith(".toml") ? parseToml(text) : parseJson(text);
         List<ReportedServer> servers = new ArrayList<>(entries.size());
-        for (Object each : entries) {
-            servers.add(ServerEntryReader.read(each));
+        for (Object entry : entries) {
+            servers.add(ServerEntryReader.read(entry));
         }
         return servers;
     }
@@ -106,7 +108,7 @@
         try {
             value = new Gson().fromJson(text, TypeToken.get(Object.class));
         } catch (JsonParseException e) {
-            throw new IllegalArgumentException("it is no JSON: " + e.getMessage(), e);
+            throw new IllegalArgumentException("invalid JSON: " + e.getMessage(), e);
         }
         if (value instanceof Map<?, ?> table && table.get("servers") instanceof List<?> list) {
             return list;
@@ -114,22 +116,22 @@
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new IllegalArgumentException("it holds neither a list of servers nor one called servers");
+        throw new IllegalArgumentException("the file must be a list of servers, or a table with a list named servers");
     }
 
     private static List<?> parseToml(String text) {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            throw new IllegalArgumentException("it is no TOML: " + toml.errors().get(0));
+            throw new IllegalArgumentException("invalid TOML: " + toml.errors().get(0));
         }
         TomlArray array = toml.get(List.of("servers")) instanceof TomlArray list ? list : null;
         if (array == null) {
-            throw new IllegalArgumentException("it holds no list called servers");
+            throw new IllegalArgumentException("the file has no list named servers");
         }
         List<Object> entries = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            Object each = array.get(i);
-            entries.add(each instanceof TomlTable table ? table.toMap() : each);
+            Object entry = array.get(i);
+            entries.add(entry instanceof TomlTable table ? table.toMap() : entry);
         }
         return entries;
     }
--- a/src/main/java/vetchpost/sourcewatch/HealthCheck.java
+++ b/src/main/java/vetchpost/sourcewatch/HealthCheck.java
@@ -25,7 +25,10 @@
 import vetchpost.sources.CheckPlan.Finding;
 import vetchpost.sources.CheckRules;
 
-/** One check of one server: a connection, and where a path is named, a request and the head of its answer. */
+/**
+ * Performs one health check of one server: opens a connection and, where a path is configured, sends a request and
+ * reads the head of the response. {@link SourceWatcher} starts it; all of it runs on the event loop.
+ */
 final class HealthCheck extends ChannelInboundHandlerAdapter {
     private static final int MAX_LINE_LENGTH = 4_096;
     private static final int MAX_HEADERS_LENGTH = 16_384;
@@ -37,53 +40,57 @@
     private ScheduledFuture<?> timeout;
     private boolean isFinished;
 
-    private HealthCheck(CheckRules rules, String mark, Consumer<Finding> report) {
+    private HealthCheck(CheckRules rules, String requiredHeader, Consumer<Finding> onFinished) {
         this.rules = rules;
-        this.requiredHeader = mark;
-        this.onFinished = report;
+        this.requiredHeader = requiredHeader;
+        this.onFinished = onFinished;
     }
 
     /**
-     * Checks a server, and reports once, within the rules' time.
+     * Starts a check, which reports its result exactly once, within the rules' timeout.
      *
-     * @param mark the field that every answer of this application has; empty for none
+     * @param requiredHeader the header that every response of this application has; empty for none
+     * @param onFinished receives the result, on the loop
      */
     static void start(
             EventLoop loop,
             Network network,
             InetSocketAddress address,
             CheckRules rules,
-            String mark,
-            Consumer<Finding> report) {
-        HealthCheck check = new HealthCheck(rules, mark, report);
+            String requiredHeader,
+            Consumer<Finding> onFinished) {
+        HealthCheck check = new HealthCheck(rules, requiredHeader, onFinished);
         check.timeout = loop.schedule(() -> check.finish(Finding.UNHEALTHY), rules.timeoutUs(), TimeUnit.MICROSECONDS);
-        Channel fresh;
+        Channel clientChannel;
         try {
-            fresh = network.newClientChannel();
+            clientChannel = network.newClientChannel();
         } catch (ChannelException e) {
-            // Out of descriptors: that is no fault of the server's, but nothing good is known of it either.
+            // Out of file descriptors: not the server's fault, so nothing is held against it.
             check.finish(Finding.HEALTHY);
             return;
         }
-        check.channel = fresh;
+        check.channel = clientChannel;
         new Bootstrap()
                 .group(loop)
-                .channelFactory(() -> fresh)
+                .channelFactory(() -> clientChannel)
                 .disableResolver()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, rules.timeoutUs() / 1_000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel to) {
-                        to.pipeline().addLast(new HttpClientCodec(MAX_LINE_LENGTH, MAX_HEADERS_LENGTH, MAX_LINE_LENGTH), check);
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(MAX_LINE_LENGTH, MAX_HEADERS_LENGTH, MAX_LINE_LENGTH),
+                                        check);
                     }
                 })
                 .connect(address)
-                .addListener(done -> check.onConnected(done.isSuccess()));
+                .addListener(connecting -> check.onConnected(connecting.isSuccess()));
     }
 
-    private void onConnected(boolean is) {
-        if (!is || rules.path().isEmpty()) {
-            finish(is ? Finding.HEALTHY : Finding.UNHEALTHY);
+    private void onConnected(boolean isSuccess) {
+        if (!isSuccess || rules.path().isEmpty()) {
+            finish(isSuccess ? Finding.HEALTHY : Finding.UNHEALTHY);
             return;
         }
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, rules.path());
@@ -103,7 +110,8 @@
                 finish(
                         response.decoderResult().isFailure()
                                 ? Finding.UNHEALTHY
-                                : !requiredHeader.isEmpty() && !response.headers().contains(requiredHeader)
+                                : !requiredHeader.isEmpty()
+                                                && !response.headers().contains(requiredHeader)
                                         ? Finding.WRONG_SERVER
                                         : status >= rules.minStatus() && status <= rules.maxStatus()
                                                 ? Finding.HEALTHY
--- a/src/main/java/vetchpost/sourcewatch/NameWatch.java
+++ b/src/main/java/vetchpost/sourcewatch/NameWatch.java
@@ -32,14 +32,15 @@
 import vetchpost.sources.SourceDeclaration;
 
 /**
- * Asks for a name's addresses (RFC 1035, A and, where there is none, AAAA) or its servers (RFC 2782), again
- * when the shortest of the answer's times to live has passed, within bounds. An answer that was cut is asked
- * for by TCP. Of services the lowest priority alone counts, and weights are sizes.
+ * Resolves a DNS name to servers: its A records or, where there are none, AAAA records (RFC 1035), or its SRV records
+ * (RFC 2782). It queries again when the shortest time to live of the answer has passed, within bounds, and repeats a
+ * truncated query over TCP. Of SRV records only those of the lowest priority are used, and their weights become
+ * servers' weights. {@link SourceWatcher} creates and closes it; all of it runs on the event loop.
  */
 final class NameWatch implements AutoCloseable {
     private static final long QUERY_TIMEOUT_MS = 2_000;
     private static final long MIN_QUERY_INTERVAL_S = 1;
-    /** Beyond, records are passed over: a name of thousands of servers is none that was meant. */
+    /** Further records are ignored: a name of thousands of servers is a mistake. */
     private static final int MAX_RECORDS = 5_000;
 
     private static final int MAX_SERVICES = 1_000;
@@ -51,13 +52,18 @@
     private ScheduledFuture<?> nextQuery;
     private boolean isClosed;
 
-    /** One server of a service, before its name is looked up. */
+    /** One SRV record, before its target is resolved. */
     private record Service(String target, int port, int priority, int weight) {}
 
-    /** What an answer has come to. */
+    /**
+     * The result of resolving one name.
+     *
+     * @param ttlS shortest time to live, in seconds
+     * @param failure why there are no addresses, or null
+     */
     private record AddressLookup(List<InetAddress> addresses, long ttlS, Throwable failure) {}
 
-    /** Begins at once. */
+    /** Creates a watch that sends its first query at once. */
     NameWatch(SourceDeclaration source, EventLoop loop, Network network, SourceListener listener) {
         this.source = source;
         this.loop = loop;
@@ -88,68 +94,68 @@
         if (source.kind() == SourceDeclaration.Kind.SRV) {
             queryServices();
         } else {
-            resolveAddresses(absoluteName(), found -> {
-                if (found.failure() != null) {
-                    reportFailure(found.failure());
+            resolveAddresses(absoluteName(), lookup -> {
+                if (lookup.failure() != null) {
+                    reportFailure(lookup.failure());
                     return;
                 }
                 List<ReportedServer> servers = new ArrayList<>();
-                for (InetAddress address : found.addresses()) {
+                for (InetAddress address : lookup.addresses()) {
                     servers.add(ReportedServer.of(new InetSocketAddress(address, source.port())));
                 }
                 listener.serversReported(servers);
-                scheduleNextQuery(found.ttlS());
+                scheduleNextQuery(lookup.ttlS());
             });
         }
     }
 
-    /** The addresses of one family, or of the other where there are none. */
-    private void resolveAddresses(String name, Consumer<AddressLookup> then) {
-        resolveAddresses(name, DnsRecordType.A, four -> {
-            if (!four.addresses().isEmpty()) {
-                then.accept(four);
+    /** Resolves a name's IPv4 addresses, or its IPv6 addresses where it has none. */
+    private void resolveAddresses(String name, Consumer<AddressLookup> callback) {
+        resolveAddresses(name, DnsRecordType.A, ipv4 -> {
+            if (!ipv4.addresses().isEmpty()) {
+                callback.accept(ipv4);
             } else {
                 resolveAddresses(
                         name,
                         DnsRecordType.AAAA,
-                        six ->
-                                // What is said of the first tells more: a name without either has no AAAA as well.
-                                then.accept(six.addresses().isEmpty() && four.failure() != null ? four : six));
+                        ipv6 ->
+                                // The first failure tells more: a name without either has no AAAA records as well.
+                                callback.accept(ipv6.addresses().isEmpty() && ipv4.failure() != null ? ipv4 : ipv6));
             }
         });
     }
 
-    private void resolveAddresses(String name, DnsRecordType type, Consumer<AddressLookup> then) {
-        resolver.resolveAll(new DefaultDnsQuestion(name, type)).addListener((Future<List<DnsRecord>> done) -> {
+    private void resolveAddresses(String name, DnsRecordType type, Consumer<AddressLookup> callback) {
+        resolver.resolveAll(new DefaultDnsQuestion(name, type)).addListener((Future<List<DnsRecord>> query) -> {
             if (isClosed) {
-                release(done);
+                release(query);
                 return;
             }
-            if (!done.isSuccess()) {
-                then.accept(new AddressLookup(List.of(), MIN_QUERY_INTERVAL_S, done.cause()));
+            if (!query.isSuccess()) {
+                callback.accept(new AddressLookup(List.of(), MIN_QUERY_INTERVAL_S, query.cause()));
                 return;
             }
             List<InetAddress> addresses = new ArrayList<>();
-            long ttl = Long.MAX_VALUE;
-            for (DnsRecord record : done.getNow()) {
+            long ttlS = Long.MAX_VALUE;
+            for (DnsRecord record : query.getNow()) {
                 if (record.type().equals(type)
-                        && record instanceof DnsRawRecord raw
+                        && record instanceof DnsRawRecord rawRecord
                         && addresses.size() < MAX_RECORDS) {
-                    addresses.add(InetAddress.getByAddress(ByteBufUtil.getBytes(raw.content())));
-                    ttl = Math.min(ttl, record.timeToLive());
+                    addresses.add(InetAddress.getByAddress(ByteBufUtil.getBytes(rawRecord.content())));
+                    ttlS = Math.min(ttlS, record.timeToLive());
                 }
             }
-            release(done);
-            then.accept(new AddressLookup(
+            release(query);
+            callback.accept(new AddressLookup(
                     addresses,
-                    ttl,
+                    ttlS,
                     addresses.isEmpty() ? new UnknownHostException("the answer names no address") : null));
         });
     }
 
-    private static void release(Future<List<DnsRecord>> done) {
-        if (done.isSuccess()) {
-            done.getNow().forEach(ReferenceCountUtil::release);
+    private static void release(Future<List<DnsRecord>> query) {
+        if (query.isSuccess()) {
+            query.getNow().forEach(ReferenceCountUtil::release);
         }
     }
 
@@ -157,43 +163,43 @@
 
     private void queryServices() {
         resolver.resolveAll(new DefaultDnsQuestion(absoluteName(), DnsRecordType.SRV))
-                .addListener((Future<List<DnsRecord>> done) -> {
+                .addListener((Future<List<DnsRecord>> query) -> {
                     if (isClosed) {
-                        release(done);
+                        release(query);
                         return;
                     }
-                    if (!done.isSuccess()) {
-                        reportFailure(done.cause());
+                    if (!query.isSuccess()) {
+                        reportFailure(query.cause());
                         return;
                     }
                     List<Service> services = new ArrayList<>();
-                    long ttl = Long.MAX_VALUE;
-                    for (DnsRecord record : done.getNow()) {
+                    long ttlS = Long.MAX_VALUE;
+                    for (DnsRecord record : query.getNow()) {
                         Service service = parseService(record);
                         if (service != null && services.size() < MAX_SERVICES) {
                             services.add(service);
-                            ttl = Math.min(ttl, record.timeToLive());
+                            ttlS = Math.min(ttlS, record.timeToLive());
                         }
                     }
-                    release(done);
-                    int first =
+                    release(query);
+                    int lowestPriority =
                             services.stream().mapToInt(Service::priority).min().orElse(0);
-                    services.removeIf(s -> s.priority() != first);
+                    services.removeIf(service -> service.priority() != lowestPriority);
                     if (services.isEmpty()) {
                         listener.serversReported(List.of());
-                        scheduleNextQuery(ttl);
+                        scheduleNextQuery(ttlS);
                     } else {
-                        resolveTargets(services, ttl);
+                        resolveTargets(services, ttlS);
                     }
                 });
     }
 
-    /** A service, or null for what is none, and for the one that says that there is none (a lone dot). */
+    /** Parses an SRV record; null if it is none, or if it states that there is no service (target "."). */
     private static Service parseService(DnsRecord record) {
-        if (!record.type().equals(DnsRecordType.SRV) || !(record instanceof DnsRawRecord raw)) {
+        if (!record.type().equals(DnsRecordType.SRV) || !(record instanceof DnsRawRecord rawRecord)) {
             return null;
         }
-        ByteBuf content = raw.content().duplicate();
+        ByteBuf content = rawRecord.content().duplicate();
         if (content.readableBytes() < 7) {
             return null;
         }
@@ -204,50 +210,55 @@
         return target.equals(".") || port == 0 ? null : new Service(target, port, priority, weight);
     }
 
-    /** Looks up all of their names; an answer that is there in part is said in part, as all are. */
-    private void resolveTargets(List<Service> services, long ttl) {
+    /** Resolves the targets of all services; targets that resolve are reported even if others fail. */
+    private void resolveTargets(List<Service> services, long ttlS) {
         List<ReportedServer> servers = new ArrayList<>();
-        int[] left = {services.size()};
-        long[] shortest = {ttl};
+        int[] remaining = {services.size()};
+        long[] shortestTtlS = {ttlS};
         Throwable[] failure = new Throwable[1];
         for (Service service : services) {
-            resolveAddresses(service.target(), found -> {
-                if (found.failure() != null) {
-                    failure[0] = found.failure();
+            resolveAddresses(service.target(), lookup -> {
+                if (lookup.failure() != null) {
+                    failure[0] = lookup.failure();
                 } else {
                     List<InetSocketAddress> addresses = new ArrayList<>();
-                    found.addresses().forEach(a -> addresses.add(new InetSocketAddress(a, service.port())));
-                    shortest[0] = Math.min(shortest[0], found.ttlS());
+                    lookup.addresses()
+                            .forEach(address -> addresses.add(new InetSocketAddress(address, service.port())));
+                    shortestTtlS[0] = Math.min(shortestTtlS[0], lookup.ttlS());
                     servers.add(new ReportedServer(
                             service.target() + ":" + service.port(),
                             addresses,
                             State.READY,
-                            // One of no weight is still to get a little (RFC 2782).
+                            // A service of weight 0 still gets a little traffic (RFC 2782).
                             Math.max(1, service.weight()),
                             ""));
                 }
-                if (--left[0] == 0) {
+                if (--remaining[0] == 0) {
                     if (servers.isEmpty()) {
                         reportFailure(failure[0]);
                     } else {
                         listener.serversReported(servers);
-                        scheduleNextQuery(shortest[0]);
+                        scheduleNextQuery(shortestTtlS[0]);
                     }
                 }
             });
         }
     }
 
-    private void reportFailure(Throwable why) {
-        Throwable cause = why.getCause() == null ? why : why.getCause();
+    private void reportFailure(Throwable failure) {
+        Throwable cause = failure.getCause() == null ? failure : failure.getCause();
         listener.sourceFailed(cause.getMessage() == null ? cause.toString() : cause.getMessage());
         scheduleNextQuery(MIN_QUERY_INTERVAL_S);
     }
 
-    /** No sooner than after a second, whatever the answer says, and no later than the file does. */
+    /**
+     * Schedules the next query: not before the minimum interval, whatever the answer says, and not after the source's
+     * own interval.
+     */
     private void scheduleNextQuery(long ttlS) {
-        long us = Math.min(source.intervalUs(), TimeUnit.SECONDS.toMicros(Math.max(MIN_QUERY_INTERVAL_S, Math.min(ttlS, 86_400))));
-        nextQuery = loop.schedule(this::query, us, TimeUnit.MICROSECONDS);
+        long delayUs = Math.min(
+                source.intervalUs(), TimeUnit.SECONDS.toMicros(Math.max(MIN_QUERY_INTERVAL_S, Math.min(ttlS, 86_400))));
+        nextQuery = loop.schedule(this::query, delayUs, TimeUnit.MICROSECONDS);
     }
 
     @Override
--- a/src/main/java/vetchpost/sourcewatch/SourceListener.java
+++ b/src/main/java/vetchpost/sourcewatch/SourceListener.java
@@ -3,11 +3,17 @@
 import java.util.List;
 import vetchpost.sources.ReportedServer;
 
-/** Hears what a source says; on the node's loop. */
+/**
+ * Receives the reports of one source, on the node's event loop. Implemented by {@link SourceWatcher} for each source.
+ */
 interface SourceListener {
-    /** It names these. */
+    /** The source has reported these servers; maybe none. */
     void serversReported(List<ReportedServer> servers);
 
-    /** It says nothing that can be used. */
-    void sourceFailed(String why);
+    /**
+     * The source has failed to give a usable list.
+     *
+     * @param reason a short reason for the log
+     */
+    void sourceFailed(String reason);
 }
--- a/src/main/java/vetchpost/sourcewatch/SourceWatcher.java
+++ b/src/main/java/vetchpost/sourcewatch/SourceWatcher.java
@@ -30,14 +30,15 @@
 import vetchpost.standalone.Standalone;
 
 /**
- * Keeps a node's list of servers: asks the sources, has servers checked, hears what real requests tell, and
- * tells the node what has changed. All of it is on the node's loop but the reading of files.
+ * Maintains a node's list of servers: queries the sources, runs health checks, observes the results of real requests,
+ * and reports changes to the node. The node creates it and calls it on its event loop; only files are read on a thread
+ * of their own.
  */
 public final class SourceWatcher implements AttemptObserver, AutoCloseable {
     private static final Logger LOG = System.getLogger(SourceWatcher.class.getName());
-    /** Changes are told no more often than this: a file may be replaced, and checks end, in between. */
+    /** Reports are at least this far apart, so that changes which arrive in between are combined. */
     private static final long UPDATE_DELAY_US = 10_000;
-    /** Checks that may be under way at once: they are counted against no limit of sockets. */
+    /** Bounds the connections of concurrent checks, which no limit of sockets counts. */
     private static final int MAX_CONCURRENT_CHECKS = 32;
 
     private static final int MAX_LOGGED_CHANGES = 20;
@@ -59,8 +60,9 @@
     private boolean isClosed;
 
     /**
-     * Knows the servers that the file itself names, and asks nobody yet. On the loop.
+     * Creates a watcher that knows the servers of the operator's file, and queries no source yet. Called on the loop.
      *
+     * @param seed for the jitter of checks
      * @param unixMs Unix time in milliseconds
      */
     public SourceWatcher(Standalone settings, EventLoop loop, Network network, long seed, long unixMs) {
@@ -87,50 +89,54 @@
         }
     }
 
-    /** Has operators' words on servers count from now on; {@link #overridesChanged} tells that they have changed. */
-    public void setOverrides(ServerOverrides other) {
-        merger.setOverrides(other);
+    /** Sets the operators' overrides of servers; {@link #overridesChanged} reports changes of them. */
+    public void setOverrides(ServerOverrides newOverrides) {
+        merger.setOverrides(newOverrides);
     }
 
-    /** Operators' words have changed: they hold at once. */
+    /** The operators' overrides have changed; they are applied at once. */
     public void overridesChanged() {
         if (listener != null) {
             update();
         }
     }
 
-    /** The servers as they are but for what operators say of each. */
+    /** The current servers without the operators' overrides of single servers. */
     public List<Membership.Member> members() {
         return merger.members();
     }
 
-    /** The servers that are known now. */
+    /** The full list of servers known now. */
     public ServerList knownServers() {
         return merger.fullList();
     }
 
-    /** Asks the sources from now on, and tells changes there. */
-    public void start(Consumer<ServerList> to) {
-        listener = to;
+    /**
+     * Starts to watch the sources.
+     *
+     * @param changeListener receives changes of the server list, on the loop
+     */
+    public void start(Consumer<ServerList> changeListener) {
+        listener = changeListener;
         updateWatches();
         update();
     }
 
-    /** Has other sources be asked from now on. Rules of merging and checks stay as at the start. */
-    public void reload(Standalone fresh) {
-        settings = fresh;
-        membership.reload(fresh.sources());
+    /** Replaces the sources by those of new settings. The rules of merging and checks stay as at the start. */
+    public void reload(Standalone newSettings) {
+        settings = newSettings;
+        membership.reload(newSettings.sources());
         reportInlineServers();
         updateWatches();
         update();
     }
 
-    /** Watches the sources that are declared, and no others. */
+    /** Starts watches of newly declared sources and closes those of removed ones. */
     private void updateWatches() {
         List<SourceDeclaration> declared = settings.sources();
-        for (SourceDeclaration old : List.copyOf(watches.keySet())) {
-            if (!declared.contains(old)) {
-                close(watches.remove(old));
+        for (SourceDeclaration watched : List.copyOf(watches.keySet())) {
+            if (!declared.contains(watched)) {
+                closeWatch(watches.remove(watched));
             }
         }
         for (SourceDeclaration source : declared) {
@@ -156,40 +162,40 @@
         return fileThread;
     }
 
-    /** Its place may change with a reload, so it is looked up each time. */
+    /** The source's index may change with a reload, so it is looked up each time. */
     private SourceListener listenerFor(SourceDeclaration source) {
         return new SourceListener() {
             @Override
             public void serversReported(List<ReportedServer> servers) {
                 int index = settings.sources().indexOf(source);
                 if (index >= 0 && !isClosed) {
-                    String trouble = membership.failure(index);
+                    String lastFailure = membership.failure(index);
                     membership.serversReported(index, servers, nowUs());
-                    if (servers.isEmpty() ? trouble.isEmpty() : !trouble.isEmpty()) {
+                    if (servers.isEmpty() ? lastFailure.isEmpty() : !lastFailure.isEmpty()) {
                         LOG.log(
                                 Level.INFO,
                                 "source {0} {1}",
                                 source.name(),
                                 servers.isEmpty()
-                                        ? "names no server; what it said last holds for a while"
-                                        : "is well again");
+                                        ? "reports no servers; its last servers stay in use until they are stale"
+                                        : "has recovered");
                     }
                     scheduleUpdate();
                 }
             }
 
             @Override
-            public void sourceFailed(String why) {
+            public void sourceFailed(String reason) {
                 int index = settings.sources().indexOf(source);
                 if (index >= 0 && !isClosed) {
                     if (membership.failure(index).isEmpty()) {
                         LOG.log(
                                 Level.WARNING,
-                                "source {0} can''t be used, and what it said last holds for a" + " while: {1}",
+                                "source {0} failed; its last servers stay in use until they are stale: {1}",
                                 source.name(),
-                                why);
+                                reason);
                     }
-                    membership.sourceFailed(index, why, nowUs());
+                    membership.sourceFailed(index, reason, nowUs());
                     scheduleUpdate();
                 }
             }
@@ -197,12 +203,13 @@
     }
 
     @Override
-    public void onAttemptEnded(String serverId, Result result, ServerResponse answer, boolean stalled, long unusedUs) {
-        String drain = settings.drainHeader();
-        if (answer != null
-                && !drain.isEmpty()
-                && answer.headers() != null
-                && answer.headers().get(drain) != null) {
+    public void onAttemptEnded(
+            String serverId, Result result, ServerResponse response, boolean isStalled, long unusedUs) {
+        String drainHeader = settings.drainHeader();
+        if (response != null
+                && !drainHeader.isEmpty()
+                && response.headers() != null
+                && response.headers().get(drainHeader) != null) {
             merger.reportDraining(serverId, nowUs());
             scheduleUpdate();
         }
@@ -216,7 +223,7 @@
                 scheduleUpdate();
             }
             case TIMEOUT -> {
-                if (!stalled) {
+                if (!isStalled) {
                     checks.requestFailed(serverId, nowUs());
                     scheduleUpdate();
                 }
@@ -225,7 +232,7 @@
         }
     }
 
-    /** Settles in a moment, with all that comes until then. */
+    /** Schedules an update after a short delay, which combines all changes until then. */
     private void scheduleUpdate() {
         scheduleUpdateAt(nowUs() + UPDATE_DELAY_US);
     }
@@ -251,20 +258,20 @@
         if (isClosed) {
             return;
         }
-        long now = nowUs();
-        List<ServerList.Target> changes = merger.pollChanges(now);
+        long nowUs = nowUs();
+        List<ServerList.Target> changes = merger.pollChanges(nowUs);
         if (!changes.isEmpty()) {
             logChanges(changes);
             changes.forEach(this::rememberAddress);
             listener.accept(new ServerList(0, false, changes));
         }
-        startChecks(now);
-        long at = merger.nextUpdateUs(now);
+        startChecks(nowUs);
+        long nextUs = merger.nextUpdateUs(nowUs);
         if (checks != null && runningChecks < MAX_CONCURRENT_CHECKS) {
-            at = Math.min(at, checks.nextCheckUs(now));
+            nextUs = Math.min(nextUs, checks.nextCheckUs(nowUs));
         }
-        if (at < Long.MAX_VALUE) {
-            scheduleUpdateAt(Math.max(at, now + UPDATE_DELAY_US));
+        if (nextUs < Long.MAX_VALUE) {
+            scheduleUpdateAt(Math.max(nextUs, nowUs + UPDATE_DELAY_US));
         }
     }
 
@@ -277,22 +284,22 @@
     }
 
     private static void logChanges(List<ServerList.Target> changes) {
-        List<String> words = new ArrayList<>();
+        List<String> descriptions = new ArrayList<>();
         for (ServerList.Target change : changes.subList(0, Math.min(MAX_LOGGED_CHANGES, changes.size()))) {
-            words.add(change.id() + " " + change.state().name().toLowerCase(Locale.ROOT));
+            descriptions.add(change.id() + " " + change.state().name().toLowerCase(Locale.ROOT));
         }
         LOG.log(
                 Level.INFO,
                 "servers: {0}{1}",
-                String.join(", ", words),
+                String.join(", ", descriptions),
                 changes.size() > MAX_LOGGED_CHANGES ? " and " + (changes.size() - MAX_LOGGED_CHANGES) + " more" : "");
     }
 
-    private void startChecks(long now) {
+    private void startChecks(long nowUs) {
         if (checks == null) {
             return;
         }
-        for (String id : checks.dueChecks(now, MAX_CONCURRENT_CHECKS - runningChecks)) {
+        for (String id : checks.dueChecks(nowUs, MAX_CONCURRENT_CHECKS - runningChecks)) {
             runningChecks++;
             HealthCheck.start(
                     loop,
@@ -308,12 +315,12 @@
         }
     }
 
-    private static void close(AutoCloseable watch) {
+    private static void closeWatch(AutoCloseable watch) {
         try {
             watch.close();
         } catch (Exception e) {
-            // It is not asked any more, whether it could be ended or not.
-            LOG.log(Level.DEBUG, "a source could not be closed", e);
+            // It is no longer queried, whether closing it worked or not.
+            LOG.log(Level.DEBUG, "closing a source failed", e);
         }
     }
 
@@ -323,7 +330,7 @@
         if (nextUpdate != null) {
             nextUpdate.cancel(false);
         }
-        watches.values().forEach(SourceWatcher::close);
+        watches.values().forEach(SourceWatcher::closeWatch);
         watches.clear();
         if (fileThread != null) {
             fileThread.shutdownNow();
--- a/src/main/java/vetchpost/sourcewatch/package-info.java
+++ b/src/main/java/vetchpost/sourcewatch/package-info.java
@@ -1,2 +1,2 @@
-/** Asks sources and checks servers; what that comes to is decided in {@code vetchpost.sources}. */
+/** Queries sources and runs health checks; {@code vetchpost.sources} decides what follows from them. */
 package vetchpost.sourcewatch;
