--- a/src/main/java/vetchpost/standalone/Classifier.java
+++ b/src/main/java/vetchpost/standalone/Classifier.java
@@ -6,8 +6,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Tells by method, path and fields to which class and tenant a request belongs. The first rule of the file
- * that matches counts; a file whose rules leave any request out is refused before it comes here.
+ * Assigns requests to classes by method, path and headers, and to tenants by header or host. The first rule of the file
+ * that matches applies; validation rejects files whose rules leave requests unassigned. Called for each request on the
+ * event loop; immutable.
  */
 public final class Classifier {
     private final List<RequestRule> rules;
@@ -16,12 +17,12 @@
     private final String tenantHeader;
 
     /**
-     * By these rules.
+     * Creates a classifier.
      *
      * @param rules one for each class of the settings, in their order
-     * @param tenantsByHost index of a tenant by a host's name, in lower case
+     * @param tenantsByHost index of a tenant by host name, in lower case
      * @param tenantsByName index of a tenant by its name
-     * @param tenantHeader the field that names a tenant; empty where none does
+     * @param tenantHeader the header that names a tenant; empty for none
      */
     public Classifier(
             List<RequestRule> rules,
@@ -38,7 +39,7 @@
      * The index of a request's class, or -1 if no rule matches.
      *
      * @param target path and query
-     * @param header gives a field's value by its name, or null
+     * @param header returns a header's value by name, or null
      */
     public int classOf(String method, String target, UnaryOperator<String> header) {
         String path = pathOf(target);
@@ -51,11 +52,16 @@
         return -1;
     }
 
-    /** The index of a request's tenant, or -1: by the field that names it, else by its host. */
+    /**
+     * The index of a request's tenant, or -1 if unknown: by the tenant header if present, else by host.
+     *
+     * @param host value of the Host header, or null
+     * @param header returns a header's value by name, or null
+     */
     public int tenantOf(String host, UnaryOperator<String> header) {
-        String named = tenantHeader.isEmpty() ? null : header.apply(tenantHeader);
-        if (named != null) {
-            return tenantsByName.getOrDefault(named, -1);
+        String tenantName = tenantHeader.isEmpty() ? null : header.apply(tenantHeader);
+        if (tenantName != null) {
+            return tenantsByName.getOrDefault(tenantName, -1);
         }
         return tenantsByHost.isEmpty() || host == null
                 ? -1
--- a/src/main/java/vetchpost/standalone/ReloadPlan.java
+++ b/src/main/java/vetchpost/standalone/ReloadPlan.java
@@ -4,34 +4,35 @@
 import vetchpost.decision.Balancer.Settings;
 
 /**
- * What a file that is read again asks of a running node, beside what holds for requests from then on anyway.
+ * What a reloaded file requires of a running node, beyond what applies to later requests anyway. Stateless; computed
+ * when the operator's file is reloaded.
  *
- * @param core whether the module would be told otherwise, so that a new core has to take what comes
- * @param address whether clients connect elsewhere
+ * @param replacesCore whether the balancer's settings differ, so that a new core must accept further requests
+ * @param movesListener whether clients connect to another address
  */
 public record ReloadPlan(boolean replacesCore, boolean movesListener) {
 
-    /** From what a file came to before to what it comes to now. */
-    public static ReloadPlan between(Standalone before, Standalone now) {
+    /** Compares the settings of a file before and after it was reloaded. */
+    public static ReloadPlan between(Standalone before, Standalone after) {
         return new ReloadPlan(
-                !before.requestRules().equals(now.requestRules())
-                        || !coreSettings(before.settings()).equals(coreSettings(now.settings())),
-                !before.listen().equals(now.listen()));
+                !before.requestRules().equals(after.requestRules())
+                        || !coreSettings(before.settings()).equals(coreSettings(after.settings())),
+                !before.listen().equals(after.listen()));
     }
 
-    /** All of the settings that a file can change. */
-    private static List<Object> coreSettings(Settings set) {
+    /** All of the core's settings that a file can change. */
+    private static List<Object> coreSettings(Settings settings) {
         return List.of(
-                List.copyOf(set.classes),
-                List.copyOf(set.tenants),
-                set.maxAttempts,
-                set.connectTimeoutUs,
-                set.drainGraceUs,
-                set.coldUs,
-                set.coldFrom,
-                set.fallMultiple,
-                set.allowsHedging,
-                set.maxRetryAfterUs,
-                set.nodes);
+                List.copyOf(settings.classes),
+                List.copyOf(settings.tenants),
+                settings.maxAttempts,
+                settings.connectTimeoutUs,
+                settings.drainGraceUs,
+                settings.coldUs,
+                settings.coldFrom,
+                settings.fallMultiple,
+                settings.allowsHedging,
+                settings.maxRetryAfterUs,
+                settings.nodes);
     }
 }
--- a/src/main/java/vetchpost/standalone/RequestRule.java
+++ b/src/main/java/vetchpost/standalone/RequestRule.java
@@ -4,15 +4,14 @@
 import java.util.Set;
 
 /**
- * Which requests belong to a class.
+ * The rule that says which requests belong to a class.
  *
  * @param methods any of these; empty for all
- * @param paths any of these, the longest first; {@code /*} at the end stands for all that begins so; empty
- *     for all
- * @param header only with this field; empty for no such need
+ * @param paths any of these, the longest first; a trailing {@code /*} matches all paths with that prefix; empty for all
+ * @param header requests must have this header; empty for no such requirement
  */
 public record RequestRule(Set<String> methods, List<String> paths, String header) {
-    /** Of every request. */
+    /** Matches every request. */
     public static final RequestRule ANY = new RequestRule(Set.of(), List.of(), "");
 
     private static final String PREFIX_WILDCARD = "/*";
@@ -31,9 +30,7 @@
         return path.startsWith(pattern.substring(0, length)) && (path.length() == length || path.charAt(length) == '/');
     }
 
-    /**
-     * Whether all that the other matches is matched by this too, as far as methods, paths and fields tell.
-     */
+    /** Whether this rule matches every request that the other matches, as far as methods, paths and headers tell. */
     boolean covers(RequestRule other) {
         return (methods.isEmpty() || !other.methods.isEmpty() && methods.containsAll(other.methods))
                 && (header.isEmpty() || header.equalsIgnoreCase(other.header))
@@ -45,6 +42,7 @@
         String example = other.endsWith(PREFIX_WILDCARD) ? other.substring(0, other.length() - 1) + "x" : other;
         return paths.stream()
                 .anyMatch(pattern -> pattern.equals(other)
-                        || matches(pattern, example) && (pattern.endsWith(PREFIX_WILDCARD) || !other.endsWith(PREFIX_WILDCARD)));
+                        || matches(pattern, example)
+                                && (pattern.endsWith(PREFIX_WILDCARD) || !other.endsWith(PREFIX_WILDCARD)));
     }
 }
--- a/src/main/java/vetchpost/standalone/ServerEntryReader.java
+++ b/src/main/java/vetchpost/standalone/ServerEntryReader.java
@@ -10,7 +10,10 @@
 import vetchpost.sources.ReportedServer;
 import vetchpost.sources.ReportedServer.State;
 
-/** Reads how files name servers: an address, or a table with more about it. */
+/**
+ * Reads servers as files list them: an address, or a table with further fields. Called when an operator's file is
+ * validated and by the file watch; stateless.
+ */
 public final class ServerEntryReader {
     private static final List<String> KEYS = List.of("address", "addresses", "id", "weight", "zone", "state");
     private static final double MAX_WEIGHT = 1e6;
@@ -20,40 +23,42 @@
     private ServerEntryReader() {}
 
     /**
-     * Reads one server: a text, or a map of the keys address or addresses, id, weight, zone and state.
+     * Reads one server.
      *
-     * @throws IllegalArgumentException with a short reason if it names none
+     * @param value a string, or a map with the keys address or addresses, id, weight, zone and state
+     * @throws IllegalArgumentException with a short reason if it is not a valid server
      */
     public static ReportedServer read(Object value) {
         if (value instanceof String text) {
             return ReportedServer.of(parseAddress(text));
         }
         if (!(value instanceof Map<?, ?> table)) {
-            throw new IllegalArgumentException("a server is a text or a table, not " + value);
+            throw new IllegalArgumentException("a server must be a string or a table, not " + value);
         }
         for (Object key : table.keySet()) {
             if (!KEYS.contains(key)) {
                 throw new IllegalArgumentException(
-                        "unknown key '" + key + "' of a server; there are " + String.join(", ", KEYS));
+                        "unknown key '" + key + "' of a server; the keys are " + String.join(", ", KEYS));
             }
         }
         List<InetSocketAddress> addresses = new ArrayList<>();
         if (table.get("addresses") instanceof List<?> list) {
-            list.forEach(each -> addresses.add(parseAddress(requireText("addresses", each))));
+            list.forEach(address -> addresses.add(parseAddress(requireText("addresses", address))));
         }
         if (table.containsKey("address")) {
             addresses.add(0, parseAddress(requireText("address", table.get("address"))));
         }
         if (addresses.isEmpty() || addresses.size() > MAX_ADDRESSES) {
-            throw new IllegalArgumentException("a server has from 1 to " + MAX_ADDRESSES + " addresses");
+            throw new IllegalArgumentException("a server must have 1 to " + MAX_ADDRESSES + " addresses");
         }
         String id = table.containsKey("id") ? requireText("id", table.get("id")) : "";
         if (id.length() > MAX_ID_LENGTH) {
-            throw new IllegalArgumentException("an id has up to " + MAX_ID_LENGTH + " characters");
+            throw new IllegalArgumentException("an id must have at most " + MAX_ID_LENGTH + " characters");
         }
         Object weight = table.containsKey("weight") ? table.get("weight") : Double.valueOf(1);
         if (!(weight instanceof Number number) || !(number.doubleValue() > 0) || number.doubleValue() > MAX_WEIGHT) {
-            throw new IllegalArgumentException("weight = " + weight + " is no number from 0 on to " + MAX_WEIGHT);
+            throw new IllegalArgumentException(
+                    "weight = " + weight + " is not a number above 0 and at most " + MAX_WEIGHT);
         }
         return new ReportedServer(
                 id,
@@ -67,25 +72,25 @@
         if (value == null) {
             return State.READY;
         }
-        for (State word : State.values()) {
-            if (word.name().toLowerCase(Locale.ROOT).equals(value)) {
-                return word;
+        for (State state : State.values()) {
+            if (state.name().toLowerCase(Locale.ROOT).equals(value)) {
+                return state;
             }
         }
-        throw new IllegalArgumentException("state is ready, draining or gone, not " + value);
+        throw new IllegalArgumentException("state must be ready, draining or gone, not " + value);
     }
 
     private static String requireText(String key, Object value) {
         if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new IllegalArgumentException(key + " is no text");
+        throw new IllegalArgumentException(key + " must be a non-empty string");
     }
 
     /**
-     * A numeric address and a port; an IPv4 address written as IPv6 is the IPv4 one.
+     * Parses a numeric address and a port. An IPv4-mapped IPv6 address becomes the IPv4 address.
      *
-     * @throws IllegalArgumentException with a short reason if it is none
+     * @throws IllegalArgumentException with a short reason if it is neither
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
@@ -97,7 +102,7 @@
             throw new IllegalArgumentException("\"" + text + "\" is no numeric address and port");
         }
         try {
-            // Numeric, so nothing is looked up.
+            // A numeric address needs no lookup.
             return new InetSocketAddress(InetAddress.getByName(host), Integer.parseInt(port));
         } catch (UnknownHostException e) {
             throw new IllegalArgumentException("\"" + text + "\" is no numeric address and port", e);
--- a/src/main/java/vetchpost/standalone/Standalone.java
+++ b/src/main/java/vetchpost/standalone/Standalone.java
@@ -8,20 +8,20 @@
 import vetchpost.sources.SourceDeclaration;
 
 /**
- * All that one operator's file says of a node without a platform, proved.
+ * The validated settings of a node without a platform, from one operator's file.
  *
- * @param listen where clients connect
- * @param sockets descriptors that the process may hold
+ * @param listen address where clients connect
+ * @param maxDescriptors file descriptors that the process may hold
  * @param seed for random numbers; 0 to draw one
- * @param connIdleUs servers' connections are kept idle for half of this, in microseconds
- * @param settings what the module goes by
- * @param rules which requests belong to the settings' classes, in their order
- * @param classifier the same, and whose they are
- * @param limits what clients and servers may cost
- * @param sources who says which servers there are, the most trusted first
- * @param merge how their words are made one list
+ * @param connectionIdleUs idle connections to servers are kept for half of this, in microseconds
+ * @param settings settings of the balancer
+ * @param requestRules the rules of the settings' classes, in their order
+ * @param classifier assigns requests to classes and tenants by these rules
+ * @param limits limits of clients' and servers' messages
+ * @param sources the sources of servers, the most trusted first
+ * @param merge how the sources' reports are merged
  * @param checks how servers are checked; null where they are not
- * @param drainHeader the field by which an answer says that its server drains; empty for none
+ * @param drainHeader the response header by which a server reports that it drains; empty for none
  */
 public record Standalone(
         InetSocketAddress listen,
--- a/src/main/java/vetchpost/standalone/StandaloneValidator.java
+++ b/src/main/java/vetchpost/standalone/StandaloneValidator.java
@@ -28,9 +28,10 @@
 import vetchpost.standalone.WebLimits.Forwarded;
 
 /**
- * Reads the tables of an operator's file that make a node of it without a platform, and proves that it can
- * run: every request has a class, nothing that may have run is repeated where that could do harm, servers are
- * named by somebody. It returns every violation, and does no I/O.
+ * Reads and validates the tables of an operator's file that configure a node without a platform: every request has a
+ * class, nothing that may have run is retried where that could do harm, and there is a source of servers. It reports
+ * every violation at once and performs no I/O. Called when a file is checked, loaded or reloaded; each call uses an
+ * instance of its own. Times are in microseconds.
  */
 public final class StandaloneValidator {
     private static final List<String> NODE_KEYS = List.of(
@@ -91,7 +92,7 @@
     private final Map<String, Integer> tenantsByName = new HashMap<>();
 
     /**
-     * What the tables come to.
+     * The result of validating the tables.
      *
      * @param standalone null if there is no table {@code [node]}, or any violation
      */
@@ -99,17 +100,17 @@
 
     private StandaloneValidator() {}
 
-    /** The keys of each table, as the pages for operators name them. */
+    /** The keys of each table, which the operators' documents must list. */
     static List<List<String>> keys() {
         return List.of(NODE_KEYS, CLASS_KEYS, TENANT_KEYS, POOL_KEYS, SOURCE_KEYS, CHECK_KEYS);
     }
 
-    /** Whether the file is meant to make a node by itself. */
+    /** Whether the file configures a node without a platform. */
     public static boolean isStandalone(List<Section> file) {
         return file.stream().anyMatch(s -> s.kind() == Kind.NODE);
     }
 
-    /** The same of one table. */
+    /** Whether this table belongs to the configuration of a node without a platform. */
     public static boolean isStandaloneSection(Section section) {
         return switch (section.kind()) {
             case NODE, REQUESTS, TENANT, POOL, SOURCE, CHECKS -> true;
@@ -117,7 +118,7 @@
         };
     }
 
-    /** Looks at the tables of a file that are its affair. */
+    /** Validates the tables of the file that this class is responsible for. */
     public static Validation validate(List<Section> file) {
         return new StandaloneValidator().validateFile(file);
     }
@@ -131,30 +132,30 @@
                             section.at(),
                             section.name(),
                             Rule.INCOMPLETE,
-                            "there is no table [node], without which this says nothing",
+                            "there is no table [node], without which this table has no effect",
                             "[node] with listen = \"127.0.0.1:8080\""));
                     break;
                 }
             }
             return new Validation(null, List.copyOf(violations));
         }
-        SectionReader own = new SectionReader(node, "node", violations);
-        own.rejectUnknownKeys(NODE_KEYS);
-        InetSocketAddress listen = readAddress(own, "listen", own.text("listen", null), true);
-        if (!own.has("listen")) {
-            own.addViolation("listen", Rule.INCOMPLETE, "it does not say listen", "listen = \"127.0.0.1:8080\"");
+        SectionReader table = new SectionReader(node, "node", violations);
+        table.rejectUnknownKeys(NODE_KEYS);
+        InetSocketAddress listen = readAddress(table, "listen", table.text("listen", null), true);
+        if (!table.has("listen")) {
+            table.addViolation("listen", Rule.INCOMPLETE, "missing key listen", "listen = \"127.0.0.1:8080\"");
         }
-        int sockets = own.integer("sockets", 1_024, 128, 1 << 20);
-        settings.nodes = own.integer("nodes", 1, 1, 10_000);
-        int number = own.integer("number", 0, 0, 9_999);
+        int sockets = table.integer("sockets", 1_024, 128, 1 << 20);
+        settings.nodes = table.integer("nodes", 1, 1, 10_000);
+        int number = table.integer("number", 0, 0, 9_999);
         if (number >= settings.nodes) {
-            own.addViolation(
+            table.addViolation(
                     "number",
                     Rule.OUT_OF_RANGE,
                     "number = " + number + " of " + settings.nodes + " nodes, counted from 0",
                     "number = " + (settings.nodes - 1));
         }
-        settings.maxRetryAfterUs = own.duration("longest-advice", 30 * SECOND, 0, HOUR);
+        settings.maxRetryAfterUs = table.duration("longest-advice", 30 * SECOND, 0, HOUR);
         settings.clientsMarkRetries = true;
         settings.allowsCancellation = true;
         settings.allowsProbes = false;
@@ -166,7 +167,7 @@
         if (requestRules.isEmpty()) {
             addDefaultClasses();
         }
-        checkCoverage(file, own);
+        checkCoverage(file, table);
         for (Section section : file) {
             if (section.kind() == Kind.TENANT) {
                 readTenant(section);
@@ -176,15 +177,16 @@
         SectionReader servers = new SectionReader(
                 pool == null ? new Section(Kind.POOL, "pool", node.at(), Map.of()) : pool, "pool", violations);
         servers.rejectUnknownKeys(POOL_KEYS);
-        WebLimits limits = readLimits(own, servers.text("expect-header", ""));
+        WebLimits limits = readLimits(table, servers.text("expect-header", ""));
         long idleUs = readPool(servers);
         List<SourceDeclaration> sources = readSources(file, servers);
-        boolean tried = servers.value("servers") instanceof List<?> named ? !named.isEmpty() : servers.has("servers");
-        if (sources.isEmpty() && !tried && firstSection(file, Kind.SOURCE) == null) {
+        boolean hasServersKey =
+                servers.value("servers") instanceof List<?> entries ? !entries.isEmpty() : servers.has("servers");
+        if (sources.isEmpty() && !hasServersKey && firstSection(file, Kind.SOURCE) == null) {
             servers.addViolation(
                     "servers",
                     Rule.INCOMPLETE,
-                    "nobody names a server",
+                    "no server and no source is named",
                     "[pool] with servers = [\"127.0.0.1:9001\"], or a [[source]]");
         }
         MergeRules merge = new MergeRules(
@@ -194,10 +196,11 @@
                 servers.duration("calm", 60 * SECOND, SECOND, DAY),
                 servers.duration("absent", 5 * SECOND, 0, HOUR));
         Section checking = firstSection(file, Kind.CHECKS);
-        CheckRules checks = checking == null ? null : readChecks(new SectionReader(checking, "checks", violations), number);
-        String tenantHeader = own.text("tenant-header", "");
+        CheckRules checks =
+                checking == null ? null : readChecks(new SectionReader(checking, "checks", violations), number);
+        String tenantHeader = table.text("tenant-header", "");
         String drainHeader = servers.text("drain-header", "");
-        long seed = readSeed(own);
+        long seed = readSeed(table);
         if (!violations.isEmpty()) {
             violations.sort((a, b) -> a.position().line() != b.position().line()
                     ? a.position().line() - b.position().line()
@@ -225,44 +228,45 @@
         return file.stream().filter(s -> s.kind() == kind).findFirst().orElse(null);
     }
 
-    private long readSeed(SectionReader own) {
-        String seed = own.text("seed", null);
+    private long readSeed(SectionReader table) {
+        String seed = table.text("seed", null);
         if (seed == null) {
             return 0;
         }
         if (!seed.matches("[0-9a-fA-F]{1,16}")) {
-            own.addViolation(
-                    "seed", Rule.OUT_OF_RANGE, "seed is no hexadecimal number of up to 16 digits", "seed = \"1\"");
+            table.addViolation(
+                    "seed", Rule.OUT_OF_RANGE, "seed must be a hexadecimal number of up to 16 digits", "seed = \"1\"");
             return 0;
         }
         return Long.parseUnsignedLong(seed, 16);
     }
 
-    private WebLimits readLimits(SectionReader own, String mark) {
-        String name = own.text("name", "vetchpost");
+    private WebLimits readLimits(SectionReader table, String requiredHeader) {
+        String name = table.text("name", "vetchpost");
         if (!name.matches(TOKEN_PATTERN)) {
-            own.addViolation("name", Rule.OUT_OF_RANGE, "name is no token that Via could carry", "name = \"node-1\"");
+            table.addViolation(
+                    "name", Rule.OUT_OF_RANGE, "name must be a token that is valid in Via", "name = \"node-1\"");
         }
-        String forwarded = own.choice("forwarded", "both", List.of("standard", "custom", "both", "none"));
-        int hold = (int) own.size("hold", 64 * KIB, KIB, 16 * KIB * KIB);
-        long most = own.size("max-body", 1L << 30, 0, 1L << 50);
+        String forwarded = table.choice("forwarded", "both", List.of("standard", "custom", "both", "none"));
+        int bufferBytes = (int) table.size("hold", 64 * KIB, KIB, 16 * KIB * KIB);
+        long maxBodyBytes = table.size("max-body", 1L << 30, 0, 1L << 50);
         return new WebLimits(
-                hold,
-                own.duration("hold-for", 100 * MS, 0, 60 * SECOND),
-                most,
-                own.duration("head-within", 10 * SECOND, 100 * MS, HOUR),
-                own.duration("idle", 30 * SECOND, 100 * MS, HOUR),
-                own.duration("keep-alive", 75 * SECOND, 0, DAY),
-                own.duration("upload-within", HOUR, SECOND, DAY),
+                bufferBytes,
+                table.duration("hold-for", 100 * MS, 0, 60 * SECOND),
+                maxBodyBytes,
+                table.duration("head-within", 10 * SECOND, 100 * MS, HOUR),
+                table.duration("idle", 30 * SECOND, 100 * MS, HOUR),
+                table.duration("keep-alive", 75 * SECOND, 0, DAY),
+                table.duration("upload-within", HOUR, SECOND, DAY),
                 name,
                 Forwarded.valueOf(forwarded.toUpperCase(Locale.ROOT)),
-                own.flag("trust-forwarded", false),
-                mark);
+                table.flag("trust-forwarded", false),
+                requiredHeader);
     }
 
     // ---------------------------------------------------------------- classes of requests
 
-    /** What holds where the file names no class: what is safe by its method, and all the rest. */
+    /** The default classes: requests of safe methods, and all others. */
     private void addDefaultClasses() {
         addClass(
                 new RequestRule(SAFE_METHODS, List.of(), ""),
@@ -274,96 +278,103 @@
                         "write", SECOND, 0, 30 * SECOND, 1, 0.5, Idempotency.UNSAFE, DeduplicationScope.ALL, 0, false));
     }
 
-    private void addClass(RequestRule rule, RequestClass cls) {
+    private void addClass(RequestRule rule, RequestClass requestClass) {
         requestRules.add(rule);
-        settings.classes.add(cls);
+        settings.classes.add(requestClass);
     }
 
     private void readRequestClass(Section section) {
-        SectionReader own = new SectionReader(section, section.name(), violations);
-        own.rejectUnknownKeys(CLASS_KEYS);
-        String word = own.choice(
+        SectionReader table = new SectionReader(section, section.name(), violations);
+        table.rejectUnknownKeys(CLASS_KEYS);
+        String idempotencyName = table.choice(
                 "repeat",
-                own.has("methods") && SAFE_METHODS.containsAll(own.texts("methods", List.of())) ? "safe" : "unsafe",
+                table.has("methods") && SAFE_METHODS.containsAll(table.texts("methods", List.of())) ? "safe" : "unsafe",
                 List.of("safe", "keyed", "unsafe"));
-        Idempotency repeat = Idempotency.valueOf(word.toUpperCase(Locale.ROOT));
-        Set<String> methods = new LinkedHashSet<>(own.texts("methods", List.of()));
+        Idempotency idempotency = Idempotency.valueOf(idempotencyName.toUpperCase(Locale.ROOT));
+        Set<String> methods = new LinkedHashSet<>(table.texts("methods", List.of()));
         for (String method : methods) {
             if (!method.matches(TOKEN_PATTERN) || !method.equals(method.toUpperCase(Locale.ROOT))) {
-                own.addViolation(
+                table.addViolation(
                         "methods",
                         Rule.BAD_PATTERN,
-                        "\"" + method + "\" is no method",
+                        "\"" + method + "\" is not a valid method",
                         "\"" + method.toUpperCase(Locale.ROOT) + "\"");
             }
         }
-        List<String> paths = new ArrayList<>(own.texts("paths", List.of()));
+        List<String> paths = new ArrayList<>(table.texts("paths", List.of()));
         for (String path : paths) {
             if (!path.matches("/[\\x21-\\x22\\x24-\\x29\\x2B-\\x3E\\x40-\\x7E]*\\*?")
                     || path.endsWith("*") && !path.endsWith("/*")) {
-                own.addViolation(
-                        "paths", Rule.BAD_PATTERN, "\"" + path + "\" is no path", "\"/photos\" or \"/photos/*\"");
+                table.addViolation(
+                        "paths",
+                        Rule.BAD_PATTERN,
+                        "\"" + path + "\" is not a valid path",
+                        "\"/photos\" or \"/photos/*\"");
             }
         }
-        String header = own.text("header", repeat == Idempotency.KEYED ? DEFAULT_KEY_HEADER : "");
+        String header = table.text("header", idempotency == Idempotency.KEYED ? DEFAULT_KEY_HEADER : "");
         if (!header.isEmpty() && !header.matches(TOKEN_PATTERN)) {
-            own.addViolation("header", Rule.BAD_PATTERN, "header is no name of a field", "\"" + DEFAULT_KEY_HEADER + "\"");
-        }
-        if (repeat == Idempotency.KEYED && !own.has("window")) {
-            own.addViolation(
+            table.addViolation(
+                    "header",
+                    Rule.BAD_PATTERN,
+                    "header must be the name of a header field",
+                    "\"" + DEFAULT_KEY_HEADER + "\"");
+        }
+        if (idempotency == Idempotency.KEYED && !table.has("window")) {
+            table.addViolation(
                     "window",
                     Rule.KEYED_LATE,
-                    "it does not say window: for how long servers drop repeats of a key",
+                    "missing key window: how long servers drop repeats of a key",
                     "window = \"10s\", or repeat = \"unsafe\"");
         }
-        if (repeat != Idempotency.KEYED && own.has("window")) {
-            own.addViolation("window", Rule.UNREACHABLE, "only keyed classes have a window", "repeat = \"keyed\"");
+        if (idempotency != Idempotency.KEYED && table.has("window")) {
+            table.addViolation("window", Rule.UNREACHABLE, "only keyed classes have a window", "repeat = \"keyed\"");
         }
-        if (repeat == Idempotency.SAFE) {
+        if (idempotency == Idempotency.SAFE) {
             for (String method : methods) {
                 if (!SAFE_METHODS.contains(method)) {
-                    own.addViolation(
+                    table.addViolation(
                             "repeat",
                             Rule.UNSAFE_AGAIN,
-                            method + " is no safe method (RFC 9110, section"
-                                    + " 9.2.1): a repeat could have its effect twice",
+                            method + " is not a safe method (RFC 9110, section"
+                                    + " 9.2.1): a retry could take effect twice",
                             "repeat = \"unsafe\"");
                 }
             }
             if (methods.isEmpty()) {
-                own.addViolation(
+                table.addViolation(
                         "repeat",
                         Rule.UNSAFE_AGAIN,
-                        "a safe class says which methods it is of",
+                        "a safe class must list its methods",
                         "methods = [\"GET\", \"HEAD\"]");
             }
         }
-        long deadline = own.duration("deadline", 30 * SECOND, MS, DAY);
-        long aim = own.duration("aim", Math.min(SECOND, deadline), MS, DAY);
-        if (aim > deadline) {
-            own.addViolation(
+        long deadlineUs = table.duration("deadline", 30 * SECOND, MS, DAY);
+        long latencyTargetUs = table.duration("aim", Math.min(SECOND, deadlineUs), MS, DAY);
+        if (latencyTargetUs > deadlineUs) {
+            table.addViolation(
                     "aim",
                     Rule.PAST_WHOLE,
-                    "aim is over the deadline of " + SectionReader.formatDuration(deadline),
-                    "aim = \"" + SectionReader.formatDuration(deadline) + "\"");
+                    "aim is longer than the deadline of " + SectionReader.formatDuration(deadlineUs),
+                    "aim = \"" + SectionReader.formatDuration(deadlineUs) + "\"");
         }
         addClass(
                 new RequestRule(methods, paths, header),
                 new RequestClass(
                         section.name(),
-                        aim,
+                        latencyTargetUs,
                         0,
-                        deadline,
-                        own.number("worth", 1, 0, 1e6),
-                        own.number("late-worth", 0.5, 0, 1),
-                        repeat,
+                        deadlineUs,
+                        table.number("worth", 1, 0, 1e6),
+                        table.number("late-worth", 0.5, 0, 1),
+                        idempotency,
                         DeduplicationScope.ALL,
-                        own.duration("window", 0, 0, DAY),
+                        table.duration("window", 0, 0, DAY),
                         false));
     }
 
-    /** Whether each class can be reached, and each request has one. */
-    private void checkCoverage(List<Section> file, SectionReader own) {
+    /** Checks that each class can be reached and that each request has a class. */
+    private void checkCoverage(List<Section> file, SectionReader table) {
         List<Section> classes =
                 file.stream().filter(s -> s.kind() == Kind.REQUESTS).toList();
         for (int i = 0; i < classes.size(); i++) {
@@ -373,35 +384,36 @@
                             classes.get(i).at(),
                             classes.get(i).name(),
                             Rule.UNREACHABLE,
-                            "all its requests are of class " + classes.get(j).name() + ", which comes first",
+                            "all its requests belong to class " + classes.get(j).name() + ", which comes first",
                             "it before [classes." + classes.get(j).name() + "]"));
                     break;
                 }
             }
         }
         if (requestRules.stream().noneMatch(r -> r.covers(RequestRule.ANY))) {
-            own.addViolation(
+            table.addViolation(
                     "listen",
                     Rule.INCOMPLETE,
-                    "some requests have no class: none takes what the others" + " leave",
+                    "some requests have no class: no class matches what the others leave",
                     "a last class without methods, paths and header, as [classes.rest]");
         }
     }
 
     private void readTenant(Section section) {
-        SectionReader own = new SectionReader(section, section.name(), violations);
-        own.rejectUnknownKeys(TENANT_KEYS);
+        SectionReader table = new SectionReader(section, section.name(), violations);
+        table.rejectUnknownKeys(TENANT_KEYS);
         int index = settings.tenants.size();
-        settings.tenants.add(new Tenant(section.name(), own.number("share", 0, 0, 1e9)));
+        settings.tenants.add(new Tenant(section.name(), table.number("share", 0, 0, 1e9)));
         tenantsByName.put(section.name(), index);
-        for (String host : own.texts("hosts", List.of())) {
-            Integer before = tenantsByHost.putIfAbsent(Classifier.hostName(host).toLowerCase(Locale.ROOT), index);
-            if (before != null) {
-                own.addViolation(
+        for (String host : table.texts("hosts", List.of())) {
+            Integer otherIndex =
+                    tenantsByHost.putIfAbsent(Classifier.hostName(host).toLowerCase(Locale.ROOT), index);
+            if (otherIndex != null) {
+                table.addViolation(
                         "hosts",
                         Rule.SAME_MATCH,
                         "host " + host + " is tenant "
-                                + settings.tenants.get(before).name() + "'s too",
+                                + settings.tenants.get(otherIndex).name() + "'s too",
                         "each host once");
             }
         }
@@ -409,21 +421,21 @@
 
     // ---------------------------------------------------------------- servers
 
-    private long readPool(SectionReader own) {
-        settings.maxAttempts = own.integer("attempts", 3, 1, 100);
-        settings.connectTimeoutUs = own.duration("connect-timeout", 250 * MS, MS, 60 * SECOND);
-        settings.drainGraceUs = own.duration("grace", SECOND, 10 * MS, HOUR);
-        settings.coldUs = own.duration("cold", 20 * SECOND, 0, HOUR);
-        settings.coldFrom = own.number("cold-from", 0.2, 0.001, 1);
-        settings.fallMultiple = own.number("overload", 3, 1, 1_000);
-        settings.allowsHedging = own.flag("second-copies", true);
-        return 2 * own.duration("idle", 5 * SECOND, 0, HOUR);
+    private long readPool(SectionReader table) {
+        settings.maxAttempts = table.integer("attempts", 3, 1, 100);
+        settings.connectTimeoutUs = table.duration("connect-timeout", 250 * MS, MS, 60 * SECOND);
+        settings.drainGraceUs = table.duration("grace", SECOND, 10 * MS, HOUR);
+        settings.coldUs = table.duration("cold", 20 * SECOND, 0, HOUR);
+        settings.coldFrom = table.number("cold-from", 0.2, 0.001, 1);
+        settings.fallMultiple = table.number("overload", 3, 1, 1_000);
+        settings.allowsHedging = table.flag("second-copies", true);
+        return 2 * table.duration("idle", 5 * SECOND, 0, HOUR);
     }
 
     private List<SourceDeclaration> readSources(List<Section> file, SectionReader pool) {
         List<SourceDeclaration> sources = new ArrayList<>();
-        List<ReportedServer> own = readServers(pool);
-        if (!own.isEmpty()) {
+        List<ReportedServer> inlineServers = readServers(pool);
+        if (!inlineServers.isEmpty()) {
             sources.add(new SourceDeclaration(
                     "file",
                     SourceDeclaration.Kind.ITSELF,
@@ -433,13 +445,13 @@
                     0,
                     0,
                     Long.MAX_VALUE / 4,
-                    own,
+                    inlineServers,
                     List.of()));
         }
-        Set<String> known = new HashSet<>(Set.of("file"));
+        Set<String> names = new HashSet<>(Set.of("file"));
         for (Section section : file) {
             if (section.kind() == Kind.SOURCE) {
-                SourceDeclaration declared = readSource(section, known);
+                SourceDeclaration declared = readSource(section, names);
                 if (declared != null) {
                     sources.add(declared);
                 }
@@ -448,62 +460,65 @@
         return sources;
     }
 
-    private SourceDeclaration readSource(Section section, Set<String> known) {
-        SectionReader own = new SectionReader(section, "source", violations);
-        own.rejectUnknownKeys(SOURCE_KEYS);
+    private SourceDeclaration readSource(Section section, Set<String> names) {
+        SectionReader table = new SectionReader(section, "source", violations);
+        table.rejectUnknownKeys(SOURCE_KEYS);
         List<String> kinds =
-                List.of("file", "dns", "srv").stream().filter(own::has).toList();
+                List.of("file", "dns", "srv").stream().filter(table::has).toList();
         if (kinds.size() != 1) {
-            own.addViolation(
+            table.addViolation(
                     kinds.isEmpty() ? "name" : kinds.get(1),
                     Rule.INCOMPLETE,
-                    "a source is one of a file, a name and a name of services",
+                    "a source must have exactly one of file, dns and srv",
                     "file = \"...\", dns = \"...\" or srv = \"...\"");
             return null;
         }
         String kind = kinds.get(0);
-        String where = own.text(kind, "");
-        String name = own.text("name", where);
-        if (!known.add(name)) {
-            own.addViolation("name", Rule.SAME_NAME, "there is another source '" + name + "'", "another name");
-        }
-        boolean asked = !kind.equals("file");
-        if (asked && !where.matches("(?i)[a-z0-9_]([a-z0-9_-]{0,62})(\\.[a-z0-9_]([a-z0-9_-]{0,62}))*\\.?")) {
-            own.addViolation(kind, Rule.BAD_PATTERN, "\"" + where + "\" is no name", "\"web.example\"");
-        }
-        int port = own.integer("port", 0, 1, 65_535);
-        if (kind.equals("dns") != own.has("port")) {
-            own.addViolation(
+        String location = table.text(kind, "");
+        String name = table.text("name", location);
+        if (!names.add(name)) {
+            table.addViolation("name", Rule.SAME_NAME, "there is already a source '" + name + "'", "another name");
+        }
+        boolean isDnsName = !kind.equals("file");
+        if (isDnsName && !location.matches("(?i)[a-z0-9_]([a-z0-9_-]{0,62})(\\.[a-z0-9_]([a-z0-9_-]{0,62}))*\\.?")) {
+            table.addViolation(
+                    kind, Rule.BAD_PATTERN, "\"" + location + "\" is not a valid DNS name", "\"web.example\"");
+        }
+        int port = table.integer("port", 0, 1, 65_535);
+        if (kind.equals("dns") != table.has("port")) {
+            table.addViolation(
                     "port",
                     kind.equals("dns") ? Rule.INCOMPLETE : Rule.UNREACHABLE,
-                    kind.equals("dns") ? "addresses of a name have no port" : "the port is told by the " + kind,
+                    kind.equals("dns")
+                            ? "missing key port: the addresses of a name have none"
+                            : "the port comes from the " + kind,
                     kind.equals("dns") ? "port = 80" : "no port");
         }
-        Set<Permission> may = EnumSet.noneOf(Permission.class);
-        for (String word : own.texts("may", List.of("add", "drain", "remove"))) {
+        Set<Permission> permissions = EnumSet.noneOf(Permission.class);
+        for (String permission : table.texts("may", List.of("add", "drain", "remove"))) {
             try {
-                may.add(Permission.valueOf(word.toUpperCase(Locale.ROOT)));
+                permissions.add(Permission.valueOf(permission.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
-                own.addViolation(
+                table.addViolation(
                         "may",
                         Rule.OUT_OF_RANGE,
-                        "\"" + word + "\" is nothing that a source may do",
+                        "\"" + permission + "\" is not a permission of a source",
                         "add, drain or remove");
             }
         }
-        long every = own.duration("every", asked ? 5 * SECOND : SECOND, 100 * MS, DAY);
-        long keep = own.duration("keep", asked ? 3 * Math.max(every, 10 * SECOND) : 0, 0, 7 * DAY);
-        if (asked && keep < 2 * every) {
-            own.addViolation(
+        long intervalUs = table.duration("every", isDnsName ? 5 * SECOND : SECOND, 100 * MS, DAY);
+        long retentionUs = table.duration("keep", isDnsName ? 3 * Math.max(intervalUs, 10 * SECOND) : 0, 0, 7 * DAY);
+        if (isDnsName && retentionUs < 2 * intervalUs) {
+            table.addViolation(
                     "keep",
                     Rule.OUT_OF_RANGE,
-                    "keep is under two answers' time: servers would come and"
-                            + " go with each part of them that an answer names",
-                    "keep = \"" + SectionReader.formatDuration(2 * every) + "\"");
+                    "keep is under two intervals: servers would come and"
+                            + " go with each answer that names only part of them",
+                    "keep = \"" + SectionReader.formatDuration(2 * intervalUs) + "\"");
         }
         List<InetSocketAddress> resolvers = new ArrayList<>();
-        for (String each : own.texts("resolvers", List.of())) {
-            InetSocketAddress address = readAddress(own, "resolvers", each, false);
+        for (String resolver : table.texts("resolvers", List.of())) {
+            InetSocketAddress address = readAddress(table, "resolvers", resolver, false);
             if (address != null) {
                 resolvers.add(address);
             }
@@ -511,12 +526,12 @@
         return new SourceDeclaration(
                 name,
                 SourceDeclaration.Kind.valueOf(kind.toUpperCase(Locale.ROOT)),
-                where,
+                location,
                 port,
-                may,
-                every,
-                keep,
-                own.duration("stale", asked ? HOUR : 10 * 60 * SECOND, SECOND, 7 * DAY),
+                permissions,
+                intervalUs,
+                retentionUs,
+                table.duration("stale", isDnsName ? HOUR : 10 * 60 * SECOND, SECOND, 7 * DAY),
                 List.of(),
                 resolvers);
     }
@@ -527,21 +542,22 @@
             return List.of();
         }
         if (!(value instanceof List<?> list)) {
-            pool.addViolation("servers", Rule.WRONG_UNIT, "servers is no list", "[\"127.0.0.1:9001\"]");
+            pool.addViolation("servers", Rule.WRONG_UNIT, "servers must be a list", "[\"127.0.0.1:9001\"]");
             return List.of();
         }
         List<ReportedServer> servers = new ArrayList<>();
-        for (Object each : list) {
+        for (Object entry : list) {
             try {
-                ReportedServer named = ServerEntryReader.read(each);
-                if (servers.stream().anyMatch(s -> s.addresses().stream().anyMatch(named.addresses()::contains))) {
+                ReportedServer server = ServerEntryReader.read(entry);
+                if (servers.stream()
+                        .anyMatch(other -> other.addresses().stream().anyMatch(server.addresses()::contains))) {
                     pool.addViolation(
                             "servers",
                             Rule.SAME_MATCH,
-                            ReportedServer.formatAddress(named.addresses().get(0)) + " is named twice",
+                            ReportedServer.formatAddress(server.addresses().get(0)) + " is listed twice",
                             "each server once");
                 }
-                servers.add(named);
+                servers.add(server);
             } catch (IllegalArgumentException e) {
                 pool.addViolation(
                         "servers",
@@ -553,66 +569,62 @@
         return servers;
     }
 
-    private CheckRules readChecks(SectionReader own, int number) {
-        own.rejectUnknownKeys(CHECK_KEYS);
-        String path = own.text("path", "");
+    private CheckRules readChecks(SectionReader table, int nodeNumber) {
+        table.rejectUnknownKeys(CHECK_KEYS);
+        String path = table.text("path", "");
         if (!path.isEmpty() && !path.matches("/[\\x21-\\x7E]{0,255}")) {
-            own.addViolation("path", Rule.BAD_PATTERN, "path = \"" + path + "\" is no path", "\"/healthy\"");
+            table.addViolation("path", Rule.BAD_PATTERN, "path = \"" + path + "\" is not a valid path", "\"/healthy\"");
         }
-        String status = own.text("status", "200-399");
-        int least = 200;
-        int most = 399;
+        String status = table.text("status", "200-399");
+        int minStatus = 200;
+        int maxStatus = 399;
         if (status.matches("[1-5]\\d\\d(-[1-5]\\d\\d)?")) {
-            least = Integer.parseInt(status.substring(0, 3));
-            most = status.length() > 3 ? Integer.parseInt(status.substring(4)) : least;
+            minStatus = Integer.parseInt(status.substring(0, 3));
+            maxStatus = status.length() > 3 ? Integer.parseInt(status.substring(4)) : minStatus;
         }
-        if (!status.matches("[1-5]\\d\\d(-[1-5]\\d\\d)?") || most < least) {
-            own.addViolation(
-                    "status",
-                    Rule.OUT_OF_RANGE,
-                    "status is neither one nor from one to another",
-                    "status = \"200-399\"");
+        if (!status.matches("[1-5]\\d\\d(-[1-5]\\d\\d)?") || maxStatus < minStatus) {
+            table.addViolation(
+                    "status", Rule.OUT_OF_RANGE, "status must be one status or a range", "status = \"200-399\"");
         }
-        long every = own.duration("every", 5 * SECOND, 100 * MS, HOUR);
-        long within = own.duration("within", Math.min(SECOND, every), 10 * MS, 60 * SECOND);
-        if (within > every) {
-            own.addViolation(
+        long intervalUs = table.duration("every", 5 * SECOND, 100 * MS, HOUR);
+        long timeoutUs = table.duration("within", Math.min(SECOND, intervalUs), 10 * MS, 60 * SECOND);
+        if (timeoutUs > intervalUs) {
+            table.addViolation(
                     "within",
                     Rule.SCHEDULE,
-                    "a check may take longer than until the next",
-                    "within = \"" + SectionReader.formatDuration(every) + "\"");
+                    "a check may take longer than the interval between checks",
+                    "within = \"" + SectionReader.formatDuration(intervalUs) + "\"");
         }
         return new CheckRules(
                 path,
-                own.text("host", "localhost"),
-                least,
-                most,
-                every,
-                within,
-                own.integer("rise", 2, 1, 100),
-                own.integer("fall", 3, 1, 100),
-                own.number("budget", 20, 0.1, 10_000),
-                own.integer("watchers", 3, 1, 100),
+                table.text("host", "localhost"),
+                minStatus,
+                maxStatus,
+                intervalUs,
+                timeoutUs,
+                table.integer("rise", 2, 1, 100),
+                table.integer("fall", 3, 1, 100),
+                table.number("budget", 20, 0.1, 10_000),
+                table.integer("watchers", 3, 1, 100),
                 settings.nodes,
-                number,
-                own.number("most-out", 0.5, 0, 1));
+                nodeNumber,
+                table.number("most-out", 0.5, 0, 1));
     }
 
-    private static InetSocketAddress readAddress(SectionReader own, String key, String text, boolean anyPort) {
+    private static InetSocketAddress readAddress(SectionReader table, String key, String text, boolean allowsPortZero) {
         if (text == null) {
             return null;
         }
         try {
             InetSocketAddress address = ServerEntryReader.parseAddress(text);
-            if (address.getPort() > 0 || anyPort) {
+            if (address.getPort() > 0 || allowsPortZero) {
                 return address;
             }
         } catch (IllegalArgumentException e) {
-            // Told below, as a port that nobody can have is.
-            own.addViolation(key, Rule.BAD_PATTERN, e.getMessage(), "\"127.0.0.1:8080\"");
+            table.addViolation(key, Rule.BAD_PATTERN, e.getMessage(), "\"127.0.0.1:8080\"");
             return null;
         }
-        own.addViolation(key, Rule.OUT_OF_RANGE, text + " has no port", "\"127.0.0.1:8080\"");
+        table.addViolation(key, Rule.OUT_OF_RANGE, text + " has no port", "\"127.0.0.1:8080\"");
         return null;
     }
 }
--- a/src/main/java/vetchpost/standalone/WebLimits.java
+++ b/src/main/java/vetchpost/standalone/WebLimits.java
@@ -1,20 +1,20 @@
 package vetchpost.standalone;
 
 /**
- * What a client or a server of the open web may cost a node.
+ * Limits of clients' requests and servers' responses, and what is forwarded about clients. Times are in microseconds.
  *
- * @param holdBytes so much of a body is held, and can be sent again; the rest is passed on as it comes
- * @param holdUs for so long an answer is held before what there is of it is passed on, in microseconds
- * @param bodyBytes the longest body of a request
- * @param headUs for so long a request's head may take to come
- * @param idleUs for so long a body may make no progress
- * @param keptUs for so long a client's connection is kept without a request
- * @param uploadUs for so long a request may take whose body is longer than what is held
- * @param name of the node in {@code Via}, a token
- * @param forwarded which fields tell servers of the client
- * @param trusted whether what clients say in those fields is passed on
- * @param mark a field that each answer of the servers has, in lower or upper case; without it an answer is
- *     another application's, and no client is given it; empty for none
+ * @param bufferBytes bytes of a body that are buffered and can be sent again; the rest is streamed
+ * @param bufferTimeoutUs how long a response is buffered before the part received is passed on
+ * @param maxBodyBytes longest body of a request, in bytes
+ * @param headTimeoutUs how long a request's head may take to arrive
+ * @param bodyIdleTimeoutUs how long a body may make no progress
+ * @param keepAliveTimeoutUs how long a client's idle connection is kept
+ * @param uploadTimeoutUs how long a request may take whose body exceeds the buffer
+ * @param viaName the node's name in {@code Via}, a token
+ * @param forwarded which headers tell servers about the client
+ * @param trustsForwarded whether those headers of a client's request are passed on
+ * @param requiredHeader a header that every response of the servers has, case-insensitive; a response without it comes
+ *     from another application and is passed to no client; empty for none
  */
 public record WebLimits(
         int bufferBytes,
@@ -29,15 +29,15 @@
         boolean trustsForwarded,
         String requiredHeader) {
 
-    /** How servers are told of the client. */
+    /** Which headers tell servers about the client. The constants are read from settings by name. */
     public enum Forwarded {
-        /** By {@code Forwarded} (RFC 7239). */
+        /** {@code Forwarded} (RFC 7239). */
         STANDARD(true, false),
-        /** By {@code X-Forwarded-For}, {@code -Host} and {@code -Proto}. */
+        /** {@code X-Forwarded-For}, {@code -Host} and {@code -Proto}. */
         CUSTOM(false, true),
-        /** By both. */
+        /** Both. */
         BOTH(true, true),
-        /** By neither. */
+        /** Neither. */
         NONE(false, false);
 
         private final boolean standard;
@@ -48,12 +48,12 @@
             this.custom = custom;
         }
 
-        /** Whether the standard's field is used. */
+        /** Whether {@code Forwarded} is sent. */
         public boolean isStandard() {
             return standard;
         }
 
-        /** Whether the fields are used that were common before. */
+        /** Whether the {@code X-Forwarded-} headers are sent. */
         public boolean isCustom() {
             return custom;
         }
--- a/src/main/java/vetchpost/standalone/package-info.java
+++ b/src/main/java/vetchpost/standalone/package-info.java
@@ -1,2 +1,2 @@
-/** What one operator's file says of a node without a platform; read and proved, without I/O. */
+/** Reads and validates the settings of a node without a platform, from one operator's file. Performs no I/O. */
 package vetchpost.standalone;
