--- a/src/test/java/vetchpost/control/ControlApiTest.java
+++ b/src/test/java/vetchpost/control/ControlApiTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.control.FleetState.Server;
 
-/** Messages: bounded, strict, one after the other, and never an effect without a record. */
+/**
+ * Control messages: bounded, strictly parsed, handled one at a time. Guards against a change that takes effect without
+ * a durable record, and against one client blocking others.
+ */
 class ControlApiTest {
     private static final String DRAIN = "{\"v\":1,\"id\":7,\"do\":\"drain\",\"server\":\"s1\",\"for\":60000,"
             + "\"owner\":\"ann\",\"reason\":\"sick\",\"key\":\"a\"}";
@@ -27,12 +30,12 @@
     private String appendFailure;
     private int changeCount;
     private long nowUs;
-    private final ControlApi controlApi =
-            new ControlApi(leases, ControlApiTest::fourServers, () -> Map.of("requests", 3L), this::append, this::onChange);
+    private final ControlApi controlApi = new ControlApi(
+            leases, ControlApiTest::fourServers, () -> Map.of("requests", 3L), this::append, this::onChange);
 
     private void onChange() {
         if (failsOnChange) {
-            throw new IllegalStateException("planted");
+            throw new IllegalStateException("injected");
         }
         changeCount++;
     }
@@ -47,9 +50,9 @@
 
     private void append(String text, Consumer<String> done) {
         if (delaysAppends) {
-            pending.add(why -> {
+            pending.add(failure -> {
                 recorded.add(text);
-                done.accept(why);
+                done.accept(failure);
             });
             return;
         }
@@ -92,7 +95,7 @@
         replies(DRAIN);
         replies(DRAIN.replace("s1", "s2").replace("\"a\"", "\"b\""));
         List<String> third = replies(DRAIN.replace("s1", "s3").replace("\"a\"", "\"c\""));
-        assertEquals(1, pending.size(), "the others wait");
+        assertEquals(1, pending.size(), "the other changes wait");
         pending.remove(0).accept(null);
         pending.remove(0).accept(null);
         assertTrue(third.get(0).contains("it leaves 25 % of the fleet's weight (50 % before)"), "" + third);
@@ -123,9 +126,9 @@
     @Test
     void recordsRepeatedCommandOnce() {
         send(DRAIN);
-        JsonObject again = send(DRAIN);
-        assertTrue(again.get("repeated").getAsBoolean());
-        assertEquals(1, again.getAsJsonObject("override").get("number").getAsInt());
+        JsonObject reply = send(DRAIN);
+        assertTrue(reply.get("repeated").getAsBoolean());
+        assertEquals(1, reply.getAsJsonObject("override").get("number").getAsInt());
         assertEquals(1, recorded.size());
         assertEquals(1, changeCount);
     }
@@ -147,7 +150,7 @@
         assertEquals("unrecorded", reply.get("error").getAsString());
         assertFalse(leases.effects().isDraining("s1"));
         appendFailure = null;
-        assertTrue(send(DRAIN).get("ok").getAsBoolean(), "and the same command is carried out later");
+        assertTrue(send(DRAIN).get("ok").getAsBoolean(), "the same command is carried out once it can be recorded");
         appendFailure = "no space left on device";
         assertFalse(send("{\"v\":1,\"do\":\"undo\",\"number\":1,\"owner\":\"bob\"}")
                 .get("ok")
@@ -155,15 +158,15 @@
         assertTrue(leases.effects().isDraining("s1"));
         nowUs = 60_000_000;
         controlApi.expire(new ControlApi.Now(nowUs, 0));
-        assertFalse(leases.effects().isDraining("s1"), "but what is due ends, recorded or not");
+        assertFalse(leases.effects().isDraining("s1"), "due leases end, recorded or not");
     }
 
     @Test
     void readsAndDryRunsChangeNothing() {
-        JsonObject dry = send(DRAIN.replace("\"key\"", "\"dry\":true,\"key\""));
-        assertTrue(dry.get("would").getAsBoolean());
-        assertEquals(4, dry.getAsJsonObject("before").get("servers").getAsInt());
-        assertEquals(3, dry.getAsJsonObject("after").get("servers").getAsInt());
+        JsonObject reply = send(DRAIN.replace("\"key\"", "\"dry\":true,\"key\""));
+        assertTrue(reply.get("would").getAsBoolean());
+        assertEquals(4, reply.getAsJsonObject("before").get("servers").getAsInt());
+        assertEquals(3, reply.getAsJsonObject("after").get("servers").getAsInt());
         send("{\"v\":1,\"do\":\"servers\"}");
         send("{\"v\":1,\"do\":\"overrides\"}");
         assertEquals(3, send("{\"v\":1,\"do\":\"status\"}").get("requests").getAsInt());
@@ -204,20 +207,22 @@
                 "{\"v\":1,\"do\":\"shed\",\"class\":\"read\",\"share\":0.5,\"for\":60000,\"owner\":\"a\","
                         + "\"reason\":\"r\",\"key\":\"k\",\"anyway\":true}",
                 "{\"v\":1,\"id\":\"x\",\"do\":\"servers\"}");
-        String signs = "{}[]\",:0123456789.eE+-truefalsn\\u \t\u00e9\u0000";
-        // So many fit into a second; -Dvetchpost.mutations=1000000 plays as many as the documents say.
-        int most = Integer.getInteger("vetchpost.mutations", 20_000);
+        String characters = "{}[]\",:0123456789.eE+-truefalsn\\u \t\u00e9\u0000";
+        // A run of about a second; -Dvetchpost.mutations=1000000 runs the number that the documents state.
+        int mutationCount = Integer.getInteger("vetchpost.mutations", 20_000);
         Random random = new Random(1);
-        for (int i = 0; i < most; i++) {
+        for (int i = 0; i < mutationCount; i++) {
             StringBuilder message = new StringBuilder(seeds.get(random.nextInt(seeds.size())));
-            for (int m = 1 + random.nextInt(4); m > 0; m--) {
-                int at = random.nextInt(message.length());
-                char sign = signs.charAt(random.nextInt(signs.length()));
+            for (int edits = 1 + random.nextInt(4); edits > 0; edits--) {
+                int position = random.nextInt(message.length());
+                char character = characters.charAt(random.nextInt(characters.length()));
                 switch (random.nextInt(4)) {
-                    case 0 -> message.setCharAt(at, sign);
-                    case 1 -> message.insert(at, sign);
-                    case 2 -> message.deleteCharAt(at);
-                    default -> message.insert(at, message.substring(at, Math.min(message.length(), at + 20)));
+                    case 0 -> message.setCharAt(position, character);
+                    case 1 -> message.insert(position, character);
+                    case 2 -> message.deleteCharAt(position);
+                    default ->
+                        message.insert(
+                                position, message.substring(position, Math.min(message.length(), position + 20)));
                 }
             }
             JsonObject reply = send(message.toString());
--- a/src/test/java/vetchpost/control/LeasesTest.java
+++ b/src/test/java/vetchpost/control/LeasesTest.java
@@ -16,7 +16,10 @@
 import vetchpost.control.FleetState.Server;
 import vetchpost.control.Leases.Decision;
 
-/** Overrides as leases: judged, stacked, ended by themselves, kept over restarts. */
+/**
+ * Overrides as leases: the safety check, combined effects, expiry, and restoring from the audit log after a restart.
+ * Guards against small steps that together take too much capacity, and overrides that outlive their time.
+ */
 class LeasesTest {
     private static final long HOUR_MS = 3_600_000;
     private static final long HOUR_US = HOUR_MS * 1_000;
@@ -27,20 +30,20 @@
         return new OverrideRequest(kind, subject, perMille, HOUR_MS, "ann", "sick", priority, "k" + keys++, false);
     }
 
-    private static OverrideRequest forced(OverrideRequest c) {
+    private static OverrideRequest forced(OverrideRequest request) {
         return new OverrideRequest(
-                c.kind(),
-                c.subject(),
-                c.perMille(),
-                c.durationMs(),
-                c.owner(),
-                c.reason(),
-                c.priority(),
-                c.key(),
+                request.kind(),
+                request.subject(),
+                request.perMille(),
+                request.durationMs(),
+                request.owner(),
+                request.reason(),
+                request.priority(),
+                request.key(),
                 true);
     }
 
-    /** Ten servers, the first two in zone a, of equal weight. */
+    /** Ten servers of equal weight, the first two in zone a. */
     private static FleetState tenServers() {
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
@@ -50,11 +53,11 @@
     }
 
     private Decision request(OverrideRequest change, long nowUs) {
-        Decision verdict = leases.check(change, tenServers(), nowUs, 0);
-        if (verdict.lease() != null) {
-            leases.grant(verdict.lease());
+        Decision decision = leases.check(change, tenServers(), nowUs, 0);
+        if (decision.lease() != null) {
+            leases.grant(decision.lease());
         }
-        return verdict;
+        return decision;
     }
 
     @Test
@@ -68,11 +71,15 @@
                 List.of("it leaves 40 % of the fleet's weight (50 % before), and least is 50 %; 4 of 10"
                         + " servers take requests then"),
                 sixth.objections());
-        assertNull(request(change(OverrideKind.WEIGHT, "s8", 10, 0), 0).lease(), "a hundredth of it is hardly more");
+        assertNull(
+                request(change(OverrideKind.WEIGHT, "s8", 10, 0), 0).lease(),
+                "a hundredth of the weight leaves hardly more capacity");
         Decision forced = request(forced(change(OverrideKind.DRAIN, "s8", 0, 0)), 0);
         assertNotNull(forced.lease());
-        assertEquals(1, forced.objections().size(), "what was said against it is kept");
-        assertNotNull(request(change(OverrideKind.DRAIN, "s8", 0, 0), 0).lease(), "it takes nothing more away");
+        assertEquals(1, forced.objections().size(), "a forced override keeps its objections");
+        assertNotNull(
+                request(change(OverrideKind.DRAIN, "s8", 0, 0), 0).lease(),
+                "draining it twice removes no more capacity");
     }
 
     @Test
@@ -82,7 +89,9 @@
                 List.of("s1 is the last server of zone a that takes requests"),
                 request(change(OverrideKind.DRAIN, "s1", 0, 0), 0).objections());
         request(forced(change(OverrideKind.DRAIN, "s1", 0, 0)), 0);
-        assertNotNull(request(change(OverrideKind.DRAIN, "s1", 0, 0), 0).lease(), "it takes nothing more away");
+        assertNotNull(
+                request(change(OverrideKind.DRAIN, "s1", 0, 0), 0).lease(),
+                "draining it twice removes no more capacity");
     }
 
     @Test
@@ -97,13 +106,16 @@
                 List.of("it refuses 95 % of read, and most is 90 %"),
                 request(change(OverrideKind.SHED, "read", 950, 0), 0).objections());
         request(forced(change(OverrideKind.SHED, "read", 950, 0)), 0);
-        assertNotNull(request(change(OverrideKind.SHED, "read", 500, 0), 0).lease(), "no more is refused by it");
+        assertNotNull(
+                request(change(OverrideKind.SHED, "read", 500, 0), 0).lease(),
+                "a smaller fraction sheds no more requests");
     }
 
     @Test
     void higherPriorityWinsAndEqualPriorityTakesTheStricterAmount() {
         request(change(OverrideKind.WEIGHT, "s3", 800, 1), 0);
-        long lower = request(change(OverrideKind.WEIGHT, "s3", 300, 1), 0).lease().number();
+        long lower =
+                request(change(OverrideKind.WEIGHT, "s3", 300, 1), 0).lease().number();
         assertEquals(0.3, leases.effects().weight("s3", 1), 1e-9);
         request(change(OverrideKind.WEIGHT, "s3", 900, 2), 0);
         assertEquals(1.8, leases.effects().weight("s3", 2), 1e-9);
@@ -131,13 +143,13 @@
     void repeatedCommandTakesEffectOnce() {
         OverrideRequest drain = change(OverrideKind.DRAIN, "s4", 0, 0);
         Decision first = request(drain, 0);
-        Decision again = request(drain, 5);
-        assertTrue(again.repeated());
-        assertEquals(first.lease(), again.lease());
+        Decision second = request(drain, 5);
+        assertTrue(second.repeated());
+        assertEquals(first.lease(), second.lease());
         leases.undo(first.lease().number());
-        Decision late = request(drain, 9);
-        assertNull(late.lease(), "and not once more after it was undone");
-        assertEquals(List.of("override 1, which this command made, has ended"), late.objections());
+        Decision third = request(drain, 9);
+        assertNull(third.lease(), "a repeat after undo is not granted again");
+        assertEquals(List.of("override 1, which this command made, has ended"), third.objections());
     }
 
     @Test
@@ -150,7 +162,8 @@
         assertEquals(
                 List.of("1000 overrides hold already, and more are not kept"),
                 request(change(OverrideKind.SHED, "read", 1, 0), 0).objections());
-        assertNotNull(request(change(OverrideKind.SHED, "read", 1, 0), HOUR_US).lease(), "once some have ended");
+        assertNotNull(
+                request(change(OverrideKind.SHED, "read", 1, 0), HOUR_US).lease(), "granted once others have expired");
     }
 
     @Test
@@ -161,10 +174,10 @@
         assertThrows(IllegalArgumentException.class, () -> change(OverrideKind.DRAIN, "", 0, 0));
         assertThrows(IllegalArgumentException.class, () -> change(OverrideKind.DRAIN, "a\nb", 0, 0));
         assertThrows(IllegalArgumentException.class, () -> change(OverrideKind.DRAIN, "s1", 0, 10));
-        for (long length : new long[] {0, 999, OverrideRequest.MAX_DURATION_MS + 1, Long.MAX_VALUE}) {
+        for (long durationMs : new long[] {0, 999, OverrideRequest.MAX_DURATION_MS + 1, Long.MAX_VALUE}) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> new OverrideRequest(OverrideKind.FREEZE, "", 0, length, "ann", "night", 0, "k", false));
+                    () -> new OverrideRequest(OverrideKind.FREEZE, "", 0, durationMs, "ann", "night", 0, "k", false));
         }
     }
 
@@ -179,23 +192,24 @@
                 new Entry(Event.GRANTED, 3, 20_000, freeze, "bob", ""),
                 new Entry(Event.REFUSED, 0, 20_500, drain, "bob", "no"),
                 new Entry(Event.UNDONE, 2, 21_000, null, "ann", ""));
-        List<Lease> held = AuditLog.activeLeases(entries, 30_000, 500);
-        assertEquals(1, held.size(), "undone, and ended while it was away, do not hold");
-        assertEquals(500 + HOUR_US - 20_000_000, held.get(0).endUs());
+        List<Lease> restored = AuditLog.activeLeases(entries, 30_000, 500);
+        assertEquals(
+                1, restored.size(), "undone leases, and those that ended while the node was down, are not restored");
+        assertEquals(500 + HOUR_US - 20_000_000, restored.get(0).endUs());
         assertEquals(
                 500 + HOUR_US - 11_000_000,
                 AuditLog.activeLeases(entries, 0, 500).get(0).endUs(),
-                "a clock that was set back is not earlier than the trail's last word");
+                "a clock that was set back counts as no earlier than the last entry");
         assertEquals(List.of(), AuditLog.activeLeases(entries, 10_000 + HOUR_MS, 0));
     }
 
     @Test
     void detectsTamperedAuditLog() {
         List<String> lines = new ArrayList<>();
-        String before = AuditLog.ROOT_HASH;
+        String previousHash = AuditLog.ROOT_HASH;
         for (int i = 0; i < 5; i++) {
-            lines.add(AuditLog.chainedLine(before, "entry " + i));
-            before = AuditLog.hashOf(lines.get(i));
+            lines.add(AuditLog.chainedLine(previousHash, "entry " + i));
+            previousHash = AuditLog.hashOf(lines.get(i));
         }
         assertEquals(0, AuditLog.firstBrokenLine(lines));
         assertEquals("entry 3", AuditLog.textOf(lines.get(3)));
@@ -214,8 +228,8 @@
     void randomLeasesExpireOnTimeAndSurviveRestart() {
         for (long seed = 0; seed < 2_000; seed++) {
             Random random = new Random(seed);
-            Leases before = new Leases(new SafetyCheck(0.5, 0.9));
-            List<Entry> trail = new ArrayList<>();
+            Leases original = new Leases(new SafetyCheck(0.5, 0.9));
+            List<Entry> entries = new ArrayList<>();
             long nowUs = 0;
             for (int i = 0; i < 40; i++) {
                 nowUs += 1_000L * random.nextInt(2_000);
@@ -234,36 +248,38 @@
                         random.nextInt(3),
                         "k" + random.nextInt(60),
                         random.nextInt(4) == 0);
-                for (Lease ended : before.expire(nowUs)) {
+                for (Lease ended : original.expire(nowUs)) {
                     assertTrue(ended.endUs() <= nowUs);
                 }
-                Decision verdict = before.check(change, tenServers(), nowUs, nowUs / 1_000);
-                if (verdict.lease() != null && !verdict.repeated()) {
-                    before.grant(verdict.lease());
-                    trail.add(new Entry(Event.GRANTED, verdict.lease().number(), nowUs / 1_000, change, "", ""));
+                Decision decision = original.check(change, tenServers(), nowUs, nowUs / 1_000);
+                if (decision.lease() != null && !decision.repeated()) {
+                    original.grant(decision.lease());
+                    entries.add(new Entry(Event.GRANTED, decision.lease().number(), nowUs / 1_000, change, "", ""));
                 }
                 if (random.nextInt(5) == 0) {
                     long number = 1 + random.nextInt(40);
-                    if (before.undo(number)) {
-                        trail.add(new Entry(Event.UNDONE, number, nowUs / 1_000, null, "", ""));
+                    if (original.undo(number)) {
+                        entries.add(new Entry(Event.UNDONE, number, nowUs / 1_000, null, "", ""));
                     }
                 }
-                for (Lease lease : before.activeLeases()) {
-                    assertTrue(lease.endUs() > nowUs, "none outlives its time");
+                for (Lease lease : original.activeLeases()) {
+                    assertTrue(lease.endUs() > nowUs, "no lease outlives its end");
                 }
-                Leases after = new Leases(new SafetyCheck(0.5, 0.9));
-                AuditLog.activeLeases(trail, nowUs / 1_000, nowUs / 1_000 * 1_000)
-                        .forEach(after::grant);
-                for (int s = 0; s < 10; s++) {
+                Leases restored = new Leases(new SafetyCheck(0.5, 0.9));
+                AuditLog.activeLeases(entries, nowUs / 1_000, nowUs / 1_000 * 1_000)
+                        .forEach(restored::grant);
+                for (int server = 0; server < 10; server++) {
                     assertEquals(
-                            before.effects().isDraining("s" + s),
-                            after.effects().isDraining("s" + s));
+                            original.effects().isDraining("s" + server),
+                            restored.effects().isDraining("s" + server));
                     assertEquals(
-                            before.effects().weight("s" + s, 1), after.effects().weight("s" + s, 1));
+                            original.effects().weight("s" + server, 1),
+                            restored.effects().weight("s" + server, 1));
                 }
                 assertEquals(
-                        before.effects().shedPerMille("read"), after.effects().shedPerMille("read"));
-                assertEquals(before.effects().isFrozen(), after.effects().isFrozen());
+                        original.effects().shedPerMille("read"),
+                        restored.effects().shedPerMille("read"));
+                assertEquals(original.effects().isFrozen(), restored.effects().isFrozen());
             }
         }
     }
@@ -273,15 +289,15 @@
         request(change(OverrideKind.SHED, "write", 400, 0), 0);
         SheddingRoutePolicy shedder = new SheddingRoutePolicy(
                 request -> vetchpost.core.RouteLimits.NONE, List.of("read", "write"), leases::effects);
-        StringBuilder entered = new StringBuilder();
+        StringBuilder outcomes = new StringBuilder();
         for (int i = 0; i < 10; i++) {
-            entered.append(shedder.limitsOf(request(1)).tryAcquire() ? "+" : "-");
+            outcomes.append(shedder.limitsOf(request(1)).tryAcquire() ? "+" : "-");
             assertTrue(shedder.limitsOf(request(0)).tryAcquire());
         }
-        assertEquals("++-+-++-+-", entered.toString());
+        assertEquals("++-+-++-+-", outcomes.toString());
     }
 
-    private static vetchpost.core.ClientRequest request(int cls) {
-        return new vetchpost.core.ClientRequest(1, cls, -1, 1, 0, false, "GET", "/", null, new byte[0]);
+    private static vetchpost.core.ClientRequest request(int classIndex) {
+        return new vetchpost.core.ClientRequest(1, classIndex, -1, 1, 0, false, "GET", "/", null, new byte[0]);
     }
 }
--- a/src/test/java/vetchpost/recorder/FlightRecorderTest.java
+++ b/src/test/java/vetchpost/recorder/FlightRecorderTest.java
@@ -16,7 +16,10 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.UnservedReason;
 
-/** What is kept of requests, in bounded memory, and what was refused by cause. */
+/**
+ * What the recorder keeps of requests and counts of rejections. Guards against memory that grows with the traffic, and
+ * against notable requests pushed out by ordinary ones.
+ */
 class FlightRecorderTest {
     private static final long MS = 1_000;
     private static final long MINUTE = 60_000 * MS;
@@ -42,21 +45,21 @@
         recorder.admitted(nowUs, id);
     }
 
-    private void attempt(long id, int number, String server, Result result, long tookUs) {
+    private void attempt(long id, int number, String server, Result result, long durationUs) {
         recorder.attemptSent(nowUs, id, server, nowUs + 100 * MS);
-        nowUs += tookUs;
-        recorder.attemptEnded(nowUs, id, number, result, tookUs);
+        nowUs += durationUs;
+        recorder.attemptEnded(nowUs, id, number, result, durationUs);
     }
 
-    private void serve(long id, long tookUs) {
+    private void serve(long id, long durationUs) {
         accept(id);
-        attempt(id, 0, "s0", Result.OK, tookUs);
+        attempt(id, 0, "s0", Result.OK, durationUs);
         recorder.completed(nowUs, id, Completion.SERVED, 0);
     }
 
-    private void reject(long id, UnservedReason why) {
+    private void reject(long id, UnservedReason reason) {
         accept(id);
-        recorder.reasonGiven(id, why);
+        recorder.reasonGiven(id, reason);
         recorder.completed(nowUs, id, Completion.REFUSED, 1_000 * MS);
     }
 
@@ -69,20 +72,20 @@
         attempt(7, 1, "s2", Result.OK, 20 * MS);
         assertEquals("nothing", recorder.find(7).outcome() == null ? "nothing" : "something");
         recorder.completed(nowUs, 7, Completion.SERVED, 0);
-        RequestTrace flight = recorder.find(7);
-        assertEquals("GET /a", flight.request());
-        assertEquals(Completion.SERVED, flight.outcome());
-        assertEquals(60 * MS, flight.durationUs());
-        assertEquals(2 * MS, flight.eventLoopDelayUs());
-        assertEquals(2, flight.attempts().size());
-        RequestTrace.Attempt first = flight.attempts().get(0);
+        RequestTrace trace = recorder.find(7);
+        assertEquals("GET /a", trace.request());
+        assertEquals(Completion.SERVED, trace.outcome());
+        assertEquals(60 * MS, trace.durationUs());
+        assertEquals(2 * MS, trace.eventLoopDelayUs());
+        assertEquals(2, trace.attempts().size());
+        RequestTrace.Attempt first = trace.attempts().get(0);
         assertEquals("s1", first.serverId());
         assertEquals(10 * MS, first.startedAfterUs());
         assertEquals(Result.ERROR, first.result());
         assertEquals(
                 List.of("s1", "s0"),
                 first.candidates().stream().map(Candidate::serverId).toList());
-        assertNull(flight.attempts().get(1).candidates(), "the next in order is not drawn");
+        assertNull(trace.attempts().get(1).candidates(), "a retry without a draw has no candidates");
     }
 
     @Test
@@ -90,7 +93,7 @@
         for (int i = 1; i <= 64; i++) {
             serve(i, 10 * MS);
         }
-        assertEquals(2, recorder.size(), "usual ones, a quarter of eight at most");
+        assertEquals(2, recorder.size(), "sampled ones: at most a quarter of eight");
         assertNotNull(recorder.find(64));
         assertNull(recorder.find(63));
         serve(100, 150 * MS);
@@ -105,7 +108,8 @@
                 List.of(103L, 102L, 101L, 100L),
                 recorder.lastNotable(10).stream().map(RequestTrace::id).collect(Collectors.toList()));
         assertEquals(
-                List.of(103L), recorder.lastNotable(1).stream().map(RequestTrace::id).toList());
+                List.of(103L),
+                recorder.lastNotable(1).stream().map(RequestTrace::id).toList());
     }
 
     @Test
@@ -158,8 +162,8 @@
 
     private List<String> counts(long spanUs) {
         return recorder.rejectionCounts().withinLast(nowUs, spanUs).stream()
-                .map(l -> l.count() + " " + l.classIndex() + " " + (l.rejected() ? "refused" : "failed") + ": "
-                        + l.cause())
+                .map(row -> row.count() + " " + row.classIndex() + " " + (row.rejected() ? "refused" : "failed") + ": "
+                        + row.cause())
                 .toList();
     }
 
--- a/src/test/java/vetchpost/sources/CheckPlanTest.java
+++ b/src/test/java/vetchpost/sources/CheckPlanTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.sources.CheckPlan.Finding;
 
-/** Which servers are checked, how often, and what that comes to. */
+/**
+ * Which servers are checked, how often, and which ones checks eject. Guards against checks that grow with the fleet,
+ * and against ejecting servers over a fault of the node's own network.
+ */
 class CheckPlanTest {
     private static final long SECOND_US = 1_000_000;
     private static final long TICK_US = 20_000;
@@ -37,16 +40,20 @@
         return plan;
     }
 
-    /** Runs checks that end at once, as told; how many there were. */
-    private int run(CheckPlan plan, long us, Function<String, Finding> answers) {
-        int made = 0;
-        for (long until = nowUs + us; nowUs < until; nowUs += TICK_US) {
+    /**
+     * Runs checks that end at once with these results.
+     *
+     * @return the number of checks made
+     */
+    private int run(CheckPlan plan, long durationUs, Function<String, Finding> findings) {
+        int checkCount = 0;
+        for (long endUs = nowUs + durationUs; nowUs < endUs; nowUs += TICK_US) {
             for (String id : plan.dueChecks(nowUs, 32)) {
-                made++;
-                plan.checkCompleted(id, answers.apply(id), nowUs);
+                checkCount++;
+                plan.checkCompleted(id, findings.apply(id), nowUs);
             }
         }
-        return made;
+        return checkCount;
     }
 
     private static Function<String, Finding> unhealthy(String... ids) {
@@ -58,31 +65,37 @@
         CheckPlan plan = plan(10);
         run(plan, 30 * SECOND_US, unhealthy("s-3"));
         assertEquals(Set.of("s-3"), plan.ejectedServers());
-        long began = nowUs;
-        while (!plan.ejectedServers().isEmpty() && nowUs < began + 60 * SECOND_US) {
+        long startUs = nowUs;
+        while (!plan.ejectedServers().isEmpty() && nowUs < startUs + 60 * SECOND_US) {
             run(plan, TICK_US, unhealthy());
         }
-        assertTrue(nowUs - began < 10 * SECOND_US, "back after " + (nowUs - began) / SECOND_US + " s");
-        assertTrue(nowUs - began > 2 * SECOND_US, "but not after one check");
+        assertTrue(nowUs - startUs < 10 * SECOND_US, "returned after " + (nowUs - startUs) / SECOND_US + " s");
+        assertTrue(nowUs - startUs > 2 * SECOND_US, "returned after a single check");
     }
 
     @Test
     void singleFailureDoesNotEject() {
         CheckPlan plan = plan(4);
-        Map<String, Integer> asked = new HashMap<>();
-        run(plan, 60 * SECOND_US, id -> asked.merge(id, 1, Integer::sum) % 3 == 0 ? Finding.UNHEALTHY : Finding.HEALTHY);
+        Map<String, Integer> checks = new HashMap<>();
+        run(
+                plan,
+                60 * SECOND_US,
+                id -> checks.merge(id, 1, Integer::sum) % 3 == 0 ? Finding.UNHEALTHY : Finding.HEALTHY);
         assertEquals(Set.of(), plan.ejectedServers());
     }
 
-    /** When nothing answers it is the node's own network: the first that fell stay out, up to the share. */
+    /**
+     * When no server answers, the fault is in the node's own network: only those that failed first stay ejected, up to
+     * the largest fraction.
+     */
     @Test
     void limitsEjectionsWhenAllChecksFail() {
         CheckPlan plan = plan(10);
         run(plan, 30 * SECOND_US, unhealthy("s-1", "s-2"));
         assertEquals(Set.of("s-1", "s-2"), plan.ejectedServers());
         run(plan, 30 * SECOND_US, id -> Finding.UNHEALTHY);
-        assertEquals(5, plan.ejectedServers().size(), "half at most");
-        assertTrue(plan.ejectedServers().containsAll(Set.of("s-1", "s-2")), "those first that were out before");
+        assertEquals(5, plan.ejectedServers().size(), "at most half");
+        assertTrue(plan.ejectedServers().containsAll(Set.of("s-1", "s-2")), "those that failed first stay ejected");
         run(plan, 60 * SECOND_US, unhealthy("s-1"));
         assertEquals(Set.of("s-1"), plan.ejectedServers());
     }
@@ -93,7 +106,7 @@
         for (int i = 0; i < 2_000; i++) {
             nowUs += TICK_US;
             for (String id : plan.dueChecks(nowUs, 32)) {
-                // A real answer comes while the check is out.
+                // A real request succeeds while the check is running.
                 plan.requestSucceeded(id, nowUs + 1);
                 plan.checkCompleted(id, Finding.UNHEALTHY, nowUs + 2);
             }
@@ -104,17 +117,17 @@
 
     @Test
     void skipsChecksOfServingServers() {
-        CheckPlan quiet = plan(20);
-        int without = run(quiet, 60 * SECOND_US, unhealthy());
-        CheckPlan busy = plan(20);
-        int with = 0;
-        for (long until = nowUs + 60 * SECOND_US; nowUs < until; nowUs += TICK_US) {
-            fleet(20).forEach(id -> busy.requestSucceeded(id, nowUs));
-            with += run(busy, TICK_US, unhealthy());
+        CheckPlan idlePlan = plan(20);
+        int idleChecks = run(idlePlan, 60 * SECOND_US, unhealthy());
+        CheckPlan busyPlan = plan(20);
+        int busyChecks = 0;
+        for (long endUs = nowUs + 60 * SECOND_US; nowUs < endUs; nowUs += TICK_US) {
+            fleet(20).forEach(id -> busyPlan.requestSucceeded(id, nowUs));
+            busyChecks += run(busyPlan, TICK_US, unhealthy());
             nowUs -= TICK_US;
         }
-        assertTrue(without > 200, without + " checks without requests");
-        assertTrue(with < without / 10, with + " with them, and " + without + " without");
+        assertTrue(idleChecks > 200, idleChecks + " checks without requests");
+        assertTrue(busyChecks < idleChecks / 10, busyChecks + " with them, and " + idleChecks + " without");
     }
 
     @Test
@@ -122,13 +135,13 @@
         CheckPlan plan = plan(100);
         run(plan, 10 * SECOND_US, unhealthy());
         plan.requestFailed("s-7", nowUs);
-        long began = nowUs;
-        List<String> asked = new ArrayList<>();
-        while (!asked.contains("s-7") && nowUs < began + 10 * SECOND_US) {
+        long startUs = nowUs;
+        List<String> checked = new ArrayList<>();
+        while (!checked.contains("s-7") && nowUs < startUs + 10 * SECOND_US) {
             nowUs += TICK_US;
-            asked.addAll(plan.dueChecks(nowUs, 32));
+            checked.addAll(plan.dueChecks(nowUs, 32));
         }
-        assertTrue(nowUs - began < SECOND_US, "asked after " + (nowUs - began) / 1_000 + " ms");
+        assertTrue(nowUs - startUs < SECOND_US, "checked after " + (nowUs - startUs) / 1_000 + " ms");
     }
 
     @Test
@@ -138,46 +151,51 @@
         assertEquals(Set.of("s-5"), plan.ejectedServers());
     }
 
-    /** 50 nodes and 5,000 servers: neither more nodes nor more servers are more checks for a server. */
+    /** With 50 nodes, and with 5,000 servers, the checks of one server and of one node stay bounded. */
     @Test
     void checksPerServerDoNotGrowWithNodes() {
         int servers = 1_000;
-        Map<String, Integer> asked = new HashMap<>();
-        int most = 0;
+        Map<String, Integer> checksByServer = new HashMap<>();
+        int maxChecks = 0;
         for (int node = 0; node < 50; node++) {
             nowUs = SECOND_US;
             CheckPlan plan = new CheckPlan(rules(50, node, 20), node, nowUs);
             plan.setServers(fleet(servers), nowUs);
-            int made = 0;
-            for (long until = nowUs + 30 * SECOND_US; nowUs < until; nowUs += 5 * TICK_US) {
+            int checkCount = 0;
+            for (long endUs = nowUs + 30 * SECOND_US; nowUs < endUs; nowUs += 5 * TICK_US) {
                 for (String id : plan.dueChecks(nowUs, 32)) {
-                    made++;
-                    asked.merge(id, 1, Integer::sum);
+                    checkCount++;
+                    checksByServer.merge(id, 1, Integer::sum);
                     plan.checkCompleted(id, Finding.HEALTHY, nowUs);
                 }
             }
-            assertTrue(made <= 20 * 30 + 10, "a node's own budget: " + made);
-            most = Math.max(most, made);
+            assertTrue(checkCount <= 20 * 30 + 10, "a node's own budget: " + checkCount);
+            maxChecks = Math.max(maxChecks, checkCount);
         }
-        int perServer =
-                asked.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        assertEquals(servers, asked.size(), "each server has its watchers");
-        assertTrue(perServer <= 3 * (30 / 5 + 2), "a server was asked " + perServer + " times in 30 s by all");
-        CheckPlan poor = new CheckPlan(rules(1, 0, 2), 1, nowUs);
-        poor.setServers(fleet(5_000), nowUs);
-        assertTrue(run(poor, 30 * SECOND_US, unhealthy()) <= 2 * 30 + 1, "the budget holds for any fleet");
+        int maxPerServer = checksByServer.values().stream()
+                .mapToInt(Integer::intValue)
+                .max()
+                .orElse(0);
+        assertEquals(servers, checksByServer.size(), "each server is checked by some node");
+        assertTrue(
+                maxPerServer <= 3 * (30 / 5 + 2),
+                "a server was checked " + maxPerServer + " times in 30 s by all nodes");
+        CheckPlan smallBudget = new CheckPlan(rules(1, 0, 2), 1, nowUs);
+        smallBudget.setServers(fleet(5_000), nowUs);
+        assertTrue(
+                run(smallBudget, 30 * SECOND_US, unhealthy()) <= 2 * 30 + 1, "the budget bounds checks of any fleet");
     }
 
     @Test
     void forgetsServerRemovedDuringCheck() {
         CheckPlan plan = plan(3);
-        List<String> out = new ArrayList<>();
-        while (out.isEmpty()) {
+        List<String> started = new ArrayList<>();
+        while (started.isEmpty()) {
             nowUs += TICK_US;
-            out = plan.dueChecks(nowUs, 1);
+            started = plan.dueChecks(nowUs, 1);
         }
         plan.setServers(Set.of(), nowUs);
-        plan.checkCompleted(out.get(0), Finding.UNHEALTHY, nowUs);
+        plan.checkCompleted(started.get(0), Finding.UNHEALTHY, nowUs);
         assertEquals(Set.of(), plan.ejectedServers());
         assertEquals(Long.MAX_VALUE, plan.nextCheckUs(nowUs));
     }
--- a/src/test/java/vetchpost/sources/SourceMergerTest.java
+++ b/src/test/java/vetchpost/sources/SourceMergerTest.java
@@ -16,15 +16,28 @@
 import vetchpost.sources.SourceDeclaration.Kind;
 import vetchpost.sources.SourceDeclaration.Permission;
 
-/** What a node is told: of sources, checks and servers' own words the most careful, and nothing twice. */
+/**
+ * The list that a node receives from sources, checks, servers' own reports and overrides. Guards against sending to a
+ * server that any of them excludes, and against reporting a change twice.
+ */
 class SourceMergerTest {
     private static final long SECOND_US = 1_000_000;
     private static final long UNIX_MS = 1_700_000_000_000L;
-    private static final CheckRules CHECKS = new CheckRules("", "", 200, 399, 5 * SECOND_US, SECOND_US, 2, 3, 100, 3, 1, 0, 0.5);
+    private static final CheckRules CHECKS =
+            new CheckRules("", "", 200, 399, 5 * SECOND_US, SECOND_US, 2, 3, 100, 3, 1, 0, 0.5);
     private long nowUs = SECOND_US;
     private final Membership fleet = new Membership(
             List.of(new SourceDeclaration(
-                    "a", Kind.FILE, "a", 0, EnumSet.allOf(Permission.class), SECOND_US, 0, 600 * SECOND_US, List.of(), List.of())),
+                    "a",
+                    Kind.FILE,
+                    "a",
+                    0,
+                    EnumSet.allOf(Permission.class),
+                    SECOND_US,
+                    0,
+                    600 * SECOND_US,
+                    List.of(),
+                    List.of())),
             new MergeRules(0.5, 10 * SECOND_US, 4, 60 * SECOND_US, 5 * SECOND_US));
     private final CheckPlan checks = new CheckPlan(CHECKS, 1, nowUs);
     private final SourceMerger merger = new SourceMerger(fleet, checks, 20 * SECOND_US, UNIX_MS, nowUs);
@@ -38,7 +51,11 @@
         fleet.serversReported(0, servers, nowUs);
     }
 
-    /** What is told, as the node would know it. */
+    /**
+     * Applies the reported changes as the node would.
+     *
+     * @return the number of changes
+     */
     private int pollChanges() {
         List<ServerList.Target> changes = merger.pollChanges(nowUs);
         for (ServerList.Target change : changes) {
@@ -58,15 +75,16 @@
     private void check(int port, Finding finding, int times) {
         for (int i = 0; i < times; i++) {
             List<String> due = List.of();
-            for (int wait = 0; wait < 1_000 && !due.contains("127.0.0.1:" + port); wait++) {
+            for (int tick = 0; tick < 1_000 && !due.contains("127.0.0.1:" + port); tick++) {
                 nowUs += 20_000;
                 due = checks.dueChecks(nowUs, 32);
-                due.forEach(id -> checks.checkCompleted(id, id.endsWith(":" + port) ? finding : Finding.HEALTHY, nowUs));
+                due.forEach(
+                        id -> checks.checkCompleted(id, id.endsWith(":" + port) ? finding : Finding.HEALTHY, nowUs));
             }
         }
     }
 
-    /** An operator's words, as they are at the moment. */
+    /** Overrides that a test can change. */
     private static final class TestOverrides implements ServerOverrides {
         private String drainedId = "";
         private boolean isFrozen;
@@ -77,8 +95,8 @@
         }
 
         @Override
-        public double weight(String id, double said) {
-            return id.endsWith(":2") ? said / 4 : said;
+        public double weight(String id, double reportedWeight) {
+            return id.endsWith(":2") ? reportedWeight / 4 : reportedWeight;
         }
 
         @Override
@@ -89,28 +107,28 @@
 
     @Test
     void overridesApplyOnTopOfSources() {
-        TestOverrides words = new TestOverrides();
-        merger.setOverrides(words);
+        TestOverrides overrides = new TestOverrides();
+        merger.setOverrides(overrides);
         report(1, 2, 3);
         pollChanges();
         assertEquals(0.25, nodeTargets.get("127.0.0.1:2").weight());
-        words.drainedId = "127.0.0.1:3";
+        overrides.drainedId = "127.0.0.1:3";
         assertEquals(1, pollChanges());
         assertEquals(ServerState.DRAINING, state(3));
         assertEquals(
-                false, merger.members().stream().anyMatch(Membership.Member::draining), "sources know nothing of it");
-        words.drainedId = "";
+                false, merger.members().stream().anyMatch(Membership.Member::draining), "members exclude overrides");
+        overrides.drainedId = "";
         pollChanges();
         assertEquals(ServerState.READY, state(3));
     }
 
     @Test
     void frozenListKeepsItsServersButAppliesDrains() {
-        TestOverrides words = new TestOverrides();
-        merger.setOverrides(words);
+        TestOverrides overrides = new TestOverrides();
+        merger.setOverrides(overrides);
         report(1, 2, 3);
         pollChanges();
-        words.isFrozen = true;
+        overrides.isFrozen = true;
         nowUs += SECOND_US;
         report(1, 4);
         pollChanges();
@@ -132,8 +150,8 @@
                 nowUs);
         pollChanges();
         assertEquals(ServerState.DRAINING, state(2));
-        assertEquals(ServerState.DRAINING, state(3), "it has gone, and nothing is sent to what has gone");
-        words.isFrozen = false;
+        assertEquals(ServerState.DRAINING, state(3), "a server reported as gone drains while the list is frozen");
+        overrides.isFrozen = false;
         report(1, 4);
         pollChanges();
         assertEquals(ServerState.GONE, state(3));
@@ -162,7 +180,7 @@
         check(2, Finding.HEALTHY, 2);
         assertEquals(1, pollChanges());
         assertEquals(ServerState.READY, state(2));
-        assertEquals(UNIX_MS + (nowUs - SECOND_US) / 1_000, bootMs(2), "it is spared at first");
+        assertEquals(UNIX_MS + (nowUs - SECOND_US) / 1_000, bootMs(2), "a returned server gets slow start");
         assertEquals(0, bootMs(1));
     }
 
@@ -193,22 +211,22 @@
         nowUs += 11 * SECOND_US;
         pollChanges();
         assertEquals(4, merger.fullList().targets().size());
-        long cold = merger.fullList().targets().stream()
-                .filter(t -> t.bootMs() > 0)
+        long coldCount = merger.fullList().targets().stream()
+                .filter(target -> target.bootMs() > 0)
                 .count();
-        assertTrue(cold <= 3, "half of the six that there were for a while");
+        assertTrue(coldCount <= 3, "at most half of the six servers present for a while");
         nowUs += SECOND_US;
         report(21, 22, 23, 24);
         pollChanges();
         nowUs += 11 * SECOND_US;
         pollChanges();
-        cold = merger.fullList().targets().stream()
-                .filter(t -> t.bootMs() > 0)
+        coldCount = merger.fullList().targets().stream()
+                .filter(target -> target.bootMs() > 0)
                 .count();
-        assertTrue(cold <= 4);
+        assertTrue(coldCount <= 4);
         nowUs += 100 * SECOND_US;
         report(21, 22, 23, 24, 25);
         pollChanges();
-        assertTrue(bootMs(25) > 0, "one that is new among others is");
+        assertTrue(bootMs(25) > 0, "a single new server gets slow start");
     }
 }
--- a/src/test/java/vetchpost/sourcewatch/FakeNameServer.java
+++ b/src/test/java/vetchpost/sourcewatch/FakeNameServer.java
@@ -33,11 +33,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A name server on a loopback port, by datagrams and TCP, that answers as it is told. */
+/**
+ * A name server on a loopback port, over UDP and TCP, that gives the answers that a test sets. The test's thread sets
+ * answers; the group's event loop serves them.
+ */
 final class FakeNameServer implements AutoCloseable {
     private static final int MAX_DATAGRAM_RECORDS = 20;
 
-    /** What is said of a name and type. */
+    /** The answer for one name and type. */
     record Answer(DnsResponseCode code, long ttlS, List<ByteBuf> records) {}
 
     final Map<String, Answer> answers = new ConcurrentHashMap<>();
@@ -47,7 +50,7 @@
     private final Channel streams;
 
     FakeNameServer(EventLoopGroup group) throws Exception {
-        // TCP first: its numbers are often taken by connections of other programs, those of UDP hardly ever.
+        // TCP first: its ports are often in use by connections of other programs, those of UDP hardly ever.
         streams = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -85,12 +88,12 @@
 
     void setAddresses(String name, long ttlS, String... addresses) throws Exception {
         List<ByteBuf> records = new ArrayList<>();
-        boolean six = addresses.length > 0 && addresses[0].indexOf(':') >= 0;
+        boolean isIpv6 = addresses.length > 0 && addresses[0].indexOf(':') >= 0;
         for (String address : addresses) {
             records.add(Unpooled.wrappedBuffer(InetAddress.getByName(address).getAddress()));
         }
         answers.put(
-                name + ". " + (six ? DnsRecordType.AAAA : DnsRecordType.A).name(),
+                name + ". " + (isIpv6 ? DnsRecordType.AAAA : DnsRecordType.A).name(),
                 new Answer(DnsResponseCode.NOERROR, ttlS, records));
     }
 
@@ -99,13 +102,15 @@
         answers.put(name + ". AAAA", new Answer(code, 0, List.of()));
     }
 
-    /** Services as priority, weight, port and name. */
+    /** Sets SRV records, each given as priority, weight, port and target. */
     void setServices(String name, long ttlS, Object[]... services) throws Exception {
         List<ByteBuf> records = new ArrayList<>();
-        for (Object[] each : services) {
+        for (Object[] service : services) {
             ByteBuf record = Unpooled.buffer();
-            record.writeShort((Integer) each[0]).writeShort((Integer) each[1]).writeShort((Integer) each[2]);
-            for (String label : ((String) each[3]).split("\\.")) {
+            record.writeShort((Integer) service[0])
+                    .writeShort((Integer) service[1])
+                    .writeShort((Integer) service[2]);
+            for (String label : ((String) service[3]).split("\\.")) {
                 record.writeByte(label.length()).writeBytes(label.getBytes());
             }
             records.add(record.writeByte(0));
@@ -113,20 +118,21 @@
         answers.put(name + ". SRV", new Answer(DnsResponseCode.NOERROR, ttlS, records));
     }
 
-    private void fillResponse(DnsQuestion question, DnsResponse response, boolean whole) {
+    private void fillResponse(DnsQuestion question, DnsResponse response, boolean allowsAll) {
         queryCount.incrementAndGet();
         response.addRecord(DnsSection.QUESTION, question);
-        Answer said = answers.get(question.name() + " " + question.type().name());
-        if (said == null) {
+        Answer answer = answers.get(question.name() + " " + question.type().name());
+        if (answer == null) {
             return;
         }
-        response.setCode(said.code());
-        boolean cut = !whole && said.records().size() > MAX_DATAGRAM_RECORDS;
-        response.setTruncated(cut);
-        for (ByteBuf record : cut ? said.records().subList(0, MAX_DATAGRAM_RECORDS) : said.records()) {
+        response.setCode(answer.code());
+        boolean isTruncated = !allowsAll && answer.records().size() > MAX_DATAGRAM_RECORDS;
+        response.setTruncated(isTruncated);
+        for (ByteBuf record : isTruncated ? answer.records().subList(0, MAX_DATAGRAM_RECORDS) : answer.records()) {
             response.addRecord(
                     DnsSection.ANSWER,
-                    new DefaultDnsRawRecord(question.name(), question.type(), said.ttlS(), record.retainedDuplicate()));
+                    new DefaultDnsRawRecord(
+                            question.name(), question.type(), answer.ttlS(), record.retainedDuplicate()));
         }
     }
 
--- a/src/test/java/vetchpost/sourcewatch/SourceWatchTest.java
+++ b/src/test/java/vetchpost/sourcewatch/SourceWatchTest.java
@@ -33,7 +33,10 @@
 import vetchpost.sources.SourceDeclaration.Permission;
 import vetchpost.testing.FakePeer;
 
-/** A watched file and a name server, as they are met: half written, replaced, cut, empty, silent. */
+/**
+ * File and DNS sources under faults: incomplete or constantly replaced files, truncated, empty or failed answers.
+ * Guards against a bad report that reaches the node as a list of servers.
+ */
 @Timeout(60)
 class SourceWatchTest {
     private static final long MS = 1_000;
@@ -50,8 +53,8 @@
         }
 
         @Override
-        public void sourceFailed(String why) {
-            events.add("silent");
+        public void sourceFailed(String reason) {
+            events.add("failed");
         }
     };
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
@@ -73,14 +76,15 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private static SourceDeclaration source(Kind kind, String where, long everyUs, InetSocketAddress... resolvers) {
+    private static SourceDeclaration source(
+            Kind kind, String location, long intervalUs, InetSocketAddress... resolvers) {
         return new SourceDeclaration(
-                where,
+                location,
                 kind,
-                where,
+                location,
                 80,
                 EnumSet.allOf(Permission.class),
-                everyUs,
+                intervalUs,
                 0,
                 600_000 * MS,
                 List.of(),
@@ -91,11 +95,11 @@
         return FakePeer.takeWithTimeout(events);
     }
 
-    /** What it says once, and maybe again, until it says this. */
-    private void awaitEvent(String said) throws InterruptedException {
-        String last = next();
-        while (!last.equals(said)) {
-            last = next();
+    /** Takes events until this one; earlier reports may repeat. */
+    private void awaitEvent(String expected) throws InterruptedException {
+        String event = next();
+        while (!event.equals(expected)) {
+            event = next();
         }
     }
 
@@ -107,17 +111,17 @@
             assertNotNull(watch);
             assertEquals("127.0.0.1:1 b=127.0.0.1:2*3", next());
             Files.writeString(file, "{\"servers\": [\"127.0.0.1:1\",");
-            awaitEvent("silent");
+            awaitEvent("failed");
             Files.writeString(file, "{\"servers\": [\"127.0.0.1:1\", \"[::1]:5\"]}");
             awaitEvent("127.0.0.1:1 [0:0:0:0:0:0:0:1]:5");
             Files.delete(file);
-            awaitEvent("silent");
+            awaitEvent("failed");
             Files.writeString(file, "[]");
             awaitEvent("");
         }
     }
 
-    /** A file that is replaced without pause is read as often as it is looked at, and ends as it ends. */
+    /** A file that is replaced constantly is read at most once per poll, and its last content is read. */
     @Test
     void readsConstantlyReplacedFileOncePerPoll() throws Exception {
         Path file = folder.resolve("servers.toml");
@@ -125,16 +129,16 @@
         try (FileWatch watch = new FileWatch(source(Kind.FILE, file.toString(), 100 * MS), thread, loop, listener)) {
             assertNotNull(watch);
             assertEquals("127.0.0.1:1", next());
-            Path fresh = folder.resolve("fresh");
+            Path replacement = folder.resolve("fresh");
             for (int i = 2; i <= 500; i++) {
-                Files.writeString(fresh, "servers = [\"127.0.0.1:" + i + "\"]");
-                Files.move(fresh, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+                Files.writeString(replacement, "servers = [\"127.0.0.1:" + i + "\"]");
+                Files.move(replacement, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
             }
-            int times = 1;
-            for (String last = next(); !last.equals("127.0.0.1:500"); last = next()) {
-                times++;
+            int reads = 1;
+            for (String event = next(); !event.equals("127.0.0.1:500"); event = next()) {
+                reads++;
             }
-            assertTrue(times < 100, times + " times for 500 files");
+            assertTrue(reads < 100, reads + " reads of 500 files");
         }
     }
 
@@ -178,16 +182,16 @@
             server.setAddresses("web.test", 0, "127.0.0.1", "127.0.0.2");
             NameWatch watch = watch(server, Kind.DNS, "web.test");
             assertEquals("127.0.0.1:80 127.0.0.2:80", next());
-            long began = System.nanoTime();
+            long startNs = System.nanoTime();
             server.setAddresses("web.test", 1, "127.0.0.3");
             assertEquals("127.0.0.3:80", next());
             assertTrue(
-                    System.nanoTime() - began > TimeUnit.MILLISECONDS.toNanos(500),
-                    "a time to live of 0 is no leave to ask without pause");
+                    System.nanoTime() - startNs > TimeUnit.MILLISECONDS.toNanos(500),
+                    "a time to live of 0 must not cause constant queries");
             server.setFailure("web.test", DnsResponseCode.NXDOMAIN);
-            assertEquals("silent", next());
+            assertEquals("failed", next());
             server.setFailure("web.test", DnsResponseCode.SERVFAIL);
-            assertEquals("silent", next());
+            assertEquals("failed", next());
             server.setAddresses("web.test", 1, "127.0.0.4");
             awaitEvent("127.0.0.4:80");
             loop.submit(watch::close).get();
@@ -197,11 +201,11 @@
     @Test
     void retriesTruncatedAnswerOverTcp() throws Exception {
         try (FakeNameServer server = new FakeNameServer(group)) {
-            String[] many = new String[1_000];
-            for (int i = 0; i < many.length; i++) {
-                many[i] = "127.1." + i / 200 + "." + (1 + i % 200);
+            String[] addresses = new String[1_000];
+            for (int i = 0; i < addresses.length; i++) {
+                addresses[i] = "127.1." + i / 200 + "." + (1 + i % 200);
             }
-            server.setAddresses("many.test", 60, many);
+            server.setAddresses("many.test", 60, addresses);
             NameWatch watch = watch(server, Kind.DNS, "many.test");
             assertEquals(1_000, next().split(" ").length);
             assertTrue(server.tcpQueryCount.get() > 0);
@@ -237,7 +241,7 @@
             assertEquals(
                     "a.test.:8001=127.0.0.1:8001*5 b.test.:8002=127.0.0.2:8002",
                     next(),
-                    "the lowest number first, those alone, and whoever has an address");
+                    "only the lowest priority, and only targets with an address");
             loop.submit(watch::close).get();
         }
     }
--- a/src/test/java/vetchpost/standalone/StandaloneValidatorTest.java
+++ b/src/test/java/vetchpost/standalone/StandaloneValidatorTest.java
@@ -16,7 +16,10 @@
 import vetchpost.routes.Violation.Rule;
 import vetchpost.routes.file.RouteFile;
 
-/** One file that makes a node: what it comes to, and what it is refused for. */
+/**
+ * The validation of a standalone node's settings. Guards against a node that starts with settings it can't run, and
+ * against errors that do not say where and what to change.
+ */
 class StandaloneValidatorTest {
     private static final String NODE = "[node]\nlisten = \"127.0.0.1:8080\"\n";
     private static final String POOL = "[pool]\nservers = [\"127.0.0.1:9001\"]\n";
@@ -28,9 +31,9 @@
     }
 
     private static Standalone validSettings(String text) {
-        StandaloneValidator.Validation proof = validate(text);
-        assertEquals(List.of(), proof.violations());
-        return proof.standalone();
+        StandaloneValidator.Validation validation = validate(text);
+        assertEquals(List.of(), validation.violations());
+        return validation.standalone();
     }
 
     @Test
@@ -53,7 +56,7 @@
             int index = classes.classOf(method, "/", n -> null);
             assertEquals(Idempotency.UNSAFE, node.settings().classes.get(index).idempotency(), method);
         }
-        node.settings().classes.forEach(c -> assertTrue(c.lateValueFraction() > 0, "a late page is worth something"));
+        node.settings().classes.forEach(c -> assertTrue(c.lateValueFraction() > 0, "a late response has some value"));
     }
 
     @Test
@@ -74,7 +77,10 @@
         Classifier classes = node.classifier();
         assertEquals(0, classes.classOf("POST", "/orders?x", Map.of("Idempotency-Key", "k")::get));
         assertEquals(0, classes.classOf("POST", "/orders/1", Map.of("Idempotency-Key", "k")::get));
-        assertEquals(2, classes.classOf("POST", "/orders/1", n -> null), "without its key it is never repeated");
+        assertEquals(
+                2,
+                classes.classOf("POST", "/orders/1", n -> null),
+                "a request without its key is not in the keyed class");
         assertEquals(2, classes.classOf("POST", "/ordersx", Map.of("Idempotency-Key", "k")::get));
         assertEquals(1, classes.classOf("GET", "/orders", n -> null));
         assertEquals(0, classes.tenantOf("a.EXAMPLE:8080", n -> null));
@@ -82,7 +88,7 @@
         assertEquals(-1, classes.tenantOf("c.example", n -> null));
     }
 
-    /** Each file with the rule that it breaks, where that stands, and a word of what would pass. */
+    /** Each file with the rule it violates, the line of the violation, and a word of the hint. */
     @Test
     void rejectsInvalidFilesWithPositionAndHint() {
         List<Object[]> files = List.of(
@@ -149,25 +155,28 @@
                 new Object[] {NODE + POOL + "[checks]\nevery = \"1s\"\nwithin = \"2s\"\n", Rule.SCHEDULE, 7, "1s"},
                 new Object[] {NODE + POOL + "[checks]\nstatus = \"ok\"\n", Rule.OUT_OF_RANGE, 6, "200-399"},
                 new Object[] {NODE + POOL + "[checks]\npath = \"x\"\n", Rule.BAD_PATTERN, 6, "/healthy"});
-        for (Object[] each : files) {
-            List<Violation> violations = validate((String) each[0]).violations();
-            Violation first = violations.stream()
-                    .filter(v -> v.rule() == each[1])
+        for (Object[] file : files) {
+            List<Violation> violations = validate((String) file[0]).violations();
+            Violation violation = violations.stream()
+                    .filter(v -> v.rule() == file[1])
                     .findFirst()
                     .orElse(null);
-            assertNotNull(first, each[0] + " -> " + violations);
-            assertEquals(each[2], first.position().line(), first.toString());
-            assertTrue(first.toString().contains((String) each[3]), first.toString());
-            assertNull(validate((String) each[0]).standalone());
+            assertNotNull(violation, file[0] + " -> " + violations);
+            assertEquals(file[2], violation.position().line(), violation.toString());
+            assertTrue(violation.toString().contains((String) file[3]), violation.toString());
+            assertNull(validate((String) file[0]).standalone());
         }
     }
 
     @Test
     void unchangedSettingsNeedNoNewCore() {
         Standalone before = validSettings(NODE + POOL);
-        assertEquals(new ReloadPlan(false, false), ReloadPlan.between(before, validSettings(NODE + "idle = \"9s\"\n" + POOL)));
         assertEquals(
-                new ReloadPlan(false, true), ReloadPlan.between(before, validSettings(NODE.replace("8080", "8081") + POOL)));
+                new ReloadPlan(false, false),
+                ReloadPlan.between(before, validSettings(NODE + "idle = \"9s\"\n" + POOL)));
+        assertEquals(
+                new ReloadPlan(false, true),
+                ReloadPlan.between(before, validSettings(NODE.replace("8080", "8081") + POOL)));
         for (String other : List.of(
                 POOL + "attempts = 2\n",
                 POOL + "cold = \"1s\"\n",
@@ -177,13 +186,13 @@
         }
     }
 
-    /** The page names every key that the prover knows, and none besides. */
+    /** The documents list every key that the validator accepts. */
     @Test
     void everyKeyIsDocumented() throws IOException {
         String page = Files.readString(Path.of("docs/standalone.md")) + Files.readString(Path.of("docs/servers.md"));
         for (List<String> keys : StandaloneValidator.keys()) {
             for (String key : keys) {
-                assertTrue(page.lines().anyMatch(l -> l.startsWith("| `" + key + "`")), key);
+                assertTrue(page.lines().anyMatch(line -> line.startsWith("| `" + key + "`")), key);
             }
         }
     }
