--- a/src/main/java/vetchpost/control/AuditLog.java
+++ b/src/main/java/vetchpost/control/AuditLog.java
@@ -9,8 +9,8 @@
 
 /**
  * The format of the audit log: all changes, one entry per line, each chained to the previous line by a SHA-256 hash, so
- * that a changed, removed or inserted line is detected. The leases that were active before a restart are restored from
- * it. Called by the audit file and at start; stateless, without I/O.
+ * that a changed, removed or inserted line is detected. The log is also the stored state: the leases that were active
+ * before a restart are restored from it. Called by the audit file and at start; stateless, without I/O.
  */
 public final class AuditLog {
     /** The hash that the first entry is chained to. */
--- a/src/main/java/vetchpost/sources/CheckPlan.java
+++ b/src/main/java/vetchpost/sources/CheckPlan.java
@@ -51,9 +51,9 @@
         private boolean isDown;
         private long downSinceUs;
 
-        CheckedServer(String id, boolean watched) {
+        CheckedServer(String id, boolean isCheckedRegularly) {
             this.id = id;
-            this.isCheckedRegularly = watched;
+            this.isCheckedRegularly = isCheckedRegularly;
         }
 
         /** Ejected and suspect servers come before those that are only due. */
--- a/src/main/java/vetchpost/sources/Membership.java
+++ b/src/main/java/vetchpost/sources/Membership.java
@@ -83,10 +83,10 @@
      * removed sources named count as missing from now on.
      */
     public void reload(List<SourceDeclaration> sources) {
-        Map<SourceDeclaration, SourceState> before = new HashMap<>();
-        sourceStates.forEach(state -> before.put(state.declared(), state));
+        Map<SourceDeclaration, SourceState> previousStates = new HashMap<>();
+        sourceStates.forEach(state -> previousStates.put(state.declared(), state));
         sourceStates.clear();
-        sources.forEach(source -> sourceStates.add(before.getOrDefault(source, new SourceState(source))));
+        sources.forEach(source -> sourceStates.add(previousStates.getOrDefault(source, new SourceState(source))));
     }
 
     /**
--- a/src/main/java/vetchpost/sourcewatch/HealthCheck.java
+++ b/src/main/java/vetchpost/sourcewatch/HealthCheck.java
@@ -65,7 +65,7 @@
         try {
             clientChannel = network.newClientChannel();
         } catch (ChannelException e) {
-            // Out of file descriptors: not the server's fault, so nothing is held against it.
+            // Out of file descriptors: not the server's fault, although nothing good is known of it either.
             check.finish(Finding.HEALTHY);
             return;
         }
--- a/src/main/java/vetchpost/sourcewatch/SourceWatcher.java
+++ b/src/main/java/vetchpost/sourcewatch/SourceWatcher.java
@@ -141,12 +141,12 @@
         }
         for (SourceDeclaration source : declared) {
             if (source.kind() != SourceDeclaration.Kind.ITSELF && !watches.containsKey(source)) {
-                SourceListener listener = listenerFor(source);
+                SourceListener sourceListener = listenerFor(source);
                 watches.put(
                         source,
                         source.kind() == SourceDeclaration.Kind.FILE
-                                ? new FileWatch(source, fileThread(), loop, listener)
-                                : new NameWatch(source, loop, network, listener));
+                                ? new FileWatch(source, fileThread(), loop, sourceListener)
+                                : new NameWatch(source, loop, network, sourceListener));
             }
         }
     }
@@ -204,7 +204,7 @@
 
     @Override
     public void onAttemptEnded(
-            String serverId, Result result, ServerResponse response, boolean isStalled, long unusedUs) {
+            String serverId, Result result, ServerResponse response, boolean isLoopDelayed, long unusedUs) {
         String drainHeader = settings.drainHeader();
         if (response != null
                 && !drainHeader.isEmpty()
@@ -223,7 +223,7 @@
                 scheduleUpdate();
             }
             case TIMEOUT -> {
-                if (!isStalled) {
+                if (!isLoopDelayed) {
                     checks.requestFailed(serverId, nowUs());
                     scheduleUpdate();
                 }
