--- a/src/main/java/vetchpost/recovery/RecoveryValidator.java
+++ b/src/main/java/vetchpost/recovery/RecoveryValidator.java
@@ -55,7 +55,7 @@
         known(state, STATE);
         known(handover, HANDOVER);
         if (state != null && !state.entries().containsKey("file")) {
-            violated(state.at(), "state", Rule.OUT_OF_RANGE, "it does not say file", "file = \"...\"");
+            violated(state.position(), "state", Rule.OUT_OF_RANGE, "it does not say file", "file = \"...\"");
         }
         Path kept = path(state, "file");
         long every = duration(state, "every", 5 * SECOND, SECOND, 600 * SECOND);
@@ -64,7 +64,7 @@
         String identify = text(state, "identify");
         if (identify != null && !PATH.matcher(identify).matches()) {
             violated(
-                    state.entries().get("identify").at(),
+                    state.entries().get("identify").position(),
                     "state",
                     Rule.BAD_PATTERN,
                     "identify = \"" + identify + "\" is no path",
@@ -79,7 +79,7 @@
         if (handover != null) {
             if (give == null && ask.isEmpty() && violations.isEmpty()) {
                 violated(
-                        handover.at(),
+                        handover.position(),
                         "handover",
                         Rule.OUT_OF_RANGE,
                         "it says neither listen nor ask",
@@ -87,14 +87,14 @@
             }
             if (!handover.entries().containsKey("secret-file")) {
                 violated(
-                        handover.at(),
+                        handover.position(),
                         "handover",
                         Rule.OUT_OF_RANGE,
                         "it does not say secret-file: a false snapshot could steer all traffic",
                         "secret-file = \"...\"");
             }
             if (wait > within) {
-                violated(handover.at(), "handover", Rule.SCHEDULE, "wait is over within", "wait = \"300ms\"");
+                violated(handover.position(), "handover", Rule.SCHEDULE, "wait is over within", "wait = \"300ms\"");
             }
         }
         return new Validation(
@@ -122,7 +122,7 @@
             section.entries().forEach((key, entry) -> {
                 if (!keys.contains(key)) {
                     violated(
-                            entry.at(),
+                            entry.position(),
                             section.name(),
                             Rule.UNKNOWN_KEY,
                             "unknown key '" + key + "'",
@@ -140,7 +140,7 @@
         if (entry.value() instanceof String text && !text.isEmpty()) {
             return text;
         }
-        violated(entry.at(), section.name(), Rule.WRONG_UNIT, key + " is no text", "\"...\"");
+        violated(entry.position(), section.name(), Rule.WRONG_UNIT, key + " is no text", "\"...\"");
         return null;
     }
 
@@ -150,7 +150,7 @@
             return text == null ? null : Path.of(text);
         } catch (InvalidPathException e) {
             violated(
-                    section.entries().get(key).at(),
+                    section.entries().get(key).position(),
                     section.name(),
                     Rule.OUT_OF_RANGE,
                     key + " is no path",
@@ -164,7 +164,7 @@
         if (text == null) {
             return usual;
         }
-        Position at = section.entries().get(key).at();
+        Position at = section.entries().get(key).position();
         Matcher m = DURATION.matcher(text);
         if (!m.matches()) {
             violated(
@@ -199,7 +199,7 @@
         if (entry == null) {
             return null;
         }
-        return address(section, key, entry.value(), entry.at());
+        return address(section, key, entry.value(), entry.position());
     }
 
     private InetSocketAddress address(Section section, String key, Object value, Position at) {
@@ -223,7 +223,7 @@
         }
         if (!(entry.value() instanceof List<?> list) || list.size() > MOST_ASKED) {
             violated(
-                    entry.at(),
+                    entry.position(),
                     "handover",
                     Rule.WRONG_UNIT,
                     "ask is no list of up to " + MOST_ASKED + " addresses",
@@ -231,7 +231,7 @@
             return addresses;
         }
         for (Object value : list) {
-            InetSocketAddress address = address(section, "ask", value, entry.at());
+            InetSocketAddress address = address(section, "ask", value, entry.position());
             if (address != null) {
                 addresses.add(address);
             }
--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -87,8 +87,8 @@
         void take(Entry entry) throws FrameRejectedException {
             Item own = live.get(entry.key());
             if (own != null && isOlder(entry.stamp(), own)) {
-                throw new FrameRejectedException(
-                        "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
+                throw new FrameRejectedException("an entry goes back from " + Version.format(own.stamp()) + " to "
+                        + Version.format(entry.stamp()));
             }
             if (entry.value() == null) {
                 live = live.remove(entry.key());
@@ -180,7 +180,7 @@
         try {
             switch (frame.type()) {
                 case CURRENT -> current(frame, nowUs);
-                case BEHIND -> throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
+                case BEHIND -> throw new FrameRejectedException("it is behind, at " + Version.format(frame.to()));
                 case DELTA -> delta(frame, nowUs);
                 case DIFFER -> differ(frame, nowUs);
                 case ITEMS -> items(frame, nowUs);
@@ -195,7 +195,7 @@
 
     private void current(Frame frame, long nowUs) throws FrameRejectedException {
         if (isBehind(frame.to())) {
-            throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
+            throw new FrameRejectedException("it is behind, at " + Version.format(frame.to()));
         }
         if (draft != null && draft.comparing) {
             return; // It is an answer to what was said before.
@@ -235,8 +235,9 @@
         draft = begins ? new Draft(frame.to()) : draft;
         for (Entry entry : frame.items()) {
             if (!belongs(entry, frame)) {
-                throw new MalformedFrameException("an entry of " + Version.text(entry.stamp()) + " in what came after "
-                        + Version.text(store.version()) + " up to " + Version.text(frame.to()));
+                throw new MalformedFrameException(
+                        "an entry of " + Version.format(entry.stamp()) + " in what came after "
+                                + Version.format(store.version()) + " up to " + Version.format(frame.to()));
             }
             draft.take(entry);
         }
@@ -282,7 +283,7 @@
     private void force(long nowUs) {
         VersionedStore whole = draft.comparing
                 ? VersionedStore.of(draft.live, draft.to)
-                : store.at(draft.live, draft.removed, draft.to);
+                : store.withEntries(draft.live, draft.removed, draft.to);
         index = draft.made.backedBy(whole.live());
         store = whole;
         draft = null;
@@ -307,7 +308,7 @@
 
     private void differ(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         if (isBehind(frame.to())) {
-            throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
+            throw new FrameRejectedException("it is behind, at " + Version.format(frame.to()));
         }
         if (draft == null || !draft.comparing) {
             // It can't tell by versions what went away since: it begins by comparing, of itself.
@@ -316,7 +317,7 @@
         } else if (draft.to != frame.to()) {
             if (draft.to != Version.NONE) {
                 throw new MalformedFrameException(
-                        "ranges of " + Version.text(frame.to()) + " instead of " + Version.text(draft.to));
+                        "ranges of " + Version.format(frame.to()) + " instead of " + Version.format(draft.to));
             }
             draft = new Draft(frame.to());
             draft.comparing = true;
@@ -368,7 +369,7 @@
     /** An item that the publisher has not. */
     void gone(Item item) throws FrameRejectedException {
         if (item.stamp() > draft.to) {
-            throw new FrameRejectedException("it does not know an entry of " + Version.text(item.stamp()));
+            throw new FrameRejectedException("it does not know an entry of " + Version.format(item.stamp()));
         }
         draft.take(new Entry(item.key(), null, draft.to));
     }
@@ -385,8 +386,8 @@
             }
             Item own = store.live().get(entry.key());
             if (own != null && own.stamp() > entry.stamp()) {
-                throw new FrameRejectedException(
-                        "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
+                throw new FrameRejectedException("an entry goes back from " + Version.format(own.stamp()) + " to "
+                        + Version.format(entry.stamp()));
             }
             draft.take(entry);
         }
--- a/src/main/java/vetchpost/standalone/ReloadPlan.java
+++ b/src/main/java/vetchpost/standalone/ReloadPlan.java
@@ -29,8 +29,8 @@
                 settings.connectTimeoutUs,
                 settings.drainGraceUs,
                 settings.coldUs,
-                settings.coldFrom,
-                settings.fallMultiple,
+                settings.coldStartFraction,
+                settings.coldOverloadMultiple,
                 settings.allowsHedging,
                 settings.maxRetryAfterUs,
                 settings.nodes);
--- a/src/main/java/vetchpost/standalone/StandaloneValidator.java
+++ b/src/main/java/vetchpost/standalone/StandaloneValidator.java
@@ -113,7 +113,7 @@
     /** Whether this table belongs to the configuration of a node without a platform. */
     public static boolean isStandaloneSection(Section section) {
         return switch (section.kind()) {
-            case NODE, REQUESTS, TENANT, POOL, SOURCE, CHECKS -> true;
+            case NODE, REQUEST_CLASS, TENANT, POOL, SOURCE, CHECKS -> true;
             default -> false;
         };
     }
@@ -129,7 +129,7 @@
             for (Section section : file) {
                 if (isStandaloneSection(section)) {
                     violations.add(new Violation(
-                            section.at(),
+                            section.position(),
                             section.name(),
                             Rule.INCOMPLETE,
                             "there is no table [node], without which this table has no effect",
@@ -160,7 +160,7 @@
         settings.allowsCancellation = true;
         settings.allowsProbes = false;
         for (Section section : file) {
-            if (section.kind() == Kind.REQUESTS) {
+            if (section.kind() == Kind.REQUEST_CLASS) {
                 readRequestClass(section);
             }
         }
@@ -175,7 +175,7 @@
         }
         Section pool = firstSection(file, Kind.POOL);
         SectionReader servers = new SectionReader(
-                pool == null ? new Section(Kind.POOL, "pool", node.at(), Map.of()) : pool, "pool", violations);
+                pool == null ? new Section(Kind.POOL, "pool", node.position(), Map.of()) : pool, "pool", violations);
         servers.rejectUnknownKeys(POOL_KEYS);
         WebLimits limits = readLimits(table, servers.text("expect-header", ""));
         long idleUs = readPool(servers);
@@ -376,12 +376,12 @@
     /** Checks that each class can be reached and that each request has a class. */
     private void checkCoverage(List<Section> file, SectionReader table) {
         List<Section> classes =
-                file.stream().filter(s -> s.kind() == Kind.REQUESTS).toList();
+                file.stream().filter(s -> s.kind() == Kind.REQUEST_CLASS).toList();
         for (int i = 0; i < classes.size(); i++) {
             for (int j = 0; j < i; j++) {
                 if (requestRules.get(j).covers(requestRules.get(i))) {
                     violations.add(new Violation(
-                            classes.get(i).at(),
+                            classes.get(i).position(),
                             classes.get(i).name(),
                             Rule.UNREACHABLE,
                             "all its requests belong to class " + classes.get(j).name() + ", which comes first",
@@ -426,8 +426,8 @@
         settings.connectTimeoutUs = table.duration("connect-timeout", 250 * MS, MS, 60 * SECOND);
         settings.drainGraceUs = table.duration("grace", SECOND, 10 * MS, HOUR);
         settings.coldUs = table.duration("cold", 20 * SECOND, 0, HOUR);
-        settings.coldFrom = table.number("cold-from", 0.2, 0.001, 1);
-        settings.fallMultiple = table.number("overload", 3, 1, 1_000);
+        settings.coldStartFraction = table.number("cold-from", 0.2, 0.001, 1);
+        settings.coldOverloadMultiple = table.number("overload", 3, 1, 1_000);
         settings.allowsHedging = table.flag("second-copies", true);
         return 2 * table.duration("idle", 5 * SECOND, 0, HOUR);
     }
--- a/src/test/java/vetchpost/daemon/ChangesNodeTest.java
+++ b/src/test/java/vetchpost/daemon/ChangesNodeTest.java
@@ -72,7 +72,7 @@
                         new EntryKey(EntryKind.ROUTE, path),
                         op == EntryChange.Op.DELETE
                                 ? null
-                                : RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", at, entries))))));
+                                : RouteCodec.encode(new Section(Section.Kind.ROUTE, "", at, entries))))));
     }
 
     private static void until(Alone node, String beginning) throws Exception {
