--- a/src/main/java/vetchpost/recovery/RecoveryValidator.java
+++ b/src/main/java/vetchpost/recovery/RecoveryValidator.java
@@ -18,13 +18,13 @@
 
 /** Reads the tables of an operator's file that speak of state and handovers. It does no I/O. */
 public final class RecoveryValidator {
-    private static final List<String> STATE = List.of("file", "every", "box-life", "address-kept", "identify");
-    private static final List<String> HANDOVER = List.of("listen", "ask", "secret-file", "wait", "within");
+    private static final List<String> STATE_KEYS = List.of("file", "every", "box-life", "address-kept", "identify");
+    private static final List<String> HANDOVER_KEYS = List.of("listen", "ask", "secret-file", "wait", "within");
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(ms|s|m|h|d)");
     private static final Pattern PATH = Pattern.compile("/[\\x21-\\x7E]{0,255}");
-    private static final int MOST_ASKED = 16;
-    private static final long SECOND = 1_000;
-    private static final long DAY = 86_400 * SECOND;
+    private static final int MAX_PEERS = 16;
+    private static final long SECOND_MS = 1_000;
+    private static final long DAY_MS = 86_400 * SECOND_MS;
 
     private final List<Violation> violations = new ArrayList<>();
 
@@ -52,18 +52,18 @@
         if (state == null && handover == null) {
             return new Validation(null, List.of());
         }
-        known(state, STATE);
-        known(handover, HANDOVER);
+        rejectUnknownKeys(state, STATE_KEYS);
+        rejectUnknownKeys(handover, HANDOVER_KEYS);
         if (state != null && !state.entries().containsKey("file")) {
-            violated(state.at(), "state", Rule.OUT_OF_RANGE, "it does not say file", "file = \"...\"");
+            addViolation(state.at(), "state", Rule.OUT_OF_RANGE, "it does not say file", "file = \"...\"");
         }
         Path kept = path(state, "file");
-        long every = duration(state, "every", 5 * SECOND, SECOND, 600 * SECOND);
-        long life = duration(state, "box-life", DAY, 60 * SECOND, 365 * DAY);
-        long keptAt = duration(state, "address-kept", 30 * SECOND, 0, 7 * DAY);
+        long every = duration(state, "every", 5 * SECOND_MS, SECOND_MS, 600 * SECOND_MS);
+        long life = duration(state, "box-life", DAY_MS, 60 * SECOND_MS, 365 * DAY_MS);
+        long keptAt = duration(state, "address-kept", 30 * SECOND_MS, 0, 7 * DAY_MS);
         String identify = text(state, "identify");
         if (identify != null && !PATH.matcher(identify).matches()) {
-            violated(
+            addViolation(
                     state.entries().get("identify").at(),
                     "state",
                     Rule.BAD_PATTERN,
@@ -74,11 +74,11 @@
                 handover, "listen", handover == null ? null : handover.entries().get("listen"));
         List<InetSocketAddress> ask = addresses(handover);
         Path secret = path(handover, "secret-file");
-        long wait = duration(handover, "wait", 300, 0, 5 * SECOND);
-        long within = duration(handover, "within", 2 * SECOND, 100, 30 * SECOND);
+        long wait = duration(handover, "wait", 300, 0, 5 * SECOND_MS);
+        long within = duration(handover, "within", 2 * SECOND_MS, 100, 30 * SECOND_MS);
         if (handover != null) {
             if (give == null && ask.isEmpty() && violations.isEmpty()) {
-                violated(
+                addViolation(
                         handover.at(),
                         "handover",
                         Rule.OUT_OF_RANGE,
@@ -86,7 +86,7 @@
                         "either or both");
             }
             if (!handover.entries().containsKey("secret-file")) {
-                violated(
+                addViolation(
                         handover.at(),
                         "handover",
                         Rule.OUT_OF_RANGE,
@@ -94,7 +94,7 @@
                         "secret-file = \"...\"");
             }
             if (wait > within) {
-                violated(handover.at(), "handover", Rule.SCHEDULE, "wait is over within", "wait = \"300ms\"");
+                addViolation(handover.at(), "handover", Rule.SCHEDULE, "wait is over within", "wait = \"300ms\"");
             }
         }
         return new Validation(
@@ -113,15 +113,15 @@
                 List.copyOf(violations));
     }
 
-    private void violated(Position at, String table, Rule rule, String what, String fits) {
+    private void addViolation(Position at, String table, Rule rule, String what, String fits) {
         violations.add(new Violation(at, table, rule, what, fits));
     }
 
-    private void known(Section section, List<String> keys) {
+    private void rejectUnknownKeys(Section section, List<String> keys) {
         if (section != null) {
             section.entries().forEach((key, entry) -> {
                 if (!keys.contains(key)) {
-                    violated(
+                    addViolation(
                             entry.at(),
                             section.name(),
                             Rule.UNKNOWN_KEY,
@@ -140,7 +140,7 @@
         if (entry.value() instanceof String text && !text.isEmpty()) {
             return text;
         }
-        violated(entry.at(), section.name(), Rule.WRONG_UNIT, key + " is no text", "\"...\"");
+        addViolation(entry.at(), section.name(), Rule.WRONG_UNIT, key + " is no text", "\"...\"");
         return null;
     }
 
@@ -149,7 +149,7 @@
         try {
             return text == null ? null : Path.of(text);
         } catch (InvalidPathException e) {
-            violated(
+            addViolation(
                     section.entries().get(key).at(),
                     section.name(),
                     Rule.OUT_OF_RANGE,
@@ -167,7 +167,7 @@
         Position at = section.entries().get(key).at();
         Matcher m = DURATION.matcher(text);
         if (!m.matches()) {
-            violated(
+            addViolation(
                     at,
                     section.name(),
                     Rule.WRONG_UNIT,
@@ -178,18 +178,18 @@
         double ms = Double.parseDouble(m.group(1))
                 * switch (m.group(2)) {
                     case "ms" -> 1;
-                    case "s" -> SECOND;
-                    case "m" -> 60 * SECOND;
-                    case "h" -> 3_600 * SECOND;
-                    default -> DAY;
+                    case "s" -> SECOND_MS;
+                    case "m" -> 60 * SECOND_MS;
+                    case "h" -> 3_600 * SECOND_MS;
+                    default -> DAY_MS;
                 };
         if (ms < least || ms > most) {
-            violated(
+            addViolation(
                     at,
                     section.name(),
                     Rule.OUT_OF_RANGE,
                     key + " = \"" + text + "\"",
-                    "from " + least + "ms to " + most / SECOND + "s");
+                    "from " + least + "ms to " + most / SECOND_MS + "s");
             return usual;
         }
         return (long) ms;
@@ -208,10 +208,10 @@
                 return ServerListParser.address(text);
             }
         } catch (IllegalArgumentException e) {
-            violated(at, section.name(), Rule.WRONG_UNIT, key + ": " + e.getMessage(), "\"10.0.0.1:8450\"");
+            addViolation(at, section.name(), Rule.WRONG_UNIT, key + ": " + e.getMessage(), "\"10.0.0.1:8450\"");
             return null;
         }
-        violated(at, section.name(), Rule.WRONG_UNIT, key + " is no address", "\"10.0.0.1:8450\"");
+        addViolation(at, section.name(), Rule.WRONG_UNIT, key + " is no address", "\"10.0.0.1:8450\"");
         return null;
     }
 
@@ -221,12 +221,12 @@
         if (entry == null) {
             return addresses;
         }
-        if (!(entry.value() instanceof List<?> list) || list.size() > MOST_ASKED) {
-            violated(
+        if (!(entry.value() instanceof List<?> list) || list.size() > MAX_PEERS) {
+            addViolation(
                     entry.at(),
                     "handover",
                     Rule.WRONG_UNIT,
-                    "ask is no list of up to " + MOST_ASKED + " addresses",
+                    "ask is no list of up to " + MAX_PEERS + " addresses",
                     "[\"10.0.0.1:8450\"]");
             return addresses;
         }
--- a/src/test/java/vetchpost/handover/AuthenticatedFramesTest.java
+++ b/src/test/java/vetchpost/handover/AuthenticatedFramesTest.java
@@ -31,17 +31,17 @@
         }
 
         @Override
-        public void up() {
+        public void onAuthenticated() {
             up = true;
         }
 
         @Override
-        public void frame(byte[] frame) {
+        public void onFrame(byte[] frame) {
             got.add(new String(frame, StandardCharsets.UTF_8));
         }
 
         @Override
-        public void down(String why) {
+        public void onClosed(String why) {
             down = why;
         }
 
--- a/src/test/java/vetchpost/handover/HandoverTest.java
+++ b/src/test/java/vetchpost/handover/HandoverTest.java
@@ -427,13 +427,13 @@
         Path file = folder.resolve("secret");
         Files.writeString(file, "# the new one first\n" + SECRET + "\n\n" + OTHER + "\n");
         SharedSecret secret = SharedSecret.read(file);
-        assertEquals(2, secret.keys());
+        assertEquals(2, secret.keyCount());
         byte[] nonce = new byte[32];
-        assertEquals(1, secret.keyOf(SharedSecret.of(OTHER).proof(0, "taker", nonce, nonce), "taker", nonce, nonce));
-        assertEquals(-1, secret.keyOf(new byte[32], "taker", nonce, nonce));
+        assertEquals(1, secret.matchingKey(SharedSecret.of(OTHER).proof(0, "taker", nonce, nonce), "taker", nonce, nonce));
+        assertEquals(-1, secret.matchingKey(new byte[32], "taker", nonce, nonce));
         assertEquals(
                 -1,
-                secret.keyOf(SharedSecret.of(SECRET).proof(0, "giver", nonce, nonce), "taker", nonce, nonce),
+                secret.matchingKey(SharedSecret.of(SECRET).proof(0, "giver", nonce, nonce), "taker", nonce, nonce),
                 "one side's proof is not the other's");
         Files.writeString(file, "short\n");
         assertTrue(assertThrows(IOException.class, () -> SharedSecret.read(file))
--- a/src/test/java/vetchpost/replication/FollowingTest.java
+++ b/src/test/java/vetchpost/replication/FollowingTest.java
@@ -48,10 +48,10 @@
         }
 
         private void answer(int of) {
-            after(1_000, () -> {
+            schedule(1_000, () -> {
                 if (open == of && !silent.contains(of)) {
                     following.receive(Frame.current(0, PackedTree.EMPTY.sum()));
-                    after(4 * SECOND, () -> {
+                    schedule(4 * SECOND, () -> {
                         if (open == of) {
                             answer(of);
                         }
@@ -72,7 +72,7 @@
         }
 
         @Override
-        public void after(long us, Runnable task) {
+        public void schedule(long us, Runnable task) {
             due.add(new Due(nowUs + us, order++, task));
         }
 
@@ -173,7 +173,7 @@
 
             @Override
             public void send(Frame frame) {
-                other.after(1, () -> self[0].receive(Frame.behind(5)));
+                other.schedule(1, () -> self[0].receive(Frame.behind(5)));
             }
 
             @Override
@@ -187,8 +187,8 @@
             }
 
             @Override
-            public void after(long us, Runnable task) {
-                other.after(us, task);
+            public void schedule(long us, Runnable task) {
+                other.schedule(us, task);
             }
         };
         self[0] = new PublisherFailover(ahead, new PublisherChoice("n", List.of("a", "b", "c")), seen);
--- a/src/test/java/vetchpost/replication/PublisherTest.java
+++ b/src/test/java/vetchpost/replication/PublisherTest.java
@@ -198,7 +198,7 @@
         assertEquals(5, peer.got.stream().filter(f -> f.type() == Type.CURRENT).count());
         assertEquals(List.of(Type.BEHIND), ahead.got.stream().map(Frame::type).toList());
         publisher.disconnected(ahead);
-        assertEquals(1, publisher.peers());
+        assertEquals(1, publisher.replicaCount());
         publisher.receive(ahead, Frame.hello("b", 0, false, first.live().sum()), 0, 0);
         assertEquals(1, ahead.got.size(), "one that has gone is told nothing more");
     }
@@ -245,7 +245,7 @@
         TokenBucket bucket = new TokenBucket(100, 50, 0);
         assertTrue(bucket.hasAny(10 * SECOND));
         bucket.spend(150);
-        assertEquals(11 * SECOND + 10_000, bucket.againUs(10 * SECOND), 10_000);
+        assertEquals(11 * SECOND + 10_000, bucket.availableAtUs(10 * SECOND), 10_000);
         assertTrue(!bucket.hasAny(10 * SECOND + 900_000) && bucket.hasAny(11 * SECOND + 20_000));
     }
 }
--- a/src/test/java/vetchpost/replication/ReplicaTest.java
+++ b/src/test/java/vetchpost/replication/ReplicaTest.java
@@ -400,7 +400,7 @@
                 after[next]++;
                 moved++;
                 assertTrue(!choice.hasBetter(next, 1) && choice.hasBetter(next, 6_000_000));
-                choice.worked(3);
+                choice.succeeded(3);
                 assertEquals(3, choice.next(2));
             } else {
                 choice.failed(3, 0);
@@ -414,7 +414,7 @@
         PublisherChoice all = new PublisherChoice("x", publishers.subList(0, 2));
         all.failed(0, 0);
         all.failed(1, 0);
-        assertTrue(all.whenUs(all.next(10)) > 10, "none may be asked now");
+        assertTrue(all.retryAtUs(all.next(10)) > 10, "none may be asked now");
         PublisherChoice near = new PublisherChoice("x", publishers, "control-5"::equals);
         assertEquals(5, near.next(0));
     }
--- a/src/test/java/vetchpost/replication/net/TestPublisher.java
+++ b/src/test/java/vetchpost/replication/net/TestPublisher.java
@@ -55,7 +55,7 @@
     }
 
     public int peers() throws Exception {
-        return on(() -> server.publisher().peers());
+        return on(() -> server.publisher().replicaCount());
     }
 
     private <T> T on(Callable<T> task) throws Exception {
--- a/src/test/java/vetchpost/state/RecollectionTest.java
+++ b/src/test/java/vetchpost/state/RecollectionTest.java
@@ -119,13 +119,13 @@
     void confidenceFallsWithAge() {
         double before = 1.1;
         for (long ageMs : new long[] {0, 60_000, HOUR, 24 * HOUR, 7 * 24 * HOUR, 365 * 24 * HOUR}) {
-            double sure = Confidence.ofBox(ageMs, 24 * HOUR);
+            double sure = Confidence.ofServer(ageMs, 24 * HOUR);
             assertTrue(sure < before && sure >= 0 && sure <= 1, ageMs + ": " + sure);
             before = sure;
         }
-        assertEquals(Math.exp(-1), Confidence.ofBox(24 * HOUR, 24 * HOUR), 1e-9);
-        assertEquals(0.5, Confidence.after(10_000, 10_000), 1e-9);
-        assertEquals(1, Confidence.after(-4_000, 10_000), 1e-9, "clocks differ a little");
-        assertEquals(0, Confidence.after(-6_000, 10_000), 1e-9, "but not so much");
+        assertEquals(Math.exp(-1), Confidence.ofServer(24 * HOUR, 24 * HOUR), 1e-9);
+        assertEquals(0.5, Confidence.afterAge(10_000, 10_000), 1e-9);
+        assertEquals(1, Confidence.afterAge(-4_000, 10_000), 1e-9, "clocks differ a little");
+        assertEquals(0, Confidence.afterAge(-6_000, 10_000), 1e-9, "but not so much");
     }
 }
--- a/src/test/java/vetchpost/state/disk/ScriptedDisk.java
+++ b/src/test/java/vetchpost/state/disk/ScriptedDisk.java
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void forceFolder(Path folder) {
+    public void forceDirectory(Path folder) {
         if (isLast()) {
             throw new Killed();
         }
--- a/src/test/java/vetchpost/state/disk/StateFileTest.java
+++ b/src/test/java/vetchpost/state/disk/StateFileTest.java
@@ -152,7 +152,7 @@
     void whatIsNoSnapshotIsPassedOverWithALine() throws IOException {
         ScriptedDisk disk = new ScriptedDisk();
         disk.put(FILE, "#!/bin/sh\necho another program's file, and long enough\n".getBytes(StandardCharsets.US_ASCII));
-        disk.put(OLDER, new byte[(int) StateFile.MAX_BYTES + 1]);
+        disk.put(OLDER, new byte[(int) StateFile.MAX_FILE_BYTES + 1]);
         assertNull(read(disk));
         assertEquals(2, lines.size());
         assertTrue(lines.get(0).contains("no snapshot of this program's"), lines.get(0));
