--- a/src/test/java/vetchpost/daemon/ChangesNodeTest.java
+++ b/src/test/java/vetchpost/daemon/ChangesNodeTest.java
@@ -147,10 +147,10 @@
                 nodes.add(new Alone(both));
             }
             long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
-            while (one.peers() + two.peers() < 30) {
-                assertTrue(System.nanoTime() < endNs, one.peers() + " and " + two.peers());
+            while (one.replicaCount() + two.replicaCount() < 30) {
+                assertTrue(System.nanoTime() < endNs, one.replicaCount() + " and " + two.replicaCount());
             }
-            assertTrue(one.peers() > 0 && two.peers() > 0, one.peers() + " and " + two.peers());
+            assertTrue(one.replicaCount() > 0 && two.replicaCount() > 0, one.replicaCount() + " and " + two.replicaCount());
         } finally {
             nodes.forEach(Alone::close);
         }
