--- a/src/main/java/vetchpost/handover/AuthenticatedFrames.java
+++ b/src/main/java/vetchpost/handover/AuthenticatedFrames.java
@@ -11,31 +11,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection on which both sides have shown that they know the secret, with frames both ways, each with a
- * tag that holds its place and its direction: as the handover's, for longer conversations. Frames are
- * authenticated, not encrypted.
+ * A connection on which both sides prove that they know the shared secret and then exchange frames. Each frame has
+ * a tag over its content, sequence number and direction, as in a handover but both ways. Frames are authenticated,
+ * not encrypted. Used for replication; all methods and listeners run on the channel's event loop.
  */
 public final class AuthenticatedFrames extends SimpleChannelInboundHandler<ByteBuf> {
     private static final String PUBLISHER_ROLE = "publisher";
     private static final String REPLICA_ROLE = "replica";
     private static final long AUTHENTICATION_TIMEOUT_MS = 2_000;
-    /** Numbers of frames from the side that connects; those from the other are without. */
+    /** Set in the sequence numbers of frames from the connecting side. */
     private static final int FROM_CONNECTING_SIDE = 1 << 31;
 
     private static final int MAX_FRAME_NUMBER = Integer.MAX_VALUE - 1;
 
-    /** Hears what becomes of the connection, on its loop. */
+    /** Notified of connection events, on the event loop. */
     public interface Listener {
-        /** Both sides know the secret. */
+        /** Both sides have proved that they know the secret; frames can be sent from now on. */
         void onAuthenticated();
 
-        /** A frame of the other side's. */
+        /** A frame has arrived and its tag is valid. */
         void onFrame(byte[] frame);
 
-        /** What was sent before has left, or something waits to again. */
+        /** The channel's writability has changed. */
         default void onWritable() {}
 
-        /** It is over, once. */
+        /** The connection is closed; called once. */
         void onClosed(String why);
     }
 
@@ -51,50 +51,50 @@
     private int receivedCount;
     private boolean isClosed;
 
-    private AuthenticatedFrames(SharedSecret secret, SecureRandom random, boolean listens, Listener listener) {
+    private AuthenticatedFrames(SharedSecret secret, SecureRandom random, boolean isServer, Listener listener) {
         this.secret = secret;
-        this.isServer = listens;
+        this.isServer = isServer;
         this.listener = listener;
         random.nextBytes(nonce);
     }
 
     /**
-     * Puts it on a channel that is being opened.
+     * Adds the handlers to a channel that is being opened.
      *
-     * @param listens whether the other side has connected
-     * @param mostFrame bytes of a frame
+     * @param isServer whether this side has accepted the connection
+     * @param maxFrameBytes bound on the length of a frame
      */
     public static AuthenticatedFrames open(
             Channel channel,
             SharedSecret secret,
             SecureRandom random,
-            boolean listens,
-            int mostFrame,
+            boolean isServer,
+            int maxFrameBytes,
             Listener listener) {
-        AuthenticatedFrames frames = new AuthenticatedFrames(secret, random, listens, listener);
+        AuthenticatedFrames frames = new AuthenticatedFrames(secret, random, isServer, listener);
         frames.channel = channel;
-        HandoverProtocol.addFrameCodec(channel.pipeline(), mostFrame + SharedSecret.MAC_BYTES);
+        HandoverProtocol.addFrameCodec(channel.pipeline(), maxFrameBytes + SharedSecret.MAC_BYTES);
         channel.pipeline().addLast(frames);
         return frames;
     }
 
-    /** Sends a frame; only once it is up. */
+    /** Sends a frame; allowed after {@link Listener#onAuthenticated}. */
     public void send(byte[] frame) {
         HandoverProtocol.send(channel, frame, SharedSecret.tag(sessionKey, frameNumber(sentCount++, !isServer), frame));
     }
 
-    /** Whether what was sent before has left. */
+    /** Whether the channel accepts more without buffering. */
     public boolean isWritable() {
         return channel.isWritable();
     }
 
-    /** Ends it. */
+    /** Closes the connection and notifies the listener with the reason. */
     public void close(String why) {
         closeOnce(why);
     }
 
-    private static int frameNumber(int count, boolean up) {
-        return up ? count | FROM_CONNECTING_SIDE : count;
+    private static int frameNumber(int count, boolean fromConnectingSide) {
+        return fromConnectingSide ? count | FROM_CONNECTING_SIDE : count;
     }
 
     private void closeOnce(String why) {
@@ -112,7 +112,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         authenticationTimeout = ctx.executor()
-                .schedule(() -> closeOnce("it has not shown that it knows the secret"), AUTHENTICATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                .schedule(() -> closeOnce("peer did not prove in time that it knows the secret"), AUTHENTICATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (isServer) {
             HandoverProtocol.hello(channel, nonce, new byte[0]);
         }
@@ -139,7 +139,7 @@
             HandoverProtocol.Hello hello = HandoverProtocol.hello(message, SharedSecret.MAC_BYTES);
             int key = secret.matchingKey(hello.proof(), REPLICA_ROLE, nonce, hello.nonce());
             if (key < 0) {
-                throw new HandoverProtocol.HandoverRejectedException("it doesn't know the secret");
+                throw new HandoverProtocol.HandoverRejectedException("peer does not know the secret");
             }
             sessionKey = secret.sessionKey(key, nonce, hello.nonce());
             HandoverProtocol.send(channel, secret.proof(key, PUBLISHER_ROLE, nonce, hello.nonce()));
@@ -149,7 +149,7 @@
             HandoverProtocol.hello(channel, nonce, secret.proof(0, REPLICA_ROLE, peerNonce, nonce));
         } else {
             if (!MessageDigest.isEqual(HandoverProtocol.bytes(message), secret.proof(0, PUBLISHER_ROLE, peerNonce, nonce))) {
-                throw new HandoverProtocol.HandoverRejectedException("it doesn't know the secret");
+                throw new HandoverProtocol.HandoverRejectedException("peer does not know the secret");
             }
             sessionKey = secret.sessionKey(0, peerNonce, nonce);
             authenticated();
@@ -163,12 +163,12 @@
 
     private void receiveFrame(byte[] message) throws HandoverProtocol.HandoverRejectedException {
         if (message.length < SharedSecret.MAC_BYTES || receivedCount == MAX_FRAME_NUMBER) {
-            throw new HandoverProtocol.HandoverRejectedException("a frame without a tag");
+            throw new HandoverProtocol.HandoverRejectedException("frame without a tag");
         }
         byte[] frame = Arrays.copyOf(message, message.length - SharedSecret.MAC_BYTES);
         byte[] tag = Arrays.copyOfRange(message, frame.length, message.length);
         if (!MessageDigest.isEqual(tag, SharedSecret.tag(sessionKey, frameNumber(receivedCount++, isServer), frame))) {
-            throw new HandoverProtocol.HandoverRejectedException("a frame that is not the other side's, or not in its place");
+            throw new HandoverProtocol.HandoverRejectedException("frame is forged or out of order");
         }
         listener.onFrame(frame);
     }
@@ -182,11 +182,11 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        closeOnce("it was cut off");
+        closeOnce("connection was closed by the peer");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        closeOnce("it broke: " + cause.getMessage());
+        closeOnce("connection failed: " + cause.getMessage());
     }
 }
--- a/src/main/java/vetchpost/handover/HandoverProtocol.java
+++ b/src/main/java/vetchpost/handover/HandoverProtocol.java
@@ -12,9 +12,9 @@
 import vetchpost.state.codec.ChunkCodec;
 
 /**
- * The handover's messages. Each is a length of four bytes and as many bytes. The giver begins with a hello
- * and a nonce; the taker answers with its own and a proof that it knows the secret; the giver proves the same
- * and sends pieces, each with a tag, and a last one that is empty.
+ * The messages of a handover, each with a length prefix of four bytes. The sender begins with a hello and a nonce;
+ * the receiver answers with its own and a proof that it knows the secret; the sender proves the same and sends
+ * chunks, each with a tag, and an empty one as the last. Stateless; used by both sides on their event loops.
  */
 final class HandoverProtocol {
     static final String SENDER = "giver";
@@ -23,10 +23,10 @@
     private static final int VERSION = 1;
     private static final int MAX_FRAME_BYTES = ChunkCodec.MAX_CHUNK_BYTES + SharedSecret.MAC_BYTES;
     private static final int LENGTH_BYTES = 4;
-    /** The longest message before both sides have proved themselves. */
+    /** Bound on a message before both sides are authenticated. */
     static final int MAX_HELLO_BYTES = HELLO.length + 1 + SharedSecret.NONCE_BYTES + SharedSecret.MAC_BYTES;
 
-    /** What the other side has said can't be used. */
+    /** The peer's message can't be accepted. */
     static final class HandoverRejectedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -35,15 +35,15 @@
         }
     }
 
-    /** A side's nonce, and its proof if it has one by then. */
+    /** A hello message: the nonce, and the proof if the message has one, else empty. */
     record Hello(byte[] nonce, byte[] proof) {}
 
     private HandoverProtocol() {}
 
-    /** Messages in place of bytes; too long a one ends in an exception before room is made for it. */
-    static void addFrameCodec(ChannelPipeline pipeline, int most) {
+    /** Adds framing to a pipeline; a longer message raises an exception before memory is allocated for it. */
+    static void addFrameCodec(ChannelPipeline pipeline, int maxBytes) {
         pipeline.addLast(
-                new LengthFieldBasedFrameDecoder(Math.min(MAX_FRAME_BYTES, most) + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                new LengthFieldBasedFrameDecoder(Math.min(MAX_FRAME_BYTES, maxBytes) + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                 new LengthFieldPrepender(LENGTH_BYTES));
     }
 
@@ -63,13 +63,13 @@
         byte[] bytes = bytes(message);
         int nonceAt = HELLO.length + 1;
         if (bytes.length < nonceAt || !Arrays.equals(Arrays.copyOf(bytes, HELLO.length), HELLO)) {
-            throw new HandoverRejectedException("it is no node of this program's");
+            throw new HandoverRejectedException("peer does not speak this protocol");
         }
         if (bytes[HELLO.length] != VERSION) {
-            throw new HandoverRejectedException("it speaks version " + bytes[HELLO.length] + "; this program knows " + VERSION);
+            throw new HandoverRejectedException("peer uses protocol version " + bytes[HELLO.length] + "; this program uses version " + VERSION);
         }
         if (bytes.length != nonceAt + SharedSecret.NONCE_BYTES + proofLength) {
-            throw new HandoverRejectedException("its hello has " + bytes.length + " bytes");
+            throw new HandoverRejectedException("unexpected hello length of " + bytes.length + " bytes");
         }
         return new Hello(
                 Arrays.copyOfRange(bytes, nonceAt, nonceAt + SharedSecret.NONCE_BYTES),
--- a/src/main/java/vetchpost/handover/HandoverReceiver.java
+++ b/src/main/java/vetchpost/handover/HandoverReceiver.java
@@ -21,21 +21,24 @@
 import vetchpost.state.codec.ChunkCodec;
 import vetchpost.state.codec.MalformedSnapshotException;
 
-/** Asks a running node for what it knows, once. Whatever comes is bounded in bytes and time, and checked. */
+/**
+ * Requests the snapshot of a running node. The response is bounded in bytes and time, authenticated and validated.
+ * Called by {@code Recovery}; all methods and outcomes run on the event loop.
+ */
 public final class HandoverReceiver {
-    /** 100,000 boxes take under 24 MiB. */
+    /** 100,000 servers take under 24 MiB. */
     static final long MAX_SNAPSHOT_BYTES = 32L << 20;
 
-    /** What a handover came to. */
+    /** Receives the outcome of a handover. */
     public interface Outcome {
         /**
-         * The only call.
+         * Called once.
          *
-         * @param snapshot what has come and holds, in part if the handover was cut off; null for nothing
-         * @param whole whether it is all of it
-         * @param why what went wrong, if anything has; else null
+         * @param snapshot the valid chunks received, partial if the handover was interrupted; null for none
+         * @param isWhole whether the snapshot is complete
+         * @param why what failed; null if nothing did
          */
-        void received(Snapshot snapshot, boolean whole, String why);
+        void received(Snapshot snapshot, boolean isWhole, String why);
     }
 
     private final EventLoop loop;
@@ -51,45 +54,45 @@
     }
 
     /**
-     * Asks there.
+     * Requests a handover.
      *
-     * @param withinMs all that has not come by then is not waited for
-     * @return ends it at once, as if the time were up
+     * @param timeoutMs limit on the whole handover in milliseconds; chunks received by then are used
+     * @return cancels the handover, as if the time limit were exceeded
      */
-    public Runnable request(InetSocketAddress address, long withinMs, Outcome outcome) {
-        Request asking = new Request(outcome);
-        asking.timeout = loop.schedule(() -> asking.finish("it took too long"), withinMs, TimeUnit.MILLISECONDS);
+    public Runnable request(InetSocketAddress address, long timeoutMs, Outcome outcome) {
+        Request request = new Request(outcome);
+        request.timeout = loop.schedule(() -> request.finish("time limit exceeded"), timeoutMs, TimeUnit.MILLISECONDS);
         try {
-            asking.channel = network.newClientChannel();
+            request.channel = network.newClientChannel();
         } catch (ChannelException e) {
-            loop.execute(() -> asking.finish("no connection could be opened"));
-            return () -> asking.finish("called off");
+            loop.execute(() -> request.finish("no socket could be opened"));
+            return () -> request.finish("cancelled");
         }
         new Bootstrap()
                 .group(loop)
-                .channelFactory(() -> asking.channel)
+                .channelFactory(() -> request.channel)
                 .disableResolver()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, withinMs))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeoutMs))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel to) {
-                        asking.open(to);
+                        request.open(to);
                     }
                 })
                 .connect(address)
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        asking.finish("nobody is there");
+                        request.finish("connection could not be established");
                     }
                 });
-        return () -> asking.finish("called off");
+        return () -> request.finish("cancelled");
     }
 
-    /** Begins on a channel that is open, with no limit of time of its own. */
+    /** Starts on an open channel, without a time limit. */
     void attach(Channel channel, Outcome outcome) {
-        Request asking = new Request(outcome);
-        asking.channel = channel;
-        asking.open(channel);
+        Request request = new Request(outcome);
+        request.channel = channel;
+        request.open(channel);
     }
 
     private final class Request extends SimpleChannelInboundHandler<ByteBuf> {
@@ -136,7 +139,7 @@
             receivedBytes += message.readableBytes();
             try {
                 if (receivedBytes > MAX_SNAPSHOT_BYTES) {
-                    throw new HandoverProtocol.HandoverRejectedException("it sent over " + MAX_SNAPSHOT_BYTES + " bytes");
+                    throw new HandoverProtocol.HandoverRejectedException("sender sent more than " + MAX_SNAPSHOT_BYTES + " bytes");
                 }
                 receive(message);
             } catch (HandoverProtocol.HandoverRejectedException | MalformedSnapshotException e) {
@@ -151,7 +154,7 @@
             } else if (sessionKey == null) {
                 if (!MessageDigest.isEqual(
                         HandoverProtocol.bytes(message), secret.proof(0, HandoverProtocol.SENDER, senderNonce, nonce))) {
-                    throw new HandoverProtocol.HandoverRejectedException("it doesn't know the secret");
+                    throw new HandoverProtocol.HandoverRejectedException("peer does not know the secret");
                 }
                 sessionKey = secret.sessionKey(0, senderNonce, nonce);
             } else {
@@ -161,28 +164,28 @@
 
         private void receiveChunk(byte[] message) throws HandoverProtocol.HandoverRejectedException, MalformedSnapshotException {
             if (message.length < SharedSecret.MAC_BYTES) {
-                throw new HandoverProtocol.HandoverRejectedException("a piece without a tag");
+                throw new HandoverProtocol.HandoverRejectedException("chunk without a tag");
             }
-            byte[] piece = Arrays.copyOf(message, message.length - SharedSecret.MAC_BYTES);
-            byte[] tag = Arrays.copyOfRange(message, piece.length, message.length);
-            if (!MessageDigest.isEqual(tag, SharedSecret.tag(sessionKey, nextNumber++, piece))) {
-                throw new HandoverProtocol.HandoverRejectedException("a piece that is not the giver's, or not in its place");
+            byte[] chunk = Arrays.copyOf(message, message.length - SharedSecret.MAC_BYTES);
+            byte[] tag = Arrays.copyOfRange(message, chunk.length, message.length);
+            if (!MessageDigest.isEqual(tag, SharedSecret.tag(sessionKey, nextNumber++, chunk))) {
+                throw new HandoverProtocol.HandoverRejectedException("chunk is forged or out of order");
             }
-            if (piece.length == 0) {
-                finish(assembler.isComplete() ? null : "pieces are missing");
+            if (chunk.length == 0) {
+                finish(assembler.isComplete() ? null : "chunks are missing");
             } else {
-                assembler.add(ChunkCodec.read(piece));
+                assembler.add(ChunkCodec.read(chunk));
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            finish("it was cut off");
+            finish("connection was closed by the peer");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            finish("it broke: " + cause.getMessage());
+            finish("connection failed: " + cause.getMessage());
         }
     }
 }
--- a/src/main/java/vetchpost/handover/HandoverSender.java
+++ b/src/main/java/vetchpost/handover/HandoverSender.java
@@ -21,19 +21,19 @@
 import vetchpost.net.Network;
 
 /**
- * Gives what a node knows to others that prove that they know the secret. It spends little of its loop on it:
- * one piece at a time with a pause after each, and none while the taker doesn't read.
+ * Sends a node's snapshot to peers that prove that they know the shared secret. To spend little of the event loop,
+ * it sends one chunk at a time with a pause after each, and none while the receiver does not read. Started by
+ * {@code Recovery}; runs on the node's event loop.
  */
 public final class HandoverSender {
     private static final Logger LOG = System.getLogger(HandoverSender.class.getName());
 
-    /** Takers at a time; more are closed at once. */
+    /** Concurrent receivers; further connections are closed at once. */
     static final int MAX_RECEIVERS = 4;
-    /** For a taker's proof, and for all of it. */
     private static final long AUTHENTICATION_TIMEOUT_MS = 1_000;
-
+    /** Limit on a whole handover. */
     private static final long HANDOVER_TIMEOUT_MS = 10_000;
-    /** After a piece, which takes a fraction of a millisecond, so much time is the requests'. */
+    /** Leaves the event loop to requests; a chunk itself takes a fraction of a millisecond. */
     private static final long PAUSE_AFTER_CHUNK_MS = 2;
 
     private static final int ACCEPT_BACKLOG = 128;
@@ -49,24 +49,24 @@
     private long lastRejectionLogNs;
 
     /**
-     * Not listening yet.
+     * Creates a sender that does not listen yet.
      *
-     * @param pieces makes the pieces of what is known as they are asked for
+     * @param chunks supplies the encoded chunks of a new snapshot, each created on demand
      */
     public HandoverSender(
             EventLoop loop,
             Network network,
             SharedSecret secret,
             SecureRandom random,
-            Supplier<Iterator<byte[]>> pieces) {
+            Supplier<Iterator<byte[]>> chunks) {
         this.loop = loop;
         this.network = network;
         this.secret = secret;
         this.random = random;
-        this.chunks = pieces;
+        this.chunks = chunks;
     }
 
-    /** Listens; a node whose address for this is taken serves all the same. */
+    /** Starts listening; if the address can't be bound, the node still serves requests. */
     public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
         ChannelFuture binding = new ServerBootstrap()
                 .group(group)
@@ -92,7 +92,7 @@
             if (!done.isSuccess()) {
                 LOG.log(
                         Level.WARNING,
-                        "nothing is handed over: can''t listen at {0}: {1}",
+                        "handovers are not served: can''t listen on {0}: {1}",
                         address,
                         done.cause().getMessage());
             }
@@ -100,24 +100,24 @@
         return binding;
     }
 
-    /** Ends all. */
+    /** Stops listening. */
     public void close() {
         if (listenChannel != null) {
             listenChannel.close();
         }
     }
 
-    /** A line at most every second: whoever can reach the address must not fill the log. */
-    private void logRejection(Channel taker, String why) {
+    /** Logs at most once per second: anyone who can reach the address could otherwise fill the log. */
+    private void logRejection(Channel receiver, String why) {
         long now = loop.ticker().nanoTime();
         if (!hasLoggedRejection || now - lastRejectionLogNs >= TimeUnit.SECONDS.toNanos(1)) {
             hasLoggedRejection = true;
             lastRejectionLogNs = now;
-            LOG.log(Level.INFO, "nothing is handed over to {0}: {1}", taker.remoteAddress(), why);
+            LOG.log(Level.INFO, "rejected a handover request from {0}: {1}", receiver.remoteAddress(), why);
         }
     }
 
-    /** One that has asked. */
+    /** A connected receiver. */
     private final class Receiver extends SimpleChannelInboundHandler<ByteBuf> {
         private final Channel channel;
         private final byte[] nonce = new byte[SharedSecret.NONCE_BYTES];
@@ -141,7 +141,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf message) {
             if (sessionKey != null) {
-                // It has nothing more to say.
+                // A receiver sends nothing after its proof.
                 channel.close();
                 return;
             }
@@ -149,7 +149,7 @@
                 HandoverProtocol.Hello hello = HandoverProtocol.hello(message, SharedSecret.MAC_BYTES);
                 int key = secret.matchingKey(hello.proof(), HandoverProtocol.RECEIVER, nonce, hello.nonce());
                 if (key < 0) {
-                    throw new HandoverProtocol.HandoverRejectedException("it doesn't know the secret");
+                    throw new HandoverProtocol.HandoverRejectedException("peer does not know the secret");
                 }
                 timeout.cancel(false);
                 timeout = loop.schedule((Runnable) channel::close, HANDOVER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -167,9 +167,9 @@
             if (isPausing || remainingChunks == null || !channel.isActive() || !channel.isWritable()) {
                 return;
             }
-            byte[] piece = remainingChunks.hasNext() ? remainingChunks.next() : new byte[0];
-            HandoverProtocol.send(channel, piece, SharedSecret.tag(sessionKey, nextNumber++, piece));
-            if (piece.length == 0) {
+            byte[] chunk = remainingChunks.hasNext() ? remainingChunks.next() : new byte[0];
+            HandoverProtocol.send(channel, chunk, SharedSecret.tag(sessionKey, nextNumber++, chunk));
+            if (chunk.length == 0) {
                 remainingChunks = null;
                 return;
             }
--- a/src/main/java/vetchpost/handover/SharedSecret.java
+++ b/src/main/java/vetchpost/handover/SharedSecret.java
@@ -12,16 +12,16 @@
 import org.apache.commons.codec.digest.HmacUtils;
 
 /**
- * What both sides of a handover know and nobody else: they prove it to each other over fresh nonces
- * (HMAC-SHA-256, RFC 2104), and the giver's pieces carry tags by a key of this one handover (HKDF, RFC 5869).
- * While a secret is replaced there are two; the first is used to ask, either is answered.
+ * The secret shared by nodes for handovers and replication. Each side proves its knowledge over fresh nonces
+ * (HMAC-SHA-256, RFC 2104), and messages carry tags with a key derived for the session (HKDF, RFC 5869). During
+ * rotation there are several: the first is used to connect, any of them is accepted. Immutable.
  */
 public final class SharedSecret {
-    /** Bytes of a proof or a tag. */
+    /** Length of a proof or a tag. */
     static final int MAC_BYTES = 32;
-    /** Bytes of a nonce. */
+    /** Length of a nonce. */
     static final int NONCE_BYTES = 32;
-    /** A shorter one can be guessed. */
+    /** Shorter secrets can be guessed. */
     static final int MIN_SECRET_BYTES = 32;
 
     private static final int MAX_SECRET_BYTES = 1_024;
@@ -34,7 +34,7 @@
         this.keys = keys;
     }
 
-    /** Of these texts, the one to ask with first. */
+    /** Creates secrets from texts; the first is used to connect. */
     static SharedSecret of(String... texts) {
         List<byte[]> keys = new ArrayList<>();
         for (String text : texts) {
@@ -44,26 +44,27 @@
     }
 
     /**
-     * One secret, for where there is no file.
+     * Creates a single secret from a text.
      *
-     * @throws IllegalArgumentException if it is too short or too long
+     * @throws IllegalArgumentException if it has fewer than 32 or more than 1,024 bytes in UTF-8
      */
     public static SharedSecret parse(String text) {
         int length = text.getBytes(StandardCharsets.UTF_8).length;
         if (length < MIN_SECRET_BYTES || length > MAX_SECRET_BYTES) {
-            throw new IllegalArgumentException("a secret of " + length + " bytes");
+            throw new IllegalArgumentException("secret has an invalid length of " + length + " bytes");
         }
         return of(text);
     }
 
     /**
-     * Reads a file with a secret a line; blank lines and those that begin with # are passed over.
+     * Reads a file with one secret per line; blank lines and lines that begin with # are skipped.
      *
-     * @throws IOException if it can't be read or holds none, with one line for an operator
+     * @throws IOException if it can't be read, contains no or more than four secrets, or one of an invalid length; the
+     *     message is one line for an operator
      */
     public static SharedSecret read(Path file) throws IOException {
         if (Files.size(file) > MAX_FILE_BYTES) {
-            throw new IOException(file + " is over " + MAX_FILE_BYTES + " bytes");
+            throw new IOException(file + " is longer than " + MAX_FILE_BYTES + " bytes");
         }
         List<byte[]> keys = new ArrayList<>();
         for (String line : Files.readAllLines(file)) {
@@ -73,13 +74,13 @@
             }
             byte[] key = text.getBytes(StandardCharsets.UTF_8);
             if (key.length < MIN_SECRET_BYTES || key.length > MAX_SECRET_BYTES) {
-                throw new IOException(file + " holds a secret of " + key.length + " bytes; from " + MIN_SECRET_BYTES
-                        + " to " + MAX_SECRET_BYTES + " are wanted");
+                throw new IOException(file + " contains a secret of " + key.length + " bytes; use " + MIN_SECRET_BYTES
+                        + " to " + MAX_SECRET_BYTES + " bytes");
             }
             keys.add(key);
         }
         if (keys.isEmpty() || keys.size() > MAX_KEYS) {
-            throw new IOException(file + " holds " + keys.size() + " secrets; from 1 to " + MAX_KEYS + " are wanted");
+            throw new IOException(file + " contains " + keys.size() + " secrets; use 1 to " + MAX_KEYS + " secrets");
         }
         return new SharedSecret(keys);
     }
@@ -88,37 +89,37 @@
         return keys.size();
     }
 
-    /** What shows that a side knows a key, for this pair of nonces. */
-    byte[] proof(int key, String side, byte[] giverNonce, byte[] takerNonce) {
+    /** Returns the proof that a side knows a key, for a pair of nonces. */
+    byte[] proof(int key, String side, byte[] senderNonce, byte[] receiverNonce) {
         HmacUtils hmac = new HmacUtils(HmacAlgorithms.HMAC_SHA_256, keys.get(key));
-        return hmac.hmac(join(side.getBytes(StandardCharsets.US_ASCII), giverNonce, takerNonce));
+        return hmac.hmac(join(side.getBytes(StandardCharsets.US_ASCII), senderNonce, receiverNonce));
     }
 
-    /** Which key such a proof was made with, or -1. Takes as long whichever it is. */
-    int matchingKey(byte[] proof, String side, byte[] giverNonce, byte[] takerNonce) {
+    /** Returns the index of the key that a proof was made with, or -1, in time that does not depend on the key. */
+    int matchingKey(byte[] proof, String side, byte[] senderNonce, byte[] receiverNonce) {
         int found = -1;
         for (int key = 0; key < keys.size(); key++) {
-            if (MessageDigest.isEqual(proof, proof(key, side, giverNonce, takerNonce))) {
+            if (MessageDigest.isEqual(proof, proof(key, side, senderNonce, receiverNonce))) {
                 found = key;
             }
         }
         return found;
     }
 
-    /** What the tags of one handover are made with. */
-    byte[] sessionKey(int key, byte[] giverNonce, byte[] takerNonce) {
+    /** Returns the key for the tags of one session. */
+    byte[] sessionKey(int key, byte[] senderNonce, byte[] receiverNonce) {
         return HKDF.fromHmacSha256()
                 .extractAndExpand(
-                        join(giverNonce, takerNonce),
+                        join(senderNonce, receiverNonce),
                         keys.get(key),
                         "vetchpost handover 1".getBytes(StandardCharsets.US_ASCII),
                         MAC_BYTES);
     }
 
-    /** The tag of a message: it holds its place, so that none can be left out, moved or played again. */
-    static byte[] tag(byte[] session, int number, byte[] message) {
-        byte[] place = {(byte) (number >>> 24), (byte) (number >>> 16), (byte) (number >>> 8), (byte) number};
-        return new HmacUtils(HmacAlgorithms.HMAC_SHA_256, session).hmac(join(place, message));
+    /** Returns the tag of a message; it covers the sequence number, so none can be dropped, reordered or replayed. */
+    static byte[] tag(byte[] sessionKey, int number, byte[] message) {
+        byte[] sequenceNumber = {(byte) (number >>> 24), (byte) (number >>> 16), (byte) (number >>> 8), (byte) number};
+        return new HmacUtils(HmacAlgorithms.HMAC_SHA_256, sessionKey).hmac(join(sequenceNumber, message));
     }
 
     private static byte[] join(byte[]... parts) {
--- a/src/main/java/vetchpost/recovery/AddressProber.java
+++ b/src/main/java/vetchpost/recovery/AddressProber.java
@@ -27,34 +27,35 @@
 import vetchpost.net.Network;
 
 /**
- * Goes to addresses where boxes were once and finds out who is there: by a connection that comes up, and,
- * where boxes tell their ids, by asking for it. No request of a client's is ever sent this way.
+ * Checks whether servers of a snapshot are still at their addresses: by connecting, and, where servers report their
+ * ids, by requesting the id. Client requests are never sent this way. Used by {@link Recovery}; confined to the
+ * node's event loop.
  */
 final class AddressProber {
-    /** Connections at a time: few of the descriptors that are kept back. */
+    /** A small part of the file descriptors that are reserved. */
     static final int MAX_CONCURRENT_PROBES = 8;
-    /** For a connection and an answer. */
+    /** Limit on connecting and receiving the response. */
     private static final long PROBE_TIMEOUT_MS = 1_000;
-    /** Tries of one box, each twice as long after the last: 4 s in all, then it is left to discovery. */
+    /** With doubled delays, attempts on one server end after about 4 s; then it is left to discovery. */
     static final int MAX_ATTEMPTS = 4;
 
     private static final long RETRY_DELAY_MS = 500;
     private static final int MAX_RESPONSE_BYTES = 1_024;
     private static final int MAX_LINE_BYTES = 1_024;
 
-    /** Who is there. */
+    /** The result of probing a server. */
     enum Result {
-        /** The box, by its own word, or at least somebody. */
+        /** The server reported its id, or, without identification, something accepts connections there. */
         PRESENT,
-        /** Somebody else. */
+        /** Something else responded. */
         OTHER_SERVER,
-        /** Nobody, or nobody who says anything. */
+        /** No connection or no response. */
         UNREACHABLE
     }
 
-    /** Hears of each box once. */
+    /** Notified once of each probed server. */
     interface Listener {
-        void onResult(Target target, Result found);
+        void onResult(Target target, Result result);
     }
 
     private final EventLoop loop;
@@ -66,7 +67,7 @@
     private int awaitingRetry;
     private boolean isClosed;
 
-    /** @param path at which boxes tell their ids; null if they don't */
+    /** @param path path at which servers report their ids; null if they do not */
     AddressProber(EventLoop loop, Network network, String path, Listener listener) {
         this.loop = loop;
         this.network = network;
@@ -79,12 +80,12 @@
         startNext();
     }
 
-    /** How many have not been found out about. */
+    /** Returns how many servers have no result yet. */
     int remaining() {
         return queue.size() + running.size() + awaitingRetry;
     }
 
-    /** Asks nobody any more, and tells nothing. */
+    /** Cancels all probes without notifying the listener. */
     void close() {
         isClosed = true;
         queue.clear();
@@ -99,7 +100,7 @@
         }
     }
 
-    /** One box, in one of its tries. */
+    /** The probe of one server, across its attempts. */
     private final class Probe {
         private final Target target;
         private int attempts;
@@ -121,10 +122,10 @@
                 loop.execute(() -> finish(Result.UNREACHABLE));
                 return;
             }
-            Channel fresh = channel;
+            Channel newChannel = channel;
             new Bootstrap()
                     .group(loop)
-                    .channelFactory(() -> fresh)
+                    .channelFactory(() -> newChannel)
                     .disableResolver()
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) PROBE_TIMEOUT_MS)
                     .handler(new ChannelInitializer<Channel>() {
@@ -150,20 +151,20 @@
         }
 
         private void sendRequest() {
-            DefaultFullHttpRequest question = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-            question.headers().set(HttpHeaderNames.HOST, "backend.local");
-            question.headers().set(HttpHeaderNames.CONNECTION, "close");
-            channel.writeAndFlush(question);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
+            request.headers().set(HttpHeaderNames.HOST, "backend.local");
+            request.headers().set(HttpHeaderNames.CONNECTION, "close");
+            channel.writeAndFlush(request);
         }
 
-        void onResponse(FullHttpResponse answer) {
-            boolean is = answer.decoderResult().isSuccess()
-                    && answer.status().equals(HttpResponseStatus.OK)
-                    && answer.content().toString(StandardCharsets.UTF_8).strip().equals(target.id());
-            finish(is ? Result.PRESENT : Result.OTHER_SERVER);
+        void onResponse(FullHttpResponse response) {
+            boolean isExpected = response.decoderResult().isSuccess()
+                    && response.status().equals(HttpResponseStatus.OK)
+                    && response.content().toString(StandardCharsets.UTF_8).strip().equals(target.id());
+            finish(isExpected ? Result.PRESENT : Result.OTHER_SERVER);
         }
 
-        void finish(Result found) {
+        void finish(Result result) {
             if (isFinished) {
                 return;
             }
@@ -176,7 +177,7 @@
             if (isClosed) {
                 return;
             }
-            if (found == Result.UNREACHABLE && attempts < MAX_ATTEMPTS) {
+            if (result == Result.UNREACHABLE && attempts < MAX_ATTEMPTS) {
                 awaitingRetry++;
                 loop.schedule(
                         () -> {
@@ -189,13 +190,13 @@
                         RETRY_DELAY_MS << attempts - 1,
                         TimeUnit.MILLISECONDS);
             } else {
-                listener.onResult(target, found);
+                listener.onResult(target, result);
             }
             startNext();
         }
     }
 
-    /** What comes back. */
+    /** Passes the response to its probe. */
     private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Probe probe;
 
@@ -204,8 +205,8 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            probe.onResponse(answer);
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            probe.onResponse(response);
         }
 
         @Override
@@ -215,7 +216,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // It speaks, but not as a box does.
+            // Something responds there, but not with a valid HTTP response.
             probe.finish(Result.OTHER_SERVER);
         }
     }
--- a/src/main/java/vetchpost/recovery/Recovery.java
+++ b/src/main/java/vetchpost/recovery/Recovery.java
@@ -44,17 +44,17 @@
 import vetchpost.state.codec.ChunkCodec;
 
 /**
- * What a node knew before its start, brought back, and what it knows now, kept: the snapshot in a file, the
- * handover from a node that runs, and the handover to others. What is believed is decided in
- * {@code vetchpost.state}; this only asks, tells and writes. All of it runs on the node's loop but the
- * writing.
+ * Restores a node's state at start from a stored snapshot and from handovers of running nodes, and stores and hands
+ * over its own state. What is trusted is decided in {@code vetchpost.state}; this class probes, updates the
+ * dispatcher and writes. The node calls it through {@link NodeLifecycle}. Everything runs on the node's event loop
+ * except for writing snapshots, which runs on the writer.
  */
 public final class Recovery implements NodeLifecycle {
     private static final Logger LOG = System.getLogger(Recovery.class.getName());
 
-    /** Boxes gone through in one turn of the loop. */
+    /** Servers collected for a snapshot in one turn of the event loop. */
     private static final int SERVERS_PER_TURN = 500;
-    /** The last snapshot may take so long to reach the disk. */
+    /** Limit on writing the last snapshot. */
     private static final long STOP_TIMEOUT_MS = 1_000;
 
     private final RecoverySettings settings;
@@ -69,9 +69,9 @@
     private final Snapshot storedSnapshot;
     private final ServerObservations observations;
     private final AddressProber prober;
-    /** Boxes of the snapshot that are sent to without having said who they are. */
+    /** Ids of restored servers in use whose identity is not confirmed. */
     private final Set<String> unconfirmed = new HashSet<>();
-    /** Boxes that are asked before anything is sent to them. */
+    /** Servers that are probed before any request is sent to them, by id. */
     private final Map<String, ServerRecord> probed = new HashMap<>();
 
     private final List<Target> toProbe = new ArrayList<>();
@@ -93,12 +93,12 @@
     private boolean isClosed;
 
     /**
-     * Not begun.
+     * Creates a recovery that has not started.
      *
-     * @param old the snapshot that was kept, or null
-     * @param secret null if there are no handovers
-     * @param keeper where snapshots go; null for nowhere
-     * @param writer runs what may block
+     * @param storedSnapshot the stored snapshot, or null
+     * @param secret shared secret; null without handovers
+     * @param keeper stores snapshots; null if none are written
+     * @param writer runs blocking writes
      */
     public Recovery(
             RecoverySettings settings,
@@ -106,7 +106,7 @@
             EventLoop loop,
             EventLoopGroup group,
             Network network,
-            Snapshot old,
+            Snapshot storedSnapshot,
             SharedSecret secret,
             SecureRandom random,
             SnapshotKeeper keeper,
@@ -115,7 +115,7 @@
         this.loop = loop;
         this.group = group;
         this.network = network;
-        this.storedSnapshot = old;
+        this.storedSnapshot = storedSnapshot;
         this.secret = secret;
         this.random = random;
         this.keeper = keeper;
@@ -125,52 +125,52 @@
         prober = new AddressProber(loop, network, settings.identityPath(), this::onProbeResult);
     }
 
-    // ---------------------------------------------------------------- the start
+    // ---------------------------------------------------------------- start
 
     @Override
     public ServerList beforeStart(ServerList known, long nowUs) {
         long nowMs = nowUs / 1_000;
         startedMs = nowMs;
         listRevision = known.targets().isEmpty() ? Long.MIN_VALUE : known.revision();
-        Map<Target, Double> use = restoreServers(storedSnapshot, known, nowMs);
+        Map<Target, Double> usable = restoreServers(storedSnapshot, known, nowMs);
         if (storedSnapshot != null) {
             long ageS = (nowMs - storedSnapshot.origin().takenMs()) / 1_000;
             LOG.log(
                     Level.INFO,
-                    "a snapshot of {0} s ago: {1} boxes used at once, {2} asked first, " + "{3} left out",
+                    "restored a snapshot of {0} s ago: {1} servers used at once, {2} to be probed, " + "{3} dropped",
                     ageS,
-                    use.size(),
+                    usable.size(),
                     probed.size(),
                     droppedCount);
         }
-        restoredCount = use.size();
+        restoredCount = usable.size();
         List<Target> targets = new ArrayList<>(known.targets());
-        targets.addAll(use.keySet());
+        targets.addAll(usable.keySet());
         return new ServerList(known.revision(), true, targets);
     }
 
-    /** Takes up what a snapshot says of who is there; what may be used of it at once. */
+    /** Takes over the servers of a snapshot; returns those that may be used at once. */
     private Map<Target, Double> restoreServers(Snapshot snapshot, ServerList known, long nowMs) {
-        RestoredState recollection = RestoredState.of(snapshot, known, nowMs, settings.rules());
-        droppedCount += recollection.dropped();
+        RestoredState restored = RestoredState.of(snapshot, known, nowMs, settings.rules());
+        droppedCount += restored.dropped();
         if (snapshot == null) {
-            return recollection.usable();
+            return restored.usable();
         }
-        Map<String, ServerRecord> states = new HashMap<>();
-        snapshot.servers().forEach(b -> states.put(b.target().id(), b));
-        recollection.usable().keySet().forEach(t -> {
-            ServerRecord state = states.get(t.id());
-            observations.observe(t.id(), state.confirmedMs(), state.confirmedBy());
+        Map<String, ServerRecord> records = new HashMap<>();
+        snapshot.servers().forEach(b -> records.put(b.target().id(), b));
+        restored.usable().keySet().forEach(t -> {
+            ServerRecord record = records.get(t.id());
+            observations.observe(t.id(), record.confirmedMs(), record.confirmedBy());
             unconfirmed.add(t.id());
             toProbe.add(t);
         });
-        recollection.toProbe().forEach(t -> {
-            if (probed.putIfAbsent(t.id(), states.get(t.id())) == null) {
-                observations.rememberUnused(states.get(t.id()));
+        restored.toProbe().forEach(t -> {
+            if (probed.putIfAbsent(t.id(), records.get(t.id())) == null) {
+                observations.rememberUnused(records.get(t.id()));
                 toProbe.add(t);
             }
         });
-        return recollection.usable();
+        return restored.usable();
     }
 
     @Override
@@ -191,8 +191,8 @@
             sender.listen(group, settings.listenAddress());
         }
         if (secret != null && !settings.peers().isEmpty()) {
-            Deque<InetSocketAddress> left = new ArrayDeque<>(settings.peers());
-            requestNextHandover(left, nowMs + settings.handoverTimeoutMs());
+            Deque<InetSocketAddress> remainingPeers = new ArrayDeque<>(settings.peers());
+            requestNextHandover(remainingPeers, nowMs + settings.handoverTimeoutMs());
             clock.schedule(clock.nowUs() + 1_000 * settings.startWaitMs(), this::markPrepared);
         } else {
             markPrepared();
@@ -208,26 +208,26 @@
         toProbe.clear();
     }
 
-    /** Has the module begin with what a snapshot knows, as far as it is believed. */
-    private void restoreStatistics(Snapshot snapshot, String what) {
+    /** Gives the balancer the statistics of a snapshot, as far as they are trusted. */
+    private void restoreStatistics(Snapshot snapshot, String source) {
         long nowMs = nowMs();
-        Set<SelfFault> doubts = SelfFaultDetector.inSnapshot(snapshot, nowMs);
-        if (!doubts.isEmpty()) {
+        Set<SelfFault> faults = SelfFaultDetector.inSnapshot(snapshot, nowMs);
+        if (!faults.isEmpty()) {
             LOG.log(
                     Level.INFO,
-                    "{0} is not believed in how its boxes are: {1}",
-                    what,
+                    "server health from {0} is not used: {1}",
+                    source,
                     String.join(
-                            ", ", doubts.stream().map(SelfFault::description).sorted().toList()));
+                            ", ", faults.stream().map(SelfFault::description).sorted().toList()));
         }
-        Map<String, Double> trust = new HashMap<>();
-        for (ServerRecord box : snapshot.servers()) {
-            // One that discovery or its own word has named since is no less sure than any.
-            if (unconfirmed.contains(box.target().id())) {
-                trust.put(box.target().id(), RestoredState.confidence(box, nowMs, settings.rules()));
+        Map<String, Double> confidenceById = new HashMap<>();
+        for (ServerRecord server : snapshot.servers()) {
+            // Servers that discovery or a probe has confirmed since are fully trusted.
+            if (unconfirmed.contains(server.target().id())) {
+                confidenceById.put(server.target().id(), RestoredState.confidence(server, nowMs, settings.rules()));
             }
         }
-        dispatcher.restore(PriorStatistics.of(snapshot, classNames, nowMs, doubts.isEmpty(), trust));
+        dispatcher.restore(PriorStatistics.of(snapshot, classNames, nowMs, faults.isEmpty(), confidenceById));
     }
 
     @Override
@@ -247,38 +247,38 @@
         }
     }
 
-    // ---------------------------------------------------------------- from a node that runs
+    // ---------------------------------------------------------------- handover from a running node
 
-    private void requestNextHandover(Deque<InetSocketAddress> left, long untilMs) {
-        InetSocketAddress address = left.poll();
-        if (address == null || nowMs() >= untilMs || isClosed) {
+    private void requestNextHandover(Deque<InetSocketAddress> remainingPeers, long deadlineMs) {
+        InetSocketAddress address = remainingPeers.poll();
+        if (address == null || nowMs() >= deadlineMs || isClosed) {
             markPrepared();
             return;
         }
         cancelHandover = new HandoverReceiver(loop, network, secret, random)
-                .request(address, untilMs - nowMs(), (snapshot, whole, why) -> {
+                .request(address, deadlineMs - nowMs(), (snapshot, isWhole, why) -> {
                     if (isClosed) {
                         return;
                     }
                     if (why != null) {
                         LOG.log(
                                 Level.INFO,
-                                "the handover from {0}{1}: {2}",
+                                "handover from {0}{1}: {2}",
                                 address,
-                                snapshot == null ? " gave nothing" : " is used as far as it came",
+                                snapshot == null ? " failed" : " is incomplete, and what was received is used",
                                 why);
                     }
-                    boolean healthy = false;
+                    boolean isHealthy = false;
                     if (snapshot != null) {
                         onHandover(snapshot, address);
-                        healthy = whole
+                        isHealthy = isWhole
                                 && SelfFaultDetector.inSnapshot(snapshot, nowMs())
                                         .isEmpty();
                     }
-                    if (healthy) {
+                    if (isHealthy) {
                         markPrepared();
                     } else {
-                        requestNextHandover(left, untilMs);
+                        requestNextHandover(remainingPeers, deadlineMs);
                     }
                 });
     }
@@ -287,54 +287,54 @@
         handedOverCount += snapshot.servers().size();
         LOG.log(
                 Level.INFO,
-                "{0} boxes are handed over from {1}",
+                "received {0} servers in a handover from {1}",
                 snapshot.servers().size(),
                 from);
         if (!observations.hasList()) {
-            Map<Target, Double> use =
+            Map<Target, Double> usable =
                     restoreServers(snapshot, new ServerList(listRevision, true, dispatcher.knownServers()), nowMs());
             startProbes();
-            restoredCount += use.size();
-            updateServers(List.copyOf(use.keySet()));
+            restoredCount += usable.size();
+            updateServers(List.copyOf(usable.keySet()));
         }
         restoreStatistics(snapshot, "the node at " + from);
     }
 
-    // ---------------------------------------------------------------- who is there
+    // ---------------------------------------------------------------- probes
 
-    private void onProbeResult(Target target, AddressProber.Result found) {
-        boolean used = unconfirmed.remove(target.id());
-        ServerRecord before = probed.remove(target.id());
-        switch (found) {
+    private void onProbeResult(Target target, AddressProber.Result result) {
+        boolean wasInUse = unconfirmed.remove(target.id());
+        ServerRecord probedRecord = probed.remove(target.id());
+        switch (result) {
             case PRESENT -> {
                 if (settings.identityPath() != null) {
                     observations.observe(target.id(), nowMs(), ConfirmationSource.IDENTITY);
                 }
-                if (before != null) {
+                if (probedRecord != null) {
                     restoredCount++;
                     observations.forgetUnused(target.id());
                     updateServers(List.of(target));
                     dispatcher.restore(PriorStatistics.ofUnconfirmed(
-                            before, classNames.size(), RestoredState.confidence(before, nowMs(), settings.rules())));
+                            probedRecord, classNames.size(), RestoredState.confidence(probedRecord, nowMs(), settings.rules())));
                 }
             }
             case OTHER_SERVER -> {
                 observations.forget(target.id());
-                giveUp(target, used, "somebody else is at its address");
+                giveUp(target, wasInUse, "another server is at its address");
             }
             default -> {
-                // Were most taken away, the fault would more likely be here than there.
+                // If most were unreachable, the fault would more likely be this node's.
                 if (2 * (droppedCount + 1) < restoredCount) {
-                    giveUp(target, used, "nobody is at its address");
+                    giveUp(target, wasInUse, "its address is unreachable");
                 }
             }
         }
     }
 
-    private void giveUp(Target target, boolean used, String why) {
-        if (used) {
+    private void giveUp(Target target, boolean wasInUse, String why) {
+        if (wasInUse) {
             droppedCount++;
-            LOG.log(Level.INFO, "box {0} is given up: {1}", target.id(), why);
+            LOG.log(Level.INFO, "removed server {0}: {1}", target.id(), why);
             updateServers(List.of(new Target(
                     target.id(),
                     target.address(),
@@ -368,14 +368,14 @@
                 probed.clear();
                 LOG.log(
                         Level.INFO,
-                        "discovery''s list is here: {0} boxes",
+                        "received discovery''s full list: {0} servers",
                         list.targets().size());
             }
             observations.onFullList(nowMs(), list.revision());
         } else {
             observations.setRevision(list.revision());
             list.targets().forEach(t -> {
-                // Its word on one box counts, though the rest is still from before.
+                // Discovery's state of one server counts, though the others are still restored ones.
                 unconfirmed.remove(t.id());
                 probed.remove(t.id());
                 observations.forget(t.id());
@@ -391,11 +391,11 @@
         if (observations.hasList()) {
             return "discovery's list";
         }
-        return "discovery is silent; " + restoredCount + " boxes of a snapshot, " + droppedCount + " given up, " + prober.remaining()
-                + " being asked, " + handedOverCount + " from other nodes";
+        return "discovery is silent; " + restoredCount + " servers of a snapshot, " + droppedCount + " removed, "
+                + prober.remaining() + " being probed, " + handedOverCount + " from other nodes";
     }
 
-    // ---------------------------------------------------------------- what is kept
+    // ---------------------------------------------------------------- writing snapshots
 
     private void scheduleWrite() {
         nextWrite = clock.schedule(clock.nowUs() + 1_000 * settings.snapshotIntervalMs(), () -> {
@@ -410,7 +410,7 @@
         return SelfFaultDetector.inOwnStatistics(knowledge, loopDelay.currentUs(), nowMs() - startedMs);
     }
 
-    /** For a handover: piece by piece, each as things are when it is made. */
+    /** Returns the chunks for a handover; each reflects the state at the time it is created. */
     private Iterator<byte[]> handoverChunks() {
         ServerStatistics knowledge = dispatcher.statistics(List.of());
         return ServerObservations.chunks(
@@ -423,34 +423,34 @@
         return observations.origin(random.nextLong(), nowMs(), startedMs, selfFaults(knowledge));
     }
 
-    /** Goes through all boxes, a part in each turn or all at once, and has the snapshot written. */
+    /** Collects all servers, in batches per turn of the event loop or at once, and writes the snapshot. */
     private void collect(boolean atOnce, Runnable done) {
         isWriting = true;
         ServerStatistics knowledge = dispatcher.statistics(List.of());
         SnapshotOrigin origin = origin(knowledge);
         List<ClassState> classes = observations.classes(knowledge);
         ServerObservations.Cursor cursor = observations.new Cursor(dispatcher, this::nowMs, SERVERS_PER_TURN);
-        collect(cursor, new ArrayList<>(), atOnce, boxes -> write(origin, classes, boxes, done));
+        collect(cursor, new ArrayList<>(), atOnce, records -> write(origin, classes, records, done));
     }
 
     private void collect(
             ServerObservations.Cursor cursor,
-            List<ServerRecord> boxes,
+            List<ServerRecord> records,
             boolean atOnce,
-            Consumer<List<ServerRecord>> whole) {
+            Consumer<List<ServerRecord>> isWhole) {
         do {
-            boxes.addAll(cursor.next());
+            records.addAll(cursor.next());
         } while (atOnce && cursor.hasNext());
         if (cursor.hasNext()) {
-            loop.execute(() -> collect(cursor, boxes, false, whole));
+            loop.execute(() -> collect(cursor, records, false, isWhole));
         } else {
-            whole.accept(boxes);
+            isWhole.accept(records);
         }
     }
 
-    private void write(SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> boxes, Runnable done) {
-        if (boxes.isEmpty()) {
-            // Nobody was seen: what was kept before says more.
+    private void write(SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> records, Runnable done) {
+        if (records.isEmpty()) {
+            // No server was ever confirmed, so the stored snapshot has more information.
             isWriting = false;
             done.run();
             return;
@@ -458,7 +458,7 @@
         writer.execute(() -> {
             String failure = null;
             try {
-                keeper.write(encode(origin, classes, boxes));
+                keeper.write(encode(origin, classes, records));
             } catch (IOException | RuntimeException e) {
                 failure = e.toString();
             }
@@ -470,34 +470,34 @@
                     done.run();
                 });
             } catch (RejectedExecutionException e) {
-                // The node has ended meanwhile, and waits for nothing any more.
-                LOG.log(Level.DEBUG, "a snapshot was written after the end");
+                // The node has stopped meanwhile and no longer waits for this write.
+                LOG.log(Level.DEBUG, "a snapshot was written after the node had stopped");
             }
         });
     }
 
-    static List<byte[]> encode(SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> boxes) {
-        int count = ChunkCodec.chunkCount(boxes.size());
-        List<byte[]> pieces = new ArrayList<>(count);
+    static List<byte[]> encode(SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> records) {
+        int count = ChunkCodec.chunkCount(records.size());
+        List<byte[]> chunks = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            pieces.add(ChunkCodec.write(
+            chunks.add(ChunkCodec.write(
                     i,
                     count,
                     origin,
                     classes,
-                    boxes.subList(
+                    records.subList(
                             i * ChunkCodec.SERVERS_PER_CHUNK,
-                            Math.min(boxes.size(), (i + 1) * ChunkCodec.SERVERS_PER_CHUNK))));
+                            Math.min(records.size(), (i + 1) * ChunkCodec.SERVERS_PER_CHUNK))));
         }
-        return pieces;
+        return chunks;
     }
 
-    /** Says it once when it begins to fail, and once when it works again. */
+    /** Logs the first of several failures, and the first success after them. */
     private void onWritten(String failure) {
         if (failure != null && !isWriteFailing) {
-            LOG.log(Level.WARNING, "what the node knows can''t be kept: {0}", failure);
+            LOG.log(Level.WARNING, "can''t write the snapshot: {0}", failure);
         } else if (failure == null && isWriteFailing) {
-            LOG.log(Level.INFO, "what the node knows is kept again");
+            LOG.log(Level.INFO, "snapshots are written again");
         }
         isWriteFailing = failure != null;
     }
@@ -514,14 +514,14 @@
             return;
         }
         nextWrite.cancel();
-        boolean[] over = new boolean[1];
+        boolean[] isDone = new boolean[1];
         Runnable once = () -> {
-            if (!over[0]) {
-                over[0] = true;
+            if (!isDone[0]) {
+                isDone[0] = true;
                 done.run();
             }
         };
-        // A disk that doesn't answer must not keep a node that has been told to stop.
+        // A disk that hangs must not prevent the node from stopping.
         clock.schedule(clock.nowUs() + 1_000 * STOP_TIMEOUT_MS, once);
         if (isWriting) {
             once.run();
--- a/src/main/java/vetchpost/recovery/RecoverySettings.java
+++ b/src/main/java/vetchpost/recovery/RecoverySettings.java
@@ -6,17 +6,17 @@
 import vetchpost.state.RestoredState;
 
 /**
- * What an operator has said about state and handovers; docs/state.md has the keys.
+ * The operator's settings of snapshots and handovers; docs/state.md has the keys.
  *
- * @param file where the snapshot is kept; null for nowhere
- * @param everyMs how often it is written
- * @param rules how old knowledge is met
- * @param identify the path at which a box tells its id; null if boxes don't
- * @param give where to hand over to others; null for nowhere
- * @param ask whom to ask at the start, in turn
- * @param secretFile the file with the secret; null where there is neither of the two before
- * @param waitMs readiness waits so long for a handover at most
- * @param withinMs a handover may go on so long
+ * @param file file of the snapshot; null if none is written
+ * @param snapshotIntervalMs interval between snapshots, in milliseconds
+ * @param rules how servers of a snapshot are judged
+ * @param identityPath path at which a server reports its id; null if servers do not
+ * @param listenAddress address at which handovers are served; null for none
+ * @param peers nodes to request a handover from at start, in order
+ * @param secretFile file with the shared secret; null without handovers
+ * @param startWaitMs maximum time that readiness waits for a handover, in milliseconds
+ * @param handoverTimeoutMs limit on a whole handover, in milliseconds
  */
 public record RecoverySettings(
         Path file,
@@ -29,7 +29,7 @@
         long startWaitMs,
         long handoverTimeoutMs) {
 
-    /** Lists don't change once they are here. */
+    /** Copies the list. */
     public RecoverySettings {
         peers = List.copyOf(peers);
     }
--- a/src/main/java/vetchpost/recovery/RecoveryValidator.java
+++ b/src/main/java/vetchpost/recovery/RecoveryValidator.java
@@ -16,7 +16,10 @@
 import vetchpost.routes.Violation.Rule;
 import vetchpost.state.RestoredState;
 
-/** Reads the tables of an operator's file that speak of state and handovers. It does no I/O. */
+/**
+ * Validates the tables [state] and [handover] of an operator's file. Called when a file is loaded or checked; does no
+ * I/O. An instance serves one file and is confined to one thread.
+ */
 public final class RecoveryValidator {
     private static final List<String> STATE_KEYS = List.of("file", "every", "box-life", "address-kept", "identify");
     private static final List<String> HANDOVER_KEYS = List.of("listen", "ask", "secret-file", "wait", "within");
@@ -29,15 +32,16 @@
     private final List<Violation> violations = new ArrayList<>();
 
     /**
-     * What the tables come to.
+     * The outcome of a validation.
      *
      * @param settings null if there is neither table, or any violation
+     * @param violations all violations found
      */
     public record Validation(RecoverySettings settings, List<Violation> violations) {}
 
     private RecoveryValidator() {}
 
-    /** Looks at the tables of a file that are its affair. */
+    /** Validates the tables [state] and [handover] among the sections of a file. */
     public static Validation validate(List<Section> file) {
         return new RecoveryValidator().read(file);
     }
@@ -57,32 +61,32 @@
         if (state != null && !state.entries().containsKey("file")) {
             addViolation(state.at(), "state", Rule.OUT_OF_RANGE, "it does not say file", "file = \"...\"");
         }
-        Path kept = path(state, "file");
-        long every = duration(state, "every", 5 * SECOND_MS, SECOND_MS, 600 * SECOND_MS);
-        long life = duration(state, "box-life", DAY_MS, 60 * SECOND_MS, 365 * DAY_MS);
-        long keptAt = duration(state, "address-kept", 30 * SECOND_MS, 0, 7 * DAY_MS);
-        String identify = text(state, "identify");
-        if (identify != null && !PATH.matcher(identify).matches()) {
+        Path snapshotFile = path(state, "file");
+        long intervalMs = duration(state, "every", 5 * SECOND_MS, SECOND_MS, 600 * SECOND_MS);
+        long lifetimeMs = duration(state, "box-life", DAY_MS, 60 * SECOND_MS, 365 * DAY_MS);
+        long addressReuseMs = duration(state, "address-kept", 30 * SECOND_MS, 0, 7 * DAY_MS);
+        String identityPath = text(state, "identify");
+        if (identityPath != null && !PATH.matcher(identityPath).matches()) {
             addViolation(
                     state.entries().get("identify").at(),
                     "state",
                     Rule.BAD_PATTERN,
-                    "identify = \"" + identify + "\" is no path",
+                    "identify = \"" + identityPath + "\" is not a path",
                     "\"/who\"");
         }
-        InetSocketAddress give = address(
+        InetSocketAddress listenAddress = address(
                 handover, "listen", handover == null ? null : handover.entries().get("listen"));
-        List<InetSocketAddress> ask = addresses(handover);
+        List<InetSocketAddress> peers = addresses(handover);
         Path secret = path(handover, "secret-file");
-        long wait = duration(handover, "wait", 300, 0, 5 * SECOND_MS);
-        long within = duration(handover, "within", 2 * SECOND_MS, 100, 30 * SECOND_MS);
+        long startWaitMs = duration(handover, "wait", 300, 0, 5 * SECOND_MS);
+        long timeoutMs = duration(handover, "within", 2 * SECOND_MS, 100, 30 * SECOND_MS);
         if (handover != null) {
-            if (give == null && ask.isEmpty() && violations.isEmpty()) {
+            if (listenAddress == null && peers.isEmpty() && violations.isEmpty()) {
                 addViolation(
                         handover.at(),
                         "handover",
                         Rule.OUT_OF_RANGE,
-                        "it says neither listen nor ask",
+                        "neither listen nor ask is set",
                         "either or both");
             }
             if (!handover.entries().containsKey("secret-file")) {
@@ -90,31 +94,31 @@
                         handover.at(),
                         "handover",
                         Rule.OUT_OF_RANGE,
-                        "it does not say secret-file: a false snapshot could steer all traffic",
+                        "it does not say secret-file: a forged snapshot could redirect all traffic",
                         "secret-file = \"...\"");
             }
-            if (wait > within) {
-                addViolation(handover.at(), "handover", Rule.SCHEDULE, "wait is over within", "wait = \"300ms\"");
+            if (startWaitMs > timeoutMs) {
+                addViolation(handover.at(), "handover", Rule.SCHEDULE, "wait is longer than within", "wait = \"300ms\"");
             }
         }
         return new Validation(
                 violations.isEmpty()
                         ? new RecoverySettings(
-                                kept,
-                                every,
-                                new RestoredState.Rules(life, keptAt, identify != null),
-                                identify,
-                                give,
-                                ask,
+                                snapshotFile,
+                                intervalMs,
+                                new RestoredState.Rules(lifetimeMs, addressReuseMs, identityPath != null),
+                                identityPath,
+                                listenAddress,
+                                peers,
                                 secret,
-                                wait,
-                                within)
+                                startWaitMs,
+                                timeoutMs)
                         : null,
                 List.copyOf(violations));
     }
 
-    private void addViolation(Position at, String table, Rule rule, String what, String fits) {
-        violations.add(new Violation(at, table, rule, what, fits));
+    private void addViolation(Position at, String table, Rule rule, String what, String validExample) {
+        violations.add(new Violation(at, table, rule, what, validExample));
     }
 
     private void rejectUnknownKeys(Section section, List<String> keys) {
@@ -140,7 +144,7 @@
         if (entry.value() instanceof String text && !text.isEmpty()) {
             return text;
         }
-        addViolation(entry.at(), section.name(), Rule.WRONG_UNIT, key + " is no text", "\"...\"");
+        addViolation(entry.at(), section.name(), Rule.WRONG_UNIT, key + " is not a string", "\"...\"");
         return null;
     }
 
@@ -153,16 +157,16 @@
                     section.entries().get(key).at(),
                     section.name(),
                     Rule.OUT_OF_RANGE,
-                    key + " is no path",
+                    key + " is not a path",
                     "\"/var/lib/vetchpost/" + key + "\"");
             return null;
         }
     }
 
-    private long duration(Section section, String key, long usual, long least, long most) {
+    private long duration(Section section, String key, long defaultMs, long minMs, long maxMs) {
         String text = text(section, key);
         if (text == null) {
-            return usual;
+            return defaultMs;
         }
         Position at = section.entries().get(key).at();
         Matcher m = DURATION.matcher(text);
@@ -171,9 +175,9 @@
                     at,
                     section.name(),
                     Rule.WRONG_UNIT,
-                    key + " = \"" + text + "\" is no length of time",
+                    key + " = \"" + text + "\" is not a duration",
                     "a number and ms, s, m, h or d, as \"5s\",");
-            return usual;
+            return defaultMs;
         }
         double ms = Double.parseDouble(m.group(1))
                 * switch (m.group(2)) {
@@ -183,14 +187,14 @@
                     case "h" -> 3_600 * SECOND_MS;
                     default -> DAY_MS;
                 };
-        if (ms < least || ms > most) {
+        if (ms < minMs || ms > maxMs) {
             addViolation(
                     at,
                     section.name(),
                     Rule.OUT_OF_RANGE,
                     key + " = \"" + text + "\"",
-                    "from " + least + "ms to " + most / SECOND_MS + "s");
-            return usual;
+                    "from " + minMs + "ms to " + maxMs / SECOND_MS + "s");
+            return defaultMs;
         }
         return (long) ms;
     }
@@ -211,7 +215,7 @@
             addViolation(at, section.name(), Rule.WRONG_UNIT, key + ": " + e.getMessage(), "\"10.0.0.1:8450\"");
             return null;
         }
-        addViolation(at, section.name(), Rule.WRONG_UNIT, key + " is no address", "\"10.0.0.1:8450\"");
+        addViolation(at, section.name(), Rule.WRONG_UNIT, key + " is not an address", "\"10.0.0.1:8450\"");
         return null;
     }
 
@@ -226,7 +230,7 @@
                     entry.at(),
                     "handover",
                     Rule.WRONG_UNIT,
-                    "ask is no list of up to " + MAX_PEERS + " addresses",
+                    "ask is not a list of up to " + MAX_PEERS + " addresses",
                     "[\"10.0.0.1:8450\"]");
             return addresses;
         }
--- a/src/main/java/vetchpost/recovery/ServerObservations.java
+++ b/src/main/java/vetchpost/recovery/ServerObservations.java
@@ -22,17 +22,17 @@
 import vetchpost.state.codec.ChunkCodec;
 
 /**
- * When and how each box was last known to be there, and the snapshot made of that and of what the module
- * knows, a part at a time.
+ * Tracks when and how the presence of each server was last confirmed, and builds snapshots from that and from the
+ * balancer's statistics, in batches. Used by {@link Recovery}; confined to the node's event loop.
  */
 final class ServerObservations {
     private record Observation(long confirmedMs, ConfirmationSource source) {}
 
     private final List<RequestClass> classes;
     private final Map<String, Observation> byId = new HashMap<>();
-    /** Boxes of an old snapshot that are neither in use nor given up. */
+    /** Servers of an old snapshot that are neither in use nor removed. */
     private final Map<String, ServerRecord> recordsNotInUse = new LinkedHashMap<>();
-    /** When discovery last said something; its list holds as of then. 0 until it has told one. */
+    /** When discovery last sent anything, which confirms its list; 0 before the first full list. */
     private long listConfirmedMs;
 
     private long revision;
@@ -41,19 +41,19 @@
         this.classes = classes;
     }
 
-    void observe(String id, long ms, ConfirmationSource by) {
+    void observe(String id, long confirmedMs, ConfirmationSource source) {
         Observation before = byId.get(id);
-        if (before == null || before.confirmedMs <= ms) {
-            byId.put(id, new Observation(ms, by));
+        if (before == null || before.confirmedMs <= confirmedMs) {
+            byId.put(id, new Observation(confirmedMs, source));
         }
     }
 
-    /** A box is known from before and not in use. */
-    void rememberUnused(ServerRecord box) {
-        recordsNotInUse.put(box.target().id(), box);
+    /** Remembers a server of an old snapshot that is not in use. */
+    void rememberUnused(ServerRecord server) {
+        recordsNotInUse.put(server.target().id(), server);
     }
 
-    /** A box that was known from before is in use now. */
+    /** Forgets the old record of a server that is in use now. */
     void forgetUnused(String id) {
         recordsNotInUse.remove(id);
     }
@@ -63,7 +63,7 @@
         byId.remove(id);
     }
 
-    /** Discovery has told a whole list: nothing else counts any more. */
+    /** Records a full list from discovery, which overrides everything known before. */
     void onFullList(long nowMs, long listRevision) {
         recordsNotInUse.clear();
         byId.clear();
@@ -71,7 +71,7 @@
         revision = listRevision;
     }
 
-    /** Discovery has said something, or one more change. */
+    /** Records that discovery has sent something, which confirms its list. */
     void onContact(long nowMs) {
         listConfirmedMs = listConfirmedMs == 0 ? 0 : nowMs;
     }
@@ -84,7 +84,7 @@
         return listConfirmedMs > 0;
     }
 
-    /** Goes through all that is known, so many boxes at a time. */
+    /** Iterates over the records of all servers in batches. */
     final class Cursor implements Iterator<List<ServerRecord>> {
         private final Dispatcher dispatcher;
         private final List<Target> targets;
@@ -94,17 +94,17 @@
         private int position;
         private boolean hasStarted;
 
-        Cursor(Dispatcher dispatcher, LongSupplier nowMs, int most) {
+        Cursor(Dispatcher dispatcher, LongSupplier nowMs, int batchSize) {
             this.dispatcher = dispatcher;
             this.nowMs = nowMs;
-            this.batchSize = most;
+            this.batchSize = batchSize;
             targets = dispatcher.knownServers();
             Map<String, ServerRecord> unused = new LinkedHashMap<>(recordsNotInUse);
             targets.forEach(t -> unused.remove(t.id()));
             unusedRecords = new ArrayList<>(unused.values());
         }
 
-        /** Boxes at most. */
+        /** Returns an upper bound on the number of records. */
         int size() {
             return targets.size() + unusedRecords.size();
         }
@@ -125,37 +125,37 @@
             Map<String, PerServer> known = new HashMap<>();
             dispatcher.statistics(ids).servers().forEach(s -> known.put(s.id(), s));
             long now = nowMs.getAsLong();
-            List<ServerRecord> boxes = new ArrayList<>();
+            List<ServerRecord> records = new ArrayList<>();
             for (; position < end; position++) {
                 if (position >= targets.size()) {
-                    boxes.add(unusedRecords.get(position - targets.size()));
+                    records.add(unusedRecords.get(position - targets.size()));
                     continue;
                 }
-                ServerRecord box =
+                ServerRecord server =
                         toRecord(targets.get(position), known.get(targets.get(position).id()), now);
-                if (box != null) {
-                    boxes.add(box);
+                if (server != null) {
+                    records.add(server);
                 }
             }
-            return boxes;
+            return records;
         }
     }
 
-    /** One box; null if it was never known to be there: a list of unknown age is no such word. */
+    /** Returns a server's record; null if its presence was never confirmed: a list of unknown age does not do so. */
     private ServerRecord toRecord(Target target, PerServer known, long nowMs) {
-        Observation seen = byId.get(target.id());
-        long ms = seen == null ? 0 : seen.confirmedMs;
-        ConfirmationSource by = seen == null ? ConfirmationSource.LIST : seen.source;
-        if (listConfirmedMs >= ms && listConfirmedMs > 0) {
-            ms = listConfirmedMs;
-            by = ConfirmationSource.LIST;
+        Observation observation = byId.get(target.id());
+        long confirmedMs = observation == null ? 0 : observation.confirmedMs;
+        ConfirmationSource source = observation == null ? ConfirmationSource.LIST : observation.source;
+        if (listConfirmedMs >= confirmedMs && listConfirmedMs > 0) {
+            confirmedMs = listConfirmedMs;
+            source = ConfirmationSource.LIST;
         }
-        if (known != null && known.lastServedAtUs() / 1_000 > ms) {
-            ms = known.lastServedAtUs() / 1_000;
-            by = ConfirmationSource.ANSWER;
+        if (known != null && known.lastServedAtUs() / 1_000 > confirmedMs) {
+            confirmedMs = known.lastServedAtUs() / 1_000;
+            source = ConfirmationSource.ANSWER;
         }
-        boolean told = known != null && known.attemptCount() > 0;
-        return ms == 0 ? null : new ServerRecord(target, ms, by, told ? nowMs : 0, told ? known : null);
+        boolean hasStatistics = known != null && known.attemptCount() > 0;
+        return confirmedMs == 0 ? null : new ServerRecord(target, confirmedMs, source, hasStatistics ? nowMs : 0, hasStatistics ? known : null);
     }
 
     List<ClassState> classes(ServerStatistics knowledge) {
@@ -167,25 +167,25 @@
         return states;
     }
 
-    SnapshotOrigin origin(long id, long nowMs, long startedMs, Set<SelfFault> troubles) {
-        return new SnapshotOrigin(id, nowMs, startedMs, revision, troubles);
+    SnapshotOrigin origin(long id, long nowMs, long startedMs, Set<SelfFault> faults) {
+        return new SnapshotOrigin(id, nowMs, startedMs, revision, faults);
     }
 
-    /** The pieces, made as they are asked for. */
+    /** Returns the encoded chunks, created on demand. */
     static Iterator<byte[]> chunks(Cursor cursor, SnapshotOrigin origin, List<ClassState> classes) {
-        int pieces = ChunkCodec.chunkCount(cursor.size());
+        int chunkCount = ChunkCodec.chunkCount(cursor.size());
         return new Iterator<>() {
             private int number;
 
             @Override
             public boolean hasNext() {
-                return number < pieces;
+                return number < chunkCount;
             }
 
             @Override
             public byte[] next() {
-                List<ServerRecord> boxes = cursor.hasNext() ? cursor.next() : List.of();
-                return ChunkCodec.write(number++, pieces, origin, classes, boxes);
+                List<ServerRecord> records = cursor.hasNext() ? cursor.next() : List.of();
+                return ChunkCodec.write(number++, chunkCount, origin, classes, records);
             }
         };
     }
--- a/src/main/java/vetchpost/recovery/SnapshotKeeper.java
+++ b/src/main/java/vetchpost/recovery/SnapshotKeeper.java
@@ -3,13 +3,14 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Where snapshots go: a file, or what a test puts there. May block; never called on a node's loop. */
+/** Stores snapshots, in a file outside of tests. May block; called by {@link Recovery} on its writer, never on a loop. */
 public interface SnapshotKeeper {
     /**
-     * Keeps a snapshot in the place of the one before.
+     * Replaces the stored snapshot.
      *
+     * @param chunks encoded chunks of the snapshot
      * @return its length in bytes
-     * @throws IOException if it can't be kept; the one before is still there
+     * @throws IOException if it can't be stored; the previous one is still there
      */
-    long write(List<byte[]> pieces) throws IOException;
+    long write(List<byte[]> chunks) throws IOException;
 }
--- a/src/main/java/vetchpost/replication/Frame.java
+++ b/src/main/java/vetchpost/replication/Frame.java
@@ -6,16 +6,16 @@
 import vetchpost.store.PackedTree.Sum;
 
 /**
- * What one side tells the other. Which of its parts count depends on its type; the others are empty.
+ * A message between replica and publisher. Its type determines which fields are used; the others are empty.
  *
- * @param from a version
- * @param to a version
- * @param part number of a part, from 0
- * @param last whether it is the last
- * @param sum of all entries at the version
- * @param items entries as they are, or went away
- * @param name of who tells
- * @param spans ranges of keys and what they come to
+ * @param from the version at which the replica is or a delta starts
+ * @param to the publisher's version or the target of a delta or comparison
+ * @param part number of the part, from 0
+ * @param last whether this is the last part
+ * @param sum sum of all entries at the version
+ * @param items entries, current or removed
+ * @param name name of the sender
+ * @param spans ranges of keys with their sums
  */
 public record Frame(
         Type type,
@@ -27,46 +27,46 @@
         List<Entry> items,
         String name,
         List<Span> spans) {
-    /** What a frame is for. */
+    /** The kinds of frames; the order is part of the format. */
     public enum Type {
         /**
-         * A replica: it is at {@code from}, with that sum; {@code last} if that is so by what it was just
-         * told.
+         * From a replica: it is at {@code from}, with that sum; {@code last} if it has just applied that version
+         * from this publisher.
          */
         HELLO,
-        /** A publisher: it is at {@code to}, with that sum, and so is the replica as far as it knows. */
+        /** From a publisher: it is at {@code to}, with that sum, and so is the replica as far as it knows. */
         CURRENT,
-        /** A publisher: it is at {@code to}, before the replica. */
+        /** From a publisher: it is at {@code to}, older than the replica's version. */
         BEHIND,
-        /** A publisher: what has changed after {@code from} up to {@code to}; the last part tells the sum. */
+        /** From a publisher: changes after {@code from} up to {@code to}; the last part has the sum. */
         DELTA,
         /**
-         * A replica: these ranges come to that here; {@code to} is what it is compared with, 0 for the
+         * From a replica: the sums of these ranges here; {@code to} is the version to compare with, 0 for the
          * newest.
          */
         COMPARE,
         /**
-         * A publisher: the ranges that come to something else there, cut smaller, or with each item's hash.
+         * From a publisher: the ranges whose sums differ there, split into smaller ones or with item hashes.
          */
         DIFFER,
-        /** A replica: the items with these hashes are wanted. */
+        /** From a replica: requests the items with these hashes. */
         WANT,
-        /** A publisher: items that were wanted. */
+        /** From a publisher: requested items. */
         ITEMS
     }
 
-    /** An entry at its version; a value of null went away then. */
+    /** An entry at its version; a null value means that the entry was removed then. */
     public record Entry(byte[] key, byte[] value, long stamp) {}
 
     /**
      * A range of keys.
      *
-     * @param from its first key; empty for the first of all
-     * @param to before this key; null for no end
-     * @param hashes of its items, 32 bits of each, where they are told one by one; else null
+     * @param from first key, inclusive; empty for the first of all
+     * @param to end key, exclusive; null for no end
+     * @param hashes the lower 32 bits of each item's hash where items are listed; else null
      */
     public record Span(byte[] from, byte[] to, Sum sum, long[] hashes) {
-        /** As much of an item's hash as is told. */
+        /** Returns the part of an item's hash that is sent: its lower 32 bits. */
         static long hash(Item item) {
             return PackedTree.hash(item) & 0xFFFF_FFFFL;
         }
@@ -74,8 +74,8 @@
 
     private static final Sum EMPTY_SUM = new Sum(0, 0);
 
-    static Frame hello(String name, long at, boolean told, Sum sum) {
-        return new Frame(Type.HELLO, at, 0, 0, told, sum, List.of(), name, List.of());
+    static Frame hello(String name, long at, boolean applied, Sum sum) {
+        return new Frame(Type.HELLO, at, 0, 0, applied, sum, List.of(), name, List.of());
     }
 
     static Frame current(long at, Sum sum) {
@@ -86,7 +86,7 @@
         return new Frame(Type.BEHIND, 0, at, 0, false, EMPTY_SUM, List.of(), "", List.of());
     }
 
-    /** What has changed after one version up to another, or a part of it. */
+    /** Creates a frame with a part of the changes after one version up to another. */
     public static Frame delta(long from, long to, int part, boolean last, Sum sum, List<Entry> items) {
         return new Frame(Type.DELTA, from, to, part, last, sum, items, "", List.of());
     }
@@ -95,7 +95,7 @@
         return new Frame(type, 0, target, 0, false, whole, List.of(), "", spans);
     }
 
-    /** Items, as part of something that is at a version. */
+    /** Creates a frame with items of the target version. */
     public static Frame items(long target, List<Entry> items) {
         return new Frame(Type.ITEMS, 0, target, 0, false, EMPTY_SUM, items, "", List.of());
     }
--- a/src/main/java/vetchpost/replication/FrameCodec.java
+++ b/src/main/java/vetchpost/replication/FrameCodec.java
@@ -20,12 +20,12 @@
 import vetchpost.store.PackedTree.Sum;
 
 /**
- * Frames as bytes: Protocol Buffers' wire format by the schema in docs/changes.md, with the items deflated
- * (RFC 1951). What is read is bounded before it is allocated. Not for several threads: it keeps its
+ * Encodes and decodes frames in the Protocol Buffers wire format by the schema in docs/changes.md, with items
+ * deflated (RFC 1951). Sizes are checked before memory is allocated. Not thread-safe, since it reuses its
  * compressor.
  */
 public final class FrameCodec implements AutoCloseable {
-    /** A frame's bytes at most, either way. */
+    /** Bound on an encoded frame, in both directions. */
     public static final int MAX_FRAME_BYTES = 64 << 10;
 
     private static final int MAX_INFLATED_BYTES = 64 << 10;
@@ -78,7 +78,7 @@
         return bytes.toByteArray();
     }
 
-    /** A frame's bytes. */
+    /** Encodes a frame. */
     public byte[] write(Frame frame) {
         byte[] raw = encode(out -> {
             for (Entry item : frame.items()) {
@@ -124,10 +124,10 @@
         });
     }
 
-    /** One that begins where the one before ends does not say so. */
-    private static byte[] span(Span span, byte[] before) {
+    /** Omits the first key if it equals the end of the previous range. */
+    private static byte[] span(Span span, byte[] previousEnd) {
         return encode(out -> {
-            if (!Arrays.equals(span.from(), before)) {
+            if (!Arrays.equals(span.from(), previousEnd)) {
                 out.writeByteArray(S_FROM, span.from());
             }
             if (span.to() != null) {
@@ -158,35 +158,39 @@
     }
 
     private byte[] inflate(byte[] body, int length) throws MalformedFrameException {
-        check(length > 0 && length <= MAX_INFLATED_BYTES, "items of " + length + " bytes");
+        check(length > 0 && length <= MAX_INFLATED_BYTES, "inflated length out of range: " + length + " bytes");
         byte[] raw = new byte[length];
         inflater.reset();
         inflater.setInput(body);
         try {
-            int got = 0;
-            while (got < length && !inflater.needsInput()) {
-                int more = inflater.inflate(raw, got, length - got);
+            int inflatedLength = 0;
+            while (inflatedLength < length && !inflater.needsInput()) {
+                int more = inflater.inflate(raw, inflatedLength, length - inflatedLength);
                 if (more == 0) {
                     break;
                 }
-                got += more;
+                inflatedLength += more;
             }
             check(
-                    got == length && (inflater.finished() || inflater.inflate(new byte[1]) == 0),
-                    "items of another length than told");
+                    inflatedLength == length && (inflater.finished() || inflater.inflate(new byte[1]) == 0),
+                    "items do not have the announced length");
         } catch (DataFormatException e) {
-            throw new MalformedFrameException("items that can't be inflated");
+            throw new MalformedFrameException("items can't be inflated");
         }
         return raw;
     }
 
-    /** A frame from its bytes. */
+    /**
+     * Decodes a frame.
+     *
+     * @throws MalformedFrameException if the bytes are not a frame or exceed a bound
+     */
     public Frame read(byte[] bytes) throws MalformedFrameException {
-        check(bytes.length <= MAX_FRAME_BYTES, "a frame of " + bytes.length + " bytes");
+        check(bytes.length <= MAX_FRAME_BYTES, "frame too long: " + bytes.length + " bytes");
         try {
             return frame(CodedInputStream.newInstance(bytes));
         } catch (IOException e) {
-            throw new MalformedFrameException("no frame: " + e.getMessage());
+            throw new MalformedFrameException("not a frame: " + e.getMessage());
         }
     }
 
@@ -220,15 +224,15 @@
                 default -> in.skipField(tag);
             }
         }
-        check(type >= 0 && type < Type.values().length, "a frame of type " + type);
-        check(from >= 0 && to >= 0 && part >= 0 && count >= 0, "a negative number");
+        check(type >= 0 && type < Type.values().length, "unknown frame type " + type);
+        check(from >= 0 && to >= 0 && part >= 0 && count >= 0, "negative number in a frame");
         List<Entry> items = body == null ? List.of() : items(inflate(body, raw));
         List<Span> spans = ranges == null ? List.of() : spans(inflate(ranges, rawSpans));
         return new Frame(Type.values()[type], from, to, part, last, new Sum(count, hash), items, name, spans);
     }
 
     private static String text(byte[] utf8) throws MalformedFrameException {
-        check(utf8.length <= MAX_NAME_BYTES, "a name of " + utf8.length + " bytes");
+        check(utf8.length <= MAX_NAME_BYTES, "name too long: " + utf8.length + " bytes");
         return new String(utf8, StandardCharsets.UTF_8);
     }
 
@@ -240,7 +244,7 @@
                 in.skipField(tag);
                 continue;
             }
-            check(items.size() < MAX_ITEMS, "over " + MAX_ITEMS + " items");
+            check(items.size() < MAX_ITEMS, "more than " + MAX_ITEMS + " items");
             items.add(item(CodedInputStream.newInstance(in.readByteArray())));
         }
         return items;
@@ -255,7 +259,7 @@
                 in.skipField(tag);
                 continue;
             }
-            check(spans.size() < MAX_SPANS, "over " + MAX_SPANS + " ranges");
+            check(spans.size() < MAX_SPANS, "more than " + MAX_SPANS + " ranges");
             Span span = span(CodedInputStream.newInstance(in.readByteArray()), end);
             spans.add(span);
             end = span.to();
@@ -275,13 +279,13 @@
                 default -> in.skipField(tag);
             }
         }
-        check(key != null && key.length > 0 && key.length <= MAX_KEY_BYTES, "an item without a key");
-        check(stamp >= 0 && (value == null || value.length <= MAX_VALUE_BYTES), "an item that is none");
+        check(key != null && key.length > 0 && key.length <= MAX_KEY_BYTES, "item key missing or too long");
+        check(stamp >= 0 && (value == null || value.length <= MAX_VALUE_BYTES), "item version negative or value too long");
         return new Entry(key, value, stamp);
     }
 
-    private static Span span(CodedInputStream in, byte[] before) throws IOException, MalformedFrameException {
-        byte[] from = before;
+    private static Span span(CodedInputStream in, byte[] previousEnd) throws IOException, MalformedFrameException {
+        byte[] from = previousEnd;
         byte[] to = null;
         long count = 0;
         long hash = 0;
@@ -299,7 +303,7 @@
                                     && length % Integer.BYTES == 0
                                     && length <= Integer.BYTES * MAX_HASHES
                                     && (hashes == null),
-                            "hashes of " + length + " bytes");
+                            "invalid length of item hashes: " + length + " bytes");
                     hashes = new long[length / Integer.BYTES];
                     for (int i = 0; i < hashes.length; i++) {
                         hashes[i] = in.readFixed32() & 0xFFFF_FFFFL;
@@ -313,17 +317,17 @@
                         && from.length <= MAX_KEY_BYTES
                         && (to == null || to.length <= MAX_KEY_BYTES)
                         && count >= 0,
-                "a range that is none");
+                "range without a start, with a key too long or a negative count");
         return new Span(from, to, new Sum(count, hash), hashes);
     }
 
-    private static void check(boolean holds, String otherwise) throws MalformedFrameException {
-        if (!holds) {
-            throw new MalformedFrameException(otherwise);
+    private static void check(boolean isValid, String message) throws MalformedFrameException {
+        if (!isValid) {
+            throw new MalformedFrameException(message);
         }
     }
 
-    /** Gives back what the compressor has outside of the heap. */
+    /** Releases the compressor's native memory. */
     @Override
     public void close() {
         deflater.end();
--- a/src/main/java/vetchpost/replication/Index.java
+++ b/src/main/java/vetchpost/replication/Index.java
@@ -3,11 +3,11 @@
 import vetchpost.store.PackedTree;
 
 /**
- * What a node makes of the entries, such as the table that its requests are looked up in. It never changes,
- * as the entries don't: each change makes another one that shares what it can.
+ * A lookup structure that a node derives from the entries, such as its routing table. Immutable like the
+ * entries: each change produces a new index that shares its unchanged parts. Used by {@link Replica}.
  */
 public interface Index {
-    /** Of entries that mean nothing here. */
+    /** An index that ignores all entries. */
     Index NONE = new Index() {
         @Override
         public Index withEntry(byte[] key, byte[] value, PackedTree live) {
@@ -21,15 +21,15 @@
     };
 
     /**
-     * With an entry as it is from then on; entries come in any order, and need not fit together before the
-     * last.
+     * Returns an index with one entry changed. Entries arrive in any order and need not be consistent with each
+     * other before the last one of a batch.
      *
-     * @param value null if it went away
-     * @param live all entries with this one as it is now
-     * @throws IllegalArgumentException if it can't be read
+     * @param value the new value; null if the entry was removed
+     * @param live all entries, including this change
+     * @throws IllegalArgumentException if the entry can't be parsed
      */
     Index withEntry(byte[] key, byte[] value, PackedTree live);
 
-    /** The same, read from this tree, which holds the same entries, so that they are kept once. */
+    /** Returns the same index backed by this tree, which holds equal entries, so that they are stored once. */
     Index backedBy(PackedTree live);
 }
--- a/src/main/java/vetchpost/replication/Publisher.java
+++ b/src/main/java/vetchpost/replication/Publisher.java
@@ -19,21 +19,22 @@
 import vetchpost.store.VersionedStore;
 
 /**
- * A control machine's side: tells replicas what has changed since the version that they are at, by entries'
- * versions, so that of many changes of one key the newest alone is told, and no queue grows for a replica
- * that is slow or away. Each replica and the whole have a budget of bytes a second; the one that waited
- * longest goes first.
+ * The publisher's side of replication, run by control machines. It sends each replica the entries that changed
+ * since the replica's version, selected by entry version: of many changes of one key only the newest is sent,
+ * and no queue grows for a slow or absent replica. Each replica and all of them together have a budget in bytes
+ * per second; the replica that has waited longest is served first.
  *
- * <p>What is told one replica is told in terms of one version to its end, which is kept for it meanwhile and
- * shares all that stays the same. On one thread; it has no clock and no socket: whoever owns it tells it
- * both.
+ * <p>A transfer is completed against one store version, which stays pinned meanwhile and shares its unchanged
+ * parts with newer ones. Confined to one thread. It has no clock or socket: its owner passes in frames and
+ * times.
  */
 public final class Publisher {
-    /** Bytes of items in a part before they are deflated: what a node takes in at one go. */
+    /** Item bytes of a part before compression, small enough for a node to process in one turn. */
     private static final int PART_TARGET_BYTES = 4 << 10;
 
+    /** Ranges into which a differing range is split. */
     private static final int SPLIT_FACTOR = 16;
-    /** Ranges of so many items are told item by item. */
+    /** Larger ranges are split; smaller ones are sent as the hashes of their items. */
     private static final int MAX_LISTED_ITEMS_PER_SPAN = 64;
 
     private static final int MAX_CACHED_PARTS = 256;
@@ -42,20 +43,20 @@
 
     /** A connection to a replica. */
     public interface Peer {
-        /** Sends bytes of a frame. */
+        /** Sends an encoded frame. */
         void send(byte[] frame);
 
-        /** Whether what was sent before has left. */
+        /** Whether the connection accepts more without buffering. */
         boolean isWritable();
     }
 
     /**
-     * Bytes a second, and entries.
+     * Limits on what is sent.
      *
-     * @param peerPerS to each replica
-     * @param peerBurst saved up for each
-     * @param allPerS to all of them
-     * @param itemsPerS entries to each replica, which is what costs it processor time
+     * @param bytesPerSPerReplica bytes per second to one replica
+     * @param burstBytesPerReplica bytes that one replica's unused budget may accumulate
+     * @param totalBytesPerS bytes per second to all replicas together
+     * @param entriesPerSPerReplica entries per second to one replica; entries are what cost it processor time
      */
     public record Budget(
             double bytesPerSPerReplica,
@@ -68,13 +69,13 @@
     private TokenBucket totalBucket;
     private final long heartbeatUs;
     private final Map<Peer, Session> sessions = new LinkedHashMap<>();
-    /** Sessions with something to tell, in the order in which they began to wait. */
+    /** Sessions with something to send, in the order in which they began to wait. */
     private final Set<Session> readySessions = new java.util.LinkedHashSet<>();
 
     private VersionedStore store;
     private long sentBytes;
 
-    /** Parts of what came after a version up to another one, as every replica in between is told them. */
+    /** Encoded delta parts, shared by all replicas that go from one version to the same other one. */
     private final Map<PartKey, Part> partCache = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
@@ -87,8 +88,11 @@
     private record PartKey(long from, long to, int part) {}
 
     /**
-     * @param next where the next part begins: first among the entries, then among what went away; null for no
-     * more
+     * An encoded part of a delta.
+     *
+     * @param items number of entries in the frame
+     * @param nextKey key at which the next part begins; null for the last part
+     * @param isNextInRemoved whether {@code nextKey} refers to removed keys, which follow the live entries
      */
     private record Part(byte[] frame, int items, byte[] nextKey, boolean isNextInRemoved) {}
 
@@ -102,7 +106,7 @@
         private String name = "";
         private long version = -1;
         private long lastSentUs;
-        /** What it is being told, or compared with. */
+        /** The store that is being sent or compared; null between transfers. */
         private VersionedStore pinnedStore;
 
         private byte[] nextKey;
@@ -135,7 +139,7 @@
 
         void enqueueReply(Frame frame) throws MalformedFrameException {
             if (replies.size() >= MAX_QUEUED_REPLIES) {
-                throw new MalformedFrameException("it asks on without reading");
+                throw new MalformedFrameException("replica sends requests without reading the replies");
             }
             replies.add(new Reply(codec.write(frame), frame.items().size()));
         }
@@ -149,7 +153,7 @@
             }
             if (nextKey == null) {
                 if (version != Version.NONE && version < store.horizon()) {
-                    // It is not known any more what went away since: compared, from the whole down.
+                    // Removals since that version are no longer known: compare, starting with the whole range.
                     pinnedStore = store;
                     isComparing = true;
                     send(
@@ -166,12 +170,12 @@
                 isNextInRemoved = false;
                 nextPart = 0;
             }
-            Part told = encodePart(version, pinnedStore, nextPart, nextKey, isNextInRemoved);
-            send(told.frame, nowUs);
-            entryBucket.spend(told.items);
+            Part partToSend = encodePart(version, pinnedStore, nextPart, nextKey, isNextInRemoved);
+            send(partToSend.frame, nowUs);
+            entryBucket.spend(partToSend.items);
             nextPart++;
-            nextKey = told.nextKey;
-            isNextInRemoved = told.isNextInRemoved;
+            nextKey = partToSend.nextKey;
+            isNextInRemoved = partToSend.isNextInRemoved;
             if (nextKey == null) {
                 version = pinnedStore.version();
                 pinnedStore = null;
@@ -180,9 +184,10 @@
     }
 
     /**
-     * Has nobody connected yet.
+     * Creates a publisher without connections.
      *
-     * @param heartbeatUs a replica that there is nothing to tell hears that so often, in microseconds
+     * @param heartbeatUs interval at which an up-to-date replica is sent a CURRENT frame, in microseconds
+     * @param nowUs time on the owner's clock, in microseconds
      */
     public Publisher(VersionedStore store, FrameCodec codec, Budget budget, long heartbeatUs, long nowUs) {
         this.store = store;
@@ -192,29 +197,29 @@
         totalBucket = new TokenBucket(budget.totalBytesPerS, budget.totalBytesPerS / 4, nowUs);
     }
 
-    /** Has other budgets hold from now on, full. */
+    /** Replaces the budgets; all of them start full. */
     public void setBudget(Budget other, long nowUs) {
         budget = other;
         totalBucket = new TokenBucket(budget.totalBytesPerS, budget.totalBytesPerS / 4, nowUs);
         sessions.values().forEach(s -> s.resetBuckets(nowUs));
     }
 
-    /** What it tells. */
+    /** Returns the store being published. */
     public VersionedStore store() {
         return store;
     }
 
-    /** Bytes sent so far. */
+    /** Returns the number of bytes sent so far. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** How many replicas are connected. */
+    /** Returns how many replicas are connected. */
     public int replicaCount() {
         return sessions.size();
     }
 
-    /** Names of replicas that are at an older version, and of those that have not said theirs. */
+    /** Returns the names of replicas at an older version and of those that have not sent theirs yet. */
     public List<String> laggingReplicas() {
         return sessions.values().stream()
                 .filter(s -> s.version < store.version())
@@ -222,12 +227,12 @@
                 .toList();
     }
 
-    /** Has another version to tell; one that is not newer changes nothing. */
-    public void publish(VersionedStore fresh) {
-        if (fresh.version() <= store.version()) {
+    /** Publishes another version; one that is not newer is ignored. */
+    public void publish(VersionedStore newStore) {
+        if (newStore.version() <= store.version()) {
             return;
         }
-        store = fresh;
+        store = newStore;
         for (Session session : sessions.values()) {
             markReady(session);
         }
@@ -239,21 +244,21 @@
         }
     }
 
-    /** A replica is connected. */
+    /** Starts a session with a replica that has connected. */
     public void connected(Peer peer, long nowUs) {
         sessions.put(peer, new Session(peer, nowUs));
     }
 
-    /** It is not any more. */
+    /** Ends the session of a replica. */
     public void disconnected(Peer peer) {
         readySessions.remove(sessions.remove(peer));
     }
 
     /**
-     * Takes a replica's frame.
+     * Processes a frame from a replica.
      *
-     * @param length its bytes, which count towards the replica's budget as those that it is sent
-     * @throws Malformed if it said what no replica says: it is to be disconnected
+     * @param length encoded size of the frame in bytes, charged to the replica's budget like sent bytes
+     * @throws MalformedFrameException if the frame violates the protocol; the replica should be disconnected
      */
     public void receive(Peer peer, Frame frame, int length, long nowUs) throws MalformedFrameException {
         Session session = sessions.get(peer);
@@ -265,7 +270,7 @@
             case HELLO -> onHello(session, frame);
             case COMPARE -> onCompare(session, frame);
             case WANT -> onWant(session, frame);
-            default -> throw new MalformedFrameException("a replica sends no " + frame.type());
+            default -> throw new MalformedFrameException("unexpected frame from a replica: " + frame.type());
         }
         markReady(session);
     }
@@ -278,7 +283,7 @@
             return;
         }
         if (session.isComparing || !frame.last() || session.version < frame.from()) {
-            // What it was being told is of no use: it begins, or has lost a part.
+            // The replica starts anew or has lost a part, so the current transfer is abandoned.
             session.isComparing = false;
             session.pinnedStore = null;
             session.nextKey = null;
@@ -289,28 +294,28 @@
         }
     }
 
-    // ---------------------------------------------------------------- what has changed
+    // ---------------------------------------------------------------- deltas
 
     private Part encodePart(long from, VersionedStore to, int number, byte[] begin, boolean removed) {
         PartKey place = new PartKey(from, to.version(), number);
-        Part known = partCache.get(place);
-        if (known != null) {
-            return known;
+        Part cached = partCache.get(place);
+        if (cached != null) {
+            return cached;
         }
         List<Entry> items = new ArrayList<>();
         int bytes = 0;
         byte[] at = begin;
-        boolean gone = removed;
+        boolean inRemoved = removed;
         while (at != null && bytes < PART_TARGET_BYTES) {
-            Item item = (gone ? to.removed() : to.live()).nextNewer(at, from);
+            Item item = (inRemoved ? to.removed() : to.live()).nextNewer(at, from);
             if (item != null) {
-                items.add(new Entry(item.key(), gone ? null : item.value(), item.stamp()));
+                items.add(new Entry(item.key(), inRemoved ? null : item.value(), item.stamp()));
                 bytes += item.key().length + item.value().length + 2 * Long.BYTES;
                 at = PackedTree.successor(item.key());
-            } else if (gone) {
+            } else if (inRemoved) {
                 at = null;
             } else {
-                gone = true;
+                inRemoved = true;
                 at = FIRST_KEY;
             }
         }
@@ -324,12 +329,12 @@
                         items)),
                 items.size(),
                 at,
-                gone);
+                inRemoved);
         partCache.put(place, made);
         return made;
     }
 
-    // ---------------------------------------------------------------- what differs
+    // ---------------------------------------------------------------- comparing ranges of keys
 
     private void onCompare(Session session, Frame frame) throws MalformedFrameException {
         if (frame.to() == 0 || session.pinnedStore == null || !session.isComparing) {
@@ -338,10 +343,10 @@
             session.nextKey = null;
         }
         if (frame.to() != 0 && frame.to() != session.pinnedStore.version()) {
-            throw new MalformedFrameException("it compares what it was not told");
+            throw new MalformedFrameException("comparison with a version that was not announced");
         }
         if (frame.spans().size() > SPLIT_FACTOR) {
-            throw new MalformedFrameException(frame.spans().size() + " ranges at once");
+            throw new MalformedFrameException(frame.spans().size() + " ranges in one frame");
         }
         PackedTree tree = session.pinnedStore.live();
         List<Span> answer = new ArrayList<>();
@@ -375,10 +380,10 @@
 
     private void onWant(Session session, Frame frame) throws MalformedFrameException {
         if (!session.isComparing || session.pinnedStore == null || frame.to() != session.pinnedStore.version()) {
-            throw new MalformedFrameException("it wants items of a version that it was not told");
+            throw new MalformedFrameException("items requested of a version that was not announced");
         }
         if (frame.spans().size() > SPLIT_FACTOR * SPLIT_FACTOR) {
-            throw new MalformedFrameException(frame.spans().size() + " ranges at once");
+            throw new MalformedFrameException(frame.spans().size() + " ranges in one frame");
         }
         List<Entry> items = new ArrayList<>();
         int bytes = 0;
@@ -409,16 +414,16 @@
     /**
      * Sends what the budgets allow now.
      *
-     * @return when there may be more to send, in microseconds; the largest number if only a call of another
-     * kind can tell
+     * @return time of the next call in microseconds, {@link Long#MAX_VALUE} if none is needed before another
+     *     method is called
      */
     public long sendPending(long nowUs) {
-        long againUs = Long.MAX_VALUE;
-        Map<Session, Boolean> waiting = new HashMap<>();
+        long nextCallUs = Long.MAX_VALUE;
+        Map<Session, Boolean> blocked = new HashMap<>();
         while (!readySessions.isEmpty() && totalBucket.hasAny(nowUs)) {
             Session session = null;
             for (Session each : readySessions) {
-                if (!waiting.containsKey(each)) {
+                if (!blocked.containsKey(each)) {
                     session = each;
                     break;
                 }
@@ -429,10 +434,10 @@
             if (!session.hasMore()) {
                 readySessions.remove(session);
             } else if (!session.peer.isWritable()) {
-                waiting.put(session, true);
+                blocked.put(session, true);
             } else if (!session.byteBucket.hasAny(nowUs) || !session.entryBucket.hasAny(nowUs)) {
-                againUs = Math.min(againUs, Math.max(session.byteBucket.availableAtUs(nowUs), session.entryBucket.availableAtUs(nowUs)));
-                waiting.put(session, true);
+                nextCallUs = Math.min(nextCallUs, Math.max(session.byteBucket.availableAtUs(nowUs), session.entryBucket.availableAtUs(nowUs)));
+                blocked.put(session, true);
             } else {
                 readySessions.remove(session);
                 session.sendNext(nowUs);
@@ -440,9 +445,9 @@
             }
         }
         if (!readySessions.isEmpty() && !totalBucket.hasAny(nowUs)) {
-            againUs = Math.min(againUs, totalBucket.availableAtUs(nowUs));
+            nextCallUs = Math.min(nextCallUs, totalBucket.availableAtUs(nowUs));
         }
-        return Math.min(againUs, sendHeartbeats(nowUs));
+        return Math.min(nextCallUs, sendHeartbeats(nowUs));
     }
 
     private long sendHeartbeats(long nowUs) {
--- a/src/main/java/vetchpost/replication/PublisherChoice.java
+++ b/src/main/java/vetchpost/replication/PublisherChoice.java
@@ -4,9 +4,9 @@
 import java.util.function.Predicate;
 
 /**
- * Which publisher a replica asks: each has an order of its own (rendezvous hashing), so that the replicas of
- * one that fails are spread over all others, and come back to it once it is well. One that fails, or is of no
- * use, is left alone for a while, longer each time.
+ * Chooses the publisher that a replica connects to. Each replica has its own order (rendezvous hashing), so the
+ * replicas of a failed publisher spread over all others and return once it recovers. A publisher that fails is
+ * avoided with exponential backoff. Used by {@link PublisherFailover}; not thread-safe.
  */
 public final class PublisherChoice {
     private static final long MIN_BACKOFF_US = 100_000;
@@ -18,68 +18,69 @@
     private final long seed;
 
     /**
-     * Among these.
+     * Creates a choice among publishers.
      *
-     * @param name of the replica
-     * @param publishers names or addresses, the same at all replicas, in any order
+     * @param name name of the replica
+     * @param publishers names or addresses, identical at all replicas, in any order
+     * @throws IllegalArgumentException if there are no publishers
      */
     public PublisherChoice(String name, List<String> publishers) {
         this(name, publishers, publisher -> false);
     }
 
-    /** The same, where those that are near come before all others. */
-    public PublisherChoice(String name, List<String> publishers, Predicate<String> near) {
+    /** As above, with publishers that match {@code isPreferred} before all others. */
+    public PublisherChoice(String name, List<String> publishers, Predicate<String> isPreferred) {
         if (publishers.isEmpty()) {
             throw new IllegalArgumentException("no publishers");
         }
         seed = mix(name.hashCode());
         ranks = publishers.stream()
-                .mapToLong(p -> mix(seed ^ mix(p.hashCode())) >>> 2 | (near.test(p) ? 1L << 62 : 0))
+                .mapToLong(p -> mix(seed ^ mix(p.hashCode())) >>> 2 | (isPreferred.test(p) ? 1L << 62 : 0))
                 .toArray();
         retryAtUs = new long[ranks.length];
         failures = new int[ranks.length];
     }
 
-    private static long mix(long of) {
-        long hash = of + 0x9E3779B97F4A7C15L;
+    private static long mix(long value) {
+        long hash = value + 0x9E3779B97F4A7C15L;
         hash = (hash ^ hash >>> 30) * 0xBF58476D1CE4E5B9L;
         hash = (hash ^ hash >>> 27) * 0x94D049BB133111EBL;
         return hash ^ hash >>> 31;
     }
 
-    /** The one to ask now; the one that may be asked soonest if none may. */
+    /** Returns the index of the best publisher that may be tried now, else of the one that may be tried soonest. */
     public int next(long nowUs) {
         int best = 0;
         for (int i = 1; i < ranks.length; i++) {
-            boolean may = retryAtUs[i] <= nowUs;
-            boolean mayBest = retryAtUs[best] <= nowUs;
-            if (may != mayBest ? may : may ? ranks[i] > ranks[best] : retryAtUs[i] < retryAtUs[best]) {
+            boolean isAvailable = retryAtUs[i] <= nowUs;
+            boolean isBestAvailable = retryAtUs[best] <= nowUs;
+            if (isAvailable != isBestAvailable ? isAvailable : isAvailable ? ranks[i] > ranks[best] : retryAtUs[i] < retryAtUs[best]) {
                 best = i;
             }
         }
         return best;
     }
 
-    /** When that one may be asked, in microseconds. */
+    /** Returns when a publisher may be tried, in microseconds. */
     public long retryAtUs(int publisher) {
         return retryAtUs[publisher];
     }
 
-    /** It could not be reached, broke off, or was of no use. */
+    /** Records that a publisher was unreachable, disconnected or rejected. */
     public void failed(int publisher, long nowUs) {
         long waitUs = Math.min(MAX_BACKOFF_US, MIN_BACKOFF_US << Math.min(10, failures[publisher]++));
-        // Between half of it and all, by its own draw: many that fail at once don't come back at once.
-        long share = mix(seed + 31L * publisher + failures[publisher]) >>> 1;
-        retryAtUs[publisher] = nowUs + waitUs / 2 + share % (waitUs / 2);
+        // Jitter between half and all of the backoff, so that replicas do not reconnect at the same time.
+        long jitter = mix(seed + 31L * publisher + failures[publisher]) >>> 1;
+        retryAtUs[publisher] = nowUs + waitUs / 2 + jitter % (waitUs / 2);
     }
 
-    /** It has told that what the replica has is the newest. */
+    /** Records that a publisher confirmed the replica's version as the newest. */
     public void succeeded(int publisher) {
         failures[publisher] = 0;
         retryAtUs[publisher] = 0;
     }
 
-    /** Whether one that comes before it could be asked again. */
+    /** Whether a publisher earlier in the order may be tried again. */
     public boolean hasBetter(int publisher, long nowUs) {
         return next(nowUs) != publisher && retryAtUs[next(nowUs)] <= nowUs;
     }
--- a/src/main/java/vetchpost/replication/PublisherFailover.java
+++ b/src/main/java/vetchpost/replication/PublisherFailover.java
@@ -1,37 +1,40 @@
 package vetchpost.replication;
 
 /**
- * Keeps a replica with a publisher: asks the one that comes first for it, leaves one that is silent, breaks
- * off or is of no use for the next, and comes back to its own once that is well. Without a socket or a clock.
+ * Keeps a replica connected to a publisher: starts with the replica's preferred one, moves to the next if a
+ * publisher is silent, disconnects or is rejected, and fails back to a better one once that recovers. Confined
+ * to one thread; sockets and time come from its {@link Transport}.
  */
 public final class PublisherFailover {
-    /** A publisher that has said nothing for so long, in microseconds, is left: three heartbeats. */
+    /** Time without a frame after which a publisher is left, in microseconds: three heartbeats. */
     public static final long SILENCE_TIMEOUT_US = 15_000_000;
 
     private static final long CHECK_INTERVAL_US = 1_000_000;
     private static final long RETRY_DELAY_US = 1_000;
-    /** Looked for a better one so often only: coming back is no hurry. */
+    /** Checks between attempts to fail back, which is not urgent. */
     private static final int CHECKS_BEFORE_FAILBACK = 30;
 
-    /** Connections and time, as their owner has them. */
+    /** Connections and time, provided by the owner. */
     public interface Transport {
         /**
-         * Opens a connection to a publisher, in place of one that is open; hears {@code opened} or {@code
-         * failed}.
+         * Opens a connection to a publisher, replacing an open one. The owner then calls {@link #opened} or
+         * {@link #failed}.
+         *
+         * @param publisher index in the list of publishers
          */
         void open(int publisher);
 
-        /** Sends on the connection that is open. */
+        /** Sends a frame on the open connection. */
         void send(Frame frame);
 
-        /** Closes it. */
+        /** Closes the connection. */
         void close();
 
-        /** The time now, in microseconds. */
+        /** Returns the current time in microseconds. */
         long nowUs();
 
-        /** Runs a task in so many microseconds. */
-        void schedule(long us, Runnable task);
+        /** Runs a task after a delay in microseconds. */
+        void schedule(long delayUs, Runnable task);
     }
 
     private final Replica replica;
@@ -40,23 +43,23 @@
     private int publisherIndex = -1;
     private boolean isConnected;
     private boolean isStopped;
-    /** Tells tasks of an earlier connection from those of this one. */
+    /** Incremented per connection, so that tasks of an earlier one do nothing. */
     private long generation;
 
     private String lastFailure = "";
 
-    /** Begins when it is told to. */
+    /** Creates a failover that does nothing before {@link #start}. */
     public PublisherFailover(Replica replica, PublisherChoice choice, Transport line) {
         this.replica = replica;
         this.choice = choice;
         this.transport = line;
     }
 
-    /** Asks in so many microseconds from now on. */
-    public void start(long afterUs) {
-        long now = ++generation;
-        transport.schedule(afterUs, () -> {
-            if (generation == now && !isStopped) {
+    /** Connects after a delay in microseconds. */
+    public void start(long delayUs) {
+        long startedGeneration = ++generation;
+        transport.schedule(delayUs, () -> {
+            if (generation == startedGeneration && !isStopped) {
                 open();
             }
         });
@@ -74,14 +77,14 @@
         transport.open(next);
     }
 
-    /** The connection is up. */
+    /** Called by the owner once the connection is authenticated. */
     public void opened() {
         isConnected = true;
         replica.connected(transport::send, transport.nowUs());
         scheduleCheck(generation, 0);
     }
 
-    /** It could not be opened, or has broken. */
+    /** Called by the owner when the connection could not be opened or was lost. */
     public void failed(String why) {
         if (isStopped) {
             return;
@@ -93,27 +96,27 @@
         start(RETRY_DELAY_US);
     }
 
-    private void scheduleCheck(long of, int looks) {
+    private void scheduleCheck(long expectedGeneration, int checks) {
         transport.schedule(CHECK_INTERVAL_US, () -> {
-            if (generation != of || !isConnected || isStopped) {
+            if (generation != expectedGeneration || !isConnected || isStopped) {
                 return;
             }
             long now = transport.nowUs();
             if (now - replica.lastReceivedUs() > SILENCE_TIMEOUT_US) {
                 transport.close();
-                failed("it has fallen silent");
-            } else if (looks >= CHECKS_BEFORE_FAILBACK && choice.hasBetter(publisherIndex, now)) {
+                failed("publisher has been silent for too long");
+            } else if (checks >= CHECKS_BEFORE_FAILBACK && choice.hasBetter(publisherIndex, now)) {
                 isConnected = false;
                 replica.disconnected();
                 transport.close();
                 start(RETRY_DELAY_US);
             } else {
-                scheduleCheck(of, looks + 1);
+                scheduleCheck(expectedGeneration, checks + 1);
             }
         });
     }
 
-    /** Takes a frame of the publisher's. */
+    /** Passes a frame of the publisher to the replica; leaves the publisher if the frame is rejected. */
     public void receive(Frame frame) {
         long nowUs = transport.nowUs();
         try {
@@ -127,13 +130,13 @@
         }
     }
 
-    /** What has come is no frame, or none of a publisher's. */
+    /** Leaves the publisher after a frame that could not be parsed or used. */
     public void rejected(String why) {
         transport.close();
         failed(why);
     }
 
-    /** Ends; what is in force stays so. */
+    /** Disconnects for good; the store in force stays. */
     public void stop() {
         isStopped = true;
         if (isConnected) {
@@ -143,12 +146,12 @@
         }
     }
 
-    /** Whether it is connected. */
+    /** Whether a connection is up. */
     public boolean isUp() {
         return isConnected;
     }
 
-    /** What went wrong last, or empty since a publisher has said that all is the newest. */
+    /** Returns the last failure, empty since a publisher confirmed the newest version. */
     public String failure() {
         return lastFailure;
     }
--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -17,33 +17,34 @@
 import vetchpost.store.VersionedStore;
 
 /**
- * A node's copy of the configuration, kept up with what a publisher tells. What comes is put together beside
- * what is in force, which shares all that stays the same, and takes its place at once when it is whole and
- * comes to the sum that was told: half a batch is never in force, and no key goes back to an older version.
- * Where the sums differ, or it is not known any more what went away, ranges of keys are compared until what
- * differs is found.
+ * A node's replica of the configuration, updated from one publisher at a time. Received entries go into a
+ * draft that shares its unchanged parts with the current store. The draft replaces the store in one step once
+ * it is complete and has the announced sum, so a partial batch is never applied and no key returns to an
+ * older version. If the sums differ, or the publisher no longer knows which keys were removed, ranges of keys
+ * are compared until all differences are found.
  *
- * <p>On one thread. It has no clock and no socket: whoever owns it tells it both.
+ * <p>Confined to one thread. It has no clock or socket: its owner, usually a {@link PublisherFailover}, passes
+ * in frames and times.
  */
 public class Replica {
-    /** Ranges that are compared in one message: its answer stays small. */
+    /** Keeps the answer to one COMPARE frame small. */
     private static final int MAX_SPANS_PER_COMPARE = 16;
-    /** Publishers that say something else each time are left after so many comparisons. */
+    /** Ends a comparison with a publisher whose answers never converge. */
     private static final int MAX_COMPARE_ROUNDS = 100_000;
 
-    /** Where frames go. */
+    /** The connection to the current publisher. */
     public interface Publisher {
-        /** Sends to the publisher that it is connected to. */
+        /** Sends a frame to the connected publisher. */
         void send(Frame frame);
     }
 
-    /** Hears what holds. */
+    /** Notified of each applied version, on the replica's thread. */
     public interface Listener {
-        /** All of this holds from now on. */
+        /** The store and its index are in force from now on. */
         void applied(VersionedStore store, Index index);
     }
 
-    /** Why a publisher is of no use, for now. */
+    /** The current publisher can't be used for now; another one should be tried. */
     public static final class FrameRejectedException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -64,7 +65,7 @@
     private long appliedBatches;
     private long rejectedCount;
 
-    /** What is put together beside what is in force. */
+    /** The next version, built beside the current store. */
     private final class Draft {
         private final long targetVersion;
         private PackedTree live = store.live();
@@ -72,9 +73,9 @@
         private Index draftIndex = index;
         private int nextPart;
         private Sum targetSum;
-        /** While ranges are compared: those still to be, and the hashes of items that were asked for. */
+        /** Ranges that are still to be compared. */
         private final Deque<Span> pendingSpans = new ArrayDeque<>();
-
+        /** Hashes of items that were requested and have not arrived. */
         private final Set<Long> pendingHashes = new HashSet<>();
         private int compareRounds;
         private boolean isComparing;
@@ -88,7 +89,8 @@
             Item own = live.get(entry.key());
             if (own != null && isOlder(entry.stamp(), own)) {
                 throw new FrameRejectedException(
-                        "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
+                        "entry would go back from version " + Version.text(own.stamp()) + " to "
+                                + Version.text(entry.stamp()));
             }
             if (entry.value() == null) {
                 live = live.remove(entry.key());
@@ -100,16 +102,17 @@
             try {
                 draftIndex = draftIndex.withEntry(entry.key(), entry.value(), live);
             } catch (IllegalArgumentException e) {
-                throw new FrameRejectedException("an entry that can't be read: " + e.getMessage());
+                throw new FrameRejectedException("entry can't be parsed: " + e.getMessage());
             }
         }
     }
 
     /**
-     * Begins with what was kept, at its version; not connected.
+     * Creates a disconnected replica that starts from a stored version.
      *
-     * @param name by which publishers know it, up to 256 bytes
-     * @param remembersRemoved whether others are to be told by it, and so what went away
+     * @param name name reported to publishers, up to 256 bytes
+     * @param tracksRemovals whether to record removed keys, needed if this store is published to other replicas
+     * @param listener notified after each applied version
      */
     public Replica(String name, VersionedStore store, Index index, boolean remembersRemoved, Listener listener) {
         this.name = name;
@@ -119,39 +122,40 @@
         this.listener = listener;
     }
 
-    /** What is in force. */
+    /** Returns the store in force. */
     public VersionedStore store() {
         return store;
     }
 
-    /** What the node makes of it. */
+    /** Returns the index of the store in force. */
     public Index index() {
         return index;
     }
 
-    /** How many times something came into force. */
+    /** Returns how many versions this replica has applied. */
     public long appliedBatches() {
         return appliedBatches;
     }
 
-    /** How many times something a publisher told was refused. */
+    /** Returns how many frames of publishers were rejected. */
     public long rejectedCount() {
         return rejectedCount;
     }
 
     /**
-     * When a publisher last said that this is the newest, in microseconds of its owner's clock; -1 for never.
+     * Returns when a publisher last confirmed that this replica is at the newest version, in microseconds of the
+     * owner's clock; -1 for never.
      */
     public long lastCurrentUs() {
         return lastCurrentUs;
     }
 
-    /** When it last heard anything from its publisher. */
+    /** Returns when the last frame arrived or the connection opened, in microseconds of the owner's clock. */
     public long lastReceivedUs() {
         return lastReceivedUs;
     }
 
-    /** Is connected to a publisher, a new one or the same again. */
+    /** Starts a session on a new connection and discards any unfinished draft. */
     public void connected(Publisher to, long nowUs) {
         publisher = to;
         draft = null;
@@ -159,7 +163,7 @@
         sendHello();
     }
 
-    /** Is connected to none: what is in force stays so. */
+    /** Ends the session and discards any unfinished draft; the store in force stays. */
     public void disconnected() {
         publisher = null;
         draft = null;
@@ -170,21 +174,22 @@
     }
 
     /**
-     * Takes a frame.
+     * Processes a frame from the publisher.
      *
-     * @throws Refused if the publisher is of no use now: another one is to be asked
-     * @throws Malformed if it said what no publisher says
+     * @param nowUs time on the owner's clock, in microseconds
+     * @throws FrameRejectedException if the publisher can't be used for now and another one should be tried
+     * @throws MalformedFrameException if the frame violates the protocol
      */
     public void receive(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         lastReceivedUs = nowUs;
         try {
             switch (frame.type()) {
                 case CURRENT -> onCurrent(frame, nowUs);
-                case BEHIND -> throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
+                case BEHIND -> throw new FrameRejectedException("publisher is behind, at version " + Version.text(frame.to()));
                 case DELTA -> onDelta(frame, nowUs);
                 case DIFFER -> onDiffer(frame, nowUs);
                 case ITEMS -> onItems(frame, nowUs);
-                default -> throw new MalformedFrameException("a publisher sends no " + frame.type());
+                default -> throw new MalformedFrameException("unexpected frame from a publisher: " + frame.type());
             }
         } catch (FrameRejectedException | MalformedFrameException e) {
             draft = null;
@@ -195,13 +200,13 @@
 
     private void onCurrent(Frame frame, long nowUs) throws FrameRejectedException {
         if (isBehind(frame.to())) {
-            throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
+            throw new FrameRejectedException("publisher is behind, at version " + Version.text(frame.to()));
         }
         if (draft != null && draft.isComparing) {
-            return; // It is an answer to what was said before.
+            return; // Answers a message sent before the comparison began.
         }
         if (frame.to() > store.version()) {
-            // It has told all, and something of that has been lost.
+            // The publisher has sent everything, but a part was lost.
             draft = null;
             sendHello();
             return;
@@ -216,27 +221,27 @@
     private void onDelta(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         if (isNotNewer(frame.to()) && Version.epoch(frame.to()) < Version.epoch(store.version())) {
             throw new FrameRejectedException(
-                    "it is of epoch " + Version.epoch(frame.to()) + ", before " + Version.epoch(store.version()));
+                    "delta is of epoch " + Version.epoch(frame.to()) + ", before " + Version.epoch(store.version()));
         }
         if (draft != null && draft.isComparing || isNotNewer(frame.to())) {
-            return; // An answer to what was asked before, or the same again.
+            return; // Answers an earlier message, or a duplicate.
         }
-        boolean begins = frame.part() == 0 && startsAtCurrentVersion(frame);
-        boolean goesOn =
-                !begins && draft != null && draft.targetVersion == frame.to() && draft.nextPart == frame.part() && startsAtCurrentVersion(frame);
-        if (!begins && !goesOn) {
-            // A part is missing: what there is of it is no use.
+        boolean isFirstPart = frame.part() == 0 && startsAtCurrentVersion(frame);
+        boolean isNextPart =
+                !isFirstPart && draft != null && draft.targetVersion == frame.to() && draft.nextPart == frame.part() && startsAtCurrentVersion(frame);
+        if (!isFirstPart && !isNextPart) {
+            // A part is missing, so the draft can't be completed.
             if (draft != null || frame.part() == 0) {
                 draft = null;
                 sendHello();
             }
             return;
         }
-        draft = begins ? new Draft(frame.to()) : draft;
+        draft = isFirstPart ? new Draft(frame.to()) : draft;
         for (Entry entry : frame.items()) {
             if (!isWithinDelta(entry, frame)) {
-                throw new MalformedFrameException("an entry of " + Version.text(entry.stamp()) + " in what came after "
-                        + Version.text(store.version()) + " up to " + Version.text(frame.to()));
+                throw new MalformedFrameException("entry of version " + Version.text(entry.stamp())
+                        + " in a delta from " + Version.text(store.version()) + " to " + Version.text(frame.to()));
             }
             draft.applyEntry(entry);
         }
@@ -249,32 +254,32 @@
         }
     }
 
-    /** Whether a version comes no later than what is in force, be it of an earlier writer's epoch. */
+    /** Whether a version is not newer than the store in force; versions of earlier epochs never are. */
     boolean isNotNewer(long version) {
         return version <= store.version();
     }
 
-    /** Whether this is what came after what is in force. */
+    /** Whether a delta starts at the version in force. */
     boolean startsAtCurrentVersion(Frame frame) {
         return frame.from() == store.version();
     }
 
-    /** Whether an entry changed in between. */
+    /** Whether an entry changed after the version in force and up to the delta's target. */
     boolean isWithinDelta(Entry entry, Frame frame) {
         return entry.stamp() > store.version() && entry.stamp() <= frame.to();
     }
 
-    /** Whether an entry of this version would set back the one that is there. */
+    /** Whether an entry of this version would replace a newer one. */
     boolean isOlder(long stamp, Item own) {
         return own.stamp() > stamp;
     }
 
-    /** Whether a publisher that is at this version is behind. */
+    /** Whether a publisher at this version is behind this replica. */
     boolean isBehind(long version) {
         return version < store.version();
     }
 
-    /** Whether all that was told is there. */
+    /** Whether the draft holds the whole batch, checked by its sum. */
     boolean isComplete(Frame frame) {
         return frame.last() && draft.live.sum().equals(frame.sum());
     }
@@ -292,7 +297,7 @@
         publisher.send(Frame.hello(name, store.version(), true, store.live().sum()));
     }
 
-    // ---------------------------------------------------------------- in doubt
+    // ---------------------------------------------------------------- comparing ranges of keys
 
     private void startComparison() {
         draft = new Draft(Version.NONE);
@@ -307,26 +312,27 @@
 
     private void onDiffer(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         if (isBehind(frame.to())) {
-            throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
+            throw new FrameRejectedException("publisher is behind, at version " + Version.text(frame.to()));
         }
         if (draft == null || !draft.isComparing) {
-            // It can't tell by versions what went away since: it begins by comparing, of itself.
+            // The publisher no longer knows which keys were removed since, and starts a comparison itself.
             draft = new Draft(frame.to());
             draft.isComparing = true;
         } else if (draft.targetVersion != frame.to()) {
             if (draft.targetVersion != Version.NONE) {
                 throw new MalformedFrameException(
-                        "ranges of " + Version.text(frame.to()) + " instead of " + Version.text(draft.targetVersion));
+                        "ranges of version " + Version.text(frame.to()) + " instead of "
+                                + Version.text(draft.targetVersion));
             }
             draft = new Draft(frame.to());
             draft.isComparing = true;
         }
         if (++draft.compareRounds > MAX_COMPARE_ROUNDS) {
-            throw new FrameRejectedException("it never ends telling what differs");
+            throw new FrameRejectedException("comparison with the publisher does not converge");
         }
         draft.awaitsDiffer = false;
         draft.targetSum = frame.sum();
-        List<Span> wants = new ArrayList<>();
+        List<Span> requested = new ArrayList<>();
         for (Span span : frame.spans()) {
             Sum own = draft.live.sum(span.from(), span.to());
             if (own.equals(span.sum())) {
@@ -335,40 +341,40 @@
             if (span.hashes() == null) {
                 draft.pendingSpans.add(new Span(span.from(), span.to(), own, null));
             } else {
-                compareItems(span, wants);
+                compareItems(span, requested);
             }
         }
-        if (!wants.isEmpty()) {
-            publisher.send(Frame.spans(Type.WANT, draft.targetVersion, draft.targetSum, wants));
+        if (!requested.isEmpty()) {
+            publisher.send(Frame.spans(Type.WANT, draft.targetVersion, draft.targetSum, requested));
         }
         continueComparison(nowUs);
     }
 
-    /** What it has and is not there any more goes; what is there and it has not is asked for. */
-    private void compareItems(Span span, List<Span> wants) throws FrameRejectedException {
-        Set<Long> there = new HashSet<>();
-        Arrays.stream(span.hashes()).forEach(there::add);
+    /** Removes local items that the publisher does not list, and requests listed items that are not here. */
+    private void compareItems(Span span, List<Span> requested) throws FrameRejectedException {
+        Set<Long> missing = new HashSet<>();
+        Arrays.stream(span.hashes()).forEach(missing::add);
         for (Item item : draft.live.range(span.from(), span.to(), Integer.MAX_VALUE)) {
-            if (!there.remove(Span.hash(item))) {
-                // If it is there at another version, it comes with the items, and is held against this one's
-                // version.
+            if (!missing.remove(Span.hash(item))) {
+                // If the publisher has it at another version, it arrives with the requested items and is checked
+                // against this version there.
                 removeMissing(item);
             }
         }
-        if (!there.isEmpty()) {
-            draft.pendingHashes.addAll(there);
-            wants.add(new Span(
+        if (!missing.isEmpty()) {
+            draft.pendingHashes.addAll(missing);
+            requested.add(new Span(
                     span.from(),
                     span.to(),
                     span.sum(),
-                    there.stream().mapToLong(Long::longValue).toArray()));
+                    missing.stream().mapToLong(Long::longValue).toArray()));
         }
     }
 
-    /** An item that the publisher has not. */
+    /** Removes an item that the publisher does not have. */
     void removeMissing(Item item) throws FrameRejectedException {
         if (item.stamp() > draft.targetVersion) {
-            throw new FrameRejectedException("it does not know an entry of " + Version.text(item.stamp()));
+            throw new FrameRejectedException("publisher lacks an entry of version " + Version.text(item.stamp()));
         }
         draft.applyEntry(new Entry(item.key(), null, draft.targetVersion));
     }
@@ -381,12 +387,13 @@
             if (entry.value() == null
                     || entry.stamp() > draft.targetVersion
                     || !draft.pendingHashes.remove(Span.hash(new Item(entry.key(), entry.value(), entry.stamp())))) {
-                throw new MalformedFrameException("an entry that was not asked for");
+                throw new MalformedFrameException("entry was not requested");
             }
             Item own = store.live().get(entry.key());
             if (own != null && own.stamp() > entry.stamp()) {
                 throw new FrameRejectedException(
-                        "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
+                        "entry would go back from version " + Version.text(own.stamp()) + " to "
+                                + Version.text(entry.stamp()));
             }
             draft.applyEntry(entry);
         }
--- a/src/main/java/vetchpost/replication/TokenBucket.java
+++ b/src/main/java/vetchpost/replication/TokenBucket.java
@@ -1,8 +1,8 @@
 package vetchpost.replication;
 
 /**
- * A budget that refills evenly: so much a second, and no more saved up than so much. What is spent may be
- * more than is there, once; then nothing may be until it is paid back.
+ * A token bucket that may be overdrawn: spending is allowed while any token is left, and a larger amount has to
+ * be refilled before the next one. Used by {@link Publisher}; not thread-safe.
  */
 final class TokenBucket {
     private static final double SECOND_US = 1e6;
@@ -12,11 +12,11 @@
     private double tokens;
     private long refilledUs;
 
-    /** Full. */
-    TokenBucket(double perS, double most, long nowUs) {
-        this.tokensPerS = perS;
-        this.maxTokens = most;
-        tokens = most;
+    /** Creates a full bucket. */
+    TokenBucket(double tokensPerS, double maxTokens, long nowUs) {
+        this.tokensPerS = tokensPerS;
+        this.maxTokens = maxTokens;
+        tokens = maxTokens;
         refilledUs = nowUs;
     }
 
@@ -25,7 +25,7 @@
         refilledUs = nowUs;
     }
 
-    /** Whether anything may be spent. */
+    /** Whether any token is left. */
     boolean hasAny(long nowUs) {
         refill(nowUs);
         return tokens > 0;
@@ -35,7 +35,7 @@
         tokens -= amount;
     }
 
-    /** When something may be spent again, if nothing may now. */
+    /** Returns when a token will be available, in microseconds; {@code nowUs} if one is now. */
     long availableAtUs(long nowUs) {
         refill(nowUs);
         return tokens > 0 ? nowUs : nowUs + (long) Math.ceil((1 - tokens) / tokensPerS * SECOND_US);
--- a/src/main/java/vetchpost/replication/disk/StoreFile.java
+++ b/src/main/java/vetchpost/replication/disk/StoreFile.java
@@ -17,8 +17,8 @@
 import vetchpost.store.VersionedStore;
 
 /**
- * A store on the disk: the frames by which a replica with nothing is told all, behind one with its version
- * and sum.
+ * Keeps a store on the disk: a frame with its version and sum, then the frames that would bring an empty replica
+ * up to date. Methods block and are not called on an event loop.
  */
 public final class StoreFile {
     private static final byte[] MAGIC = "VPSTORE1".getBytes(StandardCharsets.US_ASCII);
@@ -28,24 +28,24 @@
 
     private final ChunkFile file;
 
-    /** In this file, and two more whose names begin with its. */
+    /** Creates access to a file; the previous and the unfinished one are siblings with a suffix. */
     public StoreFile(Path path) {
         file = new ChunkFile(path, MAGIC, MAX_FILE_BYTES);
     }
 
     /**
-     * Writes it; blocks until it is on the disk.
+     * Writes a store; blocks until it is on the disk.
      *
      * @return the file's length in bytes
      */
     public long write(VersionedStore store) throws IOException {
         try (FrameCodec codec = new FrameCodec()) {
-            List<byte[]> pieces = new ArrayList<>();
-            pieces.add(codec.write(Frame.delta(
+            List<byte[]> chunks = new ArrayList<>();
+            chunks.add(codec.write(Frame.delta(
                     store.horizon(), store.version(), 0, true, store.live().sum(), List.of())));
-            appendChunks(codec, store.live(), false, pieces);
-            appendChunks(codec, store.removed(), true, pieces);
-            return file.write(pieces);
+            appendChunks(codec, store.live(), false, chunks);
+            appendChunks(codec, store.removed(), true, chunks);
+            return file.write(chunks);
         }
     }
 
@@ -69,24 +69,25 @@
     }
 
     /**
-     * The newest whole store of the two files, or null if there is none.
+     * Reads the newest intact store of the two generations.
      *
-     * @param refused hears in one line of each file that is there and can't be used
+     * @param onRejected receives one line for each file that exists and can't be used
+     * @return the store, or null if there is none
      */
-    public VersionedStore read(Consumer<String> refused) {
-        return file.read(StoreFile::parse, refused);
+    public VersionedStore read(Consumer<String> onRejected) {
+        return file.read(StoreFile::parse, onRejected);
     }
 
-    private static VersionedStore parse(List<byte[]> pieces) throws MalformedSnapshotException {
-        if (pieces.isEmpty()) {
-            throw new MalformedSnapshotException("it has no beginning");
+    private static VersionedStore parse(List<byte[]> chunks) throws MalformedSnapshotException {
+        if (chunks.isEmpty()) {
+            throw new MalformedSnapshotException("no frame with its version and sum");
         }
         try (FrameCodec codec = new FrameCodec()) {
-            Frame head = codec.read(pieces.get(0));
+            Frame head = codec.read(chunks.get(0));
             PackedTree live = PackedTree.EMPTY;
             PackedTree removed = PackedTree.EMPTY;
-            for (byte[] piece : pieces.subList(1, pieces.size())) {
-                for (Entry item : codec.read(piece).items()) {
+            for (byte[] chunk : chunks.subList(1, chunks.size())) {
+                for (Entry item : codec.read(chunk).items()) {
                     if (item.value() == null) {
                         removed = removed.put(item.key(), new byte[0], item.stamp());
                     } else {
@@ -95,7 +96,7 @@
                 }
             }
             if (!live.sum().equals(head.sum()) || live.newest() > head.to()) {
-                throw new MalformedSnapshotException("its entries don't come to its sum");
+                throw new MalformedSnapshotException("its entries don't match its sum");
             }
             return VersionedStore.restored(live, removed, head.to(), head.from());
         } catch (MalformedFrameException e) {
--- a/src/main/java/vetchpost/replication/net/PublisherServer.java
+++ b/src/main/java/vetchpost/replication/net/PublisherServer.java
@@ -23,10 +23,13 @@
 import vetchpost.replication.Publisher;
 import vetchpost.store.VersionedStore;
 
-/** A publisher's connections to its replicas. All of it is on one loop. */
+/**
+ * Accepts replicas' connections for a {@link Publisher} and sends what its budgets allow. All methods are called
+ * on one event loop.
+ */
 public final class PublisherServer implements AutoCloseable {
     private static final Logger LOG = System.getLogger(PublisherServer.class.getName());
-    /** Over the replicas of a whole fleet, should all others be gone. */
+    /** Enough for the replicas of a whole fleet, should all other publishers be down. */
     private static final int MAX_CONNECTIONS = 8_192;
 
     private static final int ACCEPT_BACKLOG = 1_024;
@@ -43,7 +46,7 @@
     private ScheduledFuture<?> pendingSend;
     private boolean hasLoggedRejection;
 
-    /** Not listening yet; on the loop. */
+    /** Creates a server that does not listen yet; called on the loop. */
     public PublisherServer(
             EventLoop loop,
             Network network,
@@ -62,7 +65,7 @@
         return loop.ticker().nanoTime() / 1_000;
     }
 
-    /** Listens. */
+    /** Starts listening and returns the future of the bind. */
     public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
         ChannelFuture binding = new ServerBootstrap()
                 .group(group)
@@ -88,19 +91,19 @@
         return binding;
     }
 
-    /** Has another version to tell; on the loop. */
+    /** Publishes another version; called on the loop. */
     public void publish(VersionedStore store) {
         publisher.publish(store);
         sendPending();
     }
 
-    /** Has other budgets hold from now on; on the loop. */
+    /** Replaces the budgets; called on the loop. */
     public void setBudget(Publisher.Budget other) {
         publisher.setBudget(other, nowUs());
         sendPending();
     }
 
-    /** What it tells, and to whom; on the loop. */
+    /** Returns the publisher; called on the loop. */
     public Publisher publisher() {
         return publisher;
     }
@@ -130,7 +133,7 @@
         if (pendingSend != null) {
             pendingSend.cancel(false);
         }
-        Set.copyOf(connections).forEach(c -> c.frames.close("the publisher ends"));
+        Set.copyOf(connections).forEach(c -> c.frames.close("publisher is stopping"));
         codec.close();
     }
 
@@ -177,11 +180,11 @@
             connections.remove(this);
             publisher.disconnected(this);
             if (!hasLoggedRejection && why.contains("secret")) {
-                // One line for all: whoever can reach the address must not fill the log.
+                // Logged once: anyone who can reach the address could otherwise fill the log.
                 hasLoggedRejection = true;
                 LOG.log(
                         Level.WARNING,
-                        "a replica at {0} is refused: {1}; others will be without a word",
+                        "rejected a replica at {0}: {1}; further rejections are not logged",
                         channel.remoteAddress(),
                         why);
             }
--- a/src/main/java/vetchpost/replication/net/ReplicaClient.java
+++ b/src/main/java/vetchpost/replication/net/ReplicaClient.java
@@ -20,7 +20,10 @@
 import vetchpost.replication.PublisherFailover;
 import vetchpost.replication.Replica;
 
-/** A replica's connection to its publishers. All of it is on one loop, which is best not the requests'. */
+/**
+ * Connects a {@link Replica} to its publishers, one at a time, with failover. All methods are called on one event
+ * loop, preferably not one that serves requests.
+ */
 public final class ReplicaClient implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
 
@@ -35,9 +38,9 @@
     private Attempt current;
 
     /**
-     * Connects to nobody yet.
+     * Creates a client that does not connect before {@link #start}.
      *
-     * @param name of the replica
+     * @param name name of the replica, which also determines its order of publishers
      */
     public ReplicaClient(
             EventLoop loop,
@@ -60,22 +63,22 @@
                 new EventLoopTransport());
     }
 
-    /** Connects from now on; on the loop. */
+    /** Starts connecting; called on the loop. */
     public void start() {
         failover.start(0);
     }
 
-    /** What it keeps up. */
+    /** Returns the replica that this client updates. */
     public Replica replica() {
         return replica;
     }
 
-    /** What went wrong last, or empty. */
+    /** Returns the last failure, empty since a publisher confirmed the newest version. */
     public String failure() {
         return failover.failure();
     }
 
-    /** The time by which the replica says when it heard something, in microseconds. */
+    /** Returns the time in microseconds on the clock that the replica's times refer to. */
     public long nowUs() {
         return loop.ticker().nanoTime() / 1_000;
     }
@@ -103,7 +106,7 @@
             Attempt attempt = current;
             current = null;
             if (attempt != null && attempt.frames != null) {
-                attempt.frames.close("left");
+                attempt.frames.close("connection closed by the replica");
             }
         }
 
@@ -118,7 +121,7 @@
         }
     }
 
-    /** One connection, from its opening to its end. */
+    /** One connection, from opening to close. */
     private final class Attempt implements AuthenticatedFrames.Listener {
         private AuthenticatedFrames frames;
 
@@ -127,7 +130,7 @@
             try {
                 channel = network.newClientChannel();
             } catch (ChannelException e) {
-                loop.execute(() -> onClosed("no connection could be opened"));
+                loop.execute(() -> onClosed("no socket could be opened"));
                 return;
             }
             new Bootstrap()
@@ -146,7 +149,7 @@
                     .connect(to)
                     .addListener(done -> {
                         if (!done.isSuccess()) {
-                            onClosed(to + ": nobody is there");
+                            onClosed(to + ": connection failed");
                         }
                     });
         }
--- a/src/main/java/vetchpost/state/ClassState.java
+++ b/src/main/java/vetchpost/state/ClassState.java
@@ -1,11 +1,11 @@
 package vetchpost.state;
 
 /**
- * What is known of one class of requests.
+ * Statistics of one class of requests.
  *
- * @param name as in the settings
- * @param answers how many it rests on
- * @param latencyUs the usual latency, in microseconds
- * @param leastLatencyUs the least mean latency; 0 if not known
+ * @param name name of the class in the settings
+ * @param sampleCount number of answers that the statistics are based on
+ * @param latencyUs typical latency in microseconds
+ * @param minLatencyUs lowest mean latency in microseconds; 0 if unknown
  */
 public record ClassState(String name, int sampleCount, double latencyUs, double minLatencyUs) {}
--- a/src/main/java/vetchpost/state/Confidence.java
+++ b/src/main/java/vetchpost/state/Confidence.java
@@ -1,35 +1,35 @@
 package vetchpost.state;
 
 /**
- * How far knowledge of some age is still believed, from 0 to 1. Everything here is a guess about how quickly
- * things change; docs/state.md says where the constants come from.
+ * Confidence in old statistics, from 0 (none) to 1, by age and number of samples. The constants are estimates of
+ * how quickly servers change; docs/state.md explains them.
  */
 final class Confidence {
-    /** Clocks of two machines, or of one before and after a restart, differ by less. */
+    /** Tolerated difference between the clocks of two machines, or of one before and after a restart. */
     static final long MAX_CLOCK_SKEW_MS = 5_000;
-    /** Trouble lasts for seconds: half of what fails at one moment fails no more so much later. */
+    /** Faults last for seconds: half of the failing servers have recovered after this time. */
     static final double HEALTH_HALF_LIFE_MS = 10_000;
-    /** Whether a box is quick, or large, changes with what else its machine does. */
+    /** A server's speed and capacity relative to others change with the other load on its machine. */
     static final double RELATIVE_LATENCY_HALF_LIFE_MS = 300_000;
-    /** What requests take changes with releases and hours of the day. */
+    /** The latency of a class changes with releases and the time of day. */
     static final double CLASS_LATENCY_HALF_LIFE_MS = 3_600_000;
-    /** Answers after which own experience is believed by half. */
+    /** Number of samples at which confidence is one half. */
     private static final double HALF_CONFIDENCE_ANSWERS = 4;
 
     private Confidence() {}
 
-    /** In something whose certainty halves in every such time; none in what comes from the future. */
-    static double afterAge(long ageMs, double halfMs) {
-        return ageMs < -MAX_CLOCK_SKEW_MS ? 0 : StrictMath.pow(0.5, Math.max(0, ageMs) / halfMs);
+    /** Returns the confidence after an age with the given half-life; 0 for a time in the future. */
+    static double afterAge(long ageMs, double halfLifeMs) {
+        return ageMs < -MAX_CLOCK_SKEW_MS ? 0 : StrictMath.pow(0.5, Math.max(0, ageMs) / halfLifeMs);
     }
 
-    /** That a box confirmed so long ago is still there, where boxes live so long on average. */
-    static double ofServer(long ageMs, long lifeMs) {
-        return ageMs < -MAX_CLOCK_SKEW_MS ? 0 : StrictMath.exp(-Math.max(0, ageMs) / (double) lifeMs);
+    /** Returns the confidence that a server still exists, by time since its confirmation and mean lifetime. */
+    static double ofServer(long ageMs, long meanLifetimeMs) {
+        return ageMs < -MAX_CLOCK_SKEW_MS ? 0 : StrictMath.exp(-Math.max(0, ageMs) / (double) meanLifetimeMs);
     }
 
-    /** In what rests on so many answers. */
-    static double ofSampleCount(int answers) {
-        return Math.max(0, answers) / (Math.max(0, answers) + HALF_CONFIDENCE_ANSWERS);
+    /** Returns the confidence in statistics that are based on a number of samples. */
+    static double ofSampleCount(int sampleCount) {
+        return Math.max(0, sampleCount) / (Math.max(0, sampleCount) + HALF_CONFIDENCE_ANSWERS);
     }
 }
--- a/src/main/java/vetchpost/state/ConfirmationSource.java
+++ b/src/main/java/vetchpost/state/ConfirmationSource.java
@@ -1,11 +1,14 @@
 package vetchpost.state;
 
-/** How a box was last known to be there. The order is that of the format, and of the words' weight. */
+/**
+ * How a server's presence was last confirmed, from the weakest evidence to the strongest. The order is part of the
+ * snapshot format.
+ */
 public enum ConfirmationSource {
-    /** Discovery's list named it. */
+    /** It was in discovery's list. */
     LIST,
     /** It served a request. */
     ANSWER,
-    /** It said who it is, when asked. */
+    /** It reported its id when probed. */
     IDENTITY
 }
--- a/src/main/java/vetchpost/state/RestoredState.java
+++ b/src/main/java/vetchpost/state/RestoredState.java
@@ -13,57 +13,58 @@
 import vetchpost.decision.Balancer.ServerState;
 
 /**
- * Decides with which boxes a node begins that knows of some from before: those that are surely still who they
- * were are used at once, others are asked first, and the rest is left to discovery. An answer doesn't name
- * who made it, so a request must not go to an address that may be somebody else's by now.
+ * The servers of a snapshot that a starting node uses at once, and those that it probes first. A response does not
+ * identify its server, so no request may go to an address that another server may have by now; such servers are
+ * probed or left to discovery. Computed by {@code Recovery} on the node's event loop.
  *
- * @param use to be sent to at once, with how far each is believed to be there still
- * @param ask to be asked who they are before anything is sent; the likeliest first
- * @param dropped how many are neither
+ * @param usable servers to use at once, with the confidence from 0 to 1 that each still exists
+ * @param toProbe servers to identify before any request is sent to them; the likeliest first
+ * @param dropped number of servers that are neither
  */
 public record RestoredState(Map<Target, Double> usable, List<Target> toProbe, int dropped) {
 
     /**
-     * How old knowledge is met.
+     * How servers of a snapshot are judged.
      *
-     * @param lifeMs how long a box stays where it is, on average
-     * @param unidentifiedMs an address whose box was confirmed less long ago has not changed hands
-     * @param identifies whether boxes can be asked who they are
+     * @param serverLifetimeMs mean time that a server stays at its address, in milliseconds
+     * @param addressReuseMs time after a confirmation within which the address can't have been reassigned, in
+     *     milliseconds
+     * @param canIdentify whether servers can be probed for their ids
      */
     public record Rules(long serverLifetimeMs, long addressReuseMs, boolean canIdentify) {}
 
     /**
-     * How far a box is believed to be as it was, from 0 to 1, where nothing but its old entry speaks for it:
-     * that it is there, and that it has not started anew unseen, which would have it cold. Discovery and all
-     * boxes may have gone down together.
+     * Returns the confidence from 0 to 1 that a server known only from a snapshot is unchanged: that it still exists
+     * and has not restarted unseen, which would make it cold. Discovery and all servers may have failed together.
      */
-    public static double confidence(ServerRecord box, long nowMs, Rules rules) {
-        long ageMs = nowMs - box.confirmedMs();
+    public static double confidence(ServerRecord server, long nowMs, Rules rules) {
+        long ageMs = nowMs - server.confirmedMs();
         return Confidence.ofServer(ageMs, rules.serverLifetimeMs()) * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS);
     }
 
-    /** No box at an address that another one's entry, at least as new, holds too. */
+    /** Keeps the ready servers; of several at one address, the most recently confirmed. */
     private static List<ServerRecord> newestPerAddress(Snapshot snapshot) {
-        Map<Object, ServerRecord> holders = new LinkedHashMap<>();
-        for (ServerRecord box : snapshot.servers()) {
-            if (box.target().state() == ServerState.READY) {
-                holders.merge(box.target().address(), box, (a, b) -> b.confirmedMs() > a.confirmedMs() ? b : a);
+        Map<Object, ServerRecord> newestByAddress = new LinkedHashMap<>();
+        for (ServerRecord server : snapshot.servers()) {
+            if (server.target().state() == ServerState.READY) {
+                newestByAddress.merge(server.target().address(), server, (a, b) -> b.confirmedMs() > a.confirmedMs() ? b : a);
             }
         }
-        return new ArrayList<>(holders.values());
+        return new ArrayList<>(newestByAddress.values());
     }
 
     /**
-     * Weighs a snapshot.
+     * Classifies the servers of a snapshot.
      *
      * @param snapshot null if there is none
-     * @param listed the list that the node is given at its start; what it names is not the snapshot's affair
+     * @param listed the list that the node starts with; it takes precedence over the snapshot
+     * @param nowMs Unix time in milliseconds
      */
     public static RestoredState of(Snapshot snapshot, ServerList listed, long nowMs, Rules rules) {
-        Map<Target, Double> use = new LinkedHashMap<>();
-        List<Target> ask = new ArrayList<>();
+        Map<Target, Double> usable = new LinkedHashMap<>();
+        List<Target> toProbe = new ArrayList<>();
         if (snapshot == null) {
-            return new RestoredState(use, ask, 0);
+            return new RestoredState(usable, toProbe, 0);
         }
         Set<String> ids = new HashSet<>();
         Set<Object> addresses = new HashSet<>();
@@ -71,30 +72,30 @@
             ids.add(t.id());
             addresses.add(t.address());
         });
-        // A list at least as new as the snapshot's has said all: what it leaves out has gone.
+        // A list at least as new as the snapshot's is complete: servers that are not in it are gone.
         boolean isOutdated = !listed.targets().isEmpty()
                 && listed.revision() >= snapshot.origin().revision();
         Map<String, Double> confidence = new HashMap<>();
         int dropped = 0;
-        for (ServerRecord box : newestPerAddress(snapshot)) {
-            Target target = box.target();
-            long ageMs = nowMs - box.confirmedMs();
+        for (ServerRecord server : newestPerAddress(snapshot)) {
+            Target target = server.target();
+            long ageMs = nowMs - server.confirmedMs();
             if (ids.contains(target.id())) {
                 continue;
             }
-            double sure = Confidence.ofServer(ageMs, rules.serverLifetimeMs());
+            double presence = Confidence.ofServer(ageMs, rules.serverLifetimeMs());
             if (isOutdated || addresses.contains(target.address())) {
                 dropped++;
-            } else if (sure > 0 && ageMs <= rules.addressReuseMs()) {
-                use.put(target, sure);
+            } else if (presence > 0 && ageMs <= rules.addressReuseMs()) {
+                usable.put(target, presence);
             } else if (rules.canIdentify()) {
-                confidence.put(target.id(), sure);
-                ask.add(target);
+                confidence.put(target.id(), presence);
+                toProbe.add(target);
             } else {
                 dropped++;
             }
         }
-        ask.sort(Comparator.comparingDouble(t -> -confidence.get(t.id())));
-        return new RestoredState(use, ask, dropped);
+        toProbe.sort(Comparator.comparingDouble(t -> -confidence.get(t.id())));
+        return new RestoredState(usable, toProbe, dropped);
     }
 }
--- a/src/main/java/vetchpost/state/SelfFault.java
+++ b/src/main/java/vetchpost/state/SelfFault.java
@@ -1,25 +1,28 @@
 package vetchpost.state;
 
-/** Why what a node has learned may say more of itself than of its boxes. The order is that of the format. */
+/**
+ * A fault of a node that makes its statistics say more about itself than about its servers. The order is part of
+ * the snapshot format.
+ */
 public enum SelfFault {
-    /** More than half of its boxes, or half, are ejected or fail. */
-    MOST_SERVERS_FAILING("most of its boxes fail"),
-    /** It sends less than it is asked for, since most attempts fail. */
-    THROTTLED("it is throttled"),
-    /** Its loop is behind: its own delay looks like its boxes'. */
-    STALLED("its loop is behind"),
-    /** It started so short a while ago that what it knows is chance. */
-    JUST_STARTED("it has only just started"),
-    /** It says that it knows things from the future. */
+    /** At least half of its servers are ejected or failing. */
+    MOST_SERVERS_FAILING("at least half of its servers are failing"),
+    /** It limits its own sending rate, since most attempts fail. */
+    THROTTLED("the node is throttled"),
+    /** Its event loop is delayed, and the delay looks like its servers' latency. */
+    STALLED("its event loop is delayed"),
+    /** It has run for too short a time to have significant statistics. */
+    JUST_STARTED("the node has only just started"),
+    /** Its times are in the future. */
     FUTURE("its clock is ahead");
 
     private final String description;
 
-    SelfFault(String words) {
-        this.description = words;
+    SelfFault(String description) {
+        this.description = description;
     }
 
-    /** For a line of the log, after the name of the node. */
+    /** Returns a phrase for the log. */
     public String description() {
         return description;
     }
--- a/src/main/java/vetchpost/state/SelfFaultDetector.java
+++ b/src/main/java/vetchpost/state/SelfFaultDetector.java
@@ -7,72 +7,72 @@
 import vetchpost.decision.ServerStatistics.PerServer;
 
 /**
- * Whether a node's knowledge of its boxes is worth taking: a confused one blames them for its own trouble, or
- * for one that they share and that will have passed. The giver says what it knows of its own state, and the
- * taker looks at what it gets, whatever the giver says. Who is there is told apart from how well they are: a
- * confused node knows the former as well as any.
+ * Detects whether a node's statistics of its servers can be trusted: a faulty node blames them for its own fault,
+ * or for a shared one that will have passed. The origin of a snapshot reports its own faults, and the reader checks
+ * the content regardless. Only health is distrusted; which servers exist is reliable even from a faulty node.
+ * Called by {@code Recovery} on the node's event loop; stateless.
  */
 public final class SelfFaultDetector {
-    /** A node learns for so long before its knowledge is more than chance: as long as a box stays cold. */
+    /** Time until a node's statistics are significant: as long as a server stays cold. */
     static final long MIN_UPTIME_MS = 20_000;
-    /** A loop this far behind has been at it for several beats. */
+    /** A delay this long spans several heartbeats of the event loop. */
     static final long MIN_STALLED_DELAY_US = 100_000;
-    /** Failures among the last 16 from which on a box counts as ill; the module ejects at as many. */
+    /** Failures among the last 16 attempts that mark a server as failing; the balancer ejects at the same number. */
     private static final int MIN_RECENT_FAILURES = 4;
-    /** Failures in a row that say the same. */
+    /** Consecutive errors that mark a server as failing. */
     private static final int MIN_CONSECUTIVE_ERRORS = 3;
 
     private SelfFaultDetector() {}
 
     /**
-     * What a node has to say of itself.
+     * Returns the faults that a node finds in itself.
      *
-     * @param stallUs how far its loop is behind
-     * @param upMs since when it runs
+     * @param loopDelayUs delay of its event loop in microseconds
+     * @param uptimeMs time since its start in milliseconds
      */
-    public static Set<SelfFault> inOwnStatistics(ServerStatistics knowledge, long stallUs, long upMs) {
-        EnumSet<SelfFault> troubles = EnumSet.noneOf(SelfFault.class);
+    public static Set<SelfFault> inOwnStatistics(ServerStatistics knowledge, long loopDelayUs, long uptimeMs) {
+        EnumSet<SelfFault> faults = EnumSet.noneOf(SelfFault.class);
         if (knowledge.readyCount() > 0 && 2 * knowledge.ejectedCount() >= knowledge.readyCount()) {
-            troubles.add(SelfFault.MOST_SERVERS_FAILING);
+            faults.add(SelfFault.MOST_SERVERS_FAILING);
         }
         if (knowledge.throttled()) {
-            troubles.add(SelfFault.THROTTLED);
+            faults.add(SelfFault.THROTTLED);
         }
-        if (stallUs >= MIN_STALLED_DELAY_US) {
-            troubles.add(SelfFault.STALLED);
+        if (loopDelayUs >= MIN_STALLED_DELAY_US) {
+            faults.add(SelfFault.STALLED);
         }
-        if (upMs < MIN_UPTIME_MS) {
-            troubles.add(SelfFault.JUST_STARTED);
+        if (uptimeMs < MIN_UPTIME_MS) {
+            faults.add(SelfFault.JUST_STARTED);
         }
-        return troubles;
+        return faults;
     }
 
-    /** What speaks against a snapshot's word on how well its boxes are; empty if nothing does. */
+    /** Returns the reasons to distrust the health statistics of a snapshot; empty if there are none. */
     public static Set<SelfFault> inSnapshot(Snapshot snapshot, long nowMs) {
-        EnumSet<SelfFault> troubles = EnumSet.noneOf(SelfFault.class);
-        troubles.addAll(snapshot.origin().selfFaults());
+        EnumSet<SelfFault> faults = EnumSet.noneOf(SelfFault.class);
+        faults.addAll(snapshot.origin().selfFaults());
         if (snapshot.origin().takenMs() > nowMs + Confidence.MAX_CLOCK_SKEW_MS
                 || snapshot.origin().startedMs() > snapshot.origin().takenMs() + Confidence.MAX_CLOCK_SKEW_MS) {
-            troubles.add(SelfFault.FUTURE);
+            faults.add(SelfFault.FUTURE);
         }
         if (areMostFailing(snapshot.servers())) {
-            troubles.add(SelfFault.MOST_SERVERS_FAILING);
+            faults.add(SelfFault.MOST_SERVERS_FAILING);
         }
-        return troubles;
+        return faults;
     }
 
-    /** Were they believed, too few would be left: half of those of which anything is known, or more. */
-    private static boolean areMostFailing(List<ServerRecord> boxes) {
+    /** Whether at least half of the servers with samples are failing: believing that would leave too few. */
+    private static boolean areMostFailing(List<ServerRecord> servers) {
         int known = 0;
-        int ill = 0;
-        for (ServerRecord box : boxes) {
-            PerServer knowledge = box.statistics();
+        int failing = 0;
+        for (ServerRecord server : servers) {
+            PerServer knowledge = server.statistics();
             if (knowledge != null && knowledge.attemptCount() > 0) {
                 known++;
-                ill += isFailing(knowledge) ? 1 : 0;
+                failing += isFailing(knowledge) ? 1 : 0;
             }
         }
-        return ill > 0 && 2 * ill >= known;
+        return failing > 0 && 2 * failing >= known;
     }
 
     static boolean isFailing(PerServer knowledge) {
--- a/src/main/java/vetchpost/state/ServerRecord.java
+++ b/src/main/java/vetchpost/state/ServerRecord.java
@@ -4,13 +4,13 @@
 import vetchpost.decision.ServerStatistics.PerServer;
 
 /**
- * What is known of one box.
+ * A snapshot's record of one server.
  *
- * @param target as the list had it last
- * @param confirmedMs when it was last known to be there, Unix time in milliseconds
- * @param by how
- * @param knownMs when the knowledge was taken down; 0 if there is none
- * @param knowledge what answers have told, with misses in the order of the snapshot's classes; or null
+ * @param target the server as last listed
+ * @param confirmedMs when its presence was last confirmed, Unix time in milliseconds
+ * @param confirmedBy how it was confirmed
+ * @param statisticsMs when the statistics were captured, Unix time in milliseconds; 0 if there are none
+ * @param statistics statistics of its answers, with failure streaks in the order of the snapshot's classes; or null
  */
 public record ServerRecord(
         Target target, long confirmedMs, ConfirmationSource confirmedBy, long statisticsMs, PerServer statistics) {}
--- a/src/main/java/vetchpost/state/Snapshot.java
+++ b/src/main/java/vetchpost/state/Snapshot.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What a node knows: of its boxes and of its classes, or a part of it.
+ * What a node knows of its servers and request classes, or a part of that. Immutable.
  *
- * @param classes in an order that the boxes' misses follow
+ * @param classes in the order of the servers' failure streaks
  */
 public record Snapshot(SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> servers) {
-    /** More boxes than a list may hold are no snapshot of a node. */
+    /** As many servers as a list may hold. */
     public static final int MAX_SERVERS = 100_000;
-    /** More classes than settings have. */
+    /** More classes than any settings have. */
     public static final int MAX_CLASSES = 64;
 
-    /** Lists don't change once they are here. */
+    /** Copies the lists. */
     public Snapshot {
         classes = List.copyOf(classes);
         servers = List.copyOf(servers);
--- a/src/main/java/vetchpost/state/SnapshotOrigin.java
+++ b/src/main/java/vetchpost/state/SnapshotOrigin.java
@@ -3,16 +3,16 @@
 import java.util.Set;
 
 /**
- * Where a snapshot comes from.
+ * Where and when a snapshot was taken.
  *
- * @param id told apart from all others by it: pieces of two snapshots don't mix
+ * @param id random id, so that chunks of two snapshots are not mixed
  * @param takenMs when it was taken, Unix time in milliseconds
- * @param startedMs when its node started
- * @param revision of the list that it holds
- * @param troubles by its node's own word
+ * @param startedMs when its node started, Unix time in milliseconds
+ * @param revision revision of the server list that it contains
+ * @param selfFaults faults that its node reported of itself
  */
 public record SnapshotOrigin(long id, long takenMs, long startedMs, long revision, Set<SelfFault> selfFaults) {
-    /** Sets don't change once they are here. */
+    /** Copies the set. */
     public SnapshotOrigin {
         selfFaults = Set.copyOf(selfFaults);
     }
--- a/src/main/java/vetchpost/state/codec/ChunkAssembler.java
+++ b/src/main/java/vetchpost/state/codec/ChunkAssembler.java
@@ -11,7 +11,7 @@
 import vetchpost.state.SnapshotOrigin;
 import vetchpost.state.codec.ChunkCodec.Chunk;
 
-/** Puts the pieces of one snapshot together, as far as they have come. */
+/** Assembles the chunks of one snapshot, in any order. Used for files and handovers; not thread-safe. */
 public final class ChunkAssembler {
     private final List<ServerRecord> servers = new ArrayList<>();
     private final Set<String> ids = new HashSet<>();
@@ -21,44 +21,44 @@
     private int chunkCount;
 
     /**
-     * Takes a piece in.
+     * Adds a chunk.
      *
-     * @throws MalformedState if it is of another snapshot, has come before, or names a box again; then
-     *     nothing of it is taken
+     * @throws MalformedSnapshotException if it belongs to another snapshot, is a duplicate, or repeats a server; then
+     *     nothing of it is added
      */
-    public void add(Chunk piece) throws MalformedSnapshotException {
+    public void add(Chunk chunk) throws MalformedSnapshotException {
         if (origin != null
-                && (!origin.equals(piece.content().origin())
-                        || chunkCount != piece.chunkCount()
-                        || !classes.equals(piece.content().classes()))) {
-            throw new MalformedSnapshotException("pieces of two snapshots");
+                && (!origin.equals(chunk.content().origin())
+                        || chunkCount != chunk.chunkCount()
+                        || !classes.equals(chunk.content().classes()))) {
+            throw new MalformedSnapshotException("chunks of two snapshots");
         }
-        if (receivedNumbers.get(piece.number())) {
-            throw new MalformedSnapshotException("piece " + piece.number() + " twice");
+        if (receivedNumbers.get(chunk.number())) {
+            throw new MalformedSnapshotException("duplicate chunk " + chunk.number() + " of the snapshot");
         }
-        if (servers.size() + piece.content().servers().size() > Snapshot.MAX_SERVERS) {
-            throw new MalformedSnapshotException("over " + Snapshot.MAX_SERVERS + " boxes");
+        if (servers.size() + chunk.content().servers().size() > Snapshot.MAX_SERVERS) {
+            throw new MalformedSnapshotException("more than " + Snapshot.MAX_SERVERS + " servers");
         }
-        Set<String> fresh = new HashSet<>();
-        for (ServerRecord box : piece.content().servers()) {
-            if (ids.contains(box.target().id()) || !fresh.add(box.target().id())) {
-                throw new MalformedSnapshotException("box " + box.target().id() + " twice");
+        Set<String> newIds = new HashSet<>();
+        for (ServerRecord server : chunk.content().servers()) {
+            if (ids.contains(server.target().id()) || !newIds.add(server.target().id())) {
+                throw new MalformedSnapshotException("duplicate server " + server.target().id() + " in the snapshot");
             }
         }
-        origin = piece.content().origin();
-        classes = piece.content().classes();
-        chunkCount = piece.chunkCount();
-        receivedNumbers.set(piece.number());
-        ids.addAll(fresh);
-        servers.addAll(piece.content().servers());
+        origin = chunk.content().origin();
+        classes = chunk.content().classes();
+        chunkCount = chunk.chunkCount();
+        receivedNumbers.set(chunk.number());
+        ids.addAll(newIds);
+        servers.addAll(chunk.content().servers());
     }
 
-    /** Whether all pieces are there. */
+    /** Whether all chunks have been added. */
     public boolean isComplete() {
         return origin != null && receivedNumbers.cardinality() == chunkCount;
     }
 
-    /** What has come so far; null if nothing has. */
+    /** Returns the content of all chunks added so far; null if there are none. */
     public Snapshot snapshot() {
         return origin == null ? null : new Snapshot(origin, classes, servers);
     }
