--- a/src/main/java/vetchpost/state/codec/ChunkCodec.java
+++ b/src/main/java/vetchpost/state/codec/ChunkCodec.java
@@ -24,22 +24,22 @@
 import vetchpost.state.SnapshotOrigin;
 
 /**
- * Pieces of a snapshot as bytes: Protocol Buffers' wire format, by the schema in docs/state.md, so that
- * fields of later versions are passed over. Each piece can be read on its own. What is read is bounded before
- * it is allocated: a piece by its caller, all in it by the piece.
+ * Encodes and decodes chunks of a snapshot in the Protocol Buffers wire format by the schema in docs/state.md, so
+ * that fields of later versions are skipped. Each chunk can be read on its own. Sizes are checked before memory is
+ * allocated: that of a chunk by the caller, those of its fields against the chunk. Stateless.
  */
 public final class ChunkCodec {
-    /** Raised where a reader of this version would misunderstand what is written. */
+    /** Format version, raised for changes that a reader of this version would misunderstand. */
     public static final int VERSION = 1;
-    /** Bytes of a piece at most, either way. */
+    /** Bound on an encoded chunk, in both directions. */
     public static final int MAX_CHUNK_BYTES = 64 * 1024;
-    /** Boxes in a piece as this writes it: under half of its bytes with names of usual lengths. */
+    /** Servers written per chunk, under half of its bytes with names of usual length. */
     public static final int SERVERS_PER_CHUNK = 100;
 
     private static final int MAX_NAME_BYTES = 256;
     private static final int MAX_SELF_FAULTS = 16;
 
-    // Fields of a piece.
+    // Field numbers of a chunk.
     private static final int P_VERSION = 1;
     private static final int P_SNAPSHOT = 2;
     private static final int P_NUMBER = 3;
@@ -54,44 +54,44 @@
     private ChunkCodec() {}
 
     /**
-     * A piece that has been read.
+     * A decoded chunk.
      *
-     * @param number from 0
-     * @param pieces how many the snapshot has
-     * @param part the origin, which is in each, the classes, which are too, and this piece's boxes
+     * @param number number of the chunk, from 0
+     * @param chunkCount number of chunks in the snapshot
+     * @param content the origin and classes, which are in every chunk, and this chunk's servers
      */
     public record Chunk(int number, int chunkCount, Snapshot content) {}
 
-    /** How many pieces a snapshot of so many boxes takes. */
-    public static int chunkCount(int boxes) {
-        return Math.max(1, (boxes + SERVERS_PER_CHUNK - 1) / SERVERS_PER_CHUNK);
+    /** Returns how many chunks a snapshot of a number of servers takes; at least 1. */
+    public static int chunkCount(int servers) {
+        return Math.max(1, (servers + SERVERS_PER_CHUNK - 1) / SERVERS_PER_CHUNK);
     }
 
-    /** One piece. */
+    /** Encodes one chunk. */
     public static byte[] write(
-            int number, int pieces, SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> boxes) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(512 + 160 * boxes.size());
+            int number, int chunkCount, SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> servers) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(512 + 160 * servers.size());
         try {
             CodedOutputStream out = CodedOutputStream.newInstance(bytes);
             out.writeUInt32(P_VERSION, VERSION);
             out.writeFixed64(P_SNAPSHOT, origin.id());
             out.writeUInt32(P_NUMBER, number);
-            out.writeUInt32(P_CHUNKS, pieces);
+            out.writeUInt32(P_CHUNKS, chunkCount);
             out.writeInt64(P_TAKEN, origin.takenMs());
             out.writeInt64(P_STARTED, origin.startedMs());
             out.writeInt64(P_REVISION, origin.revision());
-            for (SelfFault trouble : origin.selfFaults()) {
-                out.writeUInt32(P_SELF_FAULT, trouble.ordinal());
+            for (SelfFault faultOrdinal : origin.selfFaults()) {
+                out.writeUInt32(P_SELF_FAULT, faultOrdinal.ordinal());
             }
             for (ClassState state : classes) {
                 out.writeByteArray(P_CLASS, encode(state));
             }
-            for (ServerRecord box : boxes) {
-                out.writeByteArray(P_SERVER, encode(box));
+            for (ServerRecord server : servers) {
+                out.writeByteArray(P_SERVER, encode(server));
             }
             out.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("memory doesn't fail", e);
+            throw new UncheckedIOException("writing to memory failed", e);
         }
         return bytes.toByteArray();
     }
@@ -107,10 +107,10 @@
         return bytes.toByteArray();
     }
 
-    private static byte[] encode(ServerRecord box) throws IOException {
+    private static byte[] encode(ServerRecord server) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(160);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes, 160);
-        Target target = box.target();
+        Target target = server.target();
         out.writeString(1, target.id());
         out.writeByteArray(2, target.address().getAddress().getAddress());
         out.writeUInt32(3, target.address().getPort());
@@ -119,21 +119,21 @@
         out.writeUInt32(6, target.state() == ServerState.DRAINING ? 1 : 0);
         out.writeDouble(7, target.weight());
         out.writeInt64(8, target.bootMs());
-        out.writeInt64(9, box.confirmedMs());
-        out.writeUInt32(10, box.confirmedBy().ordinal());
-        PerServer known = box.statistics();
-        if (known != null) {
-            out.writeInt64(11, box.statisticsMs());
-            out.writeUInt32(12, known.attemptCount());
-            out.writeInt64(13, known.lastAnswerAtUs());
-            out.writeInt64(14, known.lastServedAtUs());
-            out.writeUInt32(15, known.consecutiveErrors());
-            out.writeUInt32(16, known.recentFailures());
-            out.writeDouble(17, known.failureFraction());
-            out.writeDouble(18, known.relativeLatency());
-            out.writeDouble(19, known.relativeLimit());
-            out.writeBool(20, known.ejected());
-            for (int count : known.classFailureStreaks()) {
+        out.writeInt64(9, server.confirmedMs());
+        out.writeUInt32(10, server.confirmedBy().ordinal());
+        PerServer statistics = server.statistics();
+        if (statistics != null) {
+            out.writeInt64(11, server.statisticsMs());
+            out.writeUInt32(12, statistics.attemptCount());
+            out.writeInt64(13, statistics.lastAnswerAtUs());
+            out.writeInt64(14, statistics.lastServedAtUs());
+            out.writeUInt32(15, statistics.consecutiveErrors());
+            out.writeUInt32(16, statistics.recentFailures());
+            out.writeDouble(17, statistics.failureFraction());
+            out.writeDouble(18, statistics.relativeLatency());
+            out.writeDouble(19, statistics.relativeLimit());
+            out.writeBool(20, statistics.ejected());
+            for (int count : statistics.classFailureStreaks()) {
                 out.writeUInt32(21, count);
             }
         }
@@ -144,19 +144,19 @@
     // ---------------------------------------------------------------- reading
 
     /**
-     * Reads a piece.
+     * Decodes a chunk.
      *
-     * @throws MalformedState if it is none, or of a newer version
+     * @throws MalformedSnapshotException if it is malformed, exceeds a bound or is of another version
      */
     public static Chunk read(byte[] bytes) throws MalformedSnapshotException {
         if (bytes.length > MAX_CHUNK_BYTES) {
             throw new MalformedSnapshotException(
-                    "a piece of " + bytes.length + " bytes; " + MAX_CHUNK_BYTES + " at most");
+                    "snapshot chunk of " + bytes.length + " bytes; at most " + MAX_CHUNK_BYTES + " are allowed");
         }
         try {
             return readChunk(CodedInputStream.newInstance(bytes));
         } catch (IOException e) {
-            throw new MalformedSnapshotException("not a piece of a snapshot: " + e.getMessage());
+            throw new MalformedSnapshotException("not a chunk of a snapshot: " + e.getMessage());
         }
     }
 
@@ -164,80 +164,80 @@
         int version = 0;
         long id = 0;
         int number = -1;
-        int pieces = 0;
+        int chunkCount = 0;
         long taken = 0;
         long started = 0;
         long revision = 0;
-        Set<SelfFault> troubles = EnumSet.noneOf(SelfFault.class);
+        Set<SelfFault> faults = EnumSet.noneOf(SelfFault.class);
         List<ClassState> classes = new ArrayList<>();
-        List<ServerRecord> boxes = new ArrayList<>();
-        int said = 0;
+        List<ServerRecord> servers = new ArrayList<>();
+        int faultCount = 0;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (tag) {
                 case P_VERSION << 3 -> {
                     version = in.readUInt32();
                     if (version != VERSION) {
-                        // Nothing after it is looked at: it may mean something else there.
-                        throw new MalformedSnapshotException("a snapshot of version "
-                                + Integer.toUnsignedString(version) + "; this program knows " + VERSION);
+                        // Later fields may have another meaning in that version, so reading stops here.
+                        throw new MalformedSnapshotException("snapshot version "
+                                + Integer.toUnsignedString(version) + "; this program reads version " + VERSION);
                     }
                 }
                 case P_SNAPSHOT << 3 | 1 -> id = in.readFixed64();
                 case P_NUMBER << 3 -> number = in.readUInt32();
-                case P_CHUNKS << 3 -> pieces = in.readUInt32();
+                case P_CHUNKS << 3 -> chunkCount = in.readUInt32();
                 case P_TAKEN << 3 -> taken = in.readInt64();
                 case P_STARTED << 3 -> started = in.readInt64();
                 case P_REVISION << 3 -> revision = in.readInt64();
                 case P_SELF_FAULT << 3 -> {
-                    int trouble = in.readUInt32();
-                    check(++said <= MAX_SELF_FAULTS, "too many troubles");
-                    // One that this version doesn't know is still a trouble.
-                    troubles.add(
-                            trouble >= 0 && trouble < SelfFault.values().length
-                                    ? SelfFault.values()[trouble]
+                    int faultOrdinal = in.readUInt32();
+                    check(++faultCount <= MAX_SELF_FAULTS, "more than " + MAX_SELF_FAULTS + " self faults");
+                    // A fault that this version does not know still counts as one.
+                    faults.add(
+                            faultOrdinal >= 0 && faultOrdinal < SelfFault.values().length
+                                    ? SelfFault.values()[faultOrdinal]
                                     : SelfFault.MOST_SERVERS_FAILING);
                 }
                 case P_CLASS << 3 | 2 -> {
-                    check(classes.size() < Snapshot.MAX_CLASSES, "too many classes");
+                    check(classes.size() < Snapshot.MAX_CLASSES, "more than " + Snapshot.MAX_CLASSES + " classes");
                     int limit = in.pushLimit(in.readRawVarint32());
                     classes.add(readClass(in));
                     in.popLimit(limit);
                 }
                 case P_SERVER << 3 | 2 -> {
                     int limit = in.pushLimit(in.readRawVarint32());
-                    boxes.add(readServer(in));
+                    servers.add(readServer(in));
                     in.popLimit(limit);
                 }
                 default -> skipField(in, tag);
             }
         }
-        check(version == VERSION, "no version");
+        check(version == VERSION, "snapshot chunk has no version");
         check(
-                pieces > 0 && pieces <= Snapshot.MAX_SERVERS && number >= 0 && number < pieces,
-                "piece " + number + " of " + pieces);
-        check(taken > 0 && started > 0, "no times");
+                chunkCount > 0 && chunkCount <= Snapshot.MAX_SERVERS && number >= 0 && number < chunkCount,
+                "invalid chunk number " + number + " of " + chunkCount);
+        check(taken > 0 && started > 0, "snapshot has no times");
         return new Chunk(
                 number,
-                pieces,
-                new Snapshot(new SnapshotOrigin(id, taken, started, revision, troubles), classes, boxes));
+                chunkCount,
+                new Snapshot(new SnapshotOrigin(id, taken, started, revision, faults), classes, servers));
     }
 
     private static ClassState readClass(CodedInputStream in) throws IOException, MalformedSnapshotException {
         String name = null;
         int answers = 0;
         double latency = 0;
-        double least = 0;
+        double minLatency = 0;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (tag) {
                 case 1 << 3 | 2 -> name = readName(in);
                 case 2 << 3 -> answers = readCount(in);
                 case 3 << 3 | 1 -> latency = readFigure(in);
-                case 4 << 3 | 1 -> least = readFigure(in);
+                case 4 << 3 | 1 -> minLatency = readFigure(in);
                 default -> skipField(in, tag);
             }
         }
-        check(name != null && !name.isEmpty(), "a class without a name");
-        return new ClassState(name, answers, latency, least);
+        check(name != null && !name.isEmpty(), "class without a name");
+        return new ClassState(name, answers, latency, minLatency);
     }
 
     private static ServerRecord readServer(CodedInputStream in) throws IOException, MalformedSnapshotException {
@@ -250,18 +250,18 @@
         double weight = 1;
         long boot = 0;
         long confirmed = 0;
-        int by = 0;
-        long known = 0;
+        int sourceOrdinal = 0;
+        long statisticsMs = 0;
         int answers = 0;
-        long heard = 0;
-        long served = 0;
+        long lastAnswerUs = 0;
+        long lastServedUs = 0;
         int errors = 0;
         int failures = 0;
-        double faults = 0;
-        double pace = 1;
+        double failureFraction = 0;
+        double relativeLatency = 1;
         double limit = 1;
         boolean ejected = false;
-        List<Integer> misses = new ArrayList<>(4);
+        List<Integer> failureStreaks = new ArrayList<>(4);
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (tag) {
                 case 1 << 3 | 2 -> id = readName(in);
@@ -273,29 +273,29 @@
                 case 7 << 3 | 1 -> weight = readFigure(in);
                 case 8 << 3 -> boot = readTime(in);
                 case 9 << 3 -> confirmed = readTime(in);
-                case 10 << 3 -> by = in.readUInt32();
-                case 11 << 3 -> known = readTime(in);
+                case 10 << 3 -> sourceOrdinal = in.readUInt32();
+                case 11 << 3 -> statisticsMs = readTime(in);
                 case 12 << 3 -> answers = readCount(in);
-                case 13 << 3 -> heard = readTime(in);
-                case 14 << 3 -> served = readTime(in);
+                case 13 << 3 -> lastAnswerUs = readTime(in);
+                case 14 << 3 -> lastServedUs = readTime(in);
                 case 15 << 3 -> errors = readCount(in);
                 case 16 << 3 -> failures = readCount(in);
-                case 17 << 3 | 1 -> faults = readFigure(in);
-                case 18 << 3 | 1 -> pace = readFigure(in);
+                case 17 << 3 | 1 -> failureFraction = readFigure(in);
+                case 18 << 3 | 1 -> relativeLatency = readFigure(in);
                 case 19 << 3 | 1 -> limit = readFigure(in);
                 case 20 << 3 -> ejected = in.readBool();
                 case 21 << 3 -> {
-                    check(misses.size() < Snapshot.MAX_CLASSES, "too many classes");
-                    misses.add(readCount(in));
+                    check(failureStreaks.size() < Snapshot.MAX_CLASSES, "more than " + Snapshot.MAX_CLASSES + " classes");
+                    failureStreaks.add(readCount(in));
                 }
                 default -> skipField(in, tag);
             }
         }
-        check(id != null && !id.isEmpty(), "a box without a name");
+        check(id != null && !id.isEmpty(), "server without an id");
         check(
                 host != null && (host.length == 4 || host.length == 16) && port > 0 && port <= 65_535,
-                "box " + id + " has no address");
-        check(confirmed > 0, "box " + id + " has never been there");
+                "server " + id + " has no address");
+        check(confirmed > 0, "server " + id + " has no time of confirmation");
         Target target = new Target(
                 id,
                 new InetSocketAddress(InetAddress.getByAddress(host), port),
@@ -304,69 +304,69 @@
                 state == 0 ? ServerState.READY : ServerState.DRAINING,
                 weight,
                 boot);
-        // How sure a word of an unknown kind is can't be told: the least sure of those that are known.
-        ConfirmationSource how = by >= 0 && by < ConfirmationSource.values().length
-                ? ConfirmationSource.values()[by]
+        // A source that this version does not know counts as the weaker of the two that come from the server.
+        ConfirmationSource source = sourceOrdinal >= 0 && sourceOrdinal < ConfirmationSource.values().length
+                ? ConfirmationSource.values()[sourceOrdinal]
                 : ConfirmationSource.ANSWER;
         return new ServerRecord(
                 target,
                 confirmed,
-                how,
-                known,
-                known == 0
+                source,
+                statisticsMs,
+                statisticsMs == 0
                         ? null
                         : new PerServer(
                                 id,
                                 1_000 * boot,
                                 answers,
-                                heard,
-                                served,
+                                lastAnswerUs,
+                                lastServedUs,
                                 errors,
                                 Math.min(16, failures),
-                                Math.min(1, faults),
-                                pace,
+                                Math.min(1, failureFraction),
+                                relativeLatency,
                                 limit,
                                 ejected,
-                                misses));
+                                failureStreaks));
     }
 
     private static String readName(CodedInputStream in) throws IOException, MalformedSnapshotException {
         int length = in.readRawVarint32();
-        check(length >= 0 && length <= MAX_NAME_BYTES, "a name of " + length + " bytes");
+        check(length >= 0 && length <= MAX_NAME_BYTES, "name of " + length + " bytes");
         byte[] bytes = in.readRawBytes(length);
         String name = new String(bytes, StandardCharsets.UTF_8);
-        check(name.chars().noneMatch(c -> c < ' ' || c == 0xFFFD || c == 0x7F), "a name that is no text");
+        check(name.chars().noneMatch(c -> c < ' ' || c == 0xFFFD || c == 0x7F), "name is not valid text");
         return name;
     }
 
     private static int readCount(CodedInputStream in) throws IOException, MalformedSnapshotException {
         int count = in.readUInt32();
-        check(count >= 0, "a count out of range");
+        check(count >= 0, "count out of range");
         return count;
     }
 
-    /** Finite and not negative. */
+    /** Reads a finite number that is not negative. */
     private static double readFigure(CodedInputStream in) throws IOException, MalformedSnapshotException {
-        double figure = in.readDouble();
-        check(figure >= 0 && figure < Double.POSITIVE_INFINITY, "a figure out of range");
-        return figure;
+        double number = in.readDouble();
+        check(number >= 0 && number < Double.POSITIVE_INFINITY, "number out of range");
+        return number;
     }
 
-    /** Milliseconds or microseconds, so far from the ends that neither overflows when converted. */
+    /** Reads milliseconds or microseconds, bounded so that converting between them does not overflow. */
     private static long readTime(CodedInputStream in) throws IOException, MalformedSnapshotException {
         long time = in.readInt64();
-        check(time >= 0 && time < 1L << 53, "a time out of range");
+        check(time >= 0 && time < 1L << 53, "time out of range");
         return time;
     }
 
     private static void skipField(CodedInputStream in, int tag) throws IOException, MalformedSnapshotException {
-        // Groups nest; no version writes any.
-        check(WireFormat.getTagWireType(tag) != WireFormat.WIRETYPE_START_GROUP && in.skipField(tag), "a group");
+        // Groups can nest without bound, and no version writes any.
+        check(WireFormat.getTagWireType(tag) != WireFormat.WIRETYPE_START_GROUP && in.skipField(tag), "unexpected group");
     }
 
-    private static void check(boolean holds, String otherwise) throws MalformedSnapshotException {
-        if (!holds) {
-            throw new MalformedSnapshotException(otherwise);
+    private static void check(boolean isValid, String message) throws MalformedSnapshotException {
+        if (!isValid) {
+            throw new MalformedSnapshotException(message);
         }
     }
 }
--- a/src/main/java/vetchpost/state/disk/ChunkFile.java
+++ b/src/main/java/vetchpost/state/disk/ChunkFile.java
@@ -11,10 +11,11 @@
 import vetchpost.state.codec.MalformedSnapshotException;
 
 /**
- * Pieces in a file, and those before them beside it. New ones are written under a third name, forced to the
- * disk, and moved into place, so that whatever happens in between one whole file is left. Format: eight bytes
- * that name it, the last of them its version, then for each piece its length and its bytes, then a length of
- * 0 and the CRC-32C (RFC 3720) of all before; numbers of four bytes, big end first.
+ * Keeps a list of chunks in a file, with the previous generation beside it. A new generation is written under a
+ * third name, forced to the disk and moved into place, so that one intact file is left after a crash at any point.
+ * Format: eight magic bytes of which the last is the version; for each chunk its length and bytes; a length of 0;
+ * the CRC-32C (RFC 3720) of all bytes before. Numbers have four bytes, big-endian. Methods block; one writer at a
+ * time.
  */
 public final class ChunkFile {
     private final Disk disk;
@@ -25,54 +26,54 @@
     private final long maxBytes;
     private volatile boolean isCurrentCorrupt;
 
-    /** Makes something of a file's pieces. */
+    /** Parses the chunks of a file. */
     public interface Parser<T> {
-        /** Makes it, or says why it can't. */
-        T parse(List<byte[]> pieces) throws MalformedSnapshotException;
+        /** Returns the content, or throws with the reason why the file can't be used. */
+        T parse(List<byte[]> chunks) throws MalformedSnapshotException;
     }
 
     /**
-     * In this file, and two more whose names begin with its.
+     * Creates access to a file and to its siblings with the suffixes {@code .old} and {@code .new}.
      *
-     * @param magic eight bytes
-     * @param most bytes of the file
+     * @param magic eight bytes, the last of them the format version
+     * @param maxBytes bound on the file's length when reading
      */
-    public ChunkFile(Path file, byte[] magic, long most) {
-        this(Disk.SYSTEM, file, magic, most);
+    public ChunkFile(Path file, byte[] magic, long maxBytes) {
+        this(Disk.SYSTEM, file, magic, maxBytes);
     }
 
-    ChunkFile(Disk disk, Path file, byte[] magic, long most) {
+    ChunkFile(Disk disk, Path file, byte[] magic, long maxBytes) {
         this.disk = disk;
         this.file = file.toAbsolutePath();
         previousFile = this.file.resolveSibling(this.file.getFileName() + ".old");
         newFile = this.file.resolveSibling(this.file.getFileName() + ".new");
         this.magic = magic.clone();
-        this.maxBytes = most;
+        this.maxBytes = maxBytes;
     }
 
     /**
-     * Writes pieces; blocks until they are on the disk.
+     * Writes a new generation; blocks until it is on the disk.
      *
      * @return the file's length in bytes
      */
-    public long write(List<byte[]> pieces) throws IOException {
+    public long write(List<byte[]> chunks) throws IOException {
         long length = 0;
-        CRC32C whole = new CRC32C();
+        CRC32C checksum = new CRC32C();
         try (Disk.Sink sink = disk.create(newFile)) {
-            length += append(sink, whole, ByteBuffer.wrap(magic));
-            for (byte[] piece : pieces) {
-                ByteBuffer frame = ByteBuffer.allocate(4 + piece.length)
-                        .putInt(piece.length)
-                        .put(piece)
+            length += append(sink, checksum, ByteBuffer.wrap(magic));
+            for (byte[] chunk : chunks) {
+                ByteBuffer frame = ByteBuffer.allocate(4 + chunk.length)
+                        .putInt(chunk.length)
+                        .put(chunk)
                         .flip();
-                length += append(sink, whole, frame);
+                length += append(sink, checksum, frame);
             }
-            length += append(sink, whole, ByteBuffer.allocate(4));
-            sink.write(ByteBuffer.allocate(4).putInt((int) whole.getValue()).flip());
+            length += append(sink, checksum, ByteBuffer.allocate(4));
+            sink.write(ByteBuffer.allocate(4).putInt((int) checksum.getValue()).flip());
             length += 4;
             sink.force();
         }
-        // What was found spoilt must not take the place of the one that was read instead.
+        // A corrupt current file must not replace the previous one, which was read instead.
         if (disk.exists(file) && !isCurrentCorrupt) {
             disk.move(file, previousFile);
         }
@@ -82,19 +83,20 @@
         return length;
     }
 
-    private static int append(Disk.Sink sink, CRC32C whole, ByteBuffer bytes) throws IOException {
-        whole.update(bytes.duplicate());
+    private static int append(Disk.Sink sink, CRC32C checksum, ByteBuffer bytes) throws IOException {
+        checksum.update(bytes.duplicate());
         int length = bytes.remaining();
         sink.write(bytes);
         return length;
     }
 
     /**
-     * What is made of the newest whole file of the two, or null if there is none.
+     * Parses the newest intact generation.
      *
-     * @param refused hears in one line of each file that is there and can't be used
+     * @param onRejected receives one line for each file that exists and can't be used
+     * @return the content, or null if there is none
      */
-    public <T> T read(Parser<T> parser, Consumer<String> refused) {
+    public <T> T read(Parser<T> parser, Consumer<String> onRejected) {
         isCurrentCorrupt = false;
         for (Path path : new Path[] {file, previousFile}) {
             if (disk.exists(path)) {
@@ -102,45 +104,45 @@
                     return parser.parse(parseChunks(disk.read(path, maxBytes), magic));
                 } catch (IOException | MalformedSnapshotException e) {
                     isCurrentCorrupt |= path == file;
-                    refused.accept(path + " is passed over: " + e.getMessage());
+                    onRejected.accept(path + " is ignored: " + e.getMessage());
                 }
             }
         }
         return null;
     }
 
-    /** The pieces in the bytes of a file. */
+    /** Parses the bytes of a file into chunks. */
     static List<byte[]> parseChunks(byte[] bytes, byte[] magic) throws MalformedSnapshotException {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        byte[] begin = new byte[magic.length];
-        check(in.remaining() >= begin.length, "too short for a snapshot");
-        in.get(begin);
-        for (int i = 0; i < begin.length - 1; i++) {
-            check(begin[i] == magic[i], "no snapshot of this program's");
+        byte[] header = new byte[magic.length];
+        check(in.remaining() >= header.length, "too short for a snapshot");
+        in.get(header);
+        for (int i = 0; i < header.length - 1; i++) {
+            check(header[i] == magic[i], "not a file of this program");
         }
         check(
-                begin[begin.length - 1] == magic[magic.length - 1],
-                "a newer format, "
-                        + (char) (begin[begin.length - 1] & 0x7F) + "; this program knows "
+                header[header.length - 1] == magic[magic.length - 1],
+                "format version "
+                        + (char) (header[header.length - 1] & 0x7F) + "; this program reads version "
                         + (char) magic[magic.length - 1]);
-        List<byte[]> pieces = new ArrayList<>();
+        List<byte[]> chunks = new ArrayList<>();
         while (true) {
-            check(in.remaining() >= 8, "it ends too early");
+            check(in.remaining() >= 8, "file is truncated");
             int length = in.getInt();
             if (length == 0) {
                 break;
             }
             check(
                     length > 0 && length <= ChunkCodec.MAX_CHUNK_BYTES && length <= in.remaining(),
-                    "a piece of " + length + " bytes with " + in.remaining() + " left");
-            byte[] piece = new byte[length];
-            in.get(piece);
-            pieces.add(piece);
+                    "invalid chunk length of " + length + " bytes with " + in.remaining() + " left");
+            byte[] chunk = new byte[length];
+            in.get(chunk);
+            chunks.add(chunk);
         }
         int end = in.position();
-        check(in.getInt() == crc(bytes, end), "its checksum doesn't fit");
-        check(!in.hasRemaining(), "more than a snapshot");
-        return pieces;
+        check(in.getInt() == crc(bytes, end), "checksum does not match");
+        check(!in.hasRemaining(), "unexpected bytes after the end");
+        return chunks;
     }
 
     private static int crc(byte[] bytes, int length) {
@@ -149,9 +151,9 @@
         return (int) crc.getValue();
     }
 
-    private static void check(boolean holds, String otherwise) throws MalformedSnapshotException {
-        if (!holds) {
-            throw new MalformedSnapshotException(otherwise);
+    private static void check(boolean isValid, String message) throws MalformedSnapshotException {
+        if (!isValid) {
+            throw new MalformedSnapshotException(message);
         }
     }
 }
--- a/src/main/java/vetchpost/state/disk/Disk.java
+++ b/src/main/java/vetchpost/state/disk/Disk.java
@@ -8,9 +8,9 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** The few calls to the system that keeping a file takes, each of which can fail or be the last. */
+/** The file system calls of {@link ChunkFile}, behind an interface so that tests can fail or stop at each one. */
 interface Disk {
-    /** The machine's. */
+    /** The default file system. */
     Disk SYSTEM = new Disk() {
         @Override
         public Sink create(Path file) throws IOException {
@@ -42,8 +42,8 @@
         }
 
         @Override
-        public void forceDirectory(Path folder) throws IOException {
-            try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+        public void forceDirectory(Path directory) throws IOException {
+            try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
                 channel.force(true);
             }
         }
@@ -54,13 +54,13 @@
         }
 
         @Override
-        public byte[] read(Path file, long most) throws IOException {
+        public byte[] read(Path file, long maxBytes) throws IOException {
             if (!Files.isRegularFile(file)) {
-                throw new IOException("is no file");
+                throw new IOException("is not a regular file");
             }
             long size = Files.size(file);
-            if (size > most) {
-                throw new IOException("is over " + most + " bytes");
+            if (size > maxBytes) {
+                throw new IOException("is longer than " + maxBytes + " bytes");
             }
             byte[] bytes = new byte[(int) size];
             try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
@@ -73,28 +73,28 @@
         }
     };
 
-    /** A file that is being written. */
+    /** A file open for writing. */
     interface Sink extends AutoCloseable {
         void write(ByteBuffer bytes) throws IOException;
 
-        /** What was written is on the disk once this returns. */
+        /** Forces all written bytes to the disk. */
         void force() throws IOException;
 
         @Override
         void close() throws IOException;
     }
 
-    /** An empty file to write, in the place of one that is there. */
+    /** Creates an empty file, replacing an existing one. */
     Sink create(Path file) throws IOException;
 
-    /** Moves a file at once, in the place of one that is there. */
+    /** Moves a file atomically, replacing an existing one. */
     void move(Path from, Path to) throws IOException;
 
-    /** Names in it are on the disk once this returns. */
-    void forceDirectory(Path folder) throws IOException;
+    /** Forces the directory's entries to the disk. */
+    void forceDirectory(Path directory) throws IOException;
 
     boolean exists(Path file);
 
-    /** A file's bytes, if they are no more than so many. */
-    byte[] read(Path file, long most) throws IOException;
+    /** Reads a file; throws if it is longer than {@code maxBytes}. */
+    byte[] read(Path file, long maxBytes) throws IOException;
 }
--- a/src/main/java/vetchpost/state/disk/StateFile.java
+++ b/src/main/java/vetchpost/state/disk/StateFile.java
@@ -10,18 +10,18 @@
 import vetchpost.state.codec.ChunkCodec;
 import vetchpost.state.codec.MalformedSnapshotException;
 
-/** A snapshot in a file, and the one before it beside it, whatever happens while it is written. */
+/** Keeps a snapshot in a file, with the previous one beside it. Methods block and are not called on an event loop. */
 public final class StateFile {
-    /** The bytes a file begins with; the last is the format's version, that of pieces is theirs. */
+    /** The last byte is the version of the file format; chunks have a version of their own. */
     private static final byte[] MAGIC = "VPSTATE1".getBytes(StandardCharsets.US_ASCII);
-    /** 100,000 boxes take under 24 MiB. */
+    /** 100,000 servers take under 24 MiB. */
     static final long MAX_FILE_BYTES = 32L << 20;
 
     private static final long MAX_CLOCK_SKEW_MS = 5_000;
 
     private final ChunkFile chunkFile;
 
-    /** In this file, and two more whose names begin with its. */
+    /** Creates access to a file; the previous and the unfinished one are siblings with a suffix. */
     public StateFile(Path file) {
         this(Disk.SYSTEM, file);
     }
@@ -31,45 +31,46 @@
     }
 
     /**
-     * Writes a snapshot; blocks until it is on the disk.
+     * Writes the chunks of a snapshot; blocks until they are on the disk.
      *
-     * @return its length in bytes
+     * @return the file's length in bytes
      */
-    public long write(List<byte[]> all) throws IOException {
-        return chunkFile.write(all);
+    public long write(List<byte[]> chunks) throws IOException {
+        return chunkFile.write(chunks);
     }
 
     /**
-     * The newest whole snapshot of the two, or null if there is none.
+     * Reads the newest intact snapshot.
      *
-     * @param nowMs Unix time; a snapshot taken later is not believed
-     * @param refused hears in one line of each file that is there and can't be used
+     * @param nowMs Unix time in milliseconds; a snapshot taken later is rejected
+     * @param onRejected receives one line for each file that exists and can't be used
+     * @return the snapshot, or null if there is none
      */
-    public Snapshot read(long nowMs, Consumer<String> refused) {
+    public Snapshot read(long nowMs, Consumer<String> onRejected) {
         return chunkFile.read(
-                all -> {
-                    Snapshot snapshot = assemble(all);
+                chunks -> {
+                    Snapshot snapshot = assemble(chunks);
                     if (snapshot.origin().takenMs() > nowMs + MAX_CLOCK_SKEW_MS) {
-                        throw new MalformedSnapshotException("it is from the future, or the clock is wrong");
+                        throw new MalformedSnapshotException("snapshot is from the future, or this machine's clock is wrong");
                     }
                     return snapshot;
                 },
-                refused);
+                onRejected);
     }
 
-    /** Reads the bytes of a file. */
+    /** Parses the bytes of a file. */
     static Snapshot parse(byte[] bytes) throws MalformedSnapshotException {
         return assemble(ChunkFile.parseChunks(bytes, MAGIC));
     }
 
-    private static Snapshot assemble(List<byte[]> all) throws MalformedSnapshotException {
-        ChunkAssembler assembly = new ChunkAssembler();
-        for (byte[] piece : all) {
-            assembly.add(ChunkCodec.read(piece));
+    private static Snapshot assemble(List<byte[]> chunks) throws MalformedSnapshotException {
+        ChunkAssembler assembler = new ChunkAssembler();
+        for (byte[] chunk : chunks) {
+            assembler.add(ChunkCodec.read(chunk));
         }
-        if (!assembly.isComplete()) {
-            throw new MalformedSnapshotException("pieces are missing");
+        if (!assembler.isComplete()) {
+            throw new MalformedSnapshotException("chunks are missing");
         }
-        return assembly.snapshot();
+        return assembler.snapshot();
     }
 }
--- a/src/test/java/vetchpost/handover/CorruptedStream.java
+++ b/src/test/java/vetchpost/handover/CorruptedStream.java
@@ -34,9 +34,9 @@
     void run() throws IOException {
         HandoverReceiver taker =
                 new HandoverReceiver(null, null, SharedSecret.of(new String(secret)), new SecureRandom());
-        taker.attach(channel, (snapshot, whole, why) -> {
+        taker.attach(channel, (received, isWhole, why) -> {
             outcomes++;
-            snapshot = snapshot;
+            snapshot = received;
         });
         byte[] giverNonce = new byte[32];
         random.nextBytes(giverNonce);
--- a/src/test/java/vetchpost/replication/disk/StoreFileTest.java
+++ b/src/test/java/vetchpost/replication/disk/StoreFileTest.java
@@ -76,7 +76,7 @@
         }
         List<String> refused = new ArrayList<>();
         assertNull(new StoreFile(path).read(refused::add));
-        assertTrue(refused.get(0).endsWith("its entries don't come to its sum"), refused.get(0));
+        assertTrue(refused.get(0).endsWith("its entries don't match its sum"), refused.get(0));
     }
 
     @Test
