--- a/src/main/java/vetchpost/handover/AuthenticatedFrames.java
+++ b/src/main/java/vetchpost/handover/AuthenticatedFrames.java
@@ -112,7 +112,10 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         authenticationTimeout = ctx.executor()
-                .schedule(() -> closeOnce("peer did not prove in time that it knows the secret"), AUTHENTICATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                .schedule(
+                        () -> closeOnce("peer did not prove in time that it knows the secret"),
+                        AUTHENTICATION_TIMEOUT_MS,
+                        TimeUnit.MILLISECONDS);
         if (isServer) {
             HandoverProtocol.hello(channel, nonce, new byte[0]);
         }
@@ -148,7 +151,8 @@
             peerNonce = HandoverProtocol.hello(message, 0).nonce();
             HandoverProtocol.hello(channel, nonce, secret.proof(0, REPLICA_ROLE, peerNonce, nonce));
         } else {
-            if (!MessageDigest.isEqual(HandoverProtocol.bytes(message), secret.proof(0, PUBLISHER_ROLE, peerNonce, nonce))) {
+            if (!MessageDigest.isEqual(
+                    HandoverProtocol.bytes(message), secret.proof(0, PUBLISHER_ROLE, peerNonce, nonce))) {
                 throw new HandoverProtocol.HandoverRejectedException("peer does not know the secret");
             }
             sessionKey = secret.sessionKey(0, peerNonce, nonce);
--- a/src/main/java/vetchpost/handover/HandoverProtocol.java
+++ b/src/main/java/vetchpost/handover/HandoverProtocol.java
@@ -43,7 +43,8 @@
     /** Adds framing to a pipeline; a longer message raises an exception before memory is allocated for it. */
     static void addFrameCodec(ChannelPipeline pipeline, int maxBytes) {
         pipeline.addLast(
-                new LengthFieldBasedFrameDecoder(Math.min(MAX_FRAME_BYTES, maxBytes) + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                new LengthFieldBasedFrameDecoder(
+                        Math.min(MAX_FRAME_BYTES, maxBytes) + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                 new LengthFieldPrepender(LENGTH_BYTES));
     }
 
@@ -66,7 +67,8 @@
             throw new HandoverRejectedException("peer does not speak this protocol");
         }
         if (bytes[HELLO.length] != VERSION) {
-            throw new HandoverRejectedException("peer uses protocol version " + bytes[HELLO.length] + "; this program uses version " + VERSION);
+            throw new HandoverRejectedException(
+                    "peer uses protocol version " + bytes[HELLO.length] + "; this program uses version " + VERSION);
         }
         if (bytes.length != nonceAt + SharedSecret.NONCE_BYTES + proofLength) {
             throw new HandoverRejectedException("unexpected hello length of " + bytes.length + " bytes");
--- a/src/main/java/vetchpost/handover/HandoverReceiver.java
+++ b/src/main/java/vetchpost/handover/HandoverReceiver.java
@@ -139,7 +139,8 @@
             receivedBytes += message.readableBytes();
             try {
                 if (receivedBytes > MAX_SNAPSHOT_BYTES) {
-                    throw new HandoverProtocol.HandoverRejectedException("sender sent more than " + MAX_SNAPSHOT_BYTES + " bytes");
+                    throw new HandoverProtocol.HandoverRejectedException(
+                            "sender sent more than " + MAX_SNAPSHOT_BYTES + " bytes");
                 }
                 receive(message);
             } catch (HandoverProtocol.HandoverRejectedException | MalformedSnapshotException e) {
@@ -147,13 +148,15 @@
             }
         }
 
-        private void receive(ByteBuf message) throws HandoverProtocol.HandoverRejectedException, MalformedSnapshotException {
+        private void receive(ByteBuf message)
+                throws HandoverProtocol.HandoverRejectedException, MalformedSnapshotException {
             if (senderNonce == null) {
                 senderNonce = HandoverProtocol.hello(message, 0).nonce();
                 HandoverProtocol.hello(channel, nonce, secret.proof(0, HandoverProtocol.RECEIVER, senderNonce, nonce));
             } else if (sessionKey == null) {
                 if (!MessageDigest.isEqual(
-                        HandoverProtocol.bytes(message), secret.proof(0, HandoverProtocol.SENDER, senderNonce, nonce))) {
+                        HandoverProtocol.bytes(message),
+                        secret.proof(0, HandoverProtocol.SENDER, senderNonce, nonce))) {
                     throw new HandoverProtocol.HandoverRejectedException("peer does not know the secret");
                 }
                 sessionKey = secret.sessionKey(0, senderNonce, nonce);
@@ -162,7 +165,8 @@
             }
         }
 
-        private void receiveChunk(byte[] message) throws HandoverProtocol.HandoverRejectedException, MalformedSnapshotException {
+        private void receiveChunk(byte[] message)
+                throws HandoverProtocol.HandoverRejectedException, MalformedSnapshotException {
             if (message.length < SharedSecret.MAC_BYTES) {
                 throw new HandoverProtocol.HandoverRejectedException("chunk without a tag");
             }
--- a/src/main/java/vetchpost/handover/HandoverSender.java
+++ b/src/main/java/vetchpost/handover/HandoverSender.java
@@ -30,6 +30,7 @@
 
     /** Concurrent receivers; further connections are closed at once. */
     static final int MAX_RECEIVERS = 4;
+
     private static final long AUTHENTICATION_TIMEOUT_MS = 1_000;
     /** Limit on a whole handover. */
     private static final long HANDOVER_TIMEOUT_MS = 10_000;
--- a/src/main/java/vetchpost/recovery/AddressProber.java
+++ b/src/main/java/vetchpost/recovery/AddressProber.java
@@ -160,7 +160,10 @@
         void onResponse(FullHttpResponse response) {
             boolean isExpected = response.decoderResult().isSuccess()
                     && response.status().equals(HttpResponseStatus.OK)
-                    && response.content().toString(StandardCharsets.UTF_8).strip().equals(target.id());
+                    && response.content()
+                            .toString(StandardCharsets.UTF_8)
+                            .strip()
+                            .equals(target.id());
             finish(isExpected ? Result.PRESENT : Result.OTHER_SERVER);
         }
 
--- a/src/main/java/vetchpost/recovery/Recovery.java
+++ b/src/main/java/vetchpost/recovery/Recovery.java
@@ -218,7 +218,8 @@
                     "server health from {0} is not used: {1}",
                     source,
                     String.join(
-                            ", ", faults.stream().map(SelfFault::description).sorted().toList()));
+                            ", ",
+                            faults.stream().map(SelfFault::description).sorted().toList()));
         }
         Map<String, Double> confidenceById = new HashMap<>();
         for (ServerRecord server : snapshot.servers()) {
@@ -315,7 +316,9 @@
                     observations.forgetUnused(target.id());
                     updateServers(List.of(target));
                     dispatcher.restore(PriorStatistics.ofUnconfirmed(
-                            probedRecord, classNames.size(), RestoredState.confidence(probedRecord, nowMs(), settings.rules())));
+                            probedRecord,
+                            classNames.size(),
+                            RestoredState.confidence(probedRecord, nowMs(), settings.rules())));
                 }
             }
             case OTHER_SERVER -> {
@@ -437,14 +440,14 @@
             ServerObservations.Cursor cursor,
             List<ServerRecord> records,
             boolean atOnce,
-            Consumer<List<ServerRecord>> isWhole) {
+            Consumer<List<ServerRecord>> onCollected) {
         do {
             records.addAll(cursor.next());
         } while (atOnce && cursor.hasNext());
         if (cursor.hasNext()) {
-            loop.execute(() -> collect(cursor, records, false, isWhole));
+            loop.execute(() -> collect(cursor, records, false, onCollected));
         } else {
-            isWhole.accept(records);
+            onCollected.accept(records);
         }
     }
 
--- a/src/main/java/vetchpost/recovery/RecoveryValidator.java
+++ b/src/main/java/vetchpost/recovery/RecoveryValidator.java
@@ -98,7 +98,8 @@
                         "secret-file = \"...\"");
             }
             if (startWaitMs > timeoutMs) {
-                addViolation(handover.at(), "handover", Rule.SCHEDULE, "wait is longer than within", "wait = \"300ms\"");
+                addViolation(
+                        handover.at(), "handover", Rule.SCHEDULE, "wait is longer than within", "wait = \"300ms\"");
             }
         }
         return new Validation(
--- a/src/main/java/vetchpost/recovery/ServerObservations.java
+++ b/src/main/java/vetchpost/recovery/ServerObservations.java
@@ -131,8 +131,8 @@
                     records.add(unusedRecords.get(position - targets.size()));
                     continue;
                 }
-                ServerRecord server =
-                        toRecord(targets.get(position), known.get(targets.get(position).id()), now);
+                ServerRecord server = toRecord(
+                        targets.get(position), known.get(targets.get(position).id()), now);
                 if (server != null) {
                     records.add(server);
                 }
@@ -155,7 +155,10 @@
             source = ConfirmationSource.ANSWER;
         }
         boolean hasStatistics = known != null && known.attemptCount() > 0;
-        return confirmedMs == 0 ? null : new ServerRecord(target, confirmedMs, source, hasStatistics ? nowMs : 0, hasStatistics ? known : null);
+        return confirmedMs == 0
+                ? null
+                : new ServerRecord(
+                        target, confirmedMs, source, hasStatistics ? nowMs : 0, hasStatistics ? known : null);
     }
 
     List<ClassState> classes(ServerStatistics knowledge) {
--- a/src/main/java/vetchpost/replication/FrameCodec.java
+++ b/src/main/java/vetchpost/replication/FrameCodec.java
@@ -280,7 +280,9 @@
             }
         }
         check(key != null && key.length > 0 && key.length <= MAX_KEY_BYTES, "item key missing or too long");
-        check(stamp >= 0 && (value == null || value.length <= MAX_VALUE_BYTES), "item version negative or value too long");
+        check(
+                stamp >= 0 && (value == null || value.length <= MAX_VALUE_BYTES),
+                "item version negative or value too long");
         return new Entry(key, value, stamp);
     }
 
--- a/src/main/java/vetchpost/replication/Publisher.java
+++ b/src/main/java/vetchpost/replication/Publisher.java
@@ -161,7 +161,8 @@
                                     Type.DIFFER,
                                     pinnedStore.version(),
                                     pinnedStore.live().sum(),
-                                    List.of(new Span(FIRST_KEY, null, pinnedStore.live().sum(), null)))),
+                                    List.of(new Span(
+                                            FIRST_KEY, null, pinnedStore.live().sum(), null)))),
                             nowUs);
                     return;
                 }
@@ -371,8 +372,9 @@
         long before = tree.sum(null, span.from()).count();
         byte[] from = span.from();
         for (int i = 1; i <= SPLIT_FACTOR; i++) {
-            byte[] to =
-                    i == SPLIT_FACTOR ? span.to() : tree.at(before + count * i / SPLIT_FACTOR).key();
+            byte[] to = i == SPLIT_FACTOR
+                    ? span.to()
+                    : tree.at(before + count * i / SPLIT_FACTOR).key();
             into.add(new Span(from, to, tree.sum(from, to), null));
             from = to;
         }
@@ -436,7 +438,9 @@
             } else if (!session.peer.isWritable()) {
                 blocked.put(session, true);
             } else if (!session.byteBucket.hasAny(nowUs) || !session.entryBucket.hasAny(nowUs)) {
-                nextCallUs = Math.min(nextCallUs, Math.max(session.byteBucket.availableAtUs(nowUs), session.entryBucket.availableAtUs(nowUs)));
+                nextCallUs = Math.min(
+                        nextCallUs,
+                        Math.max(session.byteBucket.availableAtUs(nowUs), session.entryBucket.availableAtUs(nowUs)));
                 blocked.put(session, true);
             } else {
                 readySessions.remove(session);
--- a/src/main/java/vetchpost/replication/PublisherChoice.java
+++ b/src/main/java/vetchpost/replication/PublisherChoice.java
@@ -54,7 +54,9 @@
         for (int i = 1; i < ranks.length; i++) {
             boolean isAvailable = retryAtUs[i] <= nowUs;
             boolean isBestAvailable = retryAtUs[best] <= nowUs;
-            if (isAvailable != isBestAvailable ? isAvailable : isAvailable ? ranks[i] > ranks[best] : retryAtUs[i] < retryAtUs[best]) {
+            if (isAvailable != isBestAvailable
+                    ? isAvailable
+                    : isAvailable ? ranks[i] > ranks[best] : retryAtUs[i] < retryAtUs[best]) {
                 best = i;
             }
         }
--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -77,6 +77,7 @@
         private final Deque<Span> pendingSpans = new ArrayDeque<>();
         /** Hashes of items that were requested and have not arrived. */
         private final Set<Long> pendingHashes = new HashSet<>();
+
         private int compareRounds;
         private boolean isComparing;
         private boolean awaitsDiffer;
@@ -88,9 +89,8 @@
         void applyEntry(Entry entry) throws FrameRejectedException {
             Item own = live.get(entry.key());
             if (own != null && isOlder(entry.stamp(), own)) {
-                throw new FrameRejectedException(
-                        "entry would go back from version " + Version.text(own.stamp()) + " to "
-                                + Version.text(entry.stamp()));
+                throw new FrameRejectedException("entry would go back from version " + Version.text(own.stamp())
+                        + " to " + Version.text(entry.stamp()));
             }
             if (entry.value() == null) {
                 live = live.remove(entry.key());
@@ -185,7 +185,8 @@
         try {
             switch (frame.type()) {
                 case CURRENT -> onCurrent(frame, nowUs);
-                case BEHIND -> throw new FrameRejectedException("publisher is behind, at version " + Version.text(frame.to()));
+                case BEHIND ->
+                    throw new FrameRejectedException("publisher is behind, at version " + Version.text(frame.to()));
                 case DELTA -> onDelta(frame, nowUs);
                 case DIFFER -> onDiffer(frame, nowUs);
                 case ITEMS -> onItems(frame, nowUs);
@@ -227,8 +228,11 @@
             return; // Answers an earlier message, or a duplicate.
         }
         boolean isFirstPart = frame.part() == 0 && startsAtCurrentVersion(frame);
-        boolean isNextPart =
-                !isFirstPart && draft != null && draft.targetVersion == frame.to() && draft.nextPart == frame.part() && startsAtCurrentVersion(frame);
+        boolean isNextPart = !isFirstPart
+                && draft != null
+                && draft.targetVersion == frame.to()
+                && draft.nextPart == frame.part()
+                && startsAtCurrentVersion(frame);
         if (!isFirstPart && !isNextPart) {
             // A part is missing, so the draft can't be completed.
             if (draft != null || frame.part() == 0) {
@@ -320,9 +324,8 @@
             draft.isComparing = true;
         } else if (draft.targetVersion != frame.to()) {
             if (draft.targetVersion != Version.NONE) {
-                throw new MalformedFrameException(
-                        "ranges of version " + Version.text(frame.to()) + " instead of "
-                                + Version.text(draft.targetVersion));
+                throw new MalformedFrameException("ranges of version " + Version.text(frame.to()) + " instead of "
+                        + Version.text(draft.targetVersion));
             }
             draft = new Draft(frame.to());
             draft.isComparing = true;
@@ -391,9 +394,8 @@
             }
             Item own = store.live().get(entry.key());
             if (own != null && own.stamp() > entry.stamp()) {
-                throw new FrameRejectedException(
-                        "entry would go back from version " + Version.text(own.stamp()) + " to "
-                                + Version.text(entry.stamp()));
+                throw new FrameRejectedException("entry would go back from version " + Version.text(own.stamp())
+                        + " to " + Version.text(entry.stamp()));
             }
             draft.applyEntry(entry);
         }
--- a/src/main/java/vetchpost/state/PriorStatistics.java
+++ b/src/main/java/vetchpost/state/PriorStatistics.java
@@ -42,7 +42,8 @@
         classes.forEach(name -> index.put(name, index.size()));
         int[] classIndexes = new int[snapshot.classes().size()];
         List<PerClass> classStatistics = new ArrayList<>();
-        double latencyWeight = Confidence.afterAge(nowMs - snapshot.origin().takenMs(), Confidence.CLASS_LATENCY_HALF_LIFE_MS);
+        double latencyWeight =
+                Confidence.afterAge(nowMs - snapshot.origin().takenMs(), Confidence.CLASS_LATENCY_HALF_LIFE_MS);
         for (int c = 0; c < classIndexes.length; c++) {
             ClassState state = snapshot.classes().get(c);
             classIndexes[c] = index.getOrDefault(state.name(), -1);
@@ -60,7 +61,9 @@
             double confidence = confidenceById.getOrDefault(server.target().id(), 1.0);
             PerServer prior = confidence < MIN_TRUSTED_CONFIDENCE
                     ? unconfirmed(server, confidence, classes.size())
-                    : server.statistics() == null || !trustHealth ? null : prior(server, nowMs, classIndexes, classes.size());
+                    : server.statistics() == null || !trustHealth
+                            ? null
+                            : prior(server, nowMs, classIndexes, classes.size());
             if (prior != null) {
                 servers.add(prior);
             }
@@ -102,19 +105,25 @@
         long ageMs = nowMs - lastAnswerMs;
         double sampleWeight = Confidence.ofSampleCount(known.attemptCount());
         double healthWeight = sampleWeight * Confidence.afterAge(ageMs, Confidence.HEALTH_HALF_LIFE_MS);
-        double relativeLatencyWeight = sampleWeight * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS);
-        int answers = (int) (known.attemptCount() * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS));
+        double relativeLatencyWeight =
+                sampleWeight * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS);
+        int answers =
+                (int) (known.attemptCount() * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS));
         if (answers == 0 || Math.max(healthWeight, relativeLatencyWeight) < MIN_EFFECT) {
             return null;
         }
-        int failures = known.ejected() ? Math.max(MIN_FAILURES_IF_EJECTED, known.recentFailures()) : known.recentFailures();
-        int errors =
-                known.ejected() ? Math.max(MIN_FAILURES_IF_EJECTED, known.consecutiveErrors()) : known.consecutiveErrors();
+        int failures =
+                known.ejected() ? Math.max(MIN_FAILURES_IF_EJECTED, known.recentFailures()) : known.recentFailures();
+        int errors = known.ejected()
+                ? Math.max(MIN_FAILURES_IF_EJECTED, known.consecutiveErrors())
+                : known.consecutiveErrors();
         int[] failureStreaks = new int[classes];
-        for (int c = 0; c < Math.min(classIndexes.length, known.classFailureStreaks().size()); c++) {
+        for (int c = 0;
+                c < Math.min(classIndexes.length, known.classFailureStreaks().size());
+                c++) {
             if (classIndexes[c] >= 0) {
-                failureStreaks[classIndexes[c]] =
-                        (int) Math.round(healthWeight * known.classFailureStreaks().get(c));
+                failureStreaks[classIndexes[c]] = (int)
+                        Math.round(healthWeight * known.classFailureStreaks().get(c));
             }
         }
         List<Integer> failureStreakList = new ArrayList<>(classes);
--- a/src/main/java/vetchpost/state/RestoredState.java
+++ b/src/main/java/vetchpost/state/RestoredState.java
@@ -39,7 +39,8 @@
      */
     public static double confidence(ServerRecord server, long nowMs, Rules rules) {
         long ageMs = nowMs - server.confirmedMs();
-        return Confidence.ofServer(ageMs, rules.serverLifetimeMs()) * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS);
+        return Confidence.ofServer(ageMs, rules.serverLifetimeMs())
+                * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS);
     }
 
     /** Keeps the ready servers; of several at one address, the most recently confirmed. */
@@ -47,7 +48,8 @@
         Map<Object, ServerRecord> newestByAddress = new LinkedHashMap<>();
         for (ServerRecord server : snapshot.servers()) {
             if (server.target().state() == ServerState.READY) {
-                newestByAddress.merge(server.target().address(), server, (a, b) -> b.confirmedMs() > a.confirmedMs() ? b : a);
+                newestByAddress.merge(
+                        server.target().address(), server, (a, b) -> b.confirmedMs() > a.confirmedMs() ? b : a);
             }
         }
         return new ArrayList<>(newestByAddress.values());
--- a/src/main/java/vetchpost/state/codec/ChunkAssembler.java
+++ b/src/main/java/vetchpost/state/codec/ChunkAssembler.java
@@ -41,8 +41,10 @@
         }
         Set<String> newIds = new HashSet<>();
         for (ServerRecord server : chunk.content().servers()) {
-            if (ids.contains(server.target().id()) || !newIds.add(server.target().id())) {
-                throw new MalformedSnapshotException("duplicate server " + server.target().id() + " in the snapshot");
+            if (ids.contains(server.target().id())
+                    || !newIds.add(server.target().id())) {
+                throw new MalformedSnapshotException(
+                        "duplicate server " + server.target().id() + " in the snapshot");
             }
         }
         origin = chunk.content().origin();
--- a/src/main/java/vetchpost/state/codec/ChunkCodec.java
+++ b/src/main/java/vetchpost/state/codec/ChunkCodec.java
@@ -178,8 +178,8 @@
                     version = in.readUInt32();
                     if (version != VERSION) {
                         // Later fields may have another meaning in that version, so reading stops here.
-                        throw new MalformedSnapshotException("snapshot version "
-                                + Integer.toUnsignedString(version) + "; this program reads version " + VERSION);
+                        throw new MalformedSnapshotException("snapshot version " + Integer.toUnsignedString(version)
+                                + "; this program reads version " + VERSION);
                     }
                 }
                 case P_SNAPSHOT << 3 | 1 -> id = in.readFixed64();
@@ -285,7 +285,9 @@
                 case 19 << 3 | 1 -> limit = readFigure(in);
                 case 20 << 3 -> ejected = in.readBool();
                 case 21 << 3 -> {
-                    check(failureStreaks.size() < Snapshot.MAX_CLASSES, "more than " + Snapshot.MAX_CLASSES + " classes");
+                    check(
+                            failureStreaks.size() < Snapshot.MAX_CLASSES,
+                            "more than " + Snapshot.MAX_CLASSES + " classes");
                     failureStreaks.add(readCount(in));
                 }
                 default -> skipField(in, tag);
@@ -361,7 +363,9 @@
 
     private static void skipField(CodedInputStream in, int tag) throws IOException, MalformedSnapshotException {
         // Groups can nest without bound, and no version writes any.
-        check(WireFormat.getTagWireType(tag) != WireFormat.WIRETYPE_START_GROUP && in.skipField(tag), "unexpected group");
+        check(
+                WireFormat.getTagWireType(tag) != WireFormat.WIRETYPE_START_GROUP && in.skipField(tag),
+                "unexpected group");
     }
 
     private static void check(boolean isValid, String message) throws MalformedSnapshotException {
--- a/src/main/java/vetchpost/state/disk/StateFile.java
+++ b/src/main/java/vetchpost/state/disk/StateFile.java
@@ -51,7 +51,8 @@
                 chunks -> {
                     Snapshot snapshot = assemble(chunks);
                     if (snapshot.origin().takenMs() > nowMs + MAX_CLOCK_SKEW_MS) {
-                        throw new MalformedSnapshotException("snapshot is from the future, or this machine's clock is wrong");
+                        throw new MalformedSnapshotException(
+                                "snapshot is from the future, or this machine's clock is wrong");
                     }
                     return snapshot;
                 },
--- a/src/test/java/vetchpost/handover/AuthenticatedFramesTest.java
+++ b/src/test/java/vetchpost/handover/AuthenticatedFramesTest.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Two sides of a connection, and somebody in between who passes on what each has written. */
+/** Two sides of an authenticated connection, with a test that delivers or tampers with the bytes between them. */
 class AuthenticatedFramesTest {
     private static final SharedSecret SECRET = SharedSecret.of("a secret that is long enough for anybody");
 
-    /** One side. */
+    /** One side of the connection. */
     private static final class Side implements AuthenticatedFrames.Listener {
         private final EmbeddedChannel channel = new EmbeddedChannel();
         private final List<String> receivedFrames = new ArrayList<>();
@@ -49,14 +49,14 @@
             frames.send(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** All bytes that it has written since. */
+        /** Returns all bytes written since the last call. */
         byte[] takeWrittenBytes() {
-            ByteBuf all = Unpooled.buffer();
-            for (ByteBuf some = channel.readOutbound(); some != null; some = channel.readOutbound()) {
-                all.writeBytes(some);
-                some.release();
+            ByteBuf written = Unpooled.buffer();
+            for (ByteBuf buffer = channel.readOutbound(); buffer != null; buffer = channel.readOutbound()) {
+                written.writeBytes(buffer);
+                buffer.release();
             }
-            return ByteBufUtil.getBytes(all);
+            return ByteBufUtil.getBytes(written);
         }
 
         void receive(byte[] bytes) {
@@ -90,7 +90,7 @@
 
     @Test
     void rejectsAlteredMissingReplayedAndReflectedFrames() {
-        for (int harm = 0; harm < 4; harm++) {
+        for (int fault = 0; fault < 4; fault++) {
             Side listening = new Side(SECRET, true);
             Side connecting = new Side(SECRET, false);
             exchangeHellos(listening, connecting);
@@ -98,21 +98,21 @@
             byte[] one = listening.takeWrittenBytes();
             listening.send("two");
             byte[] two = listening.takeWrittenBytes();
-            if (harm == 0) {
+            if (fault == 0) {
                 one[5] ^= 1;
                 connecting.receive(one);
-            } else if (harm == 1) {
+            } else if (fault == 1) {
                 connecting.receive(two);
-            } else if (harm == 2) {
+            } else if (fault == 2) {
                 connecting.receive(one);
                 connecting.receive(one);
             } else {
                 listening.receive(one);
-                assertEquals(List.of(), listening.receivedFrames, "its own frame came back to it");
+                assertEquals(List.of(), listening.receivedFrames, "a reflected frame must not be accepted");
                 continue;
             }
-            assertEquals(harm == 2 ? List.of("one") : List.of(), connecting.receivedFrames);
-            assertEquals("a frame that is not the other side's, or not in its place", connecting.closeReason);
+            assertEquals(fault == 2 ? List.of("one") : List.of(), connecting.receivedFrames);
+            assertEquals("frame is forged or out of order", connecting.closeReason);
         }
     }
 
@@ -122,12 +122,12 @@
         Side stranger = new Side(SharedSecret.of("another secret that is as long as the one"), false);
         exchangeHellos(listening, stranger);
         assertTrue(!listening.isAuthenticated && !stranger.isAuthenticated);
-        assertEquals("it doesn't know the secret", listening.closeReason);
+        assertEquals("peer does not know the secret", listening.closeReason);
         assertEquals(0, listening.takeWrittenBytes().length);
-        Side liar = new Side(SharedSecret.of("another secret that is as long as the one"), true);
-        Side honest = new Side(SECRET, false);
-        exchangeHellos(liar, honest);
-        assertTrue(!honest.isAuthenticated);
+        Side withWrongSecret = new Side(SharedSecret.of("another secret that is as long as the one"), true);
+        Side connectingSide = new Side(SECRET, false);
+        exchangeHellos(withWrongSecret, connectingSide);
+        assertTrue(!connectingSide.isAuthenticated);
     }
 
     @Test
@@ -136,9 +136,9 @@
         Side connecting = new Side(SECRET, false);
         exchangeHellos(listening, connecting);
         connecting.receive(new byte[] {-1, -1, -1, -1});
-        assertTrue(connecting.closeReason.startsWith("it broke: "), connecting.closeReason);
+        assertTrue(connecting.closeReason.startsWith("connection failed: "), connecting.closeReason);
         Side large = new Side(SECRET, true);
         large.receive(new byte[] {0x7F, -1, -1, -1});
-        assertTrue(large.closeReason.startsWith("it broke: "), large.closeReason);
+        assertTrue(large.closeReason.startsWith("connection failed: "), large.closeReason);
     }
 }
--- a/src/test/java/vetchpost/handover/CorruptedStream.java
+++ b/src/test/java/vetchpost/handover/CorruptedStream.java
@@ -14,8 +14,8 @@
 import vetchpost.state.Snapshot;
 
 /**
- * One handover without sockets, so that ten thousand take seconds: a right giver's bytes, with one place
- * damaged, cut into packets by chance.
+ * A handover without sockets, so that ten thousand take seconds: the bytes of a correct sender with one random
+ * corruption, split into packets at random.
  */
 final class CorruptedStream {
     private final byte[] secret;
@@ -32,47 +32,48 @@
     }
 
     void run() throws IOException {
-        HandoverReceiver taker =
+        HandoverReceiver receiver =
                 new HandoverReceiver(null, null, SharedSecret.of(new String(secret)), new SecureRandom());
-        taker.attach(channel, (received, isWhole, why) -> {
+        receiver.attach(channel, (received, isWhole, why) -> {
             outcomes++;
             snapshot = received;
         });
-        byte[] giverNonce = new byte[32];
-        random.nextBytes(giverNonce);
-        boolean early = random.nextInt(8) == 0;
-        byte[] hello = ScriptedSender.framed("VPHAND\1".getBytes(), giverNonce);
-        feed(early ? corrupt(hello) : hello);
-        ByteBuf said = Unpooled.buffer();
+        byte[] senderNonce = new byte[32];
+        random.nextBytes(senderNonce);
+        boolean corruptsHello = random.nextInt(8) == 0;
+        byte[] hello = ScriptedSender.framed("VPHAND\1".getBytes(), senderNonce);
+        feed(corruptsHello ? corrupt(hello) : hello);
+        ByteBuf sent = Unpooled.buffer();
         for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
-            said.writeBytes(part);
+            sent.writeBytes(part);
             ReferenceCountUtil.release(part);
         }
-        if (said.readableBytes() >= 4 + 7 + 64) {
-            byte[] takerNonce = new byte[32];
-            said.getBytes(4 + 7, takerNonce);
-            feed(corrupt(messagesAfterHello(giverNonce, takerNonce)));
+        if (sent.readableBytes() >= 4 + 7 + 64) {
+            byte[] receiverNonce = new byte[32];
+            sent.getBytes(4 + 7, receiverNonce);
+            feed(corrupt(messagesAfterHello(senderNonce, receiverNonce)));
         }
-        said.release();
+        sent.release();
         channel.close();
         channel.finishAndReleaseAll();
     }
 
-    private byte[] messagesAfterHello(byte[] giverNonce, byte[] takerNonce) throws IOException {
-        byte[] salt = Arrays.copyOf(giverNonce, 64);
-        System.arraycopy(takerNonce, 0, salt, 32, 32);
-        byte[] session =
-                ScriptedSender.hmac(ScriptedSender.hmac(salt, secret), "vetchpost handover 1".getBytes(), new byte[] {1});
+    private byte[] messagesAfterHello(byte[] senderNonce, byte[] receiverNonce) throws IOException {
+        byte[] salt = Arrays.copyOf(senderNonce, 64);
+        System.arraycopy(receiverNonce, 0, salt, 32, 32);
+        byte[] session = ScriptedSender.hmac(
+                ScriptedSender.hmac(salt, secret), "vetchpost handover 1".getBytes(), new byte[] {1});
         List<byte[]> messages = new ArrayList<>();
-        messages.add(ScriptedSender.framed(ScriptedSender.hmac(secret, "giver".getBytes(), giverNonce, takerNonce)));
+        messages.add(
+                ScriptedSender.framed(ScriptedSender.hmac(secret, "giver".getBytes(), senderNonce, receiverNonce)));
         int number = 0;
         List<byte[]> all = new ArrayList<>(chunks);
         all.add(new byte[0]);
-        for (byte[] piece : all) {
+        for (byte[] chunk : all) {
             messages.add(ScriptedSender.framed(
-                    piece,
+                    chunk,
                     ScriptedSender.hmac(
-                            session, ByteBuffer.allocate(4).putInt(number++).array(), piece)));
+                            session, ByteBuffer.allocate(4).putInt(number++).array(), chunk)));
         }
         int length = messages.stream().mapToInt(m -> m.length).sum();
         ByteBuffer joined = ByteBuffer.allocate(length);
@@ -90,9 +91,9 @@
                 yield more;
             }
             default -> {
-                byte[] turned = bytes.clone();
-                turned[at] ^= (byte) (1 << random.nextInt(8));
-                yield turned;
+                byte[] flipped = bytes.clone();
+                flipped[at] ^= (byte) (1 << random.nextInt(8));
+                yield flipped;
             }
         };
     }
--- a/src/test/java/vetchpost/handover/HandoverTest.java
+++ b/src/test/java/vetchpost/handover/HandoverTest.java
@@ -41,7 +41,7 @@
 import vetchpost.state.codec.ChunkCodec;
 import vetchpost.state.codec.TestChunks;
 
-/** Handovers on loopback sockets, with givers and takers that do what they should not. */
+/** Handovers on loopback sockets, with correct and misbehaving senders and receivers. */
 @Timeout(120)
 class HandoverTest {
     private static final String SECRET = "a secret of at least thirty-two bytes";
@@ -53,7 +53,7 @@
     private EventLoop loop;
     private final List<AutoCloseable> closeables = new ArrayList<>();
 
-    /** What a handover came to. */
+    /** The outcome of a handover. */
     private record Result(Snapshot snapshot, boolean whole, String why) {}
 
     @BeforeEach
@@ -71,21 +71,21 @@
     }
 
     private InetSocketAddress startSender(Snapshot snapshot, String... secrets) throws Exception {
-        HandoverSender giver = new HandoverSender(
+        HandoverSender sender = new HandoverSender(
                 loop,
                 Network.SYSTEM,
                 SharedSecret.of(secrets),
                 new SecureRandom(),
                 () -> TestChunks.of(snapshot).iterator());
-        return (InetSocketAddress) giver.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        return (InetSocketAddress) sender.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel()
                 .localAddress();
     }
 
-    /** What a scripted giver does with a connection. */
+    /** What a scripted sender does with a connection. */
     private interface Script {
-        void run(ScriptedSender giver, Socket socket) throws IOException;
+        void run(ScriptedSender sender, Socket socket) throws IOException;
     }
 
     private InetSocketAddress startScripted(Script script) throws IOException {
@@ -99,7 +99,7 @@
                     try {
                         script.run(new ScriptedSender(socket, SECRET), socket);
                     } catch (IOException e) {
-                        // The taker has ended it.
+                        // The receiver has closed the connection.
                         socket.close();
                     }
                 }
@@ -113,14 +113,14 @@
         return (InetSocketAddress) listening.getLocalSocketAddress();
     }
 
-    private Result receive(InetSocketAddress from, String secret, long withinMs) throws Exception {
-        BlockingQueue<Result> taken = new LinkedBlockingQueue<>();
+    private Result receive(InetSocketAddress from, String secret, long timeoutMs) throws Exception {
+        BlockingQueue<Result> result = new LinkedBlockingQueue<>();
         loop.execute(() -> new HandoverReceiver(loop, Network.SYSTEM, SharedSecret.of(secret), new SecureRandom())
-                .request(from, withinMs, (snapshot, whole, why) -> taken.add(new Result(snapshot, whole, why))));
-        Result first = taken.poll(TIMEOUT_S, TimeUnit.SECONDS);
+                .request(from, timeoutMs, (snapshot, whole, why) -> result.add(new Result(snapshot, whole, why))));
+        Result first = result.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull(first, "no outcome");
         loop.submit(() -> {}).sync();
-        assertTrue(taken.isEmpty(), "two outcomes");
+        assertTrue(result.isEmpty(), "two outcomes");
         return first;
     }
 
@@ -128,81 +128,82 @@
 
     @Test
     void handsOverTheWholeSnapshot() throws Exception {
-        Result taken = receive(startSender(SNAPSHOT, SECRET), SECRET, AMPLE_LIMIT_MS);
-        assertNull(taken.why);
-        assertTrue(taken.whole);
-        assertEquals(SNAPSHOT, taken.snapshot);
+        Result result = receive(startSender(SNAPSHOT, SECRET), SECRET, AMPLE_LIMIT_MS);
+        assertNull(result.why);
+        assertTrue(result.whole);
+        assertEquals(SNAPSHOT, result.snapshot);
     }
 
     @Test
     void followsTheDocumentedProtocol() throws Exception {
-        Result taken = receive(
-                startScripted((giver, socket) -> {
-                    giver.exchangeHellos();
-                    giver.sendProof();
-                    for (byte[] piece : TestChunks.of(SNAPSHOT)) {
-                        giver.out.write(giver.chunk(piece));
+        Result result = receive(
+                startScripted((sender, socket) -> {
+                    sender.exchangeHellos();
+                    sender.sendProof();
+                    for (byte[] chunk : TestChunks.of(SNAPSHOT)) {
+                        sender.out.write(sender.chunk(chunk));
                     }
-                    giver.out.write(giver.chunk(new byte[0]));
+                    sender.out.write(sender.chunk(new byte[0]));
                 }),
                 SECRET,
                 AMPLE_LIMIT_MS);
-        assertNull(taken.why);
-        assertEquals(SNAPSHOT, taken.snapshot);
+        assertNull(result.why);
+        assertEquals(SNAPSHOT, result.snapshot);
     }
 
     @Test
     void rejectsAWrongSecretOnEitherSide() throws Exception {
-        Result taken = receive(startSender(SNAPSHOT, SECRET), OTHER_SECRET, AMPLE_LIMIT_MS);
-        assertNull(taken.snapshot);
-        assertEquals("it was cut off", taken.why);
-        // A giver that knows nothing and takes any proof for good.
-        Result lied = receive(
-                startScripted((giver, socket) -> {
-                    giver.exchangeHellos();
-                    giver.out.write(ScriptedSender.framed(new byte[32]));
-                    giver.out.write(ScriptedSender.framed(TestChunks.of(SNAPSHOT).get(0), new byte[32]));
+        Result result = receive(startSender(SNAPSHOT, SECRET), OTHER_SECRET, AMPLE_LIMIT_MS);
+        assertNull(result.snapshot);
+        assertEquals("connection was closed by the peer", result.why);
+        // A sender without the secret that accepts any proof.
+        Result fromImpostor = receive(
+                startScripted((sender, socket) -> {
+                    sender.exchangeHellos();
+                    sender.out.write(ScriptedSender.framed(new byte[32]));
+                    sender.out.write(
+                            ScriptedSender.framed(TestChunks.of(SNAPSHOT).get(0), new byte[32]));
                 }),
                 SECRET,
                 AMPLE_LIMIT_MS);
-        assertNull(lied.snapshot);
-        assertEquals("it doesn't know the secret", lied.why);
+        assertNull(fromImpostor.snapshot);
+        assertEquals("peer does not know the secret", fromImpostor.why);
     }
 
     @Test
     void acceptsBothSecretsDuringRotation() throws Exception {
-        InetSocketAddress giver = startSender(SNAPSHOT, OTHER_SECRET, SECRET);
-        assertEquals(SNAPSHOT, receive(giver, SECRET, AMPLE_LIMIT_MS).snapshot);
-        assertEquals(SNAPSHOT, receive(giver, OTHER_SECRET, AMPLE_LIMIT_MS).snapshot);
+        InetSocketAddress sender = startSender(SNAPSHOT, OTHER_SECRET, SECRET);
+        assertEquals(SNAPSHOT, receive(sender, SECRET, AMPLE_LIMIT_MS).snapshot);
+        assertEquals(SNAPSHOT, receive(sender, OTHER_SECRET, AMPLE_LIMIT_MS).snapshot);
     }
 
-    /** All that came before the cut is of use; nothing that came in part is. */
+    /** The connection closes after or within each chunk: complete chunks are used, a partial one is not. */
     @Test
     void aCutHandoverKeepsTheChunksReceivedBefore() throws Exception {
-        List<byte[]> pieces = TestChunks.of(SNAPSHOT);
-        for (int cut = 0; cut <= pieces.size(); cut++) {
-            for (boolean midPiece : new boolean[] {false, true}) {
+        List<byte[]> chunks = TestChunks.of(SNAPSHOT);
+        for (int cut = 0; cut <= chunks.size(); cut++) {
+            for (boolean withinChunk : new boolean[] {false, true}) {
                 int whole = cut;
-                Result taken = receive(
-                        startScripted((giver, socket) -> {
-                            giver.exchangeHellos();
-                            giver.sendProof();
+                Result result = receive(
+                        startScripted((sender, socket) -> {
+                            sender.exchangeHellos();
+                            sender.sendProof();
                             for (int i = 0; i < whole; i++) {
-                                giver.out.write(giver.chunk(pieces.get(i)));
+                                sender.out.write(sender.chunk(chunks.get(i)));
                             }
-                            if (midPiece) {
-                                byte[] next = giver.chunk(whole < pieces.size() ? pieces.get(whole) : new byte[0]);
-                                giver.out.write(next, 0, next.length / 2);
+                            if (withinChunk) {
+                                byte[] next = sender.chunk(whole < chunks.size() ? chunks.get(whole) : new byte[0]);
+                                sender.out.write(next, 0, next.length / 2);
                             }
                             socket.close();
                         }),
                         SECRET,
                         AMPLE_LIMIT_MS);
-                int boxes =
-                        taken.snapshot == null ? 0 : taken.snapshot.servers().size();
-                assertEquals(Math.min(730, 100 * cut), boxes, "cut at " + cut);
-                assertEquals(cut == pieces.size(), taken.whole);
-                assertEquals("it was cut off", taken.why);
+                int serverCount =
+                        result.snapshot == null ? 0 : result.snapshot.servers().size();
+                assertEquals(Math.min(730, 100 * cut), serverCount, "cut at " + cut);
+                assertEquals(cut == chunks.size(), result.whole);
+                assertEquals("connection was closed by the peer", result.why);
             }
         }
     }
@@ -210,15 +211,15 @@
     @Test
     void aSlowSenderIsCutOffAtTheTimeLimit() throws Exception {
         AtomicLong sent = new AtomicLong();
-        Result taken = receive(
-                startScripted((giver, socket) -> {
-                    giver.exchangeHellos();
-                    giver.sendProof();
-                    giver.out.write(giver.chunk(TestChunks.of(SNAPSHOT).get(0)));
-                    byte[] slow = giver.chunk(TestChunks.of(SNAPSHOT).get(1));
+        Result result = receive(
+                startScripted((sender, socket) -> {
+                    sender.exchangeHellos();
+                    sender.sendProof();
+                    sender.out.write(sender.chunk(TestChunks.of(SNAPSHOT).get(0)));
+                    byte[] slow = sender.chunk(TestChunks.of(SNAPSHOT).get(1));
                     socket.setSoTimeout(20);
                     for (byte each : slow) {
-                        giver.out.write(each);
+                        sender.out.write(each);
                         sent.incrementAndGet();
                         try {
                             if (socket.getInputStream().read() < 0) {
@@ -231,107 +232,108 @@
                 }),
                 SECRET,
                 700);
-        assertEquals("it took too long", taken.why);
-        assertEquals(100, taken.snapshot.servers().size(), "the piece that was whole counts");
+        assertEquals("time limit exceeded", result.why);
+        assertEquals(100, result.snapshot.servers().size(), "the complete chunk is used");
         assertTrue(sent.get() > 0 && sent.get() < 2_000, sent.get() + " bytes");
     }
 
     @Test
     void stopsReadingAtTheSizeLimit() throws Exception {
         AtomicLong sent = new AtomicLong();
-        // Pieces as long as may be, with right tags, over and over: of fields that nobody knows.
-        Result taken = receive(
-                startScripted((giver, socket) -> {
-                    giver.exchangeHellos();
-                    giver.sendProof();
+        // Chunks of maximum length with valid tags and unknown fields, repeated.
+        Result result = receive(
+                startScripted((sender, socket) -> {
+                    sender.exchangeHellos();
+                    sender.sendProof();
                     for (int i = 0; i < 16_000; i++) {
-                        byte[] piece = padded(
+                        byte[] chunk = padded(
                                 ChunkCodec.write(i, 50_000, SNAPSHOT.origin(), SNAPSHOT.classes(), List.of()),
                                 ChunkCodec.MAX_CHUNK_BYTES - 8);
-                        giver.out.write(giver.chunk(piece));
-                        sent.addAndGet(piece.length);
+                        sender.out.write(sender.chunk(chunk));
+                        sent.addAndGet(chunk.length);
                     }
                 }),
                 SECRET,
                 AMPLE_LIMIT_MS);
-        assertEquals("it sent over 33554432 bytes", taken.why);
-        assertFalse(taken.whole);
-        assertTrue(sent.get() < 100L << 20, sent.get() + " bytes were taken off it");
-        Result frame = receive(
-                startScripted((giver, socket) -> {
-                    giver.exchangeHellos();
-                    giver.sendProof();
-                    giver.out.writeInt(1 << 30);
-                    giver.out.write(new byte[100_000]);
+        assertEquals("sender sent more than 33554432 bytes", result.why);
+        assertFalse(result.whole);
+        assertTrue(sent.get() < 100L << 20, sent.get() + " bytes were sent");
+        Result hugeFrame = receive(
+                startScripted((sender, socket) -> {
+                    sender.exchangeHellos();
+                    sender.sendProof();
+                    sender.out.writeInt(1 << 30);
+                    sender.out.write(new byte[100_000]);
                 }),
                 SECRET,
                 AMPLE_LIMIT_MS);
-        assertTrue(frame.why.contains("exceeds"), frame.why);
+        assertTrue(hugeFrame.why.contains("exceeds"), hugeFrame.why);
     }
 
-    /** The same piece, made longer by a field of no meaning. */
-    private static byte[] padded(byte[] piece, int length) {
-        byte[] longer = Arrays.copyOf(piece, length);
+    /** Returns a chunk extended to a length by an unknown field. */
+    private static byte[] padded(byte[] chunk, int length) {
+        byte[] longer = Arrays.copyOf(chunk, length);
         // Field 1000, bytes: two bytes of tag, three of length.
-        int rest = length - piece.length - 5;
-        longer[piece.length] = (byte) 0xC2;
-        longer[piece.length + 1] = (byte) 0x3E;
-        longer[piece.length + 2] = (byte) (rest & 0x7F | 0x80);
-        longer[piece.length + 3] = (byte) (rest >> 7 & 0x7F | 0x80);
-        longer[piece.length + 4] = (byte) (rest >> 14);
+        int fieldLength = length - chunk.length - 5;
+        longer[chunk.length] = (byte) 0xC2;
+        longer[chunk.length + 1] = (byte) 0x3E;
+        longer[chunk.length + 2] = (byte) (fieldLength & 0x7F | 0x80);
+        longer[chunk.length + 3] = (byte) (fieldLength >> 7 & 0x7F | 0x80);
+        longer[chunk.length + 4] = (byte) (fieldLength >> 14);
         return longer;
     }
 
     @Test
     void rejectsAReplayedHandover() throws Exception {
         List<byte[]> recorded = new ArrayList<>();
-        InetSocketAddress first = startScripted((giver, socket) -> {
-            giver.exchangeHellos();
-            recorded.add(giver.proof());
-            giver.sendProof();
-            recorded.add(giver.chunk(TestChunks.of(SNAPSHOT).get(0)));
-            giver.out.write(recorded.get(1));
-            giver.out.write(giver.chunk(new byte[0]));
+        InetSocketAddress first = startScripted((sender, socket) -> {
+            sender.exchangeHellos();
+            recorded.add(sender.proof());
+            sender.sendProof();
+            recorded.add(sender.chunk(TestChunks.of(SNAPSHOT).get(0)));
+            sender.out.write(recorded.get(1));
+            sender.out.write(sender.chunk(new byte[0]));
         });
-        assertEquals(100, receive(first, SECRET, AMPLE_LIMIT_MS).snapshot.servers().size());
-        // The same nonce, proof and pieces, to another taker.
-        Result again = receive(
-                startScripted((giver, socket) -> {
-                    giver.exchangeHellos();
-                    giver.out.write(ScriptedSender.framed(recorded.get(0)));
-                    giver.out.write(recorded.get(1));
+        assertEquals(
+                100, receive(first, SECRET, AMPLE_LIMIT_MS).snapshot.servers().size());
+        // The recorded nonce, proof and chunk, sent to another receiver.
+        Result replayed = receive(
+                startScripted((sender, socket) -> {
+                    sender.exchangeHellos();
+                    sender.out.write(ScriptedSender.framed(recorded.get(0)));
+                    sender.out.write(recorded.get(1));
                 }),
                 SECRET,
                 AMPLE_LIMIT_MS);
-        assertNull(again.snapshot);
-        assertEquals("it doesn't know the secret", again.why);
+        assertNull(replayed.snapshot);
+        assertEquals("peer does not know the secret", replayed.why);
     }
 
     @Test
     void rejectsReorderedAndMissingChunks() throws Exception {
         Result swapped = receive(
-                startScripted((giver, socket) -> {
-                    giver.exchangeHellos();
-                    giver.sendProof();
-                    byte[] one = giver.chunk(TestChunks.of(SNAPSHOT).get(0));
-                    byte[] two = giver.chunk(TestChunks.of(SNAPSHOT).get(1));
-                    giver.out.write(two);
-                    giver.out.write(one);
+                startScripted((sender, socket) -> {
+                    sender.exchangeHellos();
+                    sender.sendProof();
+                    byte[] one = sender.chunk(TestChunks.of(SNAPSHOT).get(0));
+                    byte[] two = sender.chunk(TestChunks.of(SNAPSHOT).get(1));
+                    sender.out.write(two);
+                    sender.out.write(one);
                 }),
                 SECRET,
                 AMPLE_LIMIT_MS);
         assertNull(swapped.snapshot);
-        assertEquals("a piece that is not the giver's, or not in its place", swapped.why);
+        assertEquals("chunk is forged or out of order", swapped.why);
         Result leftOut = receive(
-                startScripted((giver, socket) -> {
-                    giver.exchangeHellos();
-                    giver.sendProof();
-                    giver.out.write(giver.chunk(TestChunks.of(SNAPSHOT).get(0)));
-                    giver.out.write(giver.chunk(new byte[0]));
+                startScripted((sender, socket) -> {
+                    sender.exchangeHellos();
+                    sender.sendProof();
+                    sender.out.write(sender.chunk(TestChunks.of(SNAPSHOT).get(0)));
+                    sender.out.write(sender.chunk(new byte[0]));
                 }),
                 SECRET,
                 AMPLE_LIMIT_MS);
-        assertEquals("pieces are missing", leftOut.why);
+        assertEquals("chunks are missing", leftOut.why);
         assertEquals(100, leftOut.snapshot.servers().size());
         assertFalse(leftOut.whole);
     }
@@ -342,33 +344,34 @@
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = (InetSocketAddress) closed.getLocalSocketAddress();
         }
-        assertEquals("nobody is there", receive(nobody, SECRET, AMPLE_LIMIT_MS).why);
+        assertEquals("connection could not be established", receive(nobody, SECRET, AMPLE_LIMIT_MS).why);
         assertEquals(
-                "it is no node of this program's",
+                "peer does not speak this protocol",
                 receive(
-                                startScripted((giver, socket) ->
-                                        giver.out.write(ScriptedSender.framed("VETCHPOST?".getBytes()))),
+                                startScripted((sender, socket) ->
+                                        sender.out.write(ScriptedSender.framed("VETCHPOST?".getBytes()))),
                                 SECRET,
                                 AMPLE_LIMIT_MS)
                         .why);
         byte[] newer = "VPHAND\7".getBytes();
         assertEquals(
-                "it speaks version 7; this program knows 1",
+                "peer uses protocol version 7; this program uses version 1",
                 receive(
-                                startScripted((giver, socket) -> giver.out.write(ScriptedSender.framed(newer, new byte[32]))),
+                                startScripted((sender, socket) ->
+                                        sender.out.write(ScriptedSender.framed(newer, new byte[32]))),
                                 SECRET,
                                 AMPLE_LIMIT_MS)
                         .why);
-        assertEquals("it took too long", receive(startScripted((giver, socket) -> {}), SECRET, 300).why);
+        assertEquals("time limit exceeded", receive(startScripted((sender, socket) -> {}), SECRET, 300).why);
     }
 
-    /** Takers that say nothing, nonsense or too much, and more of them than there is room for. */
+    /** Receivers that send nothing or noise, and more of them than the sender accepts. */
     @Test
     void theSenderSurvivesMisbehavingReceivers() throws Exception {
-        InetSocketAddress giver = startSender(SNAPSHOT, SECRET);
+        InetSocketAddress sender = startSender(SNAPSHOT, SECRET);
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
-            try (Socket socket = new Socket(giver.getAddress(), giver.getPort())) {
+            try (Socket socket = new Socket(sender.getAddress(), sender.getPort())) {
                 byte[] noise = new byte[random.nextInt(200)];
                 random.nextBytes(noise);
                 if (random.nextBoolean() && noise.length > 4) {
@@ -378,58 +381,62 @@
                 }
                 socket.getOutputStream().write(noise);
             } catch (IOException e) {
-                // It was more than it takes at a time.
+                // The sender accepts no more receivers at a time.
                 continue;
             }
         }
-        Result taken = null;
-        for (int i = 0; i < 50 && (taken == null || taken.snapshot == null); i++) {
-            taken = receive(giver, SECRET, AMPLE_LIMIT_MS);
+        Result result = null;
+        for (int i = 0; i < 50 && (result == null || result.snapshot == null); i++) {
+            result = receive(sender, SECRET, AMPLE_LIMIT_MS);
         }
-        assertEquals(SNAPSHOT, taken.snapshot);
+        assertEquals(SNAPSHOT, result.snapshot);
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 2 * HandoverSender.MAX_RECEIVERS; i++) {
-            silent.add(new Socket(giver.getAddress(), giver.getPort()));
+            silent.add(new Socket(sender.getAddress(), sender.getPort()));
         }
-        int told = 0;
+        int greeted = 0;
         for (Socket socket : silent) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
-            told += socket.getInputStream().readNBytes(4 + 7 + 32).length > 0 ? 1 : 0;
-            assertEquals(-1, socket.getInputStream().read(), "one that says nothing is closed");
+            greeted += socket.getInputStream().readNBytes(4 + 7 + 32).length > 0 ? 1 : 0;
+            assertEquals(-1, socket.getInputStream().read(), "a silent receiver is disconnected");
             socket.close();
         }
-        assertTrue(told <= 2 * HandoverSender.MAX_RECEIVERS - 1 && told >= 1, told + " were heard");
+        assertTrue(greeted <= 2 * HandoverSender.MAX_RECEIVERS - 1 && greeted >= 1, greeted + " were greeted");
     }
 
-    /** Each byte of the stream may be wrong, and no handover ends in anything but one outcome. */
+    /** Any byte of the stream may be corrupt; each handover must end in exactly one outcome with intact chunks. */
     @Test
     void everyCorruptedStreamEndsInExactlyOneOutcome() throws Exception {
         SplittableRandom random = new SplittableRandom(99);
         Set<Integer> sizes = new TreeSet<>();
         Snapshot known = TestSnapshots.of(230, 9, TestSnapshots.NOW_MS);
-        List<byte[]> pieces = TestChunks.of(known);
+        List<byte[]> chunks = TestChunks.of(known);
         for (int i = 0; i < 10_000; i++) {
-            CorruptedStream stream = new CorruptedStream(SECRET, pieces, random);
+            CorruptedStream stream = new CorruptedStream(SECRET, chunks, random);
             stream.run();
             assertEquals(1, stream.outcomes, "run " + i);
-            int boxes = stream.snapshot == null ? 0 : stream.snapshot.servers().size();
-            assertTrue(boxes == 230 || boxes % 100 == 0, boxes + " boxes");
+            int serverCount =
+                    stream.snapshot == null ? 0 : stream.snapshot.servers().size();
+            assertTrue(serverCount == 230 || serverCount % 100 == 0, serverCount + " servers");
             if (stream.snapshot != null) {
-                assertEquals(known.servers().subList(0, boxes), stream.snapshot.servers());
+                assertEquals(known.servers().subList(0, serverCount), stream.snapshot.servers());
             }
-            sizes.add(boxes);
+            sizes.add(serverCount);
         }
         assertEquals(Set.of(0, 100, 200, 230), sizes);
     }
 
     @Test
-    void readsSecretsFromAFile(@TempDir Path folder) throws Exception {
-        Path file = folder.resolve("secret");
+    void readsSecretsFromAFile(@TempDir Path directory) throws Exception {
+        Path file = directory.resolve("secret");
         Files.writeString(file, "# the new one first\n" + SECRET + "\n\n" + OTHER_SECRET + "\n");
         SharedSecret secret = SharedSecret.read(file);
         assertEquals(2, secret.keyCount());
         byte[] nonce = new byte[32];
-        assertEquals(1, secret.matchingKey(SharedSecret.of(OTHER_SECRET).proof(0, "taker", nonce, nonce), "taker", nonce, nonce));
+        assertEquals(
+                1,
+                secret.matchingKey(
+                        SharedSecret.of(OTHER_SECRET).proof(0, "taker", nonce, nonce), "taker", nonce, nonce));
         assertEquals(-1, secret.matchingKey(new byte[32], "taker", nonce, nonce));
         assertEquals(
                 -1,
@@ -441,6 +448,6 @@
                 .contains("5 bytes"));
         Files.writeString(file, "# none\n");
         assertThrows(IOException.class, () -> SharedSecret.read(file));
-        assertThrows(IOException.class, () -> SharedSecret.read(folder.resolve("missing")));
+        assertThrows(IOException.class, () -> SharedSecret.read(directory.resolve("missing")));
     }
 }
--- a/src/test/java/vetchpost/handover/ScriptedSender.java
+++ b/src/test/java/vetchpost/handover/ScriptedSender.java
@@ -13,8 +13,8 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The giver's side of a handover by its description, on a plain socket and the runtime's own cryptography: it
- * shares no code with the program. A script can have it do anything else at any point.
+ * The sender's side of a handover, implemented from the protocol's description on a plain socket and the JDK's
+ * cryptography, without code of the program. A script can deviate from the protocol at any point.
  */
 final class ScriptedSender {
     private static final byte[] HELLO = "VPHAND\1".getBytes(StandardCharsets.US_ASCII);
@@ -62,7 +62,7 @@
                 .array();
     }
 
-    /** Says hello, and checks the taker's proof. */
+    /** Sends a hello and checks the receiver's proof. */
     void exchangeHellos() throws IOException {
         out.write(framed(HELLO, nonce));
         byte[] message = in.readNBytes(in.readInt());
@@ -71,7 +71,7 @@
         byte[] proof = new byte[32];
         System.arraycopy(message, HELLO.length + 32, proof, 0, 32);
         if (!Arrays.equals(proof, hmac(secret, ascii("taker"), nonce, receiverNonce))) {
-            throw new IOException("the taker has not proved itself");
+            throw new IOException("the receiver's proof is wrong");
         }
     }
 
@@ -79,7 +79,7 @@
         return hmac(secret, ascii("giver"), nonce, receiverNonce);
     }
 
-    /** Proves itself; tags are of this handover's key from here on (RFC 5869, one block). */
+    /** Sends the proof and derives the key for the tags (RFC 5869, one block). */
     void sendProof() throws IOException {
         out.write(framed(proof()));
         byte[] salt = new byte[64];
@@ -88,9 +88,10 @@
         sessionKey = hmac(hmac(salt, secret), ascii("vetchpost handover 1"), new byte[] {1});
     }
 
-    /** The next message with its tag. */
-    byte[] chunk(byte[] piece) throws IOException {
-        byte[] tag = hmac(sessionKey, ByteBuffer.allocate(4).putInt(nextNumber++).array(), piece);
-        return framed(piece, tag);
+    /** Returns the next message with its tag. */
+    byte[] chunk(byte[] content) throws IOException {
+        byte[] tag =
+                hmac(sessionKey, ByteBuffer.allocate(4).putInt(nextNumber++).array(), content);
+        return framed(content, tag);
     }
 }
--- a/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
@@ -49,7 +49,7 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** Whole nodes on loopback sockets that begin with what was known before, and no list. */
+/** Whole nodes on loopback sockets that start from snapshots and handovers, without a list from discovery. */
 @Timeout(120)
 class RecoveredNodeTest {
     private static final long DAY_MS = 86_400_000;
@@ -83,14 +83,14 @@
         writer.shutdownNow();
     }
 
-    /** A box that tells its id, or what stands in its place, and serves with its name. */
-    private FakePeer server(String says, String serves) throws IOException {
-        FakePeer box = new FakePeer((socket, request) -> {
-            String body = request.startsWith("GET /who ") ? says : serves;
-            FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    /** Starts a server that answers identity probes with one body and all other requests with another. */
+    private FakePeer server(String identity, String body) throws IOException {
+        FakePeer server = new FakePeer((socket, request) -> {
+            String content = request.startsWith("GET /who ") ? identity : body;
+            FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + content.length() + "\r\n\r\n" + content);
         });
-        closeables.add(box);
-        return box;
+        closeables.add(server);
+        return server;
     }
 
     private static ServerRecord serverRecord(String id, int port, long confirmedMs) {
@@ -102,26 +102,27 @@
                 null);
     }
 
-    private static Snapshot snapshot(long ageMs, ServerRecord... boxes) {
+    private static Snapshot snapshot(long ageMs, ServerRecord... servers) {
         long takenMs = System.currentTimeMillis() - ageMs;
-        return new Snapshot(new SnapshotOrigin(7, takenMs, takenMs - HOUR_MS, 41, Set.of()), List.of(), List.of(boxes));
+        return new Snapshot(
+                new SnapshotOrigin(7, takenMs, takenMs - HOUR_MS, 41, Set.of()), List.of(), List.of(servers));
     }
 
     private RecoverySettings settings(
-            String identify, long unidentifiedMs, InetSocketAddress give, InetSocketAddress... ask) {
+            String identityPath, long addressReuseMs, InetSocketAddress listenAddress, InetSocketAddress... peers) {
         return new RecoverySettings(
                 folder.resolve("boxes"),
                 50,
-                new RestoredState.Rules(DAY_MS, unidentifiedMs, identify != null),
-                identify,
-                give,
-                List.of(ask),
+                new RestoredState.Rules(DAY_MS, addressReuseMs, identityPath != null),
+                identityPath,
+                listenAddress,
+                List.of(peers),
                 null,
                 2_000,
                 5_000);
     }
 
-    /** A node that runs. */
+    /** A running node and its port. */
     private record Running(Node node, int port) {}
 
     private Running start(
@@ -184,68 +185,67 @@
     }
 
     /**
-     * Asks on one connection until it says so, or patience ends: a connection each time would use up all
-     * ports.
+     * Polls readiness until it contains a text. Uses one connection, since one per request could exhaust the ports.
      */
-    private static void awaitReadiness(int port, String words) throws Exception {
+    private static void awaitReadiness(int port, String expected) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
             String answer = "";
-            while (!answer.contains(words)) {
+            while (!answer.contains(expected)) {
                 assertTrue(System.nanoTime() < end, answer);
                 FakePeer.write(socket, "GET /ready HTTP/1.1\r\n\r\n");
                 answer = FakePeer.read(socket);
-                assertNotNull(answer, "the connection has ended");
+                assertNotNull(answer, "the connection was closed");
             }
         }
     }
 
     @Test
     void servesAtOnceFromARecentSnapshot() throws Exception {
-        FakePeer box = server("s-0", "served");
+        FakePeer server = server("s-0", "served");
         Running node = start(
                 settings(null, 30_000, null),
-                snapshot(2_000, serverRecord("s-0", box.port(), System.currentTimeMillis() - 2_000)),
+                snapshot(2_000, serverRecord("s-0", server.port(), System.currentTimeMillis() - 2_000)),
                 null,
                 null);
         assertTrue(requestView(node.port, 1).endsWith("served"));
         assertTrue(
-                readiness(node.port).contains("ready: discovery is silent; 1 boxes of a snapshot, 0 given up"),
+                readiness(node.port).contains("ready: discovery is silent; 1 servers of a snapshot, 0 removed"),
                 readiness(node.port));
     }
 
     @Test
     void probesAnOldServerBeforeSendingRequests() throws Exception {
-        FakePeer box = server("s-0", "served");
+        FakePeer server = server("s-0", "served");
         Running node = start(
                 settings("/who", 30_000, null),
-                snapshot(HOUR_MS, serverRecord("s-0", box.port(), System.currentTimeMillis() - HOUR_MS)),
+                snapshot(HOUR_MS, serverRecord("s-0", server.port(), System.currentTimeMillis() - HOUR_MS)),
                 null,
                 null);
-        awaitReadiness(node.port, "1 boxes of a snapshot");
+        awaitReadiness(node.port, "1 servers of a snapshot");
         assertTrue(requestView(node.port, 1).endsWith("served"));
-        assertTrue(box.requests.poll().startsWith("GET /who HTTP/1.1\r\n"), "asked before anything else");
+        assertTrue(server.requests.poll().startsWith("GET /who HTTP/1.1\r\n"), "probed before anything else");
     }
 
-    /** A retired box's address is another application's by now: its answers look like a box's. */
+    /** A retired server's address belongs to another application, whose responses look like a server's. */
     @Test
     void sendsNothingToAnotherServerAtAReusedAddress() throws Exception {
         FakePeer stranger = server("welcome to the wiki", "a wrong answer");
-        FakePeer box = server("s-1", "served");
+        FakePeer server = server("s-1", "served");
         Running node = start(
                 settings("/who", 30_000, null),
                 snapshot(
                         7 * DAY_MS,
                         serverRecord("s-0", stranger.port(), System.currentTimeMillis() - 7 * DAY_MS),
-                        serverRecord("s-1", box.port(), System.currentTimeMillis() - 7 * DAY_MS)),
+                        serverRecord("s-1", server.port(), System.currentTimeMillis() - 7 * DAY_MS)),
                 null,
                 null);
-        awaitReadiness(node.port, "0 being asked");
+        awaitReadiness(node.port, "0 being probed");
         for (int i = 0; i < 40; i++) {
             assertTrue(requestView(node.port, i).endsWith("served"));
         }
-        assertEquals(1, stranger.requests.size(), "it was asked who it is, and nothing more");
+        assertEquals(1, stranger.requests.size(), "it received one probe and nothing else");
         assertTrue(stranger.requests.poll().startsWith("GET /who "));
     }
 
@@ -257,7 +257,7 @@
                 snapshot(HOUR_MS, serverRecord("s-0", stranger.port(), System.currentTimeMillis() - HOUR_MS)),
                 null,
                 null);
-        assertTrue(readiness(node.port).contains("0 boxes of a snapshot, 1 given up"), readiness(node.port));
+        assertTrue(readiness(node.port).contains("0 servers of a snapshot, 1 removed"), readiness(node.port));
         String answer = exchange(
                 node.port,
                 Fixture.request("GET", "/view/1", 1, "", "").replace("X-Remaining-Ms: 20000", "X-Remaining-Ms: 200"));
@@ -267,18 +267,18 @@
 
     @Test
     void servesFromDiscoverysListWhenAllRestoredServersAreDead() throws Exception {
-        int dead;
+        int deadPort;
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            dead = closed.getLocalPort();
+            deadPort = closed.getLocalPort();
         }
-        FakePeer box = server("s-9", "served");
+        FakePeer server = server("s-9", "served");
         discovery.script((socket, request) -> {
             Fixture.beginWatch(socket);
-            Fixture.writeLine(socket, Fixture.list(50, true, "Ready", box));
+            Fixture.writeLine(socket, Fixture.list(50, true, "Ready", server));
         });
         Running node = start(
                 settings(null, 30_000, null),
-                snapshot(2_000, serverRecord("s-0", dead, System.currentTimeMillis() - 2_000)),
+                snapshot(2_000, serverRecord("s-0", deadPort, System.currentTimeMillis() - 2_000)),
                 null,
                 null);
         awaitReadiness(node.port, "ready: discovery's list");
@@ -287,7 +287,7 @@
         }
     }
 
-    /** The list names who drains and leaves out who has gone: both hold from that moment on. */
+    /** The list omits a gone server, drains one and moves another; all three must get no more requests. */
     @Test
     void discoverysListReplacesTheSnapshot() throws Exception {
         FakePeer gone = server("s-0", "gone");
@@ -329,7 +329,7 @@
         try (Socket client = new Socket("127.0.0.1", node.port)) {
             String answer = "";
             while (answer == null || !answer.endsWith("served anew")) {
-                assertTrue(System.nanoTime() < end, "the new box never served");
+                assertTrue(System.nanoTime() < end, "the new server never served");
                 FakePeer.write(client, Fixture.request("GET", "/view/1", id++, "", ""));
                 answer = FakePeer.read(client);
             }
@@ -339,7 +339,7 @@
         }
     }
 
-    /** It says who it is only when the list, which leaves it out, is here. */
+    /** A probed server reports its id only after the full list, which omits it, has arrived. */
     @Test
     void ignoresAProbeAnswerAfterTheFullList() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
@@ -348,7 +348,7 @@
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ns-0");
         });
         closeables.add(slow);
-        FakePeer box = server("s-1", "served");
+        FakePeer server = server("s-1", "served");
         Running node = start(
                 settings("/who", 30_000, null),
                 snapshot(HOUR_MS, serverRecord("s-0", slow.port(), System.currentTimeMillis() - HOUR_MS)),
@@ -358,7 +358,7 @@
         Socket watch = FakePeer.takeWithTimeout(discovery.accepted);
         discovery.nextRequest();
         Fixture.beginWatch(watch);
-        Fixture.writeLine(watch, Fixture.list(50, true, "Ready", box));
+        Fixture.writeLine(watch, Fixture.list(50, true, "Ready", server));
         awaitReadiness(node.port, "discovery's list");
         listed.countDown();
         FakePeer.takeWithTimeout(slow.ended);
@@ -368,19 +368,16 @@
         assertTrue(slow.requests.isEmpty());
     }
 
-    /**
-     * Discovery has told that it drains, and no whole list: what it says of itself then brings it back no
-     * more.
-     */
+    /** A probed server reports its id after discovery, without a full list, has reported it as draining. */
     @Test
     void ignoresAProbeAnswerAfterADrainWasReported() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+        CountDownLatch drainReported = new CountDownLatch(1);
         FakePeer slow = new FakePeer((socket, request) -> {
-            told.await();
+            drainReported.await();
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ns-0");
         });
         closeables.add(slow);
-        FakePeer box = server("s-1", "served");
+        FakePeer server = server("s-1", "served");
         Running node = start(
                 settings("/who", 30_000, null),
                 snapshot(HOUR_MS, serverRecord("s-0", slow.port(), System.currentTimeMillis() - HOUR_MS)),
@@ -394,12 +391,12 @@
                 watch,
                 "{\"rev\":50,\"all\":false,\"targets\":[" + entry("s-0", slow, "Terminating")
                         + ","
-                        + entry("s-1", box, "Ready") + "]}");
+                        + entry("s-1", server, "Ready") + "]}");
         assertTrue(requestView(node.port, 1).endsWith("served"));
-        told.countDown();
+        drainReported.countDown();
         FakePeer.takeWithTimeout(slow.ended);
-        // The other one goes: were the first one back, it would be sent what comes now.
-        Fixture.writeLine(watch, "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-1", box, "Gone") + "]}");
+        // The other server goes: if the first one were in use again, it would get the next requests.
+        Fixture.writeLine(watch, "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-1", server, "Gone") + "]}");
         String answer = "served";
         for (int i = 2; answer.endsWith("served"); i++) {
             answer = exchange(
@@ -420,21 +417,21 @@
     @Test
     void removesAnUnreachableServer() throws Exception {
         long ms = System.currentTimeMillis() - 2_000;
-        FakePeer box = server("", "served");
+        FakePeer server = server("", "served");
         Running node = start(
                 settings(null, 30_000, null),
                 snapshot(
                         2_000,
-                        serverRecord("s-0", box.port(), ms),
+                        serverRecord("s-0", server.port(), ms),
                         serverRecord("s-1", server("", "served").port(), ms),
                         serverRecord("s-2", server("", "served").port(), ms),
                         serverRecord("s-3", unusedPort(), ms)),
                 null,
                 null);
-        awaitReadiness(node.port, "4 boxes of a snapshot, 1 given up, 0 being asked");
+        awaitReadiness(node.port, "4 servers of a snapshot, 1 removed, 0 being probed");
     }
 
-    /** Were half of them taken away, the fault would more likely be here than there. */
+    /** Three of four servers are unreachable, which more likely is a fault of the node itself. */
     @Test
     void neverRemovesHalfOfTheServers() throws Exception {
         long ms = System.currentTimeMillis() - 2_000;
@@ -448,10 +445,10 @@
                         serverRecord("s-3", unusedPort(), ms)),
                 null,
                 null);
-        awaitReadiness(node.port, "4 boxes of a snapshot, 1 given up, 0 being asked");
+        awaitReadiness(node.port, "4 servers of a snapshot, 1 removed, 0 being probed");
     }
 
-    /** Somebody takes connections there; that it is the box nobody has said. */
+    /** Something accepts connections at the address; that does not prove that it is the server. */
     @Test
     void aConnectionAloneDoesNotConfirmAServer() throws Exception {
         long ms = System.currentTimeMillis() - 20_000;
@@ -464,78 +461,78 @@
                     return 0;
                 },
                 null);
-        awaitReadiness(node.port, "0 being asked");
+        awaitReadiness(node.port, "0 being probed");
         written.clear();
         FakePeer.takeWithTimeout(written);
-        ServerRecord box = ChunkCodec.read(FakePeer.takeWithTimeout(written))
+        ServerRecord server = ChunkCodec.read(FakePeer.takeWithTimeout(written))
                 .content()
                 .servers()
                 .get(0);
-        assertEquals(ms, box.confirmedMs());
+        assertEquals(ms, server.confirmedMs());
         requestView(node.port, 1);
         written.clear();
         FakePeer.takeWithTimeout(written);
-        box = ChunkCodec.read(FakePeer.takeWithTimeout(written))
+        server = ChunkCodec.read(FakePeer.takeWithTimeout(written))
                 .content()
                 .servers()
                 .get(0);
-        assertTrue(box.confirmedMs() > ms && box.confirmedBy() == ConfirmationSource.ANSWER, box.toString());
+        assertTrue(server.confirmedMs() > ms && server.confirmedBy() == ConfirmationSource.ANSWER, server.toString());
     }
 
     @Test
     void stopDoesNotWaitForAHangingDisk() throws Exception {
-        FakePeer box = server("", "served");
-        CountDownLatch hangs = new CountDownLatch(1);
-        RecoverySettings often = settings(null, 30_000, null);
+        FakePeer server = server("", "served");
+        CountDownLatch release = new CountDownLatch(1);
+        RecoverySettings defaults = settings(null, 30_000, null);
         RecoverySettings rarely =
-                new RecoverySettings(often.file(), 600_000, often.rules(), null, null, List.of(), null, 0, 100);
+                new RecoverySettings(defaults.file(), 600_000, defaults.rules(), null, null, List.of(), null, 0, 100);
         Running node = start(
                 rarely,
                 null,
                 pieces -> {
                     try {
-                        hangs.await();
+                        release.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                     return 0;
                 },
                 null,
-                box);
+                server);
         assertTrue(requestView(node.port, 1).endsWith("served"));
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.node.stop(stopped::countDown));
-        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "it waits for the disk");
-        hangs.countDown();
+        assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "stop waits for the disk");
+        release.countDown();
     }
 
-    /** A node that is asked and says nothing; the handover goes on while requests are served. */
+    /** The peer accepts the connection and sends nothing; the handover continues while requests are served. */
     @Test
     void readinessWaitsForAHandoverOnlyWithinItsLimit() throws Exception {
         Path file = folder.resolve("secret");
         Files.writeString(file, "a secret of at least thirty-two bytes\n");
-        FakePeer silent = new FakePeer(FakePeer.SILENT);
-        closeables.add(silent);
-        FakePeer box = server("", "served");
-        RecoverySettings often = settings(null, 30_000, null);
+        FakePeer silentPeer = new FakePeer(FakePeer.SILENT);
+        closeables.add(silentPeer);
+        FakePeer server = server("", "served");
+        RecoverySettings defaults = settings(null, 30_000, null);
         Running node = start(
                 new RecoverySettings(
                         null,
                         1_000,
-                        often.rules(),
+                        defaults.rules(),
                         null,
                         null,
-                        List.of(new InetSocketAddress("127.0.0.1", silent.port())),
+                        List.of(new InetSocketAddress("127.0.0.1", silentPeer.port())),
                         file,
                         100,
                         6_000),
                 null,
                 null,
                 SharedSecret.read(file),
-                box);
+                server);
         assertTrue(requestView(node.port, 1).endsWith("served"));
-        FakePeer.takeWithTimeout(silent.accepted);
-        assertTrue(silent.ended.isEmpty(), "ready only once the handover was over");
+        FakePeer.takeWithTimeout(silentPeer.accepted);
+        assertTrue(silentPeer.ended.isEmpty(), "readiness waited for the whole handover");
     }
 
     private static String entry(String id, FakePeer at, String state) {
@@ -545,26 +542,26 @@
 
     @Test
     void aRestartedNodeServesFromTheStoredSnapshot() throws Exception {
-        FakePeer box = server("s-0", "served");
-        Running first = start(settings(null, 30_000, null), null, this::writeAndRecordLength, null, box);
+        FakePeer server = server("s-0", "served");
+        Running first = start(settings(null, 30_000, null), null, this::writeAndRecordLength, null, server);
         for (int i = 0; i < 20; i++) {
             assertTrue(requestView(first.port, i).endsWith("served"));
         }
         writtenLengths.clear();
         assertNotNull(FakePeer.takeWithTimeout(writtenLengths));
-        assertNotNull(FakePeer.takeWithTimeout(writtenLengths), "it is kept again and again");
+        assertNotNull(FakePeer.takeWithTimeout(writtenLengths), "snapshots are written repeatedly");
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> first.node.stop(stopped::countDown));
         assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
-        Snapshot left = new StateFile(folder.resolve("boxes")).read(System.currentTimeMillis(), line -> {});
-        assertEquals(1, left.servers().size());
-        assertEquals(ConfirmationSource.ANSWER, left.servers().get(0).confirmedBy());
-        assertTrue(left.servers().get(0).statistics().attemptCount() >= 20, left.toString());
-        Running second = start(settings(null, 30_000, null), left, null, null);
+        Snapshot stored = new StateFile(folder.resolve("boxes")).read(System.currentTimeMillis(), line -> {});
+        assertEquals(1, stored.servers().size());
+        assertEquals(ConfirmationSource.ANSWER, stored.servers().get(0).confirmedBy());
+        assertTrue(stored.servers().get(0).statistics().attemptCount() >= 20, stored.toString());
+        Running second = start(settings(null, 30_000, null), stored, null, null);
         assertTrue(requestView(second.port, 99).endsWith("served"));
     }
 
-    /** Nobody was ever seen: what was kept before says more than that. */
+    /** No server was ever confirmed, so the stored snapshot has more information. */
     @Test
     void aNodeWithoutServersDoesNotOverwriteTheSnapshot() throws Exception {
         Path file = folder.resolve("boxes");
@@ -579,7 +576,7 @@
 
     @Test
     void aFailingDiskCostsNoRequest() throws Exception {
-        FakePeer box = server("s-0", "served");
+        FakePeer server = server("s-0", "served");
         CountDownLatch failures = new CountDownLatch(5);
         Running node = start(
                 settings(null, 30_000, null),
@@ -589,7 +586,7 @@
                     throw new IOException("Read-only file system");
                 },
                 null,
-                box);
+                server);
         for (int i = 0; i < 20; i++) {
             assertTrue(requestView(node.port, i).endsWith("served"));
         }
@@ -597,33 +594,33 @@
         assertTrue(requestView(node.port, 99).endsWith("served"));
     }
 
-    /** A disk that never answers keeps neither requests nor the end. */
+    /** Writes to the disk never return. */
     @Test
     void aHangingDiskDelaysNeitherRequestsNorStop() throws Exception {
-        FakePeer box = server("s-0", "served");
-        CountDownLatch hangs = new CountDownLatch(1);
-        CountDownLatch begun = new CountDownLatch(1);
+        FakePeer server = server("s-0", "served");
+        CountDownLatch release = new CountDownLatch(1);
+        CountDownLatch writeStarted = new CountDownLatch(1);
         Running node = start(
                 settings(null, 30_000, null),
                 null,
                 pieces -> {
-                    begun.countDown();
+                    writeStarted.countDown();
                     try {
-                        hangs.await();
+                        release.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                     return 0;
                 },
                 null,
-                box);
+                server);
         assertTrue(requestView(node.port, 1).endsWith("served"));
-        assertTrue(begun.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
+        assertTrue(writeStarted.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         assertTrue(requestView(node.port, 2).endsWith("served"));
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.node.stop(stopped::countDown));
         assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
-        hangs.countDown();
+        release.countDown();
     }
 
     private static InetSocketAddress freeAddress() throws IOException {
@@ -637,28 +634,28 @@
         Path file = folder.resolve("secret");
         Files.writeString(file, "a secret of at least thirty-two bytes\n");
         SharedSecret secret = SharedSecret.read(file);
-        FakePeer box = server("s-0", "served");
-        InetSocketAddress give = freeAddress();
-        Running giver = start(settings(null, 30_000, give), null, null, secret, box);
+        FakePeer server = server("s-0", "served");
+        InetSocketAddress senderAddress = freeAddress();
+        Running sender = start(settings(null, 30_000, senderAddress), null, null, secret, server);
         for (int i = 0; i < 20; i++) {
-            requestView(giver.port, i);
+            requestView(sender.port, i);
         }
-        Running taker = start(settings(null, 30_000, null, freeAddress(), give), null, null, secret);
-        assertTrue(requestView(taker.port, 50).endsWith("served"));
-        assertTrue(readiness(taker.port).contains("1 from other nodes"), readiness(taker.port));
+        Running receiver = start(settings(null, 30_000, null, freeAddress(), senderAddress), null, null, secret);
+        assertTrue(requestView(receiver.port, 50).endsWith("served"));
+        assertTrue(readiness(receiver.port).contains("1 from other nodes"), readiness(receiver.port));
     }
 
-    /** Both have just started and know nothing: neither waits for the other past the stated time. */
+    /** Both nodes have just started and have no state: neither may wait for the other beyond its limit. */
     @Test
     void twoStartingNodesThatRequestFromEachOtherBothServe() throws Exception {
         Path file = folder.resolve("secret");
         Files.writeString(file, "a secret of at least thirty-two bytes\n");
         SharedSecret secret = SharedSecret.read(file);
-        FakePeer box = server("s-0", "served");
+        FakePeer server = server("s-0", "served");
         InetSocketAddress one = freeAddress();
         InetSocketAddress two = freeAddress();
-        Running first = start(settings(null, 30_000, one, two), null, null, secret, box);
-        Running second = start(settings(null, 30_000, two, one), null, null, secret, box);
+        Running first = start(settings(null, 30_000, one, two), null, null, secret, server);
+        Running second = start(settings(null, 30_000, two, one), null, null, secret, server);
         assertTrue(requestView(first.port, 1).endsWith("served"));
         assertTrue(requestView(second.port, 2).endsWith("served"));
     }
--- a/src/test/java/vetchpost/recovery/RecoveryValidatorTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveryValidatorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.routes.file.RouteFile;
 
-/** What an operator can say of state and handovers, and how a slip is told. */
+/** Settings and violations of the tables [state] and [handover]. */
 class RecoveryValidatorTest {
     private static RecoveryValidator.Validation validate(String text) {
         RouteFile file = RouteFile.parse("v.toml", text);
@@ -19,9 +19,9 @@
     }
 
     private static String violationsOf(String text) {
-        RecoveryValidator.Validation proof = validate(text);
-        assertNull(proof.settings());
-        return proof.violations().stream().map(Object::toString).collect(Collectors.joining("\n"));
+        RecoveryValidator.Validation validation = validate(text);
+        assertNull(validation.settings());
+        return validation.violations().stream().map(Object::toString).collect(Collectors.joining("\n"));
     }
 
     @Test
@@ -77,18 +77,19 @@
                         + "file = \"...\" "
                         + "would pass",
                 violationsOf("[state]\nfil = \"b\"\n"));
-        assertTrue(violationsOf("[state]\nfile = \"b\"\nevery = \"5\"\n").startsWith("v.toml:3:1: state: every = \"5\""));
+        assertTrue(
+                violationsOf("[state]\nfile = \"b\"\nevery = \"5\"\n").startsWith("v.toml:3:1: state: every = \"5\""));
         assertTrue(violationsOf("[state]\nfile = \"b\"\nevery = \"1ms\"\n").contains("from 1000ms to 600s"));
-        assertTrue(violationsOf("[state]\nfile = \"b\"\nevery = 5\n").contains("every is no text"));
-        assertTrue(violationsOf("[state]\nfile = \"b\"\nidentify = \"who\"\n").contains("is no path"));
-        assertTrue(violationsOf("[handover]\nlisten = \"127.0.0.1:1\"\n").contains("a false snapshot could steer"));
-        assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\n").contains("neither listen nor ask"));
+        assertTrue(violationsOf("[state]\nfile = \"b\"\nevery = 5\n").contains("every is not a string"));
+        assertTrue(violationsOf("[state]\nfile = \"b\"\nidentify = \"who\"\n").contains("is not a path"));
+        assertTrue(violationsOf("[handover]\nlisten = \"127.0.0.1:1\"\n").contains("a forged snapshot could redirect"));
+        assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\n").contains("neither listen nor ask is set"));
         assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\nlisten = \"node:1\"\n")
                 .contains("not an address and port: node:1"));
         assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\nask = \"127.0.0.1:1\"\n")
-                .contains("ask is no list"));
-        assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\nask = [7]\n").contains("ask is no address"));
+                .contains("ask is not a list"));
+        assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\nask = [7]\n").contains("ask is not an address"));
         assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\nask = [\"1.2.3.4:5\"]\nwait = \"3s\"\n")
-                .contains("wait is over within"));
+                .contains("wait is longer than within"));
     }
 }
--- a/src/test/java/vetchpost/replication/InjectedFaults.java
+++ b/src/test/java/vetchpost/replication/InjectedFaults.java
@@ -3,14 +3,14 @@
 import vetchpost.store.PackedTree.Item;
 import vetchpost.store.VersionedStore;
 
-/** Replicas with a fault, to see that it is found. */
+/** Replicas with an injected fault, to show that tests and simulations detect it. */
 public final class InjectedFaults {
     private InjectedFaults() {}
 
-    /** Takes what comes before what it has, as of a writer that was replaced. */
+    /** Accepts older versions, such as those of a writer that was replaced. */
     public static Replica unfenced(
-            String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener) {
-        return new Replica(name, store, index, relay, listener) {
+            String name, VersionedStore store, Index index, boolean tracksRemovals, Replica.Listener listener) {
+        return new Replica(name, store, index, tracksRemovals, listener) {
             @Override
             boolean isNotNewer(long version) {
                 return false;
@@ -33,10 +33,10 @@
         };
     }
 
-    /** Has each part of a batch in force as it comes. */
+    /** Applies each part of a batch as it arrives. */
     public static Replica applyingPartialBatches(
-            String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener) {
-        return new Replica(name, store, index, relay, listener) {
+            String name, VersionedStore store, Index index, boolean tracksRemovals, Replica.Listener listener) {
+        return new Replica(name, store, index, tracksRemovals, listener) {
             @Override
             boolean isComplete(Frame frame) {
                 return true;
@@ -44,13 +44,13 @@
         };
     }
 
-    /** Passes over what went away when ranges are compared. */
+    /** Does not remove keys that a comparison of ranges finds missing at the publisher. */
     public static Replica ignoringRemovals(
-            String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener) {
-        return new Replica(name, store, index, relay, listener) {
+            String name, VersionedStore store, Index index, boolean tracksRemovals, Replica.Listener listener) {
+        return new Replica(name, store, index, tracksRemovals, listener) {
             @Override
             void removeMissing(Item item) {
-                // It stays.
+                // The injected fault: the item stays.
             }
         };
     }
--- a/src/test/java/vetchpost/replication/PublisherFailoverTest.java
+++ b/src/test/java/vetchpost/replication/PublisherFailoverTest.java
@@ -13,13 +13,13 @@
 import vetchpost.store.PackedTree;
 import vetchpost.store.VersionedStore;
 
-/** Whom a replica stays with, leaves and comes back to, on a clock that a test moves. */
+/** Failover and failback between publishers, with a fake transport and a manual clock. */
 class PublisherFailoverTest {
     private static final long SECOND = 1_000_000;
 
     private record ScheduledTask(long atUs, long order, Runnable task) {}
 
-    /** Publishers of which some are there, and those there say now and then that all is the newest. */
+    /** Publishers of which some are reachable; those send CURRENT every 4 s unless they are silent. */
     private final class FakeTransport implements PublisherFailover.Transport {
         private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
                 (a, b) -> a.atUs != b.atUs ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
@@ -35,7 +35,7 @@
         public void open(int publisher) {
             opened.add(publisher);
             if (!reachable.contains(publisher)) {
-                failover.failed("nobody is there");
+                failover.failed("connection refused");
                 return;
             }
             openPublisher = publisher;
@@ -47,13 +47,13 @@
             answer(openPublisher);
         }
 
-        private void answer(int of) {
+        private void answer(int publisher) {
             schedule(1_000, () -> {
-                if (openPublisher == of && !silent.contains(of)) {
+                if (openPublisher == publisher && !silent.contains(publisher)) {
                     failover.receive(Frame.current(0, PackedTree.EMPTY.sum()));
                     schedule(4 * SECOND, () -> {
-                        if (openPublisher == of) {
-                            answer(of);
+                        if (openPublisher == publisher) {
+                            answer(publisher);
                         }
                     });
                 }
@@ -88,7 +88,7 @@
 
         void breakConnection() {
             openPublisher = -1;
-            failover.failed("it was cut off");
+            failover.failed("connection reset");
         }
     }
 
@@ -114,10 +114,12 @@
         transport.run(20 * SECOND);
         transport.silent.add(preferred);
         transport.run(21 * SECOND);
-        assertTrue(transport.openPublisher >= 0 && transport.openPublisher != preferred, "it still follows " + transport.openPublisher);
+        assertTrue(
+                transport.openPublisher >= 0 && transport.openPublisher != preferred,
+                "it stays with " + transport.openPublisher);
         transport.silent.clear();
         transport.run(90 * SECOND);
-        assertEquals(preferred, transport.openPublisher, "it has not come back");
+        assertEquals(preferred, transport.openPublisher, "it has not failed back");
         assertEquals(3, transport.opened.size(), transport.opened.toString());
     }
 
@@ -126,7 +128,7 @@
         failover.start(0);
         transport.run(10 * SECOND);
         transport.breakConnection();
-        assertEquals("it was cut off", failover.failure());
+        assertEquals("connection reset", failover.failure());
         transport.run(10_000);
         assertTrue(transport.openPublisher >= 0 && transport.openPublisher != preferred);
         transport.run(10_000);
@@ -138,10 +140,14 @@
         transport.reachable.clear();
         failover.start(0);
         transport.run(60 * SECOND);
-        int first = transport.opened.size();
-        assertTrue(first > 20 && first < 120, first + " times in a minute");
+        int openedInFirstMinute = transport.opened.size();
+        assertTrue(
+                openedInFirstMinute > 20 && openedInFirstMinute < 120,
+                openedInFirstMinute + " connections in the first minute");
         transport.run(60 * SECOND);
-        assertTrue(transport.opened.size() - first < 60, transport.opened.size() - first + " times in the second minute");
+        assertTrue(
+                transport.opened.size() - openedInFirstMinute < 60,
+                transport.opened.size() - openedInFirstMinute + " connections in the second minute");
         transport.reachable.add(preferred);
         transport.run(6 * SECOND);
         assertTrue(failover.isUp());
@@ -154,9 +160,9 @@
         failover.stop();
         assertFalse(failover.isUp());
         assertEquals(1, transport.closeCount);
-        int asked = transport.opened.size();
+        int openedBefore = transport.opened.size();
         transport.run(100 * SECOND);
-        assertEquals(asked, transport.opened.size());
+        assertEquals(openedBefore, transport.opened.size());
     }
 
     @Test
--- a/src/test/java/vetchpost/replication/PublisherTest.java
+++ b/src/test/java/vetchpost/replication/PublisherTest.java
@@ -16,7 +16,7 @@
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
 
-/** What a publisher spends on whom, and when. */
+/** A publisher's budgets, heartbeats and bounds. */
 class PublisherTest {
     private static final long SECOND_US = 1_000_000;
     private static final long HEARTBEAT_INTERVAL_US = 5 * SECOND_US;
@@ -28,7 +28,7 @@
         codec.close();
     }
 
-    /** A replica that keeps what it was sent. */
+    /** A replica's connection that records received frames. */
     private final class Peer implements Publisher.Peer {
         private final List<Frame> received = new ArrayList<>();
         private final List<byte[]> rawFrames = new ArrayList<>();
@@ -37,7 +37,7 @@
 
         @Override
         public void send(byte[] frame) {
-            assertTrue(writable, "sent to one that does not read");
+            assertTrue(writable, "sent to a connection that is not writable");
             bytes += frame.length;
             rawFrames.add(frame);
             try {
@@ -83,7 +83,7 @@
         return new Publisher(store, codec, budget, HEARTBEAT_INTERVAL_US, 0);
     }
 
-    /** Pumps as its owner would: when it asks for it. */
+    /** Calls {@code sendPending} at the times that it returns, as its owner does. */
     private static long run(Publisher publisher, long fromUs, long untilUs) {
         long nowUs = fromUs;
         while (nowUs < untilUs) {
@@ -102,7 +102,7 @@
         peer.sendHello(publisher, first, 0);
         for (int second = 1; second <= 5; second++) {
             run(publisher, (second - 1) * SECOND_US, second * SECOND_US);
-            // What was saved up, and a frame that may be more than there was.
+            // The burst, and one frame that may overdraw the budget.
             assertTrue(peer.bytes <= 10_000L * second + 2_000 + 6_000, peer.bytes + " bytes after " + second + " s");
             assertTrue(peer.bytes >= 9_000L * second, peer.bytes + " bytes after " + second + " s");
         }
@@ -116,7 +116,9 @@
         publisher.connected(peer, 0);
         peer.sendHello(publisher, first, 0);
         run(publisher, 0, 5 * SECOND_US);
-        assertTrue(peer.receivedEntryCount() >= 1_900 && peer.receivedEntryCount() <= 2_400, peer.receivedEntryCount() + " entries in 5 s");
+        assertTrue(
+                peer.receivedEntryCount() >= 1_900 && peer.receivedEntryCount() <= 2_400,
+                peer.receivedEntryCount() + " entries in 5 s");
     }
 
     @Test
@@ -130,7 +132,7 @@
         publisher.sendPending(0);
         assertEquals(0, peer.bytes);
         run(publisher, 0, 2 * SECOND_US);
-        assertEquals(0, peer.bytes, "it has not paid back yet");
+        assertEquals(0, peer.bytes, "the overdraft is not refilled yet");
         run(publisher, 2 * SECOND_US, 4 * SECOND_US);
         assertTrue(peer.bytes > 0);
     }
@@ -147,15 +149,15 @@
             peer.sendHello(publisher, first, 0);
         }
         run(publisher, 0, 2 * SECOND_US);
-        long all = peers.stream().mapToLong(p -> p.bytes).sum();
-        assertTrue(all <= 2 * 40_000 + 10_000 + 6_000 && all > 70_000, all + " bytes");
-        long least = peers.stream().mapToLong(p -> p.rawFrames.size()).min().orElseThrow();
-        long most = peers.stream().mapToLong(p -> p.rawFrames.size()).max().orElseThrow();
-        assertTrue(most - least <= 1, "from " + least + " to " + most + " frames");
-        assertEquals(all, publisher.sentBytes());
+        long totalBytes = peers.stream().mapToLong(p -> p.bytes).sum();
+        assertTrue(totalBytes <= 2 * 40_000 + 10_000 + 6_000 && totalBytes > 70_000, totalBytes + " bytes");
+        long minFrames = peers.stream().mapToLong(p -> p.rawFrames.size()).min().orElseThrow();
+        long maxFrames = peers.stream().mapToLong(p -> p.rawFrames.size()).max().orElseThrow();
+        assertTrue(maxFrames - minFrames <= 1, "from " + minFrames + " to " + maxFrames + " frames");
+        assertEquals(totalBytes, publisher.sentBytes());
     }
 
-    /** And nothing is kept for it meanwhile but where it is. */
+    /** A replica stops reading during 1,000 versions: no queue may grow, and only the newest is sent later. */
     @Test
     void sendsOnlyTheNewestVersionAfterAReplicaReadsAgain() throws Exception {
         VersionedStore now = store(10);
@@ -180,7 +182,7 @@
         assertEquals(1, peer.received.get(0).items().size());
         assertEquals(now.version(), peer.received.get(0).to());
         publisher.publish(store(10));
-        assertEquals(now.version(), publisher.store().version(), "an older one is passed over");
+        assertEquals(now.version(), publisher.store().version(), "an older version is ignored");
     }
 
     @Test
@@ -195,28 +197,32 @@
         peer.sendHello(publisher, first, 0);
         ahead.sendHello(publisher, second, 0);
         run(publisher, 0, 21 * SECOND_US);
-        assertEquals(5, peer.received.stream().filter(f -> f.type() == Type.CURRENT).count());
-        assertEquals(List.of(Type.BEHIND), ahead.received.stream().map(Frame::type).toList());
+        assertEquals(
+                5, peer.received.stream().filter(f -> f.type() == Type.CURRENT).count());
+        assertEquals(
+                List.of(Type.BEHIND), ahead.received.stream().map(Frame::type).toList());
         publisher.disconnected(ahead);
         assertEquals(1, publisher.replicaCount());
         publisher.receive(ahead, Frame.hello("b", 0, false, first.live().sum()), 0, 0);
-        assertEquals(1, ahead.received.size(), "one that has gone is told nothing more");
+        assertEquals(1, ahead.received.size(), "nothing is sent after the disconnect");
     }
 
     @Test
     void sharesEncodedFramesBetweenReplicasAtTheSameVersion() throws Exception {
         VersionedStore first = store(500);
         Publisher publisher = publisher(changed(first, 400), new Publisher.Budget(1e9, 1e9, 1e9, 1e9));
-        Peer one = new Peer();
-        Peer two = new Peer();
-        for (Peer peer : List.of(one, two)) {
+        Peer firstReplica = new Peer();
+        Peer secondReplica = new Peer();
+        for (Peer peer : List.of(firstReplica, secondReplica)) {
             publisher.connected(peer, 0);
             peer.sendHello(publisher, first, 0);
         }
         publisher.sendPending(0);
-        assertTrue(one.rawFrames.size() > 2);
-        for (int i = 0; i < one.rawFrames.size(); i++) {
-            assertTrue(one.rawFrames.get(i) == two.rawFrames.get(i), "part " + i + " was made twice");
+        assertTrue(firstReplica.rawFrames.size() > 2);
+        for (int i = 0; i < firstReplica.rawFrames.size(); i++) {
+            assertTrue(
+                    firstReplica.rawFrames.get(i) == secondReplica.rawFrames.get(i),
+                    "part " + i + " was encoded twice");
         }
     }
 
--- a/src/test/java/vetchpost/replication/ReplicaTest.java
+++ b/src/test/java/vetchpost/replication/ReplicaTest.java
@@ -18,7 +18,7 @@
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
 
-/** One replica and one publisher, and what can happen to what is told between them. */
+/** One replica and one publisher with lost, late, duplicate, corrupt and hostile frames between them. */
 class ReplicaTest {
     private static EntryKey key(int i) {
         return new EntryKey(EntryKind.ROUTE, "/service-" + i % 37 + "/route-" + i);
@@ -28,7 +28,7 @@
         return EntryChange.put(key(i), FieldCodec.utf8(value));
     }
 
-    /** So many entries, at version 1.1. */
+    /** Creates a store with a number of entries at version 1.1. */
     private static VersionedStore entries(int count) {
         return VersionedStore.EMPTY.with(
                 IntStream.range(0, count).mapToObj(i -> put(i, "value " + i)).toList(), Version.of(1, 1));
@@ -38,36 +38,36 @@
         return store.with(List.of(batch), store.version() + 1);
     }
 
-    private static void assertReplicaHolds(VersionedStore publishers, ReplicationLink wire) {
-        assertEquals(publishers.version(), wire.replica.store().version());
-        assertEquals(publishers.live().sum(), wire.replica.store().live().sum());
+    private static void assertReplicaHolds(VersionedStore publishers, ReplicationLink link) {
+        assertEquals(publishers.version(), link.replica.store().version());
+        assertEquals(publishers.live().sum(), link.replica.store().live().sum());
     }
 
     @Test
     void appliesAChangeAndReportsItsSum() throws Exception {
         VersionedStore first = entries(1_000);
-        ReplicationLink wire = new ReplicationLink(first, first);
-        wire.run(1_000_000);
-        assertEquals(0, wire.replica.appliedBatches());
-        assertTrue(wire.replica.lastCurrentUs() >= 0, "it was told that it is at the newest");
-        long before = wire.bytesToReplica;
+        ReplicationLink link = new ReplicationLink(first, first);
+        link.run(1_000_000);
+        assertEquals(0, link.replica.appliedBatches());
+        assertTrue(link.replica.lastCurrentUs() >= 0, "the publisher confirmed the newest version");
+        long before = link.bytesToReplica;
         VersionedStore second = with(first, put(5_000, "new"), EntryChange.delete(key(7)));
-        wire.publisher.publish(second);
-        wire.run(200_000);
-        assertReplicaHolds(second, wire);
-        assertEquals(1, wire.replica.appliedBatches());
-        assertTrue(wire.bytesToReplica - before < 200, wire.bytesToReplica - before + " bytes for two changes");
-        assertEquals(List.of(), wire.publisher.laggingReplicas());
+        link.publisher.publish(second);
+        link.run(200_000);
+        assertReplicaHolds(second, link);
+        assertEquals(1, link.replica.appliedBatches());
+        assertTrue(link.bytesToReplica - before < 200, link.bytesToReplica - before + " bytes for two changes");
+        assertEquals(List.of(), link.publisher.laggingReplicas());
     }
 
-    /** Parts of what came after a version, as they are told to one that is at it. */
-    private static List<Frame> deltaParts(ReplicationLink wire, VersionedStore fresh) throws Exception {
-        wire.run(100_000);
-        wire.publisher.publish(fresh);
-        wire.drainPublisher();
-        List<Frame> parts = new ArrayList<>(wire.toReplica);
+    /** Returns the delta parts for a replica at the link's version, undelivered. */
+    private static List<Frame> deltaParts(ReplicationLink link, VersionedStore newStore) throws Exception {
+        link.run(100_000);
+        link.publisher.publish(newStore);
+        link.drainPublisher();
+        List<Frame> parts = new ArrayList<>(link.toReplica);
         parts.removeIf(f -> f.type() != Type.DELTA);
-        wire.toReplica.clear();
+        link.toReplica.clear();
         assertTrue(parts.size() > 5, parts.size() + " parts");
         return parts;
     }
@@ -87,16 +87,16 @@
         VersionedStore first = entries(2_000);
         VersionedStore second = changed(first, 1_000);
         for (int cut = 0; cut < 6; cut++) {
-            ReplicationLink wire = new ReplicationLink(first, first);
-            List<Frame> parts = deltaParts(wire, second);
+            ReplicationLink link = new ReplicationLink(first, first);
+            List<Frame> parts = deltaParts(link, second);
             for (Frame part : parts.subList(0, cut * (parts.size() - 1) / 5)) {
-                wire.replica.receive(part, wire.nowUs);
+                link.replica.receive(part, link.nowUs);
             }
-            assertSame(first, wire.replica.store(), "a part of a batch is in force");
-            wire.connect();
-            wire.run(10_000_000);
-            assertReplicaHolds(second, wire);
-            assertEquals(1, wire.replica.appliedBatches());
+            assertSame(first, link.replica.store(), "a partial batch was applied");
+            link.connect();
+            link.run(10_000_000);
+            assertReplicaHolds(second, link);
+            assertEquals(1, link.replica.appliedBatches());
         }
     }
 
@@ -104,25 +104,25 @@
     void ignoresDuplicateReorderedAndLateParts() throws Exception {
         VersionedStore first = entries(2_000);
         VersionedStore second = changed(first, 1_000);
-        ReplicationLink wire = new ReplicationLink(first, first);
-        List<Frame> parts = deltaParts(wire, second);
+        ReplicationLink link = new ReplicationLink(first, first);
+        List<Frame> parts = deltaParts(link, second);
         for (Frame part : parts) {
-            wire.replica.receive(part, wire.nowUs);
-            wire.replica.receive(part, wire.nowUs);
+            link.replica.receive(part, link.nowUs);
+            link.replica.receive(part, link.nowUs);
         }
-        // Each second one was no part that could come next: it began anew each time.
-        assertSame(first, wire.replica.store());
-        wire.connect();
-        wire.run(10_000_000);
-        assertReplicaHolds(second, wire);
+        // Each duplicate is not the next part, so the replica starts again every time.
+        assertSame(first, link.replica.store());
+        link.connect();
+        link.run(10_000_000);
+        assertReplicaHolds(second, link);
         VersionedStore third = with(second, put(9_000, "third"));
-        wire.publisher.publish(third);
-        wire.run(1_000_000);
-        wire.nowUs += 3_600_000_000L;
+        link.publisher.publish(third);
+        link.run(1_000_000);
+        link.nowUs += 3_600_000_000L;
         for (Frame part : parts) {
-            wire.replica.receive(part, wire.nowUs);
+            link.replica.receive(part, link.nowUs);
         }
-        assertReplicaHolds(third, wire);
+        assertReplicaHolds(third, link);
         ReplicationLink other = new ReplicationLink(first, first);
         List<Frame> mixed = deltaParts(other, second);
         java.util.Collections.reverse(mixed);
@@ -136,10 +136,10 @@
     void rejectsAPublisherRestoredToAnOlderVersion() throws Exception {
         VersionedStore first = entries(100);
         VersionedStore second = with(first, EntryChange.replace(key(1), FieldCodec.utf8("second")));
-        ReplicationLink wire = new ReplicationLink(first, second);
-        assertThrows(Replica.FrameRejectedException.class, () -> wire.run(100_000));
-        assertSame(second, wire.replica.store());
-        // And a node that was set back comes forward again.
+        ReplicationLink link = new ReplicationLink(first, second);
+        assertThrows(Replica.FrameRejectedException.class, () -> link.run(100_000));
+        assertSame(second, link.replica.store());
+        // A replica restored to an older version catches up again.
         ReplicationLink behind = new ReplicationLink(second, first);
         behind.run(1_000_000);
         assertReplicaHolds(second, behind);
@@ -149,31 +149,31 @@
     void fencesAWriterOfAnEarlierEpoch() throws Exception {
         VersionedStore first = entries(100);
         VersionedStore old = with(first, EntryChange.replace(key(1), FieldCodec.utf8("of the old writer")));
-        ReplicationLink zombie = new ReplicationLink(first, first);
-        zombie.run(10_000);
-        zombie.publisher.publish(old);
-        zombie.drainPublisher();
-        Frame late = zombie.toReplica.stream()
+        ReplicationLink oldWriter = new ReplicationLink(first, first);
+        oldWriter.run(10_000);
+        oldWriter.publisher.publish(old);
+        oldWriter.drainPublisher();
+        Frame lateDelta = oldWriter.toReplica.stream()
                 .filter(f -> f.type() == Type.DELTA)
                 .findFirst()
                 .orElseThrow();
-        VersionedStore taken =
+        VersionedStore newEpochStore =
                 first.with(List.of(EntryChange.replace(key(1), FieldCodec.utf8("of the new"))), Version.of(2, 1));
-        ReplicationLink wire = new ReplicationLink(taken, first);
-        wire.run(1_000_000);
-        assertReplicaHolds(taken, wire);
-        assertThrows(Replica.FrameRejectedException.class, () -> wire.replica.receive(late, wire.nowUs));
-        // What it would do without the fence, so that this shows something.
-        ReplicationLink unfenced =
-                new ReplicationLink(taken, InjectedFaults.unfenced("node", taken, Index.NONE, false, (store, index) -> {}));
-        unfenced.replica.receive(late, 1);
+        ReplicationLink link = new ReplicationLink(newEpochStore, first);
+        link.run(1_000_000);
+        assertReplicaHolds(newEpochStore, link);
+        assertThrows(Replica.FrameRejectedException.class, () -> link.replica.receive(lateDelta, link.nowUs));
+        // Without fencing the late delta would be applied, so this test can fail.
+        ReplicationLink unfenced = new ReplicationLink(
+                newEpochStore, InjectedFaults.unfenced("node", newEpochStore, Index.NONE, false, (store, index) -> {}));
+        unfenced.replica.receive(lateDelta, 1);
         assertEquals(
                 "of the old writer",
                 FieldCodec.text(unfenced.replica.store().get(key(1)).value()));
-        assertReplicaHolds(taken, wire);
+        assertReplicaHolds(newEpochStore, link);
     }
 
-    /** It is not known any more what went away meanwhile: what differs is found by ranges. */
+    /** The publisher has forgotten the removals since the replica's version, so ranges have to be compared. */
     @Test
     void fetchesOnlyDifferencesAfterALongAbsence() throws Exception {
         VersionedStore first = entries(20_000);
@@ -186,19 +186,21 @@
                     put(30_000 + i, "more"));
         }
         now = now.forgetRemovals(10);
-        ReplicationLink wire = new ReplicationLink(now, first);
-        wire.run(60_000_000);
-        assertReplicaHolds(now, wire);
+        ReplicationLink link = new ReplicationLink(now, first);
+        link.run(60_000_000);
+        assertReplicaHolds(now, link);
         ReplicationLink all = new ReplicationLink(now, VersionedStore.EMPTY);
         all.run(120_000_000);
         assertReplicaHolds(now, all);
-        assertTrue(wire.bytesToPublisher + wire.bytesToReplica < 18_000 * 60, "both ways within its budget");
         assertTrue(
-                wire.bytesToReplica < all.bytesToReplica / 2,
-                wire.bytesToReplica + " bytes for 300 changes, " + all.bytesToReplica + " for all");
+                link.bytesToPublisher + link.bytesToReplica < 18_000 * 60,
+                "bytes both ways within the replica's budget");
+        assertTrue(
+                link.bytesToReplica < all.bytesToReplica / 2,
+                link.bytesToReplica + " bytes for 300 changes, " + all.bytesToReplica + " for all");
     }
 
-    /** What is kept on a disk can be wrong and say that it is right. */
+    /** A stored store can have the right version and wrong entries; comparing sums must detect it. */
     @Test
     void detectsAndRepairsAStoreThatDoesNotMatchItsVersion() throws Exception {
         VersionedStore right = entries(5_000);
@@ -206,11 +208,12 @@
                 .remove(key(77).bytes())
                 .put(key(6_000).bytes(), FieldCodec.utf8("ghost"), Version.of(1, 1))
                 .put(key(78).bytes(), FieldCodec.utf8("spoilt"), Version.of(1, 1));
-        ReplicationLink wire = new ReplicationLink(right, VersionedStore.of(wrong, right.version()));
-        wire.run(10_000_000);
-        assertReplicaHolds(right, wire);
-        // Also where it is found only at the end of the next change.
-        ReplicationLink later = new ReplicationLink(with(right, put(7_000, "x")), VersionedStore.of(wrong, right.version()));
+        ReplicationLink link = new ReplicationLink(right, VersionedStore.of(wrong, right.version()));
+        link.run(10_000_000);
+        assertReplicaHolds(right, link);
+        // Also if the mismatch shows only after the next change.
+        ReplicationLink later =
+                new ReplicationLink(with(right, put(7_000, "x")), VersionedStore.of(wrong, right.version()));
         later.run(10_000_000);
         assertReplicaHolds(later.publisher.store(), later);
     }
@@ -218,69 +221,65 @@
     @Test
     void coalescesManyChangesOfOneKey() throws Exception {
         VersionedStore now = entries(1_000);
-        ReplicationLink wire = new ReplicationLink(now, now);
-        wire.run(100_000);
-        long before = wire.bytesToReplica;
+        ReplicationLink link = new ReplicationLink(now, now);
+        link.run(100_000);
+        long before = link.bytesToReplica;
         for (int second = 0; second < 60; second++) {
             for (int i = 0; i < 817; i++) {
                 now = with(now, EntryChange.replace(key(3), FieldCodec.utf8("value " + second + " " + i)));
-                wire.publisher.publish(now);
+                link.publisher.publish(now);
             }
-            wire.run(1_000_000);
+            link.run(1_000_000);
         }
-        wire.run(1_000_000);
-        assertReplicaHolds(now, wire);
-        assertTrue(wire.bytesToReplica - before < 60 * 18_000 + 4_000, wire.bytesToReplica - before + " bytes");
-        assertTrue(
-                wire.replica.appliedBatches() < 49_000 / 2,
-                wire.replica.appliedBatches() + " times something came into force");
+        link.run(1_000_000);
+        assertReplicaHolds(now, link);
+        assertTrue(link.bytesToReplica - before < 60 * 18_000 + 4_000, link.bytesToReplica - before + " bytes");
+        assertTrue(link.replica.appliedBatches() < 49_000 / 2, link.replica.appliedBatches() + " versions applied");
     }
 
     @Test
     void appliesABurstWithinBudgetAndTime() throws Exception {
         VersionedStore first = entries(20_000);
-        ReplicationLink wire = new ReplicationLink(first, first);
-        wire.run(100_000);
+        ReplicationLink link = new ReplicationLink(first, first);
+        link.run(100_000);
         VersionedStore second = changed(first, 1_000);
-        wire.publisher.publish(second);
-        long before = wire.bytesToReplica;
-        wire.run(4_000_000);
-        assertReplicaHolds(second, wire);
-        assertTrue(wire.bytesToReplica - before < 4 * 23_000, wire.bytesToReplica - before + " bytes");
+        link.publisher.publish(second);
+        long before = link.bytesToReplica;
+        link.run(4_000_000);
+        assertReplicaHolds(second, link);
+        assertTrue(link.bytesToReplica - before < 4 * 23_000, link.bytesToReplica - before + " bytes");
     }
 
     @Test
     void resumesFromAnotherPublisherAfterOneDiesMidBatch() throws Exception {
         VersionedStore first = entries(2_000);
         VersionedStore second = changed(first, 1_000);
-        ReplicationLink wire = new ReplicationLink(first, first);
-        List<Frame> parts = deltaParts(wire, second);
+        ReplicationLink link = new ReplicationLink(first, first);
+        List<Frame> parts = deltaParts(link, second);
         for (Frame part : parts.subList(0, parts.size() / 2)) {
-            wire.replica.receive(part, wire.nowUs);
+            link.replica.receive(part, link.nowUs);
         }
-        wire.replica.disconnected();
-        // The other has not heard of it yet, and then it has.
-        wire.connectNewPublisher(first);
-        wire.run(1_000_000);
-        assertEquals(first.live().sum(), wire.replica.store().live().sum());
-        wire.publisher.publish(second);
-        wire.run(10_000_000);
-        assertReplicaHolds(second, wire);
+        link.replica.disconnected();
+        // The other publisher does not have the new version yet, and gets it later.
+        link.connectNewPublisher(first);
+        link.run(1_000_000);
+        assertEquals(first.live().sum(), link.replica.store().live().sum());
+        link.publisher.publish(second);
+        link.run(10_000_000);
+        assertReplicaHolds(second, link);
     }
 
-    /**
-     * All publishers away, the node restarted from what it had kept: it serves by that, and says since when.
-     */
+    /** A replica restarts from its stored version while no publisher is reachable, and continues from there. */
     @Test
     void continuesFromItsStoredVersionAfterARestart() throws Exception {
         VersionedStore first = entries(1_000);
         VersionedStore second = with(first, put(2_000, "meanwhile"));
-        ReplicationLink wire = new ReplicationLink(second, first);
-        wire.run(1_000_000);
+        ReplicationLink link = new ReplicationLink(second, first);
+        link.run(1_000_000);
         VersionedStore kept = VersionedStore.of(
-                wire.replica.store().live(), wire.replica.store().version());
+                link.replica.store().live(), link.replica.store().version());
         ReplicationLink restarted = new ReplicationLink(second, kept);
-        assertEquals(-1, restarted.replica.lastCurrentUs(), "nobody has said yet that this is the newest");
+        assertEquals(-1, restarted.replica.lastCurrentUs(), "no publisher has confirmed the version yet");
         assertEquals(second.live().sum(), restarted.replica.store().live().sum());
         VersionedStore third = with(second, EntryChange.delete(key(2_000)));
         restarted.publisher.publish(third);
@@ -293,27 +292,26 @@
     void appliesChangesPublishedDuringCatchUp() throws Exception {
         VersionedStore first = entries(5_000);
         VersionedStore now = changed(first, 3_000);
-        ReplicationLink wire = new ReplicationLink(now, first);
+        ReplicationLink link = new ReplicationLink(now, first);
         for (int i = 0; i < 40; i++) {
-            wire.run(100_000);
+            link.run(100_000);
             now = with(now, put(10_000 + i, "during"));
-            wire.publisher.publish(now);
+            link.publisher.publish(now);
         }
-        wire.run(20_000_000);
-        assertReplicaHolds(now, wire);
-        assertTrue(wire.replica.appliedBatches() >= 2 && wire.replica.rejectedCount() == 0);
+        link.run(20_000_000);
+        assertReplicaHolds(now, link);
+        assertTrue(link.replica.appliedBatches() >= 2 && link.replica.rejectedCount() == 0);
     }
 
     @Test
     void rejectsOversizedFramesBeforeAllocating() throws Exception {
         FrameCodec codec = new FrameCodec();
-        // A body that would be inflated to 4 GiB less one byte: field 8 with a byte, field 9 with that
-        // length.
-        byte[] promise = {8, 3, 0x42, 1, 0, 0x48, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, 0x0F};
-        assertThrows(MalformedFrameException.class, () -> codec.read(promise));
-        // A field of 2 GiB of which nothing comes.
-        byte[] field = {8, 3, 0x42, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, 0x07};
-        assertThrows(MalformedFrameException.class, () -> codec.read(field));
+        // Claims to inflate to 4 GiB less one byte: field 8 with one byte, field 9 with that length.
+        byte[] hugeInflatedLength = {8, 3, 0x42, 1, 0, 0x48, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, 0x0F};
+        assertThrows(MalformedFrameException.class, () -> codec.read(hugeInflatedLength));
+        // Claims a field of 2 GiB without content.
+        byte[] hugeField = {8, 3, 0x42, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF, 0x07};
+        assertThrows(MalformedFrameException.class, () -> codec.read(hugeField));
         assertThrows(MalformedFrameException.class, () -> codec.read(new byte[FrameCodec.MAX_FRAME_BYTES + 1]));
         assertThrows(MalformedFrameException.class, () -> codec.read(new byte[] {8, 99}));
         byte[] good = codec.write(Frame.delta(
@@ -325,10 +323,10 @@
                 List.of(new Frame.Entry(key(1).bytes(), FieldCodec.utf8("v"), 2))));
         java.util.SplittableRandom random = new java.util.SplittableRandom(5);
         for (int i = 0; i < 100_000; i++) {
-            byte[] spoilt = good.clone();
-            spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
+            byte[] corrupt = good.clone();
+            corrupt[random.nextInt(corrupt.length)] ^= (byte) (1 << random.nextInt(8));
             try {
-                codec.read(java.util.Arrays.copyOf(spoilt, random.nextInt(spoilt.length + 1)));
+                codec.read(java.util.Arrays.copyOf(corrupt, random.nextInt(corrupt.length + 1)));
             } catch (MalformedFrameException e) {
                 continue;
             }
@@ -339,8 +337,8 @@
     @Test
     void rejectsFramesThatViolateTheProtocol() throws Exception {
         VersionedStore first = entries(100);
-        ReplicationLink wire = new ReplicationLink(first, first);
-        wire.run(10_000);
+        ReplicationLink link = new ReplicationLink(first, first);
+        link.run(10_000);
         Frame old = Frame.delta(
                 first.version(),
                 first.version() + 1,
@@ -348,28 +346,31 @@
                 true,
                 first.live().sum(),
                 List.of(new Frame.Entry(key(1).bytes(), FieldCodec.utf8("x"), Version.of(1, 0))));
-        assertThrows(MalformedFrameException.class, () -> wire.replica.receive(old, wire.nowUs), "an entry of before");
         assertThrows(
                 MalformedFrameException.class,
-                () -> wire.replica.receive(
+                () -> link.replica.receive(old, link.nowUs),
+                "an entry older than the delta");
+        assertThrows(
+                MalformedFrameException.class,
+                () -> link.replica.receive(
                         Frame.hello("x", 1, false, first.live().sum()), 1));
         assertThrows(
                 MalformedFrameException.class,
-                () -> wire.publisher.receive(wire, Frame.current(1, first.live().sum()), 9, 1));
+                () -> link.publisher.receive(link, Frame.current(1, first.live().sum()), 9, 1));
         assertThrows(
                 MalformedFrameException.class,
-                () -> wire.publisher.receive(
-                        wire, Frame.spans(Type.WANT, 77, first.live().sum(), List.of()), 0, 1));
+                () -> link.publisher.receive(
+                        link, Frame.spans(Type.WANT, 77, first.live().sum(), List.of()), 0, 1));
         for (int i = 0; i < 64; i++) {
-            wire.publisher.receive(
-                    wire, Frame.hello("x", first.version(), false, first.live().sum()), 0, 1);
+            link.publisher.receive(
+                    link, Frame.hello("x", first.version(), false, first.live().sum()), 0, 1);
         }
         assertThrows(
                 MalformedFrameException.class,
                 () -> {
                     for (int i = 0; i < 64; i++) {
-                        wire.publisher.receive(
-                                wire,
+                        link.publisher.receive(
+                                link,
                                 Frame.hello(
                                         "x",
                                         first.version(),
@@ -379,8 +380,8 @@
                                 1);
                     }
                 },
-                "it asks on without reading");
-        assertSame(first, wire.replica.store());
+                "requests are bounded while replies are not read");
+        assertSame(first, link.replica.store());
     }
 
     @Test
@@ -404,7 +405,7 @@
                 assertEquals(3, choice.next(2));
             } else {
                 choice.failed(3, 0);
-                assertEquals(first, choice.next(1), "no other moves");
+                assertEquals(first, choice.next(1), "replicas of other publishers stay");
             }
         }
         for (int i = 0; i < 18; i++) {
@@ -414,8 +415,8 @@
         PublisherChoice all = new PublisherChoice("x", publishers.subList(0, 2));
         all.failed(0, 0);
         all.failed(1, 0);
-        assertTrue(all.retryAtUs(all.next(10)) > 10, "none may be asked now");
-        PublisherChoice near = new PublisherChoice("x", publishers, "control-5"::equals);
-        assertEquals(5, near.next(0));
+        assertTrue(all.retryAtUs(all.next(10)) > 10, "no publisher may be tried now");
+        PublisherChoice withPreferred = new PublisherChoice("x", publishers, "control-5"::equals);
+        assertEquals(5, withPreferred.next(0));
     }
 }
--- a/src/test/java/vetchpost/replication/ReplicationLink.java
+++ b/src/test/java/vetchpost/replication/ReplicationLink.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import vetchpost.store.VersionedStore;
 
-/** A replica and a publisher with frames between them that a test passes on as it likes. */
+/** A replica and a publisher whose frames a test delivers explicitly. */
 final class ReplicationLink implements Publisher.Peer {
     static final Publisher.Budget BUDGET = new Publisher.Budget(18_000, 4_000, 4_000_000, 400);
 
     final FrameCodec codec = new FrameCodec();
-    /** Frames on their way to the replica, and to the publisher. */
+    /** Undelivered frames. */
     final List<Frame> toReplica = new ArrayList<>();
 
     final List<Frame> toPublisher = new ArrayList<>();
@@ -28,13 +28,13 @@
         connectNewPublisher(at);
     }
 
-    /** Another publisher, at this, takes the place of the one before. */
+    /** Replaces the publisher by one at this version. */
     void connectNewPublisher(VersionedStore at) {
         publisher = new Publisher(at, codec, BUDGET, 5_000_000, nowUs);
         connect();
     }
 
-    /** The connection is opened anew; what was on its way is lost. */
+    /** Reopens the connection; undelivered frames are lost. */
     void connect() {
         toReplica.clear();
         toPublisher.clear();
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Passes on what the replica has said, and has the publisher answer with all that its budget allows now.
+     * Delivers the replica's frames and lets the publisher send what its budget allows now.
      */
     void deliverToPublisher() throws MalformedFrameException {
         for (Frame frame : List.copyOf(toPublisher)) {
@@ -71,7 +71,7 @@
         publisher.sendPending(nowUs);
     }
 
-    /** Time passes, until the publisher has nothing more to say; frames stay on their way. */
+    /** Advances the time until the publisher has sent everything; frames to the replica stay undelivered. */
     void drainPublisher() throws MalformedFrameException {
         deliverToPublisher();
         for (int i = 0; i < 1_000; i++) {
@@ -80,9 +80,9 @@
         }
     }
 
-    /** Passes all on, both ways, for so long. */
-    void run(long us) throws MalformedFrameException, Replica.FrameRejectedException {
-        long endUs = nowUs + us;
+    /** Delivers all frames both ways for a duration. */
+    void run(long durationUs) throws MalformedFrameException, Replica.FrameRejectedException {
+        long endUs = nowUs + durationUs;
         while (nowUs < endUs) {
             deliverToPublisher();
             while (!toReplica.isEmpty()) {
--- a/src/test/java/vetchpost/replication/disk/StoreFileTest.java
+++ b/src/test/java/vetchpost/replication/disk/StoreFileTest.java
@@ -20,10 +20,10 @@
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
 
-/** A store on the disk is read as it was, or not at all. */
+/** A stored store is read back unchanged or rejected. */
 class StoreFileTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private static VersionedStore store(int entries) {
         List<EntryChange> changes = new ArrayList<>();
@@ -48,7 +48,7 @@
 
     @Test
     void readsBackWhatWasWritten() throws Exception {
-        StoreFile file = new StoreFile(folder.resolve("store"));
+        StoreFile file = new StoreFile(directory.resolve("store"));
         assertNull(file.read(line -> {}));
         for (int entries : new int[] {4, 5_000}) {
             VersionedStore store = store(entries);
@@ -57,10 +57,10 @@
         }
     }
 
-    /** Its checksum fits, and its entries are not those of its sum. */
+    /** The file's checksum is right, but its header has the sum of other entries. */
     @Test
     void rejectsAFileWhoseEntriesDoNotMatchItsSum() throws Exception {
-        Path path = folder.resolve("store");
+        Path path = directory.resolve("store");
         VersionedStore store = store(3);
         VersionedStore other = store(5);
         try (FrameCodec codec = new FrameCodec()) {
@@ -74,32 +74,32 @@
                                             .map(i -> new Frame.Entry(i.key(), i.value(), i.stamp()))
                                             .toList()))));
         }
-        List<String> refused = new ArrayList<>();
-        assertNull(new StoreFile(path).read(refused::add));
-        assertTrue(refused.get(0).endsWith("its entries don't match its sum"), refused.get(0));
+        List<String> rejections = new ArrayList<>();
+        assertNull(new StoreFile(path).read(rejections::add));
+        assertTrue(rejections.get(0).endsWith("its entries don't match its sum"), rejections.get(0));
     }
 
     @Test
     void fallsBackToThePreviousFileWhenTheNewestIsCorrupt() throws Exception {
-        Path path = folder.resolve("store");
+        Path path = directory.resolve("store");
         StoreFile file = new StoreFile(path);
-        VersionedStore before = store(50);
-        file.write(before);
+        VersionedStore previous = store(50);
+        file.write(previous);
         file.write(store(60));
         byte[] good = Files.readAllBytes(path);
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 300; i++) {
-            byte[] spoilt = good.clone();
+            byte[] corrupt = good.clone();
             if (i % 2 == 0) {
-                spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
+                corrupt[random.nextInt(corrupt.length)] ^= (byte) (1 << random.nextInt(8));
             } else {
-                spoilt = java.util.Arrays.copyOf(spoilt, random.nextInt(spoilt.length));
+                corrupt = java.util.Arrays.copyOf(corrupt, random.nextInt(corrupt.length));
             }
-            Files.write(path, spoilt);
-            List<String> refused = new ArrayList<>();
-            assertSameStore(before, file.read(refused::add));
-            assertEquals(1, refused.size());
-            assertTrue(refused.get(0).contains("is passed over"), refused.get(0));
+            Files.write(path, corrupt);
+            List<String> rejections = new ArrayList<>();
+            assertSameStore(previous, file.read(rejections::add));
+            assertEquals(1, rejections.size());
+            assertTrue(rejections.get(0).contains("is ignored"), rejections.get(0));
         }
     }
 }
--- a/src/test/java/vetchpost/replication/net/ReplicaClientTest.java
+++ b/src/test/java/vetchpost/replication/net/ReplicaClientTest.java
@@ -60,7 +60,7 @@
     }
 
     private BlockingQueue<VersionedStore> follow(String secret, InetSocketAddress... publishers) throws Exception {
-        BlockingQueue<VersionedStore> inForce = new LinkedBlockingQueue<>();
+        BlockingQueue<VersionedStore> applied = new LinkedBlockingQueue<>();
         loop.submit(() -> {
                     ReplicaClient client = new ReplicaClient(
                             loop,
@@ -74,17 +74,17 @@
                                     VersionedStore.EMPTY,
                                     Index.NONE,
                                     false,
-                                    (store, index) -> inForce.add(store)));
+                                    (store, index) -> applied.add(store)));
                     clients.add(client);
                     client.start();
                 })
                 .get(30, TimeUnit.SECONDS);
-        return inForce;
+        return applied;
     }
 
-    private static VersionedStore next(BlockingQueue<VersionedStore> inForce) throws Exception {
-        VersionedStore store = inForce.poll(30, TimeUnit.SECONDS);
-        assertNotNull(store, "nothing came into force");
+    private static VersionedStore next(BlockingQueue<VersionedStore> applied) throws Exception {
+        VersionedStore store = applied.poll(30, TimeUnit.SECONDS);
+        assertNotNull(store, "no version was applied");
         return store;
     }
 
@@ -92,16 +92,16 @@
     void publishesChangesOnlyToReplicasThatKnowTheSecret() throws Exception {
         VersionedStore first = store(1, 3_000);
         try (TestPublisher control = new TestPublisher(first, TestPublisher.SECRET, 0)) {
-            BlockingQueue<VersionedStore> one = follow(TestPublisher.SECRET, control.address());
-            BlockingQueue<VersionedStore> two = follow(TestPublisher.SECRET, control.address());
+            BlockingQueue<VersionedStore> firstReplica = follow(TestPublisher.SECRET, control.address());
+            BlockingQueue<VersionedStore> secondReplica = follow(TestPublisher.SECRET, control.address());
             BlockingQueue<VersionedStore> stranger =
                     follow("another secret that is as long as the one", control.address());
-            assertEquals(first.live().sum(), next(one).live().sum());
-            assertEquals(first.live().sum(), next(two).live().sum());
+            assertEquals(first.live().sum(), next(firstReplica).live().sum());
+            assertEquals(first.live().sum(), next(secondReplica).live().sum());
             VersionedStore second = withOneMoreEntry(first);
             control.publish(second);
-            assertEquals(second.live().sum(), next(one).live().sum());
-            assertEquals(second.live().sum(), next(two).live().sum());
+            assertEquals(second.live().sum(), next(firstReplica).live().sum());
+            assertEquals(second.live().sum(), next(secondReplica).live().sum());
             assertNull(stranger.poll());
             assertEquals(2, control.replicaCount());
         }
@@ -111,48 +111,49 @@
     void failsOverToAnotherPublisherWhenOneDies() throws Exception {
         VersionedStore first = store(1, 100);
         VersionedStore second = withOneMoreEntry(first);
-        TestPublisher[] both = {
+        TestPublisher[] publishers = {
             new TestPublisher(first, TestPublisher.SECRET, 0), new TestPublisher(first, TestPublisher.SECRET, 0)
         };
         try {
-            BlockingQueue<VersionedStore> inForce = follow(TestPublisher.SECRET, both[0].address(), both[1].address());
-            next(inForce);
-            int used = both[0].replicaCount() == 1 ? 0 : 1;
-            assertEquals(1, both[0].replicaCount() + both[1].replicaCount());
-            both[1 - used].publish(second);
-            both[used].close();
-            assertEquals(second.live().sum(), next(inForce).live().sum());
+            BlockingQueue<VersionedStore> applied =
+                    follow(TestPublisher.SECRET, publishers[0].address(), publishers[1].address());
+            next(applied);
+            int connected = publishers[0].replicaCount() == 1 ? 0 : 1;
+            assertEquals(1, publishers[0].replicaCount() + publishers[1].replicaCount());
+            publishers[1 - connected].publish(second);
+            publishers[connected].close();
+            assertEquals(second.live().sum(), next(applied).live().sum());
         } finally {
-            both[0].close();
-            both[1].close();
+            publishers[0].close();
+            publishers[1].close();
         }
     }
 
-    /** Somebody in between who changes a byte, leaves a frame out or sends one again is found at once. */
+    /** A proxy flips a bit of a frame, drops it or sends it twice; the replica must reject the connection. */
     @Test
     void detectsFramesAlteredDroppedOrReplayedInTransit() throws Exception {
         VersionedStore first = store(1, 10);
-        for (int harm = 0; harm < 3; harm++) {
-            int what = harm;
+        for (int fault = 0; fault < 3; fault++) {
+            int injectedFault = fault;
             try (TestPublisher control = new TestPublisher(first, TestPublisher.SECRET, 0);
-                    ServerSocket between = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-                Thread thread = new Thread(() -> forwardWithFault(between, control.address(), what));
+                    ServerSocket proxy = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+                Thread thread = new Thread(() -> forwardWithFault(proxy, control.address(), injectedFault));
                 thread.setDaemon(true);
                 thread.start();
-                BlockingQueue<VersionedStore> inForce = follow(
+                BlockingQueue<VersionedStore> applied = follow(
                         TestPublisher.SECRET,
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), between.getLocalPort()));
-                // The first connection is harmed, those after it are not.
-                assertEquals(first.live().sum(), next(inForce).live().sum());
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), proxy.getLocalPort()));
+                // Only the first connection has the fault.
+                assertEquals(first.live().sum(), next(applied).live().sum());
                 assertTrue(clients.get(clients.size() - 1).replica().appliedBatches() == 1);
             }
         }
     }
 
-    private static void forwardWithFault(ServerSocket between, InetSocketAddress to, int harm) {
+    private static void forwardWithFault(ServerSocket proxy, InetSocketAddress to, int fault) {
         boolean first = true;
         while (true) {
-            try (Socket replica = between.accept();
+            try (Socket replica = proxy.accept();
                     Socket publisher = new Socket(to.getAddress(), to.getPort())) {
                 Thread up = new Thread(() -> {
                     try {
@@ -168,25 +169,25 @@
                 for (int frame = 0; ; frame++) {
                     byte[] bytes = new byte[in.readInt()];
                     in.readFully(bytes);
-                    // Two to greet, then the first that tells something.
-                    boolean harmed = first && frame == 2;
-                    if (harmed && harm == 0) {
+                    // Frames 0 and 1 authenticate; frame 2 is the first with content.
+                    boolean isFaulty = first && frame == 2;
+                    if (isFaulty && fault == 0) {
                         bytes[bytes.length / 2] ^= 1;
                     }
-                    for (int times = harmed ? harm == 1 ? 0 : harm == 2 ? 2 : 1 : 1; times > 0; times--) {
+                    for (int copies = isFaulty ? fault == 1 ? 0 : fault == 2 ? 2 : 1 : 1; copies > 0; copies--) {
                         out.writeInt(bytes.length);
                         out.write(bytes);
                     }
-                    if (harmed) {
+                    if (isFaulty) {
                         first = false;
-                        if (harm == 1) {
-                            // What is left out shows at the next frame, or by silence: here by an end.
+                        if (fault == 1) {
+                            // A dropped frame is detected at the next frame or by silence; here the connection ends.
                             break;
                         }
                     }
                 }
             } catch (IOException e) {
-                if (between.isClosed()) {
+                if (proxy.isClosed()) {
                     return;
                 }
             }
--- a/src/test/java/vetchpost/replication/net/TestPublisher.java
+++ b/src/test/java/vetchpost/replication/net/TestPublisher.java
@@ -13,7 +13,7 @@
 import vetchpost.replication.Publisher;
 import vetchpost.store.VersionedStore;
 
-/** A control machine's publisher on a port of its own. */
+/** A publisher for tests on a loopback port, with an event loop of its own. */
 public final class TestPublisher implements AutoCloseable {
     public static final String SECRET = "a secret that is long enough for anybody";
     private static final long TIMEOUT_S = 30;
@@ -23,7 +23,7 @@
     private final PublisherServer server;
     private final InetSocketAddress address;
 
-    /** Tells this, to whoever knows that secret. */
+    /** Publishes a store to replicas that know the secret; port 0 chooses a free port. */
     public TestPublisher(VersionedStore store, String secret, int port) throws Exception {
         server = onLoop(() -> new PublisherServer(
                 loop,
@@ -32,11 +32,11 @@
                 new SecureRandom(),
                 store,
                 new Publisher.Budget(1e6, 1e6, 1e7, 1e6)));
-        address = (InetSocketAddress)
-                onLoop(() -> server.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)))
-                        .sync()
-                        .channel()
-                        .localAddress();
+        address = (InetSocketAddress) onLoop(
+                        () -> server.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)))
+                .sync()
+                .channel()
+                .localAddress();
     }
 
     public InetSocketAddress address() {
--- a/src/test/java/vetchpost/state/PriorStatisticsTest.java
+++ b/src/test/java/vetchpost/state/PriorStatisticsTest.java
@@ -10,7 +10,7 @@
 import vetchpost.decision.ServerStatistics;
 import vetchpost.decision.ServerStatistics.PerServer;
 
-/** What of a snapshot a module is told, and how strongly. */
+/** The statistics that a balancer starts with, by age, samples and trust. */
 class PriorStatisticsTest {
     private static final long NOW = TestSnapshots.NOW_MS;
 
@@ -22,12 +22,12 @@
     void freshStatisticsAreNearlyUnchanged() {
         ServerStatistics prior = priors(TestSnapshots.of(4, 1, NOW), NOW + 500);
         assertEquals(4, prior.servers().size());
-        PerServer ill = prior.servers().get(0);
+        PerServer failing = prior.servers().get(0);
         assertTrue(
-                ill.consecutiveErrors() >= 5 && ill.recentFailures() >= 9 && ill.relativeLatency() > 4.5,
-                ill.toString());
-        assertEquals(List.of(2, 0, 4), ill.classFailureStreaks());
-        assertFalse(ill.ejected(), "a prior is no verdict");
+                failing.consecutiveErrors() >= 5 && failing.recentFailures() >= 9 && failing.relativeLatency() > 4.5,
+                failing.toString());
+        assertEquals(List.of(2, 0, 4), failing.classFailureStreaks());
+        assertFalse(failing.ejected(), "a prior does not eject");
         assertEquals(1.5, prior.servers().get(1).relativeLatency(), 0.05);
     }
 
@@ -36,16 +36,16 @@
         Snapshot snapshot = TestSnapshots.of(4, 1, NOW);
         int before = Integer.MAX_VALUE;
         for (long ageMs : new long[] {0, 10_000, 20_000, 40_000}) {
-            PerServer ill = priors(snapshot, NOW + ageMs).servers().get(0);
-            assertTrue(ill.consecutiveErrors() < before, ageMs + ": " + ill);
-            before = ill.consecutiveErrors();
+            PerServer failing = priors(snapshot, NOW + ageMs).servers().get(0);
+            assertTrue(failing.consecutiveErrors() < before, ageMs + ": " + failing);
+            before = failing.consecutiveErrors();
         }
         PerServer old = priors(snapshot, NOW + 120_000).servers().get(0);
         assertEquals(0, old.consecutiveErrors());
         assertEquals(0, old.recentFailures());
         assertTrue(old.relativeLatency() > 3 && old.relativeLatency() < 4.9, old.toString());
         ServerStatistics hour = priors(snapshot, NOW + 3_600_000);
-        assertTrue(hour.servers().isEmpty(), "nothing of boxes is left after an hour");
+        assertTrue(hour.servers().isEmpty(), "server statistics are gone after an hour");
         assertEquals(25, hour.classes().get(0).answerCount());
         assertEquals(20_000, hour.classes().get(0).latencyUs());
     }
@@ -60,10 +60,11 @@
         assertTrue(prior.servers().get(0).relativeLatency() < 2, prior.toString());
     }
 
-    /** A snapshot taken now may repeat what a box did ten minutes ago. */
+    /** A new snapshot may repeat what a server did long ago. */
     @Test
     void ageIsMeasuredFromTheLastAnswer() {
-        Snapshot snapshot = TestSnapshots.snapshot(NOW, List.of(TestSnapshots.server(0, NOW, TestSnapshots.failing(0, NOW - 60_000))));
+        Snapshot snapshot = TestSnapshots.snapshot(
+                NOW, List.of(TestSnapshots.server(0, NOW, TestSnapshots.failing(0, NOW - 60_000))));
         assertEquals(0, priors(snapshot, NOW).servers().get(0).consecutiveErrors());
     }
 
@@ -71,10 +72,10 @@
     void unconfirmedServerStartsWithASmallLimitAndNoFailures() {
         ServerStatistics prior =
                 PriorStatistics.of(TestSnapshots.of(2, 2, NOW), TestSnapshots.CLASSES, NOW, true, Map.of("s-0", 0.4));
-        PerServer unsure = prior.servers().get(0);
-        assertEquals(0, unsure.consecutiveErrors());
-        assertEquals(0.4, unsure.relativeLimit(), 1e-9);
-        assertTrue(unsure.attemptCount() > 1_000, "the limit holds in full");
+        PerServer unconfirmed = prior.servers().get(0);
+        assertEquals(0, unconfirmed.consecutiveErrors());
+        assertEquals(0.4, unconfirmed.relativeLimit(), 1e-9);
+        assertTrue(unconfirmed.attemptCount() > 1_000, "the reduced limit has full weight");
         assertTrue(prior.servers().get(1).consecutiveErrors() > 0);
         assertTrue(
                 PriorStatistics.of(TestSnapshots.of(1, 1, NOW), TestSnapshots.CLASSES, NOW, true, Map.of("s-0", 0.95))
@@ -82,7 +83,7 @@
                                 .get(0)
                                 .consecutiveErrors()
                         > 0,
-                "surely the same box");
+                "high confidence keeps the health statistics");
     }
 
     @Test
--- a/src/test/java/vetchpost/state/RestoredStateTest.java
+++ b/src/test/java/vetchpost/state/RestoredStateTest.java
@@ -11,7 +11,7 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.state.RestoredState.Rules;
 
-/** With which boxes of an old snapshot a node begins. */
+/** Which servers of an old snapshot a node uses, probes or drops. */
 class RestoredStateTest {
     private static final long NOW_MS = TestSnapshots.NOW_MS;
     private static final long HOUR_MS = 3_600_000;
@@ -30,7 +30,7 @@
         assertTrue(fresh.usable().values().stream().allMatch(c -> c > 0.99));
     }
 
-    /** A retired box's address may be another application's by now: nothing is sent there unasked. */
+    /** A retired server's address may belong to another application, so nothing is sent there before a probe. */
     @Test
     void probesOrDropsServersOfAWeekOldSnapshot() {
         Snapshot old = TestSnapshots.of(12, 0, NOW_MS - 7 * 24 * HOUR_MS);
@@ -43,13 +43,14 @@
 
     @Test
     void probesTheMostRecentlyConfirmedFirst() {
-        List<ServerRecord> boxes = new ArrayList<>();
+        List<ServerRecord> servers = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            boxes.add(TestSnapshots.server(i, NOW_MS - HOUR_MS * (1 + i * 7 % 10), null));
+            servers.add(TestSnapshots.server(i, NOW_MS - HOUR_MS * (1 + i * 7 % 10), null));
         }
-        List<Target> ask = of(TestSnapshots.snapshot(NOW_MS - HOUR_MS, boxes), WITH_IDENTITY).toProbe();
-        List<Long> ages = ask.stream()
-                .map(t -> boxes.stream()
+        List<Target> toProbe = of(TestSnapshots.snapshot(NOW_MS - HOUR_MS, servers), WITH_IDENTITY)
+                .toProbe();
+        List<Long> ages = toProbe.stream()
+                .map(t -> servers.stream()
                         .filter(b -> b.target().equals(t))
                         .findFirst()
                         .orElseThrow()
@@ -63,36 +64,39 @@
     @Test
     void doesNotUseServersConfirmedInTheFuture() {
         Snapshot ahead = TestSnapshots.of(4, 0, NOW_MS + 365 * 24 * HOUR_MS);
-        assertEquals(0, of(ahead, WITH_IDENTITY).usable().size(), "the clock was ahead when it was written");
+        assertEquals(0, of(ahead, WITH_IDENTITY).usable().size(), "the clock was ahead when the snapshot was written");
         assertEquals(4, of(ahead, WITH_IDENTITY).toProbe().size());
         assertEquals(4, of(ahead, WITHOUT_IDENTITY).dropped());
-        RestoredState set = RestoredState.of(TestSnapshots.of(4, 0, NOW_MS), EMPTY_LIST, NOW_MS + 365 * 24 * HOUR_MS, WITH_IDENTITY);
-        assertEquals(0, set.usable().size(), "the clock is ahead now");
-        assertEquals(4, set.toProbe().size());
+        RestoredState aheadNow = RestoredState.of(
+                TestSnapshots.of(4, 0, NOW_MS), EMPTY_LIST, NOW_MS + 365 * 24 * HOUR_MS, WITH_IDENTITY);
+        assertEquals(0, aheadNow.usable().size(), "the clock is ahead now");
+        assertEquals(4, aheadNow.toProbe().size());
     }
 
     @Test
     void aNewerListOverridesTheSnapshot() {
         Snapshot snapshot = TestSnapshots.of(20, 0, NOW_MS - 5_000);
-        List<Target> twelve = new ArrayList<>();
+        List<Target> listedTargets = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            twelve.add(TestSnapshots.target(i));
+            listedTargets.add(TestSnapshots.target(i));
         }
-        RestoredState newer = RestoredState.of(snapshot, new ServerList(42, true, twelve), NOW_MS, WITH_IDENTITY);
+        RestoredState newer =
+                RestoredState.of(snapshot, new ServerList(42, true, listedTargets), NOW_MS, WITH_IDENTITY);
         assertEquals(0, newer.usable().size() + newer.toProbe().size());
         assertEquals(8, newer.dropped());
-        // 20 run now, by the snapshot: the list is from before, when they were 12.
-        RestoredState older = RestoredState.of(snapshot, new ServerList(40, true, twelve), NOW_MS, WITH_IDENTITY);
+        // The list is older than the snapshot: it has 12 of the 20 servers.
+        RestoredState older =
+                RestoredState.of(snapshot, new ServerList(40, true, listedTargets), NOW_MS, WITH_IDENTITY);
         assertEquals(8, older.usable().size());
-        assertTrue(older.usable().keySet().stream().noneMatch(twelve::contains));
+        assertTrue(older.usable().keySet().stream().noneMatch(listedTargets::contains));
     }
 
     @Test
     void drainingServersAreNotRestored() {
         Target ready = TestSnapshots.target(1);
-        Target drains = new Target(ready.id(), ready.address(), "a", 1, ServerState.DRAINING, 1, 0);
-        Snapshot snapshot =
-                TestSnapshots.snapshot(NOW_MS, List.of(new ServerRecord(drains, NOW_MS, ConfirmationSource.LIST, 0, null)));
+        Target draining = new Target(ready.id(), ready.address(), "a", 1, ServerState.DRAINING, 1, 0);
+        Snapshot snapshot = TestSnapshots.snapshot(
+                NOW_MS, List.of(new ServerRecord(draining, NOW_MS, ConfirmationSource.LIST, 0, null)));
         assertTrue(of(snapshot, WITH_IDENTITY).usable().isEmpty());
         assertTrue(of(snapshot, WITH_IDENTITY).toProbe().isEmpty());
     }
@@ -107,10 +111,15 @@
                         new ServerRecord(first, NOW_MS - 9_000, ConfirmationSource.LIST, 0, null),
                         new ServerRecord(second, NOW_MS - 1_000, ConfirmationSource.LIST, 0, null)));
         assertEquals(
-                List.of(second), List.copyOf(of(snapshot, WITHOUT_IDENTITY).usable().keySet()));
-        // An address that the given list has for somebody else is not the snapshot's to give.
+                List.of(second),
+                List.copyOf(of(snapshot, WITHOUT_IDENTITY).usable().keySet()));
+        // The list's server at an address takes precedence over the snapshot's.
         ServerList listed = new ServerList(1, true, List.of(second));
-        assertTrue(RestoredState.of(TestSnapshots.snapshot(NOW_MS, List.of(TestSnapshots.server(1, NOW_MS, null))), listed, NOW_MS, WITH_IDENTITY)
+        assertTrue(RestoredState.of(
+                        TestSnapshots.snapshot(NOW_MS, List.of(TestSnapshots.server(1, NOW_MS, null))),
+                        listed,
+                        NOW_MS,
+                        WITH_IDENTITY)
                 .usable()
                 .isEmpty());
     }
@@ -119,13 +128,13 @@
     void confidenceFallsWithAgeAndToleratesClockSkew() {
         double before = 1.1;
         for (long ageMs : new long[] {0, 60_000, HOUR_MS, 24 * HOUR_MS, 7 * 24 * HOUR_MS, 365 * 24 * HOUR_MS}) {
-            double sure = Confidence.ofServer(ageMs, 24 * HOUR_MS);
-            assertTrue(sure < before && sure >= 0 && sure <= 1, ageMs + ": " + sure);
-            before = sure;
+            double presence = Confidence.ofServer(ageMs, 24 * HOUR_MS);
+            assertTrue(presence < before && presence >= 0 && presence <= 1, ageMs + ": " + presence);
+            before = presence;
         }
         assertEquals(Math.exp(-1), Confidence.ofServer(24 * HOUR_MS, 24 * HOUR_MS), 1e-9);
         assertEquals(0.5, Confidence.afterAge(10_000, 10_000), 1e-9);
         assertEquals(1, Confidence.afterAge(-4_000, 10_000), 1e-9, "clocks differ a little");
-        assertEquals(0, Confidence.afterAge(-6_000, 10_000), 1e-9, "but not so much");
+        assertEquals(0, Confidence.afterAge(-6_000, 10_000), 1e-9, "beyond the tolerated clock skew");
     }
 }
--- a/src/test/java/vetchpost/state/SelfFaultDetectorTest.java
+++ b/src/test/java/vetchpost/state/SelfFaultDetectorTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.decision.ServerStatistics;
 
-/** Whose word on the health of boxes is taken. */
+/** Which snapshots are trusted on the health of servers. */
 class SelfFaultDetectorTest {
     private static final long NOW = TestSnapshots.NOW_MS;
     private static final long HOUR_MS = 3_600_000;
@@ -24,10 +24,14 @@
         assertEquals(
                 Set.of(SelfFault.MOST_SERVERS_FAILING),
                 SelfFaultDetector.inOwnStatistics(ownStatistics(12, 6, false), 0, HOUR_MS));
-        assertEquals(Set.of(SelfFault.THROTTLED), SelfFaultDetector.inOwnStatistics(ownStatistics(12, 0, true), 0, HOUR_MS));
         assertEquals(
-                Set.of(SelfFault.STALLED), SelfFaultDetector.inOwnStatistics(ownStatistics(12, 0, false), 150_000, HOUR_MS));
-        assertEquals(Set.of(SelfFault.JUST_STARTED), SelfFaultDetector.inOwnStatistics(ownStatistics(12, 0, false), 0, 5_000));
+                Set.of(SelfFault.THROTTLED), SelfFaultDetector.inOwnStatistics(ownStatistics(12, 0, true), 0, HOUR_MS));
+        assertEquals(
+                Set.of(SelfFault.STALLED),
+                SelfFaultDetector.inOwnStatistics(ownStatistics(12, 0, false), 150_000, HOUR_MS));
+        assertEquals(
+                Set.of(SelfFault.JUST_STARTED),
+                SelfFaultDetector.inOwnStatistics(ownStatistics(12, 0, false), 0, 5_000));
         assertEquals(Set.of(), SelfFaultDetector.inOwnStatistics(ownStatistics(0, 0, false), 0, HOUR_MS));
     }
 
@@ -40,23 +44,27 @@
                         TestSnapshots.snapshot(NOW, TestSnapshots.of(12, 0, NOW).servers(), SelfFault.STALLED), NOW));
     }
 
-    /** A giver just after a mass failure that finds nothing odd in it. */
+    /** A sender just after a mass failure does not report a fault of its own. */
     @Test
     void distrustsASnapshotWithHalfOfItsServersFailing() {
         assertEquals(Set.of(), SelfFaultDetector.inSnapshot(TestSnapshots.of(12, 5, NOW), NOW));
-        assertEquals(Set.of(SelfFault.MOST_SERVERS_FAILING), SelfFaultDetector.inSnapshot(TestSnapshots.of(12, 6, NOW), NOW));
-        assertEquals(Set.of(SelfFault.MOST_SERVERS_FAILING), SelfFaultDetector.inSnapshot(TestSnapshots.of(1, 1, NOW), NOW));
+        assertEquals(
+                Set.of(SelfFault.MOST_SERVERS_FAILING),
+                SelfFaultDetector.inSnapshot(TestSnapshots.of(12, 6, NOW), NOW));
+        assertEquals(
+                Set.of(SelfFault.MOST_SERVERS_FAILING), SelfFaultDetector.inSnapshot(TestSnapshots.of(1, 1, NOW), NOW));
     }
 
-    /** Boxes of which nothing is known are no evidence that most are well. */
+    /** Servers without samples must not count as healthy ones. */
     @Test
     void countsOnlyServersWithSamples() {
-        List<ServerRecord> boxes = new ArrayList<>(TestSnapshots.of(4, 2, NOW).servers());
+        List<ServerRecord> servers = new ArrayList<>(TestSnapshots.of(4, 2, NOW).servers());
         for (int i = 4; i < 40; i++) {
-            boxes.add(TestSnapshots.server(i, NOW, null));
+            servers.add(TestSnapshots.server(i, NOW, null));
         }
         assertEquals(
-                Set.of(SelfFault.MOST_SERVERS_FAILING), SelfFaultDetector.inSnapshot(TestSnapshots.snapshot(NOW, boxes), NOW));
+                Set.of(SelfFault.MOST_SERVERS_FAILING),
+                SelfFaultDetector.inSnapshot(TestSnapshots.snapshot(NOW, servers), NOW));
     }
 
     @Test
@@ -64,6 +72,8 @@
         assertTrue(SelfFaultDetector.inSnapshot(TestSnapshots.of(12, 0, NOW + 60_000), NOW)
                 .contains(SelfFault.FUTURE));
         assertEquals(
-                Set.of(), SelfFaultDetector.inSnapshot(TestSnapshots.of(12, 0, NOW + 1_000), NOW), "clocks differ a little");
+                Set.of(),
+                SelfFaultDetector.inSnapshot(TestSnapshots.of(12, 0, NOW + 1_000), NOW),
+                "clocks differ a little");
     }
 }
--- a/src/test/java/vetchpost/state/TestSnapshots.java
+++ b/src/test/java/vetchpost/state/TestSnapshots.java
@@ -27,13 +27,25 @@
                 0);
     }
 
-    public static PerServer healthy(int number, long heardMs) {
+    public static PerServer healthy(int number, long lastAnswerMs) {
         return new PerServer(
-                "s-" + number, 0, 100, 1_000 * heardMs, 1_000 * heardMs, 0, 0, 0, 1.5, 3, false, List.of(0, 0, 0));
+                "s-" + number,
+                0,
+                100,
+                1_000 * lastAnswerMs,
+                1_000 * lastAnswerMs,
+                0,
+                0,
+                0,
+                1.5,
+                3,
+                false,
+                List.of(0, 0, 0));
     }
 
-    public static PerServer failing(int number, long heardMs) {
-        return new PerServer("s-" + number, 0, 100, 1_000 * heardMs, 0, 6, 10, 0.9, 5, 0.25, true, List.of(2, 0, 4));
+    public static PerServer failing(int number, long lastAnswerMs) {
+        return new PerServer(
+                "s-" + number, 0, 100, 1_000 * lastAnswerMs, 0, 6, 10, 0.9, 5, 0.25, true, List.of(2, 0, 4));
     }
 
     public static ServerRecord server(int number, long confirmedMs, PerServer knowledge) {
@@ -41,28 +53,28 @@
                 target(number), confirmedMs, ConfirmationSource.LIST, knowledge == null ? 0 : confirmedMs, knowledge);
     }
 
-    public static Snapshot snapshot(long takenMs, List<ServerRecord> boxes, SelfFault... troubles) {
+    public static Snapshot snapshot(long takenMs, List<ServerRecord> records, SelfFault... faults) {
         EnumSet<SelfFault> all = EnumSet.noneOf(SelfFault.class);
-        all.addAll(List.of(troubles));
+        all.addAll(List.of(faults));
         return new Snapshot(
                 new SnapshotOrigin(takenMs, takenMs, takenMs - 3_600_000, 41, all),
                 CLASSES.stream().map(c -> new ClassState(c, 50, 20_000, 15_000)).toList(),
-                boxes);
+                records);
     }
 
-    /** So many boxes, the first few of them ill. */
-    public static Snapshot of(int boxes, int ill, long takenMs) {
-        List<ServerRecord> states = new ArrayList<>();
-        for (int i = 0; i < boxes; i++) {
-            states.add(server(i, takenMs, i < ill ? failing(i, takenMs) : healthy(i, takenMs)));
+    /** Creates a snapshot of a number of servers, the first of which are failing. */
+    public static Snapshot of(int serverCount, int failingCount, long takenMs) {
+        List<ServerRecord> records = new ArrayList<>();
+        for (int i = 0; i < serverCount; i++) {
+            records.add(server(i, takenMs, i < failingCount ? failing(i, takenMs) : healthy(i, takenMs)));
         }
-        return snapshot(takenMs, states);
+        return snapshot(takenMs, records);
     }
 
-    /** Any figures that a snapshot can hold. */
-    public static Snapshot random(SplittableRandom random, int boxes) {
-        List<ServerRecord> states = new ArrayList<>();
-        for (int i = 0; i < boxes; i++) {
+    /** Creates a snapshot with random values across the valid ranges. */
+    public static Snapshot random(SplittableRandom random, int serverCount) {
+        List<ServerRecord> records = new ArrayList<>();
+        for (int i = 0; i < serverCount; i++) {
             PerServer known = random.nextInt(4) == 0
                     ? null
                     : new PerServer(
@@ -78,7 +90,7 @@
                             20 * random.nextDouble(),
                             random.nextBoolean(),
                             List.of(random.nextInt(9), 0, 3));
-            states.add(new ServerRecord(
+            records.add(new ServerRecord(
                     target(i),
                     1 + random.nextLong(1L << 42),
                     ConfirmationSource.values()[random.nextInt(3)],
@@ -95,6 +107,6 @@
                                 ? EnumSet.of(SelfFault.STALLED, SelfFault.MOST_SERVERS_FAILING)
                                 : EnumSet.noneOf(SelfFault.class)),
                 List.of(new ClassState("view", 3, 0.5, 0)),
-                states);
+                records);
     }
 }
--- a/src/test/java/vetchpost/state/codec/ChunkCodecTest.java
+++ b/src/test/java/vetchpost/state/codec/ChunkCodecTest.java
@@ -18,7 +18,7 @@
 import vetchpost.state.Snapshot;
 import vetchpost.state.TestSnapshots;
 
-/** Pieces as bytes, and all that may be wrong with such bytes. */
+/** Encoding, decoding and assembling chunks, with invalid, corrupt and hostile input. */
 class ChunkCodecTest {
     private static byte[] bytes(Snapshot snapshot) {
         return ChunkCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.servers());
@@ -29,7 +29,7 @@
                 .getMessage();
     }
 
-    /** A message of protobuf's, with what is to be in it. */
+    /** Writes the fields of a Protocol Buffers message. */
     private interface MessageWriter {
         void writeTo(CodedOutputStream out) throws IOException;
     }
@@ -53,9 +53,9 @@
         SplittableRandom random = new SplittableRandom(14);
         for (int i = 0; i < 200; i++) {
             Snapshot snapshot = TestSnapshots.random(random, random.nextInt(60));
-            ChunkCodec.Chunk piece = ChunkCodec.read(bytes(snapshot));
-            assertEquals(snapshot, piece.content());
-            assertEquals(1, piece.chunkCount());
+            ChunkCodec.Chunk chunk = ChunkCodec.read(bytes(snapshot));
+            assertEquals(snapshot, chunk.content());
+            assertEquals(1, chunk.chunkCount());
         }
     }
 
@@ -69,79 +69,84 @@
     void skipsFieldsOfLaterVersions() throws Exception {
         Snapshot snapshot = TestSnapshots.of(3, 1, TestSnapshots.NOW_MS);
         byte[] more = message(out -> {
-            out.writeString(900, "what nobody knows yet");
+            out.writeString(900, "a field of a later version");
             out.writeFixed32(901, 7);
             out.writeDouble(902, 1.5);
         });
         assertEquals(snapshot, ChunkCodec.read(join(bytes(snapshot), more)).content());
-        byte[] trouble = message(out -> out.writeUInt32(8, 77));
+        byte[] unknownFault = message(out -> out.writeUInt32(8, 77));
         assertEquals(
                 Set.of(SelfFault.MOST_SERVERS_FAILING),
-                ChunkCodec.read(join(bytes(snapshot), trouble))
+                ChunkCodec.read(join(bytes(snapshot), unknownFault))
                         .content()
                         .origin()
                         .selfFaults(),
-                "a trouble of a later version is one all the same");
+                "a fault of a later version still counts as one");
     }
 
     @Test
     void rejectsNewerVersions() throws Exception {
-        assertEquals("a snapshot of version 2; this program knows 1", rejectionMessage(message(out -> out.writeUInt32(1, 2))));
+        assertEquals(
+                "snapshot version 2; this program reads version 1",
+                rejectionMessage(message(out -> out.writeUInt32(1, 2))));
     }
 
     @Test
     void rejectsInvalidContent() throws Exception {
         byte[] good = bytes(TestSnapshots.of(2, 0, TestSnapshots.NOW_MS));
-        assertTrue(rejectionMessage(new byte[0]).contains("no version"));
+        assertTrue(rejectionMessage(new byte[0]).contains("has no version"));
         assertTrue(rejectionMessage(new byte[ChunkCodec.MAX_CHUNK_BYTES + 1]).contains("65537 bytes"));
-        assertTrue(rejectionMessage(Arrays.copyOf(good, good.length - 3)).contains("not a piece"));
-        // Lengths that nothing stands behind: no room is made for them.
+        assertTrue(rejectionMessage(Arrays.copyOf(good, good.length - 3)).contains("not a chunk"));
+        // A length beyond the input is rejected before memory is allocated for it.
         assertTrue(rejectionMessage(join(good, message(out -> {
                     out.writeTag(10, 2);
                     out.writeUInt32NoTag(Integer.MAX_VALUE);
                 })))
-                .contains("not a piece"));
-        byte[] longName = message(out -> out.writeByteArray(10, message(box -> box.writeString(1, "n".repeat(300)))));
-        assertTrue(rejectionMessage(join(good, longName)).contains("a name of 300 bytes"));
-        byte[] noAddress = message(out -> out.writeByteArray(10, message(box -> {
-            box.writeString(1, "s-9");
-            box.writeByteArray(2, new byte[5]);
-            box.writeUInt32(3, 80);
+                .contains("not a chunk"));
+        byte[] longName =
+                message(out -> out.writeByteArray(10, message(server -> server.writeString(1, "n".repeat(300)))));
+        assertTrue(rejectionMessage(join(good, longName)).contains("name of 300 bytes"));
+        byte[] noAddress = message(out -> out.writeByteArray(10, message(server -> {
+            server.writeString(1, "s-9");
+            server.writeByteArray(2, new byte[5]);
+            server.writeUInt32(3, 80);
         })));
         assertTrue(rejectionMessage(join(good, noAddress)).contains("no address"));
-        byte[] figure = message(out -> out.writeByteArray(10, message(box -> box.writeDouble(18, Double.NaN))));
-        assertTrue(rejectionMessage(join(good, figure)).contains("figure out of range"));
-        byte[] lines = message(out -> out.writeByteArray(10, message(box -> box.writeString(1, "s\nfalse line"))));
-        assertTrue(rejectionMessage(join(good, lines)).contains("no text"));
-        byte[] group = message(out -> {
+        byte[] notANumber =
+                message(out -> out.writeByteArray(10, message(server -> server.writeDouble(18, Double.NaN))));
+        assertTrue(rejectionMessage(join(good, notANumber)).contains("number out of range"));
+        byte[] nameWithNewline =
+                message(out -> out.writeByteArray(10, message(server -> server.writeString(1, "s\nfalse line"))));
+        assertTrue(rejectionMessage(join(good, nameWithNewline)).contains("not valid text"));
+        byte[] nestedGroups = message(out -> {
             for (int i = 0; i < 30_000; i++) {
                 out.writeTag(99, 3);
             }
         });
-        assertTrue(rejectionMessage(join(good, group)).contains("a group"));
+        assertTrue(rejectionMessage(join(good, nestedGroups)).contains("unexpected group"));
     }
 
-    /** Any bytes end in a piece or in a refusal, and in nothing else. */
+    /** Corrupt bytes must be read as a chunk or rejected, without any other exception. */
     @Test
     void tenThousandCorruptionsAreReadOrRejected() {
         SplittableRandom random = new SplittableRandom(42);
-        int read = 0;
-        int refused = 0;
+        int readCount = 0;
+        int rejectedCount = 0;
         for (int i = 0; i < 10_000; i++) {
             byte[] bytes = corrupted(bytes(TestSnapshots.random(random, random.nextInt(12))), random);
             try {
-                ChunkCodec.Chunk piece = ChunkCodec.read(bytes);
-                assertTrue(piece.content().servers().size() <= bytes.length);
-                read++;
+                ChunkCodec.Chunk chunk = ChunkCodec.read(bytes);
+                assertTrue(chunk.content().servers().size() <= bytes.length);
+                readCount++;
             } catch (MalformedSnapshotException e) {
                 assertFalse(e.getMessage().isBlank());
-                refused++;
+                rejectedCount++;
             }
         }
-        assertTrue(refused > 3_000 && read > 500, refused + " refused, " + read + " read");
+        assertTrue(rejectedCount > 3_000 && readCount > 500, rejectedCount + " rejected, " + readCount + " read");
     }
 
-    /** Bits turned, bytes cut off, put in, doubled or replaced. */
+    /** Flips bits, truncates, inserts, duplicates or replaces bytes. */
     static byte[] corrupted(byte[] good, SplittableRandom random) {
         byte[] bytes = good.clone();
         for (int n = 1 + random.nextInt(4); n > 0 && bytes.length > 0; n--) {
@@ -163,36 +168,40 @@
     @Test
     void assemblesChunksInAnyOrder() throws MalformedSnapshotException {
         Snapshot snapshot = TestSnapshots.of(250, 20, TestSnapshots.NOW_MS);
-        List<byte[]> pieces = TestChunks.of(snapshot);
-        assertEquals(3, pieces.size());
-        ChunkAssembler assembly = new ChunkAssembler();
+        List<byte[]> chunks = TestChunks.of(snapshot);
+        assertEquals(3, chunks.size());
+        ChunkAssembler assembler = new ChunkAssembler();
         for (int i : new int[] {2, 0}) {
-            assembly.add(ChunkCodec.read(pieces.get(i)));
-            assertFalse(assembly.isComplete());
+            assembler.add(ChunkCodec.read(chunks.get(i)));
+            assertFalse(assembler.isComplete());
         }
-        assertEquals(150, assembly.snapshot().servers().size(), "what has come is of use on its own");
-        assembly.add(ChunkCodec.read(pieces.get(1)));
-        assertTrue(assembly.isComplete());
+        assertEquals(150, assembler.snapshot().servers().size(), "a partial snapshot is usable");
+        assembler.add(ChunkCodec.read(chunks.get(1)));
+        assertTrue(assembler.isComplete());
         assertEquals(
-                Set.copyOf(snapshot.servers()), Set.copyOf(assembly.snapshot().servers()));
+                Set.copyOf(snapshot.servers()), Set.copyOf(assembler.snapshot().servers()));
     }
 
     @Test
     void rejectsChunksOfAnotherSnapshotAndDuplicates() throws MalformedSnapshotException {
-        ChunkAssembler assembly = new ChunkAssembler();
-        List<byte[]> pieces = TestChunks.of(TestSnapshots.of(250, 0, TestSnapshots.NOW_MS));
-        assembly.add(ChunkCodec.read(pieces.get(0)));
-        Snapshot before = assembly.snapshot();
+        ChunkAssembler assembler = new ChunkAssembler();
+        List<byte[]> chunks = TestChunks.of(TestSnapshots.of(250, 0, TestSnapshots.NOW_MS));
+        assembler.add(ChunkCodec.read(chunks.get(0)));
+        Snapshot before = assembler.snapshot();
         List<byte[]> others = TestChunks.of(TestSnapshots.of(250, 0, TestSnapshots.NOW_MS + 1));
-        assertThrows(MalformedSnapshotException.class, () -> assembly.add(ChunkCodec.read(others.get(1))));
-        assertThrows(MalformedSnapshotException.class, () -> assembly.add(ChunkCodec.read(pieces.get(0))));
+        assertThrows(MalformedSnapshotException.class, () -> assembler.add(ChunkCodec.read(others.get(1))));
+        assertThrows(MalformedSnapshotException.class, () -> assembler.add(ChunkCodec.read(chunks.get(0))));
         Snapshot same = TestSnapshots.of(250, 0, TestSnapshots.NOW_MS);
-        byte[] again = ChunkCodec.write(
+        byte[] withDuplicateServer = ChunkCodec.write(
                 1, 3, same.origin(), same.classes(), same.servers().subList(99, 120));
-        assertThrows(MalformedSnapshotException.class, () -> assembly.add(ChunkCodec.read(again)), "a box twice");
-        assertEquals(before, assembly.snapshot(), "nothing of them was taken");
-        assertFalse(assembly.isComplete());
+        assertThrows(
+                MalformedSnapshotException.class,
+                () -> assembler.add(ChunkCodec.read(withDuplicateServer)),
+                "duplicate server");
+        assertEquals(before, assembler.snapshot(), "nothing of the rejected chunks was added");
+        assertFalse(assembler.isComplete());
         assertArrayEquals(
-                pieces.get(0), TestChunks.of(TestSnapshots.of(250, 0, TestSnapshots.NOW_MS)).get(0));
+                chunks.get(0),
+                TestChunks.of(TestSnapshots.of(250, 0, TestSnapshots.NOW_MS)).get(0));
     }
 }
--- a/src/test/java/vetchpost/state/disk/ScriptedDisk.java
+++ b/src/test/java/vetchpost/state/disk/ScriptedDisk.java
@@ -12,40 +12,41 @@
 import java.util.SplittableRandom;
 
 /**
- * A disk that loses what was not forced, as a machine that loses its power does: contents not forced come
- * back torn or empty, and of the moves not forced only some first ones have happened. Any call can be the
- * last one.
+ * An in-memory disk that can lose unforced data as in a power loss: unforced contents are torn or empty, and only a
+ * prefix of the unforced moves has happened. The process can be killed at any call.
  */
 final class ScriptedDisk implements Disk {
-    /** The process is gone in the midst of a call. */
+    /** The process was killed during a call. */
     static final class Killed extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
-    /** A file's bytes, and how many of them are surely on the disk. */
+    /** A file's bytes, and how many of them are forced to the disk. */
     private static final class StoredFile {
         byte[] bytes = new byte[0];
         int forcedBytes;
     }
 
     private final Map<Path, StoredFile> files = new LinkedHashMap<>();
-    /** Names as they are on the disk, and the changes to them that are not forced. */
+    /** The directory as forced to the disk. */
     private Map<Path, StoredFile> onDisk = new HashMap<>();
 
+    /** The directory after each change that is not forced. */
     private final List<Map<Path, StoredFile>> unforced = new ArrayList<>();
+
     private int calls;
     private int killAtCall = Integer.MAX_VALUE;
     private IOException writeFailure;
 
-    /** The call of this number, from 1, is cut off halfway, and there is none after it. */
+    /** Kills the process halfway through a call, numbered from 1. */
     void killAt(int call) {
         calls = 0;
         killAtCall = call;
     }
 
-    /** Writes fail so from now on; null for no more. */
-    void failWritesWith(IOException how) {
-        writeFailure = how;
+    /** Makes writes fail with an exception from now on; null ends that. */
+    void failWritesWith(IOException failure) {
+        writeFailure = failure;
     }
 
     int calls() {
@@ -63,41 +64,41 @@
         unforced.add(new HashMap<>(files));
     }
 
-    /** The machine is back after it lost its power: what was not forced is there or not, by chance. */
-    ScriptedDisk afterPowerLoss(SplittableRandom chance) {
-        ScriptedDisk back = new ScriptedDisk();
-        int kept = chance.nextInt(unforced.size() + 1);
+    /** Returns the disk after a power loss: unforced data is kept or lost at random. */
+    ScriptedDisk afterPowerLoss(SplittableRandom random) {
+        ScriptedDisk restarted = new ScriptedDisk();
+        int kept = random.nextInt(unforced.size() + 1);
         Map<Path, StoredFile> found = kept == 0 ? onDisk : unforced.get(kept - 1);
         found.forEach((path, file) -> {
             StoredFile bytes = new StoredFile();
-            int length = file.forcedBytes + chance.nextInt(file.bytes.length - file.forcedBytes + 1);
+            int length = file.forcedBytes + random.nextInt(file.bytes.length - file.forcedBytes + 1);
             bytes.bytes = Arrays.copyOf(file.bytes, length);
-            // What the disk had at hand of blocks that were not forced.
+            // Unforced blocks may read as zeros.
             for (int i = file.forcedBytes; i < length; i++) {
-                bytes.bytes[i] = chance.nextInt(3) == 0 ? 0 : bytes.bytes[i];
+                bytes.bytes[i] = random.nextInt(3) == 0 ? 0 : bytes.bytes[i];
             }
             bytes.forcedBytes = length;
-            back.files.put(path, bytes);
+            restarted.files.put(path, bytes);
         });
-        back.onDisk = new HashMap<>(back.files);
-        return back;
+        restarted.onDisk = new HashMap<>(restarted.files);
+        return restarted;
     }
 
-    /** The process was killed, and the machine goes on: all that the system had taken is there. */
+    /** Returns the disk after the process was killed: everything written is there. */
     ScriptedDisk afterKill() {
-        ScriptedDisk back = new ScriptedDisk();
-        back.files.putAll(files);
-        back.onDisk = new HashMap<>(files);
-        return back;
+        ScriptedDisk restarted = new ScriptedDisk();
+        restarted.files.putAll(files);
+        restarted.onDisk = new HashMap<>(files);
+        return restarted;
     }
 
-    /** Puts a file there as it is. */
+    /** Creates a forced file. */
     void put(Path file, byte[] bytes) {
-        StoredFile fresh = new StoredFile();
-        fresh.bytes = bytes;
-        fresh.forcedBytes = bytes.length;
-        files.put(file, fresh);
-        onDisk.put(file, fresh);
+        StoredFile newFile = new StoredFile();
+        newFile.bytes = bytes;
+        newFile.forcedBytes = bytes.length;
+        files.put(file, newFile);
+        onDisk.put(file, newFile);
     }
 
     byte[] get(Path file) {
@@ -106,28 +107,28 @@
 
     @Override
     public Sink create(Path file) throws IOException {
-        boolean last = isKilledCall();
+        boolean isKilled = isKilledCall();
         if (writeFailure != null) {
             throw writeFailure;
         }
-        StoredFile fresh = new StoredFile();
-        files.put(file, fresh);
+        StoredFile newFile = new StoredFile();
+        files.put(file, newFile);
         recordMove();
-        if (last) {
+        if (isKilled) {
             throw new Killed();
         }
         return new Sink() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
-                boolean lastWrite = isKilledCall();
+                boolean isKilledWrite = isKilledCall();
                 if (writeFailure != null) {
                     throw writeFailure;
                 }
-                int length = lastWrite ? bytes.remaining() / 2 : bytes.remaining();
-                int at = fresh.bytes.length;
-                fresh.bytes = Arrays.copyOf(fresh.bytes, at + length);
-                bytes.get(fresh.bytes, at, length);
-                if (lastWrite) {
+                int length = isKilledWrite ? bytes.remaining() / 2 : bytes.remaining();
+                int at = newFile.bytes.length;
+                newFile.bytes = Arrays.copyOf(newFile.bytes, at + length);
+                bytes.get(newFile.bytes, at, length);
+                if (isKilledWrite) {
                     throw new Killed();
                 }
             }
@@ -137,23 +138,23 @@
                 if (isKilledCall()) {
                     throw new Killed();
                 }
-                fresh.forcedBytes = fresh.bytes.length;
+                newFile.forcedBytes = newFile.bytes.length;
             }
 
             @Override
             public void close() {
-                // Nothing is held open.
+                // Nothing to release.
             }
         };
     }
 
     @Override
     public void move(Path from, Path to) throws IOException {
-        boolean last = isKilledCall();
+        boolean isKilled = isKilledCall();
         if (writeFailure != null) {
             throw writeFailure;
         }
-        if (last) {
+        if (isKilled) {
             throw new Killed();
         }
         StoredFile moved = files.remove(from);
@@ -165,7 +166,7 @@
     }
 
     @Override
-    public void forceDirectory(Path folder) {
+    public void forceDirectory(Path directory) {
         if (isKilledCall()) {
             throw new Killed();
         }
@@ -179,10 +180,10 @@
     }
 
     @Override
-    public byte[] read(Path file, long most) throws IOException {
+    public byte[] read(Path file, long maxBytes) throws IOException {
         byte[] bytes = files.get(file).bytes;
-        if (bytes.length > most) {
-            throw new IOException("is over " + most + " bytes");
+        if (bytes.length > maxBytes) {
+            throw new IOException("is longer than " + maxBytes + " bytes");
         }
         return bytes.clone();
     }
