--- a/src/test/java/vetchpost/state/disk/StateFileTest.java
+++ b/src/test/java/vetchpost/state/disk/StateFileTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import vetchpost.state.Snapshot;
 import vetchpost.state.TestSnapshots;
-import vetchpost.state.codec.TestChunks;
 import vetchpost.state.codec.MalformedSnapshotException;
+import vetchpost.state.codec.TestChunks;
 
-/** One whole snapshot is left, whatever happens to the file, the disk or the process. */
+/** An intact snapshot survives crashes, power loss, full disks and corrupt files. */
 class StateFileTest {
     private static final Path FILE = Path.of("/state/boxes");
     private static final Path PREVIOUS_FILE = Path.of("/state/boxes.old");
@@ -60,14 +60,14 @@
         assertEquals(1, lines.size());
     }
 
-    /** A process killed, or a machine without power, at each call that a third write makes to the system. */
+    /** The process is killed or power is lost at each disk call of a third write. */
     @Test
     void aWriteStoppedAtAnyStepLeavesAWholeSnapshot() throws IOException {
         ScriptedDisk count = new ScriptedDisk();
         new StateFile(count, FILE).write(TestChunks.of(THIRD));
         int steps = count.calls() + 1;
         assertTrue(steps >= 8, steps + " steps");
-        SplittableRandom chance = new SplittableRandom(14);
+        SplittableRandom random = new SplittableRandom(14);
         int newer = 0;
         int powerLost = 0;
         for (int step = 1; step <= steps; step++) {
@@ -79,13 +79,13 @@
                 disk.killAt(step);
                 assertThrows(ScriptedDisk.Killed.class, () -> file.write(TestChunks.of(THIRD)));
                 boolean power = round > 0;
-                Snapshot left = read(power ? disk.afterPowerLoss(chance) : disk.afterKill());
+                Snapshot left = read(power ? disk.afterPowerLoss(random) : disk.afterKill());
                 assertNotNull(left, "step " + step + ": " + lines);
                 assertTrue(left.equals(SECOND) || left.equals(THIRD), "step " + step);
                 newer += left.equals(THIRD) ? 1 : 0;
                 powerLost += power ? 1 : 0;
-                // And the next process can write again over whatever lies there.
-                ScriptedDisk next = power ? disk.afterPowerLoss(chance) : disk.afterKill();
+                // The next process must be able to write over what is left.
+                ScriptedDisk next = power ? disk.afterPowerLoss(random) : disk.afterKill();
                 new StateFile(next, FILE).write(TestChunks.of(THIRD));
                 assertEquals(THIRD, read(next));
             }
@@ -93,13 +93,10 @@
         assertTrue(newer > 0 && newer < powerLost, newer + " of " + powerLost);
     }
 
-    /**
-     * The newer one is spoilt: a write that is stopped then must not cost the older one, which is all there
-     * is.
-     */
+    /** The current file is corrupt and the next write is interrupted: the previous file must not be lost. */
     @Test
     void aCorruptFileDoesNotReplaceThePreviousOne() throws IOException {
-        SplittableRandom chance = new SplittableRandom(15);
+        SplittableRandom random = new SplittableRandom(15);
         int stopped = 0;
         for (int step = 1; step <= 10; step++) {
             for (int round = 0; round < 100; round++) {
@@ -114,36 +111,36 @@
                 } catch (ScriptedDisk.Killed e) {
                     stopped++;
                 }
-                Snapshot left = read(disk.afterPowerLoss(chance));
+                Snapshot left = read(disk.afterPowerLoss(random));
                 assertTrue(FIRST.equals(left) || THIRD.equals(left), "step " + step + ": " + lines);
             }
         }
-        assertEquals(900, stopped, "at each of nine calls");
+        assertEquals(900, stopped, "a write makes nine disk calls");
     }
 
     @Test
     void aTruncatedFileFallsBackToThePrevious() throws IOException {
-        byte[] whole = bytes(SECOND);
-        for (int length = 0; length < whole.length; length += length < 100 || length > whole.length - 100 ? 1 : 97) {
+        byte[] intact = bytes(SECOND);
+        for (int length = 0; length < intact.length; length += length < 100 || length > intact.length - 100 ? 1 : 97) {
             ScriptedDisk disk = new ScriptedDisk();
-            disk.put(FILE, Arrays.copyOf(whole, length));
+            disk.put(FILE, Arrays.copyOf(intact, length));
             disk.put(PREVIOUS_FILE, bytes(FIRST));
             assertEquals(FIRST, read(disk), length + " bytes");
-            assertEquals(1, lines.size(), "one line is said");
-            assertTrue(lines.get(0).startsWith(FILE + " is passed over: "), lines.get(0));
+            assertEquals(1, lines.size(), "one line is reported");
+            assertTrue(lines.get(0).startsWith(FILE + " is ignored: "), lines.get(0));
         }
     }
 
     @Test
     void aFlippedBitFallsBackToThePrevious() throws IOException {
-        byte[] whole = bytes(TestSnapshots.of(12, 2, NOW_MS - 1_000));
-        byte[] older = bytes(FIRST);
-        for (int bit = 0; bit < 8 * whole.length; bit++) {
+        byte[] intact = bytes(TestSnapshots.of(12, 2, NOW_MS - 1_000));
+        byte[] previous = bytes(FIRST);
+        for (int bit = 0; bit < 8 * intact.length; bit++) {
             ScriptedDisk disk = new ScriptedDisk();
-            byte[] turned = whole.clone();
-            turned[bit / 8] ^= (byte) (1 << bit % 8);
-            disk.put(FILE, turned);
-            disk.put(PREVIOUS_FILE, older);
+            byte[] flipped = intact.clone();
+            flipped[bit / 8] ^= (byte) (1 << bit % 8);
+            disk.put(FILE, flipped);
+            disk.put(PREVIOUS_FILE, previous);
             assertEquals(FIRST, read(disk), "bit " + bit);
         }
     }
@@ -155,16 +152,16 @@
         disk.put(PREVIOUS_FILE, new byte[(int) StateFile.MAX_FILE_BYTES + 1]);
         assertNull(read(disk));
         assertEquals(2, lines.size());
-        assertTrue(lines.get(0).contains("no snapshot of this program's"), lines.get(0));
-        assertTrue(lines.get(1).contains("over 33554432 bytes"), lines.get(1));
+        assertTrue(lines.get(0).contains("not a file of this program"), lines.get(0));
+        assertTrue(lines.get(1).contains("is longer than 33554432 bytes"), lines.get(1));
         byte[] newer = bytes(FIRST);
         newer[7] = '2';
         disk.put(FILE, newer);
         read(disk);
-        assertTrue(lines.get(0).contains("a newer format, 2; this program knows 1"), lines.get(0));
+        assertTrue(lines.get(0).contains("format version 2; this program reads version 1"), lines.get(0));
     }
 
-    /** The clock was a year ahead when it was written, or has been set back since. */
+    /** The clock was a year ahead when the snapshot was written, or has been set back since. */
     @Test
     void aSnapshotFromTheFutureFallsBackToThePrevious() throws IOException {
         ScriptedDisk disk = new ScriptedDisk();
@@ -175,7 +172,7 @@
         disk.put(PREVIOUS_FILE, bytes(TestSnapshots.of(12, 0, NOW_MS + 3_600_000)));
         assertNull(read(disk));
         disk.put(FILE, bytes(TestSnapshots.of(12, 0, NOW_MS + 2_000)));
-        assertNotNull(read(disk), "two clocks differ by a little");
+        assertNotNull(read(disk), "a small clock skew is tolerated");
     }
 
     @Test
@@ -196,10 +193,10 @@
     @Test
     void rejectsTenThousandCorruptedFiles() throws IOException {
         SplittableRandom random = new SplittableRandom(77);
-        byte[] whole = bytes(TestSnapshots.of(40, 3, NOW_MS - 1_000));
+        byte[] intact = bytes(TestSnapshots.of(40, 3, NOW_MS - 1_000));
         for (int i = 0; i < 10_000; i++) {
-            byte[] bytes = corrupted(whole, random);
-            if (!Arrays.equals(bytes, whole)) {
+            byte[] bytes = corrupted(intact, random);
+            if (!Arrays.equals(bytes, intact)) {
                 assertThrows(MalformedSnapshotException.class, () -> StateFile.parse(bytes));
             }
         }
@@ -220,8 +217,8 @@
     }
 
     @Test
-    void keepsTwoGenerationsOnTheRealDisk(@TempDir Path folder) throws IOException {
-        Path path = folder.resolve("boxes");
+    void keepsTwoGenerationsOnTheRealDisk(@TempDir Path directory) throws IOException {
+        Path path = directory.resolve("boxes");
         StateFile file = new StateFile(path);
         file.write(TestChunks.of(FIRST));
         file.write(TestChunks.of(SECOND));
@@ -231,7 +228,8 @@
         assertEquals(1, lines.size());
         Files.delete(path);
         Files.createDirectory(path);
-        assertEquals(FIRST, new StateFile(path).read(NOW_MS, lines::add), "a folder is no file");
-        assertThrows(IOException.class, () -> new StateFile(folder.resolve("missing/boxes")).write(TestChunks.of(FIRST)));
+        assertEquals(FIRST, new StateFile(path).read(NOW_MS, lines::add), "a directory is ignored");
+        assertThrows(
+                IOException.class, () -> new StateFile(directory.resolve("missing/boxes")).write(TestChunks.of(FIRST)));
     }
 }
