--- a/src/main/java/vetchpost/handover/AuthenticatedFrames.java
+++ b/src/main/java/vetchpost/handover/AuthenticatedFrames.java
@@ -16,6 +16,7 @@
  * not encrypted. Used for replication; all methods and listeners run on the channel's event loop.
  */
 public final class AuthenticatedFrames extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Labels of the two sides in the proofs; part of the protocol. */
     private static final String PUBLISHER_ROLE = "publisher";
     private static final String REPLICA_ROLE = "replica";
     private static final long AUTHENTICATION_TIMEOUT_MS = 2_000;
@@ -36,7 +37,7 @@
         default void onWritable() {}
 
         /** The connection is closed; called once. */
-        void onClosed(String why);
+        void onClosed(String reason);
     }
 
     private final SharedSecret secret;
@@ -89,15 +90,15 @@
     }
 
     /** Closes the connection and notifies the listener with the reason. */
-    public void close(String why) {
-        closeOnce(why);
+    public void close(String reason) {
+        closeOnce(reason);
     }
 
     private static int frameNumber(int count, boolean fromConnectingSide) {
         return fromConnectingSide ? count | FROM_CONNECTING_SIDE : count;
     }
 
-    private void closeOnce(String why) {
+    private void closeOnce(String reason) {
         if (isClosed) {
             return;
         }
@@ -106,7 +107,7 @@
             authenticationTimeout.cancel(false);
         }
         channel.close();
-        listener.onClosed(why);
+        listener.onClosed(reason);
     }
 
     @Override
--- a/src/main/java/vetchpost/handover/HandoverProtocol.java
+++ b/src/main/java/vetchpost/handover/HandoverProtocol.java
@@ -17,6 +17,7 @@
  * chunks, each with a tag, and an empty one as the last. Stateless; used by both sides on their event loops.
  */
 final class HandoverProtocol {
+    /** Labels of the two sides in the proofs; part of the protocol. */
     static final String SENDER = "giver";
     static final String RECEIVER = "taker";
     private static final byte[] HELLO = "VPHAND".getBytes(StandardCharsets.US_ASCII);
@@ -30,8 +31,8 @@
     static final class HandoverRejectedException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        HandoverRejectedException(String why) {
-            super(why);
+        HandoverRejectedException(String reason) {
+            super(reason);
         }
     }
 
--- a/src/main/java/vetchpost/handover/HandoverReceiver.java
+++ b/src/main/java/vetchpost/handover/HandoverReceiver.java
@@ -36,9 +36,9 @@
          *
          * @param snapshot the valid chunks received, partial if the handover was interrupted; null for none
          * @param isWhole whether the snapshot is complete
-         * @param why what failed; null if nothing did
+         * @param reason what failed; null if nothing did
          */
-        void received(Snapshot snapshot, boolean isWhole, String why);
+        void received(Snapshot snapshot, boolean isWhole, String reason);
     }
 
     private final EventLoop loop;
@@ -46,6 +46,7 @@
     private final SharedSecret secret;
     private final SecureRandom random;
 
+    /** Creates a receiver that connects on an event loop. */
     public HandoverReceiver(EventLoop loop, Network network, SharedSecret secret, SecureRandom random) {
         this.loop = loop;
         this.network = network;
@@ -117,7 +118,7 @@
             to.pipeline().addLast(this);
         }
 
-        void finish(String why) {
+        void finish(String reason) {
             if (isFinished) {
                 return;
             }
@@ -128,7 +129,7 @@
             if (channel != null) {
                 channel.close();
             }
-            outcome.received(assembler.snapshot(), assembler.isComplete(), why);
+            outcome.received(assembler.snapshot(), assembler.isComplete(), reason);
         }
 
         @Override
--- a/src/main/java/vetchpost/handover/HandoverSender.java
+++ b/src/main/java/vetchpost/handover/HandoverSender.java
@@ -109,12 +109,12 @@
     }
 
     /** Logs at most once per second: anyone who can reach the address could otherwise fill the log. */
-    private void logRejection(Channel receiver, String why) {
+    private void logRejection(Channel receiver, String reason) {
         long now = loop.ticker().nanoTime();
         if (!hasLoggedRejection || now - lastRejectionLogNs >= TimeUnit.SECONDS.toNanos(1)) {
             hasLoggedRejection = true;
             lastRejectionLogNs = now;
-            LOG.log(Level.INFO, "rejected a handover request from {0}: {1}", receiver.remoteAddress(), why);
+            LOG.log(Level.INFO, "rejected a handover request from {0}: {1}", receiver.remoteAddress(), reason);
         }
     }
 
--- a/src/main/java/vetchpost/recovery/AddressProber.java
+++ b/src/main/java/vetchpost/recovery/AddressProber.java
@@ -203,8 +203,8 @@
     private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Probe probe;
 
-        ResponseHandler(Probe knock) {
-            this.probe = knock;
+        ResponseHandler(Probe probe) {
+            this.probe = probe;
         }
 
         @Override
--- a/src/main/java/vetchpost/recovery/Recovery.java
+++ b/src/main/java/vetchpost/recovery/Recovery.java
@@ -128,11 +128,11 @@
     // ---------------------------------------------------------------- start
 
     @Override
-    public ServerList beforeStart(ServerList known, long nowUs) {
+    public ServerList beforeStart(ServerList listed, long nowUs) {
         long nowMs = nowUs / 1_000;
         startedMs = nowMs;
-        listRevision = known.targets().isEmpty() ? Long.MIN_VALUE : known.revision();
-        Map<Target, Double> usable = restoreServers(storedSnapshot, known, nowMs);
+        listRevision = listed.targets().isEmpty() ? Long.MIN_VALUE : listed.revision();
+        Map<Target, Double> usable = restoreServers(storedSnapshot, listed, nowMs);
         if (storedSnapshot != null) {
             long ageS = (nowMs - storedSnapshot.origin().takenMs()) / 1_000;
             LOG.log(
@@ -144,20 +144,20 @@
                     droppedCount);
         }
         restoredCount = usable.size();
-        List<Target> targets = new ArrayList<>(known.targets());
+        List<Target> targets = new ArrayList<>(listed.targets());
         targets.addAll(usable.keySet());
-        return new ServerList(known.revision(), true, targets);
+        return new ServerList(listed.revision(), true, targets);
     }
 
     /** Takes over the servers of a snapshot; returns those that may be used at once. */
-    private Map<Target, Double> restoreServers(Snapshot snapshot, ServerList known, long nowMs) {
-        RestoredState restored = RestoredState.of(snapshot, known, nowMs, settings.rules());
+    private Map<Target, Double> restoreServers(Snapshot snapshot, ServerList listed, long nowMs) {
+        RestoredState restored = RestoredState.of(snapshot, listed, nowMs, settings.rules());
         droppedCount += restored.dropped();
         if (snapshot == null) {
             return restored.usable();
         }
         Map<String, ServerRecord> records = new HashMap<>();
-        snapshot.servers().forEach(b -> records.put(b.target().id(), b));
+        snapshot.servers().forEach(s -> records.put(s.target().id(), s));
         restored.usable().keySet().forEach(t -> {
             ServerRecord record = records.get(t.id());
             observations.observe(t.id(), record.confirmedMs(), record.confirmedBy());
@@ -174,9 +174,9 @@
     }
 
     @Override
-    public void afterStart(Dispatcher of, EventLoopDelay loopStall, Clock nodeClock) {
-        dispatcher = of;
-        loopDelay = loopStall;
+    public void afterStart(Dispatcher nodeDispatcher, EventLoopDelay nodeLoopDelay, Clock nodeClock) {
+        dispatcher = nodeDispatcher;
+        loopDelay = nodeLoopDelay;
         clock = nodeClock;
         long nowMs = nowMs();
         if (storedSnapshot != null) {
@@ -257,17 +257,17 @@
             return;
         }
         cancelHandover = new HandoverReceiver(loop, network, secret, random)
-                .request(address, deadlineMs - nowMs(), (snapshot, isWhole, why) -> {
+                .request(address, deadlineMs - nowMs(), (snapshot, isWhole, reason) -> {
                     if (isClosed) {
                         return;
                     }
-                    if (why != null) {
+                    if (reason != null) {
                         LOG.log(
                                 Level.INFO,
                                 "handover from {0}{1}: {2}",
                                 address,
                                 snapshot == null ? " failed" : " is incomplete, and what was received is used",
-                                why);
+                                reason);
                     }
                     boolean isHealthy = false;
                     if (snapshot != null) {
@@ -334,10 +334,10 @@
         }
     }
 
-    private void giveUp(Target target, boolean wasInUse, String why) {
+    private void giveUp(Target target, boolean wasInUse, String reason) {
         if (wasInUse) {
             droppedCount++;
-            LOG.log(Level.INFO, "removed server {0}: {1}", target.id(), why);
+            LOG.log(Level.INFO, "removed server {0}: {1}", target.id(), reason);
             updateServers(List.of(new Target(
                     target.id(),
                     target.address(),
@@ -409,29 +409,29 @@
         });
     }
 
-    private Set<SelfFault> selfFaults(ServerStatistics knowledge) {
-        return SelfFaultDetector.inOwnStatistics(knowledge, loopDelay.currentUs(), nowMs() - startedMs);
+    private Set<SelfFault> selfFaults(ServerStatistics statistics) {
+        return SelfFaultDetector.inOwnStatistics(statistics, loopDelay.currentUs(), nowMs() - startedMs);
     }
 
     /** Returns the chunks for a handover; each reflects the state at the time it is created. */
     private Iterator<byte[]> handoverChunks() {
-        ServerStatistics knowledge = dispatcher.statistics(List.of());
+        ServerStatistics statistics = dispatcher.statistics(List.of());
         return ServerObservations.chunks(
                 observations.new Cursor(dispatcher, this::nowMs, ChunkCodec.SERVERS_PER_CHUNK),
-                origin(knowledge),
-                observations.classes(knowledge));
+                origin(statistics),
+                observations.classes(statistics));
     }
 
-    private SnapshotOrigin origin(ServerStatistics knowledge) {
-        return observations.origin(random.nextLong(), nowMs(), startedMs, selfFaults(knowledge));
+    private SnapshotOrigin origin(ServerStatistics statistics) {
+        return observations.origin(random.nextLong(), nowMs(), startedMs, selfFaults(statistics));
     }
 
     /** Collects all servers, in batches per turn of the event loop or at once, and writes the snapshot. */
     private void collect(boolean atOnce, Runnable done) {
         isWriting = true;
-        ServerStatistics knowledge = dispatcher.statistics(List.of());
-        SnapshotOrigin origin = origin(knowledge);
-        List<ClassState> classes = observations.classes(knowledge);
+        ServerStatistics statistics = dispatcher.statistics(List.of());
+        SnapshotOrigin origin = origin(statistics);
+        List<ClassState> classes = observations.classes(statistics);
         ServerObservations.Cursor cursor = observations.new Cursor(dispatcher, this::nowMs, SERVERS_PER_TURN);
         collect(cursor, new ArrayList<>(), atOnce, records -> write(origin, classes, records, done));
     }
@@ -459,17 +459,17 @@
             return;
         }
         writer.execute(() -> {
-            String failure = null;
+            String error = null;
             try {
                 keeper.write(encode(origin, classes, records));
             } catch (IOException | RuntimeException e) {
-                failure = e.toString();
+                error = e.toString();
             }
-            String why = failure;
+            String reason = error;
             try {
                 loop.execute(() -> {
                     isWriting = false;
-                    onWritten(why);
+                    onWritten(reason);
                     done.run();
                 });
             } catch (RejectedExecutionException e) {
@@ -496,13 +496,13 @@
     }
 
     /** Logs the first of several failures, and the first success after them. */
-    private void onWritten(String failure) {
-        if (failure != null && !isWriteFailing) {
-            LOG.log(Level.WARNING, "can''t write the snapshot: {0}", failure);
-        } else if (failure == null && isWriteFailing) {
+    private void onWritten(String error) {
+        if (error != null && !isWriteFailing) {
+            LOG.log(Level.WARNING, "can''t write the snapshot: {0}", error);
+        } else if (error == null && isWriteFailing) {
             LOG.log(Level.INFO, "snapshots are written again");
         }
-        isWriteFailing = failure != null;
+        isWriteFailing = error != null;
     }
 
     @Override
--- a/src/main/java/vetchpost/recovery/ServerObservations.java
+++ b/src/main/java/vetchpost/recovery/ServerObservations.java
@@ -42,8 +42,8 @@
     }
 
     void observe(String id, long confirmedMs, ConfirmationSource source) {
-        Observation before = byId.get(id);
-        if (before == null || before.confirmedMs <= confirmedMs) {
+        Observation previous = byId.get(id);
+        if (previous == null || previous.confirmedMs <= confirmedMs) {
             byId.put(id, new Observation(confirmedMs, source));
         }
     }
@@ -161,9 +161,9 @@
                         target, confirmedMs, source, hasStatistics ? nowMs : 0, hasStatistics ? known : null);
     }
 
-    List<ClassState> classes(ServerStatistics knowledge) {
+    List<ClassState> classes(ServerStatistics statistics) {
         List<ClassState> states = new ArrayList<>();
-        for (PerClass known : knowledge.classes()) {
+        for (PerClass known : statistics.classes()) {
             states.add(new ClassState(
                     classes.get(known.index()).name(), known.answerCount(), known.latencyUs(), known.minLatencyUs()));
         }
--- a/src/main/java/vetchpost/recovery/SnapshotKeeper.java
+++ b/src/main/java/vetchpost/recovery/SnapshotKeeper.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Stores snapshots, in a file outside of tests. May block; called by {@link Recovery} on its writer, never on a loop. */
+/** Stores snapshots, in a file outside of tests. May block; called by {@link Recovery} on its writer, not on a loop. */
 public interface SnapshotKeeper {
     /**
      * Replaces the stored snapshot.
--- a/src/main/java/vetchpost/replication/Frame.java
+++ b/src/main/java/vetchpost/replication/Frame.java
@@ -74,16 +74,16 @@
 
     private static final Sum EMPTY_SUM = new Sum(0, 0);
 
-    static Frame hello(String name, long at, boolean applied, Sum sum) {
-        return new Frame(Type.HELLO, at, 0, 0, applied, sum, List.of(), name, List.of());
+    static Frame hello(String name, long version, boolean applied, Sum sum) {
+        return new Frame(Type.HELLO, version, 0, 0, applied, sum, List.of(), name, List.of());
     }
 
-    static Frame current(long at, Sum sum) {
-        return new Frame(Type.CURRENT, 0, at, 0, false, sum, List.of(), "", List.of());
+    static Frame current(long version, Sum sum) {
+        return new Frame(Type.CURRENT, 0, version, 0, false, sum, List.of(), "", List.of());
     }
 
-    static Frame behind(long at) {
-        return new Frame(Type.BEHIND, 0, at, 0, false, EMPTY_SUM, List.of(), "", List.of());
+    static Frame behind(long version) {
+        return new Frame(Type.BEHIND, 0, version, 0, false, EMPTY_SUM, List.of(), "", List.of());
     }
 
     /** Creates a frame with a part of the changes after one version up to another. */
@@ -91,8 +91,8 @@
         return new Frame(Type.DELTA, from, to, part, last, sum, items, "", List.of());
     }
 
-    static Frame spans(Type type, long target, Sum whole, List<Span> spans) {
-        return new Frame(type, 0, target, 0, false, whole, List.of(), "", spans);
+    static Frame spans(Type type, long target, Sum sum, List<Span> spans) {
+        return new Frame(type, 0, target, 0, false, sum, List.of(), "", spans);
     }
 
     /** Creates a frame with items of the target version. */
--- a/src/main/java/vetchpost/replication/FrameCodec.java
+++ b/src/main/java/vetchpost/replication/FrameCodec.java
@@ -36,6 +36,7 @@
     private static final int MAX_VALUE_BYTES = FieldCodec.MAX_ENTRY_BYTES;
     private static final int MAX_NAME_BYTES = 256;
 
+    // Field numbers of a frame.
     private static final int TYPE = 1;
     private static final int FROM = 2;
     private static final int TO = 3;
@@ -49,12 +50,14 @@
     private static final int SPANS = 11;
     private static final int RAW_SPANS = 12;
 
+    // Field numbers of a span.
     private static final int S_FROM = 1;
     private static final int S_TO = 2;
     private static final int S_COUNT = 3;
     private static final int S_HASH = 4;
     private static final int S_HASHES = 5;
 
+    // Field numbers of an item.
     private static final int I_KEY = 1;
     private static final int I_STAMP = 2;
     private static final int I_VALUE = 3;
--- a/src/main/java/vetchpost/replication/MalformedFrameException.java
+++ b/src/main/java/vetchpost/replication/MalformedFrameException.java
@@ -5,7 +5,7 @@
     private static final long serialVersionUID = 1;
 
     /** Creates an exception with a reason. */
-    public MalformedFrameException(String why) {
-        super(why);
+    public MalformedFrameException(String reason) {
+        super(reason);
     }
 }
--- a/src/main/java/vetchpost/replication/Publisher.java
+++ b/src/main/java/vetchpost/replication/Publisher.java
@@ -297,42 +297,42 @@
 
     // ---------------------------------------------------------------- deltas
 
-    private Part encodePart(long from, VersionedStore to, int number, byte[] begin, boolean removed) {
-        PartKey place = new PartKey(from, to.version(), number);
-        Part cached = partCache.get(place);
+    private Part encodePart(long from, VersionedStore to, int number, byte[] firstKey, boolean removed) {
+        PartKey partKey = new PartKey(from, to.version(), number);
+        Part cached = partCache.get(partKey);
         if (cached != null) {
             return cached;
         }
         List<Entry> items = new ArrayList<>();
         int bytes = 0;
-        byte[] at = begin;
+        byte[] key = firstKey;
         boolean inRemoved = removed;
-        while (at != null && bytes < PART_TARGET_BYTES) {
-            Item item = (inRemoved ? to.removed() : to.live()).nextNewer(at, from);
+        while (key != null && bytes < PART_TARGET_BYTES) {
+            Item item = (inRemoved ? to.removed() : to.live()).nextNewer(key, from);
             if (item != null) {
                 items.add(new Entry(item.key(), inRemoved ? null : item.value(), item.stamp()));
                 bytes += item.key().length + item.value().length + 2 * Long.BYTES;
-                at = PackedTree.successor(item.key());
+                key = PackedTree.successor(item.key());
             } else if (inRemoved) {
-                at = null;
+                key = null;
             } else {
                 inRemoved = true;
-                at = FIRST_KEY;
+                key = FIRST_KEY;
             }
         }
-        Part made = new Part(
+        Part newPart = new Part(
                 codec.write(Frame.delta(
                         from,
                         to.version(),
                         number,
-                        at == null,
-                        at == null ? to.live().sum() : new Sum(0, 0),
+                        key == null,
+                        key == null ? to.live().sum() : new Sum(0, 0),
                         items)),
                 items.size(),
-                at,
+                key,
                 inRemoved);
-        partCache.put(place, made);
-        return made;
+        partCache.put(partKey, newPart);
+        return newPart;
     }
 
     // ---------------------------------------------------------------- comparing ranges of keys
@@ -352,17 +352,17 @@
         PackedTree tree = session.pinnedStore.live();
         List<Span> answer = new ArrayList<>();
         for (Span span : frame.spans()) {
-            Sum own = tree.sum(span.from(), span.to());
-            if (own.equals(span.sum())) {
+            Sum ownSum = tree.sum(span.from(), span.to());
+            if (ownSum.equals(span.sum())) {
                 continue;
             }
-            if (own.count() <= MAX_LISTED_ITEMS_PER_SPAN) {
+            if (ownSum.count() <= MAX_LISTED_ITEMS_PER_SPAN) {
                 long[] hashes = tree.range(span.from(), span.to(), MAX_LISTED_ITEMS_PER_SPAN).stream()
                         .mapToLong(Span::hash)
                         .toArray();
-                answer.add(new Span(span.from(), span.to(), own, hashes));
+                answer.add(new Span(span.from(), span.to(), ownSum, hashes));
             } else {
-                splitSpan(tree, span, own.count(), answer);
+                splitSpan(tree, span, ownSum.count(), answer);
             }
         }
         session.enqueueReply(Frame.spans(Type.DIFFER, session.pinnedStore.version(), tree.sum(), answer));
@@ -390,12 +390,12 @@
         List<Entry> items = new ArrayList<>();
         int bytes = 0;
         for (Span span : frame.spans()) {
-            Set<Long> wanted = new HashSet<>();
+            Set<Long> requestedHashes = new HashSet<>();
             for (long hash : span.hashes() == null ? new long[0] : span.hashes()) {
-                wanted.add(hash);
+                requestedHashes.add(hash);
             }
             for (Item item : session.pinnedStore.live().range(span.from(), span.to(), MAX_LISTED_ITEMS_PER_SPAN)) {
-                if (wanted.contains(Span.hash(item))) {
+                if (requestedHashes.contains(Span.hash(item))) {
                     items.add(new Entry(item.key(), item.value(), item.stamp()));
                     bytes += item.key().length + item.value().length + 2 * Long.BYTES;
                 }
--- a/src/main/java/vetchpost/replication/PublisherFailover.java
+++ b/src/main/java/vetchpost/replication/PublisherFailover.java
@@ -85,11 +85,11 @@
     }
 
     /** Called by the owner when the connection could not be opened or was lost. */
-    public void failed(String why) {
+    public void failed(String reason) {
         if (isStopped) {
             return;
         }
-        lastFailure = why;
+        lastFailure = reason;
         isConnected = false;
         replica.disconnected();
         choice.failed(publisherIndex, transport.nowUs());
@@ -131,9 +131,9 @@
     }
 
     /** Leaves the publisher after a frame that could not be parsed or used. */
-    public void rejected(String why) {
+    public void rejected(String reason) {
         transport.close();
-        failed(why);
+        failed(reason);
     }
 
     /** Disconnects for good; the store in force stays. */
--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -48,8 +48,8 @@
     public static final class FrameRejectedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        FrameRejectedException(String why) {
-            super(why, null, false, false);
+        FrameRejectedException(String reason) {
+            super(reason, null, false, false);
         }
     }
 
@@ -87,9 +87,9 @@
         }
 
         void applyEntry(Entry entry) throws FrameRejectedException {
-            Item own = live.get(entry.key());
-            if (own != null && isOlder(entry.stamp(), own)) {
-                throw new FrameRejectedException("entry would go back from version " + Version.text(own.stamp())
+            Item current = live.get(entry.key());
+            if (current != null && isOlder(entry.stamp(), current)) {
+                throw new FrameRejectedException("entry would go back from version " + Version.text(current.stamp())
                         + " to " + Version.text(entry.stamp()));
             }
             if (entry.value() == null) {
@@ -274,8 +274,8 @@
     }
 
     /** Whether an entry of this version would replace a newer one. */
-    boolean isOlder(long stamp, Item own) {
-        return own.stamp() > stamp;
+    boolean isOlder(long stamp, Item current) {
+        return current.stamp() > stamp;
     }
 
     /** Whether a publisher at this version is behind this replica. */
@@ -289,11 +289,11 @@
     }
 
     private void applyDraft(long nowUs) {
-        VersionedStore whole = draft.isComparing
+        VersionedStore newStore = draft.isComparing
                 ? VersionedStore.of(draft.live, draft.targetVersion)
                 : store.at(draft.live, draft.removed, draft.targetVersion);
-        index = draft.draftIndex.backedBy(whole.live());
-        store = whole;
+        index = draft.draftIndex.backedBy(newStore.live());
+        store = newStore;
         draft = null;
         appliedBatches++;
         lastCurrentUs = nowUs;
@@ -337,12 +337,12 @@
         draft.targetSum = frame.sum();
         List<Span> requested = new ArrayList<>();
         for (Span span : frame.spans()) {
-            Sum own = draft.live.sum(span.from(), span.to());
-            if (own.equals(span.sum())) {
+            Sum current = draft.live.sum(span.from(), span.to());
+            if (current.equals(span.sum())) {
                 continue;
             }
             if (span.hashes() == null) {
-                draft.pendingSpans.add(new Span(span.from(), span.to(), own, null));
+                draft.pendingSpans.add(new Span(span.from(), span.to(), current, null));
             } else {
                 compareItems(span, requested);
             }
@@ -392,9 +392,9 @@
                     || !draft.pendingHashes.remove(Span.hash(new Item(entry.key(), entry.value(), entry.stamp())))) {
                 throw new MalformedFrameException("entry was not requested");
             }
-            Item own = store.live().get(entry.key());
-            if (own != null && own.stamp() > entry.stamp()) {
-                throw new FrameRejectedException("entry would go back from version " + Version.text(own.stamp())
+            Item current = store.live().get(entry.key());
+            if (current != null && current.stamp() > entry.stamp()) {
+                throw new FrameRejectedException("entry would go back from version " + Version.text(current.stamp())
                         + " to " + Version.text(entry.stamp()));
             }
             draft.applyEntry(entry);
--- /dev/null
+++ b/src/main/java/vetchpost/replication/disk/package-info.java
@@ -0,0 +1,2 @@
+/** Stores a replica's configuration on the disk. */
+package vetchpost.replication.disk;
--- a/src/main/java/vetchpost/replication/net/PublisherServer.java
+++ b/src/main/java/vetchpost/replication/net/PublisherServer.java
@@ -176,17 +176,17 @@
         }
 
         @Override
-        public void onClosed(String why) {
+        public void onClosed(String reason) {
             connections.remove(this);
             publisher.disconnected(this);
-            if (!hasLoggedRejection && why.contains("secret")) {
+            if (!hasLoggedRejection && reason.contains("secret")) {
                 // Logged once: anyone who can reach the address could otherwise fill the log.
                 hasLoggedRejection = true;
                 LOG.log(
                         Level.WARNING,
                         "rejected a replica at {0}: {1}; further rejections are not logged",
                         channel.remoteAddress(),
-                        why);
+                        reason);
             }
         }
     }
--- a/src/main/java/vetchpost/replication/net/ReplicaClient.java
+++ b/src/main/java/vetchpost/replication/net/ReplicaClient.java
@@ -174,10 +174,10 @@
         }
 
         @Override
-        public void onClosed(String why) {
+        public void onClosed(String reason) {
             if (current == this) {
                 current = null;
-                failover.failed(why);
+                failover.failed(reason);
             }
         }
     }
--- a/src/main/java/vetchpost/state/ConfirmationSource.java
+++ b/src/main/java/vetchpost/state/ConfirmationSource.java
@@ -1,8 +1,8 @@
 package vetchpost.state;
 
 /**
- * How a server's presence was last confirmed, from the weakest evidence to the strongest. The order is part of the
- * snapshot format.
+ * How a server's presence was last confirmed, ordered by the weight of the evidence. The order is part of the snapshot
+ * format.
  */
 public enum ConfirmationSource {
     /** It was in discovery's list. */
--- a/src/main/java/vetchpost/state/PriorStatistics.java
+++ b/src/main/java/vetchpost/state/PriorStatistics.java
@@ -38,15 +38,15 @@
             long nowMs,
             boolean trustHealth,
             Map<String, Double> confidenceById) {
-        Map<String, Integer> index = new HashMap<>();
-        classes.forEach(name -> index.put(name, index.size()));
+        Map<String, Integer> indexByName = new HashMap<>();
+        classes.forEach(name -> indexByName.put(name, indexByName.size()));
         int[] classIndexes = new int[snapshot.classes().size()];
         List<PerClass> classStatistics = new ArrayList<>();
         double latencyWeight =
                 Confidence.afterAge(nowMs - snapshot.origin().takenMs(), Confidence.CLASS_LATENCY_HALF_LIFE_MS);
         for (int c = 0; c < classIndexes.length; c++) {
             ClassState state = snapshot.classes().get(c);
-            classIndexes[c] = index.getOrDefault(state.name(), -1);
+            classIndexes[c] = indexByName.getOrDefault(state.name(), -1);
             // The latencies seen by a throttled or stalled node include its own delay.
             if (classIndexes[c] >= 0 && trustHealth) {
                 classStatistics.add(new PerClass(
@@ -99,31 +99,31 @@
     }
 
     private static PerServer prior(ServerRecord server, long nowMs, int[] classIndexes, int classes) {
-        PerServer known = server.statistics();
+        PerServer statistics = server.statistics();
         // Age is measured from the last answer: a later snapshot does not make old observations newer.
-        long lastAnswerMs = Math.min(server.statisticsMs(), known.lastAnswerAtUs() / 1_000);
+        long lastAnswerMs = Math.min(server.statisticsMs(), statistics.lastAnswerAtUs() / 1_000);
         long ageMs = nowMs - lastAnswerMs;
-        double sampleWeight = Confidence.ofSampleCount(known.attemptCount());
+        double sampleWeight = Confidence.ofSampleCount(statistics.attemptCount());
         double healthWeight = sampleWeight * Confidence.afterAge(ageMs, Confidence.HEALTH_HALF_LIFE_MS);
         double relativeLatencyWeight =
                 sampleWeight * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS);
-        int answers =
-                (int) (known.attemptCount() * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS));
-        if (answers == 0 || Math.max(healthWeight, relativeLatencyWeight) < MIN_EFFECT) {
+        int sampleCount =
+                (int) (statistics.attemptCount() * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS));
+        if (sampleCount == 0 || Math.max(healthWeight, relativeLatencyWeight) < MIN_EFFECT) {
             return null;
         }
         int failures =
-                known.ejected() ? Math.max(MIN_FAILURES_IF_EJECTED, known.recentFailures()) : known.recentFailures();
-        int errors = known.ejected()
-                ? Math.max(MIN_FAILURES_IF_EJECTED, known.consecutiveErrors())
-                : known.consecutiveErrors();
+                statistics.ejected() ? Math.max(MIN_FAILURES_IF_EJECTED, statistics.recentFailures()) : statistics.recentFailures();
+        int errors = statistics.ejected()
+                ? Math.max(MIN_FAILURES_IF_EJECTED, statistics.consecutiveErrors())
+                : statistics.consecutiveErrors();
         int[] failureStreaks = new int[classes];
         for (int c = 0;
-                c < Math.min(classIndexes.length, known.classFailureStreaks().size());
+                c < Math.min(classIndexes.length, statistics.classFailureStreaks().size());
                 c++) {
             if (classIndexes[c] >= 0) {
                 failureStreaks[classIndexes[c]] = (int)
-                        Math.round(healthWeight * known.classFailureStreaks().get(c));
+                        Math.round(healthWeight * statistics.classFailureStreaks().get(c));
             }
         }
         List<Integer> failureStreakList = new ArrayList<>(classes);
@@ -131,16 +131,16 @@
             failureStreakList.add(count);
         }
         return new PerServer(
-                known.id(),
+                statistics.id(),
                 1_000 * server.target().bootMs(),
-                answers,
-                known.lastAnswerAtUs(),
-                known.lastServedAtUs(),
+                sampleCount,
+                statistics.lastAnswerAtUs(),
+                statistics.lastServedAtUs(),
                 (int) Math.round(healthWeight * errors),
                 (int) Math.round(healthWeight * failures),
-                healthWeight * known.failureFraction(),
-                1 + relativeLatencyWeight * (known.relativeLatency() - 1),
-                known.relativeLimit(),
+                healthWeight * statistics.failureFraction(),
+                1 + relativeLatencyWeight * (statistics.relativeLatency() - 1),
+                statistics.relativeLimit(),
                 false,
                 failureStreakList);
     }
--- a/src/main/java/vetchpost/state/SelfFaultDetector.java
+++ b/src/main/java/vetchpost/state/SelfFaultDetector.java
@@ -30,12 +30,12 @@
      * @param loopDelayUs delay of its event loop in microseconds
      * @param uptimeMs time since its start in milliseconds
      */
-    public static Set<SelfFault> inOwnStatistics(ServerStatistics knowledge, long loopDelayUs, long uptimeMs) {
+    public static Set<SelfFault> inOwnStatistics(ServerStatistics statistics, long loopDelayUs, long uptimeMs) {
         EnumSet<SelfFault> faults = EnumSet.noneOf(SelfFault.class);
-        if (knowledge.readyCount() > 0 && 2 * knowledge.ejectedCount() >= knowledge.readyCount()) {
+        if (statistics.readyCount() > 0 && 2 * statistics.ejectedCount() >= statistics.readyCount()) {
             faults.add(SelfFault.MOST_SERVERS_FAILING);
         }
-        if (knowledge.throttled()) {
+        if (statistics.throttled()) {
             faults.add(SelfFault.THROTTLED);
         }
         if (loopDelayUs >= MIN_STALLED_DELAY_US) {
@@ -63,21 +63,21 @@
 
     /** Whether at least half of the servers with samples are failing: believing that would leave too few. */
     private static boolean areMostFailing(List<ServerRecord> servers) {
-        int known = 0;
+        int withSamples = 0;
         int failing = 0;
         for (ServerRecord server : servers) {
-            PerServer knowledge = server.statistics();
-            if (knowledge != null && knowledge.attemptCount() > 0) {
-                known++;
-                failing += isFailing(knowledge) ? 1 : 0;
+            PerServer statistics = server.statistics();
+            if (statistics != null && statistics.attemptCount() > 0) {
+                withSamples++;
+                failing += isFailing(statistics) ? 1 : 0;
             }
         }
-        return failing > 0 && 2 * failing >= known;
+        return failing > 0 && 2 * failing >= withSamples;
     }
 
-    static boolean isFailing(PerServer knowledge) {
-        return knowledge.ejected()
-                || knowledge.recentFailures() >= MIN_RECENT_FAILURES
-                || knowledge.consecutiveErrors() >= MIN_CONSECUTIVE_ERRORS;
+    static boolean isFailing(PerServer statistics) {
+        return statistics.ejected()
+                || statistics.recentFailures() >= MIN_RECENT_FAILURES
+                || statistics.consecutiveErrors() >= MIN_CONSECUTIVE_ERRORS;
     }
 }
--- a/src/main/java/vetchpost/state/codec/ChunkCodec.java
+++ b/src/main/java/vetchpost/state/codec/ChunkCodec.java
@@ -165,8 +165,8 @@
         long id = 0;
         int number = -1;
         int chunkCount = 0;
-        long taken = 0;
-        long started = 0;
+        long takenMs = 0;
+        long startedMs = 0;
         long revision = 0;
         Set<SelfFault> faults = EnumSet.noneOf(SelfFault.class);
         List<ClassState> classes = new ArrayList<>();
@@ -185,8 +185,8 @@
                 case P_SNAPSHOT << 3 | 1 -> id = in.readFixed64();
                 case P_NUMBER << 3 -> number = in.readUInt32();
                 case P_CHUNKS << 3 -> chunkCount = in.readUInt32();
-                case P_TAKEN << 3 -> taken = in.readInt64();
-                case P_STARTED << 3 -> started = in.readInt64();
+                case P_TAKEN << 3 -> takenMs = in.readInt64();
+                case P_STARTED << 3 -> startedMs = in.readInt64();
                 case P_REVISION << 3 -> revision = in.readInt64();
                 case P_SELF_FAULT << 3 -> {
                     int faultOrdinal = in.readUInt32();
@@ -215,29 +215,29 @@
         check(
                 chunkCount > 0 && chunkCount <= Snapshot.MAX_SERVERS && number >= 0 && number < chunkCount,
                 "invalid chunk number " + number + " of " + chunkCount);
-        check(taken > 0 && started > 0, "snapshot has no times");
+        check(takenMs > 0 && startedMs > 0, "snapshot has no times");
         return new Chunk(
                 number,
                 chunkCount,
-                new Snapshot(new SnapshotOrigin(id, taken, started, revision, faults), classes, servers));
+                new Snapshot(new SnapshotOrigin(id, takenMs, startedMs, revision, faults), classes, servers));
     }
 
     private static ClassState readClass(CodedInputStream in) throws IOException, MalformedSnapshotException {
         String name = null;
         int answers = 0;
-        double latency = 0;
-        double minLatency = 0;
+        double latencyUs = 0;
+        double minLatencyUs = 0;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (tag) {
                 case 1 << 3 | 2 -> name = readName(in);
                 case 2 << 3 -> answers = readCount(in);
-                case 3 << 3 | 1 -> latency = readFigure(in);
-                case 4 << 3 | 1 -> minLatency = readFigure(in);
+                case 3 << 3 | 1 -> latencyUs = readFigure(in);
+                case 4 << 3 | 1 -> minLatencyUs = readFigure(in);
                 default -> skipField(in, tag);
             }
         }
         check(name != null && !name.isEmpty(), "class without a name");
-        return new ClassState(name, answers, latency, minLatency);
+        return new ClassState(name, answers, latencyUs, minLatencyUs);
     }
 
     private static ServerRecord readServer(CodedInputStream in) throws IOException, MalformedSnapshotException {
@@ -248,8 +248,8 @@
         int cell = 0;
         int state = 0;
         double weight = 1;
-        long boot = 0;
-        long confirmed = 0;
+        long bootMs = 0;
+        long confirmedMs = 0;
         int sourceOrdinal = 0;
         long statisticsMs = 0;
         int answers = 0;
@@ -271,8 +271,8 @@
                 case 5 << 3 -> cell = in.readSInt32();
                 case 6 << 3 -> state = in.readUInt32();
                 case 7 << 3 | 1 -> weight = readFigure(in);
-                case 8 << 3 -> boot = readTime(in);
-                case 9 << 3 -> confirmed = readTime(in);
+                case 8 << 3 -> bootMs = readTime(in);
+                case 9 << 3 -> confirmedMs = readTime(in);
                 case 10 << 3 -> sourceOrdinal = in.readUInt32();
                 case 11 << 3 -> statisticsMs = readTime(in);
                 case 12 << 3 -> answers = readCount(in);
@@ -297,7 +297,7 @@
         check(
                 host != null && (host.length == 4 || host.length == 16) && port > 0 && port <= 65_535,
                 "server " + id + " has no address");
-        check(confirmed > 0, "server " + id + " has no time of confirmation");
+        check(confirmedMs > 0, "server " + id + " has no time of confirmation");
         Target target = new Target(
                 id,
                 new InetSocketAddress(InetAddress.getByAddress(host), port),
@@ -305,21 +305,21 @@
                 cell,
                 state == 0 ? ServerState.READY : ServerState.DRAINING,
                 weight,
-                boot);
-        // A source that this version does not know counts as the weaker of the two that come from the server.
+                bootMs);
+        // The certainty of an unknown source can't be determined, so it counts as the least certain known one.
         ConfirmationSource source = sourceOrdinal >= 0 && sourceOrdinal < ConfirmationSource.values().length
                 ? ConfirmationSource.values()[sourceOrdinal]
                 : ConfirmationSource.ANSWER;
         return new ServerRecord(
                 target,
-                confirmed,
+                confirmedMs,
                 source,
                 statisticsMs,
                 statisticsMs == 0
                         ? null
                         : new PerServer(
                                 id,
-                                1_000 * boot,
+                                1_000 * bootMs,
                                 answers,
                                 lastAnswerUs,
                                 lastServedUs,
--- /dev/null
+++ b/src/main/java/vetchpost/state/codec/package-info.java
@@ -0,0 +1,2 @@
+/** The binary format of snapshots: encoding, validation and assembly of chunks. */
+package vetchpost.state.codec;
--- /dev/null
+++ b/src/main/java/vetchpost/state/disk/package-info.java
@@ -0,0 +1,2 @@
+/** Files that survive crashes and power loss while they are written, for snapshots and other chunked data. */
+package vetchpost.state.disk;
--- a/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
@@ -76,8 +76,8 @@
 
     @AfterEach
     void close() throws Exception {
-        for (AutoCloseable each : closeables) {
-            each.close();
+        for (AutoCloseable closeable : closeables) {
+            closeable.close();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         writer.shutdownNow();
@@ -126,10 +126,10 @@
     private record Running(Node node, int port) {}
 
     private Running start(
-            RecoverySettings settings, Snapshot old, SnapshotKeeper keeper, SharedSecret secret, FakePeer... known)
+            RecoverySettings settings, Snapshot storedSnapshot, SnapshotKeeper keeper, SharedSecret secret, FakePeer... listed)
             throws Exception {
         JsonObject json = Fixture.config(discovery);
-        json.add("known", JsonParser.parseString(Fixture.list(known.length, true, "Ready", known)));
+        json.add("known", JsonParser.parseString(Fixture.list(listed.length, true, "Ready", listed)));
         NodeConfig config =
                 NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
         Node node = loop.submit(() -> {
@@ -140,7 +140,7 @@
                             loop,
                             group,
                             Network.SYSTEM,
-                            old,
+                            storedSnapshot,
                             secret,
                             new SecureRandom(),
                             keeper,
@@ -160,8 +160,8 @@
         return new Running(node, port);
     }
 
-    private long writeAndRecordLength(List<byte[]> pieces) throws IOException {
-        long length = new StateFile(folder.resolve("boxes")).write(pieces);
+    private long writeAndRecordLength(List<byte[]> chunks) throws IOException {
+        long length = new StateFile(folder.resolve("boxes")).write(chunks);
         writtenLengths.add(length);
         return length;
     }
@@ -231,13 +231,13 @@
     /** A retired server's address belongs to another application, whose responses look like a server's. */
     @Test
     void sendsNothingToAnotherServerAtAReusedAddress() throws Exception {
-        FakePeer stranger = server("welcome to the wiki", "a wrong answer");
+        FakePeer otherServer = server("welcome to the wiki", "a wrong answer");
         FakePeer server = server("s-1", "served");
         Running node = start(
                 settings("/who", 30_000, null),
                 snapshot(
                         7 * DAY_MS,
-                        serverRecord("s-0", stranger.port(), System.currentTimeMillis() - 7 * DAY_MS),
+                        serverRecord("s-0", otherServer.port(), System.currentTimeMillis() - 7 * DAY_MS),
                         serverRecord("s-1", server.port(), System.currentTimeMillis() - 7 * DAY_MS)),
                 null,
                 null);
@@ -245,16 +245,16 @@
         for (int i = 0; i < 40; i++) {
             assertTrue(requestView(node.port, i).endsWith("served"));
         }
-        assertEquals(1, stranger.requests.size(), "it received one probe and nothing else");
-        assertTrue(stranger.requests.poll().startsWith("GET /who "));
+        assertEquals(1, otherServer.requests.size(), "it received one probe and nothing else");
+        assertTrue(otherServer.requests.poll().startsWith("GET /who "));
     }
 
     @Test
     void dropsAServerThatCannotBeIdentifiedOnceItsAddressMayBeReused() throws Exception {
-        FakePeer stranger = server("", "a wrong answer");
+        FakePeer otherServer = server("", "a wrong answer");
         Running node = start(
                 settings(null, 30_000, null),
-                snapshot(HOUR_MS, serverRecord("s-0", stranger.port(), System.currentTimeMillis() - HOUR_MS)),
+                snapshot(HOUR_MS, serverRecord("s-0", otherServer.port(), System.currentTimeMillis() - HOUR_MS)),
                 null,
                 null);
         assertTrue(readiness(node.port).contains("0 servers of a snapshot, 1 removed"), readiness(node.port));
@@ -262,7 +262,7 @@
                 node.port,
                 Fixture.request("GET", "/view/1", 1, "", "").replace("X-Remaining-Ms: 20000", "X-Remaining-Ms: 200"));
         assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
-        assertTrue(stranger.accepted.isEmpty());
+        assertTrue(otherServer.accepted.isEmpty());
     }
 
     @Test
@@ -291,9 +291,9 @@
     @Test
     void discoverysListReplacesTheSnapshot() throws Exception {
         FakePeer gone = server("s-0", "gone");
-        FakePeer drains = server("s-1", "drains");
+        FakePeer draining = server("s-1", "drains");
         FakePeer moved = server("s-2", "old place");
-        FakePeer place = server("s-2", "served");
+        FakePeer newAddress = server("s-2", "served");
         FakePeer fresh = server("s-3", "served anew");
         long ms = System.currentTimeMillis() - 2_000;
         Running node = start(
@@ -301,7 +301,7 @@
                 snapshot(
                         2_000,
                         serverRecord("s-0", gone.port(), ms),
-                        serverRecord("s-1", drains.port(), ms),
+                        serverRecord("s-1", draining.port(), ms),
                         serverRecord("s-2", moved.port(), ms)),
                 null,
                 null);
@@ -310,19 +310,19 @@
         Fixture.beginWatch(watch);
         Fixture.writeLine(
                 watch,
-                "{\"rev\":50,\"all\":true,\"targets\":[" + entry("s-1", drains, "Terminating")
+                "{\"rev\":50,\"all\":true,\"targets\":[" + entry("s-1", draining, "Terminating")
                         + ","
-                        + entry("s-2", place, "Ready") + "]}");
+                        + entry("s-2", newAddress, "Ready") + "]}");
         awaitReadiness(node.port, "discovery's list");
-        for (FakePeer each : List.of(gone, drains, moved)) {
-            each.requests.clear();
+        for (FakePeer server : List.of(gone, draining, moved)) {
+            server.requests.clear();
         }
         for (int i = 0; i < 20; i++) {
             assertTrue(requestView(node.port, i).endsWith("served"));
         }
         Fixture.writeLine(
                 watch,
-                "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-2", place, "Gone") + ","
+                "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-2", newAddress, "Gone") + ","
                         + entry("s-3", fresh, "Ready") + "]}");
         int id = 100;
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
@@ -334,8 +334,8 @@
                 answer = FakePeer.read(client);
             }
         }
-        for (FakePeer each : List.of(gone, drains, moved)) {
-            assertTrue(each.requests.isEmpty());
+        for (FakePeer server : List.of(gone, draining, moved)) {
+            assertTrue(server.requests.isEmpty());
         }
     }
 
@@ -456,8 +456,8 @@
         Running node = start(
                 settings(null, 60_000, null),
                 snapshot(20_000, serverRecord("s-0", server("", "served").port(), ms)),
-                pieces -> {
-                    written.add(pieces.get(0));
+                chunks -> {
+                    written.add(chunks.get(0));
                     return 0;
                 },
                 null);
@@ -489,7 +489,7 @@
         Running node = start(
                 rarely,
                 null,
-                pieces -> {
+                chunks -> {
                     try {
                         release.await();
                     } catch (InterruptedException e) {
@@ -581,7 +581,7 @@
         Running node = start(
                 settings(null, 30_000, null),
                 null,
-                pieces -> {
+                chunks -> {
                     failures.countDown();
                     throw new IOException("Read-only file system");
                 },
@@ -603,7 +603,7 @@
         Running node = start(
                 settings(null, 30_000, null),
                 null,
-                pieces -> {
+                chunks -> {
                     writeStarted.countDown();
                     try {
                         release.await();
--- a/src/test/java/vetchpost/state/TestSnapshots.java
+++ b/src/test/java/vetchpost/state/TestSnapshots.java
@@ -48,9 +48,9 @@
                 "s-" + number, 0, 100, 1_000 * lastAnswerMs, 0, 6, 10, 0.9, 5, 0.25, true, List.of(2, 0, 4));
     }
 
-    public static ServerRecord server(int number, long confirmedMs, PerServer knowledge) {
+    public static ServerRecord server(int number, long confirmedMs, PerServer statistics) {
         return new ServerRecord(
-                target(number), confirmedMs, ConfirmationSource.LIST, knowledge == null ? 0 : confirmedMs, knowledge);
+                target(number), confirmedMs, ConfirmationSource.LIST, statistics == null ? 0 : confirmedMs, statistics);
     }
 
     public static Snapshot snapshot(long takenMs, List<ServerRecord> records, SelfFault... faults) {
@@ -75,7 +75,7 @@
     public static Snapshot random(SplittableRandom random, int serverCount) {
         List<ServerRecord> records = new ArrayList<>();
         for (int i = 0; i < serverCount; i++) {
-            PerServer known = random.nextInt(4) == 0
+            PerServer statistics = random.nextInt(4) == 0
                     ? null
                     : new PerServer(
                             "s-" + i,
@@ -94,8 +94,8 @@
                     target(i),
                     1 + random.nextLong(1L << 42),
                     ConfirmationSource.values()[random.nextInt(3)],
-                    known == null ? 0 : 1 + random.nextLong(1L << 42),
-                    known));
+                    statistics == null ? 0 : 1 + random.nextLong(1L << 42),
+                    statistics));
         }
         return new Snapshot(
                 new SnapshotOrigin(
--- a/src/test/java/vetchpost/state/disk/ScriptedDisk.java
+++ b/src/test/java/vetchpost/state/disk/ScriptedDisk.java
@@ -67,9 +67,9 @@
     /** Returns the disk after a power loss: unforced data is kept or lost at random. */
     ScriptedDisk afterPowerLoss(SplittableRandom random) {
         ScriptedDisk restarted = new ScriptedDisk();
-        int kept = random.nextInt(unforced.size() + 1);
-        Map<Path, StoredFile> found = kept == 0 ? onDisk : unforced.get(kept - 1);
-        found.forEach((path, file) -> {
+        int forcedMoves = random.nextInt(unforced.size() + 1);
+        Map<Path, StoredFile> survivingFiles = forcedMoves == 0 ? onDisk : unforced.get(forcedMoves - 1);
+        survivingFiles.forEach((path, file) -> {
             StoredFile bytes = new StoredFile();
             int length = file.forcedBytes + random.nextInt(file.bytes.length - file.forcedBytes + 1);
             bytes.bytes = Arrays.copyOf(file.bytes, length);
