--- a/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
@@ -138,7 +138,7 @@
                     NOW_MS - 1_000_000));
         }
         dispatcher = dispatcher();
-        dispatcher.onKnownList(new ServerList(1, true, targets));
+        dispatcher.onCachedList(new ServerList(1, true, targets));
         sightings = new ServerObservations(settings().classes);
         sightings.onFullList(NOW_MS, 1);
         states = new ArrayList<>();
--- a/src/main/java/vetchpost/daemon/ChangesLoader.java
+++ b/src/main/java/vetchpost/daemon/ChangesLoader.java
@@ -98,7 +98,7 @@
         for (Item item = live.ceiling(new byte[0]);
                 item != null;
                 item = live.ceiling(PackedTree.successor(item.key()))) {
-            catalog = catalog.withoutEntry(item.key(), item.value());
+            catalog = catalog.withIndexedEntry(item.key(), item.value());
         }
         return catalog.backedBy(live);
     }
@@ -147,8 +147,9 @@
     /** What it serves by, and how old that is. */
     String words() {
         VersionedStore now = store;
-        String what =
-                now.version() == Version.NONE ? "no configuration yet" : "configuration " + Version.text(now.version());
+        String what = now.version() == Version.NONE
+                ? "no configuration yet"
+                : "configuration " + Version.format(now.version());
         String age = currentUs < 0
                 ? ", not confirmed since the start"
                 : ", confirmed " + Math.max(0, (client.nowUs() - currentUs) / 1_000_000) + " s ago";
--- a/src/main/java/vetchpost/daemon/CheckCommand.java
+++ b/src/main/java/vetchpost/daemon/CheckCommand.java
@@ -76,7 +76,7 @@
             out.println(file + " holds: " + proof.routes().size() + " routes, classes among them");
             if (node != null) {
                 out.println("It makes a node by itself: serve " + file + " listens on "
-                        + ReportedServer.text(node.listen()) + ", with servers by "
+                        + ReportedServer.formatAddress(node.listen()) + ", with servers by "
                         + node.sources().stream()
                                 .map(s -> s.kind() == SourceDeclaration.Kind.ITSELF
                                         ? "the file (" + s.inlineServers().size() + ")"
--- a/src/main/java/vetchpost/daemon/ControlLoader.java
+++ b/src/main/java/vetchpost/daemon/ControlLoader.java
@@ -92,7 +92,7 @@
         if (expiry != null) {
             expiry.cancel(false);
         }
-        long next = leases.nextUs();
+        long next = leases.nextExpiryUs();
         expiry = next == Long.MAX_VALUE
                 ? null
                 : loop.schedule(
--- a/src/main/java/vetchpost/daemon/StandaloneNode.java
+++ b/src/main/java/vetchpost/daemon/StandaloneNode.java
@@ -248,7 +248,7 @@
         conductor.reload(now);
         Promise<SocketAddress> inForce = loop.newPromise();
         if (renewal.movesListener()) {
-            ChannelFuture binding = node.addListener(group, now.listen());
+            ChannelFuture binding = node.rebind(group, now.listen());
             binding.addListener(done -> {
                 if (done.isSuccess()) {
                     listening = binding.channel().localAddress();
--- a/src/main/java/vetchpost/daemon/ValidatedFile.java
+++ b/src/main/java/vetchpost/daemon/ValidatedFile.java
@@ -61,7 +61,7 @@
         List<Violation> violations) {
 
     /** Puts together what the tables come to as they are read. */
-    private static final class Reading implements FileIndex.Tables {
+    private static final class Reading implements FileIndex.SectionHandler {
         private final Function<List<Section>, Settings> platform;
         private final RouteTable before;
         private final long version;
@@ -78,7 +78,7 @@
         }
 
         @Override
-        public void otherSections(List<Section> sections) {
+        public void acceptOtherSections(List<Section> sections) {
             others = sections;
             settings = platform.apply(sections);
             boolean alone = settings == null;
@@ -94,9 +94,9 @@
         }
 
         @Override
-        public void route(Section section) {
+        public void acceptRoute(Section section) {
             if (prover != null) {
-                prover.add(section);
+                prover.addRoute(section);
             }
         }
 
@@ -115,7 +115,7 @@
                         version,
                         violations);
             }
-            RouteValidation routes = prover.end();
+            RouteValidation routes = prover.finish();
             RecoveryValidator.Validation recovery = RecoveryValidator.validate(others);
             AdmissionValidator.ValidationResult admission = AdmissionValidator.validate(others, settings);
             ControlValidator.Validation control = ControlValidator.validate(others);
@@ -131,7 +131,7 @@
                                 .filter(s -> s.kind() == Section.Kind.CHANGES)
                                 .findFirst()
                                 .orElseThrow()
-                                .at(),
+                                .position(),
                         "changes",
                         Violation.Rule.INCOMPLETE,
                         "beside a platform routes come from " + "the file",
@@ -145,7 +145,7 @@
                                 .filter(s -> s.kind() == Section.Kind.CHANGES)
                                 .findFirst()
                                 .orElseThrow()
-                                .at(),
+                                .position(),
                         "changes",
                         Violation.Rule.UNREACHABLE,
                         routes.table().size() + " routes of this file: they come from control machines",
@@ -255,9 +255,9 @@
             String name = RouteCodec.nameOf(section);
             fresh.add(name);
             if (!gone.contains(name)) {
-                changes.add(new RouteChange(Op.PUT, name, section, section.at()));
+                changes.add(new RouteChange(Op.PUT, name, section, section.position()));
             } else if (!says(name, section)) {
-                changes.add(new RouteChange(Op.REPLACE, name, section, section.at()));
+                changes.add(new RouteChange(Op.REPLACE, name, section, section.position()));
             }
         }
         for (String name : gone) {
@@ -307,7 +307,7 @@
                             .entries()
                             .get(new EntryKey(EntryKind.ROUTE, name).bytes())
                             .value(),
-                    RouteCodec.bytes(section));
+                    RouteCodec.encode(section));
         } catch (IllegalArgumentException e) {
             return false;
         }
--- a/src/main/java/vetchpost/handover/AuthenticatedFrames.java
+++ b/src/main/java/vetchpost/handover/AuthenticatedFrames.java
@@ -18,6 +18,7 @@
 public final class AuthenticatedFrames extends SimpleChannelInboundHandler<ByteBuf> {
     /** Labels of the two sides in the proofs; part of the protocol. */
     private static final String PUBLISHER_ROLE = "publisher";
+
     private static final String REPLICA_ROLE = "replica";
     private static final long AUTHENTICATION_TIMEOUT_MS = 2_000;
     /** Set in the sequence numbers of frames from the connecting side. */
--- a/src/main/java/vetchpost/handover/HandoverProtocol.java
+++ b/src/main/java/vetchpost/handover/HandoverProtocol.java
@@ -19,6 +19,7 @@
 final class HandoverProtocol {
     /** Labels of the two sides in the proofs; part of the protocol. */
     static final String SENDER = "giver";
+
     static final String RECEIVER = "taker";
     private static final byte[] HELLO = "VPHAND".getBytes(StandardCharsets.US_ASCII);
     private static final int VERSION = 1;
--- a/src/main/java/vetchpost/recovery/RecoveryValidator.java
+++ b/src/main/java/vetchpost/recovery/RecoveryValidator.java
@@ -59,7 +59,7 @@
         rejectUnknownKeys(state, STATE_KEYS);
         rejectUnknownKeys(handover, HANDOVER_KEYS);
         if (state != null && !state.entries().containsKey("file")) {
-            addViolation(state.at(), "state", Rule.OUT_OF_RANGE, "it does not say file", "file = \"...\"");
+            addViolation(state.position(), "state", Rule.OUT_OF_RANGE, "it does not say file", "file = \"...\"");
         }
         Path snapshotFile = path(state, "file");
         long intervalMs = duration(state, "every", 5 * SECOND_MS, SECOND_MS, 600 * SECOND_MS);
@@ -68,7 +68,7 @@
         String identityPath = text(state, "identify");
         if (identityPath != null && !PATH.matcher(identityPath).matches()) {
             addViolation(
-                    state.entries().get("identify").at(),
+                    state.entries().get("identify").position(),
                     "state",
                     Rule.BAD_PATTERN,
                     "identify = \"" + identityPath + "\" is not a path",
@@ -83,7 +83,7 @@
         if (handover != null) {
             if (listenAddress == null && peers.isEmpty() && violations.isEmpty()) {
                 addViolation(
-                        handover.at(),
+                        handover.position(),
                         "handover",
                         Rule.OUT_OF_RANGE,
                         "neither listen nor ask is set",
@@ -91,7 +91,7 @@
             }
             if (!handover.entries().containsKey("secret-file")) {
                 addViolation(
-                        handover.at(),
+                        handover.position(),
                         "handover",
                         Rule.OUT_OF_RANGE,
                         "it does not say secret-file: a forged snapshot could redirect all traffic",
@@ -99,7 +99,11 @@
             }
             if (startWaitMs > timeoutMs) {
                 addViolation(
-                        handover.at(), "handover", Rule.SCHEDULE, "wait is longer than within", "wait = \"300ms\"");
+                        handover.position(),
+                        "handover",
+                        Rule.SCHEDULE,
+                        "wait is longer than within",
+                        "wait = \"300ms\"");
             }
         }
         return new Validation(
@@ -127,7 +131,7 @@
             section.entries().forEach((key, entry) -> {
                 if (!keys.contains(key)) {
                     addViolation(
-                            entry.at(),
+                            entry.position(),
                             section.name(),
                             Rule.UNKNOWN_KEY,
                             "unknown key '" + key + "'",
@@ -145,7 +149,7 @@
         if (entry.value() instanceof String text && !text.isEmpty()) {
             return text;
         }
-        addViolation(entry.at(), section.name(), Rule.WRONG_UNIT, key + " is not a string", "\"...\"");
+        addViolation(entry.position(), section.name(), Rule.WRONG_UNIT, key + " is not a string", "\"...\"");
         return null;
     }
 
@@ -155,7 +159,7 @@
             return text == null ? null : Path.of(text);
         } catch (InvalidPathException e) {
             addViolation(
-                    section.entries().get(key).at(),
+                    section.entries().get(key).position(),
                     section.name(),
                     Rule.OUT_OF_RANGE,
                     key + " is not a path",
@@ -169,7 +173,7 @@
         if (text == null) {
             return defaultMs;
         }
-        Position at = section.entries().get(key).at();
+        Position at = section.entries().get(key).position();
         Matcher m = DURATION.matcher(text);
         if (!m.matches()) {
             addViolation(
@@ -204,7 +208,7 @@
         if (entry == null) {
             return null;
         }
-        return address(section, key, entry.value(), entry.at());
+        return address(section, key, entry.value(), entry.position());
     }
 
     private InetSocketAddress address(Section section, String key, Object value, Position at) {
@@ -228,7 +232,7 @@
         }
         if (!(entry.value() instanceof List<?> list) || list.size() > MAX_PEERS) {
             addViolation(
-                    entry.at(),
+                    entry.position(),
                     "handover",
                     Rule.WRONG_UNIT,
                     "ask is not a list of up to " + MAX_PEERS + " addresses",
@@ -236,7 +240,7 @@
             return addresses;
         }
         for (Object value : list) {
-            InetSocketAddress address = address(section, "ask", value, entry.at());
+            InetSocketAddress address = address(section, "ask", value, entry.position());
             if (address != null) {
                 addresses.add(address);
             }
--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -89,8 +89,8 @@
         void applyEntry(Entry entry) throws FrameRejectedException {
             Item current = live.get(entry.key());
             if (current != null && isOlder(entry.stamp(), current)) {
-                throw new FrameRejectedException("entry would go back from version " + Version.text(current.stamp())
-                        + " to " + Version.text(entry.stamp()));
+                throw new FrameRejectedException("entry would go back from version " + Version.format(current.stamp())
+                        + " to " + Version.format(entry.stamp()));
             }
             if (entry.value() == null) {
                 live = live.remove(entry.key());
@@ -186,7 +186,7 @@
             switch (frame.type()) {
                 case CURRENT -> onCurrent(frame, nowUs);
                 case BEHIND ->
-                    throw new FrameRejectedException("publisher is behind, at version " + Version.text(frame.to()));
+                    throw new FrameRejectedException("publisher is behind, at version " + Version.format(frame.to()));
                 case DELTA -> onDelta(frame, nowUs);
                 case DIFFER -> onDiffer(frame, nowUs);
                 case ITEMS -> onItems(frame, nowUs);
@@ -201,7 +201,7 @@
 
     private void onCurrent(Frame frame, long nowUs) throws FrameRejectedException {
         if (isBehind(frame.to())) {
-            throw new FrameRejectedException("publisher is behind, at version " + Version.text(frame.to()));
+            throw new FrameRejectedException("publisher is behind, at version " + Version.format(frame.to()));
         }
         if (draft != null && draft.isComparing) {
             return; // Answers a message sent before the comparison began.
@@ -244,8 +244,8 @@
         draft = isFirstPart ? new Draft(frame.to()) : draft;
         for (Entry entry : frame.items()) {
             if (!isWithinDelta(entry, frame)) {
-                throw new MalformedFrameException("entry of version " + Version.text(entry.stamp())
-                        + " in a delta from " + Version.text(store.version()) + " to " + Version.text(frame.to()));
+                throw new MalformedFrameException("entry of version " + Version.format(entry.stamp())
+                        + " in a delta from " + Version.format(store.version()) + " to " + Version.format(frame.to()));
             }
             draft.applyEntry(entry);
         }
@@ -291,7 +291,7 @@
     private void applyDraft(long nowUs) {
         VersionedStore newStore = draft.isComparing
                 ? VersionedStore.of(draft.live, draft.targetVersion)
-                : store.at(draft.live, draft.removed, draft.targetVersion);
+                : store.withEntries(draft.live, draft.removed, draft.targetVersion);
         index = draft.draftIndex.backedBy(newStore.live());
         store = newStore;
         draft = null;
@@ -316,7 +316,7 @@
 
     private void onDiffer(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         if (isBehind(frame.to())) {
-            throw new FrameRejectedException("publisher is behind, at version " + Version.text(frame.to()));
+            throw new FrameRejectedException("publisher is behind, at version " + Version.format(frame.to()));
         }
         if (draft == null || !draft.isComparing) {
             // The publisher no longer knows which keys were removed since, and starts a comparison itself.
@@ -324,8 +324,8 @@
             draft.isComparing = true;
         } else if (draft.targetVersion != frame.to()) {
             if (draft.targetVersion != Version.NONE) {
-                throw new MalformedFrameException("ranges of version " + Version.text(frame.to()) + " instead of "
-                        + Version.text(draft.targetVersion));
+                throw new MalformedFrameException("ranges of version " + Version.format(frame.to()) + " instead of "
+                        + Version.format(draft.targetVersion));
             }
             draft = new Draft(frame.to());
             draft.isComparing = true;
@@ -377,7 +377,7 @@
     /** Removes an item that the publisher does not have. */
     void removeMissing(Item item) throws FrameRejectedException {
         if (item.stamp() > draft.targetVersion) {
-            throw new FrameRejectedException("publisher lacks an entry of version " + Version.text(item.stamp()));
+            throw new FrameRejectedException("publisher lacks an entry of version " + Version.format(item.stamp()));
         }
         draft.applyEntry(new Entry(item.key(), null, draft.targetVersion));
     }
@@ -394,8 +394,8 @@
             }
             Item current = store.live().get(entry.key());
             if (current != null && current.stamp() > entry.stamp()) {
-                throw new FrameRejectedException("entry would go back from version " + Version.text(current.stamp())
-                        + " to " + Version.text(entry.stamp()));
+                throw new FrameRejectedException("entry would go back from version " + Version.format(current.stamp())
+                        + " to " + Version.format(entry.stamp()));
             }
             draft.applyEntry(entry);
         }
--- a/src/main/java/vetchpost/replication/disk/StoreFile.java
+++ b/src/main/java/vetchpost/replication/disk/StoreFile.java
@@ -95,7 +95,7 @@
                     }
                 }
             }
-            if (!live.sum().equals(head.sum()) || live.newest() > head.to()) {
+            if (!live.sum().equals(head.sum()) || live.newestStamp() > head.to()) {
                 throw new MalformedSnapshotException("its entries don't match its sum");
             }
             return VersionedStore.restored(live, removed, head.to(), head.from());
--- a/src/main/java/vetchpost/state/PriorStatistics.java
+++ b/src/main/java/vetchpost/state/PriorStatistics.java
@@ -107,23 +107,27 @@
         double healthWeight = sampleWeight * Confidence.afterAge(ageMs, Confidence.HEALTH_HALF_LIFE_MS);
         double relativeLatencyWeight =
                 sampleWeight * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS);
-        int sampleCount =
-                (int) (statistics.attemptCount() * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS));
+        int sampleCount = (int)
+                (statistics.attemptCount() * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS));
         if (sampleCount == 0 || Math.max(healthWeight, relativeLatencyWeight) < MIN_EFFECT) {
             return null;
         }
-        int failures =
-                statistics.ejected() ? Math.max(MIN_FAILURES_IF_EJECTED, statistics.recentFailures()) : statistics.recentFailures();
+        int failures = statistics.ejected()
+                ? Math.max(MIN_FAILURES_IF_EJECTED, statistics.recentFailures())
+                : statistics.recentFailures();
         int errors = statistics.ejected()
                 ? Math.max(MIN_FAILURES_IF_EJECTED, statistics.consecutiveErrors())
                 : statistics.consecutiveErrors();
         int[] failureStreaks = new int[classes];
         for (int c = 0;
-                c < Math.min(classIndexes.length, statistics.classFailureStreaks().size());
+                c
+                        < Math.min(
+                                classIndexes.length,
+                                statistics.classFailureStreaks().size());
                 c++) {
             if (classIndexes[c] >= 0) {
-                failureStreaks[classIndexes[c]] = (int)
-                        Math.round(healthWeight * statistics.classFailureStreaks().get(c));
+                failureStreaks[classIndexes[c]] = (int) Math.round(
+                        healthWeight * statistics.classFailureStreaks().get(c));
             }
         }
         List<Integer> failureStreakList = new ArrayList<>(classes);
--- a/src/main/java/vetchpost/web/WebConnection.java
+++ b/src/main/java/vetchpost/web/WebConnection.java
@@ -624,7 +624,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log().write("closed", number, closedFor == null ? "by the client" : closedFor);
         }
         server.onClosed(this);
--- a/src/test/java/vetchpost/daemon/ChangesNodeTest.java
+++ b/src/test/java/vetchpost/daemon/ChangesNodeTest.java
@@ -72,7 +72,7 @@
                         new EntryKey(EntryKind.ROUTE, path),
                         op == EntryChange.Op.DELETE
                                 ? null
-                                : RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", at, entries))))));
+                                : RouteCodec.encode(new Section(Section.Kind.ROUTE, "", at, entries))))));
     }
 
     private static void until(Alone node, String beginning) throws Exception {
@@ -150,7 +150,9 @@
             while (one.replicaCount() + two.replicaCount() < 30) {
                 assertTrue(System.nanoTime() < endNs, one.replicaCount() + " and " + two.replicaCount());
             }
-            assertTrue(one.replicaCount() > 0 && two.replicaCount() > 0, one.replicaCount() + " and " + two.replicaCount());
+            assertTrue(
+                    one.replicaCount() > 0 && two.replicaCount() > 0,
+                    one.replicaCount() + " and " + two.replicaCount());
         } finally {
             nodes.forEach(Alone::close);
         }
--- a/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
@@ -126,7 +126,11 @@
     private record Running(Node node, int port) {}
 
     private Running start(
-            RecoverySettings settings, Snapshot storedSnapshot, SnapshotKeeper keeper, SharedSecret secret, FakePeer... listed)
+            RecoverySettings settings,
+            Snapshot storedSnapshot,
+            SnapshotKeeper keeper,
+            SharedSecret secret,
+            FakePeer... listed)
             throws Exception {
         JsonObject json = Fixture.config(discovery);
         json.add("known", JsonParser.parseString(Fixture.list(listed.length, true, "Ready", listed)));
