--- a/src/main/java/vetchpost/daemon/ChangesLoader.java
+++ b/src/main/java/vetchpost/daemon/ChangesLoader.java
@@ -44,7 +44,8 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("changes", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final ExecutorService diskWriter = Executors.newSingleThreadExecutor(new DefaultThreadFactory("store", true));
+    private final ExecutorService diskWriter =
+            Executors.newSingleThreadExecutor(new DefaultThreadFactory("store", true));
     private final StoreFile file;
     private final ReplicaClient client;
     private final RouteConfiguration initialConfiguration;
--- a/src/main/java/vetchpost/daemon/CheckCommand.java
+++ b/src/main/java/vetchpost/daemon/CheckCommand.java
@@ -61,7 +61,9 @@
         try {
             proved = ValidatedFile.read(
                     file,
-                    sections -> platformConfig == null && StandaloneValidator.isStandalone(sections) ? null : platformSettings(),
+                    sections -> platformConfig == null && StandaloneValidator.isStandalone(sections)
+                            ? null
+                            : platformSettings(),
                     null);
         } catch (IOException e) {
             throw badUsage("can't read the file: " + e);
@@ -115,7 +117,13 @@
     private Settings platformSettings() {
         Map<String, String> environment = platformConfig == null
                 ? System.getenv()
-                : Map.of("LB_CONFIG", platformConfig.toString(), "LB_LISTEN", "127.0.0.1:1", "LB_DISCOVERY", "127.0.0.1:1");
+                : Map.of(
+                        "LB_CONFIG",
+                        platformConfig.toString(),
+                        "LB_LISTEN",
+                        "127.0.0.1:1",
+                        "LB_DISCOVERY",
+                        "127.0.0.1:1");
         try {
             return NodeConfig.read(environment).settings();
         } catch (IllegalArgumentException e) {
--- a/src/main/java/vetchpost/daemon/Commands.java
+++ b/src/main/java/vetchpost/daemon/Commands.java
@@ -9,14 +9,14 @@
 import vetchpost.simulation.overload.OverloadCommand;
 import vetchpost.simulation.scale.ScaleCommand;
 
-/** All commands; loaded only where one is given. */
+/** The command line with all its commands. Loaded only if the process has arguments. */
 @Command(
         name = "vetchpost",
         mixinStandardHelpOptions = true,
         version = "vetchpost 0.1.0",
         description = {
-            "A load-balancing proxy node. Without a command it serves, as the platform starts it.",
-            "'rehearse' goes through its work once, for the archive of classes that the build makes."
+            "A load-balancing proxy node. Without a command it serves, which is how the platform starts it.",
+            "'rehearse' runs the warm-up once, to record the class data archive during the build."
         },
         commandListHeading = "Commands:%n")
 final class Commands implements Runnable {
@@ -35,13 +35,17 @@
 
     private Commands() {}
 
-    /** Runs the command that the arguments name; its exit code. */
+    /**
+     * Runs the command that the arguments name.
+     *
+     * @return its exit code, or {@link ServeCommand#SERVING}
+     */
     static int run(String... arguments) {
         return new Commands().commandLine.execute(arguments);
     }
 
     @Override
     public void run() {
-        throw new ParameterException(commandLine, "no such command");
+        throw new ParameterException(commandLine, "unknown command, or none given; --help lists the commands");
     }
 }
--- a/src/main/java/vetchpost/daemon/ExplainText.java
+++ b/src/main/java/vetchpost/daemon/ExplainText.java
@@ -85,7 +85,8 @@
                 out.println("      drawn: " + candidate);
             }
         }
-        out.println("  " + textOf(flight, "told") + (flight.has("took-ms") ? " after " + formatMs(flight, "took-ms") : "")
+        out.println("  " + textOf(flight, "told")
+                + (flight.has("took-ms") ? " after " + formatMs(flight, "took-ms") : "")
                 + (flight.has("why") ? ": " + textOf(flight, "why") : "")
                 + (flight.has("come-back-ms") ? "; to come back after " + formatMs(flight, "come-back-ms") : ""));
     }
--- a/src/main/java/vetchpost/daemon/Main.java
+++ b/src/main/java/vetchpost/daemon/Main.java
@@ -14,24 +14,31 @@
 import vetchpost.config.NodeConfig;
 import vetchpost.node.Node;
 
-/** Starts one node, and ends it in order when told to. */
+/**
+ * Entry point of the process. Starts one node from the platform's configuration and stops it in order on SIGTERM;
+ * commands go to {@link Commands}. The node runs on one event loop; a reload with an operator's file is read and
+ * validated on the signal's thread, because many routes take longer than the loop may be blocked.
+ */
 public final class Main {
     private static final Logger LOG = System.getLogger(Main.class.getName());
 
-    static final String CONFIGURATION_UNCHANGED = "the configuration stays as it was: {0}";
-    /** The process was started with the signal ignored. */
-    static final String SIGHUP_IGNORED = "SIGHUP is ignored since the start, as by nohup: it reloads nothing";
-    /** A bad configuration. */
+    /** Log message for a rejected reload. */
+    static final String CONFIGURATION_UNCHANGED = "reload failed, the configuration stays as it was: {0}";
+    /** Warning for a process that was started with SIGHUP ignored. */
+    static final String SIGHUP_IGNORED = "SIGHUP is ignored since the start (as under nohup) and reloads nothing";
+    /** Exit code for an invalid configuration. */
     static final int EXIT_BAD_CONFIG = 2;
-    /** Past any wait for an answer. All that is in hand ends by its own time, and what ends the process with
-     * a request in hand has lost it; so this is only for a fault of ours. */
+    /**
+     * Longer than any request's deadline. Pending requests end by their own deadlines, and ending the process earlier
+     * would lose them, so this only bounds a stop that hangs because of a bug.
+     */
     private static final long STOP_TIMEOUT_MS = 60_000;
 
-    /** Enough for all classes to be loaded; more make the first answers quicker but the node come later. */
+    /** Enough to load all classes; more would speed up the first responses but delay the start. */
     static final int STANDALONE_WARM_UP_REQUESTS = 100;
-    /** Here so many go through the process alone, which half as many more would make no quicker ... */
+    /** Warm-up requests that stay within the process; half as many more bring no further speed-up. */
     private static final int IN_PROCESS_WARM_UP_REQUESTS = 50;
-    /** ... and so few over sockets, once the node listens: clients may come then. */
+    /** Warm-up requests over sockets; few, because the node listens by then and clients may already connect. */
     private static final int SOCKET_WARM_UP_REQUESTS = 16;
 
     private static final String REHEARSAL_CONFIG = """
@@ -42,15 +49,15 @@
               "classes":[{"name":"a","repeat":"safe","onTimeUs":1000000,"giveUpUs":3000000},
                {"name":"b","repeat":"unsafe","onTimeUs":1000000,"giveUpUs":3000000}]}}""";
 
-    /** The routes that the process serves by, of an operator's file beside the platform's configuration. */
+    /** Routes in force from an operator's file that is used beside the platform's configuration; null without one. */
     private static volatile RouteLoader.LoadedRoutes activeRoutes;
 
     private Main() {}
 
     /**
-     * Without arguments it serves, as the platform starts it. With {@code rehearse} it goes through its work
-     * once on its own, for the archive of classes that the build makes, and ends. What else there is, is told
-     * by {@code --help}, and loaded only then.
+     * Runs the process. Without arguments it serves, which is how the platform starts it. With {@code rehearse} it
+     * runs the warm-up once and ends, to record the class data archive during the build. Everything else is a command
+     * (see {@code --help}), whose classes are loaded only then.
      */
     public static void main(String[] args) {
         if (args.length == 0) {
@@ -66,18 +73,17 @@
     }
 
     /**
-     * Reads the configuration from the environment and serves until SIGTERM; SIGHUP has it read its files
-     * again.
+     * Reads the configuration from the environment and serves until SIGTERM; SIGHUP reloads the files.
      *
-     * @param routes the operator's file, or null
+     * @param routes the operator's file, or null for the platform's configuration alone
      */
     static void serve(Path routes) {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         Map<String, String> environment = System.getenv();
         Node[] node = new Node[1];
-        // First of all: unhandled, the signal ends the program. The loop reads the file after the start.
-        boolean heard = ReloadSignal.handle(() -> {
+        // Installed first, because an unhandled SIGHUP ends the process. The loop runs the reload after the start.
+        boolean signalHandled = ReloadSignal.handle(() -> {
             if (routes == null) {
                 loop.execute(() -> reload(node[0], environment));
             } else {
@@ -85,11 +91,11 @@
             }
         });
         loop.execute(() -> {
-            if (!heard) {
+            if (!signalHandled) {
                 LOG.log(Level.WARNING, SIGHUP_IGNORED);
             }
             node[0] = start(environment, group, loop, routes);
-            if (!heard && node[0] != null) {
+            if (!signalHandled && node[0] != null) {
                 node[0].setReadinessNote(() -> SIGHUP_IGNORED);
             }
         });
@@ -121,13 +127,16 @@
                 IN_PROCESS_WARM_UP_REQUESTS,
                 () -> node.start(group, SOCKET_WARM_UP_REQUESTS, () -> {}).addListener(done -> {
                     if (!done.isSuccess()) {
-                        exit("can't listen: " + done.cause().getMessage(), 1);
+                        exit(
+                                "can't listen on the configured address: "
+                                        + done.cause().getMessage(),
+                                1);
                     }
                 }));
         return node;
     }
 
-    /** What can't be used changes nothing: a node that serves is worth more than a configuration. */
+    /** Reloads the platform's configuration; an invalid one changes nothing, so that the node keeps serving. */
     private static void reload(Node node, Map<String, String> environment) {
         try {
             node.moveDiscovery(NodeConfig.reread(environment));
@@ -136,15 +145,18 @@
         }
     }
 
-    /** On the signal's own thread, one at a time: many routes take longer than the loop may stand. */
+    /**
+     * Reloads both files. Runs on the signal's thread, one reload at a time: many routes take longer to read than the
+     * event loop may be blocked.
+     */
     private static synchronized void reload(Node[] node, Map<String, String> environment, Path routes, EventLoop loop) {
         try {
             NodeConfig config = NodeConfig.reread(environment);
-            // Which part of the fleet it has, and what is kept and handed over, stay as at the start.
+            // The node's fleet subset, snapshots and handovers stay as they were at the start.
             RouteLoader.LoadedRoutes loaded = RouteLoader.load(routes, config.settings(), config.seed(), activeRoutes);
             loop.execute(() -> {
                 try {
-                    // First: it is the one that may find that it can't.
+                    // First, because it is the only step that may reject the configuration.
                     AdmissionLoader.apply(node[0], loaded.file().admission(), config);
                     node[0].moveDiscovery(config);
                     loaded.apply();
@@ -163,17 +175,29 @@
         ReloadSignal.handle(() -> {});
         Node node = new Node(NodeConfig.parse(REHEARSAL_CONFIG, Map.of()), group.next());
         group.next()
-                .execute(() -> node.warmUp(IN_PROCESS_WARM_UP_REQUESTS, () -> node.start(group, SOCKET_WARM_UP_REQUESTS, group::shutdownGracefully)));
+                .execute(() -> node.warmUp(
+                        IN_PROCESS_WARM_UP_REQUESTS,
+                        () -> node.start(group, SOCKET_WARM_UP_REQUESTS, group::shutdownGracefully)));
     }
 
+    /**
+     * Ends the process at once with a message on standard error.
+     *
+     * @param reason what is wrong, for the operator
+     * @param code exit code of the process
+     */
     static void exit(String reason, int code) {
         System.err.println("vetchpost: " + reason);
-        // No orderly stop: there is nothing to answer, and the hook would wait for it.
+        // Halts without the shutdown hook, which would wait for a node that does not serve.
         Runtime.getRuntime().halt(code);
     }
 
-    /** Runs as the shutdown hook of SIGTERM; halting from it is what makes the exit code 0. */
-    static void stop(Node node, EventLoop loop, Runnable last) {
+    /**
+     * Shutdown hook for SIGTERM: stops the node and halts, which makes the exit code 0.
+     *
+     * @param afterStop runs on the hook's thread once the node has stopped or {@link #STOP_TIMEOUT_MS} has passed
+     */
+    static void stop(Node node, EventLoop loop, Runnable afterStop) {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> node.stop(done::countDown));
         try {
@@ -181,7 +205,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        last.run();
+        afterStop.run();
         Runtime.getRuntime().halt(0);
     }
 }
--- a/src/main/java/vetchpost/daemon/ReloadSignal.java
+++ b/src/main/java/vetchpost/daemon/ReloadSignal.java
@@ -4,17 +4,19 @@
 import java.lang.reflect.Proxy;
 
 /**
- * The word to read the configuration again: SIGHUP. Java has no public way to hear of a signal, and naming
- * the one it has in all builds brings a warning that can't be turned off; so it is looked up by name.
+ * Handles SIGHUP, the signal to reload the configuration. Java has no public API for signals, and a direct reference
+ * to {@code sun.misc.Signal} causes a compiler warning that can't be turned off, so the class is looked up by name.
  */
 final class ReloadSignal {
     private ReloadSignal() {}
 
     /**
-     * Runs the action, on a thread of its own, at each SIGHUP, which no longer ends the program.
+     * Installs a handler for SIGHUP, which then no longer ends the process.
      *
-     * @return false if the process was started with the signal ignored, as {@code nohup} and some supervisors
-     * do: the runtime leaves it ignored, and the action never runs
+     * @param action runs on a thread of the runtime at each SIGHUP
+     * @return false if the process was started with the signal ignored, as {@code nohup} and some supervisors do; the
+     *     runtime leaves it ignored, and the action never runs
+     * @throws IllegalStateException if the runtime offers no way to handle the signal
      */
     static boolean handle(Runnable action) {
         InvocationHandler handler = (proxy, method, args) -> switch (method.getName()) {
@@ -24,19 +26,21 @@
             }
             case "equals" -> proxy == args[0];
             case "hashCode" -> System.identityHashCode(proxy);
-            default -> "Hangup";
+            default -> "ReloadSignal";
         };
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> receiver = Class.forName("sun.misc.SignalHandler");
-            Object before = signal.getMethod("handle", signal, receiver)
+            Class<?> signalType = Class.forName("sun.misc.Signal");
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            Object previousHandler = signalType
+                    .getMethod("handle", signalType, handlerType)
                     .invoke(
                             null,
-                            signal.getConstructor(String.class).newInstance("HUP"),
-                            Proxy.newProxyInstance(receiver.getClassLoader(), new Class<?>[] {receiver}, handler));
-            return !receiver.getField("SIG_IGN").get(null).equals(before);
+                            signalType.getConstructor(String.class).newInstance("HUP"),
+                            Proxy.newProxyInstance(
+                                    handlerType.getClassLoader(), new Class<?>[] {handlerType}, handler));
+            return !handlerType.getField("SIG_IGN").get(null).equals(previousHandler);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
-            throw new IllegalStateException("SIGHUP can't be handled", e);
+            throw new IllegalStateException("SIGHUP can't be handled by this Java runtime", e);
         }
     }
 }
--- a/src/main/java/vetchpost/daemon/ServeCommand.java
+++ b/src/main/java/vetchpost/daemon/ServeCommand.java
@@ -10,21 +10,25 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command {@code serve}: the daemon by one file, or as it runs without arguments and what those can't
- * say.
+ * The command {@code serve}: runs a standalone node from one file, or the node that starts without arguments with an
+ * operator's file beside the platform's configuration.
  */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description = {
-            "Serves until SIGTERM. With FILE, by that file alone (docs/standalone.md); else "
-                    + "by the "
+            "Serves until SIGTERM. With FILE, runs from that file alone (docs/standalone.md); else "
+                    + "from the "
                     + "platform's configuration, which LB_CONFIG names.",
-            "SIGHUP has it read what it serves by again; what can't be used changes nothing."
+            "SIGHUP reloads the files; an invalid one changes nothing."
         },
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:ended by SIGTERM", "1:the address can't be had", "2:bad configuration, routes or arguments"},
+        exitCodeList = {
+            "0:ended by SIGTERM",
+            "1:can't listen on the address",
+            "2:bad configuration, routes or arguments"
+        },
         footer = {
             "",
             "Examples:",
@@ -32,7 +36,7 @@
             "  check node.toml && serve node.toml"
         })
 final class ServeCommand implements Callable<Integer> {
-    /** No exit code: the daemon runs. */
+    /** Not an exit code: the node keeps running after the command returns. */
     static final int SERVING = -1;
 
     @Spec
@@ -41,25 +45,25 @@
     @Parameters(
             paramLabel = "FILE",
             arity = "0..1",
-            description = "The operator's file, with all that a node needs. The environment is not " + "looked at.")
+            description = "The operator's file, with everything a node needs. The environment is " + "ignored.")
     private Path file;
 
     @Option(
             names = "--routes",
             paramLabel = "FILE",
-            description = "Beside the platform's configuration: limits per route and class, a part of "
+            description = "Used with the platform's configuration: limits per route and class, a subset of "
                     + "the fleet "
-                    + "(docs/routes.md), fair queues (docs/admission.md), and what is kept and handed over "
-                    + "(docs/state.md). Proved before the first request. Its tables [node], [classes], "
+                    + "(docs/routes.md), fair queues (docs/admission.md), snapshots and handovers "
+                    + "(docs/state.md). Validated before the first request. Its tables [node], [classes], "
                     + "[tenants], "
-                    + "[pool], [[source]] and [checks] are passed over: the platform says that.")
+                    + "[pool], [[source]] and [checks] are ignored: the platform configures these.")
     private Path routes;
 
     @Override
     public Integer call() {
         if (file != null && routes != null) {
             throw new ParameterException(
-                    spec.commandLine(), "either FILE, which says all, or --routes FILE beside" + " LB_CONFIG");
+                    spec.commandLine(), "use either FILE alone, or --routes FILE together with" + " LB_CONFIG");
         }
         if (file != null) {
             StandaloneMain.serve(file);
--- a/src/main/java/vetchpost/daemon/StandaloneMain.java
+++ b/src/main/java/vetchpost/daemon/StandaloneMain.java
@@ -9,12 +9,17 @@
 import java.nio.file.Path;
 import java.util.function.Consumer;
 
-/** The process of a node that one file makes: started, told to read it again, and ended in order. */
+/**
+ * Runs a standalone node, which one operator's file configures: start, reload on SIGHUP or {@code ctl reload}, orderly
+ * stop. Called by {@code serve FILE}. Files are read on the signal's thread or on a thread of their own, and take
+ * effect on the event loop.
+ */
 final class StandaloneMain {
     private static final Logger LOG = System.getLogger(StandaloneMain.class.getName());
 
     private StandaloneMain() {}
 
+    /** Starts a node from this file and returns; exits the process if the file is invalid. */
     static void serve(Path file) {
         ValidatedFile loaded;
         try {
@@ -36,12 +41,12 @@
             Main.exit("bad configuration: " + e.getMessage(), Main.EXIT_BAD_CONFIG);
             return;
         }
-        // On the signal's own thread: many routes take longer to read than the loop may stand.
-        boolean heard = ReloadSignal.handle(() -> reload(node, file, loop, told -> {}));
-        if (!heard) {
+        // On the signal's thread: many routes take longer to read than the event loop may be blocked.
+        boolean signalHandled = ReloadSignal.handle(() -> reload(node, file, loop, error -> {}));
+        if (!signalHandled) {
             LOG.log(Level.WARNING, Main.SIGHUP_IGNORED);
         }
-        node.enableReload(heard, told -> reloadInBackground(node, file, loop, told));
+        node.enableReload(signalHandled, reloadFinished -> reloadInBackground(node, file, loop, reloadFinished));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> Main.stop(node.node(), loop, node::saveRoutes), "stop"));
         node.start(Main.STANDALONE_WARM_UP_REQUESTS, () -> {}).addListener(done -> {
             if (!done.isSuccess()) {
@@ -53,36 +58,42 @@
         });
     }
 
-    /** Reads the file on the thread that calls, and has it hold; tells null, or why nothing was changed. */
-    private static synchronized void reload(StandaloneNode node, Path file, EventLoop loop, Consumer<String> told) {
+    /**
+     * Reads and validates the file on the calling thread and applies it on the event loop.
+     *
+     * @param reloadFinished called on the loop with null, or with the reason why nothing was changed
+     */
+    private static synchronized void reload(
+            StandaloneNode node, Path file, EventLoop loop, Consumer<String> reloadFinished) {
         try {
-            ValidatedFile fresh = StandaloneNode.load(file, activeFile(node, loop));
+            ValidatedFile newFile = StandaloneNode.load(file, activeFile(node, loop));
             loop.execute(() -> {
                 try {
-                    node.reload(fresh).addListener(done -> told.accept(null));
+                    node.reload(newFile).addListener(done -> reloadFinished.accept(null));
                 } catch (RuntimeException e) {
-                    reportUnchanged(e, told);
+                    reportUnchanged(e, reloadFinished);
                 }
             });
         } catch (RuntimeException e) {
-            loop.execute(() -> reportUnchanged(e, told));
+            loop.execute(() -> reportUnchanged(e, reloadFinished));
         }
     }
 
-    /** What the node serves by now: readings come one after the other, but take hold on the loop. */
+    /** The file in force. Files are read one after the other, but take effect on the loop, which is asked here. */
     private static ValidatedFile activeFile(StandaloneNode node, EventLoop loop) {
         return loop.submit(node::activeFile).syncUninterruptibly().getNow();
     }
 
-    private static void reportUnchanged(RuntimeException why, Consumer<String> told) {
-        LOG.log(Level.WARNING, Main.CONFIGURATION_UNCHANGED, why.getMessage());
-        told.accept(why.getMessage());
+    private static void reportUnchanged(RuntimeException cause, Consumer<String> reloadFinished) {
+        LOG.log(Level.WARNING, Main.CONFIGURATION_UNCHANGED, cause.getMessage());
+        reloadFinished.accept(cause.getMessage());
     }
 
-    /** The same by a thread of its own, for whoever must not wait. */
-    private static void reloadInBackground(StandaloneNode node, Path file, EventLoop loop, Consumer<String> told) {
-        Thread reading = new Thread(() -> reload(node, file, loop, told), "reload");
-        reading.setDaemon(true);
-        reading.start();
+    /** Reloads on a new thread, for callers that must not block. */
+    private static void reloadInBackground(
+            StandaloneNode node, Path file, EventLoop loop, Consumer<String> reloadFinished) {
+        Thread reloadThread = new Thread(() -> reload(node, file, loop, reloadFinished), "reload");
+        reloadThread.setDaemon(true);
+        reloadThread.start();
     }
 }
--- a/src/main/java/vetchpost/daemon/StandaloneNode.java
+++ b/src/main/java/vetchpost/daemon/StandaloneNode.java
@@ -28,7 +28,11 @@
 import vetchpost.standalone.Standalone;
 import vetchpost.web.WebProtocolAdapter;
 
-/** A node that one operator's file makes, without a platform: its start, and what a reload changes. */
+/**
+ * A node that one operator's file configures, without a platform. It creates the parts that the file asks for, starts
+ * them, and applies reloads. {@link StandaloneMain} owns it; all methods run on the event loop, except {@code load},
+ * which blocks on the disk, and {@link #saveRoutes}.
+ */
 final class StandaloneNode {
     private static final Logger LOG = System.getLogger(StandaloneNode.class.getName());
 
@@ -37,30 +41,35 @@
     private final WebProtocolAdapter webAdapter;
     private final SourceWatcher sourceWatcher;
     private final Node node;
-    /** Null where the file has no such table. */
+    /** Null if the file has no table {@code [control]}. */
     private final ControlLoader control;
 
     private final long seed;
     private ValidatedFile activeFile;
     private final FileRoutePolicy routePolicy;
-    /** Null where the file has no such table. */
+    /** Null if the file has no table {@code [changes]}. */
     private final ChangesLoader changes;
-    /** The routes in force; the file's own, or those of control machines. */
+    /** The routes in force: from the file, or from the control machines of {@code [changes]}. */
     private RouteTable routeTable;
 
     private SocketAddress listenAddress;
 
-    /** Not started; on the loop. Throws IllegalArgumentException if the node can't be made. */
+    /**
+     * Creates the node without starting it. Call on the event loop.
+     *
+     * @throws IllegalArgumentException if the node can't be created from this file
+     */
     StandaloneNode(ValidatedFile file, EventLoopGroup group, EventLoop loop) {
         this.group = group;
         this.loop = loop;
         activeFile = file;
-        Standalone alone = file.node();
-        seed = alone.seed() != 0 ? alone.seed() : new SecureRandom().nextLong();
-        webAdapter = new WebProtocolAdapter(alone.settings(), alone.classifier(), alone.limits(), System::currentTimeMillis);
-        sourceWatcher = new SourceWatcher(alone, loop, Network.SYSTEM, seed, System.currentTimeMillis());
+        Standalone standalone = file.node();
+        seed = standalone.seed() != 0 ? standalone.seed() : new SecureRandom().nextLong();
+        webAdapter = new WebProtocolAdapter(
+                standalone.settings(), standalone.classifier(), standalone.limits(), System::currentTimeMillis);
+        sourceWatcher = new SourceWatcher(standalone, loop, Network.SYSTEM, seed, System.currentTimeMillis());
         node = new Node(
-                nodeConfig(alone),
+                nodeConfig(standalone),
                 loop,
                 Network.SYSTEM,
                 System.currentTimeMillis(),
@@ -81,35 +90,39 @@
                                 "sockets",
                                 (long) node.pendingWork().sockets()));
         if (control != null) {
-            control.enableExplanations(node, alone.settings());
+            control.enableExplanations(node, standalone.settings());
         }
         changes = file.changes() == null
                 ? null
                 : new ChangesLoader(
-                        file.changes(), alone.settings(), catalog -> loop.execute(() -> applyRoutes(catalog.routes())));
-        routeTable = changes == null ? file.routes().table() : changes.initialConfiguration().routes();
-        routePolicy = new FileRoutePolicy(routeTable, alone.settings(), seed);
+                        file.changes(),
+                        standalone.settings(),
+                        routes -> loop.execute(() -> applyRoutes(routes.routes())));
+        routeTable = changes == null
+                ? file.routes().table()
+                : changes.initialConfiguration().routes();
+        routePolicy = new FileRoutePolicy(routeTable, standalone.settings(), seed);
         if (changes != null) {
             node.setReadinessNote(changes::describeStatus);
         }
         applyPolicies(file, true);
         if (file.recovery() != null) {
-            node.setLifecycle(RecoveryLoader.load(file.recovery(), alone.settings(), loop, group));
+            node.setLifecycle(RecoveryLoader.load(file.recovery(), standalone.settings(), loop, group));
         }
     }
 
-    private NodeConfig nodeConfig(Standalone alone) {
+    private NodeConfig nodeConfig(Standalone standalone) {
         return new NodeConfig(
-                alone.listen(),
+                standalone.listen(),
                 null,
                 seed,
-                Math.min(alone.maxDescriptors(), DescriptorLimit.limit()),
-                alone.connectionIdleUs(),
-                alone.settings(),
+                Math.min(standalone.maxDescriptors(), DescriptorLimit.limit()),
+                standalone.connectionIdleUs(),
+                standalone.settings(),
                 sourceWatcher.knownServers());
     }
 
-    /** Has other routes hold from now on: one reference, whatever their number. */
+    /** Replaces the routes in force; the cost does not depend on their number. */
     private void applyRoutes(RouteTable table) {
         routeTable = table;
         routePolicy.replaceTable(routeTable, activeFile.node().settings());
@@ -135,27 +148,33 @@
         AdmissionLoader.apply(node, file.admission(), nodeConfig(file.node()));
     }
 
-    /** Reads and proves a file; throws IllegalArgumentException with a line for each violation. */
+    /**
+     * Reads and validates a file.
+     *
+     * @throws IllegalArgumentException if it can't be read, has no table {@code [node]} or breaks a rule, with a line
+     *     for each violation
+     */
     static ValidatedFile load(Path path) {
         return load(path, null);
     }
 
     /**
-     * The same again, of which only what has changed is read and proved where that is in routes alone.
+     * Reads and validates a file; if only routes have changed, only those are read and validated.
      *
-     * @param before what it came to the last time, or null
+     * @param before the result of the previous read, or null
+     * @throws IllegalArgumentException as {@link #load(Path)}
      */
     static ValidatedFile load(Path path, ValidatedFile before) {
         ValidatedFile file;
         try {
             file = before == null ? ValidatedFile.read(path, sections -> null, null) : before.reread(path);
         } catch (IOException e) {
-            throw new IllegalArgumentException("the file can't be read: " + e, e);
+            throw new IllegalArgumentException("the operator's file can't be read: " + e, e);
         }
         if (file.isValid() && file.node() == null) {
             throw new IllegalArgumentException(path
-                    + " has no table [node]: serve --routes takes it beside the"
-                    + " platform's configuration, and init prints one that runs by itself");
+                    + " has no table [node]: use serve --routes to combine it with the"
+                    + " platform's configuration, or init to print a file for a standalone node");
         }
         if (!file.isValid()) {
             throw new IllegalArgumentException(file.describeViolations("the file is"));
@@ -163,7 +182,7 @@
         return file;
     }
 
-    /** What it serves by. */
+    /** The file in force. */
     ValidatedFile activeFile() {
         return activeFile;
     }
@@ -173,31 +192,37 @@
     }
 
     /**
-     * Has the file be read again by {@code ctl} too.
+     * Enables {@code ctl reload}, and adds a note to {@code ctl status} and {@code /ready}.
      *
-     * @param heard whether SIGHUP comes through
-     * @param reload reads it and tells null, or why nothing was changed, on the loop
+     * @param signalHandled whether SIGHUP reloads the file
+     * @param reload reloads the file and calls its argument on the loop with null, or with the reason why nothing was
+     *     changed
      */
-    void enableReload(boolean heard, Consumer<Consumer<String>> reload) {
+    void enableReload(boolean signalHandled, Consumer<Consumer<String>> reload) {
         if (control != null) {
-            control.enableReload(reload, () -> statusNote(heard));
+            control.enableReload(reload, () -> statusNote(signalHandled));
         }
-        node.setReadinessNote(() -> statusNote(heard));
+        node.setReadinessNote(() -> statusNote(signalHandled));
     }
 
-    /** What operators are told besides what they ask for; null for nothing. */
-    String statusNote(boolean heard) {
+    /** The note for operators in {@code ctl status} and {@code /ready}; null for none. */
+    String statusNote(boolean signalHandled) {
         return changes == null
-                ? heard ? null : Main.SIGHUP_IGNORED
-                : heard ? changes.describeStatus() : changes.describeStatus() + "; " + Main.SIGHUP_IGNORED;
+                ? signalHandled ? null : Main.SIGHUP_IGNORED
+                : signalHandled ? changes.describeStatus() : changes.describeStatus() + "; " + Main.SIGHUP_IGNORED;
     }
 
-    /** Opens the client side, and asks the sources from then on. */
-    ChannelFuture start(int rehearsed, Runnable whenReady) {
+    /**
+     * Opens the listener, then starts the sources of servers.
+     *
+     * @param warmUpRequests number of requests to run before the node is ready
+     * @param whenReady runs once the node is ready
+     */
+    ChannelFuture start(int warmUpRequests, Runnable whenReady) {
         if (control != null) {
             control.open(group);
         }
-        ChannelFuture binding = node.start(group, rehearsed, whenReady);
+        ChannelFuture binding = node.start(group, warmUpRequests, whenReady);
         binding.addListener(done -> {
             if (done.isSuccess()) {
                 listenAddress = binding.channel().localAddress();
@@ -211,69 +236,71 @@
     }
 
     /**
-     * Takes up what a file says now: routes, limits, the door, tenants, classes, sources, where it listens.
-     * Requests in hand end as they began. Checks, what is kept and handed over, sockets, the part of a fleet
-     * and the rules of merging stay as they were at the start. On the loop.
+     * Applies a new file: routes, limits, admission control, tenants, classes, sources and the listen address.
+     * Pending requests end under the settings they began with. Health checks, snapshots and handovers, sockets, the
+     * fleet subset and the rules for merging sources stay as they were at the start.
      *
-     * @return done once all of it holds, with where it listens; an address that can't be had leaves the one
-     * before
+     * @return completes with the listen address once everything is in force; if the new address can't be bound, the
+     *     node keeps the previous one
+     * @throws IllegalArgumentException if the file changes settings that only a restart can change
      */
-    Future<SocketAddress> reload(ValidatedFile fresh) {
-        if (fresh.node() == activeFile.node()) {
-            // Routes alone have changed, if anything: one reference, whatever their number.
-            activeFile = fresh;
+    Future<SocketAddress> reload(ValidatedFile newFile) {
+        if (newFile.node() == activeFile.node()) {
+            // At most routes have changed.
+            activeFile = newFile;
             if (changes == null) {
-                applyRoutes(fresh.routes().table());
+                applyRoutes(newFile.routes().table());
             }
-            LOG.log(Level.INFO, "the file has been read again");
+            LOG.log(Level.INFO, "the configuration file has been reloaded");
             return loop.<SocketAddress>newPromise().setSuccess(listenAddress);
         }
-        if (!Objects.equals(activeFile.changes(), fresh.changes())
-                || changes != null && !activeFile.settings().classes.equals(fresh.settings().classes)) {
-            throw new IllegalArgumentException(
-                    "[changes], and classes beside it, are as at the start: a " + "restart takes " + "them up");
+        if (!Objects.equals(activeFile.changes(), newFile.changes())
+                || changes != null && !activeFile.settings().classes.equals(newFile.settings().classes)) {
+            throw new IllegalArgumentException("[changes] and the classes used with it can't be changed by a reload: a "
+                    + "restart takes " + "them up");
         }
-        routeTable = changes == null ? fresh.routes().table() : routeTable;
-        Standalone now = fresh.node();
-        ReloadPlan renewal = ReloadPlan.between(activeFile.node(), now);
-        if (renewal.replacesCore()) {
-            node.reconfigure(nodeConfig(now));
+        routeTable = changes == null ? newFile.routes().table() : routeTable;
+        Standalone standalone = newFile.node();
+        ReloadPlan plan = ReloadPlan.between(activeFile.node(), standalone);
+        if (plan.replacesCore()) {
+            node.reconfigure(nodeConfig(standalone));
             if (control != null) {
-                // Other classes, other aims: what was kept is of the old ones.
-                control.enableExplanations(node, now.settings());
+                // Recorded requests refer to the previous classes and their latency targets.
+                control.enableExplanations(node, standalone.settings());
             }
         }
-        webAdapter.reconfigure(now.settings(), now.classifier(), now.limits());
-        applyPolicies(fresh, false);
-        sourceWatcher.reload(now);
-        Promise<SocketAddress> inForce = loop.newPromise();
-        if (renewal.movesListener()) {
-            ChannelFuture binding = node.addListener(group, now.listen());
+        webAdapter.reconfigure(standalone.settings(), standalone.classifier(), standalone.limits());
+        applyPolicies(newFile, false);
+        sourceWatcher.reload(standalone);
+        Promise<SocketAddress> applied = loop.newPromise();
+        if (plan.movesListener()) {
+            ChannelFuture binding = node.addListener(group, standalone.listen());
             binding.addListener(done -> {
                 if (done.isSuccess()) {
                     listenAddress = binding.channel().localAddress();
                 }
                 LOG.log(
                         Level.INFO,
-                        done.isSuccess() ? "listening on {0}" : "can''t listen on {0}, and goes on where it did",
-                        now.listen());
-                inForce.setSuccess(listenAddress);
+                        done.isSuccess() ? "listening on {0}" : "can''t listen on {0}, keeping the previous address",
+                        standalone.listen());
+                applied.setSuccess(listenAddress);
             });
         } else {
-            inForce.setSuccess(listenAddress);
+            applied.setSuccess(listenAddress);
         }
-        activeFile = fresh;
-        LOG.log(Level.INFO, "the file has been read again");
-        return inForce;
+        activeFile = newFile;
+        LOG.log(Level.INFO, "the configuration file has been reloaded");
+        return applied;
     }
 
-    /** Keeps what would be lost with the process; blocks for a while at most. */
+    /** Saves the routes from control machines to disk; blocks for a bounded time, so not for the event loop. */
     void saveRoutes() {
         if (changes != null) {
             changes.saveNow();
         }
     }
 
+    /** Closes all parts and the node at once. */
     void close() {
         if (changes != null) {
             changes.close();
--- a/src/main/java/vetchpost/demo/DemoServer.java
+++ b/src/main/java/vetchpost/demo/DemoServer.java
@@ -115,7 +115,8 @@
             long workMs = MIN_WORK_MS + ThreadLocalRandom.current().nextInt(WORK_SPREAD_MS);
             String[] path = request.start().split("[ /]+");
             String body = "made for " + txn + " by " + id;
-            statistics.recordRun(id, rack, path[1], txn, request.field("idempotency-key"), body, workMs * 1_000_000, SLOTS);
+            statistics.recordRun(
+                    id, rack, path[1], txn, request.field("idempotency-key"), body, workMs * 1_000_000, SLOTS);
             slots.acquire();
             try {
                 TimeUnit.MICROSECONDS.sleep((long) (1_000 * workMs / capacityFraction()));
--- a/src/main/java/vetchpost/demo/DemoStatistics.java
+++ b/src/main/java/vetchpost/demo/DemoStatistics.java
@@ -118,7 +118,8 @@
         }
         Long told = drainStartNs.get(box);
         if (told != null && now - told > DRAIN_GRACE_NS + MEASUREMENT_TOLERANCE_NS) {
-            drainViolations.add(box + " was sent " + txn + " " + (now - told) / 1_000_000 + " ms after its drain was told");
+            drainViolations.add(
+                    box + " was sent " + txn + " " + (now - told) / 1_000_000 + " ms after its drain was told");
         }
         Long since = coldStartNs.get(box);
         if (since != null) {
--- a/src/main/java/vetchpost/demo/TryCommand.java
+++ b/src/main/java/vetchpost/demo/TryCommand.java
@@ -102,7 +102,8 @@
                 + "\"maxRetryAfterUs\":1000000,\"dialTimeoutUs\":200000,\"connIdleUs\":60000000},"
                 + "\"rules\":{\"askWithinUs\":10000000,\"drainGraceUs\":" + DemoStatistics.DRAIN_GRACE_NS / 1_000
                 + ",\"coldFrom\":"
-                + DemoStatistics.COLD_CAPACITY_FRACTION + ",\"coldUs\":" + DemoStatistics.WARM_UP_NS / 1_000 + ",\"overloadFactor\":"
+                + DemoStatistics.COLD_CAPACITY_FRACTION + ",\"coldUs\":" + DemoStatistics.WARM_UP_NS / 1_000
+                + ",\"overloadFactor\":"
                 + DemoStatistics.OVERLOAD_FACTOR
                 + ",\"fallUs\":" + DemoStatistics.OVERLOAD_WINDOW_NS / 1_000 + "}}}";
     }
@@ -180,7 +181,8 @@
         }
         out.printf(Locale.ROOT, "%d requests, %d begun by boxes%n%n", asked, statistics.attempts());
         boolean held = true;
-        for (Map.Entry<String, List<String>> rule : statistics.violationsByRule().entrySet()) {
+        for (Map.Entry<String, List<String>> rule :
+                statistics.violationsByRule().entrySet()) {
             List<String> broken = rule.getValue();
             held &= broken.isEmpty();
             out.printf(
--- a/src/main/java/vetchpost/fastcgi/ClientStreams.java
+++ b/src/main/java/vetchpost/fastcgi/ClientStreams.java
@@ -119,7 +119,9 @@
             listener.write(new FcgiRecord(
                     Type.UNKNOWN_TYPE,
                     0,
-                    Unpooled.buffer(CONTROL_CONTENT_BYTES).writeByte(record.typeNumber()).writeZero(CONTROL_CONTENT_BYTES - 1)));
+                    Unpooled.buffer(CONTROL_CONTENT_BYTES)
+                            .writeByte(record.typeNumber())
+                            .writeZero(CONTROL_CONTENT_BYTES - 1)));
             return;
         }
         NameValues asked = new NameValues(MAX_GET_VALUES_BYTES, MAX_PAIRS);
--- a/src/main/java/vetchpost/fastcgi/NameValues.java
+++ b/src/main/java/vetchpost/fastcgi/NameValues.java
@@ -56,7 +56,8 @@
             throw new FcgiException("names and values of over " + maxBytes + " bytes");
         }
         if (bufferedBytes + more > buffer.length) {
-            buffer = java.util.Arrays.copyOf(buffer, Math.max(bufferedBytes + more, Math.min(maxBytes, 2 * buffer.length)));
+            buffer = java.util.Arrays.copyOf(
+                    buffer, Math.max(bufferedBytes + more, Math.min(maxBytes, 2 * buffer.length)));
         }
         content.getBytes(content.readerIndex(), buffer, bufferedBytes, more);
         bufferedBytes += more;
--- a/src/main/java/vetchpost/web/WebConnection.java
+++ b/src/main/java/vetchpost/web/WebConnection.java
@@ -140,7 +140,11 @@
 
     @Override
     public boolean isIdle() {
-        return phase == Phase.HEAD && reply == null && pendingWrites == 0 && queuedParts.isEmpty() && !decoder.isMidRequest();
+        return phase == Phase.HEAD
+                && reply == null
+                && pendingWrites == 0
+                && queuedParts.isEmpty()
+                && !decoder.isMidRequest();
     }
 
     @Override
@@ -173,7 +177,9 @@
         } else if (phase == Phase.HEAD && reply == null) {
             if (decoder.isMidRequest() && nowNs - (hasReceivedRequest ? headStartedNs : openedNs) > headNs) {
                 reject(new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "request not whole in time"));
-            } else if (!decoder.isMidRequest() && queuedParts.isEmpty() && nowNs - idleSinceNs > (hasReceivedRequest ? keptNs : headNs)) {
+            } else if (!decoder.isMidRequest()
+                    && queuedParts.isEmpty()
+                    && nowNs - idleSinceNs > (hasReceivedRequest ? keptNs : headNs)) {
                 close("idle");
             }
         } else if ((phase == Phase.BUFFERING || phase == Phase.STREAMING && remainder.ready)
@@ -360,7 +366,9 @@
         }
         reservedBytes += more;
         if (bufferedBytes + more > body.length) {
-            int least = bodyLength < Long.MAX_VALUE ? (int) Math.min(adapter.limits().bufferBytes(), bodyLength) : 0;
+            int least = bodyLength < Long.MAX_VALUE
+                    ? (int) Math.min(adapter.limits().bufferBytes(), bodyLength)
+                    : 0;
             body = Arrays.copyOf(
                     body,
                     Math.max(
@@ -385,7 +393,8 @@
 
     private void dispatch() {
         encoder.respondsToHead = head.method().equals(HttpMethod.HEAD);
-        reply = new WebReply(this, adapter, encoder.respondsToHead, head.protocolVersion().equals(HttpVersion.HTTP_1_0));
+        reply = new WebReply(
+                this, adapter, encoder.respondsToHead, head.protocolVersion().equals(HttpVersion.HTTP_1_0));
         if (server.isRehearsal(head)) {
             reply.sendLocalResponse(HttpReply.plain(HttpResponseStatus.OK, "rehearsed"));
             return;
@@ -393,7 +402,9 @@
         byte[] whole = bufferedBytes == body.length ? body : Arrays.copyOf(body, bufferedBytes);
         body = NO_BYTES;
         server.handle(
-                adapter.createRequest(head, classIndex, channel.remoteAddress(), whole, remainder, bodyLength), reply, server.nanos());
+                adapter.createRequest(head, classIndex, channel.remoteAddress(), whole, remainder, bodyLength),
+                reply,
+                server.nanos());
     }
 
     /** What is not held of a body, for the server that has begun to be sent it. */
--- a/src/main/java/vetchpost/web/WebExchange.java
+++ b/src/main/java/vetchpost/web/WebExchange.java
@@ -176,9 +176,11 @@
                             long mostNs = TimeUnit.MICROSECONDS.toNanos(
                                     requestSent && head == null
                                             ? Math.max(
-                                                    limits.bodyIdleTimeoutUs(), adapter.deadlineUs(request.classIndex()))
+                                                    limits.bodyIdleTimeoutUs(),
+                                                    adapter.deadlineUs(request.classIndex()))
                                             : limits.bodyIdleTimeoutUs());
-                            boolean waits = upload != null && !requestSent && upload.pendingWrites == 0 || readingPaused;
+                            boolean waits =
+                                    upload != null && !requestSent && upload.pendingWrites == 0 || readingPaused;
                             if (!waits && channel.eventLoop().ticker().nanoTime() - lastProgressNs > mostNs) {
                                 channel.close();
                             } else {
@@ -245,7 +247,8 @@
         int more = content.content().readableBytes();
         if (!streaming && bufferedBytes + more <= limits.bufferBytes()) {
             if (bufferedBytes + more > buffer.length) {
-                buffer = Arrays.copyOf(buffer, Math.max(bufferedBytes + more, Math.min(limits.bufferBytes(), 2 * buffer.length)));
+                buffer = Arrays.copyOf(
+                        buffer, Math.max(bufferedBytes + more, Math.min(limits.bufferBytes(), 2 * buffer.length)));
             }
             content.content().readBytes(buffer, bufferedBytes, more);
             bufferedBytes += more;
@@ -369,7 +372,9 @@
 
     @Override
     public ServerResponse response() {
-        return streaming ? null : createResponse(bufferedBytes == buffer.length ? buffer : Arrays.copyOf(buffer, bufferedBytes), null);
+        return streaming
+                ? null
+                : createResponse(bufferedBytes == buffer.length ? buffer : Arrays.copyOf(buffer, bufferedBytes), null);
     }
 
     @Override
--- a/src/test/java/vetchpost/daemon/BodyStreamingTest.java
+++ b/src/test/java/vetchpost/daemon/BodyStreamingTest.java
@@ -117,7 +117,10 @@
         server = new FakePeer((socket, request) -> uploadedBytes.add(readChunks(socket.getInputStream())));
         try (RunningNode node = new RunningNode(RunningNode.pool(server))) {
             try (Socket client = node.connect()) {
-                send(client, putHead("", LONG_BODY_BYTES) + Integer.toHexString(LONG_BODY_BYTES) + "\r\n", LONG_BODY_BYTES / 2);
+                send(
+                        client,
+                        putHead("", LONG_BODY_BYTES) + Integer.toHexString(LONG_BODY_BYTES) + "\r\n",
+                        LONG_BODY_BYTES / 2);
             }
             assertEquals(-1, FakePeer.takeWithTimeout(uploadedBytes));
             assertEquals(1, server.requests.size(), "and it is not sent again");
@@ -263,13 +266,15 @@
     @Test
     void timesOutBodyWithoutProgress() throws Exception {
         server = new FakePeer((socket, request) -> uploadedBytes.add(readChunks(socket.getInputStream())));
-        try (RunningNode node = new RunningNode("idle = \"500ms\"\nhead-within = \"500ms\"\n" + RunningNode.pool(server))) {
+        try (RunningNode node =
+                new RunningNode("idle = \"500ms\"\nhead-within = \"500ms\"\n" + RunningNode.pool(server))) {
             assertTrue(
                     node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc")
                             .startsWith("HTTP/1.1 408 "),
                     "a short one");
             assertTrue(
-                    node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 900000\r\n\r\n" + "x".repeat(100_000))
+                    node.sendAndReadAll(
+                                    "PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 900000\r\n\r\n" + "x".repeat(100_000))
                             .startsWith("HTTP/1.1 408 "),
                     "a long one");
             assertTrue(node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nConte").startsWith("HTTP/1.1 408 "), "a head");
@@ -283,7 +288,8 @@
         server = new FakePeer((socket, request) -> uploadedBytes.add(readChunks(socket.getInputStream())));
         try (RunningNode node = new RunningNode("max-body = \"100KiB\"\n" + RunningNode.pool(server))) {
             assertTrue(
-                    node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: " + "200000\r\n\r\n")
+                    node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: "
+                                    + "200000\r\n\r\n")
                             .startsWith("HTTP/1.1 413 "),
                     "before it is asked to go on");
             try (Socket client = node.connect()) {
@@ -309,7 +315,8 @@
         server = new FakePeer(FakePeer.SILENT);
         try (RunningNode node = new RunningNode("[classes.all]\ndeadline = \"400ms\"\n" + RunningNode.pool(server))) {
             long began = System.nanoTime();
-            String answer = node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n" + CLOSE + "\r\nabc");
+            String answer =
+                    node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n" + CLOSE + "\r\nabc");
             assertTrue(answer.startsWith("HTTP/1.1 50"), answer);
             assertTrue(System.nanoTime() - began < TimeUnit.SECONDS.toNanos(20));
             assertFalse(answer.contains("200 OK"));
--- a/src/test/java/vetchpost/daemon/ChangesNodeTest.java
+++ b/src/test/java/vetchpost/daemon/ChangesNodeTest.java
@@ -42,7 +42,8 @@
         server = new FakePeer(FakePeer.answer("200 OK", "", "done"));
         Files.writeString(folder.resolve("secret"), TestPublisher.SECRET + "\n");
         try (RunningNode plain = new RunningNode(RunningNode.pool(server))) {
-            writer = new ChangeWriter(RouteConfiguration.empty(plain.activeFile().settings()), 1);
+            writer =
+                    new ChangeWriter(RouteConfiguration.empty(plain.activeFile().settings()), 1);
         }
     }
 
@@ -98,11 +99,15 @@
             awaitResponse(node, "HTTP/1.1 413 ");
             assertTrue(node.sendAndReadAll(RunningNode.get("/ready", CLOSE)).startsWith("HTTP/1.1 200 "));
             control.close();
-            assertTrue(node.sendAndReadAll(POST).startsWith("HTTP/1.1 413 "), "with nobody there it serves by what it has");
+            assertTrue(
+                    node.sendAndReadAll(POST).startsWith("HTTP/1.1 413 "),
+                    "with nobody there it serves by what it has");
         }
         try (RunningNode again = node(control)) {
             assertTrue(again.sendAndReadAll(POST).startsWith("HTTP/1.1 413 "), "it begins with what it had");
-            assertTrue(again.statusNote().contains("configuration 1.3, not confirmed since the start"), again.statusNote());
+            assertTrue(
+                    again.statusNote().contains("configuration 1.3, not confirmed since the start"),
+                    again.statusNote());
         }
     }
 
@@ -126,7 +131,9 @@
             awaitResponse(node, "HTTP/1.1 413 ");
             for (int i = 0; i < 20; i++) {
                 assertTrue(
-                        node.sendAndReadAll(POST.replace("/photos/1", "/other/" + i)).startsWith("HTTP/1.1 413 "), "route " + i);
+                        node.sendAndReadAll(POST.replace("/photos/1", "/other/" + i))
+                                .startsWith("HTTP/1.1 413 "),
+                        "route " + i);
             }
         }
     }
--- a/src/test/java/vetchpost/daemon/ControlTest.java
+++ b/src/test/java/vetchpost/daemon/ControlTest.java
@@ -58,8 +58,8 @@
     }
 
     private RunningNode node() throws Exception {
-        return new RunningNode(
-                RunningNode.pool(first, second) + "[control]\nsocket = \"" + socket() + "\"\naudit = \"" + audit() + "\"\n");
+        return new RunningNode(RunningNode.pool(first, second) + "[control]\nsocket = \"" + socket() + "\"\naudit = \""
+                + audit() + "\"\n");
     }
 
     private int ctl(String... arguments) {
@@ -176,7 +176,8 @@
                 RunningNode other = node()) {
             assertEquals(0, ctl("status"), said);
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
-            assertTrue(other.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "), "without a socket");
+            assertTrue(
+                    other.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "), "without a socket");
         }
         Files.deleteIfExists(socket());
         Files.writeString(socket(), "mine");
@@ -206,8 +207,9 @@
             assertTrue(said.startsWith("nothing was refused, failed, repeated or slow"), said);
             first.script(FakePeer.RESET);
             second.script(FakePeer.RESET);
-            assertTrue(node.sendAndReadAll("POST /orders/7 HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n")
-                    .startsWith("HTTP/1.1 502 "));
+            assertTrue(
+                    node.sendAndReadAll("POST /orders/7 HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n")
+                            .startsWith("HTTP/1.1 502 "));
             assertEquals(0, ctl("explain", "--last", "1"), said);
             assertTrue(said.contains("failed") && said.contains("1 attempts  POST /orders/7"), said);
             String id = said.substring(0, 16);
@@ -237,8 +239,8 @@
 
     @Test
     void explainReportsDisabledRecording() throws Exception {
-        try (RunningNode node = new RunningNode(RunningNode.pool(first, second) + "[control]\nsocket = \"" + socket() + "\"\naudit = \""
-                + audit() + "\"\nkeep = 0\n")) {
+        try (RunningNode node = new RunningNode(RunningNode.pool(first, second) + "[control]\nsocket = \"" + socket()
+                + "\"\naudit = \"" + audit() + "\"\nkeep = 0\n")) {
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
             assertEquals(1, ctl("explain"));
             assertTrue(said.contains("nothing is recorded: keep = 0 in [control]"), said);
--- a/src/test/java/vetchpost/daemon/GatewayTest.java
+++ b/src/test/java/vetchpost/daemon/GatewayTest.java
@@ -92,7 +92,8 @@
     @Test
     void removesHeadersMeantForNode() throws Exception {
         try (RunningNode node = node()) {
-            node.sendAndReadAll(RunningNode.get("/", CLOSE + "X-Remaining-Ms: 5000\r\nX-Resent: 1\r\nX-Request-Id: 7\r\n"));
+            node.sendAndReadAll(
+                    RunningNode.get("/", CLOSE + "X-Remaining-Ms: 5000\r\nX-Resent: 1\r\nX-Request-Id: 7\r\n"));
             String request = first.nextRequest();
             assertNull(FakePeer.header(request, "x-remaining-ms"));
             assertNull(FakePeer.header(request, "x-resent"));
@@ -132,8 +133,10 @@
 
     @Test
     void trustsForwardedHeadersOnlyIfConfigured() throws Exception {
-        try (RunningNode node = new RunningNode("trust-forwarded = true\nforwarded = \"both\"\n" + RunningNode.pool(first))) {
-            node.sendAndReadAll(RunningNode.get("/", CLOSE + "X-Forwarded-For: 9.9.9.9\r\nX-Forwarded-Proto: https\r\n"));
+        try (RunningNode node =
+                new RunningNode("trust-forwarded = true\nforwarded = \"both\"\n" + RunningNode.pool(first))) {
+            node.sendAndReadAll(
+                    RunningNode.get("/", CLOSE + "X-Forwarded-For: 9.9.9.9\r\nX-Forwarded-Proto: https\r\n"));
             String request = first.nextRequest();
             assertEquals("9.9.9.9, 127.0.0.1", FakePeer.header(request, "x-forwarded-for"));
             assertEquals("https", FakePeer.header(request, "x-forwarded-proto"));
@@ -319,7 +322,8 @@
         first.script(FakePeer.answer("500 Oops", "", "my own page"));
         second.script(FakePeer.answer("500 Oops", "", "my own page"));
         try (RunningNode node = new RunningNode(RunningNode.pool("attempts = 2\n", first, second))) {
-            String answer = node.sendAndReadAll("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx");
+            String answer =
+                    node.sendAndReadAll("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx");
             assertTrue(answer.startsWith("HTTP/1.1 500 ") && answer.endsWith("my own page"), answer);
             assertEquals(1, first.requests.size() + second.requests.size(), "it may have run, so it ran once");
             first.requests.clear();
@@ -353,7 +357,8 @@
     void rejectsResponseWithoutExpectedHeader() throws Exception {
         first.script(FakePeer.answer("200 OK", "", "somebody else's page"));
         try (RunningNode node = new RunningNode(RunningNode.pool("expect-header = \"X-App\"\n", first))) {
-            String answer = node.sendAndReadAll("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx");
+            String answer =
+                    node.sendAndReadAll("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx");
             assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
             assertFalse(answer.contains("somebody else"), answer);
             first.script(FakePeer.answer("200 OK", "X-App: shop\r\n", "ours"));
@@ -368,7 +373,9 @@
         second.script(ours);
         try (RunningNode node = new RunningNode(RunningNode.pool("drain-header = \"X-Drain\"\n", first, second))) {
             while (first.requests.isEmpty()) {
-                assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("here"), "what it turns away goes elsewhere");
+                assertTrue(
+                        node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("here"),
+                        "what it turns away goes elsewhere");
             }
             // A turn and ten milliseconds later it is out: what comes after its second word is one too many.
             int before = first.requests.size();
--- a/src/test/java/vetchpost/daemon/IncrementalReloadTest.java
+++ b/src/test/java/vetchpost/daemon/IncrementalReloadTest.java
@@ -106,6 +106,8 @@
                 routes = next;
             }
         }
-        assertTrue(incrementalReloads > 300 && rejectedFiles > 100, incrementalReloads + " by their routes alone, " + rejectedFiles + " refused");
+        assertTrue(
+                incrementalReloads > 300 && rejectedFiles > 100,
+                incrementalReloads + " by their routes alone, " + rejectedFiles + " refused");
     }
 }
--- a/src/test/java/vetchpost/daemon/MultiNodeControlTest.java
+++ b/src/test/java/vetchpost/daemon/MultiNodeControlTest.java
@@ -54,8 +54,8 @@
     }
 
     private RunningNode node(int i) throws Exception {
-        return new RunningNode(RunningNode.pool(healthyServer, sickServer) + "[control]\nsocket = \"" + file(i, "s") + "\"\naudit = \""
-                + file(i, "audit") + "\"\n");
+        return new RunningNode(RunningNode.pool(healthyServer, sickServer) + "[control]\nsocket = \"" + file(i, "s")
+                + "\"\naudit = \"" + file(i, "audit") + "\"\n");
     }
 
     private int ctl(int many, String... arguments) {
--- a/src/test/java/vetchpost/daemon/RealPeersTest.java
+++ b/src/test/java/vetchpost/daemon/RealPeersTest.java
@@ -99,7 +99,8 @@
                 BodyHandlers.ofByteArray());
     }
 
-    private void assertSameThroughNode(RunningNode node, String method, String path, byte[] body, boolean chunked) throws Exception {
+    private void assertSameThroughNode(RunningNode node, String method, String path, byte[] body, boolean chunked)
+            throws Exception {
         HttpResponse<byte[]> direct = sendRequest(server.getAddress().getPort(), method, path, body, chunked);
         HttpResponse<byte[]> through = sendRequest(node.port(), method, path, body, chunked);
         String what = method + " " + path;
@@ -112,8 +113,8 @@
     }
 
     private RunningNode node() throws Exception {
-        return new RunningNode("[pool]\nservers = [\"127.0.0.1:" + server.getAddress().getPort() + "\"]\n"
-                + "connect-timeout = \"2s\"\n");
+        return new RunningNode("[pool]\nservers = [\"127.0.0.1:"
+                + server.getAddress().getPort() + "\"]\n" + "connect-timeout = \"2s\"\n");
     }
 
     @Test
--- a/src/test/java/vetchpost/fastcgi/ClientStreamsTest.java
+++ b/src/test/java/vetchpost/fastcgi/ClientStreamsTest.java
@@ -238,7 +238,8 @@
                 String end = "END_REQUEST " + id + " ";
                 long handed =
                         test.events.stream().filter(s -> s.startsWith(request)).count();
-                long before = test.events.stream().filter(s -> s.startsWith(end)).count();
+                long before =
+                        test.events.stream().filter(s -> s.startsWith(end)).count();
                 test.streams.answer(id, 200, List.of(), NONE);
                 long ends = test.events.stream().filter(s -> s.startsWith(end)).count();
                 assertTrue(ends >= handed && ends <= before + 1, handed + " handed, " + ends + " ends");
--- a/src/test/java/vetchpost/fastcgi/FcgiTest.java
+++ b/src/test/java/vetchpost/fastcgi/FcgiTest.java
@@ -251,12 +251,14 @@
     void reportsNotRunOnlyWhenCertain() {
         assertEquals(Result.CONNECT_FAILED, progressOf(false, false, 0, -1, 0).resultOfDisconnect());
         assertEquals(Result.RESET, progressOf(true, false, 0, -1, 0).resultOfDisconnect());
-        assertEquals(Result.RESET, progressOf(true, true, 200, 9, 3).resultOfDisconnect(), "halfway through the answer");
+        assertEquals(
+                Result.RESET, progressOf(true, true, 200, 9, 3).resultOfDisconnect(), "halfway through the answer");
         for (ProtocolStatus refusal :
                 List.of(ProtocolStatus.CANT_MPX_CONN, ProtocolStatus.OVERLOADED, ProtocolStatus.UNKNOWN_ROLE)) {
             assertEquals(Result.FULL, progressOf(true, false, 0, -1, 0).resultOfEndRequest(refusal, 0));
             assertEquals(Result.FULL, progressOf(false, false, 0, -1, 0).resultOfEndRequest(refusal, 0));
-            assertEquals(Result.ERROR, progressOf(true, true, 200, -1, 2).resultOfEndRequest(refusal, 0), "it has begun");
+            assertEquals(
+                    Result.ERROR, progressOf(true, true, 200, -1, 2).resultOfEndRequest(refusal, 0), "it has begun");
         }
         ProtocolStatus done = ProtocolStatus.REQUEST_COMPLETE;
         assertEquals(Result.OK, progressOf(true, true, 200, -1, 5).resultOfEndRequest(done, 0));
@@ -265,7 +267,8 @@
         assertEquals(Result.ERROR, progressOf(true, true, 200, -1, 5).resultOfEndRequest(done, 1));
         assertEquals(Result.ERROR, progressOf(true, true, 500, -1, 5).resultOfEndRequest(done, 0));
         assertEquals(Result.ERROR, progressOf(true, false, 0, -1, 0).resultOfEndRequest(done, 0), "no head");
-        assertEquals(Result.ERROR, progressOf(false, true, 200, -1, 5).resultOfEndRequest(done, 0), "before it had all");
+        assertEquals(
+                Result.ERROR, progressOf(false, true, 200, -1, 5).resultOfEndRequest(done, 0), "before it had all");
         assertEquals(Result.ERROR, progressOf(true, true, 200, -1, 5).resultOfEndRequest(ProtocolStatus.of(9), 0));
     }
 
