--- a/src/main/java/vetchpost/daemon/ValidatedFile.java
+++ b/src/main/java/vetchpost/daemon/ValidatedFile.java
@@ -35,17 +35,22 @@
 import vetchpost.store.PackedTree;
 
 /**
- * An operator's file, read and proved: table by table, and again for no more than what has changed where that
- * is in its routes. Blocks on the disk.
+ * An operator's file after reading and validation, with all violations found. A file that is read again is validated
+ * in full, unless only routes have changed: then only those are. Used by the start, by reloads and by the commands
+ * {@code check} and {@code config}. Immutable; reading blocks on the disk.
  *
- * @param hasOwn whether it has tables of a node by itself
- * @param node what it makes by itself; null where the platform says the rest, and where something is violated
- * @param settings that it was proved by
- * @param routes null where something is violated before they could be proved
- * @param changes null where the routes are its own
- * @param index null if the next reading has to be of the whole
- * @param version one more at each reading that changed something
- * @param violations every one, in the order of the file
+ * @param hasStandaloneTables whether the file has tables for a standalone node
+ * @param node the standalone node's settings; null for a file used with the platform's configuration, and if the
+ *     tables for a standalone node are invalid
+ * @param settings the settings that the file was validated against; null if the tables that define them are invalid
+ * @param routes null if a violation was found before the routes could be validated
+ * @param recovery settings of snapshots and handovers; null if the file has none
+ * @param admission settings of admission control; null if the file has none
+ * @param control settings of the control API; null if the file has none
+ * @param changes settings for routes from control machines; null if the file defines the routes
+ * @param index positions of the file's sections; null if the next read must read the whole file
+ * @param version increases by one with each read that found changes
+ * @param violations all violations, in the order of the file
  */
 record ValidatedFile(
         boolean hasStandaloneTables,
@@ -60,7 +65,7 @@
         long version,
         List<Violation> violations) {
 
-    /** Puts together what the tables come to as they are read. */
+    /** Collects the settings of the tables while the file is read. */
     private static final class TableReader implements FileIndex.Tables {
         private final Function<List<Section>, Settings> platformSettings;
         private final RouteTable previousTable;
@@ -71,9 +76,9 @@
         private Settings settings;
         private RouteValidator routeValidator;
 
-        TableReader(Function<List<Section>, Settings> platform, RouteTable before, long version) {
-            this.platformSettings = platform;
-            this.previousTable = before;
+        TableReader(Function<List<Section>, Settings> platformSettings, RouteTable previousTable, long version) {
+            this.platformSettings = platformSettings;
+            this.previousTable = previousTable;
             this.version = version;
         }
 
@@ -81,15 +86,15 @@
         public void otherSections(List<Section> sections) {
             otherSections = sections;
             settings = platformSettings.apply(sections);
-            boolean alone = settings == null;
-            if (alone) {
-                StandaloneValidator.Validation made = StandaloneValidator.validate(sections);
-                violations.addAll(made.violations());
-                node = made.standalone();
+            boolean standalone = settings == null;
+            if (standalone) {
+                StandaloneValidator.Validation validation = StandaloneValidator.validate(sections);
+                violations.addAll(validation.violations());
+                node = validation.standalone();
                 settings = node == null ? null : node.settings();
             }
             if (settings != null) {
-                routeValidator = RouteValidator.begin(sections, settings, alone, previousTable, version);
+                routeValidator = RouteValidator.begin(sections, settings, standalone, previousTable, version);
             }
         }
 
@@ -134,7 +139,7 @@
                                 .at(),
                         "changes",
                         Violation.Rule.INCOMPLETE,
-                        "beside a platform routes come from " + "the file",
+                        "with the platform's configuration, routes come from " + "this file",
                         "[node], or no [changes]"));
             }
             if (changes.settings() != null
@@ -148,7 +153,8 @@
                                 .at(),
                         "changes",
                         Violation.Rule.UNREACHABLE,
-                        routes.table().size() + " routes of this file: they come from control machines",
+                        routes.table().size()
+                                + " routes in this file can't be used: with [changes], routes come from control machines",
                         "no [[route]]"));
             }
             return new ValidatedFile(
@@ -167,36 +173,42 @@
     }
 
     /**
-     * Reads a file.
+     * Reads and validates a whole file.
      *
-     * @param platform tells by the tables that are no routes what the platform's settings are; null for a
-     * file that makes a node by itself
-     * @param before what it said the last time, or null
-     * @throws IOException if it can't be read
+     * @param platformSettings returns the platform's settings for the sections other than routes, or null if the file
+     *     configures a standalone node
+     * @param previous the result of the previous read, or null
+     * @throws IOException if the file can't be read
      */
-    static ValidatedFile read(Path path, Function<List<Section>, Settings> platform, ValidatedFile before)
+    static ValidatedFile read(Path path, Function<List<Section>, Settings> platformSettings, ValidatedFile previous)
             throws IOException {
-        TableReader reading = new TableReader(
-                platform, before == null ? null : before.routes.table(), before == null ? 1 : before.version + 1);
-        FileIndex index = FileIndex.read(path, reading, reading.violations::add);
-        return reading.finish(index);
+        TableReader reader = new TableReader(
+                platformSettings,
+                previous == null ? null : previous.routes.table(),
+                previous == null ? 1 : previous.version + 1);
+        FileIndex index = FileIndex.read(path, reader, reader.violations::add);
+        return reader.finish(index);
     }
 
-    /** Whether nothing is violated. */
+    /** Whether the file has no violations. */
     boolean isValid() {
         return violations.isEmpty();
     }
 
-    /** All violations, a line each. */
-    String describeViolations(String what) {
-        return what + " refused:\n" + violations.stream().map(v -> "  " + v).collect(Collectors.joining("\n"));
+    /**
+     * An error message with a line for each violation.
+     *
+     * @param subject the rejected thing with its verb, as in "the file is"
+     */
+    String describeViolations(String subject) {
+        return subject + " refused:\n" + violations.stream().map(v -> "  " + v).collect(Collectors.joining("\n"));
     }
 
     /**
-     * Reads the file of a node by itself again. Where nothing but routes has changed, all else is the same
-     * object.
+     * Reads the file of a standalone node again. If only routes have changed, all other components of the result are
+     * the same objects as here.
      *
-     * @throws IOException if it can't be read
+     * @throws IOException if the file can't be read
      */
     ValidatedFile reread(Path path) throws IOException {
         FileIndex.Difference difference = index == null ? null : index.reread(path);
@@ -217,8 +229,8 @@
                     version,
                     difference.violations());
         }
-        List<RouteChange> ofRoutes = changes(path, difference);
-        if (ofRoutes.isEmpty()) {
+        List<RouteChange> routeChanges = routeChanges(path, difference);
+        if (routeChanges.isEmpty()) {
             return new ValidatedFile(
                     hasStandaloneTables,
                     node,
@@ -232,7 +244,7 @@
                     version,
                     List.of());
         }
-        RouteValidation changed = RouteValidator.validateChanges(routes.table(), ofRoutes, version + 1);
+        RouteValidation changed = RouteValidator.validateChanges(routes.table(), routeChanges, version + 1);
         return new ValidatedFile(
                 hasStandaloneTables,
                 node,
@@ -247,40 +259,40 @@
                 changed.violations());
     }
 
-    private List<RouteChange> changes(Path path, FileIndex.Difference difference) {
-        Set<String> gone = new HashSet<>(difference.removedRoutes());
-        Set<String> fresh = new HashSet<>();
+    private List<RouteChange> routeChanges(Path path, FileIndex.Difference difference) {
+        Set<String> removed = new HashSet<>(difference.removedRoutes());
+        Set<String> changed = new HashSet<>();
         List<RouteChange> changes = new ArrayList<>();
         for (Section section : difference.changedRoutes()) {
             String name = RouteCodec.nameOf(section);
-            fresh.add(name);
-            if (!gone.contains(name)) {
+            changed.add(name);
+            if (!removed.contains(name)) {
                 changes.add(new RouteChange(Op.PUT, name, section, section.at()));
             } else if (!hasSameContent(name, section)) {
                 changes.add(new RouteChange(Op.REPLACE, name, section, section.at()));
             }
         }
-        for (String name : gone) {
-            if (!fresh.contains(name)) {
+        for (String name : removed) {
+            if (!changed.contains(name)) {
                 changes.add(new RouteChange(Op.DELETE, name, null, new Position(path.toString(), 1, 1)));
             }
         }
         return changes;
     }
 
-    /** Which routes differ from those of another file that holds too; none where either does not. */
-    List<RouteChange> routeChangesSince(ValidatedFile before) {
+    /** The routes that differ from those of an earlier file; empty if one of the files is invalid. */
+    List<RouteChange> routeChangesSince(ValidatedFile previous) {
         List<RouteChange> changes = new ArrayList<>();
-        if (!isValid() || !before.isValid()) {
+        if (!isValid() || !previous.isValid()) {
             return changes;
         }
-        byte[] first = new EntryKey(EntryKind.ROUTE, "").bytes();
-        PackedTree is = routes.table().entries();
-        PackedTree was = before.routes.table().entries();
-        for (PackedTree.Item item = is.ceiling(first);
+        byte[] firstRouteKey = new EntryKey(EntryKind.ROUTE, "").bytes();
+        PackedTree current = routes.table().entries();
+        PackedTree earlier = previous.routes.table().entries();
+        for (PackedTree.Item item = current.ceiling(firstRouteKey);
                 item != null;
-                item = is.ceiling(PackedTree.successor(item.key()))) {
-            PackedTree.Item old = was.get(item.key());
+                item = current.ceiling(PackedTree.successor(item.key()))) {
+            PackedTree.Item old = earlier.get(item.key());
             if (old == null || !Arrays.equals(old.value(), item.value())) {
                 changes.add(new RouteChange(
                         old == null ? Op.PUT : Op.REPLACE,
@@ -289,17 +301,17 @@
                         null));
             }
         }
-        for (PackedTree.Item item = was.ceiling(first);
+        for (PackedTree.Item item = earlier.ceiling(firstRouteKey);
                 item != null;
-                item = was.ceiling(PackedTree.successor(item.key()))) {
-            if (!is.contains(item.key())) {
+                item = earlier.ceiling(PackedTree.successor(item.key()))) {
+            if (!current.contains(item.key())) {
                 changes.add(new RouteChange(Op.DELETE, EntryKey.of(item.key()).name(), null, null));
             }
         }
         return changes;
     }
 
-    /** Whether a route says just that, whatever its lines look like. */
+    /** Whether a route has the same settings as before, whatever its formatting. */
     private boolean hasSameContent(String name, Section section) {
         try {
             return Arrays.equals(
--- a/src/main/java/vetchpost/web/WebConnection.java
+++ b/src/main/java/vetchpost/web/WebConnection.java
@@ -44,34 +44,36 @@
 import vetchpost.http.RequestMemory;
 
 /**
- * One connection of a client of the open web. It reads one request at a time and holds what comes behind it,
- * up to a bound; of a long body it holds the beginning and passes on the rest as fast as it is taken.
+ * One HTTP/1.1 connection of a client. It handles one request at a time and queues pipelined input up to a bound. A
+ * body up to the configured buffer size is read in full; of a longer one the beginning is buffered and the remainder
+ * is streamed as fast as the server reads it. {@link WebProtocolAdapter} opens it, {@link ClientServer} checks its
+ * timeouts; everything runs on the channel's event loop.
  */
 final class WebConnection extends ChannelInboundHandlerAdapter implements ManagedConnection {
     private static final Logger LOG = System.getLogger(WebConnection.class.getName());
-    /** Bytes, and parts, that may wait behind what is read; beyond, the socket is no longer read. */
+    /** Bounds of the input queued behind the current request; above them the socket is not read. */
     private static final int MAX_QUEUED_BYTES = 32 * 1_024;
 
     private static final int MAX_QUEUED_PARTS = 64;
-    /** How long a client may take to read why its connection is closed, and what is thrown away meanwhile. */
+    /** Time for a client to read the last response before the connection is closed; its input is discarded. */
     private static final long CLOSE_LINGER_MS = 1_000;
 
     private static final int MAX_DISCARDED_BYTES = 1 << 20;
     private static final byte[] NO_BYTES = {};
 
-    /** How far the current request is read. */
+    /** How far the current request has been read. */
     private enum Phase {
-        /** Its head has not come. */
+        /** Waiting for the request head. */
         HEAD,
-        /** What of its body is held. */
+        /** Buffering the body. */
         BUFFERING,
-        /** What of its body is passed on. */
+        /** Streaming the remainder of the body. */
         STREAMING,
-        /** All of it has come. */
+        /** The request has been read completely. */
         COMPLETE
     }
 
-    /** Netty's encoder, which has to be told that an answer to HEAD has no body. */
+    /** Netty's encoder, which does not know by itself that a response to HEAD has no body. */
     private static final class Encoder extends HttpResponseEncoder {
         private boolean respondsToHead;
 
@@ -107,7 +109,7 @@
     private boolean processingScheduled;
     private final InputDiscarder discarder = new InputDiscarder(MAX_DISCARDED_BYTES);
     private boolean lingering;
-    /** The connection ends with the answer that is being passed on. */
+    /** Whether the connection is closed after the response that is being streamed. */
     private boolean closesAfterStream;
 
     private boolean responseWritten;
@@ -118,8 +120,8 @@
     private long lastWriteNs;
     private long idleSinceNs;
 
-    private WebConnection(WebProtocolAdapter front, ClientServer server, Channel channel) {
-        this.adapter = front;
+    private WebConnection(WebProtocolAdapter adapter, ClientServer server, Channel channel) {
+        this.adapter = adapter;
         this.server = server;
         this.channel = channel;
         openedNs = server.nanos();
@@ -127,8 +129,9 @@
         connectionId = server.nextConnectionId();
     }
 
-    static void open(WebProtocolAdapter front, ClientServer server, ChannelPipeline pipeline) {
-        WebConnection connection = new WebConnection(front, server, pipeline.channel());
+    /** Adds the handlers of a new connection to its pipeline. */
+    static void open(WebProtocolAdapter adapter, ClientServer server, ChannelPipeline pipeline) {
+        WebConnection connection = new WebConnection(adapter, server, pipeline.channel());
         pipeline.addLast(connection.discarder, connection.decoder, connection.encoder, connection);
     }
 
@@ -136,7 +139,7 @@
         return connectionId;
     }
 
-    // ---------------------------------------------------------------- as the client side sees it
+    // ---------------------------------------------------------------- connection management
 
     @Override
     public boolean isIdle() {
@@ -158,52 +161,52 @@
     }
 
     @Override
-    public void close(String why) {
+    public void close(String reason) {
         if (closeReason == null) {
-            closeReason = why;
+            closeReason = reason;
         }
         channel.close();
     }
 
     @Override
     public void closeIfOverdue(long nowNs) {
-        long idleNs = TimeUnit.MICROSECONDS.toNanos(adapter.limits().bodyIdleTimeoutUs());
-        long headNs = TimeUnit.MICROSECONDS.toNanos(adapter.limits().headTimeoutUs());
-        long keptNs = TimeUnit.MICROSECONDS.toNanos(adapter.limits().keepAliveTimeoutUs());
+        long bodyIdleTimeoutNs = TimeUnit.MICROSECONDS.toNanos(adapter.limits().bodyIdleTimeoutUs());
+        long headTimeoutNs = TimeUnit.MICROSECONDS.toNanos(adapter.limits().headTimeoutUs());
+        long keepAliveTimeoutNs = TimeUnit.MICROSECONDS.toNanos(adapter.limits().keepAliveTimeoutUs());
         if (pendingWrites > 0 || lingering) {
-            if (nowNs - lastWriteNs > idleNs) {
+            if (nowNs - lastWriteNs > bodyIdleTimeoutNs) {
                 resetConnection();
             }
         } else if (phase == Phase.HEAD && reply == null) {
-            if (decoder.isMidRequest() && nowNs - (hasReceivedRequest ? headStartedNs : openedNs) > headNs) {
+            if (decoder.isMidRequest() && nowNs - (hasReceivedRequest ? headStartedNs : openedNs) > headTimeoutNs) {
                 reject(new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "request not whole in time"));
             } else if (!decoder.isMidRequest()
                     && queuedParts.isEmpty()
-                    && nowNs - idleSinceNs > (hasReceivedRequest ? keptNs : headNs)) {
+                    && nowNs - idleSinceNs > (hasReceivedRequest ? keepAliveTimeoutNs : headTimeoutNs)) {
                 close("idle");
             }
         } else if ((phase == Phase.BUFFERING || phase == Phase.STREAMING && remainder.ready)
                 && queuedParts.isEmpty()
-                && nowNs - lastReadNs > idleNs) {
+                && nowNs - lastReadNs > bodyIdleTimeoutNs) {
             onBodyTimeout();
         }
     }
 
-    /** A body makes no progress: its request gets its answer, if there is none yet, and nothing follows. */
+    /** The body makes no progress: rejects the request unless its response has begun, and closes the connection. */
     private void onBodyTimeout() {
         if (reply != null && reply.isAnswered()) {
             close("body too slow");
             return;
         }
-        BadRequest late = new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "body makes no progress");
+        BadRequest timeout = new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "body makes no progress");
         if (reply == null) {
-            reject(late);
+            reject(timeout);
         } else {
-            abandonRequest(late);
+            abandonRequest(timeout);
         }
     }
 
-    // ---------------------------------------------------------------- what is read
+    // ---------------------------------------------------------------- reading
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
@@ -220,7 +223,7 @@
         queuedParts.add(part);
         queuedBytes += sizeOf(part);
         if (!processingScheduled) {
-            // Not before all is read that has come: behind the request there may be the client's close.
+            // Deferred until all available input has been read, because the client may close behind its request.
             processingScheduled = true;
             channel.eventLoop().execute(() -> {
                 processingScheduled = false;
@@ -251,7 +254,7 @@
                                 : queuedBytes < MAX_QUEUED_BYTES && queuedParts.size() < MAX_QUEUED_PARTS);
     }
 
-    /** Takes in what waits, as far as it can be taken in now. */
+    /** Processes queued input until it must wait for the response, the server or more input. */
     private void processQueue() {
         if (processing) {
             return;
@@ -259,7 +262,7 @@
         processing = true;
         try {
             while (channel.isActive() && !queuedParts.isEmpty() && processPart(queuedParts.peek())) {
-                // Each step takes something in, or changes how far the request is read.
+                // Each step consumes input or changes the phase.
                 continue;
             }
         } finally {
@@ -275,7 +278,7 @@
         }
         if (part.decoderResult().isFailure()) {
             if (phase == Phase.COMPLETE) {
-                return false; // The request before it is in hand, and answered first.
+                return false; // The pending request before it is answered first.
             }
             Throwable cause = part.decoderResult().cause();
             removeFirstPart();
@@ -283,7 +286,7 @@
             return true;
         }
         return switch (phase) {
-            case HEAD -> reply == null && startResponse(part);
+            case HEAD -> reply == null && startRequest(part);
             case BUFFERING -> bufferBody(part);
             case STREAMING -> remainder.forward(part);
             case COMPLETE -> false;
@@ -297,9 +300,9 @@
         return part;
     }
 
-    private boolean startResponse(HttpObject part) {
+    private boolean startRequest(HttpObject part) {
         if (!(part instanceof HttpRequest request)) {
-            removeFirstPart(); // What is left of a request that was not taken.
+            removeFirstPart(); // The remainder of a rejected request.
             return true;
         }
         hasReceivedRequest = true;
@@ -336,7 +339,7 @@
         keepAlive = HttpUtil.isKeepAlive(request);
         phase = Phase.BUFFERING;
         if (bodyLength > 0 && queuedParts.isEmpty() && HttpUtil.is100ContinueExpected(request)) {
-            // As the origin that it is to its clients (RFC 9110, section 10.1.1).
+            // To its clients the node is the origin server, which sends 100 itself (RFC 9110, section 10.1.1).
             encoder.respondsToHead = false;
             write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
@@ -353,33 +356,33 @@
 
     private boolean bufferBody(HttpObject part) {
         HttpContent content = (HttpContent) part;
-        int more = content.content().readableBytes();
-        if (bufferedBytes + more > adapter.limits().bufferBytes()) {
+        int addedBytes = content.content().readableBytes();
+        if (bufferedBytes + addedBytes > adapter.limits().bufferBytes()) {
             remainder = new BodyRemainder();
             phase = Phase.STREAMING;
             dispatch();
             return true;
         }
-        if (!server.requestMemory().tryReserve(more)) {
+        if (!server.requestMemory().tryReserve(addedBytes)) {
             reject(overloaded());
             return true;
         }
-        reservedBytes += more;
-        if (bufferedBytes + more > body.length) {
-            int least = bodyLength < Long.MAX_VALUE
+        reservedBytes += addedBytes;
+        if (bufferedBytes + addedBytes > body.length) {
+            int expectedBytes = bodyLength < Long.MAX_VALUE
                     ? (int) Math.min(adapter.limits().bufferBytes(), bodyLength)
                     : 0;
             body = Arrays.copyOf(
                     body,
                     Math.max(
-                            bufferedBytes + more,
+                            bufferedBytes + addedBytes,
                             Math.max(
-                                    least,
+                                    expectedBytes,
                                     Math.min(2 * body.length, adapter.limits().bufferBytes()))));
         }
-        // Not read off it: what waits is counted by what is left in it.
-        content.content().getBytes(content.content().readerIndex(), body, bufferedBytes, more);
-        bufferedBytes += more;
+        // Copied without moving the reader index, because queuedBytes counts the readable bytes.
+        content.content().getBytes(content.content().readerIndex(), body, bufferedBytes, addedBytes);
+        bufferedBytes += addedBytes;
         boolean last = part instanceof LastHttpContent;
         removeFirstPart();
         if (last) {
@@ -399,22 +402,22 @@
             reply.sendLocalResponse(HttpReply.plain(HttpResponseStatus.OK, "rehearsed"));
             return;
         }
-        byte[] whole = bufferedBytes == body.length ? body : Arrays.copyOf(body, bufferedBytes);
+        byte[] bufferedBody = bufferedBytes == body.length ? body : Arrays.copyOf(body, bufferedBytes);
         body = NO_BYTES;
         server.handle(
-                adapter.createRequest(head, classIndex, channel.remoteAddress(), whole, remainder, bodyLength),
+                adapter.createRequest(head, classIndex, channel.remoteAddress(), bufferedBody, remainder, bodyLength),
                 reply,
                 server.nanos());
     }
 
-    /** What is not held of a body, for the server that has begun to be sent it. */
+    /** The part of a body that is not buffered, streamed to the server that has received the buffered part. */
     private final class BodyRemainder implements BodySource {
         private BodySink sink;
         private boolean ready;
 
         @Override
-        public void streamTo(BodySink to) {
-            sink = to;
+        public void streamTo(BodySink target) {
+            sink = target;
             lastReadNs = server.nanos();
             resume();
         }
@@ -430,8 +433,8 @@
             sink = null;
             ready = false;
             if (phase == Phase.STREAMING && remainder == this) {
-                // It is answered before its end: nothing behind it on this connection can be trusted to be
-                // a head before all of it is read, and nobody has a use for it.
+                // The response was sent before the end of the body. The next request can't be found without
+                // reading the rest of the body, which nobody needs, so the input is discarded.
                 discardInput();
             }
         }
@@ -446,27 +449,27 @@
             removeFirstPart();
             streamedBytes += bytes.length;
             if (bufferedBytes + streamedBytes > adapter.limits().maxBodyBytes()) {
-                BodySink to = sink;
+                BodySink target = sink;
                 abandonRequest(bodyTooLarge());
-                to.abort();
+                target.abort();
                 return true;
             }
-            BodySink to = sink;
+            BodySink target = sink;
             if (bytes.length > 0) {
                 ready = false;
-                boolean wants = to.write(bytes);
-                ready |= wants;
+                boolean writable = target.write(bytes);
+                ready |= writable;
             }
             if (last) {
                 phase = Phase.COMPLETE;
-                to.complete();
+                target.complete();
                 finishRequestIfDone();
             }
             return true;
         }
     }
 
-    // ---------------------------------------------------------------- what can't be taken
+    // ---------------------------------------------------------------- rejecting
 
     private BadRequest bodyTooLarge() {
         return new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over what is taken");
@@ -484,23 +487,23 @@
         }
     }
 
-    /** A request that is in hand already gets this answer, and its node is told that nobody waits for it. */
+    /** Answers a request that the node is already handling with this error, and cancels it at the node. */
     private void abandonRequest(BadRequest e) {
         if (reply.isAnswered()) {
             close("spoilt");
             return;
         }
-        WebReply left = reply;
-        BodySink to = remainder == null ? null : remainder.sink;
-        left.onClientGone();
-        if (to != null) {
-            to.abort();
+        WebReply abandonedReply = reply;
+        BodySink target = remainder == null ? null : remainder.sink;
+        abandonedReply.onClientGone();
+        if (target != null) {
+            target.abort();
         }
         reply = null;
         reject(e);
     }
 
-    /** Nothing that follows on the connection can be understood, or is wanted. */
+    /** Sends an error, discards all further input and closes the connection. */
     private void reject(BadRequest e) {
         if (lingering) {
             return;
@@ -518,7 +521,7 @@
         write(response).addListener(written -> linger());
     }
 
-    /** Closed on unread bytes, the system would take back what the client has not read yet. */
+    /** Delays the close: closing with unread input resets the connection, and the client could lose the response. */
     private void linger() {
         if (channel instanceof DuplexChannel socket) {
             socket.shutdownOutput();
@@ -534,9 +537,13 @@
         updateAutoRead();
     }
 
-    // ---------------------------------------------------------------- what is written
+    // ---------------------------------------------------------------- writing
 
-    /** The whole answer to the request that is in hand. */
+    /**
+     * Writes a complete response to the pending request.
+     *
+     * @param toHead whether the request was HEAD, so that the body is left out
+     */
     void writeResponse(FullHttpResponse response, boolean toHead) {
         if (toHead && response.content().isReadable()) {
             response = response.replace(channel.alloc().buffer(0));
@@ -546,24 +553,33 @@
         write(response).addListener(written -> onResponseWritten(last));
     }
 
-    /** The head of an answer whose body is passed on. */
+    /**
+     * Writes the head of a response whose body is streamed.
+     *
+     * @param byClosing whether the end of the connection marks the end of the body
+     */
     void startResponse(HttpResponse response, boolean byClosing) {
         closesAfterStream = byClosing || closesAfterResponse();
         setConnectionHeader(response, closesAfterStream);
         write(response);
     }
 
-    /** More of its body; whether the client reads as fast. */
+    /**
+     * Writes a chunk of the streamed body.
+     *
+     * @return whether more can be written now; otherwise {@link WebReply#onWritable} is called later
+     */
     boolean writeBody(HttpContent content) {
         write(content);
         return channel.isWritable();
     }
 
+    /** Ends the streamed response. */
     void endResponse(LastHttpContent last) {
         write(last).addListener(written -> onResponseWritten(closesAfterStream));
     }
 
-    /** It can't be ended as it should: the client must not take what it has for the whole. */
+    /** Resets the connection, so that the client doesn't take a truncated response for a complete one. */
     void resetConnection() {
         if (channel.isActive()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -579,7 +595,7 @@
         if (last) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         } else {
-            // HTTP/1.0 needs to be told so, and to others it means nothing new.
+            // HTTP/1.0 clients need the header; for others it states the default.
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
         }
     }
@@ -595,7 +611,7 @@
         });
     }
 
-    /** The answer has been written. */
+    /** Called when the response has been written. */
     private void onResponseWritten(boolean last) {
         if (phase == Phase.STREAMING || last || server.isClosing()) {
             lingering = true;
@@ -619,7 +635,7 @@
         head = null;
         phase = Phase.HEAD;
         idleSinceNs = server.nanos();
-        // Later, not from here: a long line of requests would go as deep.
+        // Deferred, because a long queue of pipelined requests would recurse too deep.
         if (!queuedParts.isEmpty()) {
             channel.eventLoop().execute(this::processQueue);
         }
@@ -644,12 +660,12 @@
         }
         server.requestMemory().release(reservedBytes);
         reservedBytes = 0;
-        BodySink to = remainder == null || phase != Phase.STREAMING ? null : remainder.sink;
+        BodySink target = remainder == null || phase != Phase.STREAMING ? null : remainder.sink;
         if (reply != null) {
             reply.onClientGone();
         }
-        if (to != null) {
-            to.abort();
+        if (target != null) {
+            target.abort();
         }
     }
 
@@ -659,7 +675,7 @@
             close("broken");
             return;
         }
-        LOG.log(Level.ERROR, "a client's connection failed", cause);
+        LOG.log(Level.ERROR, "unexpected error in a client connection handler", cause);
         if (reply != null && !reply.isAnswered()) {
             reply.markMayHaveRun();
             reply.failed(Failure.INTERNAL_ERROR);
--- a/src/main/java/vetchpost/web/WebExchange.java
+++ b/src/main/java/vetchpost/web/WebExchange.java
@@ -34,11 +34,12 @@
 import vetchpost.standalone.WebLimits;
 
 /**
- * A request and its answer on a connection to any web server. An answer is held while it is short and comes
- * soon, so that one that breaks off can be had from another server; beyond, it is passed on as it comes.
+ * One request and its response on a connection to a server. A response is buffered while it is short and arrives
+ * quickly, so that the request can be retried at another server if the response is truncated; after that it is
+ * streamed to the client. Created by {@link WebProtocolAdapter}; everything runs on the channel's event loop.
  */
 final class WebExchange implements Exchange, BodySource {
-    /** Informational answers ahead of the final one; servers send one or two. */
+    /** Informational responses before the final one; servers send one or two. */
     private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
     private static final byte[] NO_BYTES = {};
@@ -57,31 +58,31 @@
     private boolean streaming;
     private boolean complete;
     private boolean aborted;
-    /** Of a body that comes bit by bit: whether all of it has been handed over. */
+    /** Whether all of the request has been handed to the channel. */
     private boolean requestSent;
 
     private Upload upload;
-    /** The rest of the body has been begun, and can't be had again. */
+    /** Whether streaming the remainder of the body has begun, which rules out a retry. */
     private boolean remainderStarted;
 
     private ScheduledFuture<?> timer;
     private long lastProgressNs;
     private boolean readingPaused;
-    /** What the head says of the connection, asked before its fields are passed on without that. */
+    /** Whether the response head lets the connection be reused; read before its hop-by-hop fields are removed. */
     private boolean reusable;
 
-    WebExchange(WebProtocolAdapter front, OutgoingRequest sending) {
-        this.adapter = front;
-        this.outgoing = sending;
-        limits = front.limits();
-        request = sending.request();
+    WebExchange(WebProtocolAdapter adapter, OutgoingRequest outgoing) {
+        this.adapter = adapter;
+        this.outgoing = outgoing;
+        limits = adapter.limits();
+        request = outgoing.request();
     }
 
     // ---------------------------------------------------------------- the request
 
     @Override
-    public ChannelFuture write(Channel to) {
-        channel = to;
+    public ChannelFuture write(Channel target) {
+        channel = target;
         HttpMethod method = HttpMethod.valueOf(request.method());
         HttpHeaders headers =
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
@@ -103,17 +104,17 @@
         }
         channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, request.target(), headers));
         upload = new Upload();
-        ChannelFuture writing = channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(request.body())));
-        writing.addListener(done -> {
+        ChannelFuture written = channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(request.body())));
+        written.addListener(done -> {
             if (done.isSuccess() && !aborted && !complete) {
                 remainderStarted = true;
                 request.bodyRemainder().streamTo(upload);
             }
         });
-        return writing;
+        return written;
     }
 
-    /** Passes the rest of a body on to the server, a piece at a time. */
+    /** Streams the remainder of a body to the server, one chunk at a time. */
     private final class Upload implements BodySink {
         private int pendingWrites;
 
@@ -149,7 +150,7 @@
         @Override
         public void abort() {
             if (!aborted && !complete) {
-                // The server must not take what it has for the whole.
+                // The server must not take a truncated body for a complete one.
                 channel.close();
             }
         }
@@ -159,12 +160,12 @@
         lastProgressNs = channel.eventLoop().ticker().nanoTime();
     }
 
-    /** Bodies take as long as they take, but they have to go on. */
+    /** Bodies may take any time in total, but the connection is closed if they make no progress. */
     private void scheduleProgressCheck() {
         if (timer != null || aborted) {
             return;
         }
-        long everyNs = TimeUnit.MICROSECONDS.toNanos(limits.bodyIdleTimeoutUs()) / 4;
+        long checkIntervalNs = TimeUnit.MICROSECONDS.toNanos(limits.bodyIdleTimeoutUs()) / 4;
         timer = channel.eventLoop()
                 .schedule(
                         () -> {
@@ -172,22 +173,24 @@
                             if (aborted || complete) {
                                 return;
                             }
-                            // Once all is sent, and nothing has come back, it is the server's work that is waited for.
-                            long mostNs = TimeUnit.MICROSECONDS.toNanos(
+                            // Between the end of the request and the response head the server gets the class's
+                            // deadline.
+                            long timeoutNs = TimeUnit.MICROSECONDS.toNanos(
                                     requestSent && head == null
                                             ? Math.max(
                                                     limits.bodyIdleTimeoutUs(),
                                                     adapter.deadlineUs(request.classIndex()))
                                             : limits.bodyIdleTimeoutUs());
-                            boolean waits =
+                            boolean waitsForClient =
                                     upload != null && !requestSent && upload.pendingWrites == 0 || readingPaused;
-                            if (!waits && channel.eventLoop().ticker().nanoTime() - lastProgressNs > mostNs) {
+                            if (!waitsForClient
+                                    && channel.eventLoop().ticker().nanoTime() - lastProgressNs > timeoutNs) {
                                 channel.close();
                             } else {
                                 scheduleProgressCheck();
                             }
                         },
-                        everyNs,
+                        checkIntervalNs,
                         TimeUnit.NANOSECONDS);
     }
 
@@ -204,7 +207,7 @@
             throw new MalformedResponse();
         }
         if (part instanceof HttpResponse response) {
-            // Nobody has asked for another protocol.
+            // The node never asks for a protocol upgrade.
             if (response.protocolVersion().majorVersion() != 1
                     || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
                 throw new MalformedResponse();
@@ -212,14 +215,14 @@
             if (!limits.requiredHeader().isEmpty()
                     && !response.headers().contains(limits.requiredHeader())
                     && response.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                throw new MalformedResponse(); // Another application lives at that address now.
+                throw new MalformedResponse(); // Another application answers at this address.
             }
             head = response;
-            boolean framed = isBodyless()
+            boolean delimited = isBodyless()
                     || HttpUtil.isContentLengthSet(response)
                     || HttpUtil.isTransferEncodingChunked(response)
                     || hasNoBody(response.status());
-            reusable = framed && HttpUtil.isKeepAlive(response);
+            reusable = delimited && HttpUtil.isKeepAlive(response);
         }
         if (part instanceof HttpContent content) {
             boolean last = part instanceof LastHttpContent;
@@ -244,20 +247,21 @@
     }
 
     private void readBody(HttpContent content, boolean last) {
-        int more = content.content().readableBytes();
-        if (!streaming && bufferedBytes + more <= limits.bufferBytes()) {
-            if (bufferedBytes + more > buffer.length) {
+        int addedBytes = content.content().readableBytes();
+        if (!streaming && bufferedBytes + addedBytes <= limits.bufferBytes()) {
+            if (bufferedBytes + addedBytes > buffer.length) {
                 buffer = Arrays.copyOf(
-                        buffer, Math.max(bufferedBytes + more, Math.min(limits.bufferBytes(), 2 * buffer.length)));
+                        buffer,
+                        Math.max(bufferedBytes + addedBytes, Math.min(limits.bufferBytes(), 2 * buffer.length)));
             }
-            content.content().readBytes(buffer, bufferedBytes, more);
-            bufferedBytes += more;
+            content.content().readBytes(buffer, bufferedBytes, addedBytes);
+            bufferedBytes += addedBytes;
             if (!last) {
                 startStreamingSoon();
             }
         } else {
             startStreaming();
-            if (clientSink != null && more > 0) {
+            if (clientSink != null && addedBytes > 0) {
                 recordProgress();
                 if (!clientSink.write(ByteBufUtil.getBytes(content.content()))) {
                     readingPaused = true;
@@ -272,13 +276,13 @@
                 clientSink.complete();
             }
             if (upload != null && !requestSent) {
-                // Answered before all was asked: what is left of the question is not wanted any more.
+                // The response is complete before the request: the rest of the request is not needed.
                 request.bodyRemainder().abandon();
             }
         }
     }
 
-    /** What is not whole by then is passed on as it comes; a stream of events at once. */
+    /** Starts streaming after the buffer timeout, or at once for a stream of events. */
     private void startStreamingSoon() {
         String type = head.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null && type.startsWith(EVENT_STREAM)) {
@@ -314,21 +318,21 @@
         }
     }
 
-    private ServerResponse createResponse(byte[] body, BodySource rest) {
+    private ServerResponse createResponse(byte[] body, BodySource remainder) {
         RequestCheck.dropHopByHop(head.headers());
-        long length = rest == null ? body.length : HttpUtil.getContentLength(head, Long.MAX_VALUE);
+        long length = remainder == null ? body.length : HttpUtil.getContentLength(head, Long.MAX_VALUE);
         return new ServerResponse(
                 head.status().code(),
                 head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                 body,
                 new HeaderFields(head.headers()),
-                rest,
+                remainder,
                 length);
     }
 
     @Override
-    public void streamTo(BodySink to) {
-        clientSink = to;
+    public void streamTo(BodySink target) {
+        clientSink = target;
     }
 
     @Override
