--- a/src/main/java/vetchpost/daemon/ValidatedFile.java
+++ b/src/main/java/vetchpost/daemon/ValidatedFile.java
@@ -154,7 +154,8 @@
                         "changes",
                         Violation.Rule.UNREACHABLE,
                         routes.table().size()
-                                + " routes in this file can't be used: with [changes], routes come from control machines",
+                                + " routes in this file can't be used: with [changes], "
+                                + "routes come from control machines",
                         "no [[route]]"));
             }
             return new ValidatedFile(
--- a/src/main/java/vetchpost/demo/DemoServer.java
+++ b/src/main/java/vetchpost/demo/DemoServer.java
@@ -17,8 +17,8 @@
 import vetchpost.simulation.wire.MessageParser;
 
 /**
- * A simulated backend on a loopback socket, with a few request slots and a bounded queue. It can crash, restart cold and
- * drain. {@link TryCommand} controls it; it has one thread for accepting and one per connection.
+ * A simulated backend on a loopback socket, with a few request slots and a bounded queue. It can crash, restart cold
+ * and drain. {@link TryCommand} controls it; it has one thread for accepting and one per connection.
  */
 final class DemoServer implements Closeable {
     private static final int SLOTS = 2;
--- a/src/test/java/vetchpost/daemon/BodyStreamingTest.java
+++ b/src/test/java/vetchpost/daemon/BodyStreamingTest.java
@@ -19,8 +19,8 @@
 import vetchpost.testing.FakePeer;
 
 /**
- * Bodies that are longer than what is held: passed on as they come, cut where they are cut, in bounded
- * memory.
+ * Bodies longer than the buffer must be streamed in bounded memory, and a truncated body must not look complete to the
+ * other side.
  */
 @Timeout(60)
 class BodyStreamingTest {
@@ -34,13 +34,13 @@
         server.close();
     }
 
-    /** Counts the bytes behind the head of a request, which FakePeer has read by its length or not at all. */
+    /** Counts the bytes of a request body that FakePeer has not read. */
     private void countBytes(Socket socket, long length) throws IOException {
         InputStream in = socket.getInputStream();
         long left = length;
-        byte[] some = new byte[65_536];
+        byte[] chunk = new byte[65_536];
         while (left > 0) {
-            int read = in.read(some, 0, (int) Math.min(some.length, left));
+            int read = in.read(chunk, 0, (int) Math.min(chunk.length, left));
             if (read < 0) {
                 uploadedBytes.add(length - left);
                 throw new IOException("cut");
@@ -52,9 +52,9 @@
 
     private static void send(Socket client, String head, int body) throws IOException {
         FakePeer.write(client, head);
-        byte[] some = new byte[65_536];
-        for (int left = body; left > 0; left -= some.length) {
-            client.getOutputStream().write(some, 0, Math.min(left, some.length));
+        byte[] chunk = new byte[65_536];
+        for (int left = body; left > 0; left -= chunk.length) {
+            client.getOutputStream().write(chunk, 0, Math.min(left, chunk.length));
         }
     }
 
@@ -63,7 +63,7 @@
                 + "Transfer-Encoding: chunked\r\n\r\n";
     }
 
-    /** Reads chunks until the last and tells how many bytes there were; -1 if they break off. */
+    /** Reads a chunked body and returns its length in bytes; -1 if it is truncated. */
     static long readChunks(InputStream in) throws IOException {
         long sum = 0;
         while (true) {
@@ -94,10 +94,10 @@
         try (RunningNode node = new RunningNode(RunningNode.pool(server));
                 Socket client = node.connect()) {
             FakePeer.write(client, putHead("", LONG_BODY_BYTES));
-            byte[] some = new byte[10_000];
+            byte[] chunk = new byte[10_000];
             for (int i = 0; i < 100; i++) {
-                FakePeer.write(client, Integer.toHexString(some.length) + "\r\n");
-                client.getOutputStream().write(some);
+                FakePeer.write(client, Integer.toHexString(chunk.length) + "\r\n");
+                client.getOutputStream().write(chunk);
                 FakePeer.write(client, "\r\n");
             }
             FakePeer.write(client, "0\r\n\r\n");
@@ -106,9 +106,9 @@
             server.script(FakePeer.answer("200 OK", "", "short"));
             FakePeer.write(
                     client, "PUT / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n");
-            assertTrue(RunningNode.readResponse(client).endsWith("short"), "the connection goes on");
+            assertTrue(RunningNode.readResponse(client).endsWith("short"), "the connection is still usable");
             server.nextRequest();
-            assertTrue(server.nextRequest().endsWith("ab"), "what is held whole is told its length");
+            assertTrue(server.nextRequest().endsWith("ab"), "a fully buffered body is sent with its length");
         }
     }
 
@@ -123,7 +123,7 @@
                         LONG_BODY_BYTES / 2);
             }
             assertEquals(-1, FakePeer.takeWithTimeout(uploadedBytes));
-            assertEquals(1, server.requests.size(), "and it is not sent again");
+            assertEquals(1, server.requests.size(), "the upload is not retried");
         }
     }
 
@@ -133,7 +133,7 @@
                 (socket, request) -> FakePeer.write(socket, "HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n"));
         try (RunningNode node = new RunningNode(RunningNode.pool(server));
                 Socket client = node.connect()) {
-            // So much that neither side's buffers hold it, in the background: nobody reads it all.
+            // The client announces 8 MiB and sends 200,000 bytes, so the upload is incomplete when the response comes.
             send(client, putHead("", LONG_BODY_BYTES) + Integer.toHexString(LONG_BODY_BYTES) + "\r\n", 200_000);
             String answer = RunningNode.readUntilClosed(client);
             assertTrue(answer.startsWith("HTTP/1.1 413 "), answer);
@@ -141,18 +141,18 @@
         }
     }
 
-    /** What has not been begun of a long body can still go to another server; what has been can't. */
+    /** A long body can be retried only until the node has streamed some of its remainder, which it does not keep. */
     @Test
     void retriesLongBodyOnlyBeforeRemainderIsStreamed() throws Exception {
-        int dead;
-        try (FakePeer gone = new FakePeer(FakePeer.CLOSE)) {
-            dead = gone.port();
+        int closedPort;
+        try (FakePeer closedServer = new FakePeer(FakePeer.CLOSE)) {
+            closedPort = closedServer.port();
         }
         server = new FakePeer((socket, request) -> {
             uploadedBytes.add(readChunks(socket.getInputStream()));
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         });
-        String pool = "[pool]\nservers = [\"127.0.0.1:" + dead + "\", \"" + server.address() + "\"]\n"
+        String pool = "[pool]\nservers = [\"127.0.0.1:" + closedPort + "\", \"" + server.address() + "\"]\n"
                 + "connect-timeout = \"2s\"\n";
         try (RunningNode node = new RunningNode(pool)) {
             for (int i = 0; i < 6; i++) {
@@ -171,13 +171,13 @@
             });
             int before = server.requests.size();
             try (Socket client = node.connect()) {
-                // Of a class that may be repeated: it is the body that can't be had twice.
+                // A class that may be retried: only the streamed body prevents it.
                 FakePeer.write(client, putHead(CLOSE, LONG_BODY_BYTES).replace("PUT", "GET") + "30d40\r\n");
                 client.getOutputStream().write(new byte[150_000]);
                 FakePeer.takeWithTimeout(uploadedBytes);
                 assertTrue(RunningNode.readUntilClosed(client).startsWith("HTTP/1.1 503 "));
             }
-            assertEquals(before + 1, server.requests.size(), "it may have run: nobody else is sent it");
+            assertEquals(before + 1, server.requests.size(), "the request may have run and must not be retried");
         }
     }
 
@@ -187,9 +187,9 @@
             boolean cut = request.startsWith("GET /cut");
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n");
             OutputStream out = socket.getOutputStream();
-            byte[] some = new byte[65_536];
-            for (int left = cut ? LONG_BODY_BYTES / 2 : LONG_BODY_BYTES; left > 0; left -= some.length) {
-                out.write(some, 0, Math.min(left, some.length));
+            byte[] chunk = new byte[65_536];
+            for (int left = cut ? LONG_BODY_BYTES / 2 : LONG_BODY_BYTES; left > 0; left -= chunk.length) {
+                out.write(chunk, 0, Math.min(left, chunk.length));
             }
             if (cut) {
                 socket.close();
@@ -202,46 +202,50 @@
                 assertEquals(LONG_BODY_BYTES, answer.length() - answer.indexOf("\r\n\r\n") - 4);
                 FakePeer.write(client, RunningNode.get("/cut", ""));
                 String cut = RunningNode.readUntilClosed(client);
-                assertTrue(cut.length() < LONG_BODY_BYTES && cut.endsWith("<broken>"), "not to be taken for the whole");
+                assertTrue(
+                        cut.length() < LONG_BODY_BYTES && cut.endsWith("<broken>"),
+                        "a truncated response must end with a reset");
             }
-            assertEquals(2, server.requests.size(), "what has begun is not had from elsewhere");
+            assertEquals(2, server.requests.size(), "a streamed response is not retried");
             assertEquals(0, node.pendingWork().requests());
         }
     }
 
     @Test
     void resetsHttp10ClientWhenUnboundedResponseIsTruncated() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch releaseClose = new CountDownLatch(1);
         server = new FakePeer((socket, request) -> {
             FakePeer.write(
                     socket,
                     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                             + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-            go.await();
+            releaseClose.await();
             socket.close();
         });
         try (RunningNode node = new RunningNode(RunningNode.pool(server));
                 Socket client = node.connect()) {
             FakePeer.write(client, "GET / HTTP/1.0\r\n\r\n");
             byte[] head = new byte[8];
-            assertEquals(8, client.getInputStream().read(head), "events are passed on before there is an end");
-            go.countDown();
-            assertTrue(RunningNode.readUntilClosed(client).endsWith("<broken>"), "closing would mean that it is whole");
+            assertEquals(8, client.getInputStream().read(head), "events are forwarded before the response ends");
+            releaseClose.countDown();
+            assertTrue(
+                    RunningNode.readUntilClosed(client).endsWith("<broken>"),
+                    "an orderly close would mark the response as complete");
         }
     }
 
-    /** A client that does not read has the server read no faster, and costs what the buffers hold. */
+    /** The node must read a response no faster than its client does, so that it buffers only a bounded part. */
     @Test
     void appliesBackpressureForSlowReader() throws Exception {
         AtomicLong written = new AtomicLong();
         BlockingQueue<String> ended = new LinkedBlockingQueue<>();
         server = new FakePeer((socket, request) -> {
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1073741824\r\n\r\n");
-            byte[] some = new byte[65_536];
+            byte[] chunk = new byte[65_536];
             try {
-                for (long left = 1 << 30; left > 0; left -= some.length) {
-                    socket.getOutputStream().write(some);
-                    written.addAndGet(some.length);
+                for (long left = 1 << 30; left > 0; left -= chunk.length) {
+                    socket.getOutputStream().write(chunk);
+                    written.addAndGet(chunk.length);
                 }
                 ended.add("all written");
             } catch (IOException e) {
@@ -255,8 +259,8 @@
             client.setReceiveBufferSize(65_536);
             FakePeer.write(client, RunningNode.get("/", ""));
             assertEquals('H', client.getInputStream().read());
-            assertEquals("cut", FakePeer.takeWithTimeout(ended), "nothing was read for a second, so it is over");
-            assertTrue(written.get() < 64 << 20, written + " bytes were taken for a client that reads none");
+            assertEquals("cut", FakePeer.takeWithTimeout(ended), "the idle timeout of one second ends the response");
+            assertTrue(written.get() < 64 << 20, written + " bytes were read for a client that reads nothing");
             server.script(FakePeer.answer("200 OK", "", "meanwhile"));
             FakePeer.write(other, RunningNode.get("/", ""));
             assertTrue(RunningNode.readResponse(other).endsWith("meanwhile"));
@@ -271,12 +275,12 @@
             assertTrue(
                     node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\nabc")
                             .startsWith("HTTP/1.1 408 "),
-                    "a short one");
+                    "a buffered body");
             assertTrue(
                     node.sendAndReadAll(
                                     "PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 900000\r\n\r\n" + "x".repeat(100_000))
                             .startsWith("HTTP/1.1 408 "),
-                    "a long one");
+                    "a streamed body");
             assertTrue(node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nConte").startsWith("HTTP/1.1 408 "), "a head");
             assertEquals(0, node.pendingWork().bytes());
             assertEquals(0, node.pendingWork().requests());
@@ -291,12 +295,12 @@
                     node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: "
                                     + "200000\r\n\r\n")
                             .startsWith("HTTP/1.1 413 "),
-                    "before it is asked to go on");
+                    "rejected before 100 Continue");
             try (Socket client = node.connect()) {
                 send(client, putHead("", LONG_BODY_BYTES) + Integer.toHexString(LONG_BODY_BYTES) + "\r\n", 150_000);
                 assertTrue(RunningNode.readUntilClosed(client).startsWith("HTTP/1.1 413 "));
             }
-            assertEquals(-1, FakePeer.takeWithTimeout(uploadedBytes), "the server does not take it for whole");
+            assertEquals(-1, FakePeer.takeWithTimeout(uploadedBytes), "the server sees a truncated body");
             try (Socket client = node.connect()) {
                 server.script(FakePeer.answer("200 OK", "", "thanks"));
                 FakePeer.write(
@@ -314,11 +318,11 @@
     void timesOutSilentServer() throws Exception {
         server = new FakePeer(FakePeer.SILENT);
         try (RunningNode node = new RunningNode("[classes.all]\ndeadline = \"400ms\"\n" + RunningNode.pool(server))) {
-            long began = System.nanoTime();
+            long startNs = System.nanoTime();
             String answer =
                     node.sendAndReadAll("PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n" + CLOSE + "\r\nabc");
             assertTrue(answer.startsWith("HTTP/1.1 50"), answer);
-            assertTrue(System.nanoTime() - began < TimeUnit.SECONDS.toNanos(20));
+            assertTrue(System.nanoTime() - startNs < TimeUnit.SECONDS.toNanos(20));
             assertFalse(answer.contains("200 OK"));
         }
     }
--- a/src/test/java/vetchpost/daemon/ChangesNodeTest.java
+++ b/src/test/java/vetchpost/daemon/ChangesNodeTest.java
@@ -25,7 +25,7 @@
 import vetchpost.store.EntryKind;
 import vetchpost.testing.FakePeer;
 
-/** A node whose routes come from control machines, over loopback. */
+/** A node that receives its routes from control machines over loopback. */
 class ChangesNodeTest {
     private static final String CLOSE = "Connection: close\r\n";
     private static final String POST =
@@ -61,11 +61,11 @@
                 + folder.resolve("secret") + "\"\nfile = \"" + folder.resolve("store") + "\"\n";
     }
 
-    private void write(EntryChange.Op op, String path, String mostBody) {
+    private void write(EntryChange.Op op, String path, String maxBody) {
         Map<String, Section.Entry> entries = new LinkedHashMap<>();
         Position at = new Position("x", 1, 1);
         entries.put("path", new Section.Entry(path, at));
-        entries.put("max-body", new Section.Entry(mostBody, at));
+        entries.put("max-body", new Section.Entry(maxBody, at));
         assertEquals(
                 List.of(),
                 writer.submit(List.of(new EntryChange(
@@ -101,19 +101,17 @@
             control.close();
             assertTrue(
                     node.sendAndReadAll(POST).startsWith("HTTP/1.1 413 "),
-                    "with nobody there it serves by what it has");
+                    "without control machines it keeps its routes");
         }
-        try (RunningNode again = node(control)) {
-            assertTrue(again.sendAndReadAll(POST).startsWith("HTTP/1.1 413 "), "it begins with what it had");
+        try (RunningNode restarted = node(control)) {
+            assertTrue(restarted.sendAndReadAll(POST).startsWith("HTTP/1.1 413 "), "it starts with the saved routes");
             assertTrue(
-                    again.statusNote().contains("configuration 1.3, not confirmed since the start"),
-                    again.statusNote());
+                    restarted.statusNote().contains("configuration 1.3, not confirmed since the start"),
+                    restarted.statusNote());
         }
     }
 
-    /**
-     * Both ways in which routes come into force, at once: the file's other parts, and changes on their way.
-     */
+    /** Reloads of the file and changes from control machines at the same time must not lose a change. */
     @Test
     void reloadDuringChangesLosesNone() throws Exception {
         write(EntryChange.Op.PUT, "/photos/*", "9B");
@@ -138,7 +136,7 @@
         }
     }
 
-    /** Of one name, all would ask the same control machine first. */
+    /** Nodes with the same name would all connect to the same control machine first. */
     @Test
     void unnamedNodesSpreadOverPublishers() throws Exception {
         TestPublisher one = new TestPublisher(writer.store(), TestPublisher.SECRET, 0);
@@ -149,7 +147,7 @@
         List<RunningNode> nodes = new java.util.ArrayList<>();
         try (one;
                 two) {
-            // Thirty at one machine by chance: once in five hundred million.
+            // The probability that all thirty choose the same machine is one in five hundred million.
             for (int i = 0; i < 30; i++) {
                 nodes.add(new RunningNode(both));
             }
@@ -167,23 +165,23 @@
     void fileWithChangesHasNoRoutesOfItsOwn() throws Exception {
         try (TestPublisher control = new TestPublisher(writer.store(), TestPublisher.SECRET, 0)) {
             for (String more : List.of("[[route]]\npath = \"/x\"\n", "[defaults]\nattempts = 2\n")) {
-                IllegalArgumentException refused =
+                IllegalArgumentException rejection =
                         assertThrows(IllegalArgumentException.class, () -> new RunningNode(file(control) + more));
-                assertTrue(refused.getMessage().contains("UNREACHABLE"), refused.getMessage());
+                assertTrue(rejection.getMessage().contains("UNREACHABLE"), rejection.getMessage());
             }
             assertThrows(
                     IllegalArgumentException.class,
                     () -> new RunningNode(file(control)
                             .replace("127.0.0.1:" + control.address().getPort(), "nowhere")));
             try (RunningNode node = node(control)) {
-                IllegalArgumentException kept = assertThrows(IllegalArgumentException.class, () -> {
+                IllegalArgumentException rejection = assertThrows(IllegalArgumentException.class, () -> {
                     try {
                         node.reload(RunningNode.pool(server));
                     } catch (java.util.concurrent.ExecutionException e) {
                         throw e.getCause();
                     }
                 });
-                assertTrue(kept.getMessage().contains("a restart takes them up"), kept.getMessage());
+                assertTrue(rejection.getMessage().contains("a restart takes them up"), rejection.getMessage());
                 assertTrue(node.sendAndReadAll(POST).startsWith("HTTP/1.1 200 "));
             }
         }
--- a/src/test/java/vetchpost/daemon/CommandsTest.java
+++ b/src/test/java/vetchpost/daemon/CommandsTest.java
@@ -20,7 +20,7 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** What a person at a terminal gets. */
+/** Output and exit codes of the commands that read files. */
 class CommandsTest {
     @TempDir
     private Path folder;
@@ -56,7 +56,7 @@
         return new CommandLine(command).setOut(writer).setErr(writer).execute(arguments);
     }
 
-    /** What init prints is a file that check takes as it is, without any environment. */
+    /** The file that init prints must pass check unchanged and without environment variables. */
     @Test
     void initPrintsValidFile() throws Exception {
         assertEquals(
@@ -82,7 +82,10 @@
     void shippedFileIsValidStandaloneAndWithPlatform() throws Exception {
         assertEquals(0, run(new CheckCommand(), "deploy/vetchpost.toml"));
         assertEquals(0, run(new CheckCommand(), "deploy/vetchpost.toml", "--explain", "cover"));
-        assertEquals(2, check("[node]\nlisten = 7\n[class.nobody]\n"), "beside it, its classes are the platform's");
+        assertEquals(
+                2,
+                check("[node]\nlisten = 7\n[class.nobody]\n"),
+                "with the platform, classes come from its configuration");
         assertEquals(0, check("[node]\nlisten = 7\n"));
         assertTrue(out.toString().contains("are ignored here"), out.toString());
     }
@@ -140,9 +143,9 @@
         String said = out.toString();
         assertTrue(said.contains("list 41, 12 servers"), said);
         assertTrue(said.contains("would be used, as far"), said);
-        List<String> boxes = said.lines().filter(l -> l.startsWith("s-")).toList();
-        assertEquals(3, boxes.size());
-        assertTrue(boxes.get(0).endsWith("ejected") && boxes.get(1).endsWith("ejected"), said);
+        List<String> serverLines = said.lines().filter(l -> l.startsWith("s-")).toList();
+        assertEquals(3, serverLines.size());
+        assertTrue(serverLines.get(0).endsWith("ejected") && serverLines.get(1).endsWith("ejected"), said);
         assertTrue(said.contains("and 9 more"), said);
         Files.write(file, new byte[] {1, 2, 3});
         assertEquals(1, state(file));
--- a/src/test/java/vetchpost/daemon/ControlTest.java
+++ b/src/test/java/vetchpost/daemon/ControlTest.java
@@ -25,7 +25,7 @@
 import picocli.CommandLine;
 import vetchpost.testing.FakePeer;
 
-/** Operators at a running node: by its socket, its record, and the command line. */
+/** Control of a running node through its socket, the audit log and the command {@code ctl}. */
 @Timeout(60)
 class ControlTest {
     private static final String CLOSE = "Connection: close\r\n";
@@ -107,13 +107,13 @@
             assertAllAnsweredBy(node, "second");
             assertEquals(0, ctl("undo", "1"), said);
             assertEquals(0, drain(second), said);
-            assertTrue(said.contains("override 2 "), "numbers go on: " + said);
+            assertTrue(said.contains("override 2 "), "numbers continue: " + said);
             assertAllAnsweredBy(node, "first");
             assertEquals(0, ctl("undo", "2"), said);
         }
         try (RunningNode node = node()) {
             assertEquals(0, drain(first), said);
-            assertTrue(said.contains("override 3 "), "a number is never given twice: " + said);
+            assertTrue(said.contains("override 3 "), "numbers are never reused: " + said);
             assertAllAnsweredBy(node, "second");
         }
         assertEquals(0, ctl("audit", audit().toString()));
@@ -126,7 +126,9 @@
         try (RunningNode node = node()) {
             assertEquals(1, drain(first));
             assertTrue(said.contains("line 2 does not follow from those before"), said);
-            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "), "and it serves");
+            assertTrue(
+                    node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "),
+                    "the node still serves");
         }
     }
 
@@ -149,13 +151,13 @@
     @Test
     void slowSocketClientDelaysNobodyElse() throws Exception {
         try (RunningNode node = node();
-                SocketChannel half = SocketChannel.open(UnixDomainSocketAddress.of(socket()));
-                SocketChannel long1 = SocketChannel.open(UnixDomainSocketAddress.of(socket()))) {
-            half.write(ByteBuffer.wrap("{\"v\":1,".getBytes(StandardCharsets.UTF_8)));
-            byte[] much = "x".repeat(20_000).getBytes(StandardCharsets.UTF_8);
-            long1.write(ByteBuffer.wrap(much));
+                SocketChannel incomplete = SocketChannel.open(UnixDomainSocketAddress.of(socket()));
+                SocketChannel oversized = SocketChannel.open(UnixDomainSocketAddress.of(socket()))) {
+            incomplete.write(ByteBuffer.wrap("{\"v\":1,".getBytes(StandardCharsets.UTF_8)));
+            byte[] oversizedRequest = "x".repeat(20_000).getBytes(StandardCharsets.UTF_8);
+            oversized.write(ByteBuffer.wrap(oversizedRequest));
             ByteBuffer reply = ByteBuffer.allocate(1_000);
-            while (long1.read(reply) >= 0) {
+            while (oversized.read(reply) >= 0) {
                 continue;
             }
             assertTrue(new String(reply.array(), 0, reply.position(), StandardCharsets.UTF_8)
@@ -177,7 +179,8 @@
             assertEquals(0, ctl("status"), said);
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
             assertTrue(
-                    other.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "), "without a socket");
+                    other.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "),
+                    "the second node serves without a socket");
         }
         Files.deleteIfExists(socket());
         Files.writeString(socket(), "mine");
@@ -229,7 +232,7 @@
             assertEquals(0, drain(first), said);
             assertEquals(0, ctl("explain", "--why-not", first.address()), said);
             assertTrue(said.startsWith("an override drains it"), said);
-            assertTrue(said.contains("it drains"), "the module too: " + said);
+            assertTrue(said.contains("it drains"), "the balancer reports it too: " + said);
             assertEquals(0, ctl("explain", "--why-not", "nobody:1"), said);
             assertTrue(said.startsWith("no source names it"), said);
             assertEquals(2, ctl("explain", "1", "--last", "3"));
--- a/src/test/java/vetchpost/daemon/GatewayTest.java
+++ b/src/test/java/vetchpost/daemon/GatewayTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import vetchpost.testing.FakePeer;
 
-/** HTTP/1.1 as a gateway has to keep it, between clients and servers that write bytes as they please. */
+/** The rules of HTTP/1.1 for gateways, checked with clients and servers that write raw bytes. */
 @Timeout(60)
 class GatewayTest {
     private static final String CLOSE = "Connection: close\r\n";
@@ -54,8 +54,8 @@
             assertTrue(answer.contains("Set-Cookie: a=1\r\nSet-Cookie: b=2\r\n"), answer);
             assertEquals("\"x\"", FakePeer.header(answer, "etag"));
             assertEquals("1.1 vetchpost", FakePeer.header(answer, "via"));
-            assertNotNull(FakePeer.header(answer, "date"), "a date is added where the server gives none");
-            assertNull(FakePeer.header(answer, "x-hop"), "what belongs to the server's connection ends there");
+            assertNotNull(FakePeer.header(answer, "date"), "a missing date is added");
+            assertNull(FakePeer.header(answer, "x-hop"), "hop-by-hop headers are not forwarded");
             assertNull(FakePeer.header(answer, "keep-alive"));
             assertTrue(answer.endsWith("\r\n\r\ngone"), answer);
         }
@@ -74,7 +74,8 @@
             assertEquals("shop.example", FakePeer.header(request, "host"));
             assertEquals("a=b", FakePeer.header(request, "cookie"));
             assertEquals("1.1 vetchpost", FakePeer.header(request, "via"));
-            assertEquals("127.0.0.1", FakePeer.header(request, "x-forwarded-for"), "not what a client says");
+            assertEquals(
+                    "127.0.0.1", FakePeer.header(request, "x-forwarded-for"), "the client's own value is not trusted");
             assertEquals("for=127.0.0.1;host=\"shop.example\";proto=http", FakePeer.header(request, "forwarded"));
             for (String hop : List.of(
                     "x-hop",
@@ -108,11 +109,11 @@
             first.script((socket, request) -> socket.close());
             String answer = node.sendAndReadAll(post);
             assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
-            assertEquals("maybe", FakePeer.header(answer, "vetchpost-ran"), "it was written whole");
+            assertEquals("maybe", FakePeer.header(answer, "vetchpost-ran"), "the request was written completely");
             first.script(FakePeer.answer("500 Internal Server Error", "Vetchpost-Ran: no\r\n", "mine"));
             answer = node.sendAndReadAll(post);
             assertTrue(answer.endsWith("mine"), answer);
-            assertNull(FakePeer.header(answer, "vetchpost-ran"), "a server has no say in it");
+            assertNull(FakePeer.header(answer, "vetchpost-ran"), "only the node may set this header");
             first.close();
             answer = node.sendAndReadAll(post);
             assertTrue(answer.startsWith("HTTP/1.1 50"), answer);
@@ -160,7 +161,7 @@
                     + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
             FakePeer.write(client, RunningNode.get("/", ""));
             assertTrue(RunningNode.readResponse(client).endsWith("\r\n\r\nok"));
-            assertEquals(1, first.accepted.size(), "one connection to the server has carried all of it");
+            assertEquals(1, first.accepted.size(), "all requests used one server connection");
         }
     }
 
@@ -207,7 +208,7 @@
                 FakePeer.write(client, "GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
                 assertEquals("keep-alive", FakePeer.header(RunningNode.readResponse(client), "connection"));
                 FakePeer.write(client, "GET / HTTP/1.0\r\n\r\n");
-                assertTrue(RunningNode.readUntilClosed(client).endsWith("hello"), "and closed without the field");
+                assertTrue(RunningNode.readUntilClosed(client).endsWith("hello"), "closed without keep-alive");
             }
         }
     }
@@ -229,76 +230,76 @@
         }
     }
 
-    /** Nonsense behind a request in hand costs the connection, and not the request its answer. */
+    /** Malformed input behind a pending request must close the connection only after that request is answered. */
     @Test
     void answersPendingRequestBeforeMalformedOne() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch releaseResponse = new CountDownLatch(1);
         first.script((socket, request) -> {
-            go.await();
+            releaseResponse.await();
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
         });
         try (RunningNode node = node();
                 Socket client = node.connect()) {
             FakePeer.write(client, RunningNode.get("/", "") + "no HTTP at all\r\n\r\n");
             first.nextRequest();
-            go.countDown();
+            releaseResponse.countDown();
             String all = RunningNode.readUntilClosed(client);
             assertTrue(all.startsWith("HTTP/1.1 200 ") && all.contains("hello"), all);
             assertTrue(all.contains("HTTP/1.1 400 "), all);
         }
     }
 
-    /** Each is answered with this status, and nothing that follows on its connection is looked at. */
+    /** Each ambiguous request gets its error status, and nothing behind it on the connection is processed. */
     @Test
     void rejectsAmbiguousRequests() throws Exception {
         String host = "Host: a\r\n";
         String smuggled = "GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n";
-        Map<String, Integer> refused = new LinkedHashMap<>();
-        refused.put("POST / HTTP/1.1\r\n" + host + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcd", 400);
-        refused.put(
+        Map<String, Integer> expectedStatus = new LinkedHashMap<>();
+        expectedStatus.put("POST / HTTP/1.1\r\n" + host + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcd", 400);
+        expectedStatus.put(
                 "POST / HTTP/1.1\r\n" + host + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + "0\r\n\r\n",
                 400);
-        refused.put("POST / HTTP/1.1\r\n" + host + "Content-Length: +4\r\n\r\nabcd", 400);
-        refused.put("POST / HTTP/1.1\r\n" + host + "Content-Length: -4\r\n\r\nabcd", 400);
-        refused.put("POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501);
-        refused.put(
+        expectedStatus.put("POST / HTTP/1.1\r\n" + host + "Content-Length: +4\r\n\r\nabcd", 400);
+        expectedStatus.put("POST / HTTP/1.1\r\n" + host + "Content-Length: -4\r\n\r\nabcd", 400);
+        expectedStatus.put("POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501);
+        expectedStatus.put(
                 "POST / HTTP/1.1\r\n" + host
                         + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + "0\r\n\r\n",
                 400);
-        refused.put("POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: identity\r\n\r\n", 400);
-        refused.put("POST / HTTP/1.0\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400);
-        refused.put("POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400);
-        refused.put("GET / HTTP/1.1\r\n\r\n", 400);
-        refused.put("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400);
-        refused.put("GET / HTTP/1.1\r\nHost: a/b\r\n\r\n", 400);
-        refused.put("GET / HTTP/1.1\r\nHost: a\r\nX-A : b\r\n\r\n", 400);
-        refused.put("GET / HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", 400);
-        refused.put("GET / HTTP/1.1\r\nHost: a\rX-A: b\r\n\r\n", 400);
-        refused.put("GET / HTTP/1.1\r\n Host: a\r\n\r\n", 400);
-        refused.put("GET /a\u0001b HTTP/1.1\r\nHost: a\r\n\r\n", 400);
-        refused.put("GET a HTTP/1.1\r\nHost: a\r\n\r\n", 400);
-        refused.put("GET /#a HTTP/1.1\r\nHost: a\r\n\r\n", 400);
-        refused.put("GET * HTTP/1.1\r\nHost: a\r\n\r\n", 400);
-        refused.put("G@T / HTTP/1.1\r\nHost: a\r\n\r\n", 400);
-        refused.put("CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n", 501);
-        refused.put("TRACE / HTTP/1.1\r\nHost: a\r\n\r\n", 405);
-        refused.put("GET / HTTP/2.0\r\nHost: a\r\n\r\n", 505);
-        refused.put("GET / HTTP/1.1\r\nHost: a\r\nExpect: wonders\r\n\r\n", 417);
-        refused.put("GET / HTTP/1.1\r\nHost: a\r\nConnection: upgrade\r\nUpgrade: websocket\r\n\r\n", 501);
-        refused.put("GET /" + "x".repeat(9_000) + " HTTP/1.1\r\nHost: a\r\n\r\n", 414);
-        refused.put("GET / HTTP/1.1\r\nHost: a\r\nX: " + "x".repeat(20_000) + "\r\n\r\n", 431);
-        List<String> wrong = new ArrayList<>();
+        expectedStatus.put("POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: identity\r\n\r\n", 400);
+        expectedStatus.put("POST / HTTP/1.0\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400);
+        expectedStatus.put("POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400);
+        expectedStatus.put("GET / HTTP/1.1\r\n\r\n", 400);
+        expectedStatus.put("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400);
+        expectedStatus.put("GET / HTTP/1.1\r\nHost: a/b\r\n\r\n", 400);
+        expectedStatus.put("GET / HTTP/1.1\r\nHost: a\r\nX-A : b\r\n\r\n", 400);
+        expectedStatus.put("GET / HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", 400);
+        expectedStatus.put("GET / HTTP/1.1\r\nHost: a\rX-A: b\r\n\r\n", 400);
+        expectedStatus.put("GET / HTTP/1.1\r\n Host: a\r\n\r\n", 400);
+        expectedStatus.put("GET /a\u0001b HTTP/1.1\r\nHost: a\r\n\r\n", 400);
+        expectedStatus.put("GET a HTTP/1.1\r\nHost: a\r\n\r\n", 400);
+        expectedStatus.put("GET /#a HTTP/1.1\r\nHost: a\r\n\r\n", 400);
+        expectedStatus.put("GET * HTTP/1.1\r\nHost: a\r\n\r\n", 400);
+        expectedStatus.put("G@T / HTTP/1.1\r\nHost: a\r\n\r\n", 400);
+        expectedStatus.put("CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n", 501);
+        expectedStatus.put("TRACE / HTTP/1.1\r\nHost: a\r\n\r\n", 405);
+        expectedStatus.put("GET / HTTP/2.0\r\nHost: a\r\n\r\n", 505);
+        expectedStatus.put("GET / HTTP/1.1\r\nHost: a\r\nExpect: wonders\r\n\r\n", 417);
+        expectedStatus.put("GET / HTTP/1.1\r\nHost: a\r\nConnection: upgrade\r\nUpgrade: websocket\r\n\r\n", 501);
+        expectedStatus.put("GET /" + "x".repeat(9_000) + " HTTP/1.1\r\nHost: a\r\n\r\n", 414);
+        expectedStatus.put("GET / HTTP/1.1\r\nHost: a\r\nX: " + "x".repeat(20_000) + "\r\n\r\n", 431);
+        List<String> failures = new ArrayList<>();
         try (RunningNode node = node()) {
-            for (Map.Entry<String, Integer> each : refused.entrySet()) {
+            for (Map.Entry<String, Integer> each : expectedStatus.entrySet()) {
                 String answer = node.sendAndReadAll(each.getKey() + smuggled);
                 if (!answer.startsWith("HTTP/1.1 " + each.getValue() + " ")
                         || answer.indexOf("HTTP/1.1 ") != answer.lastIndexOf("HTTP/1.1 ")) {
-                    wrong.add(each.getKey() + " -> " + answer);
+                    failures.add(each.getKey() + " -> " + answer);
                 }
             }
-            assertEquals(List.of(), wrong);
-            assertEquals(0, first.requests.size(), "nothing of it has reached a server");
+            assertEquals(List.of(), failures);
+            assertEquals(0, first.requests.size(), "no rejected request reached a server");
         }
     }
 
@@ -313,7 +314,7 @@
             assertEquals(
                     "one two",
                     FakePeer.header(first.nextRequest(), "x-folded"),
-                    "a folded line is made one (RFC 9112, section 5.2)");
+                    "a folded line is unfolded (RFC 9112, section 5.2)");
         }
     }
 
@@ -325,23 +326,25 @@
             String answer =
                     node.sendAndReadAll("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx");
             assertTrue(answer.startsWith("HTTP/1.1 500 ") && answer.endsWith("my own page"), answer);
-            assertEquals(1, first.requests.size() + second.requests.size(), "it may have run, so it ran once");
+            assertEquals(
+                    1, first.requests.size() + second.requests.size(), "the request may have run and is not retried");
             first.requests.clear();
             second.requests.clear();
             answer = node.sendAndReadAll(RunningNode.get("/", CLOSE));
             assertTrue(answer.startsWith("HTTP/1.1 500 ") && answer.endsWith("my own page"), answer);
-            assertEquals(2, first.requests.size() + second.requests.size(), "what is safe was tried at both");
+            assertEquals(
+                    2, first.requests.size() + second.requests.size(), "the safe request was tried at both servers");
         }
     }
 
     @Test
     void retriesOnlySafeRequestsOnAnotherServer() throws Exception {
-        FakePeer.Script cut = (socket, request) -> {
+        FakePeer.Script truncate = (socket, request) -> {
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
             socket.close();
         };
-        first.script(cut);
-        second.script(cut);
+        first.script(truncate);
+        second.script(truncate);
         try (RunningNode node = new RunningNode(RunningNode.pool("attempts = 4\n", first, second))) {
             String post = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx";
             assertTrue(node.sendAndReadAll(post).startsWith("HTTP/1.1 502 "));
@@ -368,26 +371,26 @@
 
     @Test
     void sendsNothingNewToDrainingServer() throws Exception {
-        FakePeer.Script ours = FakePeer.answer("200 OK", "", "here");
+        FakePeer.Script response = FakePeer.answer("200 OK", "", "here");
         first.script(FakePeer.answer("503 Busy", "X-Drain: 1\r\n", "going"));
-        second.script(ours);
+        second.script(response);
         try (RunningNode node = new RunningNode(RunningNode.pool("drain-header = \"X-Drain\"\n", first, second))) {
             while (first.requests.isEmpty()) {
                 assertTrue(
                         node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("here"),
-                        "what it turns away goes elsewhere");
+                        "a rejected request goes to the other server");
             }
-            // A turn and ten milliseconds later it is out: what comes after its second word is one too many.
+            // The drain takes effect a loop turn and ten milliseconds later; a few requests may go out before.
             int before = first.requests.size();
             for (int i = 0; i < 40; i++) {
                 assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("here"));
             }
-            assertTrue(first.requests.size() <= before + 4, "it goes on being sent requests");
-            int settled = first.requests.size();
+            assertTrue(first.requests.size() <= before + 4, "requests are still sent to the draining server");
+            int countAfterDrain = first.requests.size();
             for (int i = 0; i < 40; i++) {
                 node.sendAndReadAll(RunningNode.get("/", CLOSE));
             }
-            assertEquals(settled, first.requests.size());
+            assertEquals(countAfterDrain, first.requests.size());
         }
     }
 }
--- a/src/test/java/vetchpost/daemon/IncrementalReloadTest.java
+++ b/src/test/java/vetchpost/daemon/IncrementalReloadTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Files that are read again for what has changed, against the same files read as at a start. */
+/** Random edits: a reload that validates only changed routes must give the same result as a full read. */
 class IncrementalReloadTest {
     @TempDir
     private Path folder;
@@ -50,64 +50,65 @@
     }
 
     private static Set<String> violatedRules(ValidatedFile file) {
-        Set<String> said = new TreeSet<>();
-        // Which of two that are the same is named depends on which was there before.
+        Set<String> rules = new TreeSet<>();
+        // Which of two duplicates is reported, and by which rule, depends on the previous file.
         file.violations()
                 .forEach(v ->
-                        said.add(v.rule().name().replace("SAME_NAME", "SAME").replace("SAME_MATCH", "SAME")));
-        return said;
+                        rules.add(v.rule().name().replace("SAME_NAME", "SAME").replace("SAME_MATCH", "SAME")));
+        return rules;
     }
 
     @Test
     void incrementalReloadMatchesFullRead() throws Exception {
-        String usual = "[node]\nlisten = \"127.0.0.1:0\"\n[tenants.ann]\n[pool]\nservers = " + "[\"127.0.0.1:9\"]\n";
+        String commonHead =
+                "[node]\nlisten = \"127.0.0.1:0\"\n[tenants.ann]\n[pool]\nservers = " + "[\"127.0.0.1:9\"]\n";
         Path path = folder.resolve("f.toml");
         Path other = folder.resolve("g.toml");
         for (int seed = 0; seed < 150; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             List<String> routes = new ArrayList<>();
-            ValidatedFile held = null;
+            ValidatedFile lastValid = null;
             for (int step = 0; step < 12; step++) {
                 List<String> next = new ArrayList<>(routes);
                 for (int i = random.nextInt(1, 4); i > 0; i--) {
-                    int what = random.nextInt(5);
-                    if (what < 2 || next.isEmpty()) {
+                    int edit = random.nextInt(5);
+                    if (edit < 2 || next.isEmpty()) {
                         next.add(random.nextInt(next.size() + 1), route(random, random.nextInt(40)));
-                    } else if (what == 2) {
+                    } else if (edit == 2) {
                         next.remove(random.nextInt(next.size()));
-                    } else if (what == 3) {
+                    } else if (edit == 3) {
                         next.set(random.nextInt(next.size()), route(random, random.nextInt(40)));
                     } else {
                         next.add(next.remove(0));
                     }
                 }
                 String head = random.nextInt(8) == 0
-                        ? "[defaults]\nretry-budget = 0." + random.nextInt(1, 9) + "\n" + usual
-                        : usual;
+                        ? "[defaults]\nretry-budget = 0." + random.nextInt(1, 9) + "\n" + commonHead
+                        : commonHead;
                 Files.writeString(path, file(head, next));
                 Files.writeString(other, file(head, next));
-                ValidatedFile whole = ValidatedFile.read(other, sections -> null, null);
-                ValidatedFile again =
-                        held == null ? ValidatedFile.read(path, sections -> null, null) : held.reread(path);
-                incrementalReloads += held != null && again.node() == held.node() ? 1 : 0;
+                ValidatedFile fullRead = ValidatedFile.read(other, sections -> null, null);
+                ValidatedFile reread =
+                        lastValid == null ? ValidatedFile.read(path, sections -> null, null) : lastValid.reread(path);
+                incrementalReloads += lastValid != null && reread.node() == lastValid.node() ? 1 : 0;
                 assertEquals(
-                        violatedRules(whole),
-                        violatedRules(again),
-                        () -> "\n" + file(head, next) + whole.violations() + "\n" + again.violations());
-                if (!whole.isValid()) {
+                        violatedRules(fullRead),
+                        violatedRules(reread),
+                        () -> "\n" + file(head, next) + fullRead.violations() + "\n" + reread.violations());
+                if (!fullRead.isValid()) {
                     rejectedFiles++;
                     continue;
                 }
-                assertEquals(whole.routes().routes(), again.routes().routes());
+                assertEquals(fullRead.routes().routes(), reread.routes().routes());
                 assertEquals(
-                        whole.routes().table().matchSum(),
-                        again.routes().table().matchSum());
-                held = again;
+                        fullRead.routes().table().matchSum(),
+                        reread.routes().table().matchSum());
+                lastValid = reread;
                 routes = next;
             }
         }
         assertTrue(
                 incrementalReloads > 300 && rejectedFiles > 100,
-                incrementalReloads + " by their routes alone, " + rejectedFiles + " refused");
+                incrementalReloads + " incremental reloads, " + rejectedFiles + " rejected");
     }
 }
--- a/src/test/java/vetchpost/daemon/MainTest.java
+++ b/src/test/java/vetchpost/daemon/MainTest.java
@@ -29,7 +29,7 @@
 import vetchpost.testing.Fixture;
 import vetchpost.testing.Output;
 
-/** The program as a process of its own: its start, its end, and few descriptors. */
+/** The node as a separate process: start, signals, exit codes, and exhausted descriptors and memory. */
 @Timeout(120)
 class MainTest {
     private FakePeer discovery;
@@ -65,7 +65,7 @@
     }
 
     private void launch(String config, String before) throws IOException {
-        // What the program ships with: of the tests' own libraries one would take over its log.
+        // Without slf4j, a test dependency that would replace the process's logging.
         String path = Arrays.stream(
                         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"))
                                 .split(File.pathSeparator))
@@ -92,7 +92,7 @@
     }
 
     private String killAndReadOutput() {
-        // Not by the process itself, which would close what it has written so far.
+        // Through the handle, because Process.destroyForcibly would close the output that is not read yet.
         process.toHandle().destroyForcibly();
         try {
             return output.readAll();
@@ -110,7 +110,7 @@
 
     private void await(String path) throws Exception {
         if (port == 0) {
-            // The system's choice: a port that was free a moment ago may be somebody's by now.
+            // The system chooses the port, because a port found free in advance may be taken by now.
             port = Integer.parseInt(output.restOfLine("listening on /127.0.0.1:"));
         }
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
@@ -121,19 +121,19 @@
                 FakePeer.write(socket, "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
                 answer = FakePeer.read(socket);
             } catch (IOException e) {
-                // Not listening yet: the process must get the processor to come so far.
+                // Not listening yet; on a busy machine the process may start slowly.
                 process.waitFor(20, TimeUnit.MILLISECONDS);
             }
         }
     }
 
-    /** By the operator's file a node keeps what it knows; the next one has nothing else, and serves. */
+    /** A node that starts without a server list must serve from the snapshot of its predecessor. */
     @Test
     void servesFromSnapshotAfterRestart() throws Exception {
         Path folder = Files.createTempDirectory("state");
-        Path kept = folder.resolve("boxes");
+        Path snapshotFile = folder.resolve("boxes");
         Path routes = Files.writeString(
-                folder.resolve("routes.toml"), "[state]\nfile = \"" + kept + "\"\naddress-kept = \"1h\"\n");
+                folder.resolve("routes.toml"), "[state]\nfile = \"" + snapshotFile + "\"\naddress-kept = \"1h\"\n");
         arguments = " serve --routes " + routes;
         JsonObject config = Fixture.config(discovery, server);
         start(config, "");
@@ -144,9 +144,9 @@
                 assertTrue(answer != null && answer.endsWith("done"), answer);
             }
             process.destroy();
-            assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still there");
+            assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "the process is still running");
             assertEquals(0, process.exitValue());
-            assertTrue(Files.size(kept) > 100, "kept at its end");
+            assertTrue(Files.size(snapshotFile) > 100, "the snapshot is saved at the stop");
             if (round == 0) {
                 config.add("known", JsonParser.parseString(Fixture.list(0, true, "Ready")));
                 start(config, "");
@@ -170,18 +170,20 @@
         server.nextRequest();
         Socket attempt = FakePeer.takeWithTimeout(server.accepted);
         process.destroy();
-        // Clients go on coming for a while, and are served.
+        // New connections are still served for a while.
         Socket late = connect();
         FakePeer.write(late, "GET /nothing HTTP/1.1\r\n\r\n");
         assertTrue(FakePeer.read(late).startsWith("HTTP/1.1 404"), "a late connection is not served");
         assertNull(FakePeer.read(idle), "an idle connection is closed after a while");
-        // By its deadline, which is 20 s here, and by no time of the stop's own.
-        assertFalse(process.waitFor(4, TimeUnit.SECONDS), "gone with a request in hand");
+        // Only the request's deadline of 20 s bounds it, and not the stop.
+        assertFalse(process.waitFor(4, TimeUnit.SECONDS), "exited with a pending request");
         FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         String answer = FakePeer.read(client);
         assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("done"), answer);
         assertEquals("close", FakePeer.header(answer, "Connection"));
-        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still there after it");
+        assertTrue(
+                process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS),
+                "the process is still running after the response");
         assertEquals(0, process.exitValue());
     }
 
@@ -199,7 +201,7 @@
             sendSighup();
             assertTrue(
                     next.nextRequest().startsWith("GET /v1/endpoints?watch=1 "),
-                    "a version of another address is named");
+                    "the revision of another discovery address is sent");
             FakePeer.takeWithTimeout(discovery.ended);
             config.addProperty("discovery", discovery.address());
             Files.writeString(file, config.toString());
@@ -227,29 +229,29 @@
 
     @Test
     void survivesDescriptorExhaustion() throws Exception {
-        // The configuration promises more than the system gives.
+        // The configured limit of sockets exceeds the system's limit of descriptors.
         Path file = start(Fixture.config(discovery, server), "ulimit -n 100 && ");
-        // Classes are read from files here, which takes descriptors, and not from one open jar.
+        // Loads the classes first: here they are files that need descriptors, unlike those of an open jar.
         try (Socket before = connect()) {
             FakePeer.write(before, Fixture.request("GET", "/view", 0, "", ""));
             assertTrue(FakePeer.read(before).startsWith("HTTP/1.1 200"), "not served before");
         }
-        List<Socket> many = new ArrayList<>();
+        List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            many.add(connect());
+            sockets.add(connect());
         }
-        // Idle ones make room, so that each that asks is answered; requests held stay.
-        Socket asking = many.get(many.size() - 1);
+        // Idle connections are closed, so that each new request gets a response; pending requests stay.
+        Socket asking = sockets.get(sockets.size() - 1);
         FakePeer.write(asking, Fixture.request("GET", "/view", 1, "", ""));
         String answer = FakePeer.read(asking);
         assertTrue(
                 answer != null && answer.startsWith("HTTP/1.1 "),
                 () -> answer + " while descriptors are short: " + killAndReadOutput());
-        // A line in the log takes none either.
+        // Logging must not need a descriptor either.
         Files.writeString(file, "{");
         sendSighup();
         awaitLine("stays as it was");
-        for (Socket socket : many) {
+        for (Socket socket : sockets) {
             socket.close();
         }
         try (Socket after = connect()) {
@@ -262,10 +264,10 @@
     void survivesManyLargeRequests() throws Exception {
         server.script(FakePeer.SILENT);
         start(Fixture.config(discovery, server), "");
-        List<Socket> many = new ArrayList<>();
+        List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
             Socket socket = connect();
-            many.add(socket);
+            sockets.add(socket);
             try {
                 FakePeer.write(socket, Fixture.request("POST", "/order", i, "", "x"));
                 for (int j = 0; j < 14; j++) {
@@ -273,12 +275,12 @@
                             socket, Fixture.request("POST", "/order", 1_000 + 20 * i + j, "", "x".repeat(60_000)));
                 }
             } catch (IOException e) {
-                // Closed, or no longer read: either will do.
+                // The node may close the connection or stop reading it.
                 continue;
             }
         }
         await("/ready");
-        for (Socket socket : many) {
+        for (Socket socket : sockets) {
             socket.close();
         }
         assertTrue(process.isAlive());
@@ -320,20 +322,20 @@
         start(Fixture.config(discovery, server), "");
         try (Socket client = connect()) {
             FakePeer.write(client, Fixture.request("POST", "/order/1", 1, "", "four"));
-            assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 413"), "its route is not in force");
+            assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 413"), "the route's limit is not in force");
             FakePeer.write(client, Fixture.request("GET", "/view/../order", 2, "", ""));
             assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 400"));
             Files.writeString(routes, "[class.order]\nmax-body = 4\n");
             sendSighup();
             awaitLine("stays as it was");
             FakePeer.write(client, Fixture.request("POST", "/order/1", 3, "", "four"));
-            assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 413"), "a bad file has changed something");
+            assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 413"), "an invalid file has changed the routes");
             Files.writeString(routes, "[class.order]\nmax-body = \"4B\"\n");
             sendSighup();
             String answer = "HTTP/1.1 413";
             long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
             for (int i = 10; System.nanoTime() < endNs && answer.startsWith("HTTP/1.1 413"); i++) {
-                // Four bad ones in a row end a connection.
+                // The valid request in between matters: four rejected ones in a row would close the connection.
                 FakePeer.write(client, Fixture.request("GET", "/view/1", 1_000 + i, "", ""));
                 FakePeer.read(client);
                 FakePeer.write(client, Fixture.request("POST", "/order/1", i, "", "four"));
@@ -351,7 +353,7 @@
         assertTrue(said.contains(named) && said.lines().count() == 1, said);
     }
 
-    /** One file, no environment, 1 GB each way at the same time, in a heap of 40 MB. */
+    /** A standalone node must stream 1 GiB each way at the same time with a heap of 40 MB. */
     @Test
     void streamsMoreThanItsHeap() throws Exception {
         long gigabyte = 1L << 30;
@@ -362,12 +364,12 @@
         heap = "40m";
         launch(null, "");
         await("/");
-        byte[] some = new byte[1 << 16];
+        byte[] chunk = new byte[1 << 16];
         server.script((socket, request) -> {
             if (request.startsWith("GET")) {
                 FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + gigabyte + "\r\n\r\n");
-                for (long left = gigabyte; left > 0; left -= some.length) {
-                    socket.getOutputStream().write(some);
+                for (long left = gigabyte; left > 0; left -= chunk.length) {
+                    socket.getOutputStream().write(chunk);
                 }
             } else {
                 long read = BodyStreamingTest.readChunks(socket.getInputStream());
@@ -391,24 +393,24 @@
         down.start();
         try (Socket client = connect()) {
             FakePeer.write(client, "PUT /up HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for (long left = gigabyte; left > 0; left -= some.length) {
+            for (long left = gigabyte; left > 0; left -= chunk.length) {
                 FakePeer.write(client, "10000\r\n");
-                client.getOutputStream().write(some);
+                client.getOutputStream().write(chunk);
                 FakePeer.write(client, "\r\n");
             }
             FakePeer.write(client, "0\r\n\r\n");
             assertTrue(FakePeer.read(client).endsWith("ok"));
         }
         down.join(TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
-        assertFalse(down.isAlive(), "not all has come");
+        assertFalse(down.isAlive(), "the download has not finished");
         assertTrue(downloaded > gigabyte, downloaded + " bytes");
         assertTrue(process.isAlive());
     }
 
-    /** As nohup and some supervisors start it; the runtime leaves such a signal ignored. */
+    /** Under nohup and some supervisors SIGHUP is ignored, and the runtime keeps it so; ctl must still reload. */
     @Test
     void reloadsByCtlWhenSighupIsIgnored() throws Exception {
-        Path folder = Files.createTempDirectory("deaf");
+        Path folder = Files.createTempDirectory("sighup");
         Path socket = folder.resolve("s");
         Path file = folder.resolve("node.toml");
         String node = "[node]\nlisten = \"127.0.0.1:0\"\n[pool]\nservers = [\"" + server.address()
@@ -429,7 +431,7 @@
             assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 413 "));
         }
         process.destroy();
-        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still there");
+        assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "the process is still running");
         try (var files = Files.list(folder)) {
             for (Path each : files.toList()) {
                 Files.delete(each);
--- a/src/test/java/vetchpost/daemon/MultiNodeControlTest.java
+++ b/src/test/java/vetchpost/daemon/MultiNodeControlTest.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine;
 import vetchpost.testing.FakePeer;
 
-/** An operator's night: one change at fifty nodes, and a sick server that is found and spared. */
+/** Control of many nodes: a partly failed change can be retried, and a failing server can be found and drained. */
 @Timeout(120)
 class MultiNodeControlTest {
     private static final int NODES = 50;
@@ -58,10 +58,10 @@
                 + "\"\naudit = \"" + file(i, "audit") + "\"\n");
     }
 
-    private int ctl(int many, String... arguments) {
+    private int ctl(int nodeCount, String... arguments) {
         StringWriter out = new StringWriter();
         List<String> all = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < nodeCount; i++) {
             all.addAll(List.of("--node", file(i, "s").toString()));
         }
         all.addAll(Arrays.asList(arguments));
@@ -122,7 +122,7 @@
         for (int i = 0; i < 20; i++) {
             failed += post(node) ? 0 : 1;
         }
-        assertTrue(failed > 0, "nothing went wrong");
+        assertTrue(failed > 0, "no request failed");
         assertEquals(0, ctl(1, "explain", "--refused", "10m"), said);
         assertTrue(
                 said.matches("(?s) *" + failed + "  failed +write +it may have run, and must" + " not run twice\\s*"),
@@ -132,7 +132,7 @@
         assertTrue(said.contains(" to " + sickServer.address() + ": reset after"), said);
         assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "resets"), said);
         for (int i = 0; i < 20; i++) {
-            assertTrue(post(node), "it is still sent to");
+            assertTrue(post(node), "the drained server still gets requests");
         }
         assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), said);
         assertTrue(said.startsWith("an override drains it"), said);
@@ -146,9 +146,9 @@
     @Test
     void drainChangesDoNotAffectPendingRequest() throws Exception {
         nodes.add(node(0));
-        CountDownLatch answer = new CountDownLatch(1);
+        CountDownLatch releaseResponse = new CountDownLatch(1);
         sickServer.script((socket, request) -> {
-            answer.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
+            releaseResponse.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             FakePeer.answer("200 OK", "", "late").run(socket, request);
         });
         assertEquals(0, ctl(1, "drain", healthyServer.address(), "--for", "10m", "--reason", "swap"), said);
@@ -157,8 +157,10 @@
             sickServer.nextRequest();
             assertEquals(0, ctl(1, "undo", "1"), said);
             assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "swap"), said);
-            answer.countDown();
-            assertTrue(RunningNode.readUntilClosed(client).endsWith("late"), "it is answered by whom it was sent to");
+            releaseResponse.countDown();
+            assertTrue(
+                    RunningNode.readUntilClosed(client).endsWith("late"),
+                    "the pending request is answered by its server");
         }
         assertTrue(nodes.get(0).sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("well"));
         assertFalse(nodes.get(0).sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("late"));
@@ -174,7 +176,9 @@
         assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), said);
         node.reload(RunningNode.pool(healthyServer, sickServer) + more);
         for (int i = 0; i < 10; i++) {
-            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("well"), "it is sent to");
+            assertTrue(
+                    node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("well"),
+                    "the drained server gets requests");
         }
         assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), said);
         assertTrue(said.startsWith("an override drains it"), said);
--- a/src/test/java/vetchpost/daemon/RealPeersTest.java
+++ b/src/test/java/vetchpost/daemon/RealPeersTest.java
@@ -30,9 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * A client and a server of other makers: through the node they get byte for byte what they get without it.
- */
+/** With the JDK's HTTP client and server, responses through the node must equal direct ones byte for byte. */
 @Timeout(60)
 class RealPeersTest {
     private static final int PAGE_PARTS = 50;
@@ -57,7 +55,7 @@
         threads.shutdownNow();
     }
 
-    /** By its path: a length, how it is framed, a status; and what was sent, for those that send. */
+    /** Responds as the path says, {@code /status/length/framing}, with headers that describe the request. */
     private void serve(HttpExchange exchange) throws IOException {
         try (exchange) {
             String[] path = exchange.getRequestURI().getPath().split("/");
@@ -73,11 +71,12 @@
                     .add("X-Query", String.valueOf(exchange.getRequestURI().getRawQuery()));
             exchange.getResponseHeaders().add("Set-Cookie", "a=1; Path=/");
             exchange.getResponseHeaders().add("Set-Cookie", "b=2; Path=/");
-            boolean none = status == 204
+            boolean hasNoBody = status == 204
                     || status == 304
                     || exchange.getRequestMethod().equals("HEAD");
-            exchange.sendResponseHeaders(status, none ? -1 : path[3].equals("chunked") || length == 0 ? 0 : length);
-            if (!none) {
+            exchange.sendResponseHeaders(
+                    status, hasNoBody ? -1 : path[3].equals("chunked") || length == 0 ? 0 : length);
+            if (!hasNoBody) {
                 try (OutputStream out = exchange.getResponseBody()) {
                     out.write(content, 0, length);
                 }
@@ -103,11 +102,11 @@
             throws Exception {
         HttpResponse<byte[]> direct = sendRequest(server.getAddress().getPort(), method, path, body, chunked);
         HttpResponse<byte[]> through = sendRequest(node.port(), method, path, body, chunked);
-        String what = method + " " + path;
-        assertEquals(direct.statusCode(), through.statusCode(), what);
-        assertArrayEquals(direct.body(), through.body(), what);
+        String description = method + " " + path;
+        assertEquals(direct.statusCode(), through.statusCode(), description);
+        assertArrayEquals(direct.body(), through.body(), description);
         for (String name : List.of("x-method", "x-sent", "x-query", "set-cookie")) {
-            assertEquals(direct.headers().allValues(name), through.headers().allValues(name), what + " " + name);
+            assertEquals(direct.headers().allValues(name), through.headers().allValues(name), description + " " + name);
         }
         assertTrue(through.headers().allValues("via").contains("1.1 vetchpost"));
     }
@@ -141,7 +140,7 @@
         }
     }
 
-    /** As a browser loads a page: all of its parts at once. */
+    /** A browser loads all parts of a page at once. */
     @Test
     void loadsManyPagePartsAtOnce() throws Exception {
         try (RunningNode node = node()) {
--- a/src/test/java/vetchpost/daemon/ReloadTest.java
+++ b/src/test/java/vetchpost/daemon/ReloadTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import vetchpost.testing.FakePeer;
 
-/** A file that is read again while requests are in hand. */
+/** Reloads must change settings for new requests without affecting pending ones. */
 @Timeout(60)
 class ReloadTest {
     private static final String CLOSE = "Connection: close\r\n";
@@ -46,37 +46,36 @@
                 Socket client = node.connect()) {
             FakePeer.write(client, "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
             slowServer.nextRequest();
-            // Another address of the loopback, whose port the system chooses: none that somebody else may
-            // take.
+            // Another loopback address with a port that the system chooses, so that no other process can have it.
             InetSocketAddress moved =
                     node.reload("127.0.0.2:0", "[classes.all]\ndeadline = \"20s\"\n" + RunningNode.pool(otherServer));
             try (Socket late = RunningNode.connect(moved)) {
                 FakePeer.write(late, RunningNode.get("/b", CLOSE));
-                assertTrue(RunningNode.readUntilClosed(late).endsWith("new"), "the new servers at the new address");
+                assertTrue(RunningNode.readUntilClosed(late).endsWith("new"), "new servers at the new address");
             }
-            assertThrows(ConnectException.class, node::connect, "and nobody at the old one");
-            assertEquals(1, node.pendingWork().requests(), "what was in hand still is");
+            assertThrows(ConnectException.class, node::connect, "the old address is closed");
+            assertEquals(1, node.pendingWork().requests(), "the request is still pending");
             releaseResponse.countDown();
-            assertTrue(RunningNode.readResponse(client).endsWith("old"), "and is answered as it began");
+            assertTrue(RunningNode.readResponse(client).endsWith("old"), "the old server answers it");
             FakePeer.write(client, "POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
-            assertTrue(RunningNode.readResponse(client).endsWith("new"), "its connection goes on");
-            assertEquals(1, slowServer.requests.size() + 1, "the old server was sent nothing more");
+            assertTrue(RunningNode.readResponse(client).endsWith("new"), "its connection is still usable");
+            assertEquals(1, slowServer.requests.size() + 1, "the old server gets no new requests");
         }
     }
 
     @Test
     void keepsOldAddressIfNewOneCannotBeBound() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 RunningNode node = new RunningNode(RunningNode.pool(otherServer))) {
-            InetSocketAddress stayed =
-                    node.reload("127.0.0.1:" + taken.getLocalPort(), "[classes.all]\n" + RunningNode.pool(otherServer));
-            assertEquals(node.port(), stayed.getPort());
+            InetSocketAddress address = node.reload(
+                    "127.0.0.1:" + occupied.getLocalPort(), "[classes.all]\n" + RunningNode.pool(otherServer));
+            assertEquals(node.port(), address.getPort());
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("new"));
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("new"));
         }
     }
 
-    /** Only the route is read and proved, and nothing but one reference changes. */
+    /** A change of one route must be validated on its own and leave all other settings the same objects. */
     @Test
     void replacesOnlyTheChangedRoute() throws Exception {
         String post = "POST /photos/1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n" + CLOSE + "\r\nabcde";
@@ -88,22 +87,22 @@
             node.reload(RunningNode.pool(otherServer) + route.replace("9B", "4B") + "# said again\n" + more);
             ValidatedFile now = node.activeFile();
             assertTrue(node.sendAndReadAll(post).startsWith("HTTP/1.1 413 "));
-            assertSame(before.node(), now.node(), "all of it was read again");
+            assertSame(before.node(), now.node(), "the whole file was read");
             assertEquals(before.version() + 1, now.version());
             assertEquals(2, now.routes().table().size());
-            IllegalArgumentException refused = assertThrows(
+            IllegalArgumentException rejection = assertThrows(
                     IllegalArgumentException.class,
                     () -> node.reload(RunningNode.pool(otherServer) + more + "[[route]]\npath = \"/kept/*\"\n"));
             assertTrue(
-                    refused.getMessage().contains(".toml:10:1: route /kept/*")
-                            && refused.getMessage().contains("SAME_MATCH"),
-                    refused.getMessage());
-            assertTrue(node.sendAndReadAll(post).startsWith("HTTP/1.1 413 "), "a bad file has changed something");
+                    rejection.getMessage().contains(".toml:10:1: route /kept/*")
+                            && rejection.getMessage().contains("SAME_MATCH"),
+                    rejection.getMessage());
+            assertTrue(node.sendAndReadAll(post).startsWith("HTTP/1.1 413 "), "an invalid file has changed the routes");
             node.reload(RunningNode.pool(otherServer) + more);
             assertTrue(node.sendAndReadAll(post).endsWith("new"));
             assertSame(before.node(), node.activeFile().node());
             node.reload(RunningNode.pool(slowServer) + more);
-            assertTrue(before.node() != node.activeFile().node(), "another server was not seen");
+            assertTrue(before.node() != node.activeFile().node(), "the changed server was not noticed");
         }
     }
 
@@ -112,13 +111,13 @@
         try (RunningNode node = new RunningNode(RunningNode.pool(otherServer))) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> node.reload(
-                            "[classes.all]\nrepeat = \"safe\"\n" + "methods = [\"POST\"]\n" + RunningNode.pool(slowServer)));
+                    () -> node.reload("[classes.all]\nrepeat = \"safe\"\n" + "methods = [\"POST\"]\n"
+                            + RunningNode.pool(slowServer)));
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("new"));
         }
     }
 
-    /** The module can't be told of a class that it was not made with: it takes another one. */
+    /** The balancer's classes are fixed, so a reload with a new class must create another balancer. */
     @Test
     void usesNewClassAfterReload() throws Exception {
         try (RunningNode node = new RunningNode(RunningNode.pool(otherServer))) {
--- a/src/test/java/vetchpost/daemon/RunningNode.java
+++ b/src/test/java/vetchpost/daemon/RunningNode.java
@@ -21,7 +21,10 @@
 import vetchpost.node.Node;
 import vetchpost.testing.FakePeer;
 
-/** A node by one file, on a port of its own, and clients of it that write bytes as they please. */
+/**
+ * Test fixture: a standalone node on a free loopback port with an event loop of its own, and helpers for clients that
+ * write raw bytes. Tests call it from their own thread.
+ */
 final class RunningNode implements AutoCloseable {
     private static final int TIMEOUT_MS = 30_000;
 
@@ -30,42 +33,43 @@
     private final StandaloneNode node;
     private final Channel listener;
 
-    /** By a file of this text behind its table {@code [node]}, which says where to listen. */
+    /** Starts a node from a file with this text after {@code listen} and {@code seed} in its table {@code [node]}. */
     RunningNode(String text) throws Exception {
         ValidatedFile loaded = StandaloneNode.load(file("127.0.0.1:0", text));
         node = callOnLoop(() -> new StandaloneNode(loaded, group, loop));
         listener = callOnLoop(() -> node.start(0, () -> {})).sync().channel();
     }
 
-    /** What the file says of these servers. */
+    /** The text of the table {@code [pool]} with these servers. */
     static String pool(FakePeer... servers) {
         return pool("", servers);
     }
 
-    /** The same with more keys of the pool. */
-    static String pool(String more, FakePeer... servers) {
+    /** The table {@code [pool]} with these servers and further keys. */
+    static String pool(String moreKeys, FakePeer... servers) {
         return "[pool]\nservers = ["
                 + Arrays.stream(servers).map(s -> "\"" + s.address() + "\"").collect(Collectors.joining(", "))
-                + "]\nconnect-timeout = \"2s\"\n" + more;
+                + "]\nconnect-timeout = \"2s\"\n" + moreKeys;
     }
 
-    /** A text may begin with keys of the table {@code [node]}. */
+    /** Writes a file; the text may begin with further keys of the table {@code [node]}. */
     private static Path file(String listen, String text) throws IOException {
         Path file = Files.createTempFile("alone", ".toml");
         file.toFile().deleteOnExit();
         return Files.writeString(file, "[node]\nlisten = \"" + listen + "\"\nseed = \"1\"\n" + text);
     }
 
+    /** Runs a task on the node's event loop and waits for its result. */
     <T> T callOnLoop(Callable<T> task) throws Exception {
         return loop.submit(task).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Reads another file, and waits until all of it holds; where the node listens from then on. */
+    /** Reloads with another file, waits until it is in force and returns the listen address. */
     InetSocketAddress reload(String listen, String text) throws Exception {
         ValidatedFile loaded = StandaloneNode.load(file(listen, text), callOnLoop(node::activeFile));
-        Future<SocketAddress> inForce = callOnLoop(() -> node.reload(loaded));
-        InetSocketAddress address = (InetSocketAddress) inForce.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        // The system closes a socket once the loop has looked at its selector again.
+        Future<SocketAddress> applied = callOnLoop(() -> node.reload(loaded));
+        InetSocketAddress address = (InetSocketAddress) applied.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        // The event loop closes a socket only when it selects again.
         loop.schedule(() -> null, 1, TimeUnit.MILLISECONDS).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         return address;
     }
@@ -78,7 +82,7 @@
         return callOnLoop(node::activeFile);
     }
 
-    /** What {@code /ready} and {@code ctl status} would say besides. */
+    /** The note in {@code /ready} and {@code ctl status}. */
     String statusNote() throws Exception {
         return callOnLoop(() -> node.statusNote(true));
     }
@@ -106,7 +110,7 @@
         return socket;
     }
 
-    /** What comes on a connection of its own until it is closed; the request should ask for that. */
+    /** Sends a request on a new connection and reads until it is closed, so the request should ask for that. */
     String sendAndReadAll(String request) throws IOException {
         try (Socket socket = connect()) {
             FakePeer.write(socket, request);
@@ -114,14 +118,14 @@
         }
     }
 
-    /** All that comes until the end, or until the connection breaks, which is told by a last word. */
+    /** Reads until the connection is closed; appends {@code <broken>} if it is reset. */
     static String readUntilClosed(Socket socket) throws IOException {
         StringBuilder text = new StringBuilder();
         InputStream in = socket.getInputStream();
-        byte[] some = new byte[8_192];
+        byte[] buffer = new byte[8_192];
         try {
-            for (int read = in.read(some); read >= 0; read = in.read(some)) {
-                text.append(new String(some, 0, read, StandardCharsets.ISO_8859_1));
+            for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
+                text.append(new String(buffer, 0, read, StandardCharsets.ISO_8859_1));
             }
         } catch (java.net.SocketException e) {
             text.append("<broken>");
@@ -129,7 +133,7 @@
         return text.toString();
     }
 
-    /** One answer of a known length on a connection that stays. */
+    /** Reads one response with a length from a connection that stays open. */
     static String readResponse(Socket socket) throws IOException {
         return FakePeer.read(socket);
     }
--- a/src/test/java/vetchpost/demo/TryCommandTest.java
+++ b/src/test/java/vetchpost/demo/TryCommandTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import picocli.CommandLine;
 
-/** The first run without a platform, and the count that it keeps. */
+/** The demo command, and its check of the four rules. */
 @Timeout(120)
 class TryCommandTest {
     private static final long MS = 1_000_000;
@@ -29,8 +29,8 @@
         return statistics.violationsByRule().get(rule);
     }
 
-    private void recordRun(String box, int rack, String cls, String txn, String key) {
-        statistics.recordRun(box, rack, cls, txn, key, "made for " + txn, 10 * MS, 2);
+    private void recordRun(String server, int rack, String className, String transactionId, String key) {
+        statistics.recordRun(server, rack, className, transactionId, key, "made for " + transactionId, 10 * MS, 2);
     }
 
     @Test
@@ -40,7 +40,7 @@
         int code =
                 new CommandLine(new TryCommand()).setOut(writer).setErr(writer).execute("--seconds", "5");
         String said = out.toString();
-        // On a busy machine an answer may be late, which is a rule broken; an effect is never had twice.
+        // On a busy machine a late response may break a rule, but no effect may happen twice.
         assertTrue(code == 0 || code == 1, said);
         assertTrue(said.contains("s-1 has crashed") && said.contains("s-2 is gone"), said);
         assertTrue(said.lines().anyMatch(l -> l.matches("no effect happens twice +kept")), said);
@@ -48,21 +48,21 @@
         assertEquals(2, new CommandLine(new TryCommand()).setErr(writer).execute("--seconds", "1"));
     }
 
-    /** A connection may end by itself in the moment in which its box dies. */
+    /** A connection may close by itself at the moment in which its server crashes. */
     @Test
     void resetsClosedConnectionWithoutError() throws IOException {
-        Socket ended = new Socket();
-        ended.close();
-        DemoServer.reset(ended);
-        try (DemoServer box = new DemoServer("s-0", 0, statistics)) {
-            String[] at = box.listEntry("Ready").split("\"")[7].split(":");
+        Socket closed = new Socket();
+        closed.close();
+        DemoServer.reset(closed);
+        try (DemoServer server = new DemoServer("s-0", 0, statistics)) {
+            String[] at = server.listEntry("Ready").split("\"")[7].split(":");
             InetSocketAddress address = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
-            box.crash();
+            server.crash();
             assertThrows(ConnectException.class, () -> new Socket().connect(address, 5_000));
-            assertThrows(BindException.class, () -> new Socket().bind(address), "its port is kept for it");
-            box.restart();
-            try (Socket again = new Socket()) {
-                again.connect(address, 5_000);
+            assertThrows(BindException.class, () -> new Socket().bind(address), "the port stays reserved");
+            server.restart();
+            try (Socket restarted = new Socket()) {
+                restarted.connect(address, 5_000);
             }
         }
     }
--- a/src/test/java/vetchpost/fastcgi/ClientStreamsTest.java
+++ b/src/test/java/vetchpost/fastcgi/ClientStreamsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.fastcgi.FcgiRecord.Type;
 
-/** Requests that share a client's connection: each has its one end, whatever the others and the client do. */
+/** Requests that share a client connection: each must end exactly once, whatever else happens on the connection. */
 class ClientStreamsTest {
     private static final byte[] NONE = {};
 
@@ -104,16 +104,16 @@
         read(Type.ABORT_REQUEST, 1, "");
         assertEquals(List.of("aborted 1"), takeEvents());
         read(Type.ABORT_REQUEST, 3, "");
-        assertEquals(List.of(endRecord(3, 0)), takeEvents(), "it was never handed over");
+        assertEquals(List.of(endRecord(3, 0)), takeEvents(), "the request was never dispatched");
         streams.answer(2, 200, List.of(), NONE);
         assertEquals(List.of("STDOUT 2 Status: 200", "STDOUT 2 ", endRecord(2, 0)), takeEvents());
         streams.answer(1, 503, List.of(), NONE);
         assertEquals(endRecord(1, 0), takeEvents().get(2));
         streams.answer(1, 200, List.of(), NONE);
-        assertEquals(List.of(), takeEvents(), "a second answer");
+        assertEquals(List.of(), takeEvents(), "a second answer is ignored");
         assertTrue(streams.isIdle());
         sendCompleteRequest(1);
-        assertEquals(List.of("request 1 POST /1"), takeEvents(), "its number is used again");
+        assertEquals(List.of("request 1 POST /1"), takeEvents(), "the request id is reused");
     }
 
     @Test
@@ -124,9 +124,9 @@
         read(Type.STDIN, 2, "");
         takeEvents();
         streams.answer(2, 200, List.of(), NONE);
-        assertEquals(3, takeEvents().size(), "closed under the other");
+        assertEquals(3, takeEvents().size(), "closed while another request is open");
         begin(3);
-        assertEquals(List.of(), takeEvents(), "nothing new is taken");
+        assertEquals(List.of(), takeEvents(), "no new request is accepted");
         streams.answer(1, 200, List.of(), NONE);
         assertEquals("close", takeEvents().get(3));
     }
@@ -137,7 +137,7 @@
         assertEquals(List.of(endRecord(7, 3)), takeEvents());
         read(Type.PARAMS, 7, "0101");
         read(Type.STDIN, 7, "61");
-        assertEquals(List.of(), takeEvents(), "what follows is passed over");
+        assertEquals(List.of(), takeEvents(), "later records are ignored");
         begin(1);
         begin(2);
         begin(3);
@@ -148,9 +148,9 @@
 
     @Test
     void managementRecordsAreAnswered() throws Exception {
-        ByteBuf asked = Unpooled.buffer();
-        NameValues.write(Map.of("FCGI_MPXS_CONNS", ""), asked);
-        streams.read(new FcgiRecord(Type.GET_VALUES, 0, asked));
+        ByteBuf requested = Unpooled.buffer();
+        NameValues.write(Map.of("FCGI_MPXS_CONNS", ""), requested);
+        streams.read(new FcgiRecord(Type.GET_VALUES, 0, requested));
         assertEquals(
                 List.of("GET_VALUES_RESULT 0 0f01"
                         + ByteBufUtil.hexDump("FCGI_MPXS_CONNS1".getBytes(StandardCharsets.US_ASCII))),
@@ -209,7 +209,7 @@
         assertThrows(FcgiException.class, () -> read(Type.STDOUT, 1, "61"));
         read(Type.STDIN, 9, "61");
         read(Type.STDOUT, 9, "61");
-        assertEquals(List.of(), takeEvents(), "of a request that is not open, records are passed over");
+        assertEquals(List.of(), takeEvents(), "records of requests that are not open are ignored");
     }
 
     @Test
@@ -236,13 +236,13 @@
             for (int id = 1; id <= 5; id++) {
                 String request = "request " + id + " ";
                 String end = "END_REQUEST " + id + " ";
-                long handed =
+                long dispatched =
                         test.events.stream().filter(s -> s.startsWith(request)).count();
                 long before =
                         test.events.stream().filter(s -> s.startsWith(end)).count();
                 test.streams.answer(id, 200, List.of(), NONE);
                 long ends = test.events.stream().filter(s -> s.startsWith(end)).count();
-                assertTrue(ends >= handed && ends <= before + 1, handed + " handed, " + ends + " ends");
+                assertTrue(ends >= dispatched && ends <= before + 1, dispatched + " dispatched, " + ends + " ends");
             }
             assertEquals(0, test.streams.size());
         }
--- a/src/test/java/vetchpost/fastcgi/CodecProperty.java
+++ b/src/test/java/vetchpost/fastcgi/CodecProperty.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** Records and names survive being written, cut anywhere and read; nonsense costs a clear error. */
+/** Records and name-value pairs round-trip however the stream is split; malformed bytes give a protocol error. */
 class CodecProperty {
     private static final int MAX_PARAMS_BYTES = 8_192;
 
@@ -44,7 +44,7 @@
         return all;
     }
 
-    /** What comes out of bytes in pieces, or null after a protocol error; all else is a failure. */
+    /** Decodes bytes in random chunks; null after a protocol error. Any other exception fails the test. */
     private static List<FcgiRecord> read(ByteBuf bytes, SplittableRandom cuts) {
         EmbeddedChannel channel = new EmbeddedChannel(new RecordDecoder());
         List<FcgiRecord> all = new ArrayList<>();
@@ -55,7 +55,7 @@
                         Math.min(bytes.readableBytes(), 1 + cuts.nextInt(cuts.nextBoolean() ? 3 : 2_000))));
             }
         } catch (DecoderException e) {
-            assertTrue(e.getCause() instanceof FcgiException, "not the protocol's own: " + e.getCause());
+            assertTrue(e.getCause() instanceof FcgiException, "not a protocol error: " + e.getCause());
             failed = true;
         }
         for (FcgiRecord next = channel.readInbound(); next != null; next = channel.readInbound()) {
@@ -70,10 +70,10 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<FcgiRecord> records = records(random);
         ByteBuf bytes = encode(records);
-        List<FcgiRecord> back = read(bytes, random);
-        assertEquals(records, back);
-        back.forEach(FcgiRecord::release);
-        assertEquals(1, bytes.refCnt(), "a buffer is kept");
+        List<FcgiRecord> decoded = read(bytes, random);
+        assertEquals(records, decoded);
+        decoded.forEach(FcgiRecord::release);
+        assertEquals(1, bytes.refCnt(), "a buffer leaks");
         bytes.release();
     }
 
@@ -88,15 +88,15 @@
         }
         ByteBuf all = Unpooled.buffer();
         NameValues.write(pairs, all);
-        NameValues back = new NameValues(MAX_PARAMS_BYTES, 64);
+        NameValues decoded = new NameValues(MAX_PARAMS_BYTES, 64);
         for (FcgiRecord record : NameValues.toRecords(FcgiRecord.Type.PARAMS, 1, all, 1 + random.nextInt(50))) {
-            back.add(record.content());
+            decoded.add(record.content());
             record.release();
         }
-        assertTrue(back.isEnded());
-        assertEquals(pairs, back.pairs());
+        assertTrue(decoded.isEnded());
+        assertEquals(pairs, decoded.pairs());
         assertEquals(
-                new ArrayList<>(pairs.keySet()), new ArrayList<>(back.pairs().keySet()));
+                new ArrayList<>(pairs.keySet()), new ArrayList<>(decoded.pairs().keySet()));
         assertEquals(1, all.refCnt());
         all.release();
     }
@@ -109,9 +109,9 @@
             bytes.setByte(random.nextInt(bytes.readableBytes()), random.nextInt(256));
         }
         bytes.writerIndex(bytes.writerIndex() - random.nextInt(Math.min(9, bytes.readableBytes())));
-        List<FcgiRecord> back = read(bytes, random);
-        if (back != null) {
-            back.forEach(FcgiRecord::release);
+        List<FcgiRecord> decoded = read(bytes, random);
+        if (decoded != null) {
+            decoded.forEach(FcgiRecord::release);
         }
         bytes.release();
     }
@@ -122,14 +122,14 @@
         NameValues values = new NameValues(MAX_PARAMS_BYTES, 64);
         try {
             for (int i = 0; i < 40; i++) {
-                byte[] some = new byte[random.nextInt(400)];
-                random.nextBytes(some);
+                byte[] chunk = new byte[random.nextInt(400)];
+                random.nextBytes(chunk);
                 if (random.nextBoolean()) {
-                    for (int k = 0; k < some.length; k++) {
-                        some[k] = (byte) (some[k] & 7);
+                    for (int k = 0; k < chunk.length; k++) {
+                        chunk[k] = (byte) (chunk[k] & 7);
                     }
                 }
-                values.add(Unpooled.wrappedBuffer(some));
+                values.add(Unpooled.wrappedBuffer(chunk));
             }
         } catch (FcgiException e) {
             assertTrue(e.getMessage().length() > 0);
--- a/src/test/java/vetchpost/fastcgi/FcgiTest.java
+++ b/src/test/java/vetchpost/fastcgi/FcgiTest.java
@@ -22,7 +22,7 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.fastcgi.AttemptProgress.ProtocolStatus;
 
-/** The specification's own bytes, what lies about itself, and what each ending means. */
+/** The specification's example, malformed records and parameters, and the result of each kind of ending. */
 class FcgiTest {
     private static ByteBuf hex(String text) {
         return Unpooled.wrappedBuffer(ByteBufUtil.decodeHexDump(text.replace(" ", "")));
@@ -51,7 +51,7 @@
                 .getMessage();
     }
 
-    /** From the specification's example: a request's begin, its parameters' end, and output with padding. */
+    /** The specification's example: begin of a request, end of its parameters, and output with padding. */
     @Test
     void decodesSpecificationExample() {
         EmbeddedChannel channel = new EmbeddedChannel(new RecordDecoder());
@@ -79,7 +79,7 @@
                 assertThrows(DecoderException.class, () -> channel.writeInbound(hex("02 01 00 01 00 00 00 00")));
         assertEquals("version 2 is not 1", e.getCause().getMessage());
         channel.writeInbound(hex("01 04 00 01 00 00 00 00"));
-        assertNull(channel.readInbound(), "what follows is believed");
+        assertNull(channel.readInbound(), "records after the error are decoded");
         channel.finishAndReleaseAll();
     }
 
@@ -127,15 +127,15 @@
                 "the end comes within a name or value",
                 assertThrows(FcgiException.class, () -> values.add(Unpooled.EMPTY_BUFFER))
                         .getMessage());
-        NameValues many = new NameValues(1_000, 3);
+        NameValues tooManyPairs = new NameValues(1_000, 3);
         assertEquals(
                 "more than 3 names",
-                assertThrows(FcgiException.class, () -> many.add(hex("01 00 41 01 00 42 01 00 43 01 00 44")))
+                assertThrows(FcgiException.class, () -> tooManyPairs.add(hex("01 00 41 01 00 42 01 00 43 01 00 44")))
                         .getMessage());
-        NameValues much = new NameValues(1_000, 10);
+        NameValues tooManyBytes = new NameValues(1_000, 10);
         assertThrows(FcgiException.class, () -> {
             for (int i = 0; i < 200; i++) {
-                much.add(hex("06 00 41 41 41 41 41 " + String.format("%02x", 0x41 + i % 26)));
+                tooManyBytes.add(hex("06 00 41 41 41 41 41 " + String.format("%02x", 0x41 + i % 26)));
             }
         });
     }
@@ -208,7 +208,7 @@
         assertEquals(404, reply.status());
         assertEquals("a/b", reply.field("content-type"));
         assertEquals("2", reply.field("x"));
-        assertEquals(3, reply.fields().size(), "what belongs to a connection goes on");
+        assertEquals(3, reply.fields().size(), "the connection's own fields are not removed");
         assertEquals(200, reply("Content-Type: a/b\r\n\r\n").status());
         assertEquals(302, reply("Location: /a\r\n\r\n").status());
         assertEquals(201, reply("Location: /a\r\nStatus: 201 Made\r\n\r\n").status());
@@ -236,15 +236,15 @@
     }
 
     private static AttemptProgress progressOf(boolean written, boolean head, int status, long length, long body) {
-        AttemptProgress ending = new AttemptProgress();
+        AttemptProgress progress = new AttemptProgress();
         if (written) {
-            ending.onRequestWritten();
+            progress.onRequestWritten();
         }
         if (head) {
-            ending.onResponseHead(status, length);
-            ending.onResponseBody(body);
+            progress.onResponseHead(status, length);
+            progress.onResponseBody(body);
         }
-        return ending;
+        return progress;
     }
 
     @Test
@@ -252,34 +252,38 @@
         assertEquals(Result.CONNECT_FAILED, progressOf(false, false, 0, -1, 0).resultOfDisconnect());
         assertEquals(Result.RESET, progressOf(true, false, 0, -1, 0).resultOfDisconnect());
         assertEquals(
-                Result.RESET, progressOf(true, true, 200, 9, 3).resultOfDisconnect(), "halfway through the answer");
+                Result.RESET, progressOf(true, true, 200, 9, 3).resultOfDisconnect(), "in the middle of the response");
         for (ProtocolStatus refusal :
                 List.of(ProtocolStatus.CANT_MPX_CONN, ProtocolStatus.OVERLOADED, ProtocolStatus.UNKNOWN_ROLE)) {
             assertEquals(Result.FULL, progressOf(true, false, 0, -1, 0).resultOfEndRequest(refusal, 0));
             assertEquals(Result.FULL, progressOf(false, false, 0, -1, 0).resultOfEndRequest(refusal, 0));
             assertEquals(
-                    Result.ERROR, progressOf(true, true, 200, -1, 2).resultOfEndRequest(refusal, 0), "it has begun");
+                    Result.ERROR,
+                    progressOf(true, true, 200, -1, 2).resultOfEndRequest(refusal, 0),
+                    "the response has begun");
         }
         ProtocolStatus done = ProtocolStatus.REQUEST_COMPLETE;
         assertEquals(Result.OK, progressOf(true, true, 200, -1, 5).resultOfEndRequest(done, 0));
         assertEquals(Result.OK, progressOf(true, true, 200, 5, 5).resultOfEndRequest(done, 0));
-        assertEquals(Result.RESET, progressOf(true, true, 200, 5, 4).resultOfEndRequest(done, 0), "a body cut short");
+        assertEquals(Result.RESET, progressOf(true, true, 200, 5, 4).resultOfEndRequest(done, 0), "a truncated body");
         assertEquals(Result.ERROR, progressOf(true, true, 200, -1, 5).resultOfEndRequest(done, 1));
         assertEquals(Result.ERROR, progressOf(true, true, 500, -1, 5).resultOfEndRequest(done, 0));
         assertEquals(Result.ERROR, progressOf(true, false, 0, -1, 0).resultOfEndRequest(done, 0), "no head");
         assertEquals(
-                Result.ERROR, progressOf(false, true, 200, -1, 5).resultOfEndRequest(done, 0), "before it had all");
+                Result.ERROR,
+                progressOf(false, true, 200, -1, 5).resultOfEndRequest(done, 0),
+                "before the request was written");
         assertEquals(Result.ERROR, progressOf(true, true, 200, -1, 5).resultOfEndRequest(ProtocolStatus.of(9), 0));
     }
 
     @Test
     void reusesConnectionOnlyWhenNothingIsOutstanding() {
-        AttemptProgress ending = progressOf(true, true, 200, -1, 5);
-        assertFalse(ending.isConnectionReusable(), "its output may go on");
-        ending.onOutputEnded();
-        assertTrue(ending.isConnectionReusable());
-        AttemptProgress unread = progressOf(false, true, 200, -1, 5);
-        unread.onOutputEnded();
-        assertFalse(unread.isConnectionReusable(), "it was answered before it was written");
+        AttemptProgress progress = progressOf(true, true, 200, -1, 5);
+        assertFalse(progress.isConnectionReusable(), "the output may continue");
+        progress.onOutputEnded();
+        assertTrue(progress.isConnectionReusable());
+        AttemptProgress earlyResponse = progressOf(false, true, 200, -1, 5);
+        earlyResponse.onOutputEnded();
+        assertFalse(earlyResponse.isConnectionReusable(), "the response came before the request was written");
     }
 }
