--- a/src/main/java/vetchpost/daemon/CtlCommand.java
+++ b/src/main/java/vetchpost/daemon/CtlCommand.java
@@ -156,10 +156,10 @@
 
     @Command(name = "shed", description = "Rejects a share of a class's requests on arrival.")
     int shed(
-            @Parameters(paramLabel = "CLASS") String cls,
+            @Parameters(paramLabel = "CLASS") String className,
             @Option(names = "--share", required = true, paramLabel = "0.001..1") double share,
             @picocli.CommandLine.Mixin LeaseOptions lease) {
-        return sendToNodes(buildRequest("shed", lease, "class", cls, share));
+        return sendToNodes(buildRequest("shed", lease, "class", className, share));
     }
 
     @Command(name = "freeze", description = "Freezes the list of servers.")
@@ -325,11 +325,11 @@
             }
             ByteArrayOutputStream line = new ByteArrayOutputStream();
             var in = new java.io.BufferedInputStream(Channels.newInputStream(channel));
-            for (int b = in.read(); b != '\n'; b = in.read()) {
-                if (b < 0 || line.size() >= MAX_REPLY_BYTES) {
+            for (int nextByte = in.read(); nextByte != '\n'; nextByte = in.read()) {
+                if (nextByte < 0 || line.size() >= MAX_REPLY_BYTES) {
                     throw new IOException("the node closed the connection without a reply");
                 }
-                line.write(b);
+                line.write(nextByte);
             }
             return JsonParser.parseString(line.toString(StandardCharsets.UTF_8)).getAsJsonObject();
         }
@@ -375,8 +375,8 @@
         if (reply.getAsJsonArray("list").isEmpty()) {
             out().println("none");
         }
-        for (JsonElement each : reply.getAsJsonArray("list")) {
-            JsonObject row = each.getAsJsonObject();
+        for (JsonElement element : reply.getAsJsonArray("list")) {
+            JsonObject row = element.getAsJsonObject();
             if (row.has("state")) {
                 out().printf(
                                 Locale.ROOT,
@@ -408,7 +408,7 @@
     }
 
     private static String formatTimeLeft(JsonObject lease) {
-        long s = (lease.get("left-ms").getAsLong() + 999) / 1_000;
-        return s < 120 ? s + " s" : s < 7_200 ? s / 60 + " min" : s / 3_600 + " h";
+        long seconds = (lease.get("left-ms").getAsLong() + 999) / 1_000;
+        return seconds < 120 ? seconds + " s" : seconds < 7_200 ? seconds / 60 + " min" : seconds / 3_600 + " h";
     }
 }
--- a/src/main/java/vetchpost/daemon/ExplainText.java
+++ b/src/main/java/vetchpost/daemon/ExplainText.java
@@ -24,7 +24,7 @@
         if (reply.has("flight")) {
             printRequest(out, reply.getAsJsonObject("flight"));
         } else if (reply.has("flights")) {
-            printLines(out, reply, "flights", "nothing was refused, failed, repeated or slow");
+            printLines(out, reply, "flights", "no request was rejected, failed, retried or slow");
         } else if (reply.has("reasons")) {
             printLines(
                     out,
@@ -40,11 +40,11 @@
         if (reply.getAsJsonArray(key).isEmpty()) {
             out.println(emptyText);
         }
-        for (JsonElement each : reply.getAsJsonArray(key)) {
-            if (each.isJsonPrimitive()) {
-                out.println(each.getAsString());
+        for (JsonElement element : reply.getAsJsonArray(key)) {
+            if (element.isJsonPrimitive()) {
+                out.println(element.getAsString());
             } else if (key.equals("counts")) {
-                JsonObject line = each.getAsJsonObject();
+                JsonObject line = element.getAsJsonObject();
                 out.printf(
                         Locale.ROOT,
                         "%7d  %-8s %-16s %s%n",
@@ -53,7 +53,7 @@
                         textOf(line, "class"),
                         textOf(line, "cause"));
             } else {
-                JsonObject recorded = each.getAsJsonObject();
+                JsonObject recorded = element.getAsJsonObject();
                 out.printf(
                         Locale.ROOT,
                         "%s  %-8s %8s  %d attempts  %s%n",
@@ -71,20 +71,20 @@
                 textOf(recorded, "request") + " (" + textOf(recorded, "class") + "), id " + textOf(recorded, "txn"));
         out.println("  accepted with " + formatMs(recorded, "left-ms") + " left, after " + formatMs(recorded, "lay-ms")
                 + " of event-loop delay; queued for " + formatMs(recorded, "queued-ms"));
-        for (JsonElement each : recorded.getAsJsonArray("attempts")) {
-            JsonObject attempt = each.getAsJsonObject();
+        for (JsonElement attemptElement : recorded.getAsJsonArray("attempts")) {
+            JsonObject attempt = attemptElement.getAsJsonObject();
             List<String> candidates = new ArrayList<>();
             if (attempt.has("drawn")) {
-                for (JsonElement element : attempt.getAsJsonArray("drawn")) {
-                    JsonObject c = element.getAsJsonObject();
+                for (JsonElement drawnElement : attempt.getAsJsonArray("drawn")) {
+                    JsonObject candidate = drawnElement.getAsJsonObject();
                     candidates.add(String.format(
                             Locale.ROOT,
                             "%s (weight %.2f, %d in flight of %.1f, relative latency %.2f)",
-                            textOf(c, "server"),
-                            c.get("weight").getAsDouble(),
-                            c.get("in-flight").getAsInt(),
-                            c.get("limit").getAsDouble(),
-                            c.get("pace").getAsDouble()));
+                            textOf(candidate, "server"),
+                            candidate.get("weight").getAsDouble(),
+                            candidate.get("in-flight").getAsInt(),
+                            candidate.get("limit").getAsDouble(),
+                            candidate.get("pace").getAsDouble()));
                 }
             }
             out.println("  after " + formatMs(attempt, "after-ms") + " to " + textOf(attempt, "server") + ": "
--- a/src/main/java/vetchpost/daemon/StandaloneNode.java
+++ b/src/main/java/vetchpost/daemon/StandaloneNode.java
@@ -246,7 +246,7 @@
      */
     Future<SocketAddress> reload(ValidatedFile newFile) {
         if (newFile.node() == activeFile.node()) {
-            // At most routes have changed.
+            // Nothing has changed, or only routes.
             activeFile = newFile;
             if (changes == null) {
                 applyRoutes(newFile.routes().table());
--- a/src/main/java/vetchpost/daemon/ValidatedFile.java
+++ b/src/main/java/vetchpost/daemon/ValidatedFile.java
@@ -199,10 +199,10 @@
     /**
      * An error message with a line for each violation.
      *
-     * @param subject the rejected thing with its verb, as in "the file is"
+     * @param subject the file with its verb, as in "the file is"
      */
     String describeViolations(String subject) {
-        return subject + " refused:\n" + violations.stream().map(v -> "  " + v).collect(Collectors.joining("\n"));
+        return subject + " invalid:\n" + violations.stream().map(v -> "  " + v).collect(Collectors.joining("\n"));
     }
 
     /**
@@ -293,10 +293,10 @@
         for (PackedTree.Item item = current.ceiling(firstRouteKey);
                 item != null;
                 item = current.ceiling(PackedTree.successor(item.key()))) {
-            PackedTree.Item old = earlier.get(item.key());
-            if (old == null || !Arrays.equals(old.value(), item.value())) {
+            PackedTree.Item earlierItem = earlier.get(item.key());
+            if (earlierItem == null || !Arrays.equals(earlierItem.value(), item.value())) {
                 changes.add(new RouteChange(
-                        old == null ? Op.PUT : Op.REPLACE,
+                        earlierItem == null ? Op.PUT : Op.REPLACE,
                         EntryKey.of(item.key()).name(),
                         null,
                         null));
--- a/src/main/java/vetchpost/demo/TryCommand.java
+++ b/src/main/java/vetchpost/demo/TryCommand.java
@@ -174,13 +174,13 @@
         PrintWriter out = spec.commandLine().getOut();
         out.printf("%n%-12s %7s %7s %8s %7s %9s%n", "class", "sent", "served", "rejected", "failed", "mean");
         int requests = 0;
-        for (Map.Entry<String, DemoStatistics.Counts> each : new TreeMap<>(statistics.classes()).entrySet()) {
-            DemoStatistics.Counts counts = each.getValue();
+        for (Map.Entry<String, DemoStatistics.Counts> entry : new TreeMap<>(statistics.classes()).entrySet()) {
+            DemoStatistics.Counts counts = entry.getValue();
             requests += counts.requests();
             out.printf(
                     Locale.ROOT,
                     "%-12s %7d %6.1f%% %8d %7d %6.1f ms%n",
-                    each.getKey(),
+                    entry.getKey(),
                     counts.requests(),
                     100.0 * counts.served() / Math.max(1, counts.requests()),
                     counts.rejected(),
--- a/src/main/java/vetchpost/fastcgi/NameValues.java
+++ b/src/main/java/vetchpost/fastcgi/NameValues.java
@@ -147,14 +147,14 @@
     /**
      * Splits a stream's bytes into records, followed by the empty record that ends the stream.
      *
-     * @param all bytes of the stream; they are consumed
+     * @param streamBytes bytes of the stream; they are consumed
      * @param maxContentBytes maximum content of one record
      */
-    public static List<FcgiRecord> toRecords(FcgiRecord.Type type, int id, ByteBuf all, int maxContentBytes) {
+    public static List<FcgiRecord> toRecords(FcgiRecord.Type type, int id, ByteBuf streamBytes, int maxContentBytes) {
         List<FcgiRecord> records = new ArrayList<>();
-        while (all.isReadable()) {
-            records.add(
-                    new FcgiRecord(type, id, all.readRetainedSlice(Math.min(maxContentBytes, all.readableBytes()))));
+        while (streamBytes.isReadable()) {
+            records.add(new FcgiRecord(
+                    type, id, streamBytes.readRetainedSlice(Math.min(maxContentBytes, streamBytes.readableBytes()))));
         }
         records.add(new FcgiRecord(type, id, io.netty.buffer.Unpooled.EMPTY_BUFFER));
         return records;
--- a/src/main/java/vetchpost/web/WebExchange.java
+++ b/src/main/java/vetchpost/web/WebExchange.java
@@ -78,7 +78,7 @@
         request = outgoing.request();
     }
 
-    // ---------------------------------------------------------------- the request
+    // ---------------------------------------------------------------- writing the request
 
     @Override
     public ChannelFuture write(Channel target) {
@@ -194,7 +194,7 @@
                         TimeUnit.NANOSECONDS);
     }
 
-    // ---------------------------------------------------------------- the answer
+    // ---------------------------------------------------------------- reading the response
 
     @Override
     public boolean isBodyless() {
--- a/src/test/java/vetchpost/daemon/CommandsTest.java
+++ b/src/test/java/vetchpost/daemon/CommandsTest.java
@@ -115,10 +115,10 @@
                                 + "jitter = 0.5\n",
                         "--explain",
                         "photo"));
-        String said = out.toString();
-        assertTrue(said.contains("backoff          20ms, doubled each time, up to 50% longer"), said);
-        assertTrue(said.lines().anyMatch(l -> l.startsWith("   2 |") && l.endsWith("from 430ms to 830ms")), said);
-        assertTrue(said.lines().anyMatch(l -> l.startsWith("   3 |") && l.endsWith("from 890ms to 1290ms")), said);
+        String output = out.toString();
+        assertTrue(output.contains("backoff          20ms, doubled each time, up to 50% longer"), output);
+        assertTrue(output.lines().anyMatch(l -> l.startsWith("   2 |") && l.endsWith("from 430ms to 830ms")), output);
+        assertTrue(output.lines().anyMatch(l -> l.startsWith("   3 |") && l.endsWith("from 890ms to 1290ms")), output);
         assertEquals(2, check("", "--explain", "foto"));
     }
 
@@ -140,13 +140,14 @@
         new StateFile(file)
                 .write(List.of(ChunkCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.servers())));
         assertEquals(0, state(file, "--most", "3"));
-        String said = out.toString();
-        assertTrue(said.contains("list 41, 12 servers"), said);
-        assertTrue(said.contains("would be used, as far"), said);
-        List<String> serverLines = said.lines().filter(l -> l.startsWith("s-")).toList();
+        String output = out.toString();
+        assertTrue(output.contains("list 41, 12 servers"), output);
+        assertTrue(output.contains("would be used, as far"), output);
+        List<String> serverLines =
+                output.lines().filter(l -> l.startsWith("s-")).toList();
         assertEquals(3, serverLines.size());
-        assertTrue(serverLines.get(0).endsWith("ejected") && serverLines.get(1).endsWith("ejected"), said);
-        assertTrue(said.contains("and 9 more"), said);
+        assertTrue(serverLines.get(0).endsWith("ejected") && serverLines.get(1).endsWith("ejected"), output);
+        assertTrue(output.contains("and 9 more"), output);
         Files.write(file, new byte[] {1, 2, 3});
         assertEquals(1, state(file));
         assertTrue(out.toString().contains("too short for a snapshot"), out.toString());
@@ -171,27 +172,27 @@
     @Test
     void configDiffShowsWhatAReloadWouldChange() throws Exception {
         String node = "[node]\nlisten = \"127.0.0.1:0\"\n[pool]\nservers = [\"127.0.0.1:9\"]\n";
-        String a = "[[route]]\npath = \"/a\"\n";
-        String b = "[[route]]\npath = \"/b\"\nconcurrency = 5\n";
-        Path old = Files.writeString(folder.resolve("old.toml"), node + a + b);
-        Path fresh = Files.writeString(
-                folder.resolve("new.toml"), node + b.replace("5", "6") + "[[route]]\npath = \"/c\"\n");
-        assertEquals(0, run(new ConfigCommand(), "diff", old.toString(), fresh.toString()));
+        String routeA = "[[route]]\npath = \"/a\"\n";
+        String routeB = "[[route]]\npath = \"/b\"\nconcurrency = 5\n";
+        Path oldFile = Files.writeString(folder.resolve("old.toml"), node + routeA + routeB);
+        Path newFile = Files.writeString(
+                folder.resolve("new.toml"), node + routeB.replace("5", "6") + "[[route]]\npath = \"/c\"\n");
+        assertEquals(0, run(new ConfigCommand(), "diff", oldFile.toString(), newFile.toString()));
         assertEquals(
                 List.of("delete route /a", "put route /c", "replace route /b"),
                 out.toString().lines().sorted().toList());
         out.getBuffer().setLength(0);
-        Files.writeString(fresh, node + a + b + a);
-        assertEquals(1, run(new ConfigCommand(), "diff", old.toString(), fresh.toString()));
+        Files.writeString(newFile, node + routeA + routeB + routeA);
+        assertEquals(1, run(new ConfigCommand(), "diff", oldFile.toString(), newFile.toString()));
         assertTrue(
                 out.toString().contains("new.toml:10:1: route /a")
                         && out.toString().contains("1 violation"),
                 out.toString());
         out.getBuffer().setLength(0);
-        Files.writeString(fresh, node.replace(":9", ":10") + a + b);
-        assertEquals(0, run(new ConfigCommand(), "diff", old.toString(), fresh.toString()));
+        Files.writeString(newFile, node.replace(":9", ":10") + routeA + routeB);
+        assertEquals(0, run(new ConfigCommand(), "diff", oldFile.toString(), newFile.toString()));
         assertEquals("not only routes have changed: a reload applies the whole file\n", out.toString());
-        assertEquals(2, run(new ConfigCommand(), "diff", folder.resolve("none").toString(), fresh.toString()));
+        assertEquals(2, run(new ConfigCommand(), "diff", folder.resolve("none").toString(), newFile.toString()));
         assertEquals(2, run(new ConfigCommand()));
     }
 }
--- a/src/test/java/vetchpost/daemon/ControlTest.java
+++ b/src/test/java/vetchpost/daemon/ControlTest.java
@@ -35,7 +35,7 @@
 
     private FakePeer first;
     private FakePeer second;
-    private String said;
+    private String output;
 
     @BeforeEach
     void open() throws Exception {
@@ -64,21 +64,21 @@
 
     private int ctl(String... arguments) {
         StringWriter out = new StringWriter();
-        List<String> all = new ArrayList<>(List.of("--node", socket().toString()));
-        all.addAll(Arrays.asList(arguments));
+        List<String> commandLine = new ArrayList<>(List.of("--node", socket().toString()));
+        commandLine.addAll(Arrays.asList(arguments));
         int code = new CommandLine(new CtlCommand())
                 .setOut(new PrintWriter(out))
                 .setErr(new PrintWriter(out))
-                .execute(all.toArray(String[]::new));
-        said = out.toString();
+                .execute(commandLine.toArray(String[]::new));
+        output = out.toString();
         return code;
     }
 
     private int drain(FakePeer peer, String... more) {
-        List<String> all =
+        List<String> commandLine =
                 new ArrayList<>(List.of("drain", peer.address(), "--for", "10m", "--reason", "sick", "--owner", "ann"));
-        all.addAll(Arrays.asList(more));
-        return ctl(all.toArray(String[]::new));
+        commandLine.addAll(Arrays.asList(more));
+        return ctl(commandLine.toArray(String[]::new));
     }
 
     private static void assertAllAnsweredBy(RunningNode node, String body) throws Exception {
@@ -91,41 +91,41 @@
     @Test
     void drainLastsUntilUndoAcrossRestarts() throws Exception {
         try (RunningNode node = node()) {
-            assertEquals(0, drain(first), said);
-            assertTrue(said.contains("override 1 is in force for 10 min"), said);
+            assertEquals(0, drain(first), output);
+            assertTrue(output.contains("override 1 is in force for 10 min"), output);
             assertAllAnsweredBy(node, "second");
             assertEquals(1, drain(second));
-            assertTrue(said.contains("it leaves 0 % of the fleet's weight (50 % before), and least is 50 %"), said);
+            assertTrue(output.contains("it leaves 0 % of the fleet's weight (50 % before), and least is 50 %"), output);
             assertEquals(1, drain(second, "--dry-run"));
-            assertTrue(said.contains("servers that accept requests: 1 now, 0 then"), said);
+            assertTrue(output.contains("servers that accept requests: 1 now, 0 then"), output);
             assertEquals(0, ctl("servers"));
-            assertTrue(said.contains("drained by override"), said);
+            assertTrue(output.contains("drained by override"), output);
         }
         try (RunningNode node = node()) {
             assertEquals(0, ctl("overrides"));
-            assertTrue(said.contains("ann: sick"), said);
+            assertTrue(output.contains("ann: sick"), output);
             assertAllAnsweredBy(node, "second");
-            assertEquals(0, ctl("undo", "1"), said);
-            assertEquals(0, drain(second), said);
-            assertTrue(said.contains("override 2 "), "numbers continue: " + said);
+            assertEquals(0, ctl("undo", "1"), output);
+            assertEquals(0, drain(second), output);
+            assertTrue(output.contains("override 2 "), "numbers continue: " + output);
             assertAllAnsweredBy(node, "first");
-            assertEquals(0, ctl("undo", "2"), said);
+            assertEquals(0, ctl("undo", "2"), output);
         }
         try (RunningNode node = node()) {
-            assertEquals(0, drain(first), said);
-            assertTrue(said.contains("override 3 "), "numbers are never reused: " + said);
+            assertEquals(0, drain(first), output);
+            assertTrue(output.contains("override 3 "), "numbers are never reused: " + output);
             assertAllAnsweredBy(node, "second");
         }
         assertEquals(0, ctl("audit", audit().toString()));
-        assertTrue(said.contains("6 entries, the chain is intact"), said);
+        assertTrue(output.contains("6 entries, the chain is intact"), output);
         List<String> lines = Files.readAllLines(audit());
         lines.remove(1);
         Files.write(audit(), lines);
         assertEquals(1, ctl("audit", audit().toString()));
-        assertTrue(said.contains("line 2 breaks the chain"), said);
+        assertTrue(output.contains("line 2 breaks the chain"), output);
         try (RunningNode node = node()) {
             assertEquals(1, drain(first));
-            assertTrue(said.contains("line 2 does not follow from those before"), said);
+            assertTrue(output.contains("line 2 does not follow from those before"), output);
             assertTrue(
                     node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "),
                     "the node still serves");
@@ -136,7 +136,7 @@
     void shedsFractionOfClassWithoutRunningIt() throws Exception {
         try (RunningNode node = node()) {
             assertEquals(1, ctl("shed", "read", "--share", "1", "--for", "10m", "--reason", "storm"));
-            assertTrue(said.contains("it refuses 100 % of read, and most is 90 %"), said);
+            assertTrue(output.contains("it refuses 100 % of read, and most is 90 %"), output);
             assertEquals(0, ctl("shed", "read", "--share", "1", "--for", "10m", "--reason", "storm", "--anyway"));
             String answer = node.sendAndReadAll(RunningNode.get("/", CLOSE));
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
@@ -162,8 +162,8 @@
             }
             assertTrue(new String(reply.array(), 0, reply.position(), StandardCharsets.UTF_8)
                     .contains("at most 16384 bytes"));
-            assertEquals(0, ctl("status"), said);
-            assertTrue(said.contains("taking     2"), said);
+            assertEquals(0, ctl("status"), output);
+            assertTrue(output.contains("taking     2"), output);
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
             assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(socket())));
         }
@@ -171,12 +171,12 @@
 
     @Test
     void removesStaleSocketButNoOtherFile() throws Exception {
-        try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            old.bind(UnixDomainSocketAddress.of(socket()));
+        try (ServerSocketChannel staleSocket = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            staleSocket.bind(UnixDomainSocketAddress.of(socket()));
         }
         try (RunningNode node = node();
                 RunningNode other = node()) {
-            assertEquals(0, ctl("status"), said);
+            assertEquals(0, ctl("status"), output);
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
             assertTrue(
                     other.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "),
@@ -196,9 +196,9 @@
             Files.delete(audit());
             Files.createDirectory(audit());
             assertEquals(1, drain(first));
-            assertTrue(said.contains("nothing was changed, since the record of changes can't be kept"), said);
+            assertTrue(output.contains("nothing was changed, since the record of changes can't be kept"), output);
             assertEquals(0, ctl("overrides"));
-            assertTrue(said.startsWith("none"), said);
+            assertTrue(output.startsWith("none"), output);
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
         }
     }
@@ -207,36 +207,37 @@
     void explainsOutcomeOfRequest() throws Exception {
         try (RunningNode node = node()) {
             assertEquals(0, ctl("explain"));
-            assertTrue(said.startsWith("nothing was refused, failed, repeated or slow"), said);
+            assertTrue(output.startsWith("no request was rejected, failed, retried or slow"), output);
             first.script(FakePeer.RESET);
             second.script(FakePeer.RESET);
             assertTrue(
                     node.sendAndReadAll("POST /orders/7 HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n")
                             .startsWith("HTTP/1.1 502 "));
-            assertEquals(0, ctl("explain", "--last", "1"), said);
-            assertTrue(said.contains("failed") && said.contains("1 attempts  POST /orders/7"), said);
-            String id = said.substring(0, 16);
-            assertEquals(0, ctl("explain", id), said);
-            assertTrue(said.contains("POST /orders/7 (write), id " + id), said);
-            assertTrue(said.contains(": reset after "), said);
-            assertTrue(said.contains("drawn: ") && said.contains("in flight of 4.0"), said);
+            assertEquals(0, ctl("explain", "--last", "1"), output);
+            assertTrue(output.contains("failed") && output.contains("1 attempts  POST /orders/7"), output);
+            String id = output.substring(0, 16);
+            assertEquals(0, ctl("explain", id), output);
+            assertTrue(output.contains("POST /orders/7 (write), id " + id), output);
+            assertTrue(output.contains(": reset after "), output);
+            assertTrue(output.contains("drawn: ") && output.contains("in flight of 4.0"), output);
             assertTrue(
-                    said.contains("failed after ") && said.contains(": it may have run, and must not run twice"), said);
-            assertEquals(0, ctl("explain", "--refused", "10m"), said);
-            assertTrue(said.matches("(?s) *1  failed +write +it may have run, and must not run twice\\s*"), said);
+                    output.contains("failed after ") && output.contains(": it may have run, and must not run twice"),
+                    output);
+            assertEquals(0, ctl("explain", "--refused", "10m"), output);
+            assertTrue(output.matches("(?s) *1  failed +write +it may have run, and must not run twice\\s*"), output);
             assertEquals(1, ctl("explain", "ffff"));
             assertTrue(
-                    said.contains(
+                    output.contains(
                             "request ffff is not kept: of those that were served in time at once," + " one in 16 is"),
-                    said);
-            assertEquals(0, drain(first), said);
-            assertEquals(0, ctl("explain", "--why-not", first.address()), said);
-            assertTrue(said.startsWith("an override drains it"), said);
-            assertTrue(said.contains("it drains"), "the balancer reports it too: " + said);
-            assertEquals(0, ctl("explain", "--why-not", "nobody:1"), said);
-            assertTrue(said.startsWith("no source names it"), said);
+                    output);
+            assertEquals(0, drain(first), output);
+            assertEquals(0, ctl("explain", "--why-not", first.address()), output);
+            assertTrue(output.startsWith("an override drains it"), output);
+            assertTrue(output.contains("it drains"), "the balancer reports it too: " + output);
+            assertEquals(0, ctl("explain", "--why-not", "nobody:1"), output);
+            assertTrue(output.startsWith("no source names it"), output);
             assertEquals(2, ctl("explain", "1", "--last", "3"));
-            assertTrue(said.contains("use only one of ID, --why-not, --refused and --last, not 2"), said);
+            assertTrue(output.contains("use only one of ID, --why-not, --refused and --last, not 2"), output);
         }
     }
 
@@ -246,16 +247,16 @@
                 + "\"\naudit = \"" + audit() + "\"\nkeep = 0\n")) {
             assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
             assertEquals(1, ctl("explain"));
-            assertTrue(said.contains("nothing is recorded: keep = 0 in [control]"), said);
+            assertTrue(output.contains("nothing is recorded: keep = 0 in [control]"), output);
         }
     }
 
     @Test
     void badCommandsExitWithTwo() {
         assertEquals(2, ctl("drain", "x", "--for", "forever", "--reason", "r"));
-        assertTrue(said.contains("--for forever is not a duration; use for example 30s, 10m or 2h"), said);
+        assertTrue(output.contains("--for forever is not a duration; use for example 30s, 10m or 2h"), output);
         assertEquals(2, ctl("status"));
-        assertTrue(said.contains("can't reach the node"), said);
+        assertTrue(output.contains("can't reach the node"), output);
         assertEquals(2, ctl());
     }
 }
--- a/src/test/java/vetchpost/daemon/IncrementalReloadTest.java
+++ b/src/test/java/vetchpost/daemon/IncrementalReloadTest.java
@@ -63,7 +63,7 @@
         String commonHead =
                 "[node]\nlisten = \"127.0.0.1:0\"\n[tenants.ann]\n[pool]\nservers = " + "[\"127.0.0.1:9\"]\n";
         Path path = folder.resolve("f.toml");
-        Path other = folder.resolve("g.toml");
+        Path freshPath = folder.resolve("g.toml");
         for (int seed = 0; seed < 150; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             List<String> routes = new ArrayList<>();
@@ -86,8 +86,8 @@
                         ? "[defaults]\nretry-budget = 0." + random.nextInt(1, 9) + "\n" + commonHead
                         : commonHead;
                 Files.writeString(path, file(head, next));
-                Files.writeString(other, file(head, next));
-                ValidatedFile fullRead = ValidatedFile.read(other, sections -> null, null);
+                Files.writeString(freshPath, file(head, next));
+                ValidatedFile fullRead = ValidatedFile.read(freshPath, sections -> null, null);
                 ValidatedFile reread =
                         lastValid == null ? ValidatedFile.read(path, sections -> null, null) : lastValid.reread(path);
                 incrementalReloads += lastValid != null && reread.node() == lastValid.node() ? 1 : 0;
--- a/src/test/java/vetchpost/daemon/MainTest.java
+++ b/src/test/java/vetchpost/daemon/MainTest.java
@@ -284,8 +284,8 @@
             socket.close();
         }
         assertTrue(process.isAlive());
-        String said = killAndReadOutput();
-        assertFalse(said.contains("OutOfMemory"), said);
+        String log = killAndReadOutput();
+        assertFalse(log.contains("OutOfMemory"), log);
     }
 
     @Test
@@ -314,10 +314,10 @@
         arguments = " serve --routes " + routes;
         Files.writeString(routes, "[class.order]\nattempts = 2\nmax-body = \"3B\"\n");
         launch(Fixture.write(Fixture.config(discovery, server)).toString(), "");
-        String said = output.readAll();
+        String log = output.readAll();
         assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still running");
-        assertEquals(2, process.exitValue(), said);
-        assertTrue(said.contains(routes + ":2:1: class order: ") && said.contains("UNSAFE_AGAIN"), said);
+        assertEquals(2, process.exitValue(), log);
+        assertTrue(log.contains(routes + ":2:1: class order: ") && log.contains("UNSAFE_AGAIN"), log);
         Files.writeString(routes, "[class.order]\nmax-body = \"3B\"\n");
         start(Fixture.config(discovery, server), "");
         try (Socket client = connect()) {
@@ -345,12 +345,12 @@
         }
     }
 
-    private void assertConfigurationRejected(String config, String named) throws Exception {
+    private void assertConfigurationRejected(String config, String expectedText) throws Exception {
         launch(config, "");
-        String said = output.readAll();
+        String log = output.readAll();
         assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still running");
-        assertEquals(2, process.exitValue(), said);
-        assertTrue(said.contains(named) && said.lines().count() == 1, said);
+        assertEquals(2, process.exitValue(), log);
+        assertTrue(log.contains(expectedText) && log.lines().count() == 1, log);
     }
 
     /** A standalone node must stream 1 GiB each way at the same time with a heap of 40 MB. */
@@ -468,8 +468,8 @@
     @Test
     void listensOnlyAfterWarmUp() throws Exception {
         start(Fixture.config(discovery, server), "");
-        String said = killAndReadOutput();
-        int warming = said.indexOf("warming up");
-        assertTrue(warming >= 0 && warming < said.indexOf("listening on"), said);
+        String log = killAndReadOutput();
+        int warming = log.indexOf("warming up");
+        assertTrue(warming >= 0 && warming < log.indexOf("listening on"), log);
     }
 }
--- a/src/test/java/vetchpost/daemon/MultiNodeControlTest.java
+++ b/src/test/java/vetchpost/daemon/MultiNodeControlTest.java
@@ -34,7 +34,7 @@
     private FakePeer healthyServer;
     private FakePeer sickServer;
     private final List<RunningNode> nodes = new ArrayList<>();
-    private String said;
+    private String output;
 
     @BeforeEach
     void open() throws Exception {
@@ -60,16 +60,16 @@
 
     private int ctl(int nodeCount, String... arguments) {
         StringWriter out = new StringWriter();
-        List<String> all = new ArrayList<>();
+        List<String> commandLine = new ArrayList<>();
         for (int i = 0; i < nodeCount; i++) {
-            all.addAll(List.of("--node", file(i, "s").toString()));
+            commandLine.addAll(List.of("--node", file(i, "s").toString()));
         }
-        all.addAll(Arrays.asList(arguments));
+        commandLine.addAll(Arrays.asList(arguments));
         int code = new CommandLine(new CtlCommand())
                 .setOut(new PrintWriter(out))
                 .setErr(new PrintWriter(out))
-                .execute(all.toArray(String[]::new));
-        said = out.toString();
+                .execute(commandLine.toArray(String[]::new));
+        output = out.toString();
         return code;
     }
 
@@ -101,12 +101,12 @@
         }
         nodes.get(KILLED).close();
         assertEquals(2, drainEverywhere());
-        assertTrue(said.contains("done at 9 of 50 nodes; the remaining nodes were not asked"), said);
+        assertTrue(output.contains("done at 9 of 50 nodes; the remaining nodes were not asked"), output);
         for (int i = 0; i < NODES; i++) {
             assertEquals(i < KILLED ? 1 : 0, entries(i), "node " + i);
         }
         nodes.set(KILLED, node(KILLED));
-        assertEquals(0, drainEverywhere(), said);
+        assertEquals(0, drainEverywhere(), output);
         for (int i = 0; i < NODES; i++) {
             assertEquals(1, entries(i), "the same key acts once: node " + i);
             assertTrue(nodes.get(i).sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("well"), "node " + i);
@@ -123,19 +123,19 @@
             failed += post(node) ? 0 : 1;
         }
         assertTrue(failed > 0, "no request failed");
-        assertEquals(0, ctl(1, "explain", "--refused", "10m"), said);
+        assertEquals(0, ctl(1, "explain", "--refused", "10m"), output);
         assertTrue(
-                said.matches("(?s) *" + failed + "  failed +write +it may have run, and must" + " not run twice\\s*"),
-                said);
-        assertEquals(0, ctl(1, "explain", "--last", "1"), said);
-        assertEquals(0, ctl(1, "explain", said.substring(0, 16)), said);
-        assertTrue(said.contains(" to " + sickServer.address() + ": reset after"), said);
-        assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "resets"), said);
+                output.matches("(?s) *" + failed + "  failed +write +it may have run, and must" + " not run twice\\s*"),
+                output);
+        assertEquals(0, ctl(1, "explain", "--last", "1"), output);
+        assertEquals(0, ctl(1, "explain", output.substring(0, 16)), output);
+        assertTrue(output.contains(" to " + sickServer.address() + ": reset after"), output);
+        assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "resets"), output);
         for (int i = 0; i < 20; i++) {
             assertTrue(post(node), "the drained server still gets requests");
         }
-        assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), said);
-        assertTrue(said.startsWith("an override drains it"), said);
+        assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), output);
+        assertTrue(output.startsWith("an override drains it"), output);
     }
 
     private static boolean post(RunningNode node) throws Exception {
@@ -151,12 +151,12 @@
             releaseResponse.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             FakePeer.answer("200 OK", "", "late").run(socket, request);
         });
-        assertEquals(0, ctl(1, "drain", healthyServer.address(), "--for", "10m", "--reason", "swap"), said);
+        assertEquals(0, ctl(1, "drain", healthyServer.address(), "--for", "10m", "--reason", "swap"), output);
         try (var client = nodes.get(0).connect()) {
             FakePeer.write(client, RunningNode.get("/", CLOSE));
             sickServer.nextRequest();
-            assertEquals(0, ctl(1, "undo", "1"), said);
-            assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "swap"), said);
+            assertEquals(0, ctl(1, "undo", "1"), output);
+            assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "swap"), output);
             releaseResponse.countDown();
             assertTrue(
                     RunningNode.readUntilClosed(client).endsWith("late"),
@@ -171,16 +171,16 @@
         String more = "[control]\nsocket = \"" + file(0, "s") + "\"\naudit = \"" + file(0, "audit") + "\"\n";
         RunningNode node = new RunningNode(RunningNode.pool(healthyServer, sickServer) + more);
         nodes.add(node);
-        assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "sick"), said);
+        assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "sick"), output);
         node.reload(RunningNode.pool(healthyServer) + more);
-        assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), said);
+        assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), output);
         node.reload(RunningNode.pool(healthyServer, sickServer) + more);
         for (int i = 0; i < 10; i++) {
             assertTrue(
                     node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("well"),
                     "the drained server gets requests");
         }
-        assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), said);
-        assertTrue(said.startsWith("an override drains it"), said);
+        assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), output);
+        assertTrue(output.startsWith("an override drains it"), output);
     }
 }
--- a/src/test/java/vetchpost/daemon/RealPeersTest.java
+++ b/src/test/java/vetchpost/daemon/RealPeersTest.java
@@ -61,12 +61,12 @@
             String[] path = exchange.getRequestURI().getPath().split("/");
             int status = Integer.parseInt(path[1]);
             int length = Integer.parseInt(path[2]);
-            byte[] sent;
+            byte[] requestBody;
             try (InputStream in = exchange.getRequestBody()) {
-                sent = in.readAllBytes();
+                requestBody = in.readAllBytes();
             }
             exchange.getResponseHeaders().add("X-Method", exchange.getRequestMethod());
-            exchange.getResponseHeaders().add("X-Sent", sent.length + " " + Arrays.hashCode(sent));
+            exchange.getResponseHeaders().add("X-Sent", requestBody.length + " " + Arrays.hashCode(requestBody));
             exchange.getResponseHeaders()
                     .add("X-Query", String.valueOf(exchange.getRequestURI().getRawQuery()));
             exchange.getResponseHeaders().add("Set-Cookie", "a=1; Path=/");
--- a/src/test/java/vetchpost/demo/TryCommandTest.java
+++ b/src/test/java/vetchpost/demo/TryCommandTest.java
@@ -39,12 +39,12 @@
         PrintWriter writer = new PrintWriter(out);
         int code =
                 new CommandLine(new TryCommand()).setOut(writer).setErr(writer).execute("--seconds", "5");
-        String said = out.toString();
+        String output = out.toString();
         // On a busy machine a late response may break a rule, but no effect may happen twice.
-        assertTrue(code == 0 || code == 1, said);
-        assertTrue(said.contains("s-1 has crashed") && said.contains("s-2 is gone"), said);
-        assertTrue(said.lines().anyMatch(l -> l.matches("no effect happens twice +kept")), said);
-        assertTrue(said.lines().anyMatch(l -> l.matches("view-page +\\d{2,} .*")), said);
+        assertTrue(code == 0 || code == 1, output);
+        assertTrue(output.contains("s-1 has crashed") && output.contains("s-2 is gone"), output);
+        assertTrue(output.lines().anyMatch(l -> l.matches("no effect happens twice +kept")), output);
+        assertTrue(output.lines().anyMatch(l -> l.matches("view-page +\\d{2,} .*")), output);
         assertEquals(2, new CommandLine(new TryCommand()).setErr(writer).execute("--seconds", "1"));
     }
 
@@ -55,8 +55,8 @@
         closed.close();
         DemoServer.reset(closed);
         try (DemoServer server = new DemoServer("s-0", 0, statistics)) {
-            String[] at = server.listEntry("Ready").split("\"")[7].split(":");
-            InetSocketAddress address = new InetSocketAddress(at[0], Integer.parseInt(at[1]));
+            String[] hostAndPort = server.listEntry("Ready").split("\"")[7].split(":");
+            InetSocketAddress address = new InetSocketAddress(hostAndPort[0], Integer.parseInt(hostAndPort[1]));
             server.crash();
             assertThrows(ConnectException.class, () -> new Socket().connect(address, 5_000));
             assertThrows(BindException.class, () -> new Socket().bind(address), "the port stays reserved");
--- a/src/test/java/vetchpost/fastcgi/CodecProperty.java
+++ b/src/test/java/vetchpost/fastcgi/CodecProperty.java
@@ -134,10 +134,10 @@
         } catch (FcgiException e) {
             assertTrue(e.getMessage().length() > 0);
         }
-        int kept = values.pairs().entrySet().stream()
+        int storedChars = values.pairs().entrySet().stream()
                 .mapToInt(e -> e.getKey().length() + e.getValue().length())
                 .sum();
-        assertTrue(kept <= MAX_PARAMS_BYTES && values.pairs().size() <= 64, kept + " bytes");
+        assertTrue(storedChars <= MAX_PARAMS_BYTES && values.pairs().size() <= 64, storedChars + " bytes");
     }
 
     @Property(tries = 3_000, seed = "1618", shrinking = ShrinkingMode.OFF)
--- a/src/test/java/vetchpost/fastcgi/FcgiTest.java
+++ b/src/test/java/vetchpost/fastcgi/FcgiTest.java
@@ -112,10 +112,10 @@
                 "7f 80 00 04 00 41 | a name and value of 1151 bytes, of 1000 for all",
                 "01 01 41 62 01 01 41 63 | a name comes twice"
             })
-    void rejectsExcessiveLengthsBeforeBuffering(String bytes, String why) {
+    void rejectsExcessiveLengthsBeforeBuffering(String bytes, String reason) {
         NameValues values = new NameValues(1_000, 10);
         assertEquals(
-                why,
+                reason,
                 assertThrows(FcgiException.class, () -> values.add(hex(bytes))).getMessage());
     }
 
@@ -262,16 +262,17 @@
                     progressOf(true, true, 200, -1, 2).resultOfEndRequest(refusal, 0),
                     "the response has begun");
         }
-        ProtocolStatus done = ProtocolStatus.REQUEST_COMPLETE;
-        assertEquals(Result.OK, progressOf(true, true, 200, -1, 5).resultOfEndRequest(done, 0));
-        assertEquals(Result.OK, progressOf(true, true, 200, 5, 5).resultOfEndRequest(done, 0));
-        assertEquals(Result.RESET, progressOf(true, true, 200, 5, 4).resultOfEndRequest(done, 0), "a truncated body");
-        assertEquals(Result.ERROR, progressOf(true, true, 200, -1, 5).resultOfEndRequest(done, 1));
-        assertEquals(Result.ERROR, progressOf(true, true, 500, -1, 5).resultOfEndRequest(done, 0));
-        assertEquals(Result.ERROR, progressOf(true, false, 0, -1, 0).resultOfEndRequest(done, 0), "no head");
+        ProtocolStatus complete = ProtocolStatus.REQUEST_COMPLETE;
+        assertEquals(Result.OK, progressOf(true, true, 200, -1, 5).resultOfEndRequest(complete, 0));
+        assertEquals(Result.OK, progressOf(true, true, 200, 5, 5).resultOfEndRequest(complete, 0));
+        assertEquals(
+                Result.RESET, progressOf(true, true, 200, 5, 4).resultOfEndRequest(complete, 0), "a truncated body");
+        assertEquals(Result.ERROR, progressOf(true, true, 200, -1, 5).resultOfEndRequest(complete, 1));
+        assertEquals(Result.ERROR, progressOf(true, true, 500, -1, 5).resultOfEndRequest(complete, 0));
+        assertEquals(Result.ERROR, progressOf(true, false, 0, -1, 0).resultOfEndRequest(complete, 0), "no head");
         assertEquals(
                 Result.ERROR,
-                progressOf(false, true, 200, -1, 5).resultOfEndRequest(done, 0),
+                progressOf(false, true, 200, -1, 5).resultOfEndRequest(complete, 0),
                 "before the request was written");
         assertEquals(Result.ERROR, progressOf(true, true, 200, -1, 5).resultOfEndRequest(ProtocolStatus.of(9), 0));
     }
