--- a/src/main/java/vetchpost/daemon/ChangesLoader.java
+++ b/src/main/java/vetchpost/daemon/ChangesLoader.java
@@ -126,17 +126,17 @@
     }
 
     private void saveIfChanged() {
-        VersionedStore now = store;
-        if (file == null || now.version() == savedVersion) {
+        VersionedStore currentStore = store;
+        if (file == null || currentStore.version() == savedVersion) {
             return;
         }
-        savedVersion = now.version();
-        diskWriter.execute(() -> writeStore(now));
+        savedVersion = currentStore.version();
+        diskWriter.execute(() -> writeStore(currentStore));
     }
 
-    private void writeStore(VersionedStore now) {
+    private void writeStore(VersionedStore currentStore) {
         try {
-            file.write(now);
+            file.write(currentStore);
             if (saveFailureLogged) {
                 LOG.log(Level.INFO, "the store is being saved again");
             }
@@ -151,9 +151,10 @@
 
     /** Describes the configuration in force, its age and the last failure, for operators. */
     String describeStatus() {
-        VersionedStore now = store;
-        String configuration =
-                now.version() == Version.NONE ? "no configuration yet" : "configuration " + Version.text(now.version());
+        VersionedStore currentStore = store;
+        String configuration = currentStore.version() == Version.NONE
+                ? "no configuration yet"
+                : "configuration " + Version.text(currentStore.version());
         String age = lastCurrentUs < 0
                 ? ", not confirmed since the start"
                 : ", confirmed " + Math.max(0, (client.nowUs() - lastCurrentUs) / 1_000_000) + " s ago";
--- a/src/main/java/vetchpost/daemon/ControlLoader.java
+++ b/src/main/java/vetchpost/daemon/ControlLoader.java
@@ -53,12 +53,13 @@
     /**
      * Restores the overrides that the audit log shows as still active. The socket is opened later.
      *
+     * @param sourceWatcher gets the overrides of servers
      * @param counts numbers of pending work for {@code ctl status}, by name
      */
     ControlLoader(
-            ControlSettings settings, EventLoop loop, SourceWatcher conductor, Supplier<Map<String, Long>> counts) {
+            ControlSettings settings, EventLoop loop, SourceWatcher sourceWatcher, Supplier<Map<String, Long>> counts) {
         this.loop = loop;
-        this.sourceWatcher = conductor;
+        this.sourceWatcher = sourceWatcher;
         recordedRequests = settings.recordedRequests();
         auditWriter = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "audit");
@@ -75,7 +76,7 @@
         audit.entries().forEach(e -> leases.resumeNumberingAfter(e.number()));
         controlApi = new ControlApi(leases, this::fleetState, counts, audit, this::onOverridesChanged);
         socket = new ControlSocket(Path.of(settings.socket()), controlApi, this::now);
-        conductor.setOverrides(this);
+        sourceWatcher.setOverrides(this);
         scheduleExpiry();
     }
 
--- a/src/main/java/vetchpost/daemon/StandaloneMain.java
+++ b/src/main/java/vetchpost/daemon/StandaloneMain.java
@@ -79,7 +79,7 @@
         }
     }
 
-    /** The file in force. Files are read one after the other, but take effect on the loop, which is asked here. */
+    /** The file in force. Files take effect on the event loop, so this waits for the loop to return it. */
     private static ValidatedFile activeFile(StandaloneNode node, EventLoop loop) {
         return loop.submit(node::activeFile).syncUninterruptibly().getNow();
     }
--- a/src/main/java/vetchpost/daemon/StandaloneNode.java
+++ b/src/main/java/vetchpost/daemon/StandaloneNode.java
@@ -97,7 +97,7 @@
                 : new ChangesLoader(
                         file.changes(),
                         standalone.settings(),
-                        routes -> loop.execute(() -> applyRoutes(routes.routes())));
+                        configuration -> loop.execute(() -> applyRoutes(configuration.routes())));
         routeTable = changes == null
                 ? file.routes().table()
                 : changes.initialConfiguration().routes();
@@ -128,7 +128,8 @@
         routePolicy.replaceTable(routeTable, activeFile.node().settings());
     }
 
-    private void applyPolicies(ValidatedFile file, boolean starting) {
+    /** Applies a file's routes, overrides and admission control; the fleet subset only at the start. */
+    private void applyPolicies(ValidatedFile file, boolean isStart) {
         routePolicy.replaceTable(routeTable, file.node().settings());
         node.setRoutes(
                 control == null
@@ -138,7 +139,7 @@
                                 file.node().settings().classes.stream()
                                         .map(c -> c.name())
                                         .toList()));
-        if (starting && file.routes().fleetSubset() != null) {
+        if (isStart && file.routes().fleetSubset() != null) {
             node.setSubset(new Subset(
                     file.routes().fleetSubset().node(),
                     file.node().settings().nodes,
@@ -161,13 +162,13 @@
     /**
      * Reads and validates a file; if only routes have changed, only those are read and validated.
      *
-     * @param before the result of the previous read, or null
+     * @param previous the result of the previous read, or null
      * @throws IllegalArgumentException as {@link #load(Path)}
      */
-    static ValidatedFile load(Path path, ValidatedFile before) {
+    static ValidatedFile load(Path path, ValidatedFile previous) {
         ValidatedFile file;
         try {
-            file = before == null ? ValidatedFile.read(path, sections -> null, null) : before.reread(path);
+            file = previous == null ? ValidatedFile.read(path, sections -> null, null) : previous.reread(path);
         } catch (IOException e) {
             throw new IllegalArgumentException("the operator's file can't be read: " + e, e);
         }
--- a/src/main/java/vetchpost/demo/DemoStatistics.java
+++ b/src/main/java/vetchpost/demo/DemoStatistics.java
@@ -158,7 +158,7 @@
         while (work.peek()[0] < now - OVERLOAD_WINDOW_NS) {
             work.poll();
         }
-        long sumNs = work.stream().mapToLong(w -> w[1]).sum();
+        long sumNs = work.stream().mapToLong(entry -> entry[1]).sum();
         double capacityFraction =
                 Math.min(1, COLD_CAPACITY_FRACTION + (1 - COLD_CAPACITY_FRACTION) * ageNs / WARM_UP_NS);
         if (sumNs > OVERLOAD_FACTOR * capacityFraction * capacity * OVERLOAD_WINDOW_NS + 4 * workNs) {
--- a/src/test/java/vetchpost/daemon/RunningNode.java
+++ b/src/test/java/vetchpost/daemon/RunningNode.java
@@ -69,7 +69,7 @@
         ValidatedFile loaded = StandaloneNode.load(file(listen, text), callOnLoop(node::activeFile));
         Future<SocketAddress> applied = callOnLoop(() -> node.reload(loaded));
         InetSocketAddress address = (InetSocketAddress) applied.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        // The event loop closes a socket only when it selects again.
+        // The system closes a socket only after the event loop has selected again.
         loop.schedule(() -> null, 1, TimeUnit.MILLISECONDS).get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         return address;
     }
