--- a/src/main/java/vetchpost/daemon/ChangesLoader.java
+++ b/src/main/java/vetchpost/daemon/ChangesLoader.java
@@ -103,7 +103,7 @@
         for (Item item = live.ceiling(new byte[0]);
                 item != null;
                 item = live.ceiling(PackedTree.successor(item.key()))) {
-            configuration = configuration.withoutEntry(item.key(), item.value());
+            configuration = configuration.withIndexedEntry(item.key(), item.value());
         }
         return configuration.backedBy(live);
     }
@@ -154,7 +154,7 @@
         VersionedStore currentStore = store;
         String configuration = currentStore.version() == Version.NONE
                 ? "no configuration yet"
-                : "configuration " + Version.text(currentStore.version());
+                : "configuration " + Version.format(currentStore.version());
         String age = lastCurrentUs < 0
                 ? ", not confirmed since the start"
                 : ", confirmed " + Math.max(0, (client.nowUs() - lastCurrentUs) / 1_000_000) + " s ago";
--- a/src/main/java/vetchpost/daemon/CheckCommand.java
+++ b/src/main/java/vetchpost/daemon/CheckCommand.java
@@ -78,7 +78,7 @@
             out.println(file + " is valid: " + routeValidation.routes().size() + " routes, including classes");
             if (node != null) {
                 out.println("It configures a standalone node: serve " + file + " listens on "
-                        + ReportedServer.text(node.listen()) + ", with servers from "
+                        + ReportedServer.formatAddress(node.listen()) + ", with servers from "
                         + node.sources().stream()
                                 .map(s -> s.kind() == SourceDeclaration.Kind.ITSELF
                                         ? "the file (" + s.inlineServers().size() + ")"
--- a/src/main/java/vetchpost/daemon/ControlLoader.java
+++ b/src/main/java/vetchpost/daemon/ControlLoader.java
@@ -101,7 +101,7 @@
         if (expiryTimer != null) {
             expiryTimer.cancel(false);
         }
-        long next = leases.nextUs();
+        long next = leases.nextExpiryUs();
         expiryTimer = next == Long.MAX_VALUE
                 ? null
                 : loop.schedule(
--- a/src/main/java/vetchpost/daemon/StandaloneNode.java
+++ b/src/main/java/vetchpost/daemon/StandaloneNode.java
@@ -275,7 +275,7 @@
         sourceWatcher.reload(standalone);
         Promise<SocketAddress> applied = loop.newPromise();
         if (plan.movesListener()) {
-            ChannelFuture binding = node.addListener(group, standalone.listen());
+            ChannelFuture binding = node.rebind(group, standalone.listen());
             binding.addListener(done -> {
                 if (done.isSuccess()) {
                     listenAddress = binding.channel().localAddress();
--- a/src/main/java/vetchpost/daemon/StateCommand.java
+++ b/src/main/java/vetchpost/daemon/StateCommand.java
@@ -88,7 +88,7 @@
                                 + String.join(
                                         ", ",
                                         selfFaults.stream()
-                                                .map(SelfFault::words)
+                                                .map(SelfFault::description)
                                                 .sorted()
                                                 .toList()));
         for (ClassState state : snapshot.classes()) {
--- a/src/main/java/vetchpost/daemon/ValidatedFile.java
+++ b/src/main/java/vetchpost/daemon/ValidatedFile.java
@@ -66,7 +66,7 @@
         List<Violation> violations) {
 
     /** Collects the settings of the tables while the file is read. */
-    private static final class TableReader implements FileIndex.Tables {
+    private static final class TableReader implements FileIndex.SectionHandler {
         private final Function<List<Section>, Settings> platformSettings;
         private final RouteTable previousTable;
         private final long version;
@@ -83,7 +83,7 @@
         }
 
         @Override
-        public void otherSections(List<Section> sections) {
+        public void acceptOtherSections(List<Section> sections) {
             otherSections = sections;
             settings = platformSettings.apply(sections);
             boolean standalone = settings == null;
@@ -99,9 +99,9 @@
         }
 
         @Override
-        public void route(Section section) {
+        public void acceptRoute(Section section) {
             if (routeValidator != null) {
-                routeValidator.add(section);
+                routeValidator.addRoute(section);
             }
         }
 
@@ -120,7 +120,7 @@
                         version,
                         violations);
             }
-            RouteValidation routes = routeValidator.end();
+            RouteValidation routes = routeValidator.finish();
             RecoveryValidator.Validation recovery = RecoveryValidator.validate(otherSections);
             AdmissionValidator.ValidationResult admission = AdmissionValidator.validate(otherSections, settings);
             ControlValidator.Validation control = ControlValidator.validate(otherSections);
@@ -136,7 +136,7 @@
                                 .filter(s -> s.kind() == Section.Kind.CHANGES)
                                 .findFirst()
                                 .orElseThrow()
-                                .at(),
+                                .position(),
                         "changes",
                         Violation.Rule.INCOMPLETE,
                         "with the platform's configuration, routes come from " + "this file",
@@ -150,7 +150,7 @@
                                 .filter(s -> s.kind() == Section.Kind.CHANGES)
                                 .findFirst()
                                 .orElseThrow()
-                                .at(),
+                                .position(),
                         "changes",
                         Violation.Rule.UNREACHABLE,
                         routes.table().size()
@@ -268,9 +268,9 @@
             String name = RouteCodec.nameOf(section);
             changed.add(name);
             if (!removed.contains(name)) {
-                changes.add(new RouteChange(Op.PUT, name, section, section.at()));
+                changes.add(new RouteChange(Op.PUT, name, section, section.position()));
             } else if (!hasSameContent(name, section)) {
-                changes.add(new RouteChange(Op.REPLACE, name, section, section.at()));
+                changes.add(new RouteChange(Op.REPLACE, name, section, section.position()));
             }
         }
         for (String name : removed) {
@@ -320,7 +320,7 @@
                             .entries()
                             .get(new EntryKey(EntryKind.ROUTE, name).bytes())
                             .value(),
-                    RouteCodec.bytes(section));
+                    RouteCodec.encode(section));
         } catch (IllegalArgumentException e) {
             return false;
         }
--- a/src/main/java/vetchpost/simulation/fleet/FleetRun.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetRun.java
@@ -191,7 +191,7 @@
     }
 
     private static String id(int box) {
-        return ReportedServer.text(address(box));
+        return ReportedServer.formatAddress(address(box));
     }
 
     private static InetSocketAddress address(int box) {
@@ -207,7 +207,7 @@
             say(i, false);
             every(i, S);
         }
-        node.onKnownList(new ServerList(0, true, List.of()));
+        node.onCachedList(new ServerList(0, true, List.of()));
         settle();
         if (watch == DetectionMode.BOTH) {
             node.setAttemptObserver((server, result, answer, stalled, us) -> {
--- a/src/main/java/vetchpost/simulation/fleet/Operators.java
+++ b/src/main/java/vetchpost/simulation/fleet/Operators.java
@@ -65,7 +65,7 @@
         if (chance.nextInt(5) == 0 && commands > 0) {
             long number = 1 + chance.nextInt(commands);
             if (leases.undo(number)) {
-                trail.add(AuditEntryJson.text(new Entry(Event.UNDONE, number, nowUs / MS, null, "bob", "")));
+                trail.add(AuditEntryJson.format(new Entry(Event.UNDONE, number, nowUs / MS, null, "bob", "")));
                 bans.stream().filter(b -> b.number == number).forEach(b -> b.untilUs = nowUs);
             }
             return "";
@@ -87,7 +87,7 @@
         Decision verdict = leases.check(change, situation(members), nowUs, nowUs / MS);
         if (verdict.lease() != null) {
             leases.grant(verdict.lease());
-            trail.add(AuditEntryJson.text(
+            trail.add(AuditEntryJson.format(
                     new Entry(Event.GRANTED, verdict.lease().number(), nowUs / MS, change, "ann", "")));
             if (kind == OverrideKind.DRAIN) {
                 bans.add(new Ban(server, verdict.lease().number(), us, nowUs + length * MS));
@@ -106,15 +106,18 @@
 
     private String restart(List<Member> members, long nowUs) {
         Leases before = leases;
-        List<Entry> entries = trail.stream().map(AuditEntryJson::read).toList();
+        List<Entry> entries = trail.stream().map(AuditEntryJson::parse).toList();
         leases = leases();
         AuditLog.activeLeases(entries, nowUs / MS, nowUs).forEach(leases::grant);
         entries.forEach(e -> leases.resumeNumberingAfter(e.number()));
-        boolean same = before.all().stream()
+        boolean same = before.activeLeases().stream()
                         .map(Lease::endUs)
                         .sorted()
                         .toList()
-                        .equals(leases.all().stream().map(Lease::endUs).sorted().toList())
+                        .equals(leases.activeLeases().stream()
+                                .map(Lease::endUs)
+                                .sorted()
+                                .toList())
                 && members.stream()
                         .allMatch(m -> before.effects().isDraining(m.id()) == isDraining(m.id())
                                 && before.effects().weight(m.id(), 1) == weight(m.id(), 1))
@@ -134,7 +137,7 @@
 
     /** How many hold. */
     int held() {
-        return leases.all().size();
+        return leases.activeLeases().size();
     }
 
     @Override
--- a/src/main/java/vetchpost/simulation/overload/OverloadRun.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadRun.java
@@ -154,7 +154,7 @@
                 () -> {},
                 1_000_000,
                 actions -> new ServiceQBalancer(settings, plan.seed, actions));
-        node.onKnownList(boxes.list());
+        node.onCachedList(boxes.list());
         AdmissionSettings defaults = AdmissionValidator.defaults(settings);
         door = plan.policy != Policy.DOOR
                 ? null
@@ -190,7 +190,7 @@
                     NAME + (char) ('a' + i),
                     plan.policy == Policy.FIRST_COME ? 0 : SHARES[i] * 0.875 * capacity(plan.boxes)));
         }
-        set.overShareWorth = 0.1;
+        set.overShareValueFraction = 0.1;
         set.maxAttempts = 4;
         set.allowsCancellation = true;
         set.clientsMarkRetries = true;
--- a/src/main/java/vetchpost/simulation/scale/Configurations.java
+++ b/src/main/java/vetchpost/simulation/scale/Configurations.java
@@ -70,7 +70,7 @@
         if (tenants > 0 && random.nextInt(20) == 0) {
             put(entries, "tenant", tenant(random.nextInt(tenants)));
         }
-        return RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", AT, entries));
+        return RouteCodec.encode(new Section(Section.Kind.ROUTE, "", AT, entries));
     }
 
     private static void put(Map<String, Section.Entry> entries, String key, Object value) {
--- a/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
+++ b/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
@@ -202,7 +202,7 @@
                 }
 
                 @Override
-                public void after(long us, Runnable task) {
+                public void schedule(long us, Runnable task) {
                     time.after(us * US, task);
                 }
             });
--- a/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
+++ b/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
@@ -165,17 +165,17 @@
         if (store.version() < before) {
             broken.add(new Broken(
                     "no version goes back",
-                    machine.name() + " from " + Version.text(before) + " to " + Version.text(store.version())));
+                    machine.name() + " from " + Version.format(before) + " to " + Version.format(store.version())));
         }
         if (!store.live().sum().equals(history.get(store.version()))) {
             broken.add(new Broken(
                     "what is in force is what was written, whole",
-                    machine.name() + " at " + Version.text(store.version())));
+                    machine.name() + " at " + Version.format(store.version())));
         }
         if (checksIndex && !((RouteConfiguration) index).routes().matchSum().equals(indexes.get(store.version()))) {
             broken.add(new Broken(
                     "requests are looked up in what is in force",
-                    machine.name() + " at " + Version.text(store.version())));
+                    machine.name() + " at " + Version.format(store.version())));
         }
         if (measuring && !relay) {
             for (long version = before + 1; version <= store.version(); version++) {
@@ -269,7 +269,7 @@
             return;
         }
         writer = new ChangeWriter(
-                catalog.at(furthest.replica().store()),
+                catalog.withStore(furthest.replica().store()),
                 Version.epoch(writer.store().version()) + 1);
     }
 
@@ -285,7 +285,7 @@
                                 .sum()
                                 .equals(writer.store().live().sum())) {
                     behind.add(machine.name() + " at "
-                            + Version.text(machine.replica().store().version()));
+                            + Version.format(machine.replica().store().version()));
                 }
             }
         }
--- a/src/main/java/vetchpost/simulation/scale/RunCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/RunCommand.java
@@ -219,8 +219,8 @@
                 setBack.replica().store().version() == run.writer().store().version()
                         ? "at the newest again"
                         : "still behind, at "
-                                + Version.text(setBack.replica().store().version()) + " of "
-                                + Version.text(run.writer().store().version()) + ", refused "
+                                + Version.format(setBack.replica().store().version()) + " of "
+                                + Version.format(run.writer().store().version()) + ", refused "
                                 + setBack.replica().rejectedCount());
         spoilt(run, run.nodes().get(7));
         Machine bare = run.nodes().get(4);
--- a/src/main/java/vetchpost/simulation/scale/Slopes.java
+++ b/src/main/java/vetchpost/simulation/scale/Slopes.java
@@ -386,7 +386,7 @@
                     RouteConfiguration catalog = new Configurations(1, 3_700, 1).whole(n);
                     EntryKey defaults = new EntryKey(EntryKind.LIMITS, "");
                     ChangeWriter writer = new ChangeWriter(catalog, 1);
-                    byte[] value = RouteCodec.bytes(new Section(
+                    byte[] value = RouteCodec.encode(new Section(
                             Section.Kind.DEFAULTS,
                             "",
                             new vetchpost.routes.Position("x", 1, 1),
@@ -440,7 +440,7 @@
     }
 
     /** A file that was read. */
-    private static final class Read implements FileIndex.Tables {
+    private static final class Read implements FileIndex.SectionHandler {
         private final FileIndex index;
         private RouteValidator prover;
         private final RouteValidation proof;
@@ -452,18 +452,18 @@
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            proof = prover.end();
+            proof = prover.finish();
             require(violations.isEmpty() && proof.isValid());
         }
 
         @Override
-        public void otherSections(List<Section> sections) {
+        public void acceptOtherSections(List<Section> sections) {
             prover = RouteValidator.begin(sections, Configurations.settings(), true, null, 1);
         }
 
         @Override
-        public void route(Section section) {
-            prover.add(section);
+        public void acceptRoute(Section section) {
+            prover.addRoute(section);
         }
 
         /** How many routes have changed. */
@@ -471,8 +471,8 @@
             try {
                 FileIndex.Difference difference = index.reread(file);
                 List<RouteValidator.RouteChange> changes = difference.changedRoutes().stream()
-                        .map(s ->
-                                new RouteValidator.RouteChange(EntryChange.Op.REPLACE, RouteCodec.nameOf(s), s, s.at()))
+                        .map(s -> new RouteValidator.RouteChange(
+                                EntryChange.Op.REPLACE, RouteCodec.nameOf(s), s, s.position()))
                         .toList();
                 require(RouteValidator.validateChanges(proof.table(), changes, 2)
                         .isValid());
--- a/src/main/java/vetchpost/web/WebConnection.java
+++ b/src/main/java/vetchpost/web/WebConnection.java
@@ -651,7 +651,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log().write("closed", connectionId, closeReason == null ? "by the client" : closeReason);
         }
         server.onClosed(this);
--- a/src/test/java/vetchpost/daemon/ChangesNodeTest.java
+++ b/src/test/java/vetchpost/daemon/ChangesNodeTest.java
@@ -73,7 +73,7 @@
                         new EntryKey(EntryKind.ROUTE, path),
                         op == EntryChange.Op.DELETE
                                 ? null
-                                : RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", at, entries))))));
+                                : RouteCodec.encode(new Section(Section.Kind.ROUTE, "", at, entries))))));
     }
 
     private static void awaitResponse(RunningNode node, String beginning) throws Exception {
@@ -152,10 +152,12 @@
                 nodes.add(new RunningNode(both));
             }
             long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
-            while (one.peers() + two.peers() < 30) {
-                assertTrue(System.nanoTime() < endNs, one.peers() + " and " + two.peers());
+            while (one.replicaCount() + two.replicaCount() < 30) {
+                assertTrue(System.nanoTime() < endNs, one.replicaCount() + " and " + two.replicaCount());
             }
-            assertTrue(one.peers() > 0 && two.peers() > 0, one.peers() + " and " + two.peers());
+            assertTrue(
+                    one.replicaCount() > 0 && two.replicaCount() > 0,
+                    one.replicaCount() + " and " + two.replicaCount());
         } finally {
             nodes.forEach(RunningNode::close);
         }
--- a/src/test/java/vetchpost/daemon/CommandsTest.java
+++ b/src/test/java/vetchpost/daemon/CommandsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 import vetchpost.state.Snapshot;
-import vetchpost.state.States;
+import vetchpost.state.TestSnapshots;
 import vetchpost.state.codec.ChunkCodec;
 import vetchpost.state.disk.StateFile;
 import vetchpost.testing.FakePeer;
@@ -136,7 +136,7 @@
         Path file = folder.resolve("boxes");
         assertEquals(2, state(file));
         assertTrue(out.toString().contains("there is no file"), out.toString());
-        Snapshot snapshot = States.of(12, 2, System.currentTimeMillis() - 1_000);
+        Snapshot snapshot = TestSnapshots.of(12, 2, System.currentTimeMillis() - 1_000);
         new StateFile(file)
                 .write(List.of(ChunkCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.servers())));
         assertEquals(0, state(file, "--most", "3"));
