--- a/src/test/java/vetchpost/daemon/CommandsTest.java
+++ b/src/test/java/vetchpost/daemon/CommandsTest.java
@@ -20,7 +20,7 @@
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
 
-/** What a person at a terminal gets. */
+/** Output and exit codes of the commands that read files. */
 class CommandsTest {
     @TempDir
     private Path folder;
@@ -56,7 +56,7 @@
         return new CommandLine(command).setOut(writer).setErr(writer).execute(arguments);
     }
 
-    /** What init prints is a file that check takes as it is, without any environment. */
+    /** The file that init prints must pass check unchanged and without environment variables. */
     @Test
     void initPrintsValidFile() throws Exception {
         assertEquals(
@@ -71,7 +71,7 @@
                         "[::1]:9002"));
         Path file = Files.writeString(folder.resolve("node.toml"), out.toString());
         assertEquals(0, run(new CheckCommand(), file.toString()));
-        assertTrue(out.toString().contains("makes a node by itself"), out.toString());
+        assertTrue(out.toString().contains("configures a standalone node"), out.toString());
         StandaloneNode.load(file);
         assertEquals(2, run(new InitCommand()));
         assertEquals(2, run(new InitCommand(), "--server", "localhost:80"));
@@ -82,15 +82,18 @@
     void shippedFileIsValidStandaloneAndWithPlatform() throws Exception {
         assertEquals(0, run(new CheckCommand(), "deploy/vetchpost.toml"));
         assertEquals(0, run(new CheckCommand(), "deploy/vetchpost.toml", "--explain", "cover"));
-        assertEquals(2, check("[node]\nlisten = 7\n[class.nobody]\n"), "beside it, its classes are the platform's");
+        assertEquals(
+                2,
+                check("[node]\nlisten = 7\n[class.nobody]\n"),
+                "with the platform, classes come from its configuration");
         assertEquals(0, check("[node]\nlisten = 7\n"));
-        assertTrue(out.toString().contains("are passed over here"), out.toString());
+        assertTrue(out.toString().contains("are ignored here"), out.toString());
     }
 
     @Test
     void checkExitsZeroForValidFile() throws Exception {
         assertEquals(0, check("[class.view]\nattempts = 2\n"));
-        assertTrue(out.toString().contains("holds: 4 routes"), out.toString());
+        assertTrue(out.toString().contains("is valid: 4 routes"), out.toString());
     }
 
     @Test
@@ -112,10 +115,10 @@
                                 + "jitter = 0.5\n",
                         "--explain",
                         "photo"));
-        String said = out.toString();
-        assertTrue(said.contains("backoff          20ms, doubled each time, up to 50% longer"), said);
-        assertTrue(said.lines().anyMatch(l -> l.startsWith("   2 |") && l.endsWith("from 430ms to 830ms")), said);
-        assertTrue(said.lines().anyMatch(l -> l.startsWith("   3 |") && l.endsWith("from 890ms to 1290ms")), said);
+        String output = out.toString();
+        assertTrue(output.contains("backoff          20ms, doubled each time, up to 50% longer"), output);
+        assertTrue(output.lines().anyMatch(l -> l.startsWith("   2 |") && l.endsWith("from 430ms to 830ms")), output);
+        assertTrue(output.lines().anyMatch(l -> l.startsWith("   3 |") && l.endsWith("from 890ms to 1290ms")), output);
         assertEquals(2, check("", "--explain", "foto"));
     }
 
@@ -137,13 +140,14 @@
         new StateFile(file)
                 .write(List.of(ChunkCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.servers())));
         assertEquals(0, state(file, "--most", "3"));
-        String said = out.toString();
-        assertTrue(said.contains("list 41, 12 boxes"), said);
-        assertTrue(said.contains("would be believed, as far"), said);
-        List<String> boxes = said.lines().filter(l -> l.startsWith("s-")).toList();
-        assertEquals(3, boxes.size());
-        assertTrue(boxes.get(0).endsWith("ejected") && boxes.get(1).endsWith("ejected"), said);
-        assertTrue(said.contains("and 9 more"), said);
+        String output = out.toString();
+        assertTrue(output.contains("list 41, 12 servers"), output);
+        assertTrue(output.contains("would be used, as far"), output);
+        List<String> serverLines =
+                output.lines().filter(l -> l.startsWith("s-")).toList();
+        assertEquals(3, serverLines.size());
+        assertTrue(serverLines.get(0).endsWith("ejected") && serverLines.get(1).endsWith("ejected"), output);
+        assertTrue(output.contains("and 9 more"), output);
         Files.write(file, new byte[] {1, 2, 3});
         assertEquals(1, state(file));
         assertTrue(out.toString().contains("too short for a snapshot"), out.toString());
@@ -168,27 +172,27 @@
     @Test
     void configDiffShowsWhatAReloadWouldChange() throws Exception {
         String node = "[node]\nlisten = \"127.0.0.1:0\"\n[pool]\nservers = [\"127.0.0.1:9\"]\n";
-        String a = "[[route]]\npath = \"/a\"\n";
-        String b = "[[route]]\npath = \"/b\"\nconcurrency = 5\n";
-        Path old = Files.writeString(folder.resolve("old.toml"), node + a + b);
-        Path fresh = Files.writeString(
-                folder.resolve("new.toml"), node + b.replace("5", "6") + "[[route]]\npath = \"/c\"\n");
-        assertEquals(0, run(new ConfigCommand(), "diff", old.toString(), fresh.toString()));
+        String routeA = "[[route]]\npath = \"/a\"\n";
+        String routeB = "[[route]]\npath = \"/b\"\nconcurrency = 5\n";
+        Path oldFile = Files.writeString(folder.resolve("old.toml"), node + routeA + routeB);
+        Path newFile = Files.writeString(
+                folder.resolve("new.toml"), node + routeB.replace("5", "6") + "[[route]]\npath = \"/c\"\n");
+        assertEquals(0, run(new ConfigCommand(), "diff", oldFile.toString(), newFile.toString()));
         assertEquals(
                 List.of("delete route /a", "put route /c", "replace route /b"),
                 out.toString().lines().sorted().toList());
         out.getBuffer().setLength(0);
-        Files.writeString(fresh, node + a + b + a);
-        assertEquals(1, run(new ConfigCommand(), "diff", old.toString(), fresh.toString()));
+        Files.writeString(newFile, node + routeA + routeB + routeA);
+        assertEquals(1, run(new ConfigCommand(), "diff", oldFile.toString(), newFile.toString()));
         assertTrue(
                 out.toString().contains("new.toml:10:1: route /a")
                         && out.toString().contains("1 violation"),
                 out.toString());
         out.getBuffer().setLength(0);
-        Files.writeString(fresh, node.replace(":9", ":10") + a + b);
-        assertEquals(0, run(new ConfigCommand(), "diff", old.toString(), fresh.toString()));
-        assertEquals("more than routes has changed: a reload reads all of it\n", out.toString());
-        assertEquals(2, run(new ConfigCommand(), "diff", folder.resolve("none").toString(), fresh.toString()));
+        Files.writeString(newFile, node.replace(":9", ":10") + routeA + routeB);
+        assertEquals(0, run(new ConfigCommand(), "diff", oldFile.toString(), newFile.toString()));
+        assertEquals("not only routes have changed: a reload applies the whole file\n", out.toString());
+        assertEquals(2, run(new ConfigCommand(), "diff", folder.resolve("none").toString(), newFile.toString()));
         assertEquals(2, run(new ConfigCommand()));
     }
 }
