--- a/src/main/java/vetchpost/simulation/fleet/ActualServers.java
+++ b/src/main/java/vetchpost/simulation/fleet/ActualServers.java
@@ -4,9 +4,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The boxes as they are, whatever anybody says of them: what goes wrong with each, and when. */
+/**
+ * The actual condition of each simulated server over time, whatever sources and health checks report. Drawn once at
+ * the start of a {@link FleetRun}, which reads it; not changed afterwards.
+ */
 final class ActualServers {
-    /** What a box does with requests. */
+    /** How a server responds to requests and to health checks. */
     enum Condition {
         HEALTHY,
         DOWN,
@@ -18,22 +21,22 @@
         HEALTHY_BUT_CHECK_FAILING
     }
 
-    /** What befalls a box: from then on it is so, until the next. */
+    /** From {@code atUs} on the server has this condition, until the next change; in microseconds from the start. */
     record ConditionChange(long atUs, Condition condition) {}
 
-    /** How long it is a node's address, and when it is told to drain, from the start; -1 for never. */
+    /** When a server joins, starts to drain and leaves, in microseconds from the start; -1 for never. */
     static final class Lifetime {
         final List<ConditionChange> conditionChanges = new ArrayList<>();
         long joinsUs;
         long drainsUs = -1;
         long leavesUs = -1;
 
-        Condition conditionAt(long us) {
-            Condition mood = Condition.HEALTHY;
-            for (ConditionChange turn : conditionChanges) {
-                mood = turn.atUs <= us ? turn.condition : mood;
+        Condition conditionAt(long atUs) {
+            Condition condition = Condition.HEALTHY;
+            for (ConditionChange change : conditionChanges) {
+                condition = change.atUs <= atUs ? change.condition : condition;
             }
-            return mood;
+            return condition;
         }
     }
 
@@ -44,44 +47,49 @@
 
     final List<Lifetime> lifetimes = new ArrayList<>();
 
-    /** Drawn from chance: some boxes fall ill and recover, some drain and go, some are new. */
-    ActualServers(SplittableRandom chance, long quietUs) {
+    /**
+     * Draws the lifetimes: some servers fail and recover, some drain and leave, some join late.
+     *
+     * @param quietUs when the last fault ends, in microseconds from the start
+     */
+    ActualServers(SplittableRandom random, long quietUs) {
         for (int i = 0; i < SERVER_COUNT; i++) {
-            Lifetime life = new Lifetime();
+            Lifetime lifetime = new Lifetime();
             if (i >= SERVER_COUNT - JOINING_SERVER_COUNT) {
-                life.joinsUs = chance.nextLong(quietUs / 2);
+                lifetime.joinsUs = random.nextLong(quietUs / 2);
             }
-            if (chance.nextDouble() < DRAINED_FRACTION) {
-                life.drainsUs = life.joinsUs + chance.nextLong(1, quietUs / 2);
-                life.leavesUs = life.drainsUs + 2_000_000;
-                life.conditionChanges.add(new ConditionChange(
-                        life.leavesUs, chance.nextBoolean() ? Condition.DOWN : Condition.WRONG_SERVER));
-            } else if (chance.nextDouble() < FAULTY_FRACTION) {
-                long at = life.joinsUs + chance.nextLong(quietUs / 2);
-                Condition[] moods = Condition.values();
-                for (int n = 1 + chance.nextInt(4); n > 0 && at < quietUs; n--) {
-                    // One that another application has taken the address of does not come back by itself.
-                    Condition mood = moods[1 + chance.nextInt(moods.length - 1)];
-                    life.conditionChanges.add(
-                            new ConditionChange(at, mood == Condition.WRONG_SERVER ? Condition.DOWN : mood));
-                    at += 200_000 + chance.nextLong(quietUs / 4);
-                    life.conditionChanges.add(new ConditionChange(Math.min(at, quietUs), Condition.HEALTHY));
-                    at += 100_000 + chance.nextLong(quietUs / 4);
+            if (random.nextDouble() < DRAINED_FRACTION) {
+                lifetime.drainsUs = lifetime.joinsUs + random.nextLong(1, quietUs / 2);
+                lifetime.leavesUs = lifetime.drainsUs + 2_000_000;
+                lifetime.conditionChanges.add(new ConditionChange(
+                        lifetime.leavesUs, random.nextBoolean() ? Condition.DOWN : Condition.WRONG_SERVER));
+            } else if (random.nextDouble() < FAULTY_FRACTION) {
+                long at = lifetime.joinsUs + random.nextLong(quietUs / 2);
+                Condition[] conditions = Condition.values();
+                for (int remaining = 1 + random.nextInt(4); remaining > 0 && at < quietUs; remaining--) {
+                    // An address that another application has taken over doesn't recover by itself.
+                    Condition condition = conditions[1 + random.nextInt(conditions.length - 1)];
+                    lifetime.conditionChanges.add(
+                            new ConditionChange(at, condition == Condition.WRONG_SERVER ? Condition.DOWN : condition));
+                    at += 200_000 + random.nextLong(quietUs / 4);
+                    lifetime.conditionChanges.add(new ConditionChange(Math.min(at, quietUs), Condition.HEALTHY));
+                    at += 100_000 + random.nextLong(quietUs / 4);
                 }
-                life.conditionChanges.add(new ConditionChange(quietUs, Condition.HEALTHY));
+                lifetime.conditionChanges.add(new ConditionChange(quietUs, Condition.HEALTHY));
             }
-            lifetimes.add(life);
+            lifetimes.add(lifetime);
         }
     }
 
-    /** Whether the box is one of the fleet then, and takes new requests. */
-    boolean isReady(int box, long us) {
-        Lifetime life = lifetimes.get(box);
-        return us >= life.joinsUs && (life.drainsUs < 0 || us < life.drainsUs);
+    /** Whether the server has joined and isn't draining at this time, in microseconds from the start. */
+    boolean isReady(int server, long atUs) {
+        Lifetime lifetime = lifetimes.get(server);
+        return atUs >= lifetime.joinsUs && (lifetime.drainsUs < 0 || atUs < lifetime.drainsUs);
     }
 
-    boolean isListed(int box, long us) {
-        Lifetime life = lifetimes.get(box);
-        return us >= life.joinsUs && (life.leavesUs < 0 || us < life.leavesUs);
+    /** Whether the server has joined and hasn't left at this time, in microseconds from the start. */
+    boolean isListed(int server, long atUs) {
+        Lifetime lifetime = lifetimes.get(server);
+        return atUs >= lifetime.joinsUs && (lifetime.leavesUs < 0 || atUs < lifetime.leavesUs);
     }
 }
--- a/src/main/java/vetchpost/simulation/fleet/FleetCommand.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetCommand.java
@@ -19,22 +19,25 @@
 import vetchpost.simulation.fleet.FleetRun.DetectionMode;
 import vetchpost.simulation.fleet.FleetRun.Outcome;
 
-/** The command {@code fleet}: sources that err, checks that lie and boxes that fall ill, by seeds. */
+/**
+ * The command {@code fleet}: simulates fleets with failing sources, wrong health checks and failing servers, and
+ * compares the ways to detect faulty servers. Seeds run in parallel on the common pool.
+ */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description = {
-            "Plays a node before boxes that fall ill and recover, with servers by sources "
-                    + "that err and "
-                    + "checks that lie, all drawn from a seed, and checks the rules.",
-            "Compares who finds out what is ill: requests alone, checks that know nothing of them, and " + "both."
+            "Simulates a node whose servers fail and recover, whose sources report errors "
+                    + "and "
+                    + "whose health checks give wrong results, all drawn from a seed, and checks the rules.",
+            "Compares ways to detect faulty servers: requests alone, separate health checks, and " + "both."
         },
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:no rule broken", "1:some run breaks a rule", "2:bad arguments"},
+        exitCodeList = {"0:no rule violations", "1:some run breaks a rule", "2:bad arguments"},
         footer = {"", "Example:", "  fleet --seeds 2000 --svg notice.svg"})
 public final class FleetCommand implements Callable<Integer> {
-    /** A strong reference: a logger that nobody holds loses its settings. */
+    /** A strong reference: a logger that is garbage-collected loses its settings. */
     private static final Logger LOGGER = Logger.getLogger("vetchpost");
 
     private static final int MAX_SEEDS = 100_000;
@@ -50,44 +53,46 @@
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "200",
-            description = "Plays seeds 1 to N (${DEFAULT-VALUE}).")
+            description = "Runs seeds 1 to N (${DEFAULT-VALUE}).")
     private int seeds;
 
     @Option(
             names = "--operators",
-            description = {"Operators drain, weigh and freeze as chance has it", "(docs/control.md)."})
+            description = {"Simulated operators drain, weight and freeze at random", "(docs/control.md)."})
     private boolean operators;
 
-    @Option(names = "--svg", paramLabel = "FILE", description = "A picture of the comparison.")
+    @Option(names = "--svg", paramLabel = "FILE", description = "Writes a chart of the comparison to FILE.")
     private Path svg;
 
-    /** What all seeds come to under one way to watch. */
+    /** The figures of all seeds for one detection mode; {@code served} and {@code wasted} are fractions. */
     private record Summary(
             DetectionMode detectionMode, double served, double wasted, double meanDetectionMs, double checksPerS) {}
 
     @Override
     public Integer call() throws IOException {
         if (seeds < 1 || seeds > MAX_SEEDS) {
-            throw new ParameterException(spec.commandLine(), "--seeds is from 1 to " + MAX_SEEDS);
+            throw new ParameterException(spec.commandLine(), "--seeds must be from 1 to " + MAX_SEEDS);
         }
-        // What each module says of its servers is of no use here.
+        // The balancers log each change of a server's status, which would drown the results.
         LOGGER.setUseParentHandlers(false);
         PrintWriter out = spec.commandLine().getOut();
         out.printf("%-9s %10s %16s %14s %10s%n", "watch", "served", "wasted attempts", "time to notice", "checks/s");
         List<Summary> sums = new ArrayList<>();
-        List<String> broken = new ArrayList<>();
-        for (DetectionMode watch : DetectionMode.values()) {
+        List<String> violations = new ArrayList<>();
+        for (DetectionMode detectionMode : DetectionMode.values()) {
             List<Outcome> outcomes = LongStream.rangeClosed(1, seeds)
                     .parallel()
-                    .mapToObj(seed -> SeedRunException.withSeed(seed, () -> FleetRun.run(seed, watch, operators)))
+                    .mapToObj(
+                            seed -> SeedRunException.withSeed(seed, () -> FleetRun.run(seed, detectionMode, operators)))
                     .toList();
             for (int i = 0; i < outcomes.size(); i++) {
-                for (String each : outcomes.get(i).violations()) {
-                    broken.add("seed " + (i + 1) + ", " + watch.name().toLowerCase(Locale.ROOT) + ": " + each);
+                for (String violation : outcomes.get(i).violations()) {
+                    violations.add("seed " + (i + 1) + ", "
+                            + detectionMode.name().toLowerCase(Locale.ROOT) + ": " + violation);
                 }
             }
             Summary sum = new Summary(
-                    watch,
+                    detectionMode,
                     mean(outcomes, o -> (double) o.served() / o.requests()),
                     mean(outcomes, o -> (double) o.wasted() / o.attempts()),
                     mean(outcomes, Outcome::meanDetectionUs) / 1_000,
@@ -96,20 +101,20 @@
             out.printf(
                     Locale.ROOT,
                     "%-9s %9.3f%% %15.3f%% %11.0f ms %10.2f%n",
-                    watch.name().toLowerCase(Locale.ROOT),
+                    detectionMode.name().toLowerCase(Locale.ROOT),
                     100 * sum.served,
                     100 * sum.wasted,
                     sum.meanDetectionMs,
                     sum.checksPerS);
             out.flush();
         }
-        broken.stream().limit(MAX_VIOLATIONS_SHOWN).forEach(out::println);
-        out.println(seeds + " seeds, " + broken.size() + " times a rule was broken");
+        violations.stream().limit(MAX_VIOLATIONS_SHOWN).forEach(out::println);
+        out.println(seeds + " seeds, " + violations.size() + " rule violations");
         if (svg != null) {
             Files.writeString(svg, svg(sums));
         }
         out.flush();
-        return broken.isEmpty() ? 0 : 1;
+        return violations.isEmpty() ? 0 : 1;
     }
 
     private interface Figure {
@@ -124,9 +129,9 @@
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "<svg xmlns=\"http://www.w3.org/2000/svg\""
-                        + " viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" font-size=\"13\">%n<title>Who finds "
-                        + "out what "
-                        + "is ill</title>%n<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>%n",
+                        + " viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" font-size=\"13\">%n<title>Detection of "
+                        + "faulty "
+                        + "servers</title>%n<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>%n",
                 GAP_PX + 3 * (CHART_WIDTH_PX + GAP_PX),
                 CHART_HEIGHT_PX + 2 * GAP_PX));
         bars(text, 0, "requests not served, %", sums, s -> 100 * (1 - s.served));
@@ -140,7 +145,7 @@
     }
 
     private static void bars(StringBuilder text, int panel, String name, List<Summary> sums, Bar bar) {
-        double most = sums.stream().mapToDouble(bar::of).max().orElse(1);
+        double max = sums.stream().mapToDouble(bar::of).max().orElse(1);
         int left = GAP_PX + panel * (CHART_WIDTH_PX + GAP_PX);
         int step = CHART_WIDTH_PX / sums.size();
         text.append(String.format(
@@ -151,7 +156,7 @@
                 name));
         for (int i = 0; i < sums.size(); i++) {
             double value = bar.of(sums.get(i));
-            double height = most == 0 ? 0 : value / most * CHART_HEIGHT_PX;
+            double height = max == 0 ? 0 : value / max * CHART_HEIGHT_PX;
             text.append(String.format(
                     Locale.ROOT,
                     "<rect x=\"%d\" y=\"%.1f\" width=\"%d\" height=\"%.1f\" "
--- a/src/main/java/vetchpost/simulation/fleet/FleetRun.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetRun.java
@@ -41,19 +41,23 @@
 import vetchpost.sources.SourceMerger;
 
 /**
- * One node with its core, module and list of servers, on virtual time, before modelled boxes that fall ill
- * and recover, sources that err and checks that lie; all of it drawn from a seed. After a while nothing more
- * goes wrong, and every box that is well has to be served again. The same seed gives the same run.
+ * Simulates one node, with its dispatcher, balancer and server list, on virtual time. Servers fail and
+ * recover, sources report errors and health checks give wrong results, all drawn from the seed. From
+ * {@link #LAST_FAULT_US} on nothing more fails, and every healthy server has to receive requests again before the
+ * run ends. {@link FleetCommand} and tests call it; a run is single-threaded, and runs may go on in parallel. The
+ * same seed gives the same run.
  */
 public final class FleetRun {
     private static final long START_US = 1_767_225_600_000_000L;
     private static final long SECOND_US = 1_000_000;
-    /** Nothing goes wrong from here on, and from the second on all must be as it should. */
+    /** From this time on no fault is injected; in microseconds from the start, as the next two. */
     static final long LAST_FAULT_US = 40 * SECOND_US;
 
+    /** Each healthy server has to be sent requests after this time. */
     static final long RECOVERY_DEADLINE_US = 85 * SECOND_US;
+
     static final long RUN_LENGTH_US = 100 * SECOND_US;
-    /** The conductor gathers for 10 ms; the rest is for what is drawn in the same turn. */
+    /** Time for a report to take effect: changes are batched for 10 ms, the rest covers events of the same turn. */
     static final long NOTIFICATION_GRACE_US = 50_000;
 
     private static final double REQUESTS_PER_SECOND = 100;
@@ -63,24 +67,26 @@
     private static final CheckRules CHECK_RULES =
             new CheckRules("/healthy", "a", 200, 399, 2 * SECOND_US, SECOND_US / 2, 2, 3, 20, 3, 1, 0, 0.5);
 
-    /** Who finds out what is ill. */
+    /** How faulty servers are detected. */
     public enum DetectionMode {
-        /** The module, by what becomes of requests. */
+        /** By the balancer alone, from the results of requests. */
         REQUESTS,
-        /** Checks besides, blind to what becomes of requests. */
+        /** Also by health checks, which don't see the results of requests. */
         BLIND,
-        /** Checks besides, which real answers put off and failures bring on. */
+        /** Also by health checks, which successful requests postpone and failed ones bring forward. */
         BOTH
     }
 
     /**
-     * What a run has come to.
+     * The result of a run.
      *
-     * @param wanted requests of clients
-     * @param served whole, in time, and by a box of the fleet
-     * @param wasted attempts at boxes that were dead, silent or another's
-     * @param noticeUs how long such a box went on being sent requests, by mean
-     * @param broken the rules that were broken, each in words
+     * @param requests requests from clients
+     * @param served requests that got a response with status 200 from a server
+     * @param attempts attempts sent to servers
+     * @param wasted attempts sent to servers that were down, unresponsive or not of this fleet
+     * @param checks health checks made
+     * @param meanDetectionUs mean time that such a server went on receiving attempts, in microseconds
+     * @param violations broken rules, each as a sentence
      */
     public record Outcome(
             int requests,
@@ -100,14 +106,14 @@
     private final CheckPlan checks;
     private final SourceMerger merger;
     private final DetectionMode detectionMode;
-    /** Null where there are none. */
+    /** Null if the run has no operators. */
     private final SimulatedOperators operators;
 
     private final List<SourceDeclaration> declarations = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
     private final Map<String, Integer> executions = new HashMap<>();
     private final long[] lastServedUs = new long[ActualServers.SERVER_COUNT];
-    /** By box: since when a source's word forbids it, as the checker has it; -1 for not. */
+    /** Per server: when the first draining report by a source has to be in effect; -1 if there is none. */
     private final long[] drainEffectiveUs = new long[ActualServers.SERVER_COUNT];
 
     private final long[] firstWastedUs = new long[ActualServers.SERVER_COUNT];
@@ -120,9 +126,9 @@
     private int attempts;
     private int wasted;
 
-    private FleetRun(long seed, DetectionMode watch, boolean operated) {
-        this.detectionMode = watch;
-        operators = operated ? new SimulatedOperators(seed) : null;
+    private FleetRun(long seed, DetectionMode detectionMode, boolean hasOperators) {
+        this.detectionMode = detectionMode;
+        operators = hasOperators ? new SimulatedOperators(seed) : null;
         random = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + 29);
         serverRandom = random.split();
         actualServers = new ActualServers(random.split(), LAST_FAULT_US);
@@ -138,30 +144,43 @@
                 actions -> new ServiceQBalancer(settings, seed, actions));
         declareSources();
         membership = new Membership(declarations, MERGE_RULES);
-        checks = watch == DetectionMode.REQUESTS ? null : new CheckPlan(CHECK_RULES, seed, clock.nowUs());
+        checks = detectionMode == DetectionMode.REQUESTS ? null : new CheckPlan(CHECK_RULES, seed, clock.nowUs());
         merger = new SourceMerger(membership, checks, settings.coldUs, START_US / 1_000, START_US);
-        if (operated) {
+        if (hasOperators) {
             merger.setOverrides(operators);
         }
         Arrays.fill(drainEffectiveUs, -1);
         Arrays.fill(firstWastedUs, -1);
     }
 
-    /** Plays a seed. */
-    public static Outcome run(long seed, DetectionMode watch) {
-        return run(seed, watch, false);
+    /** Simulates the run of a seed without operators. */
+    public static Outcome run(long seed, DetectionMode detectionMode) {
+        return run(seed, detectionMode, false);
     }
 
-    /** Plays a seed, with operators who do as chance has it or without. */
-    public static Outcome run(long seed, DetectionMode watch, boolean operated) {
-        return new FleetRun(seed, watch, operated).run();
+    /**
+     * Simulates the run of a seed.
+     *
+     * @param hasOperators whether simulated operators drain, weight and freeze servers at random
+     */
+    public static Outcome run(long seed, DetectionMode detectionMode, boolean hasOperators) {
+        return new FleetRun(seed, detectionMode, hasOperators).run();
     }
 
     private static Settings settings() {
         Settings set = new Settings();
-        for (Idempotency repeat : Idempotency.values()) {
+        for (Idempotency idempotency : Idempotency.values()) {
             set.classes.add(new RequestClass(
-                    repeat.name(), 300_000, 0, SECOND_US, 1, 0.5, repeat, DeduplicationScope.ALL, SECOND_US, false));
+                    idempotency.name(),
+                    300_000,
+                    0,
+                    SECOND_US,
+                    1,
+                    0.5,
+                    idempotency,
+                    DeduplicationScope.ALL,
+                    SECOND_US,
+                    false));
         }
         set.maxAttempts = 3;
         set.allowsCancellation = true;
@@ -172,7 +191,8 @@
     }
 
     /**
-     * One to three sources: a file that names all, a name that gives halves in turn, or both, and who errs.
+     * Declares one to three sources: a file that lists all servers, a DNS name that lists alternating halves, or both;
+     * and sometimes a second file. Each of them may report errors.
      */
     private void declareSources() {
         int kinds = 1 + random.nextInt(3);
@@ -187,7 +207,7 @@
         }
     }
 
-    private static SourceDeclaration declaration(String name, Kind kind, long keepUs) {
+    private static SourceDeclaration declaration(String name, Kind kind, long retentionUs) {
         return new SourceDeclaration(
                 name,
                 kind,
@@ -195,7 +215,7 @@
                 80,
                 EnumSet.allOf(Permission.class),
                 SECOND_US,
-                keepUs,
+                retentionUs,
                 20 * SECOND_US,
                 List.of(),
                 List.of());
@@ -205,12 +225,12 @@
         return clock.nowUs() - START_US;
     }
 
-    private static String serverId(int box) {
-        return ReportedServer.text(address(box));
+    private static String serverId(int server) {
+        return ReportedServer.text(address(server));
     }
 
-    private static InetSocketAddress address(int box) {
-        return new InetSocketAddress("127.0.0.1", 1 + box);
+    private static InetSocketAddress address(int server) {
+        return new InetSocketAddress("127.0.0.1", 1 + server);
     }
 
     private static int serverIndex(String id) {
@@ -225,7 +245,7 @@
         node.onKnownList(new ServerList(0, true, List.of()));
         applyChanges();
         if (detectionMode == DetectionMode.BOTH) {
-            node.setAttemptObserver((server, result, answer, stalled, us) -> {
+            node.setAttemptObserver((server, result, response, loopDelayUs, latencyUs) -> {
                 switch (result) {
                     case OK -> checks.requestSucceeded(server, clock.nowUs());
                     case ERROR, RESET, CONNECT_FAILED, TIMEOUT -> checks.requestFailed(server, clock.nowUs());
@@ -239,18 +259,18 @@
         }
         scheduleArrivals();
         clock.runUntil(START_US + RUN_LENGTH_US + 2 * SECOND_US);
-        for (int box = 0; box < ActualServers.SERVER_COUNT; box++) {
-            endWasteInterval(box);
-            if (actualServers.isReady(box, RUN_LENGTH_US) && lastServedUs[box] < RECOVERY_DEADLINE_US) {
-                violations.add(
-                        "box " + box + " is well and was not served to since " + lastServedUs[box] / SECOND_US + " s");
+        for (int server = 0; server < ActualServers.SERVER_COUNT; server++) {
+            endWasteInterval(server);
+            if (actualServers.isReady(server, RUN_LENGTH_US) && lastServedUs[server] < RECOVERY_DEADLINE_US) {
+                violations.add("server " + server + " is healthy but has received no requests since "
+                        + lastServedUs[server] / SECOND_US + " s");
             }
         }
         if (operators != null && operators.activeLeaseCount() > 0) {
-            violations.add("overrides: " + operators.activeLeaseCount() + " hold past their time");
+            violations.add("overrides: " + operators.activeLeaseCount() + " leases are active past their end");
         }
         if (node.pendingRequests() > 0) {
-            violations.add(node.pendingRequests() + " requests are still held");
+            violations.add(node.pendingRequests() + " requests are still pending");
         }
         return new Outcome(
                 requests,
@@ -264,48 +284,50 @@
 
     // ---------------------------------------------------------------- sources
 
-    private void scheduleReports(int source, long us) {
-        clock.schedule(clock.nowUs() + us, () -> {
+    private void scheduleReports(int source, long intervalUs) {
+        clock.schedule(clock.nowUs() + intervalUs, () -> {
             reportServers(source, elapsedUs() < LAST_FAULT_US);
             if (elapsedUs() < RUN_LENGTH_US) {
-                scheduleReports(source, us);
+                scheduleReports(source, intervalUs);
             }
         });
     }
 
-    private void reportServers(int source, boolean mayErr) {
-        SourceDeclaration by = declarations.get(source);
-        double draw = mayErr ? random.nextDouble() : 1;
+    private void reportServers(int source, boolean mayFail) {
+        SourceDeclaration declaration = declarations.get(source);
+        double draw = mayFail ? random.nextDouble() : 1;
         if (draw < 0.04) {
-            membership.sourceFailed(source, "it can't be read", clock.nowUs());
+            membership.sourceFailed(source, "simulated read error", clock.nowUs());
             return;
         }
         if (draw < 0.07) {
             membership.serversReported(source, List.of(), clock.nowUs());
             return;
         }
-        List<ReportedServer> said = new ArrayList<>();
-        for (int box = 0; box < ActualServers.SERVER_COUNT; box++) {
-            boolean there = actualServers.isListed(box, elapsedUs());
-            boolean half = by.retentionUs() > 0 && elapsedUs() / SECOND_US % 2 != box % 2 || draw < 0.10 && box > 3;
-            if (!there || half) {
+        List<ReportedServer> reported = new ArrayList<>();
+        for (int server = 0; server < ActualServers.SERVER_COUNT; server++) {
+            boolean listed = actualServers.isListed(server, elapsedUs());
+            boolean omitted = declaration.retentionUs() > 0 && elapsedUs() / SECOND_US % 2 != server % 2
+                    || draw < 0.10 && server > 3;
+            if (!listed || omitted) {
                 continue;
             }
-            boolean drains = by.kind() == Kind.FILE && !actualServers.isReady(box, elapsedUs());
-            said.add(new ReportedServer("", List.of(address(box)), drains ? State.DRAINING : State.READY, 1, ""));
-        }
-        membership.serversReported(source, said, clock.nowUs());
-        for (int box = 0; box < ActualServers.SERVER_COUNT; box++) {
-            int each = box;
-            boolean drains = said.stream()
-                    .anyMatch(n -> n.state() == State.DRAINING && n.addresses().contains(address(each)));
-            if (drains && drainEffectiveUs[box] < 0) {
-                drainEffectiveUs[box] = elapsedUs() + NOTIFICATION_GRACE_US;
+            boolean draining = declaration.kind() == Kind.FILE && !actualServers.isReady(server, elapsedUs());
+            reported.add(
+                    new ReportedServer("", List.of(address(server)), draining ? State.DRAINING : State.READY, 1, ""));
+        }
+        membership.serversReported(source, reported, clock.nowUs());
+        for (int server = 0; server < ActualServers.SERVER_COUNT; server++) {
+            int index = server;
+            boolean draining = reported.stream()
+                    .anyMatch(n -> n.state() == State.DRAINING && n.addresses().contains(address(index)));
+            if (draining && drainEffectiveUs[server] < 0) {
+                drainEffectiveUs[server] = elapsedUs() + NOTIFICATION_GRACE_US;
             }
         }
     }
 
-    // ---------------------------------------------------------------- the conductor
+    // ---------------------------------------------------------------- applying changes
 
     private void scheduleSettling() {
         clock.schedule(clock.nowUs() + 10_000, () -> {
@@ -319,9 +341,9 @@
     private void scheduleOperators() {
         clock.schedule(clock.nowUs() + SECOND_US / 2, () -> {
             if (elapsedUs() < LAST_FAULT_US) {
-                String wrong = operators.act(merger.members(), elapsedUs());
-                if (!wrong.isEmpty()) {
-                    violations.add(wrong);
+                String violation = operators.act(merger.members(), elapsedUs());
+                if (!violation.isEmpty()) {
+                    violations.add(violation);
                 }
                 applyChanges();
                 scheduleOperators();
@@ -341,22 +363,22 @@
             return;
         }
         for (String id : checks.dueChecks(clock.nowUs(), 32)) {
-            Condition mood = actualServers.lifetimes.get(serverIndex(id)).conditionAt(elapsedUs());
-            Finding finding = switch (mood) {
+            Condition condition = actualServers.lifetimes.get(serverIndex(id)).conditionAt(elapsedUs());
+            Finding finding = switch (condition) {
                 case DOWN, UNRESPONSIVE, FAILING, HEALTHY_BUT_CHECK_FAILING -> Finding.UNHEALTHY;
                 case WRONG_SERVER -> Finding.WRONG_SERVER;
                 default -> Finding.HEALTHY;
             };
-            long took = mood == Condition.UNRESPONSIVE ? CHECK_RULES.timeoutUs() : 2 * NETWORK_DELAY_US;
-            clock.schedule(clock.nowUs() + took, () -> checks.checkCompleted(id, finding, clock.nowUs()));
+            long durationUs = condition == Condition.UNRESPONSIVE ? CHECK_RULES.timeoutUs() : 2 * NETWORK_DELAY_US;
+            clock.schedule(clock.nowUs() + durationUs, () -> checks.checkCompleted(id, finding, clock.nowUs()));
         }
     }
 
     // ---------------------------------------------------------------- clients
 
     private void scheduleArrivals() {
-        long next = clock.nowUs() + 1 + (long) (-StrictMath.log(1 - random.nextDouble()) * 1e6 / REQUESTS_PER_SECOND);
-        clock.schedule(next, () -> {
+        long atUs = clock.nowUs() + 1 + (long) (-StrictMath.log(1 - random.nextDouble()) * 1e6 / REQUESTS_PER_SECOND);
+        clock.schedule(atUs, () -> {
             if (elapsedUs() < RUN_LENGTH_US) {
                 new PendingClient(random.nextInt(Idempotency.values().length)).send();
                 scheduleArrivals();
@@ -374,22 +396,23 @@
         public void forEach(BiConsumer<String, String> action) {}
     };
 
-    /** What one client wants, and the one answer that it is owed. */
+    /** A client with one request, which has to get exactly one reply. */
     private final class PendingClient implements ClientReply {
         private final int classIndex;
         private final long requestId = ++lastRequestId;
         private final long startedUs = clock.nowUs();
         private int replies;
 
-        PendingClient(int cls) {
-            this.classIndex = cls;
+        PendingClient(int classIndex) {
+            this.classIndex = classIndex;
         }
 
         void send() {
             requests++;
             clock.schedule(startedUs + SECOND_US + NOTIFICATION_GRACE_US, () -> {
                 if (replies != 1) {
-                    violations.add("lost: request " + requestId + " had " + replies + " answers in its time");
+                    violations.add("lost: request " + requestId + " had " + replies
+                            + " replies within its deadline, expected 1");
                 }
             });
             node.accept(
@@ -401,17 +424,17 @@
 
         private void countReply() {
             if (++replies > 1) {
-                violations.add("lost: request " + requestId + " was answered twice");
+                violations.add("lost: request " + requestId + " got a second reply");
             }
         }
 
         @Override
-        public void served(ServerResponse answer) {
+        public void served(ServerResponse response) {
             countReply();
-            if (answer.status() == 200) {
+            if (response.status() == 200) {
                 served++;
-                if (!answer.contentType().equals("of " + requestId)) {
-                    violations.add("lost: request " + requestId + " was served with what is " + answer.contentType());
+                if (!response.contentType().equals("of " + requestId)) {
+                    violations.add("lost: request " + requestId + " got the wrong response, " + response.contentType());
                 }
             }
         }
@@ -422,7 +445,7 @@
         }
 
         @Override
-        public void failed(Failure why) {
+        public void failed(Failure reason) {
             countReply();
         }
 
@@ -430,75 +453,78 @@
         public void onDisconnect(Runnable action) {}
     }
 
-    // ---------------------------------------------------------------- boxes
+    // ---------------------------------------------------------------- servers
 
-    private void endWasteInterval(int box) {
-        if (firstWastedUs[box] >= 0) {
-            detectionSumUs += lastWastedUs[box] - firstWastedUs[box];
+    private void endWasteInterval(int server) {
+        if (firstWastedUs[server] >= 0) {
+            detectionSumUs += lastWastedUs[server] - firstWastedUs[server];
             detectionCount++;
-            firstWastedUs[box] = -1;
+            firstWastedUs[server] = -1;
         }
     }
 
-    /** The way to the boxes: who is asked there runs it, fails it, keeps silent or is somebody else. */
+    /** Carries attempts to the simulated servers, which respond as their present condition has it. */
     private final class SimulatedTransport implements ServerTransport {
         @Override
         public void update(ServerList list) {}
 
         @Override
-        public Attempt send(String serverId, OutgoingRequest sending) {
-            int box = serverIndex(serverId);
-            ClientRequest request = sending.request();
+        public Attempt send(String serverId, OutgoingRequest outgoing) {
+            int server = serverIndex(serverId);
+            ClientRequest request = outgoing.request();
             attempts++;
-            Condition mood = actualServers.lifetimes.get(box).conditionAt(elapsedUs());
-            if (drainEffectiveUs[box] >= 0 && elapsedUs() > drainEffectiveUs[box] + settings().drainGraceUs) {
-                violations.add("drained: box " + box + " was sent request " + request.id() + " "
-                        + (elapsedUs() - drainEffectiveUs[box]) / 1_000 + " ms after a source had said that it drains");
+            Condition condition = actualServers.lifetimes.get(server).conditionAt(elapsedUs());
+            if (drainEffectiveUs[server] >= 0 && elapsedUs() > drainEffectiveUs[server] + settings().drainGraceUs) {
+                violations.add("drained: server " + server + " was sent request " + request.id() + " "
+                        + (elapsedUs() - drainEffectiveUs[server]) / 1_000
+                        + " ms after a source had reported that it drains");
             }
             if (operators != null && operators.forbids(serverId, elapsedUs(), settings().drainGraceUs)) {
-                violations.add("drained: box " + box + " was sent request " + request.id()
-                        + " after an operator had drained it");
+                violations.add("drained: server " + server + " was sent request " + request.id()
+                        + " while an operator's drain was active");
             }
-            if (mood == Condition.DOWN || mood == Condition.UNRESPONSIVE || mood == Condition.WRONG_SERVER) {
+            if (condition == Condition.DOWN
+                    || condition == Condition.UNRESPONSIVE
+                    || condition == Condition.WRONG_SERVER) {
                 wasted++;
-                firstWastedUs[box] = firstWastedUs[box] < 0 ? elapsedUs() : firstWastedUs[box];
-                lastWastedUs[box] = elapsedUs();
+                firstWastedUs[server] = firstWastedUs[server] < 0 ? elapsedUs() : firstWastedUs[server];
+                lastWastedUs[server] = elapsedUs();
             } else {
-                endWasteInterval(box);
+                endWasteInterval(server);
             }
-            SimulatedAttempt sent = new SimulatedAttempt(sending);
-            long work = MEAN_WORK_US / 2 + serverRandom.nextLong(MEAN_WORK_US);
-            switch (mood) {
-                case DOWN -> sent.endAfter(NETWORK_DELAY_US, Result.CONNECT_FAILED, null);
-                case UNRESPONSIVE -> execute(request, box);
-                case WRONG_SERVER -> sent.endAfter(2 * NETWORK_DELAY_US, Result.RESET, null);
+            SimulatedAttempt attempt = new SimulatedAttempt(outgoing);
+            long workUs = MEAN_WORK_US / 2 + serverRandom.nextLong(MEAN_WORK_US);
+            switch (condition) {
+                case DOWN -> attempt.endAfter(NETWORK_DELAY_US, Result.CONNECT_FAILED, null);
+                case UNRESPONSIVE -> execute(request, server);
+                case WRONG_SERVER -> attempt.endAfter(2 * NETWORK_DELAY_US, Result.RESET, null);
                 case FAILING, FAILING_BUT_CHECKED_HEALTHY -> {
-                    execute(request, box);
-                    sent.endAfter(work / 4, Result.ERROR, new ServerResponse(500, null, new byte[0]));
+                    execute(request, server);
+                    attempt.endAfter(workUs / 4, Result.ERROR, new ServerResponse(500, null, new byte[0]));
                 }
                 default -> {
-                    execute(request, box);
-                    lastServedUs[box] = elapsedUs();
-                    sent.endAfter(
-                            mood == Condition.SLOW ? 20 * work : work,
+                    execute(request, server);
+                    lastServedUs[server] = elapsedUs();
+                    attempt.endAfter(
+                            condition == Condition.SLOW ? 20 * workUs : workUs,
                             Result.OK,
                             new ServerResponse(200, "of " + request.id(), new byte[0]));
                 }
             }
-            return sent;
+            return attempt;
         }
 
-        private void execute(ClientRequest request, int box) {
-            Idempotency repeat = Idempotency.values()[request.classIndex()];
-            int times = executions.merge(request.id() + "", 1, Integer::sum);
-            if (repeat == Idempotency.UNSAFE && times > 1) {
-                violations.add("twice: request " + request.id() + " ran again, at box " + box);
+        private void execute(ClientRequest request, int server) {
+            Idempotency idempotency = Idempotency.values()[request.classIndex()];
+            int count = executions.merge(request.id() + "", 1, Integer::sum);
+            if (idempotency == Idempotency.UNSAFE && count > 1) {
+                violations.add("twice: request " + request.id() + " was executed again, by server " + server);
             }
         }
 
         @Override
-        public Attempt probe(String serverId, AttemptListener report) {
-            throw new IllegalStateException("no probes are allowed");
+        public Attempt probe(String serverId, AttemptListener listener) {
+            throw new IllegalStateException("the settings of this run allow no probes");
         }
 
         @Override
@@ -509,18 +535,18 @@
         private final ServerTransport.AttemptListener listener;
         private boolean ended;
 
-        SimulatedAttempt(ServerTransport.AttemptListener report) {
-            this.listener = report;
+        SimulatedAttempt(ServerTransport.AttemptListener listener) {
+            this.listener = listener;
         }
 
-        void endAfter(long us, Result result, ServerResponse answer) {
-            clock.schedule(clock.nowUs() + us, () -> end(result, answer));
+        void endAfter(long delayUs, Result result, ServerResponse response) {
+            clock.schedule(clock.nowUs() + delayUs, () -> end(result, response));
         }
 
-        private void end(Result result, ServerResponse answer) {
+        private void end(Result result, ServerResponse response) {
             if (!ended) {
                 ended = true;
-                listener.onEnded(result, answer);
+                listener.onEnded(result, response);
             }
         }
 
@@ -535,7 +561,7 @@
         }
     }
 
-    /** For a test: the sources that a seed draws. */
+    /** Returns the names of the sources that a seed declares, for tests. */
     static Set<String> sourceNames(long seed) {
         Set<String> names = new TreeSet<>();
         new FleetRun(seed, DetectionMode.REQUESTS, false).declarations.forEach(d -> names.add(d.name()));
--- a/src/main/java/vetchpost/simulation/fleet/SimulatedOperators.java
+++ b/src/main/java/vetchpost/simulation/fleet/SimulatedOperators.java
@@ -17,8 +17,11 @@
 import vetchpost.sources.Membership.Member;
 import vetchpost.sources.ServerOverrides;
 
-/** Operators who drain, weigh and freeze as chance has it, undo some of it, and a node that forgets all but
- * its trail; with a list of its own of what may not be sent to whom. */
+/**
+ * Operators who drain, weight and freeze servers at random, and undo some of it; at times the node restarts and
+ * rebuilds its leases from the audit log alone. Keeps its own record of drains, by which {@link FleetRun} checks that
+ * no drained server is sent requests. Used by one run, on its thread.
+ */
 final class SimulatedOperators implements ServerOverrides {
     private static final long US_PER_MS = 1_000;
     private static final int MAX_LEASE_LENGTH_MS = 6_000;
@@ -29,16 +32,16 @@
     private Leases leases = leases();
     private int commands;
 
-    /** The checker's own note of a drain. */
+    /** An accepted drain, recorded apart from the leases under test; times in microseconds from the start. */
     private static final class DrainPeriod {
         private final String server;
         private final long leaseNumber;
         private final long fromUs;
         private long untilUs;
 
-        DrainPeriod(String server, long number, long fromUs, long untilUs) {
+        DrainPeriod(String server, long leaseNumber, long fromUs, long untilUs) {
             this.server = server;
-            this.leaseNumber = number;
+            this.leaseNumber = leaseNumber;
             this.fromUs = fromUs;
             this.untilUs = untilUs;
         }
@@ -52,7 +55,12 @@
         return new Leases(new SafetyCheck(0.3, 0.9));
     }
 
-    /** One command, or a restart; says what is wrong, or nothing. */
+    /**
+     * Performs one random command, undo or restart.
+     *
+     * @param us the time from the start, in microseconds
+     * @return the broken rule, or an empty text
+     */
     String act(List<Member> members, long us) {
         long nowUs = us / US_PER_MS * US_PER_MS;
         leases.expire(nowUs);
@@ -66,31 +74,31 @@
             long number = 1 + random.nextInt(commands);
             if (leases.undo(number)) {
                 auditLog.add(AuditEntryJson.text(new Entry(Event.UNDONE, number, nowUs / US_PER_MS, null, "bob", "")));
-                drains.stream().filter(b -> b.leaseNumber == number).forEach(b -> b.untilUs = nowUs);
+                drains.stream().filter(d -> d.leaseNumber == number).forEach(d -> d.untilUs = nowUs);
             }
             return "";
         }
         OverrideKind kind = List.of(OverrideKind.DRAIN, OverrideKind.DRAIN, OverrideKind.WEIGHT, OverrideKind.FREEZE)
                 .get(random.nextInt(4));
         String server = members.get(random.nextInt(members.size())).id();
-        long length = 1_000 + random.nextInt(MAX_LEASE_LENGTH_MS - 1_000);
-        OverrideRequest change = new OverrideRequest(
+        long lengthMs = 1_000 + random.nextInt(MAX_LEASE_LENGTH_MS - 1_000);
+        OverrideRequest request = new OverrideRequest(
                 kind,
                 kind == OverrideKind.FREEZE ? "" : server,
                 kind == OverrideKind.WEIGHT ? 1 + random.nextInt(1_000) : 0,
-                length,
+                lengthMs,
                 "ann",
                 "a drawn night",
                 random.nextInt(3),
                 "k" + commands++,
                 random.nextInt(6) == 0);
-        Decision verdict = leases.check(change, fleetState(members), nowUs, nowUs / US_PER_MS);
-        if (verdict.lease() != null) {
-            leases.grant(verdict.lease());
+        Decision decision = leases.check(request, fleetState(members), nowUs, nowUs / US_PER_MS);
+        if (decision.lease() != null) {
+            leases.grant(decision.lease());
             auditLog.add(AuditEntryJson.text(
-                    new Entry(Event.GRANTED, verdict.lease().number(), nowUs / US_PER_MS, change, "ann", "")));
+                    new Entry(Event.GRANTED, decision.lease().number(), nowUs / US_PER_MS, request, "ann", "")));
             if (kind == OverrideKind.DRAIN) {
-                drains.add(new DrainPeriod(server, verdict.lease().number(), us, nowUs + length * US_PER_MS));
+                drains.add(new DrainPeriod(server, decision.lease().number(), us, nowUs + lengthMs * US_PER_MS));
             }
         }
         return "";
@@ -110,7 +118,7 @@
         leases = leases();
         AuditLog.activeLeases(entries, nowUs / US_PER_MS, nowUs).forEach(leases::grant);
         entries.forEach(e -> leases.resumeNumberingAfter(e.number()));
-        boolean same = before.all().stream()
+        boolean unchanged = before.all().stream()
                         .map(Lease::endUs)
                         .sorted()
                         .toList()
@@ -119,20 +127,20 @@
                         .allMatch(m -> before.effects().isDraining(m.id()) == isDraining(m.id())
                                 && before.effects().weight(m.id(), 1) == weight(m.id(), 1))
                 && before.effects().isFrozen() == isListFrozen();
-        return same ? "" : "overrides: a restart has changed what holds";
+        return unchanged ? "" : "overrides: a restart changed the active overrides";
     }
 
-    /** Lets what is due end. */
+    /** Ends leases that are due at this time, in microseconds from the start. */
     void expire(long us) {
         leases.expire(us / US_PER_MS * US_PER_MS);
     }
 
-    /** Whether a drain forbids an attempt, by the checker's own notes. */
+    /** Whether a recorded drain, past its grace period, forbids an attempt at this time. */
     boolean forbids(String server, long us, long graceUs) {
-        return drains.stream().anyMatch(b -> b.server.equals(server) && us > b.fromUs + graceUs && us < b.untilUs);
+        return drains.stream().anyMatch(d -> d.server.equals(server) && us > d.fromUs + graceUs && us < d.untilUs);
     }
 
-    /** How many hold. */
+    /** Number of leases in force. */
     int activeLeaseCount() {
         return leases.all().size();
     }
@@ -143,8 +151,8 @@
     }
 
     @Override
-    public double weight(String id, double said) {
-        return leases.effects().weight(id, said);
+    public double weight(String id, double reported) {
+        return leases.effects().weight(id, reported);
     }
 
     @Override
--- a/src/main/java/vetchpost/simulation/overload/ModelServers.java
+++ b/src/main/java/vetchpost/simulation/overload/ModelServers.java
@@ -12,11 +12,15 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.ServerState;
 
-/** Boxes of one core, first come first served, that work on though nobody waits any more. */
+/**
+ * Simulated servers with one core each, which process requests in order of arrival, also those that were cancelled
+ * meanwhile. A server whose queue is full rejects at once. Called by the dispatcher of an {@link OverloadRun}, on the
+ * run's thread.
+ */
 final class ModelServers implements ServerTransport {
     private static final long NETWORK_DELAY_US = 200;
     private static final int MAX_QUEUED_REQUESTS = 300;
-    /** Work varies by this share of its mean, evenly. */
+    /** Processing times are uniform, within this fraction of their mean to either side. */
     private static final double WORK_VARIATION_FRACTION = 0.5;
 
     private static final ServerResponse OK_RESPONSE = new ServerResponse(200, null, new byte[0]);
@@ -32,8 +36,8 @@
         private final AttemptListener listener;
         private boolean ended;
 
-        SimulatedAttempt(AttemptListener report) {
-            this.listener = report;
+        SimulatedAttempt(AttemptListener listener) {
+            this.listener = listener;
         }
 
         @Override
@@ -46,62 +50,62 @@
             end(reason, null);
         }
 
-        void end(Result result, ServerResponse answer) {
+        void end(Result result, ServerResponse response) {
             if (!ended) {
                 ended = true;
-                listener.onEnded(result, answer);
+                listener.onEnded(result, response);
             }
         }
     }
 
-    /** So many idle boxes. */
-    ModelServers(VirtualClock clock, SplittableRandom random, List<OverloadRun.ClassProfile> kinds, int boxes) {
+    /** Creates idle servers. */
+    ModelServers(VirtualClock clock, SplittableRandom random, List<OverloadRun.ClassProfile> kinds, int serverCount) {
         this.clock = clock;
         this.random = random;
         this.classes = kinds;
-        freeAtUs = new long[boxes];
-        queued = new int[boxes];
+        freeAtUs = new long[serverCount];
+        queued = new int[serverCount];
     }
 
-    /** What begins from now on takes so many times its work. */
-    void setWorkFactor(double times) {
-        workFactor = times;
+    /** Multiplies the processing time of requests that arrive from now on. */
+    void setWorkFactor(double factor) {
+        workFactor = factor;
     }
 
     @Override
     public void update(ServerList list) {}
 
     @Override
-    public Attempt send(String serverId, OutgoingRequest sending) {
-        int box = Integer.parseInt(serverId);
-        SimulatedAttempt sent = new SimulatedAttempt(sending);
-        ClientRequest request = sending.request();
-        long now = clock.nowUs();
-        if (queued[box] >= MAX_QUEUED_REQUESTS) {
-            clock.schedule(now + NETWORK_DELAY_US, () -> sent.end(Result.FULL, null));
-            return sent;
+    public Attempt send(String serverId, OutgoingRequest outgoing) {
+        int server = Integer.parseInt(serverId);
+        SimulatedAttempt attempt = new SimulatedAttempt(outgoing);
+        ClientRequest request = outgoing.request();
+        long nowUs = clock.nowUs();
+        if (queued[server] >= MAX_QUEUED_REQUESTS) {
+            clock.schedule(nowUs + NETWORK_DELAY_US, () -> attempt.end(Result.FULL, null));
+            return attempt;
         }
-        queued[box]++;
-        double work = classes.get(request.classIndex()).workUs()
+        queued[server]++;
+        double workUs = classes.get(request.classIndex()).workUs()
                 * workFactor
                 * (1 - WORK_VARIATION_FRACTION + 2 * WORK_VARIATION_FRACTION * random.nextDouble());
-        freeAtUs[box] = Math.max(freeAtUs[box], now) + (long) work;
-        clock.schedule(freeAtUs[box], () -> queued[box]--);
-        clock.schedule(freeAtUs[box] + NETWORK_DELAY_US, () -> sent.end(Result.OK, OK_RESPONSE));
-        return sent;
+        freeAtUs[server] = Math.max(freeAtUs[server], nowUs) + (long) workUs;
+        clock.schedule(freeAtUs[server], () -> queued[server]--);
+        clock.schedule(freeAtUs[server] + NETWORK_DELAY_US, () -> attempt.end(Result.OK, OK_RESPONSE));
+        return attempt;
     }
 
     @Override
-    public Attempt probe(String serverId, AttemptListener report) {
-        SimulatedAttempt sent = new SimulatedAttempt(report);
-        clock.schedule(clock.nowUs() + NETWORK_DELAY_US, () -> sent.end(Result.OK, OK_RESPONSE));
-        return sent;
+    public Attempt probe(String serverId, AttemptListener listener) {
+        SimulatedAttempt attempt = new SimulatedAttempt(listener);
+        clock.schedule(clock.nowUs() + NETWORK_DELAY_US, () -> attempt.end(Result.OK, OK_RESPONSE));
+        return attempt;
     }
 
     @Override
     public void close() {}
 
-    /** The boxes as a list names them. */
+    /** Returns the list that names these servers. */
     ServerList serverList() {
         List<ServerList.Target> targets = new ArrayList<>();
         for (int i = 0; i < freeAtUs.length; i++) {
--- a/src/main/java/vetchpost/simulation/overload/OverloadCommand.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadCommand.java
@@ -22,16 +22,19 @@
 import vetchpost.simulation.overload.OverloadRun.Plan;
 import vetchpost.simulation.overload.OverloadRun.Policy;
 
-/** The command {@code crowd}. */
+/**
+ * The command {@code crowd}: compares admission policies on an overloaded simulated fleet. Seeds run in parallel on
+ * the common pool.
+ */
 @Command(
         name = "crowd",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description = {
-            "Tells what six schools get of a modelled fleet that can do less than they ask.",
-            "First come first served, by the module's rule on shares, and behind the door "
+            "Shows how much service six schools (tenants) get from an overloaded simulated fleet.",
+            "Compares first come first served, the balancer's rule on shares, and admission control "
                     + "(docs/admission.md), on virtual time.",
-            "The same seeds give the same figures every time."
+            "The same seeds always give the same figures."
         },
         footer = {
             "",
@@ -41,7 +44,8 @@
             "  crowd --honesty --seeds 20 --svg honesty.svg"
         },
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:done, and what was to be shown holds", "1:it does not hold", "2:bad arguments"})
+        exitCodeList = {"0:done; the tested target, if any, is met", "1:the tested target is missed", "2:bad arguments"
+        })
 public final class OverloadCommand implements Callable<Integer> {
     private static final double MIN_KEPT_SERVICE_FRACTION = 0.95;
     private static final double MIN_RETRY_SUCCESS_RATE = 0.90;
@@ -55,71 +59,71 @@
             names = "--load",
             paramLabel = "X",
             defaultValue = "1.3",
-            description = "What is asked over what the boxes can do (${DEFAULT-VALUE}).")
+            description = "Offered load over the capacity of the servers (${DEFAULT-VALUE}).")
     private double load;
 
     @Option(
             names = "--loud",
             paramLabel = "SCHOOL=TIMES",
-            description = "A school, a to f, that asks so many times its usual.")
+            description = "A school, a to f, and the factor by which its load grows, 0 to 100.")
     private Map<String, Double> tenantLoadFactors = new TreeMap<>();
 
     @Option(
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "10",
-            description = "Plays seeds 1 to N (${DEFAULT-VALUE}).")
+            description = "Runs seeds 1 to N (${DEFAULT-VALUE}).")
     private int seeds;
 
     @Option(
             names = "--pairs",
-            description = "Triples each school in turn and shows what each of the others "
-                    + "keeps of its service; fails if one keeps under 95%% behind the door.")
+            description = "Triples each school's load in turn and shows the fraction of service that the others "
+                    + "keep; fails if one keeps under 95%% with admission control.")
     private boolean comparesPairs;
 
     @Option(
             names = "--honesty",
-            description = "Clients that come back when told, at 1.3, 2 and 3 times what "
-                    + "the boxes can do; fails if under 90%% of them are served then.")
+            description = "Clients that retry at the advised time, at 1.3, 2 and 3 times the "
+                    + "capacity of the servers; fails if under 90%% of those retries are served.")
     private boolean measuresRetryAfter;
 
     @Option(
             names = "--svg",
             paramLabel = "FILE",
-            description = "With --honesty: a plot of what was told " + "against what it took.")
+            description = "With --honesty: writes a plot of the advised wait " + "against the actual one.")
     private Path svg;
 
     @Override
     public Integer call() throws IOException {
         if (comparesPairs && measuresRetryAfter || svg != null && !measuresRetryAfter) {
-            throw invalidArgument(svg != null ? "--svg goes with --honesty" : "give one of --pairs and --honesty");
+            throw invalidArgument(svg != null ? "--svg needs --honesty" : "--pairs and --honesty exclude each other");
         }
         if (seeds < 1 || seeds > 10_000 || !(load > 0 && load <= 10)) {
-            throw invalidArgument("--seeds is from 1 to 10000, --load from 0 to 10");
+            throw invalidArgument("--seeds must be from 1 to 10000, --load above 0 and at most 10");
         }
         PrintWriter out = spec.commandLine().getOut();
-        int code = comparesPairs
+        int exitCode = comparesPairs
                 ? comparePairs(out)
                 : measuresRetryAfter ? measureRetryAfterAccuracy(out) : comparePolicies(out);
         out.flush();
-        return code;
+        return exitCode;
     }
 
-    private ParameterException invalidArgument(String why) {
-        return new ParameterException(spec.commandLine(), why);
+    private ParameterException invalidArgument(String message) {
+        return new ParameterException(spec.commandLine(), message);
     }
 
     private Plan plan(long seed, Policy policy) {
         Plan plan = Plan.of(seed, policy, load);
         for (Map.Entry<String, Double> entry : tenantLoadFactors.entrySet()) {
-            int school = entry.getKey().length() == 1 ? entry.getKey().charAt(0) - 'a' : -1;
-            if (school < 0
-                    || school >= OverloadRun.TENANT_SHARES.length
+            int tenant = entry.getKey().length() == 1 ? entry.getKey().charAt(0) - 'a' : -1;
+            if (tenant < 0
+                    || tenant >= OverloadRun.TENANT_SHARES.length
                     || !(entry.getValue() >= 0)
                     || entry.getValue() > 100) {
-                throw invalidArgument("--loud takes a school, a to f, and how many times, from 0 to 100");
+                throw invalidArgument("--loud must be SCHOOL=TIMES, with a school from a to f and times from 0 to 100");
             }
-            plan = plan.withTenantLoad(school, entry.getValue());
+            plan = plan.withTenantLoad(tenant, entry.getValue());
         }
         return plan;
     }
@@ -143,9 +147,9 @@
     }
 
     private int comparePolicies(PrintWriter out) {
-        out.printf(Locale.ROOT, "load %.2f, %d seeds; worth answered in time over worth asked for%n", load, seeds);
+        out.printf(Locale.ROOT, "load %.2f, %d seeds; value served in time over value requested%n", load, seeds);
         out.println("policy       all   view-page add-photo place-order   a     b     c     d     e     f   "
-                + "  Jain   told at once");
+                + "  Jain   rejected at once");
         for (Policy policy : Policy.values()) {
             List<OverloadResult> results = runAll(plans(policy));
             StringBuilder line = new StringBuilder(String.format(
@@ -156,9 +160,9 @@
                     mean(results, r -> r.servedValueFractionOfClass(0)),
                     mean(results, r -> r.servedValueFractionOfClass(1)),
                     mean(results, r -> r.servedValueFractionOfClass(2))));
-            for (int school = 0; school < OverloadRun.TENANT_SHARES.length; school++) {
-                int s = school;
-                line.append(String.format(Locale.ROOT, " %.3f", mean(results, r -> r.servedValueFraction(s))));
+            for (int tenant = 0; tenant < OverloadRun.TENANT_SHARES.length; tenant++) {
+                int index = tenant;
+                line.append(String.format(Locale.ROOT, " %.3f", mean(results, r -> r.servedValueFraction(index))));
             }
             out.println(line
                     + String.format(
@@ -179,27 +183,27 @@
     }
 
     private int comparePairs(PrintWriter out) {
-        int schools = OverloadRun.TENANT_SHARES.length;
+        int tenantCount = OverloadRun.TENANT_SHARES.length;
         boolean holds = true;
         for (Policy policy : Policy.values()) {
-            List<OverloadResult> calm = runAll(plans(policy));
+            List<OverloadResult> baseline = runAll(plans(policy));
             out.println(policy.name().toLowerCase(Locale.ROOT).replace('_', '-')
-                    + ": what each keeps while one asks three times its usual, mean and worst seed");
-            for (int one = 0; one < schools; one++) {
-                int asks = one;
-                List<OverloadResult> loudly = runAll(plans(policy).stream()
-                        .map(p -> p.withTenantLoad(asks, 3))
+                    + ": service kept by each school while one has three times its usual load, mean and worst seed");
+            for (int loudTenant = 0; loudTenant < tenantCount; loudTenant++) {
+                int loudIndex = loudTenant;
+                List<OverloadResult> overloaded = runAll(plans(policy).stream()
+                        .map(p -> p.withTenantLoad(loudIndex, 3))
                         .toList());
-                StringBuilder line = new StringBuilder("  loud " + (char) ('a' + one) + " ");
-                for (int school = 0; school < schools; school++) {
-                    int s = school;
-                    if (s == one) {
+                StringBuilder line = new StringBuilder("  loud " + (char) ('a' + loudTenant) + " ");
+                for (int tenant = 0; tenant < tenantCount; tenant++) {
+                    int index = tenant;
+                    if (index == loudTenant) {
                         line.append("      -      ");
                         continue;
                     }
                     double[] kept = IntStream.range(0, seeds)
-                            .mapToDouble(i -> loudly.get(i).servedValueFraction(s)
-                                    / calm.get(i).servedValueFraction(s))
+                            .mapToDouble(i -> overloaded.get(i).servedValueFraction(index)
+                                    / baseline.get(i).servedValueFraction(index))
                             .toArray();
                     double mean = Arrays.stream(kept).average().orElse(0);
                     holds &= policy != Policy.DOOR || mean >= MIN_KEPT_SERVICE_FRACTION;
@@ -213,46 +217,49 @@
                 out.flush();
             }
         }
-        out.println(holds ? "each keeps 95% behind the door" : "NOT each keeps 95% behind the door");
+        out.println(
+                holds
+                        ? "each school keeps 95% with admission control"
+                        : "NOT each school keeps 95% with admission control");
         return holds ? 0 : 1;
     }
 
     private int measureRetryAfterAccuracy(PrintWriter out) throws IOException {
         boolean holds = true;
-        Map<Double, List<OverloadResult.RetryAfterSample>> told = new TreeMap<>();
-        out.println("load   came back  served then  view-page add-photo place-order  promised  not promised");
-        for (double times : LOAD_FACTORS) {
+        Map<Double, List<OverloadResult.RetryAfterSample>> samplesByLoad = new TreeMap<>();
+        out.println("load     retried      served  view-page add-photo place-order  reserved  not reserved");
+        for (double loadFactor : LOAD_FACTORS) {
             List<Plan> plans = new ArrayList<>();
             for (int seed = 1; seed <= seeds; seed++) {
-                plans.add(Plan.of(seed, Policy.DOOR, times).withPatientClients(MAX_RETRY_AFTER_US));
+                plans.add(Plan.of(seed, Policy.DOOR, loadFactor).withPatientClients(MAX_RETRY_AFTER_US));
             }
             List<OverloadResult> results = runAll(plans);
-            double truth = mean(results, OverloadResult::advisedRetrySuccessRate);
-            holds &= truth >= MIN_RETRY_SUCCESS_RATE;
+            double successRate = mean(results, OverloadResult::advisedRetrySuccessRate);
+            holds &= successRate >= MIN_RETRY_SUCCESS_RATE;
             double[] byClass = new double[OverloadRun.CLASSES.size()];
-            for (int kind = 0; kind < byClass.length; kind++) {
-                int k = kind;
-                byClass[kind] = results.stream()
-                                .mapToLong(r -> r.advisedRetriesServed(k))
+            for (int classIndex = 0; classIndex < byClass.length; classIndex++) {
+                int index = classIndex;
+                byClass[classIndex] = results.stream()
+                                .mapToLong(r -> r.advisedRetriesServed(index))
                                 .sum()
                         / Math.max(
                                 1.0,
                                 results.stream()
-                                        .mapToLong(r -> r.advisedRetries(k))
+                                        .mapToLong(r -> r.advisedRetries(index))
                                         .sum());
             }
-            long back = 0;
+            long advisedRetries = 0;
             for (OverloadResult result : results) {
-                for (int kind = 0; kind < byClass.length; kind++) {
-                    back += result.advisedRetries(kind);
+                for (int classIndex = 0; classIndex < byClass.length; classIndex++) {
+                    advisedRetries += result.advisedRetries(classIndex);
                 }
             }
             out.printf(
                     Locale.ROOT,
                     "%.1f   %9d  %11.3f  %9.3f %9.3f %11.3f  %8d  %12d%n",
-                    times,
-                    back / seeds,
-                    truth,
+                    loadFactor,
+                    advisedRetries / seeds,
+                    successRate,
                     byClass[0],
                     byClass[1],
                     byClass[2],
@@ -265,16 +272,16 @@
                                     .sum()
                             / seeds);
             out.flush();
-            told.put(times, results.get(0).told());
+            samplesByLoad.put(loadFactor, results.get(0).retryAfterSamples());
         }
         if (svg != null) {
-            Files.writeString(svg, RetryAfterAccuracyPlot.svg(told), StandardCharsets.UTF_8);
-            out.println("plot in " + svg);
+            Files.writeString(svg, RetryAfterAccuracyPlot.svg(samplesByLoad), StandardCharsets.UTF_8);
+            out.println("plot written to " + svg);
         }
         out.println(
                 holds
-                        ? "90% of those that come back when told are served then"
-                        : "NOT 90% of those that come back when told are served then");
+                        ? "90% of the retries at the advised time are served"
+                        : "NOT 90% of the retries at the advised time are served");
         return holds ? 0 : 1;
     }
 }
--- a/src/main/java/vetchpost/simulation/overload/OverloadResult.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadResult.java
@@ -4,14 +4,20 @@
 import java.util.List;
 import vetchpost.admission.AdmissionCounts;
 
-/** What came of a crowd, by school and class; worth is what the site pays for an answer in time. */
+/**
+ * The statistics of an {@link OverloadRun}, by tenant and class, counted on the run's thread and read after its end.
+ * The value of a request counts as served only if its response was in time.
+ */
 public final class OverloadResult {
     /**
-     * The first time that a client was told, and how long it took from there to its answer, in microseconds.
+     * The first retry-after that a client was given, and how long it took from then until its response.
+     *
+     * @param retryAfterUs the advised wait, in microseconds
+     * @param actualUs the time from that rejection to the response, in microseconds
      */
     public record RetryAfterSample(long retryAfterUs, long actualUs) {}
 
-    /** A refusal that takes no longer was given as the request came. */
+    /** A rejection that takes no longer than this counts as immediate. */
     private static final long MAX_IMMEDIATE_REJECTION_US = 1_000;
 
     private final double[][] requestedValue;
@@ -28,45 +34,45 @@
     int pendingRequests;
     AdmissionCounts counts;
 
-    OverloadResult(int schools, int classes) {
-        requestedValue = new double[schools][classes];
-        valueInTime = new double[schools][classes];
-        rejections = new long[schools];
-        failures = new long[schools];
+    OverloadResult(int tenants, int classes) {
+        requestedValue = new double[tenants][classes];
+        valueInTime = new double[tenants][classes];
+        rejections = new long[tenants];
+        failures = new long[tenants];
         lateResponses = new long[classes];
         advisedRetries = new long[classes];
         advisedRetriesServed = new long[classes];
     }
 
-    void recordRequest(int school, int kind, double worth) {
-        requestedValue[school][kind] += worth;
+    void recordRequest(int tenant, int classIndex, double value) {
+        requestedValue[tenant][classIndex] += value;
     }
 
-    void served(int school, int kind, double worth) {
+    void recordServed(int tenant, int classIndex, double value) {
         served++;
-        lateResponses[kind] += worth == 0 ? 1 : 0;
-        valueInTime[school][kind] += worth;
+        lateResponses[classIndex] += value == 0 ? 1 : 0;
+        valueInTime[tenant][classIndex] += value;
     }
 
-    void recordRejection(int school, long heldUs) {
-        rejections[school]++;
+    void recordRejection(int tenant, long waitedUs) {
+        rejections[tenant]++;
         rejectedRequests++;
-        immediateRejections += heldUs <= MAX_IMMEDIATE_REJECTION_US ? 1 : 0;
+        immediateRejections += waitedUs <= MAX_IMMEDIATE_REJECTION_US ? 1 : 0;
     }
 
-    void recordFailure(int school) {
-        failures[school]++;
+    void recordFailure(int tenant) {
+        failures[tenant]++;
     }
 
-    /** One that came back when it was told. */
-    void recordAdvisedRetry(int kind, boolean wasServed) {
-        advisedRetries[kind]++;
-        advisedRetriesServed[kind] += wasServed ? 1 : 0;
+    /** Counts an attempt at the advised time, and whether it was served in time. */
+    void recordAdvisedRetry(int classIndex, boolean wasServed) {
+        advisedRetries[classIndex]++;
+        advisedRetriesServed[classIndex] += wasServed ? 1 : 0;
     }
 
-    /** One that had been told a time was served, on that try or a later one. */
-    void told(long advisedUs, long neededUs) {
-        retryAfterSamples.add(new RetryAfterSample(advisedUs, neededUs));
+    /** Records that a client with a retry-after was served, on that attempt or a later one. */
+    void recordRetryAfter(long retryAfterUs, long actualUs) {
+        retryAfterSamples.add(new RetryAfterSample(retryAfterUs, actualUs));
     }
 
     private static double sum(double[] values) {
@@ -77,42 +83,44 @@
         return sum;
     }
 
-    /** Worth in time over worth asked for, of a school. */
-    public double servedValueFraction(int school) {
-        return sum(valueInTime[school]) / Math.max(1e-9, sum(requestedValue[school]));
+    /** Value served in time over value requested, of one tenant; 0 to 1. */
+    public double servedValueFraction(int tenant) {
+        return sum(valueInTime[tenant]) / Math.max(1e-9, sum(requestedValue[tenant]));
     }
 
-    /** The same of all. */
+    /** Value served in time over value requested, of all tenants; 0 to 1. */
     public double servedValueFraction() {
-        double of = 0;
+        double inTime = 0;
         double all = 0;
         for (int i = 0; i < requestedValue.length; i++) {
-            of += sum(valueInTime[i]);
+            inTime += sum(valueInTime[i]);
             all += sum(requestedValue[i]);
         }
-        return of / Math.max(1e-9, all);
+        return inTime / Math.max(1e-9, all);
     }
 
-    /** The same of one class. */
-    public double servedValueFractionOfClass(int kind) {
-        double of = 0;
+    /** Value served in time over value requested, of one class; 0 to 1. */
+    public double servedValueFractionOfClass(int classIndex) {
+        double inTime = 0;
         double all = 0;
         for (int i = 0; i < requestedValue.length; i++) {
-            of += valueInTime[i][kind];
-            all += requestedValue[i][kind];
+            inTime += valueInTime[i][classIndex];
+            all += requestedValue[i][classIndex];
         }
-        return of / Math.max(1e-9, all);
+        return inTime / Math.max(1e-9, all);
     }
 
     /**
-     * Jain's index of what schools got over what they should: the max-min fair part, by their weights, of all
-     * that was served in time (R. Jain, D. Chiu, W. Hawe, "A Quantitative Measure of Fairness", DEC TR-301,
-     * 1984). 1 is fair.
+     * Returns Jain's fairness index of the value served to each tenant over its max-min fair share, by weight, of all
+     * value served in time (R. Jain, D. Chiu, W. Hawe, "A Quantitative Measure of Fairness", DEC TR-301, 1984). 1 is
+     * fair.
+     *
+     * @param weights the weight of each tenant
      */
     public double jainFairnessIndex(List<Double> weights) {
         double total = 0;
-        for (double[] school : valueInTime) {
-            total += sum(school);
+        for (double[] tenant : valueInTime) {
+            total += sum(tenant);
         }
         double[] fair = maxMinFairShares(weights, total);
         double sum = 0;
@@ -154,42 +162,42 @@
         return fair;
     }
 
-    /** Answers of boxes. */
+    /** Requests that servers responded to. */
     public long served() {
         return served;
     }
 
-    /** Those of a class that came too late to be worth anything. */
-    public long lateResponses(int kind) {
-        return lateResponses[kind];
+    /** Responses of one class that missed the latency target. */
+    public long lateResponses(int classIndex) {
+        return lateResponses[classIndex];
     }
 
-    /** Refusals of a school's requests. */
-    public long rejections(int school) {
-        return rejections[school];
+    /** Rejections of one tenant's requests. */
+    public long rejections(int tenant) {
+        return rejections[tenant];
     }
 
-    /** Failures of a school's requests. */
-    public long failures(int school) {
-        return failures[school];
+    /** Failures of one tenant's requests. */
+    public long failures(int tenant) {
+        return failures[tenant];
     }
 
-    /** Part of the refusals that were given as the request came. */
+    /** Fraction of the rejections that were given immediately; 1 if there were none. */
     public double immediateRejectionFraction() {
         return rejectedRequests == 0 ? 1 : (double) immediateRejections / rejectedRequests;
     }
 
-    /** Those of a class that came back when they were told. */
-    public long advisedRetries(int kind) {
-        return advisedRetries[kind];
+    /** Attempts of one class that were made at the advised time. */
+    public long advisedRetries(int classIndex) {
+        return advisedRetries[classIndex];
     }
 
-    /** Those of them that were served in time on that try. */
-    public long advisedRetriesServed(int kind) {
-        return advisedRetriesServed[kind];
+    /** Attempts of one class that were made at the advised time and served in time. */
+    public long advisedRetriesServed(int classIndex) {
+        return advisedRetriesServed[classIndex];
     }
 
-    /** Part of all that came back when they were told that was served in time on that try. */
+    /** Fraction of all attempts at the advised time that were served in time. */
     public double advisedRetrySuccessRate() {
         return sum(advisedRetriesServed) / Math.max(1, sum(advisedRetries));
     }
@@ -202,17 +210,17 @@
         return sum;
     }
 
-    /** What those were told first that were served in the end, and what it took. */
-    public List<RetryAfterSample> told() {
+    /** The first retry-after and the actual wait of each client that was served in the end. */
+    public List<RetryAfterSample> retryAfterSamples() {
         return retryAfterSamples;
     }
 
-    /** Requests that the node still held at the end: nothing, or one was lost. */
+    /** Requests still pending at the end; above 0 if one was lost. */
     public int pendingRequests() {
         return pendingRequests;
     }
 
-    /** The door's own counts, or null. */
+    /** The counts of admission control, or null without it. */
     public AdmissionCounts counts() {
         return counts;
     }
--- a/src/main/java/vetchpost/simulation/overload/OverloadRun.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadRun.java
@@ -23,15 +23,17 @@
 import vetchpost.decision.ServiceQBalancer;
 
 /**
- * One node with its core, module and door before modelled boxes, and schools whose clients ask for more than
- * those can do. In time is what is answered inside its class's aim, counted from the first try or, where
- * clients are patient, from the return. All of it runs on virtual time; the same plan and seed give the
- * same result.
+ * Simulates one node, with its dispatcher, balancer and admission control, whose tenants ("schools" in the command)
+ * send more requests than the modelled servers can handle. A response is in time if it arrives within the latency
+ * target of its class, counted from the first attempt or, with patient clients, from the latest. {@link
+ * OverloadCommand} and tests call it. A run is single-threaded on virtual time, and runs may go on in parallel; the
+ * same plan and seed give the same result.
  */
 public final class OverloadRun {
     private static final long START_US = 1_767_225_600_000_000L;
+    /** Time for requests to end after the last arrival. */
     private static final long COMPLETION_TIME_US = 3_000_000;
-    /** Before anything counts: nodes have seen quiet times. */
+    /** A period at low load before measuring, so that the balancer has statistics. */
     private static final long WARM_UP_US = 2_000_000;
 
     private static final double WARM_UP_LOAD = 0.4;
@@ -40,7 +42,13 @@
     static final String TENANT_NAME_PREFIX = "school-";
     static final double[] TENANT_SHARES = {0.29, 0.25, 0.17, 0.12, 0.10, 0.07};
 
-    /** A class: what a request takes, its part of all, and what it is worth. Times in microseconds. */
+    /**
+     * A class of requests.
+     *
+     * @param fraction fraction of all requests
+     * @param workUs mean processing time at a server, in microseconds
+     * @param value value of a response in time
+     */
     record ClassProfile(
             String name,
             double fraction,
@@ -55,27 +63,27 @@
             new ClassProfile("add-photo", 0.30, 22_000, 200_000, 600_000, 5, Idempotency.KEYED),
             new ClassProfile("place-order", 0.19, 33_000, 300_000, 1_000_000, 5, Idempotency.UNSAFE));
 
-    /** Who decides on order and shares. */
+    /** What decides on the order of requests and on the shares of tenants. */
     public enum Policy {
-        /** The module alone, and it knows of no shares. */
+        /** The balancer alone, with no shares configured. */
         FIRST_COME,
-        /** The module alone, with its own rule on shares. */
+        /** The balancer alone, with its own rule on shares. */
         SHARES,
-        /** The module behind the door. */
+        /** The balancer behind admission control. */
         DOOR
     }
 
     /**
-     * What is played.
+     * The parameters of a run.
      *
-     * @param load what is asked over what the boxes can do, before any school is louder than usual
-     * @param louder by school, how many times its usual it asks
-     * @param clients by school, how many there are; what they ask for is drawn evenly among them
-     * @param patient whether clients go on coming back for half a minute; else they give up with their
-     *     class's deadline, as the platform's do
-     * @param longestUs the longest advice that the settings allow
-     * @param lengthUs for how long is asked
-     * @param halveAtUs when the boxes begin to take twice as long; 0 for never
+     * @param load offered load over the capacity of the servers, at a load factor of 1 for each tenant
+     * @param tenantLoadFactors per tenant, its request rate over its usual one
+     * @param clientCounts per tenant, the number of clients; requests are spread evenly over them
+     * @param hasPatientClients whether clients go on retrying for {@link #CLIENT_PATIENCE_US}; otherwise they give up
+     *     at their class's deadline, as the platform's clients do
+     * @param maxRetryAfterUs maxRetryAfterUs retry-after that the settings allow, in microseconds
+     * @param durationUs how long clients send requests, in microseconds, after the warm-up
+     * @param slowdownAtUs when processing times double, in microseconds after the warm-up; 0 for never
      */
     public record Plan(
             long seed,
@@ -88,10 +96,10 @@
             long maxRetryAfterUs,
             long durationUs,
             long slowdownAtUs) {
-        /** How long patient clients go on coming back. */
+        /** How long patient clients go on retrying. */
         static final long CLIENT_PATIENCE_US = 30_000_000;
 
-        /** Six schools, twelve boxes, ten seconds, nobody louder than usual. */
+        /** Six tenants at their usual load, twelve servers, ten seconds. */
         public static Plan of(long seed, Policy policy, double load) {
             return new Plan(
                     seed,
@@ -106,16 +114,16 @@
                     0);
         }
 
-        /** The same with one school louder. */
-        public Plan withTenantLoad(int school, double times) {
-            List<Double> other = new ArrayList<>(tenantLoadFactors);
-            other.set(school, times);
+        /** Returns this plan with another load factor for one tenant. */
+        public Plan withTenantLoad(int tenant, double factor) {
+            List<Double> changed = new ArrayList<>(tenantLoadFactors);
+            changed.set(tenant, factor);
             return new Plan(
                     seed,
                     policy,
                     serverCount,
                     load,
-                    other,
+                    changed,
                     clientCounts,
                     hasPatientClients,
                     maxRetryAfterUs,
@@ -123,25 +131,25 @@
                     slowdownAtUs);
         }
 
-        /** The same with this many clients at a school. */
-        public Plan withClientCount(int school, int count) {
-            List<Integer> other = new ArrayList<>(clientCounts);
-            other.set(school, count);
+        /** Returns this plan with another number of clients of one tenant. */
+        public Plan withClientCount(int tenant, int count) {
+            List<Integer> changed = new ArrayList<>(clientCounts);
+            changed.set(tenant, count);
             return new Plan(
                     seed,
                     policy,
                     serverCount,
                     load,
                     tenantLoadFactors,
-                    other,
+                    changed,
                     hasPatientClients,
                     maxRetryAfterUs,
                     durationUs,
                     slowdownAtUs);
         }
 
-        /** The same with clients that come back for half a minute, and advice of up to so long. */
-        public Plan withPatientClients(long longest) {
+        /** Returns this plan with patient clients, and retry-after of up to {@code maxRetryAfterUs}. */
+        public Plan withPatientClients(long maxRetryAfterUs) {
             return new Plan(
                     seed,
                     policy,
@@ -150,13 +158,13 @@
                     tenantLoadFactors,
                     clientCounts,
                     true,
-                    longest,
+                    maxRetryAfterUs,
                     durationUs,
                     slowdownAtUs);
         }
 
-        /** The same for so long. */
-        public Plan withDuration(long us) {
+        /** Returns this plan with another duration, in microseconds. */
+        public Plan withDuration(long durationUs) {
             return new Plan(
                     seed,
                     policy,
@@ -166,12 +174,12 @@
                     clientCounts,
                     hasPatientClients,
                     maxRetryAfterUs,
-                    us,
+                    durationUs,
                     slowdownAtUs);
         }
 
-        /** The same with boxes that take twice as long from then on. */
-        public Plan withSlowdownAt(long us) {
+        /** Returns this plan with processing times that double {@code slowdownAtUs} after the warm-up. */
+        public Plan withSlowdownAt(long slowdownAtUs) {
             return new Plan(
                     seed,
                     policy,
@@ -182,7 +190,7 @@
                     hasPatientClients,
                     maxRetryAfterUs,
                     durationUs,
-                    us);
+                    slowdownAtUs);
         }
     }
 
@@ -229,67 +237,70 @@
         result = new OverloadResult(TENANT_SHARES.length, CLASSES.size());
     }
 
-    /** Requests a second that so many boxes can do. */
-    static double capacityPerSecond(int boxes) {
-        return boxes
+    /** Requests a second that this many servers can process. */
+    static double capacityPerSecond(int serverCount) {
+        return serverCount
                 * 1e6
-                / CLASSES.stream().mapToDouble(k -> k.fraction * k.workUs).sum();
+                / CLASSES.stream()
+                        .mapToDouble(profile -> profile.fraction * profile.workUs)
+                        .sum();
     }
 
     private Settings settings() {
-        Settings set = new Settings();
-        for (ClassProfile k : CLASSES) {
-            set.classes.add(new RequestClass(
-                    k.name,
-                    k.latencyTargetUs,
+        Settings settings = new Settings();
+        for (ClassProfile profile : CLASSES) {
+            settings.classes.add(new RequestClass(
+                    profile.name,
+                    profile.latencyTargetUs,
                     0,
-                    k.deadlineUs,
-                    k.value,
+                    profile.deadlineUs,
+                    profile.value,
                     0,
-                    k.idempotency,
+                    profile.idempotency,
                     DeduplicationScope.ALL,
                     1_200_000,
                     false));
         }
         for (int i = 0; i < TENANT_SHARES.length; i++) {
-            // Shares come to seven eighths of what the boxes can do.
-            set.tenants.add(new Tenant(
+            // The shares add up to seven eighths of the capacity of the servers.
+            settings.tenants.add(new Tenant(
                     TENANT_NAME_PREFIX + (char) ('a' + i),
                     plan.policy == Policy.FIRST_COME
                             ? 0
                             : TENANT_SHARES[i] * 0.875 * capacityPerSecond(plan.serverCount)));
         }
-        set.overShareWorth = 0.1;
-        set.maxAttempts = 4;
-        set.allowsCancellation = true;
-        set.clientsMarkRetries = true;
-        set.maxRetryAfterUs = plan.maxRetryAfterUs;
-        return set;
+        settings.overShareWorth = 0.1;
+        settings.maxAttempts = 4;
+        settings.allowsCancellation = true;
+        settings.clientsMarkRetries = true;
+        settings.maxRetryAfterUs = plan.maxRetryAfterUs;
+        return settings;
     }
 
-    /** Plays a plan to its end. */
+    /** Simulates a plan until all requests have had time to end. */
     public static OverloadResult run(Plan plan) {
         return new OverloadRun(plan).run();
     }
 
     private OverloadResult run() {
-        for (int school = 0; school < TENANT_SHARES.length; school++) {
-            double rate = TENANT_SHARES[school]
-                    * plan.tenantLoadFactors.get(school)
+        for (int tenant = 0; tenant < TENANT_SHARES.length; tenant++) {
+            double requestsPerSecond = TENANT_SHARES[tenant]
+                    * plan.tenantLoadFactors.get(tenant)
                     * plan.load
                     * capacityPerSecond(plan.serverCount);
             scheduleArrivals(
-                    school,
-                    TENANT_SHARES[school] * WARM_UP_LOAD * capacityPerSecond(plan.serverCount),
+                    tenant,
+                    TENANT_SHARES[tenant] * WARM_UP_LOAD * capacityPerSecond(plan.serverCount),
                     random.split(),
                     START_US + WARM_UP_US,
                     false);
-            SplittableRandom chance = random.split();
-            if (rate > 0) {
-                int each = school;
+            SplittableRandom tenantRandom = random.split();
+            if (requestsPerSecond > 0) {
+                int index = tenant;
                 clock.schedule(
                         START_US + WARM_UP_US,
-                        () -> scheduleArrivals(each, rate, chance, START_US + WARM_UP_US + plan.durationUs, true));
+                        () -> scheduleArrivals(
+                                index, requestsPerSecond, tenantRandom, START_US + WARM_UP_US + plan.durationUs, true));
             }
         }
         if (plan.slowdownAtUs > 0) {
@@ -305,24 +316,31 @@
         return result;
     }
 
-    private void scheduleArrivals(int school, double rate, SplittableRandom chance, long untilUs, boolean counts) {
-        long at = clock.nowUs() + 1 + (long) (-StrictMath.log(1 - chance.nextDouble()) * 1e6 / rate);
-        if (at >= untilUs) {
+    private void scheduleArrivals(
+            int tenant, double requestsPerSecond, SplittableRandom tenantRandom, long untilUs, boolean isMeasured) {
+        long atUs =
+                clock.nowUs() + 1 + (long) (-StrictMath.log(1 - tenantRandom.nextDouble()) * 1e6 / requestsPerSecond);
+        if (atUs >= untilUs) {
             return;
         }
-        clock.schedule(at, () -> {
-            double draw = chance.nextDouble();
-            int kind = 0;
-            while (kind < CLASSES.size() - 1 && draw >= CLASSES.get(kind).fraction) {
-                draw -= CLASSES.get(kind++).fraction;
+        clock.schedule(atUs, () -> {
+            double remaining = tenantRandom.nextDouble();
+            int classIndex = 0;
+            while (classIndex < CLASSES.size() - 1 && remaining >= CLASSES.get(classIndex).fraction) {
+                remaining -= CLASSES.get(classIndex++).fraction;
             }
-            new SimulatedClient(school, kind, chance.nextInt(plan.clientCounts.get(school)), chance.split(), counts)
+            new SimulatedClient(
+                            tenant,
+                            classIndex,
+                            tenantRandom.nextInt(plan.clientCounts.get(tenant)),
+                            tenantRandom.split(),
+                            isMeasured)
                     .send();
-            scheduleArrivals(school, rate, chance, untilUs, counts);
+            scheduleArrivals(tenant, requestsPerSecond, tenantRandom, untilUs, isMeasured);
         });
     }
 
-    /** What a client wants, over all its tries. */
+    /** A client with one request, over all its attempts. */
     private final class SimulatedClient {
         private final int tenant;
         private final int classIndex;
@@ -337,20 +355,20 @@
         private long firstRetryAfterUs;
         private long firstRejectedUs;
 
-        SimulatedClient(int school, int kind, int client, SplittableRandom chance, boolean counts) {
-            statistics = counts ? result : warmUpResult;
-            this.tenant = school;
-            classIndex = kind;
-            this.profile = CLASSES.get(kind);
-            this.clientNumber = client;
-            this.random = chance;
-            statistics.recordRequest(school, classIndex, this.profile.value);
+        SimulatedClient(int tenant, int classIndex, int clientNumber, SplittableRandom random, boolean isMeasured) {
+            statistics = isMeasured ? result : warmUpResult;
+            this.tenant = tenant;
+            this.classIndex = classIndex;
+            this.profile = CLASSES.get(classIndex);
+            this.clientNumber = clientNumber;
+            this.random = random;
+            statistics.recordRequest(tenant, this.classIndex, this.profile.value);
         }
 
         void send() {
             attempts++;
             attemptStartUs = clock.nowUs();
-            // Where clients are patient each return is a request of its own, with all its time.
+            // Each attempt of a patient client is a request of its own, with its whole deadline.
             long leftUs = plan.hasPatientClients ? profile.deadlineUs : startedUs + profile.deadlineUs - attemptStartUs;
             if (leftUs < 5_000) {
                 return;
@@ -372,26 +390,27 @@
         void served() {
             long fromUs = plan.hasPatientClients ? attemptStartUs : startedUs;
             boolean inTime = clock.nowUs() - fromUs <= profile.latencyTargetUs;
-            statistics.served(tenant, classIndex, inTime ? profile.value : 0);
+            statistics.recordServed(tenant, classIndex, inTime ? profile.value : 0);
             if (retryAfterUs > 0) {
                 statistics.recordAdvisedRetry(classIndex, inTime);
             }
             if (firstRetryAfterUs > 0) {
-                statistics.told(firstRetryAfterUs, clock.nowUs() - firstRejectedUs);
+                statistics.recordRetryAfter(firstRetryAfterUs, clock.nowUs() - firstRejectedUs);
             }
         }
 
-        void rejected(long adviceUs) {
+        void rejected(long newRetryAfterUs) {
             statistics.recordRejection(tenant, clock.nowUs() - attemptStartUs);
             if (retryAfterUs > 0) {
                 statistics.recordAdvisedRetry(classIndex, false);
             }
-            retryAfterUs = adviceUs;
+            retryAfterUs = newRetryAfterUs;
             if (firstRetryAfterUs == 0) {
-                firstRetryAfterUs = adviceUs;
+                firstRetryAfterUs = newRetryAfterUs;
                 firstRejectedUs = clock.nowUs();
             }
-            scheduleRetry(adviceUs > 0 ? adviceUs : BACKOFF_US * (1 + random.nextInt(2)), adviceUs > 0);
+            scheduleRetry(
+                    newRetryAfterUs > 0 ? newRetryAfterUs : BACKOFF_US * (1 + random.nextInt(2)), newRetryAfterUs > 0);
         }
 
         void failed() {
@@ -405,10 +424,10 @@
             }
         }
 
-        private void scheduleRetry(long inUs, boolean told) {
+        private void scheduleRetry(long delayUs, boolean isAdvised) {
             long untilUs = startedUs + (plan.hasPatientClients ? Plan.CLIENT_PATIENCE_US : profile.deadlineUs);
-            if (clock.nowUs() + inUs < untilUs && (attempts < MAX_ATTEMPTS || told && plan.hasPatientClients)) {
-                clock.schedule(clock.nowUs() + inUs + random.nextInt(1_000), this::send);
+            if (clock.nowUs() + delayUs < untilUs && (attempts < MAX_ATTEMPTS || isAdvised && plan.hasPatientClients)) {
+                clock.schedule(clock.nowUs() + delayUs + random.nextInt(1_000), this::send);
             }
         }
     }
@@ -427,7 +446,7 @@
 
     private record Reply(SimulatedClient client) implements ClientReply {
         @Override
-        public void served(ServerResponse answer) {
+        public void served(ServerResponse response) {
             client.served();
         }
 
@@ -437,7 +456,7 @@
         }
 
         @Override
-        public void failed(Failure why) {
+        public void failed(Failure reason) {
             client.failed();
         }
 
--- a/src/main/java/vetchpost/simulation/overload/RetryAfterAccuracyPlot.java
+++ b/src/main/java/vetchpost/simulation/overload/RetryAfterAccuracyPlot.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What clients were told against what it took until their answers, a picture for each load. */
+/** Draws the retry-after given to clients against their actual wait, one panel per load, for {@link OverloadCommand}. */
 final class RetryAfterAccuracyPlot {
     private static final int PANEL_SIDE_PX = 280;
     private static final int GAP_PX = 60;
@@ -13,7 +13,11 @@
 
     private RetryAfterAccuracyPlot() {}
 
-    /** As one drawing, by load. */
+    /**
+     * Returns the plot as an SVG document.
+     *
+     * @param byLoad the samples of each load factor, drawn from left to right
+     */
     static String svg(Map<Double, List<OverloadResult.RetryAfterSample>> byLoad) {
         StringBuilder svg = new StringBuilder();
         int width = GAP_PX + byLoad.size() * (PANEL_SIDE_PX + GAP_PX);
@@ -21,7 +25,7 @@
                 Locale.ROOT,
                 "<svg xmlns=\"http://www.w3.org/2000/svg\" "
                         + "viewBox=\"0 0 %d %d\" "
-                        + "font-family=\"sans-serif\" font-size=\"12\">%n<title>Advised against needed wait</title>%n"
+                        + "font-family=\"sans-serif\" font-size=\"12\">%n<title>Advised against actual wait</title>%n"
                         + "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>%n",
                 width,
                 PANEL_SIDE_PX + 2 * GAP_PX));
@@ -33,15 +37,15 @@
         return svg.append("</svg>\n").toString();
     }
 
-    private static void panel(StringBuilder svg, int left, double load, List<OverloadResult.RetryAfterSample> told) {
-        double most = 1;
-        for (OverloadResult.RetryAfterSample one : told) {
-            most = Math.max(most, Math.max(one.retryAfterUs(), one.actualUs()) / 1e6);
+    private static void panel(StringBuilder svg, int left, double load, List<OverloadResult.RetryAfterSample> samples) {
+        double maxSeconds = 1;
+        for (OverloadResult.RetryAfterSample sample : samples) {
+            maxSeconds = Math.max(maxSeconds, Math.max(sample.retryAfterUs(), sample.actualUs()) / 1e6);
         }
         int bottom = GAP_PX + PANEL_SIDE_PX;
         svg.append(String.format(
                 Locale.ROOT,
-                "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\">%.1f times " + "what the boxes can do</text>%n",
+                "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\">%.1f times " + "the capacity of the servers</text>%n",
                 left + PANEL_SIDE_PX / 2,
                 GAP_PX - 12,
                 load));
@@ -59,19 +63,19 @@
                     "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\">%.1f</text>%n",
                     left + at,
                     bottom + 16,
-                    most * i / AXIS_TICKS));
+                    maxSeconds * i / AXIS_TICKS));
             svg.append(String.format(
                     Locale.ROOT,
                     "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%.1f</text>%n",
                     left - 5,
                     bottom - at + 4,
-                    most * i / AXIS_TICKS));
+                    maxSeconds * i / AXIS_TICKS));
         }
         svg.append(String.format(
                 Locale.ROOT,
                 "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\">advised, s</text>%n"
                         + "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\" transform=\"rotate(-90 %d %d)\">"
-                        + "needed, s</text>%n",
+                        + "actual, s</text>%n",
                 left + PANEL_SIDE_PX / 2,
                 bottom + 34,
                 left - 34,
@@ -79,13 +83,13 @@
                 left - 34,
                 GAP_PX + PANEL_SIDE_PX / 2));
         svg.append("<g fill=\"#1f6fb4\" fill-opacity=\"0.4\">\n");
-        int step = Math.max(1, told.size() / MAX_POINTS_PER_PANEL);
-        for (int i = 0; i < told.size(); i += step) {
+        int step = Math.max(1, samples.size() / MAX_POINTS_PER_PANEL);
+        for (int i = 0; i < samples.size(); i += step) {
             svg.append(String.format(
                     Locale.ROOT,
                     "<circle cx=\"%.1f\" cy=\"%.1f\" r=\"1.5\"/>%n",
-                    left + told.get(i).retryAfterUs() / 1e6 / most * PANEL_SIDE_PX,
-                    bottom - told.get(i).actualUs() / 1e6 / most * PANEL_SIDE_PX));
+                    left + samples.get(i).retryAfterUs() / 1e6 / maxSeconds * PANEL_SIDE_PX,
+                    bottom - samples.get(i).actualUs() / 1e6 / maxSeconds * PANEL_SIDE_PX));
         }
         svg.append(String.format(
                 Locale.ROOT,
--- a/src/main/java/vetchpost/simulation/overload/VirtualClock.java
+++ b/src/main/java/vetchpost/simulation/overload/VirtualClock.java
@@ -3,7 +3,10 @@
 import java.util.PriorityQueue;
 import vetchpost.core.Clock;
 
-/** Virtual time: what is due runs in its order, and nothing takes any. */
+/**
+ * A clock on virtual time. Tasks run in the order of their due times, those of the same time in the order of
+ * scheduling, and take no time themselves. Not thread-safe: one simulation owns it.
+ */
 public final class VirtualClock implements Clock {
     private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private long nowUs;
@@ -15,8 +18,8 @@
         private final Runnable task;
         private boolean cancelled;
 
-        ScheduledTask(long us, Runnable task) {
-            this.dueUs = us;
+        ScheduledTask(long dueUs, Runnable task) {
+            this.dueUs = dueUs;
             this.task = task;
         }
 
@@ -33,7 +36,7 @@
         }
     }
 
-    /** Begins at this time. */
+    /** Creates a clock that shows {@code startUs}, in microseconds. */
     public VirtualClock(long startUs) {
         nowUs = startUs;
     }
@@ -44,21 +47,21 @@
     }
 
     @Override
-    public Timer schedule(long us, Runnable task) {
-        ScheduledTask due = new ScheduledTask(Math.max(us, nowUs), task);
-        queue.add(due);
-        return due;
+    public Timer schedule(long atUs, Runnable task) {
+        ScheduledTask scheduled = new ScheduledTask(Math.max(atUs, nowUs), task);
+        queue.add(scheduled);
+        return scheduled;
     }
 
-    /** Runs all that is due by this time. */
-    public void runUntil(long us) {
-        while (!queue.isEmpty() && queue.peek().dueUs <= us) {
-            ScheduledTask due = queue.poll();
-            nowUs = due.dueUs;
-            if (!due.cancelled) {
-                due.task.run();
+    /** Runs all tasks due by {@code untilUs}, this included, and leaves the clock at that time. */
+    public void runUntil(long untilUs) {
+        while (!queue.isEmpty() && queue.peek().dueUs <= untilUs) {
+            ScheduledTask scheduled = queue.poll();
+            nowUs = scheduled.dueUs;
+            if (!scheduled.cancelled) {
+                scheduled.task.run();
             }
         }
-        nowUs = us;
+        nowUs = untilUs;
     }
 }
--- a/src/test/java/vetchpost/simulation/overload/OverloadRunTest.java
+++ b/src/test/java/vetchpost/simulation/overload/OverloadRunTest.java
@@ -16,49 +16,53 @@
 import vetchpost.simulation.overload.OverloadRun.Plan;
 import vetchpost.simulation.overload.OverloadRun.Policy;
 
-/** The proofs of the door with the node's core and module behind it. */
+/** Checks fairness, retry-after accuracy and completeness of admission control in an overloaded simulated fleet. */
 class OverloadRunTest {
     private static final int SEEDS = 50;
 
-    private static String run(int code, String... arguments) {
+    private static String run(int expectedExitCode, String... arguments) {
         StringWriter out = new StringWriter();
-        CommandLine line = new CommandLine(new OverloadCommand())
+        CommandLine command = new CommandLine(new OverloadCommand())
                 .setOut(new PrintWriter(out))
                 .setErr(new PrintWriter(out));
-        assertEquals(code, line.execute(arguments), out::toString);
+        assertEquals(expectedExitCode, command.execute(arguments), out::toString);
         return out.toString();
     }
 
     @Test
     void otherTenantsKeepTheirServiceWhenOneTriplesItsLoad() {
-        for (int loud = 0; loud < 6; loud++) {
-            int asks = loud;
+        for (int loudTenant = 0; loudTenant < 6; loudTenant++) {
+            int loudIndex = loudTenant;
             double[][] kept = IntStream.rangeClosed(1, SEEDS)
                     .parallel()
                     .mapToObj(seed -> {
-                        OverloadResult calm = OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8));
-                        OverloadResult loudly =
-                                OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8).withTenantLoad(asks, 3));
-                        assertEquals(0, loudly.pendingRequests(), "each request has its answer");
-                        // In a crowd by far; in a small one both have nearly all.
+                        OverloadResult baseline = OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8));
+                        OverloadResult overloaded =
+                                OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8).withTenantLoad(loudIndex, 3));
+                        assertEquals(0, overloaded.pendingRequests(), "requests left without a reply");
+                        // The margin is for light overload, where nearly all requests of both classes are served.
                         assertTrue(
-                                loudly.servedValueFractionOfClass(1) > loudly.servedValueFractionOfClass(0) - 0.01,
-                                "photos before pages");
+                                overloaded.servedValueFractionOfClass(1)
+                                        > overloaded.servedValueFractionOfClass(0) - 0.01,
+                                "add-photo has priority over view-page");
                         assertTrue(
-                                loudly.servedValueFractionOfClass(2) > loudly.servedValueFractionOfClass(0) - 0.01,
-                                "orders before pages");
+                                overloaded.servedValueFractionOfClass(2)
+                                        > overloaded.servedValueFractionOfClass(0) - 0.01,
+                                "place-order has priority over view-page");
                         return IntStream.range(0, 6)
-                                .mapToDouble(s -> loudly.servedValueFraction(s) / calm.servedValueFraction(s))
+                                .mapToDouble(s -> overloaded.servedValueFraction(s) / baseline.servedValueFraction(s))
                                 .toArray();
                     })
                     .toArray(double[][]::new);
-            for (int quiet = 0; quiet < 6; quiet++) {
-                int q = quiet;
+            for (int otherTenant = 0; otherTenant < 6; otherTenant++) {
+                int index = otherTenant;
                 double mean = IntStream.range(0, SEEDS)
-                        .mapToDouble(i -> kept[i][q])
+                        .mapToDouble(i -> kept[i][index])
                         .average()
                         .orElse(0);
-                assertTrue(quiet == loud || mean >= 0.95, "loud " + loud + ", quiet " + quiet + ": " + mean);
+                assertTrue(
+                        otherTenant == loudTenant || mean >= 0.95,
+                        "tripled " + loudTenant + ", other " + otherTenant + ": " + mean);
             }
         }
     }
@@ -66,14 +70,14 @@
     @Test
     void clientsThatRetryAtTheAdvisedTimeAreServed() {
         for (double load : new double[] {1.3, 2, 3}) {
-            double truth = IntStream.rangeClosed(1, 10)
+            double successRate = IntStream.rangeClosed(1, 10)
                     .parallel()
                     .mapToDouble(seed -> OverloadRun.run(
                                     Plan.of(seed, Policy.DOOR, load).withPatientClients(20_000_000))
                             .advisedRetrySuccessRate())
                     .average()
                     .orElse(0);
-            assertTrue(truth >= 0.9, load + ": " + truth);
+            assertTrue(successRate >= 0.9, load + ": " + successRate);
         }
     }
 
@@ -86,8 +90,8 @@
             jain[1] += OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8).withTenantLoad(0, 3))
                     .jainFairnessIndex(OverloadCommand.tenantWeights());
         }
-        assertTrue(jain[1] > jain[0], jain[1] / 10 + " for " + jain[0] / 10);
-        assertTrue(jain[1] > 9.99, "and next to even: " + jain[1] / 10);
+        assertTrue(jain[1] > jain[0], jain[1] / 10 + " against " + jain[0] / 10);
+        assertTrue(jain[1] > 9.99, "nearly 1 on average: " + jain[1] / 10);
     }
 
     @Test
@@ -107,17 +111,17 @@
     @Test
     void sameSeedGivesSameResult() {
         Plan plan = Plan.of(3, Policy.DOOR, 2).withPatientClients(5_000_000);
-        OverloadResult once = OverloadRun.run(plan);
-        OverloadResult again = OverloadRun.run(plan);
-        assertEquals(once.servedValueFraction(), again.servedValueFraction());
-        assertEquals(once.told(), again.told());
+        OverloadResult first = OverloadRun.run(plan);
+        OverloadResult second = OverloadRun.run(plan);
+        assertEquals(first.servedValueFraction(), second.servedValueFraction());
+        assertEquals(first.retryAfterSamples(), second.retryAfterSamples());
     }
 
     @Test
     void commandComparesPoliciesWithRepeatableOutput() {
-        String once = run(0, "--load", "1.2", "--loud", "b=3", "--seeds", "2");
-        assertTrue(once.contains("first-come") && once.contains("shares") && once.contains("door"), once);
-        assertEquals(once, run(0, "--load", "1.2", "--loud", "b=3", "--seeds", "2"));
+        String first = run(0, "--load", "1.2", "--loud", "b=3", "--seeds", "2");
+        assertTrue(first.contains("first-come") && first.contains("shares") && first.contains("door"), first);
+        assertEquals(first, run(0, "--load", "1.2", "--loud", "b=3", "--seeds", "2"));
     }
 
     @Test
