--- a/src/main/java/vetchpost/simulation/scale/ConfigurationGenerator.java
+++ b/src/main/java/vetchpost/simulation/scale/ConfigurationGenerator.java
@@ -20,7 +20,10 @@
 import vetchpost.store.FieldCodec;
 import vetchpost.store.Version;
 
-/** Drawn configurations of any size, and changes of them; the same for the same seed. */
+/**
+ * Generates random route configurations of any size, and changes to them, for the {@code scale} commands. The same seed
+ * gives the same configurations. Not thread-safe.
+ */
 final class ConfigurationGenerator {
     private static final Position POSITION = new Position("drawn", 1, 1);
     private static final int MAX_BATCH_ENTRIES = 5_000;
@@ -31,20 +34,25 @@
     private final int tenantCount;
     private int routeCount;
 
-    /** Of so many entries of each kind, as far as they are made. */
+    /**
+     * Creates a generator.
+     *
+     * @param services number of services, at least 1
+     * @param tenants number of tenants, 0 or more
+     */
     ConfigurationGenerator(long seed, int services, int tenants) {
         random = new SplittableRandom(seed);
         this.serviceCount = services;
         this.tenantCount = tenants;
     }
 
-    /** What requests there are. */
+    /** Returns the settings that the generated routes refer to: one class of reads and one of writes. */
     static Settings settings() {
-        Settings set = new Settings();
-        set.maxAttempts = 3;
-        set.maxRetryAfterUs = 30_000 * US_PER_MS;
-        set.allowsHedging = true;
-        set.classes.add(new RequestClass(
+        Settings settings = new Settings();
+        settings.maxAttempts = 3;
+        settings.maxRetryAfterUs = 30_000 * US_PER_MS;
+        settings.allowsHedging = true;
+        settings.classes.add(new RequestClass(
                 "read",
                 1_000 * US_PER_MS,
                 0,
@@ -55,7 +63,7 @@
                 DeduplicationScope.ALL,
                 0,
                 false));
-        set.classes.add(new RequestClass(
+        settings.classes.add(new RequestClass(
                 "write",
                 1_000 * US_PER_MS,
                 0,
@@ -66,7 +74,7 @@
                 DeduplicationScope.ALL,
                 0,
                 false));
-        return set;
+        return settings;
     }
 
     private String path(int route) {
@@ -100,20 +108,20 @@
     }
 
     private static byte[] tenantValue(double share) {
-        FieldCodec.Encoder packer = new FieldCodec.Encoder();
-        packer.add(0, share);
-        return packer.bytes();
+        FieldCodec.Encoder encoder = new FieldCodec.Encoder();
+        encoder.add(0, share);
+        return encoder.bytes();
     }
 
     private static byte[] serviceValue(int number) {
-        FieldCodec.Encoder packer = new FieldCodec.Encoder();
-        packer.add(0, "pool-" + number);
-        packer.add(1, 30L);
-        return packer.bytes();
+        FieldCodec.Encoder encoder = new FieldCodec.Encoder();
+        encoder.add(0, "pool-" + number);
+        encoder.add(1, 30L);
+        return encoder.bytes();
     }
 
-    /** A configuration of that many routes. */
-    RouteConfiguration generate(int ofRoutes) {
+    /** Generates a configuration with this many routes. */
+    RouteConfiguration generate(int newRouteCount) {
         List<EntryChange> changes = new ArrayList<>();
         for (int i = 0; i < serviceCount; i++) {
             changes.add(EntryChange.put(
@@ -122,49 +130,51 @@
         for (int i = 0; i < tenantCount; i++) {
             changes.add(EntryChange.put(new EntryKey(EntryKind.TENANT, tenantName(i)), tenantValue(1 + i % 7)));
         }
-        for (routeCount = 0; routeCount < ofRoutes; routeCount++) {
+        for (routeCount = 0; routeCount < newRouteCount; routeCount++) {
             changes.add(EntryChange.put(key(path(routeCount)), routeValue(routeCount)));
         }
-        RouteConfiguration catalog = RouteConfiguration.empty(settings());
+        RouteConfiguration configuration = RouteConfiguration.empty(settings());
         long number = 0;
         for (int i = 0; i < changes.size(); i += MAX_BATCH_ENTRIES) {
-            RouteConfiguration.Outcome outcome = catalog.apply(
+            RouteConfiguration.Outcome outcome = configuration.apply(
                     changes.subList(i, Math.min(changes.size(), i + MAX_BATCH_ENTRIES)), Version.of(1, ++number));
             if (outcome.configuration() == null) {
-                throw new IllegalStateException(
-                        "what was drawn is refused: " + outcome.violations().get(0));
+                throw new IllegalStateException("a generated configuration was rejected: "
+                        + outcome.violations().get(0));
             }
-            catalog = outcome.configuration();
+            configuration = outcome.configuration();
         }
-        return catalog;
+        return configuration;
     }
 
     /**
-     * Some changes that fit the catalog: mostly a route that says something else, now and then one more or
-     * less.
+     * Generates a batch of valid changes to a configuration: mostly replaced routes, at times an added or removed route
+     * or a changed tenant.
+     *
+     * @param size number of changes, each to another entry
      */
-    List<EntryChange> generateChanges(RouteConfiguration catalog, int size) {
+    List<EntryChange> generateChanges(RouteConfiguration configuration, int size) {
         Map<EntryKey, EntryChange> batch = new LinkedHashMap<>();
         while (batch.size() < size) {
-            int kind = random.nextInt(20);
-            if (kind == 0) {
+            int choice = random.nextInt(20);
+            if (choice == 0) {
                 batch.put(key(path(routeCount)), EntryChange.put(key(path(routeCount)), routeValue(routeCount++)));
                 continue;
             }
-            if (kind == 1 && tenantCount > 0) {
+            if (choice == 1 && tenantCount > 0) {
                 EntryKey tenant = new EntryKey(EntryKind.TENANT, tenantName(random.nextInt(tenantCount)));
                 batch.put(tenant, EntryChange.replace(tenant, tenantValue(random.nextInt(1, 50))));
                 continue;
             }
             int number = random.nextInt(routeCount);
             EntryKey route = key(path(number));
-            if (catalog.store().get(route) == null || batch.containsKey(route)) {
+            if (configuration.store().get(route) == null || batch.containsKey(route)) {
                 if (batch.isEmpty() && routeCount < 10) {
                     batch.put(key(path(routeCount)), EntryChange.put(key(path(routeCount)), routeValue(routeCount++)));
                 }
                 continue;
             }
-            batch.put(route, kind == 2 ? EntryChange.delete(route) : EntryChange.replace(route, routeValue(number)));
+            batch.put(route, choice == 2 ? EntryChange.delete(route) : EntryChange.replace(route, routeValue(number)));
         }
         return List.copyOf(batch.values());
     }
--- a/src/main/java/vetchpost/simulation/scale/Footprint.java
+++ b/src/main/java/vetchpost/simulation/scale/Footprint.java
@@ -19,7 +19,10 @@
 import vetchpost.store.PackedTree;
 import vetchpost.store.PackedTree.Item;
 
-/** What things keep on the heap, and what they take of the processor. */
+/**
+ * Measures retained heap and elapsed time for the {@code scale} commands. Run one measurement at a time: heap sizes
+ * cover the whole process.
+ */
 final class Footprint {
     private static final int GC_RUNS = 3;
     private static final long REQUEST_INTERVAL_US = 100;
@@ -30,18 +33,18 @@
 
     private Footprint() {}
 
-    /** Something that was made. */
+    /** A created value, the time to create it in milliseconds, and the heap that it retains in bytes. */
     record Retained<T>(T value, double creationMs, long retainedBytes) {}
 
-    /** Bytes on the heap that something needs as long as it is kept, and how long it took to make. */
-    static <T> Retained<T> measureRetained(Supplier<T> making) {
+    /** Creates a value and measures the time, and the growth of the heap while the value is referenced. */
+    static <T> Retained<T> measureRetained(Supplier<T> factory) {
         strongReference = null;
         long before = usedHeapBytes();
-        long began = System.nanoTime();
-        T thing = making.get();
-        double ms = (System.nanoTime() - began) / 1e6;
-        strongReference = thing;
-        return new Retained<>(thing, ms, Math.max(0, usedHeapBytes() - before));
+        long startNs = System.nanoTime();
+        T value = factory.get();
+        double ms = (System.nanoTime() - startNs) / 1e6;
+        strongReference = value;
+        return new Retained<>(value, ms, Math.max(0, usedHeapBytes() - before));
     }
 
     private static long usedHeapBytes() {
@@ -54,7 +57,7 @@
         return used;
     }
 
-    /** A module that is told servers and asked for them, and carries out nothing. */
+    /** A balancer that is given servers and requests, and whose actions are ignored. */
     static final class StandaloneBalancer implements Actions {
         private final Balancer balancer;
         private long nowUs = 1_000_000;
@@ -70,7 +73,7 @@
             balancer.onServers(nowUs, ListKind.FULL, servers);
         }
 
-        /** A request that is served. */
+        /** Sends a request and, if the balancer chose a server, reports success. */
         void serveRequest() {
             nowUs += REQUEST_INTERVAL_US;
             long id = ++lastRequestId;
@@ -109,7 +112,7 @@
         public void log(String line) {}
     }
 
-    /** A list that a module was told. */
+    /** The cost of a new server list: the time of the update in milliseconds, and the heap that it retains. */
     record ServerListCost(double updateMs, long retainedBytes) {}
 
     static List<ServerEntry> servers(int count) {
@@ -120,56 +123,57 @@
         return entries;
     }
 
-    /** What a list of so many servers comes to, when new. */
+    /** Measures a new list of {@code count} servers. */
     static ServerListCost measureServerList(int count) {
         List<ServerEntry> entries = servers(count);
         Retained<StandaloneBalancer> made = measureRetained(() -> {
-            StandaloneBalancer module = new StandaloneBalancer();
-            module.updateServers(entries);
-            return module;
+            StandaloneBalancer balancer = new StandaloneBalancer();
+            balancer.updateServers(entries);
+            return balancer;
         });
         return new ServerListCost(made.creationMs(), made.retainedBytes());
     }
 
-    /** Nanoseconds of this thread for each of so many runs, the least of three rounds after one. */
-    static double minNsPerRun(int runs, Runnable work) {
-        double least = Double.MAX_VALUE;
+    /** Returns the nanoseconds of a run, the minimum of three rounds of {@code runs} runs after a warm-up round. */
+    static double minNsPerRun(int runs, Runnable task) {
+        double minNs = Double.MAX_VALUE;
         for (int round = 0; round < 4; round++) {
-            long began = System.nanoTime();
+            long startNs = System.nanoTime();
             for (int i = 0; i < runs; i++) {
-                work.run();
+                task.run();
             }
-            double ns = (System.nanoTime() - began) / (double) runs;
-            least = round == 0 ? least : Math.min(least, ns);
+            double ns = (System.nanoTime() - startNs) / (double) runs;
+            minNs = round == 0 ? minNs : Math.min(minNs, ns);
         }
-        return least;
+        return minNs;
     }
 
-    /** Bytes that a node keeps for each route, with its part of the trees and of the way to find it. */
-    static double bytesPerRoute(RouteConfiguration catalog) {
-        return bytesPerEntry(catalog, EntryKind.ROUTE)
-                + (double) catalog.indexBytes() / Math.max(1, catalog.routes().size());
+    /** Bytes that a node retains for each route, its fraction of the trees and of the route index included. */
+    static double bytesPerRoute(RouteConfiguration configuration) {
+        return bytesPerEntry(configuration, EntryKind.ROUTE)
+                + (double) configuration.indexBytes()
+                        / Math.max(1, configuration.routes().size());
     }
 
-    /** The same for a tenant. */
-    static double bytesPerTenant(RouteConfiguration catalog) {
-        return bytesPerEntry(catalog, EntryKind.TENANT);
+    /** Bytes that a node retains for each tenant, its fraction of the trees included. */
+    static double bytesPerTenant(RouteConfiguration configuration) {
+        return bytesPerEntry(configuration, EntryKind.TENANT);
     }
 
-    private static double bytesPerEntry(RouteConfiguration catalog, EntryKind kind) {
-        PackedTree live = catalog.store().live();
+    private static double bytesPerEntry(RouteConfiguration configuration, EntryKind kind) {
+        PackedTree tree = configuration.store().live();
         byte[] first = new EntryKey(kind, "").bytes();
-        long all = 0;
-        long own = 0;
+        long totalBytes = 0;
+        long kindBytes = 0;
         long count = 0;
-        for (Item item = live.at(0); item != null; item = live.ceiling(PackedTree.successor(item.key()))) {
+        for (Item item = tree.at(0); item != null; item = tree.ceiling(PackedTree.successor(item.key()))) {
             long bytes = item.key().length + item.value().length + Long.BYTES;
-            all += bytes;
+            totalBytes += bytes;
             if (item.key()[0] == first[0]) {
-                own += bytes;
+                kindBytes += bytes;
                 count++;
             }
         }
-        return count == 0 ? 0 : (double) own / count * live.retainedBytes() / all;
+        return count == 0 ? 0 : (double) kindBytes / count * tree.retainedBytes() / totalBytes;
     }
 }
--- a/src/main/java/vetchpost/simulation/scale/GrowthMeasurements.java
+++ b/src/main/java/vetchpost/simulation/scale/GrowthMeasurements.java
@@ -54,8 +54,9 @@
 import vetchpost.store.VersionedStore;
 
 /**
- * Measures each role's state, messages, processor time and memory by what it grows with, at five sizes of two
- * decades.
+ * Measures the state, messages, CPU time and memory of each role by what they grow with, at five sizes over two decades.
+ * {@link SlopesCommand} calls it, on one thread; heap figures cover the whole process. The names of figures, units and
+ * variables are keys of the JSON output.
  */
 final class GrowthMeasurements {
     private static final int[] SIZE_DIVISORS = {100, 32, 10, 3, 1};
@@ -69,7 +70,7 @@
 
         @Override
         public void forEach(BiConsumer<String, String> action) {
-            // There are none.
+            // No headers.
         }
     };
 
@@ -78,9 +79,12 @@
     private final Consumer<String> progress;
 
     /**
-     * What was measured.
+     * The measurements of one figure.
      *
-     * @param coming the size that is coming
+     * @param variable the variable that the figure grows with
+     * @param x sizes, ascending
+     * @param y measured values, in the order of {@code x}
+     * @param targetSize the size to plan for
      */
     record Series(String role, String figure, String unit, String variable, double[] x, double[] y, double targetSize) {
         LinearFit fit() {
@@ -88,19 +92,19 @@
         }
     }
 
-    /** A figure or several of one size. */
+    /** Measures one or several figures at one size. */
     private interface Measurement {
         double[] measure(int size);
     }
 
     /**
-     * Not measured yet.
+     * Creates the measurements without running them.
      *
-     * @param largest one so many-th of the coming size is the largest that is measured; 1 for all of it
-     * @param progress hears what is being measured
+     * @param sizeDivisor the largest measured size is the target size over this, at least 1
+     * @param progress is given a description of each measurement before it runs
      */
-    GrowthMeasurements(int largest, Consumer<String> progress) {
-        this.sizeDivisor = largest;
+    GrowthMeasurements(int sizeDivisor, Consumer<String> progress) {
+        this.sizeDivisor = sizeDivisor;
         this.progress = progress;
     }
 
@@ -114,42 +118,42 @@
         return series;
     }
 
-    /** Measures at five sizes, the smallest first; each figure a row of its own. */
-    private void measure(String role, String by, int coming, Measurement measure, String... namesAndUnits) {
+    /** Measures at five sizes, the smallest first, and adds one series per figure. */
+    private void measure(String role, String variable, int targetSize, Measurement measure, String... namesAndUnits) {
         double[] x = new double[SIZE_DIVISORS.length];
         double[][] y = new double[namesAndUnits.length / 2][SIZE_DIVISORS.length];
         for (int i = 0; i < SIZE_DIVISORS.length; i++) {
-            int size = Math.max(1, coming / sizeDivisor / SIZE_DIVISORS[i]);
+            int size = Math.max(1, targetSize / sizeDivisor / SIZE_DIVISORS[i]);
             x[i] = size;
-            progress.accept(role + ", " + namesAndUnits[0] + ", " + size + " " + by);
+            progress.accept(role + ", " + namesAndUnits[0] + ", " + size + " " + variable);
             double[] figures = measure.measure(size);
             for (int f = 0; f < y.length; f++) {
                 y[f][i] = figures[f];
             }
         }
         for (int f = 0; f < y.length; f++) {
-            series.add(new Series(role, namesAndUnits[2 * f], namesAndUnits[2 * f + 1], by, x, y[f], coming));
+            series.add(new Series(role, namesAndUnits[2 * f], namesAndUnits[2 * f + 1], variable, x, y[f], targetSize));
         }
     }
 
-    private static double elapsedMs(Runnable work) {
-        long began = System.nanoTime();
-        work.run();
-        return (System.nanoTime() - began) / 1e6;
+    private static double elapsedMs(Runnable task) {
+        long startNs = System.nanoTime();
+        task.run();
+        return (System.nanoTime() - startNs) / 1e6;
     }
 
-    private static double minElapsedMs(int times, Runnable work) {
-        double least = Double.MAX_VALUE;
+    private static double minElapsedMs(int times, Runnable task) {
+        double minMs = Double.MAX_VALUE;
         for (int i = 0; i < times; i++) {
-            least = Math.min(least, elapsedMs(work));
+            minMs = Math.min(minMs, elapsedMs(task));
         }
-        return least;
+        return minMs;
     }
 
     // ---------------------------------------------------------------- by servers
 
     private void measureServers() {
-        Footprint.measureServerList(2_000); // Warm.
+        Footprint.measureServerList(2_000); // Warm-up.
         measure(
                 "node",
                 "servers",
@@ -157,14 +161,14 @@
                 n -> {
                     List<ServerEntry> entries = Footprint.servers(n);
                     Retained<Footprint.StandaloneBalancer> made = Footprint.measureRetained(() -> {
-                        Footprint.StandaloneBalancer module = new Footprint.StandaloneBalancer();
-                        module.updateServers(entries);
-                        return module;
+                        Footprint.StandaloneBalancer balancer = new Footprint.StandaloneBalancer();
+                        balancer.updateServers(entries);
+                        return balancer;
                     });
-                    double again = minElapsedMs(3, () -> made.value().updateServers(entries));
-                    double fresh = minElapsedMs(2, () -> new Footprint.StandaloneBalancer().updateServers(entries));
+                    double repeatedMs = minElapsedMs(3, () -> made.value().updateServers(entries));
+                    double newMs = minElapsedMs(2, () -> new Footprint.StandaloneBalancer().updateServers(entries));
                     double decision = Footprint.minNsPerRun(50_000, made.value()::serveRequest);
-                    return new double[] {made.retainedBytes() / 1e6, fresh, again, decision};
+                    return new double[] {made.retainedBytes() / 1e6, newMs, repeatedMs, decision};
                 },
                 "a list told to the module, kept",
                 "MB",
@@ -193,9 +197,9 @@
                 "servers",
                 200_000,
                 n -> {
-                    int boxes = Math.min(n, 100_000);
+                    int serverCount = Math.min(n, 100_000);
                     double[] bytes = new double[1];
-                    double ms = minElapsedMs(2, () -> bytes[0] = snapshotBytes(boxes));
+                    double ms = minElapsedMs(2, () -> bytes[0] = snapshotBytes(serverCount));
                     return new double[] {bytes[0] / 1e6, ms};
                 },
                 "a snapshot of servers (100,000 is the most)",
@@ -207,11 +211,11 @@
                 "servers",
                 200_000,
                 n -> {
-                    ControlApi desk = controlApi(n);
+                    ControlApi api = controlApi(n);
                     double[] bytes = new double[1];
                     double ms = minElapsedMs(
                             2,
-                            () -> desk.handle(
+                            () -> api.handle(
                                     "{\"v\":1,\"do\":\"servers\"}",
                                     () -> new ControlApi.Now(1, 1),
                                     reply -> bytes[0] = reply.length()));
@@ -244,17 +248,17 @@
         return text.append("]}").toString();
     }
 
-    private static double snapshotBytes(int boxes) {
+    private static double snapshotBytes(int serverCount) {
         SnapshotOrigin origin = new SnapshotOrigin(1, 1, 1, 1, EnumSet.noneOf(SelfFault.class));
         List<ClassState> classes = List.of(new ClassState("read", 50, 20_000, 15_000));
-        int pieces = ChunkCodec.chunkCount(boxes);
+        int chunkCount = ChunkCodec.chunkCount(serverCount);
         double bytes = 0;
-        for (int piece = 0; piece < pieces; piece++) {
-            List<ServerRecord> some = new ArrayList<>();
-            for (int i = piece * ChunkCodec.SERVERS_PER_CHUNK;
-                    i < Math.min(boxes, (piece + 1) * ChunkCodec.SERVERS_PER_CHUNK);
+        for (int chunk = 0; chunk < chunkCount; chunk++) {
+            List<ServerRecord> chunkRecords = new ArrayList<>();
+            for (int i = chunk * ChunkCodec.SERVERS_PER_CHUNK;
+                    i < Math.min(serverCount, (chunk + 1) * ChunkCodec.SERVERS_PER_CHUNK);
                     i++) {
-                some.add(new ServerRecord(
+                chunkRecords.add(new ServerRecord(
                         new ServerList.Target(
                                 "server-" + i,
                                 new java.net.InetSocketAddress("10.0.0.1", 9_000),
@@ -268,7 +272,7 @@
                         0,
                         null));
             }
-            bytes += ChunkCodec.write(piece, pieces, origin, classes, some).length;
+            bytes += ChunkCodec.write(chunk, chunkCount, origin, classes, chunkRecords).length;
         }
         return bytes;
     }
@@ -278,10 +282,10 @@
         for (int i = 0; i < servers; i++) {
             all.add(new FleetState.Server("server-" + i, "zone-" + i % 10, 1, false));
         }
-        FleetState situation = new FleetState(all, List.of("read", "write"));
+        FleetState state = new FleetState(all, List.of("read", "write"));
         return new ControlApi(
                 new Leases(new SafetyCheck(0.5, 0.9)),
-                () -> situation,
+                () -> state,
                 Map::of,
                 (text, done) -> done.accept(null),
                 () -> {});
@@ -297,13 +301,13 @@
                 3_700,
                 n -> {
                     Retained<List<Footprint.StandaloneBalancer>> made = Footprint.measureRetained(() -> {
-                        List<Footprint.StandaloneBalancer> modules = new ArrayList<>();
+                        List<Footprint.StandaloneBalancer> balancers = new ArrayList<>();
                         for (int i = 0; i < n; i++) {
-                            Footprint.StandaloneBalancer module = new Footprint.StandaloneBalancer();
-                            module.updateServers(own);
-                            modules.add(module);
+                            Footprint.StandaloneBalancer balancer = new Footprint.StandaloneBalancer();
+                            balancer.updateServers(own);
+                            balancers.add(balancer);
                         }
-                        return modules;
+                        return balancers;
                     });
                     return new double[] {made.retainedBytes() / 1e6, made.creationMs()};
                 },
@@ -321,44 +325,45 @@
                 "routes",
                 220_000,
                 n -> {
-                    RouteConfiguration catalog = new ConfigurationGenerator(1, 3_700, 1).generate(n);
-                    long kept = catalog.store().live().retainedBytes() + catalog.indexBytes();
+                    RouteConfiguration configuration = new ConfigurationGenerator(1, 3_700, 1).generate(n);
+                    long retainedBytes = configuration.store().live().retainedBytes() + configuration.indexBytes();
                     FileRoutePolicy policy =
-                            new FileRoutePolicy(catalog.routes(), ConfigurationGenerator.settings(), 1);
+                            new FileRoutePolicy(configuration.routes(), ConfigurationGenerator.settings(), 1);
                     String[] targets = new String[1_024];
                     for (int i = 0; i < targets.length; i++) {
                         int route = (int) (i * 7_919L % n);
                         targets[i] = String.format(Locale.ROOT, "/s%04d/r%06d/%d?x=1", route % 3_700, route, i);
                     }
                     int[] next = new int[1];
-                    double find = Footprint.minNsPerRun(
+                    double findNs = Footprint.minNsPerRun(
                             50_000, () -> policy.limitsOf(request(targets[next[0]++ & targets.length - 1])));
-                    ChangeWriter writer = new ChangeWriter(catalog, 1);
-                    ConfigurationGenerator drawn = new ConfigurationGenerator(2, 3_700, 1);
-                    drawn.generate(n);
+                    ChangeWriter writer = new ChangeWriter(configuration, 1);
+                    ConfigurationGenerator generator = new ConfigurationGenerator(2, 3_700, 1);
+                    generator.generate(n);
                     List<List<EntryChange>> batches = new ArrayList<>();
                     for (int i = 0; i < 400; i++) {
-                        batches.add(drawn.generateChanges(catalog, 1));
+                        batches.add(generator.generateChanges(configuration, 1));
                     }
                     int[] at = new int[1];
-                    double prove =
+                    double validateUs =
                             Footprint.minNsPerRun(100, () -> writer.submit(batches.get(at[0]++ % batches.size())))
                                     / 1e3;
-                    List<PackedTree.Item> some =
-                            catalog.store().live().range(new EntryKey(EntryKind.ROUTE, "").bytes(), null, 400);
-                    double settle = Footprint.minNsPerRun(100, () -> {
-                                PackedTree.Item item = some.get(at[0]++ % some.size());
-                                catalog.withEntry(
+                    List<PackedTree.Item> chunkRecords =
+                            configuration.store().live().range(new EntryKey(EntryKind.ROUTE, "").bytes(), null, 400);
+                    double applyUs = Footprint.minNsPerRun(100, () -> {
+                                PackedTree.Item item = chunkRecords.get(at[0]++ % chunkRecords.size());
+                                configuration.withEntry(
                                         item.key(),
                                         item.value(),
-                                        catalog.store().live().put(item.key(), item.value(), item.stamp() + 1));
+                                        configuration.store().live().put(item.key(), item.value(), item.stamp() + 1));
                             })
                             / 1e3;
-                    double swap = Footprint.minNsPerRun(
+                    double replaceUs = Footprint.minNsPerRun(
                                     1_000,
-                                    () -> policy.replaceTable(catalog.routes(), ConfigurationGenerator.settings()))
+                                    () -> policy.replaceTable(
+                                            configuration.routes(), ConfigurationGenerator.settings()))
                             / 1e3;
-                    return new double[] {kept / 1e6, find, settle, swap, prove};
+                    return new double[] {retainedBytes / 1e6, findNs, applyUs, replaceUs, validateUs};
                 },
                 "entries of routes, with the way to find them, kept",
                 "MB",
@@ -386,9 +391,9 @@
                 "routes",
                 220_000,
                 n -> {
-                    RouteConfiguration catalog = new ConfigurationGenerator(1, 3_700, 1).generate(n);
+                    RouteConfiguration configuration = new ConfigurationGenerator(1, 3_700, 1).generate(n);
                     EntryKey defaults = new EntryKey(EntryKind.LIMITS, "");
-                    ChangeWriter writer = new ChangeWriter(catalog, 1);
+                    ChangeWriter writer = new ChangeWriter(configuration, 1);
                     byte[] value = RouteCodec.bytes(new Section(
                             Section.Kind.DEFAULTS,
                             "",
@@ -406,13 +411,13 @@
         return new ClientRequest(1, 0, -1, 0, 0, false, "GET", target, NO_HEADERS, EMPTY_BODY);
     }
 
-    private static void require(boolean holds) {
-        if (!holds) {
-            throw new IllegalStateException("what was drawn is refused");
+    private static void require(boolean isValid) {
+        if (!isValid) {
+            throw new IllegalStateException("a generated change or configuration was rejected");
         }
     }
 
-    /** A file of routes as operators write them. */
+    /** Measures reading a route file such as operators write. */
     private static double[] measureFile(int routes) {
         try {
             Path file = Files.createTempFile("slopes", ".toml");
@@ -432,8 +437,8 @@
                 LoadedRouteFile[] read = new LoadedRouteFile[1];
                 double whole = elapsedMs(() -> read[0] = new LoadedRouteFile(file));
                 Files.writeString(file, text.toString().replaceFirst("concurrency = 100", "concurrency = 101"));
-                double again = minElapsedMs(2, () -> require(read[0].rereadChangedRoutes(file) == 1));
-                return new double[] {whole, again, read[0].index.retainedBytes() / 1e6};
+                double repeatedMs = minElapsedMs(2, () -> require(read[0].rereadChangedRoutes(file) == 1));
+                return new double[] {whole, repeatedMs, read[0].index.retainedBytes() / 1e6};
             } finally {
                 Files.delete(file);
             }
@@ -442,7 +447,7 @@
         }
     }
 
-    /** A file that was read. */
+    /** A route file that was read and validated. */
     private static final class LoadedRouteFile implements FileIndex.Tables {
         private final FileIndex index;
         private RouteValidator validator;
@@ -469,7 +474,7 @@
             validator.add(section);
         }
 
-        /** How many routes have changed. */
+        /** Rereads the file, validates its changes, and returns the number of changed routes. */
         int rereadChangedRoutes(Path file) {
             try {
                 FileIndex.Difference difference = index.reread(file);
@@ -496,11 +501,11 @@
                 n -> {
                     PackedTree[] tree = {PackedTree.EMPTY};
                     for (int i = 0; i < n; i++) {
-                        FieldCodec.Encoder packer = new FieldCodec.Encoder();
-                        packer.add(0, 1.0 + i % 7);
+                        FieldCodec.Encoder encoder = new FieldCodec.Encoder();
+                        encoder.add(0, 1.0 + i % 7);
                         tree[0] = tree[0].put(
                                 new EntryKey(EntryKind.TENANT, String.format(Locale.ROOT, "t%06d", i)).bytes(),
-                                packer.bytes(),
+                                encoder.bytes(),
                                 Version.of(1, 1));
                     }
                     Retained<Settings> settings = Footprint.measureRetained(() -> {
@@ -510,13 +515,13 @@
                         }
                         return made;
                     });
-                    Retained<FairAdmission> door = Footprint.measureRetained(() ->
+                    Retained<FairAdmission> admission = Footprint.measureRetained(() ->
                             new FairAdmission(AdmissionValidator.defaults(settings.value()), settings.value(), 1));
                     return new double[] {
                         tree[0].retainedBytes() / 1e6,
                         settings.retainedBytes() / 1e6,
-                        door.retainedBytes() / 1e6,
-                        door.creationMs()
+                        admission.retainedBytes() / 1e6,
+                        admission.creationMs()
                     };
                 },
                 "entries of tenants, kept",
@@ -592,30 +597,30 @@
 
     private void measureChanges() {
         IntFunction<double[]> run = hundredths -> {
-            ConfigurationGenerator drawn = new ConfigurationGenerator(3, 100, 100);
-            ReplicationRun played = new ReplicationRun(
+            ConfigurationGenerator generator = new ConfigurationGenerator(3, 100, 100);
+            ReplicationRun replicationRun = new ReplicationRun(
                     3,
-                    drawn,
-                    drawn.generate(5_000),
+                    generator,
+                    generator.generate(5_000),
                     4,
                     40,
                     new Publisher.Budget(18_000, 4_000, 4e6, 400),
                     ReplicaFactory.DEFAULT,
                     false);
-            LightweightFleet hollow = played.fleet();
-            hollow.runUntil(5_000_000);
-            played.scheduleChanges(hundredths / 100.0, 25_000_000);
-            hollow.runUntil(25_000_000);
-            double nodes = played.nodes().size();
+            LightweightFleet fleet = replicationRun.fleet();
+            fleet.runUntil(5_000_000);
+            replicationRun.scheduleChanges(hundredths / 100.0, 25_000_000);
+            fleet.runUntil(25_000_000);
+            double nodes = replicationRun.nodes().size();
             double bytes = 0;
             double ns = 0;
-            for (LightweightFleet.Machine node : played.nodes()) {
+            for (LightweightFleet.Machine node : replicationRun.nodes()) {
                 bytes += node.usage().sumBytes(5_000_000, 25_000_000) / nodes / 20;
                 ns += node.usage().sumCpuNs(5_000_000, 25_000_000) / nodes / 20;
             }
             return new double[] {bytes / 1e3, ns / 1e6};
         };
-        run.apply(1_000); // Warm.
+        run.apply(1_000); // Warm-up.
         measure(
                 "node",
                 "hundredths of a change a second",
--- a/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
+++ b/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
@@ -15,13 +15,15 @@
 import vetchpost.store.VersionedStore;
 
 /**
- * Control machines and hollow nodes on virtual time: each has the real code of replication, with connections
- * that carry real frames, take their time, break and are opened anew, and nothing else of a node.
+ * Control machines and lightweight simulated nodes on virtual time. Each runs the real replication code, over
+ * connections that carry real frames, have latency, break and are reopened; nothing else of a node is simulated.
+ * {@link ReplicationRun}, {@link RealCommand} and {@link RunCommand} drive it. Not thread-safe: each fleet runs on one
+ * thread.
  */
 final class LightweightFleet {
     private static final long NS_PER_US = 1_000;
     private static final long SECOND_US = 1_000_000;
-    /** Bytes of a frame's length and tag on its way. */
+    /** Bytes of a frame's length and authentication tag on the wire. */
     private static final int FRAME_OVERHEAD_BYTES = 36;
 
     private static final long HEARTBEAT_US = 5 * SECOND_US;
@@ -31,8 +33,7 @@
     private final CpuClock cpuClock = new CpuClock();
 
     /**
-     * How long frames take from one machine to another, in microseconds; negative where they don't get
-     * through.
+     * The latency of frames from one machine to another, in microseconds; negative if they are lost.
      */
     interface LinkDelay {
         long delayUs(Machine from, Machine to);
@@ -40,7 +41,7 @@
 
     private LinkDelay linkDelay = (from, to) -> 500;
 
-    /** Counts processor time of this thread, in nanoseconds. */
+    /** Reads the CPU time of the current thread, in nanoseconds. */
     static final class CpuClock {
         private final java.lang.management.ThreadMXBean threads =
                 java.lang.management.ManagementFactory.getThreadMXBean();
@@ -50,7 +51,7 @@
         }
     }
 
-    /** Bytes and processor time that a machine has spent, by second. */
+    /** Bytes sent and received and CPU time used by a machine, per second of virtual time. */
     static final class ResourceUsage {
         private final Map<Long, long[]> bySecond = new TreeMap<>();
         private long cpuNs;
@@ -74,10 +75,10 @@
             return maxPerSecond(1, fromUs, toUs);
         }
 
-        private long maxPerSecond(int what, long fromUs, long toUs) {
+        private long maxPerSecond(int column, long fromUs, long toUs) {
             return bySecond.entrySet().stream()
                     .filter(e -> e.getKey() >= fromUs / SECOND_US && e.getKey() < toUs / SECOND_US)
-                    .mapToLong(e -> e.getValue()[what])
+                    .mapToLong(e -> e.getValue()[column])
                     .max()
                     .orElse(0);
         }
@@ -90,10 +91,10 @@
             return sum(1, fromUs, toUs);
         }
 
-        private long sum(int what, long fromUs, long toUs) {
+        private long sum(int column, long fromUs, long toUs) {
             return bySecond.entrySet().stream()
                     .filter(e -> e.getKey() >= fromUs / SECOND_US && e.getKey() < toUs / SECOND_US)
-                    .mapToLong(e -> e.getValue()[what])
+                    .mapToLong(e -> e.getValue()[column])
                     .sum();
         }
 
@@ -102,7 +103,7 @@
         }
     }
 
-    /** A machine: one side, or both as a control machine that is told by another. */
+    /** A machine: a replica, a publisher, or both, such as a control machine that replicates from the writer. */
     final class Machine {
         private final String name;
         private final int region;
@@ -146,7 +147,7 @@
             return running;
         }
 
-        /** Whether it has a connection to a publisher now. */
+        /** Whether it is connected to a publisher. */
         boolean isLinked() {
             return publisherLink != null;
         }
@@ -155,34 +156,38 @@
             return time.nanoTime() / NS_PER_US;
         }
 
-        /** Publishes this; one that did before begins anew. */
+        /** Starts to publish a store; a former publisher of this machine is replaced. */
         void startPublishing(VersionedStore store, Publisher.Budget budget) {
             publisher = new Publisher(store, codec, budget, HEARTBEAT_US, currentUs());
         }
 
-        /** Something newer is to be told. */
+        /** Publishes a newer version of the store. */
         void publishUpdate(VersionedStore store) {
             measureCpu(() -> publisher.publish(store));
             sendPending();
         }
 
-        /** Is told by these, from {@code afterUs} on. */
-        void replicateFrom(Replica of, List<Machine> publishers, long afterUs) {
-            replica = of;
+        /**
+         * Starts to replicate from these publishers.
+         *
+         * @param afterUs delay until the first connection, in microseconds
+         */
+        void replicateFrom(Replica newReplica, List<Machine> publishers, long afterUs) {
+            replica = newReplica;
             sources = publishers;
             PublisherChoice choice = new PublisherChoice(
                     name,
                     publishers.stream().map(Machine::name).toList(),
                     p -> publishers.stream().anyMatch(m -> m.name.equals(p) && m.region == region));
-            failover = new PublisherFailover(of, choice, new PublisherFailover.Transport() {
+            failover = new PublisherFailover(newReplica, choice, new PublisherFailover.Transport() {
                 @Override
                 public void open(int publisher) {
-                    Machine to = sources.get(publisher);
-                    if (!to.running || linkDelay.delayUs(Machine.this, to) < 0) {
-                        failover.failed("nobody is there");
+                    Machine target = sources.get(publisher);
+                    if (!target.running || linkDelay.delayUs(Machine.this, target) < 0) {
+                        failover.failed("the publisher is unreachable");
                         return;
                     }
-                    publisherLink = new Link(Machine.this, to);
+                    publisherLink = new Link(Machine.this, target);
                     measureCpu(failover::opened);
                 }
 
@@ -202,26 +207,26 @@
                 }
 
                 @Override
-                public void after(long us, Runnable task) {
-                    time.after(us * NS_PER_US, task);
+                public void after(long delayUs, Runnable task) {
+                    time.after(delayUs * NS_PER_US, task);
                 }
             });
             failover.start(afterUs);
         }
 
-        /** Dies: its connections break. */
+        /** Stops the machine and breaks its connections. */
         void kill() {
             running = false;
             failover.stop();
             closePublisherLink();
-            for (Link each : List.copyOf(replicaLinks)) {
-                each.breakConnection();
+            for (Link link : List.copyOf(replicaLinks)) {
+                link.breakConnection();
             }
             cancelSendTimer();
         }
 
         /**
-         * Is there again, with this in place of what it was; whoever calls has it follow and publish anew.
+         * Marks a stopped machine as running. The caller then makes it publish and replicate again.
          */
         void markRunning() {
             running = true;
@@ -241,14 +246,14 @@
             }
         }
 
-        private void measureCpu(Runnable work) {
-            long before = cpuClock.nowNs();
-            work.run();
-            usage.addCpu(currentUs(), cpuClock.nowNs() - before);
+        private void measureCpu(Runnable task) {
+            long beforeNs = cpuClock.nowNs();
+            task.run();
+            usage.addCpu(currentUs(), cpuClock.nowNs() - beforeNs);
         }
 
-        private void receiveFromPublisher(Link by, byte[] bytes) {
-            if (publisherLink != by) {
+        private void receiveFromPublisher(Link link, byte[] bytes) {
+            if (publisherLink != link) {
                 return;
             }
             usage.addBytes(currentUs(), bytes.length + FRAME_OVERHEAD_BYTES);
@@ -261,20 +266,20 @@
             });
         }
 
-        private void receiveFromReplica(Link by, byte[] bytes) {
-            if (!running || !replicaLinks.contains(by)) {
+        private void receiveFromReplica(Link link, byte[] bytes) {
+            if (!running || !replicaLinks.contains(link)) {
                 return;
             }
-            boolean[] fine = {true};
+            boolean[] wellFormed = {true};
             measureCpu(() -> {
                 try {
-                    publisher.receive(by, codec.read(bytes), bytes.length, currentUs());
+                    publisher.receive(link, codec.read(bytes), bytes.length, currentUs());
                 } catch (MalformedFrameException e) {
-                    fine[0] = false;
+                    wellFormed[0] = false;
                 }
             });
-            if (!fine[0]) {
-                by.breakConnection();
+            if (!wellFormed[0]) {
+                link.breakConnection();
             }
             sendPending();
         }
@@ -297,7 +302,7 @@
         }
     }
 
-    /** A connection: what one side writes comes at the other in order, a while later, unless it breaks. */
+    /** A connection. Frames arrive in order after the latency of the link, unless the connection breaks. */
     final class Link implements Publisher.Peer {
         private final Machine replica;
         private final Machine publisher;
@@ -315,11 +320,11 @@
         private void sendToPublisher(Frame frame) {
             byte[] bytes = codec.write(frame);
             replica.usage.addBytes(replica.currentUs(), bytes.length + FRAME_OVERHEAD_BYTES);
-            long us = linkDelay.delayUs(replica, publisher);
-            if (us < 0) {
+            long delayUs = linkDelay.delayUs(replica, publisher);
+            if (delayUs < 0) {
                 return;
             }
-            lastPublisherArrivalUs = Math.max(lastPublisherArrivalUs, replica.currentUs() + us);
+            lastPublisherArrivalUs = Math.max(lastPublisherArrivalUs, replica.currentUs() + delayUs);
             time.at(lastPublisherArrivalUs * NS_PER_US, () -> {
                 if (open && linkDelay.delayUs(replica, publisher) >= 0) {
                     publisher.receiveFromReplica(this, bytes);
@@ -330,11 +335,11 @@
         @Override
         public void send(byte[] bytes) {
             publisher.usage.addBytes(publisher.currentUs(), bytes.length + FRAME_OVERHEAD_BYTES);
-            long us = linkDelay.delayUs(publisher, replica);
-            if (us < 0) {
+            long delayUs = linkDelay.delayUs(publisher, replica);
+            if (delayUs < 0) {
                 return;
             }
-            lastReplicaArrivalUs = Math.max(lastReplicaArrivalUs, publisher.currentUs() + us);
+            lastReplicaArrivalUs = Math.max(lastReplicaArrivalUs, publisher.currentUs() + delayUs);
             time.at(lastReplicaArrivalUs * NS_PER_US, () -> {
                 if (open && replica.running && linkDelay.delayUs(publisher, replica) >= 0) {
                     replica.receiveFromPublisher(this, bytes);
@@ -355,40 +360,40 @@
             }
         }
 
-        /** Both sides are told. */
+        /** Closes the connection and notifies both sides. */
         private void breakConnection() {
-            boolean was = open;
+            boolean wasOpen = open;
             close();
-            if (was && replica.publisherLink == this) {
+            if (wasOpen && replica.publisherLink == this) {
                 replica.publisherLink = null;
-                replica.failover.failed("it was cut off");
+                replica.failover.failed("the connection was lost");
             }
         }
     }
 
-    /** A machine of that name and region, which does nothing yet. */
+    /** Creates a machine that neither publishes nor replicates yet. */
     Machine machine(String name, int region) {
         return new Machine(name, region);
     }
 
-    void setLinkDelay(LinkDelay other) {
-        linkDelay = other;
+    void setLinkDelay(LinkDelay newLinkDelay) {
+        linkDelay = newLinkDelay;
     }
 
     long nowUs() {
         return time.nanoTime() / NS_PER_US;
     }
 
-    /** Has something happen so many microseconds from the beginning. */
-    void schedule(long us, Runnable task) {
-        time.at(us * NS_PER_US, task);
+    /** Schedules a task at {@code atUs} microseconds from the start. */
+    void schedule(long atUs, Runnable task) {
+        time.at(atUs * NS_PER_US, task);
     }
 
-    /** Goes on to that time. */
+    /** Runs all events up to {@code untilUs} microseconds from the start. */
     void runUntil(long untilUs) {
-        boolean[] there = new boolean[1];
-        time.at(untilUs * NS_PER_US, () -> there[0] = true);
-        while (!there[0] && time.step()) {
+        boolean[] reached = new boolean[1];
+        time.at(untilUs * NS_PER_US, () -> reached[0] = true);
+        while (!reached[0] && time.step()) {
             continue;
         }
     }
--- a/src/main/java/vetchpost/simulation/scale/LinearFit.java
+++ b/src/main/java/vetchpost/simulation/scale/LinearFit.java
@@ -3,30 +3,31 @@
 import java.util.Locale;
 
 /**
- * A straight line through measured points by least squares, and how far the points are from it; and the power
- * by which they grow, which is 1 for a straight line without a beginning of its own.
+ * A least-squares line through measured points, its largest error, and the exponent of growth, which is 1 for a
+ * straight line through the origin.
  *
- * @param intercept at nothing
- * @param slope for each one more
- * @param worst the largest distance of a point from the line, as a share of the point's own value
- * @param power the slope of the logarithms
+ * @param intercept value at x = 0
+ * @param slope growth of the value for each unit of x
+ * @param maxRelativeError largest distance of a point from the line, as a fraction of the point's value
+ * @param power slope of the line through the logarithms
  */
 record LinearFit(double intercept, double slope, double maxRelativeError, double power) {
-    /** A line is called straight up to here: timings on a machine with other work on it spread by so much. */
+    /** Timings on a machine with other load vary by this much, so that a larger error means a curve. */
     private static final double MAX_STRAIGHT_RELATIVE_ERROR = 0.15;
 
-    /** Through these points, two at least. */
+    /** Fits a line through at least two points. */
     static LinearFit of(double[] x, double[] y) {
         double[] line = leastSquares(x, y);
-        double worst = 0;
+        double worstError = 0;
         double[] logX = new double[x.length];
         double[] logY = new double[x.length];
         for (int i = 0; i < x.length; i++) {
-            worst = Math.max(worst, Math.abs(line[0] + line[1] * x[i] - y[i]) / Math.max(1e-12, Math.abs(y[i])));
+            worstError =
+                    Math.max(worstError, Math.abs(line[0] + line[1] * x[i] - y[i]) / Math.max(1e-12, Math.abs(y[i])));
             logX[i] = Math.log(x[i]);
             logY[i] = Math.log(Math.max(1e-12, y[i]));
         }
-        return new LinearFit(line[0], line[1], worst, leastSquares(logX, logY)[1]);
+        return new LinearFit(line[0], line[1], worstError, leastSquares(logX, logY)[1]);
     }
 
     private static double[] leastSquares(double[] x, double[] y) {
@@ -36,22 +37,22 @@
             meanX += x[i] / x.length;
             meanY += y[i] / x.length;
         }
-        double both = 0;
-        double square = 0;
+        double covariance = 0;
+        double variance = 0;
         for (int i = 0; i < x.length; i++) {
-            both += (x[i] - meanX) * (y[i] - meanY);
-            square += (x[i] - meanX) * (x[i] - meanX);
+            covariance += (x[i] - meanX) * (y[i] - meanY);
+            variance += (x[i] - meanX) * (x[i] - meanX);
         }
-        double slope = square == 0 ? 0 : both / square;
+        double slope = variance == 0 ? 0 : covariance / variance;
         return new double[] {meanY - slope * meanX, slope};
     }
 
-    /** What the line foretells. */
+    /** Returns the value of the line at {@code x}. */
     double predict(double x) {
         return intercept + slope * x;
     }
 
-    /** The residuals, in the order of the points, as shares of their values. */
+    /** Returns the residuals in the order of the points, as fractions of their values. */
     double[] residuals(double[] x, double[] y) {
         double[] residuals = new double[x.length];
         for (int i = 0; i < x.length; i++) {
@@ -60,7 +61,7 @@
         return residuals;
     }
 
-    /** In words: straight, or what shape it has. */
+    /** Describes the shape: straight, nearly flat, or the exponent of growth. */
     String shape() {
         return maxRelativeError <= MAX_STRAIGHT_RELATIVE_ERROR
                 ? "straight"
--- a/src/main/java/vetchpost/simulation/scale/RealCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/RealCommand.java
@@ -38,19 +38,19 @@
 import vetchpost.store.Version;
 
 /**
- * The command {@code scale real}: the same changes to processes on loopback and to hollow nodes, times
- * compared.
+ * The command {@code scale real}: replicates the same changes to processes on loopback and to lightweight simulated
+ * nodes, and compares the propagation times. Starts {@link ReplicaCommand} in each process.
  */
 @Command(
         name = "real",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description = {
-            "Starts some processes with one replica each, tells them changes over loopback, and " + "plays the",
-            "same changes to hollow nodes: how well those foretell what real ones do."
+            "Starts processes with one replica each, sends them changes over loopback, and " + "simulates the",
+            "same changes with lightweight nodes, to show how well these predict real ones."
         },
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:all came into force", "1:some did not", "2:bad arguments"})
+        exitCodeList = {"0:all changes were applied", "1:some were not", "2:bad arguments"})
 final class RealCommand implements Callable<Integer> {
     private static final int SINGLE_CHANGES = 20;
     private static final int BATCHES = 10;
@@ -65,35 +65,35 @@
             names = "--processes",
             paramLabel = "N",
             defaultValue = "4",
-            description = "So many processes, 1 to 64 (${DEFAULT-VALUE}).")
+            description = "Number of processes, 1 to 64 (${DEFAULT-VALUE}).")
     private int processes;
 
     @Option(
             names = "--routes",
             paramLabel = "N",
             defaultValue = "1000",
-            description = "Routes at the beginning (${DEFAULT-VALUE}).")
+            description = "Routes at the start, 100 to 100000 (${DEFAULT-VALUE}).")
     private int routes;
 
     @Option(
             names = "--burst",
             paramLabel = "N",
             defaultValue = "1000",
-            description = "Changes entered at once, in ten batches (${DEFAULT-VALUE}).")
+            description = "Changes submitted at once, in ten batches, 10 to 10000 (${DEFAULT-VALUE}).")
     private int burst;
 
-    /** Times of the versions at each process or hollow node, from their entry, in microseconds. */
+    /** Times from the submission of each version until each process or node applied it, sorted, in microseconds. */
     private record PropagationTimes(List<Long> singles, List<Long> bursts) {
-        static PropagationTimes of(Map<Long, Long> entered, List<Map<Long, Long>> inForce, long first) {
+        static PropagationTimes of(Map<Long, Long> submittedUs, List<Map<Long, Long>> appliedByNode, long first) {
             PropagationTimes times = new PropagationTimes(new ArrayList<>(), new ArrayList<>());
-            entered.forEach((version, at) -> inForce.forEach(node -> {
-                // In force with the first version that is no older.
-                long there = node.entrySet().stream()
+            submittedUs.forEach((version, at) -> appliedByNode.forEach(node -> {
+                // A version is applied with the first one that is at least as new.
+                long appliedUs = node.entrySet().stream()
                         .filter(e -> e.getKey() >= version)
                         .mapToLong(Map.Entry::getValue)
                         .min()
                         .orElse(Long.MAX_VALUE);
-                (version <= first + SINGLE_CHANGES ? times.singles : times.bursts).add(there - at);
+                (version <= first + SINGLE_CHANGES ? times.singles : times.bursts).add(appliedUs - at);
             }));
             Collections.sort(times.singles);
             Collections.sort(times.bursts);
@@ -110,8 +110,8 @@
                     percentileMs(bursts, 0.99));
         }
 
-        private static double percentileMs(List<Long> sorted, double share) {
-            return sorted.get((int) Math.round(share * (sorted.size() - 1))) / 1e3;
+        private static double percentileMs(List<Long> sorted, double quantile) {
+            return sorted.get((int) Math.round(quantile * (sorted.size() - 1))) / 1e3;
         }
     }
 
@@ -120,66 +120,67 @@
         if (processes < 1 || processes > 64 || routes < 100 || routes > 100_000 || burst < BATCHES || burst > 10_000) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "--processes is from 1 to 64, --routes from 100 to 100000, " + "--burst from 10 to 10000");
+                    "--processes must be from 1 to 64, --routes from 100 to 100000, " + "--burst from 10 to 10000");
         }
         PrintWriter out = spec.commandLine().getOut();
         PropagationTimes real = runProcesses();
-        PropagationTimes hollow = runSimulation();
-        out.printf("from entry to force       one change p50      p99          burst p50       p99%n");
+        PropagationTimes simulated = runSimulation();
+        out.printf("submission to applied     one change p50      p99          burst p50       p99%n");
         out.printf("%d processes on loopback %s%n", processes, real.text());
-        out.printf("%d hollow nodes          %s%n", processes, hollow.text());
+        out.printf("%d simulated nodes       %s%n", processes, simulated.text());
         out.flush();
         return real.bursts.get(real.bursts.size() - 1) < MAX_PROPAGATION_WAIT_S * 1_000_000 ? 0 : 1;
     }
 
     private PropagationTimes runSimulation() {
-        ConfigurationGenerator drawn = new ConfigurationGenerator(1, 10, 0);
-        RouteConfiguration start = drawn.generate(routes);
-        LightweightFleet net = new LightweightFleet();
-        net.setLinkDelay((from, to) -> 0);
-        Machine control = net.machine("control", 0);
+        ConfigurationGenerator generator = new ConfigurationGenerator(1, 10, 0);
+        RouteConfiguration start = generator.generate(routes);
+        LightweightFleet fleet = new LightweightFleet();
+        fleet.setLinkDelay((from, to) -> 0);
+        Machine control = fleet.machine("control", 0);
         control.startPublishing(start.store(), BUDGET);
-        List<Map<Long, Long>> inForce = new ArrayList<>();
+        List<Map<Long, Long>> appliedByNode = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
             Map<Long, Long> times = new ConcurrentHashMap<>();
-            inForce.add(times);
-            net.machine("node-" + i, 0)
+            appliedByNode.add(times);
+            fleet.machine("node-" + i, 0)
                     .replicateFrom(
                             new Replica(
                                     "node-" + i,
                                     start.store(),
                                     start,
                                     false,
-                                    (store, index) -> times.put(Version.number(store.version()), net.nowUs())),
+                                    (store, index) -> times.put(Version.number(store.version()), fleet.nowUs())),
                             List.of(control),
                             1);
         }
-        net.runUntil(1_000_000);
+        fleet.runUntil(1_000_000);
         ChangeWriter writer = new ChangeWriter(start, 1);
         long first = Version.number(start.store().version());
-        Map<Long, Long> entered = new ConcurrentHashMap<>();
+        Map<Long, Long> submittedUs = new ConcurrentHashMap<>();
         for (int i = 0; i < SINGLE_CHANGES + BATCHES; i++) {
-            submit(writer, drawn, i, entered, net.nowUs());
+            submit(writer, generator, i, submittedUs, fleet.nowUs());
             control.publishUpdate(writer.store());
             if (i < SINGLE_CHANGES) {
-                net.runUntil(net.nowUs() + CHANGE_INTERVAL_MS * 1_000);
+                fleet.runUntil(fleet.nowUs() + CHANGE_INTERVAL_MS * 1_000);
             }
         }
-        net.runUntil(net.nowUs() + MAX_PROPAGATION_WAIT_S * 1_000_000);
-        return PropagationTimes.of(entered, inForce, first);
+        fleet.runUntil(fleet.nowUs() + MAX_PROPAGATION_WAIT_S * 1_000_000);
+        return PropagationTimes.of(submittedUs, appliedByNode, first);
     }
 
-    private void submit(ChangeWriter writer, ConfigurationGenerator drawn, int i, Map<Long, Long> entered, long nowUs) {
-        if (!writer.submit(drawn.generateChanges(writer.configuration(), i < SINGLE_CHANGES ? 1 : burst / BATCHES))
+    private void submit(
+            ChangeWriter writer, ConfigurationGenerator generator, int i, Map<Long, Long> submittedUs, long nowUs) {
+        if (!writer.submit(generator.generateChanges(writer.configuration(), i < SINGLE_CHANGES ? 1 : burst / BATCHES))
                 .isEmpty()) {
-            throw new IllegalStateException("what was drawn is refused");
+            throw new IllegalStateException("a generated change was rejected");
         }
-        entered.put(Version.number(writer.store().version()), nowUs);
+        submittedUs.put(Version.number(writer.store().version()), nowUs);
     }
 
     private PropagationTimes runProcesses() throws Exception {
-        ConfigurationGenerator drawn = new ConfigurationGenerator(1, 10, 0);
-        RouteConfiguration start = drawn.generate(routes);
+        ConfigurationGenerator generator = new ConfigurationGenerator(1, 10, 0);
+        RouteConfiguration start = generator.generate(routes);
         Path secret = Files.createTempFile("secret", "");
         byte[] random = new byte[24];
         new SecureRandom().nextBytes(random);
@@ -208,25 +209,25 @@
                     .sync()
                     .channel()
                     .localAddress();
-            List<Map<Long, Long>> inForce = new ArrayList<>();
+            List<Map<Long, Long>> appliedByNode = new ArrayList<>();
             for (int i = 0; i < processes; i++) {
-                inForce.add(startProcess(i, address, secret, started));
+                appliedByNode.add(startProcess(i, address, secret, started));
             }
             long first = Version.number(start.store().version());
-            awaitVersion(inForce, first);
-            // They have all; from here on with the budgets of nodes, as another publisher at the same place.
+            awaitVersion(appliedByNode, first);
+            // All have the initial configuration; from here on the budgets of production nodes apply.
             loop.submit(() -> server[0].setBudget(BUDGET)).get();
             ChangeWriter writer = new ChangeWriter(start, 1);
-            Map<Long, Long> entered = new ConcurrentHashMap<>();
+            Map<Long, Long> submittedUs = new ConcurrentHashMap<>();
             for (int i = 0; i < SINGLE_CHANGES + BATCHES; i++) {
-                submit(writer, drawn, i, entered, System.nanoTime() / 1_000);
+                submit(writer, generator, i, submittedUs, System.nanoTime() / 1_000);
                 loop.submit(() -> server[0].publish(writer.store())).get();
                 if (i < SINGLE_CHANGES) {
                     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(CHANGE_INTERVAL_MS));
                 }
             }
-            awaitVersion(inForce, Version.number(writer.store().version()));
-            return PropagationTimes.of(entered, inForce, first);
+            awaitVersion(appliedByNode, Version.number(writer.store().version()));
+            return PropagationTimes.of(submittedUs, appliedByNode, first);
         } finally {
             for (Process process : started) {
                 process.destroy();
@@ -268,7 +269,7 @@
                             times.put(Long.parseLong(parts[0]), Long.parseLong(parts[1]));
                         }
                     } catch (IOException e) {
-                        return; // It has ended.
+                        return; // The process has ended.
                     }
                 },
                 "replica-" + number);
@@ -277,11 +278,11 @@
         return times;
     }
 
-    private static void awaitVersion(List<Map<Long, Long>> inForce, long version) throws IOException {
+    private static void awaitVersion(List<Map<Long, Long>> appliedByNode, long version) throws IOException {
         long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_PROPAGATION_WAIT_S);
-        while (inForce.stream().anyMatch(node -> node.keySet().stream().noneMatch(v -> v >= version))) {
+        while (appliedByNode.stream().anyMatch(node -> node.keySet().stream().noneMatch(v -> v >= version))) {
             if (System.nanoTime() > untilNs) {
-                throw new IOException("not all processes have come to version " + version);
+                throw new IOException("not all processes applied version " + version);
             }
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
--- a/src/main/java/vetchpost/simulation/scale/ReplicaCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/ReplicaCommand.java
@@ -24,10 +24,13 @@
 import vetchpost.store.Version;
 
 /**
- * The command {@code scale replica}: one process of {@code scale real}; says each version as it comes into
- * force.
+ * The command {@code scale replica}: one replica in a process of its own, started by {@link RealCommand}. Prints the
+ * number of each version as the replica applies it, with the monotonic time in microseconds.
  */
-@Command(name = "replica", hidden = true, description = "A process of scale real; ends with its standard " + "input.")
+@Command(
+        name = "replica",
+        hidden = true,
+        description = "A process started by scale real; ends when its standard " + "input closes.")
 final class ReplicaCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -54,7 +57,7 @@
         PrintStream out = System.out;
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        RouteConfiguration empty = RouteConfiguration.empty(ConfigurationGenerator.settings());
+        RouteConfiguration emptyConfiguration = RouteConfiguration.empty(ConfigurationGenerator.settings());
         loop.submit(() -> new ReplicaClient(
                                 loop,
                                 Network.SYSTEM,
@@ -62,10 +65,12 @@
                                 new SecureRandom(),
                                 name,
                                 List.of(address),
-                                new Replica(name, empty.store(), empty, false, (store, index) -> {
-                                    out.println(Version.number(store.version()) + " " + System.nanoTime() / 1_000);
-                                    out.flush();
-                                }))
+                                new Replica(
+                                        name, emptyConfiguration.store(), emptyConfiguration, false, (store, index) -> {
+                                            out.println(
+                                                    Version.number(store.version()) + " " + System.nanoTime() / 1_000);
+                                            out.flush();
+                                        }))
                         .start())
                 .get();
         while (System.in.read() >= 0) {
--- a/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
+++ b/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
@@ -17,27 +17,30 @@
 import vetchpost.store.VersionedStore;
 
 /**
- * A writer, control machines and hollow nodes in regions, with changes and whatever goes wrong; each time
- * something comes into force at a machine it is held against what the writer had at that version.
+ * Simulates the replication of a configuration from a writer over control machines to lightweight nodes in several
+ * regions, with changes and faults. Each time a machine applies a version, it is compared with what the writer had at
+ * that version. The {@code scale} commands and tests drive it, each run on one thread; the same seed gives the same
+ * run.
  */
 final class ReplicationRun {
     private static final long SECOND_US = 1_000_000;
     private static final int REGIONS = 4;
     private static final long SAME_REGION_DELAY_US = 500;
     private static final long CROSS_REGION_DELAY_US = 35_000;
-    /** Removed keys that a control machine remembers; so few in drawn runs that ranges are compared too. */
+    /** Removed keys that a control machine remembers. */
     private static final long MAX_REMEMBERED_REMOVALS = 50_000;
 
+    /** So few that seed runs also compare key ranges. */
     private static final long MAX_REMEMBERED_REMOVALS_IN_SEED_RUNS = 3;
 
-    /** Makes the replicas, so that a test can plant a fault in them. */
+    /** Creates the replicas; a test can inject faults with its own factory. */
     interface ReplicaFactory {
         Replica create(String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener);
 
         ReplicaFactory DEFAULT = Replica::new;
     }
 
-    /** What a machine has done wrong. */
+    /** A rule that a machine broke, and at which versions. */
     record RuleViolation(String rule, String details) {}
 
     private final LightweightFleet fleet = new LightweightFleet();
@@ -82,7 +85,7 @@
         writer = new ChangeWriter(start, Version.epoch(start.store().version()));
         recordVersion();
         writerMachine = fleet.machine("writer", 0);
-        // What goes to a few control machines may take what nodes must not.
+        // The few control machines may use more bandwidth than each of the many nodes.
         writerMachine.startPublishing(
                 start.store(),
                 new Publisher.Budget(
@@ -118,7 +121,7 @@
         return violations;
     }
 
-    /** From a change's entry to where it was in force, in microseconds, one for each change and node. */
+    /** The time from a change's submission until a node applied it, in microseconds, for each change and node. */
     List<Long> propagationDelaysUs() {
         return propagationDelaysUs;
     }
@@ -131,9 +134,9 @@
         return rejectedBatches;
     }
 
-    /** Has delays be counted from now on, or no more. */
-    void setMeasuring(boolean on) {
-        measuring = on;
+    /** Turns the recording of propagation delays on or off. */
+    void setMeasuring(boolean isMeasuring) {
+        measuring = isMeasuring;
     }
 
     private void recordVersion() {
@@ -145,15 +148,19 @@
         submittedUs.put(writer.store().version(), fleet.nowUs());
     }
 
-    /** A machine begins with a catalog that was whole at its version. */
-    private void startMachine(Machine machine, RouteConfiguration from, long afterUs) {
-        startMachine(machine, from.store(), from, afterUs);
+    /** Starts a machine with a configuration that is complete at its version. */
+    private void startMachine(Machine machine, RouteConfiguration configuration, long afterUs) {
+        startMachine(machine, configuration.store(), configuration, afterUs);
     }
 
     private void startMachine(Machine machine, VersionedStore store, Index index, long afterUs) {
         boolean relay = controls.contains(machine);
         Replica replica = replicaFactory.create(
-                machine.name(), store, index, relay, (fresh, made) -> onApplied(machine, relay, fresh, made));
+                machine.name(),
+                store,
+                index,
+                relay,
+                (newStore, newIndex) -> onApplied(machine, relay, newStore, newIndex));
         appliedVersion.put(machine, store.version());
         if (relay) {
             machine.startPublishing(store, budget);
@@ -162,15 +169,15 @@
     }
 
     private void onApplied(Machine machine, boolean relay, VersionedStore store, Index index) {
-        long before = appliedVersion.put(machine, store.version());
-        if (store.version() < before) {
+        long previous = appliedVersion.put(machine, store.version());
+        if (store.version() < previous) {
             violations.add(new RuleViolation(
-                    "no version goes back",
-                    machine.name() + " from " + Version.text(before) + " to " + Version.text(store.version())));
+                    "versions never decrease",
+                    machine.name() + " from " + Version.text(previous) + " to " + Version.text(store.version())));
         }
         if (!store.live().sum().equals(digestByVersion.get(store.version()))) {
             violations.add(new RuleViolation(
-                    "what is in force is what was written, whole",
+                    "an applied version equals what the writer had",
                     machine.name() + " at " + Version.text(store.version())));
         }
         if (checksIndex
@@ -179,14 +186,14 @@
                         .matchSum()
                         .equals(indexDigestByVersion.get(store.version()))) {
             violations.add(new RuleViolation(
-                    "requests are looked up in what is in force",
+                    "the route index matches the applied version",
                     machine.name() + " at " + Version.text(store.version())));
         }
         if (measuring && !relay) {
-            for (long version = before + 1; version <= store.version(); version++) {
-                Long entered = submittedUs.get(version);
-                if (entered != null) {
-                    propagationDelaysUs.add(fleet.nowUs() - entered);
+            for (long version = previous + 1; version <= store.version(); version++) {
+                Long submitted = submittedUs.get(version);
+                if (submitted != null) {
+                    propagationDelaysUs.add(fleet.nowUs() - submitted);
                 }
             }
         }
@@ -195,7 +202,7 @@
         }
     }
 
-    /** So many changes are entered, as one batch. */
+    /** Submits {@code size} changes as one batch. */
     void submitBatch(int size) {
         if (!writer.submit(generator.generateChanges(writer.configuration(), size))
                 .isEmpty()) {
@@ -206,10 +213,10 @@
         writerMachine.publishUpdate(writer.store().forgetRemovals(maxRememberedRemovals));
     }
 
-    /** Has changes come evenly, so many a second, up to that time. */
+    /** Submits single changes at this rate until {@code untilUs}. */
     void scheduleChanges(double perS, long untilUs) {
-        long everyUs = (long) (SECOND_US / perS);
-        fleet.schedule(fleet.nowUs() + everyUs / 2 + random.nextLong(everyUs), () -> {
+        long intervalUs = (long) (SECOND_US / perS);
+        fleet.schedule(fleet.nowUs() + intervalUs / 2 + random.nextLong(intervalUs), () -> {
             if (fleet.nowUs() < untilUs) {
                 submitBatch(1);
                 scheduleChanges(perS, untilUs);
@@ -217,17 +224,22 @@
         });
     }
 
-    /** A region loses all others, or finds them again. */
-    void setIsolated(int region, boolean off) {
-        isolated[region] = off;
+    /** Cuts a region off from all others, or connects it again. */
+    void setIsolated(int region, boolean isIsolated) {
+        isolated[region] = isIsolated;
     }
 
     boolean isIsolated(int region) {
         return isolated[region];
     }
 
-    /** A machine dies and is there again after a while, with what it had or, of a node, with this. */
-    void restart(Machine machine, long afterUs, RouteConfiguration from) {
+    /**
+     * Stops a machine and restarts it after a delay; does nothing if it is down.
+     *
+     * @param afterUs the delay, in microseconds
+     * @param configuration what a node restarts with; null for what the machine had
+     */
+    void restart(Machine machine, long afterUs, RouteConfiguration configuration) {
         if (!machine.isRunning()) {
             return;
         }
@@ -235,8 +247,8 @@
         machine.kill();
         fleet.schedule(fleet.nowUs() + afterUs, () -> {
             machine.markRunning();
-            if (from == null) {
-                // A control machine keeps what went away too.
+            if (configuration == null) {
+                // A control machine also keeps the removals that it remembers.
                 startMachine(
                         machine,
                         controls.contains(machine)
@@ -246,12 +258,12 @@
                         old.index(),
                         1_000);
             } else {
-                startMachine(machine, from, 1_000);
+                startMachine(machine, configuration, 1_000);
             }
         });
     }
 
-    /** The same with just this on its disk. */
+    /** Stops a machine and restarts it after {@code afterUs} microseconds with this store and index. */
     void restart(Machine machine, long afterUs, VersionedStore store, Index index) {
         machine.kill();
         fleet.schedule(fleet.nowUs() + afterUs, () -> {
@@ -260,45 +272,55 @@
         });
     }
 
-    /** Another writer takes over, from what the control machine that is furthest has. */
+    /**
+     * Makes another writer take over with the data of the most up-to-date control machine; does nothing if that lags
+     * behind the writer.
+     */
     void failOverWriter() {
-        Machine furthest = controls.get(0);
+        Machine newest = controls.get(0);
         for (Machine control : controls) {
-            long most = furthest.replica().store().version();
-            if (control.isRunning() && control.replica().store().version() > most) {
-                furthest = control;
+            long newestVersion = newest.replica().store().version();
+            if (control.isRunning() && control.replica().store().version() > newestVersion) {
+                newest = control;
             }
         }
-        RouteConfiguration catalog = (RouteConfiguration) furthest.replica().index();
-        if (furthest.replica().store().version() != writer.store().version()) {
-            // It would lose changes that have a version: that takes agreement, which is not there yet.
+        RouteConfiguration configuration = (RouteConfiguration) newest.replica().index();
+        if (newest.replica().store().version() != writer.store().version()) {
+            // A takeover now would lose committed changes; preventing that needs consensus, which isn't implemented
+            // yet.
             return;
         }
         writer = new ChangeWriter(
-                catalog.at(furthest.replica().store()),
+                configuration.at(newest.replica().store()),
                 Version.epoch(writer.store().version()) + 1);
     }
 
-    /** Whether all machines that can be reached have what the writer has; names of those that have not. */
+    /** Returns the names and versions of running machines whose data differ from the writer's; empty if all are equal. */
     List<String> laggingMachines() {
-        List<String> behind = new ArrayList<>();
-        for (List<Machine> some : List.of(controls, nodes)) {
-            for (Machine machine : some) {
+        List<String> lagging = new ArrayList<>();
+        for (List<Machine> group : List.of(controls, nodes)) {
+            for (Machine machine : group) {
                 if (machine.isRunning()
                         && !machine.replica()
                                 .store()
                                 .live()
                                 .sum()
                                 .equals(writer.store().live().sum())) {
-                    behind.add(machine.name() + " at "
+                    lagging.add(machine.name() + " at "
                             + Version.text(machine.replica().store().version()));
                 }
             }
         }
-        return behind;
+        return lagging;
     }
 
-    /** A run of that seed with drawn cuts, kills, restarts and takeovers over some nodes; what it broke. */
+    /**
+     * Simulates one minute of random changes, isolated regions, restarts and takeovers, and another minute to
+     * converge.
+     *
+     * @param nodeCount number of lightweight nodes
+     * @return the broken rules
+     */
     static List<RuleViolation> runSeed(long seed, int nodeCount, ReplicaFactory replicas) {
         ConfigurationGenerator configurations = new ConfigurationGenerator(seed, 5, 20);
         RouteConfiguration start = configurations.generate(150);
@@ -325,29 +347,29 @@
         for (int region = 0; region < REGIONS; region++) {
             run.setIsolated(region, false);
         }
-        // Whoever was cut off finds out by silence, then waits for its turn to ask.
+        // A machine detects a broken path by missing heartbeats, then waits for its turn to reconnect.
         run.fleet.runUntil(endUs + 60 * SECOND_US);
-        for (String each : run.laggingMachines()) {
-            run.violations.add(new RuleViolation("all are the same after the healing", each));
+        for (String details : run.laggingMachines()) {
+            run.violations.add(new RuleViolation("all machines converge after the faults end", details));
         }
         return run.violations;
     }
 
-    private void injectFault(SplittableRandom draw, RouteConfiguration start) {
-        switch (draw.nextInt(7)) {
+    private void injectFault(SplittableRandom random, RouteConfiguration start) {
+        switch (random.nextInt(7)) {
             case 0, 1 -> {
-                int region = draw.nextInt(REGIONS);
+                int region = random.nextInt(REGIONS);
                 setIsolated(region, true);
-                fleet.schedule(fleet.nowUs() + draw.nextLong(25 * SECOND_US), () -> setIsolated(region, false));
+                fleet.schedule(fleet.nowUs() + random.nextLong(25 * SECOND_US), () -> setIsolated(region, false));
             }
-            case 2 -> restart(controls.get(draw.nextInt(controls.size())), draw.nextLong(1, 3 * SECOND_US), null);
-            case 3 -> controls.forEach(c -> restart(c, draw.nextLong(1, 5 * SECOND_US), null));
+            case 2 -> restart(controls.get(random.nextInt(controls.size())), random.nextLong(1, 3 * SECOND_US), null);
+            case 3 -> controls.forEach(c -> restart(c, random.nextLong(1, 5 * SECOND_US), null));
             case 4 -> {
                 for (int i = 0; i < 10; i++) {
-                    restart(nodes.get(draw.nextInt(nodes.size())), draw.nextLong(1, 3 * SECOND_US), null);
+                    restart(nodes.get(random.nextInt(nodes.size())), random.nextLong(1, 3 * SECOND_US), null);
                 }
             }
-            case 5 -> restart(nodes.get(draw.nextInt(nodes.size())), draw.nextLong(1, SECOND_US), start);
+            case 5 -> restart(nodes.get(random.nextInt(nodes.size())), random.nextLong(1, SECOND_US), start);
             default -> failOverWriter();
         }
     }
--- a/src/main/java/vetchpost/simulation/scale/RunCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/RunCommand.java
@@ -20,18 +20,22 @@
 import vetchpost.store.Version;
 import vetchpost.store.VersionedStore;
 
-/** The command {@code scale run}: the size that is coming, on virtual time, each figure beside its budget. */
+/**
+ * The command {@code scale run}: simulates replication at the planned size on virtual time, through several faults, and
+ * prints each figure beside its budget.
+ */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description = {
-            "Plays a day's bad minutes with the real code of replication in hollow nodes, which " + "share this",
-            "process: an ordinary minute, a burst, a region cut off, a control machine lost, all control " + "machines",
-            "restarted, a tenth of the nodes restarted at once, one that was set back and one with nothing."
+            "Simulates faults with the real replication code in lightweight nodes, which " + "share this",
+            "process: an ordinary minute, a burst, an isolated region, a control machine lost, all control "
+                    + "machines",
+            "restarted, a tenth of the nodes restarted at once, one node with old data and one with none."
         },
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:all within the budgets", "1:something is not", "2:bad arguments"})
+        exitCodeList = {"0:all within the budgets", "1:a budget is exceeded or a rule is broken", "2:bad arguments"})
 final class RunCommand implements Callable<Integer> {
     private static final long SECOND_US = 1_000_000;
     private static final double MAX_CPU_CORE_FRACTION = 0.013;
@@ -39,7 +43,7 @@
     private static final double MAX_RETAINED_BYTES = 128e6;
     private static final double MAX_PROPAGATION_DELAY_S = 4;
     private static final double BYTES_PER_MB = 1e6;
-    /** Bytes that a change copies of a tree, as seen at the full size. */
+    /** Bytes of a tree that a change copies, at the full size. */
     private static final double COPIED_BYTES_PER_CHANGE = 3_000;
 
     @Spec
@@ -49,21 +53,21 @@
             names = "--nodes",
             paramLabel = "N",
             defaultValue = "2200",
-            description = "Hollow nodes (${DEFAULT-VALUE}).")
+            description = "Lightweight nodes, 8 to 100000 (${DEFAULT-VALUE}).")
     private int nodes;
 
     @Option(
             names = "--controls",
             paramLabel = "N",
             defaultValue = "18",
-            description = "Control machines (${DEFAULT-VALUE}).")
+            description = "Control machines, 4 to 1000 (${DEFAULT-VALUE}).")
     private int controls;
 
     @Option(
             names = "--servers",
             paramLabel = "N",
             defaultValue = "200000",
-            description = "Servers that the module of one node is told, in its pools (${DEFAULT-VALUE}).")
+            description = "Servers in the list of one node's balancer (${DEFAULT-VALUE}).")
     private int servers;
 
     @Option(names = "--services", paramLabel = "N", defaultValue = "3700", description = "Services (${DEFAULT-VALUE}).")
@@ -86,17 +90,21 @@
             names = "--burst",
             paramLabel = "N",
             defaultValue = "1000",
-            description = "Changes that are entered at once, in ten batches (${DEFAULT-VALUE}).")
+            description = "Changes submitted at once, in ten batches, at least 10 (${DEFAULT-VALUE}).")
     private int burst;
 
     @Option(
             names = "--cut",
             paramLabel = "SECONDS",
             defaultValue = "300",
-            description = "For how long a region is cut off (${DEFAULT-VALUE}).")
+            description = "How long a region is isolated (${DEFAULT-VALUE}).")
     private int isolationS;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Draws it all (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seed",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "Seed of the random choices (${DEFAULT-VALUE}).")
     private long seed;
 
     private PrintWriter out;
@@ -117,43 +125,45 @@
                 || servers < 1) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "there are 8 nodes or more, 4 control machines or more, 10 "
-                            + "routes or more, a service or more, and a burst of 10 or more");
+                    "--nodes must be from 8 to 100000, --controls from 4 to 1000, --routes and --burst at least 10, "
+                            + "--services, --servers and --cut at least 1, --tenants at least 0, --changes above 0 and at most 1000");
         }
-        // Nodes begin with the same tree, and keep what each change copies of it.
-        double needs = 1e9 + (double) nodes * (burst + changesPerS * (isolationS + 300)) * COPIED_BYTES_PER_CHANGE;
-        if (needs > Runtime.getRuntime().maxMemory()) {
+        // Nodes start with one shared tree, and each retains what a change copies of it.
+        double neededHeapBytes =
+                1e9 + (double) nodes * (burst + changesPerS * (isolationS + 300)) * COPIED_BYTES_PER_CHANGE;
+        if (neededHeapBytes > Runtime.getRuntime().maxMemory()) {
             throw new ParameterException(
                     spec.commandLine(),
                     String.format(
                             Locale.ROOT,
-                            "that takes a heap of some " + "%.0f GB, and this one has %.1f: java -Xmx%.0fg -jar ...",
-                            Math.ceil(needs / 1e9),
+                            "this run needs about "
+                                    + "%.0f GB of heap, and the limit is %.1f GB: start it with java -Xmx%.0fg -jar ...",
+                            Math.ceil(neededHeapBytes / 1e9),
                             Runtime.getRuntime().maxMemory() / 1e9,
-                            Math.ceil(needs / 1e9)));
+                            Math.ceil(neededHeapBytes / 1e9)));
         }
         out = spec.commandLine().getOut();
-        long began = System.nanoTime();
-        ConfigurationGenerator drawn = new ConfigurationGenerator(seed, services, tenants);
-        RouteConfiguration start = drawn.generate(routes);
+        long startNs = System.nanoTime();
+        ConfigurationGenerator generator = new ConfigurationGenerator(seed, services, tenants);
+        RouteConfiguration start = generator.generate(routes);
         report(
-                began,
+                startNs,
                 String.format(
                         Locale.ROOT,
-                        "%,d entries of %.1f MB, and %.1f MB to find routes by",
+                        "%,d entries of %.1f MB, and a route index of %.1f MB",
                         start.store().live().size(),
                         start.store().live().retainedBytes() / BYTES_PER_MB,
                         start.indexBytes() / BYTES_PER_MB));
         ReplicationRun run = new ReplicationRun(
                 seed,
-                drawn,
+                generator,
                 start,
                 controls,
                 nodes,
                 new Publisher.Budget(18_000, 4_000, 4_000_000, 400),
                 ReplicaFactory.DEFAULT,
                 false);
-        playPhases(run, start, began);
+        playPhases(run, start, startNs);
         printRetainedBytes(run);
         printServerListCost();
         run.violations().stream().limit(20).forEach(b -> out.println("BROKEN " + b.rule() + ": " + b.details()));
@@ -161,187 +171,196 @@
         out.printf(
                 Locale.ROOT,
                 "%s%n",
-                missedBudgets == 0 ? "all within the budgets" : missedBudgets + " times not within the budgets");
+                missedBudgets == 0 ? "all within the budgets" : missedBudgets + " budgets or rules not kept");
         out.flush();
         return missedBudgets == 0 ? 0 : 1;
     }
 
-    private void report(long began, String what) {
-        out.printf(Locale.ROOT, "%6.1f s  %s%n", (System.nanoTime() - began) / 1e9, what);
+    private void report(long startNs, String label) {
+        out.printf(Locale.ROOT, "%6.1f s  %s%n", (System.nanoTime() - startNs) / 1e9, label);
         out.flush();
     }
 
-    private void playPhases(ReplicationRun run, RouteConfiguration start, long began) {
-        LightweightFleet hollow = run.fleet();
-        hollow.runUntil(5 * SECOND_US);
+    private void playPhases(ReplicationRun run, RouteConfiguration start, long startNs) {
+        LightweightFleet fleet = run.fleet();
+        fleet.runUntil(5 * SECOND_US);
         playPhase(
                 run,
-                began,
+                startNs,
                 "an ordinary minute, " + changesPerS + " changes a second",
                 60,
-                () -> run.scheduleChanges(changesPerS, hollow.nowUs() + 56 * SECOND_US));
-        playPhase(run, began, "a burst of " + burst + " changes", 15, () -> {
+                () -> run.scheduleChanges(changesPerS, fleet.nowUs() + 56 * SECOND_US));
+        playPhase(run, startNs, "a burst of " + burst + " changes", 15, () -> {
             for (int i = 0; i < 10; i++) {
                 run.submitBatch(burst / 10);
             }
         });
-        playPhase(run, began, "a control machine lost", 40, () -> {
-            run.scheduleChanges(changesPerS, hollow.nowUs() + 30 * SECOND_US);
+        playPhase(run, startNs, "a control machine lost", 40, () -> {
+            run.scheduleChanges(changesPerS, fleet.nowUs() + 30 * SECOND_US);
             run.restart(run.controls().get(1), 30 * SECOND_US, null);
         });
-        List<Machine> away = run.nodes().stream().filter(n -> n.region() == 1).toList();
-        long healed = hollow.nowUs() + isolationS * SECOND_US;
+        List<Machine> isolatedNodes =
+                run.nodes().stream().filter(n -> n.region() == 1).toList();
+        long reconnectedUs = fleet.nowUs() + isolationS * SECOND_US;
         run.setIsolated(1, true);
-        run.scheduleChanges(changesPerS, healed);
-        hollow.runUntil(healed);
+        run.scheduleChanges(changesPerS, reconnectedUs);
+        fleet.runUntil(reconnectedUs);
         run.setIsolated(1, false);
         long[] caughtUpUs = {-1};
-        watchCatchUp(run, away, caughtUpUs);
-        playPhase(run, began, "a region back after " + isolationS + " s", 60, () -> {});
+        watchCatchUp(run, isolatedNodes, caughtUpUs);
+        playPhase(run, startNs, "a region reconnected after " + isolationS + " s", 60, () -> {});
         out.printf(
                 Locale.ROOT,
-                "          its %d nodes had all that they missed %.1f s after the healing%n",
-                away.size(),
-                (caughtUpUs[0] - healed) / 1e6);
-        playPhase(run, began, "all control machines restarted", 40, () -> {
+                "          its %d nodes had all missed changes %.1f s after reconnecting%n",
+                isolatedNodes.size(),
+                (caughtUpUs[0] - reconnectedUs) / 1e6);
+        playPhase(run, startNs, "all control machines restarted", 40, () -> {
             run.controls().forEach(c -> run.restart(c, 2 * SECOND_US, null));
-            run.scheduleChanges(changesPerS, hollow.nowUs() + 30 * SECOND_US);
+            run.scheduleChanges(changesPerS, fleet.nowUs() + 30 * SECOND_US);
         });
-        playPhase(run, began, "a tenth of the nodes restarted at once", 40, () -> {
+        playPhase(run, startNs, "a tenth of the nodes restarted at once", 40, () -> {
             for (int i = 0; i < run.nodes().size(); i += 10) {
                 run.restart(run.nodes().get(i), SECOND_US, null);
             }
         });
         Machine setBack = run.nodes().get(3);
         run.restart(setBack, SECOND_US, start);
-        hollow.runUntil(hollow.nowUs() + 60 * SECOND_US);
+        fleet.runUntil(fleet.nowUs() + 60 * SECOND_US);
         out.printf(
                 Locale.ROOT,
-                "          one that was set back to the beginning is %s%n",
+                "          a node that restarted with the initial configuration is %s%n",
                 setBack.replica().store().version() == run.writer().store().version()
                         ? "at the newest again"
                         : "still behind, at "
                                 + Version.text(setBack.replica().store().version()) + " of "
-                                + Version.text(run.writer().store().version()) + ", refused "
+                                + Version.text(run.writer().store().version()) + ", rejected "
                                 + setBack.replica().rejectedCount());
         playLostEntries(run, run.nodes().get(7));
-        Machine bare = run.nodes().get(4);
-        long bareUs = hollow.nowUs();
-        run.restart(bare, 1, RouteConfiguration.empty(ConfigurationGenerator.settings()));
-        hollow.runUntil(bareUs + SECOND_US);
-        while (bare.replica().store().version() != run.writer().store().version()
-                && hollow.nowUs() < bareUs + 7_200 * SECOND_US) {
-            hollow.runUntil(hollow.nowUs() + 5 * SECOND_US);
+        Machine emptyNode = run.nodes().get(4);
+        long emptyUs = fleet.nowUs();
+        run.restart(emptyNode, 1, RouteConfiguration.empty(ConfigurationGenerator.settings()));
+        fleet.runUntil(emptyUs + SECOND_US);
+        while (emptyNode.replica().store().version() != run.writer().store().version()
+                && fleet.nowUs() < emptyUs + 7_200 * SECOND_US) {
+            fleet.runUntil(fleet.nowUs() + 5 * SECOND_US);
         }
-        long bytes = bare.usage().sumBytes(bareUs, hollow.nowUs());
+        long bytes = emptyNode.usage().sumBytes(emptyUs, fleet.nowUs());
         out.printf(
                 Locale.ROOT,
-                "          one with nothing had all %,.0f s later, for %.1f MB%n",
-                (hollow.nowUs() - bareUs) / 1e6,
+                "          a node without data had all %,.0f s later, with %.1f MB of traffic%n",
+                (fleet.nowUs() - emptyUs) / 1e6,
                 bytes / BYTES_PER_MB);
-        List<String> behind = run.laggingMachines();
-        printFigure("machines that are not at the newest in the end", behind.size(), 0, "%.0f");
-        behind.stream().limit(5).forEach(b -> out.println("          " + b));
+        List<String> lagging = run.laggingMachines();
+        printFigure("machines that are not at the newest in the end", lagging.size(), 0, "%.0f");
+        lagging.stream().limit(5).forEach(b -> out.println("          " + b));
     }
 
-    /** A node whose disk has lost some entries, and says that it has all. */
+    /** Simulates a node whose disk has lost some entries while its version says that it has all. */
     private void playLostEntries(ReplicationRun run, Machine node) {
-        VersionedStore whole = node.replica().store();
-        PackedTree live = whole.live();
-        long lost = Math.min(100, live.size() / 10);
+        VersionedStore original = node.replica().store();
+        PackedTree tree = original.live();
+        long lost = Math.min(100, tree.size() / 10);
         for (long i = 0; i < lost; i++) {
-            live = live.remove(live.at(i * 7_919 % live.size()).key());
+            tree = tree.remove(tree.at(i * 7_919 % tree.size()).key());
         }
         long fromUs = run.fleet().nowUs();
         run.restart(
                 node,
                 1,
-                VersionedStore.of(live, whole.version()),
+                VersionedStore.of(tree, original.version()),
                 node.replica().index());
         run.fleet().runUntil(fromUs + SECOND_US);
-        while (!node.replica().store().live().sum().equals(whole.live().sum())
+        while (!node.replica().store().live().sum().equals(original.live().sum())
                 && run.fleet().nowUs() < fromUs + 600 * SECOND_US) {
             run.fleet().runUntil(run.fleet().nowUs() + SECOND_US);
         }
         out.printf(
                 Locale.ROOT,
-                "          one that had lost %d entries and did not know had them %.0f s "
-                        + "later, for "
-                        + "%.2f MB%n",
+                "          a node that had lost %d entries unnoticed had them %.0f s "
+                        + "later, with "
+                        + "%.2f MB of traffic%n",
                 lost,
                 (run.fleet().nowUs() - fromUs) / 1e6,
                 node.usage().sumBytes(fromUs, run.fleet().nowUs() + SECOND_US) / BYTES_PER_MB);
     }
 
-    private void watchCatchUp(ReplicationRun run, List<Machine> away, long[] caughtUpUs) {
+    private void watchCatchUp(ReplicationRun run, List<Machine> isolatedNodes, long[] caughtUpUs) {
         run.fleet().schedule(run.fleet().nowUs() + 50_000, () -> {
             long version = run.writer().store().version();
-            if (away.stream().allMatch(n -> n.replica().store().version() >= version)) {
+            if (isolatedNodes.stream().allMatch(n -> n.replica().store().version() >= version)) {
                 caughtUpUs[0] = run.fleet().nowUs();
             } else {
-                watchCatchUp(run, away, caughtUpUs);
+                watchCatchUp(run, isolatedNodes, caughtUpUs);
             }
         });
     }
 
-    /** Plays a while and tells what it came to, each figure beside its budget. */
-    private void playPhase(ReplicationRun run, long began, String what, int seconds, Runnable begin) {
-        LightweightFleet hollow = run.fleet();
-        long fromUs = (hollow.nowUs() / SECOND_US + 1) * SECOND_US;
-        hollow.runUntil(fromUs);
+    /**
+     * Runs one phase and prints its figures beside their budgets.
+     *
+     * @param seconds length of the phase in virtual time
+     * @param begin starts the phase's changes and faults
+     */
+    private void playPhase(ReplicationRun run, long startNs, String label, int seconds, Runnable begin) {
+        LightweightFleet fleet = run.fleet();
+        long fromUs = (fleet.nowUs() / SECOND_US + 1) * SECOND_US;
+        fleet.runUntil(fromUs);
         run.propagationDelaysUs().clear();
         run.setMeasuring(true);
         begin.run();
         long toUs = fromUs + seconds * SECOND_US;
-        hollow.runUntil(toUs);
+        fleet.runUntil(toUs);
         run.setMeasuring(false);
-        report(began, what + ", " + seconds + " s");
+        report(startNs, label + ", " + seconds + " s");
         if (!run.propagationDelaysUs().isEmpty()) {
             List<Long> delays = new ArrayList<>(run.propagationDelaysUs());
             Collections.sort(delays);
             out.printf(
                     Locale.ROOT,
-                    "          from entry to force at a node: p50 %.3f s, p99 %.3f s%n",
+                    "          from submission to applied at a node: p50 %.3f s, p99 %.3f s%n",
                     percentileS(delays, 0.5),
                     percentileS(delays, 0.99));
-            if (!what.startsWith("a region")) {
+            if (!label.startsWith("a region")) {
                 printFigure(
-                        "entry to force, the last node (s)", percentileS(delays, 1), MAX_PROPAGATION_DELAY_S, "%.3f");
+                        "submission to applied, the last node (s)",
+                        percentileS(delays, 1),
+                        MAX_PROPAGATION_DELAY_S,
+                        "%.3f");
             } else {
                 out.printf(
                         Locale.ROOT,
-                        "          changes made while it was cut off: at the last node %.1f " + "s%n",
+                        "          changes made while it was isolated: at the last node after %.1f " + "s%n",
                         percentileS(delays, 1));
             }
         }
-        for (List<Machine> some : List.of(run.nodes(), run.controls())) {
-            boolean isNode = some == run.nodes();
-            String who = isNode ? "node" : "control machine";
+        for (List<Machine> group : List.of(run.nodes(), run.controls())) {
+            boolean isNode = group == run.nodes();
+            String role = isNode ? "node" : "control machine";
             printFigure(
-                    "bytes a second of a " + who + ", mean over all",
-                    mean(some, m -> m.usage().sumBytes(fromUs, toUs)) / seconds,
+                    "bytes a second of a " + role + ", mean over all",
+                    mean(group, m -> m.usage().sumBytes(fromUs, toUs)) / seconds,
                     isNode ? MAX_BYTES_PER_S : Double.NaN,
                     "%,.0f");
             printFigure(
-                    "bytes of a " + who + " in its worst second",
-                    max(some, m -> m.usage().maxBytesPerSecond(fromUs, toUs)),
+                    "bytes of a " + role + " in its worst second",
+                    max(group, m -> m.usage().maxBytesPerSecond(fromUs, toUs)),
                     isNode ? MAX_BYTES_PER_S : Double.NaN,
                     "%,.0f");
             printFigure(
-                    "processor of a " + who + " (% of a core), mean over all",
-                    mean(some, m -> m.usage().sumCpuNs(fromUs, toUs)) / seconds / 1e7,
+                    "processor of a " + role + " (% of a core), mean over all",
+                    mean(group, m -> m.usage().sumCpuNs(fromUs, toUs)) / seconds / 1e7,
                     isNode ? 100 * MAX_CPU_CORE_FRACTION : Double.NaN,
                     "%.4f");
             printFigure(
-                    "processor of a " + who + " (% of a core), worst second",
-                    max(some, m -> m.usage().maxCpuNsPerSecond(fromUs, toUs)) / 1e7,
+                    "processor of a " + role + " (% of a core), worst second",
+                    max(group, m -> m.usage().maxCpuNsPerSecond(fromUs, toUs)) / 1e7,
                     isNode ? 100 * MAX_CPU_CORE_FRACTION : Double.NaN,
                     "%.3f");
         }
     }
 
-    private static double percentileS(List<Long> sorted, double share) {
-        return sorted.get((int) Math.min(sorted.size() - 1L, Math.round(share * (sorted.size() - 1)))) / 1e6;
+    private static double percentileS(List<Long> sorted, double quantile) {
+        return sorted.get((int) Math.min(sorted.size() - 1L, Math.round(quantile * (sorted.size() - 1)))) / 1e6;
     }
 
     private static double mean(List<Machine> machines, ToDoubleFunction<Machine> figure) {
@@ -352,17 +371,17 @@
         return machines.stream().mapToDouble(figure).max().orElse(0);
     }
 
-    private void printFigure(String what, double figure, double budget, String format) {
-        boolean holds = Double.isNaN(budget) || figure <= budget;
-        missedBudgets += holds ? 0 : 1;
+    private void printFigure(String label, double figure, double budget, String format) {
+        boolean isWithinBudget = Double.isNaN(budget) || figure <= budget;
+        missedBudgets += isWithinBudget ? 0 : 1;
         out.printf(
                 Locale.ROOT,
                 "          %-64s " + format + "%s%n",
-                what,
+                label,
                 figure,
                 Double.isNaN(budget)
                         ? ""
-                        : String.format(Locale.ROOT, " of " + format + (holds ? "" : "  MISSED"), budget));
+                        : String.format(Locale.ROOT, " of " + format + (isWithinBudget ? "" : "  MISSED"), budget));
     }
 
     private void printRetainedBytes(ReplicationRun run) {
@@ -370,24 +389,24 @@
         double entries = node.replica().store().live().retainedBytes();
         double index = ((RouteConfiguration) node.replica().index()).indexBytes();
         printFigure(
-                "bytes that a node keeps: entries, and to find routes by (MB)",
+                "bytes that a node retains: entries and route index (MB)",
                 (entries + index) / BYTES_PER_MB,
                 MAX_RETAINED_BYTES / BYTES_PER_MB,
                 "%.1f");
         out.printf(
                 Locale.ROOT,
-                "          a route %.0f bytes of it, a tenant %.0f%n",
+                "          of which a route %.0f bytes, a tenant %.0f%n",
                 Footprint.bytesPerRoute(run.writer().configuration()),
                 Footprint.bytesPerTenant(run.writer().configuration()));
     }
 
     private void printServerListCost() {
-        Footprint.ServerListCost told = Footprint.measureServerList(servers);
+        Footprint.ServerListCost cost = Footprint.measureServerList(servers);
         printFigure(
-                "a list of all servers told to one module (MB kept)",
-                told.retainedBytes() / BYTES_PER_MB,
+                "a list of all servers in one balancer (MB retained)",
+                cost.retainedBytes() / BYTES_PER_MB,
                 Double.NaN,
                 "%.1f");
-        printFigure("the same, once (ms of the loop)", told.updateMs(), Double.NaN, "%.0f");
+        printFigure("updating that list once (ms of the event loop)", cost.updateMs(), Double.NaN, "%.0f");
     }
 }
--- a/src/main/java/vetchpost/simulation/scale/SeedsCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/SeedsCommand.java
@@ -13,16 +13,19 @@
 import vetchpost.simulation.SeedRunException;
 import vetchpost.simulation.scale.ReplicationRun.ReplicaFactory;
 
-/** The command {@code scale seeds}: cuts, kills, restarts and takeovers of writers, drawn from seeds. */
+/**
+ * The command {@code scale seeds}: simulates replication under isolated regions, restarts and writer takeovers, all
+ * drawn from seeds. Seeds run in parallel on the common pool.
+ */
 @Command(
         name = "seeds",
         mixinStandardHelpOptions = true,
         sortOptions = false,
-        description = "Plays changes of a configuration under cuts, kills and restarts over hollow nodes, "
-                + "and holds "
-                + "each node to what was written.",
+        description = "Simulates configuration changes on lightweight nodes under network faults and restarts, "
+                + "and compares "
+                + "each node with what was written.",
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:nothing broken", "1:something is", "2:bad arguments"})
+        exitCodeList = {"0:no rule broken", "1:some run breaks a rule", "2:bad arguments"})
 final class SeedsCommand implements Callable<Integer> {
     private static final int MAX_SEEDS_AND_NODES = 100_000;
     private static final int MAX_VIOLATIONS_SHOWN = 20;
@@ -34,42 +37,47 @@
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "100",
-            description = "Plays seeds 1 to N (${DEFAULT-VALUE}).")
+            description = "Runs seeds 1 to N (${DEFAULT-VALUE}).")
     private int seeds;
 
-    @Option(names = "--nodes", paramLabel = "N", defaultValue = "50", description = "Hollow nodes (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--nodes",
+            paramLabel = "N",
+            defaultValue = "50",
+            description = "Lightweight nodes (${DEFAULT-VALUE}).")
     private int nodes;
 
     @Override
     public Integer call() {
         if (seeds < 1 || seeds > MAX_SEEDS_AND_NODES || nodes < 1 || nodes > MAX_SEEDS_AND_NODES) {
             throw new ParameterException(
-                    spec.commandLine(), "--seeds and --nodes are from 1 to " + MAX_SEEDS_AND_NODES);
+                    spec.commandLine(), "--seeds and --nodes must be from 1 to " + MAX_SEEDS_AND_NODES);
         }
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        AtomicLong done = new AtomicLong();
-        boolean watched = System.console() != null;
-        List<String> broken = LongStream.rangeClosed(1, seeds)
+        AtomicLong finishedSeeds = new AtomicLong();
+        boolean showsProgress = System.console() != null;
+        List<String> violations = LongStream.rangeClosed(1, seeds)
                 .parallel()
                 .boxed()
                 .flatMap(seed -> {
-                    List<String> of =
+                    List<String> seedViolations =
                             SeedRunException.withSeed(
                                             seed, () -> ReplicationRun.runSeed(seed, nodes, ReplicaFactory.DEFAULT))
                                     .stream()
-                                    .map(b -> "seed " + seed + ": " + b.rule() + ": " + b.details())
+                                    .map(violation ->
+                                            "seed " + seed + ": " + violation.rule() + ": " + violation.details())
                                     .toList();
-                    if (watched) {
-                        err.print("\r" + done.incrementAndGet() + " of " + seeds + " seeds");
+                    if (showsProgress) {
+                        err.print("\r" + finishedSeeds.incrementAndGet() + " of " + seeds + " seeds");
                         err.flush();
                     }
-                    return of.stream();
+                    return seedViolations.stream();
                 })
                 .toList();
-        broken.stream().limit(MAX_VIOLATIONS_SHOWN).forEach(out::println);
-        out.println(seeds + " seeds over " + nodes + " nodes, " + broken.size() + " times a rule was broken");
+        violations.stream().limit(MAX_VIOLATIONS_SHOWN).forEach(out::println);
+        out.println(seeds + " seeds over " + nodes + " nodes, " + violations.size() + " times a rule was broken");
         out.flush();
-        return broken.isEmpty() ? 0 : 1;
+        return violations.isEmpty() ? 0 : 1;
     }
 }
--- a/src/main/java/vetchpost/simulation/scale/SlopesCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/SlopesCommand.java
@@ -16,8 +16,8 @@
 import vetchpost.simulation.scale.GrowthMeasurements.Series;
 
 /**
- * The command {@code scale slopes}: all figures of docs/CAPACITY.md that are measured, as a table and as
- * JSON.
+ * The command {@code scale slopes}: measures how costs grow and writes them as a table, JSON and SVG; the source of the
+ * measured figures in docs/CAPACITY.md.
  */
 @Command(
         name = "slopes",
@@ -25,7 +25,7 @@
         sortOptions = false,
         description = {
             "Measures each role's state, messages, processor time and memory by what it grows " + "with, at five",
-            "sizes over two decades, with a straight line through them. Some minutes; give it 6 GB of heap."
+            "sizes over two decades, and fits a line. Takes some minutes and needs 6 GB of heap."
         },
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:measured", "2:bad arguments"})
@@ -40,26 +40,26 @@
             names = "--part",
             paramLabel = "N",
             defaultValue = "1",
-            description = "The largest size is an N-th of the coming one (${DEFAULT-VALUE}).")
+            description = "The largest size is an N-th of the planned one, 1 to 100 (${DEFAULT-VALUE}).")
     private int sizeDivisor;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Keeps the points and the lines there.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Writes the points and the lines to FILE.")
     private Path json;
 
-    @Option(names = "--svg", paramLabel = "FILE", description = "Keeps a picture of each figure there.")
+    @Option(names = "--svg", paramLabel = "FILE", description = "Writes a chart of each figure to FILE.")
     private Path svg;
 
     @Override
     public Integer call() throws IOException {
         if (sizeDivisor < 1 || sizeDivisor > 100) {
-            throw new ParameterException(spec.commandLine(), "--part is from 1 to 100");
+            throw new ParameterException(spec.commandLine(), "--part must be from 1 to 100");
         }
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        boolean watched = System.console() != null;
-        List<Series> rows = new GrowthMeasurements(sizeDivisor, what -> {
-                    if (watched) {
-                        err.print("\r" + what + "                    ");
+        boolean showsProgress = System.console() != null;
+        List<Series> rows = new GrowthMeasurements(sizeDivisor, description -> {
+                    if (showsProgress) {
+                        err.print("\r" + description + "                    ");
                         err.flush();
                     }
                 })
@@ -113,10 +113,10 @@
     }
 
     private static String json(List<Series> rows) {
-        List<String> lines = new ArrayList<>();
+        List<String> rowCount = new ArrayList<>();
         for (Series row : rows) {
             LinearFit fit = row.fit();
-            lines.add(String.format(
+            rowCount.add(String.format(
                     Locale.ROOT,
                     "  {\"role\": \"%s\", \"what\": \"%s\", \"unit\": \"%s\", "
                             + "\"by\": \"%s\", "
@@ -136,20 +136,20 @@
                     row.targetSize(),
                     fit.predict(row.targetSize())));
         }
-        return "[\n" + String.join(",\n", lines) + "\n]\n";
+        return "[\n" + String.join(",\n", rowCount) + "\n]\n";
     }
 
     private static String svg(List<Series> rows) {
         int columns = 3;
-        int lines = (rows.size() + columns - 1) / columns;
+        int rowCount = (rows.size() + columns - 1) / columns;
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "<svg xmlns=\"http://www.w3.org/2000/svg\" "
-                        + "viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" font-size=\"10\">%n<title>What grows "
-                        + "with what</title>%n"
+                        + "viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" font-size=\"10\">%n<title>Growth of "
+                        + "costs</title>%n"
                         + "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>%n",
                 columns * PANEL_WIDTH_PX,
-                lines * PANEL_HEIGHT_PX));
+                rowCount * PANEL_HEIGHT_PX));
         for (int i = 0; i < rows.size(); i++) {
             panel(text, rows.get(i), i % columns * PANEL_WIDTH_PX, i / columns * PANEL_HEIGHT_PX);
         }
@@ -157,10 +157,10 @@
     }
 
     private static void panel(StringBuilder text, Series row, int left, int top) {
-        double mostX = row.x()[row.x().length - 1];
-        double mostY = 1e-9;
+        double maxX = row.x()[row.x().length - 1];
+        double maxY = 1e-9;
         for (double y : row.y()) {
-            mostY = Math.max(mostY, y);
+            maxY = Math.max(maxY, y);
         }
         LinearFit fit = row.fit();
         text.append(String.format(
@@ -174,9 +174,9 @@
                 row.figure(),
                 left + 10,
                 top + PANEL_HEIGHT_PX - 8,
-                number(mostY),
+                number(maxY),
                 row.unit(),
-                number(mostX),
+                number(maxX),
                 row.variable(),
                 fit.shape()));
         double x0 = left + 10;
@@ -187,15 +187,15 @@
                 Locale.ROOT,
                 "<line x1=\"%.0f\" y1=\"%.1f\" x2=\"%.0f\" y2=\"%.1f\" " + "stroke=\"#999\"/>%n",
                 x0,
-                y0 - height * Math.max(0, fit.predict(0)) / mostY,
+                y0 - height * Math.max(0, fit.predict(0)) / maxY,
                 x0 + width,
-                y0 - height * Math.min(1.1, fit.predict(mostX) / mostY)));
+                y0 - height * Math.min(1.1, fit.predict(maxX) / maxY)));
         for (int i = 0; i < row.x().length; i++) {
             text.append(String.format(
                     Locale.ROOT,
                     "<circle cx=\"%.1f\" cy=\"%.1f\" r=\"3\" " + "fill=\"#1f6fb4\"/>%n",
-                    x0 + width * row.x()[i] / mostX,
-                    y0 - height * row.y()[i] / mostY));
+                    x0 + width * row.x()[i] / maxX,
+                    y0 - height * row.y()[i] / maxY));
         }
     }
 }
--- a/src/test/java/vetchpost/simulation/scale/ReplicationRunTest.java
+++ b/src/test/java/vetchpost/simulation/scale/ReplicationRunTest.java
@@ -11,68 +11,72 @@
 import vetchpost.simulation.scale.ReplicationRun.ReplicaFactory;
 import vetchpost.simulation.scale.ReplicationRun.RuleViolation;
 
-/** Cuts, kills, restarts and takeovers by seeds; `scale seeds` plays as many as one likes. */
+/** Runs replication under random faults for a few seeds; the command {@code scale seeds} runs more. */
 class ReplicationRunTest {
     @Test
     void replicasApplyWholeBatchesAndConvergeAfterFaults() {
-        List<String> broken = IntStream.rangeClosed(1, 40)
+        List<String> violations = IntStream.rangeClosed(1, 40)
                 .parallel()
                 .boxed()
                 .flatMap(seed -> ReplicationRun.runSeed(seed, 50, ReplicaFactory.DEFAULT).stream()
-                        .map(b -> "seed " + seed + ": " + b))
+                        .map(violation -> "seed " + seed + ": " + violation))
                 .toList();
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), violations);
     }
 
-    /** Nodes restarted meanwhile begin with what they had, and have the rest within seconds of the return. */
+    /**
+     * Nodes that restart during a ten-minute outage of all control machines must not lose their configuration, and must
+     * catch up within seconds after it.
+     */
     @Test
     void nodesKeepTheirConfigurationWhileAllControlMachinesAreDown() {
-        ConfigurationGenerator drawn = new ConfigurationGenerator(9, 5, 20);
+        ConfigurationGenerator generator = new ConfigurationGenerator(9, 5, 20);
         ReplicationRun run = new ReplicationRun(
                 9,
-                drawn,
-                drawn.generate(200),
+                generator,
+                generator.generate(200),
                 4,
                 30,
                 new Publisher.Budget(18_000, 4_000, 1_000_000, 400),
                 ReplicaFactory.DEFAULT,
                 true);
-        LightweightFleet hollow = run.fleet();
-        hollow.runUntil(5_000_000);
+        LightweightFleet fleet = run.fleet();
+        fleet.runUntil(5_000_000);
         run.submitBatch(10);
-        hollow.runUntil(10_000_000);
+        fleet.runUntil(10_000_000);
         long version = run.writer().store().version();
-        run.controls().forEach(c -> run.restart(c, 600_000_000, null));
+        run.controls().forEach(control -> run.restart(control, 600_000_000, null));
         for (int i = 0; i < 5; i++) {
             run.submitBatch(50);
         }
         for (int i = 0; i < 30; i += 2) {
             LightweightFleet.Machine node = run.nodes().get(i);
-            hollow.schedule(60_000_000L + i * 15_000_000L, () -> run.restart(node, 1_000_000, null));
+            fleet.schedule(60_000_000L + i * 15_000_000L, () -> run.restart(node, 1_000_000, null));
         }
-        hollow.runUntil(605_000_000);
+        fleet.runUntil(605_000_000);
         for (LightweightFleet.Machine node : run.nodes()) {
-            assertEquals(version, node.replica().store().version(), node.name() + " has lost what it had");
+            assertEquals(
+                    version, node.replica().store().version(), node.name() + " changed its version during the outage");
         }
-        hollow.runUntil(625_000_000);
+        fleet.runUntil(625_000_000);
         assertEquals(List.of(), run.laggingMachines());
         assertEquals(List.of(), run.violations());
     }
 
-    private static void assertDetected(String fault, ReplicaFactory planted) {
+    private static void assertDetected(String fault, ReplicaFactory faultyReplicas) {
         for (int seed = 1; seed <= 40; seed++) {
-            List<RuleViolation> broken = ReplicationRun.runSeed(seed, 20, planted);
-            if (!broken.isEmpty()) {
-                System.out.println(fault + ": found by seed " + seed + ", " + broken.get(0));
+            List<RuleViolation> violations = ReplicationRun.runSeed(seed, 20, faultyReplicas);
+            if (!violations.isEmpty()) {
+                System.out.println(fault + ": detected by seed " + seed + ", " + violations.get(0));
                 return;
             }
         }
-        assertTrue(false, fault + " was not found by 40 seeds");
+        assertTrue(false, fault + " was not detected by 40 seeds");
     }
 
     @Test
     void injectedFaultsAreDetected() {
-        assertDetected("a batch in force before it is whole", InjectedFaults::applyingPartialBatches);
-        assertDetected("ranges compared without what went away", InjectedFaults::ignoringRemovals);
+        assertDetected("partial batches are applied", InjectedFaults::applyingPartialBatches);
+        assertDetected("removals are ignored when ranges are compared", InjectedFaults::ignoringRemovals);
     }
 }
--- a/src/test/java/vetchpost/simulation/scale/ScaleCommandTest.java
+++ b/src/test/java/vetchpost/simulation/scale/ScaleCommandTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The commands that measure, at small sizes. */
+/** Runs the subcommands of {@code scale} at small sizes. */
 class ScaleCommandTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private final StringWriter out = new StringWriter();
 
@@ -46,17 +46,19 @@
                 "20",
                 "--burst",
                 "500");
-        String said = out.toString();
-        // Processor time is the machine's affair, also of one that is busy; the rest is virtual.
-        assertTrue(said.lines().noneMatch(l -> l.contains("MISSED") && !l.contains("processor")), said);
-        assertTrue(said.contains("machines that are not at the newest in the end") && !said.contains("BROKEN"), said);
-        assertTrue(said.contains("at the newest again"), said);
+        String output = out.toString();
+        // CPU time depends on the machine and its load; all other figures are on virtual time.
+        assertTrue(output.lines().noneMatch(line -> line.contains("MISSED") && !line.contains("processor")), output);
+        assertTrue(
+                output.contains("machines that are not at the newest in the end") && !output.contains("BROKEN"),
+                output);
+        assertTrue(output.contains("at the newest again"), output);
     }
 
     @Test
     void slopesAreMeasuredAndWritten() throws Exception {
-        Path json = folder.resolve("slopes.json");
-        Path svg = folder.resolve("slopes.svg");
+        Path json = directory.resolve("slopes.json");
+        Path svg = directory.resolve("slopes.svg");
         assertEquals(
                 0, run("slopes", "--part", "100", "--json", json.toString(), "--svg", svg.toString()), out::toString);
         assertTrue(
@@ -77,12 +79,12 @@
 
     @Test
     void linearFitRecognizesStraightAndQuadraticGrowth() {
-        LinearFit line = LinearFit.of(new double[] {1, 10, 100}, new double[] {7, 25, 205});
-        assertEquals(5, line.intercept(), 1e-9);
-        assertEquals(2, line.slope(), 1e-9);
-        assertEquals("straight", line.shape());
-        LinearFit square = LinearFit.of(new double[] {1, 10, 100}, new double[] {1, 100, 10_000});
-        assertEquals(2, square.power(), 1e-9);
-        assertEquals("grows by the power of 2.00", square.shape());
+        LinearFit straight = LinearFit.of(new double[] {1, 10, 100}, new double[] {7, 25, 205});
+        assertEquals(5, straight.intercept(), 1e-9);
+        assertEquals(2, straight.slope(), 1e-9);
+        assertEquals("straight", straight.shape());
+        LinearFit quadratic = LinearFit.of(new double[] {1, 10, 100}, new double[] {1, 100, 10_000});
+        assertEquals(2, quadratic.power(), 1e-9);
+        assertEquals("grows by the power of 2.00", quadratic.shape());
     }
 }
