--- a/src/main/java/vetchpost/simulation/fleet/ActualServers.java
+++ b/src/main/java/vetchpost/simulation/fleet/ActualServers.java
@@ -16,8 +16,11 @@
         UNRESPONSIVE,
         FAILING,
         SLOW,
+        /** Another application has taken over the address. */
         WRONG_SERVER,
+        /** Fails requests, but passes health checks. */
         FAILING_BUT_CHECKED_HEALTHY,
+        /** Serves requests, but fails health checks. */
         HEALTHY_BUT_CHECK_FAILING
     }
 
@@ -64,16 +67,16 @@
                 lifetime.conditionChanges.add(new ConditionChange(
                         lifetime.leavesUs, random.nextBoolean() ? Condition.DOWN : Condition.WRONG_SERVER));
             } else if (random.nextDouble() < FAULTY_FRACTION) {
-                long at = lifetime.joinsUs + random.nextLong(quietUs / 2);
+                long atUs = lifetime.joinsUs + random.nextLong(quietUs / 2);
                 Condition[] conditions = Condition.values();
-                for (int remaining = 1 + random.nextInt(4); remaining > 0 && at < quietUs; remaining--) {
+                for (int remaining = 1 + random.nextInt(4); remaining > 0 && atUs < quietUs; remaining--) {
                     // An address that another application has taken over doesn't recover by itself.
                     Condition condition = conditions[1 + random.nextInt(conditions.length - 1)];
-                    lifetime.conditionChanges.add(
-                            new ConditionChange(at, condition == Condition.WRONG_SERVER ? Condition.DOWN : condition));
-                    at += 200_000 + random.nextLong(quietUs / 4);
-                    lifetime.conditionChanges.add(new ConditionChange(Math.min(at, quietUs), Condition.HEALTHY));
-                    at += 100_000 + random.nextLong(quietUs / 4);
+                    lifetime.conditionChanges.add(new ConditionChange(
+                            atUs, condition == Condition.WRONG_SERVER ? Condition.DOWN : condition));
+                    atUs += 200_000 + random.nextLong(quietUs / 4);
+                    lifetime.conditionChanges.add(new ConditionChange(Math.min(atUs, quietUs), Condition.HEALTHY));
+                    atUs += 100_000 + random.nextLong(quietUs / 4);
                 }
                 lifetime.conditionChanges.add(new ConditionChange(quietUs, Condition.HEALTHY));
             }
--- a/src/main/java/vetchpost/simulation/fleet/FleetRun.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetRun.java
@@ -41,11 +41,11 @@
 import vetchpost.sources.SourceMerger;
 
 /**
- * Simulates one node, with its dispatcher, balancer and server list, on virtual time. Servers fail and
- * recover, sources report errors and health checks give wrong results, all drawn from the seed. From
- * {@link #LAST_FAULT_US} on nothing more fails, and every healthy server has to receive requests again before the
- * run ends. {@link FleetCommand} and tests call it; a run is single-threaded, and runs may go on in parallel. The
- * same seed gives the same run.
+ * Simulates one node, with its dispatcher, balancer and server list, on virtual time. Servers fail and recover,
+ * sources report errors and health checks give wrong results, all drawn from the seed. From {@link #LAST_FAULT_US}
+ * on nothing more fails, and every healthy server has to receive requests again before the run ends.
+ * {@link FleetCommand} and tests call it; a run is single-threaded, and runs may go on in parallel. The same seed gives
+ * the same run.
  */
 public final class FleetRun {
     private static final long START_US = 1_767_225_600_000_000L;
@@ -168,9 +168,9 @@
     }
 
     private static Settings settings() {
-        Settings set = new Settings();
+        Settings settings = new Settings();
         for (Idempotency idempotency : Idempotency.values()) {
-            set.classes.add(new RequestClass(
+            settings.classes.add(new RequestClass(
                     idempotency.name(),
                     300_000,
                     0,
@@ -182,12 +182,12 @@
                     SECOND_US,
                     false));
         }
-        set.maxAttempts = 3;
-        set.allowsCancellation = true;
-        set.clientsMarkRetries = true;
-        set.drainGraceUs = 500_000;
-        set.coldUs = 5 * SECOND_US;
-        return set;
+        settings.maxAttempts = 3;
+        settings.allowsCancellation = true;
+        settings.clientsMarkRetries = true;
+        settings.drainGraceUs = 500_000;
+        settings.coldUs = 5 * SECOND_US;
+        return settings;
     }
 
     /**
@@ -195,11 +195,11 @@
      * and sometimes a second file. Each of them may report errors.
      */
     private void declareSources() {
-        int kinds = 1 + random.nextInt(3);
-        if (kinds != 2) {
+        int sourceChoice = 1 + random.nextInt(3);
+        if (sourceChoice != 2) {
             declarations.add(declaration("file", Kind.FILE, 0));
         }
-        if (kinds != 1) {
+        if (sourceChoice != 1) {
             declarations.add(declaration("name", Kind.DNS, 6 * SECOND_US));
         }
         if (random.nextBoolean()) {
@@ -253,14 +253,14 @@
                 }
             });
         }
-        scheduleSettling();
+        scheduleApplyingChanges();
         if (operators != null) {
             scheduleOperators();
         }
         scheduleArrivals();
         clock.runUntil(START_US + RUN_LENGTH_US + 2 * SECOND_US);
         for (int server = 0; server < ActualServers.SERVER_COUNT; server++) {
-            endWasteInterval(server);
+            recordDetection(server);
             if (actualServers.isReady(server, RUN_LENGTH_US) && lastServedUs[server] < RECOVERY_DEADLINE_US) {
                 violations.add("server " + server + " is healthy but has received no requests since "
                         + lastServedUs[server] / SECOND_US + " s");
@@ -320,7 +320,8 @@
         for (int server = 0; server < ActualServers.SERVER_COUNT; server++) {
             int index = server;
             boolean draining = reported.stream()
-                    .anyMatch(n -> n.state() == State.DRAINING && n.addresses().contains(address(index)));
+                    .anyMatch(reportedServer -> reportedServer.state() == State.DRAINING
+                            && reportedServer.addresses().contains(address(index)));
             if (draining && drainEffectiveUs[server] < 0) {
                 drainEffectiveUs[server] = elapsedUs() + NOTIFICATION_GRACE_US;
             }
@@ -329,11 +330,11 @@
 
     // ---------------------------------------------------------------- applying changes
 
-    private void scheduleSettling() {
+    private void scheduleApplyingChanges() {
         clock.schedule(clock.nowUs() + 10_000, () -> {
             applyChanges();
             if (elapsedUs() < RUN_LENGTH_US + SECOND_US) {
-                scheduleSettling();
+                scheduleApplyingChanges();
             }
         });
     }
@@ -455,7 +456,7 @@
 
     // ---------------------------------------------------------------- servers
 
-    private void endWasteInterval(int server) {
+    private void recordDetection(int server) {
         if (firstWastedUs[server] >= 0) {
             detectionSumUs += lastWastedUs[server] - firstWastedUs[server];
             detectionCount++;
@@ -463,7 +464,7 @@
         }
     }
 
-    /** Carries attempts to the simulated servers, which respond as their present condition has it. */
+    /** Carries attempts to the simulated servers, which respond according to their current condition. */
     private final class SimulatedTransport implements ServerTransport {
         @Override
         public void update(ServerList list) {}
@@ -490,7 +491,7 @@
                 firstWastedUs[server] = firstWastedUs[server] < 0 ? elapsedUs() : firstWastedUs[server];
                 lastWastedUs[server] = elapsedUs();
             } else {
-                endWasteInterval(server);
+                recordDetection(server);
             }
             SimulatedAttempt attempt = new SimulatedAttempt(outgoing);
             long workUs = MEAN_WORK_US / 2 + serverRandom.nextLong(MEAN_WORK_US);
@@ -564,7 +565,8 @@
     /** Returns the names of the sources that a seed declares, for tests. */
     static Set<String> sourceNames(long seed) {
         Set<String> names = new TreeSet<>();
-        new FleetRun(seed, DetectionMode.REQUESTS, false).declarations.forEach(d -> names.add(d.name()));
+        new FleetRun(seed, DetectionMode.REQUESTS, false)
+                .declarations.forEach(declaration -> names.add(declaration.name()));
         return names;
     }
 }
--- a/src/main/java/vetchpost/simulation/fleet/SimulatedOperators.java
+++ b/src/main/java/vetchpost/simulation/fleet/SimulatedOperators.java
@@ -30,7 +30,7 @@
     private final List<String> auditLog = new ArrayList<>();
     private final List<DrainPeriod> drains = new ArrayList<>();
     private Leases leases = leases();
-    private int commands;
+    private int commandCount;
 
     /** An accepted drain, recorded apart from the leases under test; times in microseconds from the start. */
     private static final class DrainPeriod {
@@ -58,11 +58,11 @@
     /**
      * Performs one random command, undo or restart.
      *
-     * @param us the time from the start, in microseconds
+     * @param elapsedUs the time from the start, in microseconds
      * @return the broken rule, or an empty text
      */
-    String act(List<Member> members, long us) {
-        long nowUs = us / US_PER_MS * US_PER_MS;
+    String act(List<Member> members, long elapsedUs) {
+        long nowUs = elapsedUs / US_PER_MS * US_PER_MS;
         leases.expire(nowUs);
         if (members.isEmpty()) {
             return "";
@@ -70,8 +70,8 @@
         if (random.nextInt(8) == 0) {
             return restart(members, nowUs);
         }
-        if (random.nextInt(5) == 0 && commands > 0) {
-            long number = 1 + random.nextInt(commands);
+        if (random.nextInt(5) == 0 && commandCount > 0) {
+            long number = 1 + random.nextInt(commandCount);
             if (leases.undo(number)) {
                 auditLog.add(AuditEntryJson.text(new Entry(Event.UNDONE, number, nowUs / US_PER_MS, null, "bob", "")));
                 drains.stream().filter(d -> d.leaseNumber == number).forEach(d -> d.untilUs = nowUs);
@@ -88,9 +88,9 @@
                 kind == OverrideKind.WEIGHT ? 1 + random.nextInt(1_000) : 0,
                 lengthMs,
                 "ann",
-                "a drawn night",
+                "simulated operation",
                 random.nextInt(3),
-                "k" + commands++,
+                "k" + commandCount++,
                 random.nextInt(6) == 0);
         Decision decision = leases.check(request, fleetState(members), nowUs, nowUs / US_PER_MS);
         if (decision.lease() != null) {
@@ -98,7 +98,7 @@
             auditLog.add(AuditEntryJson.text(
                     new Entry(Event.GRANTED, decision.lease().number(), nowUs / US_PER_MS, request, "ann", "")));
             if (kind == OverrideKind.DRAIN) {
-                drains.add(new DrainPeriod(server, decision.lease().number(), us, nowUs + lengthMs * US_PER_MS));
+                drains.add(new DrainPeriod(server, decision.lease().number(), elapsedUs, nowUs + lengthMs * US_PER_MS));
             }
         }
         return "";
@@ -113,34 +113,35 @@
     }
 
     private String restart(List<Member> members, long nowUs) {
-        Leases before = leases;
+        Leases previous = leases;
         List<Entry> entries = auditLog.stream().map(AuditEntryJson::read).toList();
         leases = leases();
         AuditLog.activeLeases(entries, nowUs / US_PER_MS, nowUs).forEach(leases::grant);
         entries.forEach(e -> leases.resumeNumberingAfter(e.number()));
-        boolean unchanged = before.all().stream()
+        boolean unchanged = previous.all().stream()
                         .map(Lease::endUs)
                         .sorted()
                         .toList()
                         .equals(leases.all().stream().map(Lease::endUs).sorted().toList())
                 && members.stream()
-                        .allMatch(m -> before.effects().isDraining(m.id()) == isDraining(m.id())
-                                && before.effects().weight(m.id(), 1) == weight(m.id(), 1))
-                && before.effects().isFrozen() == isListFrozen();
+                        .allMatch(m -> previous.effects().isDraining(m.id()) == isDraining(m.id())
+                                && previous.effects().weight(m.id(), 1) == weight(m.id(), 1))
+                && previous.effects().isFrozen() == isListFrozen();
         return unchanged ? "" : "overrides: a restart changed the active overrides";
     }
 
     /** Ends leases that are due at this time, in microseconds from the start. */
-    void expire(long us) {
-        leases.expire(us / US_PER_MS * US_PER_MS);
+    void expire(long elapsedUs) {
+        leases.expire(elapsedUs / US_PER_MS * US_PER_MS);
     }
 
     /** Whether a recorded drain, past its grace period, forbids an attempt at this time. */
-    boolean forbids(String server, long us, long graceUs) {
-        return drains.stream().anyMatch(d -> d.server.equals(server) && us > d.fromUs + graceUs && us < d.untilUs);
+    boolean forbids(String server, long elapsedUs, long graceUs) {
+        return drains.stream()
+                .anyMatch(d -> d.server.equals(server) && elapsedUs > d.fromUs + graceUs && elapsedUs < d.untilUs);
     }
 
-    /** Number of leases in force. */
+    /** Number of active leases. */
     int activeLeaseCount() {
         return leases.all().size();
     }
--- a/src/main/java/vetchpost/simulation/overload/ModelServers.java
+++ b/src/main/java/vetchpost/simulation/overload/ModelServers.java
@@ -14,8 +14,8 @@
 
 /**
  * Simulated servers with one core each, which process requests in order of arrival, also those that were cancelled
- * meanwhile. A server whose queue is full rejects at once. Called by the dispatcher of an {@link OverloadRun}, on the
- * run's thread.
+ * before. A server whose queue is full answers {@link Result#FULL}. Called by the dispatcher of an
+ * {@link OverloadRun}, on the run's thread.
  */
 final class ModelServers implements ServerTransport {
     private static final long NETWORK_DELAY_US = 200;
--- a/src/main/java/vetchpost/simulation/overload/OverloadRun.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadRun.java
@@ -45,8 +45,10 @@
     /**
      * A class of requests.
      *
-     * @param fraction fraction of all requests
+     * @param fraction fraction of all requests, 0 to 1
      * @param workUs mean processing time at a server, in microseconds
+     * @param latencyTargetUs longest latency that counts as in time, in microseconds
+     * @param deadlineUs how long a client waits in all, in microseconds
      * @param value value of a response in time
      */
     record ClassProfile(
--- a/src/main/java/vetchpost/simulation/overload/RetryAfterAccuracyPlot.java
+++ b/src/main/java/vetchpost/simulation/overload/RetryAfterAccuracyPlot.java
@@ -4,7 +4,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Draws the retry-after given to clients against their actual wait, one panel per load, for {@link OverloadCommand}. */
+/**
+ * Draws the retry-after given to clients against their actual wait, one panel per load factor, for {@link
+ * OverloadCommand}.
+ */
 final class RetryAfterAccuracyPlot {
     private static final int PANEL_SIDE_PX = 280;
     private static final int GAP_PX = 60;
--- a/src/main/java/vetchpost/simulation/scale/GrowthMeasurements.java
+++ b/src/main/java/vetchpost/simulation/scale/GrowthMeasurements.java
@@ -54,9 +54,9 @@
 import vetchpost.store.VersionedStore;
 
 /**
- * Measures the state, messages, CPU time and memory of each role by what they grow with, at five sizes over two decades.
- * {@link SlopesCommand} calls it, on one thread; heap figures cover the whole process. The names of figures, units and
- * variables are keys of the JSON output.
+ * Measures the state, messages, CPU time and memory of each role by what they grow with, at five sizes over two
+ * decades. {@link SlopesCommand} calls it, on one thread; heap figures cover the whole process. The names of figures,
+ * units and variables are keys of the JSON output.
  */
 final class GrowthMeasurements {
     private static final int[] SIZE_DIVISORS = {100, 32, 10, 3, 1};
@@ -119,20 +119,28 @@
     }
 
     /** Measures at five sizes, the smallest first, and adds one series per figure. */
-    private void measure(String role, String variable, int targetSize, Measurement measure, String... namesAndUnits) {
+    private void measure(
+            String role, String variable, int targetSize, Measurement measurement, String... namesAndUnits) {
         double[] x = new double[SIZE_DIVISORS.length];
         double[][] y = new double[namesAndUnits.length / 2][SIZE_DIVISORS.length];
         for (int i = 0; i < SIZE_DIVISORS.length; i++) {
             int size = Math.max(1, targetSize / sizeDivisor / SIZE_DIVISORS[i]);
             x[i] = size;
             progress.accept(role + ", " + namesAndUnits[0] + ", " + size + " " + variable);
-            double[] figures = measure.measure(size);
-            for (int f = 0; f < y.length; f++) {
-                y[f][i] = figures[f];
+            double[] figures = measurement.measure(size);
+            for (int figureIndex = 0; figureIndex < y.length; figureIndex++) {
+                y[figureIndex][i] = figures[figureIndex];
             }
         }
-        for (int f = 0; f < y.length; f++) {
-            series.add(new Series(role, namesAndUnits[2 * f], namesAndUnits[2 * f + 1], variable, x, y[f], targetSize));
+        for (int figureIndex = 0; figureIndex < y.length; figureIndex++) {
+            series.add(new Series(
+                    role,
+                    namesAndUnits[2 * figureIndex],
+                    namesAndUnits[2 * figureIndex + 1],
+                    variable,
+                    x,
+                    y[figureIndex],
+                    targetSize));
         }
     }
 
@@ -160,15 +168,15 @@
                 200_000,
                 n -> {
                     List<ServerEntry> entries = Footprint.servers(n);
-                    Retained<Footprint.StandaloneBalancer> made = Footprint.measureRetained(() -> {
+                    Retained<Footprint.StandaloneBalancer> retained = Footprint.measureRetained(() -> {
                         Footprint.StandaloneBalancer balancer = new Footprint.StandaloneBalancer();
                         balancer.updateServers(entries);
                         return balancer;
                     });
-                    double repeatedMs = minElapsedMs(3, () -> made.value().updateServers(entries));
+                    double repeatedMs = minElapsedMs(3, () -> retained.value().updateServers(entries));
                     double newMs = minElapsedMs(2, () -> new Footprint.StandaloneBalancer().updateServers(entries));
-                    double decision = Footprint.minNsPerRun(50_000, made.value()::serveRequest);
-                    return new double[] {made.retainedBytes() / 1e6, newMs, repeatedMs, decision};
+                    double decisionNs = Footprint.minNsPerRun(50_000, retained.value()::serveRequest);
+                    return new double[] {retained.retainedBytes() / 1e6, newMs, repeatedMs, decisionNs};
                 },
                 "a list told to the module, kept",
                 "MB",
@@ -294,22 +302,22 @@
     // ---------------------------------------------------------------- by services
 
     private void measureServices() {
-        List<ServerEntry> own = Footprint.servers(SERVERS_PER_SERVICE);
+        List<ServerEntry> serviceServers = Footprint.servers(SERVERS_PER_SERVICE);
         measure(
                 "node",
                 "services",
                 3_700,
                 n -> {
-                    Retained<List<Footprint.StandaloneBalancer>> made = Footprint.measureRetained(() -> {
+                    Retained<List<Footprint.StandaloneBalancer>> retained = Footprint.measureRetained(() -> {
                         List<Footprint.StandaloneBalancer> balancers = new ArrayList<>();
                         for (int i = 0; i < n; i++) {
                             Footprint.StandaloneBalancer balancer = new Footprint.StandaloneBalancer();
-                            balancer.updateServers(own);
+                            balancer.updateServers(serviceServers);
                             balancers.add(balancer);
                         }
                         return balancers;
                     });
-                    return new double[] {made.retainedBytes() / 1e6, made.creationMs()};
+                    return new double[] {retained.retainedBytes() / 1e6, retained.creationMs()};
                 },
                 "a module of its own for each service of 54 servers, kept",
                 "MB",
@@ -344,14 +352,14 @@
                     for (int i = 0; i < 400; i++) {
                         batches.add(generator.generateChanges(configuration, 1));
                     }
-                    int[] at = new int[1];
-                    double validateUs =
-                            Footprint.minNsPerRun(100, () -> writer.submit(batches.get(at[0]++ % batches.size())))
-                                    / 1e3;
-                    List<PackedTree.Item> chunkRecords =
+                    int[] nextIndex = new int[1];
+                    double validateUs = Footprint.minNsPerRun(
+                                    100, () -> writer.submit(batches.get(nextIndex[0]++ % batches.size())))
+                            / 1e3;
+                    List<PackedTree.Item> routeItems =
                             configuration.store().live().range(new EntryKey(EntryKind.ROUTE, "").bytes(), null, 400);
                     double applyUs = Footprint.minNsPerRun(100, () -> {
-                                PackedTree.Item item = chunkRecords.get(at[0]++ % chunkRecords.size());
+                                PackedTree.Item item = routeItems.get(nextIndex[0]++ % routeItems.size());
                                 configuration.withEntry(
                                         item.key(),
                                         item.value(),
@@ -435,10 +443,10 @@
                 }
                 Files.writeString(file, text);
                 LoadedRouteFile[] read = new LoadedRouteFile[1];
-                double whole = elapsedMs(() -> read[0] = new LoadedRouteFile(file));
+                double readMs = elapsedMs(() -> read[0] = new LoadedRouteFile(file));
                 Files.writeString(file, text.toString().replaceFirst("concurrency = 100", "concurrency = 101"));
                 double repeatedMs = minElapsedMs(2, () -> require(read[0].rereadChangedRoutes(file) == 1));
-                return new double[] {whole, repeatedMs, read[0].index.retainedBytes() / 1e6};
+                return new double[] {readMs, repeatedMs, read[0].index.retainedBytes() / 1e6};
             } finally {
                 Files.delete(file);
             }
@@ -509,11 +517,11 @@
                                 Version.of(1, 1));
                     }
                     Retained<Settings> settings = Footprint.measureRetained(() -> {
-                        Settings made = ConfigurationGenerator.settings();
+                        Settings retained = ConfigurationGenerator.settings();
                         for (int i = 0; i < n; i++) {
-                            made.tenants.add(new Tenant(String.format(Locale.ROOT, "t%06d", i), 1 + i % 7));
+                            retained.tenants.add(new Tenant(String.format(Locale.ROOT, "t%06d", i), 1 + i % 7));
                         }
-                        return made;
+                        return retained;
                     });
                     Retained<FairAdmission> admission = Footprint.measureRetained(() ->
                             new FairAdmission(AdmissionValidator.defaults(settings.value()), settings.value(), 1));
--- a/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
+++ b/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
@@ -26,15 +26,13 @@
     /** Bytes of a frame's length and authentication tag on the wire. */
     private static final int FRAME_OVERHEAD_BYTES = 36;
 
-    private static final long HEARTBEAT_US = 5 * SECOND_US;
+    private static final long HEARTBEAT_INTERVAL_US = 5 * SECOND_US;
 
     private final VirtualTime time = new VirtualTime();
     private final FrameCodec codec = new FrameCodec();
     private final CpuClock cpuClock = new CpuClock();
 
-    /**
-     * The latency of frames from one machine to another, in microseconds; negative if they are lost.
-     */
+    /** The latency of frames from one machine to another, in microseconds; negative if they are lost. */
     interface LinkDelay {
         long delayUs(Machine from, Machine to);
     }
@@ -158,7 +156,7 @@
 
         /** Starts to publish a store; a former publisher of this machine is replaced. */
         void startPublishing(VersionedStore store, Publisher.Budget budget) {
-            publisher = new Publisher(store, codec, budget, HEARTBEAT_US, currentUs());
+            publisher = new Publisher(store, codec, budget, HEARTBEAT_INTERVAL_US, currentUs());
         }
 
         /** Publishes a newer version of the store. */
@@ -225,9 +223,7 @@
             cancelSendTimer();
         }
 
-        /**
-         * Marks a stopped machine as running. The caller then makes it publish and replicate again.
-         */
+        /** Marks a stopped machine as running. The caller then makes it publish and replicate again. */
         void markRunning() {
             running = true;
         }
--- a/src/main/java/vetchpost/simulation/scale/RealCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/RealCommand.java
@@ -84,16 +84,17 @@
 
     /** Times from the submission of each version until each process or node applied it, sorted, in microseconds. */
     private record PropagationTimes(List<Long> singles, List<Long> bursts) {
-        static PropagationTimes of(Map<Long, Long> submittedUs, List<Map<Long, Long>> appliedByNode, long first) {
+        static PropagationTimes of(
+                Map<Long, Long> submittedUs, List<Map<Long, Long>> appliedByNode, long firstVersion) {
             PropagationTimes times = new PropagationTimes(new ArrayList<>(), new ArrayList<>());
-            submittedUs.forEach((version, at) -> appliedByNode.forEach(node -> {
+            submittedUs.forEach((version, submissionUs) -> appliedByNode.forEach(node -> {
                 // A version is applied with the first one that is at least as new.
                 long appliedUs = node.entrySet().stream()
                         .filter(e -> e.getKey() >= version)
                         .mapToLong(Map.Entry::getValue)
                         .min()
                         .orElse(Long.MAX_VALUE);
-                (version <= first + SINGLE_CHANGES ? times.singles : times.bursts).add(appliedUs - at);
+                (version <= firstVersion + SINGLE_CHANGES ? times.singles : times.bursts).add(appliedUs - submissionUs);
             }));
             Collections.sort(times.singles);
             Collections.sort(times.bursts);
@@ -134,11 +135,11 @@
 
     private PropagationTimes runSimulation() {
         ConfigurationGenerator generator = new ConfigurationGenerator(1, 10, 0);
-        RouteConfiguration start = generator.generate(routes);
+        RouteConfiguration initial = generator.generate(routes);
         LightweightFleet fleet = new LightweightFleet();
         fleet.setLinkDelay((from, to) -> 0);
         Machine control = fleet.machine("control", 0);
-        control.startPublishing(start.store(), BUDGET);
+        control.startPublishing(initial.store(), BUDGET);
         List<Map<Long, Long>> appliedByNode = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
             Map<Long, Long> times = new ConcurrentHashMap<>();
@@ -147,16 +148,16 @@
                     .replicateFrom(
                             new Replica(
                                     "node-" + i,
-                                    start.store(),
-                                    start,
+                                    initial.store(),
+                                    initial,
                                     false,
                                     (store, index) -> times.put(Version.number(store.version()), fleet.nowUs())),
                             List.of(control),
                             1);
         }
         fleet.runUntil(1_000_000);
-        ChangeWriter writer = new ChangeWriter(start, 1);
-        long first = Version.number(start.store().version());
+        ChangeWriter writer = new ChangeWriter(initial, 1);
+        long firstVersion = Version.number(initial.store().version());
         Map<Long, Long> submittedUs = new ConcurrentHashMap<>();
         for (int i = 0; i < SINGLE_CHANGES + BATCHES; i++) {
             submit(writer, generator, i, submittedUs, fleet.nowUs());
@@ -166,7 +167,7 @@
             }
         }
         fleet.runUntil(fleet.nowUs() + MAX_PROPAGATION_WAIT_S * 1_000_000);
-        return PropagationTimes.of(submittedUs, appliedByNode, first);
+        return PropagationTimes.of(submittedUs, appliedByNode, firstVersion);
     }
 
     private void submit(
@@ -180,68 +181,69 @@
 
     private PropagationTimes runProcesses() throws Exception {
         ConfigurationGenerator generator = new ConfigurationGenerator(1, 10, 0);
-        RouteConfiguration start = generator.generate(routes);
-        Path secret = Files.createTempFile("secret", "");
+        RouteConfiguration initial = generator.generate(routes);
+        Path secretFile = Files.createTempFile("secret", "");
         byte[] random = new byte[24];
         new SecureRandom().nextBytes(random);
-        Files.writeString(secret, java.util.HexFormat.of().formatHex(random) + "\n");
+        Files.writeString(secretFile, java.util.HexFormat.of().formatHex(random) + "\n");
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        List<Process> started = new ArrayList<>();
-        PublisherServer[] server = new PublisherServer[1];
+        List<Process> startedProcesses = new ArrayList<>();
+        PublisherServer[] publisherServer = new PublisherServer[1];
         try {
             loop.submit(() -> {
                         try {
-                            server[0] = new PublisherServer(
+                            publisherServer[0] = new PublisherServer(
                                     loop,
                                     Network.SYSTEM,
-                                    SharedSecret.read(secret),
+                                    SharedSecret.read(secretFile),
                                     new SecureRandom(),
-                                    start.store(),
+                                    initial.store(),
                                     new Publisher.Budget(1e7, 1e7, 1e8, 1e7));
                         } catch (IOException e) {
                             throw new java.io.UncheckedIOException(e);
                         }
                     })
                     .get();
-            InetSocketAddress address = (InetSocketAddress) server[0]
+            InetSocketAddress address = (InetSocketAddress) publisherServer[0]
                     .listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                     .sync()
                     .channel()
                     .localAddress();
             List<Map<Long, Long>> appliedByNode = new ArrayList<>();
             for (int i = 0; i < processes; i++) {
-                appliedByNode.add(startProcess(i, address, secret, started));
+                appliedByNode.add(startProcess(i, address, secretFile, startedProcesses));
             }
-            long first = Version.number(start.store().version());
-            awaitVersion(appliedByNode, first);
+            long firstVersion = Version.number(initial.store().version());
+            awaitVersion(appliedByNode, firstVersion);
             // All have the initial configuration; from here on the budgets of production nodes apply.
-            loop.submit(() -> server[0].setBudget(BUDGET)).get();
-            ChangeWriter writer = new ChangeWriter(start, 1);
+            loop.submit(() -> publisherServer[0].setBudget(BUDGET)).get();
+            ChangeWriter writer = new ChangeWriter(initial, 1);
             Map<Long, Long> submittedUs = new ConcurrentHashMap<>();
             for (int i = 0; i < SINGLE_CHANGES + BATCHES; i++) {
                 submit(writer, generator, i, submittedUs, System.nanoTime() / 1_000);
-                loop.submit(() -> server[0].publish(writer.store())).get();
+                loop.submit(() -> publisherServer[0].publish(writer.store())).get();
                 if (i < SINGLE_CHANGES) {
                     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(CHANGE_INTERVAL_MS));
                 }
             }
             awaitVersion(appliedByNode, Version.number(writer.store().version()));
-            return PropagationTimes.of(submittedUs, appliedByNode, first);
+            return PropagationTimes.of(submittedUs, appliedByNode, firstVersion);
         } finally {
-            for (Process process : started) {
+            for (Process process : startedProcesses) {
                 process.destroy();
             }
-            if (server[0] != null) {
-                loop.submit(server[0]::close).awaitUninterruptibly();
+            if (publisherServer[0] != null) {
+                loop.submit(publisherServer[0]::close).awaitUninterruptibly();
             }
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-            Files.delete(secret);
+            Files.delete(secretFile);
         }
     }
 
     private static Map<Long, Long> startProcess(
-            int number, InetSocketAddress publisher, Path secret, List<Process> started) throws IOException {
+            int number, InetSocketAddress publisher, Path secretFile, List<Process> startedProcesses)
+            throws IOException {
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xmx256m",
@@ -253,12 +255,12 @@
                         "--publisher",
                         "127.0.0.1:" + publisher.getPort(),
                         "--secret-file",
-                        secret.toString(),
+                        secretFile.toString(),
                         "--name",
                         "node-" + number)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
-        started.add(process);
+        startedProcesses.add(process);
         Map<Long, Long> times = new ConcurrentHashMap<>();
         Thread reader = new Thread(
                 () -> {
--- a/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
+++ b/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
@@ -35,7 +35,7 @@
 
     /** Creates the replicas; a test can inject faults with its own factory. */
     interface ReplicaFactory {
-        Replica create(String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener);
+        Replica create(String name, VersionedStore store, Index index, boolean isRelay, Replica.Listener listener);
 
         ReplicaFactory DEFAULT = Replica::new;
     }
@@ -64,19 +64,28 @@
     private boolean measuring;
     private int rejectedBatches;
 
+    /**
+     * Creates the machines; they connect as soon as the fleet runs.
+     *
+     * @param start the initial configuration of all machines
+     * @param controlCount number of control machines, at least 1
+     * @param nodeCount number of lightweight nodes
+     * @param budget what a control machine may send to its nodes
+     * @param checksIndex whether to check route indexes too, and to remember few removals
+     */
     ReplicationRun(
             long seed,
-            ConfigurationGenerator configurations,
+            ConfigurationGenerator generator,
             RouteConfiguration start,
-            int controlMachines,
+            int controlCount,
             int nodeCount,
             Publisher.Budget budget,
-            ReplicaFactory replicas,
+            ReplicaFactory replicaFactory,
             boolean checksIndex) {
         random = new SplittableRandom(seed * 7_919 + 13);
-        this.generator = configurations;
+        this.generator = generator;
         this.budget = budget;
-        this.replicaFactory = replicas;
+        this.replicaFactory = replicaFactory;
         this.checksIndex = checksIndex;
         maxRememberedRemovals = checksIndex ? MAX_REMEMBERED_REMOVALS_IN_SEED_RUNS : MAX_REMEMBERED_REMOVALS;
         fleet.setLinkDelay((from, to) -> from.region() == to.region()
@@ -93,7 +102,7 @@
                         10 * budget.burstBytesPerReplica(),
                         budget.totalBytesPerS(),
                         100 * budget.entriesPerSPerReplica()));
-        for (int i = 0; i < controlMachines; i++) {
+        for (int i = 0; i < controlCount; i++) {
             Machine control = fleet.machine("control-" + i, i % REGIONS);
             controls.add(control);
             startMachine(control, start, 0);
@@ -154,21 +163,21 @@
     }
 
     private void startMachine(Machine machine, VersionedStore store, Index index, long afterUs) {
-        boolean relay = controls.contains(machine);
+        boolean isRelay = controls.contains(machine);
         Replica replica = replicaFactory.create(
                 machine.name(),
                 store,
                 index,
-                relay,
-                (newStore, newIndex) -> onApplied(machine, relay, newStore, newIndex));
+                isRelay,
+                (newStore, newIndex) -> onApplied(machine, isRelay, newStore, newIndex));
         appliedVersion.put(machine, store.version());
-        if (relay) {
+        if (isRelay) {
             machine.startPublishing(store, budget);
         }
-        machine.replicateFrom(replica, relay ? List.of(writerMachine) : controls, afterUs);
+        machine.replicateFrom(replica, isRelay ? List.of(writerMachine) : controls, afterUs);
     }
 
-    private void onApplied(Machine machine, boolean relay, VersionedStore store, Index index) {
+    private void onApplied(Machine machine, boolean isRelay, VersionedStore store, Index index) {
         long previous = appliedVersion.put(machine, store.version());
         if (store.version() < previous) {
             violations.add(new RuleViolation(
@@ -189,7 +198,7 @@
                     "the route index matches the applied version",
                     machine.name() + " at " + Version.text(store.version())));
         }
-        if (measuring && !relay) {
+        if (measuring && !isRelay) {
             for (long version = previous + 1; version <= store.version(); version++) {
                 Long submitted = submittedUs.get(version);
                 if (submitted != null) {
@@ -197,7 +206,7 @@
                 }
             }
         }
-        if (relay) {
+        if (isRelay) {
             machine.publishUpdate(store.forgetRemovals(maxRememberedRemovals));
         }
     }
@@ -214,12 +223,12 @@
     }
 
     /** Submits single changes at this rate until {@code untilUs}. */
-    void scheduleChanges(double perS, long untilUs) {
-        long intervalUs = (long) (SECOND_US / perS);
+    void scheduleChanges(double changesPerSecond, long untilUs) {
+        long intervalUs = (long) (SECOND_US / changesPerSecond);
         fleet.schedule(fleet.nowUs() + intervalUs / 2 + random.nextLong(intervalUs), () -> {
             if (fleet.nowUs() < untilUs) {
                 submitBatch(1);
-                scheduleChanges(perS, untilUs);
+                scheduleChanges(changesPerSecond, untilUs);
             }
         });
     }
@@ -243,7 +252,7 @@
         if (!machine.isRunning()) {
             return;
         }
-        Replica old = machine.replica();
+        Replica previous = machine.replica();
         machine.kill();
         fleet.schedule(fleet.nowUs() + afterUs, () -> {
             machine.markRunning();
@@ -252,10 +261,11 @@
                 startMachine(
                         machine,
                         controls.contains(machine)
-                                ? old.store()
+                                ? previous.store()
                                 : VersionedStore.of(
-                                        old.store().live(), old.store().version()),
-                        old.index(),
+                                        previous.store().live(),
+                                        previous.store().version()),
+                        previous.index(),
                         1_000);
             } else {
                 startMachine(machine, configuration, 1_000);
@@ -286,8 +296,7 @@
         }
         RouteConfiguration configuration = (RouteConfiguration) newest.replica().index();
         if (newest.replica().store().version() != writer.store().version()) {
-            // A takeover now would lose committed changes; preventing that needs consensus, which isn't implemented
-            // yet.
+            // A takeover now would lose committed changes; preventing that needs consensus, not implemented yet.
             return;
         }
         writer = new ChangeWriter(
@@ -295,7 +304,7 @@
                 Version.epoch(writer.store().version()) + 1);
     }
 
-    /** Returns the names and versions of running machines whose data differ from the writer's; empty if all are equal. */
+    /** Returns the names and versions of the running machines whose data differ from the writer's. */
     List<String> laggingMachines() {
         List<String> lagging = new ArrayList<>();
         for (List<Machine> group : List.of(controls, nodes)) {
@@ -321,17 +330,17 @@
      * @param nodeCount number of lightweight nodes
      * @return the broken rules
      */
-    static List<RuleViolation> runSeed(long seed, int nodeCount, ReplicaFactory replicas) {
-        ConfigurationGenerator configurations = new ConfigurationGenerator(seed, 5, 20);
-        RouteConfiguration start = configurations.generate(150);
+    static List<RuleViolation> runSeed(long seed, int nodeCount, ReplicaFactory replicaFactory) {
+        ConfigurationGenerator generator = new ConfigurationGenerator(seed, 5, 20);
+        RouteConfiguration start = generator.generate(150);
         ReplicationRun run = new ReplicationRun(
                 seed,
-                configurations,
+                generator,
                 start,
                 4,
                 nodeCount,
                 new Publisher.Budget(18_000, 4_000, 1_000_000, 400),
-                replicas,
+                replicaFactory,
                 true);
         SplittableRandom random = run.random;
         long endUs = 60 * SECOND_US;
@@ -363,7 +372,7 @@
                 fleet.schedule(fleet.nowUs() + random.nextLong(25 * SECOND_US), () -> setIsolated(region, false));
             }
             case 2 -> restart(controls.get(random.nextInt(controls.size())), random.nextLong(1, 3 * SECOND_US), null);
-            case 3 -> controls.forEach(c -> restart(c, random.nextLong(1, 5 * SECOND_US), null));
+            case 3 -> controls.forEach(control -> restart(control, random.nextLong(1, 5 * SECOND_US), null));
             case 4 -> {
                 for (int i = 0; i < 10; i++) {
                     restart(nodes.get(random.nextInt(nodes.size())), random.nextLong(1, 3 * SECOND_US), null);
--- a/src/main/java/vetchpost/simulation/scale/RunCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/RunCommand.java
@@ -126,7 +126,8 @@
             throw new ParameterException(
                     spec.commandLine(),
                     "--nodes must be from 8 to 100000, --controls from 4 to 1000, --routes and --burst at least 10, "
-                            + "--services, --servers and --cut at least 1, --tenants at least 0, --changes above 0 and at most 1000");
+                            + "--services, --servers and --cut at least 1, --tenants at least 0, "
+                            + "--changes above 0 and at most 1000");
         }
         // Nodes start with one shared tree, and each retains what a change copies of it.
         double neededHeapBytes =
@@ -136,8 +137,8 @@
                     spec.commandLine(),
                     String.format(
                             Locale.ROOT,
-                            "this run needs about "
-                                    + "%.0f GB of heap, and the limit is %.1f GB: start it with java -Xmx%.0fg -jar ...",
+                            "this run needs about %.0f GB of heap, and the limit is %.1f GB: "
+                                    + "start it with java -Xmx%.0fg -jar ...",
                             Math.ceil(neededHeapBytes / 1e9),
                             Runtime.getRuntime().maxMemory() / 1e9,
                             Math.ceil(neededHeapBytes / 1e9)));
@@ -163,15 +164,17 @@
                 new Publisher.Budget(18_000, 4_000, 4_000_000, 400),
                 ReplicaFactory.DEFAULT,
                 false);
-        playPhases(run, start, startNs);
+        runPhases(run, start, startNs);
         printRetainedBytes(run);
         printServerListCost();
-        run.violations().stream().limit(20).forEach(b -> out.println("BROKEN " + b.rule() + ": " + b.details()));
+        run.violations().stream()
+                .limit(20)
+                .forEach(violation -> out.println("BROKEN " + violation.rule() + ": " + violation.details()));
         missedBudgets += run.violations().size();
         out.printf(
                 Locale.ROOT,
                 "%s%n",
-                missedBudgets == 0 ? "all within the budgets" : missedBudgets + " budgets or rules not kept");
+                missedBudgets == 0 ? "all within the budgets" : missedBudgets + " budgets exceeded or rules broken");
         out.flush();
         return missedBudgets == 0 ? 0 : 1;
     }
@@ -181,21 +184,21 @@
         out.flush();
     }
 
-    private void playPhases(ReplicationRun run, RouteConfiguration start, long startNs) {
+    private void runPhases(ReplicationRun run, RouteConfiguration start, long startNs) {
         LightweightFleet fleet = run.fleet();
         fleet.runUntil(5 * SECOND_US);
-        playPhase(
+        runPhase(
                 run,
                 startNs,
                 "an ordinary minute, " + changesPerS + " changes a second",
                 60,
                 () -> run.scheduleChanges(changesPerS, fleet.nowUs() + 56 * SECOND_US));
-        playPhase(run, startNs, "a burst of " + burst + " changes", 15, () -> {
+        runPhase(run, startNs, "a burst of " + burst + " changes", 15, () -> {
             for (int i = 0; i < 10; i++) {
                 run.submitBatch(burst / 10);
             }
         });
-        playPhase(run, startNs, "a control machine lost", 40, () -> {
+        runPhase(run, startNs, "a control machine lost", 40, () -> {
             run.scheduleChanges(changesPerS, fleet.nowUs() + 30 * SECOND_US);
             run.restart(run.controls().get(1), 30 * SECOND_US, null);
         });
@@ -208,34 +211,34 @@
         run.setIsolated(1, false);
         long[] caughtUpUs = {-1};
         watchCatchUp(run, isolatedNodes, caughtUpUs);
-        playPhase(run, startNs, "a region reconnected after " + isolationS + " s", 60, () -> {});
+        runPhase(run, startNs, "a region reconnected after " + isolationS + " s", 60, () -> {});
         out.printf(
                 Locale.ROOT,
                 "          its %d nodes had all missed changes %.1f s after reconnecting%n",
                 isolatedNodes.size(),
                 (caughtUpUs[0] - reconnectedUs) / 1e6);
-        playPhase(run, startNs, "all control machines restarted", 40, () -> {
-            run.controls().forEach(c -> run.restart(c, 2 * SECOND_US, null));
+        runPhase(run, startNs, "all control machines restarted", 40, () -> {
+            run.controls().forEach(control -> run.restart(control, 2 * SECOND_US, null));
             run.scheduleChanges(changesPerS, fleet.nowUs() + 30 * SECOND_US);
         });
-        playPhase(run, startNs, "a tenth of the nodes restarted at once", 40, () -> {
+        runPhase(run, startNs, "a tenth of the nodes restarted at once", 40, () -> {
             for (int i = 0; i < run.nodes().size(); i += 10) {
                 run.restart(run.nodes().get(i), SECOND_US, null);
             }
         });
-        Machine setBack = run.nodes().get(3);
-        run.restart(setBack, SECOND_US, start);
+        Machine outdatedNode = run.nodes().get(3);
+        run.restart(outdatedNode, SECOND_US, start);
         fleet.runUntil(fleet.nowUs() + 60 * SECOND_US);
         out.printf(
                 Locale.ROOT,
                 "          a node that restarted with the initial configuration is %s%n",
-                setBack.replica().store().version() == run.writer().store().version()
+                outdatedNode.replica().store().version() == run.writer().store().version()
                         ? "at the newest again"
                         : "still behind, at "
-                                + Version.text(setBack.replica().store().version()) + " of "
+                                + Version.text(outdatedNode.replica().store().version()) + " of "
                                 + Version.text(run.writer().store().version()) + ", rejected "
-                                + setBack.replica().rejectedCount());
-        playLostEntries(run, run.nodes().get(7));
+                                + outdatedNode.replica().rejectedCount());
+        runLostEntries(run, run.nodes().get(7));
         Machine emptyNode = run.nodes().get(4);
         long emptyUs = fleet.nowUs();
         run.restart(emptyNode, 1, RouteConfiguration.empty(ConfigurationGenerator.settings()));
@@ -252,11 +255,11 @@
                 bytes / BYTES_PER_MB);
         List<String> lagging = run.laggingMachines();
         printFigure("machines that are not at the newest in the end", lagging.size(), 0, "%.0f");
-        lagging.stream().limit(5).forEach(b -> out.println("          " + b));
+        lagging.stream().limit(5).forEach(machine -> out.println("          " + machine));
     }
 
     /** Simulates a node whose disk has lost some entries while its version says that it has all. */
-    private void playLostEntries(ReplicationRun run, Machine node) {
+    private void runLostEntries(ReplicationRun run, Machine node) {
         VersionedStore original = node.replica().store();
         PackedTree tree = original.live();
         long lost = Math.min(100, tree.size() / 10);
@@ -301,7 +304,7 @@
      * @param seconds length of the phase in virtual time
      * @param begin starts the phase's changes and faults
      */
-    private void playPhase(ReplicationRun run, long startNs, String label, int seconds, Runnable begin) {
+    private void runPhase(ReplicationRun run, long startNs, String label, int seconds, Runnable begin) {
         LightweightFleet fleet = run.fleet();
         long fromUs = (fleet.nowUs() / SECOND_US + 1) * SECOND_US;
         fleet.runUntil(fromUs);
