--- a/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
@@ -71,7 +71,7 @@
         public void admitted() {
             out.add(this);
             if (out.size() <= AT_WORK) {
-                entry.sent();
+                entry.onFirstAttemptSent();
             }
         }
 
@@ -125,12 +125,12 @@
         if (odd && !out.isEmpty()) {
             Entrant done = out.poll();
             door.recordLatency(0, 20_000);
-            done.entry.sent();
-            done.entry.ended();
+            done.entry.onFirstAttemptSent();
+            done.entry.onCompleted();
             int next = 0;
             for (Entrant waiting : out) {
                 if (++next >= AT_WORK) {
-                    waiting.entry.sent();
+                    waiting.entry.onFirstAttemptSent();
                     break;
                 }
             }
--- a/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
@@ -138,9 +138,9 @@
                     NOW_MS - 1_000_000));
         }
         dispatcher = dispatcher();
-        dispatcher.onKnownList(new ServerList(1, true, targets));
+        dispatcher.onCachedList(new ServerList(1, true, targets));
         sightings = new ServerObservations(settings().classes);
-        sightings.listed(NOW_MS, 1);
+        sightings.onFullList(NOW_MS, 1);
         states = new ArrayList<>();
         for (Target target : targets) {
             states.add(new ServerRecord(
@@ -201,7 +201,7 @@
     @Benchmark
     public Object loopHandOverOnePiece() {
         ServerStatistics knowledge = dispatcher.statistics(List.of());
-        return ServerObservations.pieces(
+        return ServerObservations.chunks(
                         sightings.new Cursor(dispatcher, () -> NOW_MS, ChunkCodec.SERVERS_PER_CHUNK),
                         snapshot.origin(),
                         sightings.classes(knowledge))
--- a/src/main/java/vetchpost/simulation/fleet/FleetRun.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetRun.java
@@ -226,7 +226,7 @@
     }
 
     private static String serverId(int server) {
-        return ReportedServer.text(address(server));
+        return ReportedServer.formatAddress(address(server));
     }
 
     private static InetSocketAddress address(int server) {
@@ -242,7 +242,7 @@
             reportServers(i, false);
             scheduleReports(i, SECOND_US);
         }
-        node.onKnownList(new ServerList(0, true, List.of()));
+        node.onCachedList(new ServerList(0, true, List.of()));
         applyChanges();
         if (detectionMode == DetectionMode.BOTH) {
             node.setAttemptObserver((server, result, response, loopDelayUs, latencyUs) -> {
--- a/src/main/java/vetchpost/simulation/fleet/SimulatedOperators.java
+++ b/src/main/java/vetchpost/simulation/fleet/SimulatedOperators.java
@@ -73,7 +73,8 @@
         if (random.nextInt(5) == 0 && commandCount > 0) {
             long number = 1 + random.nextInt(commandCount);
             if (leases.undo(number)) {
-                auditLog.add(AuditEntryJson.text(new Entry(Event.UNDONE, number, nowUs / US_PER_MS, null, "bob", "")));
+                auditLog.add(
+                        AuditEntryJson.format(new Entry(Event.UNDONE, number, nowUs / US_PER_MS, null, "bob", "")));
                 drains.stream().filter(d -> d.leaseNumber == number).forEach(d -> d.untilUs = nowUs);
             }
             return "";
@@ -95,7 +96,7 @@
         Decision decision = leases.check(request, fleetState(members), nowUs, nowUs / US_PER_MS);
         if (decision.lease() != null) {
             leases.grant(decision.lease());
-            auditLog.add(AuditEntryJson.text(
+            auditLog.add(AuditEntryJson.format(
                     new Entry(Event.GRANTED, decision.lease().number(), nowUs / US_PER_MS, request, "ann", "")));
             if (kind == OverrideKind.DRAIN) {
                 drains.add(new DrainPeriod(server, decision.lease().number(), elapsedUs, nowUs + lengthMs * US_PER_MS));
@@ -114,15 +115,18 @@
 
     private String restart(List<Member> members, long nowUs) {
         Leases previous = leases;
-        List<Entry> entries = auditLog.stream().map(AuditEntryJson::read).toList();
+        List<Entry> entries = auditLog.stream().map(AuditEntryJson::parse).toList();
         leases = leases();
         AuditLog.activeLeases(entries, nowUs / US_PER_MS, nowUs).forEach(leases::grant);
         entries.forEach(e -> leases.resumeNumberingAfter(e.number()));
-        boolean unchanged = previous.all().stream()
+        boolean unchanged = previous.activeLeases().stream()
                         .map(Lease::endUs)
                         .sorted()
                         .toList()
-                        .equals(leases.all().stream().map(Lease::endUs).sorted().toList())
+                        .equals(leases.activeLeases().stream()
+                                .map(Lease::endUs)
+                                .sorted()
+                                .toList())
                 && members.stream()
                         .allMatch(m -> previous.effects().isDraining(m.id()) == isDraining(m.id())
                                 && previous.effects().weight(m.id(), 1) == weight(m.id(), 1))
@@ -143,7 +147,7 @@
 
     /** Number of active leases. */
     int activeLeaseCount() {
-        return leases.all().size();
+        return leases.activeLeases().size();
     }
 
     @Override
--- a/src/main/java/vetchpost/simulation/overload/OverloadRun.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadRun.java
@@ -220,7 +220,7 @@
                 () -> {},
                 1_000_000,
                 actions -> new ServiceQBalancer(settings, plan.seed, actions));
-        node.onKnownList(servers.serverList());
+        node.onCachedList(servers.serverList());
         AdmissionSettings defaults = AdmissionValidator.defaults(settings);
         admission = plan.policy != Policy.DOOR
                 ? null
@@ -271,7 +271,7 @@
                             ? 0
                             : TENANT_SHARES[i] * 0.875 * capacityPerSecond(plan.serverCount)));
         }
-        settings.overShareWorth = 0.1;
+        settings.overShareValueFraction = 0.1;
         settings.maxAttempts = 4;
         settings.allowsCancellation = true;
         settings.clientsMarkRetries = true;
--- a/src/main/java/vetchpost/simulation/scale/ConfigurationGenerator.java
+++ b/src/main/java/vetchpost/simulation/scale/ConfigurationGenerator.java
@@ -96,7 +96,7 @@
         if (tenantCount > 0 && random.nextInt(20) == 0) {
             put(entries, "tenant", tenantName(random.nextInt(tenantCount)));
         }
-        return RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", POSITION, entries));
+        return RouteCodec.encode(new Section(Section.Kind.ROUTE, "", POSITION, entries));
     }
 
     private static void put(Map<String, Section.Entry> entries, String key, Object value) {
--- a/src/main/java/vetchpost/simulation/scale/GrowthMeasurements.java
+++ b/src/main/java/vetchpost/simulation/scale/GrowthMeasurements.java
@@ -402,7 +402,7 @@
                     RouteConfiguration configuration = new ConfigurationGenerator(1, 3_700, 1).generate(n);
                     EntryKey defaults = new EntryKey(EntryKind.LIMITS, "");
                     ChangeWriter writer = new ChangeWriter(configuration, 1);
-                    byte[] value = RouteCodec.bytes(new Section(
+                    byte[] value = RouteCodec.encode(new Section(
                             Section.Kind.DEFAULTS,
                             "",
                             new vetchpost.routes.Position("x", 1, 1),
@@ -456,7 +456,7 @@
     }
 
     /** A route file that was read and validated. */
-    private static final class LoadedRouteFile implements FileIndex.Tables {
+    private static final class LoadedRouteFile implements FileIndex.SectionHandler {
         private final FileIndex index;
         private RouteValidator validator;
         private final RouteValidation validation;
@@ -468,18 +468,18 @@
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            validation = validator.end();
+            validation = validator.finish();
             require(violations.isEmpty() && validation.isValid());
         }
 
         @Override
-        public void otherSections(List<Section> sections) {
+        public void acceptOtherSections(List<Section> sections) {
             validator = RouteValidator.begin(sections, ConfigurationGenerator.settings(), true, null, 1);
         }
 
         @Override
-        public void route(Section section) {
-            validator.add(section);
+        public void acceptRoute(Section section) {
+            validator.addRoute(section);
         }
 
         /** Rereads the file, validates its changes, and returns the number of changed routes. */
@@ -487,8 +487,8 @@
             try {
                 FileIndex.Difference difference = index.reread(file);
                 List<RouteValidator.RouteChange> changes = difference.changedRoutes().stream()
-                        .map(s ->
-                                new RouteValidator.RouteChange(EntryChange.Op.REPLACE, RouteCodec.nameOf(s), s, s.at()))
+                        .map(s -> new RouteValidator.RouteChange(
+                                EntryChange.Op.REPLACE, RouteCodec.nameOf(s), s, s.position()))
                         .toList();
                 require(RouteValidator.validateChanges(validation.table(), changes, 2)
                         .isValid());
--- a/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
+++ b/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
@@ -205,7 +205,7 @@
                 }
 
                 @Override
-                public void after(long delayUs, Runnable task) {
+                public void schedule(long delayUs, Runnable task) {
                     time.after(delayUs * NS_PER_US, task);
                 }
             });
--- a/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
+++ b/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
@@ -182,12 +182,12 @@
         if (store.version() < previous) {
             violations.add(new RuleViolation(
                     "versions never decrease",
-                    machine.name() + " from " + Version.text(previous) + " to " + Version.text(store.version())));
+                    machine.name() + " from " + Version.format(previous) + " to " + Version.format(store.version())));
         }
         if (!store.live().sum().equals(digestByVersion.get(store.version()))) {
             violations.add(new RuleViolation(
                     "an applied version equals what the writer had",
-                    machine.name() + " at " + Version.text(store.version())));
+                    machine.name() + " at " + Version.format(store.version())));
         }
         if (checksIndex
                 && !((RouteConfiguration) index)
@@ -196,7 +196,7 @@
                         .equals(indexDigestByVersion.get(store.version()))) {
             violations.add(new RuleViolation(
                     "the route index matches the applied version",
-                    machine.name() + " at " + Version.text(store.version())));
+                    machine.name() + " at " + Version.format(store.version())));
         }
         if (measuring && !isRelay) {
             for (long version = previous + 1; version <= store.version(); version++) {
@@ -300,7 +300,7 @@
             return;
         }
         writer = new ChangeWriter(
-                configuration.at(newest.replica().store()),
+                configuration.withStore(newest.replica().store()),
                 Version.epoch(writer.store().version()) + 1);
     }
 
@@ -316,7 +316,7 @@
                                 .sum()
                                 .equals(writer.store().live().sum())) {
                     lagging.add(machine.name() + " at "
-                            + Version.text(machine.replica().store().version()));
+                            + Version.format(machine.replica().store().version()));
                 }
             }
         }
--- a/src/main/java/vetchpost/simulation/scale/RunCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/RunCommand.java
@@ -235,8 +235,8 @@
                 outdatedNode.replica().store().version() == run.writer().store().version()
                         ? "at the newest again"
                         : "still behind, at "
-                                + Version.text(outdatedNode.replica().store().version()) + " of "
-                                + Version.text(run.writer().store().version()) + ", rejected "
+                                + Version.format(outdatedNode.replica().store().version()) + " of "
+                                + Version.format(run.writer().store().version()) + ", rejected "
                                 + outdatedNode.replica().rejectedCount());
         runLostEntries(run, run.nodes().get(7));
         Machine emptyNode = run.nodes().get(4);
