--- a/src/test/java/vetchpost/discovery/DiscoveryClientTest.java
+++ b/src/test/java/vetchpost/discovery/DiscoveryClientTest.java
@@ -80,7 +80,7 @@
 
     private void assertFailsOnce() throws Exception {
         FakePeer.takeWithTimeout(failures);
-        FakePeer.takeWithTimeout(peer.ended);
+        FakePeer.takeWithTimeout(peer.closedByClient);
         group.next().submit(() -> {}).get();
         assertTrue(failures.isEmpty(), "reported twice");
     }
@@ -100,7 +100,7 @@
         peer.nextRequest();
         group.next().submit(discovery::subscribe).get();
         assertTrue(peer.nextRequest().contains("&after=50 "), "does not continue from the last revision");
-        FakePeer.takeWithTimeout(peer.ended);
+        FakePeer.takeWithTimeout(peer.closedByClient);
         assertTrue(failures.isEmpty(), "a replaced watch was reported as failed");
     }
 
--- a/src/test/java/vetchpost/http/ServerPoolTest.java
+++ b/src/test/java/vetchpost/http/ServerPoolTest.java
@@ -197,7 +197,7 @@
             })
     void reportsResetAndClosesOnMalformedResponse(String malformed) throws Exception {
         assertEquals(Result.RESET, resultFor(FakePeer.raw(malformed)).result());
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
@@ -294,7 +294,7 @@
         server.nextRequest();
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, source.takeResult().result());
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
@@ -317,8 +317,8 @@
         ServerPool.Attempt attempt = start(pool, silent);
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, silent.takeResult().result());
-        FakePeer.takeWithTimeout(server.ended);
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
@@ -356,7 +356,7 @@
         FakePeer.takeWithTimeout(server.accepted);
         loop.submit(() -> {}).get();
         loop.submit(pool::close).get();
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
         assertTrue(server.requests.isEmpty(), "sent after the state change");
     }
 
@@ -409,12 +409,12 @@
             } else {
                 FakePeer.write(idle, unsolicited);
             }
-            assertSame(idle, FakePeer.takeWithTimeout(server.ended));
+            assertSame(idle, FakePeer.takeWithTimeout(server.closedByClient));
             RecordingSource second = new RecordingSource(10);
             start(pool, second);
             assertEquals("hello", new String(second.takeResult().response().body(), StandardCharsets.UTF_8));
             FakePeer.takeWithTimeout(server.accepted).close();
-            FakePeer.takeWithTimeout(server.ended);
+            FakePeer.takeWithTimeout(server.closedByClient);
         }
     }
 
@@ -424,7 +424,7 @@
         start(createPool(server.address(), 100_000), source);
         assertEquals(Result.OK, source.takeResult().result());
         // The fake server never closes, so the pool closed the connection.
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
@@ -435,7 +435,7 @@
         assertEquals(Result.OK, first.takeResult().result());
         try (FakePeer moved = new FakePeer(FakePeer.answer("200 OK", "", "moved"))) {
             updateList(pool, moved.address(), 0);
-            FakePeer.takeWithTimeout(server.ended);
+            FakePeer.takeWithTimeout(server.closedByClient);
             RecordingSource second = new RecordingSource(10);
             start(pool, second);
             assertEquals("moved", new String(second.takeResult().response().body(), StandardCharsets.UTF_8));
--- a/src/test/java/vetchpost/node/OverloadedNodeTest.java
+++ b/src/test/java/vetchpost/node/OverloadedNodeTest.java
@@ -356,7 +356,7 @@
         // Its one attempt is abandoned, and the server sees its connection close.
         FakePeer.takeWithTimeout(server.accepted);
         clientGone.countDown();
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
         assertEquals(200, status(responseFor(FakePeer.answer("200 OK", "", "done"))));
     }
@@ -382,7 +382,7 @@
         }
         client.close();
         // The attempt is abandoned long before its timeout of over ten seconds.
-        assertNotNull(server.ended.poll(5, TimeUnit.SECONDS), "the disconnect was not noticed");
+        assertNotNull(server.closedByClient.poll(5, TimeUnit.SECONDS), "the disconnect was not noticed");
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
         assertTrue(server.requests.isEmpty(), "forwarded for a disconnected client: " + server.requests.size());
     }
--- a/src/test/java/vetchpost/node/WatchRacesTest.java
+++ b/src/test/java/vetchpost/node/WatchRacesTest.java
@@ -175,7 +175,7 @@
         CountDownLatch warm = warmUp();
         assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
         discovery.nextRequest();
-        FakePeer.takeWithTimeout(discovery.ended);
+        FakePeer.takeWithTimeout(discovery.closedByClient);
         NodeConfig newConfig = configWithDiscovery(newDiscovery);
         loop.submit(() -> node.moveDiscovery(newConfig)).get();
         assertNotNull(newDiscovery.nextRequest());
--- a/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
@@ -365,7 +365,7 @@
         Fixture.writeLine(watch, Fixture.list(50, true, "Ready", server));
         awaitReadiness(node.port, "discovery's list");
         listed.countDown();
-        FakePeer.takeWithTimeout(slow.ended);
+        FakePeer.takeWithTimeout(slow.closedByClient);
         for (int i = 0; i < 40; i++) {
             assertTrue(requestView(node.port, i).endsWith("served"));
         }
@@ -398,7 +398,7 @@
                         + entry("s-1", server, "Ready") + "]}");
         assertTrue(requestView(node.port, 1).endsWith("served"));
         drainReported.countDown();
-        FakePeer.takeWithTimeout(slow.ended);
+        FakePeer.takeWithTimeout(slow.closedByClient);
         // The other server goes: if the first one were in use again, it would get the next requests.
         Fixture.writeLine(watch, "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-1", server, "Gone") + "]}");
         String answer = "served";
@@ -536,7 +536,7 @@
                 server);
         assertTrue(requestView(node.port, 1).endsWith("served"));
         FakePeer.takeWithTimeout(silentPeer.accepted);
-        assertTrue(silentPeer.ended.isEmpty(), "readiness waited for the whole handover");
+        assertTrue(silentPeer.closedByClient.isEmpty(), "readiness waited for the whole handover");
     }
 
     private static String entry(String id, FakePeer at, String state) {
