--- a/clients/java/src/main/java/vetchpost/client/BoundedBody.java
+++ b/clients/java/src/main/java/vetchpost/client/BoundedBody.java
@@ -11,13 +11,13 @@
 
 /** An answer's body in memory, up to a bound; one that is longer breaks its connection. */
 final class BoundedBody implements BodySubscriber<byte[]> {
-    private final int most;
+    private final int maxBytes;
     private final CompletableFuture<byte[]> body = new CompletableFuture<>();
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private Flow.Subscription subscription;
 
     BoundedBody(int most) {
-        this.most = most;
+        this.maxBytes = most;
     }
 
     @Override
@@ -34,9 +34,9 @@
     @Override
     public void onNext(List<ByteBuffer> some) {
         for (ByteBuffer buffer : some) {
-            if (buffer.remaining() > most - bytes.size()) {
+            if (buffer.remaining() > maxBytes - bytes.size()) {
                 subscription.cancel();
-                body.completeExceptionally(new IOException("an answer of more than " + most + " bytes"));
+                body.completeExceptionally(new IOException("an answer of more than " + maxBytes + " bytes"));
                 return;
             }
             byte[] part = new byte[buffer.remaining()];
--- a/clients/java/src/main/java/vetchpost/client/Client.java
+++ b/clients/java/src/main/java/vetchpost/client/Client.java
@@ -46,30 +46,30 @@
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
 
-    private final Builder made;
+    private final Builder options;
     private final Caller caller;
     private final HttpClient http;
     private final ScheduledThreadPoolExecutor loop;
-    private final Ids ids = new Ids();
-    private final long beganNs = System.nanoTime();
-    private final Map<Long, Open> open = new HashMap<>();
-    private ScheduledFuture<?> wake;
-    private long wakeMs = Caller.NEVER;
-    private long numbered;
+    private final IdGenerator ids = new IdGenerator();
+    private final long startedNs = System.nanoTime();
+    private final Map<Long, OpenCall> openCalls = new HashMap<>();
+    private ScheduledFuture<?> wakeTask;
+    private long wakeAtMs = Caller.NEVER;
+    private long lastNumber;
     private boolean closed;
 
     /** A call that is not over. */
-    private static final class Open {
+    private static final class OpenCall {
         private final String id;
         private final String key;
         private final Request request;
         private final CompletableFuture<Result> future;
-        private final long beganNs = System.nanoTime();
-        private final Map<Integer, CompletableFuture<HttpResponse<byte[]>>> out = new HashMap<>(2);
-        private int sendings;
+        private final long startedNs = System.nanoTime();
+        private final Map<Integer, CompletableFuture<HttpResponse<byte[]>>> inFlight = new HashMap<>(2);
+        private int attemptCount;
         private HttpResponse<byte[]> answer;
 
-        Open(String id, String key, Request request, CompletableFuture<Result> future) {
+        OpenCall(String id, String key, Request request, CompletableFuture<Result> future) {
             this.id = id;
             this.key = key;
             this.request = request;
@@ -79,7 +79,7 @@
 
     /** What a client is made of. */
     public static final class Builder {
-        private static final int MOST_BYTES = 16 << 20;
+        private static final int DEFAULT_MAX_ANSWER_BYTES = 16 << 20;
 
         private final Map<String, Boolean> nodes = new LinkedHashMap<>();
         private final List<UnaryOperator<Request>> interceptors = new ArrayList<>();
@@ -87,7 +87,7 @@
         private Listener listener = Listener.NONE;
         private Duration within = Duration.ofSeconds(10);
         private Duration connectWithin = Duration.ofSeconds(1);
-        private int mostBytes = MOST_BYTES;
+        private int maxAnswerBytes = DEFAULT_MAX_ANSWER_BYTES;
         private boolean plainRefusals;
         private String tenant;
         private String session;
@@ -96,13 +96,13 @@
 
         /** A node, by scheme, host and port: {@code http://127.0.0.1:8080}. */
         public Builder node(String node) {
-            nodes.put(checked(node), false);
+            nodes.put(requireNodeUrl(node), false);
             return this;
         }
 
         /** A node that is asked before the others while it has room: one on this machine, or in this zone. */
         public Builder localNode(String node) {
-            nodes.put(checked(node), true);
+            nodes.put(requireNodeUrl(node), true);
             return this;
         }
 
@@ -126,7 +126,7 @@
 
         /** The longest body of an answer that is taken; 16 MiB if not said. */
         public Builder longestAnswer(int bytes) {
-            mostBytes = bytes;
+            maxAnswerBytes = bytes;
             return this;
         }
 
@@ -167,7 +167,7 @@
     }
 
     private Client(Builder builder) {
-        made = builder;
+        options = builder;
         loop = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "vetchpost-client");
             thread.setDaemon(true);
@@ -176,10 +176,10 @@
         loop.setRemoveOnCancelPolicy(true);
         http = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(made.connectWithin)
+                .connectTimeout(options.connectWithin)
                 .followRedirects(HttpClient.Redirect.NEVER)
                 .build();
-        caller = new Caller(made.settings, () -> ThreadLocalRandom.current().nextDouble());
+        caller = new Caller(options.settings, () -> ThreadLocalRandom.current().nextDouble());
         builder.nodes.forEach((node, local) -> caller.addNode(0, node, local));
     }
 
@@ -188,7 +188,7 @@
         return new Builder();
     }
 
-    private static String checked(String node) {
+    private static String requireNodeUrl(String node) {
         URI uri = URI.create(node);
         boolean plain = uri.getHost() != null
                 && uri.getPort() > 0
@@ -204,13 +204,13 @@
 
     /** A node to send to from now on. */
     public void addNode(String node) {
-        String name = checked(node);
-        onLoop(() -> perform(caller.addNode(nowMs(), name, false)));
+        String name = requireNodeUrl(node);
+        runOnLoop(() -> perform(caller.addNode(nowMs(), name, false)));
     }
 
     /** A node that gets no more calls; those it has go on. */
     public void removeNode(String node) {
-        onLoop(() -> perform(caller.removeNode(nowMs(), node)));
+        runOnLoop(() -> perform(caller.removeNode(nowMs(), node)));
     }
 
     /**
@@ -219,12 +219,12 @@
      */
     public CompletableFuture<Result> send(Request request) {
         Request last = request;
-        for (UnaryOperator<Request> change : made.interceptors) {
+        for (UnaryOperator<Request> change : options.interceptors) {
             last = change.apply(last);
         }
         Request sent = last;
-        String key = sent.repeat() == Repeat.KEYED ? sent.key().orElseGet(ids::wide) : null;
-        Open call = new Open(ids.wide(), key, sent, new CompletableFuture<>());
+        String key = sent.repeat() == Repeat.KEYED ? sent.key().orElseGet(ids::newId) : null;
+        OpenCall call = new OpenCall(ids.newId(), key, sent, new CompletableFuture<>());
         try {
             loop.execute(() -> begin(call));
         } catch (RejectedExecutionException e) {
@@ -239,7 +239,7 @@
         try {
             loop.execute(() -> {
                 closed = true;
-                for (Long number : List.copyOf(open.keySet())) {
+                for (Long number : List.copyOf(openCalls.keySet())) {
                     perform(caller.cancel(nowMs(), number));
                 }
             });
@@ -252,30 +252,30 @@
     // ---------------------------------------------------------------- on the one thread
 
     private long nowMs() {
-        return (System.nanoTime() - beganNs) / NS_PER_MS;
+        return (System.nanoTime() - startedNs) / NS_PER_MS;
     }
 
-    private void begin(Open call) {
+    private void begin(OpenCall call) {
         if (closed) {
             call.future.complete(new Result.NeverRan(call.id, "the client is closed"));
             return;
         }
-        long number = ++numbered;
-        open.put(number, call);
+        long number = ++lastNumber;
+        openCalls.put(number, call);
         call.future.whenComplete((result, e) -> {
             if (call.future.isCancelled()) {
-                onLoop(() -> perform(caller.cancel(nowMs(), number)));
+                runOnLoop(() -> perform(caller.cancel(nowMs(), number)));
             }
         });
         perform(caller.begin(
                 nowMs(),
                 number,
                 call.request.repeat(),
-                call.request.within().orElse(made.within).toMillis(),
+                call.request.within().orElse(options.within).toMillis(),
                 call.request.window().toMillis()));
     }
 
-    private void onLoop(Runnable task) {
+    private void runOnLoop(Runnable task) {
         try {
             loop.execute(task);
         } catch (RejectedExecutionException e) {
@@ -286,52 +286,52 @@
 
     private void perform(List<Action> actions) {
         for (Action action : actions) {
-            Open call = open.get(action.call());
+            OpenCall call = openCalls.get(action.call());
             if (action instanceof Action.Send send) {
                 send(call, send);
             } else if (action instanceof Action.Abandon abandon) {
-                CompletableFuture<?> out = call.out.remove(abandon.attempt());
+                CompletableFuture<?> out = call.inFlight.remove(abandon.attempt());
                 if (out != null) {
                     out.cancel(true);
                 }
             } else if (action instanceof Action.End end) {
-                open.remove(end.call());
+                openCalls.remove(end.call());
                 end(call, end.outcome());
             }
         }
         long next = caller.nextWakeMs();
         // One that comes too early only looks again; so a timer is not set anew for each call that ends.
-        if (next < wakeMs && !loop.isShutdown() || open.isEmpty()) {
-            if (wake != null) {
-                wake.cancel(false);
+        if (next < wakeAtMs && !loop.isShutdown() || openCalls.isEmpty()) {
+            if (wakeTask != null) {
+                wakeTask.cancel(false);
             }
-            wakeMs = next;
-            wake = next == Caller.NEVER || loop.isShutdown()
+            wakeAtMs = next;
+            wakeTask = next == Caller.NEVER || loop.isShutdown()
                     ? null
                     : loop.schedule(
                             () -> {
-                                wakeMs = Caller.NEVER;
+                                wakeAtMs = Caller.NEVER;
                                 perform(caller.wake(nowMs()));
                             },
-                            next * NS_PER_MS - (System.nanoTime() - beganNs),
+                            next * NS_PER_MS - (System.nanoTime() - startedNs),
                             TimeUnit.NANOSECONDS);
         }
     }
 
-    private void send(Open call, Action.Send send) {
-        call.sendings++;
-        tell(() -> made.listener.sent(call.id, send.attempt(), send.node()));
+    private void send(OpenCall call, Action.Send send) {
+        call.attemptCount++;
+        notifyListener(() -> options.listener.sent(call.id, send.attempt(), send.node()));
         CompletableFuture<HttpResponse<byte[]>> out;
         try {
-            out = http.sendAsync(wire(call, send), head -> new BoundedBody(made.mostBytes));
+            out = http.sendAsync(toHttpRequest(call, send), head -> new BoundedBody(options.maxAnswerBytes));
         } catch (IllegalArgumentException e) {
             out = CompletableFuture.failedFuture(new ConnectException(e.getMessage()));
         }
-        call.out.put(send.attempt(), out);
-        out.whenComplete((answer, e) -> onLoop(() -> {
-            if (call.out.remove(send.attempt()) != null) {
-                Ending how = e == null ? ending(call, answer) : ending(e);
-                tell(() -> made.listener.ended(call.id, send.attempt(), send.node(), how));
+        call.inFlight.put(send.attempt(), out);
+        out.whenComplete((answer, e) -> runOnLoop(() -> {
+            if (call.inFlight.remove(send.attempt()) != null) {
+                Ending how = e == null ? toEnding(call, answer) : toEnding(e);
+                notifyListener(() -> options.listener.ended(call.id, send.attempt(), send.node(), how));
                 if (how.kind() == Ending.Kind.SERVED) {
                     call.answer = answer;
                 }
@@ -340,19 +340,19 @@
         }));
     }
 
-    private HttpRequest wire(Open call, Action.Send send) {
+    private HttpRequest toHttpRequest(OpenCall call, Action.Send send) {
         byte[] body = call.request.bytes();
         HttpRequest.Builder wire = HttpRequest.newBuilder(URI.create(send.node() + call.request.target()))
-                .method(call.request.method(), new Once(body));
-        if (made.session != null && !call.request.headers().containsKey("cookie")) {
-            wire.setHeader("Cookie", "key=" + made.session);
+                .method(call.request.method(), new SingleUseBody(body));
+        if (options.session != null && !call.request.headers().containsKey("cookie")) {
+            wire.setHeader("Cookie", "key=" + options.session);
         }
         call.request.headers().forEach(wire::setHeader);
         wire.setHeader("X-Request-Id", call.id)
-                .setHeader("X-Txn", ids.narrow())
+                .setHeader("X-Txn", ids.newAttemptId())
                 .setHeader("X-Remaining-Ms", Long.toString(send.remainingMs()));
-        if (made.tenant != null) {
-            wire.setHeader("X-Org", made.tenant);
+        if (options.tenant != null) {
+            wire.setHeader("X-Org", options.tenant);
         }
         if (call.key != null) {
             wire.setHeader("Idempotency-Key", call.key);
@@ -363,7 +363,7 @@
         return wire.build();
     }
 
-    private Ending ending(Open call, HttpResponse<byte[]> answer) {
+    private Ending toEnding(OpenCall call, HttpResponse<byte[]> answer) {
         HttpHeaders headers = answer.headers();
         boolean bodiless = answer.statusCode() == NO_CONTENT
                 || answer.statusCode() == NOT_MODIFIED
@@ -380,10 +380,10 @@
                 headers.firstValue("Retry-After").orElse(null),
                 headers.firstValue("Date").orElse(null),
                 System.currentTimeMillis(),
-                made.plainRefusals);
+                options.plainRefusals);
     }
 
-    private static Ending ending(Throwable e) {
+    private static Ending toEnding(Throwable e) {
         Throwable cause = e instanceof CompletionException && e.getCause() != null ? e.getCause() : e;
         boolean never = cause instanceof ConnectException
                 || cause instanceof HttpConnectTimeoutException
@@ -394,7 +394,7 @@
                 cause.getMessage() == null ? cause.getClass().getSimpleName() : cause.getMessage());
     }
 
-    private void end(Open call, Outcome how) {
+    private void end(OpenCall call, Outcome how) {
         Optional<Duration> comeBack =
                 how.comeBackMs() < 0 ? Optional.empty() : Optional.of(Duration.ofMillis(how.comeBackMs()));
         Optional<String> key = Optional.ofNullable(call.key);
@@ -405,19 +405,19 @@
                         call.answer.statusCode(),
                         call.answer.headers().map(),
                         call.answer.body(),
-                        call.sendings);
+                        call.attemptCount);
             case REFUSED -> new Result.Refused(call.id, comeBack, how.cause());
             case NEVER_RAN -> new Result.NeverRan(call.id, how.cause());
             case MAY_HAVE_RUN -> new Result.MayHaveRun(call.id, key, comeBack, how.cause());
             case CANCELLED -> new Result.Cancelled(call.id, how.mayHaveRun());
             case LATE -> new Result.Late(call.id, how.mayHaveRun(), key);
         };
-        tell(() -> made.listener.over(result, Duration.ofNanos(System.nanoTime() - call.beganNs)));
+        notifyListener(() -> options.listener.over(result, Duration.ofNanos(System.nanoTime() - call.startedNs)));
         // What hangs on it is not this thread's to do.
         call.future.completeAsync(() -> result);
     }
 
-    private static void tell(Runnable what) {
+    private static void notifyListener(Runnable what) {
         try {
             what.run();
         } catch (RuntimeException e) {
--- a/clients/java/src/main/java/vetchpost/client/Request.java
+++ b/clients/java/src/main/java/vetchpost/client/Request.java
@@ -19,7 +19,7 @@
  */
 public final class Request {
     /** Fields that the client sets itself, or that belong to a connection. */
-    private static final Set<String> OWN = Set.of(
+    private static final Set<String> RESERVED_HEADERS = Set.of(
             "x-txn",
             "x-request-id",
             "x-remaining-ms",
@@ -34,7 +34,7 @@
             "upgrade");
 
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
-    private static final String TEXT = "[\\x21-\\x7e]([\\x20-\\x7e\\t]*[\\x21-\\x7e])?";
+    private static final String HEADER_VALUE = "[\\x21-\\x7e]([\\x20-\\x7e\\t]*[\\x21-\\x7e])?";
 
     private final String method;
     private final String target;
@@ -130,10 +130,10 @@
      */
     public Request header(String name, String value) {
         String lower = name.toLowerCase(Locale.ROOT);
-        if (!name.matches(TOKEN) || !value.matches(TEXT)) {
+        if (!name.matches(TOKEN) || !value.matches(HEADER_VALUE)) {
             throw new IllegalArgumentException("'" + name + ": " + value + "' is no header field");
         }
-        if (OWN.contains(lower)) {
+        if (RESERVED_HEADERS.contains(lower)) {
             throw new IllegalArgumentException("the client sets '" + name + "' itself");
         }
         Map<String, String> more = new LinkedHashMap<>(headers);
--- a/clients/java/src/main/java/vetchpost/client/Once.java
+++ b/clients/java/src/main/java/vetchpost/client/SingleUseBody.java
@@ -11,17 +11,17 @@
  * times, where a connection ends without an answer: past the budget, past the back-off, and under the same
  * number. It asks for the length whenever it writes a head; the second time it is stopped.
  */
-final class Once implements BodyPublisher {
+final class SingleUseBody implements BodyPublisher {
     private final BodyPublisher body;
-    private final AtomicBoolean out = new AtomicBoolean();
+    private final AtomicBoolean used = new AtomicBoolean();
 
-    Once(byte[] bytes) {
+    SingleUseBody(byte[] bytes) {
         body = bytes.length == 0 ? BodyPublishers.noBody() : BodyPublishers.ofByteArray(bytes);
     }
 
     @Override
     public long contentLength() {
-        if (!out.compareAndSet(false, true)) {
+        if (!used.compareAndSet(false, true)) {
             throw new IllegalStateException("the connection has ended without an answer");
         }
         return body.contentLength();
--- a/clients/java/src/main/java/vetchpost/client/core/Answers.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Answers.java
@@ -16,7 +16,7 @@
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,10}(\\.[0-9]{1,9})?");
     private static final Pattern DATE = Pattern.compile(
             "(Mon|Tue|Wed|Thu|Fri|Sat|Sun), [0-9]{2} [A-Z][a-z]{2} [0-9]{4} [0-9]{2}:[0-9]{2}:[0-9]{2} GMT");
-    private static final double MS = 1_000;
+    private static final double MS_PER_SECOND = 1_000;
 
     private Answers() {}
 
@@ -57,7 +57,7 @@
             return -1;
         }
         if (SECONDS.matcher(retryAfter).matches()) {
-            return (long) Math.ceil(Double.parseDouble(retryAfter) * MS);
+            return (long) Math.ceil(Double.parseDouble(retryAfter) * MS_PER_SECOND);
         }
         long then = dateMs(retryAfter);
         if (then < 0) {
--- a/clients/java/src/main/java/vetchpost/client/core/Call.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Call.java
@@ -12,7 +12,7 @@
         final int number;
         final Node node;
         final long sentMs;
-        private boolean over;
+        private boolean finished;
 
         Attempt(int number, Node node, long sentMs) {
             this.number = number;
@@ -25,69 +25,69 @@
     final Repeat repeat;
     final long deadlineMs;
     /** When its second copy is due; -1 if none is. */
-    long secondMs = -1;
+    long hedgeAtMs = -1;
     /** The one time at which it wants to be woken. */
-    long wakeMs = Long.MAX_VALUE;
+    long wakeAtMs = Long.MAX_VALUE;
 
-    boolean over;
-    Ending last;
-    private final long windowMs;
+    boolean finished;
+    Ending lastEnding;
+    private final long deduplicationWindowMs;
     private final List<Attempt> attempts = new ArrayList<>(2);
-    private final Map<Node, Long> notBefore = new HashMap<>(2);
-    private long windowEndMs = Long.MAX_VALUE;
+    private final Map<Node, Long> notBeforeMsByNode = new HashMap<>(2);
+    private long deduplicationEndMs = Long.MAX_VALUE;
     private boolean mayHaveRun;
-    private int out;
+    private int inFlightCount;
 
     Call(long id, Repeat repeat, long deadlineMs, long windowMs) {
         this.id = id;
         this.repeat = repeat;
         this.deadlineMs = deadlineMs;
-        this.windowMs = windowMs;
+        this.deduplicationWindowMs = windowMs;
     }
 
-    Attempt sent(Node node, long nowMs) {
+    Attempt addAttempt(Node node, long nowMs) {
         Attempt attempt = new Attempt(attempts.size(), node, nowMs);
         attempts.add(attempt);
-        out++;
+        inFlightCount++;
         return attempt;
     }
 
     /** The attempt of this number if it is out, else null. */
-    Attempt out(int number) {
+    Attempt inFlightAttempts(int number) {
         Attempt one = number >= 0 && number < attempts.size() ? attempts.get(number) : null;
-        return one == null || one.over ? null : one;
+        return one == null || one.finished ? null : one;
     }
 
-    List<Attempt> out() {
-        return attempts.stream().filter(a -> !a.over).toList();
+    List<Attempt> inFlightAttempts() {
+        return attempts.stream().filter(a -> !a.finished).toList();
     }
 
-    boolean isOut() {
-        return out > 0;
+    boolean isInFlight() {
+        return inFlightCount > 0;
     }
 
-    int sendings() {
+    int attemptCount() {
         return attempts.size();
     }
 
     /** An attempt of it is over, and this is all that is known of it. */
-    void ended(Attempt attempt, Ending how, long nowMs) {
-        over(attempt);
-        last = how;
+    void recordEnding(Attempt attempt, Ending how, long nowMs) {
+        finish(attempt);
+        lastEnding = how;
         if (how.kind() == Ending.Kind.MAY_HAVE_RUN) {
             mayHaveRun = true;
             if (repeat == Repeat.KEYED) {
-                windowEndMs = Math.min(windowEndMs, attempt.sentMs + windowMs);
+                deduplicationEndMs = Math.min(deduplicationEndMs, attempt.sentMs + deduplicationWindowMs);
             }
         } else if (how.kind() == Ending.Kind.REFUSED && how.retryAfterMs() >= 0) {
-            notBefore.merge(attempt.node, nowMs + how.retryAfterMs(), Math::max);
+            notBeforeMsByNode.merge(attempt.node, nowMs + how.retryAfterMs(), Math::max);
         }
     }
 
     /** No more is wanted of an attempt, and whatever it does has no weight. */
-    void over(Attempt attempt) {
-        attempt.over = true;
-        out--;
+    void finish(Attempt attempt) {
+        attempt.finished = true;
+        inFlightCount--;
     }
 
     boolean hasTried(Node node) {
@@ -96,12 +96,12 @@
 
     /** When this node takes it, by the node's own word; the distant past if it has said none. */
     long notBeforeMs(Node node) {
-        return notBefore.getOrDefault(node, Long.MIN_VALUE);
+        return notBeforeMsByNode.getOrDefault(node, Long.MIN_VALUE);
     }
 
     /** The earliest time that any node has named; the largest number if none has. */
-    long comeBackMs() {
-        return notBefore.values().stream().mapToLong(t -> t).min().orElse(Long.MAX_VALUE);
+    long earliestRetryMs() {
+        return notBeforeMsByNode.values().stream().mapToLong(t -> t).min().orElse(Long.MAX_VALUE);
     }
 
     boolean mayHaveRun() {
@@ -112,12 +112,12 @@
      * Until when it may be answered. A repeat of a keyed call that may have run must not arrive after the
      * servers have forgotten its key, however long it is on its way: so it is given up by then.
      */
-    long untilMs() {
-        return Math.min(deadlineMs, windowEndMs);
+    long answerByMs() {
+        return Math.min(deadlineMs, deduplicationEndMs);
     }
 
     /** Whether its class lets it go out once more. */
-    boolean mayRepeat() {
+    boolean mayRetry() {
         return repeat != Repeat.UNSAFE || !mayHaveRun;
     }
 }
--- a/clients/java/src/main/java/vetchpost/client/core/Caller.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Caller.java
@@ -20,25 +20,25 @@
     /** The answer of {@link #nextWakeMs} while nothing is due. */
     public static final long NEVER = Long.MAX_VALUE;
 
-    private static final int USUAL_PER_MILLE = 500;
-    private static final int NEARLY_ALL_PER_MILLE = 950;
+    private static final int MEDIAN_PER_MILLE = 500;
+    private static final int SLOW_ANSWER_PER_MILLE = 950;
 
     private final Settings settings;
-    private final DoubleSupplier draws;
+    private final DoubleSupplier random;
     private final Nodes nodes;
     private final Budget budget;
     private final Latencies latencies = new Latencies();
     private final Map<Long, Call> calls = new HashMap<>();
-    private final Set<Call> line = new LinkedHashSet<>();
+    private final Set<Call> waitingCalls = new LinkedHashSet<>();
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparingLong(Timer::atMs).thenComparingLong(Timer::number));
-    private long timersMade;
-    private boolean hadHope;
+            new PriorityQueue<>(Comparator.comparingLong(Timer::atMs).thenComparingLong(Timer::sequence));
+    private long timersCreated;
+    private boolean hadNodeInRotation;
     private long nowMs = Long.MIN_VALUE;
     private List<Action> actions = new ArrayList<>();
 
     /** A call's wake-up; stale if the call has another one since. */
-    private record Timer(long atMs, long number, Call call) {}
+    private record Timer(long atMs, long sequence, Call call) {}
 
     /**
      * A client without nodes.
@@ -47,23 +47,23 @@
      */
     public Caller(Settings settings, DoubleSupplier draws) {
         this.settings = settings;
-        this.draws = draws;
+        this.random = draws;
         nodes = new Nodes(settings, draws);
         budget = new Budget(settings.budget(), settings.budgetPerMille());
     }
 
     /** A node to send to from now on. @param local whether it comes before those that are not */
     public List<Action> addNode(long now, String name, boolean local) {
-        at(now);
+        advanceClock(now);
         nodes.add(name, local, nowMs);
-        return done();
+        return takeActions();
     }
 
     /** A node that gets no more calls; those it has go on. */
     public List<Action> removeNode(long now, String name) {
-        at(now);
+        advanceClock(now);
         nodes.remove(name);
-        return done();
+        return takeActions();
     }
 
     /**
@@ -75,7 +75,7 @@
      * @throws IllegalArgumentException if a call of this id is not over
      */
     public List<Action> begin(long now, long id, Repeat repeat, long withinMs, long windowMs) {
-        at(now);
+        advanceClock(now);
         Call call = new Call(id, repeat, nowMs + withinMs, windowMs);
         if (calls.putIfAbsent(id, call) != null) {
             throw new IllegalArgumentException("call " + id + " is not over");
@@ -83,72 +83,72 @@
         if (withinMs <= 0) {
             end(call, Outcome.failed(Outcome.Kind.LATE, false, "no time left at its start"));
         } else {
-            place(call);
+            dispatch(call);
         }
-        return done();
+        return takeActions();
     }
 
     /** How an attempt has ended; of one that is over already it has no effect. */
     public List<Action> ended(long now, long id, int number, Ending how) {
-        at(now);
+        advanceClock(now);
         Call call = calls.get(id);
-        Call.Attempt attempt = call == null ? null : call.out(number);
+        Call.Attempt attempt = call == null ? null : call.inFlightAttempts(number);
         if (attempt == null) {
-            return done();
+            return takeActions();
         }
         Node node = attempt.node;
         if (how.kind() == Ending.Kind.SERVED) {
-            node.served();
+            node.recordServed();
             latencies.add(nowMs - attempt.sentMs);
-            budget.served();
-            call.over(attempt);
+            budget.creditServedCall();
+            call.finish(attempt);
             end(call, new Outcome(Outcome.Kind.SERVED, true, -1, number, how.cause()));
-            return done();
+            return takeActions();
         }
         if (how.kind() == Ending.Kind.REFUSED) {
-            node.refused(attempt.sentMs, nowMs);
+            node.recordRefusal(attempt.sentMs, nowMs);
         } else if (how.answered()) {
-            node.answered();
+            node.recordAnswer();
         } else {
-            node.failed(attempt.sentMs, nowMs);
+            node.recordFailure(attempt.sentMs, nowMs);
         }
-        call.ended(attempt, how, nowMs);
-        again(call);
-        return done();
+        call.recordEnding(attempt, how, nowMs);
+        retryOrConclude(call);
+        return takeActions();
     }
 
     /** Whoever made the call has no more use for it. */
     public List<Action> cancel(long now, long id) {
-        at(now);
+        advanceClock(now);
         Call call = calls.get(id);
         if (call != null) {
-            end(call, Outcome.failed(Outcome.Kind.CANCELLED, call.mayHaveRun() || call.isOut(), "cancelled"));
+            end(call, Outcome.failed(Outcome.Kind.CANCELLED, call.mayHaveRun() || call.isInFlight(), "cancelled"));
         }
-        return done();
+        return takeActions();
     }
 
     /** What is due by now. */
     public List<Action> wake(long now) {
-        at(now);
+        advanceClock(now);
         while (!timers.isEmpty() && timers.peek().atMs() <= nowMs) {
             Timer timer = timers.poll();
-            if (!timer.call().over && timer.call().wakeMs == timer.atMs()) {
-                timer.call().wakeMs = NEVER;
-                tick(timer.call());
+            if (!timer.call().finished && timer.call().wakeAtMs == timer.atMs()) {
+                timer.call().wakeAtMs = NEVER;
+                handleWake(timer.call());
             }
         }
-        return done();
+        return takeActions();
     }
 
     /** When {@link #wake} is due, or {@link #NEVER}. */
     public long nextWakeMs() {
         while (!timers.isEmpty()
-                && (timers.peek().call().over
-                        || timers.peek().call().wakeMs != timers.peek().atMs())) {
+                && (timers.peek().call().finished
+                        || timers.peek().call().wakeAtMs != timers.peek().atMs())) {
             timers.poll();
         }
         long next = timers.isEmpty() ? NEVER : timers.peek().atMs();
-        long trial = line.isEmpty() ? -1 : nodes.nextTrialMs(nowMs);
+        long trial = waitingCalls.isEmpty() ? -1 : nodes.nextTrialMs(nowMs);
         return trial < 0 ? next : Math.min(next, trial);
     }
 
@@ -157,20 +157,20 @@
         return calls.size();
     }
 
-    private void at(long now) {
+    private void advanceClock(long now) {
         nowMs = Math.max(nowMs, now);
     }
 
-    private List<Action> done() {
-        nodes.sweep();
+    private List<Action> takeActions() {
+        nodes.removeDrained();
         // Those in line first see whether there is room, or, once, that there is no more hope of it.
-        boolean hope = nodes.anyHopeful(nowMs);
-        boolean lost = hadHope && !hope;
-        hadHope = hope;
-        if (!line.isEmpty() && (lost || nodes.anyFree(nowMs))) {
-            for (Call call : List.copyOf(line)) {
-                place(call);
-                if (!lost && !nodes.anyFree(nowMs)) {
+        boolean hope = nodes.anyInRotation(nowMs);
+        boolean lost = hadNodeInRotation && !hope;
+        hadNodeInRotation = hope;
+        if (!waitingCalls.isEmpty() && (lost || nodes.anyAvailable(nowMs))) {
+            for (Call call : List.copyOf(waitingCalls)) {
+                dispatch(call);
+                if (!lost && !nodes.anyAvailable(nowMs)) {
                     break;
                 }
             }
@@ -183,110 +183,110 @@
     // ---------------------------------------------------------------- one call
 
     private void wakeAt(Call call, long atMs) {
-        if (atMs != call.wakeMs) {
-            call.wakeMs = atMs;
-            timers.add(new Timer(atMs, timersMade++, call));
+        if (atMs != call.wakeAtMs) {
+            call.wakeAtMs = atMs;
+            timers.add(new Timer(atMs, timersCreated++, call));
         }
     }
 
     /** Sends it if a node has room; else it waits, or ends at once where waiting has no sense. */
-    private void place(Call call) {
-        if (call.sendings() > 0 && !budget.has()) {
+    private void dispatch(Call call) {
+        if (call.attemptCount() > 0 && !budget.hasRetry()) {
             conclude(call);
             return;
         }
-        long sendByMs = sendByMs(call);
-        if (line.contains(call) && nowMs >= sendByMs) {
+        long sendByMs = latestSendMs(call);
+        if (waitingCalls.contains(call) && nowMs >= sendByMs) {
             conclude(call);
             return;
         }
         Node node = nodes.choose(nowMs, n -> call.notBeforeMs(n) <= nowMs, call::hasTried);
         if (node != null) {
-            line.remove(call);
+            waitingCalls.remove(call);
             send(call, node);
             return;
         }
-        long earliest = nodes.earliestMs(nowMs, call::notBeforeMs);
-        if (earliest >= call.untilMs() || !line.contains(call) && line.size() >= settings.waiting()) {
+        long earliest = nodes.earliestSendMs(nowMs, call::notBeforeMs);
+        if (earliest >= call.answerByMs() || !waitingCalls.contains(call) && waitingCalls.size() >= settings.waiting()) {
             conclude(call);
             return;
         }
-        line.add(call);
+        waitingCalls.add(call);
         wakeAt(call, earliest > nowMs ? Math.min(earliest, sendByMs) : sendByMs);
     }
 
     /** Until when sending it has sense: later than that half of all answers would come too late. Calls that
      * stand in line until their last moment would take the room of those that can still be served. */
-    private long sendByMs(Call call) {
-        long usual = latencies.quantile(USUAL_PER_MILLE);
-        return usual < 0 ? call.untilMs() : call.untilMs() - usual;
+    private long latestSendMs(Call call) {
+        long usual = latencies.quantile(MEDIAN_PER_MILLE);
+        return usual < 0 ? call.answerByMs() : call.answerByMs() - usual;
     }
 
     private void send(Call call, Node node) {
-        if (call.sendings() > 0) {
-            budget.take();
+        if (call.attemptCount() > 0) {
+            budget.spendRetry();
         }
-        node.sent();
-        Call.Attempt attempt = call.sent(node, nowMs);
-        actions.add(new Action.Send(call.id, attempt.number, node.name, call.untilMs() - nowMs, attempt.number > 0));
+        node.recordSent();
+        Call.Attempt attempt = call.addAttempt(node, nowMs);
+        actions.add(new Action.Send(call.id, attempt.number, node.name, call.answerByMs() - nowMs, attempt.number > 0));
         if (call.repeat == Repeat.SAFE && attempt.number == 0 && settings.secondCopyPerMille() > 0) {
             long usual = latencies.quantile(settings.secondCopyPerMille());
-            call.secondMs = usual < 0 ? -1 : nowMs + usual;
+            call.hedgeAtMs = usual < 0 ? -1 : nowMs + usual;
         }
-        watch(call);
+        scheduleNextWake(call);
     }
 
     /** Wakes a call that is out when the first of its times comes. */
-    private void watch(Call call) {
-        long next = call.untilMs();
-        if (call.secondMs >= 0) {
-            next = Math.min(next, call.secondMs);
+    private void scheduleNextWake(Call call) {
+        long next = call.answerByMs();
+        if (call.hedgeAtMs >= 0) {
+            next = Math.min(next, call.hedgeAtMs);
         }
-        if (isTimed(call)) {
-            for (Call.Attempt attempt : call.out()) {
+        if (hasAttemptTimeout(call)) {
+            for (Call.Attempt attempt : call.inFlightAttempts()) {
                 next = Math.min(next, attempt.sentMs + settings.perAttemptMs());
             }
         }
         wakeAt(call, next);
     }
 
-    private boolean isTimed(Call call) {
+    private boolean hasAttemptTimeout(Call call) {
         return settings.perAttemptMs() > 0 && call.repeat != Repeat.UNSAFE;
     }
 
-    private void tick(Call call) {
+    private void handleWake(Call call) {
         if (nowMs >= call.deadlineMs) {
-            late(call);
+            expire(call);
             return;
         }
-        boolean closed = nowMs >= call.untilMs();
-        boolean waited = !call.isOut();
-        for (Call.Attempt attempt : call.out()) {
-            if (closed || isTimed(call) && nowMs >= attempt.sentMs + settings.perAttemptMs()) {
+        boolean closed = nowMs >= call.answerByMs();
+        boolean waited = !call.isInFlight();
+        for (Call.Attempt attempt : call.inFlightAttempts()) {
+            if (closed || hasAttemptTimeout(call) && nowMs >= attempt.sentMs + settings.perAttemptMs()) {
                 actions.add(new Action.Abandon(call.id, attempt.number));
-                silence(attempt);
-                call.ended(attempt, Ending.silent(Ending.Kind.MAY_HAVE_RUN, "no answer in its time"), nowMs);
+                recordTimeout(attempt);
+                call.recordEnding(attempt, Ending.silent(Ending.Kind.MAY_HAVE_RUN, "no answer in its time"), nowMs);
             }
         }
-        if (!call.isOut()) {
+        if (!call.isInFlight()) {
             if (closed) {
                 conclude(call);
             } else if (waited) {
-                place(call);
+                dispatch(call);
             } else {
-                again(call);
+                retryOrConclude(call);
             }
             return;
         }
-        if (call.secondMs >= 0 && nowMs >= call.secondMs) {
-            call.secondMs = -1;
-            secondCopy(call);
+        if (call.hedgeAtMs >= 0 && nowMs >= call.hedgeAtMs) {
+            call.hedgeAtMs = -1;
+            sendHedge(call);
         }
-        watch(call);
+        scheduleNextWake(call);
     }
 
-    private void secondCopy(Call call) {
-        if (call.sendings() >= settings.attempts() || !budget.has()) {
+    private void sendHedge(Call call) {
+        if (call.attemptCount() >= settings.attempts() || !budget.hasRetry()) {
             return;
         }
         Predicate<Node> other = n -> !call.hasTried(n) && call.notBeforeMs(n) <= nowMs;
@@ -297,70 +297,70 @@
     }
 
     /** After an attempt that was not served: whether, and when, it goes out again. */
-    private void again(Call call) {
-        if (call.isOut()) {
-            watch(call);
+    private void retryOrConclude(Call call) {
+        if (call.isInFlight()) {
+            scheduleNextWake(call);
             return;
         }
-        call.secondMs = -1;
-        if (call.sendings() >= settings.attempts() || !call.mayRepeat() || !budget.has()) {
+        call.hedgeAtMs = -1;
+        if (call.attemptCount() >= settings.attempts() || !call.mayRetry() || !budget.hasRetry()) {
             conclude(call);
             return;
         }
-        long backoffUntilMs = nowMs + waitMs(call);
-        long earliest = Math.max(backoffUntilMs, nodes.earliestMs(nowMs, call::notBeforeMs));
-        if (earliest >= call.untilMs()) {
+        long backoffUntilMs = nowMs + backoffMs(call);
+        long earliest = Math.max(backoffUntilMs, nodes.earliestSendMs(nowMs, call::notBeforeMs));
+        if (earliest >= call.answerByMs()) {
             conclude(call);
         } else if (backoffUntilMs > nowMs) {
             wakeAt(call, backoffUntilMs);
         } else {
-            place(call);
+            dispatch(call);
         }
     }
 
     /** Full jitter (Brooker, "Exponential Backoff And Jitter", 2015); none where nothing was reached and
      * another node can be asked. */
-    private long waitMs(Call call) {
-        if (call.last.kind() == Ending.Kind.NEVER_RAN && nodes.hasFree(nowMs, n -> !call.hasTried(n))) {
+    private long backoffMs(Call call) {
+        if (call.lastEnding.kind() == Ending.Kind.NEVER_RAN && nodes.anyAvailableAmong(nowMs, n -> !call.hasTried(n))) {
             return 0;
         }
         long most = settings.backoffMs();
-        for (int i = 1; i < call.sendings() && most < settings.backoffMostMs(); i++) {
+        for (int i = 1; i < call.attemptCount() && most < settings.backoffMostMs(); i++) {
             most *= 2;
         }
-        return (long) (draws.getAsDouble() * Math.min(most, settings.backoffMostMs()));
+        return (long) (random.getAsDouble() * Math.min(most, settings.backoffMostMs()));
     }
 
-    private void late(Call call) {
-        boolean ran = call.mayHaveRun() || call.isOut();
-        for (Call.Attempt attempt : call.out()) {
+    private void expire(Call call) {
+        boolean ran = call.mayHaveRun() || call.isInFlight();
+        for (Call.Attempt attempt : call.inFlightAttempts()) {
             actions.add(new Action.Abandon(call.id, attempt.number));
-            silence(attempt);
-            call.over(attempt);
+            recordTimeout(attempt);
+            call.finish(attempt);
         }
         end(call, Outcome.failed(Outcome.Kind.LATE, ran, "its deadline has passed"));
     }
 
     /** A node that lets an attempt's time pass has failed, unless that was too short for nearly all. */
-    private void silence(Call.Attempt attempt) {
-        if (nowMs - attempt.sentMs >= latencies.quantile(NEARLY_ALL_PER_MILLE)) {
-            attempt.node.failed(attempt.sentMs, nowMs);
+    private void recordTimeout(Call.Attempt attempt) {
+        if (nowMs - attempt.sentMs >= latencies.quantile(SLOW_ANSWER_PER_MILLE)) {
+            attempt.node.recordFailure(attempt.sentMs, nowMs);
         } else {
-            attempt.node.abandoned(attempt.sentMs);
+            attempt.node.recordAbandoned(attempt.sentMs);
         }
     }
 
     /** Nothing more is tried: what is known of it. */
     private void conclude(Call call) {
-        Ending last = call.last;
-        long comeBack = call.comeBackMs() == NEVER ? -1 : Math.max(0, call.comeBackMs() - nowMs);
+        Ending last = call.lastEnding;
+        long comeBack = call.earliestRetryMs() == NEVER ? -1 : Math.max(0, call.earliestRetryMs() - nowMs);
         if (call.mayHaveRun() && (call.repeat != Repeat.SAFE || last.kind() != Ending.Kind.REFUSED)) {
             end(call, new Outcome(Outcome.Kind.MAY_HAVE_RUN, true, comeBack, -1, last.cause()));
         } else if (last != null && last.kind() == Ending.Kind.REFUSED) {
             end(call, new Outcome(Outcome.Kind.REFUSED, call.mayHaveRun(), comeBack, -1, last.cause()));
         } else if (last != null) {
             end(call, Outcome.failed(Outcome.Kind.NEVER_RAN, false, last.cause()));
-        } else if (nodes.anyHopeful(nowMs)) {
+        } else if (nodes.anyInRotation(nowMs)) {
             end(call, Outcome.failed(Outcome.Kind.REFUSED, false, "no node has room for it in its time"));
         } else {
             end(call, Outcome.failed(Outcome.Kind.NEVER_RAN, false, "no node to send it to"));
@@ -368,14 +368,14 @@
     }
 
     private void end(Call call, Outcome how) {
-        for (Call.Attempt attempt : call.out()) {
+        for (Call.Attempt attempt : call.inFlightAttempts()) {
             actions.add(new Action.Abandon(call.id, attempt.number));
-            attempt.node.abandoned(attempt.sentMs);
-            call.over(attempt);
+            attempt.node.recordAbandoned(attempt.sentMs);
+            call.finish(attempt);
         }
-        call.over = true;
+        call.finished = true;
         calls.remove(call.id);
-        line.remove(call);
+        waitingCalls.remove(call);
         actions.add(new Action.End(call.id, how));
     }
 }
--- a/clients/java/src/main/java/vetchpost/client/core/Node.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Node.java
@@ -6,38 +6,38 @@
  */
 final class Node {
     private static final long MILLE = 1_000;
-    private static final long HALF_LIFE_MS = 10_000;
-    private static final int MOST_HALVINGS = 30;
-    private static final long MOST_RECENT = 1_000_000;
+    private static final long FAILURE_HALF_LIFE_MS = 10_000;
+    private static final int MAX_HALVINGS = 30;
+    private static final long MAX_RECENT_FAILURES_MILLE = 1_000_000;
 
     final String name;
     final boolean local;
     private final Settings settings;
     private int inFlight;
     private boolean removed;
-    private long limit;
-    private long loweredMs = Long.MIN_VALUE;
-    private long recent;
-    private long recentMs;
-    private int inRow;
-    private long ejectedMs;
+    private long limitMille;
+    private long limitLoweredMs = Long.MIN_VALUE;
+    private long recentFailuresMille;
+    private long failuresDecayedMs;
+    private int consecutiveFailures;
+    private long ejectionMs;
     private long ejectedUntilMs = -1;
-    private boolean trying;
+    private boolean trialInFlight;
 
     Node(String name, boolean local, Settings settings, long nowMs) {
         this.name = name;
         this.local = local;
         this.settings = settings;
-        limit = settings.limit() * MILLE;
-        recentMs = nowMs;
+        limitMille = settings.limit() * MILLE;
+        failuresDecayedMs = nowMs;
     }
 
     /** Whether it may get a call now: a node on trial gets one, and nobody else until that has ended. */
-    boolean free(long nowMs) {
+    boolean isAvailable(long nowMs) {
         if (removed) {
             return false;
         }
-        return ejectedUntilMs >= 0 ? nowMs >= ejectedUntilMs && !trying : inFlight < limit / MILLE;
+        return ejectedUntilMs >= 0 ? nowMs >= ejectedUntilMs && !trialInFlight : inFlight < limitMille / MILLE;
     }
 
     /** When it is tried again, if that is still to come; else -1. */
@@ -46,11 +46,11 @@
     }
 
     /** Whether calls may be had from it before long: it is there and not left out, or being tried. */
-    boolean hopeful(long nowMs) {
+    boolean isInRotation(long nowMs) {
         return !removed && (ejectedUntilMs < 0 || nowMs >= ejectedUntilMs);
     }
 
-    boolean isGone() {
+    boolean isDrained() {
         return removed && inFlight == 0;
     }
 
@@ -64,82 +64,82 @@
 
     /** By calls in flight and recent failures; the lower the better. */
     long score(long nowMs) {
-        return (inFlight + 1) * (MILLE + decayed(nowMs));
+        return (inFlight + 1) * (MILLE + decayFailures(nowMs));
     }
 
-    void sent() {
+    void recordSent() {
         inFlight++;
-        trying = ejectedUntilMs >= 0;
+        trialInFlight = ejectedUntilMs >= 0;
     }
 
     /** An attempt is over without a word about the node: its caller has no more use for it. */
-    void abandoned(long sentMs) {
+    void recordAbandoned(long sentMs) {
         inFlight--;
         if (isTrial(sentMs)) {
-            trying = false;
+            trialInFlight = false;
         }
     }
 
     /** It has answered, so it is there. */
-    void answered() {
+    void recordAnswer() {
         inFlight--;
-        inRow = 0;
+        consecutiveFailures = 0;
         if (ejectedUntilMs >= 0) {
             // Back, but as one that nobody knows: those who waited for it come bit by bit.
             ejectedUntilMs = -1;
-            ejectedMs = 0;
-            trying = false;
-            limit = settings.limit() * MILLE;
+            ejectionMs = 0;
+            trialInFlight = false;
+            limitMille = settings.limit() * MILLE;
         }
     }
 
     /** It has served a call: room for one more for each round of its limit, while that is made use of. */
-    void served() {
-        boolean inUse = 2L * inFlight >= limit / MILLE;
-        answered();
+    void recordServed() {
+        boolean inUse = 2L * inFlight >= limitMille / MILLE;
+        recordAnswer();
         if (inUse) {
-            limit = Math.min(settings.limitMost() * MILLE, limit + MILLE * MILLE / limit);
+            limitMille = Math.min(settings.limitMost() * MILLE, limitMille + MILLE * MILLE / limitMille);
         }
     }
 
     /** It has refused a call: fewer at a time, but once only for all that were out together. */
-    void refused(long sentMs, long nowMs) {
-        answered();
-        if (sentMs >= loweredMs) {
-            limit = Math.max(MILLE, limit * 7 / 10);
-            loweredMs = nowMs + 1;
+    void recordRefusal(long sentMs, long nowMs) {
+        recordAnswer();
+        if (sentMs >= limitLoweredMs) {
+            limitMille = Math.max(MILLE, limitMille * 7 / 10);
+            limitLoweredMs = nowMs + 1;
         }
     }
 
     /** It has not answered. */
-    void failed(long sentMs, long nowMs) {
+    void recordFailure(long sentMs, long nowMs) {
         inFlight--;
-        recent = Math.min(MOST_RECENT, decayed(nowMs) + MILLE);
-        inRow++;
+        recentFailuresMille = Math.min(MAX_RECENT_FAILURES_MILLE, decayFailures(nowMs) + MILLE);
+        consecutiveFailures++;
         if (isTrial(sentMs)) {
-            trying = false;
+            trialInFlight = false;
             eject(nowMs);
-        } else if (ejectedUntilMs < 0 && inRow >= settings.ejectAfter()) {
+        } else if (ejectedUntilMs < 0 && consecutiveFailures >= settings.ejectAfter()) {
             eject(nowMs);
         }
     }
 
     /** Calls from before it was left out say nothing about the trial. */
     private boolean isTrial(long sentMs) {
-        return trying && sentMs >= ejectedUntilMs;
+        return trialInFlight && sentMs >= ejectedUntilMs;
     }
 
     private void eject(long nowMs) {
-        ejectedMs = ejectedMs == 0 ? settings.ejectMs() : Math.min(settings.ejectMostMs(), 2 * ejectedMs);
-        ejectedUntilMs = nowMs + ejectedMs;
+        ejectionMs = ejectionMs == 0 ? settings.ejectMs() : Math.min(settings.ejectMostMs(), 2 * ejectionMs);
+        ejectedUntilMs = nowMs + ejectionMs;
     }
 
-    private long decayed(long nowMs) {
-        long halvings = (nowMs - recentMs) / HALF_LIFE_MS;
+    private long decayFailures(long nowMs) {
+        long halvings = (nowMs - failuresDecayedMs) / FAILURE_HALF_LIFE_MS;
         if (halvings > 0) {
-            recent >>= Math.min(MOST_HALVINGS, halvings);
-            recentMs += halvings * HALF_LIFE_MS;
+            recentFailuresMille >>= Math.min(MAX_HALVINGS, halvings);
+            failuresDecayedMs += halvings * FAILURE_HALF_LIFE_MS;
         }
-        return recent;
+        return recentFailuresMille;
     }
 }
--- a/clients/java/src/main/java/vetchpost/client/core/Nodes.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Nodes.java
@@ -10,12 +10,12 @@
  * "The Power of Two Choices", 2001), among local ones while one of them has room. */
 final class Nodes {
     private final Settings settings;
-    private final DoubleSupplier draws;
+    private final DoubleSupplier random;
     private final List<Node> nodes = new ArrayList<>();
 
     Nodes(Settings settings, DoubleSupplier draws) {
         this.settings = settings;
-        this.draws = draws;
+        this.random = draws;
     }
 
     /** One that is there already stays as it is; one that was being removed comes as a new one. */
@@ -27,20 +27,20 @@
 
     void remove(String name) {
         nodes.stream().filter(n -> n.name.equals(name)).forEach(Node::remove);
-        sweep();
+        removeDrained();
     }
 
     /** Forgets removed nodes that have nothing in flight. */
-    void sweep() {
-        nodes.removeIf(Node::isGone);
+    void removeDrained() {
+        nodes.removeIf(Node::isDrained);
     }
 
-    boolean anyFree(long nowMs) {
-        return nodes.stream().anyMatch(n -> n.free(nowMs));
+    boolean anyAvailable(long nowMs) {
+        return nodes.stream().anyMatch(n -> n.isAvailable(nowMs));
     }
 
-    boolean anyHopeful(long nowMs) {
-        return nodes.stream().anyMatch(n -> n.hopeful(nowMs));
+    boolean anyInRotation(long nowMs) {
+        return nodes.stream().anyMatch(n -> n.isInRotation(nowMs));
     }
 
     /** The first time at which a node that is left out is tried again; -1 if none is. */
@@ -53,8 +53,8 @@
     }
 
     /** Whether one of these may get a call now. */
-    boolean hasFree(long nowMs, Predicate<Node> which) {
-        return nodes.stream().anyMatch(n -> n.free(nowMs) && which.test(n));
+    boolean anyAvailableAmong(long nowMs, Predicate<Node> which) {
+        return nodes.stream().anyMatch(n -> n.isAvailable(nowMs) && which.test(n));
     }
 
     /**
@@ -63,7 +63,7 @@
      *
      * @param notBeforeMs when a node takes the call, by its own word
      */
-    long earliestMs(long nowMs, ToLongFunction<Node> notBeforeMs) {
+    long earliestSendMs(long nowMs, ToLongFunction<Node> notBeforeMs) {
         long earliest = Long.MAX_VALUE;
         for (Node node : nodes) {
             if (!node.isRemoved()) {
@@ -78,7 +78,7 @@
     Node choose(long nowMs, Predicate<Node> mayUse, Predicate<Node> tried) {
         List<Node> some = new ArrayList<>();
         for (Node node : nodes) {
-            if (node.free(nowMs) && mayUse.test(node)) {
+            if (node.isAvailable(nowMs) && mayUse.test(node)) {
                 some.add(node);
             }
         }
@@ -87,8 +87,8 @@
         if (some.size() < 2) {
             return some.isEmpty() ? null : some.get(0);
         }
-        int one = draw(some.size());
-        int other = draw(some.size() - 1);
+        int one = randomIndex(some.size());
+        int other = randomIndex(some.size() - 1);
         if (other >= one) {
             other++;
         }
@@ -100,7 +100,7 @@
         return those.isEmpty() ? some : those;
     }
 
-    private int draw(int below) {
-        return (int) (draws.getAsDouble() * below);
+    private int randomIndex(int below) {
+        return (int) (random.getAsDouble() * below);
     }
 }
--- a/clients/java/src/main/java/vetchpost/client/core/Settings.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Settings.java
@@ -47,22 +47,22 @@
      * @throws IllegalArgumentException if one is out of its range; the message names it
      */
     public Settings {
-        within("attempts", attempts, 1, 100);
-        within("backoffMs", backoffMs, 1, Integer.MAX_VALUE);
-        within("backoffMostMs", backoffMostMs, backoffMs, Integer.MAX_VALUE);
-        within("budget", budget, 0, MILLION);
-        within("budgetPerMille", budgetPerMille, 0, MILLE);
-        within("perAttemptMs", perAttemptMs, 0, Integer.MAX_VALUE);
-        within("secondCopyPerMille", secondCopyPerMille, 0, MILLE - 1);
-        within("limitMost", limitMost, 1, 100_000);
-        within("limit", limit, 1, limitMost);
-        within("waiting", waiting, 0, MILLION);
-        within("ejectAfter", ejectAfter, 1, MILLION);
-        within("ejectMs", ejectMs, 1, Integer.MAX_VALUE);
-        within("ejectMostMs", ejectMostMs, ejectMs, Integer.MAX_VALUE);
+        requireInRange("attempts", attempts, 1, 100);
+        requireInRange("backoffMs", backoffMs, 1, Integer.MAX_VALUE);
+        requireInRange("backoffMostMs", backoffMostMs, backoffMs, Integer.MAX_VALUE);
+        requireInRange("budget", budget, 0, MILLION);
+        requireInRange("budgetPerMille", budgetPerMille, 0, MILLE);
+        requireInRange("perAttemptMs", perAttemptMs, 0, Integer.MAX_VALUE);
+        requireInRange("secondCopyPerMille", secondCopyPerMille, 0, MILLE - 1);
+        requireInRange("limitMost", limitMost, 1, 100_000);
+        requireInRange("limit", limit, 1, limitMost);
+        requireInRange("waiting", waiting, 0, MILLION);
+        requireInRange("ejectAfter", ejectAfter, 1, MILLION);
+        requireInRange("ejectMs", ejectMs, 1, Integer.MAX_VALUE);
+        requireInRange("ejectMostMs", ejectMostMs, ejectMs, Integer.MAX_VALUE);
     }
 
-    private static void within(String name, long value, long least, long most) {
+    private static void requireInRange(String name, long value, long least, long most) {
         if (value < least || value > most) {
             throw new IllegalArgumentException(name + " is " + value + ", not " + least + " to " + most);
         }
--- a/clients/java/src/main/java/vetchpost/client/testing/ScriptedNode.java
+++ b/clients/java/src/main/java/vetchpost/client/testing/ScriptedNode.java
@@ -26,11 +26,11 @@
  * }</pre>
  */
 public final class ScriptedNode implements AutoCloseable {
-    private static final int MOST_HEAD = 64 << 10;
-    private static final int MOST_BODY = 16 << 20;
-    private static final int PATIENCE_MS = 30_000;
+    private static final int MAX_HEAD_BYTES = 64 << 10;
+    private static final int MAX_BODY_BYTES = 16 << 20;
+    private static final int READ_TIMEOUT_MS = 30_000;
 
-    private final ServerSocket listening;
+    private final ServerSocket serverSocket;
     private final Deque<Play> script = new ArrayDeque<>();
     private final List<Seen> seen = new ArrayList<>();
     private final List<Socket> sockets = new ArrayList<>();
@@ -58,7 +58,7 @@
 
     /** Listens at once. */
     public ScriptedNode(Play... plays) throws IOException {
-        listening = new ServerSocket(0, 1_024, InetAddress.getLoopbackAddress());
+        serverSocket = new ServerSocket(0, 1_024, InetAddress.getLoopbackAddress());
         script.addAll(List.of(plays));
         start(this::accept);
     }
@@ -71,7 +71,7 @@
 
     /** What a client calls it. */
     public String url() {
-        return "http://127.0.0.1:" + listening.getLocalPort();
+        return "http://127.0.0.1:" + serverSocket.getLocalPort();
     }
 
     /** All requests so far that were read whole. */
@@ -147,10 +147,10 @@
     }
 
     private void accept() {
-        while (!listening.isClosed()) {
+        while (!serverSocket.isClosed()) {
             try {
-                Socket socket = listening.accept();
-                socket.setSoTimeout(PATIENCE_MS);
+                Socket socket = serverSocket.accept();
+                socket.setSoTimeout(READ_TIMEOUT_MS);
                 socket.setTcpNoDelay(true);
                 synchronized (this) {
                     sockets.add(socket);
@@ -170,7 +170,7 @@
                     next().on(socket);
                     return;
                 }
-                Seen head = head(in);
+                Seen head = readHead(in);
                 if (head == null) {
                     return;
                 }
@@ -179,7 +179,7 @@
                     return;
                 }
                 int length = Integer.parseInt(head.headers().getOrDefault("content-length", "0"));
-                if (length > MOST_BODY) {
+                if (length > MAX_BODY_BYTES) {
                     return;
                 }
                 String body = new String(in.readNBytes(length), StandardCharsets.UTF_8);
@@ -203,12 +203,12 @@
         return script.size() > 1 ? script.poll() : peek();
     }
 
-    private static Seen head(InputStream in) throws IOException {
+    private static Seen readHead(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         int ended = 0;
         while (ended < 4) {
             int b = in.read();
-            if (b < 0 || bytes.size() >= MOST_HEAD) {
+            if (b < 0 || bytes.size() >= MAX_HEAD_BYTES) {
                 return null;
             }
             bytes.write(b);
@@ -229,7 +229,7 @@
     /** Ends its connections and listens no more. */
     @Override
     public synchronized void close() throws IOException {
-        listening.close();
+        serverSocket.close();
         for (Socket socket : sockets) {
             socket.close();
         }
--- a/clients/java/src/test/java/vetchpost/client/core/Script.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionScenario.java
@@ -10,10 +10,10 @@
 import java.util.function.DoubleSupplier;
 
 /** Plays the conformance suite's scenarios of decisions against this core, on their own clock. */
-final class Script {
+final class DecisionScenario {
     private static final int SERVED_FROM = 1_000;
 
-    private Script() {}
+    private DecisionScenario() {}
 
     /** The settings of a scenario: the defaults with what it names in their place. */
     static Settings settings(JsonElement given) {
@@ -31,7 +31,7 @@
     }
 
     /** An action in the suite's words. */
-    static String words(Action action) {
+    static String describe(Action action) {
         if (action instanceof Action.Send send) {
             return "send " + send.call() + "." + send.attempt() + " " + send.node() + " " + send.remainingMs()
                     + (send.resent() ? " resent" : "");
@@ -70,7 +70,7 @@
                 throw new AssertionError("wants to be woken at " + wake + ", before step " + step);
             }
             List<String> done =
-                    step(caller, step, at).stream().map(Script::words).toList();
+                    step(caller, step, at).stream().map(DecisionScenario::describe).toList();
             List<String> then = new ArrayList<>();
             if (step.has("then")) {
                 step.getAsJsonArray("then").forEach(t -> then.add(t.getAsString()));
--- a/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
@@ -41,7 +41,7 @@
             files.forEach(file -> read(file).forEach(each -> {
                 JsonObject scenario = each.getAsJsonObject();
                 tests.add(dynamicTest(
-                        file.getFileName() + ": " + scenario.get("about").getAsString(), () -> Script.play(scenario)));
+                        file.getFileName() + ": " + scenario.get("about").getAsString(), () -> DecisionScenario.play(scenario)));
             }));
         }
         assertTrue(tests.size() > 50, "the suite is there");
@@ -63,7 +63,7 @@
                         row.has("plain"));
                 assertEquals(
                         row.get("then").getAsString(),
-                        Script.name(got.kind()) + (got.retryAfterMs() < 0 ? "" : " " + got.retryAfterMs()));
+                        DecisionScenario.name(got.kind()) + (got.retryAfterMs() < 0 ? "" : " " + got.retryAfterMs()));
                 assertTrue(got.answered());
             }));
         }
@@ -80,7 +80,7 @@
         for (JsonElement each : read(SUITE.resolve("storms.json"))) {
             JsonObject script = each.getAsJsonObject();
             tests.add(dynamicTest(script.get("about").getAsString(), () -> {
-                String got = Storm.play(script);
+                String got = LoadScenario.play(script);
                 Matcher found = Pattern.compile("sent again (\\d+), most in 100 ms (\\d+)")
                         .matcher(got);
                 assertTrue(found.find(), got);
--- a/clients/java/src/test/java/vetchpost/client/core/Storm.java
+++ b/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
@@ -14,35 +14,35 @@
 import java.util.TreeMap;
 
 /** Plays the suite's storms: thousands of calls against modelled nodes, the same in every language. */
-final class Storm {
+final class LoadScenario {
     private static final int BUCKET_MS = 100;
     private static final long RANGE = 1L << 32;
 
     private final JsonObject script;
     private final Caller caller;
-    private final PriorityQueue<Due> dues =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
+    private final PriorityQueue<PendingEnding> pendingEndings =
+            new PriorityQueue<>(Comparator.comparingLong(PendingEnding::at).thenComparingLong(PendingEnding::number));
     private final Map<String, Integer> inService = new HashMap<>();
     private final Set<String> abandoned = new HashSet<>();
     private final Map<Long, Integer> sends = new HashMap<>();
     private final Map<String, Integer> outcomes = new TreeMap<>();
     private long random;
-    private long made;
+    private long endingsCreated;
     private int resent;
     private int digest = 0x811c9dc5;
 
-    private record Due(
+    private record PendingEnding(
             long at, long number, long call, int attempt, String node, Ending.Kind how, long sentMs, boolean serves) {}
 
-    private Storm(JsonObject script) {
+    private LoadScenario(JsonObject script) {
         this.script = script;
         random = script.get("seed").getAsLong();
-        caller = new Caller(Script.settings(script.get("settings")), this::draw);
+        caller = new Caller(DecisionScenario.settings(script.get("settings")), this::draw);
     }
 
     /** What a storm has come to, in the suite's words. */
     static String play(JsonObject script) {
-        return new Storm(script).play();
+        return new LoadScenario(script).play();
     }
 
     private double draw() {
@@ -50,25 +50,25 @@
         return random / (double) RANGE;
     }
 
-    private long of(String key) {
+    private long number(String key) {
         return script.get(key).getAsLong();
     }
 
     private String play() {
-        for (int i = 0; i < of("nodes"); i++) {
+        for (int i = 0; i < number("nodes"); i++) {
             perform(0, caller.addNode(0, "n" + i, false));
         }
         long begun = 0;
-        for (long t = 0; t <= of("until"); t++) {
+        for (long t = 0; t <= number("until"); t++) {
             while (caller.nextWakeMs() <= t) {
                 perform(t, caller.wake(t));
             }
-            while (!dues.isEmpty() && dues.peek().at() <= t) {
-                due(t, dues.poll());
+            while (!pendingEndings.isEmpty() && pendingEndings.peek().at() <= t) {
+                due(t, pendingEndings.poll());
             }
-            for (int i = 0; i < of("perMs") && begun < of("calls"); i++) {
+            for (int i = 0; i < number("perMs") && begun < number("calls"); i++) {
                 begun++;
-                perform(t, caller.begin(t, begun, Repeat.values()[(int) (begun % 3)], of("within"), of("window")));
+                perform(t, caller.begin(t, begun, Repeat.values()[(int) (begun % 3)], number("within"), number("window")));
             }
         }
         int most = sends.values().stream().mapToInt(n -> n).max().orElse(0);
@@ -80,7 +80,7 @@
         return resent;
     }
 
-    private void due(long t, Due due) {
+    private void due(long t, PendingEnding due) {
         if (due.serves()) {
             inService.merge(due.node(), -1, Integer::sum);
         }
@@ -96,12 +96,12 @@
                         t,
                         due.call(),
                         due.attempt(),
-                        new Ending(how, answered, how == Ending.Kind.REFUSED ? of("refuseMs") : -1, "as told")));
+                        new Ending(how, answered, how == Ending.Kind.REFUSED ? number("refuseMs") : -1, "as told")));
     }
 
     private void perform(long t, List<Action> actions) {
         for (Action action : actions) {
-            String line = t + " " + Script.words(action) + "\n";
+            String line = t + " " + DecisionScenario.describe(action) + "\n";
             for (byte b : line.getBytes(StandardCharsets.UTF_8)) {
                 digest = (digest ^ b) * 0x01000193;
             }
@@ -110,7 +110,7 @@
             } else if (action instanceof Action.Abandon abandon) {
                 abandoned.add(abandon.call() + "." + abandon.attempt());
             } else if (action instanceof Action.End end) {
-                outcomes.merge(Script.name(end.outcome().kind()), 1, Integer::sum);
+                outcomes.merge(DecisionScenario.name(end.outcome().kind()), 1, Integer::sum);
             }
         }
     }
@@ -120,17 +120,17 @@
         resent += send.resent() ? 1 : 0;
         if (isDown(t)) {
             add(t + 1, send, Ending.Kind.NEVER_RAN, t, false);
-        } else if (inService.getOrDefault(send.node(), 0) >= of("capacity")) {
+        } else if (inService.getOrDefault(send.node(), 0) >= number("capacity")) {
             add(t + 1, send, Ending.Kind.REFUSED, t, false);
         } else {
             inService.merge(send.node(), 1, Integer::sum);
-            long takes = of("serviceMs") + (long) (draw() * of("serviceMs"));
+            long takes = number("serviceMs") + (long) (draw() * number("serviceMs"));
             add(t + takes, send, Ending.Kind.SERVED, t, true);
         }
     }
 
     private void add(long at, Action.Send send, Ending.Kind how, long sentMs, boolean serves) {
-        dues.add(new Due(at, made++, send.call(), send.attempt(), send.node(), how, sentMs, serves));
+        pendingEndings.add(new PendingEnding(at, endingsCreated++, send.call(), send.attempt(), send.node(), how, sentMs, serves));
     }
 
     private boolean isDown(long t) {
--- a/clients/java/src/test/java/vetchpost/client/core/Scenarios.java
+++ b/clients/java/src/test/java/vetchpost/client/core/Scenarios.java
@@ -8,6 +8,6 @@
 
     /** The defaults with what a scenario names in their place. */
     public static Settings settings(JsonElement given) {
-        return Script.settings(given);
+        return DecisionScenario.settings(given);
     }
 }
