--- a/clients/java/src/main/java/vetchpost/client/core/Answers.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Answers.java
@@ -8,9 +8,9 @@
 import java.util.Locale;
 import java.util.regex.Pattern;
 
-/** What an answer of a node means, by {@code docs/client-protocol.md}. */
+/** Interprets answers of nodes, as {@code docs/client-protocol.md} defines them. Stateless; any thread may call it. */
 public final class Answers {
-    /** The field in which a node that stands alone says whether a request that it has not served has run. */
+    /** The header in which a standalone node says whether a request that it has not served has run. */
     public static final String RAN = "Vetchpost-Ran";
 
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,10}(\\.[0-9]{1,9})?");
@@ -21,25 +21,25 @@
     private Answers() {}
 
     /**
-     * The ending of an attempt that was answered, whole.
+     * Returns the ending of an attempt whose answer has arrived completely.
      *
-     * @param ran the field {@link #RAN}, or null
-     * @param retryAfter the field Retry-After, or null
-     * @param date the field Date, or null
-     * @param unixMs the time by this machine's wall clock, which counts where the node names none of its own
+     * @param ran the header {@link #RAN}, or null
+     * @param retryAfter the header Retry-After, or null
+     * @param date the header Date, or null
+     * @param unixMs this machine's wall clock, used if the node sent no readable Date
      * @param plainRefusals whether every 429 and 503 is a node's refusal, as on the platform
      */
     public static Ending of(
             int status, String ran, String retryAfter, String date, long unixMs, boolean plainRefusals) {
-        boolean never = "no".equals(ran);
+        boolean neverRan = "no".equals(ran);
         if (status == 429 || status == 503) {
-            if (never || plainRefusals) {
+            if (neverRan || plainRefusals) {
                 return new Ending(
                         Ending.Kind.REFUSED, true, retryAfterMs(retryAfter, date, unixMs), "refused with " + status);
             }
             return new Ending(Ending.Kind.MAY_HAVE_RUN, true, -1, "answered " + status);
         }
-        if (never && (status >= 500 || status == 408)) {
+        if (neverRan && (status >= 500 || status == 408)) {
             return new Ending(Ending.Kind.NEVER_RAN, true, -1, "answered " + status);
         }
         if (status >= 500) {
@@ -49,8 +49,9 @@
     }
 
     /**
-     * The milliseconds that a Retry-After (RFC 9110, section 10.2.3; decimals too) asks for, rounded up; -1
-     * if it can't be read. A date counts from the node's own Date, so that no clock here makes it shorter.
+     * Returns the milliseconds that a Retry-After (RFC 9110, section 10.2.3; decimals are accepted too) asks for,
+     * rounded up; -1 if it is missing or malformed. A date is relative to the node's own Date, so that an error of this
+     * machine's clock does not shorten the wait.
      */
     public static long retryAfterMs(String retryAfter, String date, long unixMs) {
         if (retryAfter == null) {
@@ -59,12 +60,12 @@
         if (SECONDS.matcher(retryAfter).matches()) {
             return (long) Math.ceil(Double.parseDouble(retryAfter) * MS_PER_SECOND);
         }
-        long then = dateMs(retryAfter);
-        if (then < 0) {
+        long retryAtMs = dateMs(retryAfter);
+        if (retryAtMs < 0) {
             return -1;
         }
-        long from = date == null ? -1 : dateMs(date);
-        return Math.max(0, then - (from < 0 ? unixMs : from));
+        long nodeTimeMs = date == null ? -1 : dateMs(date);
+        return Math.max(0, retryAtMs - (nodeTimeMs < 0 ? unixMs : nodeTimeMs));
     }
 
     private static long dateMs(String date) {
@@ -72,13 +73,13 @@
             return -1;
         }
         try {
-            Instant at = ZonedDateTime.parse(
+            Instant instant = ZonedDateTime.parse(
                             date,
                             DateTimeFormatter.RFC_1123_DATE_TIME
                                     .withLocale(Locale.ROOT)
                                     .withResolverStyle(ResolverStyle.STRICT))
                     .toInstant();
-            return Math.max(-1, at.toEpochMilli());
+            return Math.max(-1, instant.toEpochMilli());
         } catch (DateTimeException e) {
             return -1;
         }
--- a/clients/java/src/main/java/vetchpost/client/core/Budget.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Budget.java
@@ -1,16 +1,25 @@
 package vetchpost.client.core;
 
-/** Repeats that calls may cost in all: a token bucket that served calls fill, so that a failing fleet is not
- * asked twice as often as a healthy one. In thousandths of a repeat. */
+/**
+ * The budget of retries and hedges of one client: a token bucket that served calls fill, so that a failing fleet is not
+ * sent twice as many requests as a healthy one. Used by {@link Caller} on its thread.
+ */
 final class Budget {
+    /** Tokens are thousandths of a retry. */
     private static final long TOKENS_PER_RETRY = 1_000;
 
     private final long maxTokens;
     private final long tokensPerServedCall;
     private long tokens;
 
-    Budget(int most, int perMille) {
-        this.maxTokens = most * TOKENS_PER_RETRY;
+    /**
+     * Creates a full budget.
+     *
+     * @param maxRetries the retries and hedges that it holds at most
+     * @param perMille what a served call adds, in thousandths of a retry
+     */
+    Budget(int maxRetries, int perMille) {
+        this.maxTokens = maxRetries * TOKENS_PER_RETRY;
         this.tokensPerServedCall = perMille;
         tokens = this.maxTokens;
     }
--- a/clients/java/src/main/java/vetchpost/client/core/Call.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Call.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** One call: its attempts, and what they have told. */
+/** One call: its class, deadline and attempts, and what their endings say. Used by {@link Caller} on its thread. */
 final class Call {
-    /** An attempt; over once it has ended or been given up. */
+    /** One attempt; finished once it has ended or was abandoned. */
     static final class Attempt {
         final int number;
         final Node node;
@@ -24,9 +24,9 @@
     final long id;
     final Repeat repeat;
     final long deadlineMs;
-    /** When its second copy is due; -1 if none is. */
+    /** When its hedge is due; -1 if none is. */
     long hedgeAtMs = -1;
-    /** The one time at which it wants to be woken. */
+    /** When its one valid wake-up is due. */
     long wakeAtMs = Long.MAX_VALUE;
 
     boolean finished;
@@ -52,10 +52,10 @@
         return attempt;
     }
 
-    /** The attempt of this number if it is out, else null. */
-    Attempt inFlightAttempts(int number) {
-        Attempt one = number >= 0 && number < attempts.size() ? attempts.get(number) : null;
-        return one == null || one.finished ? null : one;
+    /** Returns the attempt of this number if it is in flight, else null. */
+    Attempt inFlightAttempt(int number) {
+        Attempt attempt = number >= 0 && number < attempts.size() ? attempts.get(number) : null;
+        return attempt == null || attempt.finished ? null : attempt;
     }
 
     List<Attempt> inFlightAttempts() {
@@ -70,21 +70,21 @@
         return attempts.size();
     }
 
-    /** An attempt of it is over, and this is all that is known of it. */
-    void recordEnding(Attempt attempt, Ending how, long nowMs) {
+    /** Finishes an attempt and keeps what its ending says about the call. */
+    void recordEnding(Attempt attempt, Ending ending, long nowMs) {
         finish(attempt);
-        lastEnding = how;
-        if (how.kind() == Ending.Kind.MAY_HAVE_RUN) {
+        lastEnding = ending;
+        if (ending.kind() == Ending.Kind.MAY_HAVE_RUN) {
             mayHaveRun = true;
             if (repeat == Repeat.KEYED) {
                 deduplicationEndMs = Math.min(deduplicationEndMs, attempt.sentMs + deduplicationWindowMs);
             }
-        } else if (how.kind() == Ending.Kind.REFUSED && how.retryAfterMs() >= 0) {
-            notBeforeMsByNode.merge(attempt.node, nowMs + how.retryAfterMs(), Math::max);
+        } else if (ending.kind() == Ending.Kind.REFUSED && ending.retryAfterMs() >= 0) {
+            notBeforeMsByNode.merge(attempt.node, nowMs + ending.retryAfterMs(), Math::max);
         }
     }
 
-    /** No more is wanted of an attempt, and whatever it does has no weight. */
+    /** Finishes an attempt; anything it reports later is ignored. */
     void finish(Attempt attempt) {
         attempt.finished = true;
         inFlightCount--;
@@ -94,12 +94,12 @@
         return attempts.stream().anyMatch(a -> a.node == node);
     }
 
-    /** When this node takes it, by the node's own word; the distant past if it has said none. */
+    /** Returns when this node accepts a retry by its Retry-After; the smallest number if it sent none. */
     long notBeforeMs(Node node) {
         return notBeforeMsByNode.getOrDefault(node, Long.MIN_VALUE);
     }
 
-    /** The earliest time that any node has named; the largest number if none has. */
+    /** Returns the earliest time at which any node accepts a retry; the largest number if none sent a Retry-After. */
     long earliestRetryMs() {
         return notBeforeMsByNode.values().stream().mapToLong(t -> t).min().orElse(Long.MAX_VALUE);
     }
@@ -109,14 +109,14 @@
     }
 
     /**
-     * Until when it may be answered. A repeat of a keyed call that may have run must not arrive after the
-     * servers have forgotten its key, however long it is on its way: so it is given up by then.
+     * Returns until when an answer is accepted. A retry of a keyed call that may have run must not reach a server that
+     * has forgotten its key, however long it is in transit: so its attempts are abandoned at the window's end.
      */
     long answerByMs() {
         return Math.min(deadlineMs, deduplicationEndMs);
     }
 
-    /** Whether its class lets it go out once more. */
+    /** Whether its class allows another attempt. */
     boolean mayRetry() {
         return repeat != Repeat.UNSAFE || !mayHaveRun;
     }
--- a/clients/java/src/main/java/vetchpost/client/core/Caller.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Caller.java
@@ -12,12 +12,13 @@
 import java.util.function.Predicate;
 
 /**
- * All calls of one client. Each method is told the time and returns what is to be done now;
- * {@link #nextWakeMs} says when {@link #wake} is due. Times are in milliseconds from any beginning; one that
- * goes back counts as none passed. Not for several threads at once.
+ * Makes all decisions for the calls of one client: node choice, retries, hedges and endings. Each method takes the
+ * current time and returns the actions to perform now; {@link #nextWakeMs} says when {@link #wake} is due. Times are
+ * in milliseconds since any fixed start; a time that goes backwards counts as no time passed. {@code Client} calls it
+ * from its one thread; it is not thread-safe.
  */
 public final class Caller {
-    /** The answer of {@link #nextWakeMs} while nothing is due. */
+    /** Returned by {@link #nextWakeMs} while nothing is due. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private static final int MEDIAN_PER_MILLE = 500;
@@ -37,29 +38,34 @@
     private long nowMs = Long.MIN_VALUE;
     private List<Action> actions = new ArrayList<>();
 
-    /** A call's wake-up; stale if the call has another one since. */
+    /** A scheduled wake-up of a call; stale if the call has been rescheduled since. */
     private record Timer(long atMs, long sequence, Call call) {}
 
     /**
-     * A client without nodes.
+     * Creates a caller without nodes.
      *
-     * @param draws random numbers from 0 up to, but not including, 1
+     * @param random random numbers from 0 up to, but not including, 1
      */
-    public Caller(Settings settings, DoubleSupplier draws) {
+    public Caller(Settings settings, DoubleSupplier random) {
         this.settings = settings;
-        this.random = draws;
-        nodes = new Nodes(settings, draws);
+        this.random = random;
+        nodes = new Nodes(settings, random);
         budget = new Budget(settings.budget(), settings.budgetPerMille());
     }
 
-    /** A node to send to from now on. @param local whether it comes before those that are not */
+    /**
+     * Adds a node to send to from now on.
+     *
+     * @param name the node's URL; a node of this name that is not removed is left as it is
+     * @param local whether it is preferred to nodes that are not local
+     */
     public List<Action> addNode(long now, String name, boolean local) {
         advanceClock(now);
         nodes.add(name, local, nowMs);
         return takeActions();
     }
 
-    /** A node that gets no more calls; those it has go on. */
+    /** Removes a node: it gets no new attempts, and its attempts in flight continue. */
     public List<Action> removeNode(long now, String name) {
         advanceClock(now);
         nodes.remove(name);
@@ -67,12 +73,12 @@
     }
 
     /**
-     * A new call.
+     * Starts a call.
      *
-     * @param id of the caller's choice; of no other call that is not over
-     * @param withinMs its deadline, counted from now
-     * @param windowMs of a keyed call: for how long servers drop repeats of its key
-     * @throws IllegalArgumentException if a call of this id is not over
+     * @param id chosen by the caller of this method; must differ from the ids of all unfinished calls
+     * @param withinMs its deadline, relative to now; a call with 0 or less ends at once as late
+     * @param windowMs for a keyed call, how long servers drop repeats of its key; otherwise ignored
+     * @throws IllegalArgumentException if an unfinished call has this id
      */
     public List<Action> begin(long now, long id, Repeat repeat, long withinMs, long windowMs) {
         advanceClock(now);
@@ -88,36 +94,36 @@
         return takeActions();
     }
 
-    /** How an attempt has ended; of one that is over already it has no effect. */
-    public List<Action> ended(long now, long id, int number, Ending how) {
+    /** Records how an attempt has ended; has no effect for an attempt that has finished already. */
+    public List<Action> ended(long now, long id, int number, Ending ending) {
         advanceClock(now);
         Call call = calls.get(id);
-        Call.Attempt attempt = call == null ? null : call.inFlightAttempts(number);
+        Call.Attempt attempt = call == null ? null : call.inFlightAttempt(number);
         if (attempt == null) {
             return takeActions();
         }
         Node node = attempt.node;
-        if (how.kind() == Ending.Kind.SERVED) {
+        if (ending.kind() == Ending.Kind.SERVED) {
             node.recordServed();
             latencies.add(nowMs - attempt.sentMs);
             budget.creditServedCall();
             call.finish(attempt);
-            end(call, new Outcome(Outcome.Kind.SERVED, true, -1, number, how.cause()));
+            end(call, new Outcome(Outcome.Kind.SERVED, true, -1, number, ending.cause()));
             return takeActions();
         }
-        if (how.kind() == Ending.Kind.REFUSED) {
+        if (ending.kind() == Ending.Kind.REFUSED) {
             node.recordRefusal(attempt.sentMs, nowMs);
-        } else if (how.answered()) {
+        } else if (ending.answered()) {
             node.recordAnswer();
         } else {
             node.recordFailure(attempt.sentMs, nowMs);
         }
-        call.recordEnding(attempt, how, nowMs);
+        call.recordEnding(attempt, ending, nowMs);
         retryOrConclude(call);
         return takeActions();
     }
 
-    /** Whoever made the call has no more use for it. */
+    /** Cancels a call and abandons its attempts in flight; has no effect for a call that is over. */
     public List<Action> cancel(long now, long id) {
         advanceClock(now);
         Call call = calls.get(id);
@@ -127,7 +133,7 @@
         return takeActions();
     }
 
-    /** What is due by now. */
+    /** Handles all wake-ups that are due. */
     public List<Action> wake(long now) {
         advanceClock(now);
         while (!timers.isEmpty() && timers.peek().atMs() <= nowMs) {
@@ -140,7 +146,7 @@
         return takeActions();
     }
 
-    /** When {@link #wake} is due, or {@link #NEVER}. */
+    /** Returns when {@link #wake} is due, or {@link #NEVER}. */
     public long nextWakeMs() {
         while (!timers.isEmpty()
                 && (timers.peek().call().finished
@@ -152,7 +158,7 @@
         return trial < 0 ? next : Math.min(next, trial);
     }
 
-    /** Calls that are not over. */
+    /** Returns the number of calls that are not over. */
     public int open() {
         return calls.size();
     }
@@ -163,25 +169,24 @@
 
     private List<Action> takeActions() {
         nodes.removeDrained();
-        // Those in line first see whether there is room, or, once, that there is no more hope of it.
-        boolean hope = nodes.anyInRotation(nowMs);
-        boolean lost = hadNodeInRotation && !hope;
-        hadNodeInRotation = hope;
-        if (!waitingCalls.isEmpty() && (lost || nodes.anyAvailable(nowMs))) {
+        // Waiting calls are dispatched in order while a node is available. When the last node leaves the rotation,
+        // all of them are tried once, so that those which cannot be served in time end now.
+        boolean hasNodeInRotation = nodes.anyInRotation(nowMs);
+        boolean lostLastNode = hadNodeInRotation && !hasNodeInRotation;
+        hadNodeInRotation = hasNodeInRotation;
+        if (!waitingCalls.isEmpty() && (lostLastNode || nodes.anyAvailable(nowMs))) {
             for (Call call : List.copyOf(waitingCalls)) {
                 dispatch(call);
-                if (!lost && !nodes.anyAvailable(nowMs)) {
+                if (!lostLastNode && !nodes.anyAvailable(nowMs)) {
                     break;
                 }
             }
         }
-        List<Action> all = actions;
+        List<Action> taken = actions;
         actions = new ArrayList<>();
-        return all;
+        return taken;
     }
 
-    // ---------------------------------------------------------------- one call
-
     private void wakeAt(Call call, long atMs) {
         if (atMs != call.wakeAtMs) {
             call.wakeAtMs = atMs;
@@ -189,7 +194,7 @@
         }
     }
 
-    /** Sends it if a node has room; else it waits, or ends at once where waiting has no sense. */
+    /** Sends a call if a node is available; otherwise it waits, or ends at once if waiting cannot help. */
     private void dispatch(Call call) {
         if (call.attemptCount() > 0 && !budget.hasRetry()) {
             conclude(call);
@@ -215,11 +220,13 @@
         wakeAt(call, earliest > nowMs ? Math.min(earliest, sendByMs) : sendByMs);
     }
 
-    /** Until when sending it has sense: later than that half of all answers would come too late. Calls that
-     * stand in line until their last moment would take the room of those that can still be served. */
+    /**
+     * Returns the last time at which a call is worth sending: half of all answers would come too late after it. Calls
+     * that waited until their very deadline would use capacity that others need to be served in time.
+     */
     private long latestSendMs(Call call) {
-        long usual = latencies.quantile(MEDIAN_PER_MILLE);
-        return usual < 0 ? call.answerByMs() : call.answerByMs() - usual;
+        long medianMs = latencies.quantile(MEDIAN_PER_MILLE);
+        return medianMs < 0 ? call.answerByMs() : call.answerByMs() - medianMs;
     }
 
     private void send(Call call, Node node) {
@@ -230,13 +237,13 @@
         Call.Attempt attempt = call.addAttempt(node, nowMs);
         actions.add(new Action.Send(call.id, attempt.number, node.name, call.answerByMs() - nowMs, attempt.number > 0));
         if (call.repeat == Repeat.SAFE && attempt.number == 0 && settings.secondCopyPerMille() > 0) {
-            long usual = latencies.quantile(settings.secondCopyPerMille());
-            call.hedgeAtMs = usual < 0 ? -1 : nowMs + usual;
+            long hedgeDelayMs = latencies.quantile(settings.secondCopyPerMille());
+            call.hedgeAtMs = hedgeDelayMs < 0 ? -1 : nowMs + hedgeDelayMs;
         }
         scheduleNextWake(call);
     }
 
-    /** Wakes a call that is out when the first of its times comes. */
+    /** Wakes a call in flight at the earliest of its answer limit, its hedge and its attempts' timeouts. */
     private void scheduleNextWake(Call call) {
         long next = call.answerByMs();
         if (call.hedgeAtMs >= 0) {
@@ -259,19 +266,19 @@
             expire(call);
             return;
         }
-        boolean closed = nowMs >= call.answerByMs();
-        boolean waited = !call.isInFlight();
+        boolean isTooLate = nowMs >= call.answerByMs();
+        boolean wasWaiting = !call.isInFlight();
         for (Call.Attempt attempt : call.inFlightAttempts()) {
-            if (closed || hasAttemptTimeout(call) && nowMs >= attempt.sentMs + settings.perAttemptMs()) {
+            if (isTooLate || hasAttemptTimeout(call) && nowMs >= attempt.sentMs + settings.perAttemptMs()) {
                 actions.add(new Action.Abandon(call.id, attempt.number));
                 recordTimeout(attempt);
                 call.recordEnding(attempt, Ending.silent(Ending.Kind.MAY_HAVE_RUN, "no answer in its time"), nowMs);
             }
         }
         if (!call.isInFlight()) {
-            if (closed) {
+            if (isTooLate) {
                 conclude(call);
-            } else if (waited) {
+            } else if (wasWaiting) {
                 dispatch(call);
             } else {
                 retryOrConclude(call);
@@ -289,14 +296,14 @@
         if (call.attemptCount() >= settings.attempts() || !budget.hasRetry()) {
             return;
         }
-        Predicate<Node> other = n -> !call.hasTried(n) && call.notBeforeMs(n) <= nowMs;
-        Node node = nodes.choose(nowMs, other, n -> false);
+        Predicate<Node> untried = n -> !call.hasTried(n) && call.notBeforeMs(n) <= nowMs;
+        Node node = nodes.choose(nowMs, untried, n -> false);
         if (node != null) {
             send(call, node);
         }
     }
 
-    /** After an attempt that was not served: whether, and when, it goes out again. */
+    /** After an attempt that was not served: retries now, schedules a retry, or ends the call. */
     private void retryOrConclude(Call call) {
         if (call.isInFlight()) {
             scheduleNextWake(call);
@@ -318,30 +325,32 @@
         }
     }
 
-    /** Full jitter (Brooker, "Exponential Backoff And Jitter", 2015); none where nothing was reached and
-     * another node can be asked. */
+    /**
+     * Returns the wait before a retry: exponential with full jitter (Brooker, "Exponential Backoff And Jitter", 2015).
+     * It is 0 if the last attempt never ran and an untried node is available.
+     */
     private long backoffMs(Call call) {
         if (call.lastEnding.kind() == Ending.Kind.NEVER_RAN && nodes.anyAvailableAmong(nowMs, n -> !call.hasTried(n))) {
             return 0;
         }
-        long most = settings.backoffMs();
-        for (int i = 1; i < call.attemptCount() && most < settings.backoffMostMs(); i++) {
-            most *= 2;
+        long maxWaitMs = settings.backoffMs();
+        for (int i = 1; i < call.attemptCount() && maxWaitMs < settings.backoffMostMs(); i++) {
+            maxWaitMs *= 2;
         }
-        return (long) (random.getAsDouble() * Math.min(most, settings.backoffMostMs()));
+        return (long) (random.getAsDouble() * Math.min(maxWaitMs, settings.backoffMostMs()));
     }
 
     private void expire(Call call) {
-        boolean ran = call.mayHaveRun() || call.isInFlight();
+        boolean mayHaveRun = call.mayHaveRun() || call.isInFlight();
         for (Call.Attempt attempt : call.inFlightAttempts()) {
             actions.add(new Action.Abandon(call.id, attempt.number));
             recordTimeout(attempt);
             call.finish(attempt);
         }
-        end(call, Outcome.failed(Outcome.Kind.LATE, ran, "its deadline has passed"));
+        end(call, Outcome.failed(Outcome.Kind.LATE, mayHaveRun, "its deadline has passed"));
     }
 
-    /** A node that lets an attempt's time pass has failed, unless that was too short for nearly all. */
+    /** Records an attempt that timed out: a failure of its node, unless it had less time than nearly all answers take. */
     private void recordTimeout(Call.Attempt attempt) {
         if (nowMs - attempt.sentMs >= latencies.quantile(SLOW_ANSWER_PER_MILLE)) {
             attempt.node.recordFailure(attempt.sentMs, nowMs);
@@ -350,14 +359,14 @@
         }
     }
 
-    /** Nothing more is tried: what is known of it. */
+    /** Ends a call that is not retried, with the outcome that follows from its attempts. */
     private void conclude(Call call) {
         Ending last = call.lastEnding;
-        long comeBack = call.earliestRetryMs() == NEVER ? -1 : Math.max(0, call.earliestRetryMs() - nowMs);
+        long retryAfterMs = call.earliestRetryMs() == NEVER ? -1 : Math.max(0, call.earliestRetryMs() - nowMs);
         if (call.mayHaveRun() && (call.repeat != Repeat.SAFE || last.kind() != Ending.Kind.REFUSED)) {
-            end(call, new Outcome(Outcome.Kind.MAY_HAVE_RUN, true, comeBack, -1, last.cause()));
+            end(call, new Outcome(Outcome.Kind.MAY_HAVE_RUN, true, retryAfterMs, -1, last.cause()));
         } else if (last != null && last.kind() == Ending.Kind.REFUSED) {
-            end(call, new Outcome(Outcome.Kind.REFUSED, call.mayHaveRun(), comeBack, -1, last.cause()));
+            end(call, new Outcome(Outcome.Kind.REFUSED, call.mayHaveRun(), retryAfterMs, -1, last.cause()));
         } else if (last != null) {
             end(call, Outcome.failed(Outcome.Kind.NEVER_RAN, false, last.cause()));
         } else if (nodes.anyInRotation(nowMs)) {
@@ -367,7 +376,7 @@
         }
     }
 
-    private void end(Call call, Outcome how) {
+    private void end(Call call, Outcome outcome) {
         for (Call.Attempt attempt : call.inFlightAttempts()) {
             actions.add(new Action.Abandon(call.id, attempt.number));
             attempt.node.recordAbandoned(attempt.sentMs);
@@ -376,6 +385,6 @@
         call.finished = true;
         calls.remove(call.id);
         waitingCalls.remove(call);
-        actions.add(new Action.End(call.id, how));
+        actions.add(new Action.End(call.id, outcome));
     }
 }
--- a/clients/java/src/main/java/vetchpost/client/core/Ending.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Ending.java
@@ -3,24 +3,24 @@
 /**
  * How one attempt has ended.
  *
- * @param answered whether the node has answered, whatever it said: then it is there
- * @param retryAfterMs of a refusal: when the node takes it, counted from now; -1 if it does not say
- * @param cause a word or two for people
+ * @param answered whether the node has answered at all, which shows that it is reachable
+ * @param retryAfterMs of a refusal: the milliseconds from now after which the node accepts a retry; -1 if not given
+ * @param cause a short description for logs and messages
  */
 public record Ending(Kind kind, boolean answered, long retryAfterMs, String cause) {
-    /** The four endings; which answer or failure is which is decided by {@link Answers}. */
+    /** The four kinds of ending; {@link Answers} assigns them to answers. */
     public enum Kind {
-        /** A whole answer that is the call's own. */
+        /** A complete answer to the call itself. */
         SERVED,
-        /** The node has refused it: it has not run, and asking again is harmless. */
+        /** The node has refused it: it has not run, and a retry is harmless. */
         REFUSED,
-        /** It surely has not run: no connection, or the node says so. */
+        /** It certainly has not run: there was no connection, or the node says so. */
         NEVER_RAN,
-        /** It may have run, or may yet. */
+        /** It may have run, or may still run. */
         MAY_HAVE_RUN
     }
 
-    /** An ending without an answer: of the connection, or of the caller's patience. */
+    /** Returns an ending without an answer: the connection failed or a timeout passed. */
     public static Ending silent(Kind kind, String cause) {
         return new Ending(kind, false, -1, cause);
     }
--- a/clients/java/src/main/java/vetchpost/client/core/Latencies.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Latencies.java
@@ -1,11 +1,15 @@
 package vetchpost.client.core;
 
-/** How long answers have taken lately: counts in buckets, each a fourth wider than the one before, halved
- * when they hold 1,000. Whole numbers only, so that it is the same in every language. */
+/**
+ * A histogram of recent answer times. Each bucket's edge is a fourth above the one before; all counts are halved when
+ * they reach {@link #MAX_SAMPLES}. It uses whole numbers only, so that it gives the same results in every language.
+ * Used by {@link Caller} on its thread.
+ */
 final class Latencies {
     private static final int BUCKET_COUNT = 64;
     private static final int MAX_SAMPLES = 1_000;
     private static final int MIN_SAMPLES = 20;
+    private static final int MILLE = 1_000;
     private static final long[] UPPER_EDGES_MS = new long[BUCKET_COUNT];
 
     private final int[] counts = new int[BUCKET_COUNT];
@@ -35,12 +39,16 @@
         }
     }
 
-    /** The upper edge of the bucket where so many thousandths of answers have come; -1 while too few have. */
+    /**
+     * Returns the upper edge, in milliseconds, of the bucket that holds a quantile; -1 while there are too few samples.
+     *
+     * @param perMille the quantile in thousandths, 0 to 1,000
+     */
     long quantile(int perMille) {
         if (total < MIN_SAMPLES) {
             return -1;
         }
-        long wanted = ((long) total * perMille + MAX_SAMPLES - 1) / MAX_SAMPLES;
+        long wanted = ((long) total * perMille + MILLE - 1) / MILLE;
         long seen = 0;
         int bucket = -1;
         while (seen < wanted) {
--- a/clients/java/src/main/java/vetchpost/client/core/Node.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Node.java
@@ -1,8 +1,9 @@
 package vetchpost.client.core;
 
 /**
- * What is known of one node: calls in flight, a limit on them that follows its refusals (additive increase,
- * multiplicative decrease, at most once a round trip), failures, and whether it is left out for a while.
+ * The state of one node: its attempts in flight, their limit, its recent failures and its ejection. The limit follows
+ * the node's refusals (additive increase, multiplicative decrease at most once per round trip). Used by {@link Caller}
+ * on its thread.
  */
 final class Node {
     private static final long MILLE = 1_000;
@@ -32,7 +33,7 @@
         failuresDecayedMs = nowMs;
     }
 
-    /** Whether it may get a call now: a node on trial gets one, and nobody else until that has ended. */
+    /** Whether it may get an attempt now. An ejected node whose time has passed gets one trial attempt at a time. */
     boolean isAvailable(long nowMs) {
         if (removed) {
             return false;
@@ -40,12 +41,12 @@
         return ejectedUntilMs >= 0 ? nowMs >= ejectedUntilMs && !trialInFlight : inFlight < limitMille / MILLE;
     }
 
-    /** When it is tried again, if that is still to come; else -1. */
+    /** Returns when an ejected node gets a trial attempt, if that is in the future; else -1. */
     long trialMs(long nowMs) {
         return !removed && ejectedUntilMs > nowMs ? ejectedUntilMs : -1;
     }
 
-    /** Whether calls may be had from it before long: it is there and not left out, or being tried. */
+    /** Whether it is present and either not ejected or due for, or in, its trial. */
     boolean isInRotation(long nowMs) {
         return !removed && (ejectedUntilMs < 0 || nowMs >= ejectedUntilMs);
     }
@@ -62,7 +63,7 @@
         removed = true;
     }
 
-    /** By calls in flight and recent failures; the lower the better. */
+    /** Returns its load score, from attempts in flight and recent failures; lower is better. */
     long score(long nowMs) {
         return (inFlight + 1) * (MILLE + decayFailures(nowMs));
     }
@@ -72,7 +73,7 @@
         trialInFlight = ejectedUntilMs >= 0;
     }
 
-    /** An attempt is over without a word about the node: its caller has no more use for it. */
+    /** Records an attempt that was abandoned and says nothing about the node. */
     void recordAbandoned(long sentMs) {
         inFlight--;
         if (isTrial(sentMs)) {
@@ -80,12 +81,12 @@
         }
     }
 
-    /** It has answered, so it is there. */
+    /** Records an answer, whatever its status: the node is reachable, which ends its ejection. */
     void recordAnswer() {
         inFlight--;
         consecutiveFailures = 0;
         if (ejectedUntilMs >= 0) {
-            // Back, but as one that nobody knows: those who waited for it come bit by bit.
+            // The limit starts afresh, so that the calls that waited for the node do not reach it all at once.
             ejectedUntilMs = -1;
             ejectionMs = 0;
             trialInFlight = false;
@@ -93,16 +94,16 @@
         }
     }
 
-    /** It has served a call: room for one more for each round of its limit, while that is made use of. */
+    /** Records a served call: the limit grows by one per full round of it, while at least half of it is in use. */
     void recordServed() {
-        boolean inUse = 2L * inFlight >= limitMille / MILLE;
+        boolean limitInUse = 2L * inFlight >= limitMille / MILLE;
         recordAnswer();
-        if (inUse) {
+        if (limitInUse) {
             limitMille = Math.min(settings.limitMost() * MILLE, limitMille + MILLE * MILLE / limitMille);
         }
     }
 
-    /** It has refused a call: fewer at a time, but once only for all that were out together. */
+    /** Records a refusal: lowers the limit to 7/10, but once only for all attempts that were in flight together. */
     void recordRefusal(long sentMs, long nowMs) {
         recordAnswer();
         if (sentMs >= limitLoweredMs) {
@@ -111,7 +112,7 @@
         }
     }
 
-    /** It has not answered. */
+    /** Records an attempt without an answer; ejects the node after enough in a row, or after a failed trial. */
     void recordFailure(long sentMs, long nowMs) {
         inFlight--;
         recentFailuresMille = Math.min(MAX_RECENT_FAILURES_MILLE, decayFailures(nowMs) + MILLE);
@@ -124,7 +125,7 @@
         }
     }
 
-    /** Calls from before it was left out say nothing about the trial. */
+    /** Whether an attempt is the trial: attempts sent before the ejection ended say nothing about it. */
     private boolean isTrial(long sentMs) {
         return trialInFlight && sentMs >= ejectedUntilMs;
     }
--- a/clients/java/src/main/java/vetchpost/client/core/Nodes.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Nodes.java
@@ -6,19 +6,21 @@
 import java.util.function.Predicate;
 import java.util.function.ToLongFunction;
 
-/** The nodes that calls go to, and the choice among them: the better of two drawn at random (Mitzenmacher,
- * "The Power of Two Choices", 2001), among local ones while one of them has room. */
+/**
+ * The nodes that calls go to, and the choice among them: the better of two drawn at random (Mitzenmacher, "The Power
+ * of Two Choices", 2001), among the local nodes while one of them is available. Used by {@link Caller} on its thread.
+ */
 final class Nodes {
     private final Settings settings;
     private final DoubleSupplier random;
     private final List<Node> nodes = new ArrayList<>();
 
-    Nodes(Settings settings, DoubleSupplier draws) {
+    Nodes(Settings settings, DoubleSupplier random) {
         this.settings = settings;
-        this.random = draws;
+        this.random = random;
     }
 
-    /** One that is there already stays as it is; one that was being removed comes as a new one. */
+    /** Adds a node. One that is present stays as it is; one that is being removed is added as a new node. */
     void add(String name, boolean local, long nowMs) {
         if (nodes.stream().noneMatch(n -> n.name.equals(name) && !n.isRemoved())) {
             nodes.add(new Node(name, local, settings, nowMs));
@@ -30,7 +32,7 @@
         removeDrained();
     }
 
-    /** Forgets removed nodes that have nothing in flight. */
+    /** Drops removed nodes that have no attempts in flight. */
     void removeDrained() {
         nodes.removeIf(Node::isDrained);
     }
@@ -43,7 +45,7 @@
         return nodes.stream().anyMatch(n -> n.isInRotation(nowMs));
     }
 
-    /** The first time at which a node that is left out is tried again; -1 if none is. */
+    /** Returns the earliest time at which an ejected node gets a trial attempt; -1 if none is due later. */
     long nextTrialMs(long nowMs) {
         return nodes.stream()
                 .mapToLong(n -> n.trialMs(nowMs))
@@ -52,55 +54,62 @@
                 .orElse(-1);
     }
 
-    /** Whether one of these may get a call now. */
-    boolean anyAvailableAmong(long nowMs, Predicate<Node> which) {
-        return nodes.stream().anyMatch(n -> n.isAvailable(nowMs) && which.test(n));
+    /** Whether a node that matches may get an attempt now. */
+    boolean anyAvailableAmong(long nowMs, Predicate<Node> matches) {
+        return nodes.stream().anyMatch(n -> n.isAvailable(nowMs) && matches.test(n));
     }
 
     /**
-     * When a call may get a node at the earliest: now if one is merely full, the largest number if there is
-     * none.
+     * Returns the earliest time at which a call may get a node: now if one is only at its limit, the largest number if
+     * there are no nodes.
      *
-     * @param notBeforeMs when a node takes the call, by its own word
+     * @param notBeforeMs when a node accepts the call by its Retry-After
      */
     long earliestSendMs(long nowMs, ToLongFunction<Node> notBeforeMs) {
         long earliest = Long.MAX_VALUE;
         for (Node node : nodes) {
             if (!node.isRemoved()) {
-                long at = Math.max(Math.max(nowMs, node.trialMs(nowMs)), notBeforeMs.applyAsLong(node));
-                earliest = Math.min(earliest, at);
+                long sendMs = Math.max(Math.max(nowMs, node.trialMs(nowMs)), notBeforeMs.applyAsLong(node));
+                earliest = Math.min(earliest, sendMs);
             }
         }
         return earliest;
     }
 
-    /** The node for an attempt, or null if none that may be used has room. */
+    /**
+     * Returns the node for an attempt, or null if no usable node is available.
+     *
+     * @param mayUse whether a node may be chosen at all
+     * @param tried whether the call has been sent to a node before; others are preferred
+     */
     Node choose(long nowMs, Predicate<Node> mayUse, Predicate<Node> tried) {
-        List<Node> some = new ArrayList<>();
+        List<Node> candidates = new ArrayList<>();
         for (Node node : nodes) {
             if (node.isAvailable(nowMs) && mayUse.test(node)) {
-                some.add(node);
+                candidates.add(node);
             }
         }
-        some = preferred(some, n -> !tried.test(n));
-        some = preferred(some, n -> n.local);
-        if (some.size() < 2) {
-            return some.isEmpty() ? null : some.get(0);
+        candidates = preferred(candidates, n -> !tried.test(n));
+        candidates = preferred(candidates, n -> n.local);
+        if (candidates.size() < 2) {
+            return candidates.isEmpty() ? null : candidates.get(0);
         }
-        int one = randomIndex(some.size());
-        int other = randomIndex(some.size() - 1);
-        if (other >= one) {
-            other++;
+        int first = randomIndex(candidates.size());
+        int second = randomIndex(candidates.size() - 1);
+        if (second >= first) {
+            second++;
         }
-        return some.get(other).score(nowMs) < some.get(one).score(nowMs) ? some.get(other) : some.get(one);
+        return candidates.get(second).score(nowMs) < candidates.get(first).score(nowMs)
+                ? candidates.get(second)
+                : candidates.get(first);
     }
 
-    private static List<Node> preferred(List<Node> some, Predicate<Node> better) {
-        List<Node> those = some.stream().filter(better).toList();
-        return those.isEmpty() ? some : those;
+    private static List<Node> preferred(List<Node> candidates, Predicate<Node> isPreferred) {
+        List<Node> matching = candidates.stream().filter(isPreferred).toList();
+        return matching.isEmpty() ? candidates : matching;
     }
 
-    private int randomIndex(int below) {
-        return (int) (random.getAsDouble() * below);
+    private int randomIndex(int size) {
+        return (int) (random.getAsDouble() * size);
     }
 }
--- a/clients/java/src/main/java/vetchpost/client/core/Outcome.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Outcome.java
@@ -3,23 +3,23 @@
 /**
  * How a whole call has ended.
  *
- * @param mayHaveRun whether some attempt of it may have run, or may yet
- * @param comeBackMs of a refusal: when to ask again, counted from now; -1 if nobody has said
- * @param attempt of a served call: the number of the attempt that was answered; else -1
- * @param cause a word or two for people
+ * @param mayHaveRun whether any of its attempts may have run, or may still run
+ * @param comeBackMs the milliseconds from now after which to retry, by the nodes' Retry-After; -1 if none sent one
+ * @param attempt of a served call: the number of the attempt that was answered, from 0; else -1
+ * @param cause a short description for logs and messages
  */
 public record Outcome(Kind kind, boolean mayHaveRun, long comeBackMs, int attempt, String cause) {
-    /** The six endings of a call. */
+    /** The six ways in which a call ends. */
     public enum Kind {
         /** Answered. */
         SERVED,
-        /** Refused by the nodes, or by this caller's own limits; it has not run. */
+        /** Refused by the nodes, or by this client's own limits; a call that is not safe has not run. */
         REFUSED,
-        /** Failed, and surely has not run. */
+        /** Failed, and certainly has not run. */
         NEVER_RAN,
-        /** Failed, and nobody here can know whether it has run. */
+        /** Failed, and it is unknown whether it has run. */
         MAY_HAVE_RUN,
-        /** Given up by whoever made it. */
+        /** Cancelled by its caller. */
         CANCELLED,
         /** Its deadline has passed. */
         LATE
--- a/clients/java/src/main/java/vetchpost/client/core/Repeat.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Repeat.java
@@ -1,11 +1,11 @@
 package vetchpost.client.core;
 
-/** What may be sent again, by what a second effect would cost. */
+/** Whether a call may be sent again, by what a second execution would do. */
 public enum Repeat {
-    /** Has no effect: may be repeated after any failure, and sent to two nodes at once. */
+    /** Has no side effect: may be retried after any failure, and sent to two nodes at once. */
     SAFE,
-    /** Servers drop repeats of one key for a window of time: may be repeated within it. */
+    /** Servers drop repeats of one key for a window of time: may be retried within it. */
     KEYED,
-    /** Is never sent again once it may have run. */
+    /** Must not be sent again once it may have run. */
     UNSAFE
 }
--- a/clients/java/src/main/java/vetchpost/client/core/Settings.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Settings.java
@@ -1,23 +1,22 @@
 package vetchpost.client.core;
 
 /**
- * The figures that decisions go by. All times are in milliseconds.
+ * The settings of a client's decisions. All times are in milliseconds.
  *
- * @param attempts most sendings of one call, the first and second copies among them; 1 to 100
- * @param backoffMs the first bound of the wait before a repeat; it doubles with each failed attempt; at
- *     least 1
- * @param backoffMostMs where it stops doubling; at least {@code backoffMs}
- * @param budget most repeats and second copies in a row, until calls succeed; 0 to 1,000,000
- * @param budgetPerMille how much of one more repeat a served call earns, in thousandths; 0 to 1,000
- * @param perAttemptMs an attempt of a safe or keyed call that has no answer by then is given up; 0 for never
- * @param secondCopyPerMille a safe call's second copy goes out once the first has taken longer than so many
- *     thousandths of answers did; 0 for no second copies, at most 999
- * @param limit calls that one node has in flight at most, at the beginning; 1 to {@code limitMost}
- * @param limitMost the most that the limit may grow to; up to 100,000
- * @param waiting most calls that wait for a node to have room; 0 to 1,000,000
- * @param ejectAfter failures in a row after which a node gets no calls for a while; at least 1
- * @param ejectMs for how long the first time; it doubles each time that a trial fails; at least 1
- * @param ejectMostMs where it stops doubling; at least {@code ejectMs}
+ * @param attempts maximum attempts of one call, the first one, retries and hedges together; 1 to 100
+ * @param backoffMs upper bound of the wait before the first retry; it doubles with each failed attempt; at least 1
+ * @param backoffMostMs maximum of that bound; at least {@code backoffMs}
+ * @param budget maximum retries and hedges in a row while no call succeeds; 0 to 1,000,000
+ * @param budgetPerMille what a served call adds to the budget, in thousandths of a retry; 0 to 1,000
+ * @param perAttemptMs timeout of one attempt of a safe or keyed call; 0 for none
+ * @param secondCopyPerMille a safe call is hedged once its first attempt has taken longer than this many thousandths of
+ *     recent answers; 0 for no hedges, at most 999
+ * @param limit initial maximum of attempts in flight at one node; 1 to {@code limitMost}
+ * @param limitMost maximum that the limit may grow to; 1 to 100,000
+ * @param waiting maximum calls that wait for an available node; 0 to 1,000,000
+ * @param ejectAfter consecutive failures after which a node is ejected; 1 to 1,000,000
+ * @param ejectMs duration of the first ejection; it doubles each time that a trial fails; at least 1
+ * @param ejectMostMs maximum duration of an ejection; at least {@code ejectMs}
  */
 public record Settings(
         int attempts,
@@ -34,7 +33,7 @@
         long ejectMs,
         long ejectMostMs) {
 
-    /** The settings that fit most callers. */
+    /** Settings that suit most clients. */
     public static final Settings DEFAULT =
             new Settings(3, 50, 2_000, 10, 100, 0, 950, 16, 256, 1_000, 5, 1_000, 30_000);
 
@@ -42,9 +41,9 @@
     private static final int MILLION = 1_000_000;
 
     /**
-     * The figures as given.
+     * Checks all settings.
      *
-     * @throws IllegalArgumentException if one is out of its range; the message names it
+     * @throws IllegalArgumentException if a setting is out of its range; the message names it
      */
     public Settings {
         requireInRange("attempts", attempts, 1, 100);
@@ -62,9 +61,9 @@
         requireInRange("ejectMostMs", ejectMostMs, ejectMs, Integer.MAX_VALUE);
     }
 
-    private static void requireInRange(String name, long value, long least, long most) {
-        if (value < least || value > most) {
-            throw new IllegalArgumentException(name + " is " + value + ", not " + least + " to " + most);
+    private static void requireInRange(String name, long value, long min, long max) {
+        if (value < min || value > max) {
+            throw new IllegalArgumentException(name + " is " + value + ", not " + min + " to " + max);
         }
     }
 }
--- a/clients/java/src/main/java/vetchpost/client/core/package-info.java
+++ b/clients/java/src/main/java/vetchpost/client/core/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a caller of vetchpost's nodes decides: which node gets an attempt, whether and when it is repeated,
- * and how a call has ended. No I/O, no threads, no clock: it is told of events and the time, and says what to
- * do. The protocol is in {@code docs/client-protocol.md}; {@code clients/conformance} holds it to that.
+ * The decisions of a client: which node gets an attempt, whether and when it is retried, and how a call ends. The
+ * package does no I/O and has no threads and no clock: its caller passes in events and the time, and performs the
+ * returned actions. {@code docs/client-protocol.md} defines the protocol; {@code clients/conformance} tests it.
  */
 package vetchpost.client.core;
