--- a/clients/typescript/src/client.ts
+++ b/clients/typescript/src/client.ts
@@ -1,82 +1,88 @@
-import { endingOf } from "./core/answers.js";
+import { endingOfAnswer } from "./core/answers.js";
 import { Caller } from "./core/caller.js";
-import { type Settings, settled } from "./core/settings.js";
+import { type Settings, resolveSettings } from "./core/settings.js";
 import type { Action, Ending, Outcome } from "./core/types.js";
 import { check, methodOf, type Request } from "./request.js";
 import type { Result } from "./result.js";
 import { type Answer, fetchTransport, type Transport } from "./transport.js";
 
-/** Is told of calls, for metrics and logs. What it throws is lost. */
+/** Observes calls, for metrics and logs. Exceptions that it throws are discarded. */
 export interface Listener {
-  /** A request goes out; `attempt` is 0 for the first. */
+  /** An attempt is sent; `attempt` is 0 for the first. */
   sent?(id: string, attempt: number, node: string): void;
-  /** An attempt has ended; of one that is given up there is no word. */
+  /** An attempt has ended; not called for an abandoned one. */
   ended?(id: string, attempt: number, node: string, how: Ending): void;
-  /** A call is over. */
+  /** A call is over, after `tookMs` milliseconds. */
   over?(result: Result, tookMs: number): void;
 }
 
-/** What a client is made of. */
+/** The configuration of a client. */
 export interface ClientOptions {
-  /** Nodes by scheme, host and port: `http://127.0.0.1:8080`. */
+  /** Node URLs of scheme, host and port only: `http://127.0.0.1:8080`. */
   readonly nodes?: readonly string[];
-  /** Nodes that are asked before the others while they have room. */
+  /** Nodes that are preferred to the others while they are available. */
   readonly localNodes?: readonly string[];
   readonly settings?: Partial<Settings>;
-  /** The deadline of calls that have none of their own; 10,000 if not said. */
+  /** The default deadline of calls, in milliseconds; 10,000 by default. */
   readonly withinMs?: number;
-  /** The longest body of an answer that is taken, in bytes; 16 MiB if not said. */
+  /** The maximum body of an accepted answer, in bytes; 16 MiB by default. */
   readonly longestAnswer?: number;
-  /** Takes every 429 and 503 as a node's refusal, as nodes on the platform mean them. */
+  /** Treats every 429 and 503 as a node's refusal, as nodes on the platform mean them. */
   readonly plainRefusals?: boolean;
-  /** Says with each request whose it is, in X-Org. */
+  /** The tenant, sent with each request in X-Org. */
   readonly tenant?: string;
-  /** Says with each request what session it is of, in the cookie `key`. Not in browsers, which set cookies themselves. */
+  /** The session, sent with each request in the cookie `key`. Not in browsers, which set cookies themselves. */
   readonly session?: string;
-  /** Change requests before they are sent, in this order. */
+  /** Interceptors that change requests before they are sent, applied in this order. */
   readonly intercept?: readonly ((request: Request) => Request)[];
   readonly listener?: Listener;
-  /** How bytes travel; the platform's `fetch` if not said. Node processes do better with `vetchpost-client/node`. */
+  /**
+   * The transport; the platform's `fetch` by default. `vetchpost-client/node` distinguishes more errors and suits Node
+   * processes better.
+   */
   readonly transport?: Transport;
 }
 
-interface Open {
+/** A call that is not over. */
+interface OpenCall {
   readonly id: string;
   readonly key: string | undefined;
   readonly request: Request;
   readonly body: Uint8Array | undefined;
   readonly resolve: (result: Result) => void;
-  readonly beganMs: number;
-  readonly out: Map<number, AbortController>;
-  readonly forget: () => void;
-  sendings: number;
+  readonly startedMs: number;
+  readonly inFlight: Map<number, AbortController>;
+  readonly removeAbortListener: () => void;
+  attemptCount: number;
   answer: Answer | undefined;
 }
 
-const MOST_BYTES = 16 * 1024 * 1024;
-const WIDE = 16;
-const NARROW = 8;
-/** Timers of browsers and Node take no longer times. */
-const LONGEST_TIMER_MS = 2 ** 31 - 1;
+const DEFAULT_DEADLINE_MS = 10_000;
+const DEFAULT_MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+const ID_BYTES = 16;
+const ATTEMPT_ID_BYTES = 8;
+/** Longer timers overflow in browsers and Node. */
+const MAX_TIMER_MS = 2 ** 31 - 1;
 
 const HEX = Array.from({ length: 256 }, (_, b) => b.toString(16).padStart(2, "0"));
-const pool = new Uint8Array(4_096);
-let used = pool.length;
+const randomBytes = new Uint8Array(4_096);
+let usedRandomBytes = randomBytes.length;
 
-/** Random hexadecimal digits of so many bytes; drawn many at a time, since each drawing is dear. */
-function random(bytes: number): string {
-  if (used + bytes > pool.length) {
-    crypto.getRandomValues(pool);
-    used = 0;
+/** Returns random bytes as hexadecimal digits. They are generated in batches, since each generator call is costly. */
+function randomHex(bytes: number): string {
+  if (usedRandomBytes + bytes > randomBytes.length) {
+    crypto.getRandomValues(randomBytes);
+    usedRandomBytes = 0;
   }
   let digits = "";
   for (let i = 0; i < bytes; i++) {
-    digits += HEX[pool[used++]!]!;
+    digits += HEX[randomBytes[usedRandomBytes++]!]!;
   }
   return digits;
 }
 
-function checked(node: string): string {
+/** Returns the node's URL. @throws TypeError unless it is an http or https origin */
+function requireNodeUrl(node: string): string {
   const url = URL.canParse(node) ? new URL(node) : undefined;
   if (url === undefined || (url.protocol !== "http:" && url.protocol !== "https:") || url.origin !== node) {
     throw new TypeError(`'${node}' is no node, as http://127.0.0.1:8080 is`);
@@ -85,7 +91,8 @@
 }
 
 /**
- * Calls nodes over HTTP. Decisions are those of `Caller`; the bytes are a transport's. One for a process is enough.
+ * A client that calls nodes over HTTP. `Caller` makes its decisions and a transport carries its requests. One client
+ * per process is enough.
  *
  *     const client = new Client({ nodes: ["http://127.0.0.1:8080"] });
  *     const result = await client.send({ repeat: "safe", target: "/albums/7" });
@@ -94,160 +101,164 @@
   readonly #options: ClientOptions;
   readonly #caller: Caller;
   readonly #transport: Transport;
-  readonly #began = performance.now();
-  readonly #open = new Map<number, Open>();
-  #numbered = 0;
+  readonly #startedMs = performance.now();
+  readonly #openCalls = new Map<number, OpenCall>();
+  #lastNumber = 0;
   #closed = false;
-  #timer: ReturnType<typeof setTimeout> | undefined;
-  #wakeMs = Infinity;
+  #wakeTimer: ReturnType<typeof setTimeout> | undefined;
+  #wakeAtMs = Infinity;
 
   constructor(options: ClientOptions) {
     this.#options = options;
     this.#transport = options.transport ?? fetchTransport;
-    this.#caller = new Caller(settled(options.settings), Math.random);
+    this.#caller = new Caller(resolveSettings(options.settings), Math.random);
     for (const node of options.localNodes ?? []) {
-      this.#caller.addNode(0, checked(node), true);
+      this.#caller.addNode(0, requireNodeUrl(node), true);
     }
     for (const node of options.nodes ?? []) {
-      this.#caller.addNode(0, checked(node), false);
+      this.#caller.addNode(0, requireNodeUrl(node), false);
     }
   }
 
-  /** A node to send to from now on. */
+  /** Adds a node to send to from now on. @throws TypeError unless it is an http or https origin */
   addNode(node: string): void {
-    this.#perform(this.#caller.addNode(this.#nowMs(), checked(node), false));
+    this.#perform(this.#caller.addNode(this.#nowMs(), requireNodeUrl(node), false));
   }
 
-  /** A node that gets no more calls; those it has go on. */
+  /** Removes a node: it gets no new attempts, and its attempts in flight continue. */
   removeNode(node: string): void {
     this.#perform(this.#caller.removeNode(this.#nowMs(), node));
   }
 
   /**
-   * Makes a call. It ends with a result and never rejects but for a request that is none (TypeError). Aborting
-   * `signal` gives the call up, also at the node.
+   * Makes a call and resolves to its result. It rejects only for an invalid request, with a TypeError.
+   *
+   * @param signal aborting it cancels the call and closes the connections of its attempts
    */
-  async send(given: Request, signal?: AbortSignal): Promise<Result> {
-    const request = (this.#options.intercept ?? []).reduce((last, change) => change(last), given);
-    check(request);
-    const id = random(WIDE);
+  async send(request: Request, signal?: AbortSignal): Promise<Result> {
+    const intercepted = (this.#options.intercept ?? []).reduce((last, change) => change(last), request);
+    check(intercepted);
+    const id = randomHex(ID_BYTES);
     if (this.#closed) {
       return { kind: "never-ran", id, cause: "the client is closed" };
     }
     if (signal?.aborted === true) {
       return { kind: "cancelled", id, mayHaveRun: false };
     }
-    const body = typeof request.body === "string" ? new TextEncoder().encode(request.body) : request.body?.slice();
-    const number = ++this.#numbered;
+    const body = typeof intercepted.body === "string"
+      ? new TextEncoder().encode(intercepted.body) : intercepted.body?.slice();
+    const number = ++this.#lastNumber;
     return new Promise<Result>((resolve) => {
       const cancel = (): void => this.#perform(this.#caller.cancel(this.#nowMs(), number));
       signal?.addEventListener("abort", cancel);
-      this.#open.set(number, { id, request, body, resolve, beganMs: performance.now(), out: new Map(), sendings: 0,
-        key: request.repeat === "keyed" ? request.key ?? random(WIDE) : undefined, answer: undefined,
-        forget: () => signal?.removeEventListener("abort", cancel) });
-      this.#perform(this.#caller.begin(this.#nowMs(), number, request.repeat,
-        Math.floor(request.withinMs ?? this.#options.withinMs ?? 10_000),
-        request.repeat === "keyed" ? Math.floor(request.windowMs) : 0));
+      this.#openCalls.set(number, { id, request: intercepted, body, resolve, startedMs: performance.now(), inFlight: new Map(), attemptCount: 0,
+        key: intercepted.repeat === "keyed" ? intercepted.key ?? randomHex(ID_BYTES) : undefined, answer: undefined,
+        removeAbortListener: () => signal?.removeEventListener("abort", cancel) });
+      this.#perform(this.#caller.begin(this.#nowMs(), number, intercepted.repeat,
+        Math.floor(intercepted.withinMs ?? this.#options.withinMs ?? DEFAULT_DEADLINE_MS),
+        intercepted.repeat === "keyed" ? Math.floor(intercepted.windowMs) : 0));
     });
   }
 
   /**
-   * Makes a call for each request, so many at a time, and gives the results as they come, each with its request.
-   * Leaving the loop gives up those that are out.
+   * Makes a call for each request and yields the results in the order in which they end, each with its request. Leaving
+   * the loop cancels the calls that are in flight.
+   *
+   * @param atOnce the maximum number of calls in flight; 64 by default
    */
   async *sendAll(requests: Iterable<Request> | AsyncIterable<Request>, atOnce = 64):
       AsyncGenerator<{ readonly request: Request; readonly result: Result }, void> {
-    const giveUp = new AbortController();
-    const out = new Map<number, Promise<{ at: number; request: Request; result: Result }>>();
-    let numbered = 0;
+    const abortAll = new AbortController();
+    const inFlight = new Map<number, Promise<{ index: number; request: Request; result: Result }>>();
+    let nextIndex = 0;
     try {
       for await (const request of requests) {
-        const at = numbered++;
-        out.set(at, this.send(request, giveUp.signal).then((result) => ({ at, request, result })));
-        if (out.size >= atOnce) {
-          const done = await Promise.race(out.values());
-          out.delete(done.at);
-          yield { request: done.request, result: done.result };
+        const index = nextIndex++;
+        inFlight.set(index, this.send(request, abortAll.signal).then((result) => ({ index, request, result })));
+        if (inFlight.size >= atOnce) {
+          const ended = await Promise.race(inFlight.values());
+          inFlight.delete(ended.index);
+          yield { request: ended.request, result: ended.result };
         }
       }
-      while (out.size > 0) {
-        const done = await Promise.race(out.values());
-        out.delete(done.at);
-        yield { request: done.request, result: done.result };
+      while (inFlight.size > 0) {
+        const ended = await Promise.race(inFlight.values());
+        inFlight.delete(ended.index);
+        yield { request: ended.request, result: ended.result };
       }
     } finally {
-      giveUp.abort();
+      abortAll.abort();
     }
   }
 
-  /** Ends all calls that are not over, as cancelled. */
+  /** Cancels all calls that are not over. Later calls end as never run. */
   close(): void {
     this.#closed = true;
-    for (const number of [...this.#open.keys()]) {
+    for (const number of [...this.#openCalls.keys()]) {
       this.#perform(this.#caller.cancel(this.#nowMs(), number));
     }
   }
 
   #nowMs(): number {
-    return Math.floor(performance.now() - this.#began);
+    return Math.floor(performance.now() - this.#startedMs);
   }
 
   #perform(actions: Action[]): void {
     for (const action of actions) {
-      const call = this.#open.get(action.call)!;
+      const call = this.#openCalls.get(action.call)!;
       if (action.kind === "send") {
         void this.#send(call, action);
       } else if (action.kind === "abandon") {
-        const out = call.out.get(action.attempt);
-        call.out.delete(action.attempt);
-        out?.abort();
+        const abort = call.inFlight.get(action.attempt);
+        call.inFlight.delete(action.attempt);
+        abort?.abort();
       } else {
-        this.#open.delete(action.call);
+        this.#openCalls.delete(action.call);
         this.#end(call, action.outcome);
       }
     }
     const next = this.#caller.nextWakeMs();
-    if (next < this.#wakeMs) {
-      // One that comes too early only looks again; so a timer is not set anew for each call that ends.
-      clearTimeout(this.#timer);
-      this.#wakeMs = next;
-      const wait = Math.ceil(next - (performance.now() - this.#began));
-      this.#timer = setTimeout(() => {
-        this.#wakeMs = Infinity;
+    if (next < this.#wakeAtMs) {
+      // A timer that fires too early only checks again, so it is not rescheduled for each call that ends.
+      clearTimeout(this.#wakeTimer);
+      this.#wakeAtMs = next;
+      const wait = Math.ceil(next - (performance.now() - this.#startedMs));
+      this.#wakeTimer = setTimeout(() => {
+        this.#wakeAtMs = Infinity;
         this.#perform(this.#caller.wake(this.#nowMs()));
-      }, Math.min(LONGEST_TIMER_MS, Math.max(0, wait)));
-    } else if (this.#open.size === 0) {
-      // Nothing keeps a process alive whose calls are over.
-      clearTimeout(this.#timer);
-      this.#wakeMs = Infinity;
+      }, Math.min(MAX_TIMER_MS, Math.max(0, wait)));
+    } else if (this.#openCalls.size === 0) {
+      // No timer keeps a process alive whose calls are over.
+      clearTimeout(this.#wakeTimer);
+      this.#wakeAtMs = Infinity;
     }
   }
 
-  async #send(call: Open, action: Action & { readonly kind: "send" }): Promise<void> {
-    call.sendings++;
-    const control = new AbortController();
-    call.out.set(action.attempt, control);
-    this.#tell(() => this.#options.listener?.sent?.(call.id, action.attempt, action.node));
-    const got = await this.#transport({
+  async #send(call: OpenCall, action: Action & { readonly kind: "send" }): Promise<void> {
+    call.attemptCount++;
+    const abort = new AbortController();
+    call.inFlight.set(action.attempt, abort);
+    this.#notifyListener(() => this.#options.listener?.sent?.(call.id, action.attempt, action.node));
+    const received = await this.#transport({
       url: action.node + call.request.target, method: methodOf(call.request), headers: this.#headers(call, action),
-      body: call.body, longestAnswer: this.#options.longestAnswer ?? MOST_BYTES, signal: control.signal,
+      body: call.body, longestAnswer: this.#options.longestAnswer ?? DEFAULT_MAX_ANSWER_BYTES, signal: abort.signal,
     });
-    if (!call.out.delete(action.attempt)) {
-      return; // Given up meanwhile.
+    if (!call.inFlight.delete(action.attempt)) {
+      return; // Abandoned meanwhile.
     }
-    let how: Ending;
-    if ("status" in got) {
-      how = endingOf(got.status, got.headers["vetchpost-ran"] ?? null, got.headers["retry-after"] ?? null,
-        got.headers["date"] ?? null, Date.now(), this.#options.plainRefusals ?? false);
-      call.answer = how.kind === "served" ? got : call.answer;
+    let ending: Ending;
+    if ("status" in received) {
+      ending = endingOfAnswer(received.status, received.headers["vetchpost-ran"] ?? null, received.headers["retry-after"] ?? null,
+        received.headers["date"] ?? null, Date.now(), this.#options.plainRefusals ?? false);
+      call.answer = ending.kind === "served" ? received : call.answer;
     } else {
-      how = got;
+      ending = received;
     }
-    this.#tell(() => this.#options.listener?.ended?.(call.id, action.attempt, action.node, how));
-    this.#perform(this.#caller.ended(this.#nowMs(), action.call, action.attempt, how));
+    this.#notifyListener(() => this.#options.listener?.ended?.(call.id, action.attempt, action.node, ending));
+    this.#perform(this.#caller.ended(this.#nowMs(), action.call, action.attempt, ending));
   }
 
-  #headers(call: Open, action: Action & { readonly kind: "send" }): Record<string, string> {
+  #headers(call: OpenCall, action: Action & { readonly kind: "send" }): Record<string, string> {
     const headers: Record<string, string> = {};
     if (this.#options.session !== undefined) {
       headers["cookie"] = `key=${this.#options.session}`;
@@ -256,7 +267,7 @@
       headers[name.toLowerCase()] = value;
     }
     headers["x-request-id"] = call.id;
-    headers["x-txn"] = random(NARROW);
+    headers["x-txn"] = randomHex(ATTEMPT_ID_BYTES);
     headers["x-remaining-ms"] = String(action.remainingMs);
     if (this.#options.tenant !== undefined) {
       headers["x-org"] = this.#options.tenant;
@@ -270,41 +281,41 @@
     return headers;
   }
 
-  #end(call: Open, how: Outcome): void {
-    call.forget();
-    const result = this.#result(call, how);
-    this.#tell(() => this.#options.listener?.over?.(result, performance.now() - call.beganMs));
+  #end(call: OpenCall, outcome: Outcome): void {
+    call.removeAbortListener();
+    const result = this.#result(call, outcome);
+    this.#notifyListener(() => this.#options.listener?.over?.(result, performance.now() - call.startedMs));
     call.resolve(result);
   }
 
-  #result(call: Open, how: Outcome): Result {
+  #result(call: OpenCall, outcome: Outcome): Result {
     const { id } = call;
     const key = call.key === undefined ? {} : { key: call.key };
-    const comeBack = how.comeBackMs < 0 ? {} : { comeBackMs: how.comeBackMs };
-    switch (how.kind) {
+    const comeBack = outcome.comeBackMs < 0 ? {} : { comeBackMs: outcome.comeBackMs };
+    switch (outcome.kind) {
       case "served": {
         const { status, headers, body } = call.answer!;
-        return { kind: "served", id, status, headers, body, attempts: call.sendings,
+        return { kind: "served", id, status, headers, body, attempts: call.attemptCount,
           text: () => new TextDecoder().decode(body) };
       }
       case "refused":
-        return { kind: "refused", id, cause: how.cause, ...comeBack };
+        return { kind: "refused", id, cause: outcome.cause, ...comeBack };
       case "never-ran":
-        return { kind: "never-ran", id, cause: how.cause };
+        return { kind: "never-ran", id, cause: outcome.cause };
       case "may-have-run":
-        return { kind: "may-have-run", id, cause: how.cause, ...key, ...comeBack };
+        return { kind: "may-have-run", id, cause: outcome.cause, ...key, ...comeBack };
       case "cancelled":
-        return { kind: "cancelled", id, mayHaveRun: how.mayHaveRun };
+        return { kind: "cancelled", id, mayHaveRun: outcome.mayHaveRun };
       case "late":
-        return { kind: "late", id, mayHaveRun: how.mayHaveRun, ...key };
+        return { kind: "late", id, mayHaveRun: outcome.mayHaveRun, ...key };
     }
   }
 
-  #tell(what: () => void): void {
+  #notifyListener(notify: () => void): void {
     try {
-      what();
+      notify();
     } catch {
-      // A listener's fault is no call's.
+      // An error of the listener must not affect the call.
     }
   }
 }
--- a/clients/typescript/src/core/budget.ts
+++ b/clients/typescript/src/core/budget.ts
@@ -1,27 +1,36 @@
-const REPEAT = 1_000;
+/** Tokens are thousandths of a retry. */
+const TOKENS_PER_RETRY = 1_000;
 
-/** Repeats that calls may cost in all: a token bucket that served calls fill, so that a failing fleet is not asked
- * twice as often as a healthy one. In thousandths of a repeat. */
+/**
+ * The budget of retries and hedges of one client: a token bucket that served calls fill, so that a failing fleet is not
+ * sent twice as many requests as a healthy one.
+ */
 export class Budget {
-  readonly #most: number;
-  readonly #earned: number;
+  readonly #maxTokens: number;
+  readonly #tokensPerServedCall: number;
   #tokens: number;
 
-  constructor(most: number, perMille: number) {
-    this.#most = most * REPEAT;
-    this.#earned = perMille;
-    this.#tokens = this.#most;
+  /**
+   * Creates a full budget.
+   *
+   * @param maxRetries the retries and hedges that it holds at most
+   * @param perMille what a served call adds, in thousandths of a retry
+   */
+  constructor(maxRetries: number, perMille: number) {
+    this.#maxTokens = maxRetries * TOKENS_PER_RETRY;
+    this.#tokensPerServedCall = perMille;
+    this.#tokens = this.#maxTokens;
   }
 
-  has(): boolean {
-    return this.#tokens >= REPEAT;
+  hasRetry(): boolean {
+    return this.#tokens >= TOKENS_PER_RETRY;
   }
 
-  take(): void {
-    this.#tokens -= REPEAT;
+  spendRetry(): void {
+    this.#tokens -= TOKENS_PER_RETRY;
   }
 
-  served(): void {
-    this.#tokens = Math.min(this.#most, this.#tokens + this.#earned);
+  creditServedCall(): void {
+    this.#tokens = Math.min(this.#maxTokens, this.#tokens + this.#tokensPerServedCall);
   }
 }
--- a/clients/typescript/src/core/call.ts
+++ b/clients/typescript/src/core/call.ts
@@ -2,59 +2,59 @@
 import type { Repeat } from "./settings.js";
 import type { Ending } from "./types.js";
 
-/** An attempt; over once it has ended or been given up. */
+/** One attempt; finished once it has ended or was abandoned. */
 export interface Attempt {
   readonly number: number;
   readonly node: Node;
   readonly sentMs: number;
-  over: boolean;
+  finished: boolean;
 }
 
-/** One call: its attempts, and what they have told. */
+/** One call: its class, deadline and attempts, and what their endings say. */
 export class Call {
   readonly id: number;
   readonly repeat: Repeat;
   readonly deadlineMs: number;
-  /** When its second copy is due; -1 if none is. */
-  secondMs = -1;
-  /** The one time at which it wants to be woken. */
-  wakeMs = Infinity;
-  over = false;
-  last: Ending | undefined;
-  readonly #windowMs: number;
+  /** When its hedge is due; -1 if none is. */
+  hedgeAtMs = -1;
+  /** When its one valid wake-up is due. */
+  wakeAtMs = Infinity;
+  finished = false;
+  lastEnding: Ending | undefined;
+  readonly #deduplicationWindowMs: number;
   readonly #attempts: Attempt[] = [];
-  readonly #notBefore = new Map<Node, number>();
-  #windowEndMs = Infinity;
+  readonly #notBeforeMsByNode = new Map<Node, number>();
+  #deduplicationEndMs = Infinity;
   #mayHaveRun = false;
 
   constructor(id: number, repeat: Repeat, deadlineMs: number, windowMs: number) {
     this.id = id;
     this.repeat = repeat;
     this.deadlineMs = deadlineMs;
-    this.#windowMs = windowMs;
+    this.#deduplicationWindowMs = windowMs;
   }
 
-  sent(node: Node, nowMs: number): Attempt {
-    const attempt = { number: this.#attempts.length, node, sentMs: nowMs, over: false };
+  addAttempt(node: Node, nowMs: number): Attempt {
+    const attempt = { number: this.#attempts.length, node, sentMs: nowMs, finished: false };
     this.#attempts.push(attempt);
     return attempt;
   }
 
-  /** The attempt of this number if it is out. */
-  attemptOut(number: number): Attempt | undefined {
-    const one = this.#attempts[number];
-    return one === undefined || one.over ? undefined : one;
+  /** Returns the attempt of this number if it is in flight. */
+  inFlightAttempt(number: number): Attempt | undefined {
+    const attempt = this.#attempts[number];
+    return attempt === undefined || attempt.finished ? undefined : attempt;
   }
 
-  out(): Attempt[] {
-    return this.#attempts.filter((a) => !a.over);
+  inFlightAttempts(): Attempt[] {
+    return this.#attempts.filter((a) => !a.finished);
   }
 
-  get isOut(): boolean {
-    return this.#attempts.some((a) => !a.over);
+  get isInFlight(): boolean {
+    return this.#attempts.some((a) => !a.finished);
   }
 
-  get sendings(): number {
+  get attemptCount(): number {
     return this.#attempts.length;
   }
 
@@ -62,17 +62,17 @@
     return this.#mayHaveRun;
   }
 
-  /** An attempt of it is over, and this is all that is known of it. */
-  ended(attempt: Attempt, how: Ending, nowMs: number): void {
-    attempt.over = true;
-    this.last = how;
-    if (how.kind === "may-have-run") {
+  /** Finishes an attempt and keeps what its ending says about the call. */
+  recordEnding(attempt: Attempt, ending: Ending, nowMs: number): void {
+    attempt.finished = true;
+    this.lastEnding = ending;
+    if (ending.kind === "may-have-run") {
       this.#mayHaveRun = true;
       if (this.repeat === "keyed") {
-        this.#windowEndMs = Math.min(this.#windowEndMs, attempt.sentMs + this.#windowMs);
+        this.#deduplicationEndMs = Math.min(this.#deduplicationEndMs, attempt.sentMs + this.#deduplicationWindowMs);
       }
-    } else if (how.kind === "refused" && how.retryAfterMs >= 0) {
-      this.#notBefore.set(attempt.node, Math.max(this.notBeforeMs(attempt.node), nowMs + how.retryAfterMs));
+    } else if (ending.kind === "refused" && ending.retryAfterMs >= 0) {
+      this.#notBeforeMsByNode.set(attempt.node, Math.max(this.notBeforeMs(attempt.node), nowMs + ending.retryAfterMs));
     }
   }
 
@@ -80,24 +80,26 @@
     return this.#attempts.some((a) => a.node === node);
   }
 
-  /** When this node takes it, by the node's own word; the distant past if it has said none. */
+  /** Returns when this node accepts a retry by its Retry-After; negative infinity if it sent none. */
   notBeforeMs(node: Node): number {
-    return this.#notBefore.get(node) ?? -Infinity;
+    return this.#notBeforeMsByNode.get(node) ?? -Infinity;
   }
 
-  /** The earliest time that any node has named; infinity if none has. */
-  get comeBackMs(): number {
-    return Math.min(...this.#notBefore.values());
+  /** The earliest time at which any node accepts a retry; infinity if none sent a Retry-After. */
+  get earliestRetryMs(): number {
+    return Math.min(...this.#notBeforeMsByNode.values());
   }
 
-  /** Until when it may be answered. A repeat of a keyed call that may have run must not arrive after the servers
-   * have forgotten its key, however long it is on its way: so it is given up by then. */
-  get untilMs(): number {
-    return Math.min(this.deadlineMs, this.#windowEndMs);
+  /**
+   * Until when an answer is accepted. A retry of a keyed call that may have run must not reach a server that has
+   * forgotten its key, however long it is in transit: so its attempts are abandoned at the window's end.
+   */
+  get answerByMs(): number {
+    return Math.min(this.deadlineMs, this.#deduplicationEndMs);
   }
 
-  /** Whether its class lets it go out once more. */
-  get mayRepeat(): boolean {
+  /** Whether its class allows another attempt. */
+  get mayRetry(): boolean {
     return this.repeat !== "unsafe" || !this.#mayHaveRun;
   }
 }
--- a/clients/typescript/src/core/caller.ts
+++ b/clients/typescript/src/core/caller.ts
@@ -6,67 +6,72 @@
 import type { Repeat, Settings } from "./settings.js";
 import { type Action, type Ending, type Outcome, type OutcomeKind, silent } from "./types.js";
 
-const USUAL_PER_MILLE = 500;
-const NEARLY_ALL_PER_MILLE = 950;
+const MEDIAN_PER_MILLE = 500;
+const SLOW_ANSWER_PER_MILLE = 950;
 
-/** A call's wake-up; stale if the call has another one since. */
+/** A scheduled wake-up of a call; stale if the call has been rescheduled since. */
 interface Timer {
   readonly atMs: number;
-  readonly number: number;
+  readonly sequence: number;
   readonly call: Call;
 }
 
 /**
- * All calls of one client, without I/O. Each method is told the time and returns what is to be done now;
- * `nextWakeMs` says when `wake` is due. Times are in whole milliseconds from any beginning; one that goes back counts
- * as none passed.
+ * Makes all decisions for the calls of one client: node choice, retries, hedges and endings. It does no I/O: each
+ * method takes the current time and returns the actions to perform now; `nextWakeMs` says when `wake` is due. Times are
+ * in whole milliseconds since any fixed start; a time that goes backwards counts as no time passed.
  */
 export class Caller {
   readonly #settings: Settings;
-  readonly #draw: () => number;
+  readonly #random: () => number;
   readonly #nodes: Nodes;
   readonly #budget: Budget;
   readonly #latencies = new Latencies();
   readonly #calls = new Map<number, Call>();
-  readonly #line = new Set<Call>();
-  readonly #timers = new TinyQueue<Timer>([], (a, b) => a.atMs - b.atMs || a.number - b.number);
-  #timersMade = 0;
-  #hadHope = false;
+  readonly #waitingCalls = new Set<Call>();
+  readonly #timers = new TinyQueue<Timer>([], (a, b) => a.atMs - b.atMs || a.sequence - b.sequence);
+  #timersCreated = 0;
+  #hadNodeInRotation = false;
   #nowMs = -Infinity;
   #actions: Action[] = [];
 
-  /** A client without nodes. `draw` gives random numbers from 0 up to, but not including, 1. */
-  constructor(settings: Settings, draw: () => number) {
+  /** Creates a caller without nodes. `random` returns random numbers from 0 up to, but not including, 1. */
+  constructor(settings: Settings, random: () => number) {
     this.#settings = settings;
-    this.#draw = draw;
-    this.#nodes = new Nodes(settings, draw);
+    this.#random = random;
+    this.#nodes = new Nodes(settings, random);
     this.#budget = new Budget(settings.budget, settings.budgetPerMille);
   }
 
-  /** A node to send to from now on; `local` ones come before the others. */
+  /**
+   * Adds a node to send to from now on.
+   *
+   * @param name the node's URL; a node of this name that is not removed is left as it is
+   * @param local whether it is preferred to nodes that are not local
+   */
   addNode(now: number, name: string, local: boolean): Action[] {
-    this.#at(now);
+    this.#advanceClock(now);
     this.#nodes.add(name, local, this.#nowMs);
-    return this.#done();
+    return this.#takeActions();
   }
 
-  /** A node that gets no more calls; those it has go on. */
+  /** Removes a node: it gets no new attempts, and its attempts in flight continue. */
   removeNode(now: number, name: string): Action[] {
-    this.#at(now);
+    this.#advanceClock(now);
     this.#nodes.remove(name);
-    return this.#done();
+    return this.#takeActions();
   }
 
   /**
-   * A new call.
+   * Starts a call.
    *
-   * @param id of the caller's choice; of no other call that is not over
-   * @param withinMs its deadline, counted from now
-   * @param windowMs of a keyed call: for how long servers drop repeats of its key
-   * @throws Error if a call of this id is not over
+   * @param id chosen by the caller of this method; must differ from the ids of all unfinished calls
+   * @param withinMs its deadline, relative to now; a call with 0 or less ends at once as late
+   * @param windowMs for a keyed call, how long servers drop repeats of its key; otherwise ignored
+   * @throws Error if an unfinished call has this id
    */
   begin(now: number, id: number, repeat: Repeat, withinMs: number, windowMs: number): Action[] {
-    this.#at(now);
+    this.#advanceClock(now);
     if (this.#calls.has(id)) {
       throw new Error(`call ${id} is not over`);
     }
@@ -75,213 +80,214 @@
     if (withinMs <= 0) {
       this.#end(call, failed("late", false, "no time left at its start"));
     } else {
-      this.#place(call);
+      this.#dispatch(call);
     }
-    return this.#done();
+    return this.#takeActions();
   }
 
-  /** How an attempt has ended; of one that is over already it has no effect. */
-  ended(now: number, id: number, number: number, how: Ending): Action[] {
-    this.#at(now);
+  /** Records how an attempt has ended; has no effect for an attempt that has finished already. */
+  ended(now: number, id: number, number: number, ending: Ending): Action[] {
+    this.#advanceClock(now);
     const call = this.#calls.get(id);
-    const attempt = call?.attemptOut(number);
+    const attempt = call?.inFlightAttempt(number);
     if (call === undefined || attempt === undefined) {
-      return this.#done();
+      return this.#takeActions();
     }
     const node = attempt.node;
-    if (how.kind === "served") {
-      node.served();
+    if (ending.kind === "served") {
+      node.recordServed();
       this.#latencies.add(this.#nowMs - attempt.sentMs);
-      this.#budget.served();
-      attempt.over = true;
-      this.#end(call, { kind: "served", mayHaveRun: true, comeBackMs: -1, attempt: number, cause: how.cause });
-      return this.#done();
-    }
-    if (how.kind === "refused") {
-      node.refused(attempt.sentMs, this.#nowMs);
-    } else if (how.answered) {
-      node.answered();
+      this.#budget.creditServedCall();
+      attempt.finished = true;
+      this.#end(call, { kind: "served", mayHaveRun: true, comeBackMs: -1, attempt: number, cause: ending.cause });
+      return this.#takeActions();
+    }
+    if (ending.kind === "refused") {
+      node.recordRefusal(attempt.sentMs, this.#nowMs);
+    } else if (ending.answered) {
+      node.recordAnswer();
     } else {
-      node.failed(attempt.sentMs, this.#nowMs);
+      node.recordFailure(attempt.sentMs, this.#nowMs);
     }
-    call.ended(attempt, how, this.#nowMs);
-    this.#again(call);
-    return this.#done();
+    call.recordEnding(attempt, ending, this.#nowMs);
+    this.#retryOrConclude(call);
+    return this.#takeActions();
   }
 
-  /** Whoever made the call has no more use for it. */
+  /** Cancels a call and abandons its attempts in flight; has no effect for a call that is over. */
   cancel(now: number, id: number): Action[] {
-    this.#at(now);
+    this.#advanceClock(now);
     const call = this.#calls.get(id);
     if (call !== undefined) {
-      this.#end(call, failed("cancelled", call.mayHaveRun || call.isOut, "cancelled"));
+      this.#end(call, failed("cancelled", call.mayHaveRun || call.isInFlight, "cancelled"));
     }
-    return this.#done();
+    return this.#takeActions();
   }
 
-  /** What is due by now. */
+  /** Handles all wake-ups that are due. */
   wake(now: number): Action[] {
-    this.#at(now);
+    this.#advanceClock(now);
     for (let timer = this.#timers.peek(); timer !== undefined && timer.atMs <= this.#nowMs;
       timer = this.#timers.peek()) {
       this.#timers.pop();
-      if (!timer.call.over && timer.call.wakeMs === timer.atMs) {
-        timer.call.wakeMs = Infinity;
-        this.#tick(timer.call);
+      if (!timer.call.finished && timer.call.wakeAtMs === timer.atMs) {
+        timer.call.wakeAtMs = Infinity;
+        this.#handleWake(timer.call);
       }
     }
-    return this.#done();
+    return this.#takeActions();
   }
 
-  /** When `wake` is due, or infinity. */
+  /** Returns when `wake` is due, or infinity. */
   nextWakeMs(): number {
     let timer = this.#timers.peek();
-    while (timer !== undefined && (timer.call.over || timer.call.wakeMs !== timer.atMs)) {
+    while (timer !== undefined && (timer.call.finished || timer.call.wakeAtMs !== timer.atMs)) {
       this.#timers.pop();
       timer = this.#timers.peek();
     }
     const next = timer?.atMs ?? Infinity;
-    const trial = this.#line.size === 0 ? -1 : this.#nodes.nextTrialMs(this.#nowMs);
+    const trial = this.#waitingCalls.size === 0 ? -1 : this.#nodes.nextTrialMs(this.#nowMs);
     return trial < 0 ? next : Math.min(next, trial);
   }
 
-  /** Calls that are not over. */
+  /** The number of calls that are not over. */
   get open(): number {
     return this.#calls.size;
   }
 
-  #at(now: number): void {
+  #advanceClock(now: number): void {
     this.#nowMs = Math.max(this.#nowMs, now);
   }
 
-  #done(): Action[] {
-    this.#nodes.sweep();
-    // Those in line first see whether there is room, or, once, that there is no more hope of it.
-    const hope = this.#nodes.anyHopeful(this.#nowMs);
-    const lost = this.#hadHope && !hope;
-    this.#hadHope = hope;
-    if (this.#line.size > 0 && (lost || this.#nodes.anyFree(this.#nowMs))) {
-      for (const call of [...this.#line]) {
-        this.#place(call);
-        if (!lost && !this.#nodes.anyFree(this.#nowMs)) {
+  #takeActions(): Action[] {
+    this.#nodes.removeDrained();
+    // Waiting calls are dispatched in order while a node is available. When the last node leaves the rotation, all of
+    // them are tried once, so that those which cannot be served in time end now.
+    const hasNodeInRotation = this.#nodes.anyInRotation(this.#nowMs);
+    const lostLastNode = this.#hadNodeInRotation && !hasNodeInRotation;
+    this.#hadNodeInRotation = hasNodeInRotation;
+    if (this.#waitingCalls.size > 0 && (lostLastNode || this.#nodes.anyAvailable(this.#nowMs))) {
+      for (const call of [...this.#waitingCalls]) {
+        this.#dispatch(call);
+        if (!lostLastNode && !this.#nodes.anyAvailable(this.#nowMs)) {
           break;
         }
       }
     }
-    const all = this.#actions;
+    const taken = this.#actions;
     this.#actions = [];
-    return all;
+    return taken;
   }
 
-  // ------------------------------------------------------------ one call
-
   #wakeAt(call: Call, atMs: number): void {
-    if (atMs !== call.wakeMs) {
-      call.wakeMs = atMs;
-      this.#timers.push({ atMs, number: this.#timersMade++, call });
+    if (atMs !== call.wakeAtMs) {
+      call.wakeAtMs = atMs;
+      this.#timers.push({ atMs, sequence: this.#timersCreated++, call });
     }
   }
 
-  /** Sends it if a node has room; else it waits, or ends at once where waiting has no sense. */
-  #place(call: Call): void {
-    if (call.sendings > 0 && !this.#budget.has()) {
+  /** Sends a call if a node is available; otherwise it waits, or ends at once if waiting cannot help. */
+  #dispatch(call: Call): void {
+    if (call.attemptCount > 0 && !this.#budget.hasRetry()) {
       this.#conclude(call);
       return;
     }
-    const sendByMs = this.#sendByMs(call);
-    if (this.#line.has(call) && this.#nowMs >= sendByMs) {
+    const sendByMs = this.#latestSendMs(call);
+    if (this.#waitingCalls.has(call) && this.#nowMs >= sendByMs) {
       this.#conclude(call);
       return;
     }
     const node = this.#nodes.choose(this.#nowMs, (n) => call.notBeforeMs(n) <= this.#nowMs,
       (n) => call.hasTried(n));
     if (node !== undefined) {
-      this.#line.delete(call);
+      this.#waitingCalls.delete(call);
       this.#send(call, node);
       return;
     }
-    const earliest = this.#nodes.earliestMs(this.#nowMs, (n) => call.notBeforeMs(n));
-    if (earliest >= call.untilMs || (!this.#line.has(call) && this.#line.size >= this.#settings.waiting)) {
+    const earliest = this.#nodes.earliestSendMs(this.#nowMs, (n) => call.notBeforeMs(n));
+    if (earliest >= call.answerByMs || (!this.#waitingCalls.has(call) && this.#waitingCalls.size >= this.#settings.waiting)) {
       this.#conclude(call);
       return;
     }
-    this.#line.add(call);
+    this.#waitingCalls.add(call);
     this.#wakeAt(call, earliest > this.#nowMs ? Math.min(earliest, sendByMs) : sendByMs);
   }
 
-  /** Until when sending it has sense: later than that half of all answers would come too late. Calls that stand in
-   * line until their last moment would take the room of those that can still be served. */
-  #sendByMs(call: Call): number {
-    const usual = this.#latencies.quantile(USUAL_PER_MILLE);
-    return usual < 0 ? call.untilMs : call.untilMs - usual;
+  /**
+   * Returns the last time at which a call is worth sending: half of all answers would come too late after it. Calls
+   * that waited until their very deadline would use capacity that others need to be served in time.
+   */
+  #latestSendMs(call: Call): number {
+    const medianMs = this.#latencies.quantile(MEDIAN_PER_MILLE);
+    return medianMs < 0 ? call.answerByMs : call.answerByMs - medianMs;
   }
 
   #send(call: Call, node: Node): void {
-    if (call.sendings > 0) {
-      this.#budget.take();
+    if (call.attemptCount > 0) {
+      this.#budget.spendRetry();
     }
-    node.sent();
-    const attempt = call.sent(node, this.#nowMs);
+    node.recordSent();
+    const attempt = call.addAttempt(node, this.#nowMs);
     this.#actions.push({ kind: "send", call: call.id, attempt: attempt.number, node: node.name,
-      remainingMs: call.untilMs - this.#nowMs, resent: attempt.number > 0 });
+      remainingMs: call.answerByMs - this.#nowMs, resent: attempt.number > 0 });
     if (call.repeat === "safe" && attempt.number === 0 && this.#settings.secondCopyPerMille > 0) {
-      const usual = this.#latencies.quantile(this.#settings.secondCopyPerMille);
-      call.secondMs = usual < 0 ? -1 : this.#nowMs + usual;
+      const hedgeDelayMs = this.#latencies.quantile(this.#settings.secondCopyPerMille);
+      call.hedgeAtMs = hedgeDelayMs < 0 ? -1 : this.#nowMs + hedgeDelayMs;
     }
-    this.#watch(call);
+    this.#scheduleNextWake(call);
   }
 
-  /** Wakes a call that is out when the first of its times comes. */
-  #watch(call: Call): void {
-    let next = call.untilMs;
-    if (call.secondMs >= 0) {
-      next = Math.min(next, call.secondMs);
-    }
-    if (this.#isTimed(call)) {
-      for (const attempt of call.out()) {
+  /** Wakes a call in flight at the earliest of its answer limit, its hedge and its attempts' timeouts. */
+  #scheduleNextWake(call: Call): void {
+    let next = call.answerByMs;
+    if (call.hedgeAtMs >= 0) {
+      next = Math.min(next, call.hedgeAtMs);
+    }
+    if (this.#hasAttemptTimeout(call)) {
+      for (const attempt of call.inFlightAttempts()) {
         next = Math.min(next, attempt.sentMs + this.#settings.perAttemptMs);
       }
     }
     this.#wakeAt(call, next);
   }
 
-  #isTimed(call: Call): boolean {
+  #hasAttemptTimeout(call: Call): boolean {
     return this.#settings.perAttemptMs > 0 && call.repeat !== "unsafe";
   }
 
-  #tick(call: Call): void {
+  #handleWake(call: Call): void {
     if (this.#nowMs >= call.deadlineMs) {
-      this.#late(call);
+      this.#expire(call);
       return;
     }
-    const closed = this.#nowMs >= call.untilMs;
-    const waited = !call.isOut;
-    for (const attempt of call.out()) {
-      if (closed || (this.#isTimed(call) && this.#nowMs >= attempt.sentMs + this.#settings.perAttemptMs)) {
+    const isTooLate = this.#nowMs >= call.answerByMs;
+    const wasWaiting = !call.isInFlight;
+    for (const attempt of call.inFlightAttempts()) {
+      if (isTooLate || (this.#hasAttemptTimeout(call) && this.#nowMs >= attempt.sentMs + this.#settings.perAttemptMs)) {
         this.#actions.push({ kind: "abandon", call: call.id, attempt: attempt.number });
-        this.#silence(attempt);
-        call.ended(attempt, silent("may-have-run", "no answer in its time"), this.#nowMs);
+        this.#recordTimeout(attempt);
+        call.recordEnding(attempt, silent("may-have-run", "no answer in its time"), this.#nowMs);
       }
     }
-    if (!call.isOut) {
-      if (closed) {
+    if (!call.isInFlight) {
+      if (isTooLate) {
         this.#conclude(call);
-      } else if (waited) {
-        this.#place(call);
+      } else if (wasWaiting) {
+        this.#dispatch(call);
       } else {
-        this.#again(call);
+        this.#retryOrConclude(call);
       }
       return;
     }
-    if (call.secondMs >= 0 && this.#nowMs >= call.secondMs) {
-      call.secondMs = -1;
-      this.#secondCopy(call);
+    if (call.hedgeAtMs >= 0 && this.#nowMs >= call.hedgeAtMs) {
+      call.hedgeAtMs = -1;
+      this.#sendHedge(call);
     }
-    this.#watch(call);
+    this.#scheduleNextWake(call);
   }
 
-  #secondCopy(call: Call): void {
-    if (call.sendings >= this.#settings.attempts || !this.#budget.has()) {
+  #sendHedge(call: Call): void {
+    if (call.attemptCount >= this.#settings.attempts || !this.#budget.hasRetry()) {
       return;
     }
     const node = this.#nodes.choose(this.#nowMs,
@@ -291,72 +297,74 @@
     }
   }
 
-  /** After an attempt that was not served: whether, and when, it goes out again. */
-  #again(call: Call): void {
-    if (call.isOut) {
-      this.#watch(call);
+  /** After an attempt that was not served: retries now, schedules a retry, or ends the call. */
+  #retryOrConclude(call: Call): void {
+    if (call.isInFlight) {
+      this.#scheduleNextWake(call);
       return;
     }
-    call.secondMs = -1;
-    if (call.sendings >= this.#settings.attempts || !call.mayRepeat || !this.#budget.has()) {
+    call.hedgeAtMs = -1;
+    if (call.attemptCount >= this.#settings.attempts || !call.mayRetry || !this.#budget.hasRetry()) {
       this.#conclude(call);
       return;
     }
-    const backoffUntilMs = this.#nowMs + this.#waitMs(call);
-    const earliest = Math.max(backoffUntilMs, this.#nodes.earliestMs(this.#nowMs, (n) => call.notBeforeMs(n)));
-    if (earliest >= call.untilMs) {
+    const backoffUntilMs = this.#nowMs + this.#backoffMs(call);
+    const earliest = Math.max(backoffUntilMs, this.#nodes.earliestSendMs(this.#nowMs, (n) => call.notBeforeMs(n)));
+    if (earliest >= call.answerByMs) {
       this.#conclude(call);
     } else if (backoffUntilMs > this.#nowMs) {
       this.#wakeAt(call, backoffUntilMs);
     } else {
-      this.#place(call);
+      this.#dispatch(call);
     }
   }
 
-  /** Full jitter (Brooker, "Exponential Backoff And Jitter", 2015); none where nothing was reached and another node
-   * can be asked. */
-  #waitMs(call: Call): number {
-    if (call.last?.kind === "never-ran" && this.#nodes.hasFree(this.#nowMs, (n) => !call.hasTried(n))) {
+  /**
+   * Returns the wait before a retry: exponential with full jitter (Brooker, "Exponential Backoff And Jitter", 2015). It
+   * is 0 if the last attempt never ran and an untried node is available.
+   */
+  #backoffMs(call: Call): number {
+    if (call.lastEnding?.kind === "never-ran" && this.#nodes.anyAvailableAmong(this.#nowMs, (n) => !call.hasTried(n))) {
       return 0;
     }
-    let most = this.#settings.backoffMs;
-    for (let i = 1; i < call.sendings && most < this.#settings.backoffMostMs; i++) {
-      most *= 2;
+    let maxWaitMs = this.#settings.backoffMs;
+    for (let i = 1; i < call.attemptCount && maxWaitMs < this.#settings.backoffMostMs; i++) {
+      maxWaitMs *= 2;
     }
-    return Math.floor(this.#draw() * Math.min(most, this.#settings.backoffMostMs));
+    return Math.floor(this.#random() * Math.min(maxWaitMs, this.#settings.backoffMostMs));
   }
 
-  #late(call: Call): void {
-    const ran = call.mayHaveRun || call.isOut;
-    for (const attempt of call.out()) {
+  #expire(call: Call): void {
+    const mayHaveRun = call.mayHaveRun || call.isInFlight;
+    for (const attempt of call.inFlightAttempts()) {
       this.#actions.push({ kind: "abandon", call: call.id, attempt: attempt.number });
-      this.#silence(attempt);
-      attempt.over = true;
+      this.#recordTimeout(attempt);
+      attempt.finished = true;
     }
-    this.#end(call, failed("late", ran, "its deadline has passed"));
+    this.#end(call, failed("late", mayHaveRun, "its deadline has passed"));
   }
 
-  /** A node that lets an attempt's time pass has failed, unless that was too short for nearly all answers. */
-  #silence(attempt: Attempt): void {
-    if (this.#nowMs - attempt.sentMs >= this.#latencies.quantile(NEARLY_ALL_PER_MILLE)) {
-      attempt.node.failed(attempt.sentMs, this.#nowMs);
+  /** Records an attempt that timed out: a failure of its node, unless it had less time than nearly all answers take. */
+  #recordTimeout(attempt: Attempt): void {
+    if (this.#nowMs - attempt.sentMs >= this.#latencies.quantile(SLOW_ANSWER_PER_MILLE)) {
+      attempt.node.recordFailure(attempt.sentMs, this.#nowMs);
     } else {
-      attempt.node.abandoned(attempt.sentMs);
+      attempt.node.recordAbandoned(attempt.sentMs);
     }
   }
 
-  /** Nothing more is tried: what is known of it. */
+  /** Ends a call that is not retried, with the outcome that follows from its attempts. */
   #conclude(call: Call): void {
-    const last = call.last;
-    const comeBackMs = call.comeBackMs === Infinity ? -1 : Math.max(0, call.comeBackMs - this.#nowMs);
+    const last = call.lastEnding;
+    const retryAfterMs = call.earliestRetryMs === Infinity ? -1 : Math.max(0, call.earliestRetryMs - this.#nowMs);
     if (last === undefined) {
-      this.#end(call, this.#nodes.anyHopeful(this.#nowMs)
+      this.#end(call, this.#nodes.anyInRotation(this.#nowMs)
         ? failed("refused", false, "no node has room for it in its time")
         : failed("never-ran", false, "no node to send it to"));
     } else if (call.mayHaveRun && (call.repeat !== "safe" || last.kind !== "refused")) {
-      this.#end(call, { kind: "may-have-run", mayHaveRun: true, comeBackMs, attempt: -1, cause: last.cause });
+      this.#end(call, { kind: "may-have-run", mayHaveRun: true, comeBackMs: retryAfterMs, attempt: -1, cause: last.cause });
     } else if (last.kind === "refused") {
-      this.#end(call, { kind: "refused", mayHaveRun: call.mayHaveRun, comeBackMs, attempt: -1,
+      this.#end(call, { kind: "refused", mayHaveRun: call.mayHaveRun, comeBackMs: retryAfterMs, attempt: -1,
         cause: last.cause });
     } else {
       this.#end(call, failed("never-ran", false, last.cause));
@@ -364,14 +372,14 @@
   }
 
   #end(call: Call, outcome: Outcome): void {
-    for (const attempt of call.out()) {
+    for (const attempt of call.inFlightAttempts()) {
       this.#actions.push({ kind: "abandon", call: call.id, attempt: attempt.number });
-      attempt.node.abandoned(attempt.sentMs);
-      attempt.over = true;
+      attempt.node.recordAbandoned(attempt.sentMs);
+      attempt.finished = true;
     }
-    call.over = true;
+    call.finished = true;
     this.#calls.delete(call.id);
-    this.#line.delete(call);
+    this.#waitingCalls.delete(call);
     this.#actions.push({ kind: "end", call: call.id, outcome });
   }
 }
--- a/clients/typescript/src/core/nodes.ts
+++ b/clients/typescript/src/core/nodes.ts
@@ -1,60 +1,62 @@
 import type { Settings } from "./settings.js";
 
 const MILLE = 1_000;
-const HALF_LIFE_MS = 10_000;
-const MOST_HALVINGS = 30;
-const MOST_RECENT = 1_000_000;
-
-/** What is known of one node: calls in flight, a limit on them that follows its refusals (additive increase,
- * multiplicative decrease, at most once a round trip), failures, and whether it is left out for a while. */
+const FAILURE_HALF_LIFE_MS = 10_000;
+const MAX_HALVINGS = 30;
+const MAX_RECENT_FAILURES_MILLE = 1_000_000;
+
+/**
+ * The state of one node: its attempts in flight, their limit, its recent failures and its ejection. The limit follows
+ * the node's refusals (additive increase, multiplicative decrease at most once per round trip).
+ */
 export class Node {
   readonly name: string;
   readonly local: boolean;
   readonly #settings: Settings;
   #inFlight = 0;
   #removed = false;
-  #limit: number;
-  #loweredMs = -Infinity;
-  #recent = 0;
-  #recentMs: number;
-  #inRow = 0;
-  #ejectedMs = 0;
+  #limitMille: number;
+  #limitLoweredMs = -Infinity;
+  #recentFailuresMille = 0;
+  #failuresDecayedMs: number;
+  #consecutiveFailures = 0;
+  #ejectionMs = 0;
   #ejectedUntilMs = -1;
-  #trying = false;
+  #trialInFlight = false;
 
   constructor(name: string, local: boolean, settings: Settings, nowMs: number) {
     this.name = name;
     this.local = local;
     this.#settings = settings;
-    this.#limit = settings.limit * MILLE;
-    this.#recentMs = nowMs;
+    this.#limitMille = settings.limit * MILLE;
+    this.#failuresDecayedMs = nowMs;
   }
 
-  /** Whether it may get a call now: a node on trial gets one, and nobody else until that has ended. */
-  free(nowMs: number): boolean {
+  /** Whether it may get an attempt now. An ejected node whose time has passed gets one trial attempt at a time. */
+  isAvailable(nowMs: number): boolean {
     if (this.#removed) {
       return false;
     }
     return this.#ejectedUntilMs >= 0
-      ? nowMs >= this.#ejectedUntilMs && !this.#trying
-      : this.#inFlight < Math.floor(this.#limit / MILLE);
+      ? nowMs >= this.#ejectedUntilMs && !this.#trialInFlight
+      : this.#inFlight < Math.floor(this.#limitMille / MILLE);
   }
 
-  /** When it is tried again, if that is still to come; else -1. */
+  /** Returns when an ejected node gets a trial attempt, if that is in the future; else -1. */
   trialMs(nowMs: number): number {
     return !this.#removed && this.#ejectedUntilMs > nowMs ? this.#ejectedUntilMs : -1;
   }
 
-  /** Whether calls may be had from it before long: it is there and not left out, or being tried. */
-  hopeful(nowMs: number): boolean {
+  /** Whether it is present and either not ejected or due for, or in, its trial. */
+  isInRotation(nowMs: number): boolean {
     return !this.#removed && (this.#ejectedUntilMs < 0 || nowMs >= this.#ejectedUntilMs);
   }
 
-  get removed(): boolean {
+  get isRemoved(): boolean {
     return this.#removed;
   }
 
-  get gone(): boolean {
+  get isDrained(): boolean {
     return this.#removed && this.#inFlight === 0;
   }
 
@@ -62,169 +64,181 @@
     this.#removed = true;
   }
 
-  /** By calls in flight and recent failures; the lower the better. */
+  /** Returns its load score, from attempts in flight and recent failures; lower is better. */
   score(nowMs: number): number {
-    return (this.#inFlight + 1) * (MILLE + this.#decayed(nowMs));
+    return (this.#inFlight + 1) * (MILLE + this.#decayFailures(nowMs));
   }
 
-  sent(): void {
+  recordSent(): void {
     this.#inFlight++;
-    this.#trying = this.#ejectedUntilMs >= 0;
+    this.#trialInFlight = this.#ejectedUntilMs >= 0;
   }
 
-  /** An attempt is over without a word about the node: its caller has no more use for it. */
-  abandoned(sentMs: number): void {
+  /** Records an attempt that was abandoned and says nothing about the node. */
+  recordAbandoned(sentMs: number): void {
     this.#inFlight--;
     if (this.#isTrial(sentMs)) {
-      this.#trying = false;
+      this.#trialInFlight = false;
     }
   }
 
-  /** It has answered, so it is there. */
-  answered(): void {
+  /** Records an answer, whatever its status: the node is reachable, which ends its ejection. */
+  recordAnswer(): void {
     this.#inFlight--;
-    this.#inRow = 0;
+    this.#consecutiveFailures = 0;
     if (this.#ejectedUntilMs >= 0) {
-      // Back, but as one that nobody knows: those who waited for it come bit by bit.
+      // The limit starts afresh, so that the calls that waited for the node do not reach it all at once.
       this.#ejectedUntilMs = -1;
-      this.#ejectedMs = 0;
-      this.#trying = false;
-      this.#limit = this.#settings.limit * MILLE;
+      this.#ejectionMs = 0;
+      this.#trialInFlight = false;
+      this.#limitMille = this.#settings.limit * MILLE;
     }
   }
 
-  /** It has served a call: room for one more for each round of its limit, while that is made use of. */
-  served(): void {
-    const inUse = 2 * this.#inFlight >= Math.floor(this.#limit / MILLE);
-    this.answered();
-    if (inUse) {
-      this.#limit = Math.min(this.#settings.limitMost * MILLE,
-        this.#limit + Math.floor((MILLE * MILLE) / this.#limit));
+  /** Records a served call: the limit grows by one per full round of it, while at least half of it is in use. */
+  recordServed(): void {
+    const limitInUse = 2 * this.#inFlight >= Math.floor(this.#limitMille / MILLE);
+    this.recordAnswer();
+    if (limitInUse) {
+      this.#limitMille = Math.min(this.#settings.limitMost * MILLE,
+        this.#limitMille + Math.floor((MILLE * MILLE) / this.#limitMille));
     }
   }
 
-  /** It has refused a call: fewer at a time, but once only for all that were out together. */
-  refused(sentMs: number, nowMs: number): void {
-    this.answered();
-    if (sentMs >= this.#loweredMs) {
-      this.#limit = Math.max(MILLE, Math.floor((this.#limit * 7) / 10));
-      this.#loweredMs = nowMs + 1;
+  /** Records a refusal: lowers the limit to 7/10, but once only for all attempts that were in flight together. */
+  recordRefusal(sentMs: number, nowMs: number): void {
+    this.recordAnswer();
+    if (sentMs >= this.#limitLoweredMs) {
+      this.#limitMille = Math.max(MILLE, Math.floor((this.#limitMille * 7) / 10));
+      this.#limitLoweredMs = nowMs + 1;
     }
   }
 
-  /** It has not answered. */
-  failed(sentMs: number, nowMs: number): void {
+  /** Records an attempt without an answer; ejects the node after enough in a row, or after a failed trial. */
+  recordFailure(sentMs: number, nowMs: number): void {
     this.#inFlight--;
-    this.#recent = Math.min(MOST_RECENT, this.#decayed(nowMs) + MILLE);
-    this.#inRow++;
+    this.#recentFailuresMille = Math.min(MAX_RECENT_FAILURES_MILLE, this.#decayFailures(nowMs) + MILLE);
+    this.#consecutiveFailures++;
     if (this.#isTrial(sentMs)) {
-      this.#trying = false;
+      this.#trialInFlight = false;
       this.#eject(nowMs);
-    } else if (this.#ejectedUntilMs < 0 && this.#inRow >= this.#settings.ejectAfter) {
+    } else if (this.#ejectedUntilMs < 0 && this.#consecutiveFailures >= this.#settings.ejectAfter) {
       this.#eject(nowMs);
     }
   }
 
-  /** Calls from before it was left out say nothing about the trial. */
+  /** Whether an attempt is the trial: attempts sent before the ejection ended say nothing about it. */
   #isTrial(sentMs: number): boolean {
-    return this.#trying && sentMs >= this.#ejectedUntilMs;
+    return this.#trialInFlight && sentMs >= this.#ejectedUntilMs;
   }
 
   #eject(nowMs: number): void {
-    this.#ejectedMs = this.#ejectedMs === 0
-      ? this.#settings.ejectMs : Math.min(this.#settings.ejectMostMs, 2 * this.#ejectedMs);
-    this.#ejectedUntilMs = nowMs + this.#ejectedMs;
+    this.#ejectionMs = this.#ejectionMs === 0
+      ? this.#settings.ejectMs : Math.min(this.#settings.ejectMostMs, 2 * this.#ejectionMs);
+    this.#ejectedUntilMs = nowMs + this.#ejectionMs;
   }
 
-  #decayed(nowMs: number): number {
-    const halvings = Math.floor((nowMs - this.#recentMs) / HALF_LIFE_MS);
+  #decayFailures(nowMs: number): number {
+    const halvings = Math.floor((nowMs - this.#failuresDecayedMs) / FAILURE_HALF_LIFE_MS);
     if (halvings > 0) {
-      this.#recent = Math.floor(this.#recent / 2 ** Math.min(MOST_HALVINGS, halvings));
-      this.#recentMs += halvings * HALF_LIFE_MS;
+      this.#recentFailuresMille = Math.floor(this.#recentFailuresMille / 2 ** Math.min(MAX_HALVINGS, halvings));
+      this.#failuresDecayedMs += halvings * FAILURE_HALF_LIFE_MS;
     }
-    return this.#recent;
+    return this.#recentFailuresMille;
   }
 }
 
-/** The nodes that calls go to, and the choice among them: the better of two drawn at random (Mitzenmacher, "The
- * Power of Two Choices", 2001), among local ones while one of them has room. */
+/**
+ * The nodes that calls go to, and the choice among them: the better of two drawn at random (Mitzenmacher, "The Power of
+ * Two Choices", 2001), among the local nodes while one of them is available.
+ */
 export class Nodes {
   readonly #settings: Settings;
-  readonly #draw: () => number;
+  readonly #random: () => number;
   #nodes: Node[] = [];
 
-  constructor(settings: Settings, draw: () => number) {
+  constructor(settings: Settings, random: () => number) {
     this.#settings = settings;
-    this.#draw = draw;
+    this.#random = random;
   }
 
-  /** One that is there already stays as it is; one that was being removed comes as a new one. */
+  /** Adds a node. One that is present stays as it is; one that is being removed is added as a new node. */
   add(name: string, local: boolean, nowMs: number): void {
-    if (!this.#nodes.some((n) => n.name === name && !n.removed)) {
+    if (!this.#nodes.some((n) => n.name === name && !n.isRemoved)) {
       this.#nodes.push(new Node(name, local, this.#settings, nowMs));
     }
   }
 
   remove(name: string): void {
     this.#nodes.filter((n) => n.name === name).forEach((n) => n.remove());
-    this.sweep();
+    this.removeDrained();
   }
 
-  /** Forgets removed nodes that have nothing in flight. */
-  sweep(): void {
-    if (this.#nodes.some((n) => n.gone)) {
-      this.#nodes = this.#nodes.filter((n) => !n.gone);
+  /** Drops removed nodes that have no attempts in flight. */
+  removeDrained(): void {
+    if (this.#nodes.some((n) => n.isDrained)) {
+      this.#nodes = this.#nodes.filter((n) => !n.isDrained);
     }
   }
 
-  anyFree(nowMs: number): boolean {
-    return this.#nodes.some((n) => n.free(nowMs));
+  anyAvailable(nowMs: number): boolean {
+    return this.#nodes.some((n) => n.isAvailable(nowMs));
   }
 
-  anyHopeful(nowMs: number): boolean {
-    return this.#nodes.some((n) => n.hopeful(nowMs));
+  anyInRotation(nowMs: number): boolean {
+    return this.#nodes.some((n) => n.isInRotation(nowMs));
   }
 
-  /** Whether one of these may get a call now. */
-  hasFree(nowMs: number, which: (node: Node) => boolean): boolean {
-    return this.#nodes.some((n) => n.free(nowMs) && which(n));
+  /** Whether a node that matches may get an attempt now. */
+  anyAvailableAmong(nowMs: number, matches: (node: Node) => boolean): boolean {
+    return this.#nodes.some((n) => n.isAvailable(nowMs) && matches(n));
   }
 
-  /** The first time at which a node that is left out is tried again; -1 if none is. */
+  /** Returns the earliest time at which an ejected node gets a trial attempt; -1 if none is due later. */
   nextTrialMs(nowMs: number): number {
     const times = this.#nodes.map((n) => n.trialMs(nowMs)).filter((t) => t >= 0);
     return times.length === 0 ? -1 : Math.min(...times);
   }
 
-  /** When a call may get a node at the earliest: now if one is merely full, infinity if there is none. */
-  earliestMs(nowMs: number, notBeforeMs: (node: Node) => number): number {
+  /**
+   * Returns the earliest time at which a call may get a node: now if one is only at its limit, infinity if there are no
+   * nodes.
+   *
+   * @param notBeforeMs when a node accepts the call by its Retry-After
+   */
+  earliestSendMs(nowMs: number, notBeforeMs: (node: Node) => number): number {
     let earliest = Infinity;
     for (const node of this.#nodes) {
-      if (!node.removed) {
+      if (!node.isRemoved) {
         earliest = Math.min(earliest, Math.max(nowMs, node.trialMs(nowMs), notBeforeMs(node)));
       }
     }
     return earliest;
   }
 
-  /** The node for an attempt, or none if none that may be used has room. */
+  /**
+   * Returns the node for an attempt, or undefined if no usable node is available.
+   *
+   * @param mayUse whether a node may be chosen at all
+   * @param tried whether the call has been sent to a node before; others are preferred
+   */
   choose(nowMs: number, mayUse: (node: Node) => boolean, tried: (node: Node) => boolean): Node | undefined {
-    let some = this.#nodes.filter((n) => n.free(nowMs) && mayUse(n));
-    some = preferred(some, (n) => !tried(n));
-    some = preferred(some, (n) => n.local);
-    if (some.length < 2) {
-      return some[0];
+    let candidates = this.#nodes.filter((n) => n.isAvailable(nowMs) && mayUse(n));
+    candidates = preferred(candidates, (n) => !tried(n));
+    candidates = preferred(candidates, (n) => n.local);
+    if (candidates.length < 2) {
+      return candidates[0];
     }
-    const one = Math.floor(this.#draw() * some.length);
-    let other = Math.floor(this.#draw() * (some.length - 1));
-    if (other >= one) {
-      other++;
+    const first = Math.floor(this.#random() * candidates.length);
+    let second = Math.floor(this.#random() * (candidates.length - 1));
+    if (second >= first) {
+      second++;
     }
-    return some[other]!.score(nowMs) < some[one]!.score(nowMs) ? some[other] : some[one];
+    return candidates[second]!.score(nowMs) < candidates[first]!.score(nowMs) ? candidates[second] : candidates[first];
   }
 }
 
-function preferred(some: Node[], better: (node: Node) => boolean): Node[] {
-  const those = some.filter(better);
-  return those.length === 0 ? some : those;
+function preferred(candidates: Node[], isPreferred: (node: Node) => boolean): Node[] {
+  const matching = candidates.filter(isPreferred);
+  return matching.length === 0 ? candidates : matching;
 }
--- a/clients/typescript/src/core/settings.ts
+++ b/clients/typescript/src/core/settings.ts
@@ -1,57 +1,65 @@
-/** What may be sent again, by what a second effect would cost. */
+/**
+ * Whether a call may be sent again: a safe one after any failure, a keyed one while servers drop repeats of its key, an
+ * unsafe one only if it certainly has not run.
+ */
 export type Repeat = "safe" | "keyed" | "unsafe";
 
-/** The figures that decisions go by; all times in milliseconds. `docs/client-protocol.md` says what each does. */
+/** The settings of a client's decisions; all times in milliseconds. `docs/client-protocol.md` says what each does. */
 export interface Settings {
-  /** Most sendings of one call, the first and second copies among them; 1 to 100. */
+  /** Maximum attempts of one call, the first one, retries and hedges together; 1 to 100. */
   readonly attempts: number;
-  /** The first bound of the wait before a repeat; it doubles with each failed attempt. */
+  /** Upper bound of the wait before the first retry; it doubles with each failed attempt; at least 1. */
   readonly backoffMs: number;
-  /** Where it stops doubling. */
+  /** Maximum of that bound; at least `backoffMs`. */
   readonly backoffMostMs: number;
-  /** Most repeats and second copies in a row, until calls succeed. */
+  /** Maximum retries and hedges in a row while no call succeeds; 0 to 1,000,000. */
   readonly budget: number;
-  /** How much of one more repeat a served call earns, in thousandths. */
+  /** What a served call adds to the budget, in thousandths of a retry; 0 to 1,000. */
   readonly budgetPerMille: number;
-  /** An attempt of a safe or keyed call that has no answer by then is given up; 0 for never. */
+  /** Timeout of one attempt of a safe or keyed call; 0 for none. */
   readonly perAttemptMs: number;
-  /** A safe call's second copy goes out once the first has taken longer than so many thousandths of answers; 0
-   * for no second copies. */
+  /**
+   * A safe call is hedged once its first attempt has taken longer than this many thousandths of recent answers; 0 for
+   * no hedges, at most 999.
+   */
   readonly secondCopyPerMille: number;
-  /** Calls that one node has in flight at most, at the beginning. */
+  /** Initial maximum of attempts in flight at one node; 1 to `limitMost`. */
   readonly limit: number;
-  /** The most that the limit may grow to. */
+  /** Maximum that the limit may grow to; 1 to 100,000. */
   readonly limitMost: number;
-  /** Most calls that wait for a node to have room. */
+  /** Maximum calls that wait for an available node; 0 to 1,000,000. */
   readonly waiting: number;
-  /** Failures in a row after which a node gets no calls for a while. */
+  /** Consecutive failures after which a node is ejected; 1 to 1,000,000. */
   readonly ejectAfter: number;
-  /** For how long the first time; it doubles each time that a trial fails. */
+  /** Duration of the first ejection; it doubles each time that a trial fails; at least 1. */
   readonly ejectMs: number;
-  /** Where it stops doubling. */
+  /** Maximum duration of an ejection; at least `ejectMs`. */
   readonly ejectMostMs: number;
 }
 
-/** The settings that fit most callers. */
+/** Settings that suit most clients. */
 export const DEFAULT_SETTINGS: Settings = Object.freeze({
   attempts: 3, backoffMs: 50, backoffMostMs: 2_000, budget: 10, budgetPerMille: 100, perAttemptMs: 0,
   secondCopyPerMille: 950, limit: 16, limitMost: 256, waiting: 1_000, ejectAfter: 5, ejectMs: 1_000,
   ejectMostMs: 30_000,
 });
 
-const INT = 2 ** 31 - 1;
+const MAX_INT32 = 2 ** 31 - 1;
 
-/** The defaults with what is given in their place.
- * @throws RangeError if a figure is out of its range or no figure's name; the message names it */
-export function settled(given: Partial<Settings> = {}): Settings {
-  const all: Settings = { ...DEFAULT_SETTINGS, ...given };
+/**
+ * Returns the default settings, overridden by the given ones.
+ *
+ * @throws RangeError if a setting is unknown or out of its range; the message names it
+ */
+export function resolveSettings(overrides: Partial<Settings> = {}): Settings {
+  const settings: Settings = { ...DEFAULT_SETTINGS, ...overrides };
   const ranges: Record<keyof Settings, readonly [number, number]> = {
-    attempts: [1, 100], backoffMs: [1, INT], backoffMostMs: [all.backoffMs, INT], budget: [0, 1_000_000],
-    budgetPerMille: [0, 1_000], perAttemptMs: [0, INT], secondCopyPerMille: [0, 999], limitMost: [1, 100_000],
-    limit: [1, all.limitMost], waiting: [0, 1_000_000], ejectAfter: [1, 1_000_000], ejectMs: [1, INT],
-    ejectMostMs: [all.ejectMs, INT],
+    attempts: [1, 100], backoffMs: [1, MAX_INT32], backoffMostMs: [settings.backoffMs, MAX_INT32], budget: [0, 1_000_000],
+    budgetPerMille: [0, 1_000], perAttemptMs: [0, MAX_INT32], secondCopyPerMille: [0, 999], limitMost: [1, 100_000],
+    limit: [1, settings.limitMost], waiting: [0, 1_000_000], ejectAfter: [1, 1_000_000], ejectMs: [1, MAX_INT32],
+    ejectMostMs: [settings.ejectMs, MAX_INT32],
   };
-  for (const [name, value] of Object.entries(all)) {
+  for (const [name, value] of Object.entries(settings)) {
     const range = ranges[name as keyof Settings];
     if (range === undefined) {
       throw new RangeError(`there is no setting '${name}'`);
@@ -60,5 +68,5 @@
       throw new RangeError(`${name} is ${String(value)}, not ${range[0]} to ${range[1]}`);
     }
   }
-  return all;
+  return settings;
 }
--- a/clients/typescript/src/node.ts
+++ b/clients/typescript/src/node.ts
@@ -2,26 +2,31 @@
 import { silent } from "./core/types.js";
 import { endingOfError, hasBody, readAll, type Transport } from "./transport.js";
 
-/** How a Node process connects. */
+const DEFAULT_CONNECT_TIMEOUT_MS = 1_000;
+
+/** The configuration of `NodeTransport`. */
 export interface NodeOptions {
-  /** A connection that is not up by then has failed; 1 s if not said. */
+  /** Connect timeout in milliseconds; 1,000 by default. */
   readonly connectMs?: number;
-  /** Most connections to one node; no bound of its own if not said: the client's limit bounds them. */
+  /** Maximum connections to one node; by default bounded only by the client's limit of attempts in flight. */
   readonly connections?: number;
 }
 
-/** A transport for Node, by undici: it knows whether a connection came up and whether an answer is whole. */
+/**
+ * A transport for Node, based on undici. It can tell whether a connection was established and whether an answer is
+ * complete.
+ */
 export class NodeTransport {
   readonly #agent: Agent;
 
   constructor(options: NodeOptions = {}) {
     this.#agent = new Agent({
-      connect: { timeout: options.connectMs ?? 1_000 }, pipelining: 1, headersTimeout: 0, bodyTimeout: 0,
+      connect: { timeout: options.connectMs ?? DEFAULT_CONNECT_TIMEOUT_MS }, pipelining: 1, headersTimeout: 0, bodyTimeout: 0,
       ...(options.connections === undefined ? {} : { connections: options.connections }),
     });
   }
 
-  /** To be given to the client. */
+  /** The transport to pass to the client. */
   readonly transport: Transport = async (sending) => {
     try {
       const url = new URL(sending.url);
@@ -44,7 +49,7 @@
     }
   };
 
-  /** Ends its connections. */
+  /** Closes its connections. */
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
--- a/clients/typescript/src/result.ts
+++ b/clients/typescript/src/result.ts
@@ -1,44 +1,44 @@
-/** A whole answer: any status below 500 that is no refusal. Header names in lower case. */
+/** A complete answer: any status below 500 that is no refusal. Header names in lower case. */
 export interface Served {
   readonly kind: "served";
   readonly id: string;
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** How often it was sent. */
+  /** The number of attempts that were sent. */
   readonly attempts: number;
-  /** The body as a text in UTF-8. */
+  /** The body decoded as UTF-8. */
   text(): string;
 }
 
-/** Refused. Of a keyed or unsafe call: it has not run, and asking again is harmless. */
+/** Refused. A keyed or unsafe call has not run, and a retry is harmless. */
 export interface Refused {
   readonly kind: "refused";
   readonly id: string;
-  /** When to ask again, counted from now, if anybody has said. */
+  /** The milliseconds from now after which to retry, if a node sent a Retry-After. */
   readonly comeBackMs?: number;
   readonly cause: string;
 }
 
-/** Failed, and surely has not run. */
+/** Failed, and certainly has not run. */
 export interface NeverRan {
   readonly kind: "never-ran";
   readonly id: string;
   readonly cause: string;
 }
 
-/** Failed, and nobody here can know whether it has run. */
+/** Failed, and it is unknown whether it has run. */
 export interface MayHaveRun {
   readonly kind: "may-have-run";
   readonly id: string;
-  /** Of a keyed call: one sent with it before its window ends has its effect once. */
+  /** The key of a keyed call: a call with the same key within its window takes effect only once. */
   readonly key?: string;
-  /** When to ask again, counted from now, if a node has said. */
+  /** The milliseconds from now after which to retry, if a node sent a Retry-After. */
   readonly comeBackMs?: number;
   readonly cause: string;
 }
 
-/** Given up by whoever made it, or by the client's end. */
+/** Cancelled by its caller, or by closing the client. */
 export interface Cancelled {
   readonly kind: "cancelled";
   readonly id: string;
@@ -53,11 +53,13 @@
   readonly key?: string;
 }
 
-/** How a call has ended: one of six. `id` is the field X-Request-Id of all its sendings. A `switch` over `kind` that
- * ends in `unhandled(result)` does not compile while one of them is left out. */
+/**
+ * How a call has ended: one of six kinds. `id` is the header X-Request-Id of all its attempts. A `switch` over `kind`
+ * that ends in `unhandled(result)` does not compile while a kind is missing.
+ */
 export type Result = Served | Refused | NeverRan | MayHaveRun | Cancelled | Late;
 
-/** The end of a `switch` that has handled everything. */
+/** Marks the end of an exhaustive `switch`; throws if it is reached. */
 export function unhandled(nothing: never): never {
   throw new Error(`unhandled: ${JSON.stringify(nothing)}`);
 }
--- a/clients/typescript/src/testing.ts
+++ b/clients/typescript/src/testing.ts
@@ -1,13 +1,13 @@
 import { createServer, type Server, type Socket } from "node:net";
 
-/** What is done with a request, and when: once its connection is there, its head read, or all of it. */
+/** An action on a request, run once its connection is accepted, its head is read, or all of it is read. */
 export interface Play {
   readonly moment: "accepted" | "head-read" | "read";
-  /** Does it. The connection is kept afterwards unless this ends it. */
+  /** Runs the action. The connection stays open afterwards unless the action closes it. */
   on(socket: Socket): void;
 }
 
-/** A request as it came; names of fields in lower case. */
+/** A request as received; header names in lower case. */
 export interface Seen {
   readonly method: string;
   readonly target: string;
@@ -15,25 +15,25 @@
   readonly body: string;
 }
 
-const MOST = 16 * 1024 * 1024;
+const MAX_REQUEST_LENGTH = 16 * 1024 * 1024;
 
-/** These bytes, and the connection stays open. */
+/** Writes these bytes and keeps the connection open. */
 export function raw(text: string): Play {
   return { moment: "read", on: (socket) => void socket.write(text) };
 }
 
-/** An answer. */
+/** Answers with this status and body; `fields` are further headers, each `Name: value`. */
 export function answers(status: number, body = "", fields: readonly string[] = []): Play {
   const head = [`HTTP/1.1 ${status} -`, `Content-Length: ${Buffer.byteLength(body)}`, ...fields];
   return raw(`${head.join("\r\n")}\r\n\r\n${body}`);
 }
 
-/** A refusal as a node words it. */
+/** Refuses as a node does, with a Retry-After in seconds. */
 export function refuses(afterSeconds: number): Play {
   return answers(503, "refused", ["Vetchpost-Ran: no", `Retry-After: ${afterSeconds}`]);
 }
 
-/** The connection is kept, and nothing comes. */
+/** Keeps the connection open and writes nothing. */
 export function silent(): Play {
   return { moment: "read", on: () => undefined };
 }
@@ -43,36 +43,36 @@
   return { moment, on: (socket) => void socket.destroy() };
 }
 
-/** Begins an answer of this length, writes half of it and closes. */
+/** Starts an answer of `length` bytes, writes half of them and closes the connection. */
 export function cuts(length: number): Play {
   return { moment: "read", on: (socket) => void socket.end(
     `HTTP/1.1 200 -\r\nContent-Length: ${length}\r\n\r\n${"x".repeat(Math.floor(length / 2))}`) };
 }
 
-/** Writes a beginning, and then the same again and again until its client has gone. */
+/** Writes a beginning, and then repeats a text until the client closes the connection. */
 export function floods(beginning: string, again: string): Play {
-  const many = again.repeat(1 + Math.floor(8_192 / again.length));
+  const batch = again.repeat(1 + Math.floor(8_192 / again.length));
   return { moment: "read", on: (socket) => {
-    const more = (): void => {
-      while (!socket.destroyed && socket.write(many)) {
-        // Until its buffer is full.
+    const fill = (): void => {
+      while (!socket.destroyed && socket.write(batch)) {
+        // Writes until the socket's buffer is full.
       }
     };
-    socket.on("drain", more);
+    socket.on("drain", fill);
     socket.write(beginning);
-    more();
+    fill();
   } };
 }
 
 /**
- * A node for tests: it listens on a port of its own on loopback and does with each request what comes next in its
- * script; when that is at its end, the last thing again.
+ * A node for tests. It listens on a free loopback port and performs the next action of its script on each request; the
+ * last action is repeated.
  *
  *     const node = await ScriptedNode.listen(refuses(2), answers(200, "done"));
  *     const client = new Client({ nodes: [node.url] });
  */
 export class ScriptedNode {
-  /** All requests so far that were read whole. */
+  /** All requests so far that were read completely. */
   readonly seen: Seen[] = [];
   readonly #server: Server;
   readonly #script: Play[];
@@ -83,20 +83,20 @@
     this.#server = createServer((socket) => this.#serve(socket));
   }
 
-  /** Listens. */
+  /** Starts a node with this script. */
   static async listen(...script: Play[]): Promise<ScriptedNode> {
     const node = new ScriptedNode(script);
     await new Promise<void>((done) => node.#server.listen(0, "127.0.0.1", done));
     return node;
   }
 
-  /** What a client calls it. */
+  /** The node's URL. */
   get url(): string {
     const address = this.#server.address();
     return `http://127.0.0.1:${typeof address === "object" && address !== null ? address.port : 0}`;
   }
 
-  /** Ends its connections and listens no more. */
+  /** Closes its connections and its port. */
   async close(): Promise<void> {
     this.#sockets.forEach((socket) => socket.destroy());
     await new Promise((done) => this.#server.close(done));
@@ -116,7 +116,7 @@
       return;
     }
     let text = "";
-    let told = false;
+    let headActionDone = false;
     socket.on("data", (bytes) => {
       text += bytes.toString("latin1");
       for (let end = text.indexOf("\r\n\r\n"); end >= 0 && !socket.destroyed; end = text.indexOf("\r\n\r\n")) {
@@ -125,8 +125,8 @@
           const colon = line.indexOf(":");
           return [line.slice(0, colon).toLowerCase(), line.slice(colon + 1).trim()];
         }));
-        if (!told && this.#script[0]?.moment === "head-read") {
-          told = true;
+        if (!headActionDone && this.#script[0]?.moment === "head-read") {
+          headActionDone = true;
           this.#next().on(socket);
           return;
         }
@@ -140,7 +140,7 @@
         this.seen.push({ method, target, headers, body });
         this.#next().on(socket);
       }
-      if (text.length > MOST) {
+      if (text.length > MAX_REQUEST_LENGTH) {
         socket.destroy();
       }
     });
--- a/clients/typescript/src/transport.ts
+++ b/clients/typescript/src/transport.ts
@@ -1,67 +1,71 @@
 import { type Ending, silent } from "./core/types.js";
 
-/** A request as it goes out. */
+/** One attempt as it is sent. */
 export interface Sending {
   readonly url: string;
   readonly method: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array | undefined;
+  /** The maximum body of an accepted answer, in bytes. */
   readonly longestAnswer: number;
-  /** Aborted when the attempt is given up: its connection ends then. */
+  /** Aborted when the attempt is abandoned; the transport then closes its connection. */
   readonly signal: AbortSignal;
 }
 
-/** A whole answer; header names in lower case. */
+/** A complete answer; header names in lower case. */
 export interface Answer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
 }
 
-/** Carries one attempt: a whole answer, or an ending without one. Must not send anything twice, and rejects never. */
+/**
+ * Sends one attempt and resolves to its complete answer, or to an ending without one. It must not send anything twice
+ * and must never reject.
+ */
 export type Transport = (sending: Sending) => Promise<Answer | Ending>;
 
-/** Whether an answer has a body, so that its length has to be known. */
+/** Whether an answer to this method and of this status has a body, whose length must then be known. */
 export function hasBody(method: string, status: number): boolean {
   return method !== "HEAD" && status !== 204 && status !== 304;
 }
 
-/** An answer of more bytes than are taken. */
+/** Thrown for an answer with more bytes than are accepted. */
 export class TooLong extends Error {
-  constructor(most: number) {
-    super(`an answer of more than ${most} bytes`);
+  constructor(maxBytes: number) {
+    super(`an answer of more than ${maxBytes} bytes`);
   }
 }
 
-/** All of a body, up to a bound.
- * @throws TooLong if it has more */
-export async function readAll(body: AsyncIterable<Uint8Array>, most: number): Promise<Uint8Array> {
-  const parts: Uint8Array[] = [];
+/** Reads a body of at most `maxBytes`.
+ * @throws TooLong if it is longer */
+export async function readAll(body: AsyncIterable<Uint8Array>, maxBytes: number): Promise<Uint8Array> {
+  const chunks: Uint8Array[] = [];
   let length = 0;
-  for await (const part of body) {
-    length += part.byteLength;
-    if (length > most) {
-      throw new TooLong(most);
+  for await (const chunk of body) {
+    length += chunk.byteLength;
+    if (length > maxBytes) {
+      throw new TooLong(maxBytes);
     }
-    parts.push(part);
+    chunks.push(chunk);
   }
-  const all = new Uint8Array(length);
-  let at = 0;
-  for (const part of parts) {
-    all.set(part, at);
-    at += part.byteLength;
+  const joined = new Uint8Array(length);
+  let offset = 0;
+  for (const chunk of chunks) {
+    joined.set(chunk, offset);
+    offset += chunk.byteLength;
   }
-  return all;
+  return joined;
 }
 
-/** What went wrong, for people. */
-export function wordsOf(e: unknown): string {
+/** Returns an error's message, or that of its cause. */
+export function errorMessageOf(e: unknown): string {
   const cause = e instanceof Error && e.cause instanceof Error ? e.cause : e;
   return cause instanceof Error ? cause.message || cause.name : String(cause);
 }
 
-/** What an error of a connection is called, where the platform says so. */
-export function codeOf(e: unknown): string | undefined {
+/** Returns the code of a connection error or of its cause, if the platform gives one. */
+export function errorCodeOf(e: unknown): string | undefined {
   const cause = e instanceof Error && e.cause !== undefined ? e.cause : e;
   return typeof cause === "object" && cause !== null && "code" in cause ? String(cause.code) : undefined;
 }
@@ -69,13 +73,16 @@
 const NEVER_SENT = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "ENOTFOUND", "EAI_AGAIN",
   "UND_ERR_CONNECT_TIMEOUT"]);
 
-/** The ending of an attempt by an error. Only those of connecting say that nothing was sent; a browser names none. */
+/**
+ * Returns the ending of an attempt that failed with an error. Only connect errors show that nothing was sent; browsers
+ * give no codes, so there it may always have run.
+ */
 export function endingOfError(e: unknown): Ending {
-  const never = NEVER_SENT.has(codeOf(e) ?? "");
-  return silent(never ? "never-ran" : "may-have-run", wordsOf(e));
+  const neverSent = NEVER_SENT.has(errorCodeOf(e) ?? "");
+  return silent(neverSent ? "never-ran" : "may-have-run", errorMessageOf(e));
 }
 
-async function* chunks(stream: ReadableStream<Uint8Array>): AsyncGenerator<Uint8Array> {
+async function* readChunks(stream: ReadableStream<Uint8Array>): AsyncGenerator<Uint8Array> {
   const reader = stream.getReader();
   try {
     for (let next = await reader.read(); !next.done; next = await reader.read()) {
@@ -86,8 +93,10 @@
   }
 }
 
-/** The platform's `fetch`: browsers, Node and others. It tells less than `node.ts`'s: no browser says whether a
- * connection came up, or how an answer's end was told. */
+/**
+ * A transport for browsers, Node and others, based on the platform's `fetch`. It knows less than the one of `node.ts`:
+ * no browser shows whether a connection was established, or how the end of an answer was marked.
+ */
 export const fetchTransport: Transport = async (sending) => {
   try {
     const response = await fetch(sending.url, {
@@ -95,7 +104,7 @@
       ...(sending.body === undefined ? {} : { body: sending.body as BodyInit }),
     });
     const body = response.body === null ? new Uint8Array(0)
-      : await readAll(chunks(response.body), sending.longestAnswer);
+      : await readAll(readChunks(response.body), sending.longestAnswer);
     return { status: response.status, headers: Object.fromEntries(response.headers), body };
   } catch (e) {
     return endingOfError(e);
--- a/clients/typescript/test/decisions.test.ts
+++ b/clients/typescript/test/decisions.test.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import { readdirSync, readFileSync } from "node:fs";
 import { test } from "node:test";
-import { endingOf } from "../src/core/answers.js";
+import { endingOfAnswer } from "../src/core/answers.js";
 import { Caller } from "../src/core/caller.js";
-import { type Repeat, type Settings, settled } from "../src/core/settings.js";
+import { type Repeat, type Settings, resolveSettings } from "../src/core/settings.js";
 import type { Action, EndingKind } from "../src/core/types.js";
 
 const SUITE = new URL("../../../conformance/", import.meta.url);
@@ -75,7 +75,7 @@
     test(`${file}: ${scenario.about}`, () => {
       let next = 0;
       const draws = scenario.draws ?? [0];
-      const caller = new Caller(settled(scenario.settings), () => draws[next++ % draws.length]!);
+      const caller = new Caller(resolveSettings(scenario.settings), () => draws[next++ % draws.length]!);
       for (const step of scenario.steps) {
         const due = step.wake === true && step.early === undefined;
         const wake = caller.nextWakeMs();
@@ -96,7 +96,7 @@
 
 for (const row of read<Row>("answers.json")) {
   test(`answers.json: ${JSON.stringify(row)}`, () => {
-    const got = endingOf(row.status, row.ran ?? null, row.retryAfter ?? null, row.date ?? null, row.unixMs ?? 0,
+    const got = endingOfAnswer(row.status, row.ran ?? null, row.retryAfter ?? null, row.date ?? null, row.unixMs ?? 0,
       row.plain ?? false);
     assert.equal(got.kind + (got.retryAfterMs < 0 ? "" : ` ${got.retryAfterMs}`), row.then);
     assert.ok(got.answered);
@@ -119,7 +119,7 @@
     random = Number((BigInt(random) * 1_664_525n + 1_013_904_223n) % 4_294_967_296n);
     return random / 4_294_967_296;
   };
-  const caller = new Caller(settled(weather.settings), draw);
+  const caller = new Caller(resolveSettings(weather.settings), draw);
   const dues = new Map<number, Due[]>();
   const inService = new Map<string, number>();
   const abandoned = new Set<string>();
@@ -205,8 +205,8 @@
 }
 
 test("settings are held to their ranges", () => {
-  assert.throws(() => settled({ attempts: 0 }), /attempts is 0, not 1 to 100/);
-  assert.throws(() => settled({ limit: 300 }), /limit is 300, not 1 to 256/);
-  assert.throws(() => settled({ limit: 1.5 }), RangeError);
-  assert.throws(() => settled({ colour: 1 } as Partial<Settings>), /no setting 'colour'/);
+  assert.throws(() => resolveSettings({ attempts: 0 }), /attempts is 0, not 1 to 100/);
+  assert.throws(() => resolveSettings({ limit: 300 }), /limit is 300, not 1 to 256/);
+  assert.throws(() => resolveSettings({ limit: 1.5 }), RangeError);
+  assert.throws(() => resolveSettings({ colour: 1 } as Partial<Settings>), /no setting 'colour'/);
 });
