--- a/clients/java/src/main/java/vetchpost/client/BoundedBody.java
+++ b/clients/java/src/main/java/vetchpost/client/BoundedBody.java
@@ -9,15 +9,18 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow;
 
-/** An answer's body in memory, up to a bound; one that is longer breaks its connection. */
+/**
+ * Collects an answer's body in memory, up to a maximum; a longer one fails and closes its connection. The JDK's HTTP
+ * client calls it on its own threads, one call at a time.
+ */
 final class BoundedBody implements BodySubscriber<byte[]> {
     private final int maxBytes;
     private final CompletableFuture<byte[]> body = new CompletableFuture<>();
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private Flow.Subscription subscription;
 
-    BoundedBody(int most) {
-        this.maxBytes = most;
+    BoundedBody(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     @Override
@@ -26,22 +29,22 @@
     }
 
     @Override
-    public void onSubscribe(Flow.Subscription given) {
-        subscription = given;
-        given.request(Long.MAX_VALUE);
+    public void onSubscribe(Flow.Subscription newSubscription) {
+        subscription = newSubscription;
+        newSubscription.request(Long.MAX_VALUE);
     }
 
     @Override
-    public void onNext(List<ByteBuffer> some) {
-        for (ByteBuffer buffer : some) {
+    public void onNext(List<ByteBuffer> buffers) {
+        for (ByteBuffer buffer : buffers) {
             if (buffer.remaining() > maxBytes - bytes.size()) {
                 subscription.cancel();
-                body.completeExceptionally(new IOException("an answer of more than " + maxBytes + " bytes"));
+                body.completeExceptionally(new IOException("the answer has more than " + maxBytes + " bytes"));
                 return;
             }
-            byte[] part = new byte[buffer.remaining()];
-            buffer.get(part);
-            bytes.write(part, 0, part.length);
+            byte[] chunk = new byte[buffer.remaining()];
+            buffer.get(chunk);
+            bytes.write(chunk, 0, chunk.length);
         }
     }
 
--- a/clients/java/src/main/java/vetchpost/client/Client.java
+++ b/clients/java/src/main/java/vetchpost/client/Client.java
@@ -33,8 +33,8 @@
 import vetchpost.client.core.Settings;
 
 /**
- * Calls nodes over HTTP/1.1. Decisions are those of {@link Caller}, made on one thread; the bytes are the
- * JDK's HTTP client's. May be used by any number of threads; one for a process is enough.
+ * A client that calls nodes over HTTP/1.1. {@link Caller} makes its decisions, on the client's one thread; the JDK's
+ * HTTP client carries its requests. Safe for use by several threads; one client per process is enough.
  * <pre>{@code
  * try (Client client = Client.builder().node("http://127.0.0.1:8080").build()) {
  *     Result result = client.send(Request.get("/albums/7")).join();
@@ -77,7 +77,7 @@
         }
     }
 
-    /** What a client is made of. */
+    /** The configuration of a client. Not thread-safe. */
     public static final class Builder {
         private static final int DEFAULT_MAX_ANSWER_BYTES = 16 << 20;
 
@@ -94,73 +94,83 @@
 
         private Builder() {}
 
-        /** A node, by scheme, host and port: {@code http://127.0.0.1:8080}. */
+        /**
+         * Adds a node by its URL of scheme, host and port: {@code http://127.0.0.1:8080}.
+         *
+         * @throws IllegalArgumentException if it is no such URL
+         */
         public Builder node(String node) {
             nodes.put(requireNodeUrl(node), false);
             return this;
         }
 
-        /** A node that is asked before the others while it has room: one on this machine, or in this zone. */
+        /**
+         * Adds a node that is preferred to the others while it is available: one on this machine, or in this zone.
+         *
+         * @throws IllegalArgumentException if it is no URL of scheme, host and port
+         */
         public Builder localNode(String node) {
             nodes.put(requireNodeUrl(node), true);
             return this;
         }
 
-        /** The figures that decisions go by. */
-        public Builder settings(Settings figures) {
-            settings = Objects.requireNonNull(figures);
+        /** Sets the settings of the client's decisions. */
+        public Builder settings(Settings newSettings) {
+            settings = Objects.requireNonNull(newSettings);
             return this;
         }
 
-        /** The deadline of calls that have none of their own; 10 s if not said. */
+        /** Sets the default deadline of calls; 10 s by default. */
         public Builder within(Duration time) {
             within = time;
             return this;
         }
 
-        /** A connection that is not up by then has failed; 1 s if not said. */
+        /** Sets the connect timeout; 1 s by default. */
         public Builder connectWithin(Duration time) {
             connectWithin = time;
             return this;
         }
 
-        /** The longest body of an answer that is taken; 16 MiB if not said. */
+        /** Sets the maximum body of an accepted answer, in bytes; 16 MiB by default. */
         public Builder longestAnswer(int bytes) {
             maxAnswerBytes = bytes;
             return this;
         }
 
-        /** Takes every 429 and 503 as a node's refusal, as nodes on the platform mean them. */
+        /** Treats every 429 and 503 as a node's refusal, as nodes on the platform mean them. */
         public Builder plainRefusals() {
             plainRefusals = true;
             return this;
         }
 
-        /** Says with each request whose it is, in {@code X-Org}. */
+        /** Sets the tenant, which is sent with each request in {@code X-Org}. */
         public Builder tenant(String name) {
             tenant = name;
             return this;
         }
 
-        /** Says with each request what session it is of, in the cookie {@code key}. */
+        /** Sets the session, which is sent with each request in the cookie {@code key}. */
         public Builder session(String name) {
             session = name;
             return this;
         }
 
-        /** Has requests changed before they are sent, in the order of these calls. */
+        /**
+         * Adds an interceptor that changes requests before they are sent; interceptors run in the order of these calls.
+         */
         public Builder intercept(UnaryOperator<Request> change) {
             interceptors.add(change);
             return this;
         }
 
-        /** Is told of calls. */
-        public Builder listener(Listener told) {
-            listener = told;
+        /** Sets the listener that observes calls. */
+        public Builder listener(Listener newListener) {
+            listener = newListener;
             return this;
         }
 
-        /** The client. */
+        /** Returns a new client. */
         public Client build() {
             return new Client(this);
         }
@@ -183,46 +193,51 @@
         builder.nodes.forEach((node, local) -> caller.addNode(0, node, local));
     }
 
-    /** A client to be made. */
+    /** Returns the configuration of a new client, with defaults. */
     public static Builder builder() {
         return new Builder();
     }
 
     private static String requireNodeUrl(String node) {
         URI uri = URI.create(node);
-        boolean plain = uri.getHost() != null
+        boolean isOrigin = uri.getHost() != null
                 && uri.getPort() > 0
                 && uri.getRawPath().isEmpty()
                 && uri.getRawQuery() == null
                 && uri.getRawFragment() == null
                 && uri.getRawUserInfo() == null;
-        if (!plain || !"http".equals(uri.getScheme()) && !"https".equals(uri.getScheme())) {
-            throw new IllegalArgumentException("'" + node + "' is no node, as http://127.0.0.1:8080 is");
+        if (!isOrigin || !"http".equals(uri.getScheme()) && !"https".equals(uri.getScheme())) {
+            throw new IllegalArgumentException(
+                    "'" + node + "' is not a node URL of scheme, host and port, such as http://127.0.0.1:8080");
         }
         return node;
     }
 
-    /** A node to send to from now on. */
+    /**
+     * Adds a node to send to from now on.
+     *
+     * @throws IllegalArgumentException if it is no URL of scheme, host and port
+     */
     public void addNode(String node) {
         String name = requireNodeUrl(node);
         runOnLoop(() -> perform(caller.addNode(nowMs(), name, false)));
     }
 
-    /** A node that gets no more calls; those it has go on. */
+    /** Removes a node: it gets no new attempts, and its attempts in flight continue. */
     public void removeNode(String node) {
         runOnLoop(() -> perform(caller.removeNode(nowMs(), node)));
     }
 
     /**
-     * Makes a call. Its future ends with a {@link Result} and with nothing else; cancelling it gives the call
-     * up, also at the node.
+     * Makes a call. Its future never completes exceptionally, but always with a {@link Result}. Cancelling the future
+     * cancels the call and closes the connections of its attempts.
      */
     public CompletableFuture<Result> send(Request request) {
-        Request last = request;
+        Request intercepted = request;
         for (UnaryOperator<Request> change : options.interceptors) {
-            last = change.apply(last);
+            intercepted = change.apply(intercepted);
         }
-        Request sent = last;
+        Request sent = intercepted;
         String key = sent.repeat() == Repeat.KEYED ? sent.key().orElseGet(ids::newId) : null;
         OpenCall call = new OpenCall(ids.newId(), key, sent, new CompletableFuture<>());
         try {
@@ -233,7 +248,7 @@
         return call.future;
     }
 
-    /** Ends all calls that are not over, as cancelled. */
+    /** Cancels all calls that are not over. Later calls end as never run. */
     @Override
     public void close() {
         try {
@@ -244,12 +259,12 @@
                 }
             });
         } catch (RejectedExecutionException e) {
-            return; // Closed before.
+            return; // Closed already.
         }
         loop.shutdown();
     }
 
-    // ---------------------------------------------------------------- on the one thread
+    // Everything below runs on the client's one thread, except runOnLoop and static methods.
 
     private long nowMs() {
         return (System.nanoTime() - startedNs) / NS_PER_MS;
@@ -279,7 +294,7 @@
         try {
             loop.execute(task);
         } catch (RejectedExecutionException e) {
-            // Closed: all calls are over, and what comes now has no weight.
+            // Closed: all calls are over, so the task has no effect.
             return;
         }
     }
@@ -300,7 +315,7 @@
             }
         }
         long next = caller.nextWakeMs();
-        // One that comes too early only looks again; so a timer is not set anew for each call that ends.
+        // A timer that fires too early only checks again, so it is not rescheduled for each call that ends.
         if (next < wakeAtMs && !loop.isShutdown() || openCalls.isEmpty()) {
             if (wakeTask != null) {
                 wakeTask.cancel(false);
@@ -330,49 +345,50 @@
         call.inFlight.put(send.attempt(), out);
         out.whenComplete((answer, e) -> runOnLoop(() -> {
             if (call.inFlight.remove(send.attempt()) != null) {
-                Ending how = e == null ? toEnding(call, answer) : toEnding(e);
-                notifyListener(() -> options.listener.ended(call.id, send.attempt(), send.node(), how));
-                if (how.kind() == Ending.Kind.SERVED) {
+                Ending ending = e == null ? toEnding(call, answer) : toEnding(e);
+                notifyListener(() -> options.listener.ended(call.id, send.attempt(), send.node(), ending));
+                if (ending.kind() == Ending.Kind.SERVED) {
                     call.answer = answer;
                 }
-                perform(caller.ended(nowMs(), send.call(), send.attempt(), how));
+                perform(caller.ended(nowMs(), send.call(), send.attempt(), ending));
             }
         }));
     }
 
     private HttpRequest toHttpRequest(OpenCall call, Action.Send send) {
         byte[] body = call.request.bytes();
-        HttpRequest.Builder wire = HttpRequest.newBuilder(URI.create(send.node() + call.request.target()))
+        HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create(send.node() + call.request.target()))
                 .method(call.request.method(), new SingleUseBody(body));
         if (options.session != null && !call.request.headers().containsKey("cookie")) {
-            wire.setHeader("Cookie", "key=" + options.session);
+            builder.setHeader("Cookie", "key=" + options.session);
         }
-        call.request.headers().forEach(wire::setHeader);
-        wire.setHeader("X-Request-Id", call.id)
+        call.request.headers().forEach(builder::setHeader);
+        builder.setHeader("X-Request-Id", call.id)
                 .setHeader("X-Txn", ids.newAttemptId())
                 .setHeader("X-Remaining-Ms", Long.toString(send.remainingMs()));
         if (options.tenant != null) {
-            wire.setHeader("X-Org", options.tenant);
+            builder.setHeader("X-Org", options.tenant);
         }
         if (call.key != null) {
-            wire.setHeader("Idempotency-Key", call.key);
+            builder.setHeader("Idempotency-Key", call.key);
         }
         if (send.resent()) {
-            wire.setHeader("X-Resent", "1");
+            builder.setHeader("X-Resent", "1");
         }
-        return wire.build();
+        return builder.build();
     }
 
     private Ending toEnding(OpenCall call, HttpResponse<byte[]> answer) {
         HttpHeaders headers = answer.headers();
-        boolean bodiless = answer.statusCode() == NO_CONTENT
+        boolean hasNoBody = answer.statusCode() == NO_CONTENT
                 || answer.statusCode() == NOT_MODIFIED
                 || call.request.method().equals("HEAD");
-        if (!bodiless
+        if (!hasNoBody
                 && headers.firstValue("Content-Length").isEmpty()
                 && headers.firstValue("Transfer-Encoding").isEmpty()) {
-            // It ends where its connection does, so nobody can tell whether that is all of it.
-            return Ending.silent(Ending.Kind.MAY_HAVE_RUN, "an answer that does not say how long it is");
+            // The end of the connection marks its end, so a truncated answer cannot be told from a complete one.
+            return Ending.silent(
+                    Ending.Kind.MAY_HAVE_RUN, "the answer has neither Content-Length nor Transfer-Encoding");
         }
         return Answers.of(
                 answer.statusCode(),
@@ -385,20 +401,20 @@
 
     private static Ending toEnding(Throwable e) {
         Throwable cause = e instanceof CompletionException && e.getCause() != null ? e.getCause() : e;
-        boolean never = cause instanceof ConnectException
+        boolean neverSent = cause instanceof ConnectException
                 || cause instanceof HttpConnectTimeoutException
                 || cause instanceof UnresolvedAddressException
                 || cause.getCause() instanceof UnresolvedAddressException;
         return Ending.silent(
-                never ? Ending.Kind.NEVER_RAN : Ending.Kind.MAY_HAVE_RUN,
+                neverSent ? Ending.Kind.NEVER_RAN : Ending.Kind.MAY_HAVE_RUN,
                 cause.getMessage() == null ? cause.getClass().getSimpleName() : cause.getMessage());
     }
 
-    private void end(OpenCall call, Outcome how) {
-        Optional<Duration> comeBack =
-                how.comeBackMs() < 0 ? Optional.empty() : Optional.of(Duration.ofMillis(how.comeBackMs()));
+    private void end(OpenCall call, Outcome outcome) {
+        Optional<Duration> retryAfter =
+                outcome.comeBackMs() < 0 ? Optional.empty() : Optional.of(Duration.ofMillis(outcome.comeBackMs()));
         Optional<String> key = Optional.ofNullable(call.key);
-        Result result = switch (how.kind()) {
+        Result result = switch (outcome.kind()) {
             case SERVED ->
                 new Result.Served(
                         call.id,
@@ -406,22 +422,22 @@
                         call.answer.headers().map(),
                         call.answer.body(),
                         call.attemptCount);
-            case REFUSED -> new Result.Refused(call.id, comeBack, how.cause());
-            case NEVER_RAN -> new Result.NeverRan(call.id, how.cause());
-            case MAY_HAVE_RUN -> new Result.MayHaveRun(call.id, key, comeBack, how.cause());
-            case CANCELLED -> new Result.Cancelled(call.id, how.mayHaveRun());
-            case LATE -> new Result.Late(call.id, how.mayHaveRun(), key);
+            case REFUSED -> new Result.Refused(call.id, retryAfter, outcome.cause());
+            case NEVER_RAN -> new Result.NeverRan(call.id, outcome.cause());
+            case MAY_HAVE_RUN -> new Result.MayHaveRun(call.id, key, retryAfter, outcome.cause());
+            case CANCELLED -> new Result.Cancelled(call.id, outcome.mayHaveRun());
+            case LATE -> new Result.Late(call.id, outcome.mayHaveRun(), key);
         };
         notifyListener(() -> options.listener.over(result, Duration.ofNanos(System.nanoTime() - call.startedNs)));
-        // What hangs on it is not this thread's to do.
+        // The caller's continuations must not run on this thread.
         call.future.completeAsync(() -> result);
     }
 
-    private static void notifyListener(Runnable what) {
+    private static void notifyListener(Runnable notification) {
         try {
-            what.run();
+            notification.run();
         } catch (RuntimeException e) {
-            // A listener's fault is no call's.
+            // An error of the listener must not affect the call.
             return;
         }
     }
--- a/clients/java/src/main/java/vetchpost/client/IdGenerator.java
+++ b/clients/java/src/main/java/vetchpost/client/IdGenerator.java
@@ -4,20 +4,20 @@
 import java.util.HexFormat;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Numbers that no other call has. */
+/** Generates random ids, as hexadecimal digits. Safe for use by several threads. */
 final class IdGenerator {
     private static final int ID_BYTES = 16;
 
     private final SecureRandom random = new SecureRandom();
 
-    /** 128 bits, of a call or its key. */
+    /** Returns 128 random bits, for a call's id or its key. */
     String newId() {
-        byte[] some = new byte[ID_BYTES];
-        random.nextBytes(some);
-        return HexFormat.of().formatHex(some);
+        byte[] bytes = new byte[ID_BYTES];
+        random.nextBytes(bytes);
+        return HexFormat.of().formatHex(bytes);
     }
 
-    /** 64 bits, of one sending. */
+    /** Returns 64 random bits, for the id of one attempt. */
     String newAttemptId() {
         return HexFormat.of().toHexDigits(ThreadLocalRandom.current().nextLong());
     }
--- a/clients/java/src/main/java/vetchpost/client/Request.java
+++ b/clients/java/src/main/java/vetchpost/client/Request.java
@@ -12,13 +12,13 @@
 import vetchpost.client.core.Repeat;
 
 /**
- * What is asked of the nodes. Immutable; each method gives another with one thing changed.
+ * A request to the nodes. Immutable; each modifying method returns a copy with one change.
  * <pre>{@code
  * Request.unsafe("POST", "/place-order").json("{\"photo\": 7}").within(Duration.ofSeconds(2))
  * }</pre>
  */
 public final class Request {
-    /** Fields that the client sets itself, or that belong to a connection. */
+    /** Headers that the client sets itself, or that belong to a connection. */
     private static final Set<String> RESERVED_HEADERS = Set.of(
             "x-txn",
             "x-request-id",
@@ -66,16 +66,16 @@
 
     private static Request of(String method, String target, Repeat repeat, Duration window) {
         if (!method.matches(TOKEN)) {
-            throw new IllegalArgumentException("'" + method + "' is no method");
+            throw new IllegalArgumentException("'" + method + "' is not an HTTP method");
         }
         if (!isTarget(target)) {
-            throw new IllegalArgumentException(
-                    "'" + target + "' is no path that begins with /, with what is" + " special in it escaped");
+            throw new IllegalArgumentException("'" + target + "' is not a path that begins with / and has its"
+                    + " special characters percent-encoded");
         }
         return new Request(method, target, repeat, window, null, Map.of(), new byte[0], null);
     }
 
-    /** Whether it goes out as it stands: a client's slip must not look like a node's failure. */
+    /** Whether a target is sent unchanged: a caller's mistake must not look like a node's failure. */
     private static boolean isTarget(String target) {
         if (!target.startsWith("/") || target.startsWith("//") || target.indexOf('#') >= 0) {
             return false;
@@ -88,111 +88,129 @@
         }
     }
 
-    /** GET of a path, which has no effect: it may be repeated, and sent to two nodes. */
+    /**
+     * Returns a GET request, which has no side effect: it may be retried, and sent to two nodes at once.
+     *
+     * @param target path and query, beginning with {@code /}, special characters percent-encoded
+     * @throws IllegalArgumentException if the target is invalid
+     */
     public static Request get(String target) {
         return safe("GET", target);
     }
 
-    /** A request without an effect. */
+    /**
+     * Returns a request without side effects, which may be retried after any failure.
+     *
+     * @throws IllegalArgumentException if the method or the target is invalid
+     */
     public static Request safe(String method, String target) {
         return of(method, target, Repeat.SAFE, Duration.ZERO);
     }
 
     /**
-     * A request whose repeats the servers drop by its key.
+     * Returns a request whose repeats the servers drop by its key.
      *
      * @param window for how long they do; more than 0
+     * @throws IllegalArgumentException if the method, the target or the window is invalid
      */
     public static Request keyed(String method, String target, Duration window) {
         if (window.isNegative() || window.isZero()) {
-            throw new IllegalArgumentException("a key's window is longer than 0");
+            throw new IllegalArgumentException("the window of a key must be longer than 0");
         }
         return of(method, target, Repeat.KEYED, window);
     }
 
-    /** A request that is never sent again once it may have run. */
+    /**
+     * Returns a request that is never sent again once it may have run.
+     *
+     * @throws IllegalArgumentException if the method or the target is invalid
+     */
     public static Request unsafe(String method, String target) {
         return of(method, target, Repeat.UNSAFE, Duration.ZERO);
     }
 
-    /** With this deadline for the whole call, in place of the client's. At least a millisecond. */
+    /**
+     * Returns a copy with this deadline for the whole call, in place of the client's.
+     *
+     * @throws IllegalArgumentException if it is less than a millisecond
+     */
     public Request within(Duration time) {
         if (time.toMillis() < 1) {
-            throw new IllegalArgumentException("a deadline is at least a millisecond");
+            throw new IllegalArgumentException("a deadline must be at least 1 ms");
         }
         return new Request(method, target, repeat, window, time, headers, body, key);
     }
 
     /**
-     * With this field; a second one of a name takes the place of the first.
+     * Returns a copy with this header; it replaces an earlier one of the same name.
      *
-     * @throws IllegalArgumentException if it is no field, or one that the client sets
+     * @throws IllegalArgumentException if it is no valid header, or one that the client sets itself
      */
     public Request header(String name, String value) {
         String lower = name.toLowerCase(Locale.ROOT);
         if (!name.matches(TOKEN) || !value.matches(HEADER_VALUE)) {
-            throw new IllegalArgumentException("'" + name + ": " + value + "' is no header field");
+            throw new IllegalArgumentException("'" + name + ": " + value + "' is not a valid header");
         }
         if (RESERVED_HEADERS.contains(lower)) {
             throw new IllegalArgumentException("the client sets '" + name + "' itself");
         }
-        Map<String, String> more = new LinkedHashMap<>(headers);
-        more.put(lower, value);
-        return new Request(method, target, repeat, window, within, more, body, key);
+        Map<String, String> extended = new LinkedHashMap<>(headers);
+        extended.put(lower, value);
+        return new Request(method, target, repeat, window, within, extended, body, key);
     }
 
-    /** With this body. It is held until the call is over, so that it can be sent again. */
+    /** Returns a copy with this body. It is kept in memory until the call is over, so that it can be sent again. */
     public Request body(String contentType, byte[] bytes) {
         Request typed = header("Content-Type", contentType);
         return new Request(method, target, repeat, window, within, typed.headers, bytes.clone(), key);
     }
 
-    /** With a body of JSON. */
+    /** Returns a copy with a JSON body. */
     public Request json(String text) {
         return body("application/json", text.getBytes(StandardCharsets.UTF_8));
     }
 
     /**
-     * With this key in place of a fresh one: for a keyed call that goes on with one whose end is unknown.
+     * Returns a copy with this key in place of a generated one, to continue a keyed call whose outcome is unknown.
      *
-     * @throws IllegalArgumentException if the request is not keyed, or this is no key
+     * @throws IllegalArgumentException if the request is not keyed, or the key is invalid
      */
     public Request key(String key) {
         if (repeat != Repeat.KEYED) {
-            throw new IllegalArgumentException("only a keyed request has a key");
+            throw new IllegalArgumentException("only a keyed request can have a key");
         }
         if (!key.matches("[0-9A-Za-z_-]{1,128}")) {
-            throw new IllegalArgumentException("a key has 1 to 128 letters, digits, - and _");
+            throw new IllegalArgumentException("a key must have 1 to 128 characters: letters, digits, - and _");
         }
         return new Request(method, target, repeat, window, within, headers, body, key);
     }
 
-    /** As given. */
+    /** Returns the HTTP method. */
     public String method() {
         return method;
     }
 
-    /** Path and query. */
+    /** Returns path and query. */
     public String target() {
         return target;
     }
 
-    /** What may be sent again. */
+    /** Returns whether the request may be sent again. */
     public Repeat repeat() {
         return repeat;
     }
 
-    /** Its own deadline, if it has one. */
+    /** Returns its own deadline, if it has one. */
     public Optional<Duration> within() {
         return Optional.ofNullable(within);
     }
 
-    /** Its own key, if it has one. */
+    /** Returns its own key, if it has one. */
     public Optional<String> key() {
         return Optional.ofNullable(key);
     }
 
-    /** Its fields, by names in lower case. */
+    /** Returns its headers, by names in lower case. */
     public Map<String, String> headers() {
         return Map.copyOf(headers);
     }
--- a/clients/java/src/main/java/vetchpost/client/Result.java
+++ b/clients/java/src/main/java/vetchpost/client/Result.java
@@ -7,73 +7,75 @@
 import java.util.Optional;
 
 /**
- * How a call has ended: one of six. {@link #match} has each of them handled; what is not handled does not
- * compile.
+ * How a call has ended: one of six kinds. Code that uses {@link #match} does not compile unless it handles them all.
  */
 public sealed interface Result {
-    /** The call's id, the field {@code X-Request-Id} of all its sendings: what to ask the servers about. */
+    /**
+     * Returns the call's id, the header {@code X-Request-Id} of all its attempts; it identifies the call at the
+     * servers.
+     */
     String id();
 
     /**
-     * A whole answer: any status below 500 that is no refusal.
+     * A complete answer: any status below 500 that is no refusal.
      *
-     * @param headers by names in lower case
-     * @param attempts how often it was sent
+     * @param headers the answer's headers, by names in lower case
+     * @param attempts the number of attempts that were sent
      */
     record Served(String id, int status, Map<String, List<String>> headers, byte[] body, int attempts)
             implements Result {
-        /** The body as a text in UTF-8. */
+        /** Returns the body decoded as UTF-8. */
         public String text() {
             return new String(body, StandardCharsets.UTF_8);
         }
     }
 
     /**
-     * Refused. Of a keyed or unsafe call: it has not run, and asking again is harmless.
+     * Refused. A keyed or unsafe call has not run, and a retry is harmless.
      *
-     * @param comeBack when to ask again, counted from now, if anybody has said
+     * @param comeBack the time from now after which to retry, if a node sent a Retry-After
      */
     record Refused(String id, Optional<Duration> comeBack, String cause) implements Result {}
 
-    /** Failed, and surely has not run. */
+    /** Failed, and certainly has not run. */
     record NeverRan(String id, String cause) implements Result {}
 
     /**
-     * Failed, and nobody here can know whether it has run.
+     * Failed, and it is unknown whether it has run.
      *
-     * @param key of a keyed call: one sent with it before its window ends has its effect once
-     * @param comeBack when to ask again, counted from now, if a node has said
+     * @param key the key of a keyed call: a call with the same key within its window takes effect only once
+     * @param comeBack the time from now after which to retry, if a node sent a Retry-After
      */
     record MayHaveRun(String id, Optional<String> key, Optional<Duration> comeBack, String cause) implements Result {}
 
-    /** Given up by whoever made it, or by the client's end. */
+    /** Cancelled by its caller, or by closing the client. */
     record Cancelled(String id, boolean mayHaveRun) implements Result {}
 
     /** Its deadline has passed. @param key as of {@link MayHaveRun} */
     record Late(String id, boolean mayHaveRun, Optional<String> key) implements Result {}
 
-    /** What to do with each of the six. */
+    /** One handler for each kind of result. */
     interface Cases<T> {
-        /** It has been answered. */
+        /** Handles a complete answer. */
         T served(Served result);
 
-        /** It has been refused. */
+        /** Handles a refusal. */
         T refused(Refused result);
 
-        /** It has failed and has not run. */
+        /** Handles a failure of a call that has not run. */
         T neverRan(NeverRan result);
 
-        /** It has failed and may have run. */
+        /** Handles a failure of a call that may have run. */
         T mayHaveRun(MayHaveRun result);
 
-        /** It was given up. */
+        /** Handles a cancelled call. */
         T cancelled(Cancelled result);
 
-        /** It is late. */
+        /** Handles a call whose deadline has passed. */
         T late(Late result);
     }
 
-    /** Does what is to be done with this one. */
+    /** Calls the handler for this result and returns its value. */
     default <T> T match(Cases<T> cases) {
         if (this instanceof Served served) {
             return cases.served(served);
--- a/clients/java/src/main/java/vetchpost/client/SingleUseBody.java
+++ b/clients/java/src/main/java/vetchpost/client/SingleUseBody.java
@@ -7,9 +7,10 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * A body that lets its request out once. The JDK's client sends GET and HEAD again by itself, up to five
- * times, where a connection ends without an answer: past the budget, past the back-off, and under the same
- * number. It asks for the length whenever it writes a head; the second time it is stopped.
+ * A body that allows its request to be sent only once. The JDK's client resends GET and HEAD by itself, up to five
+ * times, if a connection ends without an answer; this would bypass the retry budget and the backoff and reuse the
+ * attempt's id. The JDK's client asks for the length whenever it writes a request head, and the second time this
+ * throws.
  */
 final class SingleUseBody implements BodyPublisher {
     private final BodyPublisher body;
@@ -22,7 +23,7 @@
     @Override
     public long contentLength() {
         if (!used.compareAndSet(false, true)) {
-            throw new IllegalStateException("the connection has ended without an answer");
+            throw new IllegalStateException("the connection ended without an answer");
         }
         return body.contentLength();
     }
--- a/clients/java/src/main/java/vetchpost/client/core/Caller.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Caller.java
@@ -87,7 +87,7 @@
             throw new IllegalArgumentException("call " + id + " is not over");
         }
         if (withinMs <= 0) {
-            end(call, Outcome.failed(Outcome.Kind.LATE, false, "no time left at its start"));
+            end(call, Outcome.failed(Outcome.Kind.LATE, false, "its deadline had passed when it started"));
         } else {
             dispatch(call);
         }
@@ -212,7 +212,8 @@
             return;
         }
         long earliest = nodes.earliestSendMs(nowMs, call::notBeforeMs);
-        if (earliest >= call.answerByMs() || !waitingCalls.contains(call) && waitingCalls.size() >= settings.waiting()) {
+        if (earliest >= call.answerByMs()
+                || !waitingCalls.contains(call) && waitingCalls.size() >= settings.waiting()) {
             conclude(call);
             return;
         }
@@ -272,7 +273,7 @@
             if (isTooLate || hasAttemptTimeout(call) && nowMs >= attempt.sentMs + settings.perAttemptMs()) {
                 actions.add(new Action.Abandon(call.id, attempt.number));
                 recordTimeout(attempt);
-                call.recordEnding(attempt, Ending.silent(Ending.Kind.MAY_HAVE_RUN, "no answer in its time"), nowMs);
+                call.recordEnding(attempt, Ending.silent(Ending.Kind.MAY_HAVE_RUN, "no answer in time"), nowMs);
             }
         }
         if (!call.isInFlight()) {
@@ -350,7 +351,9 @@
         end(call, Outcome.failed(Outcome.Kind.LATE, mayHaveRun, "its deadline has passed"));
     }
 
-    /** Records an attempt that timed out: a failure of its node, unless it had less time than nearly all answers take. */
+    /**
+     * Records an attempt that timed out: a failure of its node, unless it had less time than nearly all answers take.
+     */
     private void recordTimeout(Call.Attempt attempt) {
         if (nowMs - attempt.sentMs >= latencies.quantile(SLOW_ANSWER_PER_MILLE)) {
             attempt.node.recordFailure(attempt.sentMs, nowMs);
@@ -370,9 +373,9 @@
         } else if (last != null) {
             end(call, Outcome.failed(Outcome.Kind.NEVER_RAN, false, last.cause()));
         } else if (nodes.anyInRotation(nowMs)) {
-            end(call, Outcome.failed(Outcome.Kind.REFUSED, false, "no node has room for it in its time"));
+            end(call, Outcome.failed(Outcome.Kind.REFUSED, false, "no node has capacity for it before its deadline"));
         } else {
-            end(call, Outcome.failed(Outcome.Kind.NEVER_RAN, false, "no node to send it to"));
+            end(call, Outcome.failed(Outcome.Kind.NEVER_RAN, false, "no node is available"));
         }
     }
 
--- a/clients/java/src/main/java/vetchpost/client/testing/ScriptedNode.java
+++ b/clients/java/src/main/java/vetchpost/client/testing/ScriptedNode.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 
 /**
- * A node for tests: it listens on a port of its own on loopback and does with each request what comes next in
- * its script; when that is at its end, the last thing again.
+ * A node for tests. It listens on a free loopback port and performs the next action of its script on each request; the
+ * last action is repeated. Each connection has a thread of its own; all methods are safe for use by several threads.
  * <pre>{@code
  * try (ScriptedNode node = new ScriptedNode(ScriptedNode.refuses(2), ScriptedNode.answers(200, "done"))) {
  *     Client client = Client.builder().node(node.url()).build();
@@ -35,28 +35,28 @@
     private final List<Seen> seen = new ArrayList<>();
     private final List<Socket> sockets = new ArrayList<>();
 
-    /** What is done with a request. */
+    /** An action on a request. */
     public interface Play {
-        /** When it happens. */
+        /** When an action runs: once the connection is accepted, the head is read, or the whole request is read. */
         enum Moment {
             ACCEPTED,
             HEAD_READ,
             READ
         }
 
-        /** Does it. The connection is kept afterwards unless this closes it. */
+        /** Runs the action. The connection stays open afterwards unless the action closes it. */
         void on(Socket socket) throws IOException;
 
-        /** Once a request has been read whole, if not said otherwise. */
+        /** Returns when it runs; by default once the whole request is read. */
         default Moment moment() {
             return Moment.READ;
         }
     }
 
-    /** A request as it came; names of fields in lower case. */
+    /** A request as received; header names in lower case. */
     public record Seen(String method, String target, Map<String, String> headers, String body) {}
 
-    /** Listens at once. */
+    /** Starts a node with this script. */
     public ScriptedNode(Play... plays) throws IOException {
         serverSocket = new ServerSocket(0, 1_024, InetAddress.getLoopbackAddress());
         script.addAll(List.of(plays));
@@ -69,17 +69,17 @@
         thread.start();
     }
 
-    /** What a client calls it. */
+    /** Returns the node's URL. */
     public String url() {
         return "http://127.0.0.1:" + serverSocket.getLocalPort();
     }
 
-    /** All requests so far that were read whole. */
+    /** Returns all requests so far that were read completely. */
     public synchronized List<Seen> seen() {
         return List.copyOf(seen);
     }
 
-    /** An answer. @param fields further fields, each {@code Name: value} */
+    /** Answers with this status and body. @param fields further headers, each {@code Name: value} */
     public static Play answers(int status, String body, String... fields) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder("HTTP/1.1 " + status + " -\r\n");
@@ -90,22 +90,22 @@
         return raw(head + "\r\n" + body);
     }
 
-    /** A refusal as a node words it. */
+    /** Refuses as a node does, with a Retry-After in seconds. */
     public static Play refuses(int afterSeconds) {
         return answers(503, "refused", "Vetchpost-Ran: no", "Retry-After: " + afterSeconds);
     }
 
-    /** These bytes, and the connection stays open. */
+    /** Writes these bytes and keeps the connection open. */
     public static Play raw(String text) {
         return socket -> write(socket, text);
     }
 
-    /** The connection is kept, and nothing comes. */
+    /** Keeps the connection open and writes nothing. */
     public static Play silent() {
         return socket -> {};
     }
 
-    /** Closes the connection at this moment: before anything of the request is read, in it, or after it. */
+    /** Closes the connection at this moment: before, during or after the reading of the request. */
     public static Play closes(Play.Moment moment) {
         return new Play() {
             @Override
@@ -120,7 +120,7 @@
         };
     }
 
-    /** Begins an answer of this length, writes half of it and closes. */
+    /** Starts an answer of {@code length} bytes, writes half of them and closes the connection. */
     public static Play cuts(int length) {
         return socket -> {
             write(socket, "HTTP/1.1 200 -\r\nContent-Length: " + length + "\r\n\r\n");
@@ -129,13 +129,13 @@
         };
     }
 
-    /** Writes a beginning, and then the same again and again until its client has gone. */
+    /** Writes a beginning, and then repeats a text until the client closes the connection. */
     public static Play floods(String beginning, String again) {
         return socket -> {
             write(socket, beginning);
-            String many = again.repeat(1 + 8_192 / again.length());
+            String batch = again.repeat(1 + 8_192 / again.length());
             while (!socket.isClosed()) {
-                write(socket, many);
+                write(socket, batch);
             }
         };
     }
@@ -191,7 +191,7 @@
                 play.on(socket);
             }
         } catch (IOException e) {
-            return; // Its client has gone, or this node has been closed.
+            return; // The client has closed the connection, or this node was closed.
         }
     }
 
@@ -205,14 +205,14 @@
 
     private static Seen readHead(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        int ended = 0;
-        while (ended < 4) {
+        int terminatorBytes = 0;
+        while (terminatorBytes < 4) {
             int b = in.read();
             if (b < 0 || bytes.size() >= MAX_HEAD_BYTES) {
                 return null;
             }
             bytes.write(b);
-            ended = b == (ended % 2 == 0 ? '\r' : '\n') ? ended + 1 : 0;
+            terminatorBytes = b == (terminatorBytes % 2 == 0 ? '\r' : '\n') ? terminatorBytes + 1 : 0;
         }
         String[] lines = bytes.toString(StandardCharsets.ISO_8859_1).split("\r\n");
         Map<String, String> headers = new LinkedHashMap<>();
@@ -226,7 +226,7 @@
         return new Seen(first[0], first[1], headers, "");
     }
 
-    /** Ends its connections and listens no more. */
+    /** Closes its connections and its port. */
     @Override
     public synchronized void close() throws IOException {
         serverSocket.close();
--- a/clients/java/src/main/java/vetchpost/client/testing/package-info.java
+++ b/clients/java/src/main/java/vetchpost/client/testing/package-info.java
@@ -1,2 +1,2 @@
-/** For the tests of those who use the client: a node that does what it is told. */
+/** A scripted node for tests of applications that use the client. */
 package vetchpost.client.testing;
--- a/clients/java/src/test/java/vetchpost/client/core/DecisionScenario.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionScenario.java
@@ -69,8 +69,9 @@
             if (due ? wake != at : wake < at) {
                 throw new AssertionError("wants to be woken at " + wake + ", before step " + step);
             }
-            List<String> done =
-                    step(caller, step, at).stream().map(DecisionScenario::describe).toList();
+            List<String> done = step(caller, step, at).stream()
+                    .map(DecisionScenario::describe)
+                    .toList();
             List<String> then = new ArrayList<>();
             if (step.has("then")) {
                 step.getAsJsonArray("then").forEach(t -> then.add(t.getAsString()));
--- a/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
@@ -41,7 +41,8 @@
             files.forEach(file -> read(file).forEach(each -> {
                 JsonObject scenario = each.getAsJsonObject();
                 tests.add(dynamicTest(
-                        file.getFileName() + ": " + scenario.get("about").getAsString(), () -> DecisionScenario.play(scenario)));
+                        file.getFileName() + ": " + scenario.get("about").getAsString(),
+                        () -> DecisionScenario.play(scenario)));
             }));
         }
         assertTrue(tests.size() > 50, "the suite is there");
--- a/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
+++ b/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
@@ -68,7 +68,9 @@
             }
             for (int i = 0; i < number("perMs") && begun < number("calls"); i++) {
                 begun++;
-                perform(t, caller.begin(t, begun, Repeat.values()[(int) (begun % 3)], number("within"), number("window")));
+                perform(
+                        t,
+                        caller.begin(t, begun, Repeat.values()[(int) (begun % 3)], number("within"), number("window")));
             }
         }
         int most = sends.values().stream().mapToInt(n -> n).max().orElse(0);
@@ -130,7 +132,8 @@
     }
 
     private void add(long at, Action.Send send, Ending.Kind how, long sentMs, boolean serves) {
-        pendingEndings.add(new PendingEnding(at, endingsCreated++, send.call(), send.attempt(), send.node(), how, sentMs, serves));
+        pendingEndings.add(
+                new PendingEnding(at, endingsCreated++, send.call(), send.attempt(), send.node(), how, sentMs, serves));
     }
 
     private boolean isDown(long t) {
--- a/clients/typescript/bench/overhead.ts
+++ b/clients/typescript/bench/overhead.ts
@@ -5,51 +5,52 @@
 import { Client } from "../src/index.js";
 import { NodeTransport } from "../src/node.js";
 
-// The client beside bare undici, in turn in one run: calls a second and the 99th percentile.
+// Compares the client with bare undici, alternating in one run: calls per second and the 99th percentile.
 const CALLS = 10_000;
-const AT_ONCE = 16;
+const CONCURRENT_CALLS = 16;
 const ROUNDS = 7;
 
 const server = createServer((_, response) => response.end("hello")).listen(0, "127.0.0.1");
 await once(server, "listening");
 const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}`;
 const agent = new Agent({ pipelining: 1 });
-const bytes = new NodeTransport();
-const client = new Client({ nodes: [url], transport: bytes.transport, settings: { limit: 64 } });
+const transport = new NodeTransport();
+const client = new Client({ nodes: [url], transport: transport.transport, settings: { limit: 64 } });
 
-async function play(call: () => Promise<unknown>): Promise<[number, number]> {
-  const took: number[] = [];
-  const began = performance.now();
-  await Promise.all(Array.from({ length: AT_ONCE }, async () => {
-    for (let i = 0; i < CALLS / AT_ONCE; i++) {
-      const sent = performance.now();
+/** Returns calls per second and the 99th percentile of their times in milliseconds. */
+async function measure(call: () => Promise<unknown>): Promise<[number, number]> {
+  const timesMs: number[] = [];
+  const startedMs = performance.now();
+  await Promise.all(Array.from({ length: CONCURRENT_CALLS }, async () => {
+    for (let i = 0; i < CALLS / CONCURRENT_CALLS; i++) {
+      const sentMs = performance.now();
       await call();
-      took.push(performance.now() - sent);
+      timesMs.push(performance.now() - sentMs);
     }
   }));
-  const speed = (CALLS * 1_000) / (performance.now() - began);
-  took.sort((a, b) => a - b);
-  return [speed, took[Math.floor(took.length * 0.99)]!];
+  const callsPerSecond = (CALLS * 1_000) / (performance.now() - startedMs);
+  timesMs.sort((a, b) => a - b);
+  return [callsPerSecond, timesMs[Math.floor(timesMs.length * 0.99)]!];
 }
 
-const speeds: number[] = [];
-const tails: number[] = [];
+const throughputRatios: number[] = [];
+const p99Ratios: number[] = [];
 for (let round = -1; round < ROUNDS; round++) {
-  const [theirs, theirTail] = await play(async () => {
+  const [bareThroughput, bareP99Ms] = await measure(async () => {
     const answer = await agent.request({ origin: url, path: "/x", method: "GET" });
     await answer.body.bytes();
   });
-  const [ours, tail] = await play(async () => client.send({ repeat: "safe", target: "/x" }));
+  const [clientThroughput, clientP99Ms] = await measure(async () => client.send({ repeat: "safe", target: "/x" }));
   if (round >= 0) {
-    speeds.push(ours / theirs);
-    tails.push(tail / theirTail);
-    console.log(`bare ${theirs.toFixed(0)}/s, p99 ${theirTail.toFixed(2)} ms; client ${ours.toFixed(0)}/s, `
-      + `p99 ${tail.toFixed(2)} ms`);
+    throughputRatios.push(clientThroughput / bareThroughput);
+    p99Ratios.push(clientP99Ms / bareP99Ms);
+    console.log(`bare ${bareThroughput.toFixed(0)}/s, p99 ${bareP99Ms.toFixed(2)} ms; client ${clientThroughput.toFixed(0)}/s, `
+      + `p99 ${clientP99Ms.toFixed(2)} ms`);
   }
 }
 const median = (all: number[]): string => all.sort((a, b) => a - b)[Math.floor(all.length / 2)]!.toFixed(2);
-console.log(`median ratios: throughput ${median(speeds)}, p99 ${median(tails)}`);
+console.log(`median ratios: throughput ${median(throughputRatios)}, p99 ${median(p99Ratios)}`);
 client.close();
-await bytes.close();
+await transport.close();
 await agent.destroy();
 server.close();
--- a/clients/typescript/examples/order-page.ts
+++ b/clients/typescript/examples/order-page.ts
@@ -1,12 +1,12 @@
 import { Client, type Result, unhandled } from "vetchpost-client";
 
-/** What an order page shows. `again` says whether its button may be pressed once more. */
+/** What an order page shows. `again` tells whether the user may order again. */
 export interface Shown {
   readonly text: string;
   readonly again: boolean;
 }
 
-/** The order page of a shop: a button that must not order twice. */
+/** The order page of a shop, whose button must not order twice. */
 export class OrderPage {
   readonly #client: Client;
 
@@ -14,7 +14,7 @@
     this.#client = client;
   }
 
-  /** The button has been pressed. `leaving` is aborted when the parent goes to another page. */
+  /** Places an order when the button is pressed. `leaving` is aborted when the user leaves the page. */
   async order(photo: number, leaving: AbortSignal): Promise<Shown> {
     const result = await this.#client.send({
       repeat: "unsafe", target: "/place-order", withinMs: 5_000, headers: { "content-type": "application/json" },
@@ -35,7 +35,7 @@
         return { text: "The shop can't be reached. Nothing was ordered.", again: true };
       case "may-have-run":
       case "late":
-        // The one case that a page must not guess at.
+        // Whether the order was placed is unknown, so the page must not guess.
         return { text: `We are checking whether your order ${result.id} came through.`, again: false };
       case "cancelled":
         return { text: "", again: !result.mayHaveRun };
--- a/clients/typescript/src/client.ts
+++ b/clients/typescript/src/client.ts
@@ -85,7 +85,7 @@
 function requireNodeUrl(node: string): string {
   const url = URL.canParse(node) ? new URL(node) : undefined;
   if (url === undefined || (url.protocol !== "http:" && url.protocol !== "https:") || url.origin !== node) {
-    throw new TypeError(`'${node}' is no node, as http://127.0.0.1:8080 is`);
+    throw new TypeError(`'${node}' is not a node URL of scheme, host and port, such as http://127.0.0.1:8080`);
   }
   return node;
 }
@@ -151,7 +151,8 @@
     return new Promise<Result>((resolve) => {
       const cancel = (): void => this.#perform(this.#caller.cancel(this.#nowMs(), number));
       signal?.addEventListener("abort", cancel);
-      this.#openCalls.set(number, { id, request: intercepted, body, resolve, startedMs: performance.now(), inFlight: new Map(), attemptCount: 0,
+      this.#openCalls.set(number, { id, request: intercepted, body, resolve, startedMs: performance.now(),
+        inFlight: new Map(), attemptCount: 0,
         key: intercepted.repeat === "keyed" ? intercepted.key ?? randomHex(ID_BYTES) : undefined, answer: undefined,
         removeAbortListener: () => signal?.removeEventListener("abort", cancel) });
       this.#perform(this.#caller.begin(this.#nowMs(), number, intercepted.repeat,
@@ -248,8 +249,9 @@
     }
     let ending: Ending;
     if ("status" in received) {
-      ending = endingOfAnswer(received.status, received.headers["vetchpost-ran"] ?? null, received.headers["retry-after"] ?? null,
-        received.headers["date"] ?? null, Date.now(), this.#options.plainRefusals ?? false);
+      ending = endingOfAnswer(received.status, received.headers["vetchpost-ran"] ?? null,
+        received.headers["retry-after"] ?? null, received.headers["date"] ?? null, Date.now(),
+        this.#options.plainRefusals ?? false);
       call.answer = ending.kind === "served" ? received : call.answer;
     } else {
       ending = received;
--- a/clients/typescript/src/core/caller.ts
+++ b/clients/typescript/src/core/caller.ts
@@ -78,7 +78,7 @@
     const call = new Call(id, repeat, this.#nowMs + withinMs, windowMs);
     this.#calls.set(id, call);
     if (withinMs <= 0) {
-      this.#end(call, failed("late", false, "no time left at its start"));
+      this.#end(call, failed("late", false, "its deadline had passed when it started"));
     } else {
       this.#dispatch(call);
     }
@@ -205,7 +205,8 @@
       return;
     }
     const earliest = this.#nodes.earliestSendMs(this.#nowMs, (n) => call.notBeforeMs(n));
-    if (earliest >= call.answerByMs || (!this.#waitingCalls.has(call) && this.#waitingCalls.size >= this.#settings.waiting)) {
+    if (earliest >= call.answerByMs
+        || (!this.#waitingCalls.has(call) && this.#waitingCalls.size >= this.#settings.waiting)) {
       this.#conclude(call);
       return;
     }
@@ -266,7 +267,7 @@
       if (isTooLate || (this.#hasAttemptTimeout(call) && this.#nowMs >= attempt.sentMs + this.#settings.perAttemptMs)) {
         this.#actions.push({ kind: "abandon", call: call.id, attempt: attempt.number });
         this.#recordTimeout(attempt);
-        call.recordEnding(attempt, silent("may-have-run", "no answer in its time"), this.#nowMs);
+        call.recordEnding(attempt, silent("may-have-run", "no answer in time"), this.#nowMs);
       }
     }
     if (!call.isInFlight) {
@@ -359,10 +360,11 @@
     const retryAfterMs = call.earliestRetryMs === Infinity ? -1 : Math.max(0, call.earliestRetryMs - this.#nowMs);
     if (last === undefined) {
       this.#end(call, this.#nodes.anyInRotation(this.#nowMs)
-        ? failed("refused", false, "no node has room for it in its time")
-        : failed("never-ran", false, "no node to send it to"));
+        ? failed("refused", false, "no node has capacity for it before its deadline")
+        : failed("never-ran", false, "no node is available"));
     } else if (call.mayHaveRun && (call.repeat !== "safe" || last.kind !== "refused")) {
-      this.#end(call, { kind: "may-have-run", mayHaveRun: true, comeBackMs: retryAfterMs, attempt: -1, cause: last.cause });
+      this.#end(call, { kind: "may-have-run", mayHaveRun: true, comeBackMs: retryAfterMs, attempt: -1,
+        cause: last.cause });
     } else if (last.kind === "refused") {
       this.#end(call, { kind: "refused", mayHaveRun: call.mayHaveRun, comeBackMs: retryAfterMs, attempt: -1,
         cause: last.cause });
--- a/clients/typescript/src/node.ts
+++ b/clients/typescript/src/node.ts
@@ -21,7 +21,8 @@
 
   constructor(options: NodeOptions = {}) {
     this.#agent = new Agent({
-      connect: { timeout: options.connectMs ?? DEFAULT_CONNECT_TIMEOUT_MS }, pipelining: 1, headersTimeout: 0, bodyTimeout: 0,
+      connect: { timeout: options.connectMs ?? DEFAULT_CONNECT_TIMEOUT_MS }, pipelining: 1, headersTimeout: 0,
+      bodyTimeout: 0,
       ...(options.connections === undefined ? {} : { connections: options.connections }),
     });
   }
@@ -41,7 +42,7 @@
       }
       if (hasBody(sending.method, answer.statusCode) && headers["content-length"] === undefined
           && headers["transfer-encoding"] === undefined) {
-        return silent("may-have-run", "an answer that does not say how long it is");
+        return silent("may-have-run", "the answer has neither Content-Length nor Transfer-Encoding");
       }
       return { status: answer.statusCode, headers, body };
     } catch (e) {
--- a/clients/typescript/src/request.ts
+++ b/clients/typescript/src/request.ts
@@ -31,8 +31,8 @@
 const KEY = /^[0-9A-Za-z_-]{1,128}$/;
 const CLASSES: readonly Repeat[] = ["safe", "keyed", "unsafe"];
 /** Headers that the client sets itself, or that belong to a connection. */
-const RESERVED_HEADERS = new Set(["x-txn", "x-request-id", "x-remaining-ms", "x-resent", "x-org", "idempotency-key", "connection",
-  "content-length", "expect", "host", "transfer-encoding", "upgrade"]);
+const RESERVED_HEADERS = new Set(["x-txn", "x-request-id", "x-remaining-ms", "x-resent", "x-org", "idempotency-key",
+  "connection", "content-length", "expect", "host", "transfer-encoding", "upgrade"]);
 
 /** Returns the method that is sent. */
 export function methodOf(request: Request): string {
@@ -58,25 +58,26 @@
     throw new TypeError(`repeat is '${String(request.repeat)}', not safe, keyed or unsafe`);
   }
   if (!TOKEN.test(methodOf(request))) {
-    throw new TypeError(`'${methodOf(request)}' is no method`);
+    throw new TypeError(`'${methodOf(request)}' is not an HTTP method`);
   }
   if (!isTarget(request.target)) {
-    throw new TypeError(`'${request.target}' is no path that begins with /, with what is special in it escaped`);
+    throw new TypeError(
+      `'${request.target}' is not a path that begins with / and has its special characters percent-encoded`);
   }
   if (request.withinMs !== undefined && !(request.withinMs >= 1)) {
-    throw new TypeError("a deadline is at least a millisecond");
+    throw new TypeError("a deadline must be at least 1 ms");
   }
   if (request.repeat === "keyed") {
     if (!(request.windowMs > 0)) {
-      throw new TypeError("a key's window is longer than 0");
+      throw new TypeError("the window of a key must be longer than 0");
     }
     if (request.key !== undefined && !KEY.test(request.key)) {
-      throw new TypeError("a key has 1 to 128 letters, digits, - and _");
+      throw new TypeError("a key must have 1 to 128 characters: letters, digits, - and _");
     }
   }
   for (const [name, value] of Object.entries(request.headers ?? {})) {
     if (!TOKEN.test(name) || !HEADER_VALUE.test(value)) {
-      throw new TypeError(`'${name}: ${value}' is no header field`);
+      throw new TypeError(`'${name}: ${value}' is not a valid header`);
     }
     if (RESERVED_HEADERS.has(name.toLowerCase())) {
       throw new TypeError(`the client sets '${name}' itself`);
--- a/clients/typescript/src/transport.ts
+++ b/clients/typescript/src/transport.ts
@@ -33,7 +33,7 @@
 /** Thrown for an answer with more bytes than are accepted. */
 export class TooLong extends Error {
   constructor(maxBytes: number) {
-    super(`an answer of more than ${maxBytes} bytes`);
+    super(`the answer has more than ${maxBytes} bytes`);
   }
 }
 
--- a/clients/typescript/test/decisions.test.ts
+++ b/clients/typescript/test/decisions.test.ts
@@ -13,8 +13,8 @@
   return JSON.parse(readFileSync(new URL(file, SUITE), "utf8")) as T[];
 }
 
-/** An action in the suite's words. */
-function words(action: Action): string {
+/** Describes an action in the format of the conformance suite. */
+function describe(action: Action): string {
   switch (action.kind) {
     case "send":
       return `send ${action.call}.${action.attempt} ${action.node} ${action.remainingMs}`
@@ -22,10 +22,10 @@
     case "abandon":
       return `abandon ${action.call}.${action.attempt}`;
     case "end": {
-      const how = action.outcome;
-      return how.kind === "served" ? `end ${action.call} served by ${how.attempt}`
-        : `end ${action.call} ${how.kind}` + (how.mayHaveRun ? ", may have run" : "")
-          + (how.comeBackMs < 0 ? "" : `, come back in ${how.comeBackMs}`);
+      const outcome = action.outcome;
+      return outcome.kind === "served" ? `end ${action.call} served by ${outcome.attempt}`
+        : `end ${action.call} ${outcome.kind}` + (outcome.mayHaveRun ? ", may have run" : "")
+          + (outcome.comeBackMs < 0 ? "" : `, come back in ${outcome.comeBackMs}`);
     }
   }
 }
@@ -36,6 +36,7 @@
   cancel?: number; serve?: number; took?: number; leave?: boolean; wake?: boolean; early?: boolean;
 }
 
+/** A scenario of the decisions directory. */
 interface Scenario { about: string; settings?: Partial<Settings>; draws?: number[]; steps: Step[] }
 
 function perform(caller: Caller, step: Step): Action[] {
@@ -81,7 +82,7 @@
         const wake = caller.nextWakeMs();
         assert.ok(due ? wake === step.at : wake >= step.at,
           `wants to be woken at ${wake}, before ${JSON.stringify(step)}`);
-        const done = perform(caller, step).map(words);
+        const done = perform(caller, step).map(describe);
         if (step.serve === undefined) {
           assert.deepEqual(done, step.then ?? [], JSON.stringify(step));
         }
@@ -90,6 +91,7 @@
   }
 }
 
+/** An entry of answers.json. */
 interface Row {
   status: number; ran?: string; retryAfter?: string; date?: string; unixMs?: number; plain?: boolean; then: string;
 }
@@ -103,50 +105,53 @@
   });
 }
 
-interface Weather {
+/** A scenario of storms.json: many calls against simulated nodes. */
+interface LoadScenario {
   about: string; settings: Partial<Settings>; seed: number; nodes: number; calls: number; perMs: number;
   within: number; window: number; down: [number, number][]; capacity: number; serviceMs: number; refuseMs: number;
   until: number; resentMost: number; per100msMost: number; then: string;
 }
 
-interface Due {
+/** An attempt's ending that is due at a time. */
+interface PendingEnding {
   at: number; call: number; attempt: number; node: string; how: EndingKind; sentMs: number; serves: boolean;
 }
 
-function storm(weather: Weather): { said: string; resent: number; most: number } {
-  let random = weather.seed;
+function playLoadScenario(scenario: LoadScenario): { summary: string; resent: number; most: number } {
+  let random = scenario.seed;
   const draw = (): number => {
     random = Number((BigInt(random) * 1_664_525n + 1_013_904_223n) % 4_294_967_296n);
     return random / 4_294_967_296;
   };
-  const caller = new Caller(resolveSettings(weather.settings), draw);
-  const dues = new Map<number, Due[]>();
+  const caller = new Caller(resolveSettings(scenario.settings), draw);
+  const pendingEndings = new Map<number, PendingEnding[]>();
   const inService = new Map<string, number>();
   const abandoned = new Set<string>();
   const sends = new Map<number, number>();
   const outcomes = new Map<string, number>();
   let digest = 0x811c9dc5;
   let resent = 0;
-  const add = (due: Due): void => {
-    dues.set(due.at, [...(dues.get(due.at) ?? []), due]);
+  const add = (due: PendingEnding): void => {
+    pendingEndings.set(due.at, [...(pendingEndings.get(due.at) ?? []), due]);
   };
   const send = (t: number, action: Action & { kind: "send" }): void => {
     const bucket = Math.floor(t / 100);
     sends.set(bucket, (sends.get(bucket) ?? 0) + 1);
     resent += action.resent ? 1 : 0;
     const due = { call: action.call, attempt: action.attempt, node: action.node, sentMs: t, serves: false };
-    if (weather.down.some(([from, to]) => t >= from && t < to)) {
+    if (scenario.down.some(([from, to]) => t >= from && t < to)) {
       add({ ...due, at: t + 1, how: "never-ran" });
-    } else if ((inService.get(action.node) ?? 0) >= weather.capacity) {
+    } else if ((inService.get(action.node) ?? 0) >= scenario.capacity) {
       add({ ...due, at: t + 1, how: "refused" });
     } else {
       inService.set(action.node, (inService.get(action.node) ?? 0) + 1);
-      add({ ...due, at: t + weather.serviceMs + Math.floor(draw() * weather.serviceMs), how: "served", serves: true });
+      add({ ...due, at: t + scenario.serviceMs + Math.floor(draw() * scenario.serviceMs), how: "served",
+        serves: true });
     }
   };
   const act = (t: number, actions: Action[]): void => {
     for (const action of actions) {
-      for (const byte of Buffer.from(`${t} ${words(action)}\n`)) {
+      for (const byte of Buffer.from(`${t} ${describe(action)}\n`)) {
         digest = Math.imul(digest ^ byte, 0x01000193);
       }
       if (action.kind === "send") {
@@ -158,53 +163,53 @@
       }
     }
   };
-  const end = (t: number, due: Due): void => {
+  const end = (t: number, due: PendingEnding): void => {
     if (due.serves) {
       inService.set(due.node, inService.get(due.node)! - 1);
     }
     if (abandoned.has(`${due.call}.${due.attempt}`)) {
       return;
     }
-    const died = due.serves && weather.down.some(([from]) => from > due.sentMs && from <= t);
+    const died = due.serves && scenario.down.some(([from]) => from > due.sentMs && from <= t);
     const kind = died ? "may-have-run" : due.how;
     act(t, caller.ended(t, due.call, due.attempt, { kind, answered: kind === "served" || kind === "refused",
-      retryAfterMs: kind === "refused" ? weather.refuseMs : -1, cause: "as told" }));
+      retryAfterMs: kind === "refused" ? scenario.refuseMs : -1, cause: "as told" }));
   };
-  for (let i = 0; i < weather.nodes; i++) {
+  for (let i = 0; i < scenario.nodes; i++) {
     act(0, caller.addNode(0, `n${i}`, false));
   }
   let begun = 0;
-  for (let t = 0; t <= weather.until; t++) {
+  for (let t = 0; t <= scenario.until; t++) {
     while (caller.nextWakeMs() <= t) {
       act(t, caller.wake(t));
     }
-    for (const due of dues.get(t) ?? []) {
+    for (const due of pendingEndings.get(t) ?? []) {
       end(t, due);
     }
-    dues.delete(t);
-    for (let i = 0; i < weather.perMs && begun < weather.calls; i++) {
+    pendingEndings.delete(t);
+    for (let i = 0; i < scenario.perMs && begun < scenario.calls; i++) {
       begun++;
-      act(t, caller.begin(t, begun, (["safe", "keyed", "unsafe"] as const)[begun % 3]!, weather.within,
-        weather.window));
+      act(t, caller.begin(t, begun, (["safe", "keyed", "unsafe"] as const)[begun % 3]!, scenario.within,
+        scenario.window));
     }
   }
   const most = Math.max(0, ...sends.values());
   const counts = [...outcomes].sort(([a], [b]) => (a < b ? -1 : 1)).map(([kind, n]) => `${kind}=${n}`).join(", ");
-  const said = `{${counts}} sent again ${resent}, most in 100 ms ${most}, open ${caller.open}, digest `
+  const summary = `{${counts}} sent again ${resent}, most in 100 ms ${most}, open ${caller.open}, digest `
     + (digest >>> 0).toString(16);
-  return { said, resent, most };
+  return { summary, resent, most };
 }
 
-for (const weather of read<Weather>("storms.json")) {
-  test(`storms.json: ${weather.about}`, () => {
-    const { said, resent, most } = storm(weather);
-    assert.ok(resent <= weather.resentMost, said);
-    assert.ok(most <= weather.per100msMost, said);
-    assert.equal(said, weather.then);
+for (const scenario of read<LoadScenario>("storms.json")) {
+  test(`storms.json: ${scenario.about}`, () => {
+    const { summary, resent, most } = playLoadScenario(scenario);
+    assert.ok(resent <= scenario.resentMost, summary);
+    assert.ok(most <= scenario.per100msMost, summary);
+    assert.equal(summary, scenario.then);
   });
 }
 
-test("settings are held to their ranges", () => {
+test("settings out of range are rejected", () => {
   assert.throws(() => resolveSettings({ attempts: 0 }), /attempts is 0, not 1 to 100/);
   assert.throws(() => resolveSettings({ limit: 300 }), /limit is 300, not 1 to 256/);
   assert.throws(() => resolveSettings({ limit: 1.5 }), RangeError);
--- a/clients/typescript/test/examples.test.ts
+++ b/clients/typescript/test/examples.test.ts
@@ -5,36 +5,38 @@
 import { NodeTransport } from "../src/node.js";
 import { answers, closes, type Play, refuses, ScriptedNode, silent } from "../src/testing.js";
 
-async function page(plays: Play[], press: (page: OrderPage, leave: AbortController) => Promise<void>): Promise<void> {
+async function withOrderPage(plays: Play[],
+  useOrderPage: (page: OrderPage, leaving: AbortController) => Promise<void>): Promise<void> {
   const node = await ScriptedNode.listen(...plays);
-  const bytes = new NodeTransport();
-  const client = new Client({ nodes: [node.url], transport: bytes.transport, settings: { attempts: 1 } });
+  const transport = new NodeTransport();
+  const client = new Client({ nodes: [node.url], transport: transport.transport, settings: { attempts: 1 } });
   try {
-    await press(new OrderPage(client), new AbortController());
+    await useOrderPage(new OrderPage(client), new AbortController());
   } finally {
     client.close();
-    await bytes.close();
+    await transport.close();
     await node.close();
   }
 }
 
-test("an order page orders, and says so", () => page([answers(201)], async (shop, leave) => {
-  assert.deepEqual(await shop.order(7, leave.signal), { text: "Ordered. Thank you.", again: false });
+test("the order page orders and confirms it", () => withOrderPage([answers(201)], async (page, leaving) => {
+  assert.deepEqual(await page.order(7, leaving.signal), { text: "Ordered. Thank you.", again: false });
 }));
 
-test("an order page tells when to come back", () => page([refuses(90)], async (shop, leave) => {
-  assert.deepEqual(await shop.order(7, leave.signal),
+test("the order page shows after how long to retry a refused order", () => withOrderPage(
+  [refuses(90)], async (page, leaving) => {
+  assert.deepEqual(await page.order(7, leaving.signal),
     { text: "Very busy just now. Please try again in 90 s.", again: true });
 }));
 
-test("an order page does not offer the button where the order may have been placed",
-  () => page([closes("read")], async (shop, leave) => {
-    const shown = await shop.order(7, leave.signal);
+test("the order page offers no second order while the first may have been placed",
+  () => withOrderPage([closes("read")], async (page, leaving) => {
+    const shown = await page.order(7, leaving.signal);
     assert.match(shown.text, /^We are checking whether your order [0-9a-f]{32} came through/);
     assert.equal(shown.again, false);
   }));
 
-test("results come as they end, and leaving the loop gives up the rest", async () => {
+test("sendAll yields results as they end, and leaving the loop cancels the rest", async () => {
   const node = await ScriptedNode.listen(answers(200, "a"), answers(200, "b"), silent());
   const client = new Client({ nodes: [node.url], settings: { secondCopyPerMille: 0 } });
   try {
@@ -53,17 +55,18 @@
   }
 });
 
-test("a request that is none is told before anything is sent", async () => {
+test("an invalid request is rejected before anything is sent", async () => {
   const client = new Client({ nodes: ["http://127.0.0.1:1"] });
-  await assert.rejects(client.send({ repeat: "safe", target: "albums" }), /'albums' is no path that begins with \//);
+  await assert.rejects(client.send({ repeat: "safe", target: "albums" }), /'albums' is not a path that begins with \//);
   for (const target of ["", "//other/x", "/a b", "/a#b", "/%zz", "/a{b}", "/a/../b", "/\u00e9"]) {
-    await assert.rejects(client.send({ repeat: "safe", target }), /with what is special in it escaped/);
+    await assert.rejects(client.send({ repeat: "safe", target }), /has its special characters percent-encoded/);
   }
   await assert.rejects(client.send({ repeat: "safe", target: "/", headers: { "X-Txn": "1" } }),
     /the client sets 'X-Txn' itself/);
-  await assert.rejects(client.send({ repeat: "safe", target: "/", headers: { a: "b\r\nc: d" } }), /no header field/);
-  await assert.rejects(client.send({ repeat: "keyed", target: "/", windowMs: 0 }), /longer than 0/);
-  assert.throws(() => new Client({ nodes: ["127.0.0.1:80"] }), /is no node/);
+  await assert.rejects(client.send({ repeat: "safe", target: "/", headers: { a: "b\r\nc: d" } }),
+    /is not a valid header/);
+  await assert.rejects(client.send({ repeat: "keyed", target: "/", windowMs: 0 }), /must be longer than 0/);
+  assert.throws(() => new Client({ nodes: ["127.0.0.1:80"] }), /is not a node URL/);
   client.close();
   assert.equal((await client.send({ repeat: "safe", target: "/" })).kind, "never-ran");
 });
