--- a/clients/java/src/test/java/vetchpost/client/RequestTest.java
+++ b/clients/java/src/test/java/vetchpost/client/RequestTest.java
@@ -13,12 +13,12 @@
 class RequestTest {
     @ParameterizedTest
     @ValueSource(strings = {"", "albums", "//other/x", "/a b", "/a#b", "/%zz", "/a{b}", "/a/../b", "/\u00e9"})
-    void aTargetThatWouldNotGoOutAsItStandsIsRefused(String target) {
+    void rejectsTargetsThatWouldNotBeSentUnchanged(String target) {
         assertThrows(IllegalArgumentException.class, () -> Request.get(target));
     }
 
     @Test
-    void fieldsAndKeysAreChecked() {
+    void rejectsInvalidHeadersKeysAndDeadlines() {
         Request get = Request.get("/a%20b?c=d&e=%7B");
         assertThrows(IllegalArgumentException.class, () -> get.header("X-Txn", "1"));
         assertThrows(IllegalArgumentException.class, () -> get.header("a", "b\r\nc: d"));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aClosedClientSendsNothing() {
+    void closedClientSendsNothing() {
         Client client = Client.builder().node("http://127.0.0.1:1").build();
         client.close();
         client.addNode("http://127.0.0.1:2");
--- a/clients/java/src/test/java/vetchpost/client/WireTest.java
+++ b/clients/java/src/test/java/vetchpost/client/WireTest.java
@@ -31,16 +31,16 @@
 
 /** The conformance suite's scenarios on the wire, over loopback. */
 class WireTest {
-    private static final int PATIENCE_S = 30;
+    private static final int TIMEOUT_S = 30;
 
     /** A play that tells when it begins, and when its client has gone. */
-    private record Watched(Play play, CountDownLatch begun, CountDownLatch gone) implements Play {
+    private record ObservedPlay(Play play, CountDownLatch started, CountDownLatch closed) implements Play {
         @Override
         public void on(Socket socket) throws IOException {
-            begun.countDown();
+            started.countDown();
             play.on(socket);
-            if (gone != null && socket.getInputStream().read() < 0) {
-                gone.countDown();
+            if (closed != null && socket.getInputStream().read() < 0) {
+                closed.countDown();
             }
         }
 
@@ -56,12 +56,12 @@
         String text = Files.readString(Path.of("..", "conformance", "wire.json"));
         for (JsonElement each : JsonParser.parseString(text).getAsJsonArray()) {
             JsonObject scenario = each.getAsJsonObject();
-            tests.add(dynamicTest(scenario.get("about").getAsString(), () -> play(scenario)));
+            tests.add(dynamicTest(scenario.get("about").getAsString(), () -> run(scenario)));
         }
         return tests;
     }
 
-    private static Play word(JsonObject word) {
+    private static Play toPlay(JsonObject word) {
         boolean closes = word.has("close") && word.get("close").getAsString().equals("then");
         if (word.has("answer")) {
             List<String> fields = new ArrayList<>();
@@ -96,13 +96,13 @@
         return ScriptedNode.silent();
     }
 
-    private static String dead() throws IOException {
+    private static String unusedUrl() throws IOException {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "http://127.0.0.1:" + taken.getLocalPort();
         }
     }
 
-    private static Request request(JsonObject call) {
+    private static Request toRequest(JsonObject call) {
         String target = call.has("target") ? call.get("target").getAsString() : "/";
         Request request = switch (call.get("repeat").getAsString()) {
             case "safe" -> Request.get(target);
@@ -115,7 +115,7 @@
         return call.has("body") ? request.json(call.get("body").getAsString()) : request;
     }
 
-    private static void play(JsonObject scenario) throws Exception {
+    private static void run(JsonObject scenario) throws Exception {
         List<ScriptedNode> nodes = new ArrayList<>();
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch gone = new CountDownLatch(1);
@@ -125,33 +125,33 @@
         }
         for (JsonElement each : scenario.getAsJsonArray("nodes")) {
             if (each.getAsJsonArray().get(0).getAsJsonObject().has("dead")) {
-                builder.node(dead());
+                builder.node(unusedUrl());
                 continue;
             }
             List<Play> plays = new ArrayList<>();
             each.getAsJsonArray()
-                    .forEach(word -> plays.add(new Watched(
-                            word(word.getAsJsonObject()), begun, scenario.has("connectionEnds") ? gone : null)));
+                    .forEach(word -> plays.add(new ObservedPlay(
+                            toPlay(word.getAsJsonObject()), begun, scenario.has("connectionEnds") ? gone : null)));
             ScriptedNode node = new ScriptedNode(plays.toArray(Play[]::new));
             nodes.add(node);
             builder.node(node.url());
         }
         try (Client client = builder.build()) {
             long beganNs = System.nanoTime();
-            Request request = request(scenario.getAsJsonObject("call"));
+            Request request = toRequest(scenario.getAsJsonObject("call"));
             CompletableFuture<Result> call = client.send(request);
             if (scenario.has("cancelAfterSent")) {
-                assertTrue(begun.await(PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(begun.await(TIMEOUT_S, TimeUnit.SECONDS));
                 call.cancel(true);
-                assertTrue(gone.await(PATIENCE_S, TimeUnit.SECONDS), "the node hears of it");
+                assertTrue(gone.await(TIMEOUT_S, TimeUnit.SECONDS), "the node hears of it");
             } else {
-                Result result = call.get(PATIENCE_S, TimeUnit.SECONDS);
+                Result result = call.get(TIMEOUT_S, TimeUnit.SECONDS);
                 long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNs);
-                ended(scenario.getAsJsonObject("then"), result, tookMs);
+                assertResult(scenario.getAsJsonObject("then"), result, tookMs);
             }
             List<ScriptedNode.Seen> seen = new ArrayList<>();
             nodes.forEach(node -> seen.addAll(node.seen()));
-            sent(scenario, request, seen);
+            assertRequests(scenario, request, seen);
         } finally {
             for (ScriptedNode node : nodes) {
                 node.close();
@@ -159,7 +159,7 @@
         }
     }
 
-    private static void ended(JsonObject then, Result result, long tookMs) {
+    private static void assertResult(JsonObject then, Result result, long tookMs) {
         String kind = result.getClass()
                 .getSimpleName()
                 .replaceAll("(?<=.)([A-Z])", "-$1")
@@ -184,7 +184,7 @@
         assertTrue(!then.has("tookAtMost") || tookMs <= then.get("tookAtMost").getAsLong(), "" + tookMs);
     }
 
-    private static void sent(JsonObject scenario, Request request, List<ScriptedNode.Seen> seen) {
+    private static void assertRequests(JsonObject scenario, Request request, List<ScriptedNode.Seen> seen) {
         if (scenario.has("seenInAll")) {
             assertEquals(scenario.get("seenInAll").getAsInt(), seen.size());
         }
--- a/clients/java/src/test/java/vetchpost/client/bench/Overhead.java
+++ b/clients/java/src/test/java/vetchpost/client/bench/Overhead.java
@@ -17,7 +17,7 @@
 /** The client beside the JDK's bare one, in turn in one run: calls a second and the 99th percentile. */
 public final class Overhead {
     private static final int CALLS = 20_000;
-    private static final int AT_ONCE = 16;
+    private static final int CONCURRENT_CALLS = 16;
     private static final int ROUNDS = 7;
 
     private Overhead() {}
@@ -34,8 +34,8 @@
         double[] tails = new double[ROUNDS];
         try (Client client = Client.builder().node(url).settings(wide).build()) {
             for (int round = -1; round < ROUNDS; round++) {
-                double[] theirs = play(() -> bare.sendAsync(get, HttpResponse.BodyHandlers.ofByteArray()));
-                double[] ours = play(() -> client.send(Request.get("/x")).thenApply(Result.Served.class::cast));
+                double[] theirs = measure(() -> bare.sendAsync(get, HttpResponse.BodyHandlers.ofByteArray()));
+                double[] ours = measure(() -> client.send(Request.get("/x")).thenApply(Result.Served.class::cast));
                 if (round >= 0) {
                     speeds[round] = ours[0] / theirs[0];
                     tails[round] = ours[1] / theirs[1];
@@ -51,8 +51,8 @@
         System.out.printf("median ratios: throughput %.2f, p99 %.2f%n", speeds[ROUNDS / 2], tails[ROUNDS / 2]);
     }
 
-    private static double[] play(Supplier<CompletableFuture<?>> call) throws InterruptedException {
-        Semaphore room = new Semaphore(AT_ONCE);
+    private static double[] measure(Supplier<CompletableFuture<?>> call) throws InterruptedException {
+        Semaphore room = new Semaphore(CONCURRENT_CALLS);
         long[] took = new long[CALLS];
         long began = System.nanoTime();
         for (int i = 0; i < CALLS; i++) {
@@ -67,7 +67,7 @@
                 }
             });
         }
-        room.acquire(AT_ONCE);
+        room.acquire(CONCURRENT_CALLS);
         double seconds = (System.nanoTime() - began) / 1e9;
         Arrays.sort(took);
         return new double[] {CALLS / seconds, took[CALLS * 99 / 100] / 1e6};
--- a/clients/java/src/test/java/vetchpost/client/core/DecisionScenario.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionScenario.java
@@ -11,7 +11,7 @@
 
 /** Plays the conformance suite's scenarios of decisions against this core, on their own clock. */
 final class DecisionScenario {
-    private static final int SERVED_FROM = 1_000;
+    private static final int FIRST_SERVED_CALL = 1_000;
 
     private DecisionScenario() {}
 
@@ -40,7 +40,7 @@
             return "abandon " + abandon.call() + "." + abandon.attempt();
         }
         Outcome how = ((Action.End) action).outcome();
-        String kind = name(how.kind());
+        String kind = kindName(how.kind());
         if (how.kind() == Outcome.Kind.SERVED) {
             return "end " + action.call() + " " + kind + " by " + how.attempt();
         }
@@ -48,7 +48,7 @@
                 + (how.comeBackMs() < 0 ? "" : ", come back in " + how.comeBackMs());
     }
 
-    static String name(Enum<?> kind) {
+    static String kindName(Enum<?> kind) {
         return kind.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
@@ -69,7 +69,7 @@
             if (due ? wake != at : wake < at) {
                 throw new AssertionError("wants to be woken at " + wake + ", before step " + step);
             }
-            List<String> done = step(caller, step, at).stream()
+            List<String> done = perform(caller, step, at).stream()
                     .map(DecisionScenario::describe)
                     .toList();
             List<String> then = new ArrayList<>();
@@ -82,7 +82,7 @@
         }
     }
 
-    private static List<Action> step(Caller caller, JsonObject step, long at) {
+    private static List<Action> perform(Caller caller, JsonObject step, long at) {
         if (step.has("add")) {
             return caller.addNode(at, step.get("add").getAsString(), step.has("local"));
         }
@@ -115,11 +115,11 @@
         if (step.has("serve")) {
             int calls = step.get("serve").getAsInt();
             for (int i = 0; i < calls; i++) {
-                caller.begin(at, SERVED_FROM + i, Repeat.UNSAFE, 60_000, 0);
+                caller.begin(at, FIRST_SERVED_CALL + i, Repeat.UNSAFE, 60_000, 0);
             }
             long end = at + step.get("took").getAsLong();
             for (int i = 0; i < calls && !step.has("leave"); i++) {
-                caller.ended(end, SERVED_FROM + i, 0, new Ending(Ending.Kind.SERVED, true, -1, "as told"));
+                caller.ended(end, FIRST_SERVED_CALL + i, 0, new Ending(Ending.Kind.SERVED, true, -1, "as told"));
             }
             return List.of();
         }
--- a/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
@@ -64,7 +64,7 @@
                         row.has("plain"));
                 assertEquals(
                         row.get("then").getAsString(),
-                        DecisionScenario.name(got.kind()) + (got.retryAfterMs() < 0 ? "" : " " + got.retryAfterMs()));
+                        DecisionScenario.kindName(got.kind()) + (got.retryAfterMs() < 0 ? "" : " " + got.retryAfterMs()));
                 assertTrue(got.answered());
             }));
         }
@@ -76,7 +76,7 @@
     }
 
     @TestFactory
-    List<DynamicTest> storms() {
+    List<DynamicTest> loadScenarios() {
         List<DynamicTest> tests = new ArrayList<>();
         for (JsonElement each : read(SUITE.resolve("storms.json"))) {
             JsonObject script = each.getAsJsonObject();
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void settingsAreHeldToTheirRanges() {
+    void rejectsSettingsOutOfRange() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new Settings(0, 50, 2_000, 10, 100, 0, 950, 16, 256, 1_000, 5, 1_000, 30_000));
--- a/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
+++ b/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
@@ -16,28 +16,28 @@
 /** Plays the suite's storms: thousands of calls against modelled nodes, the same in every language. */
 final class LoadScenario {
     private static final int BUCKET_MS = 100;
-    private static final long RANGE = 1L << 32;
+    private static final long RANDOM_RANGE = 1L << 32;
 
     private final JsonObject script;
     private final Caller caller;
     private final PriorityQueue<PendingEnding> pendingEndings =
-            new PriorityQueue<>(Comparator.comparingLong(PendingEnding::at).thenComparingLong(PendingEnding::number));
+            new PriorityQueue<>(Comparator.comparingLong(PendingEnding::at).thenComparingLong(PendingEnding::sequence));
     private final Map<String, Integer> inService = new HashMap<>();
     private final Set<String> abandoned = new HashSet<>();
-    private final Map<Long, Integer> sends = new HashMap<>();
+    private final Map<Long, Integer> sendsByBucket = new HashMap<>();
     private final Map<String, Integer> outcomes = new TreeMap<>();
-    private long random;
+    private long randomState;
     private long endingsCreated;
     private int resent;
     private int digest = 0x811c9dc5;
 
     private record PendingEnding(
-            long at, long number, long call, int attempt, String node, Ending.Kind how, long sentMs, boolean serves) {}
+            long at, long sequence, long call, int attempt, String node, Ending.Kind kind, long sentMs, boolean wasAccepted) {}
 
     private LoadScenario(JsonObject script) {
         this.script = script;
-        random = script.get("seed").getAsLong();
-        caller = new Caller(DecisionScenario.settings(script.get("settings")), this::draw);
+        randomState = script.get("seed").getAsLong();
+        caller = new Caller(DecisionScenario.settings(script.get("settings")), this::nextRandom);
     }
 
     /** What a storm has come to, in the suite's words. */
@@ -45,9 +45,9 @@
         return new LoadScenario(script).play();
     }
 
-    private double draw() {
-        random = (random * 1_664_525 + 1_013_904_223) % RANGE;
-        return random / (double) RANGE;
+    private double nextRandom() {
+        randomState = (randomState * 1_664_525 + 1_013_904_223) % RANDOM_RANGE;
+        return randomState / (double) RANDOM_RANGE;
     }
 
     private long number(String key) {
@@ -64,7 +64,7 @@
                 perform(t, caller.wake(t));
             }
             while (!pendingEndings.isEmpty() && pendingEndings.peek().at() <= t) {
-                due(t, pendingEndings.poll());
+                handleEnding(t, pendingEndings.poll());
             }
             for (int i = 0; i < number("perMs") && begun < number("calls"); i++) {
                 begun++;
@@ -73,7 +73,7 @@
                         caller.begin(t, begun, Repeat.values()[(int) (begun % 3)], number("within"), number("window")));
             }
         }
-        int most = sends.values().stream().mapToInt(n -> n).max().orElse(0);
+        int most = sendsByBucket.values().stream().mapToInt(n -> n).max().orElse(0);
         return outcomes + " sent again " + resent + ", most in " + BUCKET_MS + " ms " + most + ", open " + caller.open()
                 + ", digest " + Integer.toHexString(digest);
     }
@@ -82,15 +82,15 @@
         return resent;
     }
 
-    private void due(long t, PendingEnding due) {
-        if (due.serves()) {
+    private void handleEnding(long t, PendingEnding due) {
+        if (due.wasAccepted()) {
             inService.merge(due.node(), -1, Integer::sum);
         }
         if (abandoned.contains(due.call() + "." + due.attempt())) {
             return;
         }
-        boolean died = due.serves() && diedBetween(due.sentMs(), t);
-        Ending.Kind how = died ? Ending.Kind.MAY_HAVE_RUN : due.how();
+        boolean died = due.wasAccepted() && diedBetween(due.sentMs(), t);
+        Ending.Kind how = died ? Ending.Kind.MAY_HAVE_RUN : due.kind();
         boolean answered = how == Ending.Kind.SERVED || how == Ending.Kind.REFUSED;
         perform(
                 t,
@@ -112,26 +112,26 @@
             } else if (action instanceof Action.Abandon abandon) {
                 abandoned.add(abandon.call() + "." + abandon.attempt());
             } else if (action instanceof Action.End end) {
-                outcomes.merge(DecisionScenario.name(end.outcome().kind()), 1, Integer::sum);
+                outcomes.merge(DecisionScenario.kindName(end.outcome().kind()), 1, Integer::sum);
             }
         }
     }
 
     private void send(long t, Action.Send send) {
-        sends.merge(t / BUCKET_MS, 1, Integer::sum);
+        sendsByBucket.merge(t / BUCKET_MS, 1, Integer::sum);
         resent += send.resent() ? 1 : 0;
         if (isDown(t)) {
-            add(t + 1, send, Ending.Kind.NEVER_RAN, t, false);
+            schedule(t + 1, send, Ending.Kind.NEVER_RAN, t, false);
         } else if (inService.getOrDefault(send.node(), 0) >= number("capacity")) {
-            add(t + 1, send, Ending.Kind.REFUSED, t, false);
+            schedule(t + 1, send, Ending.Kind.REFUSED, t, false);
         } else {
             inService.merge(send.node(), 1, Integer::sum);
-            long takes = number("serviceMs") + (long) (draw() * number("serviceMs"));
-            add(t + takes, send, Ending.Kind.SERVED, t, true);
+            long takes = number("serviceMs") + (long) (nextRandom() * number("serviceMs"));
+            schedule(t + takes, send, Ending.Kind.SERVED, t, true);
         }
     }
 
-    private void add(long at, Action.Send send, Ending.Kind how, long sentMs, boolean serves) {
+    private void schedule(long at, Action.Send send, Ending.Kind how, long sentMs, boolean serves) {
         pendingEndings.add(
                 new PendingEnding(at, endingsCreated++, send.call(), send.attempt(), send.node(), how, sentMs, serves));
     }
--- a/clients/java/src/test/java/vetchpost/client/examples/ExamplesTest.java
+++ b/clients/java/src/test/java/vetchpost/client/examples/ExamplesTest.java
@@ -18,7 +18,7 @@
 /** The examples of the documentation, played before scripted nodes. */
 @Timeout(60)
 class ExamplesTest {
-    private static Play answersAfterEach(int broken, AtomicInteger count) {
+    private static Play closesEveryNth(int broken, AtomicInteger count) {
         return socket -> {
             if (count.incrementAndGet() % broken == 0) {
                 socket.close();
@@ -29,10 +29,10 @@
     }
 
     @Test
-    void aThousandPhotosAreStoredOnceThoughConnectionsBreak() throws Exception {
+    void photoImportStoresEachPhotoOnceAlthoughConnectionsBreak() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        try (ScriptedNode one = new ScriptedNode(answersAfterEach(40, count));
-                ScriptedNode other = new ScriptedNode(answersAfterEach(40, count));
+        try (ScriptedNode one = new ScriptedNode(closesEveryNth(40, count));
+                ScriptedNode other = new ScriptedNode(closesEveryNth(40, count));
                 Client client =
                         Client.builder().node(one.url()).node(other.url()).build()) {
             Map<String, byte[]> photos = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aReportWaitsForWhatIsRefused() throws Exception {
+    void nightlyReportRetriesRefusedRequests() throws Exception {
         try (ScriptedNode node = new ScriptedNode(
                 ScriptedNode.answers(200, "album 1: 12 photos"),
                 ScriptedNode.refuses(1),
--- a/clients/java/src/test/java/vetchpost/client/examples/NightlyReport.java
+++ b/clients/java/src/test/java/vetchpost/client/examples/NightlyReport.java
@@ -13,13 +13,13 @@
  * it to, so its deadline is long, and it sends no second copies: nobody is waiting for it.
  */
 final class NightlyReport {
-    private static final Settings PATIENT = new Settings(8, 1_000, 30_000, 100, 100, 0, 0, 2, 4, 10, 5, 1_000, 30_000);
+    private static final Settings LONG_WAITS = new Settings(8, 1_000, 30_000, 100, 100, 0, 0, 2, 4, 10, 5, 1_000, 30_000);
 
     private NightlyReport() {}
 
     /** The texts of all albums, a line each. */
     static String of(List<String> nodes, List<Integer> albums) {
-        Client.Builder builder = Client.builder().settings(PATIENT).within(Duration.ofMinutes(5));
+        Client.Builder builder = Client.builder().settings(LONG_WAITS).within(Duration.ofMinutes(5));
         nodes.forEach(builder::node);
         try (Client client = builder.build()) {
             return albums.stream().map(album -> line(client, album)).collect(Collectors.joining("\n"));
--- a/clients/java/src/test/java/vetchpost/client/examples/PhotoImport.java
+++ b/clients/java/src/test/java/vetchpost/client/examples/PhotoImport.java
@@ -25,59 +25,59 @@
     }
 
     /** What has become of one photo: "stored", or a reason. */
-    private record Done(String photo, String word) {}
+    private record Upload(String photo, String outcome) {}
 
     /** Uploads all of them and says how many ended how. */
     Map<String, Integer> run(Map<String, byte[]> photos) {
-        List<CompletableFuture<Done>> uploads = new ArrayList<>();
+        List<CompletableFuture<Upload>> uploads = new ArrayList<>();
         photos.forEach((name, bytes) -> uploads.add(upload(name, bytes, Optional.empty())));
         Map<String, Integer> words = new TreeMap<>();
-        uploads.forEach(upload -> words.merge(upload.join().word(), 1, Integer::sum));
+        uploads.forEach(upload -> words.merge(upload.join().outcome(), 1, Integer::sum));
         return words;
     }
 
-    private CompletableFuture<Done> upload(String name, byte[] bytes, Optional<String> key) {
+    private CompletableFuture<Upload> upload(String name, byte[] bytes, Optional<String> key) {
         Request request = Request.keyed("POST", "/add-photo?name=" + name, WINDOW)
                 .body("image/jpeg", bytes)
                 .within(Duration.ofSeconds(20));
         return client.send(key.map(request::key).orElse(request))
-                .thenCompose(result -> next(name, bytes, key.isPresent(), result));
+                .thenCompose(result -> retryOnceIfUnknown(name, bytes, key.isPresent(), result));
     }
 
-    private CompletableFuture<Done> next(String name, byte[] bytes, boolean again, Result result) {
+    private CompletableFuture<Upload> retryOnceIfUnknown(String name, byte[] bytes, boolean again, Result result) {
         return result.match(new Result.Cases<>() {
             @Override
-            public CompletableFuture<Done> served(Result.Served served) {
+            public CompletableFuture<Upload> served(Result.Served served) {
                 return done(served.status() == 200 ? "stored" : "rejected with " + served.status());
             }
 
             @Override
-            public CompletableFuture<Done> refused(Result.Refused refused) {
+            public CompletableFuture<Upload> refused(Result.Refused refused) {
                 return done("refused");
             }
 
             @Override
-            public CompletableFuture<Done> neverRan(Result.NeverRan failed) {
+            public CompletableFuture<Upload> neverRan(Result.NeverRan failed) {
                 return done("no node");
             }
 
             @Override
-            public CompletableFuture<Done> mayHaveRun(Result.MayHaveRun failed) {
+            public CompletableFuture<Upload> mayHaveRun(Result.MayHaveRun failed) {
                 return again ? done("unknown, ask about " + failed.id()) : upload(name, bytes, failed.key());
             }
 
             @Override
-            public CompletableFuture<Done> cancelled(Result.Cancelled cancelled) {
+            public CompletableFuture<Upload> cancelled(Result.Cancelled cancelled) {
                 return done("cancelled");
             }
 
             @Override
-            public CompletableFuture<Done> late(Result.Late late) {
+            public CompletableFuture<Upload> late(Result.Late late) {
                 return again ? done("late") : upload(name, bytes, late.key());
             }
 
-            private CompletableFuture<Done> done(String word) {
-                return CompletableFuture.completedFuture(new Done(name, word));
+            private CompletableFuture<Upload> done(String word) {
+                return CompletableFuture.completedFuture(new Upload(name, word));
             }
         });
     }
