--- a/clients/java/src/test/java/vetchpost/client/RequestTest.java
+++ b/clients/java/src/test/java/vetchpost/client/RequestTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is no request is told before anything is sent, and no node is blamed for it. */
+/** Invalid requests are rejected before anything is sent, and do not count as failures of a node. */
 class RequestTest {
     @ParameterizedTest
     @ValueSource(strings = {"", "albums", "//other/x", "/a b", "/a#b", "/%zz", "/a{b}", "/a/../b", "/\u00e9"})
--- a/clients/java/src/test/java/vetchpost/client/WireTest.java
+++ b/clients/java/src/test/java/vetchpost/client/WireTest.java
@@ -29,11 +29,11 @@
 import vetchpost.client.testing.ScriptedNode;
 import vetchpost.client.testing.ScriptedNode.Play;
 
-/** The conformance suite's scenarios on the wire, over loopback. */
+/** Runs the conformance suite's wire scenarios against scripted nodes on loopback. */
 class WireTest {
     private static final int TIMEOUT_S = 30;
 
-    /** A play that tells when it begins, and when its client has gone. */
+    /** A play that reports when it starts and, if {@code closed} is set, when its client closes the connection. */
     private record ObservedPlay(Play play, CountDownLatch started, CountDownLatch closed) implements Play {
         @Override
         public void on(Socket socket) throws IOException {
@@ -61,33 +61,33 @@
         return tests;
     }
 
-    private static Play toPlay(JsonObject word) {
-        boolean closes = word.has("close") && word.get("close").getAsString().equals("then");
-        if (word.has("answer")) {
+    private static Play toPlay(JsonObject step) {
+        boolean closes = step.has("close") && step.get("close").getAsString().equals("then");
+        if (step.has("answer")) {
             List<String> fields = new ArrayList<>();
-            if (word.has("fields")) {
-                word.getAsJsonArray("fields").forEach(f -> fields.add(f.getAsString()));
+            if (step.has("fields")) {
+                step.getAsJsonArray("fields").forEach(f -> fields.add(f.getAsString()));
             }
             return ScriptedNode.answers(
-                    word.get("answer").getAsInt(),
-                    word.has("body") ? word.get("body").getAsString() : "",
+                    step.get("answer").getAsInt(),
+                    step.has("body") ? step.get("body").getAsString() : "",
                     fields.toArray(String[]::new));
-        } else if (word.has("raw")) {
-            Play raw = ScriptedNode.raw(word.get("raw").getAsString());
+        } else if (step.has("raw")) {
+            Play raw = ScriptedNode.raw(step.get("raw").getAsString());
             return closes
                     ? socket -> {
                         raw.on(socket);
                         socket.close();
                     }
                     : raw;
-        } else if (word.has("cut")) {
-            return ScriptedNode.cuts(word.get("cut").getAsInt());
-        } else if (word.has("flood")) {
+        } else if (step.has("cut")) {
+            return ScriptedNode.cuts(step.get("cut").getAsInt());
+        } else if (step.has("flood")) {
             return ScriptedNode.floods(
-                    word.get("flood").getAsString(), word.get("again").getAsString());
-        } else if (word.has("close")) {
+                    step.get("flood").getAsString(), step.get("again").getAsString());
+        } else if (step.has("close")) {
             return ScriptedNode.closes(
-                    switch (word.get("close").getAsString()) {
+                    switch (step.get("close").getAsString()) {
                         case "before" -> Play.Moment.ACCEPTED;
                         case "during" -> Play.Moment.HEAD_READ;
                         default -> Play.Moment.READ;
@@ -96,9 +96,10 @@
         return ScriptedNode.silent();
     }
 
+    /** Returns the URL of a port on which nothing listens. */
     private static String unusedUrl() throws IOException {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return "http://127.0.0.1:" + taken.getLocalPort();
+        try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return "http://127.0.0.1:" + unused.getLocalPort();
         }
     }
 
@@ -117,8 +118,8 @@
 
     private static void run(JsonObject scenario) throws Exception {
         List<ScriptedNode> nodes = new ArrayList<>();
-        CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch gone = new CountDownLatch(1);
+        CountDownLatch started = new CountDownLatch(1);
+        CountDownLatch closed = new CountDownLatch(1);
         Client.Builder builder = Client.builder().settings(Scenarios.settings(scenario.get("settings")));
         if (scenario.has("longestAnswer")) {
             builder.longestAnswer(scenario.get("longestAnswer").getAsInt());
@@ -130,23 +131,23 @@
             }
             List<Play> plays = new ArrayList<>();
             each.getAsJsonArray()
-                    .forEach(word -> plays.add(new ObservedPlay(
-                            toPlay(word.getAsJsonObject()), begun, scenario.has("connectionEnds") ? gone : null)));
+                    .forEach(step -> plays.add(new ObservedPlay(
+                            toPlay(step.getAsJsonObject()), started, scenario.has("connectionEnds") ? closed : null)));
             ScriptedNode node = new ScriptedNode(plays.toArray(Play[]::new));
             nodes.add(node);
             builder.node(node.url());
         }
         try (Client client = builder.build()) {
-            long beganNs = System.nanoTime();
+            long startedNs = System.nanoTime();
             Request request = toRequest(scenario.getAsJsonObject("call"));
             CompletableFuture<Result> call = client.send(request);
             if (scenario.has("cancelAfterSent")) {
-                assertTrue(begun.await(TIMEOUT_S, TimeUnit.SECONDS));
+                assertTrue(started.await(TIMEOUT_S, TimeUnit.SECONDS));
                 call.cancel(true);
-                assertTrue(gone.await(TIMEOUT_S, TimeUnit.SECONDS), "the node hears of it");
+                assertTrue(closed.await(TIMEOUT_S, TimeUnit.SECONDS), "the node sees the connection close");
             } else {
                 Result result = call.get(TIMEOUT_S, TimeUnit.SECONDS);
-                long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNs);
+                long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNs);
                 assertResult(scenario.getAsJsonObject("then"), result, tookMs);
             }
             List<ScriptedNode.Seen> seen = new ArrayList<>();
@@ -189,16 +190,16 @@
             assertEquals(scenario.get("seenInAll").getAsInt(), seen.size());
         }
         Set<String> ids = new HashSet<>();
-        Set<String> numbers = new HashSet<>();
+        Set<String> attemptIds = new HashSet<>();
         Set<String> keys = new HashSet<>();
         for (int i = 0; i < seen.size(); i++) {
-            ScriptedNode.Seen one = seen.get(i);
-            assertEquals(request.target(), one.target());
-            ids.add(one.headers().get("x-request-id"));
-            numbers.add(one.headers().get("x-txn"));
-            keys.add(one.headers().get("idempotency-key"));
-            assertTrue(one.headers().get("x-txn").matches("[0-9a-f]{16}"));
-            long remaining = Long.parseLong(one.headers().get("x-remaining-ms"));
+            ScriptedNode.Seen received = seen.get(i);
+            assertEquals(request.target(), received.target());
+            ids.add(received.headers().get("x-request-id"));
+            attemptIds.add(received.headers().get("x-txn"));
+            keys.add(received.headers().get("idempotency-key"));
+            assertTrue(received.headers().get("x-txn").matches("[0-9a-f]{16}"));
+            long remaining = Long.parseLong(received.headers().get("x-remaining-ms"));
             assertTrue(
                     remaining > 0 && remaining <= request.within().orElseThrow().toMillis());
             if (scenario.has("headers")) {
@@ -207,16 +208,16 @@
                             .getAsJsonArray()
                             .get(Math.min(i, field.getValue().getAsJsonArray().size() - 1));
                     if (value.isJsonNull()) {
-                        assertNull(one.headers().get(field.getKey()), field.getKey());
+                        assertNull(received.headers().get(field.getKey()), field.getKey());
                     } else {
-                        assertEquals(value.getAsString(), one.headers().get(field.getKey()));
+                        assertEquals(value.getAsString(), received.headers().get(field.getKey()));
                     }
                 }
             }
         }
         if (!seen.isEmpty()) {
             assertEquals(1, ids.size(), "one id for the call");
-            assertEquals(seen.size(), numbers.size(), "a number for each sending");
+            assertEquals(seen.size(), attemptIds.size(), "one id per attempt");
             assertEquals(1, keys.size(), "one key, or none");
         }
     }
--- a/clients/java/src/test/java/vetchpost/client/core/DecisionScenario.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionScenario.java
@@ -9,18 +9,18 @@
 import java.util.Locale;
 import java.util.function.DoubleSupplier;
 
-/** Plays the conformance suite's scenarios of decisions against this core, on their own clock. */
+/** Plays the conformance suite's decision scenarios against {@link Caller}, on the scenario's own clock. */
 final class DecisionScenario {
     private static final int FIRST_SERVED_CALL = 1_000;
 
     private DecisionScenario() {}
 
-    /** The settings of a scenario: the defaults with what it names in their place. */
-    static Settings settings(JsonElement given) {
+    /** Returns a scenario's settings: the defaults, overridden by the given ones. */
+    static Settings settings(JsonElement overrides) {
         Gson gson = new Gson();
         JsonObject all = gson.toJsonTree(Settings.DEFAULT).getAsJsonObject();
-        if (given != null) {
-            given.getAsJsonObject().entrySet().forEach(e -> {
+        if (overrides != null) {
+            overrides.getAsJsonObject().entrySet().forEach(e -> {
                 if (!all.has(e.getKey())) {
                     throw new AssertionError("there is no setting " + e.getKey());
                 }
@@ -30,7 +30,7 @@
         return gson.fromJson(all, Settings.class);
     }
 
-    /** An action in the suite's words. */
+    /** Describes an action in the format of the conformance suite. */
     static String describe(Action action) {
         if (action instanceof Action.Send send) {
             return "send " + send.call() + "." + send.attempt() + " " + send.node() + " " + send.remainingMs()
@@ -39,13 +39,13 @@
         if (action instanceof Action.Abandon abandon) {
             return "abandon " + abandon.call() + "." + abandon.attempt();
         }
-        Outcome how = ((Action.End) action).outcome();
-        String kind = kindName(how.kind());
-        if (how.kind() == Outcome.Kind.SERVED) {
-            return "end " + action.call() + " " + kind + " by " + how.attempt();
+        Outcome outcome = ((Action.End) action).outcome();
+        String kind = kindName(outcome.kind());
+        if (outcome.kind() == Outcome.Kind.SERVED) {
+            return "end " + action.call() + " " + kind + " by " + outcome.attempt();
         }
-        return "end " + action.call() + " " + kind + (how.mayHaveRun() ? ", may have run" : "")
-                + (how.comeBackMs() < 0 ? "" : ", come back in " + how.comeBackMs());
+        return "end " + action.call() + " " + kind + (outcome.mayHaveRun() ? ", may have run" : "")
+                + (outcome.comeBackMs() < 0 ? "" : ", come back in " + outcome.comeBackMs());
     }
 
     static String kindName(Enum<?> kind) {
@@ -53,30 +53,30 @@
     }
 
     private static DoubleSupplier draws(JsonObject scenario) {
-        JsonArray given = scenario.getAsJsonArray("draws");
+        JsonArray values = scenario.getAsJsonArray("draws");
         int[] next = {0};
-        return () -> given == null ? 0 : given.get(next[0]++ % given.size()).getAsDouble();
+        return () -> values == null ? 0 : values.get(next[0]++ % values.size()).getAsDouble();
     }
 
-    /** Plays one; the first step that goes otherwise than written is an AssertionError. */
+    /** Plays a scenario; throws an AssertionError at the first step whose actions differ from the expected ones. */
     static void play(JsonObject scenario) {
         Caller caller = new Caller(settings(scenario.get("settings")), draws(scenario));
         for (JsonElement each : scenario.getAsJsonArray("steps")) {
             JsonObject step = each.getAsJsonObject();
             long at = step.get("at").getAsLong();
             boolean due = step.has("wake") && !step.has("early");
-            long wake = caller.nextWakeMs();
-            if (due ? wake != at : wake < at) {
-                throw new AssertionError("wants to be woken at " + wake + ", before step " + step);
+            long wakeMs = caller.nextWakeMs();
+            if (due ? wakeMs != at : wakeMs < at) {
+                throw new AssertionError("wants to be woken at " + wakeMs + ", before step " + step);
             }
             List<String> done = perform(caller, step, at).stream()
                     .map(DecisionScenario::describe)
                     .toList();
-            List<String> then = new ArrayList<>();
+            List<String> expected = new ArrayList<>();
             if (step.has("then")) {
-                step.getAsJsonArray("then").forEach(t -> then.add(t.getAsString()));
+                step.getAsJsonArray("then").forEach(action -> expected.add(action.getAsString()));
             }
-            if (!step.has("serve") && !done.equals(then)) {
+            if (!step.has("serve") && !done.equals(expected)) {
                 throw new AssertionError("does " + done + " at step " + step);
             }
         }
@@ -99,15 +99,15 @@
         }
         if (step.has("ended")) {
             String[] which = step.get("ended").getAsString().split("\\.");
-            Ending.Kind how = Ending.Kind.valueOf(
+            Ending.Kind kind = Ending.Kind.valueOf(
                     step.get("how").getAsString().toUpperCase(Locale.ROOT).replace('-', '_'));
-            boolean answered = step.has("answered") || how == Ending.Kind.SERVED || how == Ending.Kind.REFUSED;
+            boolean answered = step.has("answered") || kind == Ending.Kind.SERVED || kind == Ending.Kind.REFUSED;
             long retryAfterMs = step.has("retryAfter") ? step.get("retryAfter").getAsLong() : -1;
             return caller.ended(
                     at,
                     Long.parseLong(which[0]),
                     Integer.parseInt(which[1]),
-                    new Ending(how, answered, retryAfterMs, "as told"));
+                    new Ending(kind, answered, retryAfterMs, "as told"));
         }
         if (step.has("cancel")) {
             return caller.cancel(at, step.get("cancel").getAsLong());
--- a/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** The conformance suite's data, played against this core. */
+/** Runs the conformance suite's scenarios against this package. */
 class DecisionsTest {
     private static final Path SUITE = Path.of("..", "conformance");
 
@@ -45,7 +45,7 @@
                         () -> DecisionScenario.play(scenario)));
             }));
         }
-        assertTrue(tests.size() > 50, "the suite is there");
+        assertTrue(tests.size() > 50, "too few scenarios were found");
         return tests;
     }
 
@@ -55,7 +55,7 @@
         for (JsonElement each : read(SUITE.resolve("answers.json"))) {
             JsonObject row = each.getAsJsonObject();
             tests.add(dynamicTest(row.toString(), () -> {
-                Ending got = Answers.of(
+                Ending ending = Answers.of(
                         row.get("status").getAsInt(),
                         text(row, "ran"),
                         text(row, "retryAfter"),
@@ -64,8 +64,8 @@
                         row.has("plain"));
                 assertEquals(
                         row.get("then").getAsString(),
-                        DecisionScenario.kindName(got.kind()) + (got.retryAfterMs() < 0 ? "" : " " + got.retryAfterMs()));
-                assertTrue(got.answered());
+                        DecisionScenario.kindName(ending.kind()) + (ending.retryAfterMs() < 0 ? "" : " " + ending.retryAfterMs()));
+                assertTrue(ending.answered());
             }));
         }
         return tests;
@@ -79,21 +79,21 @@
     List<DynamicTest> loadScenarios() {
         List<DynamicTest> tests = new ArrayList<>();
         for (JsonElement each : read(SUITE.resolve("storms.json"))) {
-            JsonObject script = each.getAsJsonObject();
-            tests.add(dynamicTest(script.get("about").getAsString(), () -> {
-                String got = LoadScenario.play(script);
+            JsonObject scenario = each.getAsJsonObject();
+            tests.add(dynamicTest(scenario.get("about").getAsString(), () -> {
+                String summary = LoadScenario.play(scenario);
                 Matcher found = Pattern.compile("sent again (\\d+), most in 100 ms (\\d+)")
-                        .matcher(got);
-                assertTrue(found.find(), got);
+                        .matcher(summary);
+                assertTrue(found.find(), summary);
                 assertTrue(
                         Integer.parseInt(found.group(1))
-                                <= script.get("resentMost").getAsInt(),
-                        got);
+                                <= scenario.get("resentMost").getAsInt(),
+                        summary);
                 assertTrue(
                         Integer.parseInt(found.group(2))
-                                <= script.get("per100msMost").getAsInt(),
-                        got);
-                assertEquals(script.has("then") ? script.get("then").getAsString() : "not written yet", got);
+                                <= scenario.get("per100msMost").getAsInt(),
+                        summary);
+                assertEquals(scenario.has("then") ? scenario.get("then").getAsString() : "not written yet", summary);
             }));
         }
         return tests;
--- a/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
+++ b/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
@@ -13,12 +13,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Plays the suite's storms: thousands of calls against modelled nodes, the same in every language. */
+/**
+ * Plays the suite's load scenarios: thousands of calls against simulated nodes, with the same results in every
+ * language.
+ */
 final class LoadScenario {
     private static final int BUCKET_MS = 100;
     private static final long RANDOM_RANGE = 1L << 32;
 
-    private final JsonObject script;
+    private final JsonObject scenario;
     private final Caller caller;
     private final PriorityQueue<PendingEnding> pendingEndings =
             new PriorityQueue<>(Comparator.comparingLong(PendingEnding::at).thenComparingLong(PendingEnding::sequence));
@@ -34,15 +37,15 @@
     private record PendingEnding(
             long at, long sequence, long call, int attempt, String node, Ending.Kind kind, long sentMs, boolean wasAccepted) {}
 
-    private LoadScenario(JsonObject script) {
-        this.script = script;
-        randomState = script.get("seed").getAsLong();
-        caller = new Caller(DecisionScenario.settings(script.get("settings")), this::nextRandom);
+    private LoadScenario(JsonObject scenario) {
+        this.scenario = scenario;
+        randomState = scenario.get("seed").getAsLong();
+        caller = new Caller(DecisionScenario.settings(scenario.get("settings")), this::nextRandom);
     }
 
-    /** What a storm has come to, in the suite's words. */
-    static String play(JsonObject script) {
-        return new LoadScenario(script).play();
+    /** Plays a scenario and returns its summary in the format of the suite. */
+    static String play(JsonObject scenario) {
+        return new LoadScenario(scenario).play();
     }
 
     private double nextRandom() {
@@ -51,14 +54,14 @@
     }
 
     private long number(String key) {
-        return script.get(key).getAsLong();
+        return scenario.get(key).getAsLong();
     }
 
     private String play() {
         for (int i = 0; i < number("nodes"); i++) {
             perform(0, caller.addNode(0, "n" + i, false));
         }
-        long begun = 0;
+        long callsStarted = 0;
         for (long t = 0; t <= number("until"); t++) {
             while (caller.nextWakeMs() <= t) {
                 perform(t, caller.wake(t));
@@ -66,15 +69,15 @@
             while (!pendingEndings.isEmpty() && pendingEndings.peek().at() <= t) {
                 handleEnding(t, pendingEndings.poll());
             }
-            for (int i = 0; i < number("perMs") && begun < number("calls"); i++) {
-                begun++;
+            for (int i = 0; i < number("perMs") && callsStarted < number("calls"); i++) {
+                callsStarted++;
                 perform(
                         t,
-                        caller.begin(t, begun, Repeat.values()[(int) (begun % 3)], number("within"), number("window")));
+                        caller.begin(t, callsStarted, Repeat.values()[(int) (callsStarted % 3)], number("within"), number("window")));
             }
         }
-        int most = sendsByBucket.values().stream().mapToInt(n -> n).max().orElse(0);
-        return outcomes + " sent again " + resent + ", most in " + BUCKET_MS + " ms " + most + ", open " + caller.open()
+        int maxPerBucket = sendsByBucket.values().stream().mapToInt(n -> n).max().orElse(0);
+        return outcomes + " sent again " + resent + ", most in " + BUCKET_MS + " ms " + maxPerBucket + ", open " + caller.open()
                 + ", digest " + Integer.toHexString(digest);
     }
 
@@ -82,23 +85,23 @@
         return resent;
     }
 
-    private void handleEnding(long t, PendingEnding due) {
-        if (due.wasAccepted()) {
-            inService.merge(due.node(), -1, Integer::sum);
+    private void handleEnding(long t, PendingEnding ending) {
+        if (ending.wasAccepted()) {
+            inService.merge(ending.node(), -1, Integer::sum);
         }
-        if (abandoned.contains(due.call() + "." + due.attempt())) {
+        if (abandoned.contains(ending.call() + "." + ending.attempt())) {
             return;
         }
-        boolean died = due.wasAccepted() && diedBetween(due.sentMs(), t);
-        Ending.Kind how = died ? Ending.Kind.MAY_HAVE_RUN : due.kind();
-        boolean answered = how == Ending.Kind.SERVED || how == Ending.Kind.REFUSED;
+        boolean died = ending.wasAccepted() && diedBetween(ending.sentMs(), t);
+        Ending.Kind kind = died ? Ending.Kind.MAY_HAVE_RUN : ending.kind();
+        boolean answered = kind == Ending.Kind.SERVED || kind == Ending.Kind.REFUSED;
         perform(
                 t,
                 caller.ended(
                         t,
-                        due.call(),
-                        due.attempt(),
-                        new Ending(how, answered, how == Ending.Kind.REFUSED ? number("refuseMs") : -1, "as told")));
+                        ending.call(),
+                        ending.attempt(),
+                        new Ending(kind, answered, kind == Ending.Kind.REFUSED ? number("refuseMs") : -1, "as told")));
     }
 
     private void perform(long t, List<Action> actions) {
@@ -137,7 +140,7 @@
     }
 
     private boolean isDown(long t) {
-        for (JsonElement each : script.getAsJsonArray("down")) {
+        for (JsonElement each : scenario.getAsJsonArray("down")) {
             JsonArray ends = each.getAsJsonArray();
             if (t >= ends.get(0).getAsLong() && t < ends.get(1).getAsLong()) {
                 return true;
@@ -147,7 +150,7 @@
     }
 
     private boolean diedBetween(long after, long until) {
-        for (JsonElement each : script.getAsJsonArray("down")) {
+        for (JsonElement each : scenario.getAsJsonArray("down")) {
             long from = each.getAsJsonArray().get(0).getAsLong();
             if (from > after && from <= until) {
                 return true;
--- a/clients/java/src/test/java/vetchpost/client/core/Scenarios.java
+++ b/clients/java/src/test/java/vetchpost/client/core/Scenarios.java
@@ -2,12 +2,12 @@
 
 import com.google.gson.JsonElement;
 
-/** What other packages' tests need of the suite's reader. */
+/** Gives tests in other packages access to the reader of scenarios. */
 public final class Scenarios {
     private Scenarios() {}
 
-    /** The defaults with what a scenario names in their place. */
-    public static Settings settings(JsonElement given) {
-        return DecisionScenario.settings(given);
+    /** Returns a scenario's settings: the defaults, overridden by the given ones. */
+    public static Settings settings(JsonElement overrides) {
+        return DecisionScenario.settings(overrides);
     }
 }
--- a/clients/java/src/test/java/vetchpost/client/examples/ExamplesTest.java
+++ b/clients/java/src/test/java/vetchpost/client/examples/ExamplesTest.java
@@ -15,12 +15,12 @@
 import vetchpost.client.testing.ScriptedNode;
 import vetchpost.client.testing.ScriptedNode.Play;
 
-/** The examples of the documentation, played before scripted nodes. */
+/** Runs the documentation's examples against scripted nodes. */
 @Timeout(60)
 class ExamplesTest {
-    private static Play closesEveryNth(int broken, AtomicInteger count) {
+    private static Play closesEveryNth(int interval, AtomicInteger count) {
         return socket -> {
-            if (count.incrementAndGet() % broken == 0) {
+            if (count.incrementAndGet() % interval == 0) {
                 socket.close();
             } else {
                 ScriptedNode.answers(200, "stored").on(socket);
@@ -31,20 +31,20 @@
     @Test
     void photoImportStoresEachPhotoOnceAlthoughConnectionsBreak() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        try (ScriptedNode one = new ScriptedNode(closesEveryNth(40, count));
-                ScriptedNode other = new ScriptedNode(closesEveryNth(40, count));
+        try (ScriptedNode first = new ScriptedNode(closesEveryNth(40, count));
+                ScriptedNode second = new ScriptedNode(closesEveryNth(40, count));
                 Client client =
-                        Client.builder().node(one.url()).node(other.url()).build()) {
+                        Client.builder().node(first.url()).node(second.url()).build()) {
             Map<String, byte[]> photos = new LinkedHashMap<>();
             for (int i = 0; i < 1_000; i++) {
                 photos.put("p" + i, new byte[2_000]);
             }
             assertEquals(Map.of("stored", 1_000), new PhotoImport(client).run(photos));
             Set<String> keys = new HashSet<>();
-            one.seen().forEach(s -> keys.add(s.headers().get("idempotency-key")));
-            other.seen().forEach(s -> keys.add(s.headers().get("idempotency-key")));
-            assertEquals(1_000, keys.size(), "a key for each photo, however often it was sent");
-            assertTrue(one.seen().size() + other.seen().size() > 1_000, "some were sent again");
+            first.seen().forEach(request -> keys.add(request.headers().get("idempotency-key")));
+            second.seen().forEach(request -> keys.add(request.headers().get("idempotency-key")));
+            assertEquals(1_000, keys.size(), "one key per photo, however often it was sent");
+            assertTrue(first.seen().size() + second.seen().size() > 1_000, "some were retried");
         }
     }
 
--- a/clients/java/src/test/java/vetchpost/client/examples/NightlyReport.java
+++ b/clients/java/src/test/java/vetchpost/client/examples/NightlyReport.java
@@ -9,15 +9,15 @@
 import vetchpost.client.core.Settings;
 
 /**
- * A batch job: reads every album, one after the other, and never hurries. It may wait as long as nodes ask
- * it to, so its deadline is long, and it sends no second copies: nobody is waiting for it.
+ * A batch job that reads every album, one after the other. No user waits for it, so it has a long deadline, waits as
+ * long as the nodes ask for, and sends no hedges.
  */
 final class NightlyReport {
     private static final Settings LONG_WAITS = new Settings(8, 1_000, 30_000, 100, 100, 0, 0, 2, 4, 10, 5, 1_000, 30_000);
 
     private NightlyReport() {}
 
-    /** The texts of all albums, a line each. */
+    /** Returns the texts of all albums, one per line. */
     static String of(List<String> nodes, List<Integer> albums) {
         Client.Builder builder = Client.builder().settings(LONG_WAITS).within(Duration.ofMinutes(5));
         nodes.forEach(builder::node);
--- a/clients/java/src/test/java/vetchpost/client/examples/PhotoImport.java
+++ b/clients/java/src/test/java/vetchpost/client/examples/PhotoImport.java
@@ -12,8 +12,8 @@
 import vetchpost.client.Result;
 
 /**
- * Imports a folder's photos: all uploads at once, as the client bounds what is in flight. Each has a key of
- * its own, so that one whose end is unknown can be sent once more with that key and has its effect once.
+ * Imports a folder's photos. It starts all uploads at once, since the client limits the attempts in flight. Each upload
+ * has its own key, so that one whose outcome is unknown can be sent once more with that key and takes effect only once.
  */
 final class PhotoImport {
     private static final Duration WINDOW = Duration.ofMinutes(10);
@@ -24,16 +24,16 @@
         this.client = client;
     }
 
-    /** What has become of one photo: "stored", or a reason. */
+    /** The outcome of one photo's upload: "stored", or the reason why not. */
     private record Upload(String photo, String outcome) {}
 
-    /** Uploads all of them and says how many ended how. */
+    /** Uploads all photos and returns the number of uploads for each outcome. */
     Map<String, Integer> run(Map<String, byte[]> photos) {
         List<CompletableFuture<Upload>> uploads = new ArrayList<>();
         photos.forEach((name, bytes) -> uploads.add(upload(name, bytes, Optional.empty())));
-        Map<String, Integer> words = new TreeMap<>();
-        uploads.forEach(upload -> words.merge(upload.join().outcome(), 1, Integer::sum));
-        return words;
+        Map<String, Integer> outcomes = new TreeMap<>();
+        uploads.forEach(upload -> outcomes.merge(upload.join().outcome(), 1, Integer::sum));
+        return outcomes;
     }
 
     private CompletableFuture<Upload> upload(String name, byte[] bytes, Optional<String> key) {
@@ -44,7 +44,7 @@
                 .thenCompose(result -> retryOnceIfUnknown(name, bytes, key.isPresent(), result));
     }
 
-    private CompletableFuture<Upload> retryOnceIfUnknown(String name, byte[] bytes, boolean again, Result result) {
+    private CompletableFuture<Upload> retryOnceIfUnknown(String name, byte[] bytes, boolean isRetry, Result result) {
         return result.match(new Result.Cases<>() {
             @Override
             public CompletableFuture<Upload> served(Result.Served served) {
@@ -63,7 +63,7 @@
 
             @Override
             public CompletableFuture<Upload> mayHaveRun(Result.MayHaveRun failed) {
-                return again ? done("unknown, ask about " + failed.id()) : upload(name, bytes, failed.key());
+                return isRetry ? done("unknown, ask about " + failed.id()) : upload(name, bytes, failed.key());
             }
 
             @Override
@@ -73,11 +73,11 @@
 
             @Override
             public CompletableFuture<Upload> late(Result.Late late) {
-                return again ? done("late") : upload(name, bytes, late.key());
+                return isRetry ? done("late") : upload(name, bytes, late.key());
             }
 
-            private CompletableFuture<Upload> done(String word) {
-                return CompletableFuture.completedFuture(new Upload(name, word));
+            private CompletableFuture<Upload> done(String outcome) {
+                return CompletableFuture.completedFuture(new Upload(name, outcome));
             }
         });
     }
--- a/clients/typescript/bench/overhead.ts
+++ b/clients/typescript/bench/overhead.ts
@@ -44,8 +44,8 @@
   if (round >= 0) {
     throughputRatios.push(clientThroughput / bareThroughput);
     p99Ratios.push(clientP99Ms / bareP99Ms);
-    console.log(`bare ${bareThroughput.toFixed(0)}/s, p99 ${bareP99Ms.toFixed(2)} ms; client ${clientThroughput.toFixed(0)}/s, `
-      + `p99 ${clientP99Ms.toFixed(2)} ms`);
+    console.log(`bare ${bareThroughput.toFixed(0)}/s, p99 ${bareP99Ms.toFixed(2)} ms; `
+      + `client ${clientThroughput.toFixed(0)}/s, p99 ${clientP99Ms.toFixed(2)} ms`);
   }
 }
 const median = (all: number[]): string => all.sort((a, b) => a - b)[Math.floor(all.length / 2)]!.toFixed(2);
--- a/clients/typescript/src/core/settings.ts
+++ b/clients/typescript/src/core/settings.ts
@@ -56,8 +56,8 @@
   const ranges: Record<keyof Settings, readonly [number, number]> = {
     attempts: [1, 100], backoffMs: [1, MAX_INT32], backoffMostMs: [settings.backoffMs, MAX_INT32],
     budget: [0, 1_000_000], budgetPerMille: [0, 1_000], perAttemptMs: [0, MAX_INT32], secondCopyPerMille: [0, 999],
-    limitMost: [1, 100_000], limit: [1, settings.limitMost], waiting: [0, 1_000_000], ejectAfter: [1, 1_000_000], ejectMs: [1, MAX_INT32],
-    ejectMostMs: [settings.ejectMs, MAX_INT32],
+    limitMost: [1, 100_000], limit: [1, settings.limitMost], waiting: [0, 1_000_000], ejectAfter: [1, 1_000_000],
+    ejectMs: [1, MAX_INT32], ejectMostMs: [settings.ejectMs, MAX_INT32],
   };
   for (const [name, value] of Object.entries(settings)) {
     const range = ranges[name as keyof Settings];
