--- a/src/test/java/vetchpost/daemon/MainTest.java
+++ b/src/test/java/vetchpost/daemon/MainTest.java
@@ -27,7 +27,7 @@
 import picocli.CommandLine;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
-import vetchpost.testing.Output;
+import vetchpost.testing.ProcessOutput;
 
 /** The program as a process of its own: its start, its end, and few descriptors. */
 @Timeout(120)
@@ -35,7 +35,7 @@
     private FakePeer discovery;
     private FakePeer server;
     private Process process;
-    private Output output;
+    private ProcessOutput output;
     private int port;
     private String arguments = "";
     private String heap = "64m";
@@ -87,7 +87,7 @@
             builder.environment().put("LB_CONFIG", config);
         }
         process = builder.redirectErrorStream(true).start();
-        output = new Output(process.getInputStream());
+        output = new ProcessOutput(process.getInputStream());
         port = 0;
     }
 
@@ -200,12 +200,12 @@
             assertTrue(
                     next.nextRequest().startsWith("GET /v1/endpoints?watch=1 "),
                     "a version of another address is named");
-            FakePeer.takeWithTimeout(discovery.ended);
+            FakePeer.takeWithTimeout(discovery.closedByClient);
             config.addProperty("discovery", discovery.address());
             Files.writeString(file, config.toString());
             hangUp();
             discovery.nextRequest();
-            FakePeer.takeWithTimeout(next.ended);
+            FakePeer.takeWithTimeout(next.closedByClient);
             try (Socket client = connect()) {
                 FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
                 assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
--- a/src/test/java/vetchpost/discovery/DiscoveryClientTest.java
+++ b/src/test/java/vetchpost/discovery/DiscoveryClientTest.java
@@ -80,7 +80,7 @@
 
     private void failsOnce() throws Exception {
         FakePeer.takeWithTimeout(failures);
-        FakePeer.takeWithTimeout(peer.ended);
+        FakePeer.takeWithTimeout(peer.closedByClient);
         group.next().submit(() -> {}).get();
         assertTrue(failures.isEmpty(), "told twice");
     }
@@ -100,7 +100,7 @@
         peer.nextRequest();
         group.next().submit(discovery::subscribe).get();
         assertTrue(peer.nextRequest().contains("&after=50 "), "asks from the version told last");
-        FakePeer.takeWithTimeout(peer.ended);
+        FakePeer.takeWithTimeout(peer.closedByClient);
         assertTrue(failures.isEmpty(), "a watch replaced is not one that failed");
     }
 
--- a/src/test/java/vetchpost/http/ServerPoolTest.java
+++ b/src/test/java/vetchpost/http/ServerPoolTest.java
@@ -195,7 +195,7 @@
             })
     void whatCantBeReadIsNoAnswer(String spoilt) throws Exception {
         assertEquals(Result.RESET, outcome(FakePeer.raw(spoilt)).result());
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
@@ -292,7 +292,7 @@
         server.nextRequest();
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, probe.report().result());
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
@@ -315,8 +315,8 @@
         ServerPool.Attempt attempt = start(pool, silent);
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
         assertEquals(Result.TIMEOUT, silent.report().result());
-        FakePeer.takeWithTimeout(server.ended);
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
@@ -354,7 +354,7 @@
         FakePeer.takeWithTimeout(server.accepted);
         loop.submit(() -> {}).get();
         loop.submit(pool::close).get();
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
         assertTrue(server.requests.isEmpty(), "sent after it was told");
     }
 
@@ -406,12 +406,12 @@
             } else {
                 FakePeer.write(idle, unasked);
             }
-            assertSame(idle, FakePeer.takeWithTimeout(server.ended));
+            assertSame(idle, FakePeer.takeWithTimeout(server.closedByClient));
             Probe second = new Probe(10);
             start(pool, second);
             assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
             FakePeer.takeWithTimeout(server.accepted).close();
-            FakePeer.takeWithTimeout(server.ended);
+            FakePeer.takeWithTimeout(server.closedByClient);
         }
     }
 
@@ -421,7 +421,7 @@
         start(pool(server.address(), 100_000), probe);
         assertEquals(Result.OK, probe.report().result());
         // The fake never closes: the end of the connection is the pool's doing.
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
@@ -432,7 +432,7 @@
         assertEquals(Result.OK, first.report().result());
         try (FakePeer moved = new FakePeer(FakePeer.answer("200 OK", "", "moved"))) {
             list(pool, moved.address(), 0);
-            FakePeer.takeWithTimeout(server.ended);
+            FakePeer.takeWithTimeout(server.closedByClient);
             Probe second = new Probe(10);
             start(pool, second);
             assertEquals("moved", new String(second.report().answer().body(), StandardCharsets.UTF_8));
--- a/src/test/java/vetchpost/node/CrowdedNodeTest.java
+++ b/src/test/java/vetchpost/node/CrowdedNodeTest.java
@@ -357,7 +357,7 @@
         // Its one attempt is given up, and the server sees its connection end.
         FakePeer.takeWithTimeout(server.accepted);
         gone.countDown();
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
         assertEquals(200, status(answeredBy(FakePeer.answer("200 OK", "", "done"))));
     }
@@ -383,7 +383,7 @@
         }
         client.close();
         // The attempt is given up long before its time, which is ten seconds and more.
-        assertNotNull(server.ended.poll(5, TimeUnit.SECONDS), "nobody has noticed");
+        assertNotNull(server.closedByClient.poll(5, TimeUnit.SECONDS), "nobody has noticed");
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
         assertTrue(server.requests.isEmpty(), "sent on for nobody: " + server.requests.size());
     }
--- a/src/test/java/vetchpost/node/NodeTest.java
+++ b/src/test/java/vetchpost/node/NodeTest.java
@@ -247,7 +247,7 @@
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
         assertTrue(status >= 500 && status != 503, "answered " + status);
         assertTrue(tookMs >= 600, "given up after " + tookMs + " ms");
-        FakePeer.takeWithTimeout(first.ended);
+        FakePeer.takeWithTimeout(first.closedByClient);
         assertEquals(1, first.requests.size());
     }
 
@@ -258,7 +258,7 @@
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
         first.nextRequest();
         client.close();
-        FakePeer.takeWithTimeout(first.ended);
+        FakePeer.takeWithTimeout(first.closedByClient);
         assertTrue(first.requests.isEmpty(), "sent again for nobody");
     }
 
@@ -268,7 +268,7 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(200, status(ask(Fixture.request("POST", "/order", i, "", ""))));
             FakePeer.takeWithTimeout(first.accepted).close();
-            FakePeer.takeWithTimeout(first.ended);
+            FakePeer.takeWithTimeout(first.closedByClient);
         }
         assertEquals(5, first.requests.size());
     }
--- a/src/test/java/vetchpost/node/WatchRacesTest.java
+++ b/src/test/java/vetchpost/node/WatchRacesTest.java
@@ -173,7 +173,7 @@
         CountDownLatch warm = warmUp();
         assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
         discovery.nextRequest();
-        FakePeer.takeWithTimeout(discovery.ended);
+        FakePeer.takeWithTimeout(discovery.closedByClient);
         NodeConfig elsewhere = movedTo(moved);
         loop.submit(() -> node.moveDiscovery(elsewhere)).get();
         assertNotNull(moved.nextRequest());
--- a/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
@@ -361,7 +361,7 @@
         Fixture.writeLine(watch, Fixture.list(50, true, "Ready", box));
         readyUntil(node.port, "discovery's list");
         listed.countDown();
-        FakePeer.takeWithTimeout(slow.ended);
+        FakePeer.takeWithTimeout(slow.closedByClient);
         for (int i = 0; i < 40; i++) {
             assertTrue(view(node.port, i).endsWith("served"));
         }
@@ -397,7 +397,7 @@
                         + entry("s-1", box, "Ready") + "]}");
         assertTrue(view(node.port, 1).endsWith("served"));
         told.countDown();
-        FakePeer.takeWithTimeout(slow.ended);
+        FakePeer.takeWithTimeout(slow.closedByClient);
         // The other one goes: were the first one back, it would be sent what comes now.
         Fixture.writeLine(watch, "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-1", box, "Gone") + "]}");
         String answer = "served";
@@ -535,7 +535,7 @@
                 box);
         assertTrue(view(node.port, 1).endsWith("served"));
         FakePeer.takeWithTimeout(silent.accepted);
-        assertTrue(silent.ended.isEmpty(), "ready only once the handover was over");
+        assertTrue(silent.closedByClient.isEmpty(), "ready only once the handover was over");
     }
 
     private static String entry(String id, FakePeer at, String state) {
