--- a/clients/java/src/test/java/vetchpost/client/bench/Overhead.java
+++ b/clients/java/src/test/java/vetchpost/client/bench/Overhead.java
@@ -35,7 +35,8 @@
         try (Client client = Client.builder().node(url).settings(highLimit).build()) {
             for (int round = -1; round < ROUNDS; round++) {
                 double[] bareFigures = measure(() -> bare.sendAsync(get, HttpResponse.BodyHandlers.ofByteArray()));
-                double[] clientFigures = measure(() -> client.send(Request.get("/x")).thenApply(Result.Served.class::cast));
+                double[] clientFigures =
+                        measure(() -> client.send(Request.get("/x")).thenApply(Result.Served.class::cast));
                 if (round >= 0) {
                     throughputRatios[round] = clientFigures[0] / bareFigures[0];
                     p99Ratios[round] = clientFigures[1] / bareFigures[1];
@@ -48,7 +49,8 @@
         server.close();
         Arrays.sort(throughputRatios);
         Arrays.sort(p99Ratios);
-        System.out.printf("median ratios: throughput %.2f, p99 %.2f%n", throughputRatios[ROUNDS / 2], p99Ratios[ROUNDS / 2]);
+        System.out.printf(
+                "median ratios: throughput %.2f, p99 %.2f%n", throughputRatios[ROUNDS / 2], p99Ratios[ROUNDS / 2]);
     }
 
     /** Returns calls per second and the 99th percentile of their times in milliseconds. */
--- a/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionsTest.java
@@ -64,7 +64,8 @@
                         row.has("plain"));
                 assertEquals(
                         row.get("then").getAsString(),
-                        DecisionScenario.kindName(ending.kind()) + (ending.retryAfterMs() < 0 ? "" : " " + ending.retryAfterMs()));
+                        DecisionScenario.kindName(ending.kind())
+                                + (ending.retryAfterMs() < 0 ? "" : " " + ending.retryAfterMs()));
                 assertTrue(ending.answered());
             }));
         }
--- a/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
+++ b/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
@@ -35,7 +35,14 @@
     private int digest = 0x811c9dc5;
 
     private record PendingEnding(
-            long at, long sequence, long call, int attempt, String node, Ending.Kind kind, long sentMs, boolean wasAccepted) {}
+            long at,
+            long sequence,
+            long call,
+            int attempt,
+            String node,
+            Ending.Kind kind,
+            long sentMs,
+            boolean wasAccepted) {}
 
     private LoadScenario(JsonObject scenario) {
         this.scenario = scenario;
@@ -73,12 +80,18 @@
                 callsStarted++;
                 perform(
                         t,
-                        caller.begin(t, callsStarted, Repeat.values()[(int) (callsStarted % 3)], number("within"), number("window")));
+                        caller.begin(
+                                t,
+                                callsStarted,
+                                Repeat.values()[(int) (callsStarted % 3)],
+                                number("within"),
+                                number("window")));
             }
         }
-        int maxPerBucket = sendsByBucket.values().stream().mapToInt(n -> n).max().orElse(0);
-        return outcomes + " sent again " + resent + ", most in " + BUCKET_MS + " ms " + maxPerBucket + ", open " + caller.open()
-                + ", digest " + Integer.toHexString(digest);
+        int maxPerBucket =
+                sendsByBucket.values().stream().mapToInt(n -> n).max().orElse(0);
+        return outcomes + " sent again " + resent + ", most in " + BUCKET_MS + " ms " + maxPerBucket + ", open "
+                + caller.open() + ", digest " + Integer.toHexString(digest);
     }
 
     int resent() {
--- a/clients/java/src/test/java/vetchpost/client/examples/NightlyReport.java
+++ b/clients/java/src/test/java/vetchpost/client/examples/NightlyReport.java
@@ -13,7 +13,8 @@
  * long as the nodes ask for, and sends no hedges.
  */
 final class NightlyReport {
-    private static final Settings LONG_WAITS = new Settings(8, 1_000, 30_000, 100, 100, 0, 0, 2, 4, 10, 5, 1_000, 30_000);
+    private static final Settings LONG_WAITS =
+            new Settings(8, 1_000, 30_000, 100, 100, 0, 0, 2, 4, 10, 5, 1_000, 30_000);
 
     private NightlyReport() {}
 
