--- a/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
@@ -28,8 +28,8 @@
 import vetchpost.decision.Balancer.Tenant;
 
 /**
- * One request at a door that is asked for twice what goes out, with its part of the sweeps: what it costs with
- * ten clients and with a hundred thousand, and what the door keeps of them.
+ * Measures the cost of one request, with its fraction of the periodic sweeps, at an admission queue that receives twice
+ * the rate that it admits. Prints how many clients the queue keeps state of.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -42,7 +42,7 @@
     private static final int SERVER_CAPACITY = 48;
     private static final long REQUEST_INTERVAL_US = 1_000;
 
-    /** How many clients there are. */
+    /** The number of clients. */
     @Param({"10", "1000", "100000"})
     public int clients;
 
@@ -79,31 +79,31 @@
         public void rejected(long retryAfterUs) {}
     }
 
-    /** A door before a module that has its servers full. */
+    /** Prepares an admission queue before a balancer whose servers are at capacity. */
     @Setup(Level.Trial)
     public void setUp() {
-        Settings set = new Settings();
+        Settings settings = new Settings();
         for (String name : new String[] {"view-page", "add-photo", "place-order"}) {
-            set.classes.add(new RequestClass(
+            settings.classes.add(new RequestClass(
                     name, 200_000, 0, 1_000_000, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
         }
         for (int i = 0; i < TENANTS; i++) {
-            set.tenants.add(new Tenant("school-" + i, 0));
+            settings.tenants.add(new Tenant("school-" + i, 0));
         }
-        set.maxRetryAfterUs = 5_000_000;
-        admission = new FairAdmission(AdmissionValidator.defaults(set), set, 1);
+        settings.maxRetryAfterUs = 5_000_000;
+        admission = new FairAdmission(AdmissionValidator.defaults(settings), settings, 1);
         for (int i = 0; i < clients; i++) {
             clientHeaders[i] = new CookieHeaders("key=" + Integer.toHexString(i * 0x9E3779B9));
         }
     }
 
-    /** A request comes, and with every other one goes out. */
+    /** Admits a new request, and completes an admitted one on every second run. */
     @Benchmark
     public int request() {
         nowUs += REQUEST_INTERVAL_US;
         int client = random.nextInt(clients);
-        PendingRequest entrant = new PendingRequest();
-        entrant.progress = admission.arrive(
+        PendingRequest arrived = new PendingRequest();
+        arrived.progress = admission.arrive(
                 nowUs,
                 new ClientRequest(
                         ++lastId,
@@ -119,17 +119,17 @@
                 0,
                 0,
                 nowUs + 1_000_000,
-                entrant);
+                arrived);
         admission.advance(nowUs);
         isOddRequest = !isOddRequest;
         if (isOddRequest && !admitted.isEmpty()) {
-            PendingRequest done = admitted.poll();
+            PendingRequest completed = admitted.poll();
             admission.recordLatency(0, 20_000);
-            done.progress.sent();
-            done.progress.ended();
-            int next = 0;
+            completed.progress.sent();
+            completed.progress.ended();
+            int position = 0;
             for (PendingRequest waiting : admitted) {
-                if (++next >= SERVER_CAPACITY) {
+                if (++position >= SERVER_CAPACITY) {
                     waiting.progress.sent();
                     break;
                 }
@@ -142,11 +142,11 @@
         return admission.waitingRequests();
     }
 
-    /** What it has kept. */
+    /** Prints the sizes of the queue's tables. */
     @TearDown(Level.Trial)
     public void printTableSizes() {
-        int[] kept = admission.tableSizes();
-        System.out.println(clients + " clients: " + kept[0] + " flows, " + kept[1] + " bookings, "
+        int[] sizes = admission.tableSizes();
+        System.out.println(clients + " clients: " + sizes[0] + " flows, " + sizes[1] + " reservations, "
                 + admission.waitingRequests() + " waiting");
     }
 }
--- a/benchmarks/src/main/java/vetchpost/decision/BalancerHarness.java
+++ b/benchmarks/src/main/java/vetchpost/decision/BalancerHarness.java
@@ -14,7 +14,7 @@
 import vetchpost.decision.Balancer.ServerState;
 import vetchpost.decision.Balancer.Settings;
 
-/** A module with servers, a clock that goes on with each request, and the server that was sent to last. */
+/** A balancer with simulated servers and a clock that advances with each request. Not thread-safe. */
 final class BalancerHarness implements Actions {
     private static final long REQUEST_INTERVAL_US = 100;
     private static final long SERVED_LATENCY_US = 5_000;
@@ -22,7 +22,7 @@
 
     final Balancer balancer;
     final int servers;
-    /** Servers below this number fail whatever they are sent. */
+    /** Servers with a number below this one fail every attempt. */
     private final int failingServers;
 
     long nowUs = 1_000_000;
@@ -31,9 +31,9 @@
     private int attempts;
     private boolean finished;
 
-    BalancerHarness(int servers, int failing) {
+    BalancerHarness(int servers, int failingServers) {
         this.servers = servers;
-        this.failingServers = failing;
+        this.failingServers = failingServers;
         Settings settings = new Settings();
         settings.maxAttempts = 4;
         settings.maxRetryAfterUs = 1_000_000;
@@ -50,7 +50,7 @@
         return entries;
     }
 
-    /** One request and the ends of its attempts, until it has its answer. */
+    /** Runs one request until it is answered, and returns the number of its attempts. */
     int runRequest() {
         nowUs += REQUEST_INTERVAL_US;
         long id = ++lastId;
--- a/benchmarks/src/main/java/vetchpost/decision/DecisionBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/decision/DecisionBenchmark.java
@@ -14,7 +14,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 import vetchpost.decision.Balancer.ListKind;
 
-/** What one request costs the module, with the ends of its attempts, by the size of the fleet. */
+/** Measures the balancer's cost of one request with all its attempts, by the size of the fleet. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -22,7 +22,7 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class DecisionBenchmark {
-    /** The part of servers that fail whatever they are sent, in hundredths: most of them end up ejected. */
+    /** The percentage of servers that fail every attempt; most of them end up ejected. */
     @Param({"0", "2", "20"})
     private int failing;
 
@@ -31,7 +31,7 @@
 
     private BalancerHarness harness;
 
-    /** A fleet that has been asked for a while. */
+    /** Prepares a balancer that has sent 20 requests per server. */
     @Setup
     public void setUp() {
         harness = new BalancerHarness(servers, servers * failing / 100);
@@ -41,7 +41,7 @@
         }
     }
 
-    /** One request. */
+    /** Runs one request. */
     @Benchmark
     public int request() {
         return harness.runRequest();
--- a/benchmarks/src/main/java/vetchpost/decision/ListBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/decision/ListBenchmark.java
@@ -21,7 +21,7 @@
 import vetchpost.decision.Balancer.ServerEntry;
 import vetchpost.decision.Balancer.ServerState;
 
-/** What a list costs the module: new to it, the same again, the same in another order, and ten changes. */
+/** Measures the balancer's cost of a server list: a new, a repeated and a reordered one, and one with ten changes. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SingleShotTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -37,7 +37,7 @@
     private List<ServerEntry> shuffled;
     private List<ServerEntry> changes;
 
-    /** Before each list: a module that knows the same servers, and one that knows none. */
+    /** Prepares, before each list, a balancer that knows the same servers. */
     @Setup(Level.Invocation)
     public void setUp() {
         list = BalancerHarness.list(servers);
@@ -52,7 +52,7 @@
         harness.applyList(ListKind.FULL, list);
     }
 
-    /** To a module that knew nothing. */
+    /** Applies the list to a balancer that knows no servers. */
     @Benchmark
     public Balancer cold() {
         BalancerHarness fresh = new BalancerHarness(servers, 0);
@@ -60,19 +60,19 @@
         return fresh.balancer;
     }
 
-    /** The same list once more. */
+    /** Applies the same list again. */
     @Benchmark
     public void again() {
         harness.applyList(ListKind.FULL, list);
     }
 
-    /** The same servers in another order. */
+    /** Applies a list of the same servers in another order. */
     @Benchmark
     public void inAnotherOrder() {
         harness.applyList(ListKind.FULL, shuffled);
     }
 
-    /** Ten of them drain. */
+    /** Applies a list of changes in which ten servers drain. */
     @Benchmark
     public void tenDrain() {
         harness.applyList(ListKind.CHANGES, changes);
--- a/benchmarks/src/main/java/vetchpost/node/AddedLatency.java
+++ b/benchmarks/src/main/java/vetchpost/node/AddedLatency.java
@@ -19,9 +19,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a node adds to a request over a direct call: the same requests at the same fixed times to a server and
- * to a node before it, in turn. Load is open: a request's time counts from when it was due, whether or not
- * its connection was still busy then, so that a wait is counted for all that it holds up (no coordinated
+ * Measures the latency that a node adds to a direct call: it sends the same requests at the same fixed times to servers
+ * and to a node before them, alternately. The load is open-loop: a request's latency counts from its scheduled time
+ * even if its connection was still busy then, so that a delay counts for every request that it holds up (no coordinated
  * omission).
  *
  * <p>{@code java -cp benchmarks.jar vetchpost.node.AddedLatency VETCHPOST_JAR [SECONDS [RATE ...]]}
@@ -41,7 +41,7 @@
 
     private AddedLatency() {}
 
-    /** See the class. */
+    /** Runs the measurement at each rate and prints a line of figures for it. */
     public static void main(String[] args) throws Exception {
         if (args.length < 1) {
             System.err.println("usage: AddedLatency VETCHPOST_JAR [SECONDS [RATE ...]]");
@@ -80,19 +80,19 @@
                     "per s", "direct p50", "p99", "node p50", "p99", "added p50", "added p99", "node us each");
             for (int rate : rates) {
                 Histogram direct = measure(servers, rate, seconds);
-                long before = cpuMs(node);
-                Histogram through = measure(List.of(port), rate, seconds);
-                double us = 1e3 * (cpuMs(node) - before) / through.getTotalCount();
+                long cpuBeforeMs = cpuMs(node);
+                Histogram viaNode = measure(List.of(port), rate, seconds);
+                double us = 1e3 * (cpuMs(node) - cpuBeforeMs) / viaNode.getTotalCount();
                 System.out.printf(
                         Locale.ROOT,
                         "%8d %9.3f ms %9.3f ms %9.3f ms %9.3f ms %9.3f ms %9.3f ms " + "%13.1f%n",
                         rate,
                         percentileMs(direct, 50),
                         percentileMs(direct, 99),
-                        percentileMs(through, 50),
-                        percentileMs(through, 99),
-                        percentileMs(through, 50) - percentileMs(direct, 50),
-                        percentileMs(through, 99) - percentileMs(direct, 99),
+                        percentileMs(viaNode, 50),
+                        percentileMs(viaNode, 99),
+                        percentileMs(viaNode, 50) - percentileMs(direct, 50),
+                        percentileMs(viaNode, 99) - percentileMs(direct, 99),
                         us);
             }
         } finally {
@@ -123,7 +123,7 @@
         }
     }
 
-    /** Requests at fixed times, spread over connections; times from when each was due. */
+    /** Sends requests at fixed times, spread over the connections; records latencies from the scheduled times. */
     private static Histogram measure(List<Integer> ports, int perS, int seconds) throws Exception {
         Histogram histogram = new ConcurrentHistogram(MAX_LATENCY_NS, 3);
         long total = (long) perS * seconds;
@@ -161,21 +161,21 @@
         }
     }
 
-    /** One answer, whose body is 100 x. */
+    /** Reads one answer, whose body has 100 bytes. */
     private static void readAnswer(InputStream in) throws IOException {
-        int ends = 0;
+        int lineEndBytes = 0;
         int body = 0;
-        byte[] some = new byte[2_048];
+        byte[] buffer = new byte[2_048];
         while (body < 100) {
-            int read = in.read(some);
+            int read = in.read(buffer);
             if (read < 0) {
-                throw new IOException("the connection has ended");
+                throw new IOException("the connection was closed before the answer was complete");
             }
             for (int i = 0; i < read; i++) {
-                if (ends == 4) {
+                if (lineEndBytes == 4) {
                     body++;
                 } else {
-                    ends = some[i] == '\n' || some[i] == '\r' ? ends + 1 : 0;
+                    lineEndBytes = buffer[i] == '\n' || buffer[i] == '\r' ? lineEndBytes + 1 : 0;
                 }
             }
         }
@@ -185,12 +185,12 @@
         void run() throws IOException;
     }
 
-    private static void startThread(IoTask body) {
+    private static void startThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                body.run();
+                task.run();
             } catch (IOException e) {
-                // The other side has ended, or what is missing is counted.
+                // The other side has closed the connection; missing answers are counted.
                 return;
             }
         });
@@ -199,27 +199,27 @@
     }
 
     private static int startServer() throws IOException {
-        ServerSocket listening = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
+        ServerSocket serverSocket = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
         startThread(() -> {
             while (true) {
-                Socket socket = listening.accept();
+                Socket socket = serverSocket.accept();
                 socket.setTcpNoDelay(true);
                 startThread(() -> answerRequests(socket));
             }
         });
-        return listening.getLocalPort();
+        return serverSocket.getLocalPort();
     }
 
     private static void answerRequests(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
-        byte[] some = new byte[8_192];
-        int ends = 0;
-        for (int read = in.read(some); read >= 0; read = in.read(some)) {
+        byte[] buffer = new byte[8_192];
+        int lineEndBytes = 0;
+        for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
             for (int i = 0; i < read; i++) {
-                ends = some[i] == '\n' || some[i] == '\r' ? ends + 1 : 0;
-                if (ends == 4) {
+                lineEndBytes = buffer[i] == '\n' || buffer[i] == '\r' ? lineEndBytes + 1 : 0;
+                if (lineEndBytes == 4) {
                     socket.getOutputStream().write(ANSWER);
-                    ends = 0;
+                    lineEndBytes = 0;
                 }
             }
         }
--- a/benchmarks/src/main/java/vetchpost/node/NodeComparison.java
+++ b/benchmarks/src/main/java/vetchpost/node/NodeComparison.java
@@ -22,13 +22,13 @@
 import java.util.stream.IntStream;
 
 /**
- * The node and a plain proxy in turn, each in a process of its own on one core with the same flags, before the
- * same servers and clients: requests a second, latencies, and bytes allocated a request, as ratios.
+ * Compares the node with a plain proxy, alternately, each in its own process on one core with the same flags, servers
+ * and clients. Prints requests per second, latencies and allocated bytes per request, and their ratios.
  *
  * <p>{@code java -cp benchmarks.jar vetchpost.node.NodeComparison VETCHPOST_JAR [ROUNDS [SECONDS [CORE]]]}
  */
 public final class NodeComparison {
-    /** The node begins with four requests at a time for each. */
+    /** Enough for all connections: the node starts with a limit of four concurrent requests per server. */
     private static final int SERVERS = 16;
 
     private static final int CONNECTIONS = 32;
@@ -45,19 +45,19 @@
             "-Xms40m",
             "-Xmx40m",
             "-Xss512k");
-    /** "Pause Young ... 12M->3M(": to a megabyte, which over hundreds of pauses is near enough. */
+    /** "Pause Young ... 12M->3M(". Rounding to a megabyte is precise enough over hundreds of pauses. */
     private static final Pattern GC_PAUSE = Pattern.compile(" (\\d+)M->(\\d+)M\\(");
 
     private static final Pattern CONTENT_LENGTH = Pattern.compile("(?i)content-length: (\\d+)");
     private static final AtomicLong LAST_TXN = new AtomicLong();
     private static final AtomicLong REFUSED = new AtomicLong();
 
-    /** What one run of one subject gave. */
+    /** The figures of one run of one subject. */
     private record Run(double requestsPerS, double p50Us, double p99Us, double bytesPerRequest) {}
 
     private NodeComparison() {}
 
-    /** See the class. */
+    /** Runs the rounds and prints the figures. */
     public static void main(String[] args) throws Exception {
         if (args.length < 1) {
             System.err.println("usage: NodeComparison VETCHPOST_JAR [ROUNDS [SECONDS [CORE]]]");
@@ -94,53 +94,53 @@
 
     private static double median(List<Run> runs, int figure) {
         double[] sorted = runs.stream()
-                .mapToDouble(r -> figure == 0 ? r.requestsPerS : figure == 1 ? r.p50Us : figure == 2 ? r.p99Us : r.bytesPerRequest)
+                .mapToDouble(r -> figure == 0
+                        ? r.requestsPerS
+                        : figure == 1 ? r.p50Us : figure == 2 ? r.p99Us : r.bytesPerRequest)
                 .sorted()
                 .toArray();
         return sorted[sorted.length / 2];
     }
 
-    // ---------------------------------------------------------------- servers
-
     private static ServerSocket startServer() throws IOException {
-        ServerSocket listening = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
+        ServerSocket serverSocket = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
         startThread(() -> {
             while (true) {
-                Socket socket = listening.accept();
+                Socket socket = serverSocket.accept();
                 socket.setTcpNoDelay(true);
                 startThread(() -> answerRequests(socket));
             }
         });
-        return listening;
+        return serverSocket;
     }
 
-    /** An answer for each request without a body: those end with an empty line. */
+    /** Answers each request. Requests receivedBytes no body, so each one ends with an empty line. */
     private static void answerRequests(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
-        byte[] some = new byte[8_192];
-        int ends = 0;
-        for (int read = in.read(some); read >= 0; read = in.read(some)) {
+        byte[] buffer = new byte[8_192];
+        int lineEndBytes = 0;
+        for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
             for (int i = 0; i < read; i++) {
-                ends = some[i] == '\n' || some[i] == '\r' ? ends + 1 : 0;
-                if (ends == 4) {
+                lineEndBytes = buffer[i] == '\n' || buffer[i] == '\r' ? lineEndBytes + 1 : 0;
+                if (lineEndBytes == 4) {
                     socket.getOutputStream().write(ANSWER);
-                    ends = 0;
+                    lineEndBytes = 0;
                 }
             }
         }
     }
 
-    /** What a thread does until its socket ends. */
+    /** The task of a thread, which ends when its socket is closed. */
     private interface IoTask {
         void run() throws IOException;
     }
 
-    private static Thread startThread(IoTask body) {
+    private static Thread startThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                body.run();
+                task.run();
             } catch (IOException e) {
-                // The other side has ended: so has this.
+                // The other side has closed the connection, so the thread ends.
                 return;
             }
         });
@@ -149,9 +149,7 @@
         return thread;
     }
 
-    // ---------------------------------------------------------------- subjects
-
-    /** A process, where it listens, and its log of collections. */
+    /** A process under measurement, its port and its log of garbage collections. */
     private record Subject(Process process, int port, Path gcLog) {}
 
     private static int freePort() throws IOException {
@@ -160,13 +158,13 @@
         }
     }
 
-    private static Subject launch(int port, String core, List<String> what, String config) throws IOException {
+    private static Subject launch(int port, String core, List<String> arguments, String config) throws IOException {
         Path pauses = Files.createTempFile("pauses", ".log");
         pauses.toFile().deleteOnExit();
         List<String> command = new ArrayList<>(List.of("taskset", "-c", core, "java"));
         command.addAll(FLAGS);
         command.add("-Xlog:gc:file=" + pauses);
-        command.addAll(what);
+        command.addAll(arguments);
         ProcessBuilder builder =
                 new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(new File("/dev/null"));
         if (config != null) {
@@ -177,10 +175,10 @@
 
     private static Subject launchProxy(List<ServerSocket> servers, String core) throws IOException {
         int port = freePort();
-        List<String> what = new ArrayList<>(List.of(
+        List<String> arguments = new ArrayList<>(List.of(
                 "-cp", System.getProperty("java.class.path"), PlainProxy.class.getName(), Integer.toString(port)));
-        servers.forEach(s -> what.add(Integer.toString(s.getLocalPort())));
-        return launch(port, core, what, null);
+        servers.forEach(s -> arguments.add(Integer.toString(s.getLocalPort())));
+        return launch(port, core, arguments, null);
     }
 
     private static Subject launchNode(String jar, List<ServerSocket> servers, String core) throws IOException {
@@ -194,7 +192,7 @@
                     .append(servers.get(i).getLocalPort())
                     .append("\",\"state\":\"Ready\"}");
         }
-        // Nobody answers for discovery: the known list is all that there is.
+        // Discovery never answers, so the node uses the known list.
         ServerSocket discovery = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
         Path config = Files.createTempFile("node", ".json");
         config.toFile().deleteOnExit();
@@ -209,8 +207,6 @@
         return launch(port, core, List.of("-jar", jar), config.toString());
     }
 
-    // ---------------------------------------------------------------- clients
-
     private static Run measure(String name, Subject subject, int seconds) throws Exception {
         try {
             awaitListening(subject);
@@ -253,27 +249,27 @@
                 return;
             } catch (IOException e) {
                 if (System.currentTimeMillis() > end || subject.process.waitFor(50, TimeUnit.MILLISECONDS)) {
-                    throw new IOException("it does not come up", e);
+                    throw new IOException("the process does not listen on port " + subject.port, e);
                 }
             }
         }
     }
 
-    /** Bytes taken from the heap up to the last collection. */
+    /** Returns the bytes allocated on the heap up to the last garbage collection. */
     private static long[] allocatedBytes(Subject subject) throws IOException {
-        long sum = 0;
-        long left = 0;
+        long allocatedMb = 0;
+        long usedAfterMb = 0;
         for (String line : Files.readAllLines(subject.gcLog)) {
-            Matcher m = GC_PAUSE.matcher(line);
-            if (m.find()) {
-                sum += Long.parseLong(m.group(1)) - left;
-                left = Long.parseLong(m.group(2));
+            Matcher matcher = GC_PAUSE.matcher(line);
+            if (matcher.find()) {
+                allocatedMb += Long.parseLong(matcher.group(1)) - usedAfterMb;
+                usedAfterMb = Long.parseLong(matcher.group(2));
             }
         }
-        return new long[] {(sum << 20)};
+        return new long[] {(allocatedMb << 20)};
     }
 
-    /** Each connection asks again as soon as it is answered; the latencies of each, in nanoseconds. */
+    /** Sends requests back to back on each connection; returns the latencies of each, in nanoseconds. */
     private static long[][] loadAll(int port, int seconds) throws InterruptedException {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         long[][] latencies = new long[CONNECTIONS][];
@@ -287,43 +283,43 @@
     }
 
     private static long[] loadConnection(int port, long end) throws IOException {
-        long[] took = new long[1 << 16];
+        long[] latenciesNs = new long[1 << 16];
         int count = 0;
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(STARTUP_TIMEOUT_MS);
             InputStream in = socket.getInputStream();
             OutputStream out = socket.getOutputStream();
-            byte[] some = new byte[8_192];
+            byte[] buffer = new byte[8_192];
             for (long now = System.nanoTime(); now < end; now = System.nanoTime()) {
                 String txn = String.format("%016x", LAST_TXN.incrementAndGet());
                 out.write(("GET /view-page/7 HTTP/1.1\r\nHost: b\r\nX-Txn: " + txn + "\r\n"
                                 + "X-Remaining-Ms: 500\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-                if (!readAnswer(in, some)) {
+                if (!readAnswer(in, buffer)) {
                     REFUSED.incrementAndGet();
                     continue;
                 }
-                took = count == took.length ? Arrays.copyOf(took, 2 * count) : took;
-                took[count++] = System.nanoTime() - now;
+                latenciesNs = count == latenciesNs.length ? Arrays.copyOf(latenciesNs, 2 * count) : latenciesNs;
+                latenciesNs[count++] = System.nanoTime() - now;
             }
         }
-        return Arrays.copyOf(took, count);
+        return Arrays.copyOf(latenciesNs, count);
     }
 
-    /** Reads one answer whole; whether it is a 200. */
-    private static boolean readAnswer(InputStream in, byte[] some) throws IOException {
-        int have = 0;
+    /** Reads one complete answer; returns whether its status is 200. */
+    private static boolean readAnswer(InputStream in, byte[] buffer) throws IOException {
+        int receivedBytes = 0;
         while (true) {
-            int read = in.read(some, have, some.length - have);
+            int read = in.read(buffer, receivedBytes, buffer.length - receivedBytes);
             if (read < 0) {
-                throw new IOException("closed");
+                throw new IOException("the connection was closed before the answer was complete");
             }
-            have += read;
-            String text = new String(some, 0, have, StandardCharsets.US_ASCII);
+            receivedBytes += read;
+            String text = new String(buffer, 0, receivedBytes, StandardCharsets.US_ASCII);
             int body = text.indexOf("\r\n\r\n");
             Matcher length = CONTENT_LENGTH.matcher(text);
-            if (body >= 0 && length.find() && have - body - 4 >= Integer.parseInt(length.group(1))) {
+            if (body >= 0 && length.find() && receivedBytes - body - 4 >= Integer.parseInt(length.group(1))) {
                 return text.startsWith("HTTP/1.1 200");
             }
         }
--- a/benchmarks/src/main/java/vetchpost/node/PlainProxy.java
+++ b/benchmarks/src/main/java/vetchpost/node/PlainProxy.java
@@ -26,8 +26,8 @@
 import java.util.List;
 
 /**
- * What the node is measured beside: a proxy of Netty's own parts on one loop, which sends each request to the
- * next server in turn, keeps connections, and does nothing else. No time-outs, no retries, no limits.
+ * The baseline for comparisons with the node: a proxy of Netty's own handlers on one event loop. It sends each request
+ * to the next server in turn and reuses connections; it has no timeouts, retries or limits.
  */
 public final class PlainProxy {
     private static final int MAX_MESSAGE_BYTES = 1 << 16;
@@ -39,7 +39,7 @@
 
     private PlainProxy() {}
 
-    /** Listens on the port given first, before servers on the ports after it. */
+    /** Listens on the first given port, and proxies to servers on the further ones, all on loopback. */
     public static void main(String[] args) throws InterruptedException {
         PlainProxy proxy = new PlainProxy();
         for (int i = 1; i < args.length; i++) {
@@ -57,7 +57,11 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel client) {
-                        client.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_MESSAGE_BYTES), new ClientHandler());
+                        client.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_MESSAGE_BYTES),
+                                        new ClientHandler());
                     }
                 })
                 .bind("127.0.0.1", port)
@@ -67,13 +71,13 @@
                 .sync();
     }
 
-    /** A client's connection: one request at a time. */
+    /** Handles a client's connection, one request at a time. */
     private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            int to = nextServer++ % servers.size();
+            int serverIndex = nextServer++ % servers.size();
             request.retain();
-            Channel server = idle.get(to).poll();
+            Channel server = idle.get(serverIndex).poll();
             if (server != null) {
                 send(server, request, ctx.channel());
                 return;
@@ -86,10 +90,13 @@
                         @Override
                         protected void initChannel(Channel fresh) {
                             fresh.pipeline()
-                                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_MESSAGE_BYTES), new ServerHandler(to));
+                                    .addLast(
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(MAX_MESSAGE_BYTES),
+                                            new ServerHandler(serverIndex));
                         }
                     })
-                    .connect(servers.get(to))
+                    .connect(servers.get(serverIndex))
                     .addListener((ChannelFutureListener) done -> send(done.channel(), request, ctx.channel()));
         }
 
@@ -99,7 +106,7 @@
         }
     }
 
-    /** A server's connection. */
+    /** Handles a connection to a server. */
     private final class ServerHandler extends ChannelInboundHandlerAdapter {
         private final int server;
         private Channel client;
--- a/benchmarks/src/main/java/vetchpost/recorder/RecorderBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recorder/RecorderBenchmark.java
@@ -19,7 +19,7 @@
 import vetchpost.decision.Balancer.Result;
 import vetchpost.decision.Balancer.UnservedReason;
 
-/** All that the recorder is told of one request, served or refused, with a hundred in hand. */
+/** Measures the recorder's cost of one request, served or rejected, while 100 requests are pending. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -40,7 +40,7 @@
         public void forEach(BiConsumer<String, String> action) {}
     };
 
-    /** Whether it is served, or refused unsent. */
+    /** Whether requests are served, or rejected before they are sent. */
     @Param({"true", "false"})
     public boolean served;
 
@@ -49,7 +49,7 @@
     private long nowUs = 1_000_000_000L;
     private long lastId;
 
-    /** One comes, and the one that came a hundred before ends. */
+    /** Records a new request, and the end of the one that arrived 100 requests before. */
     @Benchmark
     public void request() {
         nowUs += 100;
@@ -64,13 +64,13 @@
             recorder.candidatesDrawn(id, candidates[0], candidates[1]);
             recorder.attemptSent(nowUs, id, "s1", nowUs + 100_000);
         }
-        long old = id - PENDING_REQUESTS;
+        long completedId = id - PENDING_REQUESTS;
         if (served) {
-            recorder.attemptEnded(nowUs, old, 0, Result.OK, 10_000);
-            recorder.completed(nowUs, old, Completion.SERVED, 0);
+            recorder.attemptEnded(nowUs, completedId, 0, Result.OK, 10_000);
+            recorder.completed(nowUs, completedId, Completion.SERVED, 0);
         } else {
-            recorder.reasonGiven(old, UnservedReason.SHED);
-            recorder.completed(nowUs, old, Completion.REFUSED, 1_000_000);
+            recorder.reasonGiven(completedId, UnservedReason.SHED);
+            recorder.completed(nowUs, completedId, Completion.REFUSED, 1_000_000);
         }
     }
 }
--- a/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
@@ -44,8 +44,8 @@
 import vetchpost.state.disk.StateFile;
 
 /**
- * What a snapshot costs: of the loop, one turn of collecting and one piece for another node; off it, encoding
- * and writing; at a start, reading and taking it in.
+ * Measures the cost of a snapshot: on the event loop, collecting one turn and handing one chunk to another node; off
+ * the event loop, encoding and writing; at a start, reading and restoring.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -70,7 +70,7 @@
     private StateFile stateFile;
     private List<String> classNames;
 
-    /** Nothing is sent and no time passes. */
+    /** A clock and a transport in which no time passes and nothing is sent. */
     private static final class InertEnvironment implements Clock, ServerTransport {
         @Override
         public long nowUs() {
@@ -110,11 +110,11 @@
     }
 
     private Dispatcher dispatcher() {
-        InertEnvironment still = new InertEnvironment();
+        InertEnvironment environment = new InertEnvironment();
         return new Dispatcher(
-                still,
-                new EventLoopDelay(still),
-                still,
+                environment,
+                new EventLoopDelay(environment),
+                environment,
                 List.of("a"),
                 () -> {},
                 () -> {},
@@ -122,7 +122,7 @@
                 actions -> new ServiceQBalancer(settings(), 1, actions));
     }
 
-    /** A node that knows so many boxes, and its snapshot. */
+    /** Prepares a node that knows this many servers, and its snapshot. */
     @Setup(Level.Trial)
     public void setUp() throws IOException {
         classNames = List.of("view-page", "add-photo", "place-order");
@@ -162,14 +162,15 @@
                             false,
                             List.of(0, 0, 0))));
         }
-        ServerStatistics knowledge = dispatcher.statistics(List.of());
+        ServerStatistics statistics = dispatcher.statistics(List.of());
         snapshot = new Snapshot(
-                observations.origin(7, NOW_MS, NOW_MS - 60_000, Set.of()), observations.classes(knowledge), records);
+                observations.origin(7, NOW_MS, NOW_MS - 60_000, Set.of()), observations.classes(statistics), records);
         chunks = Recovery.encode(snapshot.origin(), snapshot.classes(), records);
         prior = PriorStatistics.of(snapshot, classNames, NOW_MS, true, Map.of());
         file = Files.createTempDirectory("snapshot").resolve("boxes");
         stateFile = new StateFile(file);
-        System.out.println("# " + boxes + " boxes: " + stateFile.write(chunks) + " bytes in " + chunks.size() + " pieces");
+        System.out.println(
+                "# " + boxes + " servers: " + stateFile.write(chunks) + " bytes in " + chunks.size() + " chunks");
     }
 
     @TearDown(Level.Trial)
@@ -180,13 +181,13 @@
         Files.delete(file.getParent());
     }
 
-    /** The longest turn of the loop for a snapshot that is kept: up to 500 boxes. */
+    /** Collects the servers of one turn of the event loop, up to 500; the longest turn of a stored snapshot. */
     @Benchmark
     public Object loopCollectOneTurn() {
         return observations.new Cursor(dispatcher, () -> NOW_MS, SERVERS_PER_TURN).next();
     }
 
-    /** All turns together. */
+    /** Collects the servers of all turns. */
     @Benchmark
     public Object loopCollectAll() {
         Iterator<List<ServerRecord>> cursor = observations.new Cursor(dispatcher, () -> NOW_MS, SERVERS_PER_TURN);
@@ -197,36 +198,36 @@
         return count;
     }
 
-    /** One turn of a handover: a piece of up to 100 boxes. */
+    /** Encodes the chunk of one turn of a handover, up to 100 servers. */
     @Benchmark
     public Object loopHandOverOnePiece() {
-        ServerStatistics knowledge = dispatcher.statistics(List.of());
+        ServerStatistics statistics = dispatcher.statistics(List.of());
         return ServerObservations.pieces(
                         observations.new Cursor(dispatcher, () -> NOW_MS, ChunkCodec.SERVERS_PER_CHUNK),
                         snapshot.origin(),
-                        observations.classes(knowledge))
+                        observations.classes(statistics))
                 .next();
     }
 
-    /** Off the loop. */
+    /** Encodes a snapshot, off the event loop. */
     @Benchmark
     public Object encode() {
         return Recovery.encode(snapshot.origin(), snapshot.classes(), records);
     }
 
-    /** Off the loop, with all that forces it to the disk. */
+    /** Writes a snapshot and forces it to the disk, off the event loop. */
     @Benchmark
     public long write() throws IOException {
         return stateFile.write(chunks);
     }
 
-    /** Before the start. */
+    /** Reads a snapshot, before the node starts. */
     @Benchmark
     public Object read() {
         return stateFile.read(NOW_MS, line -> {});
     }
 
-    /** At the start, by the module: all that is believed. */
+    /** Restores the balancer's statistics from a snapshot, at the start. */
     @Benchmark
     public Object takeIn() {
         dispatcher.restore(prior);
--- a/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
+++ b/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
@@ -18,7 +18,7 @@
 import vetchpost.decision.Balancer.Settings;
 import vetchpost.routes.file.RouteFile;
 
-/** The cost of finding a request's route, by how many there are. */
+/** Measures the cost of finding a request's route, by the number of routes. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -35,7 +35,7 @@
     private final String[] targets = new String[TARGET_COUNT];
     private int nextTarget;
 
-    /** Routes of three segments after the class, and requests that match them in turn. */
+    /** Prepares routes of three segments after the class, and requests that match them in turn. */
     @Setup
     public void setUp() {
         StringBuilder text = new StringBuilder();
@@ -60,7 +60,7 @@
         }
     }
 
-    /** One look-up. */
+    /** Looks up one request's route. */
     @Benchmark
     public Route find() {
         return table.find("view-page", "GET", targets[nextTarget++ & TARGET_COUNT - 1], -1);
--- a/src/test/java/vetchpost/ArchitectureTest.java
+++ b/src/test/java/vetchpost/ArchitectureTest.java
@@ -9,7 +9,7 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The arrows between packages, as docs/architecture.md draws them. */
+/** Checks that packages depend on each other only as docs/architecture.md allows. */
 @AnalyzeClasses(packages = "vetchpost", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final String JAVA = "java..";
@@ -49,7 +49,7 @@
             .orShould()
             .callMethod(System.class, "currentTimeMillis");
 
-    /** Else a simulation's node would read the machine's clock. */
+    /** Otherwise a simulated node would read the machine's clock. */
     @ArchTest
     static final ArchRule TIME_COMES_FROM_THE_EVENT_LOOP = noClasses()
             .that()
@@ -67,7 +67,7 @@
             .orShould()
             .callMethod(System.class, "currentTimeMillis");
 
-    /** Else a simulation's node would open the machine's sockets. */
+    /** Otherwise a simulated node would open the machine's sockets. */
     @ArchTest
     static final ArchRule SOCKET_CHANNELS_ARE_INJECTED = noClasses()
             .that()
@@ -101,7 +101,7 @@
             .resideInAnyPackage(
                     "vetchpost.http..", "vetchpost.core..", "vetchpost.node..", "vetchpost.daemon..", "io.netty..");
 
-    /** A checker that used the node's code would share its errors. */
+    /** A checker that used the node's code would share its faults. */
     @ArchTest
     static final ArchRule CHECKER_DOES_NOT_DEPEND_ON_THE_NODE = classes()
             .that()
@@ -111,7 +111,7 @@
             .resideInAnyPackage(
                     JAVA, "vetchpost.simulation.check..", "vetchpost.simulation.wire..", "vetchpost.simulation.net..");
 
-    /** Proofs are of files that somebody else has read. */
+    /** Routes are validated from files that another package has read. */
     @ArchTest
     static final ArchRule ROUTES_DO_NO_IO = noClasses()
             .that()
@@ -120,7 +120,7 @@
             .dependOnClassesThat()
             .resideInAnyPackage("java.io..", "java.nio..", "io.netty..", "org.tomlj..");
 
-    /** Entries, versions and their sums know neither what they mean nor how they travel. */
+    /** Entries, versions and checksums depend neither on the meaning of their content nor on its transport. */
     @ArchTest
     static final ArchRule STORE_DEPENDS_ONLY_ON_THE_JDK = classes()
             .that()
@@ -130,7 +130,7 @@
             .resideInAnyPackage(
                     "java.lang..", "java.util", "java.util.stream", "java.nio", "java.nio.charset", "vetchpost.store");
 
-    /** Who is told what, and what is believed of it, is decided without a clock, a disk or a socket. */
+    /** What is replicated to whom, and which messages are accepted, is decided without a clock, a disk or a socket. */
     @ArchTest
     static final ArchRule REPLICATION_DECISIONS_DO_NO_IO = classes()
             .that()
@@ -152,7 +152,7 @@
                     "vetchpost.routes",
                     "vetchpost.decision..");
 
-    /** What is believed of old knowledge is decided without a clock, a disk or a socket. */
+    /** How much of a restored state is trusted is decided without a clock, a disk or a socket. */
     @ArchTest
     static final ArchRule STATE_DECISIONS_DO_NO_IO = classes()
             .that()
@@ -168,7 +168,7 @@
                     "vetchpost.core..",
                     "vetchpost.decision..");
 
-    /** Who goes first, and who is told what, is decided without a clock or a socket. */
+    /** The order of admission and the answers to rejected requests are decided without a clock or a socket. */
     @ArchTest
     static final ArchRule ADMISSION_DECISIONS_DO_NO_IO = classes()
             .that()
@@ -210,9 +210,7 @@
                     "vetchpost.config..",
                     "vetchpost.daemon..");
 
-    /**
-     * Who is in the fleet, who is checked and what a file comes to is decided without a clock or a socket.
-     */
+    /** The fleet's members, the health checks and the meaning of a file are decided without a clock or a socket. */
     @ArchTest
     static final ArchRule SOURCE_DECISIONS_DO_NO_IO = classes()
             .that()
@@ -232,7 +230,7 @@
                     "vetchpost.decision..",
                     "vetchpost.routes");
 
-    /** What operators may do, and what it comes to, is decided without a clock, a disk or a socket. */
+    /** Which operator commands are allowed, and their effects, are decided without a clock, a disk or a socket. */
     @ArchTest
     static final ArchRule CONTROL_DECISIONS_DO_NO_IO = classes()
             .that()
@@ -254,7 +252,7 @@
                     "com.google.gson",
                     "org.apache.commons.codec.digest");
 
-    /** What became of requests is kept without a clock of its own, a disk or a socket. */
+    /** Requests are recorded without a clock of the recorder's own, a disk or a socket. */
     @ArchTest
     static final ArchRule RECORDER_DOES_NO_IO = classes()
             .that()
@@ -270,7 +268,7 @@
                     "vetchpost.core..",
                     "vetchpost.decision..");
 
-    /** A protocol decides how bytes look and what an ending means, and nothing else. */
+    /** A protocol only encodes and decodes bytes and maps endings to outcomes. */
     @ArchTest
     static final ArchRule FASTCGI_DEPENDS_ONLY_ON_BUFFERS_AND_OUTCOMES = classes()
             .that()
@@ -288,7 +286,7 @@
                     "vetchpost.fastcgi",
                     "vetchpost.decision..");
 
-    /** The platform's node loads nothing of what runs a node without a platform. */
+    /** A node on the platform loads no classes of the standalone mode. */
     @ArchTest
     static final ArchRule PLATFORM_NODE_DOES_NOT_DEPEND_ON_STANDALONE_MODE = noClasses()
             .that()
@@ -312,7 +310,7 @@
                     "vetchpost.recorder..",
                     "vetchpost.fastcgi..");
 
-    /** A node that nothing is kept of loads nothing of this, but the name of an interface. */
+    /** A node without stored configuration loads no classes of it, apart from one interface. */
     @ArchTest
     static final ArchRule PLATFORM_NODE_DOES_NOT_DEPEND_ON_CONFIGURATION_CHANGES = noClasses()
             .that()
--- a/src/test/java/vetchpost/testing/FakePeer.java
+++ b/src/test/java/vetchpost/testing/FakePeer.java
@@ -14,11 +14,14 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server, or discovery, on a loopback socket: records what it is sent and does as its script says. */
+/**
+ * A scripted server or discovery service on a loopback socket, which records the requests that it receives. Each
+ * connection has a thread of its own; the queues and the script may be used from the test's thread.
+ */
 public final class FakePeer implements Closeable {
     public static final long TIMEOUT_S = 30;
 
-    /** What to do with a request, or with a connection. */
+    /** An action on a request and its connection. */
     public interface Script {
         void run(Socket socket, String request) throws IOException, InterruptedException;
     }
@@ -31,7 +34,7 @@
     public static final Script CLOSE = (socket, request) -> socket.close();
 
     public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-    /** Connections that the other side has ended. */
+    /** Connections that the other side has closed, or whose script has failed. */
     public final BlockingQueue<Socket> closedByClient = new LinkedBlockingQueue<>();
 
     public final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
@@ -52,7 +55,7 @@
         });
     }
 
-    /** An answer with these headers and this body. */
+    /** Answers with these headers, each ending in CRLF, and this body. */
     public static Script answer(String status, String headers, String body) {
         return raw("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
     }
@@ -85,7 +88,7 @@
     public static <T> T takeWithTimeout(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("nothing arrived within " + TIMEOUT_S + " s");
         }
         return next;
     }
@@ -101,7 +104,7 @@
         }
     }
 
-    /** One HTTP message with its body, or null at the end. */
+    /** Reads one HTTP message with its body; returns null at the end of the connection. */
     public static String read(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
@@ -139,12 +142,12 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private static void startDaemonThread(IoTask body) {
+    private static void startDaemonThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                body.run();
+                task.run();
             } catch (IOException | InterruptedException e) {
-                // The connection or the test is over.
+                // The connection was closed, or the test is over.
                 return;
             }
         });
--- a/src/test/java/vetchpost/testing/Fixture.java
+++ b/src/test/java/vetchpost/testing/Fixture.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Configurations, requests and lists for tests. */
+/** Builds configurations, requests and server lists for tests. */
 public final class Fixture {
     public static final int REMAINING_MS = 20_000;
 
--- a/src/test/java/vetchpost/testing/ProcessOutput.java
+++ b/src/test/java/vetchpost/testing/ProcessOutput.java
@@ -5,25 +5,25 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** What a process says, read as it comes, so that a test can wait for a line and not for the process. */
+/** Reads a process's output while it runs, so that a test can wait for a line of it. A thread of its own reads. */
 public final class ProcessOutput {
     private final StringBuilder text = new StringBuilder();
     private final Thread reader;
     private int searchedUntil;
     private boolean ended;
 
-    /** Reads to the end of this. */
-    public ProcessOutput(InputStream from) {
-        reader = new Thread(() -> read(from), "output");
+    /** Starts to read a stream to its end. */
+    public ProcessOutput(InputStream input) {
+        reader = new Thread(() -> read(input), "output");
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read(InputStream from) {
-        byte[] some = new byte[4_096];
+    private void read(InputStream input) {
+        byte[] buffer = new byte[4_096];
         try {
-            for (int read = from.read(some); read >= 0; read = from.read(some)) {
-                add(new String(some, 0, read, StandardCharsets.UTF_8));
+            for (int read = input.read(buffer); read >= 0; read = input.read(buffer)) {
+                add(new String(buffer, 0, read, StandardCharsets.UTF_8));
             }
         } catch (IOException e) {
             add("<" + e + ">");
@@ -41,41 +41,41 @@
         notifyAll();
     }
 
-    /** Waits for this text behind what was waited for before; fails with what came instead. */
+    /** Waits for a text after the one awaited before; if it does not appear, fails with the output since then. */
     public synchronized void await(String part) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
-        int at = text.indexOf(part, searchedUntil);
-        while (at < 0) {
-            long leftMs = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
+        int index = text.indexOf(part, searchedUntil);
+        while (index < 0) {
+            long leftMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
             if (ended || leftMs <= 0) {
-                throw new AssertionError("\"" + part + "\" was not said "
+                throw new AssertionError("\"" + part + "\" was not printed "
                         + (ended ? "before the end" : "within " + FakePeer.TIMEOUT_S + " s") + ", but:\n"
                         + text.substring(searchedUntil));
             }
             wait(leftMs);
-            at = text.indexOf(part, searchedUntil);
+            index = text.indexOf(part, searchedUntil);
         }
-        searchedUntil = at + part.length();
+        searchedUntil = index + part.length();
     }
 
-    /** Waits for the first such text, and for the end of its line; what stands between. */
+    /** Waits for the first occurrence of a text and the end of its line; returns what is between them. */
     public synchronized String restOfLine(String part) throws InterruptedException {
         int before = searchedUntil;
         searchedUntil = 0;
         await(part);
-        int from = searchedUntil;
+        int start = searchedUntil;
         await("\n");
-        String rest = text.substring(from, searchedUntil - 1).strip();
+        String rest = text.substring(start, searchedUntil - 1).strip();
         searchedUntil = before;
         return rest;
     }
 
-    /** All that was said, once the process has ended. */
+    /** Waits for the end of the process and returns all its output. */
     public String readAll() throws InterruptedException {
         reader.join(TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
         synchronized (this) {
             if (!ended) {
-                throw new AssertionError("it still runs, and has said:\n" + text);
+                throw new AssertionError("the process still runs, and has printed:\n" + text);
             }
             return text.toString();
         }
