--- a/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
@@ -86,12 +86,12 @@
         public void update(ServerList list) {}
 
         @Override
-        public Attempt send(String serverId, OutgoingRequest sending) {
+        public Attempt send(String serverId, OutgoingRequest request) {
             throw new UnsupportedOperationException();
         }
 
         @Override
-        public Attempt probe(String serverId, AttemptListener report) {
+        public Attempt probe(String serverId, AttemptListener listener) {
             throw new UnsupportedOperationException();
         }
 
--- a/clients/java/src/main/java/vetchpost/client/core/Budget.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Budget.java
@@ -15,7 +15,7 @@
     /**
      * Creates a full budget.
      *
-     * @param maxRetries the retries and hedges that it holds at most
+     * @param maxRetries the maximum number of retries and hedges in the budget
      * @param perMille what a served call adds, in thousandths of a retry
      */
     Budget(int maxRetries, int perMille) {
--- a/clients/java/src/main/java/vetchpost/client/core/Caller.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Caller.java
@@ -182,9 +182,9 @@
                 }
             }
         }
-        List<Action> taken = actions;
+        List<Action> pending = actions;
         actions = new ArrayList<>();
-        return taken;
+        return pending;
     }
 
     private void wakeAt(Call call, long atMs) {
@@ -222,7 +222,7 @@
     }
 
     /**
-     * Returns the last time at which a call is worth sending: half of all answers would come too late after it. Calls
+     * Returns the last time at which a call may be sent: half of all answers would come too late after it. Calls
      * that waited until their very deadline would use capacity that others need to be served in time.
      */
     private long latestSendMs(Call call) {
--- a/clients/java/src/main/java/vetchpost/client/testing/ScriptedNode.java
+++ b/clients/java/src/main/java/vetchpost/client/testing/ScriptedNode.java
@@ -130,10 +130,10 @@
     }
 
     /** Writes a beginning, and then repeats a text until the client closes the connection. */
-    public static Play floods(String beginning, String again) {
+    public static Play floods(String beginning, String repeated) {
         return socket -> {
             write(socket, beginning);
-            String batch = again.repeat(1 + 8_192 / again.length());
+            String batch = repeated.repeat(1 + 8_192 / repeated.length());
             while (!socket.isClosed()) {
                 write(socket, batch);
             }
--- a/clients/java/src/test/java/vetchpost/client/core/DecisionScenario.java
+++ b/clients/java/src/test/java/vetchpost/client/core/DecisionScenario.java
@@ -107,7 +107,7 @@
                     at,
                     Long.parseLong(which[0]),
                     Integer.parseInt(which[1]),
-                    new Ending(kind, answered, retryAfterMs, "as told"));
+                    new Ending(kind, answered, retryAfterMs, "scripted"));
         }
         if (step.has("cancel")) {
             return caller.cancel(at, step.get("cancel").getAsLong());
@@ -119,7 +119,7 @@
             }
             long end = at + step.get("took").getAsLong();
             for (int i = 0; i < calls && !step.has("leave"); i++) {
-                caller.ended(end, FIRST_SERVED_CALL + i, 0, new Ending(Ending.Kind.SERVED, true, -1, "as told"));
+                caller.ended(end, FIRST_SERVED_CALL + i, 0, new Ending(Ending.Kind.SERVED, true, -1, "scripted"));
             }
             return List.of();
         }
--- a/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
+++ b/clients/java/src/test/java/vetchpost/client/core/LoadScenario.java
@@ -114,7 +114,7 @@
                         t,
                         ending.call(),
                         ending.attempt(),
-                        new Ending(kind, answered, kind == Ending.Kind.REFUSED ? number("refuseMs") : -1, "as told")));
+                        new Ending(kind, answered, kind == Ending.Kind.REFUSED ? number("refuseMs") : -1, "scripted")));
     }
 
     private void perform(long t, List<Action> actions) {
--- a/clients/typescript/src/core/caller.ts
+++ b/clients/typescript/src/core/caller.ts
@@ -174,9 +174,9 @@
         }
       }
     }
-    const taken = this.#actions;
+    const pending = this.#actions;
     this.#actions = [];
-    return taken;
+    return pending;
   }
 
   #wakeAt(call: Call, atMs: number): void {
@@ -215,7 +215,7 @@
   }
 
   /**
-   * Returns the last time at which a call is worth sending: half of all answers would come too late after it. Calls
+   * Returns the last time at which a call may be sent: half of all answers would come too late after it. Calls
    * that waited until their very deadline would use capacity that others need to be served in time.
    */
   #latestSendMs(call: Call): number {
--- a/clients/typescript/src/testing.ts
+++ b/clients/typescript/src/testing.ts
@@ -50,8 +50,8 @@
 }
 
 /** Writes a beginning, and then repeats a text until the client closes the connection. */
-export function floods(beginning: string, again: string): Play {
-  const batch = again.repeat(1 + Math.floor(8_192 / again.length));
+export function floods(beginning: string, repeated: string): Play {
+  const batch = repeated.repeat(1 + Math.floor(8_192 / repeated.length));
   return { moment: "read", on: (socket) => {
     const fill = (): void => {
       while (!socket.destroyed && socket.write(batch)) {
--- a/clients/typescript/test/decisions.test.ts
+++ b/clients/typescript/test/decisions.test.ts
@@ -52,7 +52,7 @@
   if (step.ended !== undefined) {
     const [call, attempt] = step.ended.split(".").map(Number);
     const kind = step.how!;
-    return caller.ended(step.at, call!, attempt!, { kind, retryAfterMs: step.retryAfter ?? -1, cause: "as told",
+    return caller.ended(step.at, call!, attempt!, { kind, retryAfterMs: step.retryAfter ?? -1, cause: "scripted",
       answered: step.answered ?? (kind === "served" || kind === "refused") });
   }
   if (step.cancel !== undefined) {
@@ -64,7 +64,7 @@
     }
     for (let i = 0; i < step.serve && step.leave === undefined; i++) {
       caller.ended(step.at + step.took!, SERVED_FROM + i, 0,
-        { kind: "served", answered: true, retryAfterMs: -1, cause: "as told" });
+        { kind: "served", answered: true, retryAfterMs: -1, cause: "scripted" });
     }
     return [];
   }
@@ -117,7 +117,7 @@
   at: number; call: number; attempt: number; node: string; how: EndingKind; sentMs: number; serves: boolean;
 }
 
-function playLoadScenario(scenario: LoadScenario): { summary: string; resent: number; most: number } {
+function playLoadScenario(scenario: LoadScenario): { summary: string; resent: number; maxPerBucket: number } {
   let random = scenario.seed;
   const draw = (): number => {
     random = Number((BigInt(random) * 1_664_525n + 1_013_904_223n) % 4_294_967_296n);
@@ -127,7 +127,7 @@
   const pendingEndings = new Map<number, PendingEnding[]>();
   const inService = new Map<string, number>();
   const abandoned = new Set<string>();
-  const sends = new Map<number, number>();
+  const sendsByBucket = new Map<number, number>();
   const outcomes = new Map<string, number>();
   let digest = 0x811c9dc5;
   let resent = 0;
@@ -136,7 +136,7 @@
   };
   const send = (t: number, action: Action & { kind: "send" }): void => {
     const bucket = Math.floor(t / 100);
-    sends.set(bucket, (sends.get(bucket) ?? 0) + 1);
+    sendsByBucket.set(bucket, (sendsByBucket.get(bucket) ?? 0) + 1);
     resent += action.resent ? 1 : 0;
     const due = { call: action.call, attempt: action.attempt, node: action.node, sentMs: t, serves: false };
     if (scenario.down.some(([from, to]) => t >= from && t < to)) {
@@ -149,7 +149,7 @@
         serves: true });
     }
   };
-  const act = (t: number, actions: Action[]): void => {
+  const performAll = (t: number, actions: Action[]): void => {
     for (const action of actions) {
       for (const byte of Buffer.from(`${t} ${describe(action)}\n`)) {
         digest = Math.imul(digest ^ byte, 0x01000193);
@@ -163,7 +163,7 @@
       }
     }
   };
-  const end = (t: number, due: PendingEnding): void => {
+  const handleEnding = (t: number, due: PendingEnding): void => {
     if (due.serves) {
       inService.set(due.node, inService.get(due.node)! - 1);
     }
@@ -172,39 +172,39 @@
     }
     const died = due.serves && scenario.down.some(([from]) => from > due.sentMs && from <= t);
     const kind = died ? "may-have-run" : due.how;
-    act(t, caller.ended(t, due.call, due.attempt, { kind, answered: kind === "served" || kind === "refused",
-      retryAfterMs: kind === "refused" ? scenario.refuseMs : -1, cause: "as told" }));
+    performAll(t, caller.ended(t, due.call, due.attempt, { kind, answered: kind === "served" || kind === "refused",
+      retryAfterMs: kind === "refused" ? scenario.refuseMs : -1, cause: "scripted" }));
   };
   for (let i = 0; i < scenario.nodes; i++) {
-    act(0, caller.addNode(0, `n${i}`, false));
+    performAll(0, caller.addNode(0, `n${i}`, false));
   }
-  let begun = 0;
+  let callsStarted = 0;
   for (let t = 0; t <= scenario.until; t++) {
     while (caller.nextWakeMs() <= t) {
-      act(t, caller.wake(t));
+      performAll(t, caller.wake(t));
     }
     for (const due of pendingEndings.get(t) ?? []) {
-      end(t, due);
+      handleEnding(t, due);
     }
     pendingEndings.delete(t);
-    for (let i = 0; i < scenario.perMs && begun < scenario.calls; i++) {
-      begun++;
-      act(t, caller.begin(t, begun, (["safe", "keyed", "unsafe"] as const)[begun % 3]!, scenario.within,
-        scenario.window));
+    for (let i = 0; i < scenario.perMs && callsStarted < scenario.calls; i++) {
+      callsStarted++;
+      performAll(t, caller.begin(t, callsStarted, (["safe", "keyed", "unsafe"] as const)[callsStarted % 3]!,
+        scenario.within, scenario.window));
     }
   }
-  const most = Math.max(0, ...sends.values());
+  const maxPerBucket = Math.max(0, ...sendsByBucket.values());
   const counts = [...outcomes].sort(([a], [b]) => (a < b ? -1 : 1)).map(([kind, n]) => `${kind}=${n}`).join(", ");
-  const summary = `{${counts}} sent again ${resent}, most in 100 ms ${most}, open ${caller.open}, digest `
+  const summary = `{${counts}} sent again ${resent}, most in 100 ms ${maxPerBucket}, open ${caller.open}, digest `
     + (digest >>> 0).toString(16);
-  return { summary, resent, most };
+  return { summary, resent, maxPerBucket };
 }
 
 for (const scenario of read<LoadScenario>("storms.json")) {
   test(`storms.json: ${scenario.about}`, () => {
-    const { summary, resent, most } = playLoadScenario(scenario);
+    const { summary, resent, maxPerBucket } = playLoadScenario(scenario);
     assert.ok(resent <= scenario.resentMost, summary);
-    assert.ok(most <= scenario.per100msMost, summary);
+    assert.ok(maxPerBucket <= scenario.per100msMost, summary);
     assert.equal(summary, scenario.then);
   });
 }
