--- a/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
@@ -71,7 +71,7 @@
         public void admitted() {
             admitted.add(this);
             if (admitted.size() <= SERVER_CAPACITY) {
-                progress.sent();
+                progress.onFirstAttemptSent();
             }
         }
 
@@ -125,12 +125,12 @@
         if (isOddRequest && !admitted.isEmpty()) {
             PendingRequest completed = admitted.poll();
             admission.recordLatency(0, 20_000);
-            completed.progress.sent();
-            completed.progress.ended();
+            completed.progress.onFirstAttemptSent();
+            completed.progress.onCompleted();
             int position = 0;
             for (PendingRequest waiting : admitted) {
                 if (++position >= SERVER_CAPACITY) {
-                    waiting.progress.sent();
+                    waiting.progress.onFirstAttemptSent();
                     break;
                 }
             }
--- a/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
@@ -138,9 +138,9 @@
                     NOW_MS - 1_000_000));
         }
         dispatcher = dispatcher();
-        dispatcher.onKnownList(new ServerList(1, true, targets));
+        dispatcher.onCachedList(new ServerList(1, true, targets));
         observations = new ServerObservations(settings().classes);
-        observations.listed(NOW_MS, 1);
+        observations.onFullList(NOW_MS, 1);
         records = new ArrayList<>();
         for (Target target : targets) {
             records.add(new ServerRecord(
@@ -202,7 +202,7 @@
     @Benchmark
     public Object loopHandOverOnePiece() {
         ServerStatistics statistics = dispatcher.statistics(List.of());
-        return ServerObservations.pieces(
+        return ServerObservations.chunks(
                         observations.new Cursor(dispatcher, () -> NOW_MS, ChunkCodec.SERVERS_PER_CHUNK),
                         snapshot.origin(),
                         observations.classes(statistics))
--- a/src/test/java/vetchpost/simulation/Trusting.java
+++ b/src/test/java/vetchpost/simulation/Trusting.java
@@ -85,7 +85,7 @@
                 servers.put(entry.id(), entry);
             }
         }
-        if (kind == ListKind.CACHED && set.listOnRequest) {
+        if (kind == ListKind.CACHED && set.mustRequestList) {
             out.subscribe();
         }
     }
--- a/src/test/java/vetchpost/simulation/WitnessTest.java
+++ b/src/test/java/vetchpost/simulation/WitnessTest.java
@@ -52,7 +52,7 @@
         @Override
         public RoutePolicy routes(Settings given, long seed) {
             settings = given;
-            return RouteFiles.policy(text, given, seed);
+            return RouteFiles.uncheckedPolicy(text, given, seed);
         }
     }
 
@@ -105,7 +105,7 @@
 
     private static Stage stage(String text, boolean trusting) {
         Stage stage = new Stage(5, BOXES, 1, new InForce("", trusting, false));
-        stage.node.setRoutes(RouteFiles.policy(text, Stage.settings(), 5));
+        stage.node.setRoutes(RouteFiles.uncheckedPolicy(text, Stage.settings(), 5));
         return stage;
     }
 
