--- a/clients/java/src/main/java/vetchpost/client/core/Budget.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Budget.java
@@ -1,29 +1,38 @@
 package vetchpost.client.core;
 
-/** Repeats that calls may cost in all: a token bucket that served calls fill, so that a failing fleet is not
- * asked twice as often as a healthy one. In thousandths of a repeat. */
+/**
+ * The budget of retries and hedges of one client: a token bucket that served calls fill, so that a failing fleet is not
+ * sent twice as many requests as a healthy one. Used by {@link Caller} on its thread.
+ */
 final class Budget {
-    private static final long REPEAT = 1_000;
+    /** Tokens are thousandths of a retry. */
+    private static final long TOKENS_PER_RETRY = 1_000;
 
-    private final long most;
-    private final long earned;
+    private final long maxTokens;
+    private final long tokensPerServedCall;
     private long tokens;
 
-    Budget(int most, int perMille) {
-        this.most = most * REPEAT;
-        this.earned = perMille;
-        tokens = this.most;
+    /**
+     * Creates a full budget.
+     *
+     * @param maxRetries the maximum number of retries and hedges in the budget
+     * @param perMille what a served call adds, in thousandths of a retry
+     */
+    Budget(int maxRetries, int perMille) {
+        this.maxTokens = maxRetries * TOKENS_PER_RETRY;
+        this.tokensPerServedCall = perMille;
+        tokens = this.maxTokens;
     }
 
-    boolean has() {
-        return tokens >= REPEAT;
+    boolean hasRetry() {
+        return tokens >= TOKENS_PER_RETRY;
     }
 
-    void take() {
-        tokens -= REPEAT;
+    void spendRetry() {
+        tokens -= TOKENS_PER_RETRY;
     }
 
-    void served() {
-        tokens = Math.min(most, tokens + earned);
+    void creditServedCall() {
+        tokens = Math.min(maxTokens, tokens + tokensPerServedCall);
     }
 }
--- a/clients/java/src/main/java/vetchpost/client/core/Call.java
+++ b/clients/java/src/main/java/vetchpost/client/core/Call.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** One call: its attempts, and what they have told. */
+/** One call: its class, deadline and attempts, and what their endings say. Used by {@link Caller} on its thread. */
 final class Call {
-    /** An attempt; over once it has ended or been given up. */
+    /** One attempt; finished once it has ended or was abandoned. */
     static final class Attempt {
         final int number;
         final Node node;
         final long sentMs;
-        private boolean over;
+        private boolean finished;
 
         Attempt(int number, Node node, long sentMs) {
             this.number = number;
@@ -24,84 +24,84 @@
     final long id;
     final Repeat repeat;
     final long deadlineMs;
-    /** When its second copy is due; -1 if none is. */
-    long secondMs = -1;
-    /** The one time at which it wants to be woken. */
-    long wakeMs = Long.MAX_VALUE;
-
-    boolean over;
-    Ending last;
-    private final long windowMs;
+    /** When its hedge is due; -1 if none is. */
+    long hedgeAtMs = -1;
+    /** When its one valid wake-up is due. */
+    long wakeAtMs = Long.MAX_VALUE;
+
+    boolean finished;
+    Ending lastEnding;
+    private final long deduplicationWindowMs;
     private final List<Attempt> attempts = new ArrayList<>(2);
-    private final Map<Node, Long> notBefore = new HashMap<>(2);
-    private long windowEndMs = Long.MAX_VALUE;
+    private final Map<Node, Long> notBeforeMsByNode = new HashMap<>(2);
+    private long deduplicationEndMs = Long.MAX_VALUE;
     private boolean mayHaveRun;
-    private int out;
+    private int inFlightCount;
 
     Call(long id, Repeat repeat, long deadlineMs, long windowMs) {
         this.id = id;
         this.repeat = repeat;
         this.deadlineMs = deadlineMs;
-        this.windowMs = windowMs;
+        this.deduplicationWindowMs = windowMs;
     }
 
-    Attempt sent(Node node, long nowMs) {
+    Attempt addAttempt(Node node, long nowMs) {
         Attempt attempt = new Attempt(attempts.size(), node, nowMs);
         attempts.add(attempt);
-        out++;
+        inFlightCount++;
         return attempt;
     }
 
-    /** The attempt of this number if it is out, else null. */
-    Attempt out(int number) {
-        Attempt one = number >= 0 && number < attempts.size() ? attempts.get(number) : null;
-        return one == null || one.over ? null : one;
+    /** Returns the attempt of this number if it is in flight, else null. */
+    Attempt inFlightAttempt(int number) {
+        Attempt attempt = number >= 0 && number < attempts.size() ? attempts.get(number) : null;
+        return attempt == null || attempt.finished ? null : attempt;
     }
 
-    List<Attempt> out() {
-        return attempts.stream().filter(a -> !a.over).toList();
+    List<Attempt> inFlightAttempts() {
+        return attempts.stream().filter(a -> !a.finished).toList();
     }
 
-    boolean isOut() {
-        return out > 0;
+    boolean isInFlight() {
+        return inFlightCount > 0;
     }
 
-    int sendings() {
+    int attemptCount() {
         return attempts.size();
     }
 
-    /** An attempt of it is over, and this is all that is known of it. */
-    void ended(Attempt attempt, Ending how, long nowMs) {
-        over(attempt);
-        last = how;
-        if (how.kind() == Ending.Kind.MAY_HAVE_RUN) {
+    /** Finishes an attempt and keeps what its ending says about the call. */
+    void recordEnding(Attempt attempt, Ending ending, long nowMs) {
+        finish(attempt);
+        lastEnding = ending;
+        if (ending.kind() == Ending.Kind.MAY_HAVE_RUN) {
             mayHaveRun = true;
             if (repeat == Repeat.KEYED) {
-                windowEndMs = Math.min(windowEndMs, attempt.sentMs + windowMs);
+                deduplicationEndMs = Math.min(deduplicationEndMs, attempt.sentMs + deduplicationWindowMs);
             }
-        } else if (how.kind() == Ending.Kind.REFUSED && how.retryAfterMs() >= 0) {
-            notBefore.merge(attempt.node, nowMs + how.retryAfterMs(), Math::max);
+        } else if (ending.kind() == Ending.Kind.REFUSED && ending.retryAfterMs() >= 0) {
+            notBeforeMsByNode.merge(attempt.node, nowMs + ending.retryAfterMs(), Math::max);
         }
     }
 
-    /** No more is wanted of an attempt, and whatever it does has no weight. */
-    void over(Attempt attempt) {
-        attempt.over = true;
-        out--;
+    /** Finishes an attempt; anything it reports later is ignored. */
+    void finish(Attempt attempt) {
+        attempt.finished = true;
+        inFlightCount--;
     }
 
     boolean hasTried(Node node) {
         return attempts.stream().anyMatch(a -> a.node == node);
     }
 
-    /** When this node takes it, by the node's own word; the distant past if it has said none. */
+    /** Returns when this node accepts a retry by its Retry-After; the smallest number if it sent none. */
     long notBeforeMs(Node node) {
-        return notBefore.getOrDefault(node, Long.MIN_VALUE);
+        return notBeforeMsByNode.getOrDefault(node, Long.MIN_VALUE);
     }
 
-    /** The earliest time that any node has named; the largest number if none has. */
-    long comeBackMs() {
-        return notBefore.values().stream().mapToLong(t -> t).min().orElse(Long.MAX_VALUE);
+    /** Returns the earliest time at which any node accepts a retry; the largest number if none sent a Retry-After. */
+    long earliestRetryMs() {
+        return notBeforeMsByNode.values().stream().mapToLong(t -> t).min().orElse(Long.MAX_VALUE);
     }
 
     boolean mayHaveRun() {
@@ -109,15 +109,15 @@
     }
 
     /**
-     * Until when it may be answered. A repeat of a keyed call that may have run must not arrive after the
-     * servers have forgotten its key, however long it is on its way: so it is given up by then.
+     * Returns until when an answer is accepted. A retry of a keyed call that may have run must not reach a server that
+     * has forgotten its key, however long it is in transit: so its attempts are abandoned at the window's end.
      */
-    long untilMs() {
-        return Math.min(deadlineMs, windowEndMs);
+    long answerByMs() {
+        return Math.min(deadlineMs, deduplicationEndMs);
     }
 
-    /** Whether its class lets it go out once more. */
-    boolean mayRepeat() {
+    /** Whether its class allows another attempt. */
+    boolean mayRetry() {
         return repeat != Repeat.UNSAFE || !mayHaveRun;
     }
 }
--- a/clients/java/src/test/java/vetchpost/client/WireTest.java
+++ b/clients/java/src/test/java/vetchpost/client/WireTest.java
@@ -29,18 +29,18 @@
 import vetchpost.client.testing.ScriptedNode;
 import vetchpost.client.testing.ScriptedNode.Play;
 
-/** The conformance suite's scenarios on the wire, over loopback. */
+/** Runs the conformance suite's wire scenarios against scripted nodes on loopback. */
 class WireTest {
-    private static final int PATIENCE_S = 30;
+    private static final int TIMEOUT_S = 30;
 
-    /** A play that tells when it begins, and when its client has gone. */
-    private record Watched(Play play, CountDownLatch begun, CountDownLatch gone) implements Play {
+    /** A play that reports when it starts and, if {@code closed} is set, when its client closes the connection. */
+    private record ObservedPlay(Play play, CountDownLatch started, CountDownLatch closed) implements Play {
         @Override
         public void on(Socket socket) throws IOException {
-            begun.countDown();
+            started.countDown();
             play.on(socket);
-            if (gone != null && socket.getInputStream().read() < 0) {
-                gone.countDown();
+            if (closed != null && socket.getInputStream().read() < 0) {
+                closed.countDown();
             }
         }
 
@@ -56,38 +56,38 @@
         String text = Files.readString(Path.of("..", "conformance", "wire.json"));
         for (JsonElement each : JsonParser.parseString(text).getAsJsonArray()) {
             JsonObject scenario = each.getAsJsonObject();
-            tests.add(dynamicTest(scenario.get("about").getAsString(), () -> play(scenario)));
+            tests.add(dynamicTest(scenario.get("about").getAsString(), () -> run(scenario)));
         }
         return tests;
     }
 
-    private static Play word(JsonObject word) {
-        boolean closes = word.has("close") && word.get("close").getAsString().equals("then");
-        if (word.has("answer")) {
+    private static Play toPlay(JsonObject step) {
+        boolean closes = step.has("close") && step.get("close").getAsString().equals("then");
+        if (step.has("answer")) {
             List<String> fields = new ArrayList<>();
-            if (word.has("fields")) {
-                word.getAsJsonArray("fields").forEach(f -> fields.add(f.getAsString()));
+            if (step.has("fields")) {
+                step.getAsJsonArray("fields").forEach(f -> fields.add(f.getAsString()));
             }
             return ScriptedNode.answers(
-                    word.get("answer").getAsInt(),
-                    word.has("body") ? word.get("body").getAsString() : "",
+                    step.get("answer").getAsInt(),
+                    step.has("body") ? step.get("body").getAsString() : "",
                     fields.toArray(String[]::new));
-        } else if (word.has("raw")) {
-            Play raw = ScriptedNode.raw(word.get("raw").getAsString());
+        } else if (step.has("raw")) {
+            Play raw = ScriptedNode.raw(step.get("raw").getAsString());
             return closes
                     ? socket -> {
                         raw.on(socket);
                         socket.close();
                     }
                     : raw;
-        } else if (word.has("cut")) {
-            return ScriptedNode.cuts(word.get("cut").getAsInt());
-        } else if (word.has("flood")) {
+        } else if (step.has("cut")) {
+            return ScriptedNode.cuts(step.get("cut").getAsInt());
+        } else if (step.has("flood")) {
             return ScriptedNode.floods(
-                    word.get("flood").getAsString(), word.get("again").getAsString());
-        } else if (word.has("close")) {
+                    step.get("flood").getAsString(), step.get("again").getAsString());
+        } else if (step.has("close")) {
             return ScriptedNode.closes(
-                    switch (word.get("close").getAsString()) {
+                    switch (step.get("close").getAsString()) {
                         case "before" -> Play.Moment.ACCEPTED;
                         case "during" -> Play.Moment.HEAD_READ;
                         default -> Play.Moment.READ;
@@ -96,13 +96,14 @@
         return ScriptedNode.silent();
     }
 
-    private static String dead() throws IOException {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return "http://127.0.0.1:" + taken.getLocalPort();
+    /** Returns the URL of a port on which nothing listens. */
+    private static String unusedUrl() throws IOException {
+        try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return "http://127.0.0.1:" + unused.getLocalPort();
         }
     }
 
-    private static Request request(JsonObject call) {
+    private static Request toRequest(JsonObject call) {
         String target = call.has("target") ? call.get("target").getAsString() : "/";
         Request request = switch (call.get("repeat").getAsString()) {
             case "safe" -> Request.get(target);
@@ -115,43 +116,43 @@
         return call.has("body") ? request.json(call.get("body").getAsString()) : request;
     }
 
-    private static void play(JsonObject scenario) throws Exception {
+    private static void run(JsonObject scenario) throws Exception {
         List<ScriptedNode> nodes = new ArrayList<>();
-        CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch gone = new CountDownLatch(1);
+        CountDownLatch started = new CountDownLatch(1);
+        CountDownLatch closed = new CountDownLatch(1);
         Client.Builder builder = Client.builder().settings(Scenarios.settings(scenario.get("settings")));
         if (scenario.has("longestAnswer")) {
             builder.longestAnswer(scenario.get("longestAnswer").getAsInt());
         }
         for (JsonElement each : scenario.getAsJsonArray("nodes")) {
             if (each.getAsJsonArray().get(0).getAsJsonObject().has("dead")) {
-                builder.node(dead());
+                builder.node(unusedUrl());
                 continue;
             }
             List<Play> plays = new ArrayList<>();
             each.getAsJsonArray()
-                    .forEach(word -> plays.add(new Watched(
-                            word(word.getAsJsonObject()), begun, scenario.has("connectionEnds") ? gone : null)));
+                    .forEach(step -> plays.add(new ObservedPlay(
+                            toPlay(step.getAsJsonObject()), started, scenario.has("connectionEnds") ? closed : null)));
             ScriptedNode node = new ScriptedNode(plays.toArray(Play[]::new));
             nodes.add(node);
             builder.node(node.url());
         }
         try (Client client = builder.build()) {
-            long beganNs = System.nanoTime();
-            Request request = request(scenario.getAsJsonObject("call"));
+            long startedNs = System.nanoTime();
+            Request request = toRequest(scenario.getAsJsonObject("call"));
             CompletableFuture<Result> call = client.send(request);
             if (scenario.has("cancelAfterSent")) {
-                assertTrue(begun.await(PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(started.await(TIMEOUT_S, TimeUnit.SECONDS));
                 call.cancel(true);
-                assertTrue(gone.await(PATIENCE_S, TimeUnit.SECONDS), "the node hears of it");
+                assertTrue(closed.await(TIMEOUT_S, TimeUnit.SECONDS), "the node sees the connection close");
             } else {
-                Result result = call.get(PATIENCE_S, TimeUnit.SECONDS);
-                long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beganNs);
-                ended(scenario.getAsJsonObject("then"), result, tookMs);
+                Result result = call.get(TIMEOUT_S, TimeUnit.SECONDS);
+                long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNs);
+                assertResult(scenario.getAsJsonObject("then"), result, tookMs);
             }
             List<ScriptedNode.Seen> seen = new ArrayList<>();
             nodes.forEach(node -> seen.addAll(node.seen()));
-            sent(scenario, request, seen);
+            assertRequests(scenario, request, seen);
         } finally {
             for (ScriptedNode node : nodes) {
                 node.close();
@@ -159,7 +160,7 @@
         }
     }
 
-    private static void ended(JsonObject then, Result result, long tookMs) {
+    private static void assertResult(JsonObject then, Result result, long tookMs) {
         String kind = result.getClass()
                 .getSimpleName()
                 .replaceAll("(?<=.)([A-Z])", "-$1")
@@ -184,21 +185,21 @@
         assertTrue(!then.has("tookAtMost") || tookMs <= then.get("tookAtMost").getAsLong(), "" + tookMs);
     }
 
-    private static void sent(JsonObject scenario, Request request, List<ScriptedNode.Seen> seen) {
+    private static void assertRequests(JsonObject scenario, Request request, List<ScriptedNode.Seen> seen) {
         if (scenario.has("seenInAll")) {
             assertEquals(scenario.get("seenInAll").getAsInt(), seen.size());
         }
         Set<String> ids = new HashSet<>();
-        Set<String> numbers = new HashSet<>();
+        Set<String> attemptIds = new HashSet<>();
         Set<String> keys = new HashSet<>();
         for (int i = 0; i < seen.size(); i++) {
-            ScriptedNode.Seen one = seen.get(i);
-            assertEquals(request.target(), one.target());
-            ids.add(one.headers().get("x-request-id"));
-            numbers.add(one.headers().get("x-txn"));
-            keys.add(one.headers().get("idempotency-key"));
-            assertTrue(one.headers().get("x-txn").matches("[0-9a-f]{16}"));
-            long remaining = Long.parseLong(one.headers().get("x-remaining-ms"));
+            ScriptedNode.Seen received = seen.get(i);
+            assertEquals(request.target(), received.target());
+            ids.add(received.headers().get("x-request-id"));
+            attemptIds.add(received.headers().get("x-txn"));
+            keys.add(received.headers().get("idempotency-key"));
+            assertTrue(received.headers().get("x-txn").matches("[0-9a-f]{16}"));
+            long remaining = Long.parseLong(received.headers().get("x-remaining-ms"));
             assertTrue(
                     remaining > 0 && remaining <= request.within().orElseThrow().toMillis());
             if (scenario.has("headers")) {
@@ -207,16 +208,16 @@
                             .getAsJsonArray()
                             .get(Math.min(i, field.getValue().getAsJsonArray().size() - 1));
                     if (value.isJsonNull()) {
-                        assertNull(one.headers().get(field.getKey()), field.getKey());
+                        assertNull(received.headers().get(field.getKey()), field.getKey());
                     } else {
-                        assertEquals(value.getAsString(), one.headers().get(field.getKey()));
+                        assertEquals(value.getAsString(), received.headers().get(field.getKey()));
                     }
                 }
             }
         }
         if (!seen.isEmpty()) {
             assertEquals(1, ids.size(), "one id for the call");
-            assertEquals(seen.size(), numbers.size(), "a number for each sending");
+            assertEquals(seen.size(), attemptIds.size(), "one id per attempt");
             assertEquals(1, keys.size(), "one key, or none");
         }
     }
--- a/clients/java/src/test/java/vetchpost/client/examples/PhotoImport.java
+++ b/clients/java/src/test/java/vetchpost/client/examples/PhotoImport.java
@@ -12,8 +12,8 @@
 import vetchpost.client.Result;
 
 /**
- * Imports a folder's photos: all uploads at once, as the client bounds what is in flight. Each has a key of
- * its own, so that one whose end is unknown can be sent once more with that key and has its effect once.
+ * Imports a folder's photos. It starts all uploads at once, since the client limits the attempts in flight. Each upload
+ * has its own key, so that one whose outcome is unknown can be sent once more with that key and takes effect only once.
  */
 final class PhotoImport {
     private static final Duration WINDOW = Duration.ofMinutes(10);
@@ -24,60 +24,60 @@
         this.client = client;
     }
 
-    /** What has become of one photo: "stored", or a reason. */
-    private record Done(String photo, String word) {}
+    /** The outcome of one photo's upload: "stored", or the reason why not. */
+    private record Upload(String photo, String outcome) {}
 
-    /** Uploads all of them and says how many ended how. */
+    /** Uploads all photos and returns the number of uploads for each outcome. */
     Map<String, Integer> run(Map<String, byte[]> photos) {
-        List<CompletableFuture<Done>> uploads = new ArrayList<>();
+        List<CompletableFuture<Upload>> uploads = new ArrayList<>();
         photos.forEach((name, bytes) -> uploads.add(upload(name, bytes, Optional.empty())));
-        Map<String, Integer> words = new TreeMap<>();
-        uploads.forEach(upload -> words.merge(upload.join().word(), 1, Integer::sum));
-        return words;
+        Map<String, Integer> outcomes = new TreeMap<>();
+        uploads.forEach(upload -> outcomes.merge(upload.join().outcome(), 1, Integer::sum));
+        return outcomes;
     }
 
-    private CompletableFuture<Done> upload(String name, byte[] bytes, Optional<String> key) {
+    private CompletableFuture<Upload> upload(String name, byte[] bytes, Optional<String> key) {
         Request request = Request.keyed("POST", "/add-photo?name=" + name, WINDOW)
                 .body("image/jpeg", bytes)
                 .within(Duration.ofSeconds(20));
         return client.send(key.map(request::key).orElse(request))
-                .thenCompose(result -> next(name, bytes, key.isPresent(), result));
+                .thenCompose(result -> retryOnceIfUnknown(name, bytes, key.isPresent(), result));
     }
 
-    private CompletableFuture<Done> next(String name, byte[] bytes, boolean again, Result result) {
+    private CompletableFuture<Upload> retryOnceIfUnknown(String name, byte[] bytes, boolean isRetry, Result result) {
         return result.match(new Result.Cases<>() {
             @Override
-            public CompletableFuture<Done> served(Result.Served served) {
+            public CompletableFuture<Upload> served(Result.Served served) {
                 return done(served.status() == 200 ? "stored" : "rejected with " + served.status());
             }
 
             @Override
-            public CompletableFuture<Done> refused(Result.Refused refused) {
+            public CompletableFuture<Upload> refused(Result.Refused refused) {
                 return done("refused");
             }
 
             @Override
-            public CompletableFuture<Done> neverRan(Result.NeverRan failed) {
+            public CompletableFuture<Upload> neverRan(Result.NeverRan failed) {
                 return done("no node");
             }
 
             @Override
-            public CompletableFuture<Done> mayHaveRun(Result.MayHaveRun failed) {
-                return again ? done("unknown, ask about " + failed.id()) : upload(name, bytes, failed.key());
+            public CompletableFuture<Upload> mayHaveRun(Result.MayHaveRun failed) {
+                return isRetry ? done("unknown, ask about " + failed.id()) : upload(name, bytes, failed.key());
             }
 
             @Override
-            public CompletableFuture<Done> cancelled(Result.Cancelled cancelled) {
+            public CompletableFuture<Upload> cancelled(Result.Cancelled cancelled) {
                 return done("cancelled");
             }
 
             @Override
-            public CompletableFuture<Done> late(Result.Late late) {
-                return again ? done("late") : upload(name, bytes, late.key());
+            public CompletableFuture<Upload> late(Result.Late late) {
+                return isRetry ? done("late") : upload(name, bytes, late.key());
             }
 
-            private CompletableFuture<Done> done(String word) {
-                return CompletableFuture.completedFuture(new Done(name, word));
+            private CompletableFuture<Upload> done(String outcome) {
+                return CompletableFuture.completedFuture(new Upload(name, outcome));
             }
         });
     }
