--- a/src/main/java/vetchpost/simulation/AdmissionControlledNodes.java
+++ b/src/main/java/vetchpost/simulation/AdmissionControlledNodes.java
@@ -19,8 +19,8 @@
     }
 
     @Override
-    public NodeHooks seams(SimLoop loop) {
-        return inner.seams(loop);
+    public NodeHooks hooks(SimLoop loop) {
+        return inner.hooks(loop);
     }
 
     @Override
@@ -34,8 +34,8 @@
     }
 
     @Override
-    public NodeLifecycle companion(NodeProcess.Start start) {
-        return inner.companion(start);
+    public NodeLifecycle lifecycle(NodeProcess.Start start) {
+        return inner.lifecycle(start);
     }
 
     @Override
--- a/src/main/java/vetchpost/simulation/Fault.java
+++ b/src/main/java/vetchpost/simulation/Fault.java
@@ -57,17 +57,17 @@
         /** Clients that send half a request, rubbish, or do not read. */
         RUDE("rude clients", "AMOUNT clients that send rubbish, halves, or don't read");
 
-        private final String words;
+        private final String scriptName;
         private final String help;
 
         Kind(String words, String help) {
-            this.words = words;
+            this.scriptName = words;
             this.help = help;
         }
 
         /** How a script names it. */
-        public String words() {
-            return words;
+        public String scriptName() {
+            return scriptName;
         }
 
         /** What it does, for the help text. */
@@ -82,7 +82,7 @@
                 Locale.ROOT,
                 "at %.3fs %s %d for %.3fs amount %s",
                 atMs / 1e3,
-                kind.words,
+                kind.scriptName,
                 target,
                 durationMs / 1e3,
                 amount);
--- a/src/main/java/vetchpost/simulation/LoggedFaults.java
+++ b/src/main/java/vetchpost/simulation/LoggedFaults.java
@@ -21,11 +21,11 @@
     static {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         for (Logger logger : LOGGERS) {
-            logger.addHandler(new Ear());
+            logger.addHandler(new FaultHandler());
         }
     }
 
-    private static final class Ear extends Handler {
+    private static final class FaultHandler extends Handler {
         @Override
         public void publish(LogRecord record) {
             LoggedFaults faults = CURRENT.get();
--- a/src/main/java/vetchpost/simulation/Plan.java
+++ b/src/main/java/vetchpost/simulation/Plan.java
@@ -39,14 +39,14 @@
     private static final Comparator<Fault> BY_TIME = Comparator.comparingLong(Fault::atMs);
 
     /** Largest shares of boxes that fail together, as seen in service. */
-    private static final double DYING = 0.22;
+    private static final double KILLED_FRACTION = 0.22;
 
-    private static final double SILENT = 0.18;
-    private static final double FAILING = 0.20;
-    private static final double RESTARTING = 0.29;
-    private static final int STORM_ONE_IN = 5;
-    private static final double MOST_WORK_MS = 120;
-    private static final int MANY_BOXES = 60;
+    private static final double SILENCED_FRACTION = 0.18;
+    private static final double FAILING_FRACTION = 0.20;
+    private static final double RESTARTING_FRACTION = 0.29;
+    private static final int SIMULTANEOUS_ONE_IN = 5;
+    private static final double MAX_WORK_MS = 120;
+    private static final int MAX_MANY_NODES_SERVERS = 60;
 
     /** Puts the faults in the order of their times. */
     public Plan {
@@ -64,14 +64,14 @@
         double rate = 40 + 120 * random.nextDouble();
         // As busy as boxes are in service, and sometimes more than is good for them.
         double load = 0.2 + 0.8 * random.nextDouble();
-        double workMs = Math.min(MOST_WORK_MS, load * 1_000 * slots * boxes / rate);
+        double workMs = Math.min(MAX_WORK_MS, load * 1_000 * slots * boxes / rate);
         List<Fault> faults = new ArrayList<>();
         int most = 1 + random.nextInt(9);
         for (int i = 0; i < most; i++) {
-            draw(random, nodes, boxes, lengthMs, faults);
+            addRandomFaults(random, nodes, boxes, lengthMs, faults);
         }
-        if (random.nextInt(STORM_ONE_IN) == 0) {
-            storm(random, nodes, boxes, lengthMs, faults);
+        if (random.nextInt(SIMULTANEOUS_ONE_IN) == 0) {
+            addSimultaneousFaults(random, nodes, boxes, lengthMs, faults);
         }
         return new Plan(seed, nodes, boxes, racks, random.nextInt(3) == 0, rate, lengthMs, workMs, slots, faults, null);
     }
@@ -83,9 +83,9 @@
      *
      * @param nodes how many, from 1 on
      */
-    public static Plan many(long seed, int nodes) {
+    public static Plan ofManyNodes(long seed, int nodes) {
         SplittableRandom random = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + 3);
-        int boxes = MANY_BOXES - random.nextInt(MANY_BOXES / 3);
+        int boxes = MAX_MANY_NODES_SERVERS - random.nextInt(MAX_MANY_NODES_SERVERS / 3);
         int racks = 4 + random.nextInt(5);
         long lengthMs = 5_000 + random.nextInt(3_000);
         double perBox = 12 + 8 * random.nextDouble();
@@ -120,40 +120,43 @@
         if ((troubles & 8) != 0) {
             faults.add(new Fault(
                     at, random.nextBoolean() ? Fault.Kind.MUTE : Fault.Kind.LATE, 0, random.nextInt(3_000), 0));
-            some(random, boxes, FAILING / 2, n -> faults.add(new Fault(at, Fault.Kind.SLOW, n, 2_000, 6)));
+            forEachAffected(
+                    random, boxes, FAILING_FRACTION / 2, n -> faults.add(new Fault(at, Fault.Kind.SLOW, n, 2_000, 6)));
         }
         return new Plan(
                 seed, nodes, boxes, racks, random.nextInt(4) == 0, perBox * boxes, lengthMs, workMs, 1, faults, null);
     }
 
     /** All that is seen together on the worst days, within one second. */
-    private static void storm(SplittableRandom random, int nodes, int boxes, long lengthMs, List<Fault> faults) {
+    private static void addSimultaneousFaults(
+            SplittableRandom random, int nodes, int boxes, long lengthMs, List<Fault> faults) {
         long at = 500 + random.nextLong(lengthMs / 2);
         long duration = 1_000 + random.nextLong(3_000);
-        some(
+        forEachAffected(
                 random,
                 boxes,
-                DYING,
+                KILLED_FRACTION,
                 n -> faults.add(new Fault(at + random.nextLong(1_000), Fault.Kind.KILL, n, duration, 0)));
-        some(
+        forEachAffected(
                 random,
                 boxes,
-                SILENT,
+                SILENCED_FRACTION,
                 n -> faults.add(new Fault(at + random.nextLong(1_000), Fault.Kind.SILENCE, n, duration, 0)));
-        some(
+        forEachAffected(
                 random,
                 boxes,
-                FAILING,
+                FAILING_FRACTION,
                 n -> faults.add(new Fault(
                         at + random.nextLong(1_000), Fault.Kind.FAIL, n, duration, 0.44 + 0.53 * random.nextDouble())));
-        some(
+        forEachAffected(
                 random,
                 nodes,
-                RESTARTING,
+                RESTARTING_FRACTION,
                 n -> faults.add(new Fault(at + random.nextLong(1_000), Fault.Kind.CRASH, n, duration, 0)));
     }
 
-    private static void draw(SplittableRandom random, int nodes, int boxes, long lengthMs, List<Fault> faults) {
+    private static void addRandomFaults(
+            SplittableRandom random, int nodes, int boxes, long lengthMs, List<Fault> faults) {
         // Some fall together: in the same instant as the one before.
         long at = !faults.isEmpty() && random.nextInt(3) == 0
                 ? faults.get(faults.size() - 1).atMs()
@@ -164,9 +167,24 @@
         switch (random.nextInt(18)) {
             case 0, 1 -> faults.add(new Fault(at, Fault.Kind.DRAIN, box, 800 + duration, 0));
             case 2 -> faults.add(new Fault(at, Fault.Kind.REPLACE, box, duration / 4, 0));
-            case 3 -> some(random, boxes, DYING, n -> faults.add(new Fault(at, Fault.Kind.KILL, n, duration, 0)));
-            case 4 -> some(random, boxes, SILENT, n -> faults.add(new Fault(at, Fault.Kind.SILENCE, n, duration, 0)));
-            case 5 -> some(random, boxes, FAILING, n -> faults.add(new Fault(at, Fault.Kind.FAIL, n, duration, part)));
+            case 3 ->
+                forEachAffected(
+                        random,
+                        boxes,
+                        KILLED_FRACTION,
+                        n -> faults.add(new Fault(at, Fault.Kind.KILL, n, duration, 0)));
+            case 4 ->
+                forEachAffected(
+                        random,
+                        boxes,
+                        SILENCED_FRACTION,
+                        n -> faults.add(new Fault(at, Fault.Kind.SILENCE, n, duration, 0)));
+            case 5 ->
+                forEachAffected(
+                        random,
+                        boxes,
+                        FAILING_FRACTION,
+                        n -> faults.add(new Fault(at, Fault.Kind.FAIL, n, duration, part)));
             case 6 -> faults.add(new Fault(at, Fault.Kind.SLOW, box, duration, 2 + 8 * part));
             case 7 -> faults.add(new Fault(at, Fault.Kind.SPOIL, box, duration, 0.5 * part));
             case 8 -> faults.add(new Fault(at, Fault.Kind.RESET, box, duration, 0.5 * part));
@@ -200,7 +218,7 @@
         }
     }
 
-    private static void some(SplittableRandom random, int of, double share, IntConsumer each) {
+    private static void forEachAffected(SplittableRandom random, int of, double share, IntConsumer each) {
         int count = Math.max(1, (int) (share * of));
         int first = random.nextInt(of);
         for (int i = 0; i < count; i++) {
@@ -214,7 +232,7 @@
     }
 
     /** The same with these requests only. */
-    public Plan withOnly(BitSet fewer) {
+    public Plan withOnlyRequests(BitSet fewer) {
         return new Plan(seed, nodes, servers, racks, pushed, rate, durationMs, workMs, slots, faults, fewer);
     }
 }
--- a/src/main/java/vetchpost/simulation/PlanText.java
+++ b/src/main/java/vetchpost/simulation/PlanText.java
@@ -17,17 +17,17 @@
     private static final Pattern FAULT =
             Pattern.compile("at\\s+(\\d+(?:\\.\\d+)?)s\\s+([a-z-]+\\s+[a-z-]+)(?:\\s+(\\d{1,4}))?"
                     + "(?:\\s+for\\s+(\\d+(?:\\.\\d+)?)s)?(?:\\s+amount\\s+(\\d+(?:\\.\\d+)?))?");
-    private static final Pattern FACT = Pattern.compile("([a-z]+)\\s+(\\S+)");
-    private static final double MOST_SECONDS = 3_600;
-    private static final int MOST_LINES = 10_000;
-    private static final double DEFAULT_PART = 0.5;
-    private static final int MOST_REQUESTS = 10_000_000;
+    private static final Pattern SETTING = Pattern.compile("([a-z]+)\\s+(\\S+)");
+    private static final double MAX_SECONDS = 3_600;
+    private static final int MAX_LINES = 10_000;
+    private static final double DEFAULT_AMOUNT = 0.5;
+    private static final int MAX_REQUEST_NUMBER = 10_000_000;
 
     /** A script that can't be run; the message names the line. */
-    static final class Bad extends Exception {
+    static final class ScriptException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Bad(int line, String what) {
+        ScriptException(int line, String what) {
             super("line " + line + ": " + what);
         }
     }
@@ -35,9 +35,9 @@
     private PlanText() {}
 
     /** Reads a script. */
-    static Plan parse(List<String> lines) throws Bad {
-        if (lines.size() > MOST_LINES) {
-            throw new Bad(MOST_LINES + 1, "more than " + MOST_LINES + " lines");
+    static Plan parse(List<String> lines) throws ScriptException {
+        if (lines.size() > MAX_LINES) {
+            throw new ScriptException(MAX_LINES + 1, "more than " + MAX_LINES + " lines");
         }
         Draft draft = new Draft(Plan.of(1));
         List<Fault> faults = new ArrayList<>();
@@ -47,41 +47,41 @@
                 continue;
             }
             if (line.startsWith("at ")) {
-                faults.add(fault(i + 1, line));
+                faults.add(parseFault(i + 1, line));
             } else {
-                draft.fact(i + 1, line);
+                draft.readSetting(i + 1, line);
             }
         }
         return draft.plan(faults);
     }
 
-    private static Fault fault(int number, String line) throws Bad {
+    private static Fault parseFault(int number, String line) throws ScriptException {
         Matcher m = FAULT.matcher(line);
         if (!m.matches()) {
-            throw new Bad(number, "not 'at TIMEs WHAT [NUMBER] [for TIMEs] [amount NUMBER]': " + line);
+            throw new ScriptException(number, "not 'at TIMEs WHAT [NUMBER] [for TIMEs] [amount NUMBER]': " + line);
         }
         String words = m.group(2).replaceAll("\\s+", " ");
         for (Fault.Kind kind : Fault.Kind.values()) {
-            if (kind.words().equals(words)) {
+            if (kind.scriptName().equals(words)) {
                 return new Fault(
-                        ms(number, m.group(1)),
+                        parseMs(number, m.group(1)),
                         kind,
                         m.group(3) == null ? 0 : Integer.parseInt(m.group(3)),
-                        m.group(4) == null ? 1_000 : ms(number, m.group(4)),
-                        m.group(5) == null ? DEFAULT_PART : Double.parseDouble(m.group(5)));
+                        m.group(4) == null ? 1_000 : parseMs(number, m.group(4)),
+                        m.group(5) == null ? DEFAULT_AMOUNT : Double.parseDouble(m.group(5)));
             }
         }
-        throw new Bad(number, "unknown fault '" + words + "'; there are " + kinds());
+        throw new ScriptException(number, "unknown fault '" + words + "'; there are " + faultNames());
     }
 
-    private static String kinds() {
-        return Arrays.stream(Fault.Kind.values()).map(Fault.Kind::words).collect(Collectors.joining(", "));
+    private static String faultNames() {
+        return Arrays.stream(Fault.Kind.values()).map(Fault.Kind::scriptName).collect(Collectors.joining(", "));
     }
 
-    private static long ms(int number, String seconds) throws Bad {
+    private static long parseMs(int number, String seconds) throws ScriptException {
         double value = Double.parseDouble(seconds);
-        if (value > MOST_SECONDS) {
-            throw new Bad(number, seconds + " s is more than an hour");
+        if (value > MAX_SECONDS) {
+            throw new ScriptException(number, seconds + " s is more than an hour");
         }
         return Math.round(1_000 * value);
     }
@@ -90,79 +90,79 @@
     private static final class Draft {
         private long seed;
         private int nodes;
-        private int boxes;
+        private int servers;
         private int racks;
         private boolean pushed;
         private double rate;
-        private long lengthMs;
+        private long durationMs;
         private double workMs;
         private int slots;
-        private BitSet only;
+        private BitSet onlyRequests;
 
         Draft(Plan plan) {
-            take(plan);
+            copyFrom(plan);
         }
 
-        private void take(Plan plan) {
+        private void copyFrom(Plan plan) {
             seed = plan.seed();
             nodes = plan.nodes();
-            boxes = plan.servers();
+            servers = plan.servers();
             racks = plan.racks();
             pushed = plan.pushed();
             rate = plan.rate();
-            lengthMs = plan.durationMs();
+            durationMs = plan.durationMs();
             workMs = plan.workMs();
             slots = plan.slots();
-            only = plan.onlyRequests();
+            onlyRequests = plan.onlyRequests();
         }
 
         Plan plan(List<Fault> faults) {
-            return new Plan(seed, nodes, boxes, racks, pushed, rate, lengthMs, workMs, slots, faults, only);
+            return new Plan(seed, nodes, servers, racks, pushed, rate, durationMs, workMs, slots, faults, onlyRequests);
         }
 
-        private void fact(int number, String line) throws Bad {
-            Matcher m = FACT.matcher(line);
+        private void readSetting(int number, String line) throws ScriptException {
+            Matcher m = SETTING.matcher(line);
             if (!m.matches()) {
-                throw new Bad(number, "not 'NAME VALUE': " + line);
+                throw new ScriptException(number, "not 'NAME VALUE': " + line);
             }
             String value = m.group(2);
             try {
                 switch (m.group(1)) {
                     // The rest of what a seed decides comes with it, so it is to be said first.
-                    case "seed" -> take(Plan.of(Long.parseLong(value)));
-                    case "nodes" -> nodes = whole(value, 1, 20);
-                    case "boxes" -> boxes = whole(value, 1, 200);
-                    case "racks" -> racks = whole(value, 1, 200);
-                    case "list" -> pushed = choice(value);
-                    case "rate" -> rate = real(value, 0.001, 10_000);
-                    case "seconds" -> lengthMs = Math.round(1_000 * real(value, 0.001, MOST_SECONDS));
-                    case "work" -> workMs = real(value, 0.1, 1_000);
-                    case "slots" -> slots = whole(value, 1, 64);
-                    case "only" -> only = numbers(value);
+                    case "seed" -> copyFrom(Plan.of(Long.parseLong(value)));
+                    case "nodes" -> nodes = parseInteger(value, 1, 20);
+                    case "boxes" -> servers = parseInteger(value, 1, 200);
+                    case "racks" -> racks = parseInteger(value, 1, 200);
+                    case "list" -> pushed = parseListMode(value);
+                    case "rate" -> rate = parseDecimal(value, 0.001, 10_000);
+                    case "seconds" -> durationMs = Math.round(1_000 * parseDecimal(value, 0.001, MAX_SECONDS));
+                    case "work" -> workMs = parseDecimal(value, 0.1, 1_000);
+                    case "slots" -> slots = parseInteger(value, 1, 64);
+                    case "only" -> onlyRequests = parseRequestNumbers(value);
                     default ->
-                        throw new Bad(
+                        throw new ScriptException(
                                 number,
                                 "unknown '" + m.group(1) + "'; there are seed, nodes, "
                                         + "boxes, racks, list, rate, seconds, work, slots, only, at");
                 }
             } catch (IllegalArgumentException e) {
-                throw new Bad(number, m.group(1) + ": " + e.getMessage());
+                throw new ScriptException(number, m.group(1) + ": " + e.getMessage());
             }
         }
     }
 
-    private static boolean choice(String value) {
+    private static boolean parseListMode(String value) {
         if (!value.equals("pushed") && !value.equals("asked")) {
             throw new IllegalArgumentException("neither pushed nor asked: " + value);
         }
         return value.equals("pushed");
     }
 
-    private static int whole(String value, int least, int most) {
-        return (int) real(value.matches("\\d{1,9}") ? value : "x", least, most);
+    private static int parseInteger(String value, int least, int most) {
+        return (int) parseDecimal(value.matches("\\d{1,9}") ? value : "x", least, most);
     }
 
-    private static double real(String value, double least, double most) {
+    private static double parseDecimal(String value, double least, double most) {
         if (!value.matches("\\d{1,9}(\\.\\d{1,9})?")) {
             throw new IllegalArgumentException("not a plain number: " + value);
         }
@@ -173,11 +173,11 @@
         return number;
     }
 
-    private static BitSet numbers(String value) {
+    private static BitSet parseRequestNumbers(String value) {
         BitSet some = new BitSet();
         if (!value.equals("none")) {
             for (String part : value.split(",")) {
-                some.set(whole(part, 0, MOST_REQUESTS));
+                some.set(parseInteger(part, 0, MAX_REQUEST_NUMBER));
             }
         }
         return some;
@@ -219,7 +219,7 @@
             text.append("at ")
                     .append(decimal(fault.atMs() / 1e3))
                     .append("s ")
-                    .append(fault.kind().words())
+                    .append(fault.kind().scriptName())
                     .append(' ')
                     .append(fault.target())
                     .append(" for ")
--- a/src/main/java/vetchpost/simulation/SeedRuns.java
+++ b/src/main/java/vetchpost/simulation/SeedRuns.java
@@ -26,12 +26,12 @@
     private final Map<Fault.Kind, Long> faults = new EnumMap<>(Fault.Kind.class);
     private long done;
     private long simulatedNs;
-    private long tried;
+    private long requestsSent;
     private long wants;
     private long served;
-    private long refused;
+    private long rejected;
     private long attempts;
-    private long repeats;
+    private long retries;
     private long digest;
 
     SeedRuns(long from, long to, int jobs, LongFunction<Result> run) {
@@ -49,7 +49,7 @@
             Thread thread = new Thread(
                     () -> {
                         for (long seed = next.getAndIncrement(); seed <= to; seed = next.getAndIncrement()) {
-                            play(seed, progress);
+                            runSeed(seed, progress);
                         }
                     },
                     "simulate-" + i);
@@ -63,18 +63,18 @@
     }
 
     /** A run that throws has shown nothing, and counts as failed. */
-    private void play(long seed, Progress progress) {
+    private void runSeed(long seed, Progress progress) {
         Result result;
         try {
             result = run.apply(seed);
         } catch (RuntimeException | Error e) {
-            threw(seed, e, progress);
+            addThrown(seed, e, progress);
             return;
         }
         add(result, progress);
     }
 
-    private synchronized void threw(long seed, Throwable fault, Progress progress) {
+    private synchronized void addThrown(long seed, Throwable fault, Progress progress) {
         done++;
         thrown.put(seed, fault);
         progress.done(done, to - from + 1, failed.size() + thrown.size());
@@ -83,12 +83,12 @@
     private synchronized void add(Result result, Progress progress) {
         done++;
         simulatedNs += result.simulatedNs();
-        tried += result.requestsSent();
+        requestsSent += result.requestsSent();
         wants += result.wants();
         served += result.served();
-        refused += result.rejected();
+        rejected += result.rejected();
         attempts += result.attempts();
-        repeats += result.retries();
+        retries += result.retries();
         result.faults().forEach((kind, count) -> faults.merge(kind, (long) count, Long::sum));
         // A sum, since seeds end in any order.
         digest += Long.parseUnsignedLong(result.digest(), 16) * (2 * result.seed() + 1);
@@ -104,7 +104,7 @@
     }
 
     /** Whether every run came to its end with no rule broken. */
-    boolean areGood() {
+    boolean haveAllPassed() {
         return failed.isEmpty() && thrown.isEmpty();
     }
 
@@ -128,15 +128,15 @@
                 done,
                 failed.size() + thrown.size(),
                 simulatedSeconds() / 3_600,
-                tried,
+                requestsSent,
                 served,
                 wants,
-                refused,
+                rejected,
                 attempts,
-                repeats,
+                retries,
                 all,
                 faults.entrySet().stream()
-                        .map(e -> e.getValue() + " " + e.getKey().words())
+                        .map(e -> e.getValue() + " " + e.getKey().scriptName())
                         .collect(Collectors.joining(", ")),
                 digest);
     }
--- a/src/main/java/vetchpost/simulation/Shrinker.java
+++ b/src/main/java/vetchpost/simulation/Shrinker.java
@@ -12,7 +12,7 @@
  * Isolating Failure-Inducing Input", 2002).
  */
 final class Shrinker {
-    private static final int MOST_RUNS = 600;
+    private static final int MAX_RUNS = 600;
 
     private final Function<Plan, Result> run;
     private final Rule rule;
@@ -47,13 +47,13 @@
                     plan.onlyRequests());
             plan = fails(shorter) ? shorter : plan;
         }
-        plan = faults(plan);
-        plan = requests(plan, first.wants());
-        return faults(plan);
+        plan = shrinkFaults(plan);
+        plan = shrinkRequests(plan, first.wants());
+        return shrinkFaults(plan);
     }
 
     private boolean fails(Plan plan) {
-        if (runs >= MOST_RUNS) {
+        if (runs >= MAX_RUNS) {
             return false;
         }
         runs++;
@@ -61,7 +61,7 @@
         return !result.isGood() && result.violation().rule() == rule;
     }
 
-    private Plan faults(Plan from) {
+    private Plan shrinkFaults(Plan from) {
         Plan plan = from;
         int size = Math.max(1, plan.faults().size() / 2);
         while (size > 0) {
@@ -82,7 +82,7 @@
         return plan;
     }
 
-    private Plan requests(Plan from, int wants) {
+    private Plan shrinkRequests(Plan from, int wants) {
         Plan plan = from;
         BitSet kept = new BitSet();
         kept.set(0, wants);
@@ -98,7 +98,7 @@
                     fewer.clear(next);
                     next = kept.nextSetBit(next + 1);
                 }
-                Plan without = plan.withOnly(fewer);
+                Plan without = plan.withOnlyRequests(fewer);
                 if (fails(without)) {
                     kept = fewer;
                     plan = without;
--- a/src/main/java/vetchpost/simulation/SimulateCommand.java
+++ b/src/main/java/vetchpost/simulation/SimulateCommand.java
@@ -37,10 +37,10 @@
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:no rule broken", "1:some run breaks a rule", "2:bad arguments or script"})
 public final class SimulateCommand implements Callable<Integer> {
-    private static final NodeProcess.Setup NONE = loop -> NodeHooks.NONE;
-    private static final long MOST_SEEDS = 10_000_000;
-    private static final int MOST_NODES = 2_048;
-    private static final long PROGRESS_NS = 1_000_000_000L;
+    private static final NodeProcess.Setup NO_FAULTS = loop -> NodeHooks.NONE;
+    private static final long MAX_SEEDS = 10_000_000;
+    private static final int MAX_NODES = 2_048;
+    private static final long PROGRESS_INTERVAL_NS = 1_000_000_000L;
 
     @Spec
     private CommandSpec spec;
@@ -86,8 +86,8 @@
     @Option(names = "--print", description = "Prints the script of the seed and runs nothing.")
     private boolean print;
 
-    private final boolean watched;
-    private long saidNs;
+    private final boolean showsProgress;
+    private long lastProgressNs;
 
     /** Tells of progress on a terminal only: what is piped or kept in a file stays clean. */
     public SimulateCommand() {
@@ -95,58 +95,58 @@
     }
 
     SimulateCommand(boolean watched) {
-        this.watched = watched;
+        this.showsProgress = watched;
     }
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         int ways = (seeds == null ? 0 : 1) + (seed == null ? 0 : 1) + (script == null ? 0 : 1);
         if (ways != 1) {
-            throw bad("give one of --seeds, --seed and --script");
+            throw usageError("give one of --seeds, --seed and --script");
         }
-        if (nodes != null && (nodes < 1 || nodes > MOST_NODES)) {
-            throw bad("--nodes is not from 1 to " + MOST_NODES);
+        if (nodes != null && (nodes < 1 || nodes > MAX_NODES)) {
+            throw usageError("--nodes is not from 1 to " + MAX_NODES);
         }
         if (nodes != null && script != null) {
-            throw bad("--nodes goes with --seed or --seeds: a script says itself how many there are");
+            throw usageError("--nodes goes with --seed or --seeds: a script says itself how many there are");
         }
         if (jobs < 1 || jobs > 1_024) {
-            throw bad("--jobs is not from 1 to 1024");
+            throw usageError("--jobs is not from 1 to 1024");
         }
-        return seeds != null ? many() : one(plan());
+        return seeds != null ? runMany() : runOne(plan());
     }
 
-    private ParameterException bad(String why) {
+    private ParameterException usageError(String why) {
         return new ParameterException(spec.commandLine(), why);
     }
 
     private Plan plan() throws IOException {
         if (script == null) {
-            return drawn(seed);
+            return planOf(seed);
         }
         try {
             return PlanText.parse(Files.readAllLines(script, StandardCharsets.UTF_8));
-        } catch (PlanText.Bad e) {
-            throw bad(script + ", " + e.getMessage());
+        } catch (PlanText.ScriptException e) {
+            throw usageError(script + ", " + e.getMessage());
         } catch (IOException e) {
-            throw bad(script + " can't be read: " + e);
+            throw usageError(script + " can't be read: " + e);
         }
     }
 
-    private Plan drawn(long of) {
-        return nodes == null ? Plan.of(of) : Plan.many(of, nodes);
+    private Plan planOf(long of) {
+        return nodes == null ? Plan.of(of) : Plan.ofManyNodes(of, nodes);
     }
 
-    private NodeProcess.Setup planting(Plan plan) {
-        NodeProcess.Setup nodes = recovery ? StateKeepingNodes.of(plan) : NONE;
+    private NodeProcess.Setup setup(Plan plan) {
+        NodeProcess.Setup nodes = recovery ? StateKeepingNodes.of(plan) : NO_FAULTS;
         return admission ? new AdmissionControlledNodes(nodes) : nodes;
     }
 
     private Result run(Plan plan) {
-        return Simulation.run(plan, planting(plan), null);
+        return Simulation.run(plan, setup(plan), null);
     }
 
-    private int one(Plan plan) throws IOException {
+    private int runOne(Plan plan) throws IOException {
         PrintWriter out = spec.commandLine().getOut();
         if (print) {
             out.print(PlanText.write(plan));
@@ -158,7 +158,7 @@
             result = run(plan);
         } else {
             try (PrintWriter file = new PrintWriter(Files.newBufferedWriter(trace, StandardCharsets.UTF_8))) {
-                result = Simulation.run(plan, planting(plan), file);
+                result = Simulation.run(plan, setup(plan), file);
             }
         }
         if (shrink && !result.isGood()) {
@@ -195,34 +195,34 @@
                         "seed %d: broken at %.6f s: %s: %s",
                         result.seed(),
                         result.violation().atNs() / 1e9,
-                        result.violation().rule().words(),
+                        result.violation().rule().statement(),
                         result.violation().description());
     }
 
-    private int many() throws InterruptedException {
+    private int runMany() throws InterruptedException {
         if (trace != null || shrink || print) {
-            throw bad("--trace, --shrink and --print want one --seed or --script");
+            throw usageError("--trace, --shrink and --print want one --seed or --script");
         }
         String[] ends = seeds.matches("\\d{1,15}\\.\\.\\d{1,15}") ? seeds.split("\\.\\.") : null;
         if (ends == null
                 || Long.parseLong(ends[1]) < Long.parseLong(ends[0])
-                || Long.parseLong(ends[1]) - Long.parseLong(ends[0]) >= MOST_SEEDS) {
-            throw bad("--seeds is not A..B, two numbers in order, up to " + MOST_SEEDS + " of them");
+                || Long.parseLong(ends[1]) - Long.parseLong(ends[0]) >= MAX_SEEDS) {
+            throw usageError("--seeds is not A..B, two numbers in order, up to " + MAX_SEEDS + " of them");
         }
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        SeedRuns runs = new SeedRuns(Long.parseLong(ends[0]), Long.parseLong(ends[1]), jobs, n -> run(drawn(n)));
+        SeedRuns runs = new SeedRuns(Long.parseLong(ends[0]), Long.parseLong(ends[1]), jobs, n -> run(planOf(n)));
         long began = System.nanoTime();
-        saidNs = began;
+        lastProgressNs = began;
         runs.run((done, of, failed) -> {
-            if (watched && (System.nanoTime() - saidNs > PROGRESS_NS || done == of)) {
-                saidNs = System.nanoTime();
+            if (showsProgress && (System.nanoTime() - lastProgressNs > PROGRESS_INTERVAL_NS || done == of)) {
+                lastProgressNs = System.nanoTime();
                 err.printf("\r%d of %d seeds, %d failed", done, of, failed);
                 err.flush();
             }
         });
         double wall = (System.nanoTime() - began) / 1e9;
-        if (watched) {
+        if (showsProgress) {
             err.println();
             err.flush();
         }
@@ -240,6 +240,6 @@
                 jobs,
                 runs.simulatedSeconds() / wall / jobs);
         out.flush();
-        return runs.areGood() ? 0 : 1;
+        return runs.haveAllPassed() ? 0 : 1;
     }
 }
--- a/src/main/java/vetchpost/simulation/Simulation.java
+++ b/src/main/java/vetchpost/simulation/Simulation.java
@@ -24,15 +24,15 @@
 
 /** One run of a plan: production nodes between simulated peers, and the rules checked after every step. */
 public final class Simulation {
-    private static final long MS = 1_000_000;
+    private static final long NS_PER_MS = 1_000_000;
     /** What is still asked when no more comes may take so long to end. */
-    private static final long TAIL_MS = 3_000;
+    private static final long TAIL_DURATION_MS = 3_000;
     /** Stopping takes up to 3.65 s, and the last timers as long again. */
-    private static final long STOP_MS = 9_000;
+    private static final long MAX_STOP_MS = 9_000;
     /** A discovery that drains a box lets it turn work away only after a while. */
-    private static final long DRAINS_AFTER_MS = 1_500;
+    private static final long DRAIN_DELAY_MS = 1_500;
     /** A run that takes more events than this goes round in circles. */
-    private static final long MOST_STEPS = 20_000_000;
+    private static final long MAX_STEPS = 20_000_000;
 
     private final Plan plan;
     private final Trace trace;
@@ -41,16 +41,16 @@
     private final Checker checker;
     private final World world;
     private final Clients clients;
-    private final SimulatedDiscovery directory;
+    private final SimulatedDiscovery discovery;
     private final Nodes nodes = new Nodes();
-    private final List<SimulatedServer> boxes = new ArrayList<>();
+    private final List<SimulatedServer> servers = new ArrayList<>();
     private Violation violation;
-    private List<String> before = List.of();
+    private List<String> precedingEvents = List.of();
 
     private Simulation(Plan plan, NodeProcess.Setup planting, PrintWriter out) {
         this.plan = plan;
         trace = new Trace(out);
-        checker = new Checker(time, Rules.limits(), this::broken);
+        checker = new Checker(time, Rules.limits(), this::report);
         Tcp tcp = new Tcp(time, new SplittableRandom(plan.seed() ^ 0x7C9));
         world = new World(
                 plan.seed(),
@@ -59,19 +59,19 @@
                 checker,
                 new RequestClasses(plan.workMs()),
                 (what, who, detail, number) -> trace.add(time.nanoTime(), what, who, detail, number));
-        RequestEffects effects = new RequestEffects(world, this::broken);
+        RequestEffects effects = new RequestEffects(world, this::report);
         clients = new Clients(world, effects);
-        directory = new SimulatedDiscovery(world, nodes);
+        discovery = new SimulatedDiscovery(world, nodes);
         for (int i = 0; i < plan.servers(); i++) {
             SimulatedServer box = new SimulatedServer(world, effects, i, i % plan.racks(), plan.slots());
             box.start(false);
-            directory.addServer(box);
-            boxes.add(box);
+            discovery.addServer(box);
+            servers.add(box);
         }
         for (int i = 0; i < plan.nodes(); i++) {
             NodeProcess node =
-                    new NodeProcess(world, clients, directory, planting, this::broken, plan.pushed(), plan.nodes(), i);
-            boxes.forEach(node::addServer);
+                    new NodeProcess(world, clients, discovery, planting, this::report, plan.pushed(), plan.nodes(), i);
+            servers.forEach(node::addServer);
             nodes.add(node);
             node.start();
         }
@@ -96,36 +96,36 @@
         }
     }
 
-    private void broken(Violation what) {
+    private void report(Violation what) {
         if (violation == null) {
             violation = what;
             trace.add(time.nanoTime(), "BROKEN", what.rule().name(), what.description(), 0);
-            before = trace.last();
+            precedingEvents = trace.lastEvents();
         }
     }
 
     private Result run(LoggedFaults faults) {
-        plan.faults().forEach(f -> time.at(f.atMs() * MS, () -> inject(f)));
-        arrive(world.random("arrivals", 0), 0);
-        long tailNs = (plan.durationMs() + TAIL_MS) * MS;
+        plan.faults().forEach(f -> time.at(f.atMs() * NS_PER_MS, () -> inject(f)));
+        scheduleArrival(world.random("arrivals", 0), 0);
+        long tailNs = (plan.durationMs() + TAIL_DURATION_MS) * NS_PER_MS;
         time.at(tailNs, () -> {
             clients.close();
             nodes.all().forEach(NodeProcess::stop);
         });
-        long endNs = tailNs + STOP_MS * MS;
+        long endNs = tailNs + MAX_STOP_MS * NS_PER_MS;
         long steps = 0;
         while (violation == null && time.nanoTime() < endNs && time.step()) {
             checker.afterStep();
             String fault = faults.first();
             if (fault != null) {
-                broken(new Violation(Rule.FAULT, time.nanoTime(), fault));
+                report(new Violation(Rule.FAULT, time.nanoTime(), fault));
             }
-            if (++steps > MOST_STEPS) {
-                broken(new Violation(Rule.FAULT, time.nanoTime(), "the run goes round in circles"));
+            if (++steps > MAX_STEPS) {
+                report(new Violation(Rule.FAULT, time.nanoTime(), "the run goes round in circles"));
             }
         }
         if (violation == null && checker.unansweredCount() > 0) {
-            broken(new Violation(
+            report(new Violation(
                     Rule.LOST, time.nanoTime(), checker.unansweredCount() + " requests unanswered at the end"));
         }
         int[] counts = checker.counts();
@@ -133,7 +133,7 @@
         return new Result(
                 plan.seed(),
                 violation,
-                violation == null ? trace.last() : before,
+                violation == null ? trace.lastEvents() : precedingEvents,
                 trace.digest(),
                 trace.events(),
                 time.nanoTime(),
@@ -147,10 +147,10 @@
                 injected);
     }
 
-    private void arrive(SplittableRandom random, int number) {
+    private void scheduleArrival(SplittableRandom random, int number) {
         double gapMs = -StrictMath.log(1 - random.nextDouble()) * 1_000 / plan.rate();
-        long atNs = time.nanoTime() + (long) (gapMs * MS);
-        if (atNs >= plan.durationMs() * MS) {
+        long atNs = time.nanoTime() + (long) (gapMs * NS_PER_MS);
+        if (atNs >= plan.durationMs() * NS_PER_MS) {
             return;
         }
         time.at(atNs, () -> {
@@ -159,14 +159,14 @@
             } else {
                 clients.skipRequest();
             }
-            arrive(random, number + 1);
+            scheduleArrival(random, number + 1);
         });
     }
 
     private void inject(Fault fault) {
         injected.merge(fault.kind(), 1, Integer::sum);
-        trace.add(time.nanoTime(), "fault", fault.kind().words(), "", fault.target());
-        SimulatedServer box = boxes.get(fault.target() % boxes.size());
+        trace.add(time.nanoTime(), "fault", fault.kind().scriptName(), "", fault.target());
+        SimulatedServer box = servers.get(fault.target() % servers.size());
         NodeProcess node = nodes.get(fault.target());
         switch (fault.kind()) {
             case DRAIN -> drain(box, fault.durationMs());
@@ -182,7 +182,7 @@
                     box.vanish();
                     after(fault.durationMs(), () -> {
                         box.reappear();
-                        directory.changed(box, "Ready");
+                        discovery.changed(box, "Ready");
                     });
                 }
             }
@@ -190,36 +190,36 @@
             case SLOW -> box.slow(Math.max(1, fault.amount()), fault.durationMs());
             case SPOIL -> box.corruptResponses(fault.amount(), fault.durationMs());
             case RESET -> box.reset(fault.amount(), fault.durationMs());
-            case DEAF -> box.discardInput(fault.durationMs());
+            case DEAF -> box.stopReading(fault.durationMs());
             case CRASH -> {
                 node.crash();
                 after(fault.durationMs(), node::start);
             }
             case STOP -> {
                 node.stop();
-                after(Math.max(fault.durationMs(), STOP_MS), node::start);
+                after(Math.max(fault.durationMs(), MAX_STOP_MS), node::start);
             }
-            case STALL -> node.stallAtRandom(fault.durationMs());
+            case STALL -> node.pauseLoopAtRandom(fault.durationMs());
             case MOVE -> {
-                directory.move();
+                discovery.move();
                 nodes.all().forEach(NodeProcess::signalReload);
             }
-            case MUTE -> directory.mute(fault.durationMs());
-            case BREAK -> directory.breakWatches();
-            case LATE -> directory.delayChanges(fault.durationMs());
-            case SHRINK -> directory.shrinkLists(fault.durationMs());
-            case BURST -> times(fault.amount(), () -> clients.startRequest("view-page"));
-            case ORDERS -> times(fault.amount(), () -> clients.startRequest("place-order"));
-            case PHOTOS -> times(fault.amount(), () -> clients.startRequest("add-photo"));
-            case RUDE -> times(fault.amount(), clients::startMalformedClient);
+            case MUTE -> discovery.mute(fault.durationMs());
+            case BREAK -> discovery.breakWatches();
+            case LATE -> discovery.delayChanges(fault.durationMs());
+            case SHRINK -> discovery.shrinkLists(fault.durationMs());
+            case BURST -> repeat(fault.amount(), () -> clients.startRequest("view-page"));
+            case ORDERS -> repeat(fault.amount(), () -> clients.startRequest("place-order"));
+            case PHOTOS -> repeat(fault.amount(), () -> clients.startRequest("add-photo"));
+            case RUDE -> repeat(fault.amount(), clients::startMalformedClient);
         }
     }
 
     private void after(long ms, Runnable task) {
-        time.after(ms * MS, task);
+        time.after(ms * NS_PER_MS, task);
     }
 
-    private static void times(double count, Runnable task) {
+    private static void repeat(double count, Runnable task) {
         for (int i = 0; i < count; i++) {
             task.run();
         }
@@ -229,14 +229,14 @@
         if (!box.isUp()) {
             return;
         }
-        directory.changedNow(box, "Terminating");
-        after(DRAINS_AFTER_MS, () -> {
+        discovery.changedNow(box, "Terminating");
+        after(DRAIN_DELAY_MS, () -> {
             if (box.isUp()) {
                 box.drain();
             }
         });
-        after(DRAINS_AFTER_MS + forMs, () -> {
-            directory.changed(box, "Gone");
+        after(DRAIN_DELAY_MS + forMs, () -> {
+            discovery.changed(box, "Gone");
             box.kill();
             box.rename();
             after(forMs, () -> restart(box));
@@ -246,7 +246,7 @@
     private void replace(SimulatedServer box, long gapMs) {
         if (box.isUp()) {
             box.kill();
-            directory.changed(box, "Gone");
+            discovery.changed(box, "Gone");
             box.rename();
             after(gapMs, () -> restart(box));
         }
@@ -254,6 +254,6 @@
 
     private void restart(SimulatedServer box) {
         box.start(true);
-        directory.changed(box, "Ready");
+        discovery.changed(box, "Ready");
     }
 }
--- a/src/main/java/vetchpost/simulation/StateKeepingNodes.java
+++ b/src/main/java/vetchpost/simulation/StateKeepingNodes.java
@@ -26,19 +26,19 @@
  * path of all this is the one in service, but that the disk is a list of pieces.
  */
 class StateKeepingNodes implements NodeProcess.Setup {
-    static final int PORT = 8450;
+    static final int HANDOVER_PORT = 8450;
     /** Where boxes tell their ids. */
-    static final String IDENTIFY = "/who";
+    static final String IDENTITY_PATH = "/who";
 
-    private static final long DAY_MS = 86_400_000;
-    private static final long EVERY_MS = 1_000;
-    private static final long ADDRESS_KEPT_MS = 30_000;
+    private static final long MAX_SNAPSHOT_AGE_MS = 86_400_000;
+    private static final long SNAPSHOT_INTERVAL_MS = 1_000;
+    private static final long MAX_UNCONFIRMED_ADDRESS_MS = 30_000;
     private static final long WAIT_MS = 300;
     private static final long WITHIN_MS = 2_000;
 
     private final int nodes;
-    private final boolean keeps;
-    private final boolean asks;
+    private final boolean keepsSnapshots;
+    private final boolean asksPeers;
     private final Map<Integer, List<byte[]>> disks = new HashMap<>();
 
     /**
@@ -49,8 +49,8 @@
      */
     StateKeepingNodes(int nodes, boolean keeps, boolean asks) {
         this.nodes = nodes;
-        this.keeps = keeps;
-        this.asks = asks;
+        this.keepsSnapshots = keeps;
+        this.asksPeers = asks;
     }
 
     /** As a seed has it: half of all later starts are given no list. */
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public NodeHooks seams(SimLoop loop) {
+    public NodeHooks hooks(SimLoop loop) {
         return NodeHooks.NONE;
     }
 
@@ -78,26 +78,26 @@
     }
 
     private static InetSocketAddress address(int number) {
-        return new InetSocketAddress(NodeProcess.addressOf(number).getAddress(), PORT);
+        return new InetSocketAddress(NodeProcess.addressOf(number).getAddress(), HANDOVER_PORT);
     }
 
     /** Whether this start of a node's asks the others. */
-    boolean asks(int number, int start) {
-        return asks;
+    boolean asksPeers(int number, int start) {
+        return asksPeers;
     }
 
     @Override
-    public NodeLifecycle companion(NodeProcess.Start start) {
-        List<InetSocketAddress> others = IntStream.range(0, asks(start.number(), start.start()) ? nodes : 0)
+    public NodeLifecycle lifecycle(NodeProcess.Start start) {
+        List<InetSocketAddress> others = IntStream.range(0, asksPeers(start.number(), start.start()) ? nodes : 0)
                 .filter(n -> n != start.number())
                 .mapToObj(StateKeepingNodes::address)
                 .toList();
         RecoverySettings settings = new RecoverySettings(
                 null,
-                EVERY_MS,
+                SNAPSHOT_INTERVAL_MS,
                 rules(),
-                IDENTIFY,
-                asks ? address(start.number()) : null,
+                IDENTITY_PATH,
+                asksPeers ? address(start.number()) : null,
                 others,
                 null,
                 WAIT_MS,
@@ -112,15 +112,15 @@
                 start.loop(),
                 start.loop(),
                 start.network(),
-                keeps ? read(start.number()) : null,
-                asks ? SharedSecret.parse("the secret of a simulated fleet, long " + "enough") : null,
-                new Chance(start.seed()),
-                keeps ? keeper : null,
+                keepsSnapshots ? read(start.number()) : null,
+                asksPeers ? SharedSecret.parse("the secret of a simulated fleet, long " + "enough") : null,
+                new SeededRandom(start.seed()),
+                keepsSnapshots ? keeper : null,
                 Runnable::run);
     }
 
     RestoredState.Rules rules() {
-        return new RestoredState.Rules(DAY_MS, ADDRESS_KEPT_MS, true);
+        return new RestoredState.Rules(MAX_SNAPSHOT_AGE_MS, MAX_UNCONFIRMED_ADDRESS_MS, true);
     }
 
     private Snapshot read(int number) {
@@ -140,11 +140,11 @@
     }
 
     /** The same bytes in the same run. */
-    private static final class Chance extends SecureRandom {
+    private static final class SeededRandom extends SecureRandom {
         private static final long serialVersionUID = 1L;
         private final transient SplittableRandom random;
 
-        Chance(long seed) {
+        SeededRandom(long seed) {
             random = new SplittableRandom(seed);
         }
 
--- a/src/main/java/vetchpost/simulation/Trace.java
+++ b/src/main/java/vetchpost/simulation/Trace.java
@@ -8,8 +8,8 @@
 
 /** What has happened, in order: its digest, the last of it, and all of it where somebody wants to read it. */
 final class Trace {
-    private static final int KEPT = 40;
-    private static final long PRIME = 0x100000001B3L;
+    private static final int MAX_LAST_EVENTS = 40;
+    private static final long FNV_PRIME = 0x100000001B3L;
 
     /** One event; put into words only where it is read. */
     private record Line(long atNs, String what, String who, String detail, long number) {
@@ -19,7 +19,7 @@
         }
     }
 
-    private final Deque<Line> last = new ArrayDeque<>();
+    private final Deque<Line> lastEvents = new ArrayDeque<>();
     private final PrintWriter out;
     private long digest = 0xCBF29CE484222325L;
     private long events;
@@ -37,9 +37,9 @@
         mix(number);
         events++;
         Line line = new Line(atNs, what, who, detail, number);
-        last.add(line);
-        if (last.size() > KEPT) {
-            last.poll();
+        lastEvents.add(line);
+        if (lastEvents.size() > MAX_LAST_EVENTS) {
+            lastEvents.poll();
         }
         if (out != null) {
             out.println(line);
@@ -47,7 +47,7 @@
     }
 
     private void mix(long value) {
-        digest = (digest ^ value) * PRIME;
+        digest = (digest ^ value) * FNV_PRIME;
         digest ^= digest >>> 29;
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** The last events, a line each, the oldest first. */
-    List<String> last() {
-        return last.stream().map(Line::toString).toList();
+    List<String> lastEvents() {
+        return lastEvents.stream().map(Line::toString).toList();
     }
 }
--- a/src/main/java/vetchpost/simulation/check/Checker.java
+++ b/src/main/java/vetchpost/simulation/check/Checker.java
@@ -26,75 +26,76 @@
  */
 public final class Checker {
     /** From so long after its client has left on nothing is to be sent for a request. */
-    private static final long LEFT_NS = 300_000_000;
+    private static final long MAX_SEND_AFTER_DISCONNECT_NS = 300_000_000;
 
     private final VirtualTime time;
     private final Limits limits;
     private final Consumer<Violation> violations;
     private final Map<String, Request> requests = new HashMap<>();
-    private final PriorityQueue<Request> due = new PriorityQueue<>((a, b) -> Long.compare(a.dueNs, b.dueNs));
-    private final Map<String, Box> boxes = new HashMap<>();
-    private final Map<InetSocketAddress, Box> byAddress = new HashMap<>();
+    private final PriorityQueue<Request> byDeadline =
+            new PriorityQueue<>((a, b) -> Long.compare(a.checkAtNs, b.checkAtNs));
+    private final Map<String, Server> servers = new HashMap<>();
+    private final Map<InetSocketAddress, Server> serversByAddress = new HashMap<>();
     /** What servers have made, by request: only that may be served for it. */
-    private final Map<String, Set<String>> made = new HashMap<>();
+    private final Map<String, Set<String>> responseBodies = new HashMap<>();
 
-    private int answers;
-    private int served;
-    private int refused;
-    private int attempts;
-    private int repeats;
-    private int left;
+    private int answerCount;
+    private int servedCount;
+    private int rejectedCount;
+    private int attemptCount;
+    private int retryCount;
+    private int abandoned;
 
     /** How many requests were waiting for an answer when their client left. */
     public int abandonedCount() {
-        return left;
+        return abandoned;
     }
 
     /** A request that a node has taken, or may yet. */
     private static final class Request {
         final ExpectedRequest expected;
         final List<Attempt> attempts = new ArrayList<>();
-        long dueNs;
+        long checkAtNs;
         NodeTap node;
-        boolean taken;
+        boolean accepted;
         /** Nothing is owed any more. */
-        boolean over;
+        boolean finished;
 
         boolean answered;
         /** When the node's machine had its client's end, before an answer; 0 if it had not. */
-        long leftNs;
+        long disconnectedNs;
 
         Request(ExpectedRequest expected) {
             this.expected = expected;
-            dueNs = expected.deadlineNs();
+            checkAtNs = expected.deadlineNs();
         }
     }
 
     /** A request on its way to a server. */
     private static final class Attempt {
-        final Box box;
-        final long atNs;
-        boolean whole;
+        final Server server;
+        final long sentNs;
+        boolean complete;
         boolean neverRan;
 
-        Attempt(Box box, long atNs) {
-            this.box = box;
-            this.atNs = atNs;
+        Attempt(Server box, long atNs) {
+            this.server = box;
+            this.sentNs = atNs;
         }
     }
 
     /** A server under one id, as discovery names it. */
-    private static final class Box {
+    private static final class Server {
         final String id;
         final int rack;
         final double capacity;
         /** Work sent to it in the last span: when, how much, and whether the node knew of the start. */
-        final Deque<long[]> sent = new ArrayDeque<>();
+        final Deque<long[]> recentWork = new ArrayDeque<>();
 
         long startedNs = Long.MIN_VALUE;
-        boolean fell;
+        boolean overloaded;
 
-        Box(String id, int rack, double capacity) {
+        Server(String id, int rack, double capacity) {
             this.id = id;
             this.rack = rack;
             this.capacity = capacity;
@@ -107,7 +108,7 @@
         this.violations = violations;
     }
 
-    private void broken(Rule rule, String what) {
+    private void report(Rule rule, String what) {
         violations.accept(new Violation(rule, time.nanoTime(), what));
     }
 
@@ -120,7 +121,7 @@
 
     /** A server answers a request with this body. */
     public void serverAnswers(String id, String body) {
-        made.computeIfAbsent(id, i -> new HashSet<>()).add(body);
+        responseBodies.computeIfAbsent(id, i -> new HashSet<>()).add(body);
     }
 
     /**
@@ -130,11 +131,11 @@
      * @param startedNs or {@link Long#MIN_VALUE} for long ago
      */
     public void addServer(String id, InetSocketAddress address, int rack, double capacity, long startedNs) {
-        Box box = boxes.computeIfAbsent(id, i -> new Box(id, rack, capacity));
+        Server box = servers.computeIfAbsent(id, i -> new Server(id, rack, capacity));
         box.startedNs = startedNs;
-        box.sent.clear();
-        box.fell = false;
-        byAddress.put(address, box);
+        box.recentWork.clear();
+        box.overloaded = false;
+        serversByAddress.put(address, box);
     }
 
     /** A new process of a node, and its sockets' tap. */
@@ -144,19 +145,19 @@
 
     /** To be called after every step: nothing may be overdue. */
     public void afterStep() {
-        while (!due.isEmpty() && due.peek().dueNs < time.nanoTime()) {
-            Request late = due.poll();
-            if (late.over || !late.taken || late.node.dead) {
+        while (!byDeadline.isEmpty() && byDeadline.peek().checkAtNs < time.nanoTime()) {
+            Request late = byDeadline.poll();
+            if (late.finished || !late.accepted || late.node.dead) {
                 continue;
             }
-            long allowed = late.expected.deadlineNs() + limits.answerMarginNs() + late.node.stalledSince(late);
+            long allowed = late.expected.deadlineNs() + limits.answerMarginNs() + late.node.pausedNs(late);
             if (allowed >= time.nanoTime()) {
-                late.dueNs = allowed;
-                due.add(late);
+                late.checkAtNs = allowed;
+                byDeadline.add(late);
                 continue;
             }
-            late.over = true;
-            broken(
+            late.finished = true;
+            report(
                     Rule.LOST,
                     "request " + late.expected.id() + " has no answer from " + late.node.name + " by its deadline");
         }
@@ -164,14 +165,14 @@
 
     /** Counts for the report: answers seen, served, refused, attempts, attempts after a request's first. */
     public int[] counts() {
-        return new int[] {answers, served, refused, attempts, repeats};
+        return new int[] {answerCount, servedCount, rejectedCount, attemptCount, retryCount};
     }
 
     /** How many requests are taken and unanswered. */
     public int unansweredCount() {
         int owed = 0;
-        for (Request request : due) {
-            owed += request.over || !request.taken || request.node.dead ? 0 : 1;
+        for (Request request : byDeadline) {
+            owed += request.finished || !request.accepted || request.node.dead ? 0 : 1;
         }
         return owed;
     }
@@ -182,13 +183,13 @@
     public final class NodeTap implements Tap {
         private final String name;
         private final InetSocketAddress listens;
-        private final Map<SimulatedSocket, ClientSide> clients = new IdentityHashMap<>();
-        private final Map<SimulatedSocket, ServerSide> servers = new IdentityHashMap<>();
+        private final Map<SimulatedSocket, ClientConnection> clientConnections = new IdentityHashMap<>();
+        private final Map<SimulatedSocket, ServerConnection> serverConnections = new IdentityHashMap<>();
         /** When it was told that a server drains or has gone, and the start that it has been told last. */
-        private final Map<String, Long> toldToStop = new HashMap<>();
+        private final Map<String, Long> stopNotifiedNs = new HashMap<>();
 
-        private final Map<String, Long> toldStart = new HashMap<>();
-        private final List<long[]> stalls = new ArrayList<>();
+        private final Map<String, Long> notifiedStartNs = new HashMap<>();
+        private final List<long[]> pauses = new ArrayList<>();
         private boolean dead;
 
         NodeTap(String name, InetSocketAddress listens) {
@@ -203,65 +204,70 @@
 
         /** The process ends of its own will: whoever still waits for it waits for nothing. */
         public void stopping() {
-            for (Request request : due) {
-                if (request.node == this && request.taken && !request.over) {
-                    request.over = true;
-                    broken(Rule.LOST, name + " ended and owed an answer to request " + request.expected.id());
+            for (Request request : byDeadline) {
+                if (request.node == this && request.accepted && !request.finished) {
+                    request.finished = true;
+                    report(Rule.LOST, name + " ended and owed an answer to request " + request.expected.id());
                 }
             }
         }
 
         /** The process does nothing for so long. */
-        public void stalled(long ns) {
-            stalls.add(new long[] {time.nanoTime(), time.nanoTime() + ns});
+        public void paused(long ns) {
+            pauses.add(new long[] {time.nanoTime(), time.nanoTime() + ns});
         }
 
         /** Discovery's word on a server has come to this node's machine. */
         public void serverListed(String id, boolean ready, long startedNs) {
             if (ready) {
-                toldToStop.remove(id);
+                stopNotifiedNs.remove(id);
             } else {
-                toldToStop.putIfAbsent(id, time.nanoTime());
+                stopNotifiedNs.putIfAbsent(id, time.nanoTime());
             }
-            toldStart.merge(id, startedNs, Math::max);
+            notifiedStartNs.merge(id, startedNs, Math::max);
         }
 
-        private long stalledSince(Request request) {
+        private long pausedNs(Request request) {
             long from = request.expected.deadlineNs() - 2_000_000_000L;
             long sum = 0;
-            for (long[] stall : stalls) {
+            for (long[] stall : pauses) {
                 sum += stall[1] > from ? stall[1] - stall[0] : 0;
             }
             return sum;
         }
 
-        private boolean isClient(SimulatedSocket end) {
+        private boolean isClientConnection(SimulatedSocket end) {
             return end.local().equals(listens);
         }
 
-        private ServerSide server(SimulatedSocket end) {
-            Box box = byAddress.get(end.remote());
-            return box == null ? null : servers.computeIfAbsent(end, e -> new ServerSide(this, box));
+        private ServerConnection serverConnection(SimulatedSocket end) {
+            Server box = serversByAddress.get(end.remote());
+            return box == null ? null : serverConnections.computeIfAbsent(end, e -> new ServerConnection(this, box));
         }
 
         @Override
         public void received(SimulatedSocket end, byte[] bytes) {
-            if (isClient(end)) {
-                clients.computeIfAbsent(end, e -> new ClientSide(this)).asked.feed(bytes);
+            if (isClientConnection(end)) {
+                clientConnections
+                        .computeIfAbsent(end, e -> new ClientConnection(this))
+                        .requestParser
+                        .feed(bytes);
             } else {
-                ServerSide side = server(end);
+                ServerConnection side = serverConnection(end);
                 if (side != null) {
-                    side.answered.feed(bytes);
+                    side.responseParser.feed(bytes);
                 }
             }
         }
 
         @Override
         public void wrote(SimulatedSocket end, byte[] bytes) {
-            if (isClient(end)) {
-                clients.computeIfAbsent(end, e -> new ClientSide(this)).wrote(bytes);
+            if (isClientConnection(end)) {
+                clientConnections
+                        .computeIfAbsent(end, e -> new ClientConnection(this))
+                        .wrote(bytes);
             } else {
-                ServerSide side = server(end);
+                ServerConnection side = serverConnection(end);
                 if (side != null) {
                     side.wrote(bytes);
                 }
@@ -270,18 +276,18 @@
 
         @Override
         public void ended(SimulatedSocket end, boolean reset) {
-            if (isClient(end)) {
-                ClientSide side = clients.get(end);
+            if (isClientConnection(end)) {
+                ClientConnection side = clientConnections.get(end);
                 if (side != null) {
                     side.clientGone = true;
-                    side.waiting.forEach(r -> {
-                        left += r.leftNs == 0 && !r.answered ? 1 : 0;
-                        r.leftNs = r.leftNs == 0 ? time.nanoTime() : r.leftNs;
-                        r.over = true;
+                    side.pending.forEach(r -> {
+                        abandoned += r.disconnectedNs == 0 && !r.answered ? 1 : 0;
+                        r.disconnectedNs = r.disconnectedNs == 0 ? time.nanoTime() : r.disconnectedNs;
+                        r.finished = true;
                     });
                 }
-            } else if (servers.get(end) != null && reset) {
-                servers.get(end).over();
+            } else if (serverConnections.get(end) != null && reset) {
+                serverConnections.get(end).endAttempt();
             }
         }
 
@@ -290,136 +296,136 @@
             if (dead) {
                 return;
             }
-            if (isClient(end)) {
-                ClientSide side = clients.remove(end);
+            if (isClientConnection(end)) {
+                ClientConnection side = clientConnections.remove(end);
                 if (side != null) {
                     side.closed(end);
                 }
             } else {
-                ServerSide side = servers.remove(end);
+                ServerConnection side = serverConnections.remove(end);
                 if (side != null) {
-                    side.over();
+                    side.endAttempt();
                 }
             }
         }
     }
 
     /** A client's connection, at its node. */
-    private final class ClientSide {
+    private final class ClientConnection {
         private final NodeTap node;
-        private final MessageParser asked = new MessageParser(this::asked);
-        private final MessageParser answered = new MessageParser(this::answered);
-        private final Deque<Request> waiting = new ArrayDeque<>();
-        private final Deque<Long> from = new ArrayDeque<>();
+        private final MessageParser requestParser = new MessageParser(this::onRequest);
+        private final MessageParser responseParser = new MessageParser(this::onResponse);
+        private final Deque<Request> pending = new ArrayDeque<>();
+        private final Deque<Long> requestOffsets = new ArrayDeque<>();
         private boolean clientGone;
         /** A request of a usual client has come, or something else that nobody else will judge. */
-        private boolean usual;
+        private boolean sawExpectedRequest;
 
-        private boolean others;
+        private boolean ignored;
 
-        ClientSide(NodeTap node) {
+        ClientConnection(NodeTap node) {
             this.node = node;
         }
 
-        private void asked(Message message) {
+        private void onRequest(Message message) {
             Request request = requests.get(message.field("x-txn"));
-            if (request == null || request.taken && !request.node.dead) {
+            if (request == null || request.accepted && !request.node.dead) {
                 // Not a usual client's: whatever comes back is its own affair.
-                others = true;
+                ignored = true;
                 return;
             }
             // From a node that was killed, before it had read any of it.
-            request.over = false;
-            request.leftNs = 0;
-            usual = true;
-            request.taken = true;
+            request.finished = false;
+            request.disconnectedNs = 0;
+            sawExpectedRequest = true;
+            request.accepted = true;
             request.node = node;
-            request.dueNs = request.expected.deadlineNs() + limits.answerMarginNs();
-            due.add(request);
-            waiting.add(request);
-            from.add(message.from());
+            request.checkAtNs = request.expected.deadlineNs() + limits.answerMarginNs();
+            byDeadline.add(request);
+            pending.add(request);
+            requestOffsets.add(message.from());
         }
 
         private void wrote(byte[] bytes) {
-            answered.feed(bytes);
-            if (answered.isBroken() && !others) {
-                broken(Rule.LOST, node.name + " wrote what is no answer");
-                others = true;
+            responseParser.feed(bytes);
+            if (responseParser.isBroken() && !ignored) {
+                report(Rule.LOST, node.name + " wrote what is no answer");
+                ignored = true;
             }
         }
 
-        private void answered(Message answer) {
-            if (others || answer.status() / 100 == 1) {
+        private void onResponse(Message answer) {
+            if (ignored || answer.status() / 100 == 1) {
                 return;
             }
-            Request request = waiting.poll();
-            from.poll();
-            if (request == null && !usual) {
+            Request request = pending.poll();
+            requestOffsets.poll();
+            if (request == null && !sawExpectedRequest) {
                 // Rubbish, told so.
-                others = true;
+                ignored = true;
                 return;
             }
             if (request == null) {
-                broken(Rule.LOST, node.name + " wrote an answer that nobody waits for: " + answer.start());
+                report(Rule.LOST, node.name + " wrote an answer that nobody waits for: " + answer.start());
                 return;
             }
-            if (request.over) {
+            if (request.finished) {
                 return;
             }
-            request.over = true;
+            request.finished = true;
             request.answered = true;
-            answers++;
-            long allowed = request.expected.deadlineNs() + limits.answerMarginNs() + node.stalledSince(request);
+            answerCount++;
+            long allowed = request.expected.deadlineNs() + limits.answerMarginNs() + node.pausedNs(request);
             if (time.nanoTime() > allowed) {
-                broken(
+                report(
                         Rule.LOST,
                         "request " + request.expected.id() + " was answered past its deadline by " + node.name);
             }
-            judge(request, answer);
+            checkAnswer(request, answer);
         }
 
-        private void judge(Request request, Message answer) {
+        private void checkAnswer(Request request, Message answer) {
             int status = answer.status();
             String id = request.expected.id();
             if (status == 200) {
-                served++;
-                if (!made.getOrDefault(id, Set.of()).contains(answer.text())) {
-                    broken(
+                servedCount++;
+                if (!responseBodies.getOrDefault(id, Set.of()).contains(answer.text())) {
+                    report(
                             Rule.LOST,
                             "request " + id + " was served with what no server made for it: " + answer.text());
                 }
             } else if (status == 429 || status == 503) {
-                refused++;
-                Attempt ran = binding(request);
+                rejectedCount++;
+                Attempt ran = earliestPossibleRun(request);
                 if (ran != null && request.expected.retryPolicy() != ExpectedRequest.RetryPolicy.SAFE) {
-                    broken(
+                    report(
                             Rule.TWICE,
                             request.expected.retryPolicy() + " request " + id + " was refused by " + node.name
-                                    + " though it may have run at " + ran.box.id);
+                                    + " though it may have run at " + ran.server.id);
                 }
             }
         }
 
         private void closed(SimulatedSocket end) {
-            while (!waiting.isEmpty()) {
-                Request request = waiting.poll();
-                long began = from.poll();
+            while (!pending.isEmpty()) {
+                Request request = pending.poll();
+                long began = requestOffsets.poll();
                 boolean crossed = end.consumed() <= began;
-                if (!request.over && !clientGone && !crossed) {
-                    broken(
+                if (!request.finished && !clientGone && !crossed) {
+                    report(
                             Rule.LOST,
                             "request " + request.expected.id() + " was taken by " + node.name
                                     + " and its connection closed without an answer");
                 }
                 // The client sends once more what crossed the close.
-                request.taken = !crossed;
-                request.over = !crossed;
+                request.accepted = !crossed;
+                request.finished = !crossed;
             }
         }
     }
 
     /** The earliest attempt that may have run, or null. */
-    private static Attempt binding(Request request) {
+    private static Attempt earliestPossibleRun(Request request) {
         for (Attempt attempt : request.attempts) {
             if (!attempt.neverRan) {
                 return attempt;
@@ -429,126 +435,128 @@
     }
 
     /** A connection to a server, at its node. */
-    private final class ServerSide {
+    private final class ServerConnection {
         private final NodeTap node;
-        private final Box box;
-        private final MessageParser sent = new MessageParser(this::sent);
-        private final MessageParser answered = new MessageParser(this::answered);
-        private Attempt out;
-        private long begunNs;
+        private final Server server;
+        private final MessageParser requestParser = new MessageParser(this::onRequest);
+        private final MessageParser responseParser = new MessageParser(this::onResponse);
+        private Attempt currentAttempt;
+        private long requestStartNs;
 
-        ServerSide(NodeTap node, Box box) {
+        ServerConnection(NodeTap node, Server box) {
             this.node = node;
-            this.box = box;
+            this.server = box;
         }
 
         private void wrote(byte[] bytes) {
-            if (!sent.isMidMessage()) {
-                begunNs = time.nanoTime();
+            if (!requestParser.isMidMessage()) {
+                requestStartNs = time.nanoTime();
             }
-            sent.feed(bytes);
+            requestParser.feed(bytes);
         }
 
         /** Judged when whole: nothing else is known of a request that is not. */
-        private void sent(Message message) {
+        private void onRequest(Message message) {
             Request request = requests.get(message.field("x-txn"));
             if (request == null) {
                 return;
             }
-            Attempt earlier = binding(request);
-            Attempt attempt = new Attempt(box, begunNs);
-            attempt.whole = true;
+            Attempt earlier = earliestPossibleRun(request);
+            Attempt attempt = new Attempt(server, requestStartNs);
+            attempt.complete = true;
             request.attempts.add(attempt);
-            out = attempt;
-            attempts++;
-            repeats += request.attempts.size() > 1 ? 1 : 0;
-            String sending = "request " + request.expected.id() + " was sent to " + box.id + " by " + node.name;
+            currentAttempt = attempt;
+            attemptCount++;
+            retryCount += request.attempts.size() > 1 ? 1 : 0;
+            String sending = "request " + request.expected.id() + " was sent to " + server.id + " by " + node.name;
             if (request.answered && !node.dead) {
-                broken(Rule.LOST, sending + " after its end");
+                report(Rule.LOST, sending + " after its end");
             }
-            if (request.leftNs > 0 && begunNs > request.leftNs + LEFT_NS) {
-                broken(
+            if (request.disconnectedNs > 0 && requestStartNs > request.disconnectedNs + MAX_SEND_AFTER_DISCONNECT_NS) {
+                report(
                         Rule.LEFT,
-                        sending + " " + (begunNs - request.leftNs) / 1_000_000 + " ms after its client had left");
+                        sending + " " + (requestStartNs - request.disconnectedNs) / 1_000_000
+                                + " ms after its client had left");
             }
             if (earlier != null) {
-                judgeRepeat(request, earlier, sending);
+                checkRetry(request, earlier, sending);
             }
-            Long told = node.toldToStop.get(box.id);
-            if (told != null && begunNs > told + limits.drainGraceNs() + limits.slackNs()) {
-                broken(
+            Long told = node.stopNotifiedNs.get(server.id);
+            if (told != null && requestStartNs > told + limits.drainGraceNs() + limits.slackNs()) {
+                report(
                         Rule.DRAIN,
-                        sending + " " + (begunNs - told) / 1_000_000
+                        sending + " " + (requestStartNs - told) / 1_000_000
                                 + " ms after it was told that the server drains or has gone");
             }
-            if (box.startedNs != Long.MIN_VALUE) {
-                judgeCold(request.expected.workNs());
+            if (server.startedNs != Long.MIN_VALUE) {
+                checkColdLoad(request.expected.workNs());
             }
         }
 
-        private void judgeRepeat(Request request, Attempt earlier, String sending) {
+        private void checkRetry(Request request, Attempt earlier, String sending) {
             switch (request.expected.retryPolicy()) {
                 case SAFE -> {}
-                case UNSAFE -> broken(Rule.TWICE, "UNSAFE " + sending + " though it may have run at " + earlier.box.id);
+                case UNSAFE ->
+                    report(Rule.TWICE, "UNSAFE " + sending + " though it may have run at " + earlier.server.id);
                 case KEYED -> {
-                    if (earlier.box.rack != box.rack) {
-                        broken(
+                    if (earlier.server.rack != server.rack) {
+                        report(
                                 Rule.TWICE,
-                                "KEYED " + sending + ", another rack than that of " + earlier.box.id
+                                "KEYED " + sending + ", another rack than that of " + earlier.server.id
                                         + ", where it may have run");
-                    } else if (begunNs > earlier.atNs + limits.deduplicationWindowNs() + limits.slackNs()) {
-                        broken(
+                    } else if (requestStartNs > earlier.sentNs + limits.deduplicationWindowNs() + limits.slackNs()) {
+                        report(
                                 Rule.TWICE,
-                                "KEYED " + sending + " " + (begunNs - earlier.atNs) / 1_000_000
+                                "KEYED " + sending + " " + (requestStartNs - earlier.sentNs) / 1_000_000
                                         + " ms after it may have run");
                     }
                 }
             }
         }
 
-        private void judgeCold(long workNs) {
+        private void checkColdLoad(long workNs) {
             long now = time.nanoTime();
-            long age = now - box.startedNs;
-            if (age >= limits.coldPeriodNs() || box.fell) {
+            long age = now - server.startedNs;
+            if (age >= limits.coldPeriodNs() || server.overloaded) {
                 return;
             }
-            boolean informed = node.toldStart.getOrDefault(box.id, Long.MIN_VALUE) >= box.startedNs;
-            box.sent.add(new long[] {now, workNs, informed ? workNs : 0});
-            while (box.sent.peek()[0] < now - limits.coldWindowNs()) {
-                box.sent.poll();
+            boolean informed = node.notifiedStartNs.getOrDefault(server.id, Long.MIN_VALUE) >= server.startedNs;
+            server.recentWork.add(new long[] {now, workNs, informed ? workNs : 0});
+            while (server.recentWork.peek()[0] < now - limits.coldWindowNs()) {
+                server.recentWork.poll();
             }
             long sum = 0;
             long known = 0;
-            for (long[] each : box.sent) {
+            for (long[] each : server.recentWork) {
                 sum += each[1];
                 known += each[2];
             }
             double share =
                     limits.coldInitialFraction() + (1 - limits.coldInitialFraction()) * age / limits.coldPeriodNs();
             // A few requests are chance, and no flood.
-            double most = limits.coldOverloadFactor() * share * box.capacity * limits.coldWindowNs() + 4 * workNs;
+            double most = limits.coldOverloadFactor() * share * server.capacity * limits.coldWindowNs() + 4 * workNs;
             if (sum > most && 3 * known >= 2 * sum) {
-                box.fell = true;
-                broken(
+                server.overloaded = true;
+                report(
                         Rule.COLD,
-                        box.id + " was sent " + sum / 1_000_000 + " ms of work within "
+                        server.id + " was sent " + sum / 1_000_000 + " ms of work within "
                                 + limits.coldWindowNs() / 1_000_000 + " ms, " + age / 1_000_000
                                 + " ms after its start, and bears " + (long) (most / 1e6));
             }
         }
 
-        private void answered(Message answer) {
-            if (out != null && answer.status() / 100 != 1) {
+        private void onResponse(Message answer) {
+            if (currentAttempt != null && answer.status() / 100 != 1) {
                 if ((answer.status() == 503 || answer.status() == 504)
                         && answer.field("x-turned-away").equals("1")) {
-                    out.neverRan = true;
+                    currentAttempt.neverRan = true;
                 }
-                out = null;
+                currentAttempt = null;
             }
         }
 
-        private void over() {
-            out = null;
+        private void endAttempt() {
+            currentAttempt = null;
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/check/Violation.java
+++ b/src/main/java/vetchpost/simulation/check/Violation.java
@@ -25,15 +25,15 @@
         /** No exception ends in a log. */
         FAULT("no fault is swallowed");
 
-        private final String words;
+        private final String statement;
 
         Rule(String words) {
-            this.words = words;
+            this.statement = words;
         }
 
         /** The rule in words. */
-        public String words() {
-            return words;
+        public String statement() {
+            return statement;
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/net/Bytes.java
+++ b/src/main/java/vetchpost/simulation/net/ByteQueue.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** A queue of bytes. */
-final class Bytes {
+final class ByteQueue {
     private byte[] data = new byte[256];
     private int from;
     private int to;
--- a/src/main/java/vetchpost/simulation/net/SimChannel.java
+++ b/src/main/java/vetchpost/simulation/net/SimChannel.java
@@ -29,12 +29,12 @@
 
     private final SimNetwork network;
     private final ChannelConfig config = new SimChannelConfig(this);
-    private SimulatedSocket end;
-    private ChannelPromise connecting;
+    private SimulatedSocket socket;
+    private ChannelPromise connectPromise;
     private Future<?> connectTimer;
     private boolean reading;
     private boolean closed;
-    private boolean outputShut;
+    private boolean outputShutdown;
 
     /** With no end yet, to be connected; or accepted by a listening socket. */
     SimChannel(SimNetwork network, Channel parent, SimulatedSocket end) {
@@ -42,13 +42,13 @@
         this.network = network;
         config.setAllocator(network.allocator());
         if (end != null) {
-            take(end);
+            attach(end);
         }
     }
 
-    private void take(SimulatedSocket opened) {
-        end = opened;
-        end.handler(() -> network.loop().ready(this));
+    private void attach(SimulatedSocket opened) {
+        socket = opened;
+        socket.handler(() -> network.loop().ready(this));
     }
 
     private final class Unsafe extends AbstractUnsafe {
@@ -57,13 +57,13 @@
             if (!promise.setUncancellable() || !ensureOpen(promise)) {
                 return;
             }
-            connecting = promise;
-            take(network.host().connect((InetSocketAddress) remote, null));
+            connectPromise = promise;
+            attach(network.host().connect((InetSocketAddress) remote, null));
             int patienceMs = config.getConnectTimeoutMillis();
             connectTimer = eventLoop()
                     .schedule(
                             () -> {
-                                if (connecting != null) {
+                                if (connectPromise != null) {
                                     failConnect(new ConnectTimeoutException("connection timed out: " + remote));
                                 }
                             },
@@ -72,19 +72,19 @@
         }
 
         private void failConnect(Exception cause) {
-            ChannelPromise promise = connecting;
-            connecting = null;
+            ChannelPromise promise = connectPromise;
+            connectPromise = null;
             connectTimer.cancel(false);
             promise.tryFailure(cause);
             closeIfClosed();
         }
 
         private void finishConnect() {
-            if (end.isFailed()) {
+            if (socket.isFailed()) {
                 failConnect(new ConnectException("Connection refused"));
-            } else if (end.isOpen()) {
-                ChannelPromise promise = connecting;
-                connecting = null;
+            } else if (socket.isOpen()) {
+                ChannelPromise promise = connectPromise;
+                connectPromise = null;
                 connectTimer.cancel(false);
                 if (promise.trySuccess()) {
                     pipeline().fireChannelActive();
@@ -129,16 +129,16 @@
         }
 
         private int fill(ByteBuf buffer) throws IOException {
-            if (end.readable() > 0) {
-                byte[] bytes = end.read(buffer.writableBytes());
+            if (socket.readable() > 0) {
+                byte[] bytes = socket.read(buffer.writableBytes());
                 buffer.writeBytes(bytes);
                 return bytes.length;
             }
-            if (end.isReset()) {
+            if (socket.isReset()) {
                 buffer.release();
                 throw new IOException("Connection reset by peer");
             }
-            return end.isAtEnd() ? -1 : 0;
+            return socket.isAtEnd() ? -1 : 0;
         }
     }
 
@@ -150,7 +150,7 @@
     @Override
     public void onReady() {
         Unsafe unsafe = (Unsafe) unsafe();
-        if (connecting != null) {
+        if (connectPromise != null) {
             unsafe.finishConnect();
         }
         if (!isActive()) {
@@ -159,16 +159,16 @@
         if (unsafe.outboundBuffer() != null && !unsafe.outboundBuffer().isEmpty()) {
             unsafe.resumeWriting();
         }
-        if (isActive() && reading && hasNews()) {
+        if (isActive() && reading && hasInput()) {
             unsafe.read();
-            if (isActive() && reading && hasNews()) {
+            if (isActive() && reading && hasInput()) {
                 network.loop().ready(this);
             }
         }
     }
 
-    private boolean hasNews() {
-        return end.readable() > 0 || end.isAtEnd();
+    private boolean hasInput() {
+        return socket.readable() > 0 || socket.isAtEnd();
     }
 
     void readNow() {
@@ -180,7 +180,7 @@
     @Override
     protected void doBeginRead() {
         reading = true;
-        if (end != null && hasNews()) {
+        if (socket != null && hasInput()) {
             network.loop().ready(this);
         }
     }
@@ -193,7 +193,7 @@
                 out.remove();
                 continue;
             }
-            int taken = end.write(ByteBufUtil.getBytes(buffer));
+            int taken = socket.write(ByteBufUtil.getBytes(buffer));
             if (taken < buffer.readableBytes()) {
                 // The end tells when there is room again.
                 out.removeBytes(taken);
@@ -206,15 +206,15 @@
     @Override
     protected void doClose() {
         closed = true;
-        if (connecting != null) {
-            connecting.tryFailure(new ClosedChannelException());
-            connecting = null;
+        if (connectPromise != null) {
+            connectPromise.tryFailure(new ClosedChannelException());
+            connectPromise = null;
         }
         if (connectTimer != null) {
             connectTimer.cancel(false);
         }
-        if (end != null) {
-            end.close();
+        if (socket != null) {
+            socket.close();
         }
     }
 
@@ -230,8 +230,8 @@
 
     @Override
     protected void doShutdownOutput() {
-        outputShut = true;
-        end.shutdownOutput();
+        outputShutdown = true;
+        socket.shutdownOutput();
     }
 
     @Override
@@ -241,12 +241,12 @@
 
     @Override
     protected SocketAddress localAddress0() {
-        return end == null ? null : end.local();
+        return socket == null ? null : socket.local();
     }
 
     @Override
     protected SocketAddress remoteAddress0() {
-        return end == null ? null : end.remote();
+        return socket == null ? null : socket.remote();
     }
 
     @Override
@@ -266,7 +266,7 @@
 
     @Override
     public boolean isActive() {
-        return !closed && end != null && end.isOpen() && connecting == null;
+        return !closed && socket != null && socket.isOpen() && connectPromise == null;
     }
 
     @Override
@@ -287,7 +287,7 @@
 
     @Override
     public boolean isOutputShutdown() {
-        return closed || outputShut;
+        return closed || outputShutdown;
     }
 
     @Override
--- a/src/main/java/vetchpost/simulation/net/SimLoop.java
+++ b/src/main/java/vetchpost/simulation/net/SimLoop.java
@@ -17,14 +17,14 @@
  * never while it is stalled. A turn takes simulated time, too.
  */
 public final class SimLoop extends ManualIoEventLoop {
-    private static final long TURN_NS = 20_000;
-    private static final long PER_CHANNEL_NS = 5_000;
+    private static final long TURN_DURATION_NS = 20_000;
+    private static final long PER_CHANNEL_DURATION_NS = 5_000;
 
     private final VirtualTime time;
     private final Selector selector;
     private final SplittableRandom random;
-    private VirtualTime.Event turn;
-    private long freeAtNs;
+    private VirtualTime.Event nextTurn;
+    private long pausedUntilNs;
     private boolean dead;
 
     /** Which channels have something to do; in the place of the system's selector. */
@@ -32,7 +32,7 @@
         private final Set<Ready> ready = new LinkedHashSet<>();
         private final SplittableRandom random;
         /** This turn has looked at its channels already, and comes to its timers only now. */
-        private boolean looked;
+        private boolean alreadyPolled;
 
         Selector(SplittableRandom random) {
             this.random = random;
@@ -40,14 +40,14 @@
 
         @Override
         public int run(IoHandlerContext context) {
-            if (looked) {
-                looked = false;
+            if (alreadyPolled) {
+                alreadyPolled = false;
                 return 0;
             }
-            return look();
+            return poll();
         }
 
-        int look() {
+        int poll() {
             List<Ready> now = new ArrayList<>(ready);
             ready.clear();
             // The system's selector promises no order either.
@@ -97,43 +97,43 @@
     void ready(Ready channel) {
         if (!dead) {
             selector.ready.add(channel);
-            turnAt(time.nanoTime() + random.nextLong(TURN_NS));
+            scheduleTurn(time.nanoTime() + random.nextLong(TURN_DURATION_NS));
         }
     }
 
     /** Runs the task in a turn of its own soon. */
     public void run(Runnable task) {
         execute(task);
-        turnAt(time.nanoTime());
+        scheduleTurn(time.nanoTime());
     }
 
     /** Holds the loop up for so long, as a pause of its process would. */
-    public void stall(long ns) {
-        freeAtNs = Math.max(freeAtNs, time.nanoTime() + ns);
-        if (turn != null) {
-            turn.cancel();
-            turn = null;
+    public void pause(long ns) {
+        pausedUntilNs = Math.max(pausedUntilNs, time.nanoTime() + ns);
+        if (nextTurn != null) {
+            nextTurn.cancel();
+            nextTurn = null;
         }
-        turnAt(freeAtNs);
+        scheduleTurn(pausedUntilNs);
     }
 
     /**
      * Holds the loop up for so long in the midst of a turn that begins now: between its channels and its
      * timers. What comes meanwhile lies unread when the timers run, as behind a slow handler in life.
      */
-    public void stallInTurn(long ns) {
-        if (!dead && !selector.looked) {
-            selector.look();
-            selector.looked = true;
+    public void pauseInTurn(long ns) {
+        if (!dead && !selector.alreadyPolled) {
+            selector.poll();
+            selector.alreadyPolled = true;
         }
-        stall(ns);
+        pause(ns);
     }
 
     /** It takes no turn any more: its process has died. */
     public void kill() {
         dead = true;
-        if (turn != null) {
-            turn.cancel();
+        if (nextTurn != null) {
+            nextTurn.cancel();
         }
     }
 
@@ -142,28 +142,29 @@
         return nextScheduledTaskDeadlineNanos() < 0 && selector.ready.isEmpty();
     }
 
-    private void turnAt(long ns) {
-        long at = Math.max(ns, freeAtNs);
-        if (dead || turn != null && turn.atNs() <= at) {
+    private void scheduleTurn(long ns) {
+        long at = Math.max(ns, pausedUntilNs);
+        if (dead || nextTurn != null && nextTurn.atNs() <= at) {
             return;
         }
-        if (turn != null) {
-            turn.cancel();
+        if (nextTurn != null) {
+            nextTurn.cancel();
         }
-        turn = time.at(at, this::turn);
+        nextTurn = time.at(at, this::runTurn);
     }
 
-    private void turn() {
-        turn = null;
+    private void runTurn() {
+        nextTurn = null;
         int channels = selector.ready.size();
         runNow();
-        freeAtNs = Math.max(freeAtNs, time.nanoTime() + TURN_NS + PER_CHANNEL_NS * channels);
+        pausedUntilNs =
+                Math.max(pausedUntilNs, time.nanoTime() + TURN_DURATION_NS + PER_CHANNEL_DURATION_NS * channels);
         if (!selector.ready.isEmpty()) {
-            turnAt(freeAtNs);
+            scheduleTurn(pausedUntilNs);
         }
         long next = nextScheduledTaskDeadlineNanos();
         if (next >= 0) {
-            turnAt(next);
+            scheduleTurn(next);
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/net/SimNetwork.java
+++ b/src/main/java/vetchpost/simulation/net/SimNetwork.java
@@ -14,18 +14,18 @@
     private final SimulatedHost host;
     private final SimLoop loop;
     private final UnpooledByteBufAllocator allocator = new UnpooledByteBufAllocator(false, true);
-    private final Consumer<Channel> opened;
-    private int channels;
+    private final Consumer<Channel> channelListener;
+    private int channelCount;
 
     /** Channels on this loop; each is shown to {@code opened} as soon as it is made. */
     public SimNetwork(SimulatedHost host, SimLoop loop, Consumer<Channel> opened) {
         this.host = host;
         this.loop = loop;
-        this.opened = opened;
+        this.channelListener = opened;
     }
 
     /** Bytes of buffers that have been taken for reading and writing and not been given back. */
-    public long buffered() {
+    public long bufferedBytes() {
         return allocator.metric().usedHeapMemory() + allocator.metric().usedDirectMemory();
     }
 
@@ -51,7 +51,7 @@
     /** A channel, accepted by this parent if there is one. */
     SimChannel connection(Channel parent, SimulatedSocket end) {
         SimChannel channel = new SimChannel(this, parent, end);
-        opened.accept(channel);
+        channelListener.accept(channel);
         return channel;
     }
 
@@ -68,7 +68,7 @@
     }
 
     int nextId() {
-        return channels++;
+        return channelCount++;
     }
 
     /** For tests of the channels alone. */
--- a/src/main/java/vetchpost/simulation/net/SimulatedHost.java
+++ b/src/main/java/vetchpost/simulation/net/SimulatedHost.java
@@ -12,7 +12,7 @@
     final Tcp tcp;
     final Tap tap;
     private final String name;
-    private final Set<SimulatedSocket> ends = new LinkedHashSet<>();
+    private final Set<SimulatedSocket> sockets = new LinkedHashSet<>();
     private final List<InetSocketAddress> listening = new ArrayList<>();
     private boolean vanished;
     private boolean dead;
@@ -46,16 +46,16 @@
     }
 
     void opened(SimulatedSocket end) {
-        ends.add(end);
+        sockets.add(end);
     }
 
     void closed(SimulatedSocket end) {
-        ends.remove(end);
+        sockets.remove(end);
     }
 
     /** How many connections it has open. */
-    public int open() {
-        return ends.size();
+    public int connectionCount() {
+        return sockets.size();
     }
 
     public boolean isVanished() {
@@ -75,10 +75,10 @@
     /** It is back, as a new process: the old connections are reset as soon as something comes on them. */
     public void reappear() {
         vanished = false;
-        for (SimulatedSocket end : new ArrayList<>(ends)) {
+        for (SimulatedSocket end : new ArrayList<>(sockets)) {
             end.forget();
         }
-        ends.clear();
+        sockets.clear();
     }
 
     /** The process dies: its connections are reset and nothing listens any more. */
@@ -87,7 +87,7 @@
         for (InetSocketAddress address : new ArrayList<>(listening)) {
             unlisten(address);
         }
-        for (SimulatedSocket end : new ArrayList<>(ends)) {
+        for (SimulatedSocket end : new ArrayList<>(sockets)) {
             end.reset();
         }
     }
--- a/src/main/java/vetchpost/simulation/net/SimulatedSocket.java
+++ b/src/main/java/vetchpost/simulation/net/SimulatedSocket.java
@@ -13,9 +13,9 @@
  */
 public final class SimulatedSocket {
     /** Bytes that the system takes to send ahead of what the other side's has taken. */
-    private static final int SEND_BUFFER = 32 * 1024;
+    private static final int SEND_BUFFER_BYTES = 32 * 1024;
 
-    private static final int RECEIVE_BUFFER = 16 * 1024;
+    private static final int RECEIVE_BUFFER_BYTES = 16 * 1024;
 
     private enum Kind {
         DATA,
@@ -31,9 +31,9 @@
     private final SimulatedHost host;
     private final InetSocketAddress local;
     private final InetSocketAddress remote;
-    private final Bytes inbox = new Bytes();
+    private final ByteQueue inbox = new ByteQueue();
     /** Arrived, but there was no room, or the machine was silent. */
-    private final Deque<Segment> held = new ArrayDeque<>();
+    private final Deque<Segment> undelivered = new ArrayDeque<>();
 
     private Runnable handler;
     private SimulatedSocket peer;
@@ -41,9 +41,9 @@
     private boolean failed;
     private boolean closed;
     private boolean finSent;
-    private boolean finIn;
-    private boolean resetIn;
-    private int unacked;
+    private boolean finReceived;
+    private boolean resetReceived;
+    private int unacknowledgedBytes;
     private long lastArrivalNs;
     private long consumed;
     private long received;
@@ -91,12 +91,12 @@
 
     /** Whether the other side has reset it. */
     public boolean isReset() {
-        return resetIn;
+        return resetReceived;
     }
 
     /** Whether there is nothing more to read: the end has come and all before it is read. */
     public boolean isAtEnd() {
-        return (finIn || resetIn) && inbox.size() == 0;
+        return (finReceived || resetReceived) && inbox.size() == 0;
     }
 
     public int readable() {
@@ -119,12 +119,12 @@
     }
 
     /** The handshake ends so much later; nothing arrives here before. */
-    void comesUpIn(long delayNs, Runnable action) {
+    void connectAfter(long delayNs, Runnable action) {
         lastArrivalNs = tcp.time().nanoTime() + delayNs;
         tcp.time().at(lastArrivalNs, action);
     }
 
-    void up(SimulatedSocket other) {
+    void establish(SimulatedSocket other) {
         peer = other;
         open = true;
     }
@@ -135,16 +135,16 @@
             // Given up meanwhile: the other side learns by a reset.
             peer.arrive(new Segment(Kind.RESET, null, null));
         } else {
-            tell();
+            notifyHandler();
         }
     }
 
     void refused() {
         failed = true;
-        tell();
+        notifyHandler();
     }
 
-    private void tell() {
+    private void notifyHandler() {
         if (handler != null && !closed && !host.isVanished() && !host.isDead()) {
             handler.run();
         }
@@ -156,16 +156,16 @@
      * @throws IOException if the connection is broken
      */
     public int write(byte[] bytes) throws IOException {
-        if (resetIn || closed || finSent || !open) {
-            throw new IOException(resetIn ? "Connection reset by peer" : "Broken pipe");
+        if (resetReceived || closed || finSent || !open) {
+            throw new IOException(resetReceived ? "Connection reset by peer" : "Broken pipe");
         }
-        int size = Math.min(bytes.length, SEND_BUFFER - unacked);
+        int size = Math.min(bytes.length, SEND_BUFFER_BYTES - unacknowledgedBytes);
         if (size > 0) {
             byte[] taken = size == bytes.length ? bytes : Arrays.copyOf(bytes, size);
-            unacked += size;
+            unacknowledgedBytes += size;
             host.tap.wrote(this, taken);
             for (int at = 0; at < size; ) {
-                int piece = tcp.pieceOf(size - at);
+                int piece = tcp.segmentSize(size - at);
                 send(new Segment(Kind.DATA, Arrays.copyOfRange(taken, at, at + piece), null));
                 at += piece;
             }
@@ -185,8 +185,8 @@
 
     /** Writes so that all arrives at once, as one packet does. */
     public void putUnsplit(byte[] bytes) {
-        if (!resetIn && !closed && !finSent && open && unacked + bytes.length <= SEND_BUFFER) {
-            unacked += bytes.length;
+        if (!resetReceived && !closed && !finSent && open && unacknowledgedBytes + bytes.length <= SEND_BUFFER_BYTES) {
+            unacknowledgedBytes += bytes.length;
             host.tap.wrote(this, bytes);
             send(new Segment(Kind.DATA, bytes, null));
         }
@@ -205,16 +205,16 @@
     public byte[] read(int most) {
         byte[] taken = inbox.take(most);
         consumed += taken.length;
-        if (!held.isEmpty()) {
+        if (!undelivered.isEmpty()) {
             // As an event of its own: told from within, a reader would read as deep as there is to read.
-            tcp.time().after(0, this::takeHeld);
+            tcp.time().after(0, this::deliverPending);
         }
         return taken;
     }
 
     /** Sends the end after all that has been written. */
     public void shutdownOutput() {
-        if (open && !finSent && !closed && !resetIn) {
+        if (open && !finSent && !closed && !resetReceived) {
             finSent = true;
             send(new Segment(Kind.FIN, null, null));
         }
@@ -225,7 +225,7 @@
         if (closed) {
             return;
         }
-        boolean unread = inbox.size() > 0 || !held.isEmpty();
+        boolean unread = inbox.size() > 0 || !undelivered.isEmpty();
         if (open && unread) {
             sendReset();
         } else {
@@ -247,21 +247,21 @@
         host.tap.closed(this);
         host.closed(this);
         inbox.clear();
-        held.clear();
+        undelivered.clear();
     }
 
     /** The machine knows of this connection no more. */
     void forget() {
         closed = true;
         inbox.clear();
-        if (!held.isEmpty()) {
-            held.clear();
+        if (!undelivered.isEmpty()) {
+            undelivered.clear();
             sendReset();
         }
     }
 
     private void sendReset() {
-        if (open && !resetIn) {
+        if (open && !resetReceived) {
             send(new Segment(Kind.RESET, null, null));
         }
     }
@@ -281,12 +281,12 @@
                 sendResetBack();
             }
         } else if (host.isVanished()) {
-            held.add(segment);
-        } else if (!held.isEmpty()) {
-            held.add(segment);
-            takeHeld();
-        } else if (!take(segment)) {
-            held.add(segment);
+            undelivered.add(segment);
+        } else if (!undelivered.isEmpty()) {
+            undelivered.add(segment);
+            deliverPending();
+        } else if (!deliver(segment)) {
+            undelivered.add(segment);
         }
     }
 
@@ -298,20 +298,20 @@
         }
     }
 
-    private void takeHeld() {
-        while (!held.isEmpty() && !host.isVanished() && take(held.peek())) {
-            held.poll();
+    private void deliverPending() {
+        while (!undelivered.isEmpty() && !host.isVanished() && deliver(undelivered.peek())) {
+            undelivered.poll();
         }
     }
 
     /** Takes in a segment if there is room. */
-    private boolean take(Segment segment) {
+    private boolean deliver(Segment segment) {
         switch (segment.kind) {
             case DATA -> {
-                if (resetIn) {
+                if (resetReceived) {
                     return true;
                 }
-                if (inbox.size() > 0 && inbox.size() + segment.bytes.length > RECEIVE_BUFFER) {
+                if (inbox.size() > 0 && inbox.size() + segment.bytes.length > RECEIVE_BUFFER_BYTES) {
                     return false;
                 }
                 inbox.add(segment.bytes);
@@ -320,12 +320,12 @@
                 host.tap.received(this, segment.bytes);
             }
             case FIN -> {
-                finIn = true;
+                finReceived = true;
                 host.tap.ended(this, false);
             }
             case RESET -> {
-                if (!resetIn) {
-                    resetIn = true;
+                if (!resetReceived) {
+                    resetReceived = true;
                     if (tcp.isPurgedByReset()) {
                         inbox.clear();
                     }
@@ -337,15 +337,15 @@
                 return true;
             }
         }
-        tell();
+        notifyHandler();
         return true;
     }
 
     private void acknowledged(int bytes) {
-        boolean full = unacked >= SEND_BUFFER;
-        unacked -= bytes;
+        boolean full = unacknowledgedBytes >= SEND_BUFFER_BYTES;
+        unacknowledgedBytes -= bytes;
         if (full) {
-            tell();
+            notifyHandler();
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/net/VirtualTime.java
+++ b/src/main/java/vetchpost/simulation/net/VirtualTime.java
@@ -40,11 +40,11 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long nowNs;
-    private long asked;
+    private long nextOrder;
 
     /** Has the task run at this time, or now if that has passed, but never from within this call. */
     public Event at(long ns, Runnable task) {
-        Event event = new Event(Math.max(ns, nowNs), asked++, task);
+        Event event = new Event(Math.max(ns, nowNs), nextOrder++, task);
         events.add(event);
         return event;
     }
--- a/src/main/java/vetchpost/simulation/wire/MessageParser.java
+++ b/src/main/java/vetchpost/simulation/wire/MessageParser.java
@@ -6,13 +6,13 @@
 
 /** Cuts a connection's bytes into messages that tell their length, and gives up on any others. */
 public final class MessageParser {
-    private static final int MOST = 256 * 1024;
+    private static final int MAX_HEAD_BYTES = 256 * 1024;
 
     private final Consumer<Message> messages;
     private byte[] data = new byte[512];
     private int size;
     /** Where the head's end was looked for last, and the head once it has come. */
-    private int searched;
+    private int searchedTo;
 
     private String[] head;
     private int headLength;
@@ -48,14 +48,14 @@
         }
         System.arraycopy(bytes, 0, data, size, bytes.length);
         size += bytes.length;
-        while (!broken && next()) {
+        while (!broken && parseNext()) {
             continue;
         }
     }
 
-    private boolean next() {
+    private boolean parseNext() {
         if (head == null && !findHead()) {
-            broken |= size > MOST;
+            broken |= size > MAX_HEAD_BYTES;
             return false;
         }
         int whole = headLength + bodyLength;
@@ -68,13 +68,13 @@
         size -= whole;
         offset += whole;
         head = null;
-        searched = 0;
+        searchedTo = 0;
         messages.accept(message);
         return size > 0;
     }
 
     private boolean findHead() {
-        for (int i = Math.max(0, searched - 3); i + 3 < size; i++) {
+        for (int i = Math.max(0, searchedTo - 3); i + 3 < size; i++) {
             if (data[i] == '\r' && data[i + 1] == '\n' && data[i + 2] == '\r' && data[i + 3] == '\n') {
                 headLength = i + 4;
                 head = new String(data, 0, i, StandardCharsets.ISO_8859_1).split("\r\n");
@@ -82,7 +82,7 @@
                 return !broken;
             }
         }
-        searched = size;
+        searchedTo = size;
         return false;
     }
 
--- a/src/main/java/vetchpost/simulation/world/Clients.java
+++ b/src/main/java/vetchpost/simulation/world/Clients.java
@@ -25,12 +25,12 @@
  * refused, and safe requests after any failure.
  */
 public final class Clients {
-    private static final int MOST_TRIES = 3;
-    private static final long PATIENCE_MS = 150;
+    private static final int MAX_TRIES = 3;
+    private static final long ANSWER_WAIT_MARGIN_MS = 150;
     private static final long BACKOFF_MS = 20;
-    private static final int LEAVES_ONE_IN = 60;
-    private static final int READ = 16_384;
-    private static final long RUDE_MS = 4_000;
+    private static final int ABANDON_ONE_IN = 60;
+    private static final int MAX_READ_BYTES = 16_384;
+    private static final long MALFORMED_CLIENT_LIFETIME_MS = 4_000;
 
     private final World world;
     private final RequestEffects effects;
@@ -40,49 +40,49 @@
 
     private final Map<InetSocketAddress, Deque<Connection>> idle = new HashMap<>();
     private final SplittableRandom random;
-    private int wants;
-    private long txns;
-    private int open;
-    private int tried;
-    private int servedWants;
-    private int lateWants;
+    private int operationCount;
+    private long nextTransaction;
+    private int openCount;
+    private int sentCount;
+    private int servedCount;
+    private int lateCount;
 
     /** What somebody wants done, over all tries. */
-    private final class Want {
+    private final class Operation {
         private final String name;
         private final RequestClasses.Kind kind;
         private final String key;
-        private final long beganMs;
-        private final long endMs;
-        private final SplittableRandom chance;
+        private final long startedMs;
+        private final long deadlineMs;
+        private final SplittableRandom operationRandom;
         private int tries;
-        private long leftMs;
-        private boolean sentOnceMore;
+        private long remainingMs;
+        private boolean resent;
 
-        Want(int number, RequestClasses.Kind kind) {
+        Operation(int number, RequestClasses.Kind kind) {
             name = "want-" + number;
             this.kind = kind;
-            chance = world.random("want", number);
-            key = Long.toHexString(chance.nextLong());
-            beganMs = world.nowMs();
-            endMs = beganMs + kind.timeoutMs();
+            operationRandom = world.random("want", number);
+            key = Long.toHexString(operationRandom.nextLong());
+            startedMs = world.nowMs();
+            deadlineMs = startedMs + kind.timeoutMs();
         }
 
-        void go() {
-            long left = endMs - world.nowMs();
-            if (left < 5 || tries >= MOST_TRIES || nodes.isEmpty()) {
-                over(false);
+        void attempt() {
+            long left = deadlineMs - world.nowMs();
+            if (left < 5 || tries >= MAX_TRIES || nodes.isEmpty()) {
+                finish(false);
                 return;
             }
             tries++;
-            String txn = String.format(Locale.ROOT, "%016x", (txns++ << 20) + 0x5EED_0000_0000_0000L);
-            leftMs = left;
-            effects.wanted(name, txn, kind.retryPolicy());
+            String txn = String.format(Locale.ROOT, "%016x", (nextTransaction++ << 20) + 0x5EED_0000_0000_0000L);
+            remainingMs = left;
+            effects.expect(name, txn, kind.retryPolicy());
             expect(txn);
             boolean safe = kind.retryPolicy() == RetryPolicy.SAFE;
-            String body = safe ? "" : "x".repeat(1 + chance.nextInt(600));
+            String body = safe ? "" : "x".repeat(1 + operationRandom.nextInt(600));
             byte[] bytes = Message.bytes(
-                    (safe ? "GET /" : "POST /") + kind.name() + "/" + chance.nextInt(99) + " HTTP/1.1",
+                    (safe ? "GET /" : "POST /") + kind.name() + "/" + operationRandom.nextInt(99) + " HTTP/1.1",
                     "Host: backend.local\r\nX-Txn: " + txn + "\r\nX-Org: school\r\n"
                             + "X-Remaining-Ms: " + left + "\r\n" + (tries > 1 ? "X-Resent: 1\r\n" : "")
                             + (kind.retryPolicy() == RetryPolicy.KEYED ? "Idempotency-Key: " + key + "\r\n" : "")
@@ -93,158 +93,158 @@
 
         private void expect(String txn) {
             world.checker.expect(
-                    new ExpectedRequest(txn, kind.retryPolicy(), world.time.nanoTime() + leftMs * 1_000_000, (long)
+                    new ExpectedRequest(txn, kind.retryPolicy(), world.time.nanoTime() + remainingMs * 1_000_000, (long)
                             (world.classes.workMs() * 1e6)));
         }
 
         private void send(String txn, byte[] bytes) {
             List<InetSocketAddress> some = new ArrayList<>(nodes.values());
             if (some.isEmpty()) {
-                over(false);
+                finish(false);
                 return;
             }
-            tried++;
-            InetSocketAddress node = some.get(chance.nextInt(some.size()));
+            sentCount++;
+            InetSocketAddress node = some.get(operationRandom.nextInt(some.size()));
             Connection connection = takeIdle(node);
             if (connection == null) {
                 connection = new Connection(node);
             }
-            connection.ask(this, txn, bytes);
+            connection.sendRequest(this, txn, bytes);
         }
 
         void answered(Message answer) {
             int status = answer.status();
             if (status == 200) {
-                over(true);
+                finish(true);
             } else if (status == 429 || status == 503) {
-                again(answer.field("retry-after"));
+                retry(answer.field("retry-after"));
             } else if (kind.retryPolicy() == RetryPolicy.SAFE) {
-                again("");
+                retry("");
             } else {
-                over(false);
+                finish(false);
             }
         }
 
         /** It ended with no answer. */
-        void broken(Connection on) {
-            if (on.crossed() && !sentOnceMore) {
-                sentOnceMore = true;
+        void connectionLost(Connection on) {
+            if (on.wasClosedBeforeRead() && !resent) {
+                resent = true;
                 // It says the same time left as before, and that counts from when it is sent (found by seed
                 // 5153 with --recovery: the first node had stood still for 0.4 s with it unread, and died).
                 expect(on.txn);
                 send(on.txn, on.sent);
-            } else if (kind.retryPolicy() == RetryPolicy.SAFE || on.neverOpen()) {
-                again("");
+            } else if (kind.retryPolicy() == RetryPolicy.SAFE || on.wasNeverWritten()) {
+                retry("");
             } else {
-                over(false);
+                finish(false);
             }
         }
 
-        private void again(String seconds) {
+        private void retry(String seconds) {
             long ms = seconds.isEmpty() ? BACKOFF_MS : (long) (1_000 * Double.parseDouble(seconds));
-            world.afterMs(ms + chance.nextInt(10), this::go);
+            world.afterMs(ms + operationRandom.nextInt(10), this::attempt);
         }
 
-        private void over(boolean well) {
-            open--;
-            servedWants += well ? 1 : 0;
-            lateWants += well && world.nowMs() - beganMs > kind.latencyTargetMs() ? 1 : 0;
+        private void finish(boolean well) {
+            openCount--;
+            servedCount += well ? 1 : 0;
+            lateCount += well && world.nowMs() - startedMs > kind.latencyTargetMs() ? 1 : 0;
         }
     }
 
     /** A client's connection. */
     private final class Connection {
         private final InetSocketAddress node;
-        private final SimulatedSocket end;
-        private final MessageParser parser = new MessageParser(this::answered);
-        private Want want;
+        private final SimulatedSocket socket;
+        private final MessageParser parser = new MessageParser(this::onResponse);
+        private Operation operation;
         private String txn;
         private byte[] sent;
-        private long sentBefore;
-        private long sentUpTo;
-        private boolean isAsked;
+        private long requestOffset;
+        private long sentBytes;
+        private boolean requestWritten;
 
         Connection(InetSocketAddress node) {
             this.node = node;
-            end = host.connect(node, this::ready);
+            socket = host.connect(node, this::onReady);
         }
 
-        void ask(Want asker, String id, byte[] bytes) {
-            want = asker;
+        void sendRequest(Operation asker, String id, byte[] bytes) {
+            operation = asker;
             txn = id;
             sent = bytes;
-            isAsked = false;
-            if (end.isOpen()) {
+            requestWritten = false;
+            if (socket.isOpen()) {
                 write();
             }
-            Want mine = want;
-            long waits = mine.endMs - world.nowMs() + PATIENCE_MS;
-            if (mine.chance.nextInt(LEAVES_ONE_IN) == 0) {
-                waits = mine.chance.nextLong(waits);
+            Operation mine = operation;
+            long waits = mine.deadlineMs - world.nowMs() + ANSWER_WAIT_MARGIN_MS;
+            if (mine.operationRandom.nextInt(ABANDON_ONE_IN) == 0) {
+                waits = mine.operationRandom.nextLong(waits);
             }
             world.afterMs(waits, () -> {
-                if (want == mine && txn.equals(id)) {
-                    want = null;
-                    end.close();
-                    mine.over(false);
+                if (operation == mine && txn.equals(id)) {
+                    operation = null;
+                    socket.close();
+                    mine.finish(false);
                 }
             });
         }
 
         private void write() {
-            isAsked = true;
-            sentBefore = sentUpTo;
-            sentUpTo += sent.length;
-            end.put(sent);
+            requestWritten = true;
+            requestOffset = sentBytes;
+            sentBytes += sent.length;
+            socket.put(sent);
         }
 
         /** Whether the node closed before it had read any of the request. */
-        boolean crossed() {
-            return isAsked && end.readByPeer() <= sentBefore;
+        boolean wasClosedBeforeRead() {
+            return requestWritten && socket.readByPeer() <= requestOffset;
         }
 
-        boolean neverOpen() {
-            return !isAsked;
+        boolean wasNeverWritten() {
+            return !requestWritten;
         }
 
-        private void ready() {
-            if (end.isFailed()) {
-                lost();
+        private void onReady() {
+            if (socket.isFailed()) {
+                onLost();
                 return;
             }
-            if (want != null && !isAsked && end.isOpen()) {
+            if (operation != null && !requestWritten && socket.isOpen()) {
                 write();
             }
-            while (end.readable() > 0) {
-                parser.feed(end.read(READ));
+            while (socket.readable() > 0) {
+                parser.feed(socket.read(MAX_READ_BYTES));
             }
-            if (end.isAtEnd() || end.isReset()) {
-                end.close();
-                lost();
+            if (socket.isAtEnd() || socket.isReset()) {
+                socket.close();
+                onLost();
             }
         }
 
-        private void lost() {
+        private void onLost() {
             Deque<Connection> rest = idle.get(node);
             if (rest != null) {
                 rest.remove(this);
             }
-            if (want != null) {
-                Want mine = want;
-                want = null;
-                mine.broken(this);
+            if (operation != null) {
+                Operation mine = operation;
+                operation = null;
+                mine.connectionLost(this);
             }
         }
 
-        private void answered(Message answer) {
-            if (want == null || answer.status() / 100 == 1) {
+        private void onResponse(Message answer) {
+            if (operation == null || answer.status() / 100 == 1) {
                 return;
             }
-            Want mine = want;
-            want = null;
+            Operation mine = operation;
+            operation = null;
             world.log.add("answered", txn, answer.start(), answer.body().length);
             if (answer.field("connection").equalsIgnoreCase("close")) {
-                end.close();
+                socket.close();
             } else {
                 idle.computeIfAbsent(node, n -> new ArrayDeque<>()).push(this);
             }
@@ -263,7 +263,7 @@
     private Connection takeIdle(InetSocketAddress node) {
         Deque<Connection> some = idle.get(node);
         Connection connection = some == null ? null : some.poll();
-        while (connection != null && !connection.end.isOpen()) {
+        while (connection != null && !connection.socket.isOpen()) {
             connection = some.poll();
         }
         return connection;
@@ -281,35 +281,35 @@
 
     /** Somebody wants something of this class, or of a class by chance. */
     public void startRequest(String kind) {
-        int number = wants++;
-        open++;
+        int number = operationCount++;
+        openCount++;
         double at = world.random("kind", number).nextDouble();
-        new Want(number, kind == null ? world.classes.draw(at) : world.classes.named(kind)).go();
+        new Operation(number, kind == null ? world.classes.select(at) : world.classes.byName(kind)).attempt();
     }
 
     /** The next want is passed over, its number too. */
     public void skipRequest() {
-        wants++;
+        operationCount++;
     }
 
     /** Wants that are neither done nor given up. */
-    public int open() {
-        return open;
+    public int openCount() {
+        return openCount;
     }
 
     /** Requests sent, tries counted. */
     public int requestsSent() {
-        return tried;
+        return sentCount;
     }
 
     /** Wants, how many of them were served, and how many of those later than their class aims at. */
     public int[] counts() {
-        return new int[] {wants, servedWants, lateWants};
+        return new int[] {operationCount, servedCount, lateCount};
     }
 
     /** Closes what is idle, at the end of a run. */
     public void close() {
-        idle.values().forEach(some -> some.forEach(c -> c.end.close()));
+        idle.values().forEach(some -> some.forEach(c -> c.socket.close()));
     }
 
     /** One that sends rubbish, half a request, too much, or doesn't read. */
@@ -328,22 +328,22 @@
             }
             if (!said[0]) {
                 said[0] = true;
-                end[0].put(rubbish(how).getBytes(StandardCharsets.ISO_8859_1));
+                end[0].put(malformedRequest(how).getBytes(StandardCharsets.ISO_8859_1));
                 if (how == 1) {
                     end[0].close();
                 }
             }
             if (how != 2 && end[0].isOpen()) {
-                end[0].read(READ);
+                end[0].read(MAX_READ_BYTES);
                 if (end[0].isAtEnd() || end[0].isReset()) {
                     end[0].close();
                 }
             }
         });
-        world.afterMs(RUDE_MS, end[0]::close);
+        world.afterMs(MALFORMED_CLIENT_LIFETIME_MS, end[0]::close);
     }
 
-    private String rubbish(int how) {
+    private String malformedRequest(int how) {
         String id = String.format(Locale.ROOT, "%016x", random.nextLong());
         String head = " HTTP/1.1\r\nHost: b\r\nX-Txn: " + id + "\r\nX-Remaining-Ms: 300\r\n";
         return switch (how) {
--- a/src/main/java/vetchpost/simulation/world/NodeProcess.java
+++ b/src/main/java/vetchpost/simulation/world/NodeProcess.java
@@ -26,25 +26,25 @@
 /** A node's machine: the production node on a simulated loop and network, started, stopped and killed. */
 public final class NodeProcess {
     /** The platform kills a node so long after SIGTERM at the latest. */
-    private static final long STOP_WITHIN_MS = 3_650;
+    private static final long MAX_STOP_MS = 3_650;
     /** After it has closed, timers of one shot may still have to run out. */
-    private static final long LAST_TIMERS_MS = 4_000;
+    private static final long REMAINING_TIMERS_MS = 4_000;
 
-    private static final long FRONT_STOPS_MS = 200;
-    private static final int FRONT_STOPS_MORE_MS = 200;
-    private static final long NOTICE_MS = 1_000;
-    private static final int NOTICE_MORE_MS = 2_900;
+    private static final long MIN_STOP_NOTICE_MS = 200;
+    private static final int STOP_NOTICE_SPREAD_MS = 200;
+    private static final long MIN_CRASH_NOTICE_MS = 1_000;
+    private static final int CRASH_NOTICE_SPREAD_MS = 2_900;
 
     /** Descriptors: as few as the platform gives, or more. */
-    private static final int FEW_SOCKETS = 256;
+    private static final int MIN_SOCKETS = 256;
 
-    private static final int MORE_SOCKETS = 60;
-    private static final int MANY_SOCKETS = 512;
+    private static final int SOCKETS_SPREAD = 60;
+    private static final int MAX_SOCKETS = 512;
 
     /** Makes planted faults for tests; none elsewhere. */
     public interface Setup {
         /** The seams of a node on this loop. */
-        NodeHooks seams(SimLoop loop);
+        NodeHooks hooks(SimLoop loop);
 
         /** The routes that nodes begin with. */
         default RoutePolicy routes(Settings settings, long seed) {
@@ -62,7 +62,7 @@
         }
 
         /** What goes along with a start of this machine's, counted from 1; null for nothing. */
-        default NodeLifecycle companion(Start start) {
+        default NodeLifecycle lifecycle(Start start) {
             return null;
         }
 
@@ -87,23 +87,23 @@
 
     private static final int PORT = 8443;
     /** Machines whose addresses have the same third byte. */
-    private static final int IN_SUBNET = 250;
+    private static final int HOSTS_PER_SUBNET = 250;
 
     private final World world;
     private final Clients clients;
-    private final SimulatedDiscovery directory;
-    private final Setup planting;
+    private final SimulatedDiscovery discovery;
+    private final Setup setup;
     private final Consumer<Violation> violations;
     private final boolean pushed;
     private final int nodes;
     private final int number;
     private final InetSocketAddress address;
     /** The list as this machine was told it last, by id. */
-    private final Map<String, String> told = new LinkedHashMap<>();
+    private final Map<String, String> listedServers = new LinkedHashMap<>();
 
-    private final Map<String, Long> toldStarts = new LinkedHashMap<>();
-    private final Map<String, Boolean> toldReady = new LinkedHashMap<>();
-    private int starts;
+    private final Map<String, Long> listedStartsNs = new LinkedHashMap<>();
+    private final Map<String, Boolean> listedReady = new LinkedHashMap<>();
+    private int startCount;
     private Process process;
 
     /** One process, from its start to its end. */
@@ -115,28 +115,28 @@
         private final Node node;
         private boolean stopping;
         private boolean stopped;
-        private boolean over;
+        private boolean ended;
 
         Process(NodeConfig config) {
             tap = world.checker.addNode(name(), address);
             host = world.tcp.host(name(), tap);
-            loop = SimLoop.open(world.time, world.random("loop" + number, starts));
-            network = new SimNetwork(host, loop, planting::connectionOpened);
-            toldReady.forEach((id, ready) -> tap.serverListed(id, ready, toldStarts.get(id)));
-            node = new Node(config, loop, network, World.EPOCH_MS + world.nowMs(), planting.seams(loop));
-            node.setRoutes(planting.routes(config.settings(), config.seed()));
-            node.admission(planting.admission(config.settings(), config.seed()));
-            if (planting.subsetSize() > 0) {
-                node.setSubset(new Subset(number, nodes, planting.subsetSize(), true));
+            loop = SimLoop.open(world.time, world.random("loop" + number, startCount));
+            network = new SimNetwork(host, loop, setup::connectionOpened);
+            listedReady.forEach((id, ready) -> tap.serverListed(id, ready, listedStartsNs.get(id)));
+            node = new Node(config, loop, network, World.EPOCH_MS + world.nowMs(), setup.hooks(loop));
+            node.setRoutes(setup.routes(config.settings(), config.seed()));
+            node.admission(setup.admission(config.settings(), config.seed()));
+            if (setup.subsetSize() > 0) {
+                node.setSubset(new Subset(number, nodes, setup.subsetSize(), true));
             }
-            NodeLifecycle companion = planting.companion(new Start(
+            NodeLifecycle companion = setup.lifecycle(new Start(
                     number,
-                    starts,
+                    startCount,
                     loop,
                     network,
                     config.settings(),
                     World.EPOCH_MS + world.nowMs(),
-                    world.random("companion" + number, starts).nextLong()));
+                    world.random("companion" + number, startCount).nextLong()));
             if (companion != null) {
                 node.setLifecycle(companion);
             }
@@ -146,8 +146,8 @@
         void stop() {
             stopping = true;
             loop.run(() -> node.stop(this::stopped));
-            world.afterMs(STOP_WITHIN_MS, () -> {
-                if (!over && !stopped) {
+            world.afterMs(MAX_STOP_MS, () -> {
+                if (!ended && !stopped) {
                     kill(false);
                 }
             });
@@ -155,15 +155,15 @@
 
         /** All is answered: nothing may be left once it has closed. */
         private void stopped() {
-            if (over) {
+            if (ended) {
                 return;
             }
             stopped = true;
             // In life the process is gone from here on; this one is kept to see whether it leaves anything.
             tap.stopping();
             loop.run(node::close);
-            world.afterMs(LAST_TIMERS_MS, () -> {
-                if (!over) {
+            world.afterMs(REMAINING_TIMERS_MS, () -> {
+                if (!ended) {
                     checkNothingLeft();
                     kill(false);
                 }
@@ -175,8 +175,8 @@
             if (left.requests() != 0 || left.bytes() != 0 || left.sockets() != 0) {
                 leak("holds " + left);
             }
-            if (network.buffered() != 0) {
-                leak("has " + network.buffered() + " bytes of buffers that nobody released");
+            if (network.bufferedBytes() != 0) {
+                leak("has " + network.bufferedBytes() + " bytes of buffers that nobody released");
             }
             if (!loop.isIdle()) {
                 leak("has timers left");
@@ -188,7 +188,7 @@
         }
 
         void kill(boolean crash) {
-            over = true;
+            ended = true;
             if (crash) {
                 tap.killed();
             }
@@ -210,8 +210,8 @@
             int number) {
         this.world = world;
         this.clients = clients;
-        this.directory = directory;
-        this.planting = planting;
+        this.discovery = directory;
+        this.setup = planting;
         this.violations = violations;
         this.pushed = pushed;
         this.nodes = nodes;
@@ -221,7 +221,7 @@
 
     /** Where a machine listens; there is room for 62,500 of them. */
     public static InetSocketAddress addressOf(int number) {
-        return new InetSocketAddress("10.0." + number / IN_SUBNET + "." + (number % IN_SUBNET + 1), PORT);
+        return new InetSocketAddress("10.0." + number / HOSTS_PER_SUBNET + "." + (number % HOSTS_PER_SUBNET + 1), PORT);
     }
 
     private String name() {
@@ -230,12 +230,12 @@
 
     /** Whether a process runs and has not been told to stop. */
     public boolean isUp() {
-        return process != null && !process.over && !process.stopping;
+        return process != null && !process.ended && !process.stopping;
     }
 
     /** Whether a process runs. */
     public boolean isRunning() {
-        return process != null && !process.over;
+        return process != null && !process.ended;
     }
 
     /** Starts a process with the list that this machine was told last. */
@@ -243,12 +243,12 @@
         if (isRunning()) {
             return;
         }
-        starts++;
-        world.log.add("start", name(), "", starts);
-        if (planting.startsWithoutList(number, starts)) {
-            toldReady.clear();
-            toldStarts.clear();
-            told.clear();
+        startCount++;
+        world.log.add("start", name(), "", startCount);
+        if (setup.startsWithoutList(number, startCount)) {
+            listedReady.clear();
+            listedStartsNs.clear();
+            listedServers.clear();
         }
         process = new Process(NodeConfig.parse(config(), Map.of()));
         clients.addNode(number, address);
@@ -257,16 +257,16 @@
     /** What differs between installations comes from the seed: descriptors, probes, marked repeats. */
     private String config() {
         SplittableRandom site = world.random("site", 0);
-        int sockets = site.nextInt(3) == 0 ? FEW_SOCKETS + site.nextInt(MORE_SOCKETS) : MANY_SOCKETS;
+        int sockets = site.nextInt(3) == 0 ? MIN_SOCKETS + site.nextInt(SOCKETS_SPREAD) : MAX_SOCKETS;
         boolean probes = site.nextBoolean();
         boolean marks = site.nextBoolean();
-        String discovery = directory.address().getAddress().getHostAddress() + ":"
-                + directory.address().getPort();
+        String discoveryAddress = discovery.address().getAddress().getHostAddress() + ":"
+                + discovery.address().getPort();
         return "{\"listen\":\"" + address.getAddress().getHostAddress() + ":" + address.getPort()
-                + "\",\"discovery\":\"" + discovery + "\",\"seed\":\""
-                + Long.toHexString(world.random("node" + number, starts).nextLong())
+                + "\",\"discovery\":\"" + discoveryAddress + "\",\"seed\":\""
+                + Long.toHexString(world.random("node" + number, startCount).nextLong())
                 + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":" + sockets + "},\"known\":"
-                + directory.list(told.values().stream().toList())
+                + discovery.list(listedServers.values().stream().toList())
                 + ",\"settings\":{\"balancers\":" + nodes + ",\"me\":" + number
                 + ",\"zones\":[\"room\"],\"myZone\":\"room\",\"classes\":" + world.classes.json()
                 + ",\"realms\":[{\"name\":\"school\",\"quotaPerS\":1000,\"share\":1}],\"membershipMode\":\""
@@ -277,14 +277,14 @@
     }
 
     /** Discovery's word on a box has come to this machine. */
-    void told(String id, String state, long startedNs, String line) {
+    void serverListed(String id, String state, long startedNs, String line) {
         boolean ready = state.equals("Ready");
-        toldStarts.put(id, startedNs);
-        toldReady.put(id, ready);
+        listedStartsNs.put(id, startedNs);
+        listedReady.put(id, ready);
         if (state.equals("Gone")) {
-            told.remove(id);
+            listedServers.remove(id);
         } else {
-            told.put(id, line);
+            listedServers.put(id, line);
         }
         if (isRunning()) {
             process.tap.serverListed(id, ready, startedNs);
@@ -292,10 +292,11 @@
     }
 
     /** A whole list has come: what it doesn't name has gone. */
-    void toldAll(Set<String> named) {
-        for (String id :
-                told.keySet().stream().filter(id -> !named.contains(id)).toList()) {
-            told(id, "Gone", toldStarts.get(id), "");
+    void fullListReceived(Set<String> named) {
+        for (String id : listedServers.keySet().stream()
+                .filter(id -> !named.contains(id))
+                .toList()) {
+            serverListed(id, "Gone", listedStartsNs.get(id), "");
         }
     }
 
@@ -306,13 +307,13 @@
 
     /** Before the first start: the machine knows of the box. */
     public void addServer(SimulatedServer box) {
-        told.put(
+        listedServers.put(
                 box.id(),
                 "{\"uid\":\"" + box.id() + "\",\"endpoint\":\"" + box.endpoint()
                         + "\",\"az\":\"room\",\"pod_group\":" + box.rack()
                         + ",\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":0}");
-        toldStarts.put(box.id(), box.startedNs());
-        toldReady.put(box.id(), true);
+        listedStartsNs.put(box.id(), box.startedNs());
+        listedReady.put(box.id(), true);
     }
 
     /** Kills the process; the front notices only after a while. */
@@ -320,14 +321,15 @@
         if (isRunning()) {
             world.log.add("crash", name(), "", 0);
             process.kill(true);
-            frontNotices(NOTICE_MS + world.random("notice" + number, starts).nextInt(NOTICE_MORE_MS));
+            removeFromFrontAfter(MIN_CRASH_NOTICE_MS
+                    + world.random("notice" + number, startCount).nextInt(CRASH_NOTICE_SPREAD_MS));
         }
     }
 
-    private void frontNotices(long afterMs) {
-        int of = starts;
+    private void removeFromFrontAfter(long afterMs) {
+        int of = startCount;
         world.afterMs(afterMs, () -> {
-            if (of == starts) {
+            if (of == startCount) {
                 clients.removeNode(number);
             }
         });
@@ -338,34 +340,35 @@
         if (isUp()) {
             world.log.add("stop", name(), "", 0);
             process.stop();
-            frontNotices(FRONT_STOPS_MS + world.random("front" + number, starts).nextInt(FRONT_STOPS_MORE_MS));
+            removeFromFrontAfter(MIN_STOP_NOTICE_MS
+                    + world.random("front" + number, startCount).nextInt(STOP_NOTICE_SPREAD_MS));
         }
     }
 
     /** The process does nothing for a while, between two turns of its loop. */
-    public void stall(long forMs) {
+    public void pauseLoop(long forMs) {
         if (isRunning()) {
             world.log.add("stall", name(), "", forMs);
-            process.tap.stalled(forMs * 1_000_000);
-            process.loop.stall(forMs * 1_000_000);
+            process.tap.paused(forMs * 1_000_000);
+            process.loop.pause(forMs * 1_000_000);
         }
     }
 
     /** The process does nothing for a while, in a turn that has looked at its channels but not its timers. */
-    public void stallInTurn(long forMs) {
+    public void pauseLoopInTurn(long forMs) {
         if (isRunning()) {
             world.log.add("stall in turn", name(), "", forMs);
-            process.tap.stalled(forMs * 1_000_000);
-            process.loop.stallInTurn(forMs * 1_000_000);
+            process.tap.paused(forMs * 1_000_000);
+            process.loop.pauseInTurn(forMs * 1_000_000);
         }
     }
 
     /** Either of the two, by the seed. */
-    public void stallAtRandom(long forMs) {
+    public void pauseLoopAtRandom(long forMs) {
         if (world.random("stall" + number, world.nowMs()).nextBoolean()) {
-            stallInTurn(forMs);
+            pauseLoopInTurn(forMs);
         } else {
-            stall(forMs);
+            pauseLoop(forMs);
         }
     }
 
--- a/src/main/java/vetchpost/simulation/world/Nodes.java
+++ b/src/main/java/vetchpost/simulation/world/Nodes.java
@@ -25,7 +25,7 @@
     public void serverListed(SimulatedSocket end, String id, String state, long startedNs, String line) {
         for (NodeProcess machine : machines) {
             if (machine.isPeerOf(end)) {
-                machine.told(id, state, startedNs, line);
+                machine.serverListed(id, state, startedNs, line);
             }
         }
     }
@@ -34,7 +34,7 @@
     public void fullListReceived(SimulatedSocket end, Set<String> named) {
         for (NodeProcess machine : machines) {
             if (machine.isPeerOf(end)) {
-                machine.toldAll(named);
+                machine.fullListReceived(named);
             }
         }
     }
--- a/src/main/java/vetchpost/simulation/world/RequestClasses.java
+++ b/src/main/java/vetchpost/simulation/world/RequestClasses.java
@@ -37,7 +37,7 @@
     }
 
     /** The kind whose part of the shares this number, from 0 to 1, falls into. */
-    Kind draw(double at) {
+    Kind select(double at) {
         double upTo = 0;
         for (Kind kind : kinds) {
             upTo += kind.share;
@@ -48,7 +48,7 @@
         return kinds.get(0);
     }
 
-    Kind named(String name) {
+    Kind byName(String name) {
         return kinds.stream().filter(k -> k.name.equals(name)).findFirst().orElseThrow();
     }
 
--- a/src/main/java/vetchpost/simulation/world/RequestEffects.java
+++ b/src/main/java/vetchpost/simulation/world/RequestEffects.java
@@ -15,10 +15,10 @@
 public final class RequestEffects {
     private final World world;
     private final Consumer<Violation> violations;
-    private final Map<String, String> wantedBy = new HashMap<>();
-    private final Map<String, RetryPolicy> kinds = new HashMap<>();
-    private final Map<String, Integer> done = new HashMap<>();
-    private final Map<String, Long> remembered = new HashMap<>();
+    private final Map<String, String> operations = new HashMap<>();
+    private final Map<String, RetryPolicy> retryPolicies = new HashMap<>();
+    private final Map<String, Integer> effectCounts = new HashMap<>();
+    private final Map<String, Long> keyFirstSeenNs = new HashMap<>();
 
     public RequestEffects(World world, Consumer<Violation> violations) {
         this.world = world;
@@ -26,31 +26,31 @@
     }
 
     /** A try of what a client wants. */
-    void wanted(String want, String txn, RetryPolicy again) {
-        wantedBy.put(txn, want);
-        kinds.put(want, again);
+    void expect(String want, String txn, RetryPolicy again) {
+        operations.put(txn, want);
+        retryPolicies.put(want, again);
     }
 
     /** A box has read the request and will work on it. */
-    void ran(Message request, int rack) {
-        String want = wantedBy.get(request.field("x-txn"));
-        if (want == null || kinds.get(want) == RetryPolicy.SAFE) {
+    void executed(Message request, int rack) {
+        String want = operations.get(request.field("x-txn"));
+        if (want == null || retryPolicies.get(want) == RetryPolicy.SAFE) {
             return;
         }
         long now = world.time.nanoTime();
         String key = rack + " " + request.field("idempotency-key");
-        if (kinds.get(want) == RetryPolicy.KEYED) {
-            Long since = remembered.get(key);
-            if (since != null && now - since <= Rules.WINDOW_NS + 50_000_000) {
+        if (retryPolicies.get(want) == RetryPolicy.KEYED) {
+            Long since = keyFirstSeenNs.get(key);
+            if (since != null && now - since <= Rules.DEDUPLICATION_WINDOW_NS + 50_000_000) {
                 return;
             }
-            remembered.put(key, now);
+            keyFirstSeenNs.put(key, now);
         }
-        if (done.merge(want, 1, Integer::sum) == 2) {
+        if (effectCounts.merge(want, 1, Integer::sum) == 2) {
             violations.accept(new Violation(
                     Rule.TWICE,
                     now,
-                    kinds.get(want) + " " + want + " has had its effect twice, the second time as request "
+                    retryPolicies.get(want) + " " + want + " has had its effect twice, the second time as request "
                             + request.field("x-txn")));
         }
     }
--- a/src/main/java/vetchpost/simulation/world/SimulatedDiscovery.java
+++ b/src/main/java/vetchpost/simulation/world/SimulatedDiscovery.java
@@ -22,15 +22,15 @@
 
 /** Discovery: the list of boxes, told late to those that watch it; silent, broken or moved now and then. */
 public final class SimulatedDiscovery {
-    private static final long BEAT_MS = 2_000;
-    private static final long MOVED_CLOSES_MS = 1_500;
-    private static final long LEAST_NOTICE_MS = 20;
-    private static final int MORE_NOTICE_MS = 900;
+    private static final long HEARTBEAT_INTERVAL_MS = 2_000;
+    private static final long MOVE_CLOSE_DELAY_MS = 1_500;
+    private static final long MIN_NOTICE_DELAY_MS = 20;
+    private static final int NOTICE_DELAY_SPREAD_MS = 900;
     /** What a silent watch misses counts as told so long after it fell silent. */
-    private static final long MISSED_COUNTS_MS = 6_000;
+    private static final long MISSED_CHANGE_DELAY_MS = 6_000;
 
-    private static final int READ = 4_096;
-    private static final int SHRUNKEN_TO = 10;
+    private static final int MAX_READ_BYTES = 4_096;
+    private static final int SHRINK_DIVISOR = 10;
 
     /** Hears what has come to a node's machine. */
     public interface ListListener {
@@ -51,7 +51,7 @@
     }
 
     private final World world;
-    private final ListListener told;
+    private final ListListener listener;
     private final SplittableRandom random;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
@@ -59,8 +59,8 @@
     private int moves;
     private long muteUntilMs;
     private long shrunkenUntilMs;
-    private long lateMs;
-    private long callMs;
+    private long changeDelayMs;
+    private long callDelayMs;
     private SimulatedHost host;
 
     /** Bytes on their way, and what to do when they have come to the other side's system. */
@@ -68,32 +68,32 @@
 
     /** A node's watch, once it has asked. */
     private final class Watch {
-        private final SimulatedSocket end;
-        private final MessageParser parser = new MessageParser(this::asked);
+        private final SimulatedSocket socket;
+        private final MessageParser parser = new MessageParser(this::onRequest);
         private final Deque<Outgoing> outbox = new ArrayDeque<>();
         private boolean watching;
         /** Since when it says nothing, for good; or a time that never comes. */
         private long silentSinceMs = Long.MAX_VALUE;
 
         Watch(SimulatedSocket end) {
-            this.end = end;
-            end.handler(this::ready);
+            this.socket = end;
+            end.handler(this::onReady);
         }
 
-        private void ready() {
+        private void onReady() {
             write();
-            while (end.readable() > 0) {
-                parser.feed(end.read(READ));
+            while (socket.readable() > 0) {
+                parser.feed(socket.read(MAX_READ_BYTES));
             }
-            if (end.isAtEnd() || end.isReset()) {
-                end.close();
+            if (socket.isAtEnd() || socket.isReset()) {
+                socket.close();
                 watches.remove(this);
             }
         }
 
-        private void asked(Message request) {
-            if (callMs > 0) {
-                world.afterMs(callMs, () -> answer(request));
+        private void onRequest(Message request) {
+            if (callDelayMs > 0) {
+                world.afterMs(callDelayMs, () -> answer(request));
             } else {
                 answer(request);
             }
@@ -104,23 +104,23 @@
                 world.afterMs(muteUntilMs - world.nowMs(), () -> answer(request));
                 return;
             }
-            if (!end.isOpen()) {
+            if (!socket.isOpen()) {
                 return;
             }
-            end.put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            socket.put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             watching = true;
             watches.add(this);
-            tell(whole(), true);
-            beat();
+            sendEntries(currentFullList(), true);
+            scheduleHeartbeat();
         }
 
-        private void beat() {
-            world.afterMs(BEAT_MS, () -> {
-                if (end.isOpen()) {
+        private void scheduleHeartbeat() {
+            world.afterMs(HEARTBEAT_INTERVAL_MS, () -> {
+                if (socket.isOpen()) {
                     if (!isMute() && !isSilent()) {
-                        chunk("\n", () -> {});
+                        writeChunk("\n", () -> {});
                     }
-                    beat();
+                    scheduleHeartbeat();
                 }
             });
         }
@@ -129,7 +129,7 @@
             return world.nowMs() >= silentSinceMs;
         }
 
-        private void chunk(String text, Runnable whenDelivered) {
+        private void writeChunk(String text, Runnable whenDelivered) {
             outbox.add(new Outgoing(
                     (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII),
                     whenDelivered));
@@ -142,7 +142,7 @@
                 Outgoing next = outbox.poll();
                 int taken;
                 try {
-                    taken = end.write(next.bytes);
+                    taken = socket.write(next.bytes);
                 } catch (IOException e) {
                     // Its watch is over: the handler hears of that.
                     outbox.clear();
@@ -153,31 +153,31 @@
                             new Outgoing(Arrays.copyOfRange(next.bytes, taken, next.bytes.length), next.whenDelivered));
                     return;
                 }
-                end.whenDelivered(next.whenDelivered);
+                socket.whenDelivered(next.whenDelivered);
             }
         }
 
-        void tell(List<Entry> some, boolean all) {
-            if (!watching || !end.isOpen()) {
+        void sendEntries(List<Entry> some, boolean all) {
+            if (!watching || !socket.isOpen()) {
                 return;
             }
             if (isSilent()) {
                 // It counts as told, whether or not another watch has brought it by then.
                 world.afterMs(
-                        Math.max(0, silentSinceMs + MISSED_COUNTS_MS - world.nowMs()),
-                        () -> some.forEach(e -> told.serverListed(end, e.id, e.state, e.startedNs, e.json())));
+                        Math.max(0, silentSinceMs + MISSED_CHANGE_DELAY_MS - world.nowMs()),
+                        () -> some.forEach(e -> listener.serverListed(socket, e.id, e.state, e.startedNs, e.json())));
                 return;
             }
-            chunk(
+            writeChunk(
                     "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":["
                             + some.stream().map(Entry::json).collect(Collectors.joining(",")) + "]}\n",
                     () -> {
                         for (Entry entry : some) {
-                            told.serverListed(end, entry.id, entry.state, entry.startedNs, entry.json());
+                            listener.serverListed(socket, entry.id, entry.state, entry.startedNs, entry.json());
                         }
                         if (all) {
-                            told.fullListReceived(
-                                    end,
+                            listener.fullListReceived(
+                                    socket,
                                     some.stream().map(Entry::id).collect(Collectors.toCollection(LinkedHashSet::new)));
                         }
                     });
@@ -187,7 +187,7 @@
     /** Discovery at its first address. */
     public SimulatedDiscovery(World world, ListListener told) {
         this.world = world;
-        this.told = told;
+        this.listener = told;
         random = world.random("directory", 0);
         open();
     }
@@ -215,18 +215,18 @@
     public void changed(SimulatedServer box, String state) {
         String id = box.id();
         Entry entry = new Entry(id, box.endpoint(), box.rack(), state, box.startedNs());
-        notice(LEAST_NOTICE_MS + random.nextInt(MORE_NOTICE_MS) + lateMs, entry);
+        publishAfter(MIN_NOTICE_DELAY_MS + random.nextInt(NOTICE_DELAY_SPREAD_MS) + changeDelayMs, entry);
     }
 
     /** Tells a change in this very instant. */
     public void changedNow(SimulatedServer box, String state) {
-        notice(0, new Entry(box.id(), box.endpoint(), box.rack(), state, box.startedNs()));
+        publishAfter(0, new Entry(box.id(), box.endpoint(), box.rack(), state, box.startedNs()));
     }
 
-    private void notice(long afterMs, Entry entry) {
+    private void publishAfter(long afterMs, Entry entry) {
         world.afterMs(afterMs, () -> {
             if (isMute()) {
-                notice(muteUntilMs - world.nowMs() + 1, entry);
+                publishAfter(muteUntilMs - world.nowMs() + 1, entry);
                 return;
             }
             revision++;
@@ -236,7 +236,7 @@
                 entries.put(entry.id, entry);
             }
             world.log.add("told", entry.id, entry.state, revision);
-            new ArrayList<>(watches).forEach(w -> w.tell(List.of(entry), false));
+            new ArrayList<>(watches).forEach(w -> w.sendEntries(List.of(entry), false));
         });
     }
 
@@ -255,13 +255,13 @@
     }
 
     /** Its whole list, which leaves out most while it is shrunken. */
-    private List<Entry> whole() {
+    private List<Entry> currentFullList() {
         List<Entry> all = new ArrayList<>(entries.values());
-        return world.nowMs() < shrunkenUntilMs ? few(all) : all;
+        return world.nowMs() < shrunkenUntilMs ? shrunken(all) : all;
     }
 
-    private static List<Entry> few(List<Entry> all) {
-        return all.subList(0, (all.size() + SHRUNKEN_TO - 1) / SHRUNKEN_TO);
+    private static List<Entry> shrunken(List<Entry> all) {
+        return all.subList(0, (all.size() + SHRINK_DIVISOR - 1) / SHRINK_DIVISOR);
     }
 
     /** Tells whole lists for a while that leave out nine tenths, then one that is right. */
@@ -270,7 +270,7 @@
         for (long afterMs : new long[] {0, forMs}) {
             world.afterMs(afterMs, () -> {
                 revision++;
-                new ArrayList<>(watches).forEach(w -> w.tell(whole(), true));
+                new ArrayList<>(watches).forEach(w -> w.sendEntries(currentFullList(), true));
             });
         }
     }
@@ -278,18 +278,18 @@
     /** Tells one whole list that leaves out nine tenths; whoever asks is told the right one. */
     public void shrinkOneList() {
         revision++;
-        List<Entry> few = few(new ArrayList<>(entries.values()));
-        new ArrayList<>(watches).forEach(w -> w.tell(few, true));
+        List<Entry> few = shrunken(new ArrayList<>(entries.values()));
+        new ArrayList<>(watches).forEach(w -> w.sendEntries(few, true));
     }
 
     /** What it tells from now on comes so much later. */
     public void delayChanges(long byMs) {
-        lateMs = byMs;
+        changeDelayMs = byMs;
     }
 
     /** From now on a call waits in turn for so long. */
     public void setCallDelay(long waitMs) {
-        callMs = waitMs;
+        callDelayMs = waitMs;
     }
 
     /** The watches that are open now stay open and say nothing more. */
@@ -299,7 +299,7 @@
 
     /** All watches end. */
     public void breakWatches() {
-        new ArrayList<>(watches).forEach(w -> w.end.reset());
+        new ArrayList<>(watches).forEach(w -> w.socket.reset());
         watches.clear();
     }
 
@@ -311,9 +311,9 @@
         open();
         Set<Watch> before = new LinkedHashSet<>(watches);
         world.afterMs(
-                MOVED_CLOSES_MS,
+                MOVE_CLOSE_DELAY_MS,
                 () -> before.forEach(w -> {
-                    w.end.close();
+                    w.socket.close();
                     watches.remove(w);
                 }));
     }
--- a/src/main/java/vetchpost/simulation/world/SimulatedServer.java
+++ b/src/main/java/vetchpost/simulation/world/SimulatedServer.java
@@ -17,12 +17,12 @@
  * goes wrong with it. What has been read whole is worked on, whether or not anybody still waits for it.
  */
 public final class SimulatedServer {
-    private static final int ROOM_PER_SLOT = 8;
+    private static final int MAX_QUEUED_PER_SLOT = 8;
     /** Each request in the waiting room beyond this many a slot slows all by so much. */
-    private static final int THRASH_AT = 4;
+    private static final int THRASHING_QUEUED_PER_SLOT = 4;
 
-    private static final double THRASH = 0.05;
-    private static final int READ = 16_384;
+    private static final double SLOWDOWN_PER_QUEUED_REQUEST = 0.05;
+    private static final int MAX_READ_BYTES = 16_384;
 
     private final World world;
     private final RequestEffects effects;
@@ -36,18 +36,18 @@
     private SimulatedHost host;
     private long startedNs = Long.MIN_VALUE;
     private boolean draining;
-    private final Deque<Job> room = new ArrayDeque<>();
+    private final Deque<Job> queue = new ArrayDeque<>();
     private int busy;
-    private int epoch;
+    private int processNumber;
     private long failUntilMs;
-    private double failPart;
+    private double failFraction;
     private long slowUntilMs;
-    private double slowBy = 1;
-    private long spoilUntilMs;
-    private double spoilPart;
+    private double slowFactor = 1;
+    private long corruptUntilMs;
+    private double corruptFraction;
     private long resetUntilMs;
-    private double resetPart;
-    private long deafUntilMs;
+    private double resetFraction;
+    private long notReadingUntilMs;
 
     private Script script = (end, request) -> false;
 
@@ -65,40 +65,40 @@
 
     /** One connection; a request at a time, as long as nodes keep to that. */
     private final class Connection {
-        private final SimulatedSocket end;
-        private final MessageParser parser = new MessageParser(this::asked);
+        private final SimulatedSocket socket;
+        private final MessageParser parser = new MessageParser(this::onRequest);
         /** Since when something lies here unread, or -1. */
         private long unreadSinceMs = -1;
 
         Connection(SimulatedSocket end) {
-            this.end = end;
-            end.handler(this::ready);
+            this.socket = end;
+            end.handler(this::onReady);
             script.connected(end);
         }
 
-        private void ready() {
+        private void onReady() {
             unreadSinceMs = unreadSinceMs < 0 ? world.nowMs() : unreadSinceMs;
-            if (world.nowMs() < deafUntilMs) {
-                world.afterMs(deafUntilMs - world.nowMs(), this::ready);
+            if (world.nowMs() < notReadingUntilMs) {
+                world.afterMs(notReadingUntilMs - world.nowMs(), this::onReady);
                 return;
             }
-            while (end.readable() > 0) {
-                parser.feed(end.read(READ));
+            while (socket.readable() > 0) {
+                parser.feed(socket.read(MAX_READ_BYTES));
             }
             unreadSinceMs = -1;
-            if (end.isAtEnd() || end.isReset()) {
-                end.close();
+            if (socket.isAtEnd() || socket.isReset()) {
+                socket.close();
             }
         }
 
         /** What has lain unread until nobody waits any more is over, and not begun. */
-        private void asked(Message request) {
+        private void onRequest(Message request) {
             String left = request.field("x-remaining-ms");
             if (!left.isEmpty() && world.nowMs() - unreadSinceMs > Long.parseLong(left)) {
                 answer(this, "HTTP/1.1 504 Gateway Timeout", "X-Turned-Away: 1\r\n", "over");
                 return;
             }
-            SimulatedServer.this.asked(this, request);
+            SimulatedServer.this.onRequest(this, request);
         }
     }
 
@@ -144,9 +144,9 @@
     public void start(boolean cold) {
         startedNs = cold ? world.time.nanoTime() : Long.MIN_VALUE;
         draining = false;
-        room.clear();
+        queue.clear();
         busy = 0;
-        epoch++;
+        processNumber++;
         host = world.tcp.host(id, Tap.NONE);
         host.listen(address, Connection::new);
         world.checker.addServer(id, address, rack, slots, startedNs);
@@ -159,10 +159,10 @@
     }
 
     public void kill() {
-        world.log.add("kill", id, "", room.size() + busy);
+        world.log.add("kill", id, "", queue.size() + busy);
         host.kill();
-        room.clear();
-        epoch++;
+        queue.clear();
+        processNumber++;
     }
 
     public void vanish() {
@@ -184,96 +184,98 @@
     }
 
     public void fail(double part, long forMs) {
-        failPart = part;
+        failFraction = part;
         failUntilMs = world.nowMs() + forMs;
     }
 
     public void slow(double by, long forMs) {
-        slowBy = by;
+        slowFactor = by;
         slowUntilMs = world.nowMs() + forMs;
     }
 
     public void corruptResponses(double part, long forMs) {
-        spoilPart = part;
-        spoilUntilMs = world.nowMs() + forMs;
+        corruptFraction = part;
+        corruptUntilMs = world.nowMs() + forMs;
     }
 
     public void reset(double part, long forMs) {
-        resetPart = part;
+        resetFraction = part;
         resetUntilMs = world.nowMs() + forMs;
     }
 
-    public void discardInput(long forMs) {
-        deafUntilMs = world.nowMs() + forMs;
+    public void stopReading(long forMs) {
+        notReadingUntilMs = world.nowMs() + forMs;
     }
 
-    private boolean is(long untilMs, double part) {
+    private boolean happens(long untilMs, double part) {
         return world.nowMs() < untilMs && random.nextDouble() < part;
     }
 
-    private void asked(Connection from, Message request) {
+    private void onRequest(Connection from, Message request) {
         String txn = request.field("x-txn");
         if (txn.isEmpty() && request.start().startsWith("GET /who ")) {
             answer(from, "HTTP/1.1 200 OK", "", id);
             return;
         }
         if (txn.isEmpty()) {
-            from.end.put(Message.bytes(
+            from.socket.put(Message.bytes(
                     request.start().startsWith("GET /health ") ? "HTTP/1.1 200 OK" : "HTTP/1.1 404 Not Found",
                     "Content-Length: 0\r\n",
                     ""));
             return;
         }
-        world.log.add("asked", id, txn + " by " + from.end.peerHost().name(), room.size());
-        if (script.handle(from.end, request)) {
+        world.log.add("asked", id, txn + " by " + from.socket.peerHost().name(), queue.size());
+        if (script.handle(from.socket, request)) {
             return;
         }
-        if (draining || room.size() >= ROOM_PER_SLOT * slots) {
+        if (draining || queue.size() >= MAX_QUEUED_PER_SLOT * slots) {
             answer(from, "HTTP/1.1 503 Service Unavailable", "X-Turned-Away: 1\r\n", "full");
             return;
         }
-        if (is(failUntilMs, failPart)) {
+        if (happens(failUntilMs, failFraction)) {
             answer(from, "HTTP/1.1 500 Internal Server Error", "", "error");
             return;
         }
-        effects.ran(request, rack);
-        if (is(resetUntilMs, resetPart)) {
-            from.end.reset();
+        effects.executed(request, rack);
+        if (happens(resetUntilMs, resetFraction)) {
+            from.socket.reset();
             return;
         }
-        room.add(new Job(from, request));
-        work();
+        queue.add(new Job(from, request));
+        startNext();
     }
 
-    private void work() {
-        if (busy >= slots || room.isEmpty()) {
+    private void startNext() {
+        if (busy >= slots || queue.isEmpty()) {
             return;
         }
-        Job job = room.poll();
+        Job job = queue.poll();
         busy++;
-        int crowd = Math.max(0, room.size() - THRASH_AT * slots);
+        int crowd = Math.max(0, queue.size() - THRASHING_QUEUED_PER_SLOT * slots);
         double share = 1;
         if (startedNs != Long.MIN_VALUE) {
-            double age = (world.time.nanoTime() - startedNs) / (double) Rules.COLD_NS;
-            share = Math.min(1, Rules.COLD_FROM + (1 - Rules.COLD_FROM) * age);
+            double age = (world.time.nanoTime() - startedNs) / (double) Rules.COLD_PERIOD_NS;
+            share = Math.min(1, Rules.COLD_INITIAL_FRACTION + (1 - Rules.COLD_INITIAL_FRACTION) * age);
         }
-        double by =
-                (world.nowMs() < slowUntilMs ? slowBy : 1) * (1 + THRASH * crowd) / share * (0.5 + random.nextDouble());
-        int mine = epoch;
+        double by = (world.nowMs() < slowUntilMs ? slowFactor : 1)
+                * (1 + SLOWDOWN_PER_QUEUED_REQUEST * crowd)
+                / share
+                * (0.5 + random.nextDouble());
+        int mine = processNumber;
         world.time.after((long) (by * world.classes.workMs() * 1e6), () -> {
-            if (mine == epoch) {
+            if (mine == processNumber) {
                 busy--;
-                done(job);
-                work();
+                finish(job);
+                startNext();
             }
         });
     }
 
-    private void done(Job job) {
+    private void finish(Job job) {
         String txn = job.request.field("x-txn");
         String body = "made for " + txn + " by " + id + " " + Long.toHexString(random.nextInt());
-        if (is(spoilUntilMs, spoilPart)) {
-            spoilt(job.from, txn, body);
+        if (happens(corruptUntilMs, corruptFraction)) {
+            respondCorrupted(job.from, txn, body);
             return;
         }
         world.checker.serverAnswers(txn, body);
@@ -281,37 +283,37 @@
     }
 
     private static void answer(Connection to, String start, String fields, String body) {
-        to.end.put(Message.bytes(start, fields + "Content-Length: " + body.length() + "\r\n", body));
+        to.socket.put(Message.bytes(start, fields + "Content-Length: " + body.length() + "\r\n", body));
     }
 
     /** Each way in which answers come spoilt, or bring more than belongs to them. */
-    private void spoilt(Connection to, String txn, String body) {
+    private void respondCorrupted(Connection to, String txn, String body) {
         String whole = "Content-Length: " + body.length() + "\r\n";
         switch (random.nextInt(8)) {
-            case 0 -> to.end.put(noise());
-            case 1 -> to.end.put(Message.bytes("HTTP/1.1 200 OK", "Content-Length: -3\r\n", body));
+            case 0 -> to.socket.put(noise());
+            case 1 -> to.socket.put(Message.bytes("HTTP/1.1 200 OK", "Content-Length: -3\r\n", body));
             case 2 -> {
-                to.end.put(Message.bytes("HTTP/1.1 200 OK", "Content-Length: 4000\r\n", body));
-                to.end.close();
+                to.socket.put(Message.bytes("HTTP/1.1 200 OK", "Content-Length: 4000\r\n", body));
+                to.socket.close();
             }
-            case 3 -> to.end.put(Message.bytes("HTTP/1.1 200 OK", "Content-Length: 3000000000\r\n", body));
+            case 3 -> to.socket.put(Message.bytes("HTTP/1.1 200 OK", "Content-Length: 3000000000\r\n", body));
             case 4 -> {
-                to.end.put(Message.bytes("HTTP/1.1 200 OK", "Connection: close\r\n", body.substring(0, 9)));
-                to.end.close();
+                to.socket.put(Message.bytes("HTTP/1.1 200 OK", "Connection: close\r\n", body.substring(0, 9)));
+                to.socket.close();
             }
             case 5 -> {
                 world.checker.serverAnswers(txn, body);
                 byte[] one = Message.bytes("HTTP/1.1 200 OK", whole, body);
-                to.end.putUnsplit(
+                to.socket.putUnsplit(
                         (new String(one, StandardCharsets.ISO_8859_1).repeat(2)).getBytes(StandardCharsets.ISO_8859_1));
             }
             case 6 -> {
                 world.checker.serverAnswers(txn, body);
-                to.end.put("HTTP/1.1 103 Early Hints\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                to.end.put(Message.bytes("HTTP/1.1 200 OK", whole, body));
+                to.socket.put("HTTP/1.1 103 Early Hints\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+                to.socket.put(Message.bytes("HTTP/1.1 200 OK", whole, body));
             }
             default ->
-                to.end.put(("HTTP/1.1 200 OK\r\n" + "X-More: and more\r\n".repeat(1_200))
+                to.socket.put(("HTTP/1.1 200 OK\r\n" + "X-More: and more\r\n".repeat(1_200))
                         .getBytes(StandardCharsets.ISO_8859_1));
         }
         world.log.add("spoilt", id, txn, 0);
--- a/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
+++ b/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
@@ -66,7 +66,7 @@
     /** The file in force in all nodes, if it is accepted by the settings that they are given. */
     private record InForce(List<Section> sections, boolean[] refused) implements NodeProcess.Setup {
         @Override
-        public NodeHooks seams(SimLoop loop) {
+        public NodeHooks hooks(SimLoop loop) {
             return NodeHooks.NONE;
         }
 
--- a/src/test/java/vetchpost/simulation/HardCasesTest.java
+++ b/src/test/java/vetchpost/simulation/EventOrderTest.java
@@ -18,11 +18,11 @@
 
 /** Orders of events that nobody can arrange by hand on real sockets, each over many seeds. */
 @Timeout(300)
-class HardCasesTest {
+class EventOrderTest {
     private static final int SEEDS = 60;
     private static final long WAIT_MS = 300;
 
-    private static void assertKept(Stage stage, long seed) {
+    private static void assertKept(SingleNodeScenario stage, long seed) {
         assertTrue(stage.violations.isEmpty(), () -> "seed " + seed + ": " + stage.violations);
     }
 
@@ -31,18 +31,18 @@
     void aDrainNoticeInTheSameTickAsNewWork(boolean pushed) {
         int toDrained = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 2, 1, pushed);
-            SimulatedServer drained = stage.boxes.get(0);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, pushed);
+            SimulatedServer drained = stage.servers.get(0);
             int[] after = new int[1];
             long[] toldNs = {Long.MAX_VALUE};
-            stage.boxes.get(0).script((end, request) -> {
+            stage.servers.get(0).script((end, request) -> {
                 after[0] += stage.time.nanoTime() > toldNs[0] ? 1 : 0;
                 return false;
             });
             // All of it waits in the system's buffers for one turn of the loop.
-            stage.node.stall(20);
-            stage.directory.changedNow(drained, "Terminating");
-            List<Stage.Asker> askers = new ArrayList<>();
+            stage.node.pauseLoop(20);
+            stage.discovery.changedNow(drained, "Terminating");
+            List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 askers.add(i % 2 == 0 ? stage.order(WAIT_MS) : stage.view(WAIT_MS));
             }
@@ -69,14 +69,14 @@
         int served = 0;
         int failed = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 2, 1, false);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
             stage.script((end, request) -> {
                 long waitsNs = (Long.parseLong(request.field("x-remaining-ms")) * 1_000 + offUs) * 1_000;
                 stage.time.after(waitsNs - 400_000, () -> stage.serve(end, request));
                 return true;
             });
-            Stage.Asker order = stage.order(WAIT_MS);
-            Stage.Asker view = stage.view(WAIT_MS);
+            SingleNodeScenario.TestClient order = stage.order(WAIT_MS);
+            SingleNodeScenario.TestClient view = stage.view(WAIT_MS);
             stage.runMs(2 * WAIT_MS);
             assertEquals(1, order.answers.size(), "seed " + seed);
             assertEquals(1, view.answers.size(), "seed " + seed);
@@ -97,20 +97,20 @@
     @ValueSource(booleans = {true, false})
     void anAnswerInTheSameTickAsItsTimeOut(boolean inTurn) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 2, 1, false);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
             stage.script((end, request) -> {
                 long waitsMs = Long.parseLong(request.field("x-remaining-ms"));
-                stage.time.after((waitsMs - 5) * Stage.MS, () -> {
+                stage.time.after((waitsMs - 5) * SingleNodeScenario.MS, () -> {
                     if (inTurn) {
-                        stage.node.stallInTurn(15);
+                        stage.node.pauseLoopInTurn(15);
                     } else {
-                        stage.node.stall(15);
+                        stage.node.pauseLoop(15);
                     }
                     stage.serve(end, request);
                 });
                 return true;
             });
-            Stage.Asker order = stage.order(WAIT_MS);
+            SingleNodeScenario.TestClient order = stage.order(WAIT_MS);
             stage.runMs(2 * WAIT_MS);
             assertEquals(200, order.status(), "seed " + seed + ": the answer had come");
             stage.end();
@@ -121,9 +121,9 @@
     @Test
     void aResetBetweenTheLastByteWrittenAndTheAnswer() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 4, 2, false);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 4, 2, false);
             stage.script((end, request) -> {
-                if (stage.asked.stream()
+                if (stage.receivedRequests.stream()
                                 .filter(r -> r.field("x-txn").equals(request.field("x-txn")))
                                 .count()
                         == 1) {
@@ -132,16 +132,16 @@
                 }
                 return false;
             });
-            Stage.Asker order = stage.order(WAIT_MS);
-            Stage.Asker photo = stage.photo(WAIT_MS);
-            Stage.Asker view = stage.view(WAIT_MS);
+            SingleNodeScenario.TestClient order = stage.order(WAIT_MS);
+            SingleNodeScenario.TestClient photo = stage.photo(WAIT_MS);
+            SingleNodeScenario.TestClient view = stage.view(WAIT_MS);
             stage.runMs(2 * WAIT_MS);
             assertEquals(502, order.status(), "an order that may have run has failed, and no more");
             assertEquals(200, photo.status(), "a photo goes to its rack again");
             assertEquals(200, view.status(), "a page goes anywhere again");
             assertEquals(
                     1,
-                    stage.asked.stream()
+                    stage.receivedRequests.stream()
                             .filter(r -> r.start().contains("place-order"))
                             .count());
             stage.end();
@@ -154,21 +154,21 @@
     void aRequestHalfWrittenWhenItsBoxDies() {
         int moved = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 2, 1, false);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
             // Only one of them takes anything in at first.
-            stage.boxes.get(0).discardInput(10_000);
-            stage.boxes.get(1).discardInput(60);
-            List<Stage.Asker> orders = new ArrayList<>();
+            stage.servers.get(0).stopReading(10_000);
+            stage.servers.get(1).stopReading(60);
+            List<SingleNodeScenario.TestClient> orders = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 orders.add(stage.ask("place-order", RetryPolicy.UNSAFE, 600, 64_000));
             }
             stage.runMs(50);
-            stage.boxes.get(0).kill();
+            stage.servers.get(0).kill();
             stage.runMs(900);
-            for (Stage.Asker order : orders) {
+            for (SingleNodeScenario.TestClient order : orders) {
                 assertEquals(200, order.status(), "seed " + seed + ": what was half written never ran");
             }
-            moved += stage.asked.size();
+            moved += stage.receivedRequests.size();
             stage.end();
             assertKept(stage, seed);
         }
@@ -179,15 +179,15 @@
     @Test
     void nonsenseBeforeTheLastByteIsWritten() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 2, 1, false);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
             for (int i = 0; i < 2; i++) {
                 boolean rude = i == 0;
-                SimulatedServer box = stage.boxes.get(i);
-                box.discardInput(rude ? 10_000 : 60);
+                SimulatedServer box = stage.servers.get(i);
+                box.stopReading(rude ? 10_000 : 60);
                 box.script(new SimulatedServer.Script() {
                     @Override
                     public boolean handle(SimulatedSocket end, Message request) {
-                        stage.asked.add(request);
+                        stage.receivedRequests.add(request);
                         return false;
                     }
 
@@ -195,21 +195,21 @@
                     public void connected(SimulatedSocket end) {
                         if (rude) {
                             stage.time.after(
-                                    30 * Stage.MS,
+                                    30 * SingleNodeScenario.MS,
                                     () -> end.put("no answer\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
                         }
                     }
                 });
             }
-            List<Stage.Asker> orders = new ArrayList<>();
+            List<SingleNodeScenario.TestClient> orders = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 orders.add(stage.ask("place-order", RetryPolicy.UNSAFE, 900, 64_000));
             }
             stage.runMs(1_200);
-            for (Stage.Asker order : orders) {
+            for (SingleNodeScenario.TestClient order : orders) {
                 assertEquals(200, order.status(), "seed " + seed + ": what was half written never ran");
             }
-            assertEquals(4, stage.asked.size(), "each ran once");
+            assertEquals(4, stage.receivedRequests.size(), "each ran once");
             stage.end();
             assertKept(stage, seed);
         }
@@ -218,16 +218,16 @@
     @Test
     void sigtermWithRequestsInEveryState() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 2, 1, false);
-            stage.boxes.get(0).discardInput(200);
-            stage.boxes.get(1).slow(30, 5_000);
-            List<Stage.Asker> askers = new ArrayList<>();
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
+            stage.servers.get(0).stopReading(200);
+            stage.servers.get(1).slow(30, 5_000);
+            List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 // Waiting, dialling, written, at work, answered, left, and still on its way.
-                Stage.Asker asker =
+                SingleNodeScenario.TestClient asker =
                         i % 3 == 0 ? stage.order(WAIT_MS) : i % 3 == 1 ? stage.photo(WAIT_MS) : stage.view(WAIT_MS);
                 if (i % 7 == 0) {
-                    stage.time.after(30 * Stage.MS, asker::leave);
+                    stage.time.after(30 * SingleNodeScenario.MS, asker::leave);
                 } else {
                     askers.add(asker);
                 }
@@ -236,7 +236,7 @@
             stage.node.stop();
             askers.add(stage.view(WAIT_MS));
             stage.runMs(9_000);
-            for (Stage.Asker asker : askers) {
+            for (SingleNodeScenario.TestClient asker : askers) {
                 assertEquals(1, asker.answers.size(), "seed " + seed);
             }
             assertKept(stage, seed);
@@ -247,16 +247,16 @@
     @Test
     void sigtermWithOrdersThatTakeLongerThanConnectionsStillCome() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 2, 1, false, 100);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false, 100);
             stage.script((end, request) -> {
-                stage.time.after(1_100 * Stage.MS, () -> stage.serve(end, request));
+                stage.time.after(1_100 * SingleNodeScenario.MS, () -> stage.serve(end, request));
                 return true;
             });
-            List<Stage.Asker> orders = List.of(stage.order(2_000), stage.order(2_000));
+            List<SingleNodeScenario.TestClient> orders = List.of(stage.order(2_000), stage.order(2_000));
             stage.runMs(20);
             stage.node.stop();
             stage.runMs(9_000);
-            for (Stage.Asker order : orders) {
+            for (SingleNodeScenario.TestClient order : orders) {
                 assertEquals(200, order.status(), "seed " + seed + ": it was at work when the node stopped");
             }
             assertKept(stage, seed);
@@ -267,21 +267,21 @@
     @ValueSource(booleans = {true, false})
     void aWatchBrokenBetweenTwoChanges(boolean pushed) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 4, 1, pushed);
-            stage.directory.changedNow(stage.boxes.get(0), "Terminating");
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 4, 1, pushed);
+            stage.discovery.changedNow(stage.servers.get(0), "Terminating");
             stage.runMs(10);
-            stage.directory.breakWatches();
-            stage.directory.changedNow(stage.boxes.get(1), "Terminating");
+            stage.discovery.breakWatches();
+            stage.discovery.changedNow(stage.servers.get(1), "Terminating");
             stage.runMs(3_000);
-            int before = stage.asked.size();
+            int before = stage.receivedRequests.size();
             int[] wrong = new int[1];
             for (int i = 0; i < 2; i++) {
-                stage.boxes.get(i).script((end, request) -> {
+                stage.servers.get(i).script((end, request) -> {
                     wrong[0]++;
                     return false;
                 });
             }
-            List<Stage.Asker> views = new ArrayList<>();
+            List<SingleNodeScenario.TestClient> views = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 views.add(stage.view(WAIT_MS));
                 stage.runMs(5);
@@ -289,7 +289,7 @@
             stage.runMs(WAIT_MS);
             views.forEach(v -> assertEquals(200, v.status()));
             assertEquals(0, wrong[0], "seed " + seed + ": a drain told in the new watch was not taken in");
-            assertEquals(before + 20, stage.asked.size());
+            assertEquals(before + 20, stage.receivedRequests.size());
             stage.end();
             assertKept(stage, seed);
         }
@@ -300,22 +300,22 @@
     void clientsThatLeaveWhileTheLoopIsHeldUp() {
         int left = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 2, 1, false, 100);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false, 100);
             List<Runnable> answers = new ArrayList<>();
             stage.script((end, request) -> {
                 answers.add(() -> stage.serve(end, request));
                 return true;
             });
-            List<Stage.Asker> askers = new ArrayList<>();
+            List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 askers.add(i % 2 == 0 ? stage.view(5_000) : stage.order(5_000));
             }
             stage.runMs(20);
-            stage.node.stall(450 + (int) (seed * 10 % 400));
+            stage.node.pauseLoop(450 + (int) (seed * 10 % 400));
             stage.runMs(1);
             List.copyOf(answers).forEach(Runnable::run);
             stage.runMs(seed % 7);
-            askers.forEach(Stage.Asker::leave);
+            askers.forEach(SingleNodeScenario.TestClient::leave);
             stage.runMs(2_500);
             left += stage.checker.abandonedCount();
             stage.end();
@@ -330,13 +330,13 @@
     @ValueSource(booleans = {true, false})
     void aWatchFallenSilentJustBeforeADrain(boolean pushed) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 3, 1, pushed);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 3, 1, pushed);
             stage.runMs(seed * 37 % 2_000);
-            stage.directory.silenceWatches();
-            stage.directory.setCallDelay(1_500);
+            stage.discovery.silenceWatches();
+            stage.discovery.setCallDelay(1_500);
             stage.runMs(seed * 91 % 3_000);
-            stage.directory.changedNow(stage.boxes.get(0), "Terminating");
-            List<Stage.Asker> views = new ArrayList<>();
+            stage.discovery.changedNow(stage.servers.get(0), "Terminating");
+            List<SingleNodeScenario.TestClient> views = new ArrayList<>();
             for (int i = 0; i < 400; i++) {
                 views.add(stage.view(WAIT_MS));
                 stage.runMs(20);
@@ -352,22 +352,22 @@
     @Test
     void aBoxFallenSilentAfterTheWholeRequest() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 4, 2, false);
-            stage.script((end, request) -> stage.asked.stream()
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 4, 2, false);
+            stage.script((end, request) -> stage.receivedRequests.stream()
                             .filter(r -> r.field("x-txn").equals(request.field("x-txn")))
                             .count()
                     == 1);
-            Stage.Asker order = stage.order(WAIT_MS);
-            Stage.Asker photo = stage.photo(WAIT_MS);
-            Stage.Asker view = stage.view(WAIT_MS);
+            SingleNodeScenario.TestClient order = stage.order(WAIT_MS);
+            SingleNodeScenario.TestClient photo = stage.photo(WAIT_MS);
+            SingleNodeScenario.TestClient view = stage.view(WAIT_MS);
             stage.runMs(2 * WAIT_MS);
-            for (Stage.Asker asker : List.of(order, photo, view)) {
+            for (SingleNodeScenario.TestClient asker : List.of(order, photo, view)) {
                 assertEquals(1, asker.answers.size(), "seed " + seed + ": one answer, by its deadline");
             }
             assertEquals(502, order.status(), "an order that may run has failed, and no more");
             assertEquals(
                     1,
-                    stage.asked.stream()
+                    stage.receivedRequests.stream()
                             .filter(r -> r.start().contains("place-order"))
                             .count());
             stage.end();
@@ -392,12 +392,12 @@
     @Test
     void aBoxAtTheAddressOfOneThatWasNotTakenBack() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Stage stage = new Stage(seed, 2, 1, false);
-            SimulatedServer replaced = stage.boxes.get(0);
+            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
+            SimulatedServer replaced = stage.servers.get(0);
             replaced.kill();
             replaced.rename();
             replaced.start(true);
-            stage.directory.changedNow(replaced, "Ready");
+            stage.discovery.changedNow(replaced, "Ready");
             stage.runMs(100);
             int[] cold = new int[1];
             replaced.script((end, request) -> {
--- a/src/test/java/vetchpost/simulation/FirstMinuteTest.java
+++ b/src/test/java/vetchpost/simulation/FirstMinuteTest.java
@@ -21,19 +21,19 @@
 class FirstMinuteTest {
     static final int SEEDS = 100;
     private static final int NODES = 2;
-    private static final int BOXES = 12;
+    private static final int SERVERS = 12;
     private static final long RESTART_MS = 22_000;
-    private static final long AWAY_MS = 500;
+    private static final long RESTART_DURATION_MS = 500;
     /**
      * One run can do worse than another by so much for chance alone: as far as two restarts a millisecond
      * apart.
      */
-    private static final int NOISE = 29;
+    private static final int MAX_RANDOM_DIFFERENCE = 29;
 
     private static final long MINUTE_MS = 60_000;
 
     /** What did not go well, of all that was wanted: not served, or later than its class aims at. */
-    static int badly(Result result) {
+    static int unsatisfiedCount(Result result) {
         assertTrue(
                 result.isGood(),
                 () -> "seed " + result.seed() + ": " + result.violation() + " " + result.precedingEvents());
@@ -44,7 +44,7 @@
     private static Plan plan(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 977 + 3);
         List<Fault> faults = new ArrayList<>();
-        long endMs = RESTART_MS + AWAY_MS + MINUTE_MS;
+        long endMs = RESTART_MS + RESTART_DURATION_MS + MINUTE_MS;
         int ill = 2 + random.nextInt(4);
         for (int i = 0; i < ill; i++) {
             long atMs = 12_000 + random.nextInt(6_000);
@@ -61,14 +61,14 @@
                     endMs - atMs,
                     kind == Fault.Kind.SLOW ? 3 + 5 * random.nextDouble() : 0.5 + 0.5 * random.nextDouble()));
         }
-        faults.add(new Fault(RESTART_MS, Fault.Kind.CRASH, 1, AWAY_MS, 0));
-        return new Plan(seed, NODES, BOXES, 3, false, 100, endMs, 30 + random.nextInt(40), 2, faults, null);
+        faults.add(new Fault(RESTART_MS, Fault.Kind.CRASH, 1, RESTART_DURATION_MS, 0));
+        return new Plan(seed, NODES, SERVERS, 3, false, 100, endMs, 30 + random.nextInt(40), 2, faults, null);
     }
 
     private static int[] run(int seeds, Supplier<NodeProcess.Setup> planting, LongFunction<Plan> plans) {
         return IntStream.rangeClosed(1, seeds)
                 .parallel()
-                .map(seed -> badly(Simulation.run(plans.apply(seed), planting.get(), null)))
+                .map(seed -> unsatisfiedCount(Simulation.run(plans.apply(seed), planting.get(), null)))
                 .toArray();
     }
 
@@ -93,10 +93,10 @@
     }
 
     /** Nodes that ask each other at the beginning, so that all is the same up to the restart. */
-    private static Supplier<NodeProcess.Setup> asking(boolean again) {
+    private static Supplier<NodeProcess.Setup> askingPeers(boolean again) {
         return () -> new StateKeepingNodes(NODES, false, true) {
             @Override
-            boolean asks(int number, int start) {
+            boolean asksPeers(int number, int start) {
                 return again || start == 1;
             }
         };
@@ -106,19 +106,30 @@
     private static Plan massFailure(long seed) {
         List<Fault> faults = new ArrayList<>();
         for (int box = 0; box < 8; box++) {
-            faults.add(new Fault(RESTART_MS - 3_000, Fault.Kind.SLOW, box, 3_000 + AWAY_MS - 300, 12));
+            faults.add(new Fault(RESTART_MS - 3_000, Fault.Kind.SLOW, box, 3_000 + RESTART_DURATION_MS - 300, 12));
         }
-        faults.add(new Fault(RESTART_MS, Fault.Kind.CRASH, 1, AWAY_MS, 0));
-        return new Plan(seed, NODES, BOXES, 3, false, 250, RESTART_MS + AWAY_MS + MINUTE_MS / 3, 60, 2, faults, null);
+        faults.add(new Fault(RESTART_MS, Fault.Kind.CRASH, 1, RESTART_DURATION_MS, 0));
+        return new Plan(
+                seed,
+                NODES,
+                SERVERS,
+                3,
+                false,
+                250,
+                RESTART_MS + RESTART_DURATION_MS + MINUTE_MS / 3,
+                60,
+                2,
+                faults,
+                null);
     }
 
     @Test
     void whoLearnsFromAnotherDoesBetterInItsFirstMinute() {
-        int[] cold = run(SEEDS, asking(false), FirstMinuteTest::plan);
-        int[] warm = run(SEEDS, asking(true), FirstMinuteTest::plan);
+        int[] cold = run(SEEDS, askingPeers(false), FirstMinuteTest::plan);
+        int[] warm = run(SEEDS, askingPeers(true), FirstMinuteTest::plan);
         String figures = compare("handover", cold, warm);
         assertTrue(mean(warm) < mean(cold) - 2, figures);
-        assertTrue(worst(cold, warm) <= NOISE, figures);
+        assertTrue(worst(cold, warm) <= MAX_RANDOM_DIFFERENCE, figures);
     }
 
     /** A node whose file is a second old does so too. */
@@ -128,16 +139,16 @@
         int[] kept = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, true, false), FirstMinuteTest::plan);
         String figures = compare("file", cold, kept);
         assertTrue(mean(kept) < mean(cold) - 1.5, figures);
-        assertTrue(worst(cold, kept) <= NOISE, figures);
+        assertTrue(worst(cold, kept) <= MAX_RANDOM_DIFFERENCE, figures);
     }
 
     @Test
     void whoAsksAConfusedNodeDoesNoWorseThanOneThatLearnedNothing() {
-        int[] cold = run(SEEDS, asking(false), FirstMinuteTest::massFailure);
-        int[] warm = run(SEEDS, asking(true), FirstMinuteTest::massFailure);
+        int[] cold = run(SEEDS, askingPeers(false), FirstMinuteTest::massFailure);
+        int[] warm = run(SEEDS, askingPeers(true), FirstMinuteTest::massFailure);
         String figures = compare("handover from a confused node", cold, warm);
         assertTrue(mean(warm) <= mean(cold) + 1, figures);
-        assertTrue(worst(cold, warm) <= NOISE, figures);
+        assertTrue(worst(cold, warm) <= MAX_RANDOM_DIFFERENCE, figures);
     }
 
     private static double mean(int[] figures) {
