--- a/src/main/java/vetchpost/simulation/Simulation.java
+++ b/src/main/java/vetchpost/simulation/Simulation.java
@@ -22,16 +22,20 @@
 import vetchpost.simulation.world.SimulatedServer;
 import vetchpost.simulation.world.World;
 
-/** One run of a plan: production nodes between simulated peers, and the rules checked after every step. */
+/**
+ * One run of a {@link Plan}: production nodes between simulated clients, servers and discovery. It injects the
+ * plan's faults, checks the rules after every step and stops at the first one broken. A run uses only the
+ * calling thread; several runs may go on in parallel on different threads.
+ */
 public final class Simulation {
     private static final long NS_PER_MS = 1_000_000;
-    /** What is still asked when no more comes may take so long to end. */
+    /** Time for pending requests to end after the last new one. */
     private static final long TAIL_DURATION_MS = 3_000;
-    /** Stopping takes up to 3.65 s, and the last timers as long again. */
+    /** A node stops within 3.65 s, and its remaining one-shot timers may take another 4 s. */
     private static final long MAX_STOP_MS = 9_000;
-    /** A discovery that drains a box lets it turn work away only after a while. */
+    /** A draining server begins to reject new requests this long after its notice. */
     private static final long DRAIN_DELAY_MS = 1_500;
-    /** A run that takes more events than this goes round in circles. */
+    /** A run with more steps than this is taken to loop forever. */
     private static final long MAX_STEPS = 20_000_000;
 
     private final Plan plan;
@@ -47,7 +51,7 @@
     private Violation violation;
     private List<String> precedingEvents = List.of();
 
-    private Simulation(Plan plan, NodeProcess.Setup planting, PrintWriter out) {
+    private Simulation(Plan plan, NodeProcess.Setup setup, PrintWriter out) {
         this.plan = plan;
         trace = new Trace(out);
         checker = new Checker(time, Rules.limits(), this::report);
@@ -58,48 +62,48 @@
                 tcp,
                 checker,
                 new RequestClasses(plan.workMs()),
-                (what, who, detail, number) -> trace.add(time.nanoTime(), what, who, detail, number));
+                (event, subject, detail, number) -> trace.add(time.nanoTime(), event, subject, detail, number));
         RequestEffects effects = new RequestEffects(world, this::report);
         clients = new Clients(world, effects);
         discovery = new SimulatedDiscovery(world, nodes);
         for (int i = 0; i < plan.servers(); i++) {
-            SimulatedServer box = new SimulatedServer(world, effects, i, i % plan.racks(), plan.slots());
-            box.start(false);
-            discovery.addServer(box);
-            servers.add(box);
+            SimulatedServer server = new SimulatedServer(world, effects, i, i % plan.racks(), plan.slots());
+            server.start(false);
+            discovery.addServer(server);
+            servers.add(server);
         }
         for (int i = 0; i < plan.nodes(); i++) {
             NodeProcess node =
-                    new NodeProcess(world, clients, discovery, planting, this::report, plan.pushed(), plan.nodes(), i);
+                    new NodeProcess(world, clients, discovery, setup, this::report, plan.pushed(), plan.nodes(), i);
             servers.forEach(node::addServer);
             nodes.add(node);
             node.start();
         }
     }
 
-    /** Runs the plan to its end, or to the first rule broken. */
+    /** Runs the plan to its end, or until a rule is broken. */
     public static Result run(Plan plan) {
         return run(plan, loop -> NodeHooks.NONE, null);
     }
 
     /**
-     * The same with faults planted in the nodes.
+     * Runs the plan with nodes that are set up in another way, such as with injected faults.
      *
-     * @param out takes the whole trace, or null
+     * @param out receives the whole trace; null for none
      */
-    public static Result run(Plan plan, NodeProcess.Setup planting, PrintWriter out) {
+    public static Result run(Plan plan, NodeProcess.Setup setup, PrintWriter out) {
         LoggedFaults faults = LoggedFaults.watch();
         try {
-            return new Simulation(plan, planting, out).run(faults);
+            return new Simulation(plan, setup, out).run(faults);
         } finally {
             faults.close();
         }
     }
 
-    private void report(Violation what) {
+    private void report(Violation violated) {
         if (violation == null) {
-            violation = what;
-            trace.add(time.nanoTime(), "BROKEN", what.rule().name(), what.description(), 0);
+            violation = violated;
+            trace.add(time.nanoTime(), "BROKEN", violated.rule().name(), violated.description(), 0);
             precedingEvents = trace.lastEvents();
         }
     }
@@ -166,31 +170,31 @@
     private void inject(Fault fault) {
         injected.merge(fault.kind(), 1, Integer::sum);
         trace.add(time.nanoTime(), "fault", fault.kind().scriptName(), "", fault.target());
-        SimulatedServer box = servers.get(fault.target() % servers.size());
+        SimulatedServer server = servers.get(fault.target() % servers.size());
         NodeProcess node = nodes.get(fault.target());
         switch (fault.kind()) {
-            case DRAIN -> drain(box, fault.durationMs());
-            case REPLACE -> replace(box, fault.durationMs());
+            case DRAIN -> drain(server, fault.durationMs());
+            case REPLACE -> replace(server, fault.durationMs());
             case KILL -> {
-                if (box.isUp()) {
-                    box.kill();
-                    after(fault.durationMs(), () -> restart(box));
+                if (server.isUp()) {
+                    server.kill();
+                    after(fault.durationMs(), () -> restart(server));
                 }
             }
             case SILENCE -> {
-                if (box.isUp()) {
-                    box.vanish();
+                if (server.isUp()) {
+                    server.vanish();
                     after(fault.durationMs(), () -> {
-                        box.reappear();
-                        discovery.changed(box, "Ready");
+                        server.reappear();
+                        discovery.changed(server, "Ready");
                     });
                 }
             }
-            case FAIL -> box.fail(fault.amount(), fault.durationMs());
-            case SLOW -> box.slow(Math.max(1, fault.amount()), fault.durationMs());
-            case SPOIL -> box.corruptResponses(fault.amount(), fault.durationMs());
-            case RESET -> box.reset(fault.amount(), fault.durationMs());
-            case DEAF -> box.stopReading(fault.durationMs());
+            case FAIL -> server.fail(fault.amount(), fault.durationMs());
+            case SLOW -> server.slow(Math.max(1, fault.amount()), fault.durationMs());
+            case SPOIL -> server.corruptResponses(fault.amount(), fault.durationMs());
+            case RESET -> server.reset(fault.amount(), fault.durationMs());
+            case DEAF -> server.stopReading(fault.durationMs());
             case CRASH -> {
                 node.crash();
                 after(fault.durationMs(), node::start);
@@ -225,35 +229,35 @@
         }
     }
 
-    private void drain(SimulatedServer box, long forMs) {
-        if (!box.isUp()) {
+    private void drain(SimulatedServer server, long forMs) {
+        if (!server.isUp()) {
             return;
         }
-        discovery.changedNow(box, "Terminating");
+        discovery.changedNow(server, "Terminating");
         after(DRAIN_DELAY_MS, () -> {
-            if (box.isUp()) {
-                box.drain();
+            if (server.isUp()) {
+                server.drain();
             }
         });
         after(DRAIN_DELAY_MS + forMs, () -> {
-            discovery.changed(box, "Gone");
-            box.kill();
-            box.rename();
-            after(forMs, () -> restart(box));
+            discovery.changed(server, "Gone");
+            server.kill();
+            server.rename();
+            after(forMs, () -> restart(server));
         });
     }
 
-    private void replace(SimulatedServer box, long gapMs) {
-        if (box.isUp()) {
-            box.kill();
-            discovery.changed(box, "Gone");
-            box.rename();
-            after(gapMs, () -> restart(box));
+    private void replace(SimulatedServer server, long gapMs) {
+        if (server.isUp()) {
+            server.kill();
+            discovery.changed(server, "Gone");
+            server.rename();
+            after(gapMs, () -> restart(server));
         }
     }
 
-    private void restart(SimulatedServer box) {
-        box.start(true);
-        discovery.changed(box, "Ready");
+    private void restart(SimulatedServer server) {
+        server.start(true);
+        discovery.changed(server, "Ready");
     }
 }
--- a/src/main/java/vetchpost/simulation/check/Checker.java
+++ b/src/main/java/vetchpost/simulation/check/Checker.java
@@ -20,12 +20,15 @@
 import vetchpost.simulation.wire.MessageParser;
 
 /**
- * Holds the four rules against what passes at the nodes' sockets, and shares no code with the node. It knows
- * what clients mean, what servers have answered and what nodes have been told; all else it reads off the
- * bytes.
+ * Checks the rules of {@link Violation.Rule} against the bytes that pass at the nodes' sockets. The simulated
+ * peers report the requests that clients send, the responses that servers give and the list entries that
+ * nodes have received; everything else is parsed from the bytes. It shares no code with the node, so a fault
+ * there can't hide itself here.
+ *
+ * <p>{@code Simulation} calls it after every step, always on the thread of the run.
  */
 public final class Checker {
-    /** From so long after its client has left on nothing is to be sent for a request. */
+    /** A node may still send a request to a server until this long after the client disconnected. */
     private static final long MAX_SEND_AFTER_DISCONNECT_NS = 300_000_000;
 
     private final VirtualTime time;
@@ -36,7 +39,7 @@
             new PriorityQueue<>((a, b) -> Long.compare(a.checkAtNs, b.checkAtNs));
     private final Map<String, Server> servers = new HashMap<>();
     private final Map<InetSocketAddress, Server> serversByAddress = new HashMap<>();
-    /** What servers have made, by request: only that may be served for it. */
+    /** Response bodies that servers have made, by request id: a request may be served with no other. */
     private final Map<String, Set<String>> responseBodies = new HashMap<>();
 
     private int answerCount;
@@ -46,23 +49,23 @@
     private int retryCount;
     private int abandoned;
 
-    /** How many requests were waiting for an answer when their client left. */
+    /** Number of requests that were still unanswered when their client disconnected. */
     public int abandonedCount() {
         return abandoned;
     }
 
-    /** A request that a node has taken, or may yet. */
+    /** A request that a node has accepted, or may still receive. */
     private static final class Request {
         final ExpectedRequest expected;
         final List<Attempt> attempts = new ArrayList<>();
         long checkAtNs;
         NodeTap node;
         boolean accepted;
-        /** Nothing is owed any more. */
+        /** No answer is due any more. */
         boolean finished;
 
         boolean answered;
-        /** When the node's machine had its client's end, before an answer; 0 if it had not. */
+        /** When the client's end of stream reached the node's machine before an answer, or 0. */
         long disconnectedNs;
 
         Request(ExpectedRequest expected) {
@@ -71,25 +74,25 @@
         }
     }
 
-    /** A request on its way to a server. */
+    /** One attempt of a request at a server. */
     private static final class Attempt {
         final Server server;
         final long sentNs;
         boolean complete;
         boolean neverRan;
 
-        Attempt(Server box, long atNs) {
-            this.server = box;
+        Attempt(Server server, long atNs) {
+            this.server = server;
             this.sentNs = atNs;
         }
     }
 
-    /** A server under one id, as discovery names it. */
+    /** A server, under the id that discovery has for it. */
     private static final class Server {
         final String id;
         final int rack;
         final double capacity;
-        /** Work sent to it in the last span: when, how much, and whether the node knew of the start. */
+        /** Work sent within the window: time, work, and the work again if the node knew of the start, else 0. */
         final Deque<long[]> recentWork = new ArrayDeque<>();
 
         long startedNs = Long.MIN_VALUE;
@@ -112,38 +115,38 @@
         violations.accept(new Violation(rule, time.nanoTime(), what));
     }
 
-    // ---------------------------------------------------------------- what the world tells
+    // ---------------------------------------------------------------- reports of the simulated peers
 
-    /** A client is about to send this request. */
+    /** Registers a request that a client is about to send. */
     public void expect(ExpectedRequest expected) {
         requests.put(expected.id(), new Request(expected));
     }
 
-    /** A server answers a request with this body. */
+    /** Registers the body of a response that a server gives to the request. */
     public void serverAnswers(String id, String body) {
         responseBodies.computeIfAbsent(id, i -> new HashSet<>()).add(body);
     }
 
     /**
-     * A server's process starts, or is there from the beginning.
+     * Registers a server process that starts now, or has run since before the simulation.
      *
-     * @param capacity how many nanoseconds of work it does in one when it is warm
-     * @param startedNs or {@link Long#MIN_VALUE} for long ago
+     * @param capacity nanoseconds of work that it does in a nanosecond when it is warm
+     * @param startedNs simulated start time in nanoseconds; {@link Long#MIN_VALUE} if it is warm already
      */
     public void addServer(String id, InetSocketAddress address, int rack, double capacity, long startedNs) {
-        Server box = servers.computeIfAbsent(id, i -> new Server(id, rack, capacity));
-        box.startedNs = startedNs;
-        box.recentWork.clear();
-        box.overloaded = false;
-        serversByAddress.put(address, box);
+        Server server = servers.computeIfAbsent(id, i -> new Server(id, rack, capacity));
+        server.startedNs = startedNs;
+        server.recentWork.clear();
+        server.overloaded = false;
+        serversByAddress.put(address, server);
     }
 
-    /** A new process of a node, and its sockets' tap. */
+    /** Registers a new process of a node and returns the tap for its sockets. */
     public NodeTap addNode(String name, InetSocketAddress listens) {
         return new NodeTap(name, listens);
     }
 
-    /** To be called after every step: nothing may be overdue. */
+    /** Reports requests whose answer is overdue. Call it after every simulated step. */
     public void afterStep() {
         while (!byDeadline.isEmpty() && byDeadline.peek().checkAtNs < time.nanoTime()) {
             Request late = byDeadline.poll();
@@ -163,29 +166,29 @@
         }
     }
 
-    /** Counts for the report: answers seen, served, refused, attempts, attempts after a request's first. */
+    /** Counts for the report, in this order: answers, served, rejected, attempts, retries. */
     public int[] counts() {
         return new int[] {answerCount, servedCount, rejectedCount, attemptCount, retryCount};
     }
 
-    /** How many requests are taken and unanswered. */
+    /** Number of requests that running nodes have accepted and not answered. */
     public int unansweredCount() {
-        int owed = 0;
+        int unanswered = 0;
         for (Request request : byDeadline) {
-            owed += request.finished || !request.accepted || request.node.dead ? 0 : 1;
+            unanswered += request.finished || !request.accepted || request.node.dead ? 0 : 1;
         }
-        return owed;
+        return unanswered;
     }
 
-    // ---------------------------------------------------------------- what the sockets show
+    // ---------------------------------------------------------------- what passes at the sockets
 
-    /** The sockets of one node's process, and what it has been told. */
+    /** Watches the sockets of one node process, and keeps which list entries it has received. */
     public final class NodeTap implements Tap {
         private final String name;
         private final InetSocketAddress listens;
         private final Map<SimulatedSocket, ClientConnection> clientConnections = new IdentityHashMap<>();
         private final Map<SimulatedSocket, ServerConnection> serverConnections = new IdentityHashMap<>();
-        /** When it was told that a server drains or has gone, and the start that it has been told last. */
+        /** By server id: when the node was notified that it drains or is gone, and the last start time it received. */
         private final Map<String, Long> stopNotifiedNs = new HashMap<>();
 
         private final Map<String, Long> notifiedStartNs = new HashMap<>();
@@ -197,12 +200,12 @@
             this.listens = listens;
         }
 
-        /** The process was killed: what it held is lost without fault. */
+        /** The process was killed: losing its pending requests breaks no rule. */
         public void killed() {
             dead = true;
         }
 
-        /** The process ends of its own will: whoever still waits for it waits for nothing. */
+        /** The process exits by itself: every request that it has not answered is lost. */
         public void stopping() {
             for (Request request : byDeadline) {
                 if (request.node == this && request.accepted && !request.finished) {
@@ -212,12 +215,12 @@
             }
         }
 
-        /** The process does nothing for so long. */
+        /** The process is paused for this many nanoseconds from now. */
         public void paused(long ns) {
             pauses.add(new long[] {time.nanoTime(), time.nanoTime() + ns});
         }
 
-        /** Discovery's word on a server has come to this node's machine. */
+        /** An entry of discovery's list has reached this node's machine. */
         public void serverListed(String id, boolean ready, long startedNs) {
             if (ready) {
                 stopNotifiedNs.remove(id);
@@ -229,88 +232,90 @@
 
         private long pausedNs(Request request) {
             long from = request.expected.deadlineNs() - 2_000_000_000L;
-            long sum = 0;
+            long workNs = 0;
             for (long[] stall : pauses) {
-                sum += stall[1] > from ? stall[1] - stall[0] : 0;
+                workNs += stall[1] > from ? stall[1] - stall[0] : 0;
             }
-            return sum;
+            return workNs;
         }
 
-        private boolean isClientConnection(SimulatedSocket end) {
-            return end.local().equals(listens);
+        private boolean isClientConnection(SimulatedSocket socket) {
+            return socket.local().equals(listens);
         }
 
-        private ServerConnection serverConnection(SimulatedSocket end) {
-            Server box = serversByAddress.get(end.remote());
-            return box == null ? null : serverConnections.computeIfAbsent(end, e -> new ServerConnection(this, box));
+        private ServerConnection serverConnection(SimulatedSocket socket) {
+            Server server = serversByAddress.get(socket.remote());
+            return server == null
+                    ? null
+                    : serverConnections.computeIfAbsent(socket, e -> new ServerConnection(this, server));
         }
 
         @Override
-        public void received(SimulatedSocket end, byte[] bytes) {
-            if (isClientConnection(end)) {
+        public void received(SimulatedSocket socket, byte[] bytes) {
+            if (isClientConnection(socket)) {
                 clientConnections
-                        .computeIfAbsent(end, e -> new ClientConnection(this))
+                        .computeIfAbsent(socket, e -> new ClientConnection(this))
                         .requestParser
                         .feed(bytes);
             } else {
-                ServerConnection side = serverConnection(end);
-                if (side != null) {
-                    side.responseParser.feed(bytes);
+                ServerConnection connection = serverConnection(socket);
+                if (connection != null) {
+                    connection.responseParser.feed(bytes);
                 }
             }
         }
 
         @Override
-        public void wrote(SimulatedSocket end, byte[] bytes) {
-            if (isClientConnection(end)) {
+        public void wrote(SimulatedSocket socket, byte[] bytes) {
+            if (isClientConnection(socket)) {
                 clientConnections
-                        .computeIfAbsent(end, e -> new ClientConnection(this))
+                        .computeIfAbsent(socket, e -> new ClientConnection(this))
                         .wrote(bytes);
             } else {
-                ServerConnection side = serverConnection(end);
-                if (side != null) {
-                    side.wrote(bytes);
+                ServerConnection connection = serverConnection(socket);
+                if (connection != null) {
+                    connection.wrote(bytes);
                 }
             }
         }
 
         @Override
-        public void ended(SimulatedSocket end, boolean reset) {
-            if (isClientConnection(end)) {
-                ClientConnection side = clientConnections.get(end);
-                if (side != null) {
-                    side.clientGone = true;
-                    side.pending.forEach(r -> {
-                        abandoned += r.disconnectedNs == 0 && !r.answered ? 1 : 0;
-                        r.disconnectedNs = r.disconnectedNs == 0 ? time.nanoTime() : r.disconnectedNs;
-                        r.finished = true;
+        public void ended(SimulatedSocket socket, boolean reset) {
+            if (isClientConnection(socket)) {
+                ClientConnection connection = clientConnections.get(socket);
+                if (connection != null) {
+                    connection.clientGone = true;
+                    connection.pending.forEach(request -> {
+                        abandoned += request.disconnectedNs == 0 && !request.answered ? 1 : 0;
+                        request.disconnectedNs = request.disconnectedNs == 0 ? time.nanoTime() : request.disconnectedNs;
+                        request.finished = true;
                     });
                 }
-            } else if (serverConnections.get(end) != null && reset) {
-                serverConnections.get(end).endAttempt();
+            } else if (serverConnections.get(socket) != null && reset) {
+                serverConnections.get(socket).endAttempt();
             }
         }
 
         @Override
-        public void closed(SimulatedSocket end) {
+        public void closed(SimulatedSocket socket) {
             if (dead) {
                 return;
             }
-            if (isClientConnection(end)) {
-                ClientConnection side = clientConnections.remove(end);
-                if (side != null) {
-                    side.closed(end);
+            if (isClientConnection(socket)) {
+                ClientConnection connection = clientConnections.remove(socket);
+                if (connection != null) {
+                    connection.closed(socket);
                 }
             } else {
-                ServerConnection side = serverConnections.remove(end);
-                if (side != null) {
-                    side.endAttempt();
+                ServerConnection connection = serverConnections.remove(socket);
+                if (connection != null) {
+                    connection.endAttempt();
                 }
             }
         }
     }
 
-    /** A client's connection, at its node. */
+    /** The node's side of a client connection. */
     private final class ClientConnection {
         private final NodeTap node;
         private final MessageParser requestParser = new MessageParser(this::onRequest);
@@ -318,7 +323,7 @@
         private final Deque<Request> pending = new ArrayDeque<>();
         private final Deque<Long> requestOffsets = new ArrayDeque<>();
         private boolean clientGone;
-        /** A request of a usual client has come, or something else that nobody else will judge. */
+        /** Whether an expected request has arrived; ignored connections carried others and are not checked. */
         private boolean sawExpectedRequest;
 
         private boolean ignored;
@@ -330,11 +335,11 @@
         private void onRequest(Message message) {
             Request request = requests.get(message.field("x-txn"));
             if (request == null || request.accepted && !request.node.dead) {
-                // Not a usual client's: whatever comes back is its own affair.
+                // Not a regular client's request: its answers are not checked.
                 ignored = true;
                 return;
             }
-            // From a node that was killed, before it had read any of it.
+            // The client may be resending it after its first node was killed before reading it.
             request.finished = false;
             request.disconnectedNs = 0;
             sawExpectedRequest = true;
@@ -361,7 +366,7 @@
             Request request = pending.poll();
             requestOffsets.poll();
             if (request == null && !sawExpectedRequest) {
-                // Rubbish, told so.
+                // The answer to malformed input.
                 ignored = true;
                 return;
             }
@@ -406,25 +411,25 @@
             }
         }
 
-        private void closed(SimulatedSocket end) {
+        private void closed(SimulatedSocket socket) {
             while (!pending.isEmpty()) {
                 Request request = pending.poll();
                 long began = requestOffsets.poll();
-                boolean crossed = end.consumed() <= began;
+                boolean crossed = socket.consumed() <= began;
                 if (!request.finished && !clientGone && !crossed) {
                     report(
                             Rule.LOST,
                             "request " + request.expected.id() + " was taken by " + node.name
                                     + " and its connection closed without an answer");
                 }
-                // The client sends once more what crossed the close.
+                // The client resends a request that was on its way when the node closed.
                 request.accepted = !crossed;
                 request.finished = !crossed;
             }
         }
     }
 
-    /** The earliest attempt that may have run, or null. */
+    /** The earliest attempt that may have run at its server, or null. */
     private static Attempt earliestPossibleRun(Request request) {
         for (Attempt attempt : request.attempts) {
             if (!attempt.neverRan) {
@@ -434,7 +439,7 @@
         return null;
     }
 
-    /** A connection to a server, at its node. */
+    /** The node's side of a connection to a server. */
     private final class ServerConnection {
         private final NodeTap node;
         private final Server server;
@@ -443,9 +448,9 @@
         private Attempt currentAttempt;
         private long requestStartNs;
 
-        ServerConnection(NodeTap node, Server box) {
+        ServerConnection(NodeTap node, Server server) {
             this.node = node;
-            this.server = box;
+            this.server = server;
         }
 
         private void wrote(byte[] bytes) {
@@ -455,7 +460,7 @@
             requestParser.feed(bytes);
         }
 
-        /** Judged when whole: nothing else is known of a request that is not. */
+        /** Checks a request once it is complete, since nothing is known of an incomplete one. */
         private void onRequest(Message message) {
             Request request = requests.get(message.field("x-txn"));
             if (request == null) {
@@ -481,11 +486,11 @@
             if (earlier != null) {
                 checkRetry(request, earlier, sending);
             }
-            Long told = node.stopNotifiedNs.get(server.id);
-            if (told != null && requestStartNs > told + limits.drainGraceNs() + limits.slackNs()) {
+            Long notifiedNs = node.stopNotifiedNs.get(server.id);
+            if (notifiedNs != null && requestStartNs > notifiedNs + limits.drainGraceNs() + limits.slackNs()) {
                 report(
                         Rule.DRAIN,
-                        sending + " " + (requestStartNs - told) / 1_000_000
+                        sending + " " + (requestStartNs - notifiedNs) / 1_000_000
                                 + " ms after it was told that the server drains or has gone");
             }
             if (server.startedNs != Long.MIN_VALUE) {
@@ -516,8 +521,8 @@
 
         private void checkColdLoad(long workNs) {
             long now = time.nanoTime();
-            long age = now - server.startedNs;
-            if (age >= limits.coldPeriodNs() || server.overloaded) {
+            long ageNs = now - server.startedNs;
+            if (ageNs >= limits.coldPeriodNs() || server.overloaded) {
                 return;
             }
             boolean informed = node.notifiedStartNs.getOrDefault(server.id, Long.MIN_VALUE) >= server.startedNs;
@@ -525,23 +530,24 @@
             while (server.recentWork.peek()[0] < now - limits.coldWindowNs()) {
                 server.recentWork.poll();
             }
-            long sum = 0;
-            long known = 0;
-            for (long[] each : server.recentWork) {
-                sum += each[1];
-                known += each[2];
-            }
-            double share =
-                    limits.coldInitialFraction() + (1 - limits.coldInitialFraction()) * age / limits.coldPeriodNs();
-            // A few requests are chance, and no flood.
-            double most = limits.coldOverloadFactor() * share * server.capacity * limits.coldWindowNs() + 4 * workNs;
-            if (sum > most && 3 * known >= 2 * sum) {
+            long totalWorkNs = 0;
+            long informedWorkNs = 0;
+            for (long[] sent : server.recentWork) {
+                totalWorkNs += sent[1];
+                informedWorkNs += sent[2];
+            }
+            double capacityFraction =
+                    limits.coldInitialFraction() + (1 - limits.coldInitialFraction()) * ageNs / limits.coldPeriodNs();
+            // Allows four requests more, since few requests can arrive together by chance.
+            double maxWorkNs = limits.coldOverloadFactor() * capacityFraction * server.capacity * limits.coldWindowNs()
+                    + 4 * workNs;
+            if (totalWorkNs > maxWorkNs && 3 * informedWorkNs >= 2 * totalWorkNs) {
                 server.overloaded = true;
                 report(
                         Rule.COLD,
-                        server.id + " was sent " + sum / 1_000_000 + " ms of work within "
-                                + limits.coldWindowNs() / 1_000_000 + " ms, " + age / 1_000_000
-                                + " ms after its start, and bears " + (long) (most / 1e6));
+                        server.id + " was sent " + totalWorkNs / 1_000_000 + " ms of work within "
+                                + limits.coldWindowNs() / 1_000_000 + " ms, " + ageNs / 1_000_000
+                                + " ms after its start, and bears " + (long) (maxWorkNs / 1e6));
             }
         }
 
--- a/src/main/java/vetchpost/simulation/check/Limits.java
+++ b/src/main/java/vetchpost/simulation/check/Limits.java
@@ -1,16 +1,16 @@
 package vetchpost.simulation.check;
 
 /**
- * The figures of the rules, in nanoseconds where not said otherwise.
+ * The limits that the {@link Checker} applies. Names that end in Ns are in nanoseconds.
  *
- * @param graceNs how long sends to a draining or gone server may go on after the node was told
- * @param windowNs how long a rack remembers a key
- * @param coldNs a server is warm so long after its start
- * @param coldFrom the share of its capacity that it has at first
- * @param multiple a cold server bears so many times its present capacity
- * @param fallNs in any span of this length
- * @param answerNs an answer may be so late
- * @param slackNs every other limit is so much longer
+ * @param drainGraceNs how long a node may go on sending to a server after notice that it drains or is gone
+ * @param deduplicationWindowNs how long a rack remembers an idempotency key
+ * @param coldPeriodNs time from a server's start until it is warm
+ * @param coldInitialFraction fraction of its warm capacity at the start, from 0 to 1
+ * @param coldOverloadFactor multiple of its present capacity beyond which a cold server is overloaded
+ * @param coldWindowNs window over which work sent to a cold server is summed
+ * @param answerMarginNs how long after its deadline an answer may still be written
+ * @param slackNs tolerance added to every other time limit
  */
 public record Limits(
         long drainGraceNs,
--- a/src/main/java/vetchpost/simulation/check/Violation.java
+++ b/src/main/java/vetchpost/simulation/check/Violation.java
@@ -1,29 +1,29 @@
 package vetchpost.simulation.check;
 
 /**
- * A rule that was broken.
+ * A broken rule.
  *
- * @param atNs simulated time
- * @param what the request, the node and the server, and what they did
+ * @param atNs simulated time in nanoseconds
+ * @param description the request, node and server involved, and what happened
  */
 public record Violation(Rule rule, long atNs, String description) {
 
-    /** What must hold. */
+    /** The rules that every run must keep. */
     public enum Rule {
-        /** One final answer for each request taken, by its deadline, and made for it. */
+        /** Each accepted request gets one final answer, by its deadline, that was made for it. */
         LOST("no request is lost"),
-        /** Sent again, or refused, only as its class allows. */
+        /** A request is retried, or rejected after an attempt, only as its retry policy allows. */
         TWICE("no effect happens twice"),
-        /** Nothing new past the grace once the node was told. */
-        DRAIN("drains are kept"),
-        /** No more than a multiple of what a cold server can do. */
-        COLD("a cold server is not pushed over"),
-        /** Nothing is sent on for a client that left a while ago. */
-        LEFT("who has left is not worked for"),
-        /** Nothing is left when a node has stopped. */
-        LEAK("nothing is left behind"),
-        /** No exception ends in a log. */
-        FAULT("no fault is swallowed");
+        /** No new request goes to a draining or gone server after the grace period. */
+        DRAIN("no request goes to a drained server"),
+        /** A cold server gets at most a fixed multiple of the work that it can do. */
+        COLD("a cold server is not overloaded"),
+        /** No request goes to a server after its client has been gone for a while. */
+        LEFT("no work goes on for a disconnected client"),
+        /** A stopped node has no pending requests, bytes, sockets, buffers or timers. */
+        LEAK("a stopped node leaves no resources"),
+        /** No exception is only logged. */
+        FAULT("no exception is only logged");
 
         private final String statement;
 
@@ -31,7 +31,7 @@
             this.statement = words;
         }
 
-        /** The rule in words. */
+        /** What must hold, as printed in reports. */
         public String statement() {
             return statement;
         }
--- a/src/main/java/vetchpost/simulation/world/Clients.java
+++ b/src/main/java/vetchpost/simulation/world/Clients.java
@@ -20,9 +20,9 @@
 import vetchpost.simulation.wire.MessageParser;
 
 /**
- * All clients, and the front that deals their connections out among nodes. A client sends one request at a
- * time on a connection, waits a little longer than it says, and tries again what it may: whatever was
- * refused, and safe requests after any failure.
+ * All simulated clients, and the front balancer that spreads their connections over nodes. A client sends one
+ * request at a time on a connection and waits a little longer than the deadline that it sends. It retries
+ * rejected requests, and safe requests after any failure. All calls come on the thread of the run.
  */
 public final class Clients {
     private static final int MAX_TRIES = 3;
@@ -35,7 +35,7 @@
     private final World world;
     private final RequestEffects effects;
     private final SimulatedHost host;
-    /** Nodes that the front sends to, by their numbers. */
+    /** Addresses of the nodes that the front sends to, by node number. */
     private final Map<Integer, InetSocketAddress> nodes = new TreeMap<>();
 
     private final Map<InetSocketAddress, Deque<Connection>> idle = new HashMap<>();
@@ -47,7 +47,7 @@
     private int servedCount;
     private int lateCount;
 
-    /** What somebody wants done, over all tries. */
+    /** One operation that a client wants done, over all its tries. */
     private final class Operation {
         private final String name;
         private final RequestClasses.Kind kind;
@@ -69,14 +69,14 @@
         }
 
         void attempt() {
-            long left = deadlineMs - world.nowMs();
-            if (left < 5 || tries >= MAX_TRIES || nodes.isEmpty()) {
+            long leftMs = deadlineMs - world.nowMs();
+            if (leftMs < 5 || tries >= MAX_TRIES || nodes.isEmpty()) {
                 finish(false);
                 return;
             }
             tries++;
             String txn = String.format(Locale.ROOT, "%016x", (nextTransaction++ << 20) + 0x5EED_0000_0000_0000L);
-            remainingMs = left;
+            remainingMs = leftMs;
             effects.expect(name, txn, kind.retryPolicy());
             expect(txn);
             boolean safe = kind.retryPolicy() == RetryPolicy.SAFE;
@@ -84,7 +84,7 @@
             byte[] bytes = Message.bytes(
                     (safe ? "GET /" : "POST /") + kind.name() + "/" + operationRandom.nextInt(99) + " HTTP/1.1",
                     "Host: backend.local\r\nX-Txn: " + txn + "\r\nX-Org: school\r\n"
-                            + "X-Remaining-Ms: " + left + "\r\n" + (tries > 1 ? "X-Resent: 1\r\n" : "")
+                            + "X-Remaining-Ms: " + leftMs + "\r\n" + (tries > 1 ? "X-Resent: 1\r\n" : "")
                             + (kind.retryPolicy() == RetryPolicy.KEYED ? "Idempotency-Key: " + key + "\r\n" : "")
                             + (safe ? "" : "Content-Length: " + body.length() + "\r\n"),
                     body);
@@ -98,13 +98,13 @@
         }
 
         private void send(String txn, byte[] bytes) {
-            List<InetSocketAddress> some = new ArrayList<>(nodes.values());
-            if (some.isEmpty()) {
+            List<InetSocketAddress> candidates = new ArrayList<>(nodes.values());
+            if (candidates.isEmpty()) {
                 finish(false);
                 return;
             }
             sentCount++;
-            InetSocketAddress node = some.get(operationRandom.nextInt(some.size()));
+            InetSocketAddress node = candidates.get(operationRandom.nextInt(candidates.size()));
             Connection connection = takeIdle(node);
             if (connection == null) {
                 connection = new Connection(node);
@@ -125,12 +125,12 @@
             }
         }
 
-        /** It ended with no answer. */
+        /** The connection ended without an answer. */
         void connectionLost(Connection on) {
             if (on.wasClosedBeforeRead() && !resent) {
                 resent = true;
-                // It says the same time left as before, and that counts from when it is sent (found by seed
-                // 5153 with --recovery: the first node had stood still for 0.4 s with it unread, and died).
+                // The bytes state the same remaining time, so the deadline counts anew from this send. In seed
+                // 5153 with --recovery the first node was paused for 0.4 s with the request unread, then died.
                 expect(on.txn);
                 send(on.txn, on.sent);
             } else if (kind.retryPolicy() == RetryPolicy.SAFE || on.wasNeverWritten()) {
@@ -145,14 +145,14 @@
             world.afterMs(ms + operationRandom.nextInt(10), this::attempt);
         }
 
-        private void finish(boolean well) {
+        private void finish(boolean served) {
             openCount--;
-            servedCount += well ? 1 : 0;
-            lateCount += well && world.nowMs() - startedMs > kind.latencyTargetMs() ? 1 : 0;
+            servedCount += served ? 1 : 0;
+            lateCount += served && world.nowMs() - startedMs > kind.latencyTargetMs() ? 1 : 0;
         }
     }
 
-    /** A client's connection. */
+    /** A connection from a client to a node. */
     private final class Connection {
         private final InetSocketAddress node;
         private final SimulatedSocket socket;
@@ -169,24 +169,24 @@
             socket = host.connect(node, this::onReady);
         }
 
-        void sendRequest(Operation asker, String id, byte[] bytes) {
-            operation = asker;
+        void sendRequest(Operation asking, String id, byte[] bytes) {
+            operation = asking;
             txn = id;
             sent = bytes;
             requestWritten = false;
             if (socket.isOpen()) {
                 write();
             }
-            Operation mine = operation;
-            long waits = mine.deadlineMs - world.nowMs() + ANSWER_WAIT_MARGIN_MS;
-            if (mine.operationRandom.nextInt(ABANDON_ONE_IN) == 0) {
-                waits = mine.operationRandom.nextLong(waits);
+            Operation asked = operation;
+            long waitMs = asked.deadlineMs - world.nowMs() + ANSWER_WAIT_MARGIN_MS;
+            if (asked.operationRandom.nextInt(ABANDON_ONE_IN) == 0) {
+                waitMs = asked.operationRandom.nextLong(waitMs);
             }
-            world.afterMs(waits, () -> {
-                if (operation == mine && txn.equals(id)) {
+            world.afterMs(waitMs, () -> {
+                if (operation == asked && txn.equals(id)) {
                     operation = null;
                     socket.close();
-                    mine.finish(false);
+                    asked.finish(false);
                 }
             });
         }
@@ -198,7 +198,7 @@
             socket.put(sent);
         }
 
-        /** Whether the node closed before it had read any of the request. */
+        /** Whether the connection ended before the node had read any of the request. */
         boolean wasClosedBeforeRead() {
             return requestWritten && socket.readByPeer() <= requestOffset;
         }
@@ -225,14 +225,14 @@
         }
 
         private void onLost() {
-            Deque<Connection> rest = idle.get(node);
-            if (rest != null) {
-                rest.remove(this);
+            Deque<Connection> idleConnections = idle.get(node);
+            if (idleConnections != null) {
+                idleConnections.remove(this);
             }
             if (operation != null) {
-                Operation mine = operation;
+                Operation asked = operation;
                 operation = null;
-                mine.connectionLost(this);
+                asked.connectionLost(this);
             }
         }
 
@@ -240,7 +240,7 @@
             if (operation == null || answer.status() / 100 == 1) {
                 return;
             }
-            Operation mine = operation;
+            Operation asked = operation;
             operation = null;
             world.log.add("answered", txn, answer.start(), answer.body().length);
             if (answer.field("connection").equalsIgnoreCase("close")) {
@@ -248,11 +248,11 @@
             } else {
                 idle.computeIfAbsent(node, n -> new ArrayDeque<>()).push(this);
             }
-            mine.answered(answer);
+            asked.answered(answer);
         }
     }
 
-    /** Nobody yet, and no node that the front knows. */
+    /** Without clients and nodes at first. */
     public Clients(World world, RequestEffects effects) {
         this.world = world;
         this.effects = effects;
@@ -261,25 +261,25 @@
     }
 
     private Connection takeIdle(InetSocketAddress node) {
-        Deque<Connection> some = idle.get(node);
-        Connection connection = some == null ? null : some.poll();
+        Deque<Connection> connections = idle.get(node);
+        Connection connection = connections == null ? null : connections.poll();
         while (connection != null && !connection.socket.isOpen()) {
-            connection = some.poll();
+            connection = connections.poll();
         }
         return connection;
     }
 
-    /** The front sends to this node from now on. */
+    /** Lets the front send to this node from now on. */
     public void addNode(int number, InetSocketAddress node) {
         nodes.put(number, node);
     }
 
-    /** The front has noticed that the node is gone. */
+    /** Stops the front from sending to the node, which it has noticed to be gone. */
     public void removeNode(int number) {
         nodes.remove(number);
     }
 
-    /** Somebody wants something of this class, or of a class by chance. */
+    /** Starts an operation of the named request class, or of a random one if the name is null. */
     public void startRequest(String kind) {
         int number = operationCount++;
         openCount++;
@@ -287,66 +287,66 @@
         new Operation(number, kind == null ? world.classes.select(at) : world.classes.byName(kind)).attempt();
     }
 
-    /** The next want is passed over, its number too. */
+    /** Skips the next operation and its number. */
     public void skipRequest() {
         operationCount++;
     }
 
-    /** Wants that are neither done nor given up. */
+    /** Number of operations that are neither done nor given up. */
     public int openCount() {
         return openCount;
     }
 
-    /** Requests sent, tries counted. */
+    /** Number of requests sent, retries included. */
     public int requestsSent() {
         return sentCount;
     }
 
-    /** Wants, how many of them were served, and how many of those later than their class aims at. */
+    /** Operations, how many of them were served, and how many of those after the latency target, in this order. */
     public int[] counts() {
         return new int[] {operationCount, servedCount, lateCount};
     }
 
-    /** Closes what is idle, at the end of a run. */
+    /** Closes idle connections at the end of a run. */
     public void close() {
-        idle.values().forEach(some -> some.forEach(c -> c.socket.close()));
+        idle.values().forEach(connections -> connections.forEach(c -> c.socket.close()));
     }
 
-    /** One that sends rubbish, half a request, too much, or doesn't read. */
+    /** Starts a client that sends malformed, partial or oversized input, or doesn't read its responses. */
     public void startMalformedClient() {
         if (nodes.isEmpty()) {
             return;
         }
-        List<InetSocketAddress> some = new ArrayList<>(nodes.values());
-        InetSocketAddress node = some.get(random.nextInt(some.size()));
-        int how = random.nextInt(8);
-        SimulatedSocket[] end = new SimulatedSocket[1];
-        boolean[] said = new boolean[1];
-        end[0] = host.connect(node, () -> {
-            if (end[0].isFailed()) {
+        List<InetSocketAddress> candidates = new ArrayList<>(nodes.values());
+        InetSocketAddress node = candidates.get(random.nextInt(candidates.size()));
+        int variant = random.nextInt(8);
+        SimulatedSocket[] socket = new SimulatedSocket[1];
+        boolean[] sent = new boolean[1];
+        socket[0] = host.connect(node, () -> {
+            if (socket[0].isFailed()) {
                 return;
             }
-            if (!said[0]) {
-                said[0] = true;
-                end[0].put(malformedRequest(how).getBytes(StandardCharsets.ISO_8859_1));
-                if (how == 1) {
-                    end[0].close();
+            if (!sent[0]) {
+                sent[0] = true;
+                socket[0].put(malformedRequest(variant).getBytes(StandardCharsets.ISO_8859_1));
+                if (variant == 1) {
+                    socket[0].close();
                 }
             }
-            if (how != 2 && end[0].isOpen()) {
-                end[0].read(MAX_READ_BYTES);
-                if (end[0].isAtEnd() || end[0].isReset()) {
-                    end[0].close();
+            if (variant != 2 && socket[0].isOpen()) {
+                socket[0].read(MAX_READ_BYTES);
+                if (socket[0].isAtEnd() || socket[0].isReset()) {
+                    socket[0].close();
                 }
             }
         });
-        world.afterMs(MALFORMED_CLIENT_LIFETIME_MS, end[0]::close);
+        world.afterMs(MALFORMED_CLIENT_LIFETIME_MS, socket[0]::close);
     }
 
-    private String malformedRequest(int how) {
+    private String malformedRequest(int variant) {
         String id = String.format(Locale.ROOT, "%016x", random.nextLong());
         String head = " HTTP/1.1\r\nHost: b\r\nX-Txn: " + id + "\r\nX-Remaining-Ms: 300\r\n";
-        return switch (how) {
+        return switch (variant) {
             case 0 -> "\u0001\u0002 rubbish\r\n\r\n";
             case 1 -> "GET /view-page/1" + head;
             case 2 -> ("GET /nothing" + head + "\r\n").repeat(60);
--- a/src/main/java/vetchpost/simulation/world/NodeProcess.java
+++ b/src/main/java/vetchpost/simulation/world/NodeProcess.java
@@ -23,11 +23,16 @@
 import vetchpost.simulation.net.SimulatedHost;
 import vetchpost.simulation.net.SimulatedSocket;
 
-/** A node's machine: the production node on a simulated loop and network, started, stopped and killed. */
+/**
+ * A node's machine: it starts, stops, pauses and kills the production node on a simulated event loop and
+ * network, and keeps the server list that last reached it, with which the next process starts. When a process
+ * has stopped by itself, it checks that no requests, buffers, sockets or timers are left. The simulation calls
+ * it on the thread of the run.
+ */
 public final class NodeProcess {
-    /** The platform kills a node so long after SIGTERM at the latest. */
+    /** The platform kills a node this long after SIGTERM. */
     private static final long MAX_STOP_MS = 3_650;
-    /** After it has closed, timers of one shot may still have to run out. */
+    /** Time for one-shot timers to expire after a node has closed. */
     private static final long REMAINING_TIMERS_MS = 4_000;
 
     private static final long MIN_STOP_NOTICE_MS = 200;
@@ -35,58 +40,59 @@
     private static final long MIN_CRASH_NOTICE_MS = 1_000;
     private static final int CRASH_NOTICE_SPREAD_MS = 2_900;
 
-    /** Descriptors: as few as the platform gives, or more. */
+    /** Descriptor limits of installations: from the fewest that the platform gives upwards. */
     private static final int MIN_SOCKETS = 256;
 
     private static final int SOCKETS_SPREAD = 60;
     private static final int MAX_SOCKETS = 512;
 
-    /** Makes planted faults for tests; none elsewhere. */
+    /** How nodes are set up: the defaults are plain nodes, tests inject faults through it. */
     public interface Setup {
-        /** The seams of a node on this loop. */
+        /** Hooks for a node on this event loop. */
         NodeHooks hooks(SimLoop loop);
 
-        /** The routes that nodes begin with. */
+        /** The route policy that nodes start with. */
         default RoutePolicy routes(Settings settings, long seed) {
             return RoutePolicy.NONE;
         }
 
-        /** The door that requests stand before; null for none. */
+        /** Admission control before the balancer; null for none. */
         default AdmissionControl admission(Settings settings, long seed) {
             return null;
         }
 
-        /** Of how many boxes each node has a part; 0 for all. */
+        /** Number of servers in each node's subset; 0 for all servers. */
         default int subsetSize() {
             return 0;
         }
 
-        /** What goes along with a start of this machine's, counted from 1; null for nothing. */
+        /** Lifecycle to run along with this process; null for none. */
         default NodeLifecycle lifecycle(Start start) {
             return null;
         }
 
-        /** Whether a start is given no list, as where there is no platform that keeps one. */
+        /** Whether this start (counted from 1) has no server list, as on a platform that keeps none. */
         default boolean startsWithoutList(int number, int start) {
             return false;
         }
 
-        /** A connection of the node has been made, its pipeline still empty. */
+        /** Called for each new connection of the node while its pipeline is still empty. */
         default void connectionOpened(Channel channel) {}
     }
 
     /**
-     * A node that is about to begin.
+     * A node process that is about to start.
      *
-     * @param number of its machine
-     * @param start which of its starts it is, from 1
-     * @param seed of what is to be chance in it
+     * @param number number of its machine, from 0
+     * @param start how often the machine has started a process, from 1
+     * @param nowMs Unix time in milliseconds
+     * @param seed seed for its random choices
      */
     public record Start(
             int number, int start, SimLoop loop, SimNetwork network, Settings settings, long nowMs, long seed) {}
 
     private static final int PORT = 8443;
-    /** Machines whose addresses have the same third byte. */
+    /** Machines per value of the third address byte. */
     private static final int HOSTS_PER_SUBNET = 250;
 
     private final World world;
@@ -98,7 +104,7 @@
     private final int nodes;
     private final int number;
     private final InetSocketAddress address;
-    /** The list as this machine was told it last, by id. */
+    /** Discovery's entries that last reached this machine, by server id. */
     private final Map<String, String> listedServers = new LinkedHashMap<>();
 
     private final Map<String, Long> listedStartsNs = new LinkedHashMap<>();
@@ -106,7 +112,7 @@
     private int startCount;
     private Process process;
 
-    /** One process, from its start to its end. */
+    /** One process of the machine, from its start to its end. */
     private final class Process {
         private final SimulatedHost host;
         private final SimLoop loop;
@@ -129,7 +135,7 @@
             if (setup.subsetSize() > 0) {
                 node.setSubset(new Subset(number, nodes, setup.subsetSize(), true));
             }
-            NodeLifecycle companion = setup.lifecycle(new Start(
+            NodeLifecycle lifecycle = setup.lifecycle(new Start(
                     number,
                     startCount,
                     loop,
@@ -137,8 +143,8 @@
                     config.settings(),
                     World.EPOCH_MS + world.nowMs(),
                     world.random("companion" + number, startCount).nextLong()));
-            if (companion != null) {
-                node.setLifecycle(companion);
+            if (lifecycle != null) {
+                node.setLifecycle(lifecycle);
             }
             loop.run(() -> node.start(loop, 0, () -> {}));
         }
@@ -153,13 +159,13 @@
             });
         }
 
-        /** All is answered: nothing may be left once it has closed. */
+        /** Called when all requests are answered: after closing, nothing may be left. */
         private void stopped() {
             if (ended) {
                 return;
             }
             stopped = true;
-            // In life the process is gone from here on; this one is kept to see whether it leaves anything.
+            // A real process would exit here; this one is kept to check that it leaves nothing behind.
             tap.stopping();
             loop.run(node::close);
             world.afterMs(REMAINING_TIMERS_MS, () -> {
@@ -198,20 +204,26 @@
         }
     }
 
-    /** A machine with no process yet, that has been told the list as it stands. */
+    /**
+     * A machine without a process yet.
+     *
+     * @param pushed whether discovery pushes the list, instead of sending it on request
+     * @param nodes number of nodes
+     * @param number number of this one, from 0
+     */
     public NodeProcess(
             World world,
             Clients clients,
-            SimulatedDiscovery directory,
-            Setup planting,
+            SimulatedDiscovery discovery,
+            Setup setup,
             Consumer<Violation> violations,
             boolean pushed,
             int nodes,
             int number) {
         this.world = world;
         this.clients = clients;
-        this.discovery = directory;
-        this.setup = planting;
+        this.discovery = discovery;
+        this.setup = setup;
         this.violations = violations;
         this.pushed = pushed;
         this.nodes = nodes;
@@ -219,7 +231,7 @@
         address = addressOf(number);
     }
 
-    /** Where a machine listens; there is room for 62,500 of them. */
+    /** Address on which machine {@code number} listens, from 0 to 62,499. */
     public static InetSocketAddress addressOf(int number) {
         return new InetSocketAddress("10.0." + number / HOSTS_PER_SUBNET + "." + (number % HOSTS_PER_SUBNET + 1), PORT);
     }
@@ -228,17 +240,17 @@
         return "node-" + number;
     }
 
-    /** Whether a process runs and has not been told to stop. */
+    /** Whether a process runs and is not stopping. */
     public boolean isUp() {
         return process != null && !process.ended && !process.stopping;
     }
 
-    /** Whether a process runs. */
+    /** Whether a process runs, stopping or not. */
     public boolean isRunning() {
         return process != null && !process.ended;
     }
 
-    /** Starts a process with the list that this machine was told last. */
+    /** Starts a process with the last list of this machine, unless one is running. */
     public void start() {
         if (isRunning()) {
             return;
@@ -254,12 +266,14 @@
         clients.addNode(number, address);
     }
 
-    /** What differs between installations comes from the seed: descriptors, probes, marked repeats. */
+    /** The seed decides what differs between installations: descriptors, probes, whether clients mark retries. */
     private String config() {
-        SplittableRandom site = world.random("site", 0);
-        int sockets = site.nextInt(3) == 0 ? MIN_SOCKETS + site.nextInt(SOCKETS_SPREAD) : MAX_SOCKETS;
-        boolean probes = site.nextBoolean();
-        boolean marks = site.nextBoolean();
+        SplittableRandom installationRandom = world.random("site", 0);
+        int sockets = installationRandom.nextInt(3) == 0
+                ? MIN_SOCKETS + installationRandom.nextInt(SOCKETS_SPREAD)
+                : MAX_SOCKETS;
+        boolean allowsProbes = installationRandom.nextBoolean();
+        boolean marksRetries = installationRandom.nextBoolean();
         String discoveryAddress = discovery.address().getAddress().getHostAddress() + ":"
                 + discovery.address().getPort();
         return "{\"listen\":\"" + address.getAddress().getHostAddress() + ":" + address.getPort()
@@ -270,13 +284,13 @@
                 + ",\"settings\":{\"balancers\":" + nodes + ",\"me\":" + number
                 + ",\"zones\":[\"room\"],\"myZone\":\"room\",\"classes\":" + world.classes.json()
                 + ",\"realms\":[{\"name\":\"school\",\"quotaPerS\":1000,\"share\":1}],\"membershipMode\":\""
-                + (pushed ? "pushed" : "on_request") + "\",\"callers\":{\"marksRetry\":" + marks + "},"
+                + (pushed ? "pushed" : "on_request") + "\",\"callers\":{\"marksRetry\":" + marksRetries + "},"
                 + "\"limits\":{\"attemptsCap\":4,\"cancelling\":true,\"parallelTries\":true,"
-                + "\"retryAfter\":true,\"maxRetryAfterUs\":1000000,\"probes\":" + probes
+                + "\"retryAfter\":true,\"maxRetryAfterUs\":1000000,\"probes\":" + allowsProbes
                 + ",\"dialTimeoutUs\":50000,\"connIdleUs\":60000000},\"rules\":" + Rules.json() + "}}";
     }
 
-    /** Discovery's word on a box has come to this machine. */
+    /** An entry of discovery's list has reached this machine. */
     void serverListed(String id, String state, long startedNs, String line) {
         boolean ready = state.equals("Ready");
         listedStartsNs.put(id, startedNs);
@@ -291,7 +305,7 @@
         }
     }
 
-    /** A whole list has come: what it doesn't name has gone. */
+    /** A full list has reached this machine: servers that it doesn't name are gone. */
     void fullListReceived(Set<String> named) {
         for (String id : listedServers.keySet().stream()
                 .filter(id -> !named.contains(id))
@@ -300,23 +314,23 @@
         }
     }
 
-    /** Whether the other side of this connection is this machine's process. */
-    boolean isPeerOf(SimulatedSocket end) {
-        return isRunning() && end.peerHost() == process.host;
+    /** Whether the peer of this socket is this machine's process. */
+    boolean isPeerOf(SimulatedSocket socket) {
+        return isRunning() && socket.peerHost() == process.host;
     }
 
-    /** Before the first start: the machine knows of the box. */
-    public void addServer(SimulatedServer box) {
+    /** Adds a server to the list that the first process starts with. */
+    public void addServer(SimulatedServer server) {
         listedServers.put(
-                box.id(),
-                "{\"uid\":\"" + box.id() + "\",\"endpoint\":\"" + box.endpoint()
-                        + "\",\"az\":\"room\",\"pod_group\":" + box.rack()
+                server.id(),
+                "{\"uid\":\"" + server.id() + "\",\"endpoint\":\"" + server.endpoint()
+                        + "\",\"az\":\"room\",\"pod_group\":" + server.rack()
                         + ",\"state\":\"Ready\",\"capacity_hint\":1.0,\"boot_ms\":0}");
-        listedStartsNs.put(box.id(), box.startedNs());
-        listedReady.put(box.id(), true);
+        listedStartsNs.put(server.id(), server.startedNs());
+        listedReady.put(server.id(), true);
     }
 
-    /** Kills the process; the front notices only after a while. */
+    /** Kills the process; clients stop connecting to it only after a delay. */
     public void crash() {
         if (isRunning()) {
             world.log.add("crash", name(), "", 0);
@@ -327,15 +341,15 @@
     }
 
     private void removeFromFrontAfter(long afterMs) {
-        int of = startCount;
+        int noticedStart = startCount;
         world.afterMs(afterMs, () -> {
-            if (of == startCount) {
+            if (noticedStart == startCount) {
                 clients.removeNode(number);
             }
         });
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM to the process. */
     public void stop() {
         if (isUp()) {
             world.log.add("stop", name(), "", 0);
@@ -345,7 +359,7 @@
         }
     }
 
-    /** The process does nothing for a while, between two turns of its loop. */
+    /** Pauses the process between two turns of its event loop. */
     public void pauseLoop(long forMs) {
         if (isRunning()) {
             world.log.add("stall", name(), "", forMs);
@@ -354,7 +368,7 @@
         }
     }
 
-    /** The process does nothing for a while, in a turn that has looked at its channels but not its timers. */
+    /** Pauses the process within a turn of its event loop, after it has polled channels and before it runs timers. */
     public void pauseLoopInTurn(long forMs) {
         if (isRunning()) {
             world.log.add("stall in turn", name(), "", forMs);
@@ -363,7 +377,7 @@
         }
     }
 
-    /** Either of the two, by the seed. */
+    /** Pauses the process in one of the two ways, by the seed. */
     public void pauseLoopAtRandom(long forMs) {
         if (world.random("stall" + number, world.nowMs()).nextBoolean()) {
             pauseLoopInTurn(forMs);
@@ -372,18 +386,18 @@
         }
     }
 
-    /** These routes hold from the next turn of its loop on. */
+    /** Replaces the route policy in the next turn of the event loop. */
     public void setRoutes(RoutePolicy policy) {
-        Process now = process;
-        now.loop.run(() -> now.node.setRoutes(policy));
+        Process running = process;
+        running.loop.run(() -> running.node.setRoutes(policy));
     }
 
-    /** SIGHUP, after the configuration has changed. */
+    /** Sends SIGHUP after discovery's address in the configuration has changed. */
     public void signalReload() {
         if (isUp()) {
-            Process now = process;
-            NodeConfig fresh = NodeConfig.parse(config(), Map.of());
-            now.loop.run(() -> now.node.moveDiscovery(fresh));
+            Process running = process;
+            NodeConfig reloaded = NodeConfig.parse(config(), Map.of());
+            running.loop.run(() -> running.node.moveDiscovery(reloaded));
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/world/Nodes.java
+++ b/src/main/java/vetchpost/simulation/world/Nodes.java
@@ -5,36 +5,36 @@
 import java.util.Set;
 import vetchpost.simulation.net.SimulatedSocket;
 
-/** All nodes' machines; passes on to each what discovery has told it. */
+/** All nodes' machines of a run. Passes each the list entries that discovery has sent to it. */
 public final class Nodes implements SimulatedDiscovery.ListListener {
-    private final List<NodeProcess> machines = new ArrayList<>();
+    private final List<NodeProcess> nodes = new ArrayList<>();
 
-    public void add(NodeProcess machine) {
-        machines.add(machine);
+    public void add(NodeProcess node) {
+        nodes.add(node);
     }
 
     public NodeProcess get(int number) {
-        return machines.get(number % machines.size());
+        return nodes.get(number % nodes.size());
     }
 
     public List<NodeProcess> all() {
-        return machines;
+        return nodes;
     }
 
     @Override
-    public void serverListed(SimulatedSocket end, String id, String state, long startedNs, String line) {
-        for (NodeProcess machine : machines) {
-            if (machine.isPeerOf(end)) {
-                machine.serverListed(id, state, startedNs, line);
+    public void serverListed(SimulatedSocket socket, String id, String state, long startedNs, String line) {
+        for (NodeProcess node : nodes) {
+            if (node.isPeerOf(socket)) {
+                node.serverListed(id, state, startedNs, line);
             }
         }
     }
 
     @Override
-    public void fullListReceived(SimulatedSocket end, Set<String> named) {
-        for (NodeProcess machine : machines) {
-            if (machine.isPeerOf(end)) {
-                machine.fullListReceived(named);
+    public void fullListReceived(SimulatedSocket socket, Set<String> named) {
+        for (NodeProcess node : nodes) {
+            if (node.isPeerOf(socket)) {
+                node.fullListReceived(named);
             }
         }
     }
--- a/src/main/java/vetchpost/simulation/world/RequestClasses.java
+++ b/src/main/java/vetchpost/simulation/world/RequestClasses.java
@@ -4,28 +4,32 @@
 import java.util.Locale;
 import vetchpost.simulation.check.ExpectedRequest.RetryPolicy;
 
-/** The classes of requests, alike in kind to those of the service. */
+/** The simulated request classes, one of each retry policy, as the service's classes are. */
 public final class RequestClasses {
     /**
      * A class of requests.
      *
-     * @param share of all requests
-     * @param aimMs answers within this time are wanted
-     * @param giveUpMs clients wait so long
+     * @param share fraction of all requests, from 0 to 1
+     * @param latencyTargetMs answers are wanted within this time, in milliseconds
+     * @param timeoutMs clients wait this long, in milliseconds
      */
     public record Kind(String name, RetryPolicy retryPolicy, double share, long latencyTargetMs, long timeoutMs) {}
 
     private final List<Kind> kinds;
     private final double workMs;
 
-    /** Times in proportion to the work of a request, so that slow boxes have patient clients. */
+    /**
+     * Classes whose times grow with the work of a request, so that clients of slow servers wait longer.
+     *
+     * @param workMs mean processing time on a warm server, in milliseconds
+     */
     public RequestClasses(double workMs) {
         this.workMs = workMs;
-        long aim = Math.round(40 + 4 * workMs);
+        long latencyTargetMs = Math.round(40 + 4 * workMs);
         kinds = List.of(
-                new Kind("view-page", RetryPolicy.SAFE, 0.7, aim, 4 * aim),
-                new Kind("add-photo", RetryPolicy.KEYED, 0.15, 2 * aim, 5 * aim),
-                new Kind("place-order", RetryPolicy.UNSAFE, 0.15, 3 * aim, 8 * aim));
+                new Kind("view-page", RetryPolicy.SAFE, 0.7, latencyTargetMs, 4 * latencyTargetMs),
+                new Kind("add-photo", RetryPolicy.KEYED, 0.15, 2 * latencyTargetMs, 5 * latencyTargetMs),
+                new Kind("place-order", RetryPolicy.UNSAFE, 0.15, 3 * latencyTargetMs, 8 * latencyTargetMs));
     }
 
     List<Kind> kinds() {
@@ -36,12 +40,12 @@
         return workMs;
     }
 
-    /** The kind whose part of the shares this number, from 0 to 1, falls into. */
-    Kind select(double at) {
-        double upTo = 0;
+    /** The class whose range of the cumulative shares contains this point, from 0 to 1. */
+    Kind select(double point) {
+        double cumulativeShare = 0;
         for (Kind kind : kinds) {
-            upTo += kind.share;
-            if (at < upTo) {
+            cumulativeShare += kind.share;
+            if (point < cumulativeShare) {
                 return kind;
             }
         }
@@ -52,7 +56,7 @@
         return kinds.stream().filter(k -> k.name.equals(name)).findFirst().orElseThrow();
     }
 
-    /** The classes as a node's configuration has them. */
+    /** The classes in the form of a node's configuration. */
     String json() {
         StringBuilder json = new StringBuilder();
         for (Kind kind : kinds) {
--- a/src/main/java/vetchpost/simulation/world/RequestEffects.java
+++ b/src/main/java/vetchpost/simulation/world/RequestEffects.java
@@ -9,8 +9,9 @@
 import vetchpost.simulation.wire.Message;
 
 /**
- * What requests have really done, by what their clients wanted: the same order under the ids of several tries
- * is one. Racks drop repeats of a key for a while, from when the first came.
+ * Counts the effects that requests have had at servers, by the operation that a client wanted: all tries of one
+ * operation count together. A rack ignores repeats of an idempotency key for a while after the first. Reports
+ * an operation that has its effect twice. Clients and servers call it on the thread of the run.
  */
 public final class RequestEffects {
     private final World world;
@@ -25,33 +26,33 @@
         this.violations = violations;
     }
 
-    /** A try of what a client wants. */
-    void expect(String want, String txn, RetryPolicy again) {
-        operations.put(txn, want);
-        retryPolicies.put(want, again);
+    /** Registers a try of an operation. */
+    void expect(String operation, String txn, RetryPolicy retryPolicy) {
+        operations.put(txn, operation);
+        retryPolicies.put(operation, retryPolicy);
     }
 
-    /** A box has read the request and will work on it. */
+    /** Records that a server in this rack has read the request and will process it. */
     void executed(Message request, int rack) {
-        String want = operations.get(request.field("x-txn"));
-        if (want == null || retryPolicies.get(want) == RetryPolicy.SAFE) {
+        String operation = operations.get(request.field("x-txn"));
+        if (operation == null || retryPolicies.get(operation) == RetryPolicy.SAFE) {
             return;
         }
         long now = world.time.nanoTime();
         String key = rack + " " + request.field("idempotency-key");
-        if (retryPolicies.get(want) == RetryPolicy.KEYED) {
+        if (retryPolicies.get(operation) == RetryPolicy.KEYED) {
             Long since = keyFirstSeenNs.get(key);
             if (since != null && now - since <= Rules.DEDUPLICATION_WINDOW_NS + 50_000_000) {
                 return;
             }
             keyFirstSeenNs.put(key, now);
         }
-        if (effectCounts.merge(want, 1, Integer::sum) == 2) {
+        if (effectCounts.merge(operation, 1, Integer::sum) == 2) {
             violations.accept(new Violation(
                     Rule.TWICE,
                     now,
-                    retryPolicies.get(want) + " " + want + " has had its effect twice, the second time as request "
-                            + request.field("x-txn")));
+                    retryPolicies.get(operation) + " " + operation
+                            + " has had its effect twice, the second time as request " + request.field("x-txn")));
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/world/SimulatedDiscovery.java
+++ b/src/main/java/vetchpost/simulation/world/SimulatedDiscovery.java
@@ -20,28 +20,33 @@
 import vetchpost.simulation.wire.Message;
 import vetchpost.simulation.wire.MessageParser;
 
-/** Discovery: the list of boxes, told late to those that watch it; silent, broken or moved now and then. */
+/**
+ * Simulated discovery: keeps the list of servers and sends it, and each change after a delay, to the nodes that
+ * watch it. The simulation injects faults: no answers, silent or broken watches, late changes, full lists that
+ * omit most servers, and a move to another address. It reports each entry that reaches a node's machine. All
+ * calls come on the thread of the run.
+ */
 public final class SimulatedDiscovery {
     private static final long HEARTBEAT_INTERVAL_MS = 2_000;
     private static final long MOVE_CLOSE_DELAY_MS = 1_500;
     private static final long MIN_NOTICE_DELAY_MS = 20;
     private static final int NOTICE_DELAY_SPREAD_MS = 900;
-    /** What a silent watch misses counts as told so long after it fell silent. */
+    /** A change that a silent watch misses counts as delivered this long after the watch fell silent. */
     private static final long MISSED_CHANGE_DELAY_MS = 6_000;
 
     private static final int MAX_READ_BYTES = 4_096;
     private static final int SHRINK_DIVISOR = 10;
 
-    /** Hears what has come to a node's machine. */
+    /** Notified of what has reached a node's machine. */
     public interface ListListener {
-        /** One entry; {@code line} is how discovery writes it. */
+        /** An entry has arrived; {@code line} is its JSON text. */
         void serverListed(SimulatedSocket end, String id, String state, long startedNs, String line);
 
-        /** A whole list, which names all that there is. */
+        /** A full list has arrived, which names all servers. */
         void fullListReceived(SimulatedSocket end, Set<String> named);
     }
 
-    /** An entry as it is told. */
+    /** An entry of the list, as it is sent. */
     private record Entry(String id, String endpoint, int rack, String state, long startedNs) {
         String json() {
             return "{\"uid\":\"" + id + "\",\"endpoint\":\"" + endpoint + "\",\"az\":\"room\","
@@ -63,16 +68,16 @@
     private long callDelayMs;
     private SimulatedHost host;
 
-    /** Bytes on their way, and what to do when they have come to the other side's system. */
+    /** Bytes to send, and an action to run when they have reached the peer's operating system. */
     private record Outgoing(byte[] bytes, Runnable whenDelivered) {}
 
-    /** A node's watch, once it has asked. */
+    /** A node's connection, which becomes a watch with its request. */
     private final class Watch {
         private final SimulatedSocket socket;
         private final MessageParser parser = new MessageParser(this::onRequest);
         private final Deque<Outgoing> outbox = new ArrayDeque<>();
         private boolean watching;
-        /** Since when it says nothing, for good; or a time that never comes. */
+        /** From when on it sends nothing more; {@link Long#MAX_VALUE} for never. */
         private long silentSinceMs = Long.MAX_VALUE;
 
         Watch(SimulatedSocket end) {
@@ -136,58 +141,60 @@
             write();
         }
 
-        /** As much as the system takes; the rest when there is room. */
+        /** Writes as much as the socket accepts; the rest follows when it has room. */
         private void write() {
             while (!outbox.isEmpty()) {
                 Outgoing next = outbox.poll();
-                int taken;
+                int written;
                 try {
-                    taken = socket.write(next.bytes);
+                    written = socket.write(next.bytes);
                 } catch (IOException e) {
-                    // Its watch is over: the handler hears of that.
+                    // The watch has ended; the handler is notified of that separately.
                     outbox.clear();
                     return;
                 }
-                if (taken < next.bytes.length) {
-                    outbox.addFirst(
-                            new Outgoing(Arrays.copyOfRange(next.bytes, taken, next.bytes.length), next.whenDelivered));
+                if (written < next.bytes.length) {
+                    outbox.addFirst(new Outgoing(
+                            Arrays.copyOfRange(next.bytes, written, next.bytes.length), next.whenDelivered));
                     return;
                 }
                 socket.whenDelivered(next.whenDelivered);
             }
         }
 
-        void sendEntries(List<Entry> some, boolean all) {
+        void sendEntries(List<Entry> listed, boolean full) {
             if (!watching || !socket.isOpen()) {
                 return;
             }
             if (isSilent()) {
-                // It counts as told, whether or not another watch has brought it by then.
+                // It counts as delivered, whether or not another watch has sent it by then.
                 world.afterMs(
                         Math.max(0, silentSinceMs + MISSED_CHANGE_DELAY_MS - world.nowMs()),
-                        () -> some.forEach(e -> listener.serverListed(socket, e.id, e.state, e.startedNs, e.json())));
+                        () -> listed.forEach(e -> listener.serverListed(socket, e.id, e.state, e.startedNs, e.json())));
                 return;
             }
             writeChunk(
-                    "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":["
-                            + some.stream().map(Entry::json).collect(Collectors.joining(",")) + "]}\n",
+                    "{\"rev\":" + revision + ",\"all\":" + full + ",\"targets\":["
+                            + listed.stream().map(Entry::json).collect(Collectors.joining(",")) + "]}\n",
                     () -> {
-                        for (Entry entry : some) {
+                        for (Entry entry : listed) {
                             listener.serverListed(socket, entry.id, entry.state, entry.startedNs, entry.json());
                         }
-                        if (all) {
+                        if (full) {
                             listener.fullListReceived(
                                     socket,
-                                    some.stream().map(Entry::id).collect(Collectors.toCollection(LinkedHashSet::new)));
+                                    listed.stream()
+                                            .map(Entry::id)
+                                            .collect(Collectors.toCollection(LinkedHashSet::new)));
                         }
                     });
         }
     }
 
-    /** Discovery at its first address. */
-    public SimulatedDiscovery(World world, ListListener told) {
+    /** Starts discovery at its first address. */
+    public SimulatedDiscovery(World world, ListListener listener) {
         this.world = world;
-        this.listener = told;
+        this.listener = listener;
         random = world.random("directory", 0);
         open();
     }
@@ -197,7 +204,7 @@
         host.listen(address(), Watch::new);
     }
 
-    /** Where it is now. */
+    /** Its present address. */
     public InetSocketAddress address() {
         return new InetSocketAddress("10.2.0." + (1 + moves % 200), 8500);
     }
@@ -206,21 +213,21 @@
         return world.nowMs() < muteUntilMs;
     }
 
-    /** Knows of a box from the beginning. */
-    public void addServer(SimulatedServer box) {
-        entries.put(box.id(), new Entry(box.id(), box.endpoint(), box.rack(), "Ready", box.startedNs()));
+    /** Adds a server that is in the list from the beginning. */
+    public void addServer(SimulatedServer server) {
+        entries.put(server.id(), new Entry(server.id(), server.endpoint(), server.rack(), "Ready", server.startedNs()));
     }
 
-    /** Hears of a change now and tells it a while later. */
-    public void changed(SimulatedServer box, String state) {
-        String id = box.id();
-        Entry entry = new Entry(id, box.endpoint(), box.rack(), state, box.startedNs());
+    /** Publishes a change of the server to {@code state} after a random delay. */
+    public void changed(SimulatedServer server, String state) {
+        String id = server.id();
+        Entry entry = new Entry(id, server.endpoint(), server.rack(), state, server.startedNs());
         publishAfter(MIN_NOTICE_DELAY_MS + random.nextInt(NOTICE_DELAY_SPREAD_MS) + changeDelayMs, entry);
     }
 
-    /** Tells a change in this very instant. */
-    public void changedNow(SimulatedServer box, String state) {
-        publishAfter(0, new Entry(box.id(), box.endpoint(), box.rack(), state, box.startedNs()));
+    /** Publishes a change of the server to {@code state} immediately. */
+    public void changedNow(SimulatedServer server, String state) {
+        publishAfter(0, new Entry(server.id(), server.endpoint(), server.rack(), state, server.startedNs()));
     }
 
     private void publishAfter(long afterMs, Entry entry) {
@@ -240,12 +247,12 @@
         });
     }
 
-    /** The whole list as it stands, in discovery's form. */
+    /** The present full list as JSON. */
     public String list() {
         return list(entries.values().stream().map(Entry::json).toList());
     }
 
-    /** A list of entries in discovery's form. */
+    /** A full list of these entries as JSON. */
     public String list(List<String> lines) {
         return "{\"rev\":" + revision + ",\"all\":true,\"targets\":[" + String.join(",", lines) + "]}";
     }
@@ -254,17 +261,17 @@
         muteUntilMs = Math.max(muteUntilMs, world.nowMs() + forMs);
     }
 
-    /** Its whole list, which leaves out most while it is shrunken. */
+    /** The full list that it sends now, which omits nine tenths while it is shrunken. */
     private List<Entry> currentFullList() {
-        List<Entry> all = new ArrayList<>(entries.values());
-        return world.nowMs() < shrunkenUntilMs ? shrunken(all) : all;
+        List<Entry> full = new ArrayList<>(entries.values());
+        return world.nowMs() < shrunkenUntilMs ? shrunken(full) : full;
     }
 
-    private static List<Entry> shrunken(List<Entry> all) {
-        return all.subList(0, (all.size() + SHRINK_DIVISOR - 1) / SHRINK_DIVISOR);
+    private static List<Entry> shrunken(List<Entry> full) {
+        return full.subList(0, (full.size() + SHRINK_DIVISOR - 1) / SHRINK_DIVISOR);
     }
 
-    /** Tells whole lists for a while that leave out nine tenths, then one that is right. */
+    /** Sends full lists that omit nine tenths of the servers for this many milliseconds, then a correct one. */
     public void shrinkLists(long forMs) {
         shrunkenUntilMs = Math.max(shrunkenUntilMs, world.nowMs() + forMs);
         for (long afterMs : new long[] {0, forMs}) {
@@ -275,44 +282,44 @@
         }
     }
 
-    /** Tells one whole list that leaves out nine tenths; whoever asks is told the right one. */
+    /** Sends one full list that omits nine tenths of the servers; new watches get the correct one. */
     public void shrinkOneList() {
         revision++;
-        List<Entry> few = shrunken(new ArrayList<>(entries.values()));
-        new ArrayList<>(watches).forEach(w -> w.sendEntries(few, true));
+        List<Entry> listed = shrunken(new ArrayList<>(entries.values()));
+        new ArrayList<>(watches).forEach(w -> w.sendEntries(listed, true));
     }
 
-    /** What it tells from now on comes so much later. */
+    /** Delays changes from now on by this many milliseconds more. */
     public void delayChanges(long byMs) {
         changeDelayMs = byMs;
     }
 
-    /** From now on a call waits in turn for so long. */
+    /** Answers each new watch from now on only after this many milliseconds. */
     public void setCallDelay(long waitMs) {
         callDelayMs = waitMs;
     }
 
-    /** The watches that are open now stay open and say nothing more. */
+    /** Keeps the present watches open, but sends nothing more on them. */
     public void silenceWatches() {
         watches.forEach(w -> w.silentSinceMs = Math.min(w.silentSinceMs, world.nowMs()));
     }
 
-    /** All watches end. */
+    /** Resets all watches. */
     public void breakWatches() {
         new ArrayList<>(watches).forEach(w -> w.socket.reset());
         watches.clear();
     }
 
-    /** Another address; the old one takes no connection and closes those it has a while later. */
+    /** Moves to another address. The old one accepts no connections and closes its open ones after a delay. */
     public void move() {
-        SimulatedHost old = host;
-        old.unlisten(address());
+        SimulatedHost oldHost = host;
+        oldHost.unlisten(address());
         moves++;
         open();
-        Set<Watch> before = new LinkedHashSet<>(watches);
+        Set<Watch> oldWatches = new LinkedHashSet<>(watches);
         world.afterMs(
                 MOVE_CLOSE_DELAY_MS,
-                () -> before.forEach(w -> {
+                () -> oldWatches.forEach(w -> {
                     w.socket.close();
                     watches.remove(w);
                 }));
--- a/src/main/java/vetchpost/simulation/world/SimulatedServer.java
+++ b/src/main/java/vetchpost/simulation/world/SimulatedServer.java
@@ -13,12 +13,14 @@
 import vetchpost.simulation.wire.MessageParser;
 
 /**
- * A web box: slots for requests at work, a waiting room, a cold start, thrashing when crowded, and whatever
- * goes wrong with it. What has been read whole is worked on, whether or not anybody still waits for it.
+ * A simulated web server with a fixed number of slots, a bounded queue, a cold start and slower processing
+ * when its queue is long. The simulation injects faults into it: errors, delays, resets, corrupt responses or
+ * a machine that falls silent. It processes every request that it has read whole, whether or not its client
+ * still waits. All calls come on the thread of the run.
  */
 public final class SimulatedServer {
     private static final int MAX_QUEUED_PER_SLOT = 8;
-    /** Each request in the waiting room beyond this many a slot slows all by so much. */
+    /** Each queued request beyond this many per slot slows processing by the fraction below. */
     private static final int THRASHING_QUEUED_PER_SLOT = 4;
 
     private static final double SLOWDOWN_PER_QUEUED_REQUEST = 0.05;
@@ -51,29 +53,29 @@
 
     private Script script = (end, request) -> false;
 
-    /** What a test has a box do in its own way. */
+    /** Behaviour that a test puts before the server's own. */
     public interface Script {
-        /** Whether it has dealt with the request. */
-        boolean handle(SimulatedSocket end, Message request);
+        /** Handles the request, or returns false to leave it to the server. */
+        boolean handle(SimulatedSocket socket, Message request);
 
-        /** A connection has come up. */
-        default void connected(SimulatedSocket end) {}
+        /** Called when a connection has been established. */
+        default void connected(SimulatedSocket socket) {}
     }
 
-    /** A request in the waiting room or at work. */
+    /** A request that is queued or being processed. */
     private record Job(Connection from, Message request) {}
 
-    /** One connection; a request at a time, as long as nodes keep to that. */
+    /** A connection from a node; nodes send one request at a time on it. */
     private final class Connection {
         private final SimulatedSocket socket;
         private final MessageParser parser = new MessageParser(this::onRequest);
-        /** Since when something lies here unread, or -1. */
+        /** Since when input has been unread, or -1. */
         private long unreadSinceMs = -1;
 
-        Connection(SimulatedSocket end) {
-            this.socket = end;
-            end.handler(this::onReady);
-            script.connected(end);
+        Connection(SimulatedSocket socket) {
+            this.socket = socket;
+            socket.handler(this::onReady);
+            script.connected(socket);
         }
 
         private void onReady() {
@@ -91,7 +93,7 @@
             }
         }
 
-        /** What has lain unread until nobody waits any more is over, and not begun. */
+        /** Rejects a request that has been unread for longer than its client waits, without running it. */
         private void onRequest(Message request) {
             String left = request.field("x-remaining-ms");
             if (!left.isEmpty() && world.nowMs() - unreadSinceMs > Long.parseLong(left)) {
@@ -102,7 +104,13 @@
         }
     }
 
-    /** A box at its address, not started yet. */
+    /**
+     * A server that is not started yet.
+     *
+     * @param number number of the server, from 0; decides its address
+     * @param rack number of its rack, from 0
+     * @param slots requests that it processes at a time, from 1
+     */
     public SimulatedServer(World world, RequestEffects effects, int number, int rack, int slots) {
         this.world = world;
         this.effects = effects;
@@ -114,9 +122,9 @@
         id = "s-" + number + "-0";
     }
 
-    /** Has the script see each request first. */
-    public void script(Script first) {
-        script = first;
+    /** Passes each request to the script first. */
+    public void script(Script next) {
+        script = next;
     }
 
     public String id() {
@@ -135,12 +143,12 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Whether its process runs and takes requests. */
+    /** Whether its process runs, is reachable and accepts requests. */
     public boolean isUp() {
         return host != null && !host.isDead() && !host.isVanished() && !draining;
     }
 
-    /** Starts it: warm at the beginning of a run, cold from then on. */
+    /** Starts the process, cold or (at the beginning of a run) warm. */
     public void start(boolean cold) {
         startedNs = cold ? world.time.nanoTime() : Long.MIN_VALUE;
         draining = false;
@@ -153,7 +161,7 @@
         world.log.add("start", id, cold ? "cold" : "warm", 0);
     }
 
-    /** The next process at this address has another id. */
+    /** Gives the next process at this address another id. */
     public void rename() {
         id = "s-" + number + "-" + ++generation;
     }
@@ -170,36 +178,36 @@
         host.vanish();
     }
 
-    /** The machine that had vanished starts again. */
+    /** Restarts the vanished machine with a cold process. */
     public void reappear() {
         host.reappear();
         host.kill();
         start(true);
     }
 
-    /** From now on it turns new work away. */
+    /** Rejects new requests from now on. */
     public void drain() {
         draining = true;
         world.log.add("drain", id, "", 0);
     }
 
-    public void fail(double part, long forMs) {
-        failFraction = part;
+    public void fail(double fraction, long forMs) {
+        failFraction = fraction;
         failUntilMs = world.nowMs() + forMs;
     }
 
-    public void slow(double by, long forMs) {
-        slowFactor = by;
+    public void slow(double factor, long forMs) {
+        slowFactor = factor;
         slowUntilMs = world.nowMs() + forMs;
     }
 
-    public void corruptResponses(double part, long forMs) {
-        corruptFraction = part;
+    public void corruptResponses(double fraction, long forMs) {
+        corruptFraction = fraction;
         corruptUntilMs = world.nowMs() + forMs;
     }
 
-    public void reset(double part, long forMs) {
-        resetFraction = part;
+    public void reset(double fraction, long forMs) {
+        resetFraction = fraction;
         resetUntilMs = world.nowMs() + forMs;
     }
 
@@ -207,8 +215,8 @@
         notReadingUntilMs = world.nowMs() + forMs;
     }
 
-    private boolean happens(long untilMs, double part) {
-        return world.nowMs() < untilMs && random.nextDouble() < part;
+    private boolean happens(long untilMs, double fraction) {
+        return world.nowMs() < untilMs && random.nextDouble() < fraction;
     }
 
     private void onRequest(Connection from, Message request) {
@@ -251,19 +259,19 @@
         }
         Job job = queue.poll();
         busy++;
-        int crowd = Math.max(0, queue.size() - THRASHING_QUEUED_PER_SLOT * slots);
-        double share = 1;
+        int excess = Math.max(0, queue.size() - THRASHING_QUEUED_PER_SLOT * slots);
+        double capacityFraction = 1;
         if (startedNs != Long.MIN_VALUE) {
             double age = (world.time.nanoTime() - startedNs) / (double) Rules.COLD_PERIOD_NS;
-            share = Math.min(1, Rules.COLD_INITIAL_FRACTION + (1 - Rules.COLD_INITIAL_FRACTION) * age);
+            capacityFraction = Math.min(1, Rules.COLD_INITIAL_FRACTION + (1 - Rules.COLD_INITIAL_FRACTION) * age);
         }
-        double by = (world.nowMs() < slowUntilMs ? slowFactor : 1)
-                * (1 + SLOWDOWN_PER_QUEUED_REQUEST * crowd)
-                / share
+        double factor = (world.nowMs() < slowUntilMs ? slowFactor : 1)
+                * (1 + SLOWDOWN_PER_QUEUED_REQUEST * excess)
+                / capacityFraction
                 * (0.5 + random.nextDouble());
-        int mine = processNumber;
-        world.time.after((long) (by * world.classes.workMs() * 1e6), () -> {
-            if (mine == processNumber) {
+        int startedIn = processNumber;
+        world.time.after((long) (factor * world.classes.workMs() * 1e6), () -> {
+            if (startedIn == processNumber) {
                 busy--;
                 finish(job);
                 startNext();
@@ -286,9 +294,9 @@
         to.socket.put(Message.bytes(start, fields + "Content-Length: " + body.length() + "\r\n", body));
     }
 
-    /** Each way in which answers come spoilt, or bring more than belongs to them. */
+    /** Sends, at random, one of eight responses that are malformed or carry more than the response itself. */
     private void respondCorrupted(Connection to, String txn, String body) {
-        String whole = "Content-Length: " + body.length() + "\r\n";
+        String contentLength = "Content-Length: " + body.length() + "\r\n";
         switch (random.nextInt(8)) {
             case 0 -> to.socket.put(noise());
             case 1 -> to.socket.put(Message.bytes("HTTP/1.1 200 OK", "Content-Length: -3\r\n", body));
@@ -303,14 +311,14 @@
             }
             case 5 -> {
                 world.checker.serverAnswers(txn, body);
-                byte[] one = Message.bytes("HTTP/1.1 200 OK", whole, body);
-                to.socket.putUnsplit(
-                        (new String(one, StandardCharsets.ISO_8859_1).repeat(2)).getBytes(StandardCharsets.ISO_8859_1));
+                byte[] response = Message.bytes("HTTP/1.1 200 OK", contentLength, body);
+                to.socket.putUnsplit((new String(response, StandardCharsets.ISO_8859_1).repeat(2))
+                        .getBytes(StandardCharsets.ISO_8859_1));
             }
             case 6 -> {
                 world.checker.serverAnswers(txn, body);
                 to.socket.put("HTTP/1.1 103 Early Hints\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                to.socket.put(Message.bytes("HTTP/1.1 200 OK", whole, body));
+                to.socket.put(Message.bytes("HTTP/1.1 200 OK", contentLength, body));
             }
             default ->
                 to.socket.put(("HTTP/1.1 200 OK\r\n" + "X-More: and more\r\n".repeat(1_200))
--- a/src/main/java/vetchpost/simulation/world/World.java
+++ b/src/main/java/vetchpost/simulation/world/World.java
@@ -5,12 +5,12 @@
 import vetchpost.simulation.net.Tcp;
 import vetchpost.simulation.net.VirtualTime;
 
-/** What all peers of a simulated node share. */
+/** What all peers of a simulated node share: time, network, checker, request classes, event log and seed. */
 public final class World {
     /** Unix time at the start of each run, in milliseconds. */
     public static final long EPOCH_MS = 1_767_225_600_000L;
 
-    /** Hears what happens. */
+    /** Receives the events of a run. */
     public interface Log {
         void add(String what, String who, String detail, long number);
     }
@@ -31,7 +31,7 @@
         this.log = log;
     }
 
-    /** Chance of its own for each use, so that one peer's draws don't move another's. */
+    /** A random stream of its own for each use, so that one peer's draws don't change another's. */
     public SplittableRandom random(String use, long number) {
         return new SplittableRandom(seed * 31 + use.hashCode() * 0x9E3779B97F4A7C15L + number * 7_919);
     }
