--- a/src/main/java/vetchpost/simulation/net/ByteQueue.java
+++ b/src/main/java/vetchpost/simulation/net/ByteQueue.java
@@ -12,25 +12,26 @@
         return to - from;
     }
 
-    void add(byte[] more) {
-        if (to + more.length > data.length) {
-            int size = size();
-            byte[] room =
-                    size + more.length > data.length ? new byte[Math.max(2 * data.length, size + more.length)] : data;
-            System.arraycopy(data, from, room, 0, size);
-            data = room;
+    void add(byte[] bytes) {
+        if (to + bytes.length > data.length) {
+            int length = size();
+            byte[] target = length + bytes.length > data.length
+                    ? new byte[Math.max(2 * data.length, length + bytes.length)]
+                    : data;
+            System.arraycopy(data, from, target, 0, length);
+            data = target;
             from = 0;
-            to = size;
+            to = length;
         }
-        System.arraycopy(more, 0, data, to, more.length);
-        to += more.length;
+        System.arraycopy(bytes, 0, data, to, bytes.length);
+        to += bytes.length;
     }
 
-    /** Takes so many bytes at most. */
-    byte[] take(int most) {
-        int size = Math.min(most, size());
-        byte[] taken = Arrays.copyOfRange(data, from, from + size);
-        from += size;
+    /** Removes and returns at most this many bytes. */
+    byte[] take(int maxBytes) {
+        int length = Math.min(maxBytes, size());
+        byte[] taken = Arrays.copyOfRange(data, from, from + length);
+        from += length;
         return taken;
     }
 
--- a/src/main/java/vetchpost/simulation/net/SimChannel.java
+++ b/src/main/java/vetchpost/simulation/net/SimChannel.java
@@ -21,8 +21,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection of the simulated network as a Netty channel. It reads and writes as Netty's own channel on
- * Java's selector does: once in a turn, as much as its allocator allows, and out of turn when told to.
+ * A connection of the simulated network as a Netty channel. It reads and writes as Netty's NIO channel does:
+ * once in a turn of the event loop, as much as its allocator allows, and immediately when asked to. It is used
+ * on the thread of its {@link SimLoop}.
  */
 final class SimChannel extends AbstractChannel implements DuplexChannel, SimLoop.Ready {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
@@ -36,7 +37,7 @@
     private boolean closed;
     private boolean outputShutdown;
 
-    /** With no end yet, to be connected; or accepted by a listening socket. */
+    /** A channel to be connected later, if the socket is null, or one for an accepted socket. */
     SimChannel(SimNetwork network, Channel parent, SimulatedSocket end) {
         super(parent, new SimChannelId(network.nextId()));
         this.network = network;
@@ -59,7 +60,7 @@
             }
             connectPromise = promise;
             attach(network.host().connect((InetSocketAddress) remote, null));
-            int patienceMs = config.getConnectTimeoutMillis();
+            int timeoutMs = config.getConnectTimeoutMillis();
             connectTimer = eventLoop()
                     .schedule(
                             () -> {
@@ -67,7 +68,7 @@
                                     failConnect(new ConnectTimeoutException("connection timed out: " + remote));
                                 }
                             },
-                            patienceMs,
+                            timeoutMs,
                             TimeUnit.MILLISECONDS);
         }
 
@@ -99,7 +100,7 @@
         private void read() {
             var handle = recvBufAllocHandle();
             handle.reset(config);
-            boolean over = false;
+            boolean ended = false;
             try {
                 do {
                     ByteBuf buffer = handle.allocate(config.getAllocator());
@@ -108,7 +109,7 @@
                     handle.lastBytesRead(read);
                     if (read <= 0) {
                         buffer.release();
-                        over = read < 0;
+                        ended = read < 0;
                         break;
                     }
                     handle.incMessagesRead(1);
@@ -121,9 +122,9 @@
                 handle.readComplete();
                 pipeline().fireChannelReadComplete();
                 pipeline().fireExceptionCaught(e);
-                over = true;
+                ended = true;
             }
-            if (over) {
+            if (ended) {
                 close(voidPromise());
             }
         }
@@ -193,13 +194,13 @@
                 out.remove();
                 continue;
             }
-            int taken = socket.write(ByteBufUtil.getBytes(buffer));
-            if (taken < buffer.readableBytes()) {
-                // The end tells when there is room again.
-                out.removeBytes(taken);
+            int written = socket.write(ByteBufUtil.getBytes(buffer));
+            if (written < buffer.readableBytes()) {
+                // The socket notifies its handler when it has room again.
+                out.removeBytes(written);
                 return;
             }
-            out.removeBytes(taken);
+            out.removeBytes(written);
         }
     }
 
@@ -279,7 +280,7 @@
         return shutdownInput(newPromise());
     }
 
-    /** Half of a connection's end is never needed. */
+    /** Not supported: nothing needs to shut only the input. */
     @Override
     public ChannelFuture shutdownInput(ChannelPromise promise) {
         return promise.setFailure(new UnsupportedOperationException("only the output can be shut"));
--- a/src/main/java/vetchpost/simulation/net/SimChannelConfig.java
+++ b/src/main/java/vetchpost/simulation/net/SimChannelConfig.java
@@ -5,7 +5,7 @@
 import io.netty.channel.DefaultChannelConfig;
 import io.netty.channel.RecvByteBufAllocator;
 
-/** Options of a simulated socket: those that only a system's sockets have are taken and passed over. */
+/** Options of a simulated socket. Options that only real sockets have are accepted and ignored. */
 final class SimChannelConfig extends DefaultChannelConfig {
     SimChannelConfig(Channel channel) {
         super(channel);
--- a/src/main/java/vetchpost/simulation/net/SimChannelId.java
+++ b/src/main/java/vetchpost/simulation/net/SimChannelId.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.ChannelId;
 
-/** A channel's number: Netty's own ids differ from run to run. */
+/** A channel's number as its id, since Netty's own ids differ from run to run. */
 record SimChannelId(int number) implements ChannelId {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/vetchpost/simulation/net/SimLoop.java
+++ b/src/main/java/vetchpost/simulation/net/SimLoop.java
@@ -12,9 +12,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A process's event loop in simulated time. It takes its turns as events of {@link VirtualTime}: some
- * microseconds after something has become ready, so that what comes meanwhile falls into the same turn, and
- * never while it is stalled. A turn takes simulated time, too.
+ * A process's event loop in simulated time. Its turns are events of {@link VirtualTime}: a few microseconds
+ * after a channel has become ready, so that further input is handled in the same turn, and never while the
+ * loop is paused. A turn takes simulated time as well. It is used on the thread of the run only.
  */
 public final class SimLoop extends ManualIoEventLoop {
     private static final long TURN_DURATION_NS = 20_000;
@@ -27,11 +27,11 @@
     private long pausedUntilNs;
     private boolean dead;
 
-    /** Which channels have something to do; in the place of the system's selector. */
+    /** Keeps the channels that are ready, in place of the operating system's selector. */
     private static final class Selector implements IoHandler {
         private final Set<Ready> ready = new LinkedHashSet<>();
         private final SplittableRandom random;
-        /** This turn has looked at its channels already, and comes to its timers only now. */
+        /** Whether this turn has polled its channels already and has only its timers left to run. */
         private boolean alreadyPolled;
 
         Selector(SplittableRandom random) {
@@ -48,16 +48,16 @@
         }
 
         int poll() {
-            List<Ready> now = new ArrayList<>(ready);
+            List<Ready> readyNow = new ArrayList<>(ready);
             ready.clear();
-            // The system's selector promises no order either.
-            for (int i = now.size() - 1; i > 0; i--) {
+            // Shuffled, since the operating system's selector guarantees no order either.
+            for (int i = readyNow.size() - 1; i > 0; i--) {
                 int j = random.nextInt(i + 1);
-                Ready other = now.set(j, now.get(i));
-                now.set(i, other);
+                Ready other = readyNow.set(j, readyNow.get(i));
+                readyNow.set(i, other);
             }
-            now.forEach(Ready::onReady);
-            return now.size();
+            readyNow.forEach(Ready::onReady);
+            return readyNow.size();
         }
 
         @Override
@@ -67,7 +67,7 @@
 
         @Override
         public void wakeup() {
-            // It is one thread's loop, which needs no waking.
+            // The loop runs on the calling thread and needs no wakeup.
         }
 
         @Override
@@ -76,7 +76,7 @@
         }
     }
 
-    /** A channel that can be told to look at its socket. */
+    /** A channel that checks its socket when it is ready. */
     interface Ready {
         void onReady();
     }
@@ -88,12 +88,12 @@
         random = selector.random;
     }
 
-    /** A loop of the calling thread. */
+    /** Opens a loop on the calling thread. */
     public static SimLoop open(VirtualTime time, SplittableRandom random) {
         return new SimLoop(time, new Selector(random));
     }
 
-    /** The channel is looked at in the next turn. */
+    /** Has the channel polled in the next turn. */
     void ready(Ready channel) {
         if (!dead) {
             selector.ready.add(channel);
@@ -101,13 +101,13 @@
         }
     }
 
-    /** Runs the task in a turn of its own soon. */
+    /** Runs the task in the next turn. */
     public void run(Runnable task) {
         execute(task);
         scheduleTurn(time.nanoTime());
     }
 
-    /** Holds the loop up for so long, as a pause of its process would. */
+    /** Pauses the loop for this many nanoseconds, as a pause of its process would. */
     public void pause(long ns) {
         pausedUntilNs = Math.max(pausedUntilNs, time.nanoTime() + ns);
         if (nextTurn != null) {
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Holds the loop up for so long in the midst of a turn that begins now: between its channels and its
-     * timers. What comes meanwhile lies unread when the timers run, as behind a slow handler in life.
+     * Pauses the loop for this many nanoseconds within a turn that begins now, between polling channels and
+     * running timers. Input that arrives meanwhile is unread when the timers run, as behind a slow handler.
      */
     public void pauseInTurn(long ns) {
         if (!dead && !selector.alreadyPolled) {
@@ -129,7 +129,7 @@
         pause(ns);
     }
 
-    /** It takes no turn any more: its process has died. */
+    /** Stops the loop for good, since its process has died. */
     public void kill() {
         dead = true;
         if (nextTurn != null) {
@@ -137,20 +137,20 @@
         }
     }
 
-    /** Whether timers or tasks are left. */
+    /** Whether no timers and no ready channels are left. */
     public boolean isIdle() {
         return nextScheduledTaskDeadlineNanos() < 0 && selector.ready.isEmpty();
     }
 
     private void scheduleTurn(long ns) {
-        long at = Math.max(ns, pausedUntilNs);
-        if (dead || nextTurn != null && nextTurn.atNs() <= at) {
+        long turnNs = Math.max(ns, pausedUntilNs);
+        if (dead || nextTurn != null && nextTurn.atNs() <= turnNs) {
             return;
         }
         if (nextTurn != null) {
             nextTurn.cancel();
         }
-        nextTurn = time.at(at, this::runTurn);
+        nextTurn = time.at(turnNs, this::runTurn);
     }
 
     private void runTurn() {
@@ -162,9 +162,9 @@
         if (!selector.ready.isEmpty()) {
             scheduleTurn(pausedUntilNs);
         }
-        long next = nextScheduledTaskDeadlineNanos();
-        if (next >= 0) {
-            scheduleTurn(next);
+        long nextTimerNs = nextScheduledTaskDeadlineNanos();
+        if (nextTimerNs >= 0) {
+            scheduleTurn(nextTimerNs);
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/net/SimNetwork.java
+++ b/src/main/java/vetchpost/simulation/net/SimNetwork.java
@@ -9,7 +9,10 @@
 import java.util.function.Consumer;
 import vetchpost.net.Network;
 
-/** A process's way to the simulated network: Netty channels on simulated sockets. */
+/**
+ * A process's access to the simulated network: Netty channels on simulated sockets. The node uses it in place
+ * of the real network, on the thread of its {@link SimLoop}.
+ */
 public final class SimNetwork implements Network {
     private final SimulatedHost host;
     private final SimLoop loop;
@@ -17,14 +20,14 @@
     private final Consumer<Channel> channelListener;
     private int channelCount;
 
-    /** Channels on this loop; each is shown to {@code opened} as soon as it is made. */
-    public SimNetwork(SimulatedHost host, SimLoop loop, Consumer<Channel> opened) {
+    /** Creates channels on this loop and passes each new connection to the listener. */
+    public SimNetwork(SimulatedHost host, SimLoop loop, Consumer<Channel> channelListener) {
         this.host = host;
         this.loop = loop;
-        this.channelListener = opened;
+        this.channelListener = channelListener;
     }
 
-    /** Bytes of buffers that have been taken for reading and writing and not been given back. */
+    /** Bytes of allocated buffers that have not been released. */
     public long bufferedBytes() {
         return allocator.metric().usedHeapMemory() + allocator.metric().usedDirectMemory();
     }
@@ -48,9 +51,9 @@
         }
     }
 
-    /** A channel, accepted by this parent if there is one. */
-    SimChannel connection(Channel parent, SimulatedSocket end) {
-        SimChannel channel = new SimChannel(this, parent, end);
+    /** A connection channel; {@code parent} is the channel that accepted it, or null. */
+    SimChannel connection(Channel parent, SimulatedSocket socket) {
+        SimChannel channel = new SimChannel(this, parent, socket);
         channelListener.accept(channel);
         return channel;
     }
@@ -71,7 +74,7 @@
         return channelCount++;
     }
 
-    /** For tests of the channels alone. */
+    /** A network of a new host, for tests of the channels alone. */
     static SimNetwork of(Tcp tcp, String name, long seed) {
         return new SimNetwork(
                 tcp.host(name, Tap.NONE), SimLoop.open(tcp.time(), new SplittableRandom(seed)), channel -> {});
--- a/src/main/java/vetchpost/simulation/net/SimServerChannel.java
+++ b/src/main/java/vetchpost/simulation/net/SimServerChannel.java
@@ -10,11 +10,11 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A listening socket of the simulated network. */
+/** A listening socket of the simulated network as a Netty channel. */
 final class SimServerChannel extends AbstractServerChannel implements SimLoop.Ready {
     private final SimNetwork network;
     private final ChannelConfig config = new SimChannelConfig(this, new ServerChannelRecvByteBufAllocator());
-    /** Connections that the system has accepted and the process has not. */
+    /** Connections that the operating system has accepted and the process has not. */
     private final Deque<SimulatedSocket> backlog = new ArrayDeque<>();
 
     private InetSocketAddress address;
@@ -52,13 +52,13 @@
 
     @Override
     protected void doBind(SocketAddress local) throws IOException {
-        InetSocketAddress wanted = (InetSocketAddress) local;
-        if (network.host().tcp.isListening(wanted)) {
+        InetSocketAddress requested = (InetSocketAddress) local;
+        if (network.host().tcp.isListening(requested)) {
             throw new IOException("Address already in use");
         }
-        address = wanted;
-        network.host().listen(address, end -> {
-            backlog.add(end);
+        address = requested;
+        network.host().listen(address, socket -> {
+            backlog.add(socket);
             network.loop().ready(this);
         });
     }
@@ -88,18 +88,18 @@
         }
     }
 
-    /** Some of those that wait, as the system's would in one turn. */
+    /** Accepts waiting connections, as many as the allocator allows in one turn. */
     void accept() {
         var handle = unsafe().recvBufAllocHandle();
         handle.reset(config);
         do {
-            SimulatedSocket end = backlog.poll();
-            if (end == null) {
+            SimulatedSocket socket = backlog.poll();
+            if (socket == null) {
                 break;
             }
             handle.incMessagesRead(1);
             reading = false;
-            pipeline().fireChannelRead(network.connection(this, end));
+            pipeline().fireChannelRead(network.connection(this, socket));
         } while (handle.continueReading());
         handle.readComplete();
         pipeline().fireChannelReadComplete();
--- a/src/main/java/vetchpost/simulation/net/SimulatedHost.java
+++ b/src/main/java/vetchpost/simulation/net/SimulatedHost.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** A process on a machine of its own: what it listens on and its ends of connections. */
+/** A process on a machine of its own, with its listening addresses and its sockets. */
 public final class SimulatedHost {
     final Tcp tcp;
     final Tap tap;
@@ -27,33 +27,33 @@
         return name;
     }
 
-    /** Takes connections at this address. */
+    /** Listens on this address. */
     public void listen(InetSocketAddress address, Consumer<SimulatedSocket> accepted) {
         listening.add(address);
         tcp.listen(address, this, accepted);
     }
 
-    /** Takes no more connections there. */
+    /** Stops listening on this address. */
     public void unlisten(InetSocketAddress address) {
         if (listening.remove(address)) {
             tcp.unlisten(address, this);
         }
     }
 
-    /** Opens a connection; the handler hears when it is up, or has failed. */
+    /** Opens a connection; the handler runs when it is established or has failed. */
     public SimulatedSocket connect(InetSocketAddress to, Runnable handler) {
         return tcp.connect(this, to, handler);
     }
 
-    void opened(SimulatedSocket end) {
-        sockets.add(end);
+    void opened(SimulatedSocket socket) {
+        sockets.add(socket);
     }
 
-    void closed(SimulatedSocket end) {
-        sockets.remove(end);
+    void closed(SimulatedSocket socket) {
+        sockets.remove(socket);
     }
 
-    /** How many connections it has open. */
+    /** Number of open sockets. */
     public int connectionCount() {
         return sockets.size();
     }
@@ -67,28 +67,28 @@
         return dead;
     }
 
-    /** The machine falls silent: nothing goes in or out, and nobody is told. */
+    /** Disconnects the machine: nothing goes in or out, and peers are not notified. */
     public void vanish() {
         vanished = true;
     }
 
-    /** It is back, as a new process: the old connections are reset as soon as something comes on them. */
+    /** Reconnects the machine as after a restart: old connections are reset when something arrives on them. */
     public void reappear() {
         vanished = false;
-        for (SimulatedSocket end : new ArrayList<>(sockets)) {
-            end.forget();
+        for (SimulatedSocket socket : new ArrayList<>(sockets)) {
+            socket.forget();
         }
         sockets.clear();
     }
 
-    /** The process dies: its connections are reset and nothing listens any more. */
+    /** Kills the process: its connections are reset and its addresses no longer listen. */
     public void kill() {
         dead = true;
         for (InetSocketAddress address : new ArrayList<>(listening)) {
             unlisten(address);
         }
-        for (SimulatedSocket end : new ArrayList<>(sockets)) {
-            end.reset();
+        for (SimulatedSocket socket : new ArrayList<>(sockets)) {
+            socket.reset();
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/net/SimulatedSocket.java
+++ b/src/main/java/vetchpost/simulation/net/SimulatedSocket.java
@@ -7,12 +7,13 @@
 import java.util.Deque;
 
 /**
- * One end of a simulated TCP connection: the system's buffers in both directions. What is written goes out in
- * pieces of arbitrary sizes, in order, each after a delay of its own; what nobody reads fills the buffers up
- * to the writer; what is sent to a machine that has vanished stays under way.
+ * One end of a simulated TCP connection, with the operating system's buffers in both directions. Writes are
+ * sent in order as segments of arbitrary sizes, each after a delay of its own. Input that is not read fills
+ * the buffers until the writer can't write. Segments to a vanished machine wait until it is back. Channels and
+ * simulated peers use it on the thread of the run.
  */
 public final class SimulatedSocket {
-    /** Bytes that the system takes to send ahead of what the other side's has taken. */
+    /** Bytes that may be sent and not yet be in the peer's receive buffer. */
     private static final int SEND_BUFFER_BYTES = 32 * 1024;
 
     private static final int RECEIVE_BUFFER_BYTES = 16 * 1024;
@@ -24,7 +25,7 @@
         DELIVERED
     }
 
-    /** On its way to this end. */
+    /** Something on its way to a socket. */
     private record Segment(Kind kind, byte[] bytes, Runnable action) {}
 
     private final Tcp tcp;
@@ -32,7 +33,7 @@
     private final InetSocketAddress local;
     private final InetSocketAddress remote;
     private final ByteQueue inbox = new ByteQueue();
-    /** Arrived, but there was no room, or the machine was silent. */
+    /** Segments that arrived when the receive buffer was full or the machine had vanished. */
     private final Deque<Segment> undelivered = new ArrayDeque<>();
 
     private Runnable handler;
@@ -57,7 +58,7 @@
         host.opened(this);
     }
 
-    /** Whom to tell when something has changed: up, failed, bytes, the end, or room to write. */
+    /** Sets the action to run on each change: connected, failed, input, end of stream, or room to write. */
     public void handler(Runnable next) {
         handler = next;
     }
@@ -66,7 +67,7 @@
         return host;
     }
 
-    /** The process at the other side, or null before the connection is up. */
+    /** The process at the other end, or null before the connection is established. */
     public SimulatedHost peerHost() {
         return peer == null ? null : peer.host;
     }
@@ -79,7 +80,7 @@
         return remote;
     }
 
-    /** Whether the connection has come up and this end is not closed. */
+    /** Whether the connection is established and this end is not closed. */
     public boolean isOpen() {
         return open && !closed;
     }
@@ -89,12 +90,12 @@
         return failed;
     }
 
-    /** Whether the other side has reset it. */
+    /** Whether the peer has reset the connection. */
     public boolean isReset() {
         return resetReceived;
     }
 
-    /** Whether there is nothing more to read: the end has come and all before it is read. */
+    /** Whether the peer has ended or reset the connection and all input before that is read. */
     public boolean isAtEnd() {
         return (finReceived || resetReceived) && inbox.size() == 0;
     }
@@ -103,22 +104,22 @@
         return inbox.size();
     }
 
-    /** Bytes read by the process since the connection came up. */
+    /** Bytes that the process has read since the connection was established. */
     public long consumed() {
         return consumed;
     }
 
-    /** Bytes that have come to the system since then. */
+    /** Bytes that have reached the receive buffer since then. */
     public long received() {
         return received;
     }
 
-    /** How much of what this end has sent the other process has read. */
+    /** Bytes sent by this end that the peer process has read. */
     public long readByPeer() {
         return peer == null ? 0 : peer.consumed;
     }
 
-    /** The handshake ends so much later; nothing arrives here before. */
+    /** Ends the handshake after this many nanoseconds; nothing arrives here before. */
     void connectAfter(long delayNs, Runnable action) {
         lastArrivalNs = tcp.time().nanoTime() + delayNs;
         tcp.time().at(lastArrivalNs, action);
@@ -129,10 +130,10 @@
         open = true;
     }
 
-    /** The handshake has come to its end here. */
+    /** Called when the handshake has ended at this end. */
     void connected() {
         if (closed) {
-            // Given up meanwhile: the other side learns by a reset.
+            // Closed meanwhile: the peer is notified by a reset.
             peer.arrive(new Segment(Kind.RESET, null, null));
         } else {
             notifyHandler();
@@ -151,9 +152,10 @@
     }
 
     /**
-     * Takes as much as there is room for, and says how much.
+     * Writes as much as the send buffer has room for.
      *
-     * @throws IOException if the connection is broken
+     * @return number of bytes written, from 0 to {@code bytes.length}
+     * @throws IOException if the connection is not established, closed or reset
      */
     public int write(byte[] bytes) throws IOException {
         if (resetReceived || closed || finSent || !open) {
@@ -161,29 +163,29 @@
         }
         int size = Math.min(bytes.length, SEND_BUFFER_BYTES - unacknowledgedBytes);
         if (size > 0) {
-            byte[] taken = size == bytes.length ? bytes : Arrays.copyOf(bytes, size);
+            byte[] accepted = size == bytes.length ? bytes : Arrays.copyOf(bytes, size);
             unacknowledgedBytes += size;
-            host.tap.wrote(this, taken);
+            host.tap.wrote(this, accepted);
             for (int at = 0; at < size; ) {
-                int piece = tcp.segmentSize(size - at);
-                send(new Segment(Kind.DATA, Arrays.copyOfRange(taken, at, at + piece), null));
-                at += piece;
+                int length = tcp.segmentSize(size - at);
+                send(new Segment(Kind.DATA, Arrays.copyOfRange(accepted, at, at + length), null));
+                at += length;
             }
         }
         return size;
     }
 
-    /** Writes what must fit; for peers that send little. Without effect on a broken connection. */
+    /** Writes bytes that are known to fit the send buffer. Does nothing on a broken connection. */
     public void put(byte[] bytes) {
         try {
             write(bytes);
         } catch (IOException e) {
-            // The handler has been told, or the test's peer ended it itself.
+            // The handler has been notified, or the peer of a test has closed this end itself.
             return;
         }
     }
 
-    /** Writes so that all arrives at once, as one packet does. */
+    /** Writes one segment that arrives whole, or nothing if it doesn't fit the send buffer. */
     public void putUnsplit(byte[] bytes) {
         if (!resetReceived && !closed && !finSent && open && unacknowledgedBytes + bytes.length <= SEND_BUFFER_BYTES) {
             unacknowledgedBytes += bytes.length;
@@ -192,27 +194,27 @@
         }
     }
 
-    /** Runs the action as soon as all that has been written so far has come to the other side's system. */
+    /** Runs the action when all bytes written so far have reached the peer's operating system. */
     public void whenDelivered(Runnable action) {
         if (peer != null && !host.isVanished()) {
-            // In the same instant, or the other side could act on it before its watchers know.
-            SimulatedSocket to = peer;
-            tcp.time().at(to.lastArrivalNs, () -> to.arrive(new Segment(Kind.DELIVERED, null, action)));
+            // At the same instant, or the peer could act on the bytes before the action has run.
+            SimulatedSocket target = peer;
+            tcp.time().at(target.lastArrivalNs, () -> target.arrive(new Segment(Kind.DELIVERED, null, action)));
         }
     }
 
-    /** Takes up to so many bytes that have come. */
-    public byte[] read(int most) {
-        byte[] taken = inbox.take(most);
-        consumed += taken.length;
+    /** Reads at most this many bytes. */
+    public byte[] read(int maxBytes) {
+        byte[] accepted = inbox.take(maxBytes);
+        consumed += accepted.length;
         if (!undelivered.isEmpty()) {
-            // As an event of its own: told from within, a reader would read as deep as there is to read.
+            // As an event of its own, since notifying the reader from here would recurse for each segment.
             tcp.time().after(0, this::deliverPending);
         }
-        return taken;
+        return accepted;
     }
 
-    /** Sends the end after all that has been written. */
+    /** Sends the end of the stream after all written bytes. */
     public void shutdownOutput() {
         if (open && !finSent && !closed && !resetReceived) {
             finSent = true;
@@ -220,7 +222,7 @@
         }
     }
 
-    /** Closes this end; unread bytes have the other side reset, as they do in life. */
+    /** Closes this end; if input is unread, this resets the connection, as in TCP. */
     public void close() {
         if (closed) {
             return;
@@ -234,7 +236,7 @@
         finish();
     }
 
-    /** Closes this end and resets the other. */
+    /** Closes this end and resets the connection. */
     public void reset() {
         if (!closed) {
             sendReset();
@@ -250,7 +252,7 @@
         undelivered.clear();
     }
 
-    /** The machine knows of this connection no more. */
+    /** Drops the connection, which the restarted machine no longer knows. */
     void forget() {
         closed = true;
         inbox.clear();
@@ -270,9 +272,9 @@
         if (peer == null || host.isVanished()) {
             return;
         }
-        SimulatedSocket to = peer;
-        to.lastArrivalNs = Math.max(to.lastArrivalNs, tcp.time().nanoTime() + tcp.delayNs());
-        tcp.time().at(to.lastArrivalNs, () -> to.arrive(segment));
+        SimulatedSocket target = peer;
+        target.lastArrivalNs = Math.max(target.lastArrivalNs, tcp.time().nanoTime() + tcp.delayNs());
+        tcp.time().at(target.lastArrivalNs, () -> target.arrive(segment));
     }
 
     private void arrive(Segment segment) {
@@ -290,11 +292,11 @@
         }
     }
 
-    /** An answer of the system's, for a process that has closed its end. */
+    /** Sends a reset from the operating system for input after this end was closed. */
     private void sendResetBack() {
         if (peer != null && !peer.closed && !host.isVanished()) {
-            SimulatedSocket to = peer;
-            tcp.time().after(tcp.delayNs(), () -> to.arrive(new Segment(Kind.RESET, null, null)));
+            SimulatedSocket target = peer;
+            tcp.time().after(tcp.delayNs(), () -> target.arrive(new Segment(Kind.RESET, null, null)));
         }
     }
 
@@ -304,7 +306,7 @@
         }
     }
 
-    /** Takes in a segment if there is room. */
+    /** Processes a segment and returns true, or returns false if the receive buffer is full. */
     private boolean deliver(Segment segment) {
         switch (segment.kind) {
             case DATA -> {
@@ -342,9 +344,9 @@
     }
 
     private void acknowledged(int bytes) {
-        boolean full = unacknowledgedBytes >= SEND_BUFFER_BYTES;
+        boolean wasFull = unacknowledgedBytes >= SEND_BUFFER_BYTES;
         unacknowledgedBytes -= bytes;
-        if (full) {
+        if (wasFull) {
             notifyHandler();
         }
     }
--- a/src/main/java/vetchpost/simulation/net/Tcp.java
+++ b/src/main/java/vetchpost/simulation/net/Tcp.java
@@ -6,11 +6,14 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** The simulated network: who listens where, how long things take, and in what pieces they come. */
+/**
+ * The simulated network: listening addresses, delays of segments and how writes are split into segments. The
+ * sockets and hosts of a run share one instance, on the thread of the run.
+ */
 public final class Tcp {
     private static final long MIN_DELAY_NS = 100_000;
     private static final long DELAY_SPREAD_NS = 600_000;
-    /** One in so many segments is late by up to this: it was lost and sent again. */
+    /** One segment in this many is retransmitted, which delays it by up to the time below. */
     private static final int RETRANSMIT_ONE_IN = 200;
 
     private static final long MAX_RETRANSMIT_DELAY_NS = 8_000_000;
@@ -18,7 +21,7 @@
     private static final int FIRST_PORT = 10_000;
     private static final int PORT_COUNT = 50_000;
 
-    /** Somebody who takes connections. */
+    /** A listening process and its handler for accepted connections. */
     private record Listener(SimulatedHost host, Consumer<SimulatedSocket> accepted) {}
 
     private final VirtualTime time;
@@ -31,7 +34,7 @@
         this.random = random;
     }
 
-    /** A new process on a machine of its own. */
+    /** Creates a process on a machine of its own. */
     public SimulatedHost host(String name, Tap tap) {
         return new SimulatedHost(this, name, tap);
     }
@@ -45,22 +48,22 @@
     }
 
     void unlisten(InetSocketAddress address, SimulatedHost host) {
-        Listener there = listeners.get(address);
-        if (there != null && there.host == host) {
+        Listener listener = listeners.get(address);
+        if (listener != null && listener.host == host) {
             listeners.remove(address);
         }
     }
 
-    /** Whether the address is taken. */
+    /** Whether a process listens on the address. */
     boolean isListening(InetSocketAddress address) {
         return listeners.containsKey(address);
     }
 
     SimulatedSocket connect(SimulatedHost from, InetSocketAddress to, Runnable handler) {
         InetSocketAddress local = new InetSocketAddress(to.getAddress(), FIRST_PORT + connectionCount++ % PORT_COUNT);
-        SimulatedSocket end = new SimulatedSocket(this, from, local, to, handler);
-        time.after(delayNs(), () -> onConnectRequest(end, local, to));
-        return end;
+        SimulatedSocket socket = new SimulatedSocket(this, from, local, to, handler);
+        time.after(delayNs(), () -> onConnectRequest(socket, local, to));
+        return socket;
     }
 
     private void onConnectRequest(SimulatedSocket from, InetSocketAddress local, InetSocketAddress to) {
@@ -68,30 +71,30 @@
         if (listener == null) {
             time.after(delayNs(), from::refused);
         } else if (!listener.host.isVanished()) {
-            SimulatedSocket there = new SimulatedSocket(this, listener.host, to, local, null);
-            there.establish(from);
-            // What the other side says at once comes after its answer to the call.
+            SimulatedSocket acceptedSocket = new SimulatedSocket(this, listener.host, to, local, null);
+            acceptedSocket.establish(from);
+            // Data that the listener sends at once arrives after the handshake.
             from.connectAfter(delayNs(), () -> {
                 if (!from.host().isDead()) {
-                    from.establish(there);
+                    from.establish(acceptedSocket);
                     from.connected();
                 }
             });
-            listener.accepted.accept(there);
+            listener.accepted.accept(acceptedSocket);
         }
     }
 
     long delayNs() {
-        long late = random.nextInt(RETRANSMIT_ONE_IN) == 0 ? random.nextLong(MAX_RETRANSMIT_DELAY_NS) : 0;
-        return MIN_DELAY_NS + random.nextLong(DELAY_SPREAD_NS) + late;
+        long retransmitDelayNs = random.nextInt(RETRANSMIT_ONE_IN) == 0 ? random.nextLong(MAX_RETRANSMIT_DELAY_NS) : 0;
+        return MIN_DELAY_NS + random.nextLong(DELAY_SPREAD_NS) + retransmitDelayNs;
     }
 
-    /** How much of so many bytes comes in one piece. */
+    /** Number of bytes, from 1 to {@code bytes}, that go into the next segment. */
     int segmentSize(int bytes) {
         return bytes == 1 || random.nextInt(SPLIT_ONE_IN) > 0 ? bytes : 1 + random.nextInt(bytes);
     }
 
-    /** Whether a reset takes what has not been read yet with it: systems differ. */
+    /** Whether a reset discards unread input; operating systems differ. */
     boolean isPurgedByReset() {
         return random.nextBoolean();
     }
--- a/src/main/java/vetchpost/simulation/net/VirtualTime.java
+++ b/src/main/java/vetchpost/simulation/net/VirtualTime.java
@@ -5,11 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Simulated time in nanoseconds from 0, and what is to happen in it. What is due at the same time happens in
- * the order in which it was asked for, so that the same calls always give the same history.
+ * Simulated time in nanoseconds from 0, with the queue of scheduled events. Events of the same time run in the
+ * order in which they were scheduled, so that the same calls always give the same run. One run has one instance,
+ * which only its thread uses.
  */
 public final class VirtualTime implements Ticker {
-    /** Something that is to happen. */
+    /** A scheduled task. */
     public static final class Event implements Comparable<Event> {
         private final long atNs;
         private final long order;
@@ -21,20 +22,20 @@
             this.task = task;
         }
 
-        /** Has it not happen. */
+        /** Cancels the task. */
         public void cancel() {
             task = null;
         }
 
-        /** When it is due, in nanoseconds. */
+        /** Simulated time at which it is due, in nanoseconds. */
         public long atNs() {
             return atNs;
         }
 
         @Override
         public int compareTo(Event other) {
-            int byTime = Long.compare(atNs, other.atNs);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            int timeOrder = Long.compare(atNs, other.atNs);
+            return timeOrder != 0 ? timeOrder : Long.compare(order, other.order);
         }
     }
 
@@ -42,19 +43,19 @@
     private long nowNs;
     private long nextOrder;
 
-    /** Has the task run at this time, or now if that has passed, but never from within this call. */
+    /** Schedules the task for this time, or for now if that has passed; it never runs within this call. */
     public Event at(long ns, Runnable task) {
         Event event = new Event(Math.max(ns, nowNs), nextOrder++, task);
         events.add(event);
         return event;
     }
 
-    /** Has the task run so many nanoseconds from now. */
+    /** Schedules the task to run this many nanoseconds from now. */
     public Event after(long ns, Runnable task) {
         return at(nowNs + ns, task);
     }
 
-    /** Goes on to the next event and runs it; false if there is none. */
+    /** Advances to the next event and runs it; returns false if there is none. */
     public boolean step() {
         Event next = events.poll();
         while (next != null && next.task == null) {
@@ -78,7 +79,7 @@
         return nowNs;
     }
 
-    /** Nobody may wait for a time that passes only when all have done their work. */
+    /** Not supported: simulated time advances only between events. */
     @Override
     public void sleep(long delay, TimeUnit unit) {
         throw new UnsupportedOperationException("simulated time does not pass by waiting");
--- a/src/main/java/vetchpost/simulation/wire/Message.java
+++ b/src/main/java/vetchpost/simulation/wire/Message.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * A message of HTTP/1.1 as the simulation's own peers and its checker read it.
+ * An HTTP/1.1 message as the simulated peers and the checker read it.
  *
  * @param start its first line
- * @param fields header fields, names in small letters
- * @param from where in its connection's bytes it began
- * @param to and ended
+ * @param fields header fields, with names in lower case
+ * @param from offset of its first byte in the connection's bytes
+ * @param to offset after its last byte
  */
 public record Message(String start, Map<String, String> fields, byte[] body, long from, long to) {
-    /** A field's value, or the empty text. */
+    /** The value of the field, or an empty string; {@code name} is in lower case. */
     public String field(String name) {
         return fields.getOrDefault(name, "");
     }
 
-    /** The status of an answer, or 0. */
+    /** The status code of a response, or 0 for a request. */
     public int status() {
         return start.startsWith("HTTP/1.1 ") && start.length() >= 12 ? Integer.parseInt(start, 9, 12, 10) : 0;
     }
@@ -28,7 +28,7 @@
         return new String(body, StandardCharsets.ISO_8859_1);
     }
 
-    /** The bytes of a message. */
+    /** Encodes a message; {@code fields} are complete lines with their line ends. */
     public static byte[] bytes(String start, String fields, String body) {
         return (start + "\r\n" + fields + "\r\n" + body).getBytes(StandardCharsets.ISO_8859_1);
     }
--- a/src/main/java/vetchpost/simulation/wire/MessageParser.java
+++ b/src/main/java/vetchpost/simulation/wire/MessageParser.java
@@ -4,14 +4,17 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Cuts a connection's bytes into messages that tell their length, and gives up on any others. */
+/**
+ * Splits a connection's bytes into messages whose body length is in Content-Length, or 0 without that field. It
+ * ignores all input after the first invalid message.
+ */
 public final class MessageParser {
     private static final int MAX_HEAD_BYTES = 256 * 1024;
 
     private final Consumer<Message> messages;
     private byte[] data = new byte[512];
     private int size;
-    /** Where the head's end was looked for last, and the head once it has come. */
+    /** End of the bytes already searched for the end of the head, then the head once it is complete. */
     private int searchedTo;
 
     private String[] head;
@@ -24,17 +27,17 @@
         this.messages = messages;
     }
 
-    /** Whether what came is no message, so that nothing after it can be told. */
+    /** Whether the input was invalid, so that nothing after it can be parsed. */
     public boolean isBroken() {
         return broken;
     }
 
-    /** Whether part of a message has come. */
+    /** Whether part of a message has arrived. */
     public boolean isMidMessage() {
         return size > 0;
     }
 
-    /** Where the message that has begun, or comes next, begins in the connection's bytes. */
+    /** Offset in the connection's bytes of the message that has begun or comes next. */
     public long offset() {
         return offset;
     }
@@ -58,15 +61,19 @@
             broken |= size > MAX_HEAD_BYTES;
             return false;
         }
-        int whole = headLength + bodyLength;
-        if (size < whole) {
+        int messageLength = headLength + bodyLength;
+        if (size < messageLength) {
             return false;
         }
         Message message = new Message(
-                head[0], Message.fields(head), Arrays.copyOfRange(data, headLength, whole), offset, offset + whole);
-        System.arraycopy(data, whole, data, 0, size - whole);
-        size -= whole;
-        offset += whole;
+                head[0],
+                Message.fields(head),
+                Arrays.copyOfRange(data, headLength, messageLength),
+                offset,
+                offset + messageLength);
+        System.arraycopy(data, messageLength, data, 0, size - messageLength);
+        size -= messageLength;
+        offset += messageLength;
         head = null;
         searchedTo = 0;
         messages.accept(message);
