--- a/src/main/java/vetchpost/simulation/AdmissionControlledNodes.java
+++ b/src/main/java/vetchpost/simulation/AdmissionControlledNodes.java
@@ -11,7 +11,7 @@
 import vetchpost.simulation.net.SimLoop;
 import vetchpost.simulation.world.NodeProcess;
 
-/** The same nodes, with the door in service before each. */
+/** Another setup's nodes with the production admission control, at its default settings, before each. */
 record AdmissionControlledNodes(NodeProcess.Setup inner) implements NodeProcess.Setup {
     @Override
     public AdmissionControl admission(Settings settings, long seed) {
--- a/src/main/java/vetchpost/simulation/Fault.java
+++ b/src/main/java/vetchpost/simulation/Fault.java
@@ -3,59 +3,59 @@
 import java.util.Locale;
 
 /**
- * Something that goes wrong, or changes, at some time of a run.
+ * A fault or change that is injected into a run.
  *
- * @param atMs when, from the run's start
- * @param target number of the node or box; 0 where there is only one
- * @param forMs for how long, where it ends by itself
- * @param amount a part of what passes, a count or a factor, by kind
+ * @param atMs time from the run's start, in milliseconds
+ * @param target number of the node or server; 0 where there is only one
+ * @param durationMs how long it lasts, in milliseconds, if it ends by itself
+ * @param amount a fraction from 0 to 1, a count or a factor, by kind
  */
 public record Fault(long atMs, Kind kind, int target, long durationMs, double amount) {
 
-    /** What can go wrong. The words are those of the script form. */
+    /** The kinds of faults, each with its name in scripts and its text in the help. */
     public enum Kind {
-        /** A box drains: it is told to discovery, and a while later the box turns new work away. */
-        DRAIN("drain box", "a box drains and is gone after FOR"),
-        /** A box is replaced by another one under a new id at the same address. */
-        REPLACE("replace box", "a box gives way to a new one, cold, at the same address"),
-        /** A box's process dies, and is back, cold, some time later. */
-        KILL("kill box", "a box dies and is back, cold, after FOR"),
-        /** A box's machine says nothing any more. */
-        SILENCE("silence box", "a box's machine says nothing for FOR, then is back, cold"),
-        /** A box fails a part of what it gets, at once. */
-        FAIL("fail box", "a box answers the part AMOUNT with errors for FOR"),
-        /** A box takes so many times as long. */
-        SLOW("slow box", "a box takes AMOUNT times as long for FOR"),
-        /** A box's answers are spoilt in part. */
-        SPOIL("spoil box", "a box spoils the part AMOUNT of its answers for FOR"),
-        /** A box resets a part of connections just after it has read a request. */
-        RESET("reset box", "a box resets the part AMOUNT of requests after reading them for FOR"),
-        /** A box stops reading: what is written to it fills buffers. */
-        DEAF("deaf box", "a box reads nothing for FOR"),
-        /** A node is killed outright. */
-        CRASH("crash node", "a node is killed and back after FOR"),
+        /** A server drains: discovery announces it, and a while later the server rejects new requests. */
+        DRAIN("drain box", "a server drains and is gone after FOR"),
+        /** A server is replaced by another one under a new id at the same address. */
+        REPLACE("replace box", "a server is replaced by a new, cold one at the same address"),
+        /** A server's process dies and restarts cold some time later. */
+        KILL("kill box", "a server dies and restarts cold after FOR"),
+        /** A server's machine stops answering. */
+        SILENCE("silence box", "a server's machine is unreachable for FOR, then restarts cold"),
+        /** A server answers a fraction of requests with errors at once. */
+        FAIL("fail box", "a server answers the fraction AMOUNT of requests with errors for FOR"),
+        /** A server is slower by a factor. */
+        SLOW("slow box", "a server takes AMOUNT times as long for FOR"),
+        /** A server sends a fraction of its responses malformed. */
+        SPOIL("spoil box", "a server sends the fraction AMOUNT of its responses malformed for FOR"),
+        /** A server resets a fraction of connections just after it has read a request. */
+        RESET("reset box", "a server resets the fraction AMOUNT of requests after reading them for FOR"),
+        /** A server stops reading, so that input fills its buffers. */
+        DEAF("deaf box", "a server reads nothing for FOR"),
+        /** A node's process is killed and starts again some time later. */
+        CRASH("crash node", "a node is killed and restarts after FOR"),
         /** A node gets SIGTERM. */
-        STOP("stop node", "a node gets SIGTERM and is back after FOR"),
-        /** A node's loop does nothing for a while. */
-        STALL("stall node", "a node's process does nothing for FOR"),
-        /** A node gets SIGHUP and another address of discovery. */
+        STOP("stop node", "a node gets SIGTERM and restarts after FOR"),
+        /** A node's event loop is paused. */
+        STALL("stall node", "a node's process is paused for FOR"),
+        /** Discovery moves, and nodes get SIGHUP with its new address. */
         MOVE("move discovery", "discovery moves to another address, and nodes get SIGHUP"),
-        /** Discovery says nothing. */
-        MUTE("mute discovery", "discovery says nothing for FOR"),
-        /** Watches on the list break. */
-        BREAK("break discovery", "the watches on the list break"),
-        /** Discovery's word takes so much longer. */
-        LATE("late discovery", "what discovery tells is FOR late from then on"),
-        /** Discovery's whole lists leave out most of the boxes. */
-        SHRINK("shrink discovery", "discovery's whole lists leave out nine boxes of ten for FOR"),
-        /** Many requests at once, safe ones unless a class is named. */
+        /** Discovery sends nothing. */
+        MUTE("mute discovery", "discovery sends nothing for FOR"),
+        /** Watches on the server list are reset. */
+        BREAK("break discovery", "the watches on the server list are reset"),
+        /** Discovery sends changes late. */
+        LATE("late discovery", "discovery sends changes FOR late from then on"),
+        /** Discovery's full lists omit most servers. */
+        SHRINK("shrink discovery", "discovery's full lists omit nine servers of ten for FOR"),
+        /** Many requests of the safe class at once. */
         BURST("burst view-page", "AMOUNT requests at once"),
-        /** The same of the unsafe class. */
+        /** Many requests of the unsafe class at once. */
         ORDERS("burst place-order", "AMOUNT requests at once"),
-        /** The same of the keyed class. */
+        /** Many requests of the keyed class at once. */
         PHOTOS("burst add-photo", "AMOUNT requests at once"),
-        /** Clients that send half a request, rubbish, or do not read. */
-        RUDE("rude clients", "AMOUNT clients that send rubbish, halves, or don't read");
+        /** Clients that send malformed or partial requests, or do not read. */
+        RUDE("rude clients", "AMOUNT clients that send malformed or partial requests, or don't read");
 
         private final String scriptName;
         private final String help;
@@ -65,12 +65,12 @@
             this.help = help;
         }
 
-        /** How a script names it. */
+        /** Its name in scripts, of two words. */
         public String scriptName() {
             return scriptName;
         }
 
-        /** What it does, for the help text. */
+        /** What it does, for the help text; AMOUNT and FOR are its script values. */
         public String help() {
             return help;
         }
--- a/src/main/java/vetchpost/simulation/LoggedFaults.java
+++ b/src/main/java/vetchpost/simulation/LoggedFaults.java
@@ -8,12 +8,12 @@
 import java.util.logging.Logger;
 
 /**
- * Hears what the node and Netty log as gone wrong, on the thread of one run: an exception that ends in a log
- * is a fault of the node. All logging of a run stays off the terminal.
+ * Catches exceptions that the node and Netty log as warnings or worse on the thread of one run, since an
+ * exception that is only logged is a fault of the node. Keeps the logging of runs off the terminal.
  */
 final class LoggedFaults implements AutoCloseable {
     private static final ThreadLocal<LoggedFaults> CURRENT = new ThreadLocal<>();
-    /** Strong references: loggers that nobody holds lose their settings. */
+    /** Strong references, since loggers that are garbage-collected lose their settings. */
     private static final Logger[] LOGGERS = {Logger.getLogger("vetchpost"), Logger.getLogger("io.netty")};
 
     private String first;
@@ -40,18 +40,18 @@
 
         @Override
         public void flush() {
-            // Nothing is kept.
+            // Nothing is buffered.
         }
 
         @Override
         public void close() {
-            // Nothing is open.
+            // No resource is open.
         }
     }
 
     private LoggedFaults() {}
 
-    /** Watches this thread until closed. */
+    /** Watches the logging of the calling thread until closed. */
     static LoggedFaults watch() {
         for (Logger logger : LOGGERS) {
             logger.setUseParentHandlers(false);
@@ -61,7 +61,7 @@
         return faults;
     }
 
-    /** The first fault heard of, or null. */
+    /** The first exception logged, with its logger and message, or null. */
     String first() {
         return first;
     }
--- a/src/main/java/vetchpost/simulation/Plan.java
+++ b/src/main/java/vetchpost/simulation/Plan.java
@@ -8,20 +8,20 @@
 import java.util.function.IntConsumer;
 
 /**
- * All that decides a run: what there is, how much is asked, what goes wrong, and the seed of every chance.
- * The same plan gives the same run.
+ * Everything that decides a run: topology, load, faults and the seed of all random choices. The same plan gives
+ * the same run.
  *
- * @param seed of all that is not said here
- * @param nodes how many nodes
- * @param boxes how many boxes
- * @param racks in how many racks
- * @param pushed whether the list is pushed, and not asked for
- * @param rate requests a second
- * @param lengthMs for how long they come
- * @param workMs what a request takes of a warm box, on average
- * @param slots requests that a box works on at a time
- * @param faults in the order of their times
- * @param only which requests, by their numbers, are sent; all if null
+ * @param seed seed of all random choices of the run
+ * @param nodes number of nodes, from 1
+ * @param servers number of servers, from 1
+ * @param racks number of racks that the servers are in, from 1
+ * @param pushed whether discovery pushes the list, instead of sending it on request
+ * @param rate new client operations per second
+ * @param durationMs time during which operations start, in milliseconds
+ * @param workMs mean processing time of a request on a warm server, in milliseconds
+ * @param slots requests that a server processes at a time, from 1
+ * @param faults faults, in the order of their times
+ * @param onlyRequests numbers of the operations to send; null for all
  */
 public record Plan(
         long seed,
@@ -38,7 +38,7 @@
 
     private static final Comparator<Fault> BY_TIME = Comparator.comparingLong(Fault::atMs);
 
-    /** Largest shares of boxes that fail together, as seen in service. */
+    /** The largest fractions of servers or nodes that fail together in service. */
     private static final double KILLED_FRACTION = 0.22;
 
     private static final double SILENCED_FRACTION = 0.18;
@@ -48,191 +48,211 @@
     private static final double MAX_WORK_MS = 120;
     private static final int MAX_MANY_NODES_SERVERS = 60;
 
-    /** Puts the faults in the order of their times. */
+    /** Sorts the faults by time. */
     public Plan {
         faults = faults.stream().sorted(BY_TIME).toList();
     }
 
-    /** The plan of a seed. */
+    /** Draws the plan of a seed, for one to four nodes and at most twelve servers. */
     public static Plan of(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + 1);
         int nodes = 1 + random.nextInt(4);
-        int boxes = 4 + random.nextInt(9);
-        int racks = 1 + random.nextInt(Math.min(4, boxes / 2));
-        long lengthMs = 4_000 + random.nextInt(8_000);
+        int servers = 4 + random.nextInt(9);
+        int racks = 1 + random.nextInt(Math.min(4, servers / 2));
+        long durationMs = 4_000 + random.nextInt(8_000);
         int slots = 1 + random.nextInt(2);
         double rate = 40 + 120 * random.nextDouble();
-        // As busy as boxes are in service, and sometimes more than is good for them.
+        // From the load of servers in service up to overload.
         double load = 0.2 + 0.8 * random.nextDouble();
-        double workMs = Math.min(MAX_WORK_MS, load * 1_000 * slots * boxes / rate);
+        double workMs = Math.min(MAX_WORK_MS, load * 1_000 * slots * servers / rate);
         List<Fault> faults = new ArrayList<>();
-        int most = 1 + random.nextInt(9);
-        for (int i = 0; i < most; i++) {
-            addRandomFaults(random, nodes, boxes, lengthMs, faults);
+        int faultCount = 1 + random.nextInt(9);
+        for (int i = 0; i < faultCount; i++) {
+            addRandomFaults(random, nodes, servers, durationMs, faults);
         }
         if (random.nextInt(SIMULTANEOUS_ONE_IN) == 0) {
-            addSimultaneousFaults(random, nodes, boxes, lengthMs, faults);
+            addSimultaneousFaults(random, nodes, servers, durationMs, faults);
         }
-        return new Plan(seed, nodes, boxes, racks, random.nextInt(3) == 0, rate, lengthMs, workMs, slots, faults, null);
+        return new Plan(
+                seed, nodes, servers, racks, random.nextInt(3) == 0, rate, durationMs, workMs, slots, faults, null);
     }
 
     /**
-     * The plan of a seed for many nodes before a large fleet, at the load per server of the service: on the
-     * same day most nodes are killed in one instant, a rack is lost and back cold in one tick, six in ten
-     * servers are replaced within seconds and the list is silent or late, each or all of them by the seed.
+     * Draws the plan of a seed for many nodes and 41 to 60 servers, at the service's load per server. By the
+     * seed it has one or more of these faults: most nodes are killed at once, a rack fails and restarts cold at
+     * once, six in ten servers are replaced within seconds, and discovery is silent or late while servers slow
+     * down.
      *
-     * @param nodes how many, from 1 on
+     * @param nodes number of nodes, from 1
      */
     public static Plan ofManyNodes(long seed, int nodes) {
         SplittableRandom random = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + 3);
-        int boxes = MAX_MANY_NODES_SERVERS - random.nextInt(MAX_MANY_NODES_SERVERS / 3);
+        int servers = MAX_MANY_NODES_SERVERS - random.nextInt(MAX_MANY_NODES_SERVERS / 3);
         int racks = 4 + random.nextInt(5);
-        long lengthMs = 5_000 + random.nextInt(3_000);
-        double perBox = 12 + 8 * random.nextDouble();
-        double workMs = (0.4 + 0.5 * random.nextDouble()) * 1_000 / perBox;
-        int troubles = 1 + random.nextInt(15);
-        long at = 800 + random.nextInt(1_500);
+        long durationMs = 5_000 + random.nextInt(3_000);
+        double ratePerServer = 12 + 8 * random.nextDouble();
+        double workMs = (0.4 + 0.5 * random.nextDouble()) * 1_000 / ratePerServer;
+        int faultSelection = 1 + random.nextInt(15);
+        long atMs = 800 + random.nextInt(1_500);
         List<Fault> faults = new ArrayList<>();
-        if ((troubles & 1) != 0) {
+        if ((faultSelection & 1) != 0) {
             for (int n = 0; n < (7 * nodes + 9) / 10; n++) {
                 faults.add(
-                        new Fault(at + random.nextInt(2) * 400, Fault.Kind.CRASH, n, 300 + random.nextInt(3_000), 0));
+                        new Fault(atMs + random.nextInt(2) * 400, Fault.Kind.CRASH, n, 300 + random.nextInt(3_000), 0));
             }
         }
-        if ((troubles & 2) != 0) {
+        if ((faultSelection & 2) != 0) {
             int rack = random.nextInt(racks);
-            long lost = at - random.nextInt(600);
-            long back = 400 + random.nextInt(1_800);
-            for (int n = rack; n < boxes; n += racks) {
-                faults.add(new Fault(lost, Fault.Kind.KILL, n, back, 0));
+            long lostMs = atMs - random.nextInt(600);
+            long outageMs = 400 + random.nextInt(1_800);
+            for (int n = rack; n < servers; n += racks) {
+                faults.add(new Fault(lostMs, Fault.Kind.KILL, n, outageMs, 0));
             }
         }
-        if ((troubles & 4) != 0) {
-            for (int n = 0; n < 6 * boxes / 10; n++) {
+        if ((faultSelection & 4) != 0) {
+            for (int n = 0; n < 6 * servers / 10; n++) {
                 faults.add(new Fault(
-                        at + random.nextInt(3_000),
+                        atMs + random.nextInt(3_000),
                         random.nextBoolean() ? Fault.Kind.REPLACE : Fault.Kind.DRAIN,
                         n,
                         200 + random.nextInt(1_000),
                         0));
             }
         }
-        if ((troubles & 8) != 0) {
+        if ((faultSelection & 8) != 0) {
             faults.add(new Fault(
-                    at, random.nextBoolean() ? Fault.Kind.MUTE : Fault.Kind.LATE, 0, random.nextInt(3_000), 0));
+                    atMs, random.nextBoolean() ? Fault.Kind.MUTE : Fault.Kind.LATE, 0, random.nextInt(3_000), 0));
             forEachAffected(
-                    random, boxes, FAILING_FRACTION / 2, n -> faults.add(new Fault(at, Fault.Kind.SLOW, n, 2_000, 6)));
+                    random,
+                    servers,
+                    FAILING_FRACTION / 2,
+                    n -> faults.add(new Fault(atMs, Fault.Kind.SLOW, n, 2_000, 6)));
         }
         return new Plan(
-                seed, nodes, boxes, racks, random.nextInt(4) == 0, perBox * boxes, lengthMs, workMs, 1, faults, null);
+                seed,
+                nodes,
+                servers,
+                racks,
+                random.nextInt(4) == 0,
+                ratePerServer * servers,
+                durationMs,
+                workMs,
+                1,
+                faults,
+                null);
     }
 
-    /** All that is seen together on the worst days, within one second. */
+    /** Adds the faults that come together in the worst incidents, within one second. */
     private static void addSimultaneousFaults(
-            SplittableRandom random, int nodes, int boxes, long lengthMs, List<Fault> faults) {
-        long at = 500 + random.nextLong(lengthMs / 2);
-        long duration = 1_000 + random.nextLong(3_000);
+            SplittableRandom random, int nodes, int servers, long durationMs, List<Fault> faults) {
+        long atMs = 500 + random.nextLong(durationMs / 2);
+        long faultMs = 1_000 + random.nextLong(3_000);
         forEachAffected(
                 random,
-                boxes,
+                servers,
                 KILLED_FRACTION,
-                n -> faults.add(new Fault(at + random.nextLong(1_000), Fault.Kind.KILL, n, duration, 0)));
+                n -> faults.add(new Fault(atMs + random.nextLong(1_000), Fault.Kind.KILL, n, faultMs, 0)));
         forEachAffected(
                 random,
-                boxes,
+                servers,
                 SILENCED_FRACTION,
-                n -> faults.add(new Fault(at + random.nextLong(1_000), Fault.Kind.SILENCE, n, duration, 0)));
+                n -> faults.add(new Fault(atMs + random.nextLong(1_000), Fault.Kind.SILENCE, n, faultMs, 0)));
         forEachAffected(
                 random,
-                boxes,
+                servers,
                 FAILING_FRACTION,
                 n -> faults.add(new Fault(
-                        at + random.nextLong(1_000), Fault.Kind.FAIL, n, duration, 0.44 + 0.53 * random.nextDouble())));
+                        atMs + random.nextLong(1_000),
+                        Fault.Kind.FAIL,
+                        n,
+                        faultMs,
+                        0.44 + 0.53 * random.nextDouble())));
         forEachAffected(
                 random,
                 nodes,
                 RESTARTING_FRACTION,
-                n -> faults.add(new Fault(at + random.nextLong(1_000), Fault.Kind.CRASH, n, duration, 0)));
+                n -> faults.add(new Fault(atMs + random.nextLong(1_000), Fault.Kind.CRASH, n, faultMs, 0)));
     }
 
     private static void addRandomFaults(
-            SplittableRandom random, int nodes, int boxes, long lengthMs, List<Fault> faults) {
-        // Some fall together: in the same instant as the one before.
-        long at = !faults.isEmpty() && random.nextInt(3) == 0
+            SplittableRandom random, int nodes, int servers, long durationMs, List<Fault> faults) {
+        // One fault in three comes at the same instant as the one before.
+        long atMs = !faults.isEmpty() && random.nextInt(3) == 0
                 ? faults.get(faults.size() - 1).atMs()
-                : 200 + random.nextLong(lengthMs - 400);
-        long duration = 300 + random.nextLong(4_000);
-        double part = 0.3 + 0.7 * random.nextDouble();
-        int box = random.nextInt(boxes);
+                : 200 + random.nextLong(durationMs - 400);
+        long faultMs = 300 + random.nextLong(4_000);
+        double fraction = 0.3 + 0.7 * random.nextDouble();
+        int server = random.nextInt(servers);
         switch (random.nextInt(18)) {
-            case 0, 1 -> faults.add(new Fault(at, Fault.Kind.DRAIN, box, 800 + duration, 0));
-            case 2 -> faults.add(new Fault(at, Fault.Kind.REPLACE, box, duration / 4, 0));
+            case 0, 1 -> faults.add(new Fault(atMs, Fault.Kind.DRAIN, server, 800 + faultMs, 0));
+            case 2 -> faults.add(new Fault(atMs, Fault.Kind.REPLACE, server, faultMs / 4, 0));
             case 3 ->
                 forEachAffected(
                         random,
-                        boxes,
+                        servers,
                         KILLED_FRACTION,
-                        n -> faults.add(new Fault(at, Fault.Kind.KILL, n, duration, 0)));
+                        n -> faults.add(new Fault(atMs, Fault.Kind.KILL, n, faultMs, 0)));
             case 4 ->
                 forEachAffected(
                         random,
-                        boxes,
+                        servers,
                         SILENCED_FRACTION,
-                        n -> faults.add(new Fault(at, Fault.Kind.SILENCE, n, duration, 0)));
+                        n -> faults.add(new Fault(atMs, Fault.Kind.SILENCE, n, faultMs, 0)));
             case 5 ->
                 forEachAffected(
                         random,
-                        boxes,
+                        servers,
                         FAILING_FRACTION,
-                        n -> faults.add(new Fault(at, Fault.Kind.FAIL, n, duration, part)));
-            case 6 -> faults.add(new Fault(at, Fault.Kind.SLOW, box, duration, 2 + 8 * part));
-            case 7 -> faults.add(new Fault(at, Fault.Kind.SPOIL, box, duration, 0.5 * part));
-            case 8 -> faults.add(new Fault(at, Fault.Kind.RESET, box, duration, 0.5 * part));
-            case 9 -> faults.add(new Fault(at, Fault.Kind.DEAF, box, duration, 0));
-            case 10 -> faults.add(new Fault(at, Fault.Kind.CRASH, random.nextInt(nodes), duration, 0));
-            case 11 -> faults.add(new Fault(at, Fault.Kind.STOP, random.nextInt(nodes), duration, 0));
-            case 12 -> faults.add(new Fault(at, Fault.Kind.STALL, random.nextInt(nodes), duration / 8, 0));
-            case 13 -> faults.add(new Fault(at, Fault.Kind.MOVE, 0, 0, 0));
-            case 14 -> faults.add(new Fault(at, Fault.Kind.MUTE, 0, duration, 0));
+                        n -> faults.add(new Fault(atMs, Fault.Kind.FAIL, n, faultMs, fraction)));
+            case 6 -> faults.add(new Fault(atMs, Fault.Kind.SLOW, server, faultMs, 2 + 8 * fraction));
+            case 7 -> faults.add(new Fault(atMs, Fault.Kind.SPOIL, server, faultMs, 0.5 * fraction));
+            case 8 -> faults.add(new Fault(atMs, Fault.Kind.RESET, server, faultMs, 0.5 * fraction));
+            case 9 -> faults.add(new Fault(atMs, Fault.Kind.DEAF, server, faultMs, 0));
+            case 10 -> faults.add(new Fault(atMs, Fault.Kind.CRASH, random.nextInt(nodes), faultMs, 0));
+            case 11 -> faults.add(new Fault(atMs, Fault.Kind.STOP, random.nextInt(nodes), faultMs, 0));
+            case 12 -> faults.add(new Fault(atMs, Fault.Kind.STALL, random.nextInt(nodes), faultMs / 8, 0));
+            case 13 -> faults.add(new Fault(atMs, Fault.Kind.MOVE, 0, 0, 0));
+            case 14 -> faults.add(new Fault(atMs, Fault.Kind.MUTE, 0, faultMs, 0));
             case 15 ->
                 faults.add(new Fault(
-                        at,
+                        atMs,
                         switch (random.nextInt(3)) {
                             case 0 -> Fault.Kind.BREAK;
                             case 1 -> Fault.Kind.LATE;
                             default -> Fault.Kind.SHRINK;
                         },
                         0,
-                        duration / 4,
+                        faultMs / 4,
                         0));
             case 16 ->
                 faults.add(new Fault(
-                        at,
+                        atMs,
                         random.nextBoolean()
                                 ? Fault.Kind.BURST
                                 : random.nextBoolean() ? Fault.Kind.ORDERS : Fault.Kind.PHOTOS,
                         0,
                         0,
                         5 + random.nextInt(60)));
-            default -> faults.add(new Fault(at, Fault.Kind.RUDE, 0, 0, 1 + random.nextInt(12)));
+            default -> faults.add(new Fault(atMs, Fault.Kind.RUDE, 0, 0, 1 + random.nextInt(12)));
         }
     }
 
-    private static void forEachAffected(SplittableRandom random, int of, double share, IntConsumer each) {
-        int count = Math.max(1, (int) (share * of));
-        int first = random.nextInt(of);
+    private static void forEachAffected(SplittableRandom random, int total, double fraction, IntConsumer action) {
+        int count = Math.max(1, (int) (fraction * total));
+        int first = random.nextInt(total);
         for (int i = 0; i < count; i++) {
-            each.accept((first + i) % of);
+            action.accept((first + i) % total);
         }
     }
 
-    /** The same with these faults. */
-    public Plan withFaults(List<Fault> fewer) {
-        return new Plan(seed, nodes, servers, racks, pushed, rate, durationMs, workMs, slots, fewer, onlyRequests);
+    /** This plan with these faults instead. */
+    public Plan withFaults(List<Fault> replacement) {
+        return new Plan(
+                seed, nodes, servers, racks, pushed, rate, durationMs, workMs, slots, replacement, onlyRequests);
     }
 
-    /** The same with these requests only. */
-    public Plan withOnlyRequests(BitSet fewer) {
-        return new Plan(seed, nodes, servers, racks, pushed, rate, durationMs, workMs, slots, faults, fewer);
+    /** This plan with these operations only, by number. */
+    public Plan withOnlyRequests(BitSet replacement) {
+        return new Plan(seed, nodes, servers, racks, pushed, rate, durationMs, workMs, slots, faults, replacement);
     }
 }
--- a/src/main/java/vetchpost/simulation/PlanText.java
+++ b/src/main/java/vetchpost/simulation/PlanText.java
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The script form of a plan: a line for each fact, as a person would write it down. What is not said is drawn
- * from the seed, but for faults, of which there are just those that are written.
+ * Reads and writes a {@link Plan} as a script: one setting or fault per line, with {@code #} before comments.
+ * Settings that a script omits are drawn from its seed; faults are only those that it lists.
  */
 final class PlanText {
     private static final Pattern FAULT =
@@ -23,7 +23,7 @@
     private static final double DEFAULT_AMOUNT = 0.5;
     private static final int MAX_REQUEST_NUMBER = 10_000_000;
 
-    /** A script that can't be run; the message names the line. */
+    /** An invalid script; the message names the line. */
     static final class ScriptException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -34,7 +34,11 @@
 
     private PlanText() {}
 
-    /** Reads a script. */
+    /**
+     * Reads a script.
+     *
+     * @throws ScriptException if a line is invalid, or there are more than 10,000
+     */
     static Plan parse(List<String> lines) throws ScriptException {
         if (lines.size() > MAX_LINES) {
             throw new ScriptException(MAX_LINES + 1, "more than " + MAX_LINES + " lines");
@@ -56,22 +60,23 @@
     }
 
     private static Fault parseFault(int number, String line) throws ScriptException {
-        Matcher m = FAULT.matcher(line);
-        if (!m.matches()) {
-            throw new ScriptException(number, "not 'at TIMEs WHAT [NUMBER] [for TIMEs] [amount NUMBER]': " + line);
+        Matcher match = FAULT.matcher(line);
+        if (!match.matches()) {
+            throw new ScriptException(
+                    number, "expected 'at TIMEs FAULT [NUMBER] [for TIMEs] [amount NUMBER]', but found: " + line);
         }
-        String words = m.group(2).replaceAll("\\s+", " ");
+        String words = match.group(2).replaceAll("\\s+", " ");
         for (Fault.Kind kind : Fault.Kind.values()) {
             if (kind.scriptName().equals(words)) {
                 return new Fault(
-                        parseMs(number, m.group(1)),
+                        parseMs(number, match.group(1)),
                         kind,
-                        m.group(3) == null ? 0 : Integer.parseInt(m.group(3)),
-                        m.group(4) == null ? 1_000 : parseMs(number, m.group(4)),
-                        m.group(5) == null ? DEFAULT_AMOUNT : Double.parseDouble(m.group(5)));
+                        match.group(3) == null ? 0 : Integer.parseInt(match.group(3)),
+                        match.group(4) == null ? 1_000 : parseMs(number, match.group(4)),
+                        match.group(5) == null ? DEFAULT_AMOUNT : Double.parseDouble(match.group(5)));
             }
         }
-        throw new ScriptException(number, "unknown fault '" + words + "'; there are " + faultNames());
+        throw new ScriptException(number, "unknown fault '" + words + "'; known are " + faultNames());
     }
 
     private static String faultNames() {
@@ -86,7 +91,7 @@
         return Math.round(1_000 * value);
     }
 
-    /** A plan while it is being read. */
+    /** The settings read so far. */
     private static final class Draft {
         private long seed;
         private int nodes;
@@ -121,14 +126,14 @@
         }
 
         private void readSetting(int number, String line) throws ScriptException {
-            Matcher m = SETTING.matcher(line);
-            if (!m.matches()) {
-                throw new ScriptException(number, "not 'NAME VALUE': " + line);
+            Matcher match = SETTING.matcher(line);
+            if (!match.matches()) {
+                throw new ScriptException(number, "expected 'NAME VALUE', but found: " + line);
             }
-            String value = m.group(2);
+            String value = match.group(2);
             try {
-                switch (m.group(1)) {
-                    // The rest of what a seed decides comes with it, so it is to be said first.
+                switch (match.group(1)) {
+                    // Sets all other settings too, so a script gives it first.
                     case "seed" -> copyFrom(Plan.of(Long.parseLong(value)));
                     case "nodes" -> nodes = parseInteger(value, 1, 20);
                     case "boxes" -> servers = parseInteger(value, 1, 200);
@@ -142,48 +147,48 @@
                     default ->
                         throw new ScriptException(
                                 number,
-                                "unknown '" + m.group(1) + "'; there are seed, nodes, "
+                                "unknown setting '" + match.group(1) + "'; known are seed, nodes, "
                                         + "boxes, racks, list, rate, seconds, work, slots, only, at");
                 }
             } catch (IllegalArgumentException e) {
-                throw new ScriptException(number, m.group(1) + ": " + e.getMessage());
+                throw new ScriptException(number, match.group(1) + ": " + e.getMessage());
             }
         }
     }
 
     private static boolean parseListMode(String value) {
         if (!value.equals("pushed") && !value.equals("asked")) {
-            throw new IllegalArgumentException("neither pushed nor asked: " + value);
+            throw new IllegalArgumentException("must be 'pushed' or 'asked', but is: " + value);
         }
         return value.equals("pushed");
     }
 
-    private static int parseInteger(String value, int least, int most) {
-        return (int) parseDecimal(value.matches("\\d{1,9}") ? value : "x", least, most);
+    private static int parseInteger(String value, int min, int max) {
+        return (int) parseDecimal(value.matches("\\d{1,9}") ? value : "x", min, max);
     }
 
-    private static double parseDecimal(String value, double least, double most) {
+    private static double parseDecimal(String value, double min, double max) {
         if (!value.matches("\\d{1,9}(\\.\\d{1,9})?")) {
-            throw new IllegalArgumentException("not a plain number: " + value);
+            throw new IllegalArgumentException("not a decimal number: " + value);
         }
         double number = Double.parseDouble(value);
-        if (number < least || number > most) {
-            throw new IllegalArgumentException(value + " is not from " + least + " to " + most);
+        if (number < min || number > max) {
+            throw new IllegalArgumentException(value + " is not from " + min + " to " + max);
         }
         return number;
     }
 
     private static BitSet parseRequestNumbers(String value) {
-        BitSet some = new BitSet();
+        BitSet requests = new BitSet();
         if (!value.equals("none")) {
-            for (String part : value.split(",")) {
-                some.set(parseInteger(part, 0, MAX_REQUEST_NUMBER));
+            for (String number : value.split(",")) {
+                requests.set(parseInteger(number, 0, MAX_REQUEST_NUMBER));
             }
         }
-        return some;
+        return requests;
     }
 
-    /** Writes a plan so that reading it again gives the same run. */
+    /** Writes a plan as a script that gives the same run. */
     static String write(Plan plan) {
         StringBuilder text = new StringBuilder();
         text.append("seed ")
--- a/src/main/java/vetchpost/simulation/Result.java
+++ b/src/main/java/vetchpost/simulation/Result.java
@@ -5,21 +5,22 @@
 import vetchpost.simulation.check.Violation;
 
 /**
- * How a run went.
+ * The outcome of a run.
  *
- * @param violation the first rule broken, or null
- * @param before the events just before it, or the last ones
- * @param digest of the whole trace
- * @param events in the trace
- * @param simulatedNs how much time passed in it
- * @param tried requests sent
- * @param wants what clients wanted
- * @param served and got
- * @param late of them, later than their class aims at
- * @param refused answers that were refusals
- * @param attempts at servers
- * @param repeats of them, after a request's first
- * @param faults injected, by kind
+ * @param seed seed of the plan
+ * @param violation the first broken rule, or null
+ * @param precedingEvents the events just before it, or the last ones of the run
+ * @param digest digest of the whole trace, 16 hexadecimal digits
+ * @param events number of events in the trace
+ * @param simulatedNs simulated duration in nanoseconds
+ * @param requestsSent requests that clients sent, retries included
+ * @param wants operations that clients started
+ * @param served operations that were served
+ * @param late served operations that missed the latency target of their class
+ * @param rejected rejections that nodes answered with
+ * @param attempts requests that nodes sent to servers
+ * @param retries attempts after the first one of a request
+ * @param faults number of injected faults by kind
  */
 public record Result(
         long seed,
--- a/src/main/java/vetchpost/simulation/SeedRunException.java
+++ b/src/main/java/vetchpost/simulation/SeedRunException.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Supplier;
 
-/** A run of a seed that threw: it names the seed, so that it can be played again. */
+/** An exception of a run. Its message names the seed, so that the run can be repeated. */
 public final class SeedRunException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -10,7 +10,7 @@
         super("seed " + seed + ": the run threw " + cause, cause);
     }
 
-    /** Plays a seed; what it throws comes out with the seed's name, and fails whoever plays it. */
+    /** Runs the supplier and wraps whatever it throws in an exception that names the seed. */
     public static <T> T withSeed(long seed, Supplier<T> run) {
         try {
             return run.get();
--- a/src/main/java/vetchpost/simulation/SeedRuns.java
+++ b/src/main/java/vetchpost/simulation/SeedRuns.java
@@ -10,11 +10,14 @@
 import java.util.function.LongFunction;
 import java.util.stream.Collectors;
 
-/** Many seeds, several at a time, each on one thread from its beginning to its end. */
+/**
+ * Runs a range of seeds and sums their results. Worker threads run several seeds at a time, each seed on one
+ * thread throughout. {@code simulate --seeds} and the tests of many seeds use it.
+ */
 final class SeedRuns {
-    /** Hears how far it has got. */
+    /** Notified after each seed, on the worker threads, one call at a time. */
     interface Progress {
-        void done(long done, long of, int failed);
+        void done(long done, long total, int failed);
     }
 
     private final long from;
@@ -41,7 +44,7 @@
         this.run = run;
     }
 
-    /** Runs them all and waits for the last. */
+    /** Runs all seeds and returns when the last is done. */
     void run(Progress progress) throws InterruptedException {
         AtomicLong next = new AtomicLong(from);
         List<Thread> threads = new ArrayList<>();
@@ -62,7 +65,7 @@
         }
     }
 
-    /** A run that throws has shown nothing, and counts as failed. */
+    /** A run that throws has checked nothing to the end, so it counts as failed. */
     private void runSeed(long seed, Progress progress) {
         Result result;
         try {
@@ -74,9 +77,9 @@
         add(result, progress);
     }
 
-    private synchronized void addThrown(long seed, Throwable fault, Progress progress) {
+    private synchronized void addThrown(long seed, Throwable cause, Progress progress) {
         done++;
-        thrown.put(seed, fault);
+        thrown.put(seed, cause);
         progress.done(done, to - from + 1, failed.size() + thrown.size());
     }
 
@@ -90,7 +93,7 @@
         attempts += result.attempts();
         retries += result.retries();
         result.faults().forEach((kind, count) -> faults.merge(kind, (long) count, Long::sum));
-        // A sum, since seeds end in any order.
+        // A sum, so that the order in which seeds end makes no difference.
         digest += Long.parseUnsignedLong(result.digest(), 16) * (2 * result.seed() + 1);
         if (!result.isGood()) {
             failed.put(result.seed(), result);
@@ -98,17 +101,17 @@
         progress.done(done, to - from + 1, failed.size() + thrown.size());
     }
 
-    /** What was thrown by runs that did not come to their end, by their seeds. */
+    /** What runs have thrown, by seed. */
     Map<Long, Throwable> thrown() {
         return thrown;
     }
 
-    /** Whether every run came to its end with no rule broken. */
+    /** Whether every run came to its end without breaking a rule. */
     boolean haveAllPassed() {
         return failed.isEmpty() && thrown.isEmpty();
     }
 
-    /** The failing ones, by their seeds. */
+    /** Results of the runs that broke a rule, by seed. */
     Map<Long, Result> failed() {
         return failed;
     }
@@ -117,13 +120,13 @@
         return simulatedNs / 1e9;
     }
 
-    /** What all came to, in a line. */
+    /** The totals of all runs in one line. */
     String summary() {
         long all = faults.values().stream().mapToLong(Long::longValue).sum();
         return String.format(
                 Locale.ROOT,
                 "%d seeds, %d failed, %.2f simulated hours, %d requests "
-                        + "(%d of %d wants served, %d refusals), %d attempts (%d repeats), %d faults (%s), "
+                        + "(%d of %d operations served, %d rejections), %d attempts (%d retries), %d faults (%s), "
                         + "digest %016x",
                 done,
                 failed.size() + thrown.size(),
--- a/src/main/java/vetchpost/simulation/Shrinker.java
+++ b/src/main/java/vetchpost/simulation/Shrinker.java
@@ -7,8 +7,8 @@
 import vetchpost.simulation.check.Violation.Rule;
 
 /**
- * Makes a failing plan smaller while it still breaks the same rule: first without what comes after, then with
- * fewer faults, then with fewer requests, halves before single ones (Zeller and Hildebrandt, "Simplifying and
+ * Reduces a failing plan while it still breaks the same rule: it cuts the time after the failure, then removes
+ * faults, then requests, halves before single ones (delta debugging: Zeller and Hildebrandt, "Simplifying and
  * Isolating Failure-Inducing Input", 2002).
  */
 final class Shrinker {
@@ -23,7 +23,7 @@
         this.rule = rule;
     }
 
-    /** How many runs it took. */
+    /** Number of runs so far. */
     int runs() {
         return runs;
     }
@@ -61,39 +61,39 @@
         return !result.isGood() && result.violation().rule() == rule;
     }
 
-    private Plan shrinkFaults(Plan from) {
-        Plan plan = from;
+    private Plan shrinkFaults(Plan failing) {
+        Plan plan = failing;
         int size = Math.max(1, plan.faults().size() / 2);
         while (size > 0) {
-            boolean less = false;
-            for (int at = 0; at < plan.faults().size(); ) {
+            boolean reduced = false;
+            for (int position = 0; position < plan.faults().size(); ) {
                 List<Fault> fewer = new ArrayList<>(plan.faults());
-                fewer.subList(at, Math.min(fewer.size(), at + size)).clear();
+                fewer.subList(position, Math.min(fewer.size(), position + size)).clear();
                 Plan without = plan.withFaults(fewer);
                 if (fails(without)) {
                     plan = without;
-                    less = true;
+                    reduced = true;
                 } else {
-                    at += size;
+                    position += size;
                 }
             }
-            size = less && size == 1 ? 1 : size / 2;
+            size = reduced && size == 1 ? 1 : size / 2;
         }
         return plan;
     }
 
-    private Plan shrinkRequests(Plan from, int wants) {
-        Plan plan = from;
+    private Plan shrinkRequests(Plan failing, int wants) {
+        Plan plan = failing;
         BitSet kept = new BitSet();
         kept.set(0, wants);
         if (plan.onlyRequests() != null) {
             kept.and(plan.onlyRequests());
         }
         for (int size = Math.max(1, kept.cardinality() / 2); size > 0; size /= 2) {
-            int at = kept.nextSetBit(0);
-            while (at >= 0) {
+            int position = kept.nextSetBit(0);
+            while (position >= 0) {
                 BitSet fewer = (BitSet) kept.clone();
-                int next = at;
+                int next = position;
                 for (int i = 0; i < size && next >= 0; i++) {
                     fewer.clear(next);
                     next = kept.nextSetBit(next + 1);
@@ -103,7 +103,7 @@
                     kept = fewer;
                     plan = without;
                 }
-                at = next;
+                position = next;
             }
         }
         return plan;
--- a/src/main/java/vetchpost/simulation/SimulateCommand.java
+++ b/src/main/java/vetchpost/simulation/SimulateCommand.java
@@ -16,14 +16,14 @@
 import vetchpost.node.NodeHooks;
 import vetchpost.simulation.world.NodeProcess;
 
-/** The command {@code simulate}. Exit codes: 0 no rule broken, 1 some seed breaks one, 2 bad arguments. */
+/** The command {@code simulate}. Exit codes: 0 no rule broken, 1 some run breaks a rule, 2 bad arguments. */
 @Command(
         name = "simulate",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description = {
             "Runs the node's own network code on a virtual clock and network, with clients, "
-                    + "boxes, discovery and faults drawn from a seed, and checks the four rules after every step.",
+                    + "servers, discovery and faults drawn from a seed, and checks the rules after every step.",
             "The same seed gives the same run, and the same digest, every time."
         },
         footer = {
@@ -60,24 +60,27 @@
     @Option(
             names = "--nodes",
             paramLabel = "N",
-            description = "So many nodes, 1 to 2048, before 40 to 60 servers, and what goes wrong then.")
+            description = "Draws plans with this many nodes, 1 to 2048, 41 to 60 servers and large faults.")
     private Integer nodes;
 
-    @Option(names = "--jobs", paramLabel = "N", description = "Runs so many seeds at a time; all cores if not said.")
+    @Option(
+            names = "--jobs",
+            paramLabel = "N",
+            description = "Runs this many seeds at a time, 1 to 1024; one per core by default.")
     private int jobs = Runtime.getRuntime().availableProcessors();
 
-    @Option(names = "--trace", paramLabel = "FILE", description = "Keeps all events of the one run.")
+    @Option(names = "--trace", paramLabel = "FILE", description = "Writes all events of the run to this file.")
     private Path trace;
 
     @Option(
             names = "--recovery",
             description = {
-                "Nodes keep what they know and ask each other at a start;",
-                "half of later starts have no list."
+                "Nodes keep snapshots and ask each other for state at a start;",
+                "half of the later starts have no server list."
             })
     private boolean recovery;
 
-    @Option(names = "--admission", description = "Requests stand before the door (docs/admission.md).")
+    @Option(names = "--admission", description = "Requests pass admission control (docs/admission.md).")
     private boolean admission;
 
     @Option(names = "--shrink", description = "Prints the smallest script found that breaks the same rule.")
@@ -89,35 +92,35 @@
     private final boolean showsProgress;
     private long lastProgressNs;
 
-    /** Tells of progress on a terminal only: what is piped or kept in a file stays clean. */
+    /** Shows progress on a terminal only, so that redirected output has results alone. */
     public SimulateCommand() {
         this(System.console() != null);
     }
 
-    SimulateCommand(boolean watched) {
-        this.showsProgress = watched;
+    SimulateCommand(boolean showsProgress) {
+        this.showsProgress = showsProgress;
     }
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        int ways = (seeds == null ? 0 : 1) + (seed == null ? 0 : 1) + (script == null ? 0 : 1);
-        if (ways != 1) {
-            throw usageError("give one of --seeds, --seed and --script");
+        int inputs = (seeds == null ? 0 : 1) + (seed == null ? 0 : 1) + (script == null ? 0 : 1);
+        if (inputs != 1) {
+            throw usageError("give exactly one of --seeds, --seed and --script");
         }
         if (nodes != null && (nodes < 1 || nodes > MAX_NODES)) {
-            throw usageError("--nodes is not from 1 to " + MAX_NODES);
+            throw usageError("--nodes must be from 1 to " + MAX_NODES);
         }
         if (nodes != null && script != null) {
-            throw usageError("--nodes goes with --seed or --seeds: a script says itself how many there are");
+            throw usageError("--nodes can't be used with --script: set 'nodes' in the script");
         }
         if (jobs < 1 || jobs > 1_024) {
-            throw usageError("--jobs is not from 1 to 1024");
+            throw usageError("--jobs must be from 1 to 1024");
         }
         return seeds != null ? runMany() : runOne(plan());
     }
 
-    private ParameterException usageError(String why) {
-        return new ParameterException(spec.commandLine(), why);
+    private ParameterException usageError(String problem) {
+        return new ParameterException(spec.commandLine(), problem);
     }
 
     private Plan plan() throws IOException {
@@ -133,13 +136,13 @@
         }
     }
 
-    private Plan planOf(long of) {
-        return nodes == null ? Plan.of(of) : Plan.ofManyNodes(of, nodes);
+    private Plan planOf(long planSeed) {
+        return nodes == null ? Plan.of(planSeed) : Plan.ofManyNodes(planSeed, nodes);
     }
 
     private NodeProcess.Setup setup(Plan plan) {
-        NodeProcess.Setup nodes = recovery ? StateKeepingNodes.of(plan) : NO_FAULTS;
-        return admission ? new AdmissionControlledNodes(nodes) : nodes;
+        NodeProcess.Setup setup = recovery ? StateKeepingNodes.of(plan) : NO_FAULTS;
+        return admission ? new AdmissionControlledNodes(setup) : setup;
     }
 
     private Result run(Plan plan) {
@@ -163,20 +166,20 @@
         }
         if (shrink && !result.isGood()) {
             Shrinker shrinker = new Shrinker(this::run, result.violation().rule());
-            Plan small = shrinker.shrink(plan);
+            Plan shrunk = shrinker.shrink(plan);
             out.println("# breaks " + result.violation().rule() + ", found in " + shrinker.runs() + " runs");
-            out.print(PlanText.write(small));
+            out.print(PlanText.write(shrunk));
             out.flush();
             return 1;
         }
         if (!result.isGood()) {
-            out.println("the events just before:");
+            out.println("events just before the broken rule:");
             result.precedingEvents().forEach(line -> out.println("  " + line));
         }
         out.println(verdict(result));
         out.printf(
                 Locale.ROOT,
-                "digest %s, %d events, %.3f simulated s, %d requests, %d of %d wants " + "served%n",
+                "digest %s, %d events, %.3f simulated s, %d requests, %d of %d operations " + "served%n",
                 result.digest(),
                 result.events(),
                 result.simulatedNs() / 1e9,
@@ -201,27 +204,27 @@
 
     private int runMany() throws InterruptedException {
         if (trace != null || shrink || print) {
-            throw usageError("--trace, --shrink and --print want one --seed or --script");
+            throw usageError("--trace, --shrink and --print need --seed or --script");
         }
-        String[] ends = seeds.matches("\\d{1,15}\\.\\.\\d{1,15}") ? seeds.split("\\.\\.") : null;
-        if (ends == null
-                || Long.parseLong(ends[1]) < Long.parseLong(ends[0])
-                || Long.parseLong(ends[1]) - Long.parseLong(ends[0]) >= MAX_SEEDS) {
-            throw usageError("--seeds is not A..B, two numbers in order, up to " + MAX_SEEDS + " of them");
+        String[] bounds = seeds.matches("\\d{1,15}\\.\\.\\d{1,15}") ? seeds.split("\\.\\.") : null;
+        if (bounds == null
+                || Long.parseLong(bounds[1]) < Long.parseLong(bounds[0])
+                || Long.parseLong(bounds[1]) - Long.parseLong(bounds[0]) >= MAX_SEEDS) {
+            throw usageError("--seeds must be A..B with A not above B, at most " + MAX_SEEDS + " seeds");
         }
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        SeedRuns runs = new SeedRuns(Long.parseLong(ends[0]), Long.parseLong(ends[1]), jobs, n -> run(planOf(n)));
-        long began = System.nanoTime();
-        lastProgressNs = began;
-        runs.run((done, of, failed) -> {
-            if (showsProgress && (System.nanoTime() - lastProgressNs > PROGRESS_INTERVAL_NS || done == of)) {
+        SeedRuns runs = new SeedRuns(Long.parseLong(bounds[0]), Long.parseLong(bounds[1]), jobs, n -> run(planOf(n)));
+        long startedNs = System.nanoTime();
+        lastProgressNs = startedNs;
+        runs.run((done, total, failed) -> {
+            if (showsProgress && (System.nanoTime() - lastProgressNs > PROGRESS_INTERVAL_NS || done == total)) {
                 lastProgressNs = System.nanoTime();
-                err.printf("\r%d of %d seeds, %d failed", done, of, failed);
+                err.printf("\r%d of %d seeds, %d failed", done, total, failed);
                 err.flush();
             }
         });
-        double wall = (System.nanoTime() - began) / 1e9;
+        double wallSeconds = (System.nanoTime() - startedNs) / 1e9;
         if (showsProgress) {
             err.println();
             err.flush();
@@ -230,15 +233,15 @@
             out.println(verdict(each.getValue()));
         }
         runs.thrown()
-                .forEach((n, fault) -> out.println("seed " + n + ": the run threw " + fault + ", at "
-                        + (fault.getStackTrace().length == 0 ? "a place not known" : fault.getStackTrace()[0])));
+                .forEach((n, thrown) -> out.println("seed " + n + ": the run threw " + thrown + ", at "
+                        + (thrown.getStackTrace().length == 0 ? "an unknown place" : thrown.getStackTrace()[0])));
         out.println(runs.summary());
         out.printf(
                 Locale.ROOT,
-                "%.1f s on %d threads, %.0f simulated s a second and thread%n",
-                wall,
+                "%.1f s on %d threads, %.0f simulated s per second and thread%n",
+                wallSeconds,
                 jobs,
-                runs.simulatedSeconds() / wall / jobs);
+                runs.simulatedSeconds() / wallSeconds / jobs);
         out.flush();
         return runs.haveAllPassed() ? 0 : 1;
     }
--- a/src/main/java/vetchpost/simulation/StateKeepingNodes.java
+++ b/src/main/java/vetchpost/simulation/StateKeepingNodes.java
@@ -22,12 +22,12 @@
 import vetchpost.state.codec.MalformedSnapshotException;
 
 /**
- * Nodes that keep what they know on their machines, and ask the others for what those know at each start. The
- * path of all this is the one in service, but that the disk is a list of pieces.
+ * Nodes that keep snapshots on their machines and ask their peers for state at each start. They run the
+ * production recovery code; only the disk is replaced, by a list of snapshot chunks.
  */
 class StateKeepingNodes implements NodeProcess.Setup {
     static final int HANDOVER_PORT = 8450;
-    /** Where boxes tell their ids. */
+    /** Path under which servers answer with their ids. */
     static final String IDENTITY_PATH = "/who";
 
     private static final long MAX_SNAPSHOT_AGE_MS = 86_400_000;
@@ -42,18 +42,19 @@
     private final Map<Integer, List<byte[]>> disks = new HashMap<>();
 
     /**
-     * For a run of so many nodes.
+     * Setup for a run.
      *
-     * @param keeps whether they keep snapshots
-     * @param asks whether they ask each other
+     * @param nodes number of nodes, from 1
+     * @param keepsSnapshots whether they keep snapshots
+     * @param asksPeers whether they ask each other for state
      */
-    StateKeepingNodes(int nodes, boolean keeps, boolean asks) {
+    StateKeepingNodes(int nodes, boolean keepsSnapshots, boolean asksPeers) {
         this.nodes = nodes;
-        this.keepsSnapshots = keeps;
-        this.asksPeers = asks;
+        this.keepsSnapshots = keepsSnapshots;
+        this.asksPeers = asksPeers;
     }
 
-    /** As a seed has it: half of all later starts are given no list. */
+    /** The setup of {@code --recovery}: by the seed, half of the starts after the first have no server list. */
     static StateKeepingNodes of(Plan plan) {
         return new StateKeepingNodes(plan.nodes(), true, true) {
             @Override
@@ -68,27 +69,27 @@
         return NodeHooks.NONE;
     }
 
-    /** What lies on a machine's disk, in pieces; null for nothing. */
+    /** The chunks of the snapshot on a machine's disk; null for none. */
     List<byte[]> onDisk(int number) {
         return disks.get(number);
     }
 
-    void putOnDisk(int number, List<byte[]> pieces) {
-        disks.put(number, pieces);
+    void putOnDisk(int number, List<byte[]> chunks) {
+        disks.put(number, chunks);
     }
 
     private static InetSocketAddress address(int number) {
         return new InetSocketAddress(NodeProcess.addressOf(number).getAddress(), HANDOVER_PORT);
     }
 
-    /** Whether this start of a node's asks the others. */
+    /** Whether this start of the node, counted from 1, asks its peers. */
     boolean asksPeers(int number, int start) {
         return asksPeers;
     }
 
     @Override
     public NodeLifecycle lifecycle(NodeProcess.Start start) {
-        List<InetSocketAddress> others = IntStream.range(0, asksPeers(start.number(), start.start()) ? nodes : 0)
+        List<InetSocketAddress> peers = IntStream.range(0, asksPeers(start.number(), start.start()) ? nodes : 0)
                 .filter(n -> n != start.number())
                 .mapToObj(StateKeepingNodes::address)
                 .toList();
@@ -98,13 +99,13 @@
                 rules(),
                 IDENTITY_PATH,
                 asksPeers ? address(start.number()) : null,
-                others,
+                peers,
                 null,
                 WAIT_MS,
                 WITHIN_MS);
-        SnapshotKeeper keeper = pieces -> {
-            disks.put(start.number(), List.copyOf(pieces));
-            return pieces.stream().mapToLong(p -> p.length).sum();
+        SnapshotKeeper keeper = chunks -> {
+            disks.put(start.number(), List.copyOf(chunks));
+            return chunks.stream().mapToLong(chunk -> chunk.length).sum();
         };
         return new Recovery(
                 settings,
@@ -124,22 +125,22 @@
     }
 
     private Snapshot read(int number) {
-        List<byte[]> pieces = disks.get(number);
-        if (pieces == null) {
+        List<byte[]> chunks = disks.get(number);
+        if (chunks == null) {
             return null;
         }
-        ChunkAssembler assembly = new ChunkAssembler();
+        ChunkAssembler assembler = new ChunkAssembler();
         try {
-            for (byte[] piece : pieces) {
-                assembly.add(ChunkCodec.read(piece));
+            for (byte[] chunk : chunks) {
+                assembler.add(ChunkCodec.read(chunk));
             }
         } catch (MalformedSnapshotException e) {
-            throw new IllegalStateException("a node wrote what it can't read", e);
+            throw new IllegalStateException("a node can't read the snapshot that it wrote", e);
         }
-        return assembly.isComplete() ? assembly.snapshot() : null;
+        return assembler.isComplete() ? assembler.snapshot() : null;
     }
 
-    /** The same bytes in the same run. */
+    /** A random source that gives the same bytes in the same run. */
     private static final class SeededRandom extends SecureRandom {
         private static final long serialVersionUID = 1L;
         private final transient SplittableRandom random;
--- a/src/main/java/vetchpost/simulation/Trace.java
+++ b/src/main/java/vetchpost/simulation/Trace.java
@@ -6,16 +6,19 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What has happened, in order: its digest, the last of it, and all of it where somebody wants to read it. */
+/**
+ * The events of a run: keeps their digest and the last of them, and writes all to a file if one is given. The
+ * digest shows whether two runs had the same events.
+ */
 final class Trace {
     private static final int MAX_LAST_EVENTS = 40;
     private static final long FNV_PRIME = 0x100000001B3L;
 
-    /** One event; put into words only where it is read. */
-    private record Line(long atNs, String what, String who, String detail, long number) {
+    /** One event; formatted only when it is read. */
+    private record Line(long atNs, String event, String subject, String detail, long number) {
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "%10.6f %-9s %s %s %d", atNs / 1e9, what, who, detail, number);
+            return String.format(Locale.ROOT, "%10.6f %-9s %s %s %d", atNs / 1e9, event, subject, detail, number);
         }
     }
 
@@ -24,19 +27,19 @@
     private long digest = 0xCBF29CE484222325L;
     private long events;
 
-    /** Keeps all of it in this file too, if there is one. */
+    /** Also writes each event to {@code out}, unless it is null. */
     Trace(PrintWriter out) {
         this.out = out;
     }
 
-    void add(long atNs, String what, String who, String detail, long number) {
+    void add(long atNs, String event, String subject, String detail, long number) {
         mix(atNs);
-        mix(what.hashCode());
-        mix(who.hashCode());
+        mix(event.hashCode());
+        mix(subject.hashCode());
         mix(detail.hashCode());
         mix(number);
         events++;
-        Line line = new Line(atNs, what, who, detail, number);
+        Line line = new Line(atNs, event, subject, detail, number);
         lastEvents.add(line);
         if (lastEvents.size() > MAX_LAST_EVENTS) {
             lastEvents.poll();
@@ -59,7 +62,7 @@
         return events;
     }
 
-    /** The last events, a line each, the oldest first. */
+    /** The last events, one line each, oldest first. */
     List<String> lastEvents() {
         return lastEvents.stream().map(Line::toString).toList();
     }
