--- a/src/test/java/vetchpost/simulation/EventOrderTest.java
+++ b/src/test/java/vetchpost/simulation/EventOrderTest.java
@@ -29,49 +29,49 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aDrainNoticeInTheSameTickAsNewWork(boolean pushed) {
-        int toDrained = 0;
+        int sentAfterDrain = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, pushed);
             SimulatedServer drained = stage.servers.get(0);
-            int[] after = new int[1];
-            long[] toldNs = {Long.MAX_VALUE};
+            int[] sentAfterGrace = new int[1];
+            long[] graceOverNs = {Long.MAX_VALUE};
             stage.servers.get(0).script((end, request) -> {
-                after[0] += stage.time.nanoTime() > toldNs[0] ? 1 : 0;
+                sentAfterGrace[0] += stage.time.nanoTime() > graceOverNs[0] ? 1 : 0;
                 return false;
             });
             // All of it waits in the system's buffers for one turn of the loop.
             stage.node.pauseLoop(20);
             stage.discovery.changedNow(drained, "Terminating");
-            List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
+            List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                askers.add(i % 2 == 0 ? stage.order(WAIT_MS) : stage.view(WAIT_MS));
+                clients.add(i % 2 == 0 ? stage.order(WAIT_MS) : stage.view(WAIT_MS));
             }
             stage.runMs(20 + 600);
-            toldNs[0] = stage.time.nanoTime();
+            graceOverNs[0] = stage.time.nanoTime();
             for (int i = 0; i < 10; i++) {
-                askers.add(stage.view(WAIT_MS));
+                clients.add(stage.view(WAIT_MS));
             }
             stage.runMs(600);
             // All at once is more than one box is given: some are refused, and all answered.
-            askers.forEach(a -> assertEquals(1, a.answers.size()));
-            assertTrue(askers.stream().filter(a -> a.status() == 200).count() > 5);
-            toDrained += after[0];
+            clients.forEach(a -> assertEquals(1, a.answers.size()));
+            assertTrue(clients.stream().filter(a -> a.status() == 200).count() > 5);
+            sentAfterDrain += sentAfterGrace[0];
             stage.end();
             assertKept(stage, seed);
         }
-        assertEquals(0, toDrained, "sent to it past the grace");
+        assertEquals(0, sentAfterDrain, "sent to it past the grace");
     }
 
     /** Each box answers just when the node stops waiting, some steps before or after. */
     @ParameterizedTest
     @ValueSource(ints = {-2_000, -700, -300, -50, 0, 50, 300, 700, 2_000})
-    void anAnswerAroundItsTimeOut(int offUs) {
+    void anAnswerAroundItsTimeOut(int offsetUs) {
         int served = 0;
         int failed = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
             stage.script((end, request) -> {
-                long waitsNs = (Long.parseLong(request.field("x-remaining-ms")) * 1_000 + offUs) * 1_000;
+                long waitsNs = (Long.parseLong(request.field("x-remaining-ms")) * 1_000 + offsetUs) * 1_000;
                 stage.time.after(waitsNs - 400_000, () -> stage.serve(end, request));
                 return true;
             });
@@ -152,7 +152,7 @@
     /** More than the buffers of both sides hold, so that the last byte is never written. */
     @Test
     void aRequestHalfWrittenWhenItsBoxDies() {
-        int moved = 0;
+        int received = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
             // Only one of them takes anything in at first.
@@ -168,11 +168,11 @@
             for (SingleNodeScenario.TestClient order : orders) {
                 assertEquals(200, order.status(), "seed " + seed + ": what was half written never ran");
             }
-            moved += stage.receivedRequests.size();
+            received += stage.receivedRequests.size();
             stage.end();
             assertKept(stage, seed);
         }
-        assertEquals(6 * SEEDS, moved, "each ran once");
+        assertEquals(6 * SEEDS, received, "each ran once");
     }
 
     /** Its request is half written when the box says something that is no answer: it never ran there. */
@@ -181,10 +181,10 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
             for (int i = 0; i < 2; i++) {
-                boolean rude = i == 0;
-                SimulatedServer box = stage.servers.get(i);
-                box.stopReading(rude ? 10_000 : 60);
-                box.script(new SimulatedServer.Script() {
+                boolean isMalformed = i == 0;
+                SimulatedServer server = stage.servers.get(i);
+                server.stopReading(isMalformed ? 10_000 : 60);
+                server.script(new SimulatedServer.Script() {
                     @Override
                     public boolean handle(SimulatedSocket end, Message request) {
                         stage.receivedRequests.add(request);
@@ -193,7 +193,7 @@
 
                     @Override
                     public void connected(SimulatedSocket end) {
-                        if (rude) {
+                        if (isMalformed) {
                             stage.time.after(
                                     30 * SingleNodeScenario.MS,
                                     () -> end.put("no answer\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
@@ -221,23 +221,23 @@
             SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
             stage.servers.get(0).stopReading(200);
             stage.servers.get(1).slow(30, 5_000);
-            List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
+            List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 // Waiting, dialling, written, at work, answered, left, and still on its way.
-                SingleNodeScenario.TestClient asker =
+                SingleNodeScenario.TestClient client =
                         i % 3 == 0 ? stage.order(WAIT_MS) : i % 3 == 1 ? stage.photo(WAIT_MS) : stage.view(WAIT_MS);
                 if (i % 7 == 0) {
-                    stage.time.after(30 * SingleNodeScenario.MS, asker::leave);
+                    stage.time.after(30 * SingleNodeScenario.MS, client::leave);
                 } else {
-                    askers.add(asker);
+                    clients.add(client);
                 }
                 stage.runMs(2);
             }
             stage.node.stop();
-            askers.add(stage.view(WAIT_MS));
+            clients.add(stage.view(WAIT_MS));
             stage.runMs(9_000);
-            for (SingleNodeScenario.TestClient asker : askers) {
-                assertEquals(1, asker.answers.size(), "seed " + seed);
+            for (SingleNodeScenario.TestClient client : clients) {
+                assertEquals(1, client.answers.size(), "seed " + seed);
             }
             assertKept(stage, seed);
         }
@@ -274,10 +274,10 @@
             stage.discovery.changedNow(stage.servers.get(1), "Terminating");
             stage.runMs(3_000);
             int before = stage.receivedRequests.size();
-            int[] wrong = new int[1];
+            int[] sentToDrained = new int[1];
             for (int i = 0; i < 2; i++) {
                 stage.servers.get(i).script((end, request) -> {
-                    wrong[0]++;
+                    sentToDrained[0]++;
                     return false;
                 });
             }
@@ -288,7 +288,7 @@
             }
             stage.runMs(WAIT_MS);
             views.forEach(v -> assertEquals(200, v.status()));
-            assertEquals(0, wrong[0], "seed " + seed + ": a drain told in the new watch was not taken in");
+            assertEquals(0, sentToDrained[0], "seed " + seed + ": a drain told in the new watch was not taken in");
             assertEquals(before + 20, stage.receivedRequests.size());
             stage.end();
             assertKept(stage, seed);
@@ -298,7 +298,7 @@
     /** They wait in the module while the loop is held up; what lets them go comes before their end. */
     @Test
     void clientsThatLeaveWhileTheLoopIsHeldUp() {
-        int left = 0;
+        int abandoned = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false, 100);
             List<Runnable> answers = new ArrayList<>();
@@ -306,22 +306,22 @@
                 answers.add(() -> stage.serve(end, request));
                 return true;
             });
-            List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
+            List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                askers.add(i % 2 == 0 ? stage.view(5_000) : stage.order(5_000));
+                clients.add(i % 2 == 0 ? stage.view(5_000) : stage.order(5_000));
             }
             stage.runMs(20);
             stage.node.pauseLoop(450 + (int) (seed * 10 % 400));
             stage.runMs(1);
             List.copyOf(answers).forEach(Runnable::run);
             stage.runMs(seed % 7);
-            askers.forEach(SingleNodeScenario.TestClient::leave);
+            clients.forEach(SingleNodeScenario.TestClient::leave);
             stage.runMs(2_500);
-            left += stage.checker.abandonedCount();
+            abandoned += stage.checker.abandonedCount();
             stage.end();
             assertKept(stage, seed);
         }
-        assertTrue(left > 10 * SEEDS, "cases: " + left);
+        assertTrue(abandoned > 10 * SEEDS, "cases: " + abandoned);
     }
 
     /** Whenever it falls silent between two of its lines, whatever time passes until the first change; and
@@ -361,8 +361,8 @@
             SingleNodeScenario.TestClient photo = stage.photo(WAIT_MS);
             SingleNodeScenario.TestClient view = stage.view(WAIT_MS);
             stage.runMs(2 * WAIT_MS);
-            for (SingleNodeScenario.TestClient asker : List.of(order, photo, view)) {
-                assertEquals(1, asker.answers.size(), "seed " + seed + ": one answer, by its deadline");
+            for (SingleNodeScenario.TestClient client : List.of(order, photo, view)) {
+                assertEquals(1, client.answers.size(), "seed " + seed + ": one answer, by its deadline");
             }
             assertEquals(502, order.status(), "an order that may run has failed, and no more");
             assertEquals(
@@ -399,16 +399,16 @@
             replaced.start(true);
             stage.discovery.changedNow(replaced, "Ready");
             stage.runMs(100);
-            int[] cold = new int[1];
+            int[] sentToCold = new int[1];
             replaced.script((end, request) -> {
-                cold[0]++;
+                sentToCold[0]++;
                 return false;
             });
             for (int i = 0; i < 400; i++) {
                 stage.view(WAIT_MS);
                 stage.runMs(3);
             }
-            assertTrue(cold[0] < 30, "seed " + seed + ": sent " + cold[0] + " of 400");
+            assertTrue(sentToCold[0] < 30, "seed " + seed + ": sent " + sentToCold[0] + " of 400");
             stage.end();
             assertKept(stage, seed);
         }
--- a/src/test/java/vetchpost/simulation/FirstMinuteTest.java
+++ b/src/test/java/vetchpost/simulation/FirstMinuteTest.java
@@ -45,8 +45,8 @@
         SplittableRandom random = new SplittableRandom(seed * 977 + 3);
         List<Fault> faults = new ArrayList<>();
         long endMs = RESTART_MS + RESTART_DURATION_MS + MINUTE_MS;
-        int ill = 2 + random.nextInt(4);
-        for (int i = 0; i < ill; i++) {
+        int faultyServers = 2 + random.nextInt(4);
+        for (int i = 0; i < faultyServers; i++) {
             long atMs = 12_000 + random.nextInt(6_000);
             Fault.Kind kind = switch (random.nextInt(4)) {
                 case 0 -> Fault.Kind.SLOW;
@@ -65,10 +65,10 @@
         return new Plan(seed, NODES, SERVERS, 3, false, 100, endMs, 30 + random.nextInt(40), 2, faults, null);
     }
 
-    private static int[] run(int seeds, Supplier<NodeProcess.Setup> planting, LongFunction<Plan> plans) {
+    private static int[] run(int seeds, Supplier<NodeProcess.Setup> setup, LongFunction<Plan> plans) {
         return IntStream.rangeClosed(1, seeds)
                 .parallel()
-                .map(seed -> unsatisfiedCount(Simulation.run(plans.apply(seed), planting.get(), null)))
+                .map(seed -> unsatisfiedCount(Simulation.run(plans.apply(seed), setup.get(), null)))
                 .toArray();
     }
 
@@ -93,11 +93,11 @@
     }
 
     /** Nodes that ask each other at the beginning, so that all is the same up to the restart. */
-    private static Supplier<NodeProcess.Setup> askingPeers(boolean again) {
+    private static Supplier<NodeProcess.Setup> askingPeers(boolean afterRestart) {
         return () -> new StateKeepingNodes(NODES, false, true) {
             @Override
             boolean asksPeers(int number, int start) {
-                return again || start == 1;
+                return afterRestart || start == 1;
             }
         };
     }
@@ -105,8 +105,8 @@
     /** Two boxes of three fail for the last seconds before the restart, and are well just as it is over. */
     private static Plan massFailure(long seed) {
         List<Fault> faults = new ArrayList<>();
-        for (int box = 0; box < 8; box++) {
-            faults.add(new Fault(RESTART_MS - 3_000, Fault.Kind.SLOW, box, 3_000 + RESTART_DURATION_MS - 300, 12));
+        for (int server = 0; server < 8; server++) {
+            faults.add(new Fault(RESTART_MS - 3_000, Fault.Kind.SLOW, server, 3_000 + RESTART_DURATION_MS - 300, 12));
         }
         faults.add(new Fault(RESTART_MS, Fault.Kind.CRASH, 1, RESTART_DURATION_MS, 0));
         return new Plan(
@@ -136,10 +136,10 @@
     @Test
     void whoRemembersDoesBetterInItsFirstMinute() {
         int[] cold = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, false, false), FirstMinuteTest::plan);
-        int[] kept = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, true, false), FirstMinuteTest::plan);
-        String figures = compare("file", cold, kept);
-        assertTrue(mean(kept) < mean(cold) - 1.5, figures);
-        assertTrue(worst(cold, kept) <= MAX_RANDOM_DIFFERENCE, figures);
+        int[] warm = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, true, false), FirstMinuteTest::plan);
+        String figures = compare("file", cold, warm);
+        assertTrue(mean(warm) < mean(cold) - 1.5, figures);
+        assertTrue(worst(cold, warm) <= MAX_RANDOM_DIFFERENCE, figures);
     }
 
     @Test
--- a/src/test/java/vetchpost/simulation/InjectedFaults.java
+++ b/src/test/java/vetchpost/simulation/InjectedFaults.java
@@ -42,18 +42,18 @@
         Balancer wrapBalancer(Settings settings, Balancer real, Actions actions, SimLoop loop) {
             return new DelegatingBalancer(real) {
                 @Override
-                public void onOutcome(long now, Outcome o) {
-                    Result told = o.result() == Result.RESET ? Result.CONNECT_FAILED : o.result();
+                public void onOutcome(long now, Outcome outcome) {
+                    Result reported = outcome.result() == Result.RESET ? Result.CONNECT_FAILED : outcome.result();
                     super.onOutcome(
                             now,
                             new Outcome(
-                                    o.requestId(),
-                                    o.attempt(),
-                                    told,
-                                    o.latencyUs(),
-                                    o.requestEnded(),
-                                    o.report(),
-                                    o.loopDelayUs()));
+                                    outcome.requestId(),
+                                    outcome.attempt(),
+                                    reported,
+                                    outcome.latencyUs(),
+                                    outcome.requestEnded(),
+                                    outcome.report(),
+                                    outcome.loopDelayUs()));
                 }
             };
         }
@@ -253,8 +253,8 @@
         return new NodeHooks() {
             @Override
             public Balancer createBalancer(Settings settings, long seed, Actions real) {
-                Actions planted = wrapActions(real);
-                return wrapBalancer(settings, new ServiceQBalancer(settings, seed, planted), planted, loop);
+                Actions wrapped = wrapActions(real);
+                return wrapBalancer(settings, new ServiceQBalancer(settings, seed, wrapped), wrapped, loop);
             }
         };
     }
@@ -323,8 +323,8 @@
             return new DelegatingBalancer(new ServiceQBalancer(settings, seed, new DelegatingActions(real) {
                 @Override
                 public void send(long requestId, String serverId, long untilUs) {
-                    boolean floods = coldest != null && pages.contains(requestId) && nowUs < startedUs + FOR_US;
-                    super.send(requestId, floods ? coldest : serverId, untilUs);
+                    boolean isRedirected = coldest != null && pages.contains(requestId) && nowUs < startedUs + FOR_US;
+                    super.send(requestId, isRedirected ? coldest : serverId, untilUs);
                 }
             })) {
                 @Override
@@ -444,8 +444,8 @@
         }
 
         @Override
-        public Attempt send(String serverId, OutgoingRequest sending) {
-            return real.send(serverId, sending);
+        public Attempt send(String serverId, OutgoingRequest outgoing) {
+            return real.send(serverId, outgoing);
         }
 
         @Override
@@ -460,7 +460,7 @@
     }
 
     /** A request as it is sent, with another ear for its end. */
-    private record ObservedRequest(ServerTransport.OutgoingRequest real, ServerTransport.AttemptListener ear)
+    private record ObservedRequest(ServerTransport.OutgoingRequest real, ServerTransport.AttemptListener listener)
             implements ServerTransport.OutgoingRequest {
         @Override
         public ClientRequest request() {
@@ -474,7 +474,7 @@
 
         @Override
         public void onEnded(Result result, ServerResponse answer) {
-            ear.onEnded(result, answer);
+            listener.onEnded(result, answer);
         }
     }
 
@@ -487,10 +487,10 @@
         }
 
         @Override
-        public Attempt send(String serverId, OutgoingRequest sending) {
-            Attempt attempt = super.send(serverId, sending);
+        public Attempt send(String serverId, OutgoingRequest outgoing) {
+            Attempt attempt = super.send(serverId, outgoing);
             if (++sent % 100 == 0) {
-                super.send(serverId, new ObservedRequest(sending, (result, answer) -> {}));
+                super.send(serverId, new ObservedRequest(outgoing, (result, answer) -> {}));
             }
             return attempt;
         }
@@ -505,12 +505,12 @@
         }
 
         @Override
-        public Attempt send(String serverId, OutgoingRequest sending) {
-            return super.send(serverId, new ObservedRequest(sending, (result, answer) -> {
+        public Attempt send(String serverId, OutgoingRequest outgoing) {
+            return super.send(serverId, new ObservedRequest(outgoing, (result, answer) -> {
                 if (result == Result.OK) {
                     last.add(answer);
                 }
-                sending.onEnded(
+                outgoing.onEnded(
                         result, result == Result.OK && last.size() % 50 == 0 ? last.get(last.size() - 2) : answer);
             }));
         }
--- a/src/test/java/vetchpost/simulation/InjectedFaultsTest.java
+++ b/src/test/java/vetchpost/simulation/InjectedFaultsTest.java
@@ -14,15 +14,15 @@
 
     @ParameterizedTest
     @EnumSource
-    void everyPlantedFaultIsCaught(InjectedFaults planted) {
+    void everyPlantedFaultIsCaught(InjectedFaults fault) {
         Result caught = null;
         for (long seed = 1; seed <= SEEDS && caught == null; seed++) {
-            Result result = Simulation.run(Plan.of(seed), planted, null);
+            Result result = Simulation.run(Plan.of(seed), fault, null);
             caught = result.isGood() ? null : result;
         }
-        assertNotNull(caught, planted + " escapes");
-        System.out.println(planted + " is caught by seed " + caught.seed() + ": "
+        assertNotNull(caught, fault + " escapes");
+        System.out.println(fault + " is caught by seed " + caught.seed() + ": "
                 + caught.violation().description());
-        assertEquals(planted.rule, caught.violation().rule(), caught.violation().description());
+        assertEquals(fault.rule, caught.violation().rule(), caught.violation().description());
     }
 }
--- a/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
@@ -44,30 +44,30 @@
         assertNoneBreaksARule(new Subsets(0));
     }
 
-    private static void assertNoneBreaksARule(Subsets parts) throws Exception {
-        Seeds.assertNoneBreaksARule(SEEDS, seed -> Simulation.run(plan(seed), parts, null));
+    private static void assertNoneBreaksARule(Subsets setup) throws Exception {
+        Seeds.assertNoneBreaksARule(SEEDS, seed -> Simulation.run(plan(seed), setup, null));
     }
 
     /** The boxes that one wrong list leaves out go on being asked: the next list names them. */
     @Test
     void oneShrunkenListCostsNothing() {
         SingleNodeScenario stage = new SingleNodeScenario(3, 40, 1, true);
-        int[] toOthers = new int[1];
-        for (SimulatedServer box : stage.servers.subList(4, 40)) {
-            box.script((end, request) -> {
-                toOthers[0]++;
+        int[] sentToOmitted = new int[1];
+        for (SimulatedServer server : stage.servers.subList(4, 40)) {
+            server.script((end, request) -> {
+                sentToOmitted[0]++;
                 return false;
             });
         }
         stage.discovery.shrinkOneList();
-        List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
+        List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            askers.add(stage.view(300));
+            clients.add(stage.view(300));
             stage.runMs(3);
         }
         stage.runMs(400);
-        assertTrue(toOthers[0] > 70, "only " + toOthers[0] + " to those that were left out");
-        askers.forEach(a -> assertEquals(200, a.status()));
+        assertTrue(sentToOmitted[0] > 70, "only " + sentToOmitted[0] + " to those that were left out");
+        clients.forEach(a -> assertEquals(200, a.status()));
         stage.end();
         assertEquals(List.of(), stage.violations);
     }
@@ -78,10 +78,10 @@
         SingleNodeScenario stage = new SingleNodeScenario(3, 40, 1, true);
         stage.discovery.shrinkLists(10_000);
         stage.runMs(500);
-        int[] toOthers = new int[1];
-        for (SimulatedServer box : stage.servers.subList(4, 40)) {
-            box.script((end, request) -> {
-                toOthers[0]++;
+        int[] sentToOmitted = new int[1];
+        for (SimulatedServer server : stage.servers.subList(4, 40)) {
+            server.script((end, request) -> {
+                sentToOmitted[0]++;
                 return false;
             });
         }
@@ -89,7 +89,7 @@
             stage.view(300);
             stage.runMs(20);
         }
-        assertEquals(0, toOthers[0]);
+        assertEquals(0, sentToOmitted[0]);
         stage.end();
         assertEquals(List.of(), stage.violations);
     }
@@ -111,32 +111,32 @@
     @Test
     void aNodeWhosePartIsDeadTurnsToOthers() {
         SingleNodeScenario stage = new SingleNodeScenario(5, 40, 10, new Subsets(4));
-        Set<SimulatedServer> asked = new HashSet<>();
-        for (SimulatedServer box : stage.servers) {
-            box.script((end, request) -> {
-                asked.add(box);
+        Set<SimulatedServer> used = new HashSet<>();
+        for (SimulatedServer server : stage.servers) {
+            server.script((end, request) -> {
+                used.add(server);
                 return false;
             });
         }
         askFor(stage, 300);
-        assertEquals(4, asked.size(), "a rack, and no more");
-        List.copyOf(asked).forEach(SimulatedServer::kill);
+        assertEquals(4, used.size(), "a rack, and no more");
+        List.copyOf(used).forEach(SimulatedServer::kill);
         askFor(stage, 1_500);
-        asked.clear();
-        List<SingleNodeScenario.TestClient> askers = askFor(stage, 600);
-        askers.forEach(a -> assertEquals(200, a.status()));
-        assertTrue(asked.size() >= 4, asked.size() + " others");
+        used.clear();
+        List<SingleNodeScenario.TestClient> clients = askFor(stage, 600);
+        clients.forEach(a -> assertEquals(200, a.status()));
+        assertTrue(used.size() >= 4, used.size() + " others");
         stage.end();
         assertEquals(List.of(), stage.violations);
     }
 
     private static List<SingleNodeScenario.TestClient> askFor(SingleNodeScenario stage, long ms) {
-        List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
+        List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
         for (long i = 0; i < ms; i += 10) {
-            askers.add(stage.view(300));
+            clients.add(stage.view(300));
             stage.runMs(10);
         }
         stage.runMs(300);
-        return askers;
+        return clients;
     }
 }
--- a/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
+++ b/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
@@ -35,24 +35,24 @@
     private static final class InForce implements NodeProcess.Setup {
         private final String text;
         private final boolean trusting;
-        private final boolean coreToo;
+        private final boolean hidesClientDeadline;
         private Settings settings;
 
-        InForce(String text, boolean trusting, boolean coreToo) {
+        InForce(String text, boolean trusting, boolean hidesClientDeadline) {
             this.text = text;
             this.trusting = trusting;
-            this.coreToo = coreToo;
+            this.hidesClientDeadline = hidesClientDeadline;
         }
 
         @Override
         public NodeHooks hooks(SimLoop loop) {
-            return trusting ? TrustingBalancer.hooks(coreToo) : NodeHooks.NONE;
+            return trusting ? TrustingBalancer.hooks(hidesClientDeadline) : NodeHooks.NONE;
         }
 
         @Override
-        public RoutePolicy routes(Settings given, long seed) {
-            settings = given;
-            return RouteFiles.policy(text, given, seed);
+        public RoutePolicy routes(Settings nodeSettings, long seed) {
+            settings = nodeSettings;
+            return RouteFiles.policy(text, nodeSettings, seed);
         }
     }
 
@@ -79,28 +79,29 @@
             KEYED_LATE | add-photo | attempt-timeout = "1300ms" | attempts = 2; attempt-timeout = "1s"
             KEYED_LATE | add-photo | copy-after = "1190ms"; jitter = 1 | copy-after = "550ms"; jitter = 1
             """)
-    void anEffectWouldHappenTwice(Rule rule, String cls, String bad, String good) {
-        InForce refused = new InForce("[class." + cls + "]\nattempts = 2\n" + bad.replace("; ", "\n"), true, false);
-        Violation done = firstOf(refused);
-        assertNotNull(done, "no seed breaks a rule with it");
-        assertEquals(Violation.Rule.TWICE, done.rule(), done.description());
-        assertTrue(RouteFiles.isRejected(refused.text, refused.settings, rule));
+    void anEffectWouldHappenTwice(Rule rule, String requestClass, String bad, String good) {
+        InForce rejectedFile =
+                new InForce("[class." + requestClass + "]\nattempts = 2\n" + bad.replace("; ", "\n"), true, false);
+        Violation violation = firstOf(rejectedFile);
+        assertNotNull(violation, "no seed breaks a rule with it");
+        assertEquals(Violation.Rule.TWICE, violation.rule(), violation.description());
+        assertTrue(RouteFiles.isRejected(rejectedFile.text, rejectedFile.settings, rule));
         // It is the file that breaks it, neither the module that trusts it nor the faults.
-        InForce accepted = new InForce("[class." + cls + "]\n" + good.replace("; ", "\n"), true, false);
-        assertNull(firstOf(accepted));
-        assertTrue(RouteFiles.isAccepted(accepted.text, accepted.settings));
+        InForce acceptedFile = new InForce("[class." + requestClass + "]\n" + good.replace("; ", "\n"), true, false);
+        assertNull(firstOf(acceptedFile));
+        assertTrue(RouteFiles.isAccepted(acceptedFile.text, acceptedFile.settings));
         // And the module in service guards the rule even then.
-        assertNull(firstOf(new InForce(refused.text, false, false)));
+        assertNull(firstOf(new InForce(rejectedFile.text, false, false)));
     }
 
     @Test
     void anAnswerWouldComeWhenItsClientHasLeft() {
-        InForce refused = new InForce("[class.place-order]\ntotal-timeout = \"5s\"", true, true);
-        Violation done = firstOf(refused);
-        assertNotNull(done, "no seed breaks a rule with it");
-        assertEquals(Violation.Rule.LOST, done.rule(), done.description());
-        assertTrue(RouteFiles.isRejected(refused.text, refused.settings, Rule.PAST_CLIENT));
-        assertNull(firstOf(new InForce(refused.text, true, false)), "the core in service guards the rule");
+        InForce rejectedFile = new InForce("[class.place-order]\ntotal-timeout = \"5s\"", true, true);
+        Violation violation = firstOf(rejectedFile);
+        assertNotNull(violation, "no seed breaks a rule with it");
+        assertEquals(Violation.Rule.LOST, violation.rule(), violation.description());
+        assertTrue(RouteFiles.isRejected(rejectedFile.text, rejectedFile.settings, Rule.PAST_CLIENT));
+        assertNull(firstOf(new InForce(rejectedFile.text, true, false)), "the core in service guards the rule");
     }
 
     private static SingleNodeScenario stage(String text, boolean trusting) {
--- a/src/test/java/vetchpost/simulation/RoutesTest.java
+++ b/src/test/java/vetchpost/simulation/RoutesTest.java
@@ -15,13 +15,13 @@
 class RoutesTest {
     private static final long WAIT_MS = 300;
 
-    private static SingleNodeScenario stage(int boxes, String routes) {
-        return new SingleNodeScenario(3, boxes, 1, false, routes);
+    private static SingleNodeScenario stage(int serverCount, String routes) {
+        return new SingleNodeScenario(3, serverCount, 1, false, routes);
     }
 
-    private static long count(SingleNodeScenario stage, String cls) {
+    private static long count(SingleNodeScenario stage, String requestClass) {
         return stage.receivedRequests.stream()
-                .filter(r -> r.start().contains(cls))
+                .filter(r -> r.start().contains(requestClass))
                 .count();
     }
 
@@ -110,17 +110,17 @@
     void beyondItsConcurrencyARouteRefusesAtOnceAndSaysWhenToComeBack() {
         SingleNodeScenario stage =
                 stage(4, "[[route]]\npath = \"/view-page/*\"\nconcurrency = 2\n" + "retry-after = \"250ms\"\n");
-        List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
+        List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
         stage.script((end, request) -> true);
         for (int i = 0; i < 5; i++) {
-            askers.add(stage.view(WAIT_MS));
+            clients.add(stage.view(WAIT_MS));
         }
         SingleNodeScenario.TestClient order = stage.order(WAIT_MS);
         stage.runMs(20);
-        List<SingleNodeScenario.TestClient> refused =
-                askers.stream().filter(a -> a.status() == 503).toList();
-        assertEquals(3, refused.size());
-        refused.forEach(a -> assertEquals("0.25", a.answers.get(0).field("retry-after")));
+        List<SingleNodeScenario.TestClient> rejected =
+                clients.stream().filter(a -> a.status() == 503).toList();
+        assertEquals(3, rejected.size());
+        rejected.forEach(a -> assertEquals("0.25", a.answers.get(0).field("retry-after")));
         assertEquals(0, order.status(), "another class has its own limits");
         stage.runMs(2 * WAIT_MS);
         stage.script((end, request) -> false);
@@ -166,14 +166,14 @@
                     "[class.view-page]\nattempts = " + (budget == 2 ? 1 : 4) + "\n"
                             + (budget == 1 ? "retry-budget = 0.1\n" : ""));
             stage.servers.forEach(b -> b.fail(0.6, 100_000));
-            List<SingleNodeScenario.TestClient> askers = new ArrayList<>();
+            List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 900; i++) {
-                askers.add(stage.view(WAIT_MS));
+                clients.add(stage.view(WAIT_MS));
                 stage.runMs(8);
             }
             stage.runMs(WAIT_MS);
             perRequest[budget] = stage.receivedRequests.size() / 900.0;
-            servedAtTheEnd[budget] = (int) askers.subList(600, 900).stream()
+            servedAtTheEnd[budget] = (int) clients.subList(600, 900).stream()
                     .filter(a -> a.status() == 200)
                     .count();
             end(stage);
--- a/src/test/java/vetchpost/simulation/SeedsTest.java
+++ b/src/test/java/vetchpost/simulation/SeedsTest.java
@@ -37,15 +37,15 @@
     @Test
     void theSameSeedGivesTheSameRun() {
         for (long seed = 1; seed <= 20; seed++) {
-            Result once = Simulation.run(Plan.of(seed));
-            Result again = Simulation.run(Plan.of(seed));
-            assertEquals(once.digest(), again.digest());
-            assertEquals(once.events(), again.events());
+            Result first = Simulation.run(Plan.of(seed));
+            Result second = Simulation.run(Plan.of(seed));
+            assertEquals(first.digest(), second.digest());
+            assertEquals(first.events(), second.events());
             Plan plan = Plan.of(seed);
-            AdmissionControlledNodes door = new AdmissionControlledNodes(loop -> NodeHooks.NONE);
+            AdmissionControlledNodes admissionControlled = new AdmissionControlledNodes(loop -> NodeHooks.NONE);
             assertEquals(
-                    Simulation.run(plan, door, null).digest(),
-                    Simulation.run(plan, door, null).digest());
+                    Simulation.run(plan, admissionControlled, null).digest(),
+                    Simulation.run(plan, admissionControlled, null).digest());
         }
     }
 }
--- a/src/test/java/vetchpost/simulation/SimulateCommandTest.java
+++ b/src/test/java/vetchpost/simulation/SimulateCommandTest.java
@@ -36,8 +36,8 @@
         return run(false, arguments);
     }
 
-    private int run(boolean watched, String... arguments) {
-        return new CommandLine(new SimulateCommand(watched))
+    private int run(boolean showsProgress, String... arguments) {
+        return new CommandLine(new SimulateCommand(showsProgress))
                 .setOut(new PrintWriter(out))
                 .setErr(new PrintWriter(err))
                 .execute(arguments);
@@ -73,12 +73,12 @@
         assertFalse(runs.haveAllPassed());
         assertEquals(Set.of(2L), runs.thrown().keySet());
         assertTrue(runs.summary().startsWith("3 seeds, 1 failed, "), runs.summary());
-        SeedRunException fault = assertThrows(
+        SeedRunException thrown = assertThrows(
                 SeedRunException.class,
                 () -> SeedRunException.withSeed(7, () -> {
                     throw new IllegalStateException("planted");
                 }));
-        assertTrue(fault.getMessage().startsWith("seed 7: "), fault.getMessage());
+        assertTrue(thrown.getMessage().startsWith("seed 7: "), thrown.getMessage());
     }
 
     /** Beyond 250 there were no addresses, and beyond that no runs. */
@@ -153,9 +153,9 @@
         for (long seed = 1; seed <= 5; seed++) {
             Plan plan =
                     PlanText.parse(Arrays.asList(PlanText.write(Plan.of(seed)).split("\n")));
-            Plan again = PlanText.parse(Arrays.asList(PlanText.write(plan).split("\n")));
-            assertEquals(plan, again);
-            assertEquals(Simulation.run(plan).digest(), Simulation.run(again).digest());
+            Plan reread = PlanText.parse(Arrays.asList(PlanText.write(plan).split("\n")));
+            assertEquals(plan, reread);
+            assertEquals(Simulation.run(plan).digest(), Simulation.run(reread).digest());
         }
     }
 
@@ -172,11 +172,12 @@
         Result first = Simulation.run(failing, InjectedFaults.RESENT_AFTER_RESET, null);
         assertEquals(Rule.TWICE, first.violation().rule());
         Shrinker shrinker = new Shrinker(p -> Simulation.run(p, InjectedFaults.RESENT_AFTER_RESET, null), Rule.TWICE);
-        Plan small = shrinker.shrink(failing);
-        Result still = Simulation.run(small, InjectedFaults.RESENT_AFTER_RESET, null);
-        assertEquals(Rule.TWICE, still.violation().rule());
-        assertTrue(small.faults().size() < failing.faults().size(), small.toString());
+        Plan shrunk = shrinker.shrink(failing);
+        Result shrunkResult = Simulation.run(shrunk, InjectedFaults.RESENT_AFTER_RESET, null);
+        assertEquals(Rule.TWICE, shrunkResult.violation().rule());
+        assertTrue(shrunk.faults().size() < failing.faults().size(), shrunk.toString());
         assertTrue(
-                still.requestsSent() < first.requestsSent() / 2, still.requestsSent() + " of " + first.requestsSent());
+                shrunkResult.requestsSent() < first.requestsSent() / 2,
+                shrunkResult.requestsSent() + " of " + first.requestsSent());
     }
 }
--- a/src/test/java/vetchpost/simulation/SingleNodeScenario.java
+++ b/src/test/java/vetchpost/simulation/SingleNodeScenario.java
@@ -75,37 +75,37 @@
     /** The routes of a file. */
     static RoutePolicy policy(String routes) {
         Settings settings = settings();
-        RouteValidation proof =
+        RouteValidation validation =
                 RouteValidator.validate(RouteFile.parse("routes.toml", routes).sections(), settings);
-        assertEquals(List.of(), proof.violations());
-        return new FileRoutePolicy(proof.table(), settings, 1);
+        assertEquals(List.of(), validation.violations());
+        return new FileRoutePolicy(validation.table(), settings, 1);
     }
 
-    private static RequestClass requestClass(String name, long giveUpMs, Idempotency repeat) {
-        return new RequestClass(name, 0, 0, 1_000 * giveUpMs, 1, 0, repeat, DeduplicationScope.ALL, 1_200_000, false);
+    private static RequestClass requestClass(String name, long timeoutMs, Idempotency repeat) {
+        return new RequestClass(name, 0, 0, 1_000 * timeoutMs, 1, 0, repeat, DeduplicationScope.ALL, 1_200_000, false);
     }
 
-    SingleNodeScenario(long seed, int boxCount, int racks, boolean pushed, String routes) {
-        this(seed, boxCount, racks, pushed);
+    SingleNodeScenario(long seed, int serverCount, int racks, boolean pushed, String routes) {
+        this(seed, serverCount, racks, pushed);
         node.setRoutes(policy(routes));
     }
 
-    SingleNodeScenario(long seed, int boxCount, int racks, boolean pushed) {
-        this(seed, boxCount, racks, pushed, 10);
+    SingleNodeScenario(long seed, int serverCount, int racks, boolean pushed) {
+        this(seed, serverCount, racks, pushed, 10);
     }
 
     /** With planted parts. */
-    SingleNodeScenario(long seed, int boxCount, int racks, NodeProcess.Setup planting) {
-        this(seed, boxCount, racks, false, 10, planting);
+    SingleNodeScenario(long seed, int serverCount, int racks, NodeProcess.Setup setup) {
+        this(seed, serverCount, racks, false, 10, setup);
     }
 
     /** With classes whose times are in proportion to so many milliseconds of work. */
-    SingleNodeScenario(long seed, int boxCount, int racks, boolean pushed, int workMs) {
-        this(seed, boxCount, racks, pushed, workMs, loop -> NodeHooks.NONE);
+    SingleNodeScenario(long seed, int serverCount, int racks, boolean pushed, int workMs) {
+        this(seed, serverCount, racks, pushed, workMs, loop -> NodeHooks.NONE);
     }
 
     private SingleNodeScenario(
-            long seed, int boxCount, int racks, boolean pushed, int workMs, NodeProcess.Setup planting) {
+            long seed, int serverCount, int racks, boolean pushed, int workMs, NodeProcess.Setup setup) {
         Tcp tcp = new Tcp(time, new SplittableRandom(seed));
         World world =
                 new World(seed, time, tcp, checker, new RequestClasses(workMs), (what, who, detail, number) -> {});
@@ -114,18 +114,18 @@
         client = tcp.host("client", Tap.NONE);
         Nodes nodes = new Nodes();
         discovery = new SimulatedDiscovery(world, nodes);
-        node = new NodeProcess(world, clients, discovery, planting, violations::add, pushed, 1, 0);
+        node = new NodeProcess(world, clients, discovery, setup, violations::add, pushed, 1, 0);
         nodes.add(node);
-        for (int i = 0; i < boxCount; i++) {
-            SimulatedServer box = new SimulatedServer(world, effects, i, i % racks, 2);
-            box.start(false);
-            box.script((end, request) -> {
+        for (int i = 0; i < serverCount; i++) {
+            SimulatedServer server = new SimulatedServer(world, effects, i, i % racks, 2);
+            server.start(false);
+            server.script((socket, request) -> {
                 receivedRequests.add(request);
                 return false;
             });
-            discovery.addServer(box);
-            node.addServer(box);
-            servers.add(box);
+            discovery.addServer(server);
+            node.addServer(server);
+            servers.add(server);
         }
         node.start();
         runMs(100);
@@ -133,9 +133,9 @@
 
     /** Has all boxes do so with each request. */
     void script(SimulatedServer.Script script) {
-        servers.forEach(box -> box.script((end, request) -> {
+        servers.forEach(server -> server.script((socket, request) -> {
             receivedRequests.add(request);
-            return script.handle(end, request);
+            return script.handle(socket, request);
         }));
     }
 
@@ -144,9 +144,9 @@
     }
 
     private void runUntilNs(long ns) {
-        boolean[] there = new boolean[1];
-        time.at(ns, () -> there[0] = true);
-        while (!there[0] && time.step()) {
+        boolean[] isOver = new boolean[1];
+        time.at(ns, () -> isOver[0] = true);
+        while (!isOver[0] && time.step()) {
             checker.afterStep();
         }
     }
@@ -168,38 +168,38 @@
     }
 
     /** Asks on a connection of its own. */
-    TestClient ask(String kind, RetryPolicy again, long remainingMs, int bodyBytes) {
+    TestClient ask(String kind, RetryPolicy retryPolicy, long remainingMs, int bodyBytes) {
         String txn = String.format(Locale.ROOT, "%016x", ++txns);
-        String body = "b".repeat(again == RetryPolicy.SAFE ? 0 : bodyBytes);
+        String body = "b".repeat(retryPolicy == RetryPolicy.SAFE ? 0 : bodyBytes);
         byte[] bytes = Message.bytes(
-                (again == RetryPolicy.SAFE ? "GET /" : "POST /") + kind + "/1 HTTP/1.1",
+                (retryPolicy == RetryPolicy.SAFE ? "GET /" : "POST /") + kind + "/1 HTTP/1.1",
                 "Host: b\r\nX-Txn: " + txn + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
-                        + (again == RetryPolicy.KEYED ? "Idempotency-Key: k" + txn + "\r\n" : "")
-                        + (again == RetryPolicy.SAFE ? "" : "Content-Length: " + body.length() + "\r\n"),
+                        + (retryPolicy == RetryPolicy.KEYED ? "Idempotency-Key: k" + txn + "\r\n" : "")
+                        + (retryPolicy == RetryPolicy.SAFE ? "" : "Content-Length: " + body.length() + "\r\n"),
                 body);
-        TestClient asker = new TestClient();
-        asker.socket = client.connect(new InetSocketAddress("10.0.0.1", 8443), () -> {
-            if (asker.socket.isOpen() && !asker.sent) {
-                asker.sent = true;
-                checker.expect(new ExpectedRequest(txn, again, time.nanoTime() + remainingMs * MS, 10 * MS));
-                write(asker.socket, bytes, 0);
+        TestClient testClient = new TestClient();
+        testClient.socket = client.connect(new InetSocketAddress("10.0.0.1", 8443), () -> {
+            if (testClient.socket.isOpen() && !testClient.sent) {
+                testClient.sent = true;
+                checker.expect(new ExpectedRequest(txn, retryPolicy, time.nanoTime() + remainingMs * MS, 10 * MS));
+                write(testClient.socket, bytes, 0);
             }
-            while (asker.socket.readable() > 0) {
-                asker.parser.feed(asker.socket.read(4_096));
+            while (testClient.socket.readable() > 0) {
+                testClient.parser.feed(testClient.socket.read(4_096));
             }
         });
-        return asker;
+        return testClient;
     }
 
-    private void write(SimulatedSocket end, byte[] bytes, int from) {
+    private void write(SimulatedSocket socket, byte[] bytes, int from) {
         int to;
         try {
-            to = from + end.write(Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + 4_096)));
+            to = from + socket.write(Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + 4_096)));
         } catch (IOException e) {
             return;
         }
         if (to < bytes.length) {
-            time.after(MS / 10, () -> write(end, bytes, to));
+            time.after(MS / 10, () -> write(socket, bytes, to));
         }
     }
 
@@ -216,10 +216,10 @@
     }
 
     /** Answers a request as a box would, and has the checker know. */
-    void serve(SimulatedSocket end, Message request) {
+    void serve(SimulatedSocket socket, Message request) {
         String body = "made for " + request.field("x-txn");
         checker.serverAnswers(request.field("x-txn"), body);
-        end.put(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+        socket.put(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
     }
 
--- a/src/test/java/vetchpost/simulation/StaleSnapshotTest.java
+++ b/src/test/java/vetchpost/simulation/StaleSnapshotTest.java
@@ -30,21 +30,22 @@
 
     /** Twelve of the boxes that run, and three that have been retired since. */
     private static List<byte[]> snapshot(long ageMs) {
-        long ms = World.EPOCH_MS - ageMs;
-        List<ServerRecord> boxes = new ArrayList<>();
+        long observedMs = World.EPOCH_MS - ageMs;
+        List<ServerRecord> servers = new ArrayList<>();
         for (int i = 0; i < LISTED; i++) {
-            boxes.add(box("s-" + i + "-0", "10.1.0." + (i + 1), i % 4, ms));
+            servers.add(box("s-" + i + "-0", "10.1.0." + (i + 1), i % 4, observedMs));
         }
         for (int i = 0; i < RETIRED; i++) {
-            boxes.add(box("s-" + (90 + i) + "-0", "10.1.0." + (200 + i), i, ms));
+            servers.add(box("s-" + (90 + i) + "-0", "10.1.0." + (200 + i), i, observedMs));
         }
-        return List.of(ChunkCodec.write(0, 1, new SnapshotOrigin(1, ms, ms - HOUR_MS, 40, Set.of()), List.of(), boxes));
+        return List.of(ChunkCodec.write(
+                0, 1, new SnapshotOrigin(1, observedMs, observedMs - HOUR_MS, 40, Set.of()), List.of(), servers));
     }
 
-    private static ServerRecord box(String id, String host, int rack, long ms) {
+    private static ServerRecord box(String id, String host, int rack, long observedMs) {
         return new ServerRecord(
                 new Target(id, new InetSocketAddress(host, 8443), "room", rack, ServerState.READY, 1, 0),
-                ms,
+                observedMs,
                 ConfirmationSource.LIST,
                 0,
                 null);
@@ -53,13 +54,13 @@
     /**
      * One node; discovery is silent for twelve seconds, in which two boxes are drained and one is replaced.
      */
-    private static Plan plan(long seed, long lengthMs) {
+    private static Plan plan(long seed, long durationMs) {
         List<Fault> faults = List.of(
                 new Fault(0, Fault.Kind.MUTE, 0, 12_000, 0),
                 new Fault(13_000, Fault.Kind.DRAIN, 3, 4_000, 0),
                 new Fault(4_000, Fault.Kind.DRAIN, 5, 6_000, 0),
                 new Fault(7_000, Fault.Kind.REPLACE, 7, 300, 0));
-        return new Plan(seed, 1, RUNNING, 4, false, 100, lengthMs, 40, 2, faults, null);
+        return new Plan(seed, 1, RUNNING, 4, false, 100, durationMs, 40, 2, faults, null);
     }
 
     private static NodeProcess.Setup starting(long ageMs) {
@@ -84,7 +85,7 @@
 
     @Test
     void anHourOldListServesNineInTenWithinTenSecondsWhileDiscoveryIsSilent() {
-        double[] shares = IntStream.rangeClosed(1, SEEDS)
+        double[] servedFractions = IntStream.rangeClosed(1, SEEDS)
                 .parallel()
                 .mapToDouble(seed -> {
                     Result result = run(plan(seed, 10_000), HOUR_MS);
@@ -92,8 +93,9 @@
                 })
                 .sorted()
                 .toArray();
-        System.err.println("served " + shares[0] + " " + shares[SEEDS / 2] + " " + shares[SEEDS - 1]);
-        assertTrue(shares[0] >= 0.9, "the worst seed served " + shares[0]);
+        System.err.println(
+                "served " + servedFractions[0] + " " + servedFractions[SEEDS / 2] + " " + servedFractions[SEEDS - 1]);
+        assertTrue(servedFractions[0] >= 0.9, "the worst seed served " + servedFractions[0]);
         Result without = run(plan(1, 10_000), -1);
         assertEquals(0, without.served(), "without a snapshot there is nobody to send to");
     }
--- a/src/test/java/vetchpost/simulation/TrustingBalancer.java
+++ b/src/test/java/vetchpost/simulation/TrustingBalancer.java
@@ -41,7 +41,7 @@
     }
 
     /** Nodes with such a module, and a core that takes the file's time in all for the client's, or not. */
-    static NodeHooks hooks(boolean coreToo) {
+    static NodeHooks hooks(boolean hidesClientDeadline) {
         return new NodeHooks() {
             @Override
             public Balancer createBalancer(Settings settings, long seed, Actions actions) {
@@ -49,21 +49,21 @@
             }
 
             @Override
-            public ClientRequest wrapRequest(ClientRequest r) {
-                long ever = Long.MAX_VALUE / 4;
-                return !coreToo
-                        ? r
+            public ClientRequest wrapRequest(ClientRequest real) {
+                long farDeadlineUs = Long.MAX_VALUE / 4;
+                return !hidesClientDeadline
+                        ? real
                         : new ClientRequest(
-                                r.id(),
-                                r.classIndex(),
-                                r.tenant(),
-                                ever,
-                                r.workUs(),
-                                r.retry(),
-                                r.method(),
-                                r.target(),
-                                r.headers(),
-                                r.body());
+                                real.id(),
+                                real.classIndex(),
+                                real.tenant(),
+                                farDeadlineUs,
+                                real.workUs(),
+                                real.retry(),
+                                real.method(),
+                                real.target(),
+                                real.headers(),
+                                real.body());
             }
         };
     }
@@ -97,31 +97,31 @@
 
     @Override
     public void onRequest(long now, Request request) {
-        PendingRequest taken = new PendingRequest(request);
-        pending.put(request.id(), taken);
-        if (!send(taken)) {
+        PendingRequest pendingRequest = new PendingRequest(request);
+        pending.put(request.id(), pendingRequest);
+        if (!send(pendingRequest)) {
             actions.fail(request.id());
             pending.remove(request.id());
             return;
         }
-        long copyUs = request.retryLimits().hedgeDelayUs();
-        if (copyUs > 0) {
-            at(now + copyUs, () -> again(taken));
+        long hedgeDelayUs = request.retryLimits().hedgeDelayUs();
+        if (hedgeDelayUs > 0) {
+            at(now + hedgeDelayUs, () -> again(pendingRequest));
         }
     }
 
     private boolean send(PendingRequest request) {
         boolean keyed = settings.classes.get(request.request.classIndex()).idempotency() == Idempotency.KEYED;
-        List<ServerEntry> all = new ArrayList<>(servers.values());
-        all.removeIf(s -> keyed && request.first != null && s.cell() != request.first.cell());
-        if (all.isEmpty()) {
+        List<ServerEntry> candidates = new ArrayList<>(servers.values());
+        candidates.removeIf(s -> keyed && request.first != null && s.cell() != request.first.cell());
+        if (candidates.isEmpty()) {
             return false;
         }
-        ServerEntry to = all.get(nextServer++ % all.size());
-        request.first = request.first == null ? to : request.first;
+        ServerEntry server = candidates.get(nextServer++ % candidates.size());
+        request.first = request.first == null ? server : request.first;
         request.attempts++;
         request.outstanding++;
-        actions.send(request.request.id(), to.id(), 0);
+        actions.send(request.request.id(), server.id(), 0);
         return true;
     }
 
--- a/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
+++ b/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
@@ -42,19 +42,19 @@
     private final List<SimulatedSocket> accepted = new ArrayList<>();
 
     private void runMs(long ms) {
-        boolean[] there = new boolean[1];
-        time.after(ms * MS, () -> there[0] = true);
-        while (!there[0] && time.step()) {
+        boolean[] isOver = new boolean[1];
+        time.after(ms * MS, () -> isOver[0] = true);
+        while (!isOver[0] && time.step()) {
             continue;
         }
     }
 
     private SimulatedSocket connected() {
         server.listen(SERVER, accepted::add);
-        SimulatedSocket end = client.connect(SERVER, null);
+        SimulatedSocket socket = client.connect(SERVER, null);
         runMs(50);
-        assertTrue(end.isOpen());
-        return end;
+        assertTrue(socket.isOpen());
+        return socket;
     }
 
     private static byte[] bytes(int size) {
@@ -67,52 +67,52 @@
 
     @Test
     void bytesComeInOrderAndInPieces() throws IOException {
-        SimulatedSocket end = connected();
+        SimulatedSocket socket = connected();
         byte[] sent = bytes(9_000);
         List<Integer> pieces = new ArrayList<>();
-        ByteArrayOutputStream got = new ByteArrayOutputStream();
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
         accepted.get(0).handler(() -> {
             byte[] some = accepted.get(0).read(1 << 20);
             pieces.add(some.length);
-            got.writeBytes(some);
+            received.writeBytes(some);
         });
         for (int at = 0; at < sent.length; at += 300) {
-            end.write(Arrays.copyOfRange(sent, at, at + 300));
+            socket.write(Arrays.copyOfRange(sent, at, at + 300));
         }
         runMs(200);
-        assertTrue(Arrays.equals(sent, got.toByteArray()));
+        assertTrue(Arrays.equals(sent, received.toByteArray()));
         assertTrue(pieces.stream().anyMatch(p -> p % 300 != 0), "never cut elsewhere: " + pieces);
     }
 
     @Test
     void aPeerThatDoesNotReadStopsItsWriter() throws IOException {
-        SimulatedSocket end = connected();
-        int taken = 0;
+        SimulatedSocket socket = connected();
+        int writtenBytes = 0;
         for (int i = 0; i < 100; i++) {
-            taken += end.write(new byte[4_096]);
+            writtenBytes += socket.write(new byte[4_096]);
             runMs(20);
         }
-        assertTrue(taken < 64 * 1024, "took " + taken);
-        int[] room = new int[1];
-        end.handler(() -> room[0]++);
+        assertTrue(writtenBytes < 64 * 1024, "took " + writtenBytes);
+        int[] writableEvents = new int[1];
+        socket.handler(() -> writableEvents[0]++);
         accepted.get(0).read(1 << 20);
         runMs(50);
-        assertTrue(room[0] > 0, "not told of room");
-        assertTrue(end.write(new byte[4_096]) > 0);
+        assertTrue(writableEvents[0] > 0, "not told of room");
+        assertTrue(socket.write(new byte[4_096]) > 0);
     }
 
     @Test
     void aMachineThatVanishesTakesWritesAndSaysNothing() throws IOException {
-        SimulatedSocket end = connected();
+        SimulatedSocket socket = connected();
         server.vanish();
-        assertEquals(100, end.write(new byte[100]));
+        assertEquals(100, socket.write(new byte[100]));
         SimulatedSocket second = client.connect(SERVER, null);
         runMs(10_000);
-        assertTrue(end.isOpen() && !end.isReset());
+        assertTrue(socket.isOpen() && !socket.isReset());
         assertFalse(second.isOpen() || second.isFailed(), "the second connection came up or was refused");
         server.reappear();
         runMs(100);
-        assertTrue(end.isReset(), "what was under way met a new process");
+        assertTrue(socket.isReset(), "what was under way met a new process");
     }
 
     @Test
@@ -120,21 +120,21 @@
         SimulatedSocket none = client.connect(SERVER, null);
         runMs(50);
         assertTrue(none.isFailed());
-        SimulatedSocket end = connected();
+        SimulatedSocket socket = connected();
         server.kill();
         runMs(50);
-        assertTrue(end.isReset());
-        assertThrows(IOException.class, () -> end.write(new byte[1]));
+        assertTrue(socket.isReset());
+        assertThrows(IOException.class, () -> socket.write(new byte[1]));
     }
 
     @Test
     void closingOnUnreadBytesResetsAndElseEnds() throws IOException {
-        SimulatedSocket end = connected();
-        end.write(new byte[10]);
+        SimulatedSocket socket = connected();
+        socket.write(new byte[10]);
         runMs(50);
         accepted.get(0).close();
         runMs(50);
-        assertTrue(end.isReset());
+        assertTrue(socket.isReset());
         SimulatedSocket other = client.connect(SERVER, null);
         runMs(50);
         accepted.get(1).put(new byte[3]);
@@ -144,59 +144,59 @@
         assertTrue(other.isAtEnd() && !other.isReset());
     }
 
-    private Channel connect(SimNetwork network, List<Object> seen) {
+    private Channel connect(SimNetwork network, List<Object> events) {
         return new Bootstrap()
                 .group(network.loop())
                 .channelFactory(network::newClientChannel)
                 .disableResolver()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 40)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new Recorder(seen))
+                .handler(new Recorder(events))
                 .connect(SERVER)
-                .addListener(f -> seen.add(f.isSuccess() ? "up" : f.cause().getClass()))
+                .addListener(f -> events.add(f.isSuccess() ? "up" : f.cause().getClass()))
                 .channel();
     }
 
     private static final class Recorder extends ChannelInboundHandlerAdapter {
-        private final List<Object> seen;
+        private final List<Object> events;
 
-        Recorder(List<Object> seen) {
-            this.seen = seen;
+        Recorder(List<Object> events) {
+            this.events = events;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf bytes = (ByteBuf) message;
-            seen.add(bytes.readableBytes());
+            events.add(bytes.readableBytes());
             bytes.release();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            seen.add("down");
+            events.add("down");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            seen.add(cause.getClass());
+            events.add(cause.getClass());
         }
     }
 
     @Test
     void aConnectIsRefusedOrRunsOutOfTime() {
         SimNetwork network = SimNetwork.of(tcp, "node", 1);
-        List<Object> seen = new ArrayList<>();
-        network.loop().run(() -> connect(network, seen));
+        List<Object> events = new ArrayList<>();
+        network.loop().run(() -> connect(network, events));
         runMs(20);
-        assertEquals(List.of(ConnectException.class), seen);
+        assertEquals(List.of(ConnectException.class), events);
         server.listen(SERVER, accepted::add);
         server.vanish();
-        seen.clear();
-        network.loop().run(() -> connect(network, seen));
+        events.clear();
+        network.loop().run(() -> connect(network, events));
         runMs(30);
-        assertEquals(List.of(), seen);
+        assertEquals(List.of(), events);
         runMs(30);
-        assertEquals(List.of(ConnectTimeoutException.class), seen);
+        assertEquals(List.of(ConnectTimeoutException.class), events);
         assertEquals(0, network.bufferedBytes());
         assertTrue(network.loop().isIdle());
     }
@@ -207,10 +207,10 @@
     void aWriteSucceedsOnlyWhenTheSystemHasTakenItsLastByte(boolean dies) {
         server.listen(SERVER, accepted::add);
         SimNetwork network = SimNetwork.of(tcp, "node", 1);
-        List<Object> seen = new ArrayList<>();
+        List<Object> events = new ArrayList<>();
         List<ChannelFuture> writes = new ArrayList<>();
         Channel[] channel = new Channel[1];
-        network.loop().run(() -> channel[0] = connect(network, seen));
+        network.loop().run(() -> channel[0] = connect(network, events));
         runMs(50);
         network.loop().run(() -> writes.add(channel[0].writeAndFlush(Unpooled.wrappedBuffer(bytes(100_000)))));
         runMs(200);
@@ -219,14 +219,14 @@
             server.kill();
             runMs(50);
             assertTrue(writes.get(0).isDone() && !writes.get(0).isSuccess());
-            assertTrue(seen.contains("down"), seen.toString());
+            assertTrue(events.contains("down"), events.toString());
         } else {
-            ByteArrayOutputStream got = new ByteArrayOutputStream();
-            accepted.get(0).handler(() -> got.writeBytes(accepted.get(0).read(1 << 20)));
-            got.writeBytes(accepted.get(0).read(1 << 20));
+            ByteArrayOutputStream received = new ByteArrayOutputStream();
+            accepted.get(0).handler(() -> received.writeBytes(accepted.get(0).read(1 << 20)));
+            received.writeBytes(accepted.get(0).read(1 << 20));
             runMs(500);
             assertTrue(writes.get(0).isSuccess());
-            assertTrue(Arrays.equals(bytes(100_000), got.toByteArray()));
+            assertTrue(Arrays.equals(bytes(100_000), received.toByteArray()));
         }
     }
 
@@ -253,12 +253,12 @@
                         })
                         .bind(SERVER));
         runMs(1);
-        SimulatedSocket end = client.connect(SERVER, null);
+        SimulatedSocket socket = client.connect(SERVER, null);
         runMs(50);
-        end.put("hello".getBytes());
+        socket.put("hello".getBytes());
         runMs(50);
-        assertEquals("hello", new String(end.read(10)));
-        end.close();
+        assertEquals("hello", new String(socket.read(10)));
+        socket.close();
         runMs(50);
         assertEquals(0, network.host().connectionCount(), "the node's end is still open");
         assertEquals(0, network.bufferedBytes());
