--- a/src/main/java/vetchpost/simulation/net/SimLoop.java
+++ b/src/main/java/vetchpost/simulation/net/SimLoop.java
@@ -157,8 +157,7 @@
         nextTurn = null;
         int channels = selector.ready.size();
         runNow();
-        busyUntilNs =
-                Math.max(busyUntilNs, time.nanoTime() + TURN_DURATION_NS + PER_CHANNEL_DURATION_NS * channels);
+        busyUntilNs = Math.max(busyUntilNs, time.nanoTime() + TURN_DURATION_NS + PER_CHANNEL_DURATION_NS * channels);
         if (!selector.ready.isEmpty()) {
             scheduleTurn(busyUntilNs);
         }
--- a/src/test/java/vetchpost/simulation/EventOrderTest.java
+++ b/src/test/java/vetchpost/simulation/EventOrderTest.java
@@ -16,14 +16,17 @@
 import vetchpost.simulation.wire.Message;
 import vetchpost.simulation.world.SimulatedServer;
 
-/** Orders of events that nobody can arrange by hand on real sockets, each over many seeds. */
+/**
+ * Orders of events that can't be arranged reliably on real sockets, each over many seeds. They guard against
+ * races between list changes, responses, timeouts, disconnects and restarts.
+ */
 @Timeout(300)
 class EventOrderTest {
     private static final int SEEDS = 60;
     private static final long WAIT_MS = 300;
 
-    private static void assertNoViolations(SingleNodeScenario stage, long seed) {
-        assertTrue(stage.violations.isEmpty(), () -> "seed " + seed + ": " + stage.violations);
+    private static void assertNoViolations(SingleNodeScenario scenario, long seed) {
+        assertTrue(scenario.violations.isEmpty(), () -> "seed " + seed + ": " + scenario.violations);
     }
 
     @ParameterizedTest
@@ -31,99 +34,99 @@
     void drainNoticeInTheSameTickAsNewRequestsIsObeyed(boolean pushed) {
         int sentAfterDrain = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, pushed);
-            SimulatedServer drained = stage.servers.get(0);
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, pushed);
+            SimulatedServer drained = scenario.servers.get(0);
             int[] sentAfterGrace = new int[1];
             long[] graceOverNs = {Long.MAX_VALUE};
-            stage.servers.get(0).script((end, request) -> {
-                sentAfterGrace[0] += stage.time.nanoTime() > graceOverNs[0] ? 1 : 0;
+            scenario.servers.get(0).script((end, request) -> {
+                sentAfterGrace[0] += scenario.time.nanoTime() > graceOverNs[0] ? 1 : 0;
                 return false;
             });
-            // All of it waits in the system's buffers for one turn of the loop.
-            stage.node.pauseLoop(20);
-            stage.discovery.changedNow(drained, "Terminating");
+            // Notice and requests wait in the receive buffers for the same turn of the event loop.
+            scenario.node.pauseLoop(20);
+            scenario.discovery.changedNow(drained, "Terminating");
             List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                clients.add(i % 2 == 0 ? stage.placeOrder(WAIT_MS) : stage.viewPage(WAIT_MS));
+                clients.add(i % 2 == 0 ? scenario.placeOrder(WAIT_MS) : scenario.viewPage(WAIT_MS));
             }
-            stage.runMs(20 + 600);
-            graceOverNs[0] = stage.time.nanoTime();
+            scenario.runMs(20 + 600);
+            graceOverNs[0] = scenario.time.nanoTime();
             for (int i = 0; i < 10; i++) {
-                clients.add(stage.viewPage(WAIT_MS));
+                clients.add(scenario.viewPage(WAIT_MS));
             }
-            stage.runMs(600);
-            // All at once is more than one box is given: some are refused, and all answered.
+            scenario.runMs(600);
+            // So many at once exceed what one server is given: some are rejected, and all are answered.
             clients.forEach(a -> assertEquals(1, a.answers.size()));
             assertTrue(clients.stream().filter(a -> a.status() == 200).count() > 5);
             sentAfterDrain += sentAfterGrace[0];
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
-        assertEquals(0, sentAfterDrain, "sent to it past the grace");
+        assertEquals(0, sentAfterDrain, "requests sent to the drained server after the grace period");
     }
 
-    /** Each box answers just when the node stops waiting, some steps before or after. */
+    /** Servers answer at the instant when the node stops waiting, or some microseconds before or after it. */
     @ParameterizedTest
     @ValueSource(ints = {-2_000, -700, -300, -50, 0, 50, 300, 700, 2_000})
     void aResponseAroundItsTimeoutGivesOneAnswer(int offsetUs) {
         int served = 0;
         int failed = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
-            stage.script((end, request) -> {
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
+            scenario.script((end, request) -> {
                 long waitsNs = (Long.parseLong(request.field("x-remaining-ms")) * 1_000 + offsetUs) * 1_000;
-                stage.time.after(waitsNs - 400_000, () -> stage.respond(end, request));
+                scenario.time.after(waitsNs - 400_000, () -> scenario.respond(end, request));
                 return true;
             });
-            SingleNodeScenario.TestClient order = stage.placeOrder(WAIT_MS);
-            SingleNodeScenario.TestClient view = stage.viewPage(WAIT_MS);
-            stage.runMs(2 * WAIT_MS);
+            SingleNodeScenario.TestClient order = scenario.placeOrder(WAIT_MS);
+            SingleNodeScenario.TestClient view = scenario.viewPage(WAIT_MS);
+            scenario.runMs(2 * WAIT_MS);
             assertEquals(1, order.answers.size(), "seed " + seed);
             assertEquals(1, view.answers.size(), "seed " + seed);
-            assertNotEquals(503, order.status(), "an order that may have run was refused");
+            assertNotEquals(503, order.status(), "an order that may have run was rejected");
             served += order.status() == 200 ? 1 : 0;
             failed += order.status() == 502 || order.status() == 504 ? 1 : 0;
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
         assertEquals(SEEDS, served + failed);
     }
 
     /**
-     * The loop is held up through both, between two turns, where channels come before timers, and in the
-     * midst of one, where the timer runs while the answer lies in the system unread.
+     * The event loop is paused over both. Between two turns, channels come before timers; within a turn, the
+     * timer runs while the response is unread in the receive buffer.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aResponseThatArrivedBeforeItsTimeoutIsServed(boolean inTurn) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
-            stage.script((end, request) -> {
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
+            scenario.script((end, request) -> {
                 long waitsMs = Long.parseLong(request.field("x-remaining-ms"));
-                stage.time.after((waitsMs - 5) * SingleNodeScenario.MS, () -> {
+                scenario.time.after((waitsMs - 5) * SingleNodeScenario.MS, () -> {
                     if (inTurn) {
-                        stage.node.pauseLoopInTurn(15);
+                        scenario.node.pauseLoopInTurn(15);
                     } else {
-                        stage.node.pauseLoop(15);
+                        scenario.node.pauseLoop(15);
                     }
-                    stage.respond(end, request);
+                    scenario.respond(end, request);
                 });
                 return true;
             });
-            SingleNodeScenario.TestClient order = stage.placeOrder(WAIT_MS);
-            stage.runMs(2 * WAIT_MS);
-            assertEquals(200, order.status(), "seed " + seed + ": the answer had come");
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            SingleNodeScenario.TestClient order = scenario.placeOrder(WAIT_MS);
+            scenario.runMs(2 * WAIT_MS);
+            assertEquals(200, order.status(), "seed " + seed + ": the response had arrived");
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
     }
 
     @Test
     void aResetAfterTheLastByteIsRetriedOnlyAsTheClassAllows() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 4, 2, false);
-            stage.script((end, request) -> {
-                if (stage.receivedRequests.stream()
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 4, 2, false);
+            scenario.script((end, request) -> {
+                if (scenario.receivedRequests.stream()
                                 .filter(r -> r.field("x-txn").equals(request.field("x-txn")))
                                 .count()
                         == 1) {
@@ -132,69 +135,69 @@
                 }
                 return false;
             });
-            SingleNodeScenario.TestClient order = stage.placeOrder(WAIT_MS);
-            SingleNodeScenario.TestClient photo = stage.addPhoto(WAIT_MS);
-            SingleNodeScenario.TestClient view = stage.viewPage(WAIT_MS);
-            stage.runMs(2 * WAIT_MS);
-            assertEquals(502, order.status(), "an order that may have run has failed, and no more");
-            assertEquals(200, photo.status(), "a photo goes to its rack again");
-            assertEquals(200, view.status(), "a page goes anywhere again");
+            SingleNodeScenario.TestClient order = scenario.placeOrder(WAIT_MS);
+            SingleNodeScenario.TestClient photo = scenario.addPhoto(WAIT_MS);
+            SingleNodeScenario.TestClient view = scenario.viewPage(WAIT_MS);
+            scenario.runMs(2 * WAIT_MS);
+            assertEquals(502, order.status(), "an order that may have run fails and isn't retried");
+            assertEquals(200, photo.status(), "a photo is retried in its rack");
+            assertEquals(200, view.status(), "a page is retried at any server");
             assertEquals(
                     1,
-                    stage.receivedRequests.stream()
+                    scenario.receivedRequests.stream()
                             .filter(r -> r.start().contains("place-order"))
                             .count());
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
     }
 
-    /** More than the buffers of both sides hold, so that the last byte is never written. */
+    /** The request exceeds the buffers of both ends, so its last byte is never written. */
     @Test
     void aRequestHalfWrittenWhenItsServerDiesIsRetried() {
         int received = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
-            // Only one of them takes anything in at first.
-            stage.servers.get(0).stopReading(10_000);
-            stage.servers.get(1).stopReading(60);
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
+            // Server 1 begins to read after 60 ms, server 0 never does.
+            scenario.servers.get(0).stopReading(10_000);
+            scenario.servers.get(1).stopReading(60);
             List<SingleNodeScenario.TestClient> orders = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                orders.add(stage.sendRequest("place-order", RetryPolicy.UNSAFE, 600, 64_000));
+                orders.add(scenario.sendRequest("place-order", RetryPolicy.UNSAFE, 600, 64_000));
             }
-            stage.runMs(50);
-            stage.servers.get(0).kill();
-            stage.runMs(900);
+            scenario.runMs(50);
+            scenario.servers.get(0).kill();
+            scenario.runMs(900);
             for (SingleNodeScenario.TestClient order : orders) {
                 assertEquals(200, order.status(), "seed " + seed + ": what was half written never ran");
             }
-            received += stage.receivedRequests.size();
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            received += scenario.receivedRequests.size();
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
         assertEquals(6 * SEEDS, received, "each ran once");
     }
 
-    /** Its request is half written when the box says something that is no answer: it never ran there. */
+    /** A request that is half written when the server sends malformed bytes never ran there, so it is retried. */
     @Test
     void aRequestHalfWrittenWhenItsServerSendsMalformedBytesIsRetried() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
             for (int i = 0; i < 2; i++) {
                 boolean isMalformed = i == 0;
-                SimulatedServer server = stage.servers.get(i);
+                SimulatedServer server = scenario.servers.get(i);
                 server.stopReading(isMalformed ? 10_000 : 60);
                 server.script(new SimulatedServer.Script() {
                     @Override
                     public boolean handle(SimulatedSocket end, Message request) {
-                        stage.receivedRequests.add(request);
+                        scenario.receivedRequests.add(request);
                         return false;
                     }
 
                     @Override
                     public void connected(SimulatedSocket end) {
                         if (isMalformed) {
-                            stage.time.after(
+                            scenario.time.after(
                                     30 * SingleNodeScenario.MS,
                                     () -> end.put("no answer\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
                         }
@@ -203,63 +206,65 @@
             }
             List<SingleNodeScenario.TestClient> orders = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                orders.add(stage.sendRequest("place-order", RetryPolicy.UNSAFE, 900, 64_000));
+                orders.add(scenario.sendRequest("place-order", RetryPolicy.UNSAFE, 900, 64_000));
             }
-            stage.runMs(1_200);
+            scenario.runMs(1_200);
             for (SingleNodeScenario.TestClient order : orders) {
                 assertEquals(200, order.status(), "seed " + seed + ": what was half written never ran");
             }
-            assertEquals(4, stage.receivedRequests.size(), "each ran once");
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            assertEquals(4, scenario.receivedRequests.size(), "each ran once");
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
     }
 
     @Test
     void sigtermAnswersRequestsInEveryState() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
-            stage.servers.get(0).stopReading(200);
-            stage.servers.get(1).slow(30, 5_000);
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
+            scenario.servers.get(0).stopReading(200);
+            scenario.servers.get(1).slow(30, 5_000);
             List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                // Waiting, dialling, written, at work, answered, left, and still on its way.
-                SingleNodeScenario.TestClient client =
-                        i % 3 == 0 ? stage.placeOrder(WAIT_MS) : i % 3 == 1 ? stage.addPhoto(WAIT_MS) : stage.viewPage(WAIT_MS);
+                // Queued, connecting, written, processing, answered, disconnected, and still on their way.
+                SingleNodeScenario.TestClient client = i % 3 == 0
+                        ? scenario.placeOrder(WAIT_MS)
+                        : i % 3 == 1 ? scenario.addPhoto(WAIT_MS) : scenario.viewPage(WAIT_MS);
                 if (i % 7 == 0) {
-                    stage.time.after(30 * SingleNodeScenario.MS, client::disconnect);
+                    scenario.time.after(30 * SingleNodeScenario.MS, client::disconnect);
                 } else {
                     clients.add(client);
                 }
-                stage.runMs(2);
+                scenario.runMs(2);
             }
-            stage.node.stop();
-            clients.add(stage.viewPage(WAIT_MS));
-            stage.runMs(9_000);
+            scenario.node.stop();
+            clients.add(scenario.viewPage(WAIT_MS));
+            scenario.runMs(9_000);
             for (SingleNodeScenario.TestClient client : clients) {
                 assertEquals(1, client.answers.size(), "seed " + seed);
             }
-            assertNoViolations(stage, seed);
+            assertNoViolations(scenario, seed);
         }
     }
 
-    /** Work that outlasts the time in which a node takes connections: it ends only when that is done. */
+    /** Requests outlast the time in which a stopping node accepts connections; it exits only when they are done. */
     @Test
     void sigtermWaitsForRequestsThatOutlastTheAcceptPeriod() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false, 100);
-            stage.script((end, request) -> {
-                stage.time.after(1_100 * SingleNodeScenario.MS, () -> stage.respond(end, request));
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false, 100);
+            scenario.script((end, request) -> {
+                scenario.time.after(1_100 * SingleNodeScenario.MS, () -> scenario.respond(end, request));
                 return true;
             });
-            List<SingleNodeScenario.TestClient> orders = List.of(stage.placeOrder(2_000), stage.placeOrder(2_000));
-            stage.runMs(20);
-            stage.node.stop();
-            stage.runMs(9_000);
+            List<SingleNodeScenario.TestClient> orders =
+                    List.of(scenario.placeOrder(2_000), scenario.placeOrder(2_000));
+            scenario.runMs(20);
+            scenario.node.stop();
+            scenario.runMs(9_000);
             for (SingleNodeScenario.TestClient order : orders) {
-                assertEquals(200, order.status(), "seed " + seed + ": it was at work when the node stopped");
+                assertEquals(200, order.status(), "seed " + seed + ": it was processing when the node was stopped");
             }
-            assertNoViolations(stage, seed);
+            assertNoViolations(scenario, seed);
         }
     }
 
@@ -267,115 +272,120 @@
     @ValueSource(booleans = {true, false})
     void aDrainSentInTheNextWatchIsObeyed(boolean pushed) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 4, 1, pushed);
-            stage.discovery.changedNow(stage.servers.get(0), "Terminating");
-            stage.runMs(10);
-            stage.discovery.breakWatches();
-            stage.discovery.changedNow(stage.servers.get(1), "Terminating");
-            stage.runMs(3_000);
-            int before = stage.receivedRequests.size();
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 4, 1, pushed);
+            scenario.discovery.changedNow(scenario.servers.get(0), "Terminating");
+            scenario.runMs(10);
+            scenario.discovery.breakWatches();
+            scenario.discovery.changedNow(scenario.servers.get(1), "Terminating");
+            scenario.runMs(3_000);
+            int before = scenario.receivedRequests.size();
             int[] sentToDrained = new int[1];
             for (int i = 0; i < 2; i++) {
-                stage.servers.get(i).script((end, request) -> {
+                scenario.servers.get(i).script((end, request) -> {
                     sentToDrained[0]++;
                     return false;
                 });
             }
             List<SingleNodeScenario.TestClient> views = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                views.add(stage.viewPage(WAIT_MS));
-                stage.runMs(5);
+                views.add(scenario.viewPage(WAIT_MS));
+                scenario.runMs(5);
             }
-            stage.runMs(WAIT_MS);
+            scenario.runMs(WAIT_MS);
             views.forEach(v -> assertEquals(200, v.status()));
-            assertEquals(0, sentToDrained[0], "seed " + seed + ": a drain told in the new watch was not taken in");
-            assertEquals(before + 20, stage.receivedRequests.size());
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            assertEquals(0, sentToDrained[0], "seed " + seed + ": a drain sent in the new watch was ignored");
+            assertEquals(before + 20, scenario.receivedRequests.size());
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
     }
 
-    /** They wait in the module while the loop is held up; what lets them go comes before their end. */
+    /**
+     * Requests wait in the balancer while the event loop is paused. The responses that let them go arrive before
+     * the disconnects.
+     */
     @Test
     void disconnectsDuringALoopPauseStopTheirRequests() {
         int abandoned = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false, 100);
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false, 100);
             List<Runnable> answers = new ArrayList<>();
-            stage.script((end, request) -> {
-                answers.add(() -> stage.respond(end, request));
+            scenario.script((end, request) -> {
+                answers.add(() -> scenario.respond(end, request));
                 return true;
             });
             List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                clients.add(i % 2 == 0 ? stage.viewPage(5_000) : stage.placeOrder(5_000));
+                clients.add(i % 2 == 0 ? scenario.viewPage(5_000) : scenario.placeOrder(5_000));
             }
-            stage.runMs(20);
-            stage.node.pauseLoop(450 + (int) (seed * 10 % 400));
-            stage.runMs(1);
+            scenario.runMs(20);
+            scenario.node.pauseLoop(450 + (int) (seed * 10 % 400));
+            scenario.runMs(1);
             List.copyOf(answers).forEach(Runnable::run);
-            stage.runMs(seed % 7);
+            scenario.runMs(seed % 7);
             clients.forEach(SingleNodeScenario.TestClient::disconnect);
-            stage.runMs(2_500);
-            abandoned += stage.checker.abandonedCount();
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            scenario.runMs(2_500);
+            abandoned += scenario.checker.abandonedCount();
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
         assertTrue(abandoned > 10 * SEEDS, "cases: " + abandoned);
     }
 
-    /** Whenever it falls silent between two of its lines, whatever time passes until the first change; and
-     * the next call waits in turn. */
+    /**
+     * The watch falls silent at any point between two heartbeats, a drain follows after any delay, and the next
+     * watch is answered late.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aDrainMissedByASilentWatchBreaksNoRule(boolean pushed) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 3, 1, pushed);
-            stage.runMs(seed * 37 % 2_000);
-            stage.discovery.silenceWatches();
-            stage.discovery.setCallDelay(1_500);
-            stage.runMs(seed * 91 % 3_000);
-            stage.discovery.changedNow(stage.servers.get(0), "Terminating");
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 3, 1, pushed);
+            scenario.runMs(seed * 37 % 2_000);
+            scenario.discovery.silenceWatches();
+            scenario.discovery.setCallDelay(1_500);
+            scenario.runMs(seed * 91 % 3_000);
+            scenario.discovery.changedNow(scenario.servers.get(0), "Terminating");
             List<SingleNodeScenario.TestClient> views = new ArrayList<>();
             for (int i = 0; i < 400; i++) {
-                views.add(stage.viewPage(WAIT_MS));
-                stage.runMs(20);
+                views.add(scenario.viewPage(WAIT_MS));
+                scenario.runMs(20);
             }
-            stage.runMs(WAIT_MS);
+            scenario.runMs(WAIT_MS);
             views.forEach(v -> assertEquals(200, v.status()));
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
     }
 
-    /** The first box asked takes in the whole request, of whatever class, and says nothing for good. */
+    /** The first server reads the whole request, of each class, and never answers. */
     @Test
     void aServerSilentAfterTheWholeRequestGivesOneAnswer() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 4, 2, false);
-            stage.script((end, request) -> stage.receivedRequests.stream()
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 4, 2, false);
+            scenario.script((end, request) -> scenario.receivedRequests.stream()
                             .filter(r -> r.field("x-txn").equals(request.field("x-txn")))
                             .count()
                     == 1);
-            SingleNodeScenario.TestClient order = stage.placeOrder(WAIT_MS);
-            SingleNodeScenario.TestClient photo = stage.addPhoto(WAIT_MS);
-            SingleNodeScenario.TestClient view = stage.viewPage(WAIT_MS);
-            stage.runMs(2 * WAIT_MS);
+            SingleNodeScenario.TestClient order = scenario.placeOrder(WAIT_MS);
+            SingleNodeScenario.TestClient photo = scenario.addPhoto(WAIT_MS);
+            SingleNodeScenario.TestClient view = scenario.viewPage(WAIT_MS);
+            scenario.runMs(2 * WAIT_MS);
             for (SingleNodeScenario.TestClient client : List.of(order, photo, view)) {
                 assertEquals(1, client.answers.size(), "seed " + seed + ": one answer, by its deadline");
             }
-            assertEquals(502, order.status(), "an order that may run has failed, and no more");
+            assertEquals(502, order.status(), "an order that may still run fails and isn't retried");
             assertEquals(
                     1,
-                    stage.receivedRequests.stream()
+                    scenario.receivedRequests.stream()
                             .filter(r -> r.start().contains("place-order"))
                             .count());
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
     }
 
-    /** Every ten seconds a box is replaced: the rules hold for an hour, and nearly all is served. */
+    /** A server is replaced every ten seconds for an hour; nearly all requests are served. */
     @Test
     void anHourOfReplacementsBreaksNoRule() throws Exception {
         List<String> lines = new ArrayList<>(
@@ -388,29 +398,32 @@
         assertTrue(result.served() > 0.95 * result.operations(), result.served() + " of " + result.operations());
     }
 
-    /** The new one is told of, and the end of the old one not: it must not be sent a warm box's share. */
+    /**
+     * The list has the new server and, at the same address, still the old one. The new one must not get the load
+     * of a warm server.
+     */
     @Test
     void aReplacementWhosePredecessorIsStillListedIsTreatedAsCold() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SingleNodeScenario stage = new SingleNodeScenario(seed, 2, 1, false);
-            SimulatedServer replaced = stage.servers.get(0);
+            SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
+            SimulatedServer replaced = scenario.servers.get(0);
             replaced.kill();
             replaced.rename();
             replaced.start(true);
-            stage.discovery.changedNow(replaced, "Ready");
-            stage.runMs(100);
+            scenario.discovery.changedNow(replaced, "Ready");
+            scenario.runMs(100);
             int[] sentToCold = new int[1];
             replaced.script((end, request) -> {
                 sentToCold[0]++;
                 return false;
             });
             for (int i = 0; i < 400; i++) {
-                stage.viewPage(WAIT_MS);
-                stage.runMs(3);
+                scenario.viewPage(WAIT_MS);
+                scenario.runMs(3);
             }
             assertTrue(sentToCold[0] < 30, "seed " + seed + ": sent " + sentToCold[0] + " of 400");
-            stage.stopAndCheck();
-            assertNoViolations(stage, seed);
+            scenario.stopAndCheck();
+            assertNoViolations(scenario, seed);
         }
     }
 
--- a/src/test/java/vetchpost/simulation/FirstMinuteTest.java
+++ b/src/test/java/vetchpost/simulation/FirstMinuteTest.java
@@ -14,8 +14,8 @@
 import vetchpost.simulation.world.NodeProcess;
 
 /**
- * A node starts anew beside one that has run for a while, with some boxes ill: the same seeds with and
- * without what the other knows.
+ * A node restarts beside one that has run for a while, with some servers faulty. Compares its first minute over
+ * the same seeds with and without the state of its peer or its own snapshot.
  */
 @Timeout(300)
 class FirstMinuteTest {
@@ -25,14 +25,13 @@
     private static final long RESTART_MS = 22_000;
     private static final long RESTART_DURATION_MS = 500;
     /**
-     * One run can do worse than another by so much for chance alone: as far as two restarts a millisecond
-     * apart.
+     * Largest difference in requests by chance alone, as between two restarts a millisecond apart.
      */
     private static final int MAX_RANDOM_DIFFERENCE = 29;
 
     private static final long MINUTE_MS = 60_000;
 
-    /** What did not go well, of all that was wanted: not served, or later than its class aims at. */
+    /** Number of operations that were not served, or later than the latency target of their class. */
     static int unsatisfiedCount(Result result) {
         assertTrue(
                 result.isGood(),
@@ -40,7 +39,7 @@
         return result.operations() - result.served() + result.late();
     }
 
-    /** Some boxes are ill, each in its way, from before the restart to the end. */
+    /** Two to five servers have faults of random kinds from before the restart to the end. */
     private static Plan plan(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 977 + 3);
         List<Fault> faults = new ArrayList<>();
@@ -92,7 +91,7 @@
                 worst);
     }
 
-    /** Nodes that ask each other at the beginning, so that all is the same up to the restart. */
+    /** Nodes ask each other at their first start, so that both runs are equal up to the restart. */
     private static Supplier<NodeProcess.Setup> askingPeers(boolean afterRestart) {
         return () -> new StateKeepingNodes(NODES, false, true) {
             @Override
@@ -102,7 +101,7 @@
         };
     }
 
-    /** Two boxes of three fail for the last seconds before the restart, and are well just as it is over. */
+    /** Two servers of three are slow for the seconds before the restart and recover just before the node is back. */
     private static Plan massFailure(long seed) {
         List<Fault> faults = new ArrayList<>();
         for (int server = 0; server < 8; server++) {
@@ -132,7 +131,7 @@
         assertTrue(worst(cold, warm) <= MAX_RANDOM_DIFFERENCE, figures);
     }
 
-    /** A node whose file is a second old does so too. */
+    /** The snapshot is a second old. */
     @Test
     void aSnapshotImprovesTheFirstMinute() {
         int[] cold = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, false, false), FirstMinuteTest::plan);
@@ -146,7 +145,7 @@
     void handoverAfterAMassFailureDoesNoHarm() {
         int[] cold = run(SEEDS, askingPeers(false), FirstMinuteTest::massFailure);
         int[] warm = run(SEEDS, askingPeers(true), FirstMinuteTest::massFailure);
-        String figures = compare("handover from a confused node", cold, warm);
+        String figures = compare("handover after a mass failure", cold, warm);
         assertTrue(mean(warm) <= mean(cold) + 1, figures);
         assertTrue(worst(cold, warm) <= MAX_RANDOM_DIFFERENCE, figures);
     }
--- a/src/test/java/vetchpost/simulation/FleetSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/FleetSeedsTest.java
@@ -10,7 +10,7 @@
 import vetchpost.simulation.fleet.FleetRun.DetectionMode;
 import vetchpost.simulation.fleet.FleetRun.Outcome;
 
-/** Sources that err, checks that lie and boxes that fall ill: a few seeds, and the same seed twice. */
+/** Runs of the fleet simulation with wrong sources, wrong health checks and faulty servers over a few seeds. */
 class FleetSeedsTest {
     private static final int SEEDS = 40;
 
--- a/src/test/java/vetchpost/simulation/InjectedFaults.java
+++ b/src/test/java/vetchpost/simulation/InjectedFaults.java
@@ -34,9 +34,9 @@
 import vetchpost.simulation.net.SimLoop;
 import vetchpost.simulation.world.NodeProcess;
 
-/** Faults planted in nodes: each is one that a careless change could bring, and one that must be caught. */
+/** Faults injected into nodes, such as a careless change could bring; the checker must find each of them. */
 enum InjectedFaults implements NodeProcess.Setup {
-    /** Whatever is reset is taken never to have run. */
+    /** A reset attempt is treated as never run. */
     RESENT_AFTER_RESET(Rule.TWICE) {
         @Override
         Balancer wrapBalancer(Settings settings, Balancer real, Actions actions, SimLoop loop) {
@@ -58,7 +58,7 @@
             };
         }
     },
-    /** The transport sends a request in a hundred once more by itself. */
+    /** The transport sends one request in a hundred twice. */
     SENT_TWICE_BY_ITS_TRANSPORT(Rule.TWICE) {
         @Override
         public NodeHooks hooks(SimLoop loop) {
@@ -70,7 +70,7 @@
             };
         }
     },
-    /** All racks are taken for one. */
+    /** All servers are treated as one rack. */
     REPEATED_OUTSIDE_ITS_RACK(Rule.TWICE) {
         @Override
         Balancer wrapBalancer(Settings settings, Balancer real, Actions actions, SimLoop loop) {
@@ -88,7 +88,7 @@
             };
         }
     },
-    /** A server that drains is taken to be ready. */
+    /** A draining server is treated as ready. */
     SENT_AFTER_A_DRAIN(Rule.DRAIN) {
         @Override
         Balancer wrapBalancer(Settings settings, Balancer real, Actions actions, SimLoop loop) {
@@ -111,7 +111,7 @@
             };
         }
     },
-    /** News of a drain reaches the module 700 ms late, past the grace and its slack. */
+    /** A drain notice reaches the balancer 700 ms late, after the grace period and its tolerance. */
     DRAIN_HEARD_LATE(Rule.DRAIN) {
         @Override
         Balancer wrapBalancer(Settings settings, Balancer real, Actions actions, SimLoop loop) {
@@ -127,7 +127,7 @@
             };
         }
     },
-    /** What has failed is refused instead, which calls the client back. */
+    /** A failed request is rejected instead, so that its client retries it. */
     REFUSED_AFTER_IT_MAY_HAVE_RUN(Rule.TWICE) {
         @Override
         Actions wrapActions(Actions real) {
@@ -139,14 +139,14 @@
             };
         }
     },
-    /** Pages go to the server that has started last, as those of a balancer that likes an empty one would. */
+    /** Pages go to the server that started last, as with a balancer that prefers the least loaded server. */
     COLD_SERVER_FLOODED(Rule.COLD) {
         @Override
         public NodeHooks hooks(SimLoop loop) {
             return new ColdServerFlooding();
         }
     },
-    /** Now and then two answers are taken for each other. */
+    /** One response in fifty is replaced by another request's response. */
     ANSWERED_WITH_ANOTHERS(Rule.LOST) {
         @Override
         public NodeHooks hooks(SimLoop loop) {
@@ -158,7 +158,7 @@
             };
         }
     },
-    /** A failure is not answered, and the guard is told that it was. */
+    /** A failure is not answered, although the guard takes it as answered. */
     LEFT_UNANSWERED(Rule.LOST) {
         @Override
         public NodeHooks hooks(SimLoop loop) {
@@ -168,14 +168,14 @@
                     return new DelegatingReply(real) {
                         @Override
                         public void failed(Failure why) {
-                            // The client waits in vain.
+                            // Dropped: the client gets no answer.
                         }
                     };
                 }
             };
         }
     },
-    /** Refusals are written twice. */
+    /** Rejections are written twice. */
     ANSWERED_TWICE(Rule.LOST) {
         @Override
         public void connectionOpened(Channel channel) {
@@ -193,7 +193,7 @@
             });
         }
     },
-    /** A buffer in a hundred is never given back. */
+    /** One buffer in a hundred is never released. */
     BUFFER_KEPT(Rule.LEAK) {
         private int read;
 
@@ -210,7 +210,7 @@
             });
         }
     },
-    /** A timer that nobody cancels. */
+    /** A periodic timer is never cancelled. */
     TIMER_LEFT(Rule.LEAK) {
         @Override
         Balancer wrapBalancer(Settings settings, Balancer real, Actions actions, SimLoop loop) {
@@ -218,7 +218,7 @@
             return real;
         }
     },
-    /** An exception of the module's. */
+    /** The balancer throws an exception. */
     EXCEPTION_LOGGED(Rule.FAULT) {
         @Override
         Balancer wrapBalancer(Settings settings, Balancer real, Actions actions, SimLoop loop) {
@@ -226,7 +226,7 @@
                 @Override
                 public void onOutcome(long now, Outcome outcome) {
                     if (outcome.result() == Result.ERROR) {
-                        throw new IllegalStateException("planted");
+                        throw new IllegalStateException("injected");
                     }
                     super.onOutcome(now, outcome);
                 }
@@ -259,7 +259,7 @@
         };
     }
 
-    /** Passes all on to the module. */
+    /** Delegates all calls to the balancer. */
     private static class DelegatingBalancer implements Balancer {
         private final Balancer real;
 
@@ -308,7 +308,7 @@
         }
     }
 
-    /** Sends safe requests to the server that has started last, for some seconds. */
+    /** Sends safe requests to the server that started last, for four seconds. */
     private static final class ColdServerFlooding implements NodeHooks {
         private static final long FOR_US = 4_000_000;
         private static final int SAFE = 0;
@@ -352,7 +352,7 @@
         }
     }
 
-    /** Passes all on to the node. */
+    /** Delegates all calls to the node. */
     private static class DelegatingActions implements Actions {
         private final Actions real;
 
@@ -401,7 +401,7 @@
         }
     }
 
-    /** Passes all on to the client. */
+    /** Delegates all calls to the client. */
     private static class DelegatingReply implements ClientReply {
         private final ClientReply real;
 
@@ -430,7 +430,7 @@
         }
     }
 
-    /** Passes all on to servers. */
+    /** Delegates all calls to the real transport. */
     private static class DelegatingTransport implements ServerTransport {
         private final ServerTransport real;
 
@@ -459,7 +459,7 @@
         }
     }
 
-    /** A request as it is sent, with another ear for its end. */
+    /** An outgoing request with another listener for its end. */
     private record ObservedRequest(ServerTransport.OutgoingRequest real, ServerTransport.AttemptListener listener)
             implements ServerTransport.OutgoingRequest {
         @Override
@@ -478,7 +478,7 @@
         }
     }
 
-    /** Sends some twice, and hears only of the first. */
+    /** Sends some requests twice and reports only the first attempt. */
     private static final class ResendingTransport extends DelegatingTransport {
         private int sent;
 
@@ -496,7 +496,7 @@
         }
     }
 
-    /** Gives one attempt's answer to the next. */
+    /** Replaces some responses by an earlier one. */
     private static final class SwappingTransport extends DelegatingTransport {
         private final List<ServerResponse> last = new ArrayList<>();
 
--- a/src/test/java/vetchpost/simulation/InjectedFaultsTest.java
+++ b/src/test/java/vetchpost/simulation/InjectedFaultsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A checker that finds nothing proves nothing: every planted fault is caught within 200 seeds. */
+/** Guards against a checker that misses faults: every injected fault is found within 200 seeds. */
 @Timeout(300)
 class InjectedFaultsTest {
     private static final int SEEDS = 200;
@@ -20,8 +20,8 @@
             Result result = Simulation.run(Plan.of(seed), fault, null);
             caught = result.isGood() ? null : result;
         }
-        assertNotNull(caught, fault + " escapes");
-        System.out.println(fault + " is caught by seed " + caught.seed() + ": "
+        assertNotNull(caught, fault + " is not found by any seed");
+        System.out.println(fault + " is found by seed " + caught.seed() + ": "
                 + caught.violation().description());
         assertEquals(fault.rule, caught.violation().rule(), caught.violation().description());
     }
--- a/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
@@ -15,13 +15,13 @@
 import vetchpost.simulation.world.NodeProcess;
 import vetchpost.simulation.world.SimulatedServer;
 
-/** Nodes before two thousand boxes, whose lists come in slices, and lists that shrink. */
+/** Nodes with two thousand servers, whose lists come in chunks, and full lists that omit most servers. */
 @Timeout(300)
 class LargeFleetSeedsTest {
     private static final int SERVERS = 2_000;
     private static final int SEEDS = 6;
 
-    /** What a seed has go wrong, spread over the fleet, with a shrunken list amid it. */
+    /** A seed's faults spread over the fleet, with more failed servers and a shrunken list among them. */
     private static Plan plan(long seed) {
         List<Fault> faults = new ArrayList<>();
         for (Fault fault : Plan.of(seed).faults()) {
@@ -48,53 +48,53 @@
         Seeds.assertNoViolations(SEEDS, seed -> Simulation.run(plan(seed), setup, null));
     }
 
-    /** The boxes that one wrong list leaves out go on being asked: the next list names them. */
+    /** Servers that one wrong list omits still get requests, since the next list names them again. */
     @Test
     void oneShrunkenListIsIgnored() {
-        SingleNodeScenario stage = new SingleNodeScenario(3, 40, 1, true);
+        SingleNodeScenario scenario = new SingleNodeScenario(3, 40, 1, true);
         int[] sentToOmitted = new int[1];
-        for (SimulatedServer server : stage.servers.subList(4, 40)) {
+        for (SimulatedServer server : scenario.servers.subList(4, 40)) {
             server.script((end, request) -> {
                 sentToOmitted[0]++;
                 return false;
             });
         }
-        stage.discovery.shrinkOneList();
+        scenario.discovery.shrinkOneList();
         List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            clients.add(stage.viewPage(300));
-            stage.runMs(3);
+            clients.add(scenario.viewPage(300));
+            scenario.runMs(3);
         }
-        stage.runMs(400);
-        assertTrue(sentToOmitted[0] > 70, "only " + sentToOmitted[0] + " to those that were left out");
+        scenario.runMs(400);
+        assertTrue(sentToOmitted[0] > 70, "only " + sentToOmitted[0] + " requests to the omitted servers");
         clients.forEach(a -> assertEquals(200, a.status()));
-        stage.stopAndCheck();
-        assertEquals(List.of(), stage.violations);
+        scenario.stopAndCheck();
+        assertEquals(List.of(), scenario.violations);
     }
 
-    /** One that stays shrunken is obeyed inside the grace of drains. */
+    /** A list that stays shrunken takes effect within the grace period of drains. */
     @Test
     void aListThatStaysShrunkenIsObeyed() {
-        SingleNodeScenario stage = new SingleNodeScenario(3, 40, 1, true);
-        stage.discovery.shrinkLists(10_000);
-        stage.runMs(500);
+        SingleNodeScenario scenario = new SingleNodeScenario(3, 40, 1, true);
+        scenario.discovery.shrinkLists(10_000);
+        scenario.runMs(500);
         int[] sentToOmitted = new int[1];
-        for (SimulatedServer server : stage.servers.subList(4, 40)) {
+        for (SimulatedServer server : scenario.servers.subList(4, 40)) {
             server.script((end, request) -> {
                 sentToOmitted[0]++;
                 return false;
             });
         }
         for (int i = 0; i < 30; i++) {
-            stage.viewPage(300);
-            stage.runMs(20);
+            scenario.viewPage(300);
+            scenario.runMs(20);
         }
         assertEquals(0, sentToOmitted[0]);
-        stage.stopAndCheck();
-        assertEquals(List.of(), stage.violations);
+        scenario.stopAndCheck();
+        assertEquals(List.of(), scenario.violations);
     }
 
-    /** Nodes that have a part of the fleet each. */
+    /** Nodes that use a subset of the servers each. */
     private record Subsets(int subsetSize) implements NodeProcess.Setup {
         @Override
         public NodeHooks hooks(SimLoop loop) {
@@ -107,36 +107,36 @@
         assertNoneBreaksARule(new Subsets(120));
     }
 
-    /** The four boxes that a node has all die: it turns to others by itself, with nobody to tell it. */
+    /** All four servers of a subset die: the node replaces them without any notice of discovery. */
     @Test
     void aNodeWhoseSubsetIsDeadUsesOtherServers() {
-        SingleNodeScenario stage = new SingleNodeScenario(5, 40, 10, new Subsets(4));
+        SingleNodeScenario scenario = new SingleNodeScenario(5, 40, 10, new Subsets(4));
         Set<SimulatedServer> used = new HashSet<>();
-        for (SimulatedServer server : stage.servers) {
+        for (SimulatedServer server : scenario.servers) {
             server.script((end, request) -> {
                 used.add(server);
                 return false;
             });
         }
-        sendPageViews(stage, 300);
-        assertEquals(4, used.size(), "a rack, and no more");
+        sendPageViews(scenario, 300);
+        assertEquals(4, used.size(), "servers of the subset");
         List.copyOf(used).forEach(SimulatedServer::kill);
-        sendPageViews(stage, 1_500);
+        sendPageViews(scenario, 1_500);
         used.clear();
-        List<SingleNodeScenario.TestClient> clients = sendPageViews(stage, 600);
+        List<SingleNodeScenario.TestClient> clients = sendPageViews(scenario, 600);
         clients.forEach(a -> assertEquals(200, a.status()));
-        assertTrue(used.size() >= 4, used.size() + " others");
-        stage.stopAndCheck();
-        assertEquals(List.of(), stage.violations);
+        assertTrue(used.size() >= 4, used.size() + " other servers");
+        scenario.stopAndCheck();
+        assertEquals(List.of(), scenario.violations);
     }
 
-    private static List<SingleNodeScenario.TestClient> sendPageViews(SingleNodeScenario stage, long ms) {
+    private static List<SingleNodeScenario.TestClient> sendPageViews(SingleNodeScenario scenario, long ms) {
         List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
         for (long i = 0; i < ms; i += 10) {
-            clients.add(stage.viewPage(300));
-            stage.runMs(10);
+            clients.add(scenario.viewPage(300));
+            scenario.runMs(10);
         }
-        stage.runMs(300);
+        scenario.runMs(300);
         return clients;
     }
 }
--- a/src/test/java/vetchpost/simulation/ManyNodesSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/ManyNodesSeedsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Fourteen nodes before a large fleet: killed at once, a rack cold in one tick, most servers replaced. */
+/** Fourteen nodes and a large fleet: nodes killed at once, a rack restarted cold at once, most servers replaced. */
 @Timeout(300)
 class ManyNodesSeedsTest {
     private static final int NODES = 14;
--- a/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
+++ b/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
@@ -22,8 +22,8 @@
 import vetchpost.simulation.world.NodeProcess;
 
 /**
- * What each refusal of the prover is for: with the prover switched off and a module that trusts the file, the
- * harm that the refusal names is done; with a file that the prover takes, the same module does none.
+ * Shows that the route validator rejects files for a reason. Without validation and with a balancer that trusts
+ * the file, a rejected file does the harm that the validator names; with an accepted file it does none.
  */
 @Timeout(120)
 class RejectedRoutesTest {
@@ -31,7 +31,7 @@
     private static final int BOXES = 6;
     private static final long WAIT_MS = 300;
 
-    /** A file believed by all nodes. */
+    /** Nodes that use a route file without validation. */
     private static final class RouteFileSetup implements NodeProcess.Setup {
         private final String text;
         private final boolean usesTrustingBalancer;
@@ -56,7 +56,7 @@
         }
     }
 
-    /** All boxes slow, so that attempts run out of their time; the first violation of some seeds, or null. */
+    /** The first violation over all seeds, or null; all servers are slow, so that attempts time out. */
     private static Violation firstViolation(RouteFileSetup file) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             List<Fault> faults = new ArrayList<>();
@@ -80,17 +80,18 @@
             KEYED_LATE | add-photo | copy-after = "1190ms"; jitter = 1 | copy-after = "550ms"; jitter = 1
             """)
     void rejectsFilesThatLetAnEffectHappenTwice(Rule rule, String requestClass, String bad, String good) {
-        RouteFileSetup rejectedFile =
-                new RouteFileSetup("[class." + requestClass + "]\nattempts = 2\n" + bad.replace("; ", "\n"), true, false);
+        RouteFileSetup rejectedFile = new RouteFileSetup(
+                "[class." + requestClass + "]\nattempts = 2\n" + bad.replace("; ", "\n"), true, false);
         Violation violation = firstViolation(rejectedFile);
-        assertNotNull(violation, "no seed breaks a rule with it");
+        assertNotNull(violation, "no seed breaks a rule with the rejected file");
         assertEquals(Violation.Rule.TWICE, violation.rule(), violation.description());
         assertTrue(RouteFiles.isRejected(rejectedFile.text, rejectedFile.settings, rule));
-        // It is the file that breaks it, neither the module that trusts it nor the faults.
-        RouteFileSetup acceptedFile = new RouteFileSetup("[class." + requestClass + "]\n" + good.replace("; ", "\n"), true, false);
+        // The rejected file breaks the rule, not the trusting balancer or the injected faults.
+        RouteFileSetup acceptedFile =
+                new RouteFileSetup("[class." + requestClass + "]\n" + good.replace("; ", "\n"), true, false);
         assertNull(firstViolation(acceptedFile));
         assertTrue(RouteFiles.isAccepted(acceptedFile.text, acceptedFile.settings));
-        // And the module in service guards the rule even then.
+        // The production balancer keeps the rule even with the rejected file.
         assertNull(firstViolation(new RouteFileSetup(rejectedFile.text, false, false)));
     }
 
@@ -98,24 +99,26 @@
     void rejectsTimeoutsBeyondTheClientsDeadline() {
         RouteFileSetup rejectedFile = new RouteFileSetup("[class.place-order]\ntotal-timeout = \"5s\"", true, true);
         Violation violation = firstViolation(rejectedFile);
-        assertNotNull(violation, "no seed breaks a rule with it");
+        assertNotNull(violation, "no seed breaks a rule with the rejected file");
         assertEquals(Violation.Rule.LOST, violation.rule(), violation.description());
         assertTrue(RouteFiles.isRejected(rejectedFile.text, rejectedFile.settings, Rule.PAST_CLIENT));
-        assertNull(firstViolation(new RouteFileSetup(rejectedFile.text, true, false)), "the core in service guards the rule");
+        assertNull(
+                firstViolation(new RouteFileSetup(rejectedFile.text, true, false)),
+                "the production core keeps the rule");
     }
 
     private static SingleNodeScenario scenario(String text, boolean trusting) {
-        SingleNodeScenario stage = new SingleNodeScenario(5, BOXES, 1, new RouteFileSetup("", trusting, false));
-        stage.node.setRoutes(RouteFiles.policy(text, SingleNodeScenario.settings(), 5));
-        return stage;
+        SingleNodeScenario scenario = new SingleNodeScenario(5, BOXES, 1, new RouteFileSetup("", trusting, false));
+        scenario.node.setRoutes(RouteFiles.policy(text, SingleNodeScenario.settings(), 5));
+        return scenario;
     }
 
     private static int attemptsOfOneView(String text, boolean trusting) {
-        SingleNodeScenario stage = scenario(text, trusting);
-        stage.script((end, request) -> true);
-        stage.viewPage(WAIT_MS);
-        stage.runMs(2 * WAIT_MS);
-        return stage.receivedRequests.size();
+        SingleNodeScenario scenario = scenario(text, trusting);
+        scenario.script((end, request) -> true);
+        scenario.viewPage(WAIT_MS);
+        scenario.runMs(2 * WAIT_MS);
+        return scenario.receivedRequests.size();
     }
 
     @Test
@@ -127,7 +130,7 @@
         assertEquals(3, attemptsOfOneView(three, true));
         assertTrue(RouteFiles.isAccepted(three, SingleNodeScenario.settings()));
         String late = "[class.view-page]\nattempts = 2\ncopy-after = \"330ms\"\n";
-        assertEquals(1, attemptsOfOneView(late, true), "the copy is due when the request is over");
+        assertEquals(1, attemptsOfOneView(late, true), "the hedge is due after the request has ended");
         assertTrue(RouteFiles.isRejected(late, SingleNodeScenario.settings(), Rule.SCHEDULE));
     }
 
@@ -154,9 +157,9 @@
     @Test
     void rejectsLimitsOfZero() {
         String noBody = "[class.place-order]\nmax-body = \"0B\"\n";
-        SingleNodeScenario stage = scenario(noBody, false);
-        SingleNodeScenario.TestClient order = stage.placeOrder(WAIT_MS);
-        stage.runMs(WAIT_MS);
+        SingleNodeScenario scenario = scenario(noBody, false);
+        SingleNodeScenario.TestClient order = scenario.placeOrder(WAIT_MS);
+        scenario.runMs(WAIT_MS);
         assertEquals(413, order.status(), "no order can be placed");
         assertTrue(RouteFiles.isRejected(noBody, SingleNodeScenario.settings(), Rule.STARVES));
         String none = "[class.view-page]\nconcurrency = 0\n";
@@ -166,7 +169,7 @@
             unlimited.viewPage(WAIT_MS);
         }
         unlimited.runMs(50);
-        assertFalse(unlimited.receivedRequests.isEmpty(), "none at a time was asked for");
+        assertFalse(unlimited.receivedRequests.isEmpty(), "without validation, a concurrency of 0 is no limit");
         assertTrue(RouteFiles.isRejected(none, SingleNodeScenario.settings(), Rule.STARVES));
     }
 }
--- a/src/test/java/vetchpost/simulation/Seeds.java
+++ b/src/test/java/vetchpost/simulation/Seeds.java
@@ -4,11 +4,11 @@
 
 import java.util.function.LongFunction;
 
-/** Many seeds in a test, on all cores. */
+/** Runs many seeds of a test on all cores. */
 final class Seeds {
     private Seeds() {}
 
-    /** Runs the seeds from 1 on and fails with the seeds and rules, if any is broken. */
+    /** Runs the seeds from 1 on; fails with the seeds and violations if any rule is broken. */
     static void assertNoViolations(int seeds, LongFunction<Result> run) throws InterruptedException {
         SeedRuns runs = new SeedRuns(1, seeds, Runtime.getRuntime().availableProcessors(), run);
         runs.run((done, of, failed) -> {});
--- a/src/test/java/vetchpost/simulation/SeedsTest.java
+++ b/src/test/java/vetchpost/simulation/SeedsTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Timeout;
 import vetchpost.node.NodeHooks;
 
-/** The node's network code under a thousand seeds' worth of faults. */
+/** The node's network code with the faults of a thousand seeds. */
 @Timeout(600)
 class SeedsTest {
     private static final int SEEDS = 1_000;
@@ -16,7 +16,7 @@
         Seeds.assertNoViolations(SEEDS, seed -> Simulation.run(Plan.of(seed)));
     }
 
-    /** Nodes that keep what they know and ask each other, half of them given no list when they come back. */
+    /** Nodes keep snapshots and ask each other for state; half of the restarts have no list. */
     @Test
     void noSeedBreaksARuleWithRecovery() throws Exception {
         Seeds.assertNoViolations(SEEDS / 4, seed -> {
@@ -25,7 +25,7 @@
         });
     }
 
-    /** Requests stand before the door of each node. */
+    /** Each node has admission control, and recovery as above. */
     @Test
     void noSeedBreaksARuleWithAdmissionControl() throws Exception {
         Seeds.assertNoViolations(SEEDS / 4, seed -> {
--- a/src/test/java/vetchpost/simulation/SimulateCommandTest.java
+++ b/src/test/java/vetchpost/simulation/SimulateCommandTest.java
@@ -23,7 +23,7 @@
 import vetchpost.simulation.check.Violation.Rule;
 import vetchpost.simulation.world.NodeProcess;
 
-/** The command line, scripts, and the making smaller of what fails. */
+/** The command line, scripts and shrinking of the simulate command. */
 @Timeout(300)
 class SimulateCommandTest {
     @TempDir
@@ -57,13 +57,13 @@
         assertTrue(err.toString().contains("2 of 2 seeds"), err.toString());
     }
 
-    /** A run that threw has shown nothing; it was counted as good. */
+    /** A run that threw had been counted as passed. */
     @Test
     void aRunThatThrowsCountsAsFailedAndNamesItsSeed() throws Exception {
         Result good = Simulation.run(Plan.of(1));
         SeedRuns runs = new SeedRuns(1, 3, 1, seed -> {
             if (seed == 2) {
-                throw new IllegalStateException("planted");
+                throw new IllegalStateException("injected");
             }
             return good;
         });
@@ -76,18 +76,18 @@
         SeedRunException thrown = assertThrows(
                 SeedRunException.class,
                 () -> SeedRunException.withSeed(7, () -> {
-                    throw new IllegalStateException("planted");
+                    throw new IllegalStateException("injected");
                 }));
         assertTrue(thrown.getMessage().startsWith("seed 7: "), thrown.getMessage());
     }
 
-    /** Beyond 250 there were no addresses, and beyond that no runs. */
+    /** There had been no addresses beyond 250 nodes, so larger runs failed. */
     @Test
     void hundredsOfNodesHaveDistinctAddresses() {
         Set<Object> addresses = new HashSet<>();
         for (int i = 0; i < 2_048; i++) {
             assertFalse(NodeProcess.addressOf(i).isUnresolved());
-            assertTrue(addresses.add(NodeProcess.addressOf(i)), "node " + i + " has another's address");
+            assertTrue(addresses.add(NodeProcess.addressOf(i)), "node " + i + " has the address of another node");
         }
         assertEquals(0, run("--nodes", "400", "--seeds", "1..1"), out::toString);
         assertTrue(out.toString().startsWith("1 seeds, 0 failed, "), out.toString());
@@ -161,7 +161,7 @@
 
     @Test
     void aFailingPlanIsShrunk() {
-        // The first seed that catches it, whatever plans look like.
+        // The first seed that finds the fault, independent of how plans are drawn.
         long seed = 1;
         while (seed < 200
                 && Simulation.run(Plan.of(seed), InjectedFaults.RESENT_AFTER_RESET, null)
--- a/src/test/java/vetchpost/simulation/SingleNodeScenario.java
+++ b/src/test/java/vetchpost/simulation/SingleNodeScenario.java
@@ -42,14 +42,17 @@
 import vetchpost.simulation.world.SimulatedServer;
 import vetchpost.simulation.world.World;
 
-/** One node, a few boxes that do as a test says, and a client that asks just what it is told to. */
+/**
+ * One node, a few servers and a client, all controlled by a test in simulated time. The checker runs after every
+ * step; a test ends with {@link #stopAndCheck()} and asserts that {@code violations} is empty.
+ */
 final class SingleNodeScenario {
     static final long MS = 1_000_000;
 
     final VirtualTime time = new VirtualTime();
     final List<Violation> violations = new ArrayList<>();
     final List<SimulatedServer> servers = new ArrayList<>();
-    /** What boxes were asked, in order. */
+    /** Requests that servers have read, in order. */
     final List<Message> receivedRequests = new ArrayList<>();
 
     final Checker checker = new Checker(time, Rules.limits(), violations::add);
@@ -59,7 +62,7 @@
     private final SimulatedHost client;
     private int txns;
 
-    /** Classes like the stage's. */
+    /** Settings with the request classes of this scenario. */
     static Settings settings() {
         Settings settings = new Settings();
         settings.maxRetryAfterUs = 1_000_000;
@@ -72,7 +75,7 @@
         return settings;
     }
 
-    /** The routes of a file. */
+    /** The policy of a valid route file with this text. */
     static RoutePolicy policy(String routes) {
         Settings settings = settings();
         RouteValidation validation =
@@ -94,12 +97,12 @@
         this(seed, serverCount, racks, pushed, 10);
     }
 
-    /** With planted parts. */
+    /** With another setup of the node. */
     SingleNodeScenario(long seed, int serverCount, int racks, NodeProcess.Setup setup) {
         this(seed, serverCount, racks, false, 10, setup);
     }
 
-    /** With classes whose times are in proportion to so many milliseconds of work. */
+    /** With request classes for this mean processing time in milliseconds. */
     SingleNodeScenario(long seed, int serverCount, int racks, boolean pushed, int workMs) {
         this(seed, serverCount, racks, pushed, workMs, loop -> NodeHooks.NONE);
     }
@@ -131,7 +134,7 @@
         runMs(100);
     }
 
-    /** Has all boxes do so with each request. */
+    /** Has all servers handle each request by the script, and records it. */
     void script(SimulatedServer.Script script) {
         servers.forEach(server -> server.script((socket, request) -> {
             receivedRequests.add(request);
@@ -151,7 +154,7 @@
         }
     }
 
-    /** One asker: what it was answered, and whether its connection has ended. */
+    /** A client connection with one request, and its responses. */
     final class TestClient {
         final List<Message> answers = new ArrayList<>();
         private final MessageParser parser = new MessageParser(answers::add);
@@ -167,7 +170,7 @@
         }
     }
 
-    /** Asks on a connection of its own. */
+    /** Sends a request on a connection of its own. */
     TestClient sendRequest(String kind, RetryPolicy retryPolicy, long remainingMs, int bodyBytes) {
         String txn = String.format(Locale.ROOT, "%016x", ++txns);
         String body = "b".repeat(retryPolicy == RetryPolicy.SAFE ? 0 : bodyBytes);
@@ -215,7 +218,7 @@
         return sendRequest("place-order", RetryPolicy.UNSAFE, remainingMs, 10);
     }
 
-    /** Answers a request as a box would, and has the checker know. */
+    /** Answers a request as a server would, and reports the response to the checker. */
     void respond(SimulatedSocket socket, Message request) {
         String body = "made for " + request.field("x-txn");
         checker.serverAnswers(request.field("x-txn"), body);
@@ -223,7 +226,7 @@
                 .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Stops the node and looks for what it leaves behind. */
+    /** Stops the node, which then checks that nothing is left. */
     void stopAndCheck() {
         node.stop();
         runMs(9_000);
--- a/src/test/java/vetchpost/simulation/StaleSnapshotTest.java
+++ b/src/test/java/vetchpost/simulation/StaleSnapshotTest.java
@@ -19,7 +19,7 @@
 import vetchpost.state.SnapshotOrigin;
 import vetchpost.state.codec.ChunkCodec;
 
-/** Nodes that start with an old snapshot, no list, and a discovery that says nothing. */
+/** Nodes that start with an old snapshot and without a list while discovery is silent. */
 @Timeout(300)
 class StaleSnapshotTest {
     private static final int SEEDS = 100;
@@ -28,7 +28,7 @@
     private static final int RUNNING_SERVERS = 20;
     private static final int RETIRED_SERVERS = 3;
 
-    /** Twelve of the boxes that run, and three that have been retired since. */
+    /** A snapshot with twelve of the running servers and three that have been retired since. */
     private static List<byte[]> snapshot(long ageMs) {
         long observedMs = World.EPOCH_MS - ageMs;
         List<ServerRecord> servers = new ArrayList<>();
@@ -52,7 +52,8 @@
     }
 
     /**
-     * One node; discovery is silent for twelve seconds, in which two boxes are drained and one is replaced.
+     * One node. Discovery is silent for twelve seconds, in which one server is drained and one is replaced;
+     * another is drained a second later.
      */
     private static Plan plan(long seed, long durationMs) {
         List<Fault> faults = List.of(
@@ -97,10 +98,10 @@
                 "served " + servedFractions[0] + " " + servedFractions[SEEDS / 2] + " " + servedFractions[SEEDS - 1]);
         assertTrue(servedFractions[0] >= 0.9, "the worst seed served " + servedFractions[0]);
         Result without = run(plan(1, 10_000), -1);
-        assertEquals(0, without.served(), "without a snapshot there is nobody to send to");
+        assertEquals(0, without.served(), "without a snapshot no server is known");
     }
 
-    /** Discovery speaks after twelve seconds: drains that it tells are kept from then on, by the checker. */
+    /** Discovery answers after twelve seconds; the checker finds no request to a drained server from then on. */
     @Test
     void drainsAreObeyedOnceTheListArrives() {
         int served = IntStream.rangeClosed(1, SEEDS)
--- a/src/test/java/vetchpost/simulation/TrustingBalancer.java
+++ b/src/test/java/vetchpost/simulation/TrustingBalancer.java
@@ -13,9 +13,9 @@
 import vetchpost.node.NodeHooks;
 
 /**
- * A module that takes an operator's file at its word: it makes as many attempts and copies as the route says,
- * when it says so, and asks nothing of the four rules but what no file speaks of, which server may be sent
- * to. With it in the place of the real one, a file that is not safe does its harm.
+ * A balancer that follows an operator's route file without checks: it makes the attempts and hedges of the route
+ * at the stated times. Of the rules it keeps only what no route file can change, the choice of servers. With it
+ * in place of the real balancer, an unsafe file breaks a rule.
  */
 final class TrustingBalancer implements Balancer {
     private final Settings settings;
@@ -25,10 +25,10 @@
     private final PriorityQueue<ScheduledTask> scheduled = new PriorityQueue<>((a, b) -> Long.compare(a.atUs, b.atUs));
     private int nextServer;
 
-    /** Something to be done at a time. */
+    /** A task to run at a time in microseconds. */
     private record ScheduledTask(long atUs, Runnable task) {}
 
-    /** A request, until it is over. */
+    /** A request that has not ended. */
     private static final class PendingRequest {
         private final Request request;
         private ServerEntry first;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Nodes with such a module, and a core that takes the file's time in all for the client's, or not. */
+    /** Hooks for this balancer; optionally the core doesn't see the client's deadline, only the route's timeout. */
     static NodeHooks hooks(boolean hidesClientDeadline) {
         return new NodeHooks() {
             @Override
@@ -80,7 +80,7 @@
         }
         for (ServerEntry entry : entries) {
             servers.remove(entry.id());
-            // Cold ones are not its business: nothing in a file speaks of them.
+            // Leaves out cold servers, since no route file can affect them.
             if (entry.state() == ServerState.READY && entry.startedAtUs() <= 0) {
                 servers.put(entry.id(), entry);
             }
@@ -176,7 +176,7 @@
 
     @Override
     public void onFirstByte(long now, long requestId, int attempt) {
-        // It repeats nothing that has begun to be answered: answers come whole.
+        // Ignored: responses arrive whole, so no retry depends on the first byte.
     }
 
     @Override
@@ -186,6 +186,6 @@
 
     @Override
     public void onProbe(long now, String serverId, Result result, long tookUs, double[] report) {
-        // It probes nothing.
+        // It sends no probes.
     }
 }
--- a/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
+++ b/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The simulated network does what TCP does, and the channels what Netty's own do on it. */
+/** The simulated network behaves as TCP, and its channels as Netty's own. */
 class SimNetworkTest {
     private static final InetSocketAddress SERVER = SimNetwork.address("10.9.0.1:80");
     private static final long MS = 1_000_000;
@@ -81,7 +81,7 @@
         }
         runMs(200);
         assertTrue(Arrays.equals(sent, received.toByteArray()));
-        assertTrue(pieces.stream().anyMatch(p -> p % 300 != 0), "never cut elsewhere: " + pieces);
+        assertTrue(pieces.stream().anyMatch(p -> p % 300 != 0), "never split elsewhere: " + pieces);
     }
 
     @Test
@@ -92,12 +92,12 @@
             writtenBytes += socket.write(new byte[4_096]);
             runMs(20);
         }
-        assertTrue(writtenBytes < 64 * 1024, "took " + writtenBytes);
+        assertTrue(writtenBytes < 64 * 1024, "bytes accepted: " + writtenBytes);
         int[] writableEvents = new int[1];
         socket.handler(() -> writableEvents[0]++);
         accepted.get(0).read(1 << 20);
         runMs(50);
-        assertTrue(writableEvents[0] > 0, "not told of room");
+        assertTrue(writableEvents[0] > 0, "not notified of room to write");
         assertTrue(socket.write(new byte[4_096]) > 0);
     }
 
@@ -109,10 +109,10 @@
         SimulatedSocket second = client.connect(SERVER, null);
         runMs(10_000);
         assertTrue(socket.isOpen() && !socket.isReset());
-        assertFalse(second.isOpen() || second.isFailed(), "the second connection came up or was refused");
+        assertFalse(second.isOpen() || second.isFailed(), "the second connection was established or refused");
         server.reappear();
         runMs(100);
-        assertTrue(socket.isReset(), "what was under way met a new process");
+        assertTrue(socket.isReset(), "segments under way reached a new process");
     }
 
     @Test
@@ -201,7 +201,7 @@
         assertTrue(network.loop().isIdle());
     }
 
-    /** Netty fails the write and closes; one that succeeded would be a last byte that was never taken. */
+    /** Otherwise a write would succeed whose last byte never reached the send buffer. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aWriteSucceedsOnlyWhenItsLastByteIsInTheSendBuffer(boolean dies) {
