--- a/src/main/java/vetchpost/simulation/PlanText.java
+++ b/src/main/java/vetchpost/simulation/PlanText.java
@@ -11,7 +11,7 @@
 
 /**
  * Reads and writes a {@link Plan} as a script: one setting or fault per line, with {@code #} before comments.
- * Settings that a script omits are drawn from its seed; faults are only those that it lists.
+ * Settings that a script omits are drawn from its seed, or seed 1; faults are only those that it lists.
  */
 final class PlanText {
     private static final Pattern FAULT =
--- a/src/main/java/vetchpost/simulation/Result.java
+++ b/src/main/java/vetchpost/simulation/Result.java
@@ -14,7 +14,7 @@
  * @param events number of events in the trace
  * @param simulatedNs simulated duration in nanoseconds
  * @param requestsSent requests that clients sent, retries included
- * @param wants operations that clients started
+ * @param operations operations that clients started
  * @param served operations that were served
  * @param late served operations that missed the latency target of their class
  * @param rejected rejections that nodes answered with
--- a/src/main/java/vetchpost/simulation/SeedRuns.java
+++ b/src/main/java/vetchpost/simulation/SeedRuns.java
@@ -30,7 +30,7 @@
     private long done;
     private long simulatedNs;
     private long requestsSent;
-    private long wants;
+    private long operations;
     private long served;
     private long rejected;
     private long attempts;
@@ -87,7 +87,7 @@
         done++;
         simulatedNs += result.simulatedNs();
         requestsSent += result.requestsSent();
-        wants += result.operations();
+        operations += result.operations();
         served += result.served();
         rejected += result.rejected();
         attempts += result.attempts();
@@ -133,7 +133,7 @@
                 simulatedSeconds() / 3_600,
                 requestsSent,
                 served,
-                wants,
+                operations,
                 rejected,
                 attempts,
                 retries,
--- a/src/main/java/vetchpost/simulation/Shrinker.java
+++ b/src/main/java/vetchpost/simulation/Shrinker.java
@@ -82,10 +82,10 @@
         return plan;
     }
 
-    private Plan shrinkRequests(Plan failing, int wants) {
+    private Plan shrinkRequests(Plan failing, int operationCount) {
         Plan plan = failing;
         BitSet kept = new BitSet();
-        kept.set(0, wants);
+        kept.set(0, operationCount);
         if (plan.onlyRequests() != null) {
             kept.and(plan.onlyRequests());
         }
--- a/src/main/java/vetchpost/simulation/Simulation.java
+++ b/src/main/java/vetchpost/simulation/Simulation.java
@@ -133,7 +133,7 @@
                     Rule.LOST, time.nanoTime(), checker.unansweredCount() + " requests unanswered at the end"));
         }
         int[] counts = checker.counts();
-        int[] wants = clients.counts();
+        int[] operationCounts = clients.counts();
         return new Result(
                 plan.seed(),
                 violation,
@@ -142,9 +142,9 @@
                 trace.events(),
                 time.nanoTime(),
                 clients.requestsSent(),
-                wants[0],
-                wants[1],
-                wants[2],
+                operationCounts[0],
+                operationCounts[1],
+                operationCounts[2],
                 counts[2],
                 counts[3],
                 counts[4],
--- a/src/main/java/vetchpost/simulation/check/Checker.java
+++ b/src/main/java/vetchpost/simulation/check/Checker.java
@@ -232,11 +232,11 @@
 
         private long pausedNs(Request request) {
             long from = request.expected.deadlineNs() - 2_000_000_000L;
-            long workNs = 0;
-            for (long[] stall : pauses) {
-                workNs += stall[1] > from ? stall[1] - stall[0] : 0;
+            long totalNs = 0;
+            for (long[] pause : pauses) {
+                totalNs += pause[1] > from ? pause[1] - pause[0] : 0;
             }
-            return workNs;
+            return totalNs;
         }
 
         private boolean isClientConnection(SimulatedSocket socket) {
@@ -323,9 +323,9 @@
         private final Deque<Request> pending = new ArrayDeque<>();
         private final Deque<Long> requestOffsets = new ArrayDeque<>();
         private boolean clientGone;
-        /** Whether an expected request has arrived; ignored connections carried others and are not checked. */
+        /** Whether a request of a regular client has arrived. */
         private boolean sawExpectedRequest;
-
+        /** Whether the connection has carried anything else, so that its answers are not checked. */
         private boolean ignored;
 
         ClientConnection(NodeTap node) {
--- a/src/main/java/vetchpost/simulation/net/ByteQueue.java
+++ b/src/main/java/vetchpost/simulation/net/ByteQueue.java
@@ -30,9 +30,9 @@
     /** Removes and returns at most this many bytes. */
     byte[] take(int maxBytes) {
         int length = Math.min(maxBytes, size());
-        byte[] taken = Arrays.copyOfRange(data, from, from + length);
+        byte[] removed = Arrays.copyOfRange(data, from, from + length);
         from += length;
-        return taken;
+        return removed;
     }
 
     void clear() {
--- a/src/main/java/vetchpost/simulation/world/Clients.java
+++ b/src/main/java/vetchpost/simulation/world/Clients.java
@@ -126,14 +126,14 @@
         }
 
         /** The connection ended without an answer. */
-        void connectionLost(Connection on) {
-            if (on.wasClosedBeforeRead() && !resent) {
+        void connectionLost(Connection connection) {
+            if (connection.wasClosedBeforeRead() && !resent) {
                 resent = true;
                 // The bytes state the same remaining time, so the deadline counts anew from this send. In seed
                 // 5153 with --recovery the first node was paused for 0.4 s with the request unread, then died.
-                expect(on.txn);
-                send(on.txn, on.sent);
-            } else if (kind.retryPolicy() == RetryPolicy.SAFE || on.wasNeverWritten()) {
+                expect(connection.txn);
+                send(connection.txn, connection.sent);
+            } else if (kind.retryPolicy() == RetryPolicy.SAFE || connection.wasNeverWritten()) {
                 retry("");
             } else {
                 finish(false);
@@ -169,24 +169,24 @@
             socket = host.connect(node, this::onReady);
         }
 
-        void sendRequest(Operation asking, String id, byte[] bytes) {
-            operation = asking;
+        void sendRequest(Operation nextOperation, String id, byte[] bytes) {
+            operation = nextOperation;
             txn = id;
             sent = bytes;
             requestWritten = false;
             if (socket.isOpen()) {
                 write();
             }
-            Operation asked = operation;
-            long waitMs = asked.deadlineMs - world.nowMs() + ANSWER_WAIT_MARGIN_MS;
-            if (asked.operationRandom.nextInt(ABANDON_ONE_IN) == 0) {
-                waitMs = asked.operationRandom.nextLong(waitMs);
+            Operation current = operation;
+            long waitMs = current.deadlineMs - world.nowMs() + ANSWER_WAIT_MARGIN_MS;
+            if (current.operationRandom.nextInt(ABANDON_ONE_IN) == 0) {
+                waitMs = current.operationRandom.nextLong(waitMs);
             }
             world.afterMs(waitMs, () -> {
-                if (operation == asked && txn.equals(id)) {
+                if (operation == current && txn.equals(id)) {
                     operation = null;
                     socket.close();
-                    asked.finish(false);
+                    current.finish(false);
                 }
             });
         }
@@ -230,9 +230,9 @@
                 idleConnections.remove(this);
             }
             if (operation != null) {
-                Operation asked = operation;
+                Operation current = operation;
                 operation = null;
-                asked.connectionLost(this);
+                current.connectionLost(this);
             }
         }
 
@@ -240,7 +240,7 @@
             if (operation == null || answer.status() / 100 == 1) {
                 return;
             }
-            Operation asked = operation;
+            Operation current = operation;
             operation = null;
             world.log.add("answered", txn, answer.start(), answer.body().length);
             if (answer.field("connection").equalsIgnoreCase("close")) {
@@ -248,7 +248,7 @@
             } else {
                 idle.computeIfAbsent(node, n -> new ArrayDeque<>()).push(this);
             }
-            asked.answered(answer);
+            current.answered(answer);
         }
     }
 
--- a/src/main/java/vetchpost/simulation/world/SimulatedServer.java
+++ b/src/main/java/vetchpost/simulation/world/SimulatedServer.java
@@ -51,7 +51,7 @@
     private double resetFraction;
     private long notReadingUntilMs;
 
-    private Script script = (end, request) -> false;
+    private Script script = (socket, request) -> false;
 
     /** Behaviour that a test puts before the server's own. */
     public interface Script {
--- a/src/test/java/vetchpost/simulation/EventOrderTest.java
+++ b/src/test/java/vetchpost/simulation/EventOrderTest.java
@@ -38,7 +38,7 @@
             SimulatedServer drained = scenario.servers.get(0);
             int[] sentAfterGrace = new int[1];
             long[] graceOverNs = {Long.MAX_VALUE};
-            scenario.servers.get(0).script((end, request) -> {
+            scenario.servers.get(0).script((socket, request) -> {
                 sentAfterGrace[0] += scenario.time.nanoTime() > graceOverNs[0] ? 1 : 0;
                 return false;
             });
@@ -73,9 +73,9 @@
         int failed = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
-            scenario.script((end, request) -> {
+            scenario.script((socket, request) -> {
                 long waitsNs = (Long.parseLong(request.field("x-remaining-ms")) * 1_000 + offsetUs) * 1_000;
-                scenario.time.after(waitsNs - 400_000, () -> scenario.respond(end, request));
+                scenario.time.after(waitsNs - 400_000, () -> scenario.respond(socket, request));
                 return true;
             });
             SingleNodeScenario.TestClient order = scenario.placeOrder(WAIT_MS);
@@ -101,7 +101,7 @@
     void aResponseThatArrivedBeforeItsTimeoutIsServed(boolean inTurn) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
-            scenario.script((end, request) -> {
+            scenario.script((socket, request) -> {
                 long waitsMs = Long.parseLong(request.field("x-remaining-ms"));
                 scenario.time.after((waitsMs - 5) * SingleNodeScenario.MS, () -> {
                     if (inTurn) {
@@ -109,7 +109,7 @@
                     } else {
                         scenario.node.pauseLoop(15);
                     }
-                    scenario.respond(end, request);
+                    scenario.respond(socket, request);
                 });
                 return true;
             });
@@ -125,12 +125,12 @@
     void aResetAfterTheLastByteIsRetriedOnlyAsTheClassAllows() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 4, 2, false);
-            scenario.script((end, request) -> {
+            scenario.script((socket, request) -> {
                 if (scenario.receivedRequests.stream()
                                 .filter(r -> r.field("x-txn").equals(request.field("x-txn")))
                                 .count()
                         == 1) {
-                    end.reset();
+                    socket.reset();
                     return true;
                 }
                 return false;
@@ -189,17 +189,17 @@
                 server.stopReading(isMalformed ? 10_000 : 60);
                 server.script(new SimulatedServer.Script() {
                     @Override
-                    public boolean handle(SimulatedSocket end, Message request) {
+                    public boolean handle(SimulatedSocket socket, Message request) {
                         scenario.receivedRequests.add(request);
                         return false;
                     }
 
                     @Override
-                    public void connected(SimulatedSocket end) {
+                    public void connected(SimulatedSocket socket) {
                         if (isMalformed) {
                             scenario.time.after(
                                     30 * SingleNodeScenario.MS,
-                                    () -> end.put("no answer\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+                                    () -> socket.put("no answer\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
                         }
                     }
                 });
@@ -252,8 +252,8 @@
     void sigtermWaitsForRequestsThatOutlastTheAcceptPeriod() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false, 100);
-            scenario.script((end, request) -> {
-                scenario.time.after(1_100 * SingleNodeScenario.MS, () -> scenario.respond(end, request));
+            scenario.script((socket, request) -> {
+                scenario.time.after(1_100 * SingleNodeScenario.MS, () -> scenario.respond(socket, request));
                 return true;
             });
             List<SingleNodeScenario.TestClient> orders =
@@ -281,7 +281,7 @@
             int before = scenario.receivedRequests.size();
             int[] sentToDrained = new int[1];
             for (int i = 0; i < 2; i++) {
-                scenario.servers.get(i).script((end, request) -> {
+                scenario.servers.get(i).script((socket, request) -> {
                     sentToDrained[0]++;
                     return false;
                 });
@@ -310,8 +310,8 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false, 100);
             List<Runnable> answers = new ArrayList<>();
-            scenario.script((end, request) -> {
-                answers.add(() -> scenario.respond(end, request));
+            scenario.script((socket, request) -> {
+                answers.add(() -> scenario.respond(socket, request));
                 return true;
             });
             List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
@@ -363,7 +363,7 @@
     void aServerSilentAfterTheWholeRequestGivesOneAnswer() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 4, 2, false);
-            scenario.script((end, request) -> scenario.receivedRequests.stream()
+            scenario.script((socket, request) -> scenario.receivedRequests.stream()
                             .filter(r -> r.field("x-txn").equals(request.field("x-txn")))
                             .count()
                     == 1);
@@ -413,7 +413,7 @@
             scenario.discovery.changedNow(replaced, "Ready");
             scenario.runMs(100);
             int[] sentToCold = new int[1];
-            replaced.script((end, request) -> {
+            replaced.script((socket, request) -> {
                 sentToCold[0]++;
                 return false;
             });
--- a/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
@@ -54,7 +54,7 @@
         SingleNodeScenario scenario = new SingleNodeScenario(3, 40, 1, true);
         int[] sentToOmitted = new int[1];
         for (SimulatedServer server : scenario.servers.subList(4, 40)) {
-            server.script((end, request) -> {
+            server.script((socket, request) -> {
                 sentToOmitted[0]++;
                 return false;
             });
@@ -80,7 +80,7 @@
         scenario.runMs(500);
         int[] sentToOmitted = new int[1];
         for (SimulatedServer server : scenario.servers.subList(4, 40)) {
-            server.script((end, request) -> {
+            server.script((socket, request) -> {
                 sentToOmitted[0]++;
                 return false;
             });
@@ -113,7 +113,7 @@
         SingleNodeScenario scenario = new SingleNodeScenario(5, 40, 10, new Subsets(4));
         Set<SimulatedServer> used = new HashSet<>();
         for (SimulatedServer server : scenario.servers) {
-            server.script((end, request) -> {
+            server.script((socket, request) -> {
                 used.add(server);
                 return false;
             });
--- a/src/test/java/vetchpost/simulation/ManyNodesSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/ManyNodesSeedsTest.java
@@ -26,7 +26,7 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             Plan plan = Plan.ofManyNodes(seed, NODES);
             assertEquals(NODES, plan.nodes());
-            assertTrue(plan.servers() >= 40 && plan.servers() <= 60, plan.servers() + " boxes");
+            assertTrue(plan.servers() >= 40 && plan.servers() <= 60, plan.servers() + " servers");
             plan.faults().forEach(f -> seen.add(f.kind()));
         }
         assertTrue(
--- a/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
+++ b/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
@@ -28,7 +28,7 @@
 @Timeout(120)
 class RejectedRoutesTest {
     private static final int SEEDS = 20;
-    private static final int BOXES = 6;
+    private static final int SERVERS = 6;
     private static final long WAIT_MS = 300;
 
     /** Nodes that use a route file without validation. */
@@ -60,11 +60,11 @@
     private static Violation firstViolation(RouteFileSetup file) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             List<Fault> faults = new ArrayList<>();
-            for (int i = 0; i < BOXES; i++) {
+            for (int i = 0; i < SERVERS; i++) {
                 faults.add(new Fault(500, Fault.Kind.SLOW, i, 3_000, 20));
             }
             Result result =
-                    Simulation.run(new Plan(seed, 1, BOXES, 2, false, 15, 4_000, 100, 2, faults, null), file, null);
+                    Simulation.run(new Plan(seed, 1, SERVERS, 2, false, 15, 4_000, 100, 2, faults, null), file, null);
             if (!result.isGood()) {
                 return result.violation();
             }
@@ -108,14 +108,14 @@
     }
 
     private static SingleNodeScenario scenario(String text, boolean trusting) {
-        SingleNodeScenario scenario = new SingleNodeScenario(5, BOXES, 1, new RouteFileSetup("", trusting, false));
+        SingleNodeScenario scenario = new SingleNodeScenario(5, SERVERS, 1, new RouteFileSetup("", trusting, false));
         scenario.node.setRoutes(RouteFiles.policy(text, SingleNodeScenario.settings(), 5));
         return scenario;
     }
 
     private static int attemptsOfOneView(String text, boolean trusting) {
         SingleNodeScenario scenario = scenario(text, trusting);
-        scenario.script((end, request) -> true);
+        scenario.script((socket, request) -> true);
         scenario.viewPage(WAIT_MS);
         scenario.runMs(2 * WAIT_MS);
         return scenario.receivedRequests.size();
@@ -164,7 +164,7 @@
         assertTrue(RouteFiles.isRejected(noBody, SingleNodeScenario.settings(), Rule.STARVES));
         String none = "[class.view-page]\nconcurrency = 0\n";
         SingleNodeScenario unlimited = scenario(none, false);
-        unlimited.script((end, request) -> true);
+        unlimited.script((socket, request) -> true);
         for (int i = 0; i < 4; i++) {
             unlimited.viewPage(WAIT_MS);
         }
