--- a/src/main/java/vetchpost/simulation/Fault.java
+++ b/src/main/java/vetchpost/simulation/Fault.java
@@ -21,41 +21,41 @@
         /** A server's process dies and restarts cold some time later. */
         KILL("kill box", "a server dies and restarts cold after FOR"),
         /** A server's machine stops answering. */
-        SILENCE("silence box", "a server's machine is unreachable for FOR, then restarts cold"),
+        VANISH("silence box", "a server's machine is unreachable for FOR, then restarts cold"),
         /** A server answers a fraction of requests with errors at once. */
         FAIL("fail box", "a server answers the fraction AMOUNT of requests with errors for FOR"),
         /** A server is slower by a factor. */
         SLOW("slow box", "a server takes AMOUNT times as long for FOR"),
         /** A server sends a fraction of its responses malformed. */
-        SPOIL("spoil box", "a server sends the fraction AMOUNT of its responses malformed for FOR"),
+        CORRUPT_RESPONSES("spoil box", "a server sends the fraction AMOUNT of its responses malformed for FOR"),
         /** A server resets a fraction of connections just after it has read a request. */
         RESET("reset box", "a server resets the fraction AMOUNT of requests after reading them for FOR"),
         /** A server stops reading, so that input fills its buffers. */
-        DEAF("deaf box", "a server reads nothing for FOR"),
+        STOP_READING("deaf box", "a server reads nothing for FOR"),
         /** A node's process is killed and starts again some time later. */
         CRASH("crash node", "a node is killed and restarts after FOR"),
         /** A node gets SIGTERM. */
         STOP("stop node", "a node gets SIGTERM and restarts after FOR"),
         /** A node's event loop is paused. */
-        STALL("stall node", "a node's process is paused for FOR"),
+        PAUSE("stall node", "a node's process is paused for FOR"),
         /** Discovery moves, and nodes get SIGHUP with its new address. */
-        MOVE("move discovery", "discovery moves to another address, and nodes get SIGHUP"),
+        MOVE_DISCOVERY("move discovery", "discovery moves to another address, and nodes get SIGHUP"),
         /** Discovery sends nothing. */
-        MUTE("mute discovery", "discovery sends nothing for FOR"),
+        SILENCE_DISCOVERY("mute discovery", "discovery sends nothing for FOR"),
         /** Watches on the server list are reset. */
-        BREAK("break discovery", "the watches on the server list are reset"),
+        BREAK_WATCHES("break discovery", "the watches on the server list are reset"),
         /** Discovery sends changes late. */
-        LATE("late discovery", "discovery sends changes FOR late from then on"),
+        DELAY_DISCOVERY("late discovery", "discovery sends changes FOR late from then on"),
         /** Discovery's full lists omit most servers. */
-        SHRINK("shrink discovery", "discovery's full lists omit nine servers of ten for FOR"),
+        SHRINK_LISTS("shrink discovery", "discovery's full lists omit nine servers of ten for FOR"),
         /** Many requests of the safe class at once. */
-        BURST("burst view-page", "AMOUNT requests at once"),
+        PAGE_BURST("burst view-page", "AMOUNT requests at once"),
         /** Many requests of the unsafe class at once. */
-        ORDERS("burst place-order", "AMOUNT requests at once"),
+        ORDER_BURST("burst place-order", "AMOUNT requests at once"),
         /** Many requests of the keyed class at once. */
-        PHOTOS("burst add-photo", "AMOUNT requests at once"),
+        PHOTO_BURST("burst add-photo", "AMOUNT requests at once"),
         /** Clients that send malformed or partial requests, or do not read. */
-        RUDE("rude clients", "AMOUNT clients that send malformed or partial requests, or don't read");
+        MALFORMED_CLIENTS("rude clients", "AMOUNT clients that send malformed or partial requests, or don't read");
 
         private final String scriptName;
         private final String help;
--- a/src/main/java/vetchpost/simulation/Plan.java
+++ b/src/main/java/vetchpost/simulation/Plan.java
@@ -121,7 +121,11 @@
         }
         if ((faultSelection & 8) != 0) {
             faults.add(new Fault(
-                    atMs, random.nextBoolean() ? Fault.Kind.MUTE : Fault.Kind.LATE, 0, random.nextInt(3_000), 0));
+                    atMs,
+                    random.nextBoolean() ? Fault.Kind.SILENCE_DISCOVERY : Fault.Kind.DELAY_DISCOVERY,
+                    0,
+                    random.nextInt(3_000),
+                    0));
             forEachAffected(
                     random,
                     servers,
@@ -156,7 +160,7 @@
                 random,
                 servers,
                 SILENCED_FRACTION,
-                n -> faults.add(new Fault(atMs + random.nextLong(1_000), Fault.Kind.SILENCE, n, faultMs, 0)));
+                n -> faults.add(new Fault(atMs + random.nextLong(1_000), Fault.Kind.VANISH, n, faultMs, 0)));
         forEachAffected(
                 random,
                 servers,
@@ -197,7 +201,7 @@
                         random,
                         servers,
                         SILENCED_FRACTION,
-                        n -> faults.add(new Fault(atMs, Fault.Kind.SILENCE, n, faultMs, 0)));
+                        n -> faults.add(new Fault(atMs, Fault.Kind.VANISH, n, faultMs, 0)));
             case 5 ->
                 forEachAffected(
                         random,
@@ -205,21 +209,21 @@
                         FAILING_FRACTION,
                         n -> faults.add(new Fault(atMs, Fault.Kind.FAIL, n, faultMs, fraction)));
             case 6 -> faults.add(new Fault(atMs, Fault.Kind.SLOW, server, faultMs, 2 + 8 * fraction));
-            case 7 -> faults.add(new Fault(atMs, Fault.Kind.SPOIL, server, faultMs, 0.5 * fraction));
+            case 7 -> faults.add(new Fault(atMs, Fault.Kind.CORRUPT_RESPONSES, server, faultMs, 0.5 * fraction));
             case 8 -> faults.add(new Fault(atMs, Fault.Kind.RESET, server, faultMs, 0.5 * fraction));
-            case 9 -> faults.add(new Fault(atMs, Fault.Kind.DEAF, server, faultMs, 0));
+            case 9 -> faults.add(new Fault(atMs, Fault.Kind.STOP_READING, server, faultMs, 0));
             case 10 -> faults.add(new Fault(atMs, Fault.Kind.CRASH, random.nextInt(nodes), faultMs, 0));
             case 11 -> faults.add(new Fault(atMs, Fault.Kind.STOP, random.nextInt(nodes), faultMs, 0));
-            case 12 -> faults.add(new Fault(atMs, Fault.Kind.STALL, random.nextInt(nodes), faultMs / 8, 0));
-            case 13 -> faults.add(new Fault(atMs, Fault.Kind.MOVE, 0, 0, 0));
-            case 14 -> faults.add(new Fault(atMs, Fault.Kind.MUTE, 0, faultMs, 0));
+            case 12 -> faults.add(new Fault(atMs, Fault.Kind.PAUSE, random.nextInt(nodes), faultMs / 8, 0));
+            case 13 -> faults.add(new Fault(atMs, Fault.Kind.MOVE_DISCOVERY, 0, 0, 0));
+            case 14 -> faults.add(new Fault(atMs, Fault.Kind.SILENCE_DISCOVERY, 0, faultMs, 0));
             case 15 ->
                 faults.add(new Fault(
                         atMs,
                         switch (random.nextInt(3)) {
-                            case 0 -> Fault.Kind.BREAK;
-                            case 1 -> Fault.Kind.LATE;
-                            default -> Fault.Kind.SHRINK;
+                            case 0 -> Fault.Kind.BREAK_WATCHES;
+                            case 1 -> Fault.Kind.DELAY_DISCOVERY;
+                            default -> Fault.Kind.SHRINK_LISTS;
                         },
                         0,
                         faultMs / 4,
@@ -228,12 +232,12 @@
                 faults.add(new Fault(
                         atMs,
                         random.nextBoolean()
-                                ? Fault.Kind.BURST
-                                : random.nextBoolean() ? Fault.Kind.ORDERS : Fault.Kind.PHOTOS,
+                                ? Fault.Kind.PAGE_BURST
+                                : random.nextBoolean() ? Fault.Kind.ORDER_BURST : Fault.Kind.PHOTO_BURST,
                         0,
                         0,
                         5 + random.nextInt(60)));
-            default -> faults.add(new Fault(atMs, Fault.Kind.RUDE, 0, 0, 1 + random.nextInt(12)));
+            default -> faults.add(new Fault(atMs, Fault.Kind.MALFORMED_CLIENTS, 0, 0, 1 + random.nextInt(12)));
         }
     }
 
--- a/src/main/java/vetchpost/simulation/Simulation.java
+++ b/src/main/java/vetchpost/simulation/Simulation.java
@@ -181,20 +181,20 @@
                     after(fault.durationMs(), () -> restart(server));
                 }
             }
-            case SILENCE -> {
+            case VANISH -> {
                 if (server.isUp()) {
                     server.vanish();
                     after(fault.durationMs(), () -> {
                         server.reappear();
-                        discovery.changed(server, "Ready");
+                        discovery.publish(server, "Ready");
                     });
                 }
             }
             case FAIL -> server.fail(fault.amount(), fault.durationMs());
             case SLOW -> server.slow(Math.max(1, fault.amount()), fault.durationMs());
-            case SPOIL -> server.corruptResponses(fault.amount(), fault.durationMs());
+            case CORRUPT_RESPONSES -> server.corruptResponses(fault.amount(), fault.durationMs());
             case RESET -> server.reset(fault.amount(), fault.durationMs());
-            case DEAF -> server.stopReading(fault.durationMs());
+            case STOP_READING -> server.stopReading(fault.durationMs());
             case CRASH -> {
                 node.crash();
                 after(fault.durationMs(), node::start);
@@ -203,19 +203,19 @@
                 node.stop();
                 after(Math.max(fault.durationMs(), MAX_STOP_MS), node::start);
             }
-            case STALL -> node.pauseLoopAtRandom(fault.durationMs());
-            case MOVE -> {
+            case PAUSE -> node.pauseLoopAtRandom(fault.durationMs());
+            case MOVE_DISCOVERY -> {
                 discovery.move();
                 nodes.all().forEach(NodeProcess::signalReload);
             }
-            case MUTE -> discovery.mute(fault.durationMs());
-            case BREAK -> discovery.breakWatches();
-            case LATE -> discovery.delayChanges(fault.durationMs());
-            case SHRINK -> discovery.shrinkLists(fault.durationMs());
-            case BURST -> repeat(fault.amount(), () -> clients.startRequest("view-page"));
-            case ORDERS -> repeat(fault.amount(), () -> clients.startRequest("place-order"));
-            case PHOTOS -> repeat(fault.amount(), () -> clients.startRequest("add-photo"));
-            case RUDE -> repeat(fault.amount(), clients::startMalformedClient);
+            case SILENCE_DISCOVERY -> discovery.silence(fault.durationMs());
+            case BREAK_WATCHES -> discovery.breakWatches();
+            case DELAY_DISCOVERY -> discovery.delayChanges(fault.durationMs());
+            case SHRINK_LISTS -> discovery.shrinkLists(fault.durationMs());
+            case PAGE_BURST -> repeat(fault.amount(), () -> clients.startRequest("view-page"));
+            case ORDER_BURST -> repeat(fault.amount(), () -> clients.startRequest("place-order"));
+            case PHOTO_BURST -> repeat(fault.amount(), () -> clients.startRequest("add-photo"));
+            case MALFORMED_CLIENTS -> repeat(fault.amount(), clients::startMalformedClient);
         }
     }
 
@@ -233,14 +233,14 @@
         if (!server.isUp()) {
             return;
         }
-        discovery.changedNow(server, "Terminating");
+        discovery.publishNow(server, "Terminating");
         after(DRAIN_DELAY_MS, () -> {
             if (server.isUp()) {
                 server.drain();
             }
         });
         after(DRAIN_DELAY_MS + forMs, () -> {
-            discovery.changed(server, "Gone");
+            discovery.publish(server, "Gone");
             server.kill();
             server.rename();
             after(forMs, () -> restart(server));
@@ -250,7 +250,7 @@
     private void replace(SimulatedServer server, long gapMs) {
         if (server.isUp()) {
             server.kill();
-            discovery.changed(server, "Gone");
+            discovery.publish(server, "Gone");
             server.rename();
             after(gapMs, () -> restart(server));
         }
@@ -258,6 +258,6 @@
 
     private void restart(SimulatedServer server) {
         server.start(true);
-        discovery.changed(server, "Ready");
+        discovery.publish(server, "Ready");
     }
 }
--- a/src/main/java/vetchpost/simulation/StateKeepingNodes.java
+++ b/src/main/java/vetchpost/simulation/StateKeepingNodes.java
@@ -70,11 +70,11 @@
     }
 
     /** The chunks of the snapshot on a machine's disk; null for none. */
-    List<byte[]> onDisk(int number) {
+    List<byte[]> diskChunks(int number) {
         return disks.get(number);
     }
 
-    void putOnDisk(int number, List<byte[]> chunks) {
+    void setDiskChunks(int number, List<byte[]> chunks) {
         disks.put(number, chunks);
     }
 
--- a/src/main/java/vetchpost/simulation/check/Checker.java
+++ b/src/main/java/vetchpost/simulation/check/Checker.java
@@ -123,7 +123,7 @@
     }
 
     /** Registers the body of a response that a server gives to the request. */
-    public void serverAnswers(String id, String body) {
+    public void addResponse(String id, String body) {
         responseBodies.computeIfAbsent(id, i -> new HashSet<>()).add(body);
     }
 
--- a/src/main/java/vetchpost/simulation/net/SimChannel.java
+++ b/src/main/java/vetchpost/simulation/net/SimChannel.java
@@ -49,7 +49,7 @@
 
     private void attach(SimulatedSocket opened) {
         socket = opened;
-        socket.handler(() -> network.loop().ready(this));
+        socket.setHandler(() -> network.loop().markReady(this));
     }
 
     private final class Unsafe extends AbstractUnsafe {
@@ -163,7 +163,7 @@
         if (isActive() && reading && hasInput()) {
             unsafe.read();
             if (isActive() && reading && hasInput()) {
-                network.loop().ready(this);
+                network.loop().markReady(this);
             }
         }
     }
@@ -182,7 +182,7 @@
     protected void doBeginRead() {
         reading = true;
         if (socket != null && hasInput()) {
-            network.loop().ready(this);
+            network.loop().markReady(this);
         }
     }
 
--- a/src/main/java/vetchpost/simulation/net/SimLoop.java
+++ b/src/main/java/vetchpost/simulation/net/SimLoop.java
@@ -94,7 +94,7 @@
     }
 
     /** Has the channel polled in the next turn. */
-    void ready(Ready channel) {
+    void markReady(Ready channel) {
         if (!dead) {
             selector.ready.add(channel);
             scheduleTurn(time.nanoTime() + random.nextLong(TURN_DURATION_NS));
--- a/src/main/java/vetchpost/simulation/net/SimNetwork.java
+++ b/src/main/java/vetchpost/simulation/net/SimNetwork.java
@@ -39,7 +39,7 @@
 
     @Override
     public Channel newClientChannel() {
-        return connection(null, null);
+        return newConnection(null, null);
     }
 
     @Override
@@ -52,7 +52,7 @@
     }
 
     /** A connection channel; {@code parent} is the channel that accepted it, or null. */
-    SimChannel connection(Channel parent, SimulatedSocket socket) {
+    SimChannel newConnection(Channel parent, SimulatedSocket socket) {
         SimChannel channel = new SimChannel(this, parent, socket);
         channelListener.accept(channel);
         return channel;
--- a/src/main/java/vetchpost/simulation/net/SimServerChannel.java
+++ b/src/main/java/vetchpost/simulation/net/SimServerChannel.java
@@ -59,7 +59,7 @@
         address = requested;
         network.host().listen(address, socket -> {
             backlog.add(socket);
-            network.loop().ready(this);
+            network.loop().markReady(this);
         });
     }
 
@@ -77,7 +77,7 @@
     protected void doBeginRead() {
         reading = true;
         if (!backlog.isEmpty()) {
-            network.loop().ready(this);
+            network.loop().markReady(this);
         }
     }
 
@@ -99,12 +99,12 @@
             }
             handle.incMessagesRead(1);
             reading = false;
-            pipeline().fireChannelRead(network.connection(this, socket));
+            pipeline().fireChannelRead(network.newConnection(this, socket));
         } while (handle.continueReading());
         handle.readComplete();
         pipeline().fireChannelReadComplete();
         if (!backlog.isEmpty() && reading) {
-            network.loop().ready(this);
+            network.loop().markReady(this);
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/net/SimulatedSocket.java
+++ b/src/main/java/vetchpost/simulation/net/SimulatedSocket.java
@@ -59,7 +59,7 @@
     }
 
     /** Sets the action to run on each change: connected, failed, input, end of stream, or room to write. */
-    public void handler(Runnable next) {
+    public void setHandler(Runnable next) {
         handler = next;
     }
 
@@ -131,7 +131,7 @@
     }
 
     /** Called when the handshake has ended at this end. */
-    void connected() {
+    void onConnected() {
         if (closed) {
             // Closed meanwhile: the peer is notified by a reset.
             peer.arrive(new Segment(Kind.RESET, null, null));
@@ -140,7 +140,7 @@
         }
     }
 
-    void refused() {
+    void onRefused() {
         failed = true;
         notifyHandler();
     }
@@ -318,7 +318,7 @@
                 }
                 inbox.add(segment.bytes);
                 received += segment.bytes.length;
-                peer.acknowledged(segment.bytes.length);
+                peer.onAcknowledged(segment.bytes.length);
                 host.tap.received(this, segment.bytes);
             }
             case FIN -> {
@@ -343,7 +343,7 @@
         return true;
     }
 
-    private void acknowledged(int bytes) {
+    private void onAcknowledged(int bytes) {
         boolean wasFull = unacknowledgedBytes >= SEND_BUFFER_BYTES;
         unacknowledgedBytes -= bytes;
         if (wasFull) {
--- a/src/main/java/vetchpost/simulation/net/Tcp.java
+++ b/src/main/java/vetchpost/simulation/net/Tcp.java
@@ -69,7 +69,7 @@
     private void onConnectRequest(SimulatedSocket from, InetSocketAddress local, InetSocketAddress to) {
         Listener listener = listeners.get(to);
         if (listener == null) {
-            time.after(delayNs(), from::refused);
+            time.after(delayNs(), from::onRefused);
         } else if (!listener.host.isVanished()) {
             SimulatedSocket acceptedSocket = new SimulatedSocket(this, listener.host, to, local, null);
             acceptedSocket.establish(from);
@@ -77,7 +77,7 @@
             from.connectAfter(delayNs(), () -> {
                 if (!from.host().isDead()) {
                     from.establish(acceptedSocket);
-                    from.connected();
+                    from.onConnected();
                 }
             });
             listener.accepted.accept(acceptedSocket);
--- a/src/main/java/vetchpost/simulation/world/Clients.java
+++ b/src/main/java/vetchpost/simulation/world/Clients.java
@@ -112,7 +112,7 @@
             connection.sendRequest(this, txn, bytes);
         }
 
-        void answered(Message answer) {
+        void onResponse(Message answer) {
             int status = answer.status();
             if (status == 200) {
                 finish(true);
@@ -248,7 +248,7 @@
             } else {
                 idle.computeIfAbsent(node, n -> new ArrayDeque<>()).push(this);
             }
-            current.answered(answer);
+            current.onResponse(answer);
         }
     }
 
--- a/src/main/java/vetchpost/simulation/world/NodeProcess.java
+++ b/src/main/java/vetchpost/simulation/world/NodeProcess.java
@@ -179,17 +179,17 @@
         private void checkNothingLeft() {
             Node.PendingWork left = node.pendingWork();
             if (left.requests() != 0 || left.bytes() != 0 || left.sockets() != 0) {
-                leak("holds " + left);
+                reportLeak("holds " + left);
             }
             if (network.bufferedBytes() != 0) {
-                leak("has " + network.bufferedBytes() + " bytes of buffers that nobody released");
+                reportLeak("has " + network.bufferedBytes() + " bytes of buffers that nobody released");
             }
             if (!loop.isIdle()) {
-                leak("has timers left");
+                reportLeak("has timers left");
             }
         }
 
-        private void leak(String what) {
+        private void reportLeak(String what) {
             violations.accept(new Violation(Rule.LEAK, world.time.nanoTime(), name() + " has stopped and " + what));
         }
 
--- a/src/main/java/vetchpost/simulation/world/RequestEffects.java
+++ b/src/main/java/vetchpost/simulation/world/RequestEffects.java
@@ -33,7 +33,7 @@
     }
 
     /** Records that a server in this rack has read the request and will process it. */
-    void executed(Message request, int rack) {
+    void recordExecution(Message request, int rack) {
         String operation = operations.get(request.field("x-txn"));
         if (operation == null || retryPolicies.get(operation) == RetryPolicy.SAFE) {
             return;
--- a/src/main/java/vetchpost/simulation/world/SimulatedDiscovery.java
+++ b/src/main/java/vetchpost/simulation/world/SimulatedDiscovery.java
@@ -82,7 +82,7 @@
 
         Watch(SimulatedSocket end) {
             this.socket = end;
-            end.handler(this::onReady);
+            end.setHandler(this::onReady);
         }
 
         private void onReady() {
@@ -219,14 +219,14 @@
     }
 
     /** Publishes a change of the server to {@code state} after a random delay. */
-    public void changed(SimulatedServer server, String state) {
+    public void publish(SimulatedServer server, String state) {
         String id = server.id();
         Entry entry = new Entry(id, server.endpoint(), server.rack(), state, server.startedNs());
         publishAfter(MIN_NOTICE_DELAY_MS + random.nextInt(NOTICE_DELAY_SPREAD_MS) + changeDelayMs, entry);
     }
 
     /** Publishes a change of the server to {@code state} immediately. */
-    public void changedNow(SimulatedServer server, String state) {
+    public void publishNow(SimulatedServer server, String state) {
         publishAfter(0, new Entry(server.id(), server.endpoint(), server.rack(), state, server.startedNs()));
     }
 
@@ -257,7 +257,7 @@
         return "{\"rev\":" + revision + ",\"all\":true,\"targets\":[" + String.join(",", lines) + "]}";
     }
 
-    public void mute(long forMs) {
+    public void silence(long forMs) {
         muteUntilMs = Math.max(muteUntilMs, world.nowMs() + forMs);
     }
 
--- a/src/main/java/vetchpost/simulation/world/SimulatedServer.java
+++ b/src/main/java/vetchpost/simulation/world/SimulatedServer.java
@@ -74,7 +74,7 @@
 
         Connection(SimulatedSocket socket) {
             this.socket = socket;
-            socket.handler(this::onReady);
+            socket.setHandler(this::onReady);
             script.connected(socket);
         }
 
@@ -123,7 +123,7 @@
     }
 
     /** Passes each request to the script first. */
-    public void script(Script next) {
+    public void setScript(Script next) {
         script = next;
     }
 
@@ -244,7 +244,7 @@
             answer(from, "HTTP/1.1 500 Internal Server Error", "", "error");
             return;
         }
-        effects.executed(request, rack);
+        effects.recordExecution(request, rack);
         if (happens(resetUntilMs, resetFraction)) {
             from.socket.reset();
             return;
@@ -286,7 +286,7 @@
             respondCorrupted(job.from, txn, body);
             return;
         }
-        world.checker.serverAnswers(txn, body);
+        world.checker.addResponse(txn, body);
         answer(job.from, "HTTP/1.1 200 OK", "Content-Type: text/plain\r\n", body);
     }
 
@@ -310,13 +310,13 @@
                 to.socket.close();
             }
             case 5 -> {
-                world.checker.serverAnswers(txn, body);
+                world.checker.addResponse(txn, body);
                 byte[] response = Message.bytes("HTTP/1.1 200 OK", contentLength, body);
                 to.socket.putUnsplit((new String(response, StandardCharsets.ISO_8859_1).repeat(2))
                         .getBytes(StandardCharsets.ISO_8859_1));
             }
             case 6 -> {
-                world.checker.serverAnswers(txn, body);
+                world.checker.addResponse(txn, body);
                 to.socket.put("HTTP/1.1 103 Early Hints\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
                 to.socket.put(Message.bytes("HTTP/1.1 200 OK", contentLength, body));
             }
--- a/src/test/java/vetchpost/simulation/EventOrderTest.java
+++ b/src/test/java/vetchpost/simulation/EventOrderTest.java
@@ -38,13 +38,13 @@
             SimulatedServer drained = scenario.servers.get(0);
             int[] sentAfterGrace = new int[1];
             long[] graceOverNs = {Long.MAX_VALUE};
-            scenario.servers.get(0).script((socket, request) -> {
+            scenario.servers.get(0).setScript((socket, request) -> {
                 sentAfterGrace[0] += scenario.time.nanoTime() > graceOverNs[0] ? 1 : 0;
                 return false;
             });
             // Notice and requests wait in the receive buffers for the same turn of the event loop.
             scenario.node.pauseLoop(20);
-            scenario.discovery.changedNow(drained, "Terminating");
+            scenario.discovery.publishNow(drained, "Terminating");
             List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 clients.add(i % 2 == 0 ? scenario.placeOrder(WAIT_MS) : scenario.viewPage(WAIT_MS));
@@ -73,7 +73,7 @@
         int failed = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
-            scenario.script((socket, request) -> {
+            scenario.setScript((socket, request) -> {
                 long waitsNs = (Long.parseLong(request.field("x-remaining-ms")) * 1_000 + offsetUs) * 1_000;
                 scenario.time.after(waitsNs - 400_000, () -> scenario.respond(socket, request));
                 return true;
@@ -101,7 +101,7 @@
     void aResponseThatArrivedBeforeItsTimeoutIsServed(boolean inTurn) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false);
-            scenario.script((socket, request) -> {
+            scenario.setScript((socket, request) -> {
                 long waitsMs = Long.parseLong(request.field("x-remaining-ms"));
                 scenario.time.after((waitsMs - 5) * SingleNodeScenario.MS, () -> {
                     if (inTurn) {
@@ -125,7 +125,7 @@
     void aResetAfterTheLastByteIsRetriedOnlyAsTheClassAllows() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 4, 2, false);
-            scenario.script((socket, request) -> {
+            scenario.setScript((socket, request) -> {
                 if (scenario.receivedRequests.stream()
                                 .filter(r -> r.field("x-txn").equals(request.field("x-txn")))
                                 .count()
@@ -187,7 +187,7 @@
                 boolean isMalformed = i == 0;
                 SimulatedServer server = scenario.servers.get(i);
                 server.stopReading(isMalformed ? 10_000 : 60);
-                server.script(new SimulatedServer.Script() {
+                server.setScript(new SimulatedServer.Script() {
                     @Override
                     public boolean handle(SimulatedSocket socket, Message request) {
                         scenario.receivedRequests.add(request);
@@ -252,7 +252,7 @@
     void sigtermWaitsForRequestsThatOutlastTheAcceptPeriod() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false, 100);
-            scenario.script((socket, request) -> {
+            scenario.setScript((socket, request) -> {
                 scenario.time.after(1_100 * SingleNodeScenario.MS, () -> scenario.respond(socket, request));
                 return true;
             });
@@ -273,15 +273,15 @@
     void aDrainSentInTheNextWatchIsObeyed(boolean pushed) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 4, 1, pushed);
-            scenario.discovery.changedNow(scenario.servers.get(0), "Terminating");
+            scenario.discovery.publishNow(scenario.servers.get(0), "Terminating");
             scenario.runMs(10);
             scenario.discovery.breakWatches();
-            scenario.discovery.changedNow(scenario.servers.get(1), "Terminating");
+            scenario.discovery.publishNow(scenario.servers.get(1), "Terminating");
             scenario.runMs(3_000);
             int before = scenario.receivedRequests.size();
             int[] sentToDrained = new int[1];
             for (int i = 0; i < 2; i++) {
-                scenario.servers.get(i).script((socket, request) -> {
+                scenario.servers.get(i).setScript((socket, request) -> {
                     sentToDrained[0]++;
                     return false;
                 });
@@ -310,7 +310,7 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 2, 1, false, 100);
             List<Runnable> answers = new ArrayList<>();
-            scenario.script((socket, request) -> {
+            scenario.setScript((socket, request) -> {
                 answers.add(() -> scenario.respond(socket, request));
                 return true;
             });
@@ -345,7 +345,7 @@
             scenario.discovery.silenceWatches();
             scenario.discovery.setCallDelay(1_500);
             scenario.runMs(seed * 91 % 3_000);
-            scenario.discovery.changedNow(scenario.servers.get(0), "Terminating");
+            scenario.discovery.publishNow(scenario.servers.get(0), "Terminating");
             List<SingleNodeScenario.TestClient> views = new ArrayList<>();
             for (int i = 0; i < 400; i++) {
                 views.add(scenario.viewPage(WAIT_MS));
@@ -363,7 +363,7 @@
     void aServerSilentAfterTheWholeRequestGivesOneAnswer() {
         for (long seed = 1; seed <= SEEDS; seed++) {
             SingleNodeScenario scenario = new SingleNodeScenario(seed, 4, 2, false);
-            scenario.script((socket, request) -> scenario.receivedRequests.stream()
+            scenario.setScript((socket, request) -> scenario.receivedRequests.stream()
                             .filter(r -> r.field("x-txn").equals(request.field("x-txn")))
                             .count()
                     == 1);
@@ -393,7 +393,7 @@
         for (int i = 1; i < 360; i++) {
             lines.add("at " + 10 * i + "s replace box " + i % 6 + " for 0." + (1 + i % 9) + "s");
         }
-        Result result = script(lines.toArray(String[]::new));
+        Result result = runScript(lines.toArray(String[]::new));
         assertTrue(result.isGood(), () -> String.valueOf(result.violation()));
         assertTrue(result.served() > 0.95 * result.operations(), result.served() + " of " + result.operations());
     }
@@ -410,10 +410,10 @@
             replaced.kill();
             replaced.rename();
             replaced.start(true);
-            scenario.discovery.changedNow(replaced, "Ready");
+            scenario.discovery.publishNow(replaced, "Ready");
             scenario.runMs(100);
             int[] sentToCold = new int[1];
-            replaced.script((socket, request) -> {
+            replaced.setScript((socket, request) -> {
                 sentToCold[0]++;
                 return false;
             });
@@ -427,14 +427,14 @@
         }
     }
 
-    private static Result script(String... lines) throws Exception {
+    private static Result runScript(String... lines) throws Exception {
         return Simulation.run(PlanText.parse(List.of(lines)));
     }
 
     @Test
     void aServerReplacedAtTheSameAddressBreaksNoRule() throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Result result = script(
+            Result result = runScript(
                     "seed " + seed,
                     "nodes 2",
                     "boxes 4",
@@ -454,7 +454,7 @@
     @Test
     void aNodeRestartDuringServerFailuresBreaksNoRule() throws Exception {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Result result = script(
+            Result result = runScript(
                     "seed " + seed,
                     "nodes 3",
                     "boxes 10",
--- a/src/test/java/vetchpost/simulation/FirstMinuteTest.java
+++ b/src/test/java/vetchpost/simulation/FirstMinuteTest.java
@@ -51,7 +51,7 @@
                 case 0 -> Fault.Kind.SLOW;
                 case 1 -> Fault.Kind.FAIL;
                 case 2 -> Fault.Kind.RESET;
-                default -> Fault.Kind.DEAF;
+                default -> Fault.Kind.STOP_READING;
             };
             faults.add(new Fault(
                     atMs,
--- a/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/LargeFleetSeedsTest.java
@@ -35,16 +35,16 @@
         for (int i = 0; i < SERVERS; i += 10) {
             faults.add(new Fault(700 + i / 10, i % 20 == 0 ? Kind.KILL : Kind.FAIL, i, 1_500, 0.8));
         }
-        faults.add(new Fault(1_000, Kind.SHRINK, 0, 20 + 150 * seed, 0));
+        faults.add(new Fault(1_000, Kind.SHRINK_LISTS, 0, 20 + 150 * seed, 0));
         return new Plan(seed, 2, SERVERS, 40, seed % 2 == 0, 400, 3_000, 15, 2, faults, null);
     }
 
     @Test
     void noRuleIsBrokenWithTwoThousandServers() throws Exception {
-        assertNoneBreaksARule(new Subsets(0));
+        assertNoViolations(new Subsets(0));
     }
 
-    private static void assertNoneBreaksARule(Subsets setup) throws Exception {
+    private static void assertNoViolations(Subsets setup) throws Exception {
         Seeds.assertNoViolations(SEEDS, seed -> Simulation.run(plan(seed), setup, null));
     }
 
@@ -54,7 +54,7 @@
         SingleNodeScenario scenario = new SingleNodeScenario(3, 40, 1, true);
         int[] sentToOmitted = new int[1];
         for (SimulatedServer server : scenario.servers.subList(4, 40)) {
-            server.script((socket, request) -> {
+            server.setScript((socket, request) -> {
                 sentToOmitted[0]++;
                 return false;
             });
@@ -80,7 +80,7 @@
         scenario.runMs(500);
         int[] sentToOmitted = new int[1];
         for (SimulatedServer server : scenario.servers.subList(4, 40)) {
-            server.script((socket, request) -> {
+            server.setScript((socket, request) -> {
                 sentToOmitted[0]++;
                 return false;
             });
@@ -104,7 +104,7 @@
 
     @Test
     void noRuleIsBrokenWithSubsets() throws Exception {
-        assertNoneBreaksARule(new Subsets(120));
+        assertNoViolations(new Subsets(120));
     }
 
     /** All four servers of a subset die: the node replaces them without any notice of discovery. */
@@ -113,7 +113,7 @@
         SingleNodeScenario scenario = new SingleNodeScenario(5, 40, 10, new Subsets(4));
         Set<SimulatedServer> used = new HashSet<>();
         for (SimulatedServer server : scenario.servers) {
-            server.script((socket, request) -> {
+            server.setScript((socket, request) -> {
                 used.add(server);
                 return false;
             });
--- a/src/test/java/vetchpost/simulation/ManyNodesSeedsTest.java
+++ b/src/test/java/vetchpost/simulation/ManyNodesSeedsTest.java
@@ -35,8 +35,8 @@
                         Fault.Kind.KILL,
                         Fault.Kind.REPLACE,
                         Fault.Kind.DRAIN,
-                        Fault.Kind.MUTE,
-                        Fault.Kind.LATE,
+                        Fault.Kind.SILENCE_DISCOVERY,
+                        Fault.Kind.DELAY_DISCOVERY,
                         Fault.Kind.SLOW)),
                 seen.toString());
     }
--- a/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
+++ b/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
@@ -115,7 +115,7 @@
 
     private static int attemptsOfOneView(String text, boolean trusting) {
         SingleNodeScenario scenario = scenario(text, trusting);
-        scenario.script((socket, request) -> true);
+        scenario.setScript((socket, request) -> true);
         scenario.viewPage(WAIT_MS);
         scenario.runMs(2 * WAIT_MS);
         return scenario.receivedRequests.size();
@@ -164,7 +164,7 @@
         assertTrue(RouteFiles.isRejected(noBody, SingleNodeScenario.settings(), Rule.STARVES));
         String none = "[class.view-page]\nconcurrency = 0\n";
         SingleNodeScenario unlimited = scenario(none, false);
-        unlimited.script((socket, request) -> true);
+        unlimited.setScript((socket, request) -> true);
         for (int i = 0; i < 4; i++) {
             unlimited.viewPage(WAIT_MS);
         }
--- a/src/test/java/vetchpost/simulation/RoutesTest.java
+++ b/src/test/java/vetchpost/simulation/RoutesTest.java
@@ -33,7 +33,7 @@
     @Test
     void anAttemptThatTimesOutIsRetriedAtAnotherServer() {
         SingleNodeScenario scenario = scenario(2, "[class.view-page]\nattempt-timeout = \"40ms\"\nattempts = 2\n");
-        scenario.script((socket, request) -> scenario.receivedRequests.size() == 1);
+        scenario.setScript((socket, request) -> scenario.receivedRequests.size() == 1);
         SingleNodeScenario.TestClient view = scenario.viewPage(WAIT_MS);
         scenario.runMs(80);
         assertEquals(200, view.status(), "the second attempt came after 40 ms");
@@ -72,7 +72,7 @@
         }
         scenario.runMs(WAIT_MS);
         int before = scenario.receivedRequests.size();
-        scenario.script((socket, request) -> scenario.receivedRequests.size() == before + 1);
+        scenario.setScript((socket, request) -> scenario.receivedRequests.size() == before + 1);
         SingleNodeScenario.TestClient late = scenario.viewPage(WAIT_MS);
         scenario.runMs(60);
         assertEquals(200, first.status());
@@ -112,7 +112,7 @@
         SingleNodeScenario scenario =
                 scenario(4, "[[route]]\npath = \"/view-page/*\"\nconcurrency = 2\n" + "retry-after = \"250ms\"\n");
         List<SingleNodeScenario.TestClient> clients = new ArrayList<>();
-        scenario.script((socket, request) -> true);
+        scenario.setScript((socket, request) -> true);
         for (int i = 0; i < 5; i++) {
             clients.add(scenario.viewPage(WAIT_MS));
         }
@@ -124,7 +124,7 @@
         rejected.forEach(a -> assertEquals("0.25", a.answers.get(0).field("retry-after")));
         assertEquals(0, order.status(), "another class has its own limits");
         scenario.runMs(2 * WAIT_MS);
-        scenario.script((socket, request) -> false);
+        scenario.setScript((socket, request) -> false);
         SingleNodeScenario.TestClient later = scenario.viewPage(WAIT_MS);
         scenario.runMs(WAIT_MS);
         assertEquals(200, later.status(), "ended requests free their places");
@@ -134,7 +134,7 @@
     @Test
     void aRequestEndsWithItsRouteOrItsClientWhicheverIsFirst() {
         SingleNodeScenario scenario = scenario(2, "[class.place-order]\ntotal-timeout = \"100ms\"\n");
-        scenario.script((socket, request) -> true);
+        scenario.setScript((socket, request) -> true);
         SingleNodeScenario.TestClient byRoute = scenario.placeOrder(WAIT_MS);
         SingleNodeScenario.TestClient byClient = scenario.placeOrder(50);
         scenario.runMs(60);
@@ -191,7 +191,7 @@
     @Test
     void aReloadLeavesPendingRequestsUnchanged() {
         SingleNodeScenario scenario = scenario(2, "[[route]]\npath = \"/view-page/{n}\"\nconcurrency = 1\n");
-        scenario.script((socket, request) -> true);
+        scenario.setScript((socket, request) -> true);
         SingleNodeScenario.TestClient first = scenario.viewPage(WAIT_MS);
         scenario.runMs(20);
         scenario.node.setRoutes(SingleNodeScenario.policy(""));
--- a/src/test/java/vetchpost/simulation/SingleNodeScenario.java
+++ b/src/test/java/vetchpost/simulation/SingleNodeScenario.java
@@ -122,7 +122,7 @@
         for (int i = 0; i < serverCount; i++) {
             SimulatedServer server = new SimulatedServer(world, effects, i, i % racks, 2);
             server.start(false);
-            server.script((socket, request) -> {
+            server.setScript((socket, request) -> {
                 receivedRequests.add(request);
                 return false;
             });
@@ -135,8 +135,8 @@
     }
 
     /** Has all servers handle each request by the script, and records it. */
-    void script(SimulatedServer.Script script) {
-        servers.forEach(server -> server.script((socket, request) -> {
+    void setScript(SimulatedServer.Script script) {
+        servers.forEach(server -> server.setScript((socket, request) -> {
             receivedRequests.add(request);
             return script.handle(socket, request);
         }));
@@ -221,7 +221,7 @@
     /** Answers a request as a server would, and reports the response to the checker. */
     void respond(SimulatedSocket socket, Message request) {
         String body = "made for " + request.field("x-txn");
-        checker.serverAnswers(request.field("x-txn"), body);
+        checker.addResponse(request.field("x-txn"), body);
         socket.put(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
     }
--- a/src/test/java/vetchpost/simulation/StaleSnapshotTest.java
+++ b/src/test/java/vetchpost/simulation/StaleSnapshotTest.java
@@ -57,7 +57,7 @@
      */
     private static Plan plan(long seed, long durationMs) {
         List<Fault> faults = List.of(
-                new Fault(0, Fault.Kind.MUTE, 0, 12_000, 0),
+                new Fault(0, Fault.Kind.SILENCE_DISCOVERY, 0, 12_000, 0),
                 new Fault(13_000, Fault.Kind.DRAIN, 3, 4_000, 0),
                 new Fault(4_000, Fault.Kind.DRAIN, 5, 6_000, 0),
                 new Fault(7_000, Fault.Kind.REPLACE, 7, 300, 0));
@@ -72,7 +72,7 @@
             }
         };
         if (ageMs >= 0) {
-            nodes.putOnDisk(0, snapshot(ageMs));
+            nodes.setDiskChunks(0, snapshot(ageMs));
         }
         return nodes;
     }
--- a/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
+++ b/src/test/java/vetchpost/simulation/net/SimNetworkTest.java
@@ -71,7 +71,7 @@
         byte[] sent = bytes(9_000);
         List<Integer> pieces = new ArrayList<>();
         ByteArrayOutputStream received = new ByteArrayOutputStream();
-        accepted.get(0).handler(() -> {
+        accepted.get(0).setHandler(() -> {
             byte[] some = accepted.get(0).read(1 << 20);
             pieces.add(some.length);
             received.writeBytes(some);
@@ -94,7 +94,7 @@
         }
         assertTrue(writtenBytes < 64 * 1024, "bytes accepted: " + writtenBytes);
         int[] writableEvents = new int[1];
-        socket.handler(() -> writableEvents[0]++);
+        socket.setHandler(() -> writableEvents[0]++);
         accepted.get(0).read(1 << 20);
         runMs(50);
         assertTrue(writableEvents[0] > 0, "not notified of room to write");
@@ -222,7 +222,7 @@
             assertTrue(events.contains("down"), events.toString());
         } else {
             ByteArrayOutputStream received = new ByteArrayOutputStream();
-            accepted.get(0).handler(() -> received.writeBytes(accepted.get(0).read(1 << 20)));
+            accepted.get(0).setHandler(() -> received.writeBytes(accepted.get(0).read(1 << 20)));
             received.writeBytes(accepted.get(0).read(1 << 20));
             runMs(500);
             assertTrue(writes.get(0).isSuccess());
