--- a/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/admission/AdmissionBenchmark.java
@@ -39,22 +39,22 @@
 @Fork(1)
 public class AdmissionBenchmark {
     private static final int TENANTS = 6;
-    private static final int AT_WORK = 48;
-    private static final long GAP_US = 1_000;
+    private static final int SERVER_CAPACITY = 48;
+    private static final long REQUEST_INTERVAL_US = 1_000;
 
     /** How many clients there are. */
     @Param({"10", "1000", "100000"})
     public int clients;
 
     private final SplittableRandom random = new SplittableRandom(1);
-    private final Deque<Entrant> out = new ArrayDeque<>();
-    private final Headers[] keys = new Headers[1 << 17];
-    private FairAdmission door;
-    private long now = 1_000_000_000_000L;
-    private long numbers;
-    private boolean odd;
+    private final Deque<PendingRequest> admitted = new ArrayDeque<>();
+    private final Headers[] clientHeaders = new Headers[1 << 17];
+    private FairAdmission admission;
+    private long nowUs = 1_000_000_000_000L;
+    private long lastId;
+    private boolean isOddRequest;
 
-    private record Key(String cookie) implements Headers {
+    private record CookieHeaders(String cookie) implements Headers {
         @Override
         public String get(String name) {
             return cookie;
@@ -64,14 +64,14 @@
         public void forEach(BiConsumer<String, String> action) {}
     }
 
-    private final class Entrant implements AdmissionControl.Applicant {
-        private AdmissionControl.RequestProgress entry;
+    private final class PendingRequest implements AdmissionControl.Applicant {
+        private AdmissionControl.RequestProgress progress;
 
         @Override
         public void admitted() {
-            out.add(this);
-            if (out.size() <= AT_WORK) {
-                entry.sent();
+            admitted.add(this);
+            if (admitted.size() <= SERVER_CAPACITY) {
+                progress.onFirstAttemptSent();
             }
         }
 
@@ -81,7 +81,7 @@
 
     /** A door before a module that has its servers full. */
     @Setup(Level.Trial)
-    public void open() {
+    public void setUp() {
         Settings set = new Settings();
         for (String name : new String[] {"view-page", "add-photo", "place-order"}) {
             set.classes.add(new RequestClass(
@@ -91,22 +91,22 @@
             set.tenants.add(new Tenant("school-" + i, 0));
         }
         set.maxRetryAfterUs = 5_000_000;
-        door = new FairAdmission(AdmissionValidator.defaults(set), set, 1);
+        admission = new FairAdmission(AdmissionValidator.defaults(set), set, 1);
         for (int i = 0; i < clients; i++) {
-            keys[i] = new Key("key=" + Integer.toHexString(i * 0x9E3779B9));
+            clientHeaders[i] = new CookieHeaders("key=" + Integer.toHexString(i * 0x9E3779B9));
         }
     }
 
     /** A request comes, and with every other one goes out. */
     @Benchmark
     public int request() {
-        now += GAP_US;
+        nowUs += REQUEST_INTERVAL_US;
         int client = random.nextInt(clients);
-        Entrant entrant = new Entrant();
-        entrant.entry = door.arrive(
-                now,
+        PendingRequest entrant = new PendingRequest();
+        entrant.progress = admission.arrive(
+                nowUs,
                 new ClientRequest(
-                        ++numbers,
+                        ++lastId,
                         random.nextInt(3),
                         client % TENANTS,
                         1_000_000,
@@ -114,39 +114,39 @@
                         false,
                         "GET",
                         "/",
-                        keys[client],
+                        clientHeaders[client],
                         new byte[0]),
                 0,
                 0,
-                now + 1_000_000,
+                nowUs + 1_000_000,
                 entrant);
-        door.advance(now);
-        odd = !odd;
-        if (odd && !out.isEmpty()) {
-            Entrant done = out.poll();
-            door.recordLatency(0, 20_000);
-            done.entry.sent();
-            done.entry.ended();
+        admission.advance(nowUs);
+        isOddRequest = !isOddRequest;
+        if (isOddRequest && !admitted.isEmpty()) {
+            PendingRequest done = admitted.poll();
+            admission.recordLatency(0, 20_000);
+            done.progress.onFirstAttemptSent();
+            done.progress.onCompleted();
             int next = 0;
-            for (Entrant waiting : out) {
-                if (++next >= AT_WORK) {
-                    waiting.entry.sent();
+            for (PendingRequest waiting : admitted) {
+                if (++next >= SERVER_CAPACITY) {
+                    waiting.progress.onFirstAttemptSent();
                     break;
                 }
             }
-            door.advance(now);
+            admission.advance(nowUs);
         }
-        if (door.nextWakeUpUs() <= now) {
-            door.advance(now);
+        if (admission.nextWakeUpUs() <= nowUs) {
+            admission.advance(nowUs);
         }
-        return door.waitingRequests();
+        return admission.waitingRequests();
     }
 
     /** What it has kept. */
     @TearDown(Level.Trial)
-    public void tell() {
-        int[] kept = door.tableSizes();
+    public void printTableSizes() {
+        int[] kept = admission.tableSizes();
         System.out.println(clients + " clients: " + kept[0] + " flows, " + kept[1] + " bookings, "
-                + door.waitingRequests() + " waiting");
+                + admission.waitingRequests() + " waiting");
     }
 }
--- a/benchmarks/src/main/java/vetchpost/decision/Bench.java
+++ b/benchmarks/src/main/java/vetchpost/decision/BalancerHarness.java
@@ -15,25 +15,25 @@
 import vetchpost.decision.Balancer.Settings;
 
 /** A module with servers, a clock that goes on with each request, and the server that was sent to last. */
-final class Bench implements Actions {
-    private static final long GAP_US = 100;
-    private static final long SERVED_US = 5_000;
-    private static final long FAILED_US = 1_000;
+final class BalancerHarness implements Actions {
+    private static final long REQUEST_INTERVAL_US = 100;
+    private static final long SERVED_LATENCY_US = 5_000;
+    private static final long FAILED_LATENCY_US = 1_000;
 
     final Balancer balancer;
     final int servers;
     /** Servers below this number fail whatever they are sent. */
-    private final int failing;
+    private final int failingServers;
 
-    long now = 1_000_000;
-    private long ids;
+    long nowUs = 1_000_000;
+    private long lastId;
     private int sentTo = -1;
     private int attempts;
-    private boolean over;
+    private boolean finished;
 
-    Bench(int servers, int failing) {
+    BalancerHarness(int servers, int failing) {
         this.servers = servers;
-        this.failing = failing;
+        this.failingServers = failing;
         Settings settings = new Settings();
         settings.maxAttempts = 4;
         settings.maxRetryAfterUs = 1_000_000;
@@ -51,36 +51,36 @@
     }
 
     /** One request and the ends of its attempts, until it has its answer. */
-    int request() {
-        now += GAP_US;
-        long id = ++ids;
+    int runRequest() {
+        nowUs += REQUEST_INTERVAL_US;
+        long id = ++lastId;
         attempts = 0;
-        over = false;
+        finished = false;
         sentTo = -1;
-        balancer.onRequest(now, new Request(id, 0, -1, 500_000, 0, false));
-        while (!over && sentTo >= 0) {
-            boolean fails = sentTo < failing;
+        balancer.onRequest(nowUs, new Request(id, 0, -1, 500_000, 0, false));
+        while (!finished && sentTo >= 0) {
+            boolean fails = sentTo < failingServers;
             int attempt = attempts - 1;
             sentTo = -1;
-            over = !fails;
+            finished = !fails;
             balancer.onOutcome(
-                    now + (fails ? FAILED_US : SERVED_US),
+                    nowUs + (fails ? FAILED_LATENCY_US : SERVED_LATENCY_US),
                     new Outcome(
                             id,
                             attempt,
                             fails ? Result.ERROR : Result.OK,
-                            fails ? FAILED_US : SERVED_US,
+                            fails ? FAILED_LATENCY_US : SERVED_LATENCY_US,
                             !fails,
                             null));
         }
-        if (!over) {
-            balancer.onClientDisconnected(now, id);
+        if (!finished) {
+            balancer.onClientDisconnected(nowUs, id);
         }
         return attempts;
     }
 
-    void take(ListKind kind, List<ServerEntry> entries) {
-        balancer.onServers(now, kind, entries);
+    void applyList(ListKind kind, List<ServerEntry> entries) {
+        balancer.onServers(nowUs, kind, entries);
     }
 
     @Override
@@ -94,12 +94,12 @@
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        over = true;
+        finished = true;
     }
 
     @Override
     public void fail(long requestId) {
-        over = true;
+        finished = true;
     }
 
     @Override
--- a/benchmarks/src/main/java/vetchpost/decision/DecisionBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/decision/DecisionBenchmark.java
@@ -29,21 +29,21 @@
     @Param({"12", "100", "1000", "10000", "20000"})
     private int servers;
 
-    private Bench bench;
+    private BalancerHarness harness;
 
     /** A fleet that has been asked for a while. */
     @Setup
-    public void start() {
-        bench = new Bench(servers, servers * failing / 100);
-        bench.take(ListKind.FULL, Bench.list(servers));
+    public void setUp() {
+        harness = new BalancerHarness(servers, servers * failing / 100);
+        harness.applyList(ListKind.FULL, BalancerHarness.list(servers));
         for (int i = 0; i < 20 * servers; i++) {
-            bench.request();
+            harness.runRequest();
         }
     }
 
     /** One request. */
     @Benchmark
     public int request() {
-        return bench.request();
+        return harness.runRequest();
     }
 }
--- a/benchmarks/src/main/java/vetchpost/decision/ListBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/decision/ListBenchmark.java
@@ -32,15 +32,15 @@
     @Param({"1000", "10000", "20000"})
     private int servers;
 
-    private Bench bench;
+    private BalancerHarness harness;
     private List<ServerEntry> list;
     private List<ServerEntry> shuffled;
     private List<ServerEntry> changes;
 
     /** Before each list: a module that knows the same servers, and one that knows none. */
     @Setup(Level.Invocation)
-    public void start() {
-        list = Bench.list(servers);
+    public void setUp() {
+        list = BalancerHarness.list(servers);
         shuffled = new ArrayList<>(list);
         Collections.shuffle(shuffled, new Random(1));
         changes = new ArrayList<>();
@@ -48,33 +48,33 @@
             ServerEntry e = list.get(i * servers / 10);
             changes.add(new ServerEntry(e.id(), e.zone(), e.cell(), ServerState.DRAINING, 1, 0));
         }
-        bench = new Bench(servers, 0);
-        bench.take(ListKind.FULL, list);
+        harness = new BalancerHarness(servers, 0);
+        harness.applyList(ListKind.FULL, list);
     }
 
     /** To a module that knew nothing. */
     @Benchmark
     public Balancer cold() {
-        Bench fresh = new Bench(servers, 0);
-        fresh.take(ListKind.FULL, list);
+        BalancerHarness fresh = new BalancerHarness(servers, 0);
+        fresh.applyList(ListKind.FULL, list);
         return fresh.balancer;
     }
 
     /** The same list once more. */
     @Benchmark
     public void again() {
-        bench.take(ListKind.FULL, list);
+        harness.applyList(ListKind.FULL, list);
     }
 
     /** The same servers in another order. */
     @Benchmark
     public void inAnotherOrder() {
-        bench.take(ListKind.FULL, shuffled);
+        harness.applyList(ListKind.FULL, shuffled);
     }
 
     /** Ten of them drain. */
     @Benchmark
     public void tenDrain() {
-        bench.take(ListKind.CHANGES, changes);
+        harness.applyList(ListKind.CHANGES, changes);
     }
 }
--- a/benchmarks/src/main/java/vetchpost/node/AddedLatency.java
+++ b/benchmarks/src/main/java/vetchpost/node/AddedLatency.java
@@ -34,10 +34,10 @@
     private static final byte[] REQUEST = "GET /view/1 HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final int CONNECTIONS = 32;
     private static final int SERVERS = 16;
-    private static final int WARM_S = 5;
-    private static final long MOST_NS = TimeUnit.SECONDS.toNanos(10);
-    private static final int UP_MS = 15_000;
-    private static final double MS = 1e6;
+    private static final int WARMUP_S = 5;
+    private static final long MAX_LATENCY_NS = TimeUnit.SECONDS.toNanos(10);
+    private static final int STARTUP_TIMEOUT_MS = 15_000;
+    private static final double NS_PER_MS = 1e6;
 
     private AddedLatency() {}
 
@@ -55,7 +55,7 @@
         rates = rates.isEmpty() ? List.of(100, 300, 1_000, 3_000) : rates;
         List<Integer> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(serve());
+            servers.add(startServer());
         }
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -72,27 +72,27 @@
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
         try {
-            await(port);
-            load(List.of(port), 1_000, WARM_S);
-            load(servers, 1_000, WARM_S);
+            awaitListening(port);
+            measure(List.of(port), 1_000, WARMUP_S);
+            measure(servers, 1_000, WARMUP_S);
             System.out.printf(
                     "%8s %12s %12s %12s %12s %12s %12s %16s%n",
                     "per s", "direct p50", "p99", "node p50", "p99", "added p50", "added p99", "node us each");
             for (int rate : rates) {
-                Histogram direct = load(servers, rate, seconds);
+                Histogram direct = measure(servers, rate, seconds);
                 long before = cpuMs(node);
-                Histogram through = load(List.of(port), rate, seconds);
+                Histogram through = measure(List.of(port), rate, seconds);
                 double us = 1e3 * (cpuMs(node) - before) / through.getTotalCount();
                 System.out.printf(
                         Locale.ROOT,
                         "%8d %9.3f ms %9.3f ms %9.3f ms %9.3f ms %9.3f ms %9.3f ms " + "%13.1f%n",
                         rate,
-                        at(direct, 50),
-                        at(direct, 99),
-                        at(through, 50),
-                        at(through, 99),
-                        at(through, 50) - at(direct, 50),
-                        at(through, 99) - at(direct, 99),
+                        percentileMs(direct, 50),
+                        percentileMs(direct, 99),
+                        percentileMs(through, 50),
+                        percentileMs(through, 99),
+                        percentileMs(through, 50) - percentileMs(direct, 50),
+                        percentileMs(through, 99) - percentileMs(direct, 99),
                         us);
             }
         } finally {
@@ -101,16 +101,16 @@
         System.exit(0);
     }
 
-    private static double at(Histogram histogram, double percentile) {
-        return histogram.getValueAtPercentile(percentile) / MS;
+    private static double percentileMs(Histogram histogram, double percentile) {
+        return histogram.getValueAtPercentile(percentile) / NS_PER_MS;
     }
 
     private static long cpuMs(Process process) {
         return process.info().totalCpuDuration().orElseThrow().toMillis();
     }
 
-    private static void await(int port) throws Exception {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(UP_MS);
+    private static void awaitListening(int port) throws Exception {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STARTUP_TIMEOUT_MS);
         while (true) {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 return;
@@ -124,8 +124,8 @@
     }
 
     /** Requests at fixed times, spread over connections; times from when each was due. */
-    private static Histogram load(List<Integer> ports, int perS, int seconds) throws Exception {
-        Histogram histogram = new ConcurrentHistogram(MOST_NS, 3);
+    private static Histogram measure(List<Integer> ports, int perS, int seconds) throws Exception {
+        Histogram histogram = new ConcurrentHistogram(MAX_LATENCY_NS, 3);
         long total = (long) perS * seconds;
         long beginNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(200);
         long everyNs = TimeUnit.SECONDS.toNanos(1) / perS;
@@ -133,7 +133,7 @@
         for (int c = 0; c < CONNECTIONS; c++) {
             int first = c;
             int port = ports.get(c % ports.size());
-            start(() -> {
+            startThread(() -> {
                 try (Socket socket = new Socket()) {
                     socket.setTcpNoDelay(true);
                     socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
@@ -141,8 +141,8 @@
                         long dueNs = beginNs + i * everyNs;
                         waitUntil(dueNs);
                         socket.getOutputStream().write(REQUEST);
-                        read(socket.getInputStream());
-                        histogram.recordValue(Math.min(MOST_NS, System.nanoTime() - dueNs));
+                        readAnswer(socket.getInputStream());
+                        histogram.recordValue(Math.min(MAX_LATENCY_NS, System.nanoTime() - dueNs));
                     }
                 } finally {
                     done.countDown();
@@ -162,7 +162,7 @@
     }
 
     /** One answer, whose body is 100 x. */
-    private static void read(InputStream in) throws IOException {
+    private static void readAnswer(InputStream in) throws IOException {
         int ends = 0;
         int body = 0;
         byte[] some = new byte[2_048];
@@ -181,11 +181,11 @@
         }
     }
 
-    private interface Body {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void start(Body body) {
+    private static void startThread(IoTask body) {
         Thread thread = new Thread(() -> {
             try {
                 body.run();
@@ -198,19 +198,19 @@
         thread.start();
     }
 
-    private static int serve() throws IOException {
+    private static int startServer() throws IOException {
         ServerSocket listening = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
-        start(() -> {
+        startThread(() -> {
             while (true) {
                 Socket socket = listening.accept();
                 socket.setTcpNoDelay(true);
-                start(() -> answer(socket));
+                startThread(() -> answerRequests(socket));
             }
         });
         return listening.getLocalPort();
     }
 
-    private static void answer(Socket socket) throws IOException {
+    private static void answerRequests(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         byte[] some = new byte[8_192];
         int ends = 0;
--- a/benchmarks/src/main/java/vetchpost/node/NodeComparison.java
+++ b/benchmarks/src/main/java/vetchpost/node/NodeComparison.java
@@ -32,8 +32,8 @@
     private static final int SERVERS = 16;
 
     private static final int CONNECTIONS = 32;
-    private static final int WARM_S = 8;
-    private static final int UP_MS = 15_000;
+    private static final int WARMUP_S = 8;
+    private static final int STARTUP_TIMEOUT_MS = 15_000;
     private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 100\r\n"
                     + "\r\n" + "x".repeat(100))
             .getBytes(StandardCharsets.US_ASCII);
@@ -46,14 +46,14 @@
             "-Xmx40m",
             "-Xss512k");
     /** "Pause Young ... 12M->3M(": to a megabyte, which over hundreds of pauses is near enough. */
-    private static final Pattern PAUSE = Pattern.compile(" (\\d+)M->(\\d+)M\\(");
+    private static final Pattern GC_PAUSE = Pattern.compile(" (\\d+)M->(\\d+)M\\(");
 
-    private static final Pattern LENGTH = Pattern.compile("(?i)content-length: (\\d+)");
-    private static final AtomicLong TXNS = new AtomicLong();
+    private static final Pattern CONTENT_LENGTH = Pattern.compile("(?i)content-length: (\\d+)");
+    private static final AtomicLong LAST_TXN = new AtomicLong();
     private static final AtomicLong REFUSED = new AtomicLong();
 
     /** What one run of one subject gave. */
-    private record Run(double perS, double p50Us, double p99Us, double bytes) {}
+    private record Run(double requestsPerS, double p50Us, double p99Us, double bytesPerRequest) {}
 
     private NodeComparison() {}
 
@@ -68,13 +68,13 @@
         String core = args.length > 3 ? args[3] : "0";
         List<ServerSocket> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(serve());
+            servers.add(startServer());
         }
         List<Run> nodes = new ArrayList<>();
         List<Run> proxies = new ArrayList<>();
         for (int round = 0; round < rounds; round++) {
-            nodes.add(run("node ", node(args[0], servers, core), seconds));
-            proxies.add(run("proxy", proxy(servers, core), seconds));
+            nodes.add(measure("node ", launchNode(args[0], servers, core), seconds));
+            proxies.add(measure("proxy", launchProxy(servers, core), seconds));
         }
         System.out.printf(
                 Locale.ROOT,
@@ -94,7 +94,9 @@
 
     private static double median(List<Run> runs, int figure) {
         double[] sorted = runs.stream()
-                .mapToDouble(r -> figure == 0 ? r.perS : figure == 1 ? r.p50Us : figure == 2 ? r.p99Us : r.bytes)
+                .mapToDouble(r -> figure == 0
+                        ? r.requestsPerS
+                        : figure == 1 ? r.p50Us : figure == 2 ? r.p99Us : r.bytesPerRequest)
                 .sorted()
                 .toArray();
         return sorted[sorted.length / 2];
@@ -102,20 +104,20 @@
 
     // ---------------------------------------------------------------- servers
 
-    private static ServerSocket serve() throws IOException {
+    private static ServerSocket startServer() throws IOException {
         ServerSocket listening = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
-        start(() -> {
+        startThread(() -> {
             while (true) {
                 Socket socket = listening.accept();
                 socket.setTcpNoDelay(true);
-                start(() -> answer(socket));
+                startThread(() -> answerRequests(socket));
             }
         });
         return listening;
     }
 
     /** An answer for each request without a body: those end with an empty line. */
-    private static void answer(Socket socket) throws IOException {
+    private static void answerRequests(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         byte[] some = new byte[8_192];
         int ends = 0;
@@ -131,11 +133,11 @@
     }
 
     /** What a thread does until its socket ends. */
-    private interface Body {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static Thread start(Body body) {
+    private static Thread startThread(IoTask body) {
         Thread thread = new Thread(() -> {
             try {
                 body.run();
@@ -152,7 +154,7 @@
     // ---------------------------------------------------------------- subjects
 
     /** A process, where it listens, and its log of collections. */
-    private record Subject(Process process, int port, Path pauses) {}
+    private record Subject(Process process, int port, Path gcLog) {}
 
     private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -175,7 +177,7 @@
         return new Subject(builder.start(), port, pauses);
     }
 
-    private static Subject proxy(List<ServerSocket> servers, String core) throws IOException {
+    private static Subject launchProxy(List<ServerSocket> servers, String core) throws IOException {
         int port = freePort();
         List<String> what = new ArrayList<>(List.of(
                 "-cp", System.getProperty("java.class.path"), PlainProxy.class.getName(), Integer.toString(port)));
@@ -183,7 +185,7 @@
         return launch(port, core, what, null);
     }
 
-    private static Subject node(String jar, List<ServerSocket> servers, String core) throws IOException {
+    private static Subject launchNode(String jar, List<ServerSocket> servers, String core) throws IOException {
         int port = freePort();
         StringBuilder known = new StringBuilder();
         for (int i = 0; i < SERVERS; i++) {
@@ -211,14 +213,14 @@
 
     // ---------------------------------------------------------------- clients
 
-    private static Run run(String name, Subject subject, int seconds) throws Exception {
+    private static Run measure(String name, Subject subject, int seconds) throws Exception {
         try {
-            awaitUp(subject);
-            ask(subject.port, WARM_S);
-            long[] before = allocated(subject);
+            awaitListening(subject);
+            loadAll(subject.port, WARMUP_S);
+            long[] before = allocatedBytes(subject);
             REFUSED.set(0);
-            long[][] latencies = ask(subject.port, seconds);
-            long bytes = allocated(subject)[0] - before[0];
+            long[][] latencies = loadAll(subject.port, seconds);
+            long bytes = allocatedBytes(subject)[0] - before[0];
             long[] all = Arrays.stream(latencies)
                     .flatMapToLong(Arrays::stream)
                     .sorted()
@@ -233,10 +235,10 @@
                     "%s %7.0f requests a second, p50 %5.0f us, p99 %5.0f us, %6.0f bytes "
                             + "allocated a request, %d refused%n",
                     name,
-                    run.perS,
+                    run.requestsPerS,
                     run.p50Us,
                     run.p99Us,
-                    run.bytes,
+                    run.bytesPerRequest,
                     REFUSED.get());
             return run;
         } finally {
@@ -245,8 +247,8 @@
         }
     }
 
-    private static void awaitUp(Subject subject) throws Exception {
-        long end = System.currentTimeMillis() + UP_MS;
+    private static void awaitListening(Subject subject) throws Exception {
+        long end = System.currentTimeMillis() + STARTUP_TIMEOUT_MS;
         while (true) {
             try (Socket socket = new Socket()) {
                 socket.connect(new InetSocketAddress("127.0.0.1", subject.port), 1_000);
@@ -260,11 +262,11 @@
     }
 
     /** Bytes taken from the heap up to the last collection. */
-    private static long[] allocated(Subject subject) throws IOException {
+    private static long[] allocatedBytes(Subject subject) throws IOException {
         long sum = 0;
         long left = 0;
-        for (String line : Files.readAllLines(subject.pauses)) {
-            Matcher m = PAUSE.matcher(line);
+        for (String line : Files.readAllLines(subject.gcLog)) {
+            Matcher m = GC_PAUSE.matcher(line);
             if (m.find()) {
                 sum += Long.parseLong(m.group(1)) - left;
                 left = Long.parseLong(m.group(2));
@@ -274,11 +276,11 @@
     }
 
     /** Each connection asks again as soon as it is answered; the latencies of each, in nanoseconds. */
-    private static long[][] ask(int port, int seconds) throws InterruptedException {
+    private static long[][] loadAll(int port, int seconds) throws InterruptedException {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         long[][] latencies = new long[CONNECTIONS][];
         List<Thread> threads = IntStream.range(0, CONNECTIONS)
-                .mapToObj(i -> start(() -> latencies[i] = askOn(port, end)))
+                .mapToObj(i -> startThread(() -> latencies[i] = loadConnection(port, end)))
                 .toList();
         for (Thread thread : threads) {
             thread.join();
@@ -286,21 +288,21 @@
         return latencies;
     }
 
-    private static long[] askOn(int port, long end) throws IOException {
+    private static long[] loadConnection(int port, long end) throws IOException {
         long[] took = new long[1 << 16];
         int count = 0;
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(UP_MS);
+            socket.setSoTimeout(STARTUP_TIMEOUT_MS);
             InputStream in = socket.getInputStream();
             OutputStream out = socket.getOutputStream();
             byte[] some = new byte[8_192];
             for (long now = System.nanoTime(); now < end; now = System.nanoTime()) {
-                String txn = String.format("%016x", TXNS.incrementAndGet());
+                String txn = String.format("%016x", LAST_TXN.incrementAndGet());
                 out.write(("GET /view-page/7 HTTP/1.1\r\nHost: b\r\nX-Txn: " + txn + "\r\n"
                                 + "X-Remaining-Ms: 500\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-                if (!read(in, some)) {
+                if (!readAnswer(in, some)) {
                     REFUSED.incrementAndGet();
                     continue;
                 }
@@ -312,7 +314,7 @@
     }
 
     /** Reads one answer whole; whether it is a 200. */
-    private static boolean read(InputStream in, byte[] some) throws IOException {
+    private static boolean readAnswer(InputStream in, byte[] some) throws IOException {
         int have = 0;
         while (true) {
             int read = in.read(some, have, some.length - have);
@@ -322,7 +324,7 @@
             have += read;
             String text = new String(some, 0, have, StandardCharsets.US_ASCII);
             int body = text.indexOf("\r\n\r\n");
-            Matcher length = LENGTH.matcher(text);
+            Matcher length = CONTENT_LENGTH.matcher(text);
             if (body >= 0 && length.find() && have - body - 4 >= Integer.parseInt(length.group(1))) {
                 return text.startsWith("HTTP/1.1 200");
             }
--- a/benchmarks/src/main/java/vetchpost/node/PlainProxy.java
+++ b/benchmarks/src/main/java/vetchpost/node/PlainProxy.java
@@ -30,12 +30,12 @@
  * next server in turn, keeps connections, and does nothing else. No time-outs, no retries, no limits.
  */
 public final class PlainProxy {
-    private static final int MOST = 1 << 16;
+    private static final int MAX_MESSAGE_BYTES = 1 << 16;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<InetSocketAddress> servers = new ArrayList<>();
     private final List<Deque<Channel>> idle = new ArrayList<>();
-    private int turn;
+    private int nextServer;
 
     private PlainProxy() {}
 
@@ -57,7 +57,11 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel client) {
-                        client.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST), new Front());
+                        client.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(),
+                                        new HttpObjectAggregator(MAX_MESSAGE_BYTES),
+                                        new ClientHandler());
                     }
                 })
                 .bind("127.0.0.1", port)
@@ -68,10 +72,10 @@
     }
 
     /** A client's connection: one request at a time. */
-    private final class Front extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            int to = turn++ % servers.size();
+            int to = nextServer++ % servers.size();
             request.retain();
             Channel server = idle.get(to).poll();
             if (server != null) {
@@ -86,7 +90,10 @@
                         @Override
                         protected void initChannel(Channel fresh) {
                             fresh.pipeline()
-                                    .addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST), new Back(to));
+                                    .addLast(
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(MAX_MESSAGE_BYTES),
+                                            new ServerHandler(to));
                         }
                     })
                     .connect(servers.get(to))
@@ -94,17 +101,17 @@
         }
 
         private void send(Channel server, FullHttpRequest request, Channel client) {
-            server.pipeline().get(Back.class).client = client;
+            server.pipeline().get(ServerHandler.class).client = client;
             server.writeAndFlush(request);
         }
     }
 
     /** A server's connection. */
-    private final class Back extends ChannelInboundHandlerAdapter {
+    private final class ServerHandler extends ChannelInboundHandlerAdapter {
         private final int server;
         private Channel client;
 
-        Back(int server) {
+        ServerHandler(int server) {
             this.server = server;
         }
 
--- a/benchmarks/src/main/java/vetchpost/recorder/RecorderBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recorder/RecorderBenchmark.java
@@ -29,8 +29,8 @@
         value = 1,
         jvmArgsAppend = {"-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"})
 public class RecorderBenchmark {
-    private static final int IN_HAND = 100;
-    private static final Headers NO_FIELDS = new Headers() {
+    private static final int PENDING_REQUESTS = 100;
+    private static final Headers NO_HEADERS = new Headers() {
         @Override
         public String get(String name) {
             return null;
@@ -45,32 +45,32 @@
     public boolean served;
 
     private final FlightRecorder recorder = new FlightRecorder(1_000, new long[] {100_000});
-    private final Candidate[] drawn = {new Candidate("s1", 1, 2, 4, 1), new Candidate("s2", 1, 3, 4, 1)};
-    private long now = 1_000_000_000L;
-    private long numbers;
+    private final Candidate[] candidates = {new Candidate("s1", 1, 2, 4, 1), new Candidate("s2", 1, 3, 4, 1)};
+    private long nowUs = 1_000_000_000L;
+    private long lastId;
 
     /** One comes, and the one that came a hundred before ends. */
     @Benchmark
     public void request() {
-        now += 100;
-        long id = ++numbers;
+        nowUs += 100;
+        long id = ++lastId;
         recorder.accepted(
-                now,
-                new ClientRequest(id, 0, -1, 400_000, 0, false, "GET", "/view/7", NO_FIELDS, null, null, 0),
+                nowUs,
+                new ClientRequest(id, 0, -1, 400_000, 0, false, "GET", "/view/7", NO_HEADERS, null, null, 0),
                 400_000,
                 0);
-        recorder.admitted(now, id);
+        recorder.admitted(nowUs, id);
         if (served) {
-            recorder.candidatesDrawn(id, drawn[0], drawn[1]);
-            recorder.attemptSent(now, id, "s1", now + 100_000);
+            recorder.candidatesDrawn(id, candidates[0], candidates[1]);
+            recorder.attemptSent(nowUs, id, "s1", nowUs + 100_000);
         }
-        long old = id - IN_HAND;
+        long old = id - PENDING_REQUESTS;
         if (served) {
-            recorder.attemptEnded(now, old, 0, Result.OK, 10_000);
-            recorder.completed(now, old, Completion.SERVED, 0);
+            recorder.attemptEnded(nowUs, old, 0, Result.OK, 10_000);
+            recorder.completed(nowUs, old, Completion.SERVED, 0);
         } else {
             recorder.reasonGiven(old, UnservedReason.SHED);
-            recorder.completed(now, old, Completion.REFUSED, 1_000_000);
+            recorder.completed(nowUs, old, Completion.REFUSED, 1_000_000);
         }
     }
 }
--- a/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
+++ b/benchmarks/src/main/java/vetchpost/recovery/SnapshotBenchmark.java
@@ -55,23 +55,23 @@
 @Fork(1)
 public class SnapshotBenchmark {
     private static final long NOW_MS = 1_767_225_600_000L;
-    private static final int A_TURN = 500;
+    private static final int SERVERS_PER_TURN = 500;
 
     @Param({"12", "1000", "10000"})
     private int boxes;
 
     private Dispatcher dispatcher;
-    private ServerObservations sightings;
-    private List<ServerRecord> states;
+    private ServerObservations observations;
+    private List<ServerRecord> records;
     private Snapshot snapshot;
-    private List<byte[]> pieces;
+    private List<byte[]> chunks;
     private ServerStatistics prior;
     private Path file;
-    private StateFile kept;
+    private StateFile stateFile;
     private List<String> classNames;
 
     /** Nothing is sent and no time passes. */
-    private static final class Still implements Clock, ServerTransport {
+    private static final class InertEnvironment implements Clock, ServerTransport {
         @Override
         public long nowUs() {
             return 1_000 * NOW_MS;
@@ -110,7 +110,7 @@
     }
 
     private Dispatcher dispatcher() {
-        Still still = new Still();
+        InertEnvironment still = new InertEnvironment();
         return new Dispatcher(
                 still,
                 new EventLoopDelay(still),
@@ -124,7 +124,7 @@
 
     /** A node that knows so many boxes, and its snapshot. */
     @Setup(Level.Trial)
-    public void start() throws IOException {
+    public void setUp() throws IOException {
         classNames = List.of("view-page", "add-photo", "place-order");
         List<Target> targets = new ArrayList<>();
         for (int i = 0; i < boxes; i++) {
@@ -138,12 +138,12 @@
                     NOW_MS - 1_000_000));
         }
         dispatcher = dispatcher();
-        dispatcher.onKnownList(new ServerList(1, true, targets));
-        sightings = new ServerObservations(settings().classes);
-        sightings.listed(NOW_MS, 1);
-        states = new ArrayList<>();
+        dispatcher.onCachedList(new ServerList(1, true, targets));
+        observations = new ServerObservations(settings().classes);
+        observations.onFullList(NOW_MS, 1);
+        records = new ArrayList<>();
         for (Target target : targets) {
-            states.add(new ServerRecord(
+            records.add(new ServerRecord(
                     target,
                     NOW_MS,
                     ConfirmationSource.LIST,
@@ -164,16 +164,17 @@
         }
         ServerStatistics knowledge = dispatcher.statistics(List.of());
         snapshot = new Snapshot(
-                sightings.origin(7, NOW_MS, NOW_MS - 60_000, Set.of()), sightings.classes(knowledge), states);
-        pieces = Recovery.encode(snapshot.origin(), snapshot.classes(), states);
+                observations.origin(7, NOW_MS, NOW_MS - 60_000, Set.of()), observations.classes(knowledge), records);
+        chunks = Recovery.encode(snapshot.origin(), snapshot.classes(), records);
         prior = PriorStatistics.of(snapshot, classNames, NOW_MS, true, Map.of());
         file = Files.createTempDirectory("snapshot").resolve("boxes");
-        kept = new StateFile(file);
-        System.out.println("# " + boxes + " boxes: " + kept.write(pieces) + " bytes in " + pieces.size() + " pieces");
+        stateFile = new StateFile(file);
+        System.out.println(
+                "# " + boxes + " boxes: " + stateFile.write(chunks) + " bytes in " + chunks.size() + " pieces");
     }
 
     @TearDown(Level.Trial)
-    public void end() throws IOException {
+    public void tearDown() throws IOException {
         for (String name : List.of("boxes", "boxes.old")) {
             Files.deleteIfExists(file.resolveSibling(name));
         }
@@ -183,13 +184,13 @@
     /** The longest turn of the loop for a snapshot that is kept: up to 500 boxes. */
     @Benchmark
     public Object loopCollectOneTurn() {
-        return sightings.new Cursor(dispatcher, () -> NOW_MS, A_TURN).next();
+        return observations.new Cursor(dispatcher, () -> NOW_MS, SERVERS_PER_TURN).next();
     }
 
     /** All turns together. */
     @Benchmark
     public Object loopCollectAll() {
-        Iterator<List<ServerRecord>> cursor = sightings.new Cursor(dispatcher, () -> NOW_MS, A_TURN);
+        Iterator<List<ServerRecord>> cursor = observations.new Cursor(dispatcher, () -> NOW_MS, SERVERS_PER_TURN);
         int count = 0;
         while (cursor.hasNext()) {
             count += cursor.next().size();
@@ -201,29 +202,29 @@
     @Benchmark
     public Object loopHandOverOnePiece() {
         ServerStatistics knowledge = dispatcher.statistics(List.of());
-        return ServerObservations.pieces(
-                        sightings.new Cursor(dispatcher, () -> NOW_MS, ChunkCodec.SERVERS_PER_CHUNK),
+        return ServerObservations.chunks(
+                        observations.new Cursor(dispatcher, () -> NOW_MS, ChunkCodec.SERVERS_PER_CHUNK),
                         snapshot.origin(),
-                        sightings.classes(knowledge))
+                        observations.classes(knowledge))
                 .next();
     }
 
     /** Off the loop. */
     @Benchmark
     public Object encode() {
-        return Recovery.encode(snapshot.origin(), snapshot.classes(), states);
+        return Recovery.encode(snapshot.origin(), snapshot.classes(), records);
     }
 
     /** Off the loop, with all that forces it to the disk. */
     @Benchmark
     public long write() throws IOException {
-        return kept.write(pieces);
+        return stateFile.write(chunks);
     }
 
     /** Before the start. */
     @Benchmark
     public Object read() {
-        return kept.read(NOW_MS, line -> {});
+        return stateFile.read(NOW_MS, line -> {});
     }
 
     /** At the start, by the module: all that is believed. */
--- a/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
+++ b/benchmarks/src/main/java/vetchpost/routes/RouteMatching.java
@@ -26,18 +26,18 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class RouteMatching {
-    private static final int PATHS = 1_024;
+    private static final int TARGET_COUNT = 1_024;
 
     @Param({"3", "100", "10000"})
     private int routes;
 
     private RouteTable table;
-    private final String[] targets = new String[PATHS];
-    private int next;
+    private final String[] targets = new String[TARGET_COUNT];
+    private int nextTarget;
 
     /** Routes of three segments after the class, and requests that match them in turn. */
     @Setup
-    public void prove() {
+    public void setUp() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < routes; i++) {
             text.append("[[route]]\nname = \"r")
@@ -54,7 +54,7 @@
         table = RouteValidator.validate(
                         RouteFile.parse("bench.toml", text.toString()).sections(), settings)
                 .table();
-        for (int i = 0; i < PATHS; i++) {
+        for (int i = 0; i < TARGET_COUNT; i++) {
             int route = (int) (i * 7_919L % routes);
             targets[i] = "/view-page/school-" + route / 100 + "/page-" + i + "/part-" + route % 100 + "?size=2";
         }
@@ -63,6 +63,6 @@
     /** One look-up. */
     @Benchmark
     public Route find() {
-        return table.find("view-page", "GET", targets[next++ & PATHS - 1], -1);
+        return table.find("view-page", "GET", targets[nextTarget++ & TARGET_COUNT - 1], -1);
     }
 }
--- a/src/main/java/vetchpost/admission/AdmissionValidator.java
+++ b/src/main/java/vetchpost/admission/AdmissionValidator.java
@@ -19,17 +19,17 @@
     static final List<String> KEYS =
             List.of("waiting", "lines", "unsent", "patience", "longest-advice", "bookings", "weights");
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(ms|s|m)");
-    private static final int DEFAULT_WAITING = 1_000;
-    private static final int MAX_WAITING = 100_000;
-    private static final int DEFAULT_QUEUES = 64;
-    private static final int MAX_QUEUES = 1_024;
-    private static final int DEFAULT_UNSENT = 2;
-    private static final int MAX_UNSENT = 64;
+    private static final int DEFAULT_WAITING_REQUESTS = 1_000;
+    private static final int MAX_WAITING_REQUESTS = 100_000;
+    private static final int DEFAULT_QUEUES_PER_CLASS = 64;
+    private static final int MAX_QUEUES_PER_CLASS = 1_024;
+    private static final int DEFAULT_UNSENT_REQUESTS = 2;
+    private static final int MAX_UNSENT_REQUESTS = 64;
     private static final int DEFAULT_RESERVATIONS = 16_384;
     private static final int MIN_RESERVATIONS = 64;
     private static final int MAX_RESERVATIONS = 1 << 20;
-    private static final double MAX_WEIGHT = 1_000;
-    private static final long HOUR_US = 3_600_000_000L;
+    private static final double MAX_TENANT_WEIGHT = 1_000;
+    private static final long MAX_DURATION_US = 3_600_000_000L;
 
     private final Settings settings;
     private final List<Violation> violations = new ArrayList<>();
@@ -49,7 +49,7 @@
     public static ValidationResult validate(List<Section> file, Settings settings) {
         for (Section section : file) {
             if (section.kind() == Kind.ADMISSION) {
-                return new AdmissionValidator(settings).read(section);
+                return new AdmissionValidator(settings).validateSection(section);
             }
         }
         return new ValidationResult(null, List.of());
@@ -58,38 +58,41 @@
     /** What holds where the table says nothing. */
     public static AdmissionSettings defaults(Settings settings) {
         return new AdmissionSettings(
-                DEFAULT_WAITING,
-                DEFAULT_QUEUES,
-                DEFAULT_UNSENT,
+                DEFAULT_WAITING_REQUESTS,
+                DEFAULT_QUEUES_PER_CLASS,
+                DEFAULT_UNSENT_REQUESTS,
                 0,
                 settings.maxRetryAfterUs,
                 DEFAULT_RESERVATIONS,
                 weights(settings, Map.of()));
     }
 
-    private ValidationResult read(Section section) {
+    private ValidationResult validateSection(Section section) {
         section.entries().forEach((key, entry) -> {
             if (!KEYS.contains(key)) {
-                violated(
-                        entry.at(), Rule.UNKNOWN_KEY, "unknown key '" + key + "'", "one of " + String.join(", ", KEYS));
+                addViolation(
+                        entry.position(),
+                        Rule.UNKNOWN_KEY,
+                        "unknown key '" + key + "'",
+                        "one of " + String.join(", ", KEYS));
             }
         });
-        int waiting = whole(section, "waiting", DEFAULT_WAITING, 1, MAX_WAITING);
-        int lines = whole(section, "lines", DEFAULT_QUEUES, 1, MAX_QUEUES);
-        int unsent = whole(section, "unsent", DEFAULT_UNSENT, 1, MAX_UNSENT);
-        int bookings = whole(section, "bookings", DEFAULT_RESERVATIONS, MIN_RESERVATIONS, MAX_RESERVATIONS);
+        int waiting = integerValue(section, "waiting", DEFAULT_WAITING_REQUESTS, 1, MAX_WAITING_REQUESTS);
+        int lines = integerValue(section, "lines", DEFAULT_QUEUES_PER_CLASS, 1, MAX_QUEUES_PER_CLASS);
+        int unsent = integerValue(section, "unsent", DEFAULT_UNSENT_REQUESTS, 1, MAX_UNSENT_REQUESTS);
+        int bookings = integerValue(section, "bookings", DEFAULT_RESERVATIONS, MIN_RESERVATIONS, MAX_RESERVATIONS);
         if (Integer.bitCount(bookings) != 1) {
-            violated(
-                    section.entries().get("bookings").at(),
+            addViolation(
+                    section.entries().get("bookings").position(),
                     Rule.OUT_OF_RANGE,
                     "bookings = " + bookings + " is no power of two",
                     Integer.toString(Integer.highestOneBit(bookings)));
         }
-        long patience = duration(section, "patience", 0);
-        long longest = duration(section, "longest-advice", settings.maxRetryAfterUs);
+        long patience = durationUs(section, "patience", 0);
+        long longest = durationUs(section, "longest-advice", settings.maxRetryAfterUs);
         if (longest > settings.maxRetryAfterUs) {
-            violated(
-                    section.entries().get("longest-advice").at(),
+            addViolation(
+                    section.entries().get("longest-advice").position(),
                     Rule.NOT_ALLOWED,
                     "longest-advice is over the " + settings.maxRetryAfterUs / 1_000 + "ms that the settings allow",
                     settings.maxRetryAfterUs / 1_000 + "ms");
@@ -102,34 +105,34 @@
                 List.copyOf(violations));
     }
 
-    private void violated(Position at, Rule rule, String what, String fits) {
+    private void addViolation(Position at, Rule rule, String what, String fits) {
         violations.add(new Violation(at, "admission", rule, what, fits));
     }
 
-    private int whole(Section section, String key, int otherwise, int least, int most) {
+    private int integerValue(Section section, String key, int otherwise, int least, int most) {
         Entry entry = section.entries().get(key);
         if (entry == null) {
             return otherwise;
         }
         if (!(entry.value() instanceof Long number)) {
-            violated(entry.at(), Rule.WRONG_UNIT, key + " is no whole number", key + " = " + otherwise);
+            addViolation(entry.position(), Rule.WRONG_UNIT, key + " is no whole number", key + " = " + otherwise);
             return otherwise;
         }
         if (number < least || number > most) {
-            violated(entry.at(), Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
+            addViolation(entry.position(), Rule.OUT_OF_RANGE, key + " = " + number, "from " + least + " to " + most);
             return otherwise;
         }
         return number.intValue();
     }
 
-    private long duration(Section section, String key, long otherwise) {
+    private long durationUs(Section section, String key, long otherwise) {
         Entry entry = section.entries().get(key);
         if (entry == null) {
             return otherwise;
         }
         Matcher m = entry.value() instanceof String text ? DURATION.matcher(text) : null;
         if (m == null || !m.matches()) {
-            violated(entry.at(), Rule.WRONG_UNIT, key + " is no time with its unit", "\"500ms\"");
+            addViolation(entry.position(), Rule.WRONG_UNIT, key + " is no time with its unit", "\"500ms\"");
             return otherwise;
         }
         long us = (long) (Double.parseDouble(m.group(1))
@@ -138,8 +141,8 @@
                     case "s" -> 1e6;
                     default -> 60e6;
                 });
-        if (us > HOUR_US) {
-            violated(entry.at(), Rule.OUT_OF_RANGE, key + " is over an hour", "\"60m\"");
+        if (us > MAX_DURATION_US) {
+            addViolation(entry.position(), Rule.OUT_OF_RANGE, key + " is over an hour", "\"60m\"");
             return otherwise;
         }
         return us;
@@ -151,29 +154,29 @@
             return weights(settings, Map.of());
         }
         if (!(entry.value() instanceof Map<?, ?> table)) {
-            violated(entry.at(), Rule.WRONG_UNIT, "weights is no table", "weights = { school = 2.0 }");
+            addViolation(entry.position(), Rule.WRONG_UNIT, "weights is no table", "weights = { school = 2.0 }");
             return List.of();
         }
         List<String> names = settings.tenants.stream().map(Tenant::name).toList();
         table.forEach((name, value) -> {
             if (!names.contains(name)) {
-                violated(
-                        entry.at(),
+                addViolation(
+                        entry.position(),
                         Rule.UNKNOWN_TENANT,
                         "there is no tenant '" + name + "'",
                         names.isEmpty()
                                 ? ""
                                 : "one of " + String.join(", ", names.subList(0, Math.min(names.size(), 20))));
             } else if (!(value instanceof Number)) {
-                violated(entry.at(), Rule.WRONG_UNIT, "the weight of " + name + " is no number", "1.0");
-            } else if (!(((Number) value).doubleValue() >= 1 / MAX_WEIGHT)) {
-                violated(
-                        entry.at(),
+                addViolation(entry.position(), Rule.WRONG_UNIT, "the weight of " + name + " is no number", "1.0");
+            } else if (!(((Number) value).doubleValue() >= 1 / MAX_TENANT_WEIGHT)) {
+                addViolation(
+                        entry.position(),
                         Rule.STARVES,
                         name + " weighs " + value + ": it would get nothing while " + "others wait",
-                        "from " + 1 / MAX_WEIGHT + " on");
-            } else if (((Number) value).doubleValue() > MAX_WEIGHT) {
-                violated(entry.at(), Rule.OUT_OF_RANGE, name + " weighs " + value, "to " + MAX_WEIGHT);
+                        "from " + 1 / MAX_TENANT_WEIGHT + " on");
+            } else if (((Number) value).doubleValue() > MAX_TENANT_WEIGHT) {
+                addViolation(entry.position(), Rule.OUT_OF_RANGE, name + " weighs " + value, "to " + MAX_TENANT_WEIGHT);
             }
         });
         return violations.isEmpty() ? weights(settings, table) : List.of();
@@ -196,7 +199,7 @@
             weights.add(
                     said.get(tenant.name()) instanceof Number number
                             ? number.doubleValue()
-                            : Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, share)));
+                            : Math.min(MAX_TENANT_WEIGHT, Math.max(1 / MAX_TENANT_WEIGHT, share)));
         }
         return weights;
     }
--- a/src/main/java/vetchpost/admission/Contention.java
+++ b/src/main/java/vetchpost/admission/Contention.java
@@ -8,16 +8,16 @@
  * away when it comes, and a queue that looks empty is not a part that nobody wants.
  */
 final class Contention {
-    private static final long LATELY_US = 500_000;
+    private static final long CONTENTION_WINDOW_US = 500_000;
 
     private final Deque<Contender> queue = new ArrayDeque<>();
-    private double weight;
+    private double totalWeight;
 
     /** One of those that contend. */
     static final class Contender {
         private double weight;
-        private long untilUs;
-        private boolean in;
+        private long activeUntilUs;
+        private boolean isQueued;
 
         Contender(double weight) {
             this.weight = weight;
@@ -29,42 +29,42 @@
     }
 
     /** It has asked for something. */
-    void asks(Contender one, long nowUs) {
-        one.untilUs = nowUs + LATELY_US;
-        if (!one.in) {
-            one.in = true;
-            weight += one.weight;
+    void recordRequest(Contender one, long nowUs) {
+        one.activeUntilUs = nowUs + CONTENTION_WINDOW_US;
+        if (!one.isQueued) {
+            one.isQueued = true;
+            totalWeight += one.weight;
             queue.add(one);
         }
     }
 
     /** Its part while all that have asked lately want theirs, itself among them. */
-    double share(Contender one, long nowUs) {
+    double fraction(Contender one, long nowUs) {
         // Each is looked at once in a while: first in the queue is who was looked at longest ago.
-        while (!queue.isEmpty() && queue.peek().untilUs <= nowUs) {
+        while (!queue.isEmpty() && queue.peek().activeUntilUs <= nowUs) {
             Contender first = queue.poll();
-            first.in = false;
-            weight = queue.isEmpty() ? 0 : weight - first.weight;
+            first.isQueued = false;
+            totalWeight = queue.isEmpty() ? 0 : totalWeight - first.weight;
         }
         if (!queue.isEmpty()) {
             queue.add(queue.poll());
         }
-        return one.weight / (weight + (one.in ? 0 : one.weight));
+        return one.weight / (totalWeight + (one.isQueued ? 0 : one.weight));
     }
 
     /** Whether it has asked lately. */
-    boolean contends(Contender one, long nowUs) {
-        return one.in && one.untilUs > nowUs;
+    boolean isContending(Contender one, long nowUs) {
+        return one.isQueued && one.activeUntilUs > nowUs;
     }
 
     /** Of all that have asked lately, as far as they were looked at; 0 once nobody has. */
-    double weight() {
-        return weight;
+    double totalWeight() {
+        return totalWeight;
     }
 
     /** It weighs this from now on. */
-    void weigh(Contender one, double other) {
-        weight += one.in ? other - one.weight : 0;
+    void setWeight(Contender one, double other) {
+        totalWeight += one.isQueued ? other - one.weight : 0;
         one.weight = other;
     }
 }
--- a/src/main/java/vetchpost/admission/DrainRate.java
+++ b/src/main/java/vetchpost/admission/DrainRate.java
@@ -7,9 +7,9 @@
  * that it is that part's share.
  */
 final class DrainRate {
-    private double drained;
-    private double span;
-    private double seen;
+    private double drainedCost;
+    private double measuredSpan;
+    private double position;
 
     /**
      * Measured until now.
@@ -18,27 +18,27 @@
      * @param memory what lies so far back counts a third
      * @param busy whether something waited all the while
      */
-    void passed(double at, double memory, boolean busy) {
-        if (busy && at > seen) {
-            double kept = StrictMath.exp(-(at - seen) / memory);
-            drained *= kept;
-            span = span * kept + memory * (1 - kept);
+    void advanceTo(double at, double memory, boolean busy) {
+        if (busy && at > position) {
+            double kept = StrictMath.exp(-(at - position) / memory);
+            drainedCost *= kept;
+            measuredSpan = measuredSpan * kept + memory * (1 - kept);
         }
-        seen = Math.max(seen, at);
+        position = Math.max(position, at);
     }
 
     /** What lies before this does not count. */
-    void skip(double at) {
-        seen = Math.max(seen, at);
+    void skipTo(double at) {
+        position = Math.max(position, at);
     }
 
     /** Something of this cost has gone out. */
     void add(double cost) {
-        drained += cost;
+        drainedCost += cost;
     }
 
     /** What went out for one of what it is measured against; 0 where less than {@code least} has passed. */
     double rate(double least) {
-        return span < least ? 0 : drained / span;
+        return measuredSpan < least ? 0 : drainedCost / measuredSpan;
     }
 }
--- a/src/main/java/vetchpost/admission/Flow.java
+++ b/src/main/java/vetchpost/admission/Flow.java
@@ -11,21 +11,21 @@
 abstract class Flow {
     /** The next to be served first; of equal ones the one that has waited longer. */
     static final Comparator<Flow> BY_START =
-            Comparator.<Flow>comparingDouble(f -> f.start).thenComparingLong(f -> f.turn);
+            Comparator.<Flow>comparingDouble(f -> f.startTag).thenComparingLong(f -> f.sequence);
 
-    static final Comparator<Flow> BY_FINISH = Comparator.comparingDouble(f -> f.finish);
+    static final Comparator<Flow> BY_FINISH = Comparator.comparingDouble(f -> f.finishTag);
 
     final SchedulingNode parent;
     final int key;
     double weight;
-    double start;
-    double finish;
-    long turn;
-    boolean ready;
+    double startTag;
+    double finishTag;
+    long sequence;
+    boolean isReady;
     /** Cost of all that waits in it, and how many requests that is. */
-    double backlog;
+    double backlogCost;
 
-    int waiting;
+    int waitingCount;
 
     Flow(SchedulingNode parent, int key, double weight) {
         this.parent = parent;
@@ -34,7 +34,7 @@
     }
 
     /** Its part of what its parent gets while all that have something waiting do, itself among them. */
-    final double share() {
-        return weight / (parent.readyWeight + (ready ? 0 : weight));
+    final double fraction() {
+        return weight / (parent.readyWeight + (isReady ? 0 : weight));
     }
 }
--- a/src/main/java/vetchpost/admission/HeavyHitters.java
+++ b/src/main/java/vetchpost/admission/HeavyHitters.java
@@ -7,52 +7,52 @@
  * it took over from the one whose place it got.
  */
 final class HeavyHitters {
-    static final int PLACES = 16;
+    static final int MAX_TRACKED_CLIENTS = 16;
     /** A client with more than this part of what its tenant asks for has a line of its own. */
-    private static final double HEAVY = 1.0 / 32;
+    private static final double HEAVY_FRACTION = 1.0 / 32;
     /** Of so little nobody can be told heavy, in requests. */
-    private static final double LEAST = 8;
+    private static final double MIN_HEAVY_REQUESTS = 8;
 
     private static final long HALF_LIFE_US = 1_000_000;
 
-    private final long[] clients = new long[PLACES];
-    private final double[] counts = new double[PLACES];
-    private final double[] errors = new double[PLACES];
-    private double all;
-    private long halvedUs;
+    private final long[] clientIds = new long[MAX_TRACKED_CLIENTS];
+    private final double[] counts = new double[MAX_TRACKED_CLIENTS];
+    private final double[] errors = new double[MAX_TRACKED_CLIENTS];
+    private double totalRequests;
+    private long decayedUs;
 
     /**
      * A client has asked once more.
      *
      * @return its place if it is heavy, else -1
      */
-    int asked(long client, long nowUs) {
-        age(nowUs);
-        all++;
+    int recordRequest(long client, long nowUs) {
+        decay(nowUs);
+        totalRequests++;
         int place = 0;
         int least = 0;
-        while (place < PLACES && (clients[place] != client || counts[place] == 0)) {
+        while (place < MAX_TRACKED_CLIENTS && (clientIds[place] != client || counts[place] == 0)) {
             least = counts[place] < counts[least] ? place : least;
             place++;
         }
-        if (place == PLACES) {
+        if (place == MAX_TRACKED_CLIENTS) {
             place = least;
-            clients[place] = client;
+            clientIds[place] = client;
             errors[place] = counts[place];
         }
         counts[place]++;
         double known = counts[place] - errors[place];
-        return known >= LEAST && known > HEAVY * all ? place : -1;
+        return known >= MIN_HEAVY_REQUESTS && known > HEAVY_FRACTION * totalRequests ? place : -1;
     }
 
-    private void age(long nowUs) {
-        if (nowUs - halvedUs < HALF_LIFE_US) {
+    private void decay(long nowUs) {
+        if (nowUs - decayedUs < HALF_LIFE_US) {
             return;
         }
-        double kept = StrictMath.pow(0.5, (nowUs - halvedUs) / HALF_LIFE_US);
-        halvedUs += (nowUs - halvedUs) / HALF_LIFE_US * HALF_LIFE_US;
-        all *= kept;
-        for (int i = 0; i < PLACES; i++) {
+        double kept = StrictMath.pow(0.5, (nowUs - decayedUs) / HALF_LIFE_US);
+        decayedUs += (nowUs - decayedUs) / HALF_LIFE_US * HALF_LIFE_US;
+        totalRequests *= kept;
+        for (int i = 0; i < MAX_TRACKED_CLIENTS; i++) {
             counts[i] *= kept;
             errors[i] *= kept;
         }
--- a/src/main/java/vetchpost/admission/QueuedRequest.java
+++ b/src/main/java/vetchpost/admission/QueuedRequest.java
@@ -8,7 +8,7 @@
     /** Where it stands. */
     enum Stage {
         /** Just come, and turned away with the next turn. */
-        TURNED_AWAY,
+        REJECTED,
         /** In a line. */
         WAITING,
         /** Let in; the module has not sent it yet. */
@@ -17,39 +17,39 @@
         DONE
     }
 
-    private final FairAdmission door;
-    final Applicant entrant;
+    private final FairAdmission admission;
+    final Applicant applicant;
     final int tenant;
-    final int cls;
+    final int classIndex;
     /** Of its client and class. */
-    final long fingerprint;
+    final long clientKey;
 
     final long arrivedUs;
     /** Let in later than this it would be late. */
-    final long latestUs;
+    final long latestStartUs;
     /** The client comes back no later than this. */
-    final long patienceUs;
+    final long retryDeadlineUs;
 
     final double cost;
     /** Whether it counts as within its tenant's share. */
-    boolean inShare;
+    boolean isWithinShare;
     /** Whether it has used up a part of that, which it gives back if it is turned away. */
-    boolean tookShare;
+    boolean hasConsumedQuota;
 
-    Stage stage = Stage.TURNED_AWAY;
-    long adviceUs;
+    Stage stage = Stage.REJECTED;
+    long retryAfterUs;
     /** It goes when this much has gone out of its class of its tenant, as it looked when it came. */
-    double dueAt;
+    double dueAtDrainedCost;
     /** Its line, or null if it goes before all lines. */
-    RequestQueue line;
+    RequestQueue queue;
 
-    long number;
-    QueuedRequest before;
-    QueuedRequest behind;
+    long sequence;
+    QueuedRequest previous;
+    QueuedRequest next;
     /** When it was let in, and how many had been sent by then. */
     long admittedUs;
 
-    long sentBefore;
+    long sentCountAtAdmission;
 
     QueuedRequest(
             FairAdmission door,
@@ -61,24 +61,24 @@
             long latestUs,
             long patienceUs,
             double cost) {
-        this.door = door;
-        this.entrant = entrant;
+        this.admission = door;
+        this.applicant = entrant;
         this.tenant = tenant;
-        this.cls = cls;
-        this.fingerprint = fingerprint;
+        this.classIndex = cls;
+        this.clientKey = fingerprint;
         this.arrivedUs = arrivedUs;
-        this.latestUs = latestUs;
-        this.patienceUs = patienceUs;
+        this.latestStartUs = latestUs;
+        this.retryDeadlineUs = patienceUs;
         this.cost = cost;
     }
 
     @Override
-    public void sent() {
-        door.sent(this);
+    public void onFirstAttemptSent() {
+        admission.onFirstAttemptSent(this);
     }
 
     @Override
-    public void ended() {
-        door.ended(this);
+    public void onCompleted() {
+        admission.onCompleted(this);
     }
 }
--- a/src/main/java/vetchpost/admission/RequestQueue.java
+++ b/src/main/java/vetchpost/admission/RequestQueue.java
@@ -12,28 +12,28 @@
     }
 
     void append(QueuedRequest waiter) {
-        waiter.before = tail;
+        waiter.previous = tail;
         if (tail == null) {
             head = waiter;
         } else {
-            tail.behind = waiter;
+            tail.next = waiter;
         }
         tail = waiter;
     }
 
     /** Takes one out wherever it stands. */
     void unlink(QueuedRequest waiter) {
-        if (waiter.before == null) {
-            head = waiter.behind;
+        if (waiter.previous == null) {
+            head = waiter.next;
         } else {
-            waiter.before.behind = waiter.behind;
+            waiter.previous.next = waiter.next;
         }
-        if (waiter.behind == null) {
-            tail = waiter.before;
+        if (waiter.next == null) {
+            tail = waiter.previous;
         } else {
-            waiter.behind.before = waiter.before;
+            waiter.next.previous = waiter.previous;
         }
-        waiter.before = null;
-        waiter.behind = null;
+        waiter.previous = null;
+        waiter.next = null;
     }
 }
--- a/src/main/java/vetchpost/admission/ReservationTable.java
+++ b/src/main/java/vetchpost/admission/ReservationTable.java
@@ -6,38 +6,38 @@
  */
 final class ReservationTable {
     private static final int ASSOCIATIVITY = 4;
-    private static final int MAX_PER_CLIENT = 2;
+    private static final int MAX_RESERVATIONS_PER_CLIENT = 2;
     /** A client's timers and its way here. */
-    static final long EARLY_US = 5_000;
+    static final long MAX_EARLY_US = 5_000;
     /** So long after the time one has still come when told. */
-    static final long LATE_US = 500_000;
+    static final long MAX_LATE_US = 500_000;
 
-    private final long[] clients;
+    private final long[] clientKeys;
     private final long[] dueUs;
-    private final boolean[] inShare;
+    private final boolean[] withinShareFlags;
     private final int mask;
-    private int live;
+    private int liveCount;
 
     /** Places for so many, a power of two from 4 on. */
     ReservationTable(int places) {
-        clients = new long[places];
+        clientKeys = new long[places];
         dueUs = new long[places];
-        inShare = new boolean[places];
+        withinShareFlags = new boolean[places];
         mask = places / ASSOCIATIVITY - 1;
     }
 
-    private int row(long client) {
+    private int rowStart(long client) {
         return ((int) (client ^ client >>> 32) & mask) * ASSOCIATIVITY;
     }
 
     /** The place of the first of a client's bookings that has not gone by, or -1. */
     int find(long client, long nowUs) {
-        int row = row(client);
+        int row = rowStart(client);
         int first = -1;
         for (int i = row; i < row + ASSOCIATIVITY; i++) {
-            if (clients[i] == client && dueUs[i] != 0) {
-                if (nowUs > dueUs[i] + LATE_US) {
-                    drop(i);
+            if (clientKeys[i] == client && dueUs[i] != 0) {
+                if (nowUs > dueUs[i] + MAX_LATE_US) {
+                    remove(i);
                 } else if (first < 0 || dueUs[i] < dueUs[first]) {
                     first = i;
                 }
@@ -47,13 +47,13 @@
     }
 
     /** Whether a client has as many as one may; it can want several things at a time. */
-    boolean isFull(long client) {
-        int row = row(client);
+    boolean hasMaxReservations(long client) {
+        int row = rowStart(client);
         int its = 0;
         for (int i = row; i < row + ASSOCIATIVITY; i++) {
-            its += clients[i] == client && dueUs[i] != 0 ? 1 : 0;
+            its += clientKeys[i] == client && dueUs[i] != 0 ? 1 : 0;
         }
-        return its >= MAX_PER_CLIENT;
+        return its >= MAX_RESERVATIONS_PER_CLIENT;
     }
 
     long dueUs(int place) {
@@ -61,30 +61,30 @@
     }
 
     /** Whether it was within its tenant's share. */
-    boolean isInShare(int place) {
-        return inShare[place];
+    boolean isWithinShare(int place) {
+        return withinShareFlags[place];
     }
 
-    void drop(int place) {
+    void remove(int place) {
         dueUs[place] = 0;
-        live--;
+        liveCount--;
     }
 
     /** Whether there was room for it. */
     boolean add(long client, long atUs, boolean withinShare, long nowUs) {
-        int row = row(client);
-        if (isFull(client)) {
+        int row = rowStart(client);
+        if (hasMaxReservations(client)) {
             return false;
         }
         for (int i = row; i < row + ASSOCIATIVITY; i++) {
-            if (dueUs[i] != 0 && nowUs > dueUs[i] + LATE_US) {
-                drop(i);
+            if (dueUs[i] != 0 && nowUs > dueUs[i] + MAX_LATE_US) {
+                remove(i);
             }
             if (dueUs[i] == 0) {
-                clients[i] = client;
+                clientKeys[i] = client;
                 dueUs[i] = atUs;
-                inShare[i] = withinShare;
-                live++;
+                withinShareFlags[i] = withinShare;
+                liveCount++;
                 return true;
             }
         }
@@ -93,6 +93,6 @@
 
     /** How many there are, with those that have gone by and were not noticed yet. */
     int size() {
-        return live;
+        return liveCount;
     }
 }
--- a/src/main/java/vetchpost/admission/ReservedWork.java
+++ b/src/main/java/vetchpost/admission/ReservedWork.java
@@ -5,17 +5,17 @@
  * change of the rate moves the times that are still to be told.
  */
 final class ReservedWork {
-    private double work;
-    private long seenUs;
+    private double reservedCost;
+    private long updatedUs;
 
     /** How long until what is booked has gone out at this rate, in microseconds. */
-    double lastsUs(double perUs, long nowUs) {
-        work = Math.max(0, work - perUs * (nowUs - seenUs));
-        seenUs = nowUs;
-        return work / perUs;
+    double remainingUs(double perUs, long nowUs) {
+        reservedCost = Math.max(0, reservedCost - perUs * (nowUs - updatedUs));
+        updatedUs = nowUs;
+        return reservedCost / perUs;
     }
 
     void add(double cost) {
-        work += cost;
+        reservedCost += cost;
     }
 }
--- a/src/main/java/vetchpost/admission/SchedulingNode.java
+++ b/src/main/java/vetchpost/admission/SchedulingNode.java
@@ -17,31 +17,31 @@
      */
     double credit;
 
-    private final PriorityQueue<Flow> queue = new PriorityQueue<>(BY_START);
+    private final PriorityQueue<Flow> readyQueue = new PriorityQueue<>(BY_START);
     /** What has nothing waiting but a finish that lies ahead: to forget that would be to let it go first. */
-    private final PriorityQueue<Flow> idle = new PriorityQueue<>(BY_FINISH);
+    private final PriorityQueue<Flow> idleQueue = new PriorityQueue<>(BY_FINISH);
 
-    private double virtual;
-    private double mostFinish;
+    private double virtualTime;
+    private double maxFinishTag;
 
     SchedulingNode(SchedulingNode parent, int key, double weight) {
         super(parent, key, weight);
     }
 
     /** All that have something waiting. */
-    List<Flow> ready() {
-        return List.copyOf(queue);
+    List<Flow> readyChildren() {
+        return List.copyOf(readyQueue);
     }
 
     /** The next one whose key passes, or null. */
     Flow next(IntPredicate passes, List<Flow> skipped) {
         Flow found = null;
-        while (found == null && !queue.isEmpty()) {
-            Flow first = queue.peek();
+        while (found == null && !readyQueue.isEmpty()) {
+            Flow first = readyQueue.peek();
             if (passes.test(first.key)) {
                 found = first;
             } else {
-                skipped.add(queue.poll());
+                skipped.add(readyQueue.poll());
             }
         }
         return found;
@@ -49,61 +49,61 @@
 
     /** Puts back what was passed over. */
     void restore(List<Flow> skipped) {
-        queue.addAll(skipped);
+        readyQueue.addAll(skipped);
         skipped.clear();
     }
 
     /** A child has something waiting. */
-    void wake(Flow child, long turn) {
-        if (child.ready) {
+    void activate(Flow child, long turn) {
+        if (child.isReady) {
             return;
         }
-        idle.remove(child);
-        child.start = Math.max(virtual - credit, child.finish);
-        child.turn = turn;
-        child.ready = true;
+        idleQueue.remove(child);
+        child.startTag = Math.max(virtualTime - credit, child.finishTag);
+        child.sequence = turn;
+        child.isReady = true;
         readyWeight += child.weight;
-        queue.add(child);
+        readyQueue.add(child);
     }
 
     /** A child's request of this cost goes out. */
     void serve(Flow child, double cost, long turn) {
-        queue.remove(child);
-        virtual = Math.max(virtual, child.start);
-        child.finish = child.start + cost / child.weight;
-        mostFinish = Math.max(mostFinish, child.finish);
-        if (child.waiting > 0) {
-            child.start = child.finish;
-            child.turn = turn;
-            queue.add(child);
+        readyQueue.remove(child);
+        virtualTime = Math.max(virtualTime, child.startTag);
+        child.finishTag = child.startTag + cost / child.weight;
+        maxFinishTag = Math.max(maxFinishTag, child.finishTag);
+        if (child.waitingCount > 0) {
+            child.startTag = child.finishTag;
+            child.sequence = turn;
+            readyQueue.add(child);
         } else {
-            rest(child);
+            deactivate(child);
         }
-        forgetPast();
+        pruneIdle();
     }
 
     /** A child has had this much outside its turn: its next turns come so much later. */
     void charge(Flow child, double cost) {
-        if (child.ready) {
-            queue.remove(child);
-            child.start += cost / child.weight;
-            queue.add(child);
+        if (child.isReady) {
+            readyQueue.remove(child);
+            child.startTag += cost / child.weight;
+            readyQueue.add(child);
         } else {
-            idle.remove(child);
-            child.finish = Math.max(virtual - credit, child.finish) + cost / child.weight;
-            mostFinish = Math.max(mostFinish, child.finish);
-            idle.add(child);
+            idleQueue.remove(child);
+            child.finishTag = Math.max(virtualTime - credit, child.finishTag) + cost / child.weight;
+            maxFinishTag = Math.max(maxFinishTag, child.finishTag);
+            idleQueue.add(child);
         }
     }
 
     /** Something has gone out that moves the turns on by so much, whose turn it was or not. */
-    void pass(double time) {
-        virtual += time;
+    void advanceVirtualTime(double time) {
+        virtualTime += time;
     }
 
     /** Whether a child with something waiting has had clearly less than its part so far. */
-    boolean isInCredit(Flow child) {
-        return child.start < virtual - credit / 2;
+    boolean isBelowFairShare(Flow child) {
+        return child.startTag < virtualTime - credit / 2;
     }
 
     /**
@@ -111,50 +111,51 @@
      * credit.
      */
     double lag(Flow child) {
-        return ((child.ready ? child.start : Math.max(virtual - credit, child.finish)) - virtual) * child.weight;
+        return ((child.isReady ? child.startTag : Math.max(virtualTime - credit, child.finishTag)) - virtualTime)
+                * child.weight;
     }
 
     /** A child has nothing waiting any more, and was not served for it. */
-    void quiet(Flow child) {
-        if (child.ready && child.waiting == 0) {
-            queue.remove(child);
-            rest(child);
-            forgetPast();
+    void deactivateIfEmpty(Flow child) {
+        if (child.isReady && child.waitingCount == 0) {
+            readyQueue.remove(child);
+            deactivate(child);
+            pruneIdle();
         }
     }
 
-    private void rest(Flow child) {
-        child.ready = false;
+    private void deactivate(Flow child) {
+        child.isReady = false;
         readyWeight -= child.weight;
-        idle.add(child);
+        idleQueue.add(child);
     }
 
     /** What finished before now is as good as new; with nothing waiting at all, that is everything. */
-    private void forgetPast() {
-        if (queue.isEmpty()) {
-            virtual = Math.max(virtual, mostFinish);
+    private void pruneIdle() {
+        if (readyQueue.isEmpty()) {
+            virtualTime = Math.max(virtualTime, maxFinishTag);
             readyWeight = 0; // What rounding has left would else stay for good.
         }
-        while (!idle.isEmpty() && idle.peek().finish <= virtual - credit) {
-            Flow past = idle.poll();
+        while (!idleQueue.isEmpty() && idleQueue.peek().finishTag <= virtualTime - credit) {
+            Flow past = idleQueue.poll();
             children.remove(past.key, past);
         }
     }
 
     /** A child of this key that has nothing waiting is as good as new. */
-    void forget(int key) {
+    void forgetIfIdle(int key) {
         Flow child = children.get(key);
-        if (child != null && !child.ready && child.waiting == 0) {
-            idle.remove(child);
+        if (child != null && !child.isReady && child.waitingCount == 0) {
+            idleQueue.remove(child);
             children.remove(key);
         }
     }
 
     /** Those of its children with the most waiting for their weight, or null. */
-    Flow longest() {
+    Flow longestBacklog() {
         Flow longest = null;
-        for (Flow child : queue) {
-            if (longest == null || child.backlog / child.weight > longest.backlog / longest.weight) {
+        for (Flow child : readyQueue) {
+            if (longest == null || child.backlogCost / child.weight > longest.backlogCost / longest.weight) {
                 longest = child;
             }
         }
@@ -162,16 +163,16 @@
     }
 
     /** Has a child weigh this from now on. */
-    void weigh(Flow child, double weight) {
-        readyWeight += child.ready ? weight - child.weight : 0;
+    void setWeight(Flow child, double weight) {
+        readyWeight += child.isReady ? weight - child.weight : 0;
         child.weight = weight;
     }
 
     /** How many flows there are below, itself counted. */
-    int size() {
+    int flowCount() {
         int size = 1;
         for (Flow child : new ArrayList<>(children.values())) {
-            size += child instanceof SchedulingNode branch ? branch.size() : 1;
+            size += child instanceof SchedulingNode branch ? branch.flowCount() : 1;
         }
         return size;
     }
--- a/src/main/java/vetchpost/changes/ChangeWriter.java
+++ b/src/main/java/vetchpost/changes/ChangeWriter.java
@@ -14,7 +14,7 @@
  */
 public final class ChangeWriter {
     private final long epoch;
-    private RouteConfiguration catalog;
+    private RouteConfiguration configuration;
 
     /**
      * Goes on where a configuration is.
@@ -23,10 +23,10 @@
      */
     public ChangeWriter(RouteConfiguration catalog, long epoch) {
         if (epoch < Version.epoch(catalog.store().version())) {
-            throw new IllegalArgumentException(
-                    "epoch " + epoch + " after " + Version.text(catalog.store().version()));
+            throw new IllegalArgumentException("epoch " + epoch + " after "
+                    + Version.format(catalog.store().version()));
         }
-        this.catalog = catalog;
+        this.configuration = catalog;
         this.epoch = epoch;
     }
 
@@ -36,19 +36,20 @@
      * @return what it breaks; empty if it has a version now
      */
     public List<Violation> submit(List<EntryChange> batch) {
-        long before = catalog.store().version();
-        Outcome outcome = catalog.apply(batch, Version.epoch(before) == epoch ? before + 1 : Version.of(epoch, 1));
-        catalog = outcome.configuration() == null ? catalog : outcome.configuration();
+        long before = configuration.store().version();
+        Outcome outcome =
+                configuration.apply(batch, Version.epoch(before) == epoch ? before + 1 : Version.of(epoch, 1));
+        configuration = outcome.configuration() == null ? configuration : outcome.configuration();
         return outcome.violations();
     }
 
     /** What is there now. */
     public RouteConfiguration configuration() {
-        return catalog;
+        return configuration;
     }
 
     /** The same, to be told. */
     public VersionedStore store() {
-        return catalog.store();
+        return configuration.store();
     }
 }
--- a/src/main/java/vetchpost/changes/ChangesValidator.java
+++ b/src/main/java/vetchpost/changes/ChangesValidator.java
@@ -12,8 +12,8 @@
 /** Reads the table of an operator's file by which its routes come from control machines. It does no I/O. */
 public final class ChangesValidator {
     private static final List<String> KEYS = List.of("publishers", "secret-file", "file", "name");
-    private static final int MOST = 1_024;
-    private static final String ADDRESS = "\\[?[0-9a-fA-F.:]+\\]?:[0-9]{1,5}";
+    private static final int MAX_PUBLISHERS = 1_024;
+    private static final String ADDRESS_PATTERN = "\\[?[0-9a-fA-F.:]+\\]?:[0-9]{1,5}";
 
     private ChangesValidator() {}
 
@@ -35,7 +35,7 @@
         SectionReader own = new SectionReader(changes, "changes", violations);
         own.rejectUnknownKeys(KEYS);
         List<String> publishers = own.texts("publishers", List.of());
-        if (publishers.isEmpty() || publishers.size() > MOST) {
+        if (publishers.isEmpty() || publishers.size() > MAX_PUBLISHERS) {
             own.addViolation(
                     "publishers",
                     Rule.INCOMPLETE,
@@ -43,7 +43,7 @@
                     "publishers = [\"10.0.0.1:9100\"]");
         }
         for (String each : publishers) {
-            if (!each.matches(ADDRESS)) {
+            if (!each.matches(ADDRESS_PATTERN)) {
                 own.addViolation(
                         "publishers", Rule.BAD_PATTERN, each + " is no address with a port", "\"10.0.0.1:9100\"");
             }
@@ -65,7 +65,11 @@
         for (Section section : file) {
             if (section.kind() == Kind.DEFAULTS || section.kind() == Kind.CLASS) {
                 violations.add(new Violation(
-                        section.at(), section.name(), Rule.UNREACHABLE, "limits come from [changes]", "no such table"));
+                        section.position(),
+                        section.name(),
+                        Rule.UNREACHABLE,
+                        "limits come from [changes]",
+                        "no such table"));
             }
         }
         return new Validation(
--- a/src/main/java/vetchpost/changes/RouteConfiguration.java
+++ b/src/main/java/vetchpost/changes/RouteConfiguration.java
@@ -31,16 +31,16 @@
  * name, match and tenant; all routes where defaults or a class change.
  */
 public final class RouteConfiguration implements Index {
-    private static final byte[] NOTHING = new byte[0];
-    private static final byte[] TENANTS = new EntryKey(EntryKind.TENANT, "").bytes();
-    private static final double MAX_FRACTION = 1e9;
-    private static final int MAX_BATCH = 10_000;
+    private static final byte[] EMPTY_BYTES = new byte[0];
+    private static final byte[] TENANTS_START = new EntryKey(EntryKind.TENANT, "").bytes();
+    private static final double MAX_TENANT_SHARE = 1e9;
+    private static final int MAX_BATCH_CHANGES = 10_000;
 
     private final Settings settings;
     private final VersionedStore store;
     private final RouteTable routes;
     /** Of routes that are one tenant's: the tenant's name, a byte of 0, the route's. */
-    private final PackedTree byTenant;
+    private final PackedTree tenantRoutes;
     /** While entries are taken in one by one: whether what holds for classes is among them. */
     private final boolean limitsChanged;
 
@@ -57,7 +57,7 @@
         this.settings = settings;
         this.store = store;
         this.routes = routes;
-        this.byTenant = byTenant;
+        this.tenantRoutes = byTenant;
     }
 
     /**
@@ -80,8 +80,8 @@
     }
 
     /** The same entries with their own versions, as somebody has kept them, for a writer to go on from. */
-    public RouteConfiguration at(VersionedStore kept) {
-        return new RouteConfiguration(settings, kept, routes.backedBy(kept.live()), byTenant, false);
+    public RouteConfiguration withStore(VersionedStore kept) {
+        return new RouteConfiguration(settings, kept, routes.backedBy(kept.live()), tenantRoutes, false);
     }
 
     /** Where requests' routes are found. */
@@ -91,7 +91,7 @@
 
     /** Bytes that it keeps beside the entries. */
     public long indexBytes() {
-        return routes.indexBytes() + byTenant.retainedBytes();
+        return routes.indexBytes() + tenantRoutes.retainedBytes();
     }
 
     // ---------------------------------------------------------------- a batch that is proved
@@ -102,9 +102,13 @@
     public Outcome apply(List<EntryChange> batch, long version) {
         List<Violation> violations = new ArrayList<>();
         Map<EntryKey, EntryChange> last = new LinkedHashMap<>();
-        if (batch.size() > MAX_BATCH) {
+        if (batch.size() > MAX_BATCH_CHANGES) {
             violations.add(new Violation(
-                    at(MAX_BATCH), "batch", Rule.OUT_OF_RANGE, batch.size() + " changes", MAX_BATCH + " or fewer"));
+                    withStore(MAX_BATCH_CHANGES),
+                    "batch",
+                    Rule.OUT_OF_RANGE,
+                    batch.size() + " changes",
+                    MAX_BATCH_CHANGES + " or fewer"));
             return new Outcome(null, violations);
         }
         for (int i = 0; i < batch.size(); i++) {
@@ -114,7 +118,7 @@
                     : store.get(change.key()) != null;
             if (there != (change.op() != Op.PUT)) {
                 violations.add(new Violation(
-                        at(i),
+                        withStore(i),
                         change.key().toString(),
                         there ? Rule.SAME_NAME : Rule.UNKNOWN_ENTRY,
                         there ? "it is there already" : "it is not there",
@@ -128,26 +132,26 @@
         }
         List<EntryChange> changes = List.copyOf(last.values());
         VersionedStore after = store.with(changes, version);
-        RouteValidation proof = proof(changes, after, version, violations);
+        RouteValidation proof = validateRoutes(changes, after, version, violations);
         if (!violations.isEmpty()) {
             // Some can't be read, so that nothing more can be said of them.
             violations.addAll(proof.violations());
             return new Outcome(null, violations);
         }
-        PackedTree owned = byTenant;
+        PackedTree owned = tenantRoutes;
         for (int i = 0; i < changes.size(); i++) {
             EntryChange change = changes.get(i);
             switch (change.key().kind()) {
-                case TENANT -> tenant(change, at(i), violations);
-                case SERVICE -> service(change, at(i), violations);
-                case ROUTE -> owned = owned(owned, change.key().bytes(), change.value());
+                case TENANT -> validateTenant(change, withStore(i), violations);
+                case SERVICE -> validateService(change, withStore(i), violations);
+                case ROUTE -> owned = updateTenantRoutes(owned, change.key().bytes(), change.value());
                 default -> {}
             }
         }
         for (int i = 0; i < changes.size(); i++) {
             EntryChange change = changes.get(i);
             if (change.key().kind() == EntryKind.TENANT && change.value() == null) {
-                unowned(owned, change.key().name(), at(i), violations);
+                requireNoRoutes(owned, change.key().name(), withStore(i), violations);
             }
         }
         violations.addAll(proof.violations());
@@ -159,28 +163,28 @@
     }
 
     /** Where a change stands in its batch, as messages have it. */
-    private static Position at(int change) {
+    private static Position withStore(int change) {
         return new Position("batch", change + 1, 1);
     }
 
-    private RouteValidation proof(
+    private RouteValidation validateRoutes(
             List<EntryChange> changes, VersionedStore after, long version, List<Violation> violations) {
         RouteValidator.Tenants tenants = new RouteValidator.Tenants() {
             @Override
-            public boolean has(String name) {
+            public boolean contains(String name) {
                 return after.get(new EntryKey(EntryKind.TENANT, name)) != null;
             }
 
             @Override
-            public Iterable<String> all() {
-                return () -> after.live().range(TENANTS, null, 1_001).stream()
-                        .filter(i -> i.key()[0] == TENANTS[0])
+            public Iterable<String> names() {
+                return () -> after.live().range(TENANTS_START, null, 1_001).stream()
+                        .filter(i -> i.key()[0] == TENANTS_START[0])
                         .map(i -> EntryKey.of(i.key()).name())
                         .iterator();
             }
         };
         if (changes.stream().anyMatch(c -> c.key().kind() == EntryKind.LIMITS)) {
-            return whole(after, version, tenants, violations);
+            return validateAllRoutes(after, version, tenants, violations);
         }
         List<RouteChange> ofRoutes = new ArrayList<>();
         for (int i = 0; i < changes.size(); i++) {
@@ -190,9 +194,10 @@
                 try {
                     section = change.value() == null
                             ? null
-                            : named(change.key().name(), RouteCodec.section(change.value(), at(i)));
+                            : requireName(change.key().name(), RouteCodec.decode(change.value(), withStore(i)));
                 } catch (IllegalArgumentException e) {
-                    violations.add(new Violation(at(i), change.key().toString(), Rule.SYNTAX, e.getMessage(), ""));
+                    violations.add(
+                            new Violation(withStore(i), change.key().toString(), Rule.SYNTAX, e.getMessage(), ""));
                 }
                 if (section != null || change.value() == null) {
                     // Whether it was there has been looked at, whatever came of it within the batch.
@@ -200,7 +205,7 @@
                             store.get(change.key()) == null ? Op.PUT : change.op() == Op.PUT ? Op.REPLACE : change.op(),
                             change.key().name(),
                             section,
-                            at(i)));
+                            withStore(i)));
                 }
             }
         }
@@ -209,7 +214,7 @@
     }
 
     /** A route's own name is its entry's, and is not kept twice; where it has none it is its path. */
-    private static Section named(String name, Section route) {
+    private static Section requireName(String name, Section route) {
         if (name.equals(RouteCodec.nameOf(route))) {
             return route;
         }
@@ -217,9 +222,9 @@
     }
 
     /** Defaults or a class have changed: all routes are proved by them. */
-    private RouteValidation whole(
+    private RouteValidation validateAllRoutes(
             VersionedStore after, long version, RouteValidator.Tenants tenants, List<Violation> violations) {
-        List<Section> others = limits(after.live(), violations);
+        List<Section> others = readLimits(after.live(), violations);
         RouteValidator prover = RouteValidator.begin(others, settings, true, routes, version, tenants);
         byte[] first = new EntryKey(EntryKind.ROUTE, "").bytes();
         for (Item route = after.live().ceiling(first);
@@ -228,21 +233,21 @@
             String name = EntryKey.of(route.key()).name();
             Position at = new Position("route " + name, 1, 1);
             try {
-                prover.add(named(name, RouteCodec.section(route.value(), at)));
+                prover.addRoute(requireName(name, RouteCodec.decode(route.value(), at)));
             } catch (IllegalArgumentException e) {
                 violations.add(new Violation(at, "route " + name, Rule.SYNTAX, e.getMessage(), ""));
             }
         }
-        return prover.end();
+        return prover.finish();
     }
 
-    private static void tenant(EntryChange change, Position at, List<Violation> violations) {
+    private static void validateTenant(EntryChange change, Position at, List<Violation> violations) {
         if (change.value() == null) {
             return;
         }
         try {
             FieldCodec.read(change.value(), (number, value) -> {
-                if (number != 0 || !(value instanceof Double share) || !(share >= 0 && share <= MAX_FRACTION)) {
+                if (number != 0 || !(value instanceof Double share) || !(share >= 0 && share <= MAX_TENANT_SHARE)) {
                     throw new IllegalArgumentException("field " + number + " = " + value);
                 }
             });
@@ -252,11 +257,11 @@
                     change.key().toString(),
                     Rule.OUT_OF_RANGE,
                     e.getMessage(),
-                    "a share from 0 to " + MAX_FRACTION));
+                    "a share from 0 to " + MAX_TENANT_SHARE));
         }
     }
 
-    private static void service(EntryChange change, Position at, List<Violation> violations) {
+    private static void validateService(EntryChange change, Position at, List<Violation> violations) {
         try {
             if (change.value() != null) {
                 FieldCodec.read(change.value(), (number, value) -> {});
@@ -266,8 +271,8 @@
         }
     }
 
-    private static void unowned(PackedTree owned, String tenant, Position at, List<Violation> violations) {
-        byte[] prefix = ownedKey(tenant, NOTHING);
+    private static void requireNoRoutes(PackedTree owned, String tenant, Position at, List<Violation> violations) {
+        byte[] prefix = tenantRouteKey(tenant, EMPTY_BYTES);
         Item item = owned.ceiling(prefix);
         if (item != null
                 && Arrays.equals(prefix, 0, prefix.length, item.key(), 0, Math.min(prefix.length, item.key().length))) {
@@ -281,23 +286,23 @@
         }
     }
 
-    private static byte[] ownedKey(String tenant, byte[] route) {
+    private static byte[] tenantRouteKey(String tenant, byte[] route) {
         byte[] name = FieldCodec.utf8(tenant);
         byte[] key = Arrays.copyOf(name, name.length + 1 + route.length);
         System.arraycopy(route, 0, key, name.length + 1, route.length);
         return key;
     }
 
-    private PackedTree owned(PackedTree before, byte[] key, byte[] value) {
+    private PackedTree updateTenantRoutes(PackedTree before, byte[] key, byte[] value) {
         PackedTree after = before;
         byte[] name = Arrays.copyOfRange(key, 1, key.length);
         Item old = routes.entries().get(key);
         String was = old == null ? null : RouteCodec.tenantOf(old.value());
         if (was != null) {
-            after = after.remove(ownedKey(was, name));
+            after = after.remove(tenantRouteKey(was, name));
         }
         String is = value == null ? null : RouteCodec.tenantOf(value);
-        return is == null ? after : after.put(ownedKey(is, name), NOTHING, 0);
+        return is == null ? after : after.put(tenantRouteKey(is, name), EMPTY_BYTES, 0);
     }
 
     // ---------------------------------------------------------------- what was proved elsewhere
@@ -306,31 +311,36 @@
     public RouteConfiguration withEntry(byte[] key, byte[] value, PackedTree live) {
         EntryKey of = EntryKey.of(key);
         if (of.kind() == EntryKind.LIMITS) {
-            return new RouteConfiguration(settings, store, routes, byTenant, true);
+            return new RouteConfiguration(settings, store, routes, tenantRoutes, true);
         }
         if (of.kind() != EntryKind.ROUTE) {
             return this;
         }
         return new RouteConfiguration(
-                settings, store, routes.withRoute(of.name(), value, live), owned(byTenant, key, value), limitsChanged);
+                settings,
+                store,
+                routes.withRoute(of.name(), value, live),
+                updateTenantRoutes(tenantRoutes, key, value),
+                limitsChanged);
     }
 
     /** With an entry of a tree that all of it is read from already; for a start from what was kept. */
-    public RouteConfiguration withoutEntry(byte[] key, byte[] value) {
+    public RouteConfiguration withIndexedEntry(byte[] key, byte[] value) {
         EntryKey of = EntryKey.of(key);
         if (of.kind() != EntryKind.ROUTE) {
             return of.kind() == EntryKind.LIMITS
-                    ? new RouteConfiguration(settings, store, routes, byTenant, true)
+                    ? new RouteConfiguration(settings, store, routes, tenantRoutes, true)
                     : this;
         }
         String tenant = RouteCodec.tenantOf(value);
         return new RouteConfiguration(
                 settings,
                 store,
-                routes.withoutRoute(of.name(), value),
+                routes.withIndexedRoute(of.name(), value),
                 tenant == null
-                        ? byTenant
-                        : byTenant.put(ownedKey(tenant, Arrays.copyOfRange(key, 1, key.length)), NOTHING, 0),
+                        ? tenantRoutes
+                        : tenantRoutes.put(
+                                tenantRouteKey(tenant, Arrays.copyOfRange(key, 1, key.length)), EMPTY_BYTES, 0),
                 limitsChanged);
     }
 
@@ -339,14 +349,14 @@
         RouteTable table = routes.backedBy(live);
         return new RouteConfiguration(
                 settings,
-                VersionedStore.of(live, live.newest()),
-                limitsChanged ? RouteValidator.withLimits(table, limits(live, null)) : table,
-                byTenant,
+                VersionedStore.of(live, live.newestStamp()),
+                limitsChanged ? RouteValidator.withLimits(table, readLimits(live, null)) : table,
+                tenantRoutes,
                 false);
     }
 
     /** What holds for all and for classes. */
-    private static List<Section> limits(PackedTree live, List<Violation> violations) {
+    private static List<Section> readLimits(PackedTree live, List<Violation> violations) {
         List<Section> sections = new ArrayList<>();
         for (Item item : live.range(
                 new EntryKey(EntryKind.LIMITS, "").bytes(),
@@ -359,7 +369,7 @@
                         key.name().isEmpty() ? Section.Kind.DEFAULTS : Section.Kind.CLASS,
                         key.name(),
                         at,
-                        RouteCodec.section(item.value(), at).entries()));
+                        RouteCodec.decode(item.value(), at).entries()));
             } catch (IllegalArgumentException e) {
                 if (violations == null) {
                     throw e;
--- a/src/main/java/vetchpost/config/NodeConfig.java
+++ b/src/main/java/vetchpost/config/NodeConfig.java
@@ -35,9 +35,9 @@
         Settings settings,
         ServerList knownServers) {
 
-    private static final int DEFAULT_SOCKETS = 1_024;
-    private static final String DISCOVERY = "LB_DISCOVERY";
-    private static final String DEFAULT_IDLE_US = "15000000";
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1_024;
+    private static final String DISCOVERY_VARIABLE = "LB_DISCOVERY";
+    private static final String DEFAULT_SERVER_IDLE_TIMEOUT_US = "15000000";
 
     /** Throws IllegalArgumentException with one line for the operator on what is missing or wrong. */
     public static NodeConfig read(Map<String, String> environment) {
@@ -57,7 +57,7 @@
     /** As at the start, but that the file has been replaced since and so comes before the environment. */
     public static NodeConfig reread(Map<String, String> environment) {
         Map<String, String> rest = new HashMap<>(environment);
-        rest.remove(DISCOVERY);
+        rest.remove(DISCOVERY_VARIABLE);
         return read(rest);
     }
 
@@ -80,21 +80,21 @@
         } catch (JsonParseException | IllegalStateException e) {
             throw new IllegalArgumentException("LB_CONFIG holds no JSON object: " + e.getMessage(), e);
         }
-        Map<String, String> values = flatten(object(json, "settings"));
+        Map<String, String> values = flatten(requiredObject(json, "settings"));
         Settings settings = SettingsReader.read(values);
         ServerList known =
                 json.has("known") ? ServerListParser.fromJson(json.get("known")) : new ServerList(0, true, List.of());
         return new NodeConfig(
-                ServerListParser.address(text(environment, "LB_LISTEN", json, "listen")),
-                ServerListParser.address(text(environment, DISCOVERY, json, "discovery")),
+                ServerListParser.address(requiredText(environment, "LB_LISTEN", json, "listen")),
+                ServerListParser.address(requiredText(environment, DISCOVERY_VARIABLE, json, "discovery")),
                 seed(json),
-                sockets(json),
-                whole(values.getOrDefault("limits.connIdleUs", DEFAULT_IDLE_US)),
+                parseMaxDescriptors(json),
+                parseWholeNumber(values.getOrDefault("limits.connIdleUs", DEFAULT_SERVER_IDLE_TIMEOUT_US)),
                 settings,
                 known);
     }
 
-    private static JsonObject object(JsonObject in, String name) {
+    private static JsonObject requiredObject(JsonObject in, String name) {
         JsonElement value = in.get(name);
         if (value == null || !value.isJsonObject()) {
             throw new IllegalArgumentException(name + " is missing or no object");
@@ -102,7 +102,7 @@
         return value.getAsJsonObject();
     }
 
-    private static String text(Map<String, String> environment, String variable, JsonObject json, String name) {
+    private static String requiredText(Map<String, String> environment, String variable, JsonObject json, String name) {
         String value = environment.get(variable);
         if (value != null && !value.isEmpty()) {
             return value;
@@ -125,16 +125,19 @@
         }
     }
 
-    private static int sockets(JsonObject json) {
-        JsonElement sockets = json.has("limits") ? object(json, "limits").get("sockets") : null;
-        long value = sockets == null || !sockets.isJsonPrimitive() ? DEFAULT_SOCKETS : whole(sockets.getAsString());
+    private static int parseMaxDescriptors(JsonObject json) {
+        JsonElement sockets =
+                json.has("limits") ? requiredObject(json, "limits").get("sockets") : null;
+        long value = sockets == null || !sockets.isJsonPrimitive()
+                ? DEFAULT_MAX_DESCRIPTORS
+                : parseWholeNumber(sockets.getAsString());
         if (value < SocketBudget.MIN_DESCRIPTORS) {
             throw new IllegalArgumentException("limits.sockets is under " + SocketBudget.MIN_DESCRIPTORS);
         }
         return (int) Math.min(Integer.MAX_VALUE, value);
     }
 
-    private static long whole(String text) {
+    private static long parseWholeNumber(String text) {
         try {
             return (long) Double.parseDouble(text);
         } catch (NumberFormatException e) {
--- a/src/main/java/vetchpost/config/SettingsReader.java
+++ b/src/main/java/vetchpost/config/SettingsReader.java
@@ -31,40 +31,40 @@
 
     private Settings settings() {
         Settings set = new Settings();
-        set.nodes = (int) whole("balancers", set.nodes);
+        set.nodes = (int) wholeNumber("balancers", set.nodes);
         // A number past the last is no reason to stay away: nodes may have been added since, or the number of
         // them left out, and two nodes with one part of the servers still serve.
-        set.node = Math.floorMod((int) whole("me", set.node), Math.max(1, set.nodes));
+        set.node = Math.floorMod((int) wholeNumber("me", set.node), Math.max(1, set.nodes));
         for (String zone : list("zones")) {
             set.zones.add(zone);
         }
         set.myZone = Math.max(0, set.zones.indexOf(values.getOrDefault("myZone", "")));
-        int classes = (int) whole("classes.count", 0);
+        int classes = (int) wholeNumber("classes.count", 0);
         for (int i = 0; i < classes; i++) {
             set.classes.add(requestClass("classes." + i + "."));
         }
-        int tenants = (int) whole("realms.count", 0);
+        int tenants = (int) wholeNumber("realms.count", 0);
         for (int i = 0; i < tenants; i++) {
             String prefix = "realms." + i + ".";
-            set.tenants.add(new Tenant(need(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
+            set.tenants.add(new Tenant(required(prefix + "name"), decimal(prefix + "quotaPerS", 0)));
         }
-        set.overShareWorth = decimal("overShareWorth", set.overShareWorth);
+        set.overShareValueFraction = decimal("overShareWorth", set.overShareValueFraction);
         set.valuePerWorkUnit = "work".equals(values.get("countedBy"));
-        set.maxAttempts = (int) whole("limits.attemptsCap", set.maxAttempts);
+        set.maxAttempts = (int) wholeNumber("limits.attemptsCap", set.maxAttempts);
         set.allowsHedging = flag("limits.parallelTries");
         set.allowsCancellation = flag("limits.cancelling");
         set.allowsProbes = flag("limits.probes");
         set.clientsMarkRetries = flag("callers.marksRetry");
-        set.maxRetryAfterUs = flag("limits.retryAfter") ? whole("limits.maxRetryAfterUs", 0) : 0;
-        set.tickUs = whole("quantumUs", set.tickUs);
-        set.connectTimeoutUs = whole("limits.dialTimeoutUs", set.connectTimeoutUs);
-        set.listOnRequest = "on_request".equals(values.get("membershipMode"));
-        set.askWithinUs = whole("rules.askWithinUs", set.askWithinUs);
-        set.drainGraceUs = whole("rules.drainGraceUs", set.drainGraceUs);
-        set.coldFrom = decimal("rules.coldFrom", set.coldFrom);
-        set.coldUs = whole("rules.coldUs", set.coldUs);
-        set.fallMultiple = decimal("rules.overloadFactor", set.fallMultiple);
-        set.fallUs = whole("rules.fallUs", set.fallUs);
+        set.maxRetryAfterUs = flag("limits.retryAfter") ? wholeNumber("limits.maxRetryAfterUs", 0) : 0;
+        set.tickUs = wholeNumber("quantumUs", set.tickUs);
+        set.connectTimeoutUs = wholeNumber("limits.dialTimeoutUs", set.connectTimeoutUs);
+        set.mustRequestList = "on_request".equals(values.get("membershipMode"));
+        set.maxListIntervalUs = wholeNumber("rules.askWithinUs", set.maxListIntervalUs);
+        set.drainGraceUs = wholeNumber("rules.drainGraceUs", set.drainGraceUs);
+        set.coldStartFraction = decimal("rules.coldFrom", set.coldStartFraction);
+        set.coldUs = wholeNumber("rules.coldUs", set.coldUs);
+        set.coldOverloadMultiple = decimal("rules.overloadFactor", set.coldOverloadMultiple);
+        set.coldOverloadWindowUs = wholeNumber("rules.fallUs", set.coldOverloadWindowUs);
         set.crossZonePrice = decimal("costs.crossZone", set.crossZonePrice);
         set.probePrice = decimal("costs.probe", set.probePrice);
         for (String field : list("report.fields")) {
@@ -83,35 +83,35 @@
     }
 
     private RequestClass requestClass(String prefix) {
-        String repeat = need(prefix + "repeat");
+        String repeat = required(prefix + "repeat");
         String group = values.getOrDefault(prefix + "group", "all");
         return new RequestClass(
-                need(prefix + "name"),
-                whole(prefix + "onTimeUs"),
+                required(prefix + "name"),
+                wholeNumber(prefix + "onTimeUs"),
                 decimal(prefix + "aimStretch", 0),
-                whole(prefix + "giveUpUs"),
+                wholeNumber(prefix + "giveUpUs"),
                 decimal(prefix + "importance", 1),
                 decimal(prefix + "lateWorth", 0),
                 switch (repeat) {
                     case "safe" -> Idempotency.SAFE;
                     case "keyed" -> Idempotency.KEYED;
                     case "unsafe" -> Idempotency.UNSAFE;
-                    default -> throw bad(prefix + "repeat", "is unknown: " + repeat);
+                    default -> throw invalid(prefix + "repeat", "is unknown: " + repeat);
                 },
                 switch (group) {
                     case "all" -> DeduplicationScope.ALL;
                     case "zone" -> DeduplicationScope.ZONE;
                     case "cell" -> DeduplicationScope.CELL;
-                    default -> throw bad(prefix + "group", "is unknown: " + group);
+                    default -> throw invalid(prefix + "group", "is unknown: " + group);
                 },
-                whole(prefix + "windowUs", 0),
+                wholeNumber(prefix + "windowUs", 0),
                 flag(prefix + "stream"));
     }
 
-    private String need(String path) {
+    private String required(String path) {
         String value = values.get(path);
         if (value == null) {
-            throw bad(path, "is missing");
+            throw invalid(path, "is missing");
         }
         return value;
     }
@@ -126,27 +126,27 @@
         return "1".equals(value) || "true".equals(value);
     }
 
-    private long whole(String path) {
-        return (long) decimal(path, need(path));
+    private long wholeNumber(String path) {
+        return (long) decimal(path, required(path));
     }
 
-    private long whole(String path, long otherwise) {
-        return values.containsKey(path) ? whole(path) : otherwise;
+    private long wholeNumber(String path, long otherwise) {
+        return values.containsKey(path) ? wholeNumber(path) : otherwise;
     }
 
     private double decimal(String path, double otherwise) {
-        return values.containsKey(path) ? decimal(path, need(path)) : otherwise;
+        return values.containsKey(path) ? decimal(path, required(path)) : otherwise;
     }
 
     private double decimal(String path, String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw bad(path, "is not a number");
+            throw invalid(path, "is not a number");
         }
     }
 
-    private static IllegalArgumentException bad(String path, String reason) {
+    private static IllegalArgumentException invalid(String path, String reason) {
         return new IllegalArgumentException(path + " " + reason);
     }
 }
--- a/src/main/java/vetchpost/control/AuditEntryJson.java
+++ b/src/main/java/vetchpost/control/AuditEntryJson.java
@@ -12,7 +12,7 @@
     private AuditEntryJson() {}
 
     /** An entry's text, without a line's end. */
-    public static String text(Entry entry) {
+    public static String format(Entry entry) {
         JsonObject json = new JsonObject();
         json.addProperty("event", entry.event().name().toLowerCase(Locale.ROOT));
         json.addProperty("number", entry.number());
@@ -20,15 +20,15 @@
         json.addProperty("by", entry.operator());
         json.addProperty("note", entry.note());
         if (entry.change() != null) {
-            json.add("change", change(entry.change()));
+            json.add("change", changeJson(entry.change()));
         }
         return json.toString();
     }
 
     /** A change with all of its fields. */
-    static JsonObject change(OverrideRequest change) {
+    static JsonObject changeJson(OverrideRequest change) {
         JsonObject json = new JsonObject();
-        json.addProperty("kind", change.kind().word());
+        json.addProperty("kind", change.kind().commandName());
         json.addProperty("subject", change.subject());
         json.addProperty("per-mille", change.perMille());
         json.addProperty("for-ms", change.durationMs());
@@ -41,36 +41,36 @@
     }
 
     /** Reads an entry; throws IllegalArgumentException if the text is none. */
-    public static Entry read(String text) {
+    public static Entry parse(String text) {
         try {
             JsonObject json = JsonParser.parseString(text).getAsJsonObject();
             OverrideRequest change = null;
             if (json.has("change")) {
                 JsonObject of = json.getAsJsonObject("change");
                 change = new OverrideRequest(
-                        OverrideKind.valueOf(word(of, "kind").toUpperCase(Locale.ROOT)),
-                        word(of, "subject"),
+                        OverrideKind.valueOf(textField(of, "kind").toUpperCase(Locale.ROOT)),
+                        textField(of, "subject"),
                         of.get("per-mille").getAsInt(),
                         of.get("for-ms").getAsLong(),
-                        word(of, "owner"),
-                        word(of, "reason"),
+                        textField(of, "owner"),
+                        textField(of, "reason"),
                         of.get("priority").getAsInt(),
-                        word(of, "key"),
+                        textField(of, "key"),
                         of.get("anyway").getAsBoolean());
             }
             return new Entry(
-                    Event.valueOf(word(json, "event").toUpperCase(Locale.ROOT)),
+                    Event.valueOf(textField(json, "event").toUpperCase(Locale.ROOT)),
                     json.get("number").getAsLong(),
                     json.get("at").getAsLong(),
                     change,
-                    word(json, "by"),
-                    word(json, "note"));
+                    textField(json, "by"),
+                    textField(json, "note"));
         } catch (JsonParseException | IllegalStateException | NullPointerException | UnsupportedOperationException e) {
             throw new IllegalArgumentException("no entry: " + e.getMessage(), e);
         }
     }
 
-    private static String word(JsonObject json, String key) {
+    private static String textField(JsonObject json, String key) {
         return json.get(key).getAsString();
     }
 }
--- a/src/main/java/vetchpost/control/AuditLog.java
+++ b/src/main/java/vetchpost/control/AuditLog.java
@@ -15,7 +15,7 @@
     /** Before the first entry. */
     public static final String ROOT_HASH = "0".repeat(64);
 
-    private static final int HASH = 64;
+    private static final int HASH_LENGTH = 64;
     private static final long US_PER_MS = 1_000;
 
     private AuditLog() {}
@@ -43,12 +43,12 @@
 
     /** A line as it stands in the file: the chain's hash, a space, and the entry's own text. */
     public static String chainedLine(String before, String text) {
-        return hash(before, text) + " " + text;
+        return chainHash(before, text) + " " + text;
     }
 
     /** The hash that a line begins with, to chain the next to. */
     public static String hashOf(String line) {
-        return line.substring(0, HASH);
+        return line.substring(0, HASH_LENGTH);
     }
 
     /**
@@ -61,7 +61,7 @@
         String before = ROOT_HASH;
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i);
-            if (line.length() <= HASH || !line.equals(chainedLine(before, line.substring(HASH + 1)))) {
+            if (line.length() <= HASH_LENGTH || !line.equals(chainedLine(before, line.substring(HASH_LENGTH + 1)))) {
                 return i + 1;
             }
             before = hashOf(line);
@@ -71,10 +71,10 @@
 
     /** An entry's own text in a line of the file. */
     public static String textOf(String line) {
-        return line.substring(HASH + 1);
+        return line.substring(HASH_LENGTH + 1);
     }
 
-    private static String hash(String before, String text) {
+    private static String chainHash(String before, String text) {
         return DigestUtils.sha256Hex((before + " " + text).getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/vetchpost/control/ControlApi.java
+++ b/src/main/java/vetchpost/control/ControlApi.java
@@ -28,11 +28,11 @@
  * an effect; where it can't be recorded it has none. All calls are on one loop.
  */
 public final class ControlApi {
-    private static final int VERSION = 1;
-    private static final int MOST_WAITING = 64;
-    private static final double MILLE = 1_000;
-    private static final Set<String> EVERY = Set.of("v", "id", "do");
-    private static final Map<String, Set<String>> FIELDS = Map.of(
+    private static final int PROTOCOL_VERSION = 1;
+    private static final int MAX_WAITING_CHANGES = 64;
+    private static final double PER_MILLE = 1_000;
+    private static final Set<String> COMMON_FIELDS = Set.of("v", "id", "do");
+    private static final Map<String, Set<String>> FIELDS_BY_COMMAND = Map.of(
             "status",
             Set.of(),
             "servers",
@@ -42,30 +42,30 @@
             "undo",
             Set.of("number", "owner"),
             "drain",
-            changing("server"),
+            changeFields("server"),
             "weight",
-            changing("server", "share"),
+            changeFields("server", "share"),
             "shed",
-            changing("class", "share"),
+            changeFields("class", "share"),
             "freeze",
-            changing(),
+            changeFields(),
             "explain",
             Set.of("txn", "server", "refused", "last"),
             "reload",
             Set.of());
-    private static final long MOST_SPAN_MS = 3_600_000;
+    private static final long MAX_REJECTION_SPAN_MS = 3_600_000;
 
     private final Gson gson = new GsonBuilder().setStrictness(Strictness.STRICT).create();
     private final Leases leases;
-    private final Supplier<FleetState> situation;
+    private final Supplier<FleetState> fleetState;
     private final Supplier<Map<String, Long>> counts;
-    private final AuditSink trail;
-    private final Runnable changed;
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
-    private boolean busy;
+    private final AuditSink auditLog;
+    private final Runnable onChange;
+    private final Deque<Runnable> waitingChanges = new ArrayDeque<>();
+    private boolean isChangeInProgress;
     private Explanations explanations;
-    private Consumer<Consumer<String>> reload;
-    private Supplier<String> remark = () -> null;
+    private Consumer<Consumer<String>> reloader;
+    private Supplier<String> statusNote = () -> null;
 
     /** Where entries are kept. */
     public interface AuditSink {
@@ -89,10 +89,10 @@
             AuditSink trail,
             Runnable changed) {
         this.leases = leases;
-        this.situation = situation;
+        this.fleetState = situation;
         this.counts = counts;
-        this.trail = trail;
-        this.changed = changed;
+        this.auditLog = trail;
+        this.onChange = changed;
     }
 
     /** Has it explain by this; null for nothing, as at first. */
@@ -105,25 +105,25 @@
      * the loop.
      */
     public void setReloader(Consumer<Consumer<String>> by) {
-        reload = by;
+        reloader = by;
     }
 
     /** Has its status say this besides; what is null says nothing. */
     public void setStatusNote(Supplier<String> line) {
-        remark = line;
+        statusNote = line;
     }
 
-    private static Set<String> changing(String... own) {
+    private static Set<String> changeFields(String... own) {
         Set<String> all = new HashSet<>(Set.of("for", "owner", "reason", "priority", "key", "anyway", "dry"));
         all.addAll(List.of(own));
         return Set.copyOf(all);
     }
 
     /** What is wrong with a message. */
-    private static final class Bad extends RuntimeException {
+    private static final class InvalidRequest extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        Bad(String what) {
+        InvalidRequest(String what) {
             super(what);
         }
     }
@@ -134,49 +134,50 @@
         try {
             JsonElement read = gson.fromJson(message, JsonElement.class);
             if (read == null || !read.isJsonObject()) {
-                throw new Bad("a message is one JSON object");
+                throw new InvalidRequest("a message is one JSON object");
             }
             asked = read.getAsJsonObject();
             handle(asked, now, reply);
         } catch (JsonParseException e) {
-            reply.accept(refusal(asked, "bad", List.of("a message is one JSON object: " + e.getMessage())));
-        } catch (Bad | IllegalArgumentException e) {
-            reply.accept(refusal(asked, "bad", List.of(e.getMessage())));
+            reply.accept(errorReply(asked, "bad", List.of("a message is one JSON object: " + e.getMessage())));
+        } catch (InvalidRequest | IllegalArgumentException e) {
+            reply.accept(errorReply(asked, "bad", List.of(e.getMessage())));
         }
     }
 
     private void handle(JsonObject asked, Supplier<Now> now, Consumer<String> reply) {
-        if (whole(asked, "v", VERSION, VERSION, VERSION) != VERSION) {
-            throw new Bad("v is " + VERSION);
+        if (integerField(asked, "v", PROTOCOL_VERSION, PROTOCOL_VERSION, PROTOCOL_VERSION) != PROTOCOL_VERSION) {
+            throw new InvalidRequest("v is " + PROTOCOL_VERSION);
         }
-        String verb = text(asked, "do", null);
-        Set<String> fields = FIELDS.get(verb);
+        String verb = textField(asked, "do", null);
+        Set<String> fields = FIELDS_BY_COMMAND.get(verb);
         if (fields == null) {
-            throw new Bad("do is one of "
-                    + String.join(", ", FIELDS.keySet().stream().sorted().toList()));
+            throw new InvalidRequest("do is one of "
+                    + String.join(
+                            ", ", FIELDS_BY_COMMAND.keySet().stream().sorted().toList()));
         }
         for (String key : asked.keySet()) {
-            if (!EVERY.contains(key) && !fields.contains(key)) {
-                throw new Bad("'" + key + "' is no field of " + verb);
+            if (!COMMON_FIELDS.contains(key) && !fields.contains(key)) {
+                throw new InvalidRequest("'" + key + "' is no field of " + verb);
             }
         }
         switch (verb) {
-            case "status" -> reply.accept(status(asked));
-            case "servers" -> reply.accept(servers(asked));
-            case "overrides" -> reply.accept(overrides(asked, now.get()));
-            case "explain" -> reply.accept(explain(asked, now.get()));
+            case "status" -> reply.accept(statusReply(asked));
+            case "servers" -> reply.accept(serversReply(asked));
+            case "overrides" -> reply.accept(overridesReply(asked, now.get()));
+            case "explain" -> reply.accept(explainReply(asked, now.get()));
             case "reload" -> reload(asked, reply);
             case "undo" -> {
-                long number = whole(asked, "number", -1, 1, Long.MAX_VALUE);
-                String owner = text(asked, "owner", null);
-                inTurn(() -> undo(asked, number, owner, now, reply), asked, reply);
+                long number = integerField(asked, "number", -1, 1, Long.MAX_VALUE);
+                String owner = textField(asked, "owner", null);
+                enqueueChange(() -> undo(asked, number, owner, now, reply), asked, reply);
             }
             default -> {
-                OverrideRequest change = change(verb, asked);
-                if (flag(asked, "dry")) {
-                    reply.accept(dry(asked, change, now.get()));
+                OverrideRequest change = parseChange(verb, asked);
+                if (booleanField(asked, "dry")) {
+                    reply.accept(dryRunReply(asked, change, now.get()));
                 } else {
-                    inTurn(() -> grant(asked, change, now, reply), asked, reply);
+                    enqueueChange(() -> grant(asked, change, now, reply), asked, reply);
                 }
             }
         }
@@ -184,38 +185,38 @@
 
     // ---------------------------------------------------------------- changes
 
-    private void inTurn(Runnable change, JsonObject asked, Consumer<String> reply) {
-        if (waiting.size() >= MOST_WAITING) {
-            reply.accept(refusal(asked, "busy", List.of(MOST_WAITING + " changes wait already")));
+    private void enqueueChange(Runnable change, JsonObject asked, Consumer<String> reply) {
+        if (waitingChanges.size() >= MAX_WAITING_CHANGES) {
+            reply.accept(errorReply(asked, "busy", List.of(MAX_WAITING_CHANGES + " changes wait already")));
             return;
         }
-        waiting.add(change);
-        next();
+        waitingChanges.add(change);
+        runNextChange();
     }
 
-    private void next() {
-        if (!busy && !waiting.isEmpty()) {
-            busy = true;
-            waiting.poll().run();
+    private void runNextChange() {
+        if (!isChangeInProgress && !waitingChanges.isEmpty()) {
+            isChangeInProgress = true;
+            waitingChanges.poll().run();
         }
     }
 
-    private void done() {
-        busy = false;
-        next();
+    private void finishChange() {
+        isChangeInProgress = false;
+        runNextChange();
     }
 
     private void grant(JsonObject asked, OverrideRequest change, Supplier<Now> now, Consumer<String> reply) {
         Now at = now.get();
         expire(at); // Judging would let them end without a word.
-        Decision verdict = leases.check(change, situation.get(), at.us(), at.unixMs());
+        Decision verdict = leases.check(change, fleetState.get(), at.us(), at.unixMs());
         if (verdict.repeated() || verdict.lease() == null) {
             reply.accept(
                     verdict.lease() == null
-                            ? refusal(asked, "refused", verdict.objections())
-                            : granted(asked, verdict, at));
+                            ? errorReply(asked, "refused", verdict.objections())
+                            : grantedReply(asked, verdict, at));
             if (!verdict.repeated()) {
-                record(
+                appendToAuditLog(
                         new Entry(
                                 Event.REFUSED,
                                 0,
@@ -225,10 +226,10 @@
                                 String.join("; ", verdict.objections())),
                         why -> {});
             }
-            done();
+            finishChange();
             return;
         }
-        record(
+        appendToAuditLog(
                 new Entry(
                         Event.GRANTED,
                         verdict.lease().number(),
@@ -239,59 +240,59 @@
                 why -> {
                     try {
                         if (why != null) {
-                            reply.accept(unrecorded(asked, why));
+                            reply.accept(unrecordedReply(asked, why));
                         } else {
                             leases.grant(verdict.lease());
-                            changed.run();
-                            reply.accept(granted(asked, verdict, now.get()));
+                            onChange.run();
+                            reply.accept(grantedReply(asked, verdict, now.get()));
                         }
                     } finally {
-                        done();
+                        finishChange();
                     }
                 });
     }
 
     private void undo(JsonObject asked, long number, String owner, Supplier<Now> now, Consumer<String> reply) {
-        if (!leases.holds(number)) {
-            reply.accept(refusal(asked, "refused", List.of("no override " + number + " holds")));
-            done();
+        if (!leases.contains(number)) {
+            reply.accept(errorReply(asked, "refused", List.of("no override " + number + " holds")));
+            finishChange();
             return;
         }
-        record(new Entry(Event.UNDONE, number, now.get().unixMs(), null, owner, ""), why -> {
+        appendToAuditLog(new Entry(Event.UNDONE, number, now.get().unixMs(), null, owner, ""), why -> {
             try {
                 if (why != null) {
-                    reply.accept(unrecorded(asked, why));
+                    reply.accept(unrecordedReply(asked, why));
                 } else {
                     leases.undo(number);
-                    changed.run();
-                    reply.accept(answer(asked).toString());
+                    onChange.run();
+                    reply.accept(successReply(asked).toString());
                 }
             } finally {
-                done();
+                finishChange();
             }
         });
     }
 
-    private void record(Entry entry, Consumer<String> done) {
-        trail.append(AuditEntryJson.text(entry), done);
+    private void appendToAuditLog(Entry entry, Consumer<String> done) {
+        auditLog.append(AuditEntryJson.format(entry), done);
     }
 
     /** Ends what is due; that is recorded if it can be, and ends in any case. */
     public void expire(Now now) {
         List<Lease> ended = leases.expire(now.us());
         for (Lease lease : ended) {
-            record(new Entry(Event.ENDED, lease.number(), now.unixMs(), null, "", ""), why -> {});
+            appendToAuditLog(new Entry(Event.ENDED, lease.number(), now.unixMs(), null, "", ""), why -> {});
         }
         if (!ended.isEmpty()) {
-            changed.run();
+            onChange.run();
         }
     }
 
     // ---------------------------------------------------------------- replies
 
-    private static JsonObject answer(JsonObject asked) {
+    private static JsonObject successReply(JsonObject asked) {
         JsonObject json = new JsonObject();
-        json.addProperty("v", VERSION);
+        json.addProperty("v", PROTOCOL_VERSION);
         if (asked != null && asked.get("id") instanceof JsonPrimitive id) {
             json.add("id", id);
         }
@@ -299,51 +300,51 @@
         return json;
     }
 
-    private static String refusal(JsonObject asked, String error, List<String> why) {
-        JsonObject json = answer(asked);
+    private static String errorReply(JsonObject asked, String error, List<String> why) {
+        JsonObject json = successReply(asked);
         json.addProperty("ok", false);
         json.addProperty("error", error);
-        json.add("why", texts(why));
+        json.add("why", toJsonArray(why));
         return json.toString();
     }
 
-    private static String unrecorded(JsonObject asked, String why) {
-        return refusal(
+    private static String unrecordedReply(JsonObject asked, String why) {
+        return errorReply(
                 asked,
                 "unrecorded",
                 List.of("nothing was changed, since the record of changes can't" + " be kept: " + why));
     }
 
-    private static JsonArray texts(List<String> all) {
+    private static JsonArray toJsonArray(List<String> all) {
         JsonArray array = new JsonArray();
         all.forEach(array::add);
         return array;
     }
 
-    private String granted(JsonObject asked, Decision verdict, Now now) {
-        JsonObject json = answer(asked);
-        json.add("override", lease(verdict.lease(), now));
-        json.add("against", texts(verdict.objections()));
+    private String grantedReply(JsonObject asked, Decision verdict, Now now) {
+        JsonObject json = successReply(asked);
+        json.add("override", leaseJson(verdict.lease(), now));
+        json.add("against", toJsonArray(verdict.objections()));
         json.addProperty("repeated", verdict.repeated());
         return json.toString();
     }
 
     /** Before and after, by the servers that take requests. */
-    private String dry(JsonObject asked, OverrideRequest change, Now now) {
+    private String dryRunReply(JsonObject asked, OverrideRequest change, Now now) {
         expire(now);
-        FleetState there = situation.get();
+        FleetState there = fleetState.get();
         Decision verdict = leases.check(change, there, now.us(), now.unixMs());
-        List<Lease> with = new ArrayList<>(leases.all());
+        List<Lease> with = new ArrayList<>(leases.activeLeases());
         with.add(new Lease(0, change, 0, 0));
-        JsonObject json = answer(asked);
+        JsonObject json = successReply(asked);
         json.addProperty("would", verdict.lease() != null);
-        json.add("against", texts(verdict.objections()));
-        json.add("before", takers(there, leases.effects()));
-        json.add("after", takers(there, new OverrideEffects(with)));
+        json.add("against", toJsonArray(verdict.objections()));
+        json.add("before", describeCapacity(there, leases.effects()));
+        json.add("after", describeCapacity(there, new OverrideEffects(with)));
         return json.toString();
     }
 
-    private static JsonObject takers(FleetState there, OverrideEffects effects) {
+    private static JsonObject describeCapacity(FleetState there, OverrideEffects effects) {
         JsonObject json = new JsonObject();
         List<FleetState.Server> taking = there.servers().stream()
                 .filter(s -> !s.draining() && !effects.isDraining(s.id()))
@@ -357,48 +358,48 @@
         return json;
     }
 
-    private String status(JsonObject asked) {
-        JsonObject json = answer(asked);
-        FleetState there = situation.get();
+    private String statusReply(JsonObject asked) {
+        JsonObject json = successReply(asked);
+        FleetState there = fleetState.get();
         json.addProperty("servers", there.servers().size());
         json.addProperty(
                 "taking",
                 there.servers().stream()
                         .filter(s -> !s.draining() && !leases.effects().isDraining(s.id()))
                         .count());
-        json.addProperty("overrides", leases.all().size());
+        json.addProperty("overrides", leases.activeLeases().size());
         json.addProperty("frozen", leases.effects().isFrozen());
         counts.get().forEach(json::addProperty);
-        if (remark.get() != null) {
-            json.addProperty("remark", remark.get());
+        if (statusNote.get() != null) {
+            json.addProperty("remark", statusNote.get());
         }
         return json.toString();
     }
 
     private void reload(JsonObject asked, Consumer<String> reply) {
-        if (reload == null) {
-            reply.accept(refusal(asked, "refused", List.of("there is no file that could be read again")));
+        if (reloader == null) {
+            reply.accept(errorReply(asked, "refused", List.of("there is no file that could be read again")));
             return;
         }
-        reload.accept(why -> reply.accept(
+        reloader.accept(why -> reply.accept(
                 why == null
-                        ? answer(asked).toString()
-                        : refusal(asked, "refused", why.lines().toList())));
+                        ? successReply(asked).toString()
+                        : errorReply(asked, "refused", why.lines().toList())));
     }
 
-    private String explain(JsonObject asked, Now now) {
+    private String explainReply(JsonObject asked, Now now) {
         if (explanations == null) {
-            return refusal(asked, "refused", List.of("nothing is recorded: keep = 0 in [control]"));
+            return errorReply(asked, "refused", List.of("nothing is recorded: keep = 0 in [control]"));
         }
-        JsonObject json = answer(asked);
+        JsonObject json = successReply(asked);
         if (asked.has("txn")) {
-            String txn = text(asked, "txn", null);
+            String txn = textField(asked, "txn", null);
             if (!txn.matches("[0-9a-fA-F]{1,16}")) {
-                throw new Bad("txn is up to 16 hexadecimal digits");
+                throw new InvalidRequest("txn is up to 16 hexadecimal digits");
             }
-            JsonObject flight = explanations.request(Long.parseUnsignedLong(txn, 16), now);
+            JsonObject flight = explanations.findRequest(Long.parseUnsignedLong(txn, 16), now);
             if (flight == null) {
-                return refusal(
+                return errorReply(
                         asked,
                         "refused",
                         List.of("request " + txn + " is not kept: of those that were"
@@ -406,19 +407,24 @@
             }
             json.add("flight", flight);
         } else if (asked.has("server")) {
-            json.add("reasons", explanations.whyNot(text(asked, "server", null)));
+            json.add("reasons", explanations.serverReasons(textField(asked, "server", null)));
         } else if (asked.has("refused")) {
-            json.add("counts", explanations.refused(whole(asked, "refused", -1, 1, MOST_SPAN_MS), now));
+            json.add(
+                    "counts",
+                    explanations.rejectionCounts(integerField(asked, "refused", -1, 1, MAX_REJECTION_SPAN_MS), now));
         } else {
-            json.add("flights", explanations.last((int) whole(asked, "last", 20, 1, Explanations.MOST), now));
+            json.add(
+                    "flights",
+                    explanations.lastRequests(
+                            (int) integerField(asked, "last", 20, 1, Explanations.MAX_LISTED_REQUESTS), now));
         }
         return json.toString();
     }
 
-    private String servers(JsonObject asked) {
-        JsonObject json = answer(asked);
+    private String serversReply(JsonObject asked) {
+        JsonObject json = successReply(asked);
         JsonArray all = new JsonArray();
-        for (FleetState.Server server : situation.get().servers()) {
+        for (FleetState.Server server : fleetState.get().servers()) {
             JsonObject one = new JsonObject();
             one.addProperty("id", server.id());
             one.addProperty("zone", server.zone());
@@ -434,16 +440,16 @@
         return json.toString();
     }
 
-    private String overrides(JsonObject asked, Now now) {
-        JsonObject json = answer(asked);
+    private String overridesReply(JsonObject asked, Now now) {
+        JsonObject json = successReply(asked);
         JsonArray all = new JsonArray();
-        leases.all().forEach(lease -> all.add(lease(lease, now)));
+        leases.activeLeases().forEach(lease -> all.add(leaseJson(lease, now)));
         json.add("list", all);
         return json.toString();
     }
 
-    private static JsonObject lease(Lease lease, Now now) {
-        JsonObject json = AuditEntryJson.change(lease.change());
+    private static JsonObject leaseJson(Lease lease, Now now) {
+        JsonObject json = AuditEntryJson.changeJson(lease.change());
         json.addProperty("number", lease.number());
         json.addProperty("granted", lease.grantedMs());
         json.addProperty("left-ms", Math.max(0, (lease.endUs() - now.us()) / 1_000));
@@ -452,56 +458,56 @@
 
     // ---------------------------------------------------------------- reading
 
-    private static OverrideRequest change(String verb, JsonObject asked) {
+    private static OverrideRequest parseChange(String verb, JsonObject asked) {
         OverrideKind kind = OverrideKind.valueOf(verb.toUpperCase(java.util.Locale.ROOT));
         String subject = switch (kind) {
-            case DRAIN, WEIGHT -> text(asked, "server", null);
-            case SHED -> text(asked, "class", null);
+            case DRAIN, WEIGHT -> textField(asked, "server", null);
+            case SHED -> textField(asked, "class", null);
             case FREEZE -> "";
         };
         int perMille = 0;
         if (kind == OverrideKind.WEIGHT || kind == OverrideKind.SHED) {
-            double share = number(asked, "share");
-            perMille = (int) Math.round(Math.max(-1, Math.min(2, share)) * MILLE);
+            double share = numberField(asked, "share");
+            perMille = (int) Math.round(Math.max(-1, Math.min(2, share)) * PER_MILLE);
         }
         return new OverrideRequest(
                 kind,
                 subject,
                 perMille,
-                whole(asked, "for", -1, 0, Long.MAX_VALUE),
-                text(asked, "owner", null),
-                text(asked, "reason", null),
-                (int) whole(asked, "priority", 0, 0, Integer.MAX_VALUE),
-                text(asked, "key", null),
-                flag(asked, "anyway"));
+                integerField(asked, "for", -1, 0, Long.MAX_VALUE),
+                textField(asked, "owner", null),
+                textField(asked, "reason", null),
+                (int) integerField(asked, "priority", 0, 0, Integer.MAX_VALUE),
+                textField(asked, "key", null),
+                booleanField(asked, "anyway"));
     }
 
-    private static JsonPrimitive primitive(JsonObject asked, String key) {
+    private static JsonPrimitive primitiveField(JsonObject asked, String key) {
         JsonElement value = asked.get(key);
         if (value != null && !(value instanceof JsonPrimitive)) {
-            throw new Bad(key + " is one value");
+            throw new InvalidRequest(key + " is one value");
         }
         return (JsonPrimitive) value;
     }
 
-    private static String text(JsonObject asked, String key, String otherwise) {
-        JsonPrimitive value = primitive(asked, key);
+    private static String textField(JsonObject asked, String key, String otherwise) {
+        JsonPrimitive value = primitiveField(asked, key);
         if (value == null ? otherwise == null : !value.isString()) {
-            throw new Bad(key + " is a text, and must be said");
+            throw new InvalidRequest(key + " is a text, and must be said");
         }
         return value == null ? otherwise : value.getAsString();
     }
 
-    private static double number(JsonObject asked, String key) {
-        JsonPrimitive value = primitive(asked, key);
+    private static double numberField(JsonObject asked, String key) {
+        JsonPrimitive value = primitiveField(asked, key);
         if (value == null || !value.isNumber()) {
-            throw new Bad(key + " is a number, and must be said");
+            throw new InvalidRequest(key + " is a number, and must be said");
         }
         return value.getAsDouble();
     }
 
-    private static long whole(JsonObject asked, String key, long otherwise, long least, long most) {
-        JsonPrimitive value = primitive(asked, key);
+    private static long integerField(JsonObject asked, String key, long otherwise, long least, long most) {
+        JsonPrimitive value = primitiveField(asked, key);
         if (value == null && otherwise >= least) {
             return otherwise;
         }
@@ -510,16 +516,16 @@
                 || !value.getAsString().matches("-?\\d{1,18}")
                 || value.getAsLong() < least
                 || value.getAsLong() > most) {
-            throw new Bad(key + " is a whole number from " + least + (most < Integer.MAX_VALUE ? " to " + most : "")
-                    + ", and must be said");
+            throw new InvalidRequest(key + " is a whole number from " + least
+                    + (most < Integer.MAX_VALUE ? " to " + most : "") + ", and must be said");
         }
         return value.getAsLong();
     }
 
-    private static boolean flag(JsonObject asked, String key) {
-        JsonPrimitive value = primitive(asked, key);
+    private static boolean booleanField(JsonObject asked, String key) {
+        JsonPrimitive value = primitiveField(asked, key);
         if (value != null && !value.isBoolean()) {
-            throw new Bad(key + " is true or false");
+            throw new InvalidRequest(key + " is true or false");
         }
         return value != null && value.getAsBoolean();
     }
--- a/src/main/java/vetchpost/control/ControlValidator.java
+++ b/src/main/java/vetchpost/control/ControlValidator.java
@@ -11,12 +11,12 @@
 public final class ControlValidator {
     private static final List<String> KEYS = List.of("socket", "audit", "least-left", "most-shed", "keep");
     /** What the systems' addresses of Unix sockets hold. */
-    private static final int MOST_PATH = 100;
+    private static final int MAX_PATH_LENGTH = 100;
 
-    private static final double LEAST_LEFT = 0.5;
-    private static final double MOST_SHED = 0.9;
-    private static final int KEPT = 1_000;
-    private static final int MOST_KEPT = 100_000;
+    private static final double DEFAULT_MIN_REMAINING_FRACTION = 0.5;
+    private static final double DEFAULT_MAX_SHED_FRACTION = 0.9;
+    private static final int DEFAULT_RECORDED_REQUESTS = 1_000;
+    private static final int MAX_RECORDED_REQUESTS = 100_000;
 
     private ControlValidator() {}
 
@@ -33,30 +33,33 @@
         ControlSettings settings = null;
         for (Section section : file) {
             if (section.kind() == Section.Kind.CONTROL) {
-                settings = settings(new SectionReader(section, "control", violations));
+                settings = readSettings(new SectionReader(section, "control", violations));
             }
         }
         return new Validation(violations.isEmpty() ? settings : null, List.copyOf(violations));
     }
 
-    private static ControlSettings settings(SectionReader table) {
+    private static ControlSettings readSettings(SectionReader table) {
         table.rejectUnknownKeys(KEYS);
         return new ControlSettings(
-                path(table, "socket"),
-                path(table, "audit"),
-                table.number("least-left", LEAST_LEFT, 0, 1),
-                table.number("most-shed", MOST_SHED, 0, 1),
-                table.integer("keep", KEPT, 0, MOST_KEPT));
+                readPath(table, "socket"),
+                readPath(table, "audit"),
+                table.number("least-left", DEFAULT_MIN_REMAINING_FRACTION, 0, 1),
+                table.number("most-shed", DEFAULT_MAX_SHED_FRACTION, 0, 1),
+                table.integer("keep", DEFAULT_RECORDED_REQUESTS, 0, MAX_RECORDED_REQUESTS));
     }
 
-    private static String path(SectionReader table, String key) {
+    private static String readPath(SectionReader table, String key) {
         String path = table.text(key, null);
         if (!table.has(key)) {
             table.addViolation(
                     key, Rule.INCOMPLETE, "it does not say " + key, key + " = \"/run/vetchpost/" + key + "\"");
-        } else if (path != null && (path.length() > MOST_PATH || path.indexOf('\0') >= 0)) {
+        } else if (path != null && (path.length() > MAX_PATH_LENGTH || path.indexOf('\0') >= 0)) {
             table.addViolation(
-                    key, Rule.OUT_OF_RANGE, key + " is a path of over " + MOST_PATH + " characters", "a shorter one");
+                    key,
+                    Rule.OUT_OF_RANGE,
+                    key + " is a path of over " + MAX_PATH_LENGTH + " characters",
+                    "a shorter one");
         }
         return path;
     }
--- a/src/main/java/vetchpost/control/Leases.java
+++ b/src/main/java/vetchpost/control/Leases.java
@@ -14,13 +14,13 @@
     /** More are refused. */
     public static final int MAX_LEASES = 1_000;
 
-    private static final int MAX_KEYS = 10_000;
+    private static final int MAX_REMEMBERED_KEYS = 10_000;
     private static final long US_PER_MS = 1_000;
 
-    private final SafetyCheck judge;
-    private final Map<Long, Lease> held = new LinkedHashMap<>();
+    private final SafetyCheck safetyCheck;
+    private final Map<Long, Lease> activeLeases = new LinkedHashMap<>();
     /** Of what commands came to, by their keys, so that a repeated one acts once. */
-    private final Map<String, Long> keys = new LinkedHashMap<>();
+    private final Map<String, Long> leaseNumberByKey = new LinkedHashMap<>();
 
     private OverrideEffects effects = OverrideEffects.NONE;
     private long lastNumber;
@@ -36,24 +36,24 @@
 
     /** None so far. */
     public Leases(SafetyCheck judge) {
-        this.judge = judge;
+        this.safetyCheck = judge;
     }
 
     /** What a change would come to; nothing is changed by asking. */
     public Decision check(OverrideRequest change, FleetState now, long nowUs, long unixMs) {
         expire(nowUs);
-        Long known = keys.get(change.key());
+        Long known = leaseNumberByKey.get(change.key());
         if (known != null) {
-            Lease lease = held.get(known);
+            Lease lease = activeLeases.get(known);
             return new Decision(
                     lease,
                     lease != null ? List.of() : List.of("override " + known + ", which this command made, has ended"),
                     true);
         }
-        if (held.size() >= MAX_LEASES) {
+        if (activeLeases.size() >= MAX_LEASES) {
             return new Decision(null, List.of(MAX_LEASES + " overrides hold already, and more are not kept"), false);
         }
-        List<String> against = judge.objections(change, held.values(), now);
+        List<String> against = safetyCheck.objections(change, activeLeases.values(), now);
         if (!against.isEmpty() && !change.force()) {
             return new Decision(null, against, false);
         }
@@ -69,44 +69,44 @@
     /** Has a lease hold that has been judged, or that held before a restart. */
     public void grant(Lease lease) {
         lastNumber = Math.max(lastNumber, lease.number());
-        held.put(lease.number(), lease);
-        keys.put(lease.change().key(), lease.number());
-        if (keys.size() > MAX_KEYS) {
-            keys.remove(keys.keySet().iterator().next());
+        activeLeases.put(lease.number(), lease);
+        leaseNumberByKey.put(lease.change().key(), lease.number());
+        if (leaseNumberByKey.size() > MAX_REMEMBERED_KEYS) {
+            leaseNumberByKey.remove(leaseNumberByKey.keySet().iterator().next());
         }
-        effects = new OverrideEffects(held.values());
+        effects = new OverrideEffects(activeLeases.values());
     }
 
     /** Whether there is one of this number. */
-    public boolean holds(long number) {
-        return held.containsKey(number);
+    public boolean contains(long number) {
+        return activeLeases.containsKey(number);
     }
 
     /** Ends one before its time; false if there is none of this number. */
     public boolean undo(long number) {
-        boolean there = held.remove(number) != null;
-        effects = there ? new OverrideEffects(held.values()) : effects;
+        boolean there = activeLeases.remove(number) != null;
+        effects = there ? new OverrideEffects(activeLeases.values()) : effects;
         return there;
     }
 
     /** Ends those whose time has come, and says which. */
     public List<Lease> expire(long nowUs) {
         List<Lease> ended = new ArrayList<>();
-        for (Lease lease : held.values()) {
+        for (Lease lease : activeLeases.values()) {
             if (lease.endUs() <= nowUs) {
                 ended.add(lease);
             }
         }
         if (!ended.isEmpty()) {
-            ended.forEach(lease -> held.remove(lease.number()));
-            effects = new OverrideEffects(held.values());
+            ended.forEach(lease -> activeLeases.remove(lease.number()));
+            effects = new OverrideEffects(activeLeases.values());
         }
         return ended;
     }
 
     /** When the next ends by itself; the largest number for never. */
-    public long nextUs() {
-        return held.values().stream().mapToLong(Lease::endUs).min().orElse(Long.MAX_VALUE);
+    public long nextExpiryUs() {
+        return activeLeases.values().stream().mapToLong(Lease::endUs).min().orElse(Long.MAX_VALUE);
     }
 
     /** What they come to. */
@@ -115,7 +115,7 @@
     }
 
     /** All that hold, the oldest first. */
-    public Collection<Lease> all() {
-        return List.copyOf(held.values());
+    public Collection<Lease> activeLeases() {
+        return List.copyOf(activeLeases.values());
     }
 }
--- a/src/main/java/vetchpost/control/OverrideEffects.java
+++ b/src/main/java/vetchpost/control/OverrideEffects.java
@@ -16,11 +16,11 @@
     /** None. */
     public static final OverrideEffects NONE = new OverrideEffects(java.util.List.of());
 
-    private static final int WHOLE = 1_000;
+    private static final int PER_MILLE = 1_000;
 
-    private final Set<String> drained = new HashSet<>();
-    private final Map<String, OverrideRequest> weights = new HashMap<>();
-    private final Map<String, OverrideRequest> shed = new HashMap<>();
+    private final Set<String> drainedServers = new HashSet<>();
+    private final Map<String, OverrideRequest> weightRequests = new HashMap<>();
+    private final Map<String, OverrideRequest> shedRequests = new HashMap<>();
     private boolean frozen;
 
     /** Of these, in whatever order. */
@@ -28,34 +28,36 @@
         for (Lease lease : leases) {
             OverrideRequest change = lease.change();
             switch (change.kind()) {
-                case DRAIN -> drained.add(change.subject());
+                case DRAIN -> drainedServers.add(change.subject());
                 case WEIGHT ->
-                    weights.merge(change.subject(), change, first((a, b) -> a.perMille() <= b.perMille() ? a : b));
+                    weightRequests.merge(
+                            change.subject(), change, higherPriority((a, b) -> a.perMille() <= b.perMille() ? a : b));
                 case SHED ->
-                    shed.merge(change.subject(), change, first((a, b) -> a.perMille() >= b.perMille() ? a : b));
+                    shedRequests.merge(
+                            change.subject(), change, higherPriority((a, b) -> a.perMille() >= b.perMille() ? a : b));
                 case FREEZE -> frozen = true;
             }
         }
     }
 
-    private static BinaryOperator<OverrideRequest> first(BinaryOperator<OverrideRequest> ofEqual) {
+    private static BinaryOperator<OverrideRequest> higherPriority(BinaryOperator<OverrideRequest> ofEqual) {
         return (a, b) -> a.priority() == b.priority() ? ofEqual.apply(a, b) : a.priority() > b.priority() ? a : b;
     }
 
     /** Whether this server takes nothing new. */
     public boolean isDraining(String server) {
-        return drained.contains(server);
+        return drainedServers.contains(server);
     }
 
     /** A server's weight, of the one that its sources tell. */
     public double weight(String server, double said) {
-        OverrideRequest change = weights.get(server);
-        return change == null ? said : said * change.perMille() / WHOLE;
+        OverrideRequest change = weightRequests.get(server);
+        return change == null ? said : said * change.perMille() / PER_MILLE;
     }
 
     /** How many thousandths of a class's requests are refused on arrival. */
     public int shedPerMille(String cls) {
-        OverrideRequest change = shed.get(cls);
+        OverrideRequest change = shedRequests.get(cls);
         return change == null ? 0 : change.perMille();
     }
 
--- a/src/main/java/vetchpost/control/OverrideKind.java
+++ b/src/main/java/vetchpost/control/OverrideKind.java
@@ -14,7 +14,7 @@
     FREEZE;
 
     /** As operators write it. */
-    public String word() {
+    public String commandName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/vetchpost/control/OverrideRequest.java
+++ b/src/main/java/vetchpost/control/OverrideRequest.java
@@ -29,8 +29,8 @@
 
     private static final int MAX_TEXT_LENGTH = 256;
     private static final int MAX_PRIORITY = 9;
-    private static final int WHOLE = 1_000;
-    private static final Pattern TEXT = Pattern.compile("[^\\p{Cntrl}]*");
+    private static final int PER_MILLE = 1_000;
+    private static final Pattern TEXT_PATTERN = Pattern.compile("[^\\p{Cntrl}]*");
 
     /**
      * Checked in itself.
@@ -38,14 +38,16 @@
      * @throws IllegalArgumentException with the rule and what would pass
      */
     public OverrideRequest {
-        text("subject", subject, kind == OverrideKind.FREEZE ? 0 : 1);
-        text("owner", owner, 1);
-        text("reason", reason, 1);
-        text("key", key, 1);
+        requireText("subject", subject, kind == OverrideKind.FREEZE ? 0 : 1);
+        requireText("owner", owner, 1);
+        requireText("reason", reason, 1);
+        requireText("key", key, 1);
         boolean amount = kind == OverrideKind.WEIGHT || kind == OverrideKind.SHED;
-        if (amount ? perMille < 1 || perMille > WHOLE : perMille != 0) {
+        if (amount ? perMille < 1 || perMille > PER_MILLE : perMille != 0) {
             throw new IllegalArgumentException(
-                    amount ? kind.word() + " is more than 0 and at most 100 %" : kind.word() + " has no amount");
+                    amount
+                            ? kind.commandName() + " is more than 0 and at most 100 %"
+                            : kind.commandName() + " has no amount");
         }
         if (durationMs < MIN_DURATION_MS || durationMs > MAX_DURATION_MS) {
             throw new IllegalArgumentException("an override ends: it lasts from 1s to 24h");
@@ -55,11 +57,11 @@
         }
     }
 
-    private static void text(String name, String value, int least) {
+    private static void requireText(String name, String value, int least) {
         if (value == null
                 || value.length() < least
                 || value.length() > MAX_TEXT_LENGTH
-                || !TEXT.matcher(value).matches()) {
+                || !TEXT_PATTERN.matcher(value).matches()) {
             throw new IllegalArgumentException(name + " is a text of " + least + " to " + MAX_TEXT_LENGTH
                     + " characters, none of them a control character");
         }
--- a/src/main/java/vetchpost/control/SafetyCheck.java
+++ b/src/main/java/vetchpost/control/SafetyCheck.java
@@ -14,8 +14,8 @@
 public final class SafetyCheck {
     private static final double PERCENT = 100;
 
-    private final double leastLeft;
-    private final double mostShed;
+    private final double minRemainingFraction;
+    private final double maxShedFraction;
 
     /**
      * What must be left.
@@ -24,8 +24,8 @@
      * @param mostShed share of a class's requests that may be refused
      */
     public SafetyCheck(double leastLeft, double mostShed) {
-        this.leastLeft = leastLeft;
-        this.mostShed = mostShed;
+        this.minRemainingFraction = leastLeft;
+        this.maxShedFraction = mostShed;
     }
 
     /**
@@ -50,19 +50,19 @@
                             + now.servers().size());
                     break;
                 }
-                capacity(before, after, now, against);
+                checkRemainingWeight(before, after, now, against);
                 if (change.kind() == OverrideKind.DRAIN) {
-                    zone(server, before, after, now, against);
+                    checkZone(server, before, after, now, against);
                 }
             }
             case SHED -> {
                 if (!now.classes().contains(change.subject())) {
                     against.add("there is no class '" + change.subject() + "'; there are "
                             + String.join(", ", now.classes()));
-                } else if (after.shedPerMille(change.subject()) > mostShed * 1_000
+                } else if (after.shedPerMille(change.subject()) > maxShedFraction * 1_000
                         && after.shedPerMille(change.subject()) > before.shedPerMille(change.subject())) {
-                    against.add("it refuses " + percent(after.shedPerMille(change.subject()) / 1_000.0) + " of "
-                            + change.subject() + ", and most is " + percent(mostShed));
+                    against.add("it refuses " + formatPercent(after.shedPerMille(change.subject()) / 1_000.0) + " of "
+                            + change.subject() + ", and most is " + formatPercent(maxShedFraction));
                 }
             }
             default -> {}
@@ -70,48 +70,51 @@
         return against;
     }
 
-    private void capacity(OverrideEffects before, OverrideEffects after, FleetState now, List<String> against) {
+    private void checkRemainingWeight(
+            OverrideEffects before, OverrideEffects after, FleetState now, List<String> against) {
         double all =
                 now.servers().stream().mapToDouble(FleetState.Server::weight).sum();
-        double left = left(after, now);
-        if (left < leastLeft * all && left < left(before, now)) {
+        double left = remainingWeight(after, now);
+        if (left < minRemainingFraction * all && left < remainingWeight(before, now)) {
             against.add(String.format(
                     Locale.ROOT,
                     "it leaves %s of the fleet's weight (%s before), and least"
                             + " is %s; %d of %d servers take requests then",
-                    percent(left / all),
-                    percent(left(before, now) / all),
-                    percent(leastLeft),
-                    now.servers().stream().filter(s -> takes(s, after)).count(),
+                    formatPercent(left / all),
+                    formatPercent(remainingWeight(before, now) / all),
+                    formatPercent(minRemainingFraction),
+                    now.servers().stream()
+                            .filter(s -> acceptsRequests(s, after))
+                            .count(),
                     now.servers().size()));
         }
     }
 
-    private static void zone(
+    private static void checkZone(
             FleetState.Server server,
             OverrideEffects before,
             OverrideEffects after,
             FleetState now,
             List<String> against) {
         Map<String, Integer> left = new HashMap<>();
-        now.servers().forEach(s -> left.merge(s.zone(), takes(s, after) ? 1 : 0, Integer::sum));
-        if (!server.zone().isEmpty() && left.get(server.zone()) == 0 && takes(server, before)) {
+        now.servers().forEach(s -> left.merge(s.zone(), acceptsRequests(s, after) ? 1 : 0, Integer::sum));
+        if (!server.zone().isEmpty() && left.get(server.zone()) == 0 && acceptsRequests(server, before)) {
             against.add(server.id() + " is the last server of zone " + server.zone() + " that takes requests");
         }
     }
 
-    private static boolean takes(FleetState.Server server, OverrideEffects effects) {
+    private static boolean acceptsRequests(FleetState.Server server, OverrideEffects effects) {
         return !server.draining() && !effects.isDraining(server.id());
     }
 
-    private static double left(OverrideEffects effects, FleetState now) {
+    private static double remainingWeight(OverrideEffects effects, FleetState now) {
         return now.servers().stream()
-                .filter(s -> takes(s, effects))
+                .filter(s -> acceptsRequests(s, effects))
                 .mapToDouble(s -> effects.weight(s.id(), s.weight()))
                 .sum();
     }
 
-    private static String percent(double share) {
+    private static String formatPercent(double share) {
         return Math.round(share * PERCENT) + " %";
     }
 }
--- a/src/main/java/vetchpost/control/SheddingRoutePolicy.java
+++ b/src/main/java/vetchpost/control/SheddingRoutePolicy.java
@@ -8,8 +8,8 @@
 
 /** Routes of which a share of a class's requests is refused on arrival: evenly, not by chance. */
 public final class SheddingRoutePolicy implements RoutePolicy {
-    private static final int WHOLE = 1_000;
-    private static final RouteLimits FULL = new RouteLimits() {
+    private static final int PER_MILLE = 1_000;
+    private static final RouteLimits REJECTING_LIMITS = new RouteLimits() {
         @Override
         public boolean tryAcquire() {
             return false;
@@ -19,7 +19,7 @@
     private final RoutePolicy routes;
     private final List<String> classes;
     private final Supplier<OverrideEffects> effects;
-    private final int[] owed;
+    private final int[] shedRemainders;
 
     /**
      * Before these routes.
@@ -31,7 +31,7 @@
         this.routes = routes;
         this.classes = classes;
         this.effects = effects;
-        owed = new int[classes.size()];
+        shedRemainders = new int[classes.size()];
     }
 
     @Override
@@ -39,10 +39,10 @@
         int cls = request.classIndex();
         int perMille = effects.get().shedPerMille(classes.get(cls));
         if (perMille > 0) {
-            owed[cls] += perMille;
-            if (owed[cls] >= WHOLE) {
-                owed[cls] -= WHOLE;
-                return FULL;
+            shedRemainders[cls] += perMille;
+            if (shedRemainders[cls] >= PER_MILLE) {
+                shedRemainders[cls] -= PER_MILLE;
+                return REJECTING_LIMITS;
             }
         }
         return routes.limitsOf(request);
--- a/src/main/java/vetchpost/core/AddressOwners.java
+++ b/src/main/java/vetchpost/core/AddressOwners.java
@@ -13,44 +13,44 @@
  * and its successor, which is cold, would be sent all of it (found by the simulation, seed 3722).
  */
 final class AddressOwners {
-    private final Map<InetSocketAddress, ServerList.Target> holders = new HashMap<>();
-    private final Map<String, InetSocketAddress> homes = new HashMap<>();
+    private final Map<InetSocketAddress, ServerList.Target> ownersByAddress = new HashMap<>();
+    private final Map<String, InetSocketAddress> addressesById = new HashMap<>();
 
     /** The list with what it implies: whoever has lost its address is in it as gone. */
-    ServerList settle(ServerList list) {
+    ServerList resolveConflicts(ServerList list) {
         if (list.isFull()) {
-            holders.clear();
-            homes.clear();
+            ownersByAddress.clear();
+            addressesById.clear();
         }
         List<ServerList.Target> settled = new ArrayList<>(list.targets().size());
         for (ServerList.Target target : list.targets()) {
-            leave(target.id());
-            ServerList.Target holder = holders.get(target.address());
+            releaseAddress(target.id());
+            ServerList.Target holder = ownersByAddress.get(target.address());
             if (target.state() == ServerState.GONE) {
                 settled.add(target);
             } else if (holder != null && holder.bootMs() > target.bootMs()) {
-                settled.add(gone(target));
+                settled.add(asGone(target));
             } else {
                 settled.add(target);
                 if (holder != null) {
-                    leave(holder.id());
-                    settled.add(gone(holder));
+                    releaseAddress(holder.id());
+                    settled.add(asGone(holder));
                 }
-                holders.put(target.address(), target);
-                homes.put(target.id(), target.address());
+                ownersByAddress.put(target.address(), target);
+                addressesById.put(target.id(), target.address());
             }
         }
         return new ServerList(list.revision(), list.isFull(), settled);
     }
 
-    private void leave(String id) {
-        InetSocketAddress home = homes.remove(id);
+    private void releaseAddress(String id) {
+        InetSocketAddress home = addressesById.remove(id);
         if (home != null) {
-            holders.remove(home);
+            ownersByAddress.remove(home);
         }
     }
 
-    private static ServerList.Target gone(ServerList.Target target) {
+    private static ServerList.Target asGone(ServerList.Target target) {
         return new ServerList.Target(
                 target.id(),
                 target.address(),
--- a/src/main/java/vetchpost/core/AdmissionControl.java
+++ b/src/main/java/vetchpost/core/AdmissionControl.java
@@ -21,10 +21,10 @@
     /** What the door is told of a request that has arrived. */
     interface RequestProgress {
         /** The module has sent its first attempt. */
-        void sent();
+        void onFirstAttemptSent();
 
         /** It has its answer, or its client has left. */
-        void ended();
+        void onCompleted();
     }
 
     /**
