--- a/src/main/java/vetchpost/core/Dispatcher.java
+++ b/src/main/java/vetchpost/core/Dispatcher.java
@@ -28,67 +28,67 @@
 
     /** The module's deadline lies so far before the client's, or this part of the time left if that is
      * less: the answer's way, timers, and a processor that is busy just after a start. */
-    private static final long ANSWER_MARGIN_US = 25_000;
+    private static final long MAX_RESPONSE_MARGIN_US = 25_000;
 
-    private static final int ANSWER_MARGIN_PART = 8;
-    private static final long PROBE_US = 250_000;
+    private static final int RESPONSE_MARGIN_DIVISOR = 8;
+    private static final long PROBE_TIMEOUT_US = 250_000;
     /** A loop that is so far behind may not have read yet that a client has left: it is looked at before more
      * is done for it. A sixth of the time in which that has to be known, and rare on a loop that keeps up. */
-    private static final long LOOK_FROM_US = 50_000;
+    private static final long DISCONNECT_CHECK_MIN_DELAY_US = 50_000;
 
     /** Names of zones that are told apart, those of the settings and others; far more than any list has. */
     private static final int MAX_ZONES = 4_096;
 
     private final Clock clock;
-    private final EventLoopDelay stall;
-    private final ServerTransport servers;
-    private final Runnable listSubscription;
-    private final Runnable wholeList;
-    private final long doubtUs;
+    private final EventLoopDelay loopDelay;
+    private final ServerTransport transport;
+    private final Runnable subscribeToList;
+    private final Runnable requestFullList;
+    private final long suspectRetentionUs;
     private final RequestLog log = new RequestLog();
     private final Balancer balancer;
-    private final Map<Long, Held> held = new HashMap<>();
-    private final ServerListQueue intake = new ServerListQueue();
-    private boolean takingIn;
-    private final Map<String, Integer> zones = new HashMap<>();
-    private final Deque<Event> events = new ArrayDeque<>();
+    private final Map<Long, PendingRequest> pendingById = new HashMap<>();
+    private final ServerListQueue listQueue = new ServerListQueue();
+    private boolean hasScheduledChunk;
+    private final Map<String, Integer> zoneIndices = new HashMap<>();
+    private final Deque<BalancerCall> queuedCalls = new ArrayDeque<>();
     private RoutePolicy routes = RoutePolicy.NONE;
     private Subset subset;
     private AdmissionControl admission;
-    private AttemptObserver witness;
+    private AttemptObserver attemptObserver;
     private RequestRecorder recorder;
-    private boolean advancing;
-    private Clock.Timer turn;
-    private long turnUs = Long.MAX_VALUE;
-    private boolean inCall;
-    private Clock.Timer wake;
+    private boolean isAdvancingAdmission;
+    private Clock.Timer admissionTimer;
+    private long admissionWakeUpUs = Long.MAX_VALUE;
+    private boolean isCallingBalancer;
+    private Clock.Timer wakeTimer;
 
     /** A call of the module that is due, and the request that it touches, if any. */
-    private record Event(Held touches, Runnable call) {}
+    private record BalancerCall(PendingRequest request, Runnable call) {}
 
     /** A request taken, until it is answered and no attempt is out. */
-    private final class Held implements AdmissionControl.Applicant {
+    private final class PendingRequest implements AdmissionControl.Applicant {
         private final ClientRequest request;
         private final ClientReply reply;
         private final long id;
-        private final RouteLimits bounds;
+        private final RouteLimits limits;
         private final long deadlineUs;
-        private final long takenUs;
+        private final long acceptedUs;
         private final long arrivedUs;
-        private final List<Sent> sent = new ArrayList<>(2);
-        private AdmissionControl.RequestProgress entry;
-        private boolean offered;
-        private Clock.Timer guard;
-        private int out;
-        private boolean over;
+        private final List<SentAttempt> attempts = new ArrayList<>(2);
+        private AdmissionControl.RequestProgress admissionProgress;
+        private boolean isOffered;
+        private Clock.Timer deadlineTimer;
+        private int attemptsInFlight;
+        private boolean isCompleted;
         /** The answer is on its way to the client, bit by bit. */
-        private boolean streaming;
+        private boolean isStreaming;
         /** An attempt has ended so that it may have run. */
         private boolean mayHaveRun;
         /** The last error that a server has answered, for clients that are passed such on. */
-        private ServerResponse error;
+        private ServerResponse lastServerError;
 
-        Held(
+        PendingRequest(
                 ClientRequest request,
                 ClientReply reply,
                 RouteLimits bounds,
@@ -97,123 +97,123 @@
                 long arrivedUs) {
             this.request = request;
             this.reply = reply;
-            this.bounds = bounds;
+            this.limits = bounds;
             this.id = request.id();
             this.deadlineUs = deadlineUs;
-            this.takenUs = takenUs;
+            this.acceptedUs = takenUs;
             this.arrivedUs = arrivedUs;
         }
 
         /** Nothing is owed any more; what waits for a connection must not be sent. */
-        void end() {
-            if (!over && !streaming) {
-                leave();
+        void complete() {
+            if (!isCompleted && !isStreaming) {
+                releaseLimits();
             }
-            over = true;
-            guard.cancel();
-            for (Sent attempt : new ArrayList<>(sent)) {
-                if (attempt.attempt != null && !attempt.attempt.mayHaveReachedServer()) {
-                    attempt.attempt.abandon(Result.MOOT);
+            isCompleted = true;
+            deadlineTimer.cancel();
+            for (SentAttempt attempt : new ArrayList<>(attempts)) {
+                if (attempt.transportAttempt != null && !attempt.transportAttempt.mayHaveReachedServer()) {
+                    attempt.transportAttempt.abandon(Result.MOOT);
                 }
             }
-            forgetIfDone();
+            removeIfDone();
         }
 
         /** Counts it off; of an answer that is passed on bit by bit, at its end. */
-        void leave() {
-            bounds.release();
-            if (entry != null) {
-                tellDoor(entry::ended);
+        void releaseLimits() {
+            limits.release();
+            if (admissionProgress != null) {
+                notifyAdmission(admissionProgress::onCompleted);
             }
         }
 
         @Override
         public void admitted() {
-            offer(this);
+            offerToBalancer(this);
         }
 
         @Override
         public void rejected(long retryAfterUs) {
-            if (offered) {
+            if (isOffered) {
                 return; // By a door that has failed: the module has it now, and may have sent it.
             }
             tell(this, RequestRecorder.Completion.REFUSED, retryAfterUs);
             // A time that it may count on comes before what its route says in general.
-            reply.rejected(retryAfterUs > 0 ? retryAfterUs : bounds.retryAfterUs(0));
-            end();
+            reply.rejected(retryAfterUs > 0 ? retryAfterUs : limits.retryAfterUs(0));
+            complete();
         }
 
         /** To be called before an answer of the node's own. */
-        void tellWhetherRun() {
-            if (mayHaveRun || out > 0) {
+        void markReplyIfMayHaveRun() {
+            if (mayHaveRun || attemptsInFlight > 0) {
                 reply.markMayHaveRun();
             }
         }
 
-        void forgetIfDone() {
-            if (over && out == 0) {
-                held.remove(id, this);
+        void removeIfDone() {
+            if (isCompleted && attemptsInFlight == 0) {
+                pendingById.remove(id, this);
             }
         }
     }
 
     /** An attempt of a request. */
-    private final class Sent implements ServerTransport.OutgoingRequest {
-        private final Held request;
+    private final class SentAttempt implements ServerTransport.OutgoingRequest {
+        private final PendingRequest pending;
         private final int number;
         private final String serverId;
         private final long sentUs;
-        private final long untilUs;
-        private ServerTransport.Attempt attempt;
-        private Clock.Timer timer;
-        private long stallUs;
-        private boolean over;
+        private final long timeoutAtUs;
+        private ServerTransport.Attempt transportAttempt;
+        private Clock.Timer timeoutTimer;
+        private long loopDelayUs;
+        private boolean isEnded;
         /** When its answer began to be passed on, or 0. */
-        private long begunUs;
+        private long streamingSinceUs;
 
-        Sent(Held request, int number, String serverId, long sentUs, long untilUs) {
-            this.request = request;
+        SentAttempt(PendingRequest request, int number, String serverId, long sentUs, long untilUs) {
+            this.pending = request;
             this.number = number;
             this.serverId = serverId;
             this.sentUs = sentUs;
-            this.untilUs = untilUs;
+            this.timeoutAtUs = untilUs;
         }
 
         @Override
         public ClientRequest request() {
             // Sent late for want of a connection: what the loop was behind by then is not the server's.
-            stallUs = Math.min(stall.currentUs(), clock.nowUs() - sentUs);
-            return request.request;
+            loopDelayUs = Math.min(loopDelay.currentUs(), clock.nowUs() - sentUs);
+            return pending.request;
         }
 
         @Override
         public long responseTimeoutUs() {
-            return untilUs - clock.nowUs();
+            return timeoutAtUs - clock.nowUs();
         }
 
         @Override
         public boolean onResponseStarted(ServerResponse answer) {
-            if (request.over) {
+            if (pending.isCompleted) {
                 return false;
             }
-            begunUs = clock.nowUs();
+            streamingSinceUs = clock.nowUs();
             // From here on it takes as long as it takes, and whoever passes it on watches that it goes on.
-            timer.cancel();
-            request.streaming = true;
-            tell(request, RequestRecorder.Completion.SERVED, 0);
-            request.end();
-            request.reply.served(answer);
-            enter(request, () -> balancer.onFirstByte(clock.nowUs(), request.id, number));
+            timeoutTimer.cancel();
+            pending.isStreaming = true;
+            tell(pending, RequestRecorder.Completion.SERVED, 0);
+            pending.complete();
+            pending.reply.served(answer);
+            callBalancer(pending, () -> balancer.onFirstByte(clock.nowUs(), pending.id, number));
             return true;
         }
 
         @Override
         public void onEnded(Result result, ServerResponse answer) {
-            over = true;
-            if (log.isOn()) {
+            isEnded = true;
+            if (log.isEnabled()) {
                 log.write(
                         "ended",
-                        RequestLog.id(request.id),
+                        RequestLog.id(pending.id),
                         "attempt",
                         number,
                         serverId,
@@ -221,42 +221,42 @@
                         "after",
                         clock.nowUs() - sentUs,
                         "us",
-                        request.over ? "over" : "");
+                        pending.isCompleted ? "over" : "");
             }
-            request.out--;
-            request.mayHaveRun |= !result.neverRan;
+            pending.attemptsInFlight--;
+            pending.mayHaveRun |= !result.neverRan;
             if (recorder != null) {
-                recorder.attemptEnded(clock.nowUs(), request.id, number, result, clock.nowUs() - sentUs);
+                recorder.attemptEnded(clock.nowUs(), pending.id, number, result, clock.nowUs() - sentUs);
             }
-            if (timer != null) {
-                timer.cancel();
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel();
             }
-            if (begunUs > 0) {
-                request.leave();
-            } else if (result == Result.OK && !request.over) {
-                request.reply.served(answer);
-                tell(request, RequestRecorder.Completion.SERVED, 0);
-                request.end();
+            if (streamingSinceUs > 0) {
+                pending.releaseLimits();
+            } else if (result == Result.OK && !pending.isCompleted) {
+                pending.reply.served(answer);
+                tell(pending, RequestRecorder.Completion.SERVED, 0);
+                pending.complete();
             } else if (result == Result.ERROR) {
-                request.error = answer;
+                pending.lastServerError = answer;
             }
-            request.forgetIfDone();
+            pending.removeIfDone();
             // How long a body takes is its length's affair and its reader's.
-            long tookUs = (begunUs > 0 ? begunUs : clock.nowUs()) - sentUs;
+            long tookUs = (streamingSinceUs > 0 ? streamingSinceUs : clock.nowUs()) - sentUs;
             if (admission != null && result == Result.OK) {
-                tellDoor(() -> admission.recordLatency(request.request.classIndex(), tookUs));
+                notifyAdmission(() -> admission.recordLatency(pending.request.classIndex(), tookUs));
             }
-            stallUs = Math.min(stallUs + stall.currentUs(), tookUs);
-            enter(
-                    request,
+            loopDelayUs = Math.min(loopDelayUs + loopDelay.currentUs(), tookUs);
+            callBalancer(
+                    pending,
                     () -> balancer.onOutcome(
                             clock.nowUs(),
-                            new Outcome(request.id, number, result, tookUs, request.over, null, stallUs)));
-            if (witness != null) {
-                witness.onAttemptEnded(serverId, result, answer, stallUs > tookUs / 2, clock.nowUs());
+                            new Outcome(pending.id, number, result, tookUs, pending.isCompleted, null, loopDelayUs)));
+            if (attemptObserver != null) {
+                attemptObserver.onAttemptEnded(serverId, result, answer, loopDelayUs > tookUs / 2, clock.nowUs());
             }
             if (subset != null) {
-                List<ServerList.Target> changes = subset.ended(serverId, result, clock.nowUs());
+                List<ServerList.Target> changes = subset.onAttemptEnded(serverId, result, clock.nowUs());
                 if (!changes.isEmpty()) {
                     tell(new ServerListQueue.ListChunk(ListKind.CHANGES, new ServerList(0, false, changes)));
                 }
@@ -284,24 +284,24 @@
             long doubtUs,
             Function<Balancer.Actions, Balancer> module) {
         this.clock = clock;
-        this.stall = stall;
-        this.servers = servers;
-        this.listSubscription = listSubscription;
-        this.wholeList = wholeList;
-        this.doubtUs = doubtUs;
-        zones.forEach(z -> this.zones.put(z, this.zones.size()));
+        this.loopDelay = stall;
+        this.transport = servers;
+        this.subscribeToList = listSubscription;
+        this.requestFullList = wholeList;
+        this.suspectRetentionUs = doubtUs;
+        zones.forEach(z -> this.zoneIndices.put(z, this.zoneIndices.size()));
         balancer = module.apply(this);
     }
 
     /** Gives up its timers; what is held stays unanswered. For the end of a rehearsal. */
     public void close() {
-        if (wake != null) {
-            wake.cancel();
+        if (wakeTimer != null) {
+            wakeTimer.cancel();
         }
-        if (turn != null) {
-            turn.cancel();
+        if (admissionTimer != null) {
+            admissionTimer.cancel();
         }
-        held.values().forEach(h -> h.guard.cancel());
+        pendingById.values().forEach(h -> h.deadlineTimer.cancel());
     }
 
     /** Has these routes hold for requests from now on; those in hand keep theirs. */
@@ -316,7 +316,7 @@
 
     /** Has this see how attempts end, besides the module; null for nobody. */
     public void setAttemptObserver(AttemptObserver other) {
-        witness = other;
+        attemptObserver = other;
     }
 
     /** Has this see what becomes of requests from now on; null for nobody. */
@@ -331,9 +331,9 @@
         if (before != null) {
             before.admitAll();
         }
-        if (turn != null) {
-            turn.cancel();
-            turnUs = Long.MAX_VALUE;
+        if (admissionTimer != null) {
+            admissionTimer.cancel();
+            admissionWakeUpUs = Long.MAX_VALUE;
         }
     }
 
@@ -344,7 +344,7 @@
 
     /** How many requests are held: unanswered, or with an attempt out. */
     public int pendingRequests() {
-        return held.size();
+        return pendingById.size();
     }
 
     /**
@@ -352,86 +352,86 @@
      * its own actions bring about at once (a connection refused, a send that is moot) comes back to it
      * only after the call that caused it.
      */
-    private void enter(Held touches, Runnable call) {
-        events.add(new Event(touches, call));
-        if (inCall) {
+    private void callBalancer(PendingRequest touches, Runnable call) {
+        queuedCalls.add(new BalancerCall(touches, call));
+        if (isCallingBalancer) {
             return;
         }
-        inCall = true;
+        isCallingBalancer = true;
         try {
-            for (Event event = events.poll(); event != null; event = events.poll()) {
-                call(event);
+            for (BalancerCall event = queuedCalls.poll(); event != null; event = queuedCalls.poll()) {
+                runCall(event);
             }
         } finally {
-            inCall = false;
+            isCallingBalancer = false;
         }
         if (admission != null) {
-            advance();
+            advanceAdmission();
         }
     }
 
     /** Lets the door do what is due; what that brings about comes back to it in the same turn. */
-    private void advance() {
-        if (advancing || inCall) {
+    private void advanceAdmission() {
+        if (isAdvancingAdmission || isCallingBalancer) {
             return;
         }
-        advancing = true;
+        isAdvancingAdmission = true;
         try {
             admission.advance(clock.nowUs());
         } catch (RuntimeException | Error e) {
-            doorFailed(e);
+            removeFailedAdmission(e);
         } finally {
-            advancing = false;
+            isAdvancingAdmission = false;
         }
         long at = admission == null ? Long.MAX_VALUE : admission.nextWakeUpUs();
-        if (at != turnUs) {
-            if (turn != null) {
-                turn.cancel();
+        if (at != admissionWakeUpUs) {
+            if (admissionTimer != null) {
+                admissionTimer.cancel();
             }
-            turnUs = at;
-            turn = at == Long.MAX_VALUE
+            admissionWakeUpUs = at;
+            admissionTimer = at == Long.MAX_VALUE
                     ? null
                     : clock.schedule(at, () -> {
-                        turnUs = Long.MAX_VALUE;
+                        admissionWakeUpUs = Long.MAX_VALUE;
                         if (admission != null) {
-                            advance();
+                            advanceAdmission();
                         }
                     });
         }
     }
 
     /** A fault in what the door makes of it is the door's alone. */
-    private void tellDoor(Runnable what) {
+    private void notifyAdmission(Runnable what) {
         if (admission == null) {
             return;
         }
         try {
             what.run();
         } catch (RuntimeException | Error e) {
-            doorFailed(e);
+            removeFailedAdmission(e);
         }
     }
 
     /** The node goes on without a door rather than behind a broken one, and what stood there goes in. */
-    private void doorFailed(Throwable why) {
+    private void removeFailedAdmission(Throwable why) {
         LOG.log(Level.ERROR, "the door has failed and is taken out", why);
         admission = null;
-        for (Held waiting : List.copyOf(held.values())) {
-            if (!waiting.over && !waiting.offered) {
-                offer(waiting);
+        for (PendingRequest waiting : List.copyOf(pendingById.values())) {
+            if (!waiting.isCompleted && !waiting.isOffered) {
+                offerToBalancer(waiting);
             }
         }
     }
 
     /** A fault of one call must not take the node with it; its request still gets the answer it is owed. */
-    private void call(Event event) {
+    private void runCall(BalancerCall event) {
         try {
             event.call.run();
         } catch (RuntimeException | Error e) {
             // Errors too: out of memory for one request, the next may be small.
             LOG.log(Level.ERROR, "a call of the module failed", e);
-            if (event.touches != null) {
-                fail(event.touches, Failure.INTERNAL_ERROR);
+            if (event.request != null) {
+                fail(event.request, Failure.INTERNAL_ERROR);
             }
         }
     }
@@ -444,40 +444,40 @@
      * @param waitedUs how long ago its last byte was read
      */
     public void accept(ClientRequest request, ClientReply reply, long waitedUs) {
-        if (held.containsKey(request.id())) {
-            turnedAway(request, RequestRecorder.RejectionReason.DUPLICATE_ID);
+        if (pendingById.containsKey(request.id())) {
+            recordRejection(request, RequestRecorder.RejectionReason.DUPLICATE_ID);
             reply.failed(Failure.DUPLICATE_ID);
             return;
         }
         RouteLimits bounds = routes.limitsOf(request);
         if (bounds == null) {
-            turnedAway(request, RequestRecorder.RejectionReason.AMBIGUOUS_PATH);
+            recordRejection(request, RequestRecorder.RejectionReason.AMBIGUOUS_PATH);
             reply.failed(Failure.AMBIGUOUS_PATH);
             return;
         }
         if (request.bodyLength() > bounds.maxBodyBytes()) {
-            turnedAway(request, RequestRecorder.RejectionReason.BODY_TOO_LARGE);
+            recordRejection(request, RequestRecorder.RejectionReason.BODY_TOO_LARGE);
             reply.failed(Failure.BODY_TOO_LARGE);
             return;
         }
         if (!bounds.tryAcquire()) {
-            turnedAway(request, RequestRecorder.RejectionReason.ROUTE_LIMIT);
+            recordRejection(request, RequestRecorder.RejectionReason.ROUTE_LIMIT);
             reply.rejected(bounds.retryAfterUs(0));
             return;
         }
         // The client's time has been running while a loop that was behind left the request unread.
         long takenUs = clock.nowUs();
-        long arrivedUs = takenUs - Math.max(waitedUs, stall.currentUs());
+        long arrivedUs = takenUs - Math.max(waitedUs, loopDelay.currentUs());
         long leftUs = Math.min(request.remainingUs(), bounds.requestTimeoutUs());
-        Held taken = new Held(
+        PendingRequest taken = new PendingRequest(
                 request,
                 reply,
                 request.bodyRemainder() == null ? bounds : new SingleAttemptLimits(bounds),
-                arrivedUs + leftUs - Math.min(ANSWER_MARGIN_US, leftUs / ANSWER_MARGIN_PART),
+                arrivedUs + leftUs - Math.min(MAX_RESPONSE_MARGIN_US, leftUs / RESPONSE_MARGIN_DIVISOR),
                 takenUs,
                 arrivedUs);
-        held.put(request.id(), taken);
-        if (log.isOn()) {
+        pendingById.put(request.id(), taken);
+        if (log.isEnabled()) {
             log.write(
                     "taken",
                     RequestLog.id(taken.id),
@@ -492,48 +492,53 @@
         if (recorder != null) {
             recorder.accepted(takenUs, request, arrivedUs + leftUs - takenUs, takenUs - arrivedUs);
         }
-        taken.guard = clock.schedule(arrivedUs + leftUs, () -> expire(taken));
-        reply.onDisconnect(() -> leave(taken));
+        taken.deadlineTimer = clock.schedule(arrivedUs + leftUs, () -> expire(taken));
+        reply.onDisconnect(() -> onClientDisconnected(taken));
         if (admission == null) {
-            offer(taken);
+            offerToBalancer(taken);
             return;
         }
         try {
-            taken.entry = admission.arrive(
-                    taken.takenUs, request, reply.connectionId(), taken.takenUs - arrivedUs, taken.deadlineUs, taken);
+            taken.admissionProgress = admission.arrive(
+                    taken.acceptedUs,
+                    request,
+                    reply.connectionId(),
+                    taken.acceptedUs - arrivedUs,
+                    taken.deadlineUs,
+                    taken);
         } catch (RuntimeException | Error e) {
-            doorFailed(e);
+            removeFailedAdmission(e);
             return;
         }
-        advance();
+        advanceAdmission();
     }
 
-    private void turnedAway(ClientRequest request, RequestRecorder.RejectionReason why) {
+    private void recordRejection(ClientRequest request, RequestRecorder.RejectionReason why) {
         if (recorder != null) {
             recorder.rejected(clock.nowUs(), request, why);
         }
     }
 
     /** Its client hears this now. */
-    private void tell(Held request, RequestRecorder.Completion what, long retryAfterUs) {
+    private void tell(PendingRequest request, RequestRecorder.Completion what, long retryAfterUs) {
         if (recorder != null) {
             recorder.completed(clock.nowUs(), request.id, what, retryAfterUs);
         }
     }
 
     /** Has the module decide on it. */
-    private void offer(Held taken) {
-        if (taken.offered) {
+    private void offerToBalancer(PendingRequest taken) {
+        if (taken.isOffered) {
             return;
         }
-        taken.offered = true;
+        taken.isOffered = true;
         if (recorder != null) {
             recorder.admitted(clock.nowUs(), taken.id);
         }
-        enter(taken, () -> {
+        callBalancer(taken, () -> {
             ClientRequest request = taken.request;
             long now = clock.nowUs();
-            long queuedUs = taken.entry == null ? 0 : now - taken.takenUs;
+            long queuedUs = taken.admissionProgress == null ? 0 : now - taken.acceptedUs;
             balancer.onRequest(
                     now,
                     new Request(
@@ -545,111 +550,113 @@
                             request.retry(),
                             now - taken.arrivedUs - queuedUs,
                             queuedUs,
-                            taken.bounds));
+                            taken.limits));
         });
     }
 
-    private void leave(Held left) {
-        if (log.isOn()) {
-            log.write("left by its client", RequestLog.id(left.id), left.out, "out");
+    private void onClientDisconnected(PendingRequest left) {
+        if (log.isEnabled()) {
+            log.write("left by its client", RequestLog.id(left.id), left.attemptsInFlight, "out");
         }
-        if (!left.over) {
+        if (!left.isCompleted) {
             tell(left, RequestRecorder.Completion.LEFT, 0);
         }
-        left.end();
-        enter(left, () -> balancer.onClientDisconnected(clock.nowUs(), left.id));
+        left.complete();
+        callBalancer(left, () -> balancer.onClientDisconnected(clock.nowUs(), left.id));
     }
 
     /** The client's time is up and the module has said nothing: no request may stay without an answer. */
-    private void expire(Held late) {
-        if (!late.over) {
+    private void expire(PendingRequest late) {
+        if (!late.isCompleted) {
             LOG.log(Level.WARNING, "a request ran out of time unanswered");
-            if (log.isOn()) {
+            if (log.isEnabled()) {
                 log.write("ran out of time", RequestLog.id(late.id));
             }
             fail(late, Failure.DEADLINE_EXCEEDED);
-            enter(late, () -> balancer.onClientDisconnected(clock.nowUs(), late.id));
+            callBalancer(late, () -> balancer.onClientDisconnected(clock.nowUs(), late.id));
         }
     }
 
-    private void fail(Held request, Failure why) {
-        if (!request.over) {
-            if (why != Failure.UNSERVED || !saysError(request)) {
-                request.tellWhetherRun();
+    private void fail(PendingRequest request, Failure why) {
+        if (!request.isCompleted) {
+            if (why != Failure.UNSERVED || !passOnServerError(request)) {
+                request.markReplyIfMayHaveRun();
                 request.reply.failed(why);
             }
             tell(request, RequestRecorder.Completion.FAILED, 0);
-            request.end();
+            request.complete();
         }
     }
 
     /** Whether a server's own error was passed on for what the module has given up. */
-    private static boolean saysError(Held request) {
-        return request.error != null && request.reply.passOnError(request.error);
+    private static boolean passOnServerError(PendingRequest request) {
+        return request.lastServerError != null && request.reply.passOnError(request.lastServerError);
     }
 
     // ---------------------------------------------------------------- the module's actions
 
     @Override
     public void send(long requestId, String serverId, long untilUs) {
-        Held request = held.get(requestId);
+        PendingRequest request = pendingById.get(requestId);
         if (request == null) {
             LOG.log(Level.ERROR, "the module sent a request that is not held");
             return;
         }
         long now = clock.nowUs();
         long until = untilUs <= 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
-        until = Math.min(until - now, request.bounds.attemptTimeoutUs()) + now;
-        if (request.entry != null && request.sent.isEmpty()) {
-            tellDoor(request.entry::sent);
+        until = Math.min(until - now, request.limits.attemptTimeoutUs()) + now;
+        if (request.admissionProgress != null && request.attempts.isEmpty()) {
+            notifyAdmission(request.admissionProgress::onFirstAttemptSent);
         }
-        Sent sent = new Sent(request, request.sent.size(), serverId, now, until);
-        request.sent.add(sent);
-        request.out++;
+        SentAttempt sent = new SentAttempt(request, request.attempts.size(), serverId, now, until);
+        request.attempts.add(sent);
+        request.attemptsInFlight++;
         if (recorder != null) {
             recorder.attemptSent(now, requestId, serverId, until);
         }
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("send", RequestLog.id(requestId), "attempt", sent.number, serverId, "for", until - now, "us");
         }
-        if (!request.over && stall.currentUs() >= LOOK_FROM_US && request.reply.hasDisconnected()) {
-            leave(request);
+        if (!request.isCompleted
+                && loopDelay.currentUs() >= DISCONNECT_CHECK_MIN_DELAY_US
+                && request.reply.hasDisconnected()) {
+            onClientDisconnected(request);
         }
-        if (request.over || now >= until) {
+        if (request.isCompleted || now >= until) {
             sent.onEnded(Result.MOOT, null);
             return;
         }
-        sent.timer = clock.schedule(until, () -> sent.attempt.abandon(Result.TIMEOUT));
-        sent.attempt = servers.send(serverId, sent);
+        sent.timeoutTimer = clock.schedule(until, () -> sent.transportAttempt.abandon(Result.TIMEOUT));
+        sent.transportAttempt = transport.send(serverId, sent);
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-        Held request = held.get(requestId);
-        if (request != null && attempt >= 0 && attempt < request.sent.size()) {
-            Sent sent = request.sent.get(attempt);
-            if (!sent.over) {
-                sent.attempt.abandon(Result.CANCELLED);
+        PendingRequest request = pendingById.get(requestId);
+        if (request != null && attempt >= 0 && attempt < request.attempts.size()) {
+            SentAttempt sent = request.attempts.get(attempt);
+            if (!sent.isEnded) {
+                sent.transportAttempt.abandon(Result.CANCELLED);
             }
         }
     }
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        Held request = held.get(requestId);
-        if (request != null && !request.over) {
-            if (!saysError(request)) {
-                request.tellWhetherRun();
-                request.reply.rejected(request.bounds.retryAfterUs(retryAfterUs));
+        PendingRequest request = pendingById.get(requestId);
+        if (request != null && !request.isCompleted) {
+            if (!passOnServerError(request)) {
+                request.markReplyIfMayHaveRun();
+                request.reply.rejected(request.limits.retryAfterUs(retryAfterUs));
             }
             tell(request, RequestRecorder.Completion.REFUSED, retryAfterUs);
-            request.end();
+            request.complete();
         }
     }
 
     @Override
     public void fail(long requestId) {
-        Held request = held.get(requestId);
+        PendingRequest request = pendingById.get(requestId);
         if (request != null) {
             fail(request, Failure.UNSERVED);
         }
@@ -658,27 +665,27 @@
     @Override
     public void wakeAt(long atUs) {
         // It keeps one wake-up pending at most, so a new one takes the place of the last.
-        if (wake != null) {
-            wake.cancel();
+        if (wakeTimer != null) {
+            wakeTimer.cancel();
         }
-        wake = clock.schedule(atUs, () -> enter(null, () -> balancer.onWake(clock.nowUs())));
+        wakeTimer = clock.schedule(atUs, () -> callBalancer(null, () -> balancer.onWake(clock.nowUs())));
     }
 
     @Override
     public void probe(String serverId) {
         long sentUs = clock.nowUs();
         ServerTransport.Attempt[] probe = new ServerTransport.Attempt[1];
-        Clock.Timer timer = clock.schedule(sentUs + PROBE_US, () -> probe[0].abandon(Result.TIMEOUT));
-        probe[0] = servers.probe(serverId, (result, answer) -> {
+        Clock.Timer timer = clock.schedule(sentUs + PROBE_TIMEOUT_US, () -> probe[0].abandon(Result.TIMEOUT));
+        probe[0] = transport.probe(serverId, (result, answer) -> {
             timer.cancel();
             long tookUs = clock.nowUs() - sentUs;
-            enter(null, () -> balancer.onProbe(clock.nowUs(), serverId, result, tookUs, null));
+            callBalancer(null, () -> balancer.onProbe(clock.nowUs(), serverId, result, tookUs, null));
         });
     }
 
     @Override
     public void subscribe() {
-        listSubscription.run();
+        subscribeToList.run();
     }
 
     @Override
@@ -719,78 +726,78 @@
 
     /** Has the module begin with this where it has learned nothing yet. */
     public void restore(ServerStatistics prior) {
-        enter(null, () -> balancer.onPrior(clock.nowUs(), prior));
+        callBalancer(null, () -> balancer.onPrior(clock.nowUs(), prior));
     }
 
     /** The servers as they were told last, those that drain too. */
     public List<ServerList.Target> knownServers() {
-        return intake.known();
+        return listQueue.known();
     }
 
     // ---------------------------------------------------------------- the list of servers
 
     /** Takes in a list, at once or after the call of the module that is running; a large one bit by bit. */
     public void onList(ServerList list) {
-        intake.add(list);
-        takeLists();
+        listQueue.add(list);
+        applyLists();
     }
 
     /** Takes in the list as the node last had it, which may be old; at the start. */
-    public void onKnownList(ServerList list) {
-        takeSlice(intake.known(list));
+    public void onCachedList(ServerList list) {
+        applyChunk(listQueue.known(list));
     }
 
-    private void takeLists() {
-        while (intake.hasNext() && (!takingIn || intake.isCrowded())) {
-            takeSlice(intake.next());
+    private void applyLists() {
+        while (listQueue.hasNext() && (!hasScheduledChunk || listQueue.isBacklogged())) {
+            applyChunk(listQueue.next());
             // What is left of a large list waits for the next turn, and lists behind it wait with it.
-            takingIn |= intake.isMidList();
-            if (takingIn && !intake.isCrowded()) {
-                clock.schedule(clock.nowUs(), this::goOn);
+            hasScheduledChunk |= listQueue.isPartiallyApplied();
+            if (hasScheduledChunk && !listQueue.isBacklogged()) {
+                clock.schedule(clock.nowUs(), this::resumeLists);
                 break;
             }
         }
-        if (intake.hasNewDoubt()) {
+        if (listQueue.pollNewSuspects()) {
             LOG.log(
                     Level.WARNING,
                     "a list leaves out {0} servers, more than it names: they stay until" + " another does so too",
-                    intake.doubted());
-            clock.schedule(clock.nowUs() + doubtUs, () -> {
-                intake.obey();
-                takeLists();
+                    listQueue.suspectCount());
+            clock.schedule(clock.nowUs() + suspectRetentionUs, () -> {
+                listQueue.removeSuspects();
+                applyLists();
             });
-            wholeList.run();
+            requestFullList.run();
         }
     }
 
-    private void goOn() {
-        takingIn = false;
-        takeLists();
+    private void resumeLists() {
+        hasScheduledChunk = false;
+        applyLists();
     }
 
     /** Goes through with all that waits of lists, in this turn. */
     public void applyAllLists() {
-        while (intake.hasNext()) {
-            takeSlice(intake.next());
+        while (listQueue.hasNext()) {
+            applyChunk(listQueue.next());
         }
     }
 
     /** The watch on the list has failed. */
     public void onListFailed() {
-        enter(null, () -> balancer.onListFailed(clock.nowUs()));
+        callBalancer(null, () -> balancer.onListFailed(clock.nowUs()));
     }
 
-    private void takeSlice(ServerListQueue.ListChunk told) {
-        tell(subset == null ? told : subset.of(told));
+    private void applyChunk(ServerListQueue.ListChunk told) {
+        tell(subset == null ? told : subset.filter(told));
     }
 
     /** A zone that the settings don't name is one all the same: what may have run there must stay there. */
-    private int zone(String name) {
-        Integer known = zones.get(name);
+    private int zoneIndex(String name) {
+        Integer known = zoneIndices.get(name);
         if (known == null) {
-            known = zones.size() < MAX_ZONES ? -2 - zones.size() : -1;
+            known = zoneIndices.size() < MAX_ZONES ? -2 - zoneIndices.size() : -1;
             if (known != -1) {
-                zones.put(name, known);
+                zoneIndices.put(name, known);
             }
         }
         return known;
@@ -802,14 +809,14 @@
         for (ServerList.Target target : list.targets()) {
             entries.add(new ServerEntry(
                     target.id(),
-                    zone(target.zone()),
+                    zoneIndex(target.zone()),
                     target.cell(),
                     target.state(),
                     target.weight(),
                     1_000 * target.bootMs()));
         }
-        enter(null, () -> {
-            servers.update(list);
+        callBalancer(null, () -> {
+            transport.update(list);
             balancer.onServers(clock.nowUs(), slice.kind(), entries);
         });
     }
--- a/src/main/java/vetchpost/core/EventLoopDelay.java
+++ b/src/main/java/vetchpost/core/EventLoopDelay.java
@@ -11,9 +11,9 @@
 
     private final Clock clock;
     /** When the last beat that has run was due. */
-    private long dueUs;
+    private long lastProbeDueUs;
 
-    private Clock.Timer beat;
+    private Clock.Timer probeTimer;
 
     public EventLoopDelay(Clock clock) {
         this.clock = clock;
@@ -21,13 +21,13 @@
 
     /** Begins to watch; to be called on the loop. */
     public void start() {
-        dueUs = clock.nowUs();
-        schedule();
+        lastProbeDueUs = clock.nowUs();
+        scheduleProbe();
     }
 
     public void close() {
-        if (beat != null) {
-            beat.cancel();
+        if (probeTimer != null) {
+            probeTimer.cancel();
         }
     }
 
@@ -37,14 +37,14 @@
      * loop is read in the next one, after the beat at the turn's end.
      */
     public long currentUs() {
-        return beat == null ? 0 : Math.max(0, clock.nowUs() - dueUs - PROBE_INTERVAL_US);
+        return probeTimer == null ? 0 : Math.max(0, clock.nowUs() - lastProbeDueUs - PROBE_INTERVAL_US);
     }
 
-    private void schedule() {
+    private void scheduleProbe() {
         long nextUs = clock.nowUs() + PROBE_INTERVAL_US;
-        beat = clock.schedule(nextUs, () -> {
-            dueUs = nextUs;
-            schedule();
+        probeTimer = clock.schedule(nextUs, () -> {
+            lastProbeDueUs = nextUs;
+            scheduleProbe();
         });
     }
 }
--- a/src/main/java/vetchpost/core/RequestLog.java
+++ b/src/main/java/vetchpost/core/RequestLog.java
@@ -14,11 +14,11 @@
 
     private static final Logger LOG = System.getLogger(LOGGER_NAME);
 
-    private final boolean on = LOG.isLoggable(Level.DEBUG);
+    private final boolean enabled = LOG.isLoggable(Level.DEBUG);
 
     /** Whether lines are wanted; to be asked first, so that none is made for nothing. */
-    public boolean isOn() {
-        return on;
+    public boolean isEnabled() {
+        return enabled;
     }
 
     /** Writes the parts one behind the other, a space between. */
--- a/src/main/java/vetchpost/core/ServerListQueue.java
+++ b/src/main/java/vetchpost/core/ServerListQueue.java
@@ -21,192 +21,197 @@
  */
 final class ServerListQueue {
     /** Servers in a list up to which it is taken whole, and taken of a larger one at a time. */
-    static final int SLICE = 1_000;
+    static final int MAX_CHUNK_SERVERS = 1_000;
     /** Fewer than this may go at once without a doubt. */
     static final int MIN_SUSPECT_SERVERS = 8;
     /** Lists that wait for a large one before them; beyond, the loop has to go through with it. */
     private static final int MAX_PENDING_LISTS = 64;
 
-    private final AddressOwners addresses = new AddressOwners();
+    private final AddressOwners addressOwners = new AddressOwners();
     /** What was told last of each server that has not gone. */
-    private final Map<String, Target> known = new HashMap<>();
+    private final Map<String, Target> knownServers = new HashMap<>();
 
-    private final Map<String, Target> doubted = new LinkedHashMap<>();
-    private final Deque<ServerList> pending = new ArrayDeque<>();
+    private final Map<String, Target> suspects = new LinkedHashMap<>();
+    private final Deque<ServerList> pendingLists = new ArrayDeque<>();
     /** The list at hand, how far it is taken in, whom it has named, and who has gone by it. */
     private ServerList current;
 
-    private int taken;
-    private final Set<String> named = new HashSet<>();
+    private int nextIndex;
+    private final Set<String> namedIds = new HashSet<>();
     private List<Target> missing;
-    private boolean told;
-    private boolean newDoubt;
+    private boolean hasFullList;
+    private boolean hasUnreportedSuspects;
 
     /** What is to be taken in now. */
     record ListChunk(ListKind kind, ServerList list) {}
 
     /** The list as it was known before the start: of any age, so that what goes by the next is not odd. */
     ListChunk known(ServerList list) {
-        known.clear();
+        knownServers.clear();
         for (Target target : list.targets()) {
-            know(target);
+            updateKnown(target);
         }
-        return new ListChunk(ListKind.CACHED, addresses.settle(list));
+        return new ListChunk(ListKind.CACHED, addressOwners.resolveConflicts(list));
     }
 
     /** All that has been told and not gone since. */
     List<Target> known() {
-        return List.copyOf(known.values());
+        return List.copyOf(knownServers.values());
     }
 
     /** A list to be taken in, after those before; a whole one takes the place of all that still wait. */
     void add(ServerList list) {
         if (list.isFull()) {
-            pending.clear();
+            pendingLists.clear();
             current = null;
         }
-        pending.add(list);
+        pendingLists.add(list);
     }
 
     boolean hasNext() {
-        return current != null || !pending.isEmpty();
+        return current != null || !pendingLists.isEmpty();
     }
 
     /** Whether a list has been taken in in part. */
-    boolean isMidList() {
+    boolean isPartiallyApplied() {
         return current != null;
     }
 
     /** Whether so many wait that they must be gone through at once. */
-    boolean isCrowded() {
-        return pending.size() > MAX_PENDING_LISTS;
+    boolean isBacklogged() {
+        return pendingLists.size() > MAX_PENDING_LISTS;
     }
 
     /** The next slice; only if there is one. */
     ListChunk next() {
         if (current == null) {
-            begin(pending.poll());
+            startList(pendingLists.poll());
             if (isSmall()) {
-                return whole();
+                return applyWhole();
             }
         }
         List<Target> slice = new ArrayList<>();
         List<Target> all = current.targets();
-        for (int end = Math.min(all.size(), taken + SLICE); taken < end; taken++) {
-            Target target = all.get(taken);
+        for (int end = Math.min(all.size(), nextIndex + MAX_CHUNK_SERVERS); nextIndex < end; nextIndex++) {
+            Target target = all.get(nextIndex);
             boolean changed = target.state() == ServerState.GONE
-                    ? known.containsKey(target.id())
-                    : !target.equals(known.get(target.id()));
+                    ? knownServers.containsKey(target.id())
+                    : !target.equals(knownServers.get(target.id()));
             if (changed) {
                 slice.add(target);
             }
-            tell(target);
+            recordNamed(target);
         }
-        if (taken == all.size()) {
+        if (nextIndex == all.size()) {
             if (current.isFull() && missing == null) {
-                missing = new ArrayList<>(left().values());
+                missing = new ArrayList<>(findMissing().values());
             }
-            for (int i = 0; i < SLICE && missing != null && !missing.isEmpty(); i++) {
-                Target gone = gone(missing.remove(missing.size() - 1));
-                known.remove(gone.id());
+            for (int i = 0; i < MAX_CHUNK_SERVERS && missing != null && !missing.isEmpty(); i++) {
+                Target gone = asGone(missing.remove(missing.size() - 1));
+                knownServers.remove(gone.id());
                 slice.add(gone);
             }
         }
         ServerList list = current;
-        current = taken == all.size() && (missing == null || missing.isEmpty()) ? null : current;
-        ServerList settled = addresses.settle(new ServerList(list.revision(), false, slice));
+        current = nextIndex == all.size() && (missing == null || missing.isEmpty()) ? null : current;
+        ServerList settled = addressOwners.resolveConflicts(new ServerList(list.revision(), false, slice));
         // Whoever has lost its address is offered again by the next whole list.
-        settled.targets().stream().filter(t -> t.state() == ServerState.GONE).forEach(this::know);
+        settled.targets().stream().filter(t -> t.state() == ServerState.GONE).forEach(this::updateKnown);
         return new ListChunk(ListKind.CHANGES, settled);
     }
 
-    private void begin(ServerList list) {
+    private void startList(ServerList list) {
         current = list;
-        taken = 0;
+        nextIndex = 0;
         missing = null;
-        named.clear();
+        namedIds.clear();
     }
 
     private boolean isSmall() {
-        return current.targets().size() <= SLICE && (!current.isFull() || known.size() <= SLICE);
+        return current.targets().size() <= MAX_CHUNK_SERVERS
+                && (!current.isFull() || knownServers.size() <= MAX_CHUNK_SERVERS);
     }
 
-    private void tell(Target target) {
+    private void recordNamed(Target target) {
         if (current.isFull()) {
-            named.add(target.id());
+            namedIds.add(target.id());
         }
-        doubted.remove(target.id());
-        know(target);
+        suspects.remove(target.id());
+        updateKnown(target);
     }
 
-    private void know(Target target) {
+    private void updateKnown(Target target) {
         if (target.state() == ServerState.GONE) {
-            known.remove(target.id());
+            knownServers.remove(target.id());
         } else {
-            known.put(target.id(), target);
+            knownServers.put(target.id(), target);
         }
     }
 
     /** A small list: all that it names, and what it leaves out and is doubted for. */
-    private ListChunk whole() {
+    private ListChunk applyWhole() {
         ServerList list = current;
         for (Target target : list.targets()) {
-            tell(target);
+            recordNamed(target);
         }
         current = null;
         if (!list.isFull()) {
-            return new ListChunk(ListKind.CHANGES, addresses.settle(list));
+            return new ListChunk(ListKind.CHANGES, addressOwners.resolveConflicts(list));
         }
-        for (String id : left().keySet()) {
-            known.remove(id);
+        for (String id : findMissing().keySet()) {
+            knownServers.remove(id);
         }
         List<Target> targets = list.targets();
-        if (!doubted.isEmpty()) {
+        if (!suspects.isEmpty()) {
             targets = new ArrayList<>(targets);
-            targets.addAll(doubted.values());
+            targets.addAll(suspects.values());
         }
-        return new ListChunk(ListKind.FULL, addresses.settle(new ServerList(list.revision(), true, targets)));
+        return new ListChunk(
+                ListKind.FULL, addressOwners.resolveConflicts(new ServerList(list.revision(), true, targets)));
     }
 
     /** What the whole list leaves out, to be taken for gone; or nothing if it is doubted. */
-    private Map<String, Target> left() {
-        Map<String, Target> left = new LinkedHashMap<>(known);
-        left.keySet().removeAll(named);
-        boolean confirms = !doubted.isEmpty();
-        doubted.clear();
-        if (told && !confirms && left.size() >= MIN_SUSPECT_SERVERS && left.size() > known.size() - left.size()) {
-            doubted.putAll(left);
-            newDoubt = true;
+    private Map<String, Target> findMissing() {
+        Map<String, Target> left = new LinkedHashMap<>(knownServers);
+        left.keySet().removeAll(namedIds);
+        boolean confirms = !suspects.isEmpty();
+        suspects.clear();
+        if (hasFullList
+                && !confirms
+                && left.size() >= MIN_SUSPECT_SERVERS
+                && left.size() > knownServers.size() - left.size()) {
+            suspects.putAll(left);
+            hasUnreportedSuspects = true;
             left.clear();
         }
-        told = true;
+        hasFullList = true;
         return left;
     }
 
     /** Whether there is a doubt that this has not told yet; a whole list should be asked for. */
-    boolean hasNewDoubt() {
-        boolean is = newDoubt;
-        newDoubt = false;
+    boolean pollNewSuspects() {
+        boolean is = hasUnreportedSuspects;
+        hasUnreportedSuspects = false;
         return is;
     }
 
     /** How many servers are kept against a list's word. */
-    int doubted() {
-        return doubted.size();
+    int suspectCount() {
+        return suspects.size();
     }
 
     /** The doubt's time is up: what is still left out goes, as a list that is to be taken in. */
-    void obey() {
-        if (!doubted.isEmpty()) {
-            pending.add(new ServerList(
+    void removeSuspects() {
+        if (!suspects.isEmpty()) {
+            pendingLists.add(new ServerList(
                     0,
                     false,
-                    doubted.values().stream().map(ServerListQueue::gone).toList()));
-            doubted.clear();
+                    suspects.values().stream().map(ServerListQueue::asGone).toList()));
+            suspects.clear();
         }
     }
 
-    private static Target gone(Target target) {
+    private static Target asGone(Target target) {
         return new Target(
                 target.id(),
                 target.address(),
--- a/src/main/java/vetchpost/core/Subset.java
+++ b/src/main/java/vetchpost/core/Subset.java
@@ -23,25 +23,25 @@
  */
 public final class Subset {
     /** Failures in a row from which on a server counts as ill. */
-    static final int ILL_AT = 3;
+    static final int UNHEALTHY_FAILURE_COUNT = 3;
     /** A widened node takes half as many again after so long without half of them ill. */
-    static final long NARROW_US = 10_000_000;
+    static final long NARROWING_INTERVAL_US = 10_000_000;
 
     private static final int MAX_NODES = 100_000;
 
-    private final int node;
-    private final int nodes;
-    private final int size;
-    private final boolean byCell;
-    private final Map<String, Target> known = new LinkedHashMap<>();
+    private final int nodeIndex;
+    private final int nodeCount;
+    private final int minServers;
+    private final boolean selectsWholeCells;
+    private final Map<String, Target> knownServers = new LinkedHashMap<>();
     /** The ready servers by the places of their units on the ring. */
     private final TreeMap<Long, List<Target>> ring = new TreeMap<>();
 
-    private Map<String, Target> chosen = new LinkedHashMap<>();
-    private final Map<String, Integer> failures = new HashMap<>();
-    private int ill;
-    private int widened = 1;
-    private long wellSinceUs;
+    private Map<String, Target> selected = new LinkedHashMap<>();
+    private final Map<String, Integer> failureStreaks = new HashMap<>();
+    private int unhealthyCount;
+    private int wideningFactor = 1;
+    private long healthySinceUs;
 
     /**
      * Nobody known yet.
@@ -56,38 +56,39 @@
         if (nodes < 1 || nodes > MAX_NODES || node < 0 || node >= nodes || size < 1) {
             throw new IllegalArgumentException("node " + node + " of " + nodes + " can't have " + size);
         }
-        this.node = node;
-        this.nodes = nodes;
-        this.size = size;
-        this.byCell = byCell;
+        this.nodeIndex = node;
+        this.nodeCount = nodes;
+        this.minServers = size;
+        this.selectsWholeCells = byCell;
     }
 
     /** What of a list this node is to know; nothing has changed for it if the result is empty. */
-    ServerListQueue.ListChunk of(ServerListQueue.ListChunk slice) {
+    ServerListQueue.ListChunk filter(ServerListQueue.ListChunk slice) {
         ServerList list = slice.list();
         if (slice.kind() != ListKind.CHANGES) {
-            known.clear();
+            knownServers.clear();
             ring.clear();
         }
         boolean moved = slice.kind() != ListKind.CHANGES;
         for (Target target : list.targets()) {
-            Target before =
-                    target.state() == ServerState.GONE ? known.remove(target.id()) : known.put(target.id(), target);
-            moved |= unplace(before);
-            moved |= place(target);
+            Target before = target.state() == ServerState.GONE
+                    ? knownServers.remove(target.id())
+                    : knownServers.put(target.id(), target);
+            moved |= removeFromRing(before);
+            moved |= addToRing(target);
         }
-        List<Target> changes = moved ? choose() : new ArrayList<>();
+        List<Target> changes = moved ? reselect() : new ArrayList<>();
         if (slice.kind() != ListKind.CHANGES) {
-            changes = new ArrayList<>(chosen.values());
+            changes = new ArrayList<>(selected.values());
         } else {
             // What has changed of one that stays, or drains.
             for (Target target : list.targets()) {
                 if (target.state() == ServerState.GONE) {
-                    if (chosen.remove(target.id()) != null) {
-                        forget(target.id());
+                    if (selected.remove(target.id()) != null) {
+                        clearFailures(target.id());
                         changes.add(target);
                     }
-                } else if (chosen.containsKey(target.id()) && !target.equals(chosen.put(target.id(), target))) {
+                } else if (selected.containsKey(target.id()) && !target.equals(selected.put(target.id(), target))) {
                     changes.add(target);
                 }
             }
@@ -95,56 +96,56 @@
         return new ServerListQueue.ListChunk(slice.kind(), new ServerList(list.revision(), list.isFull(), changes));
     }
 
-    private boolean place(Target target) {
+    private boolean addToRing(Target target) {
         if (target.state() == ServerState.READY) {
-            ring.computeIfAbsent(seat(target), s -> new ArrayList<>(1)).add(target);
+            ring.computeIfAbsent(ringPosition(target), s -> new ArrayList<>(1)).add(target);
             return true;
         }
         return false;
     }
 
-    private boolean unplace(Target target) {
+    private boolean removeFromRing(Target target) {
         if (target == null || target.state() != ServerState.READY) {
             return false;
         }
-        List<Target> unit = ring.get(seat(target));
+        List<Target> unit = ring.get(ringPosition(target));
         unit.removeIf(t -> t.id().equals(target.id()));
         if (unit.isEmpty()) {
-            ring.remove(seat(target));
+            ring.remove(ringPosition(target));
         }
         return true;
     }
 
     /** Where a server, or its cell, stands. */
-    private long seat(Target target) {
-        return HashRing.position(byCell ? Integer.toString(target.cell()) : target.id());
+    private long ringPosition(Target target) {
+        return HashRing.position(selectsWholeCells ? Integer.toString(target.cell()) : target.id());
     }
 
     /** Chooses anew; what is new to the node, and as gone what it is to leave alone. */
-    private List<Target> choose() {
+    private List<Target> reselect() {
         Map<String, Target> next = new LinkedHashMap<>();
         List<List<Target>> units = new ArrayList<>(ring.values());
-        long wanted = (long) size * widened;
-        int first = (int) ((long) node * units.size() / nodes);
+        long wanted = (long) minServers * wideningFactor;
+        int first = (int) ((long) nodeIndex * units.size() / nodeCount);
         for (int i = 0; i < units.size() && next.size() < wanted; i++) {
             units.get((first + i) % units.size()).forEach(t -> next.put(t.id(), t));
         }
         List<Target> changes = new ArrayList<>();
-        chosen.forEach((id, target) -> {
-            Target now = known.get(id);
+        selected.forEach((id, target) -> {
+            Target now = knownServers.get(id);
             if (now != null && now.state() == ServerState.DRAINING) {
                 next.put(id, target);
             } else if (!next.containsKey(id)) {
-                forget(id);
-                changes.add(gone(target));
+                clearFailures(id);
+                changes.add(asGone(target));
             }
         });
         next.forEach((id, target) -> {
-            if (!chosen.containsKey(id)) {
+            if (!selected.containsKey(id)) {
                 changes.add(target);
             }
         });
-        chosen = next;
+        selected = next;
         return changes;
     }
 
@@ -153,41 +154,41 @@
      *
      * @return what changes for this node by it, empty as a rule
      */
-    List<Target> ended(String id, Result result, long nowUs) {
+    List<Target> onAttemptEnded(String id, Result result, long nowUs) {
         switch (result) {
-            case OK -> forget(id);
+            case OK -> clearFailures(id);
             case ERROR, RESET, TIMEOUT, CONNECT_FAILED -> {
-                if (chosen.containsKey(id)) {
-                    ill += failures.merge(id, 1, Integer::sum) == ILL_AT ? 1 : 0;
+                if (selected.containsKey(id)) {
+                    unhealthyCount += failureStreaks.merge(id, 1, Integer::sum) == UNHEALTHY_FAILURE_COUNT ? 1 : 0;
                 }
             }
             default -> {}
         }
-        if (2 * ill > chosen.size()) {
-            wellSinceUs = nowUs;
-            if (chosen.size() < known.size()) {
-                widened *= 2;
-                return choose();
+        if (2 * unhealthyCount > selected.size()) {
+            healthySinceUs = nowUs;
+            if (selected.size() < knownServers.size()) {
+                wideningFactor *= 2;
+                return reselect();
             }
-        } else if (widened > 1 && nowUs - wellSinceUs >= NARROW_US) {
-            wellSinceUs = nowUs;
-            widened /= 2;
-            return choose();
+        } else if (wideningFactor > 1 && nowUs - healthySinceUs >= NARROWING_INTERVAL_US) {
+            healthySinceUs = nowUs;
+            wideningFactor /= 2;
+            return reselect();
         }
         return List.of();
     }
 
-    private void forget(String id) {
-        Integer count = failures.remove(id);
-        ill -= count != null && count >= ILL_AT ? 1 : 0;
+    private void clearFailures(String id) {
+        Integer count = failureStreaks.remove(id);
+        unhealthyCount -= count != null && count >= UNHEALTHY_FAILURE_COUNT ? 1 : 0;
     }
 
     /** How many servers this node has just now. */
-    int size() {
-        return chosen.size();
+    int serverCount() {
+        return selected.size();
     }
 
-    private static Target gone(Target target) {
+    private static Target asGone(Target target) {
         return new Target(
                 target.id(),
                 target.address(),
--- a/src/main/java/vetchpost/daemon/AdmissionLoader.java
+++ b/src/main/java/vetchpost/daemon/AdmissionLoader.java
@@ -15,7 +15,7 @@
      *
      * @param settings null for none
      */
-    static void settle(Node node, AdmissionSettings settings, NodeConfig config) {
+    static void apply(Node node, AdmissionSettings settings, NodeConfig config) {
         if (settings == null) {
             if (node.admission() != null) {
                 node.admission(null);
--- a/src/main/java/vetchpost/daemon/ChangesLoader.java
+++ b/src/main/java/vetchpost/daemon/ChangesLoader.java
@@ -37,22 +37,23 @@
 final class ChangesLoader implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ChangesLoader.class.getName());
     /** A store is some megabytes: what was missed since is told again at the start. */
-    private static final long KEEP_EVERY_S = 60;
+    private static final long SAVE_INTERVAL_S = 60;
 
-    private static final long STOP_S = 2;
+    private static final long FINAL_SAVE_TIMEOUT_S = 2;
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("changes", true), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final ExecutorService disk = Executors.newSingleThreadExecutor(new DefaultThreadFactory("store", true));
+    private final ExecutorService diskWriter =
+            Executors.newSingleThreadExecutor(new DefaultThreadFactory("store", true));
     private final StoreFile file;
     private final ReplicaClient client;
-    private final RouteConfiguration first;
+    private final RouteConfiguration initialConfiguration;
     private volatile VersionedStore store;
-    private volatile long currentUs = -1;
-    private volatile String trouble = "";
-    private long keptVersion;
-    private boolean diskTold;
+    private volatile long lastCurrentUs = -1;
+    private volatile String lastFailure = "";
+    private long savedVersion;
+    private boolean saveFailureLogged;
 
     /**
      * Begins with what is on the disk; blocks while that is read. Connects to nobody yet.
@@ -71,11 +72,11 @@
         file = from.file().isEmpty() ? null : new StoreFile(Path.of(from.file()));
         VersionedStore kept = file == null ? null : file.read(line -> LOG.log(Level.WARNING, line));
         store = kept == null ? VersionedStore.EMPTY : kept;
-        keptVersion = store.version();
-        first = catalog(settings, store);
+        savedVersion = store.version();
+        initialConfiguration = configurationOf(settings, store);
         // Nodes of one name would all ask the same control machine first.
         String name = from.name().isEmpty() ? "node-" + Long.toHexString(new SecureRandom().nextLong()) : from.name();
-        Replica replica = new Replica(name, store, first, false, (fresh, index) -> {
+        Replica replica = new Replica(name, store, initialConfiguration, false, (fresh, index) -> {
             store = fresh;
             inForce.accept((RouteConfiguration) index);
         });
@@ -91,79 +92,80 @@
                 replica);
     }
 
-    private static RouteConfiguration catalog(Settings settings, VersionedStore store) {
+    private static RouteConfiguration configurationOf(Settings settings, VersionedStore store) {
         RouteConfiguration catalog = RouteConfiguration.empty(settings);
         PackedTree live = store.live();
         catalog = catalog.backedBy(live);
         for (Item item = live.ceiling(new byte[0]);
                 item != null;
                 item = live.ceiling(PackedTree.successor(item.key()))) {
-            catalog = catalog.withoutEntry(item.key(), item.value());
+            catalog = catalog.withIndexedEntry(item.key(), item.value());
         }
         return catalog.backedBy(live);
     }
 
     /** What holds at the start. */
-    RouteConfiguration first() {
-        return first;
+    RouteConfiguration initialConfiguration() {
+        return initialConfiguration;
     }
 
     /** Connects to control machines from now on. */
-    void begin() {
+    void start() {
         loop.execute(client::start);
-        loop.scheduleWithFixedDelay(this::look, 1, 1, TimeUnit.SECONDS);
-        loop.scheduleWithFixedDelay(this::keep, KEEP_EVERY_S, KEEP_EVERY_S, TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(this::refreshStatus, 1, 1, TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(this::saveIfChanged, SAVE_INTERVAL_S, SAVE_INTERVAL_S, TimeUnit.SECONDS);
     }
 
-    private void look() {
-        currentUs = client.replica().lastCurrentUs();
-        trouble = client.failure();
+    private void refreshStatus() {
+        lastCurrentUs = client.replica().lastCurrentUs();
+        lastFailure = client.failure();
     }
 
-    private void keep() {
+    private void saveIfChanged() {
         VersionedStore now = store;
-        if (file == null || now.version() == keptVersion) {
+        if (file == null || now.version() == savedVersion) {
             return;
         }
-        keptVersion = now.version();
-        disk.execute(() -> write(now));
+        savedVersion = now.version();
+        diskWriter.execute(() -> writeStore(now));
     }
 
-    private void write(VersionedStore now) {
+    private void writeStore(VersionedStore now) {
         try {
             file.write(now);
-            if (diskTold) {
+            if (saveFailureLogged) {
                 LOG.log(Level.INFO, "the store is kept again");
             }
-            diskTold = false;
+            saveFailureLogged = false;
         } catch (IOException | RuntimeException e) {
-            if (!diskTold) {
+            if (!saveFailureLogged) {
                 LOG.log(Level.WARNING, "the store can''t be kept: {0}", e.toString());
             }
-            diskTold = true;
+            saveFailureLogged = true;
         }
     }
 
     /** What it serves by, and how old that is. */
-    String words() {
+    String describeStatus() {
         VersionedStore now = store;
-        String what =
-                now.version() == Version.NONE ? "no configuration yet" : "configuration " + Version.text(now.version());
-        String age = currentUs < 0
+        String what = now.version() == Version.NONE
+                ? "no configuration yet"
+                : "configuration " + Version.format(now.version());
+        String age = lastCurrentUs < 0
                 ? ", not confirmed since the start"
-                : ", confirmed " + Math.max(0, (client.nowUs() - currentUs) / 1_000_000) + " s ago";
-        return what + age + (trouble.isEmpty() ? "" : " (" + trouble + ")");
+                : ", confirmed " + Math.max(0, (client.nowUs() - lastCurrentUs) / 1_000_000) + " s ago";
+        return what + age + (lastFailure.isEmpty() ? "" : " (" + lastFailure + ")");
     }
 
     /** Keeps what it has now; blocks for a while at most, so not on the requests' loop. */
-    void keepNow() {
+    void saveNow() {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
-            keep();
-            disk.execute(done::countDown);
+            saveIfChanged();
+            diskWriter.execute(done::countDown);
         });
         try {
-            if (!done.await(STOP_S, TimeUnit.SECONDS)) {
+            if (!done.await(FINAL_SAVE_TIMEOUT_S, TimeUnit.SECONDS)) {
                 LOG.log(Level.WARNING, "the store may not have been kept");
             }
         } catch (InterruptedException e) {
@@ -175,7 +177,7 @@
     public void close() {
         loop.execute(() -> {
             client.close();
-            disk.shutdown();
+            diskWriter.shutdown();
         });
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/src/main/java/vetchpost/daemon/CheckCommand.java
+++ b/src/main/java/vetchpost/daemon/CheckCommand.java
@@ -32,7 +32,7 @@
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:the file holds", "2:it breaks a rule, or the arguments are bad"})
 final class CheckCommand implements Callable<Integer> {
-    private static final int REFUSED = 2;
+    private static final int EXIT_VIOLATIONS = 2;
 
     @Spec
     private CommandSpec spec;
@@ -47,36 +47,38 @@
                 "The platform's configuration, for its classes " + "and limits.",
                 "For a file without [node], LB_CONFIG if not said."
             })
-    private Path config;
+    private Path platformConfig;
 
     @Option(
             names = "--explain",
             paramLabel = "ROUTE",
             description = "Prints what holds for a route or class, and the latest times of its attempts.")
-    private String explain;
+    private String explainedRoute;
 
     @Override
     public Integer call() {
         ValidatedFile proved;
         try {
-            proved = ValidatedFile.prove(
+            proved = ValidatedFile.read(
                     file,
-                    sections -> config == null && StandaloneValidator.isStandalone(sections) ? null : settings(),
+                    sections -> platformConfig == null && StandaloneValidator.isStandalone(sections)
+                            ? null
+                            : platformSettings(),
                     null);
         } catch (IOException e) {
-            throw bad("can't read the file: " + e);
+            throw badUsage("can't read the file: " + e);
         }
-        if (!proved.holds()) {
-            return refused(proved.violations());
+        if (!proved.isValid()) {
+            return printViolations(proved.violations());
         }
         Standalone node = proved.node();
         RouteValidation proof = proved.routes();
         PrintWriter out = spec.commandLine().getOut();
-        if (explain == null) {
+        if (explainedRoute == null) {
             out.println(file + " holds: " + proof.routes().size() + " routes, classes among them");
             if (node != null) {
                 out.println("It makes a node by itself: serve " + file + " listens on "
-                        + ReportedServer.text(node.listen()) + ", with servers by "
+                        + ReportedServer.formatAddress(node.listen()) + ", with servers by "
                         + node.sources().stream()
                                 .map(s -> s.kind() == SourceDeclaration.Kind.ITSELF
                                         ? "the file (" + s.inlineServers().size() + ")"
@@ -87,44 +89,50 @@
                     out.println("LB_CONFIG is set and not looked at by that; serve --routes " + file
                             + " goes by it instead, and passes over the file's own tables.");
                 }
-            } else if (proved.hasOwn()) {
+            } else if (proved.hasStandaloneTables()) {
                 out.println("[node], [classes], [tenants], [pool], [[source]] and [checks] are passed "
                         + "over here:"
                         + " the platform's configuration says that.");
             }
         } else {
-            if (!proof.routes().containsKey(explain)) {
-                throw bad("there is no route '" + explain + "'; there are "
+            if (!proof.routes().containsKey(explainedRoute)) {
+                throw badUsage("there is no route '" + explainedRoute + "'; there are "
                         + String.join(
                                 ", ", proof.routes().keySet().stream().limit(20).toList()));
             }
-            out.print(Explanation.of(proof.routes().get(explain)));
+            out.print(Explanation.of(proof.routes().get(explainedRoute)));
         }
         out.flush();
         return 0;
     }
 
-    private int refused(List<Violation> violations) {
+    private int printViolations(List<Violation> violations) {
         PrintWriter out = spec.commandLine().getOut();
         violations.forEach(out::println);
         out.println(violations.size() + (violations.size() == 1 ? " violation" : " violations"));
         out.flush();
-        return REFUSED;
+        return EXIT_VIOLATIONS;
     }
 
-    private Settings settings() {
-        Map<String, String> environment = config == null
+    private Settings platformSettings() {
+        Map<String, String> environment = platformConfig == null
                 ? System.getenv()
-                : Map.of("LB_CONFIG", config.toString(), "LB_LISTEN", "127.0.0.1:1", "LB_DISCOVERY", "127.0.0.1:1");
+                : Map.of(
+                        "LB_CONFIG",
+                        platformConfig.toString(),
+                        "LB_LISTEN",
+                        "127.0.0.1:1",
+                        "LB_DISCOVERY",
+                        "127.0.0.1:1");
         try {
             return NodeConfig.read(environment).settings();
         } catch (IllegalArgumentException e) {
-            throw bad("the file has no table [node], so classes and limits come from the platform's"
+            throw badUsage("the file has no table [node], so classes and limits come from the platform's"
                     + " configuration (--config or LB_CONFIG): " + e.getMessage());
         }
     }
 
-    private ParameterException bad(String why) {
+    private ParameterException badUsage(String why) {
         return new ParameterException(spec.commandLine(), why);
     }
 }
--- a/src/main/java/vetchpost/daemon/Commands.java
+++ b/src/main/java/vetchpost/daemon/Commands.java
@@ -20,7 +20,7 @@
         },
         commandListHeading = "Commands:%n")
 final class Commands implements Runnable {
-    private final CommandLine line = new CommandLine(this)
+    private final CommandLine commandLine = new CommandLine(this)
             .addSubcommand(new InitCommand())
             .addSubcommand(new CheckCommand())
             .addSubcommand(new ConfigCommand())
@@ -37,11 +37,11 @@
 
     /** Runs the command that the arguments name; its exit code. */
     static int run(String... arguments) {
-        return new Commands().line.execute(arguments);
+        return new Commands().commandLine.execute(arguments);
     }
 
     @Override
     public void run() {
-        throw new ParameterException(line, "no such command");
+        throw new ParameterException(commandLine, "no such command");
     }
 }
--- a/src/main/java/vetchpost/daemon/ConfigCommand.java
+++ b/src/main/java/vetchpost/daemon/ConfigCommand.java
@@ -40,27 +40,27 @@
         ValidatedFile old;
         ValidatedFile fresh;
         try {
-            old = ValidatedFile.prove(before, sections -> null, null);
-            if (!old.holds() || old.node() == null) {
+            old = ValidatedFile.read(before, sections -> null, null);
+            if (!old.isValid() || old.node() == null) {
                 throw new ParameterException(
                         spec.commandLine(),
-                        old.holds() ? before + " has no table [node]" : old.refusal(before + " is"));
+                        old.isValid() ? before + " has no table [node]" : old.describeViolations(before + " is"));
             }
-            fresh = old.again(after);
+            fresh = old.reread(after);
         } catch (IOException e) {
             throw new ParameterException(spec.commandLine(), "can't read the files: " + e);
         }
         PrintWriter out = spec.commandLine().getOut();
         fresh.violations().forEach(out::println);
-        if (!fresh.holds()) {
+        if (!fresh.isValid()) {
             out.println(fresh.violations().size() + (fresh.violations().size() == 1 ? " violation" : " violations"));
         } else if (fresh.node() != old.node()) {
             out.println("more than routes has changed: a reload reads all of it");
         }
-        for (RouteChange change : fresh.since(old)) {
+        for (RouteChange change : fresh.routeChangesSince(old)) {
             out.println(change.op().name().toLowerCase(java.util.Locale.ROOT) + " route " + change.name());
         }
         out.flush();
-        return fresh.holds() ? 0 : 1;
+        return fresh.isValid() ? 0 : 1;
     }
 }
--- a/src/main/java/vetchpost/daemon/ControlLoader.java
+++ b/src/main/java/vetchpost/daemon/ControlLoader.java
@@ -37,68 +37,68 @@
     private static final Logger LOG = System.getLogger(ControlLoader.class.getName());
 
     private final EventLoop loop;
-    private final SourceWatcher conductor;
+    private final SourceWatcher sourceWatcher;
     private final Leases leases;
-    private final ControlApi desk;
+    private final ControlApi controlApi;
     private final ControlSocket socket;
-    private final ExecutorService writer;
-    private List<String> classes = List.of();
-    private ScheduledFuture<?> expiry;
-    private final int keep;
+    private final ExecutorService auditWriter;
+    private List<String> classNames = List.of();
+    private ScheduledFuture<?> expiryTimer;
+    private final int recordedRequests;
 
     /** Begins with what held before a restart. */
     ControlLoader(
             ControlSettings settings, EventLoop loop, SourceWatcher conductor, Supplier<Map<String, Long>> counts) {
         this.loop = loop;
-        this.conductor = conductor;
-        keep = settings.recordedRequests();
-        writer = Executors.newSingleThreadExecutor(task -> {
+        this.sourceWatcher = conductor;
+        recordedRequests = settings.recordedRequests();
+        auditWriter = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "audit");
             thread.setDaemon(true);
             return thread;
         });
         leases = new Leases(new SafetyCheck(settings.minRemainingFraction(), settings.maxShedFraction()));
-        AuditFile audit = new AuditFile(Path.of(settings.auditFile()), writer, loop);
+        AuditFile audit = new AuditFile(Path.of(settings.auditFile()), auditWriter, loop);
         if (!audit.failure().isEmpty()) {
             LOG.log(Level.WARNING, "{0}; changes are refused", audit.failure());
         }
         AuditLog.activeLeases(audit.entries(), System.currentTimeMillis(), now().us())
                 .forEach(leases::grant);
         audit.entries().forEach(e -> leases.resumeNumberingAfter(e.number()));
-        desk = new ControlApi(leases, this::situation, counts, audit, this::changed);
-        socket = new ControlSocket(Path.of(settings.socket()), desk, this::now);
+        controlApi = new ControlApi(leases, this::fleetState, counts, audit, this::onOverridesChanged);
+        socket = new ControlSocket(Path.of(settings.socket()), controlApi, this::now);
         conductor.setOverrides(this);
-        schedule();
+        scheduleExpiry();
     }
 
     private ControlApi.Now now() {
         return new ControlApi.Now(loop.ticker().nanoTime() / 1_000, System.currentTimeMillis());
     }
 
-    private FleetState situation() {
+    private FleetState fleetState() {
         return new FleetState(
-                conductor.members().stream()
+                sourceWatcher.members().stream()
                         .map(m -> new FleetState.Server(m.id(), m.zone(), m.weight(), m.draining()))
                         .toList(),
-                classes);
+                classNames);
     }
 
-    private void changed() {
-        conductor.overridesChanged();
-        schedule();
+    private void onOverridesChanged() {
+        sourceWatcher.overridesChanged();
+        scheduleExpiry();
     }
 
-    private void schedule() {
-        if (expiry != null) {
-            expiry.cancel(false);
+    private void scheduleExpiry() {
+        if (expiryTimer != null) {
+            expiryTimer.cancel(false);
         }
-        long next = leases.nextUs();
-        expiry = next == Long.MAX_VALUE
+        long next = leases.nextExpiryUs();
+        expiryTimer = next == Long.MAX_VALUE
                 ? null
                 : loop.schedule(
                         () -> {
-                            desk.expire(now());
-                            schedule();
+                            controlApi.expire(now());
+                            scheduleExpiry();
                         },
                         Math.max(0, next - now().us()),
                         TimeUnit.MICROSECONDS);
@@ -109,24 +109,24 @@
      *
      * @param settings of its classes, whose aims say from when on an answer is slow
      */
-    void explain(Node node, Settings settings) {
-        if (keep == 0) {
+    void enableExplanations(Node node, Settings settings) {
+        if (recordedRequests == 0) {
             return;
         }
         FlightRecorder recorder = new FlightRecorder(
-                keep,
+                recordedRequests,
                 settings.classes.stream().mapToLong(c -> c.latencyTargetUs()).toArray());
         node.setRecorder(recorder);
-        desk.setExplanations(new Explanations(recorder, node::explainServer, this::situation, this::effects));
+        controlApi.setExplanations(new Explanations(recorder, node::explainServer, this::fleetState, this::effects));
     }
 
     /**
      * Has the file be read again by {@code ctl} too, and {@code ctl status} say this; what is null says
      * nothing.
      */
-    void operated(Consumer<Consumer<String>> reload, Supplier<String> remark) {
-        desk.setReloader(reload);
-        desk.setStatusNote(remark);
+    void enableReload(Consumer<Consumer<String>> reload, Supplier<String> remark) {
+        controlApi.setReloader(reload);
+        controlApi.setStatusNote(remark);
     }
 
     /** Opens the socket; a node goes on without it where that fails. */
@@ -146,8 +146,8 @@
     }
 
     /** These routes, less what operators have refused. */
-    RoutePolicy before(RoutePolicy routes, List<String> names) {
-        classes = names;
+    RoutePolicy withShedding(RoutePolicy routes, List<String> names) {
+        classNames = names;
         return new SheddingRoutePolicy(routes, names, this::effects);
     }
 
@@ -172,14 +172,14 @@
 
     @Override
     public void close() {
-        if (expiry != null) {
-            expiry.cancel(false);
+        if (expiryTimer != null) {
+            expiryTimer.cancel(false);
         }
         try {
             socket.close();
         } catch (IOException e) {
             LOG.log(Level.DEBUG, "the operator''s socket could not be taken away", e);
         }
-        writer.shutdown();
+        auditWriter.shutdown();
     }
 }
--- a/src/main/java/vetchpost/daemon/CtlCommand.java
+++ b/src/main/java/vetchpost/daemon/CtlCommand.java
@@ -55,8 +55,8 @@
             "2:bad arguments, or a node can't be reached"
         })
 final class CtlCommand implements Callable<Integer> {
-    private static final int MOST_REPLY = 16 << 20;
-    private static final Pattern TIME = Pattern.compile("(\\d{1,6})(s|m|h)");
+    private static final int MAX_REPLY_BYTES = 16 << 20;
+    private static final Pattern DURATION = Pattern.compile("(\\d{1,6})(s|m|h)");
 
     @Spec
     private CommandSpec spec;
@@ -84,34 +84,34 @@
 
     @Command(name = "status", description = "Shows how many servers take requests, and what is in hand.")
     int status() {
-        return ask(message("status"));
+        return sendToNodes(buildRequest("status"));
     }
 
     @Command(name = "servers", description = "Lists the servers.")
     int servers() {
-        return ask(message("servers"));
+        return sendToNodes(buildRequest("servers"));
     }
 
     @Command(name = "overrides", description = "Lists what operators have asked for and still holds.")
     int overrides() {
-        return ask(message("overrides"));
+        return sendToNodes(buildRequest("overrides"));
     }
 
     @Command(
             name = "reload",
             description = {"Has nodes read their file again, as SIGHUP does; tells what", "keeps one from it."})
     int reload() {
-        return ask(message("reload"));
+        return sendToNodes(buildRequest("reload"));
     }
 
     /** What all changes have. */
-    static final class Lease {
+    static final class LeaseOptions {
         @Option(
                 names = "--for",
                 required = true,
                 paramLabel = "TIME",
                 description = "For how long: 30s, 10m, 2h; a day at most.")
-        private String length;
+        private String duration;
 
         @Option(names = "--reason", required = true, paramLabel = "TEXT", description = "Why; it is recorded.")
         private String reason;
@@ -132,43 +132,43 @@
         private boolean anyway;
 
         @Option(names = "--dry-run", description = "Changes nothing, and shows before and after.")
-        private boolean dry;
+        private boolean dryRun;
     }
 
     @Command(name = "drain", description = "Has a server take nothing new; what it has goes on.")
-    int drain(@Parameters(paramLabel = "SERVER") String server, @picocli.CommandLine.Mixin Lease lease) {
-        return ask(message("drain", lease, "server", server, null));
+    int drain(@Parameters(paramLabel = "SERVER") String server, @picocli.CommandLine.Mixin LeaseOptions lease) {
+        return sendToNodes(buildRequest("drain", lease, "server", server, null));
     }
 
     @Command(name = "weight", description = "Has a server take a share of its usual part.")
     int weight(
             @Parameters(paramLabel = "SERVER") String server,
             @Option(names = "--share", required = true, paramLabel = "0.001..1") double share,
-            @picocli.CommandLine.Mixin Lease lease) {
-        return ask(message("weight", lease, "server", server, share));
+            @picocli.CommandLine.Mixin LeaseOptions lease) {
+        return sendToNodes(buildRequest("weight", lease, "server", server, share));
     }
 
     @Command(name = "shed", description = "Refuses a share of a class's requests on arrival.")
     int shed(
             @Parameters(paramLabel = "CLASS") String cls,
             @Option(names = "--share", required = true, paramLabel = "0.001..1") double share,
-            @picocli.CommandLine.Mixin Lease lease) {
-        return ask(message("shed", lease, "class", cls, share));
+            @picocli.CommandLine.Mixin LeaseOptions lease) {
+        return sendToNodes(buildRequest("shed", lease, "class", cls, share));
     }
 
     @Command(name = "freeze", description = "Holds the list of servers as it is.")
-    int freeze(@picocli.CommandLine.Mixin Lease lease) {
-        return ask(message("freeze", lease, null, null, null));
+    int freeze(@picocli.CommandLine.Mixin LeaseOptions lease) {
+        return sendToNodes(buildRequest("freeze", lease, null, null, null));
     }
 
     @Command(name = "undo", description = "Ends an override before its time.")
     int undo(
             @Parameters(paramLabel = "NUMBER") long number,
             @Option(names = "--owner", paramLabel = "NAME") String owner) {
-        JsonObject message = message("undo");
+        JsonObject message = buildRequest("undo");
         message.addProperty("number", number);
         message.addProperty("owner", owner == null ? System.getProperty("user.name", "unknown") : owner);
-        return ask(message);
+        return sendToNodes(message);
     }
 
     @Command(
@@ -198,17 +198,17 @@
             throw new ParameterException(
                     spec.commandLine(), "say one of ID, --why-not, --refused and --last, not " + said);
         }
-        JsonObject message = message("explain");
+        JsonObject message = buildRequest("explain");
         if (id != null) {
             message.addProperty("txn", id);
         } else if (server != null) {
             message.addProperty("server", server);
         } else if (span != null) {
-            message.addProperty("refused", millis("--refused", span));
+            message.addProperty("refused", parseDurationMs("--refused", span));
         } else if (last != null) {
             message.addProperty("last", last);
         }
-        return ask(message);
+        return sendToNodes(message);
     }
 
     @Command(name = "audit", description = "Checks that a trail of changes is whole.")
@@ -233,33 +233,33 @@
         return broken == 0 ? 0 : 1;
     }
 
-    private static JsonObject message(String verb) {
+    private static JsonObject buildRequest(String verb) {
         JsonObject message = new JsonObject();
         message.addProperty("v", 1);
         message.addProperty("do", verb);
         return message;
     }
 
-    private JsonObject message(String verb, Lease lease, String field, String subject, Double share) {
-        JsonObject message = message(verb);
+    private JsonObject buildRequest(String verb, LeaseOptions lease, String field, String subject, Double share) {
+        JsonObject message = buildRequest(verb);
         if (field != null) {
             message.addProperty(field, subject);
         }
         if (share != null) {
             message.addProperty("share", share);
         }
-        message.addProperty("for", millis("--for", lease.length));
+        message.addProperty("for", parseDurationMs("--for", lease.duration));
         message.addProperty("reason", lease.reason);
         message.addProperty("owner", lease.owner);
         message.addProperty("priority", lease.priority);
         message.addProperty("key", lease.key);
         message.addProperty("anyway", lease.anyway);
-        message.addProperty("dry", lease.dry);
+        message.addProperty("dry", lease.dryRun);
         return message;
     }
 
-    private long millis(String option, String length) {
-        Matcher time = TIME.matcher(length);
+    private long parseDurationMs(String option, String length) {
+        Matcher time = DURATION.matcher(length);
         if (!time.matches()) {
             throw new ParameterException(
                     spec.commandLine(), option + " " + length + " is no length of time; 30s, 10m or 2h would be");
@@ -274,7 +274,7 @@
     }
 
     /** Asks the nodes one after the other; a change stops at the first that does not carry it out. */
-    private int ask(JsonObject message) {
+    private int sendToNodes(JsonObject message) {
         if (nodes.isEmpty()) {
             throw new ParameterException(spec.commandLine(), "name a node: --node SOCKET before the command");
         }
@@ -315,7 +315,7 @@
             ByteArrayOutputStream line = new ByteArrayOutputStream();
             var in = new java.io.BufferedInputStream(Channels.newInputStream(channel));
             for (int b = in.read(); b != '\n'; b = in.read()) {
-                if (b < 0 || line.size() >= MOST_REPLY) {
+                if (b < 0 || line.size() >= MAX_REPLY_BYTES) {
                     throw new IOException("it has ended the connection without an answer");
                 }
                 line.write(b);
@@ -333,20 +333,20 @@
             out().println(node + ":");
         }
         if (!reply.get("ok").getAsBoolean()) {
-            out().println("refused: " + texts(reply, "why"));
+            out().println("refused: " + joinTexts(reply, "why"));
         } else if (reply.has("list")) {
-            table(reply);
-        } else if (ExplainText.isOne(reply)) {
+            printTable(reply);
+        } else if (ExplainText.isExplanation(reply)) {
             ExplainText.print(out(), reply);
         } else if (reply.has("override")) {
             JsonObject lease = reply.getAsJsonObject("override");
-            out().println("override " + lease.get("number") + " holds for " + time(lease)
-                    + (texts(reply, "against").isEmpty() ? "" : ", although " + texts(reply, "against")));
+            out().println("override " + lease.get("number") + " holds for " + formatTimeLeft(lease)
+                    + (joinTexts(reply, "against").isEmpty() ? "" : ", although " + joinTexts(reply, "against")));
         } else if (reply.has("would")) {
             JsonObject before = reply.getAsJsonObject("before");
             JsonObject after = reply.getAsJsonObject("after");
             out().println((reply.get("would").getAsBoolean() ? "would be carried out" : "would be refused")
-                    + (texts(reply, "against").isEmpty() ? "" : ": " + texts(reply, "against")));
+                    + (joinTexts(reply, "against").isEmpty() ? "" : ": " + joinTexts(reply, "against")));
             out().println("servers that take requests: " + before.get("servers") + " now, "
                     + after.get("servers") + " then; weight " + before.get("weight") + ", "
                     + after.get("weight"));
@@ -360,7 +360,7 @@
         }
     }
 
-    private void table(JsonObject reply) {
+    private void printTable(JsonObject reply) {
         if (reply.getAsJsonArray("list").isEmpty()) {
             out().println("none");
         }
@@ -383,20 +383,20 @@
                                 row.get("kind").getAsString(),
                                 row.get("subject").getAsString(),
                                 amount == 0 ? "" : amount / 10.0 + "%",
-                                time(row),
+                                formatTimeLeft(row),
                                 row.get("owner").getAsString(),
                                 row.get("reason").getAsString());
             }
         }
     }
 
-    private static String texts(JsonObject reply, String key) {
+    private static String joinTexts(JsonObject reply, String key) {
         List<String> texts = new ArrayList<>();
         reply.getAsJsonArray(key).forEach(t -> texts.add(t.getAsString()));
         return String.join("; ", texts);
     }
 
-    private static String time(JsonObject lease) {
+    private static String formatTimeLeft(JsonObject lease) {
         long s = (lease.get("left-ms").getAsLong() + 999) / 1_000;
         return s < 120 ? s + " s" : s < 7_200 ? s / 60 + " min" : s / 3_600 + " h";
     }
--- a/src/main/java/vetchpost/daemon/ExplainText.java
+++ b/src/main/java/vetchpost/daemon/ExplainText.java
@@ -12,23 +12,23 @@
     private ExplainText() {}
 
     /** Whether a reply is an explanation. */
-    static boolean isOne(JsonObject reply) {
+    static boolean isExplanation(JsonObject reply) {
         return reply.has("flight") || reply.has("flights") || reply.has("reasons") || reply.has("counts");
     }
 
     static void print(PrintWriter out, JsonObject reply) {
         if (reply.has("flight")) {
-            flight(out, reply.getAsJsonObject("flight"));
+            printRequest(out, reply.getAsJsonObject("flight"));
         } else if (reply.has("flights")) {
-            lines(out, reply, "flights", "nothing was refused, failed, repeated or slow");
+            printLines(out, reply, "flights", "nothing was refused, failed, repeated or slow");
         } else if (reply.has("reasons")) {
-            lines(out, reply, "reasons", "nothing stands against it: it is drawn as any other");
+            printLines(out, reply, "reasons", "nothing stands against it: it is drawn as any other");
         } else {
-            lines(out, reply, "counts", "nothing was refused and nothing has failed");
+            printLines(out, reply, "counts", "nothing was refused and nothing has failed");
         }
     }
 
-    private static void lines(PrintWriter out, JsonObject reply, String key, String none) {
+    private static void printLines(PrintWriter out, JsonObject reply, String key, String none) {
         if (reply.getAsJsonArray(key).isEmpty()) {
             out.println(none);
         }
@@ -41,27 +41,27 @@
                         Locale.ROOT,
                         "%7d  %-8s %-16s %s%n",
                         line.get("count").getAsLong(),
-                        text(line, "told"),
-                        text(line, "class"),
-                        text(line, "cause"));
+                        textOf(line, "told"),
+                        textOf(line, "class"),
+                        textOf(line, "cause"));
             } else {
                 JsonObject flight = each.getAsJsonObject();
                 out.printf(
                         Locale.ROOT,
                         "%s  %-8s %8s  %d attempts  %s%n",
-                        text(flight, "txn"),
-                        text(flight, "told"),
-                        ms(flight, "took-ms"),
+                        textOf(flight, "txn"),
+                        textOf(flight, "told"),
+                        formatMs(flight, "took-ms"),
                         flight.getAsJsonArray("attempts").size(),
-                        text(flight, "request"));
+                        textOf(flight, "request"));
             }
         }
     }
 
-    private static void flight(PrintWriter out, JsonObject flight) {
-        out.println(text(flight, "request") + " (" + text(flight, "class") + "), id " + text(flight, "txn"));
-        out.println("  taken with " + ms(flight, "left-ms") + " left, after " + ms(flight, "lay-ms")
-                + " unread; at the door for " + ms(flight, "queued-ms"));
+    private static void printRequest(PrintWriter out, JsonObject flight) {
+        out.println(textOf(flight, "request") + " (" + textOf(flight, "class") + "), id " + textOf(flight, "txn"));
+        out.println("  taken with " + formatMs(flight, "left-ms") + " left, after " + formatMs(flight, "lay-ms")
+                + " unread; at the door for " + formatMs(flight, "queued-ms"));
         for (JsonElement each : flight.getAsJsonArray("attempts")) {
             JsonObject attempt = each.getAsJsonObject();
             List<String> drawn = new ArrayList<>();
@@ -71,30 +71,31 @@
                     drawn.add(String.format(
                             Locale.ROOT,
                             "%s (weight %.2f, %d in flight of %.1f, pace %.2f)",
-                            text(c, "server"),
+                            textOf(c, "server"),
                             c.get("weight").getAsDouble(),
                             c.get("in-flight").getAsInt(),
                             c.get("limit").getAsDouble(),
                             c.get("pace").getAsDouble()));
                 }
             }
-            out.println("  after " + ms(attempt, "after-ms") + " to " + text(attempt, "server") + ": "
-                    + text(attempt, "outcome").replace('_', ' ')
-                    + (attempt.has("took-ms") ? " after " + ms(attempt, "took-ms") : ""));
+            out.println("  after " + formatMs(attempt, "after-ms") + " to " + textOf(attempt, "server") + ": "
+                    + textOf(attempt, "outcome").replace('_', ' ')
+                    + (attempt.has("took-ms") ? " after " + formatMs(attempt, "took-ms") : ""));
             for (String candidate : drawn) {
                 out.println("      drawn: " + candidate);
             }
         }
-        out.println("  " + text(flight, "told") + (flight.has("took-ms") ? " after " + ms(flight, "took-ms") : "")
-                + (flight.has("why") ? ": " + text(flight, "why") : "")
-                + (flight.has("come-back-ms") ? "; to come back after " + ms(flight, "come-back-ms") : ""));
+        out.println("  " + textOf(flight, "told")
+                + (flight.has("took-ms") ? " after " + formatMs(flight, "took-ms") : "")
+                + (flight.has("why") ? ": " + textOf(flight, "why") : "")
+                + (flight.has("come-back-ms") ? "; to come back after " + formatMs(flight, "come-back-ms") : ""));
     }
 
-    private static String text(JsonObject json, String key) {
+    private static String textOf(JsonObject json, String key) {
         return json.get(key).getAsString();
     }
 
-    private static String ms(JsonObject json, String key) {
+    private static String formatMs(JsonObject json, String key) {
         return json.has(key)
                 ? String.format(Locale.ROOT, "%.1f ms", json.get(key).getAsDouble())
                 : "";
--- a/src/main/java/vetchpost/daemon/InitCommand.java
+++ b/src/main/java/vetchpost/daemon/InitCommand.java
@@ -39,14 +39,14 @@
 
     @Override
     public Integer call() {
-        check(listen);
-        servers.forEach(this::check);
-        spec.commandLine().getOut().print(text());
+        checkAddress(listen);
+        servers.forEach(this::checkAddress);
+        spec.commandLine().getOut().print(fileText());
         spec.commandLine().getOut().flush();
         return 0;
     }
 
-    private void check(String address) {
+    private void checkAddress(String address) {
         try {
             ServerEntryReader.parseAddress(address);
         } catch (IllegalArgumentException e) {
@@ -57,7 +57,7 @@
         }
     }
 
-    private String text() {
+    private String fileText() {
         String named = servers.stream().map(s -> "    \"" + s + "\",\n").collect(Collectors.joining());
         return """
                 # A vetchpost node by itself: `check FILE` proves this file, `serve FILE` runs it. What is
--- a/src/main/java/vetchpost/daemon/Main.java
+++ b/src/main/java/vetchpost/daemon/Main.java
@@ -18,23 +18,23 @@
 public final class Main {
     private static final Logger LOG = System.getLogger(Main.class.getName());
 
-    static final String UNCHANGED = "the configuration stays as it was: {0}";
+    static final String CONFIGURATION_UNCHANGED = "the configuration stays as it was: {0}";
     /** The process was started with the signal ignored. */
-    static final String DEAF = "SIGHUP is ignored since the start, as by nohup: it reloads nothing";
+    static final String SIGHUP_IGNORED = "SIGHUP is ignored since the start, as by nohup: it reloads nothing";
     /** A bad configuration. */
-    static final int BAD_CONFIG = 2;
+    static final int EXIT_BAD_CONFIG = 2;
     /** Past any wait for an answer. All that is in hand ends by its own time, and what ends the process with
      * a request in hand has lost it; so this is only for a fault of ours. */
-    private static final long STOP_WITHIN_MS = 60_000;
+    private static final long STOP_TIMEOUT_MS = 60_000;
 
     /** Enough for all classes to be loaded; more make the first answers quicker but the node come later. */
-    static final int REHEARSED = 100;
+    static final int STANDALONE_WARM_UP_REQUESTS = 100;
     /** Here so many go through the process alone, which half as many more would make no quicker ... */
-    private static final int WARM_UP = 50;
+    private static final int IN_PROCESS_WARM_UP_REQUESTS = 50;
     /** ... and so few over sockets, once the node listens: clients may come then. */
-    private static final int BY_SOCKETS = 16;
+    private static final int SOCKET_WARM_UP_REQUESTS = 16;
 
-    private static final String EXAMPLE = """
+    private static final String REHEARSAL_CONFIG = """
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":1024},
              "known":{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":"127.0.0.1:1","az":"a",
               "pod_group":1,"state":"Ready","capacity_hint":1.0,"boot_ms":0}]},
@@ -43,7 +43,7 @@
                {"name":"b","repeat":"unsafe","onTimeUs":1000000,"giveUpUs":3000000}]}}""";
 
     /** The routes that the process serves by, of an operator's file beside the platform's configuration. */
-    private static volatile RouteLoader.Loaded inForce;
+    private static volatile RouteLoader.LoadedRoutes activeRoutes;
 
     private Main() {}
 
@@ -86,11 +86,11 @@
         });
         loop.execute(() -> {
             if (!heard) {
-                LOG.log(Level.WARNING, DEAF);
+                LOG.log(Level.WARNING, SIGHUP_IGNORED);
             }
             node[0] = start(environment, group, loop, routes);
             if (!heard && node[0] != null) {
-                node[0].setReadinessNote(() -> DEAF);
+                node[0].setReadinessNote(() -> SIGHUP_IGNORED);
             }
         });
     }
@@ -101,25 +101,25 @@
             NodeConfig config = NodeConfig.read(environment).withMaxDescriptors(DescriptorLimit.limit());
             node = new Node(config, loop);
             if (routes != null) {
-                RouteLoader.Loaded loaded = RouteLoader.load(routes, config.settings(), config.seed(), null);
-                inForce = loaded;
+                RouteLoader.LoadedRoutes loaded = RouteLoader.load(routes, config.settings(), config.seed(), null);
+                activeRoutes = loaded;
                 node.setRoutes(loaded.policy());
                 if (loaded.subset() != null) {
                     node.setSubset(loaded.subset());
                 }
-                AdmissionLoader.settle(node, loaded.file().admission(), config);
+                AdmissionLoader.apply(node, loaded.file().admission(), config);
                 if (loaded.file().recovery() != null) {
                     node.setLifecycle(RecoveryLoader.load(loaded.file().recovery(), config.settings(), loop, group));
                 }
             }
         } catch (IllegalArgumentException e) {
-            exit("bad configuration: " + e.getMessage(), BAD_CONFIG);
+            exit("bad configuration: " + e.getMessage(), EXIT_BAD_CONFIG);
             return null;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, loop, () -> {}), "stop"));
         node.warmUp(
-                WARM_UP,
-                () -> node.start(group, BY_SOCKETS, () -> {}).addListener(done -> {
+                IN_PROCESS_WARM_UP_REQUESTS,
+                () -> node.start(group, SOCKET_WARM_UP_REQUESTS, () -> {}).addListener(done -> {
                     if (!done.isSuccess()) {
                         exit("can't listen: " + done.cause().getMessage(), 1);
                     }
@@ -132,7 +132,7 @@
         try {
             node.moveDiscovery(NodeConfig.reread(environment));
         } catch (RuntimeException e) {
-            LOG.log(Level.WARNING, UNCHANGED, e.getMessage());
+            LOG.log(Level.WARNING, CONFIGURATION_UNCHANGED, e.getMessage());
         }
     }
 
@@ -141,29 +141,31 @@
         try {
             NodeConfig config = NodeConfig.reread(environment);
             // Which part of the fleet it has, and what is kept and handed over, stay as at the start.
-            RouteLoader.Loaded loaded = RouteLoader.load(routes, config.settings(), config.seed(), inForce);
+            RouteLoader.LoadedRoutes loaded = RouteLoader.load(routes, config.settings(), config.seed(), activeRoutes);
             loop.execute(() -> {
                 try {
                     // First: it is the one that may find that it can't.
-                    AdmissionLoader.settle(node[0], loaded.file().admission(), config);
+                    AdmissionLoader.apply(node[0], loaded.file().admission(), config);
                     node[0].moveDiscovery(config);
-                    loaded.settle();
-                    inForce = loaded;
+                    loaded.apply();
+                    activeRoutes = loaded;
                 } catch (RuntimeException e) {
-                    LOG.log(Level.WARNING, UNCHANGED, e.getMessage());
+                    LOG.log(Level.WARNING, CONFIGURATION_UNCHANGED, e.getMessage());
                 }
             });
         } catch (RuntimeException e) {
-            LOG.log(Level.WARNING, UNCHANGED, e.getMessage());
+            LOG.log(Level.WARNING, CONFIGURATION_UNCHANGED, e.getMessage());
         }
     }
 
     private static void rehearse() {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         ReloadSignal.handle(() -> {});
-        Node node = new Node(NodeConfig.parse(EXAMPLE, Map.of()), group.next());
+        Node node = new Node(NodeConfig.parse(REHEARSAL_CONFIG, Map.of()), group.next());
         group.next()
-                .execute(() -> node.warmUp(WARM_UP, () -> node.start(group, BY_SOCKETS, group::shutdownGracefully)));
+                .execute(() -> node.warmUp(
+                        IN_PROCESS_WARM_UP_REQUESTS,
+                        () -> node.start(group, SOCKET_WARM_UP_REQUESTS, group::shutdownGracefully)));
     }
 
     static void exit(String reason, int code) {
@@ -177,7 +179,7 @@
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> node.stop(done::countDown));
         try {
-            done.await(STOP_WITHIN_MS, TimeUnit.MILLISECONDS);
+            done.await(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/vetchpost/daemon/RouteLoader.java
+++ b/src/main/java/vetchpost/daemon/RouteLoader.java
@@ -19,9 +19,9 @@
      * @param file recovery is null where nothing is kept or handed over, admission where nothing waits before
      * the module
      */
-    record Loaded(FileRoutePolicy policy, Subset subset, ValidatedFile file) {
+    record LoadedRoutes(FileRoutePolicy policy, Subset subset, ValidatedFile file) {
         /** Has all of it hold from now on; on the loop. */
-        void settle() {
+        void apply() {
             policy.replaceTable(file.routes().table(), file.settings());
         }
     }
@@ -32,18 +32,18 @@
      * @param before what it came to the last time, or null; its policy goes on with what it has counted
      * @throws IllegalArgumentException with a line for each violation
      */
-    static Loaded load(Path path, Settings settings, long seed, Loaded before) {
+    static LoadedRoutes load(Path path, Settings settings, long seed, LoadedRoutes before) {
         ValidatedFile file;
         try {
-            file = ValidatedFile.prove(path, sections -> settings, before == null ? null : before.file());
+            file = ValidatedFile.read(path, sections -> settings, before == null ? null : before.file());
         } catch (IOException e) {
             throw new IllegalArgumentException("the routes can't be read: " + e, e);
         }
-        if (!file.holds()) {
-            throw new IllegalArgumentException(file.refusal("the routes are"));
+        if (!file.isValid()) {
+            throw new IllegalArgumentException(file.describeViolations("the routes are"));
         }
         RouteValidation.FleetSubset part = file.routes().fleetSubset();
-        return new Loaded(
+        return new LoadedRoutes(
                 before == null ? new FileRoutePolicy(file.routes().table(), settings, seed) : before.policy(),
                 part == null ? null : subset(part, settings),
                 file);
--- a/src/main/java/vetchpost/daemon/StandaloneMain.java
+++ b/src/main/java/vetchpost/daemon/StandaloneMain.java
@@ -20,7 +20,7 @@
         try {
             loaded = StandaloneNode.load(file);
         } catch (IllegalArgumentException e) {
-            Main.exit(e.getMessage(), Main.BAD_CONFIG);
+            Main.exit(e.getMessage(), Main.EXIT_BAD_CONFIG);
             return;
         }
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -33,17 +33,17 @@
         try {
             node = new StandaloneNode(loaded, group, loop);
         } catch (IllegalArgumentException e) {
-            Main.exit("bad configuration: " + e.getMessage(), Main.BAD_CONFIG);
+            Main.exit("bad configuration: " + e.getMessage(), Main.EXIT_BAD_CONFIG);
             return;
         }
         // On the signal's own thread: many routes take longer to read than the loop may stand.
         boolean heard = ReloadSignal.handle(() -> reload(node, file, loop, told -> {}));
         if (!heard) {
-            LOG.log(Level.WARNING, Main.DEAF);
+            LOG.log(Level.WARNING, Main.SIGHUP_IGNORED);
         }
-        node.operated(heard, told -> reloadAside(node, file, loop, told));
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> Main.stop(node.node(), loop, node::keep), "stop"));
-        node.start(Main.REHEARSED, () -> {}).addListener(done -> {
+        node.enableReload(heard, told -> reloadInBackground(node, file, loop, told));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> Main.stop(node.node(), loop, node::saveRoutes), "stop"));
+        node.start(Main.STANDALONE_WARM_UP_REQUESTS, () -> {}).addListener(done -> {
             if (!done.isSuccess()) {
                 Main.exit(
                         "can't listen on " + loaded.node().listen() + ": "
@@ -56,31 +56,31 @@
     /** Reads the file on the thread that calls, and has it hold; tells null, or why nothing was changed. */
     private static synchronized void reload(StandaloneNode node, Path file, EventLoop loop, Consumer<String> told) {
         try {
-            ValidatedFile fresh = StandaloneNode.load(file, onLoop(node, loop));
+            ValidatedFile fresh = StandaloneNode.load(file, activeFile(node, loop));
             loop.execute(() -> {
                 try {
                     node.reload(fresh).addListener(done -> told.accept(null));
                 } catch (RuntimeException e) {
-                    unchanged(e, told);
+                    reportUnchanged(e, told);
                 }
             });
         } catch (RuntimeException e) {
-            loop.execute(() -> unchanged(e, told));
+            loop.execute(() -> reportUnchanged(e, told));
         }
     }
 
     /** What the node serves by now: readings come one after the other, but take hold on the loop. */
-    private static ValidatedFile onLoop(StandaloneNode node, EventLoop loop) {
-        return loop.submit(node::loaded).syncUninterruptibly().getNow();
+    private static ValidatedFile activeFile(StandaloneNode node, EventLoop loop) {
+        return loop.submit(node::activeFile).syncUninterruptibly().getNow();
     }
 
-    private static void unchanged(RuntimeException why, Consumer<String> told) {
-        LOG.log(Level.WARNING, Main.UNCHANGED, why.getMessage());
+    private static void reportUnchanged(RuntimeException why, Consumer<String> told) {
+        LOG.log(Level.WARNING, Main.CONFIGURATION_UNCHANGED, why.getMessage());
         told.accept(why.getMessage());
     }
 
     /** The same by a thread of its own, for whoever must not wait. */
-    private static void reloadAside(StandaloneNode node, Path file, EventLoop loop, Consumer<String> told) {
+    private static void reloadInBackground(StandaloneNode node, Path file, EventLoop loop, Consumer<String> told) {
         Thread reading = new Thread(() -> reload(node, file, loop, told), "reload");
         reading.setDaemon(true);
         reading.start();
--- a/src/main/java/vetchpost/daemon/StandaloneNode.java
+++ b/src/main/java/vetchpost/daemon/StandaloneNode.java
@@ -26,7 +26,7 @@
 import vetchpost.sourcewatch.SourceWatcher;
 import vetchpost.standalone.ReloadPlan;
 import vetchpost.standalone.Standalone;
-import vetchpost.web.WebFront;
+import vetchpost.web.WebProtocolAdapter;
 
 /** A node that one operator's file makes, without a platform: its start, and what a reload changes. */
 final class StandaloneNode {
@@ -34,45 +34,46 @@
 
     private final EventLoopGroup group;
     private final EventLoop loop;
-    private final WebFront front;
-    private final SourceWatcher conductor;
+    private final WebProtocolAdapter webAdapter;
+    private final SourceWatcher sourceWatcher;
     private final Node node;
     /** Null where the file has no such table. */
     private final ControlLoader control;
 
     private final long seed;
-    private ValidatedFile loaded;
-    private final FileRoutePolicy policy;
+    private ValidatedFile activeFile;
+    private final FileRoutePolicy routePolicy;
     /** Null where the file has no such table. */
     private final ChangesLoader changes;
     /** The routes in force; the file's own, or those of control machines. */
-    private RouteTable routes;
+    private RouteTable routeTable;
 
-    private SocketAddress listening;
+    private SocketAddress listenAddress;
 
     /** Not started; on the loop. Throws IllegalArgumentException if the node can't be made. */
     StandaloneNode(ValidatedFile file, EventLoopGroup group, EventLoop loop) {
         this.group = group;
         this.loop = loop;
-        loaded = file;
+        activeFile = file;
         Standalone alone = file.node();
         seed = alone.seed() != 0 ? alone.seed() : new SecureRandom().nextLong();
-        front = new WebFront(alone.settings(), alone.classifier(), alone.limits(), System::currentTimeMillis);
-        conductor = new SourceWatcher(alone, loop, Network.SYSTEM, seed, System.currentTimeMillis());
+        webAdapter =
+                new WebProtocolAdapter(alone.settings(), alone.classifier(), alone.limits(), System::currentTimeMillis);
+        sourceWatcher = new SourceWatcher(alone, loop, Network.SYSTEM, seed, System.currentTimeMillis());
         node = new Node(
-                config(alone),
+                nodeConfig(alone),
                 loop,
                 Network.SYSTEM,
                 System.currentTimeMillis(),
                 NodeHooks.NONE,
-                new ProtocolAdapters(front, front));
-        node.setAttemptObserver(conductor);
+                new ProtocolAdapters(webAdapter, webAdapter));
+        node.setAttemptObserver(sourceWatcher);
         control = file.control() == null
                 ? null
                 : new ControlLoader(
                         file.control(),
                         loop,
-                        conductor,
+                        sourceWatcher,
                         () -> Map.of(
                                 "requests",
                                 (long) node.pendingWork().requests(),
@@ -81,24 +82,26 @@
                                 "sockets",
                                 (long) node.pendingWork().sockets()));
         if (control != null) {
-            control.explain(node, alone.settings());
+            control.enableExplanations(node, alone.settings());
         }
         changes = file.changes() == null
                 ? null
                 : new ChangesLoader(
-                        file.changes(), alone.settings(), catalog -> loop.execute(() -> settle(catalog.routes())));
-        routes = changes == null ? file.routes().table() : changes.first().routes();
-        policy = new FileRoutePolicy(routes, alone.settings(), seed);
+                        file.changes(), alone.settings(), catalog -> loop.execute(() -> applyRoutes(catalog.routes())));
+        routeTable = changes == null
+                ? file.routes().table()
+                : changes.initialConfiguration().routes();
+        routePolicy = new FileRoutePolicy(routeTable, alone.settings(), seed);
         if (changes != null) {
-            node.setReadinessNote(changes::words);
+            node.setReadinessNote(changes::describeStatus);
         }
-        policy(file, true);
+        applyPolicies(file, true);
         if (file.recovery() != null) {
             node.setLifecycle(RecoveryLoader.load(file.recovery(), alone.settings(), loop, group));
         }
     }
 
-    private NodeConfig config(Standalone alone) {
+    private NodeConfig nodeConfig(Standalone alone) {
         return new NodeConfig(
                 alone.listen(),
                 null,
@@ -106,22 +109,22 @@
                 Math.min(alone.maxDescriptors(), DescriptorLimit.limit()),
                 alone.connectionIdleUs(),
                 alone.settings(),
-                conductor.knownServers());
+                sourceWatcher.knownServers());
     }
 
     /** Has other routes hold from now on: one reference, whatever their number. */
-    private void settle(RouteTable table) {
-        routes = table;
-        policy.replaceTable(routes, loaded.node().settings());
+    private void applyRoutes(RouteTable table) {
+        routeTable = table;
+        routePolicy.replaceTable(routeTable, activeFile.node().settings());
     }
 
-    private void policy(ValidatedFile file, boolean starting) {
-        policy.replaceTable(routes, file.node().settings());
+    private void applyPolicies(ValidatedFile file, boolean starting) {
+        routePolicy.replaceTable(routeTable, file.node().settings());
         node.setRoutes(
                 control == null
-                        ? policy
-                        : control.before(
-                                policy,
+                        ? routePolicy
+                        : control.withShedding(
+                                routePolicy,
                                 file.node().settings().classes.stream()
                                         .map(c -> c.name())
                                         .toList()));
@@ -132,7 +135,7 @@
                     file.routes().fleetSubset().subset(),
                     false));
         }
-        AdmissionLoader.settle(node, file.admission(), config(file.node()));
+        AdmissionLoader.apply(node, file.admission(), nodeConfig(file.node()));
     }
 
     /** Reads and proves a file; throws IllegalArgumentException with a line for each violation. */
@@ -148,24 +151,24 @@
     static ValidatedFile load(Path path, ValidatedFile before) {
         ValidatedFile file;
         try {
-            file = before == null ? ValidatedFile.prove(path, sections -> null, null) : before.again(path);
+            file = before == null ? ValidatedFile.read(path, sections -> null, null) : before.reread(path);
         } catch (IOException e) {
             throw new IllegalArgumentException("the file can't be read: " + e, e);
         }
-        if (file.holds() && file.node() == null) {
+        if (file.isValid() && file.node() == null) {
             throw new IllegalArgumentException(path
                     + " has no table [node]: serve --routes takes it beside the"
                     + " platform's configuration, and init prints one that runs by itself");
         }
-        if (!file.holds()) {
-            throw new IllegalArgumentException(file.refusal("the file is"));
+        if (!file.isValid()) {
+            throw new IllegalArgumentException(file.describeViolations("the file is"));
         }
         return file;
     }
 
     /** What it serves by. */
-    ValidatedFile loaded() {
-        return loaded;
+    ValidatedFile activeFile() {
+        return activeFile;
     }
 
     Node node() {
@@ -178,18 +181,18 @@
      * @param heard whether SIGHUP comes through
      * @param reload reads it and tells null, or why nothing was changed, on the loop
      */
-    void operated(boolean heard, Consumer<Consumer<String>> reload) {
+    void enableReload(boolean heard, Consumer<Consumer<String>> reload) {
         if (control != null) {
-            control.operated(reload, () -> remark(heard));
+            control.enableReload(reload, () -> statusNote(heard));
         }
-        node.setReadinessNote(() -> remark(heard));
+        node.setReadinessNote(() -> statusNote(heard));
     }
 
     /** What operators are told besides what they ask for; null for nothing. */
-    String remark(boolean heard) {
+    String statusNote(boolean heard) {
         return changes == null
-                ? heard ? null : Main.DEAF
-                : heard ? changes.words() : changes.words() + "; " + Main.DEAF;
+                ? heard ? null : Main.SIGHUP_IGNORED
+                : heard ? changes.describeStatus() : changes.describeStatus() + "; " + Main.SIGHUP_IGNORED;
     }
 
     /** Opens the client side, and asks the sources from then on. */
@@ -200,11 +203,11 @@
         ChannelFuture binding = node.start(group, rehearsed, whenReady);
         binding.addListener(done -> {
             if (done.isSuccess()) {
-                listening = binding.channel().localAddress();
+                listenAddress = binding.channel().localAddress();
                 if (changes != null) {
-                    changes.begin();
+                    changes.start();
                 }
-                conductor.start(node::onList);
+                sourceWatcher.start(node::onList);
             }
         });
         return binding;
@@ -219,58 +222,58 @@
      * before
      */
     Future<SocketAddress> reload(ValidatedFile fresh) {
-        if (fresh.node() == loaded.node()) {
+        if (fresh.node() == activeFile.node()) {
             // Routes alone have changed, if anything: one reference, whatever their number.
-            loaded = fresh;
+            activeFile = fresh;
             if (changes == null) {
-                settle(fresh.routes().table());
+                applyRoutes(fresh.routes().table());
             }
             LOG.log(Level.INFO, "the file has been read again");
-            return loop.<SocketAddress>newPromise().setSuccess(listening);
+            return loop.<SocketAddress>newPromise().setSuccess(listenAddress);
         }
-        if (!Objects.equals(loaded.changes(), fresh.changes())
-                || changes != null && !loaded.settings().classes.equals(fresh.settings().classes)) {
+        if (!Objects.equals(activeFile.changes(), fresh.changes())
+                || changes != null && !activeFile.settings().classes.equals(fresh.settings().classes)) {
             throw new IllegalArgumentException(
                     "[changes], and classes beside it, are as at the start: a " + "restart takes " + "them up");
         }
-        routes = changes == null ? fresh.routes().table() : routes;
+        routeTable = changes == null ? fresh.routes().table() : routeTable;
         Standalone now = fresh.node();
-        ReloadPlan renewal = ReloadPlan.between(loaded.node(), now);
+        ReloadPlan renewal = ReloadPlan.between(activeFile.node(), now);
         if (renewal.replacesCore()) {
-            node.reconfigure(config(now));
+            node.reconfigure(nodeConfig(now));
             if (control != null) {
                 // Other classes, other aims: what was kept is of the old ones.
-                control.explain(node, now.settings());
+                control.enableExplanations(node, now.settings());
             }
         }
-        front.reconfigure(now.settings(), now.classifier(), now.limits());
-        policy(fresh, false);
-        conductor.reload(now);
+        webAdapter.reconfigure(now.settings(), now.classifier(), now.limits());
+        applyPolicies(fresh, false);
+        sourceWatcher.reload(now);
         Promise<SocketAddress> inForce = loop.newPromise();
         if (renewal.movesListener()) {
-            ChannelFuture binding = node.addListener(group, now.listen());
+            ChannelFuture binding = node.rebind(group, now.listen());
             binding.addListener(done -> {
                 if (done.isSuccess()) {
-                    listening = binding.channel().localAddress();
+                    listenAddress = binding.channel().localAddress();
                 }
                 LOG.log(
                         Level.INFO,
                         done.isSuccess() ? "listening on {0}" : "can''t listen on {0}, and goes on where it did",
                         now.listen());
-                inForce.setSuccess(listening);
+                inForce.setSuccess(listenAddress);
             });
         } else {
-            inForce.setSuccess(listening);
+            inForce.setSuccess(listenAddress);
         }
-        loaded = fresh;
+        activeFile = fresh;
         LOG.log(Level.INFO, "the file has been read again");
         return inForce;
     }
 
     /** Keeps what would be lost with the process; blocks for a while at most. */
-    void keep() {
+    void saveRoutes() {
         if (changes != null) {
-            changes.keepNow();
+            changes.saveNow();
         }
     }
 
@@ -281,7 +284,7 @@
         if (control != null) {
             control.close();
         }
-        conductor.close();
+        sourceWatcher.close();
         node.close();
     }
 }
--- a/src/main/java/vetchpost/daemon/StateCommand.java
+++ b/src/main/java/vetchpost/daemon/StateCommand.java
@@ -47,11 +47,11 @@
             paramLabel = "N",
             defaultValue = "50",
             description = "Shows so many boxes, the ones that fail most first; 50 if not said.")
-    private int most;
+    private int maxServers;
 
     @Override
     public Integer call() {
-        if (most < 0) {
+        if (maxServers < 0) {
             throw new ParameterException(spec.commandLine(), "--most is under 0");
         }
         if (!Files.exists(file) && !Files.exists(Path.of(file + ".old"))) {
@@ -76,8 +76,8 @@
         out.printf(
                 Locale.ROOT,
                 "taken %s ago by a node that had run for %s; list %d, %d boxes%n",
-                time(nowMs - snapshot.origin().takenMs()),
-                time(snapshot.origin().takenMs() - snapshot.origin().startedMs()),
+                formatDuration(nowMs - snapshot.origin().takenMs()),
+                formatDuration(snapshot.origin().takenMs() - snapshot.origin().startedMs()),
                 snapshot.origin().revision(),
                 snapshot.servers().size());
         Set<SelfFault> doubts = SelfFaultDetector.inSnapshot(snapshot, nowMs);
@@ -88,7 +88,7 @@
                                 + String.join(
                                         ", ",
                                         doubts.stream()
-                                                .map(SelfFault::words)
+                                                .map(SelfFault::description)
                                                 .sorted()
                                                 .toList()));
         for (ClassState state : snapshot.classes()) {
@@ -99,7 +99,7 @@
                     state.latencyUs() / 1_000,
                     state.sampleCount());
         }
-        if (snapshot.servers().isEmpty() || most == 0) {
+        if (snapshot.servers().isEmpty() || maxServers == 0) {
             return;
         }
         out.printf(
@@ -109,7 +109,7 @@
         boxes.sort(Comparator.comparingInt((ServerRecord b) ->
                         b.statistics() == null ? 0 : -b.statistics().recentFailures())
                 .thenComparing(b -> b.target().id()));
-        for (ServerRecord box : boxes.subList(0, Math.min(most, boxes.size()))) {
+        for (ServerRecord box : boxes.subList(0, Math.min(maxServers, boxes.size()))) {
             PerServer known = box.statistics();
             String address = box.target().address().getAddress().getHostAddress() + ":"
                     + box.target().address().getPort();
@@ -118,24 +118,24 @@
                     "%-20s %-22s %10s %-8s %8s %6s %6s %6s %s%n",
                     box.target().id(),
                     address,
-                    time(nowMs - box.confirmedMs()),
+                    formatDuration(nowMs - box.confirmedMs()),
                     box.confirmedBy().name().toLowerCase(Locale.ROOT),
                     known == null ? "-" : known.attemptCount(),
                     known == null ? "-" : known.consecutiveErrors(),
-                    known == null ? "-" : figure(known.relativeLatency()),
-                    known == null ? "-" : figure(known.relativeLimit()),
+                    known == null ? "-" : formatNumber(known.relativeLatency()),
+                    known == null ? "-" : formatNumber(known.relativeLimit()),
                     known != null && known.ejected() ? "ejected" : "");
         }
-        if (boxes.size() > most) {
-            out.println("and " + (boxes.size() - most) + " more; --most shows more of them");
+        if (boxes.size() > maxServers) {
+            out.println("and " + (boxes.size() - maxServers) + " more; --most shows more of them");
         }
     }
 
-    private static String figure(double value) {
+    private static String formatNumber(double value) {
         return String.format(Locale.ROOT, "%.2f", value);
     }
 
-    private static String time(long ms) {
+    private static String formatDuration(long ms) {
         return ms < 120_000
                 ? String.format(Locale.ROOT, "%.1f s", ms / 1e3)
                 : ms < 7_200_000
--- a/src/main/java/vetchpost/daemon/ValidatedFile.java
+++ b/src/main/java/vetchpost/daemon/ValidatedFile.java
@@ -48,7 +48,7 @@
  * @param violations every one, in the order of the file
  */
 record ValidatedFile(
-        boolean hasOwn,
+        boolean hasStandaloneTables,
         Standalone node,
         Settings settings,
         RouteValidation routes,
@@ -61,26 +61,26 @@
         List<Violation> violations) {
 
     /** Puts together what the tables come to as they are read. */
-    private static final class Reading implements FileIndex.Tables {
-        private final Function<List<Section>, Settings> platform;
-        private final RouteTable before;
+    private static final class TableReader implements FileIndex.SectionHandler {
+        private final Function<List<Section>, Settings> platformSettings;
+        private final RouteTable previousTable;
         private final long version;
         private final List<Violation> violations = new ArrayList<>();
-        private List<Section> others = List.of();
+        private List<Section> otherSections = List.of();
         private Standalone node;
         private Settings settings;
-        private RouteValidator prover;
+        private RouteValidator routeValidator;
 
-        Reading(Function<List<Section>, Settings> platform, RouteTable before, long version) {
-            this.platform = platform;
-            this.before = before;
+        TableReader(Function<List<Section>, Settings> platform, RouteTable before, long version) {
+            this.platformSettings = platform;
+            this.previousTable = before;
             this.version = version;
         }
 
         @Override
-        public void otherSections(List<Section> sections) {
-            others = sections;
-            settings = platform.apply(sections);
+        public void acceptOtherSections(List<Section> sections) {
+            otherSections = sections;
+            settings = platformSettings.apply(sections);
             boolean alone = settings == null;
             if (alone) {
                 StandaloneValidator.Validation made = StandaloneValidator.validate(sections);
@@ -89,21 +89,21 @@
                 settings = node == null ? null : node.settings();
             }
             if (settings != null) {
-                prover = RouteValidator.begin(sections, settings, alone, before, version);
+                routeValidator = RouteValidator.begin(sections, settings, alone, previousTable, version);
             }
         }
 
         @Override
-        public void route(Section section) {
-            if (prover != null) {
-                prover.add(section);
+        public void acceptRoute(Section section) {
+            if (routeValidator != null) {
+                routeValidator.addRoute(section);
             }
         }
 
-        ValidatedFile end(FileIndex index) {
-            if (prover == null || !violations.isEmpty()) {
+        ValidatedFile finish(FileIndex index) {
+            if (routeValidator == null || !violations.isEmpty()) {
                 return new ValidatedFile(
-                        others.stream().anyMatch(StandaloneValidator::isStandaloneSection),
+                        otherSections.stream().anyMatch(StandaloneValidator::isStandaloneSection),
                         node,
                         settings,
                         null,
@@ -115,11 +115,11 @@
                         version,
                         violations);
             }
-            RouteValidation routes = prover.end();
-            RecoveryValidator.Validation recovery = RecoveryValidator.validate(others);
-            AdmissionValidator.ValidationResult admission = AdmissionValidator.validate(others, settings);
-            ControlValidator.Validation control = ControlValidator.validate(others);
-            ChangesValidator.Validation changes = ChangesValidator.validate(others);
+            RouteValidation routes = routeValidator.finish();
+            RecoveryValidator.Validation recovery = RecoveryValidator.validate(otherSections);
+            AdmissionValidator.ValidationResult admission = AdmissionValidator.validate(otherSections, settings);
+            ControlValidator.Validation control = ControlValidator.validate(otherSections);
+            ChangesValidator.Validation changes = ChangesValidator.validate(otherSections);
             violations.addAll(routes.violations());
             violations.addAll(recovery.violations());
             violations.addAll(admission.violations());
@@ -127,11 +127,11 @@
             violations.addAll(changes.violations());
             if (changes.settings() != null && node == null) {
                 violations.add(new Violation(
-                        others.stream()
+                        otherSections.stream()
                                 .filter(s -> s.kind() == Section.Kind.CHANGES)
                                 .findFirst()
                                 .orElseThrow()
-                                .at(),
+                                .position(),
                         "changes",
                         Violation.Rule.INCOMPLETE,
                         "beside a platform routes come from " + "the file",
@@ -141,18 +141,18 @@
                     && routes.table() != null
                     && routes.table().size() > 0) {
                 violations.add(new Violation(
-                        others.stream()
+                        otherSections.stream()
                                 .filter(s -> s.kind() == Section.Kind.CHANGES)
                                 .findFirst()
                                 .orElseThrow()
-                                .at(),
+                                .position(),
                         "changes",
                         Violation.Rule.UNREACHABLE,
                         routes.table().size() + " routes of this file: they come from control machines",
                         "no [[route]]"));
             }
             return new ValidatedFile(
-                    others.stream().anyMatch(StandaloneValidator::isStandaloneSection),
+                    otherSections.stream().anyMatch(StandaloneValidator::isStandaloneSection),
                     node,
                     settings,
                     routes,
@@ -174,21 +174,21 @@
      * @param before what it said the last time, or null
      * @throws IOException if it can't be read
      */
-    static ValidatedFile prove(Path path, Function<List<Section>, Settings> platform, ValidatedFile before)
+    static ValidatedFile read(Path path, Function<List<Section>, Settings> platform, ValidatedFile before)
             throws IOException {
-        Reading reading = new Reading(
+        TableReader reading = new TableReader(
                 platform, before == null ? null : before.routes.table(), before == null ? 1 : before.version + 1);
         FileIndex index = FileIndex.read(path, reading, reading.violations::add);
-        return reading.end(index);
+        return reading.finish(index);
     }
 
     /** Whether nothing is violated. */
-    boolean holds() {
+    boolean isValid() {
         return violations.isEmpty();
     }
 
     /** All violations, a line each. */
-    String refusal(String what) {
+    String describeViolations(String what) {
         return what + " refused:\n" + violations.stream().map(v -> "  " + v).collect(Collectors.joining("\n"));
     }
 
@@ -198,14 +198,14 @@
      *
      * @throws IOException if it can't be read
      */
-    ValidatedFile again(Path path) throws IOException {
+    ValidatedFile reread(Path path) throws IOException {
         FileIndex.Difference difference = index == null ? null : index.reread(path);
         if (difference == null) {
-            return prove(path, sections -> null, this);
+            return read(path, sections -> null, this);
         }
         if (!difference.violations().isEmpty()) {
             return new ValidatedFile(
-                    hasOwn,
+                    hasStandaloneTables,
                     node,
                     settings,
                     null,
@@ -220,7 +220,7 @@
         List<RouteChange> ofRoutes = changes(path, difference);
         if (ofRoutes.isEmpty()) {
             return new ValidatedFile(
-                    hasOwn,
+                    hasStandaloneTables,
                     node,
                     settings,
                     routes,
@@ -234,7 +234,7 @@
         }
         RouteValidation changed = RouteValidator.validateChanges(routes.table(), ofRoutes, version + 1);
         return new ValidatedFile(
-                hasOwn,
+                hasStandaloneTables,
                 node,
                 settings,
                 new RouteValidation(changed.table(), changed.routes(), routes.fleetSubset(), changed.violations()),
@@ -255,9 +255,9 @@
             String name = RouteCodec.nameOf(section);
             fresh.add(name);
             if (!gone.contains(name)) {
-                changes.add(new RouteChange(Op.PUT, name, section, section.at()));
-            } else if (!says(name, section)) {
-                changes.add(new RouteChange(Op.REPLACE, name, section, section.at()));
+                changes.add(new RouteChange(Op.PUT, name, section, section.position()));
+            } else if (!hasSameContent(name, section)) {
+                changes.add(new RouteChange(Op.REPLACE, name, section, section.position()));
             }
         }
         for (String name : gone) {
@@ -269,9 +269,9 @@
     }
 
     /** Which routes differ from those of another file that holds too; none where either does not. */
-    List<RouteChange> since(ValidatedFile before) {
+    List<RouteChange> routeChangesSince(ValidatedFile before) {
         List<RouteChange> changes = new ArrayList<>();
-        if (!holds() || !before.holds()) {
+        if (!isValid() || !before.isValid()) {
             return changes;
         }
         byte[] first = new EntryKey(EntryKind.ROUTE, "").bytes();
@@ -300,14 +300,14 @@
     }
 
     /** Whether a route says just that, whatever its lines look like. */
-    private boolean says(String name, Section section) {
+    private boolean hasSameContent(String name, Section section) {
         try {
             return Arrays.equals(
                     routes.table()
                             .entries()
                             .get(new EntryKey(EntryKind.ROUTE, name).bytes())
                             .value(),
-                    RouteCodec.bytes(section));
+                    RouteCodec.encode(section));
         } catch (IllegalArgumentException e) {
             return false;
         }
--- a/src/main/java/vetchpost/decision/Aperture.java
+++ b/src/main/java/vetchpost/decision/Aperture.java
@@ -18,34 +18,34 @@
  */
 final class Aperture {
     /** What comes is counted over so long. */
-    private static final long SPAN_US = 1_000_000;
+    private static final long WINDOW_US = 1_000_000;
     /** Share of a new span in the running mean: some seconds of them even out chance. */
-    private static final double GAIN = 0.3;
+    private static final double DEMAND_GAIN = 0.3;
     /** A node that is asked for less takes less after so many spans: a pause is no change. */
-    private static final int NARROW_AFTER = 5;
+    private static final int MAX_WINDOWS_BEFORE_NARROWING = 5;
     /** Widened for ill servers, it takes half as many again after so long without half of them ill. */
-    private static final long WIDENED_US = 10_000_000;
+    private static final long FAILURE_WIDENING_US = 10_000_000;
     /** Two are drawn, and one more may be gone before the list says so. */
-    private static final int LEAST = 3;
+    private static final int MIN_SERVERS = 3;
 
-    private static final Comparator<Server> BY_SEAT =
-            Comparator.comparingLong((Server s) -> s.seat).thenComparing(s -> s.id);
+    private static final Comparator<Server> BY_RING_POSITION =
+            Comparator.comparingLong((Server s) -> s.ringPosition).thenComparing(s -> s.id);
 
-    private final int node;
-    private final int nodes;
-    private final double bears;
+    private final int nodeIndex;
+    private final int nodeCount;
+    private final double concurrencyPerServer;
     private final List<Server> ring = new ArrayList<>();
-    private boolean moved;
-    private long spanFrom;
-    private double spanWork;
-    private int spans;
+    private boolean changed;
+    private long windowStart;
+    private double windowWorkUs;
+    private int windowCount;
     /** Servers that what comes would keep busy, in the mean. */
-    private double demand;
+    private double busyServers;
 
-    private int width = 1;
-    private int narrower;
-    private int widened = 1;
-    private long widenedAt;
+    private int demandMultiple = 1;
+    private int lowDemandWindows;
+    private int failureMultiple = 1;
+    private long failureMultipleAt;
 
     /**
      * No servers so far.
@@ -55,56 +55,56 @@
      * @param bears requests that a server bears at once, from all nodes together
      */
     Aperture(int node, int nodes, double bears) {
-        this.node = node;
-        this.nodes = nodes;
-        this.bears = bears;
+        this.nodeIndex = node;
+        this.nodeCount = nodes;
+        this.concurrencyPerServer = bears;
     }
 
     /** Takes in a server that is ready. */
     void add(Server server) {
-        int place = Collections.binarySearch(ring, server, BY_SEAT);
+        int place = Collections.binarySearch(ring, server, BY_RING_POSITION);
         if (place < 0) {
             ring.add(-place - 1, server);
-            moved = true;
+            changed = true;
         }
     }
 
     /** Takes out one that may not be in. */
     void remove(Server server) {
-        int place = Collections.binarySearch(ring, server, BY_SEAT);
+        int place = Collections.binarySearch(ring, server, BY_RING_POSITION);
         if (place >= 0) {
             ring.remove(place);
-            moved = true;
+            changed = true;
         }
     }
 
     /** Whether the part may have changed since this was asked last. */
-    boolean hasMoved() {
-        boolean was = moved;
-        moved = false;
+    boolean hasChangedSinceLastCheck() {
+        boolean was = changed;
+        changed = false;
         return was;
     }
 
     /** How many nodes have one server, in the mean; the whole number of them if each has all. */
-    double sharers() {
-        int each = Math.min(ring.size(), least());
-        return ring.isEmpty() ? nodes : Math.max(1, (double) nodes * each / ring.size());
+    double meanNodesPerServer() {
+        int each = Math.min(ring.size(), baseSize());
+        return ring.isEmpty() ? nodeCount : Math.max(1, (double) nodeCount * each / ring.size());
     }
 
     /** How many servers a node has that is asked for no more than its part. */
-    private int least() {
-        return Math.max(LEAST, (int) Math.ceil(bears * ring.size() / nodes));
+    private int baseSize() {
+        return Math.max(MIN_SERVERS, (int) Math.ceil(concurrencyPerServer * ring.size() / nodeCount));
     }
 
     /** How many servers this node has. */
     int size() {
-        return (int) Math.min(ring.size(), (long) least() * width * widened);
+        return (int) Math.min(ring.size(), (long) baseSize() * demandMultiple * failureMultiple);
     }
 
     /** The servers of the part, in ring order. */
-    private List<Server> part() {
+    private List<Server> selectedServers() {
         List<Server> part = new ArrayList<>();
-        int first = (int) ((long) node * ring.size() / nodes);
+        int first = (int) ((long) nodeIndex * ring.size() / nodeCount);
         for (int i = 0; i < size(); i++) {
             part.add(ring.get((first + i) % ring.size()));
         }
@@ -112,9 +112,9 @@
     }
 
     /** Which of those in use are not of the part any more. */
-    List<Server> leaving(IndexedSet<Server> inUse) {
+    List<Server> serversToRemove(IndexedSet<Server> inUse) {
         List<Server> leaving = new ArrayList<>();
-        Set<Server> part = new HashSet<>(part());
+        Set<Server> part = new HashSet<>(selectedServers());
         for (int i = 0; i < inUse.size(); i++) {
             if (!part.contains(inUse.get(i))) {
                 leaving.add(inUse.get(i));
@@ -124,10 +124,10 @@
     }
 
     /** Which are of the part and not in use yet, in the order in which they were named first. */
-    List<Server> joining(IndexedSet<Server> inUse) {
-        List<Server> joining = part();
+    List<Server> serversToAdd(IndexedSet<Server> inUse) {
+        List<Server> joining = selectedServers();
         joining.removeIf(inUse::contains);
-        joining.sort(Comparator.comparingLong(s -> s.number));
+        joining.sort(Comparator.comparingLong(s -> s.sequenceNumber));
         return joining;
     }
 
@@ -138,39 +138,39 @@
      *     that is not known
      * @return whether the part may have changed
      */
-    boolean arrived(long nowUs, double workUs) {
-        if (spanFrom == 0) {
-            spanFrom = nowUs;
+    boolean recordRequest(long nowUs, double workUs) {
+        if (windowStart == 0) {
+            windowStart = nowUs;
         }
-        spanWork += workUs < Double.MAX_VALUE ? workUs : 0;
-        long spanUs = nowUs - spanFrom;
-        if (spanUs < SPAN_US) {
+        windowWorkUs += workUs < Double.MAX_VALUE ? workUs : 0;
+        long spanUs = nowUs - windowStart;
+        if (spanUs < WINDOW_US) {
             return false;
         }
-        demand += Math.max(GAIN, 1.0 / ++spans) * (spanWork / spanUs - demand);
-        spanFrom = nowUs;
-        spanWork = 0;
+        busyServers += Math.max(DEMAND_GAIN, 1.0 / ++windowCount) * (windowWorkUs / spanUs - busyServers);
+        windowStart = nowUs;
+        windowWorkUs = 0;
         int before = size();
-        int wanted = Math.max(1, (int) Math.round(demand * nodes / Math.max(1, ring.size())));
-        narrower = wanted < width ? narrower + 1 : 0;
-        if (wanted > width || narrower > NARROW_AFTER) {
-            width = wanted;
-            narrower = 0;
+        int wanted = Math.max(1, (int) Math.round(busyServers * nodeCount / Math.max(1, ring.size())));
+        lowDemandWindows = wanted < demandMultiple ? lowDemandWindows + 1 : 0;
+        if (wanted > demandMultiple || lowDemandWindows > MAX_WINDOWS_BEFORE_NARROWING) {
+            demandMultiple = wanted;
+            lowDemandWindows = 0;
         }
-        if (widened > 1 && nowUs - widenedAt >= WIDENED_US) {
-            widenedAt = nowUs;
-            widened /= 2;
+        if (failureMultiple > 1 && nowUs - failureMultipleAt >= FAILURE_WIDENING_US) {
+            failureMultipleAt = nowUs;
+            failureMultiple /= 2;
         }
-        moved |= before != size();
-        return moved;
+        changed |= before != size();
+        return changed;
     }
 
     /** Half of the part is ill. */
-    void widen(long nowUs) {
-        widenedAt = nowUs;
+    void widenForFailures(long nowUs) {
+        failureMultipleAt = nowUs;
         if (size() < ring.size()) {
-            widened *= 2;
-            moved = true;
+            failureMultiple *= 2;
+            changed = true;
         }
     }
 }
--- a/src/main/java/vetchpost/decision/Balancer.java
+++ b/src/main/java/vetchpost/decision/Balancer.java
@@ -387,7 +387,7 @@
         /** Tenants; may be empty. */
         public List<Tenant> tenants = new ArrayList<>();
         /** Worth of a request beyond its tenant's share, as a part of its class's worth. */
-        public double overShareWorth = 1;
+        public double overShareValueFraction = 1;
         /** Whether worth counts for each unit of work and not for each request. */
         public boolean valuePerWorkUnit;
         /** Most attempts for a request. */
@@ -407,22 +407,22 @@
         /** Time allowed to open a connection. */
         public long connectTimeoutUs = 250_000;
         /** Whether the server list must be asked for. */
-        public boolean listOnRequest;
+        public boolean mustRequestList;
         /** Where it must be asked for: without a subscription, ask at least this often. */
-        public long askWithinUs = 10_000_000;
+        public long maxListIntervalUs = 10_000_000;
         /** Sends to a server must end this long after word that it drains or has gone. */
         public long drainGraceUs = 1_000_000;
         /** A server starts with this share of its capacity or more. */
-        public double coldFrom = 0.2;
+        public double coldStartFraction = 0.2;
         /** And is warm after this long at most. */
         public long coldUs = 20_000_000;
         /**
          * A cold server falls over when all nodes together send it more than this many times what it
          * can do.
          */
-        public double fallMultiple = 3;
+        public double coldOverloadMultiple = 3;
         /** For this long. */
-        public long fallUs = 2_000_000;
+        public long coldOverloadWindowUs = 2_000_000;
         /** Price of an attempt that crosses zones; 0 if crossing is free. */
         public double crossZonePrice;
         /** Price of one probe for each request, in the unit in which all worth asked for is 1. */
@@ -439,16 +439,16 @@
             require(myZone >= 0 && myZone < Math.max(1, zones.size()), "myZone is not among zones");
             requireTime(tickUs, "tickUs");
             requireTime(coldUs, "coldUs");
-            requireTime(fallUs, "fallUs");
+            requireTime(coldOverloadWindowUs, "fallUs");
             requireTime(drainGraceUs, "drainGraceUs");
             requireTime(connectTimeoutUs, "connectTimeoutUs");
-            requireTime(askWithinUs, "askWithinUs");
+            requireTime(maxListIntervalUs, "askWithinUs");
             requireTime(maxRetryAfterUs, "maxRetryAfterUs");
-            require(overShareWorth >= 0, "overShareWorth is negative");
+            require(overShareValueFraction >= 0, "overShareWorth is negative");
             require(crossZonePrice >= 0, "crossZonePrice is negative");
             require(probePrice >= 0, "probePrice is negative");
-            require(coldFrom > 0 && coldFrom <= 1, "coldFrom is not in (0, 1]");
-            require(fallMultiple > 0, "fallMultiple is not above 0");
+            require(coldStartFraction > 0 && coldStartFraction <= 1, "coldFrom is not in (0, 1]");
+            require(coldOverloadMultiple > 0, "fallMultiple is not above 0");
             for (RequestClass c : classes) {
                 require(
                         c.latencyTargetUs() >= 0
--- a/src/main/java/vetchpost/decision/DrawIndex.java
+++ b/src/main/java/vetchpost/decision/DrawIndex.java
@@ -17,19 +17,19 @@
  */
 final class DrawIndex<M extends DrawIndex.Member> {
     /** Indexes that a member can be in at once. */
-    static final int PLACES = 4;
+    static final int MAX_INDEXES_PER_MEMBER = 4;
     /** So many buckets stay when they are empty: their kind comes again soon. */
-    private static final int KEPT = 8;
+    private static final int MIN_RETAINED_BUCKETS = 8;
 
-    private final int place;
+    private final int slot;
     private Bucket<M>[] buckets = newBuckets(4);
-    private double[] weightsUpTo = new double[4];
-    private int used;
-    private int members;
-    private boolean stale = true;
-    private double summedFor;
-    private int mostErrors;
-    private double effect = 1;
+    private double[] cumulativeWeights = new double[4];
+    private int bucketCount;
+    private int memberCount;
+    private boolean weightsOutdated = true;
+    private double cumulativeWeightScale;
+    private int maxErrors;
+    private double weightScale = 1;
 
     /** What can be drawn. Errors and size change only while it is in no index, or before it is put anew. */
     abstract static class Member {
@@ -38,22 +38,22 @@
         /** Its part in the weight, finite and above 0. */
         double size = 1;
 
-        final Bucket<?>[] bucketIn = new Bucket<?>[PLACES];
-        final int[] placeIn = new int[PLACES];
-        final double[] countedAs = new double[PLACES];
+        final Bucket<?>[] buckets = new Bucket<?>[MAX_INDEXES_PER_MEMBER];
+        final int[] bucketPositions = new int[MAX_INDEXES_PER_MEMBER];
+        final double[] indexedSizes = new double[MAX_INDEXES_PER_MEMBER];
     }
 
     /** Members of one count of errors, with sizes above half of {@code top} and up to it. */
     private static final class Bucket<M extends Member> {
         final int errors;
-        final double top;
+        final double maxSize;
         Member[] members = new Member[4];
         int count;
-        double sizes;
+        double totalSize;
 
         Bucket(int errors, double top) {
             this.errors = errors;
-            this.top = top;
+            this.maxSize = top;
         }
 
         @SuppressWarnings("unchecked")
@@ -64,7 +64,7 @@
 
     /** Nobody yet; {@code place} tells it from the others that its members are in, from 0. */
     DrawIndex(int place) {
-        this.place = place;
+        this.slot = place;
     }
 
     @SuppressWarnings({"unchecked", "rawtypes"})
@@ -73,92 +73,92 @@
     }
 
     int size() {
-        return members;
+        return memberCount;
     }
 
     /** The largest power of two under which sizes of its bucket lie, or reach. */
-    private static double top(double size) {
+    private static double maxSizeOfBucket(double size) {
         double power = Math.scalb(1.0, Math.getExponent(size));
         return size > power ? 2 * power : power;
     }
 
     /** Takes a member in, or to where it belongs by now. */
     void put(M member) {
-        Bucket<?> old = member.bucketIn[place];
-        if (old != null && old.errors == member.errors && member.countedAs[place] == member.size) {
+        Bucket<?> old = member.buckets[slot];
+        if (old != null && old.errors == member.errors && member.indexedSizes[slot] == member.size) {
             return;
         }
         remove(member);
-        Bucket<M> bucket = bucket(member.errors, top(member.size));
+        Bucket<M> bucket = bucket(member.errors, maxSizeOfBucket(member.size));
         if (bucket.count == bucket.members.length) {
             bucket.members = Arrays.copyOf(bucket.members, 2 * bucket.count);
         }
-        member.bucketIn[place] = bucket;
-        member.placeIn[place] = bucket.count;
-        member.countedAs[place] = member.size;
+        member.buckets[slot] = bucket;
+        member.bucketPositions[slot] = bucket.count;
+        member.indexedSizes[slot] = member.size;
         bucket.members[bucket.count++] = member;
-        bucket.sizes += member.size;
-        members++;
-        stale = true;
+        bucket.totalSize += member.size;
+        memberCount++;
+        weightsOutdated = true;
     }
 
     private Bucket<M> bucket(int errors, double top) {
-        for (int i = 0; i < used; i++) {
-            if (buckets[i].errors == errors && buckets[i].top == top) {
+        for (int i = 0; i < bucketCount; i++) {
+            if (buckets[i].errors == errors && buckets[i].maxSize == top) {
                 return buckets[i];
             }
         }
-        if (used == buckets.length) {
-            buckets = Arrays.copyOf(buckets, 2 * used);
-            weightsUpTo = new double[2 * used];
+        if (bucketCount == buckets.length) {
+            buckets = Arrays.copyOf(buckets, 2 * bucketCount);
+            cumulativeWeights = new double[2 * bucketCount];
         }
-        buckets[used] = new Bucket<>(errors, top);
-        return buckets[used++];
+        buckets[bucketCount] = new Bucket<>(errors, top);
+        return buckets[bucketCount++];
     }
 
     /** Without effect on who is not in it. */
     void remove(M member) {
-        Bucket<?> bucket = member.bucketIn[place];
+        Bucket<?> bucket = member.buckets[slot];
         if (bucket == null) {
             return;
         }
         Member last = bucket.members[--bucket.count];
         bucket.members[bucket.count] = null;
         if (last != member) {
-            bucket.members[member.placeIn[place]] = last;
-            last.placeIn[place] = member.placeIn[place];
+            bucket.members[member.bucketPositions[slot]] = last;
+            last.bucketPositions[slot] = member.bucketPositions[slot];
         }
-        bucket.sizes -= member.countedAs[place];
-        member.bucketIn[place] = null;
-        members--;
-        stale = true;
+        bucket.totalSize -= member.indexedSizes[slot];
+        member.buckets[slot] = null;
+        memberCount--;
+        weightsOutdated = true;
         if (bucket.count == 0) {
-            bucket.sizes = 0;
-            drop(bucket);
+            bucket.totalSize = 0;
+            discardIfSurplus(bucket);
         }
     }
 
-    private void drop(Bucket<?> empty) {
-        for (int i = 0; i < used && used > KEPT; i++) {
+    private void discardIfSurplus(Bucket<?> empty) {
+        for (int i = 0; i < bucketCount && bucketCount > MIN_RETAINED_BUCKETS; i++) {
             if (buckets[i] == empty) {
-                buckets[i] = buckets[--used];
-                buckets[used] = null;
+                buckets[i] = buckets[--bucketCount];
+                buckets[bucketCount] = null;
                 return;
             }
         }
     }
 
     /** The paper's E of the members in it. */
-    double largestEffect() {
+    double weightScale() {
         int most = 0;
-        for (int i = 0; i < used; i++) {
+        for (int i = 0; i < bucketCount; i++) {
             most = buckets[i].count > 0 ? Math.max(most, buckets[i].errors) : most;
         }
-        if (most != mostErrors) {
-            mostErrors = most;
-            effect = Math.floor(StrictMath.pow(1 + (double) most, 1.5));
+        if (most != maxErrors) {
+            maxErrors = most;
+            weightScale = Math.floor(StrictMath.pow(1 + (double) most, 1.5));
         }
-        return effect;
+        return weightScale;
     }
 
     /** The paper's weight for one unit of size. */
@@ -166,27 +166,27 @@
         return Math.ceil(largestEffect / (1 + (double) errors));
     }
 
-    private void sumUp(double largestEffect) {
+    private void updateCumulativeWeights(double largestEffect) {
         double sum = 0;
-        for (int i = 0; i < used; i++) {
-            sum += buckets[i].sizes * weight(buckets[i].errors, largestEffect);
-            weightsUpTo[i] = sum;
+        for (int i = 0; i < bucketCount; i++) {
+            sum += buckets[i].totalSize * weight(buckets[i].errors, largestEffect);
+            cumulativeWeights[i] = sum;
         }
-        stale = false;
-        summedFor = largestEffect;
+        weightsOutdated = false;
+        cumulativeWeightScale = largestEffect;
     }
 
     /** One of them by weight, or null if there is none. */
     M draw(SplittableRandom random, double largestEffect) {
-        if (members == 0) {
+        if (memberCount == 0) {
             return null;
         }
-        if (stale || summedFor != largestEffect) {
-            sumUp(largestEffect);
+        if (weightsOutdated || cumulativeWeightScale != largestEffect) {
+            updateCumulativeWeights(largestEffect);
         }
-        double at = random.nextDouble() * weightsUpTo[used - 1];
+        double at = random.nextDouble() * cumulativeWeights[bucketCount - 1];
         int i = 0;
-        while (i < used - 1 && weightsUpTo[i] <= at) {
+        while (i < bucketCount - 1 && cumulativeWeights[i] <= at) {
             i++;
         }
         while (buckets[i].count == 0) {
@@ -194,7 +194,7 @@
         }
         Bucket<M> bucket = buckets[i];
         M drawn = bucket.get(random.nextInt(bucket.count));
-        while (drawn.size < bucket.top && random.nextDouble() * bucket.top >= drawn.size) {
+        while (drawn.size < bucket.maxSize && random.nextDouble() * bucket.maxSize >= drawn.size) {
             drawn = bucket.get(random.nextInt(bucket.count));
         }
         return drawn;
@@ -205,17 +205,17 @@
      * else so many in a row, from anywhere.
      */
     M drawAmong(int most, SplittableRandom random, double largestEffect, Predicate<M> fits) {
-        int skip = members <= most ? 0 : random.nextInt(members);
+        int skip = memberCount <= most ? 0 : random.nextInt(memberCount);
         int i = 0;
         while (skip > 0 && skip >= buckets[i].count) {
             skip -= buckets[i++].count;
         }
         M drawn = null;
         double total = 0;
-        for (int looked = 0; looked < Math.min(most, members); looked++, skip++) {
+        for (int looked = 0; looked < Math.min(most, memberCount); looked++, skip++) {
             while (skip >= buckets[i].count) {
                 skip = 0;
-                i = (i + 1) % used;
+                i = (i + 1) % bucketCount;
             }
             M member = buckets[i].get(skip);
             if (fits.test(member)) {
--- a/src/main/java/vetchpost/decision/Fleet.java
+++ b/src/main/java/vetchpost/decision/Fleet.java
@@ -12,54 +12,54 @@
     /** No zone is nearer than another. */
     private static final int NO_ZONE = Integer.MIN_VALUE;
 
-    private static final IndexedSet<Server> NOBODY = new IndexedSet<>(0);
+    private static final IndexedSet<Server> EMPTY = new IndexedSet<>(0);
 
     /** The servers that are ready, in list order, and those of them that are ejected. */
     final IndexedSet<Server> ready = new IndexedSet<>(0);
 
     final IndexedSet<Server> ejected = new IndexedSet<>(1);
     /** What is drawn from: all servers that are ready, and of this node's own zone; of both, who has room. */
-    final DrawIndex<Server> everywhere = new DrawIndex<>(0);
+    final DrawIndex<Server> allZones = new DrawIndex<>(0);
 
-    final DrawIndex<Server> roomy = new DrawIndex<>(1);
-    final DrawIndex<Server> nearby;
-    final DrawIndex<Server> roomyNearby;
+    final DrawIndex<Server> allZonesWithCapacity = new DrawIndex<>(1);
+    final DrawIndex<Server> localZone;
+    final DrawIndex<Server> localZoneWithCapacity;
     /** Ejected servers with nothing in flight, by the times of their trials. */
-    final TreeSet<Server> trials = new TreeSet<>(new Server.ByTime(Server.ByTime.TRIALS));
+    final TreeSet<Server> ejectedByTrialTime = new TreeSet<>(new Server.DueTimeOrder(Server.DueTimeOrder.TRIALS));
     /** The sizes of the ready servers, by the list. */
     double totalWeight;
 
-    private final Map<Integer, IndexedSet<Server>> zones = new HashMap<>();
-    private final Map<Integer, IndexedSet<Server>> cells = new HashMap<>();
+    private final Map<Integer, IndexedSet<Server>> serversByZone = new HashMap<>();
+    private final Map<Integer, IndexedSet<Server>> serversByCell = new HashMap<>();
     private final int myZone;
 
     /** Without zones: what is nearby is what is anywhere. */
     Fleet() {
         myZone = NO_ZONE;
-        nearby = everywhere;
-        roomyNearby = roomy;
+        localZone = allZones;
+        localZoneWithCapacity = allZonesWithCapacity;
     }
 
     /** With a zone of this node's own. */
     Fleet(int myZone) {
         this.myZone = myZone;
-        nearby = new DrawIndex<>(2);
-        roomyNearby = new DrawIndex<>(3);
+        localZone = new DrawIndex<>(2);
+        localZoneWithCapacity = new DrawIndex<>(3);
     }
 
     /** Takes in a server that is ready; to be settled. */
     void add(Server server) {
         ready.add(server);
-        add(zones, server.zone, 2, server);
-        add(cells, server.cell, 3, server);
+        add(serversByZone, server.zone, 2, server);
+        add(serversByCell, server.cell, 3, server);
         totalWeight += server.weight;
     }
 
     /** Takes out one that is in, before anything of it changes; to be settled. */
     void remove(Server server) {
         ready.remove(server);
-        remove(zones, server.zone, server);
-        remove(cells, server.cell, server);
+        remove(serversByZone, server.zone, server);
+        remove(serversByCell, server.cell, server);
         // A sum of fractions: what rounding has left would else stay for good.
         totalWeight = ready.size() == 0 ? 0 : totalWeight - server.weight;
     }
@@ -82,30 +82,30 @@
     }
 
     /** Has the indexes follow what has changed of a server: errors, size, room, ejection, what is out. */
-    void settle(Server server, boolean full) {
+    void updateIndexes(Server server, boolean full) {
         boolean listed = ready.contains(server);
         boolean near = listed && server.zone == myZone;
         boolean room = listed && !server.ejected && !full;
-        put(everywhere, server, listed);
-        put(roomy, server, room);
-        if (nearby != everywhere) {
-            put(nearby, server, near);
-            put(roomyNearby, server, near && room);
+        setMembership(allZones, server, listed);
+        setMembership(allZonesWithCapacity, server, room);
+        if (localZone != allZones) {
+            setMembership(localZone, server, near);
+            setMembership(localZoneWithCapacity, server, near && room);
         }
         if (listed && server.ejected) {
             ejected.add(server);
             if (server.inFlight == 0) {
-                trials.add(server);
+                ejectedByTrialTime.add(server);
             } else {
-                trials.remove(server);
+                ejectedByTrialTime.remove(server);
             }
         } else if (ejected.contains(server)) {
             ejected.remove(server);
-            trials.remove(server);
+            ejectedByTrialTime.remove(server);
         }
     }
 
-    private static void put(DrawIndex<Server> index, Server server, boolean in) {
+    private static void setMembership(DrawIndex<Server> index, Server server, boolean in) {
         if (in) {
             index.put(server);
         } else {
@@ -114,12 +114,12 @@
     }
 
     /** The ready servers of a zone. */
-    IndexedSet<Server> zone(int zone) {
-        return zones.getOrDefault(zone, NOBODY);
+    IndexedSet<Server> serversInZone(int zone) {
+        return serversByZone.getOrDefault(zone, EMPTY);
     }
 
     /** The ready servers of a cell. */
-    IndexedSet<Server> cell(int cell) {
-        return cells.getOrDefault(cell, NOBODY);
+    IndexedSet<Server> serversInCell(int cell) {
+        return serversByCell.getOrDefault(cell, EMPTY);
     }
 }
--- a/src/main/java/vetchpost/decision/IndexedSet.java
+++ b/src/main/java/vetchpost/decision/IndexedSet.java
@@ -11,20 +11,20 @@
  */
 final class IndexedSet<M extends IndexedSet.Member> {
     /** Rosters that a member can be in at once. */
-    static final int PLACES = 4;
+    static final int MAX_SETS_PER_MEMBER = 4;
 
-    private final int place;
+    private final int slot;
     private final List<M> members = new ArrayList<>();
 
     /** Who can be in it. */
     abstract static class Member extends DrawIndex.Member {
         /** Its position and one, by roster; 0 in none. */
-        final int[] seats = new int[PLACES];
+        final int[] positionsPlusOne = new int[MAX_SETS_PER_MEMBER];
     }
 
     /** Nobody yet; {@code place} tells it from the others that its members are in, from 0. */
     IndexedSet(int place) {
-        this.place = place;
+        this.slot = place;
     }
 
     int size() {
@@ -36,19 +36,19 @@
     }
 
     boolean contains(M member) {
-        return member.seats[place] > 0;
+        return member.positionsPlusOne[slot] > 0;
     }
 
     /** The position of a member, or -1. */
     int indexOf(M member) {
-        return member.seats[place] - 1;
+        return member.positionsPlusOne[slot] - 1;
     }
 
     /** Without effect on who is in it. */
     void add(M member) {
         if (!contains(member)) {
             members.add(member);
-            member.seats[place] = members.size();
+            member.positionsPlusOne[slot] = members.size();
         }
     }
 
@@ -59,9 +59,9 @@
             M last = members.remove(members.size() - 1);
             if (last != member) {
                 members.set(position, last);
-                last.seats[place] = position + 1;
+                last.positionsPlusOne[slot] = position + 1;
             }
-            member.seats[place] = 0;
+            member.positionsPlusOne[slot] = 0;
         }
     }
 }
--- a/src/main/java/vetchpost/decision/LoadShedder.java
+++ b/src/main/java/vetchpost/decision/LoadShedder.java
@@ -17,24 +17,25 @@
     /** Most that is refused: what comes through shows when there is room again. */
     static final double MAX_SHED_FRACTION = 0.75;
 
-    private double part;
+    private double shedFraction;
 
     /** Before an attempt of it goes out. */
-    void sent(PendingRequest call) {
-        if (call.upper && call.attempts == 0) {
-            part = Math.max(0, part - SHED_STEP * TARGET_REJECTED_FRACTION / (1 - TARGET_REJECTED_FRACTION));
+    void recordSent(PendingRequest call) {
+        if (call.aboveMeanValue && call.attemptCount == 0) {
+            shedFraction =
+                    Math.max(0, shedFraction - SHED_STEP * TARGET_REJECTED_FRACTION / (1 - TARGET_REJECTED_FRACTION));
         }
     }
 
     /** It has its final answer and was not served. */
-    void givenUp(PendingRequest call) {
-        if (call.upper && call.attempts == 0) {
-            part = Math.min(MAX_SHED_FRACTION, part + SHED_STEP);
+    void recordUnserved(PendingRequest call) {
+        if (call.aboveMeanValue && call.attemptCount == 0) {
+            shedFraction = Math.min(MAX_SHED_FRACTION, shedFraction + SHED_STEP);
         }
     }
 
     /** Whether it is to be refused as it comes. */
-    boolean refuses(PendingRequest call, SplittableRandom random) {
-        return part > 0 && !call.upper && random.nextDouble() < part;
+    boolean shouldShed(PendingRequest call, SplittableRandom random) {
+        return shedFraction > 0 && !call.aboveMeanValue && random.nextDouble() < shedFraction;
     }
 }
--- a/src/main/java/vetchpost/decision/PendingRequest.java
+++ b/src/main/java/vetchpost/decision/PendingRequest.java
@@ -8,45 +8,47 @@
 /** A request that is held, or whose attempts are still out. */
 final class PendingRequest {
     final Request request;
-    final RequestClass cls;
+    final RequestClass requestClass;
     final long arrivedAt;
-    final long aimUs;
-    final long aimAt;
+    final long latencyTargetUs;
+    final long latencyTargetAt;
     final long deadlineAt;
     final Server[] servers;
     final long[] sentAt;
     final Result[] results;
-    double worth;
+    double priority;
     /** Worth more than requests are on average. */
-    boolean upper;
+    boolean aboveMeanValue;
 
     double value;
-    boolean late;
+    boolean lateDiscountApplied;
     long notBefore;
-    long copyAt;
-    int attempts;
-    int outstanding;
-    boolean waiting;
+    long hedgeAt;
+    int attemptCount;
+    int outstandingAttempts;
+    boolean queued;
     boolean streaming;
     boolean ended;
 
     PendingRequest(Request request, Settings set, long now, long elapsedUs) {
         this.request = request;
-        cls = set.classes.get(request.classIndex());
+        requestClass = set.classes.get(request.classIndex());
         long aim = Math.min(
-                cls.deadlineUs(), cls.latencyTargetUs() + (long) (cls.latencyTargetWorkFactor() * request.workUs()));
+                requestClass.deadlineUs(),
+                requestClass.latencyTargetUs() + (long) (requestClass.latencyTargetWorkFactor() * request.workUs()));
         arrivedAt = now;
         deadlineAt = now + Math.max(0, request.remainingUs());
-        aimUs = aim;
-        aimAt = Math.min(deadlineAt, now + aim - elapsedUs - request.loopDelayUs() - request.admissionDelayUs());
+        latencyTargetUs = aim;
+        latencyTargetAt =
+                Math.min(deadlineAt, now + aim - elapsedUs - request.loopDelayUs() - request.admissionDelayUs());
         servers = new Server[set.maxAttempts];
         sentAt = new long[set.maxAttempts];
         results = new Result[set.maxAttempts];
     }
 
     /** The earliest attempt not known never to have run, or -1: it binds repeats and refusals. */
-    int binding() {
-        for (int i = 0; i < attempts; i++) {
+    int firstAttemptThatMayHaveRun() {
+        for (int i = 0; i < attemptCount; i++) {
             if (results[i] == null || !results[i].neverRan) {
                 return i;
             }
--- a/src/main/java/vetchpost/decision/ServedRate.java
+++ b/src/main/java/vetchpost/decision/ServedRate.java
@@ -7,28 +7,28 @@
  */
 final class ServedRate {
     /** Gap between answers assumed before any: most of a large fleet's nodes may have just started. */
-    private static final double FIRST_GAP_US = 1_000_000;
+    private static final double INITIAL_GAP_US = 1_000_000;
     /** Share of a new gap in the running mean: about the last 32. */
     private static final double MEAN_GAIN = 1.0 / 32;
     /** Answers are counted over so long for the best: the answers of one short stall must not make it. */
-    private static final long SPAN_US = 2_000_000;
+    private static final long WINDOW_US = 2_000_000;
     /** Part of the best that is left after each span: half of it after two and a half minutes. */
-    private static final double KEPT = 0.99;
+    private static final double PEAK_DECAY_PER_WINDOW = 0.99;
 
-    private long lastAt;
-    private double gapUs = FIRST_GAP_US;
-    private int answers;
-    private long spanFrom;
+    private long lastAnswerAt;
+    private double meanGapUs = INITIAL_GAP_US;
+    private int answerCount;
+    private long windowStart;
     /** Answers of the span, each as its part of the servers of its moment. */
-    private double inSpan;
+    private double windowAnswersPerUnit;
 
-    private double bestPerUs;
+    private double peakRatePerUs;
 
     /** The first request goes out: from here on it counts that nothing is answered. */
-    void begin(long nowUs) {
-        if (lastAt == 0) {
-            lastAt = nowUs;
-            spanFrom = nowUs;
+    void start(long nowUs) {
+        if (lastAnswerAt == 0) {
+            lastAnswerAt = nowUs;
+            windowStart = nowUs;
         }
     }
 
@@ -37,21 +37,21 @@
      *
      * @param fleetSize the sizes of the servers that may be sent to, above 0 if there are any
      */
-    void answered(long nowUs, double fleetSize) {
-        gapUs += Math.max(MEAN_GAIN, 1.0 / ++answers) * (nowUs - lastAt - gapUs);
-        lastAt = nowUs;
-        inSpan += fleetSize > 0 ? 1 / fleetSize : 0;
-        long spanUs = nowUs - spanFrom;
-        if (spanUs >= SPAN_US) {
-            bestPerUs = Math.max(KEPT * bestPerUs, inSpan / spanUs);
-            spanFrom = nowUs;
-            inSpan = 0;
+    void recordAnswer(long nowUs, double fleetSize) {
+        meanGapUs += Math.max(MEAN_GAIN, 1.0 / ++answerCount) * (nowUs - lastAnswerAt - meanGapUs);
+        lastAnswerAt = nowUs;
+        windowAnswersPerUnit += fleetSize > 0 ? 1 / fleetSize : 0;
+        long spanUs = nowUs - windowStart;
+        if (spanUs >= WINDOW_US) {
+            peakRatePerUs = Math.max(PEAK_DECAY_PER_WINDOW * peakRatePerUs, windowAnswersPerUnit / spanUs);
+            windowStart = nowUs;
+            windowAnswersPerUnit = 0;
         }
     }
 
     /** Mean time between answers of all servers, in microseconds. */
-    double gapUs() {
-        return gapUs;
+    double meanGapUs() {
+        return meanGapUs;
     }
 
     /**
@@ -59,8 +59,8 @@
      *
      * @param fleetSize the sizes of the servers that may be sent to, above 0
      */
-    double unitGapUs(long nowUs, double fleetSize) {
-        double nowGap = fleetSize * Math.max(gapUs, lastAt == 0 ? 0 : MEAN_GAIN * (nowUs - lastAt));
-        return bestPerUs > 0 ? Math.min(nowGap, 1 / bestPerUs) : nowGap;
+    double gapPerUnitUs(long nowUs, double fleetSize) {
+        double nowGap = fleetSize * Math.max(meanGapUs, lastAnswerAt == 0 ? 0 : MEAN_GAIN * (nowUs - lastAnswerAt));
+        return peakRatePerUs > 0 ? Math.min(nowGap, 1 / peakRatePerUs) : nowGap;
     }
 }
--- a/src/main/java/vetchpost/decision/ServerStatusReasons.java
+++ b/src/main/java/vetchpost/decision/ServerStatusReasons.java
@@ -9,11 +9,11 @@
 
 /** Says of a server, for people, why it is sent nothing or less than it might be. */
 final class ServerStatusReasons {
-    private static final double US_A_MS = 1_000;
+    private static final double US_PER_MS = 1_000;
 
     private ServerStatusReasons() {}
 
-    static Candidate drawn(Server server, double pace) {
+    static Candidate candidate(Server server, double pace) {
         return new Candidate(server.id, server.weight / (1 + server.errors), server.inFlight, server.limit, pace);
     }
 
@@ -42,23 +42,25 @@
             reasons.add("it is not among the part of the servers that this node has");
         }
         if (server.ejected) {
-            reasons.add("it is left out after failures, and tried again in " + ms(server.trialAt - now));
+            reasons.add("it is left out after failures, and tried again in " + formatMs(server.nextTrialAt - now));
         }
         for (int c = 0; c < set.classes.size(); c++) {
-            if (server.outUntil[c] > now) {
-                reasons.add("it gets no " + set.classes.get(c).name() + " for " + ms(server.outUntil[c] - now) + ": "
-                        + server.misses[c] + " failed in a row");
+            if (server.classExcludedUntil[c] > now) {
+                reasons.add("it gets no " + set.classes.get(c).name() + " for "
+                        + formatMs(server.classExcludedUntil[c] - now) + ": " + server.classFailureStreaks[c]
+                        + " failed in a row");
             }
         }
         if (coldUntil > now) {
-            reasons.add("it has just started, and gets its next request in " + ms(coldUntil - now));
+            reasons.add("it has just started, and gets its next request in " + formatMs(coldUntil - now));
         }
         if (server.inFlight + 1 > Math.max(1, server.limit)) {
             reasons.add("it is at its limit: " + server.inFlight + " in flight of "
                     + String.format(Locale.ROOT, "%.1f", server.limit));
         }
-        if (server.restUntil > now) {
-            reasons.add("it rests for " + ms(server.restUntil - now) + ": this node's part of its limit is under one");
+        if (server.pausedUntil > now) {
+            reasons.add("it rests for " + formatMs(server.pausedUntil - now)
+                    + ": this node's part of its limit is under one");
         }
         if (server.errors > 0) {
             reasons.add("it is drawn less: " + server.errors + " failed in a row");
@@ -72,7 +74,7 @@
         return reasons;
     }
 
-    private static String ms(long us) {
-        return String.format(Locale.ROOT, "%.0f ms", Math.max(0, us) / US_A_MS);
+    private static String formatMs(long us) {
+        return String.format(Locale.ROOT, "%.0f ms", Math.max(0, us) / US_PER_MS);
     }
 }
