--- a/src/main/java/vetchpost/decision/ServiceQBalancer.java
+++ b/src/main/java/vetchpost/decision/ServiceQBalancer.java
@@ -23,135 +23,136 @@
 public final class ServiceQBalancer implements Balancer {
 
     /** How many times a drawn server that may not be sent to is drawn again before all are looked through. */
-    private static final int REDRAWS = 3;
+    private static final int MAX_REDRAWS = 3;
     /** Power of a server's size in its weight: a large one as busy as a small one still answers sooner. */
-    private static final double SIZE_POWER = 1.5;
+    private static final double WEIGHT_EXPONENT = 1.5;
     /** Share of a new answer in a server's pace. */
-    private static final double PACE_GAIN = 0.3;
+    private static final double LATENCY_GAIN = 0.3;
     /** A pace is forgotten in so many times the time in which a node asks each server once. */
-    private static final double PACE_KEPT = 12;
+    private static final double LATENCY_DECAY_ROUNDS = 12;
     /** Times left that differ by less than this share of the deadline are the same: the client's way. */
-    private static final double USUAL_LEFT_WITHIN = 0.02;
+    private static final double COMMON_REMAINING_TOLERANCE = 0.02;
     /** From this share of a class on a time left is the one of first tries: in a jam most are not. */
-    private static final double USUAL_LEFT_AT = 0.2;
+    private static final double MIN_COMMON_REMAINING_FRACTION = 0.2;
     /** A failure counts in the pace as an answer that took so many times the usual. */
-    private static final double FAULT_PACE = 5;
+    private static final double FAILURE_RELATIVE_LATENCY = 5;
     /** Paces that differ by less are alike: a server is tried again once its trouble is nearly forgotten. */
-    private static final double PACE_ALIKE = 0.05;
+    private static final double MIN_LATENCY_DIFFERENCE = 0.05;
     /** Part of attempts answered in time under which a node throttles: less than in overload alone. */
-    private static final double THROTTLE_BELOW = 0.3;
+    private static final double MIN_ON_TIME_FRACTION = 0.3;
     /** A throttled node sends what is answered in time so many times over: enough to come back in seconds. */
-    private static final double THROTTLE = 2;
+    private static final double THROTTLED_SENDS_PER_TIMELY_ANSWER = 2;
     /** Part of what it is asked for that a throttled node sends in any case. */
-    private static final double THROTTLE_FLOOR = 0.03;
+    private static final double THROTTLED_SENDS_PER_REQUEST = 0.03;
     /** An answer inside so many times its class's least mean latency owes its length to the work. */
-    private static final double AT_BEST = 1.5;
+    private static final double MAX_UNLOADED_LATENCY_RATIO = 1.5;
     /** Share of a new answer in the part answered in time. */
-    private static final double HEALTH_GAIN = 1.0 / 16;
+    private static final double ON_TIME_GAIN = 1.0 / 16;
     /** Most attempts that a throttled node saves up. */
-    private static final double MAX_TOKENS = 3;
+    private static final double MAX_SEND_TOKENS = 3;
     /** Shortest sweep over waiting requests: long against its cost, short against any aim. */
     private static final long MIN_SWEEP_US = 5_000;
     /** Share of a new value in a running mean: about the last 32. */
     private static final double MEAN_GAIN = 1.0 / 32;
     /** Requests in flight that all nodes together start with for each server: few enough for one core. */
-    private static final double FIRST_LIMIT = 4;
+    private static final double INITIAL_LIMIT_PER_SERVER = 4;
     /** Answers slower than this share of the aim say that a server is crowded: the rest is for chance. */
-    private static final double CROWDED_AT = 0.35;
+    private static final double OVERLOAD_TARGET_FRACTION = 0.35;
     /** Growth of a server's limit over all nodes for an answer in good time ... */
-    private static final double LIMIT_STEP = 0.15;
+    private static final double LIMIT_INCREASE = 0.15;
     /** ... and its cut for a slow one: at a limit of four, one slow answer in four holds the balance. */
-    private static final double LIMIT_CUT = 0.1;
+    private static final double LIMIT_DECREASE_FRACTION = 0.1;
     /** Answers that take this many times the least mean of their class say so too, however far the aim is. */
-    private static final double CROWDED_BY = 3;
+    private static final double OVERLOAD_LATENCY_RATIO = 3;
     /** The sum of the limits is a mean: so many of its roots pass on top, for chance is no crowd. */
-    private static final double BURST = 2.5;
+    private static final double BURST_ROOT_FACTOR = 2.5;
     /** Growth of that least mean with each answer, so that it follows a change of work. */
-    private static final double MIN_DRIFT = 1.0001;
+    private static final double MIN_LATENCY_GROWTH = 1.0001;
     /** Power of the number of nodes at a server with which both grow: at 0 many learn too slowly, at a half
      * they jam. */
-    private static final double LEARN_BY_NODES = 0.25;
+    private static final double LIMIT_CHANGE_NODE_EXPONENT = 0.25;
     /** Cut of a limit for a request turned away or not answered in time, which is more than slow. */
-    private static final double LIMIT_HARD_CUT = 0.3;
+    private static final double LIMIT_TIMEOUT_DECREASE_FRACTION = 0.3;
     /** A waiting request with fewer usual latencies left is too late: in overload all wait that long, */
-    private static final double TOO_LATE_AT = 2;
+    private static final double MIN_REMAINING_LATENCIES = 2;
     /** but at most with this share of the aim left: while all servers are slow, some may still wait. */
-    private static final double MOST_LATE_AT = 0.8;
-    /** Failures among a server's last {@link #REMEMBERED} answers from which on it is ejected. */
-    private static final int EJECT_AT = 4;
+    private static final double MAX_LATE_TARGET_FRACTION = 0.8;
+    /** Failures among a server's last {@link #HISTORY_LENGTH} answers from which on it is ejected. */
+    private static final int MIN_FAILURES_TO_EJECT = 4;
 
-    private static final int REMEMBERED = 16;
+    private static final int HISTORY_LENGTH = 16;
     /** Successes in a row that bring an ejected server back: one may be luck, three hardly if most fail. */
-    private static final int TRIALS = 3;
+    private static final int SUCCESSFUL_TRIALS_TO_RESTORE = 3;
     /** Failures in a row of one class from which on a server gets no more of that class for a while. */
-    private static final int CLASS_OUT_AT = 2;
+    private static final int MIN_STREAK_TO_EXCLUDE_CLASS = 2;
     /** First time without requests for an ejected server, and the longest; failed trials double it. */
-    private static final long EJECT_US = 250_000;
+    private static final long INITIAL_EJECTION_US = 250_000;
 
     private static final long MAX_EJECTION_US = 4_000_000;
     /** Own requests in flight from which on a local server is compared with those of other zones. */
-    private static final int SPILL_AT = 2;
+    private static final int MIN_IN_FLIGHT_TO_CROSS_ZONES = 2;
     /** Least time between two lines in the operators' log. */
-    private static final long LOG_EVERY_US = 1_000_000;
+    private static final long MIN_LOG_INTERVAL_US = 1_000_000;
     /** A tenant may use up this much of its share at once before it counts as beyond it. */
-    private static final double SHARE_BURST_S = 1;
+    private static final double TENANT_BURST_S = 1;
     /** First wait before a failed list call is made again; doubled each time. */
-    private static final long LIST_BACKOFF_US = 250_000;
+    private static final long INITIAL_LIST_BACKOFF_US = 250_000;
     /** Sizes by the list are taken for no more than this, and for no less than one part in so many. */
     private static final double MAX_WEIGHT = 1e6;
     /** So many of a large fleet are looked through at once where draws find nothing. */
-    private static final int LOOKS = 256;
+    private static final int MAX_SERVERS_SCANNED = 256;
 
-    private static final Comparator<PendingRequest> BY_VALUE = Comparator.comparingDouble(call -> -call.value);
-    private final Settings set;
+    private static final Comparator<PendingRequest> BY_PRIORITY = Comparator.comparingDouble(call -> -call.value);
+    private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
     private final long sweepUs;
-    private double limitStep;
-    private double limitCut;
+    private double limitIncrease;
+    private double limitDecreaseFraction;
     private final Map<String, Server> byId = new HashMap<>();
-    private int lists;
-    private long numbers;
-    private long logFreeAt;
+    private int listCount;
+    private long nextServerNumber;
+    private long nextLogAt;
     /** The servers that are ready, and indexes of them. */
     private final Fleet fleet;
 
     private final IndexedSet<Server> ready;
     private final IndexedSet<Server> ejected;
     /** By class: servers in use that get no more of it, by the ends of that. */
-    private final List<TreeSet<Server>> out = new ArrayList<>();
+    private final List<TreeSet<Server>> classExclusions = new ArrayList<>();
 
-    private final Map<Long, PendingRequest> calls = new HashMap<>();
-    private final ArrayList<PendingRequest> waiting = new ArrayList<>();
+    private final Map<Long, PendingRequest> pendingById = new HashMap<>();
+    private final ArrayList<PendingRequest> queue = new ArrayList<>();
     /** What a second copy may be due of. */
-    private final PriorityQueue<PendingRequest> copies = new PriorityQueue<>(Comparator.comparingLong(c -> c.copyAt));
+    private final PriorityQueue<PendingRequest> hedgeCandidates =
+            new PriorityQueue<>(Comparator.comparingLong(c -> c.hedgeAt));
 
     private long now;
-    private long wakePending = Long.MAX_VALUE;
+    private long pendingWakeAt = Long.MAX_VALUE;
     private final Aperture aperture;
-    private final ServedRate served = new ServedRate();
-    private final LoadShedder shedding = new LoadShedder();
+    private final ServedRate servedRate = new ServedRate();
+    private final LoadShedder loadShedder = new LoadShedder();
     private final double[] latencyUs;
-    private final double[] leastLatencyUs;
-    private final int[] answers;
-    private final double[] shareLeft;
-    private final long[] shareSeenAt;
-    private final long[] usualLeftUs;
-    private final double[] usualLeftShare;
-    private final int[] asked;
-    private int inFlight;
-    private double limits;
-    private long sweptAt;
+    private final double[] minLatencyUs;
+    private final int[] answerCounts;
+    private final double[] tenantTokens;
+    private final long[] tenantTokensAt;
+    private final long[] commonRemainingUs;
+    private final double[] commonRemainingFraction;
+    private final int[] requestCounts;
+    private int totalInFlight;
+    private double totalLimit;
+    private long lastSweepAt;
     /** When requests were last wanted of all that were full, and of all servers. */
-    private long fullWantedAt;
+    private long limitedDemandAt;
 
-    private long allWantedAt;
-    private double health = 1;
+    private long totalLimitDemandAt;
+    private double onTimeFraction = 1;
     private double sendTokens;
-    private double usualWorth;
-    private int valued;
-    private long askListAt = Long.MAX_VALUE;
-    private long listBackoffUs = LIST_BACKOFF_US;
+    private double meanValue;
+    private int valueCount;
+    private long nextListRequestAt = Long.MAX_VALUE;
+    private long listBackoffUs = INITIAL_LIST_BACKOFF_US;
 
     /**
      * A node that has just started and knows nothing.
@@ -160,24 +161,24 @@
      */
     public ServiceQBalancer(Settings settings, long seed, Actions actions) {
         settings.validate();
-        set = settings;
+        settings = settings;
         this.actions = actions;
         random = new SplittableRandom(seed);
         sweepUs = Math.max(MIN_SWEEP_US, 2 * settings.tickUs);
-        aperture = new Aperture(set.node, set.nodes, FIRST_LIMIT);
-        latencyUs = new double[set.classes.size()];
-        leastLatencyUs = new double[set.classes.size()];
-        answers = new int[set.classes.size()];
-        usualLeftUs = new long[set.classes.size()];
-        asked = new int[set.classes.size()];
-        usualLeftShare = new double[set.classes.size()];
-        shareLeft = new double[set.tenants.size()];
-        shareSeenAt = new long[set.tenants.size()];
-        fleet = set.crossZonePrice == 0 ? new Fleet() : new Fleet(set.myZone);
+        aperture = new Aperture(settings.node, settings.nodes, INITIAL_LIMIT_PER_SERVER);
+        latencyUs = new double[settings.classes.size()];
+        minLatencyUs = new double[settings.classes.size()];
+        answerCounts = new int[settings.classes.size()];
+        commonRemainingUs = new long[settings.classes.size()];
+        requestCounts = new int[settings.classes.size()];
+        commonRemainingFraction = new double[settings.classes.size()];
+        tenantTokens = new double[settings.tenants.size()];
+        tenantTokensAt = new long[settings.tenants.size()];
+        fleet = settings.crossZonePrice == 0 ? new Fleet() : new Fleet(settings.myZone);
         ready = fleet.ready;
         ejected = fleet.ejected;
-        for (int c = 0; c < set.classes.size(); c++) {
-            out.add(new TreeSet<>(new Server.ByTime(c)));
+        for (int c = 0; c < settings.classes.size(); c++) {
+            classExclusions.add(new TreeSet<>(new Server.DueTimeOrder(c)));
         }
     }
 
@@ -186,44 +187,44 @@
     @Override
     public void onServers(long nowUs, ListKind kind, List<ServerEntry> entries) {
         now = nowUs;
-        lists++;
+        listCount++;
         for (ServerEntry entry : entries) {
-            take(entry);
+            applyEntry(entry);
         }
         if (kind != ListKind.CHANGES) {
             for (Server server : List.copyOf(byId.values())) {
-                if (server.named != lists) {
-                    leave(server);
+                if (server.lastListNumber != listCount) {
+                    removeServer(server);
                 }
             }
         }
-        aim();
-        if (set.listOnRequest) {
+        updateAperture();
+        if (settings.mustRequestList) {
             if (kind == ListKind.CACHED) {
-                askForList();
+                requestList();
             } else {
-                askListAt = Long.MAX_VALUE;
-                listBackoffUs = LIST_BACKOFF_US;
+                nextListRequestAt = Long.MAX_VALUE;
+                listBackoffUs = INITIAL_LIST_BACKOFF_US;
             }
         }
-        serveWaiting();
+        dispatchQueued();
         scheduleWake();
     }
 
     /** Takes in a server as the list has it; costs next to nothing where nothing has changed. */
-    private void take(ServerEntry entry) {
+    private void applyEntry(ServerEntry entry) {
         Server server = byId.get(entry.id());
         if (entry.state() == ServerState.GONE) {
             if (server != null) {
-                leave(server);
+                removeServer(server);
             }
             return;
         }
         if (server == null) {
-            server = new Server(entry.id(), numbers++, 0, set.classes.size());
+            server = new Server(entry.id(), nextServerNumber++, 0, settings.classes.size());
             byId.put(server.id, server);
         }
-        server.named = lists;
+        server.lastListNumber = listCount;
         double weight = entry.weight() > 0 ? Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, entry.weight())) : 1;
         boolean started = entry.startedAtUs() > server.startedAt;
         if (!started
@@ -234,23 +235,23 @@
             return;
         }
         aperture.remove(server);
-        unlist(server);
+        deselect(server);
         if (started) {
             // A new process: what was counted against the old one says nothing of it.
-            restore(server);
-            Arrays.fill(server.misses, 0);
-            Arrays.fill(server.outUntil, 0);
-            server.answers = 0;
+            reset(server);
+            Arrays.fill(server.classFailureStreaks, 0);
+            Arrays.fill(server.classExcludedUntil, 0);
+            server.attemptCount = 0;
             server.startedAt = entry.startedAtUs();
             // All nodes learn of a start at about the same time: they must not all send at once (icd7515).
-            server.coldSentAt = now;
-            server.coldPhase = random.nextDouble();
+            server.coldLastSentAt = now;
+            server.coldIntervalFraction = random.nextDouble();
         }
         server.state = entry.state();
         server.zone = entry.zone();
         server.cell = entry.cell();
         server.weight = weight;
-        server.size = StrictMath.pow(weight, SIZE_POWER);
+        server.size = StrictMath.pow(weight, WEIGHT_EXPONENT);
         if (server.state == ServerState.READY) {
             aperture.add(server);
         }
@@ -260,25 +261,26 @@
      * Exception, aperture: where nodes are many, each keeps to a part of the servers, so that what it learns
      * of one is news: before all of them it would be back at each only when all has changed.
      */
-    private void aim() {
-        if (aperture.hasMoved()) {
+    private void updateAperture() {
+        if (aperture.hasChangedSinceLastCheck()) {
             // Both by the same factor: for all nodes at a server the balance between step and cut stays.
-            double pace = StrictMath.pow(aperture.sharers(), LEARN_BY_NODES);
-            limitStep = LIMIT_STEP / pace;
-            limitCut = 1 - StrictMath.pow(1 - LIMIT_CUT, pace);
-            aperture.leaving(ready).forEach(this::unlist);
-            for (Server server : aperture.joining(ready)) {
-                server.limit = server.limit > 0 ? server.limit : FIRST_LIMIT / aperture.sharers();
+            double pace = StrictMath.pow(aperture.meanNodesPerServer(), LIMIT_CHANGE_NODE_EXPONENT);
+            limitIncrease = LIMIT_INCREASE / pace;
+            limitDecreaseFraction = 1 - StrictMath.pow(1 - LIMIT_DECREASE_FRACTION, pace);
+            aperture.serversToRemove(ready).forEach(this::deselect);
+            for (Server server : aperture.serversToAdd(ready)) {
+                server.limit =
+                        server.limit > 0 ? server.limit : INITIAL_LIMIT_PER_SERVER / aperture.meanNodesPerServer();
                 fleet.add(server);
-                count(server, 1);
-                settle(server);
+                updateTotals(server, 1);
+                updateIndexes(server);
             }
         }
     }
 
-    private void leave(Server server) {
+    private void removeServer(Server server) {
         aperture.remove(server);
-        unlist(server);
+        deselect(server);
         server.state = ServerState.GONE;
         // Servers come and go for as long as a node runs: what is gone and holds nothing is forgotten.
         if (server.inFlight == 0) {
@@ -287,58 +289,58 @@
     }
 
     /** Takes a server out of everything that is chosen from. */
-    private void unlist(Server server) {
+    private void deselect(Server server) {
         if (!ready.contains(server)) {
             return;
         }
-        count(server, -1);
+        updateTotals(server, -1);
         fleet.remove(server);
-        limits = ready.size() == 0 ? 0 : limits; // What rounding has left would else stay for good.
-        settle(server);
+        totalLimit = ready.size() == 0 ? 0 : totalLimit; // What rounding has left would else stay for good.
+        updateIndexes(server);
     }
 
     /** Counts a server in use in or out: what hangs at one ejected or gone must not hold back the others. */
-    private void count(Server server, int sign) {
-        if (isCounted(server)) {
-            limits += sign * server.limit;
-            inFlight += sign * server.inFlight;
-            for (int c = 0; c < answers.length; c++) {
+    private void updateTotals(Server server, int sign) {
+        if (isInUse(server)) {
+            totalLimit += sign * server.limit;
+            totalInFlight += sign * server.inFlight;
+            for (int c = 0; c < answerCounts.length; c++) {
                 if (sign < 0) {
-                    out.get(c).remove(server);
-                } else if (server.outUntil[c] > now) {
-                    out.get(c).add(server);
+                    classExclusions.get(c).remove(server);
+                } else if (server.classExcludedUntil[c] > now) {
+                    classExclusions.get(c).add(server);
                 }
             }
         }
     }
 
     /** Has the indexes follow what has changed of a server: its errors, size, room, state or exclusions. */
-    private void settle(Server server) {
+    private void updateIndexes(Server server) {
         boolean full = isAtLimit(server);
-        if (full && server.fullSince < 0) {
-            server.fullSince = now;
-        } else if (!full && server.fullSince >= 0) {
-            server.wantedAt = wantedAt(server);
-            server.fullSince = -1;
+        if (full && server.atLimitSince < 0) {
+            server.atLimitSince = now;
+        } else if (!full && server.atLimitSince >= 0) {
+            server.limitedDemandAt = lastDemandAtLimit(server);
+            server.atLimitSince = -1;
         }
-        fleet.settle(server, full);
+        fleet.updateIndexes(server, full);
     }
 
     /** The same where only what is in flight or the limit has changed, which mostly changes nothing. */
-    private void settleRoom(Server server) {
-        if (server.ejected || isAtLimit(server) != (server.fullSince >= 0)) {
-            settle(server);
+    private void updateCapacity(Server server) {
+        if (server.ejected || isAtLimit(server) != (server.atLimitSince >= 0)) {
+            updateIndexes(server);
         }
     }
 
     @Override
     public ServerStatistics statistics(List<String> ids) {
         return new ServerStatistics(
-                StatisticsTransfer.of(ids, byId, FIRST_LIMIT / aperture.sharers()),
-                StatisticsTransfer.of(answers, latencyUs, leastLatencyUs),
+                StatisticsTransfer.of(ids, byId, INITIAL_LIMIT_PER_SERVER / aperture.meanNodesPerServer()),
+                StatisticsTransfer.of(answerCounts, latencyUs, minLatencyUs),
                 ready.size(),
                 ejected.size(),
-                health < THROTTLE_BELOW);
+                onTimeFraction < MIN_ON_TIME_FRACTION);
     }
 
     @Override
@@ -346,33 +348,33 @@
         now = nowUs;
         for (ServerStatistics.PerServer known : prior.servers()) {
             Server server = byId.get(known.id());
-            if (server != null && server.answers == 0 && known.startedAtUs() == server.startedAt) {
-                limits -= isCounted(server) ? server.limit : 0;
-                StatisticsTransfer.restore(server, known, EJECT_AT, CLASS_OUT_AT, now);
-                limits += isCounted(server) ? server.limit : 0;
-                settle(server);
+            if (server != null && server.attemptCount == 0 && known.startedAtUs() == server.startedAt) {
+                totalLimit -= isInUse(server) ? server.limit : 0;
+                StatisticsTransfer.restore(server, known, MIN_FAILURES_TO_EJECT, MIN_STREAK_TO_EXCLUDE_CLASS, now);
+                totalLimit += isInUse(server) ? server.limit : 0;
+                updateIndexes(server);
             }
         }
-        StatisticsTransfer.restore(prior.classes(), answers, latencyUs);
-        serveWaiting();
+        StatisticsTransfer.restore(prior.classes(), answerCounts, latencyUs);
+        dispatchQueued();
         scheduleWake();
     }
 
     @Override
     public void onListFailed(long nowUs) {
         now = nowUs;
-        if (!set.listOnRequest) {
+        if (!settings.mustRequestList) {
             return;
         }
         // Jittered backoff: nodes that failed together must not ask together again.
-        askListAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
-        listBackoffUs = Math.min(2 * listBackoffUs, Math.max(1, set.askWithinUs / 4));
+        nextListRequestAt = now + listBackoffUs / 2 + random.nextLong(listBackoffUs);
+        listBackoffUs = Math.min(2 * listBackoffUs, Math.max(1, settings.maxListIntervalUs / 4));
         scheduleWake();
     }
 
-    private void askForList() {
+    private void requestList() {
         actions.subscribe();
-        askListAt = now + Math.max(1, set.askWithinUs / 2);
+        nextListRequestAt = now + Math.max(1, settings.maxListIntervalUs / 2);
     }
 
     // ---------------------------------------------------------------- requests and outcomes
@@ -381,42 +383,42 @@
     public void onRequest(long nowUs, Request request) {
         now = nowUs;
         if (request.classIndex() < 0
-                || request.classIndex() >= set.classes.size()
-                || request.tenant() >= set.tenants.size()
-                || calls.containsKey(request.id())) {
+                || request.classIndex() >= settings.classes.size()
+                || request.tenant() >= settings.tenants.size()
+                || pendingById.containsKey(request.id())) {
             throw new IllegalArgumentException("unknown class or tenant, or an id that is held: " + request);
         }
-        long elapsedUs = elapsedBefore(request);
-        PendingRequest call = new PendingRequest(request, set, now, elapsedUs);
-        calls.put(request.id(), call);
+        long elapsedUs = elapsedBeforeThisTry(request);
+        PendingRequest call = new PendingRequest(request, settings, now, elapsedUs);
+        pendingById.put(request.id(), call);
         // By first tries: in a jam clients' retries multiply what is asked.
-        sendTokens = Math.min(MAX_TOKENS, sendTokens + (elapsedUs == 0 ? THROTTLE_FLOOR : 0));
-        call.value = value(call);
-        if (aperture.arrived(now, leastLatencyUs[request.classIndex()])) {
-            aim();
+        sendTokens = Math.min(MAX_SEND_TOKENS, sendTokens + (elapsedUs == 0 ? THROTTLED_SENDS_PER_REQUEST : 0));
+        call.value = assignPriority(call);
+        if (aperture.recordRequest(now, minLatencyUs[request.classIndex()])) {
+            updateAperture();
         }
         // On a node that is behind the answer will lie unread too: what can't be in time takes none of the
         // processor from the rest. After a single pause that is too much.
-        UnservedReason early = isWorthless(call)
+        UnservedReason early = isWithoutValue(call)
                 ? UnservedReason.TOO_LATE_ON_ARRIVAL
-                : shedding.refuses(call, random)
+                : loadShedder.shouldShed(call, random)
                         ? UnservedReason.SHED
-                        : call.cls.lateValueFraction() == 0
+                        : call.requestClass.lateValueFraction() == 0
                                         && request.loopDelayUs() > sweepUs
-                                        && call.aimAt - now
+                                        && call.latencyTargetAt - now
                                                 < request.loopDelayUs() / 2 + latencyUs[request.classIndex()]
                                 ? UnservedReason.EVENT_LOOP_DELAY
                                 : null;
         if (early != null) {
-            giveUp(call, early);
+            finishUnserved(call, early);
             return;
         }
-        Server server = waiting.isEmpty() && now < call.deadlineAt ? drawForFirstTry(call) : null;
+        Server server = queue.isEmpty() && now < call.deadlineAt ? chooseServer(call) : null;
         if (server != null) {
             send(call, server);
         } else {
-            defer(call);
-            serveWaiting();
+            enqueue(call);
+            dispatchQueued();
         }
         scheduleWake();
     }
@@ -426,18 +428,18 @@
      * one is not marked. Else its time left tells: first tries of a class, the most by far, all have the
      * same, and later ones what is left of the deadline.
      */
-    private long elapsedBefore(Request request) {
-        if (set.clientsMarkRetries && !request.retry()) {
+    private long elapsedBeforeThisTry(Request request) {
+        if (settings.clientsMarkRetries && !request.retry()) {
             return 0;
         }
         int c = request.classIndex();
-        long deadline = set.classes.get(c).deadlineUs();
+        long deadline = settings.classes.get(c).deadlineUs();
         long leftUs = request.remainingUs() + request.loopDelayUs() + request.admissionDelayUs();
-        boolean usual = Math.abs(leftUs - usualLeftUs[c]) <= USUAL_LEFT_WITHIN * deadline;
-        usualLeftShare[c] += meanGain(++asked[c]) * ((usual ? 1 : 0) - usualLeftShare[c]);
-        if (!usual && usualLeftShare[c] < USUAL_LEFT_AT) {
+        boolean usual = Math.abs(leftUs - commonRemainingUs[c]) <= COMMON_REMAINING_TOLERANCE * deadline;
+        commonRemainingFraction[c] += meanGain(++requestCounts[c]) * ((usual ? 1 : 0) - commonRemainingFraction[c]);
+        if (!usual && commonRemainingFraction[c] < MIN_COMMON_REMAINING_FRACTION) {
             // No time left is the usual one (yet), so it tells nothing.
-            usualLeftUs[c] = leftUs;
+            commonRemainingUs[c] = leftUs;
             return 0;
         }
         return usual ? 0 : Math.max(0, deadline - leftUs);
@@ -449,77 +451,79 @@
     }
 
     /** Whether no answer can earn anything any more: then it takes no server's time (i9ce813). */
-    private boolean isWorthless(PendingRequest call) {
-        return call.cls.lateValueFraction() == 0 && now >= call.aimAt;
+    private boolean isWithoutValue(PendingRequest call) {
+        return call.requestClass.lateValueFraction() == 0 && now >= call.latencyTargetAt;
     }
 
     @Override
     public void onOutcome(long nowUs, Outcome outcome) {
         now = nowUs;
-        PendingRequest call = calls.get(outcome.requestId());
+        PendingRequest call = pendingById.get(outcome.requestId());
         int attempt = outcome.attempt();
-        if (call == null || attempt < 0 || attempt >= call.attempts || call.results[attempt] != null) {
+        if (call == null || attempt < 0 || attempt >= call.attemptCount || call.results[attempt] != null) {
             return;
         }
         Server server = call.servers[attempt];
         Result result = outcome.result();
         call.results[attempt] = result;
-        call.outstanding--;
+        call.outstandingAttempts--;
         server.inFlight--;
-        inFlight -= isCounted(server) ? 1 : 0;
+        totalInFlight -= isInUse(server) ? 1 : 0;
         if (server.state == ServerState.GONE && server.inFlight == 0) {
             byId.remove(server.id, server);
         }
-        settleRoom(server);
+        updateCapacity(server);
         server.unreachable = result == Result.CONNECT_FAILED;
         if (result == Result.OK) {
             call.request.retryLimits().recordLatency(outcome.serverLatencyUs());
-            succeeded(server);
+            recordSuccess(server);
         } else if (outcome.isInformative()) {
             // A time-out of a server that has answered since tells of crowding, as being full does.
             boolean crowded =
-                    result == Result.FULL || result == Result.TIMEOUT && server.answeredAt >= call.sentAt[attempt];
-            failed(server, !crowded);
+                    result == Result.FULL || result == Result.TIMEOUT && server.lastResponseAt >= call.sentAt[attempt];
+            recordFailure(server, !crowded);
             if (result != Result.FULL && result != Result.TIMEOUT) {
-                server.faults += PACE_GAIN * (1 - server.faults);
-                learnPace(server, FAULT_PACE);
+                server.failureFraction += LATENCY_GAIN * (1 - server.failureFraction);
+                updateRelativeLatency(server, FAILURE_RELATIVE_LATENCY);
             }
         }
         if (result == Result.OK || result == Result.ERROR) {
-            server.answeredAt = now;
+            server.lastResponseAt = now;
         }
         if (outcome.isInformative()) {
-            server.answers++;
-            server.toldAt = now;
-            learnClass(call, attempt);
+            server.attemptCount++;
+            server.lastAttemptEndedAt = now;
+            updateClassStreak(call, attempt);
             double usual = latencyUs[call.request.classIndex()];
             if ((result == Result.OK || result == Result.TIMEOUT) && usual > 0) {
-                learnPace(server, outcome.serverLatencyUs() / usual);
+                updateRelativeLatency(server, outcome.serverLatencyUs() / usual);
             }
-            boolean inTime = now - outcome.loopDelayUs() <= call.aimAt;
+            boolean inTime = now - outcome.loopDelayUs() <= call.latencyTargetAt;
             if (result == Result.OK || result == Result.TIMEOUT) {
                 // An error says nothing of crowding, nor does work that takes longer than its aim.
-                double least = leastLatencyUs[call.request.classIndex()];
-                boolean longAtBest = least < Double.MAX_VALUE && outcome.serverLatencyUs() < AT_BEST * least;
-                learnHealth(result != Result.OK ? 0 : inTime || longAtBest ? 1 : call.cls.lateValueFraction());
+                double least = minLatencyUs[call.request.classIndex()];
+                boolean longAtBest =
+                        least < Double.MAX_VALUE && outcome.serverLatencyUs() < MAX_UNLOADED_LATENCY_RATIO * least;
+                updateOnTimeFraction(
+                        result != Result.OK ? 0 : inTime || longAtBest ? 1 : call.requestClass.lateValueFraction());
             }
-            adaptLimit(call, attempt, outcome);
-            rest(server, outcome.serverLatencyUs(), result == Result.OK ? 0 : usual);
+            updateLimit(call, attempt, outcome);
+            pauseServer(server, outcome.serverLatencyUs(), result == Result.OK ? 0 : usual);
         }
         if (outcome.requestEnded()) {
-            end(call);
-        } else if (!call.ended && call.outstanding == 0) {
-            passOn(call, server);
+            finish(call);
+        } else if (!call.ended && call.outstandingAttempts == 0) {
+            retryElsewhere(call, server);
         }
-        forgetIfOver(call);
-        serveWaiting();
+        forgetIfFinished(call);
+        dispatchQueued();
         scheduleWake();
     }
 
     @Override
     public void onFirstByte(long nowUs, long requestId, int attempt) {
         now = nowUs;
-        PendingRequest call = calls.get(requestId);
+        PendingRequest call = pendingById.get(requestId);
         if (call != null) {
             call.streaming = true;
         }
@@ -528,9 +532,9 @@
     @Override
     public void onClientDisconnected(long nowUs, long requestId) {
         now = nowUs;
-        PendingRequest call = calls.get(requestId);
+        PendingRequest call = pendingById.get(requestId);
         if (call != null) {
-            end(call);
+            finish(call);
         }
     }
 
@@ -546,103 +550,104 @@
         return ServerStatusReasons.of(
                 server,
                 now,
-                set,
+                settings,
                 server != null && ready.contains(server),
                 isThrottled(),
-                isJammed(),
-                server != null && isCold(server) ? server.coldSentAt + coldGap(server) : 0);
+                isAtTotalLimit(),
+                server != null && isCold(server) ? server.coldLastSentAt + coldIntervalUs(server) : 0);
     }
 
     @Override
     public void onWake(long nowUs) {
         now = nowUs;
-        wakePending = now >= wakePending ? Long.MAX_VALUE : wakePending;
-        if (now >= askListAt) {
-            askForList();
+        pendingWakeAt = now >= pendingWakeAt ? Long.MAX_VALUE : pendingWakeAt;
+        if (now >= nextListRequestAt) {
+            requestList();
         }
-        sendCopies();
-        serveWaiting();
+        sendHedges();
+        dispatchQueued();
         scheduleWake();
     }
 
     private void scheduleWake() {
-        while (!copies.isEmpty() && copies.peek().ended) {
-            copies.poll();
+        while (!hedgeCandidates.isEmpty() && hedgeCandidates.peek().ended) {
+            hedgeCandidates.poll();
         }
-        long at = waiting.isEmpty() ? askListAt : Math.min(askListAt, now + sweepUs);
-        at = copies.isEmpty() ? at : Math.min(at, copies.peek().copyAt);
-        if (at < wakePending) {
-            wakePending = Math.max(at, now + 1);
-            actions.wakeAt(wakePending);
+        long at = queue.isEmpty() ? nextListRequestAt : Math.min(nextListRequestAt, now + sweepUs);
+        at = hedgeCandidates.isEmpty() ? at : Math.min(at, hedgeCandidates.peek().hedgeAt);
+        if (at < pendingWakeAt) {
+            pendingWakeAt = Math.max(at, now + 1);
+            actions.wakeAt(pendingWakeAt);
         }
     }
 
     // ---------------------------------------------------------------- the mechanism
 
     /** A failure adds one; failures that say something of health, not of crowding, may eject the server. */
-    private void failed(Server server, boolean ill) {
+    private void recordFailure(Server server, boolean ill) {
         server.errors++;
-        settle(server);
+        updateIndexes(server);
         if (ill) {
-            server.history = server.history << 1 | 1;
-            server.trialsWon = 0;
-            if (server.ejected || recentFailures(server) >= EJECT_AT) {
+            server.failureHistory = server.failureHistory << 1 | 1;
+            server.successfulTrials = 0;
+            if (server.ejected || recentFailures(server) >= MIN_FAILURES_TO_EJECT) {
                 eject(server);
             }
         }
     }
 
     /** A success clears the count; an ejected server has to succeed several times in a row. */
-    private void succeeded(Server server) {
-        server.history <<= 1;
-        server.servedAt = now;
-        server.faults -= PACE_GAIN * server.faults;
+    private void recordSuccess(Server server) {
+        server.failureHistory <<= 1;
+        server.lastServedAt = now;
+        server.failureFraction -= LATENCY_GAIN * server.failureFraction;
         if (!server.ejected) {
             clearErrors(server);
             return;
         }
-        setTrial(server, now);
-        if (++server.trialsWon >= TRIALS) {
+        scheduleTrial(server, now);
+        if (++server.successfulTrials >= SUCCESSFUL_TRIALS_TO_RESTORE) {
             log("restored server " + server.id);
-            restore(server);
-            count(server, 1);
-            settle(server);
+            reset(server);
+            updateTotals(server, 1);
+            updateIndexes(server);
         }
     }
 
     /**
      * Exception, classes: a server may serve all but one class, and its answers to the others must not hide
-     * that. What failed {@link #CLASS_OUT_AT} times in a row is kept from it for a while, twice as long after
+     * that. What failed {@link #MIN_STREAK_TO_EXCLUDE_CLASS} times in a row is kept from it for a while, twice as long after
      * each single try that fails; in no more than half of the servers, as with ejection.
      */
-    private void learnClass(PendingRequest call, int attempt) {
+    private void updateClassStreak(PendingRequest call, int attempt) {
         Server server = call.servers[attempt];
         int c = call.request.classIndex();
         switch (call.results[attempt]) {
-            case OK -> server.heardAt[c] = now;
-            case ERROR, RESET -> server.misses[c]++;
-            case TIMEOUT -> server.misses[c] += server.heardAt[c] < call.sentAt[attempt] ? 1 : 0;
+            case OK -> server.classLastServedAt[c] = now;
+            case ERROR, RESET -> server.classFailureStreaks[c]++;
+            case TIMEOUT -> server.classFailureStreaks[c] += server.classLastServedAt[c] < call.sentAt[attempt] ? 1 : 0;
             default -> {}
         }
-        server.misses[c] = call.results[attempt] == Result.OK ? 0 : server.misses[c];
-        keepOut(server, c);
+        server.classFailureStreaks[c] = call.results[attempt] == Result.OK ? 0 : server.classFailureStreaks[c];
+        excludeFromClass(server, c);
     }
 
-    private void keepOut(Server server, int c) {
-        int more = server.misses[c] - CLASS_OUT_AT;
-        if (more >= 0 && !areMostOut(server, c)) {
-            out.get(c).remove(server);
-            server.outUntil[c] = now + Math.min(MAX_EJECTION_US, 2 * EJECT_US << Math.min(more, REMEMBERED));
-            if (isCounted(server)) {
-                out.get(c).add(server);
+    private void excludeFromClass(Server server, int c) {
+        int more = server.classFailureStreaks[c] - MIN_STREAK_TO_EXCLUDE_CLASS;
+        if (more >= 0 && !wouldExcludeMost(server, c)) {
+            classExclusions.get(c).remove(server);
+            server.classExcludedUntil[c] =
+                    now + Math.min(MAX_EJECTION_US, 2 * INITIAL_EJECTION_US << Math.min(more, HISTORY_LENGTH));
+            if (isInUse(server)) {
+                classExclusions.get(c).add(server);
             }
         }
     }
 
     /** Whether with this server more than half would get none of a class. */
-    private boolean areMostOut(Server server, int c) {
-        TreeSet<Server> others = out.get(c);
-        while (!others.isEmpty() && others.first().outUntil[c] <= now) {
+    private boolean wouldExcludeMost(Server server, int c) {
+        TreeSet<Server> others = classExclusions.get(c);
+        while (!others.isEmpty() && others.first().classExcludedUntil[c] <= now) {
             others.pollFirst();
         }
         int outs =
@@ -651,20 +656,20 @@
     }
 
     private static int recentFailures(Server server) {
-        return Integer.bitCount(server.history & (1 << REMEMBERED) - 1);
+        return Integer.bitCount(server.failureHistory & (1 << HISTORY_LENGTH) - 1);
     }
 
     private void clearErrors(Server server) {
         if (server.errors > 0) {
             server.errors = 0;
-            settle(server);
+            updateIndexes(server);
         }
     }
 
     // ---------------------------------------------------------------- ejection
 
     /**
-     * Exception, ejection: a server that failed {@link #EJECT_AT} of its last {@link #REMEMBERED} answers
+     * Exception, ejection: a server that failed {@link #MIN_FAILURES_TO_EJECT} of its last {@link #HISTORY_LENGTH} answers
      * gets nothing but single trials of repeatable requests, further apart each time one fails. Never
      * more than half of the servers are out: when most fail, the trouble is not theirs, and the weights
      * alone decide.
@@ -673,47 +678,49 @@
         if (!server.ejected) {
             if (2 * (ejected.size() + 1) > ready.size()) {
                 // More than its part of the fleet may be well.
-                aperture.widen(now);
-                aim();
+                aperture.widenForFailures(now);
+                updateAperture();
             }
             if (2 * (ejected.size() + 1) > ready.size()) {
                 return;
             }
-            count(server, -1);
+            updateTotals(server, -1);
             server.ejected = true;
-            server.ejectedForUs = EJECT_US / 2;
+            server.ejectionUs = INITIAL_EJECTION_US / 2;
             log("ejected server " + server.id + " after " + recentFailures(server) + " failures");
-            for (int c = 0; c < answers.length; c++) {
-                while (areMostOut(server, c) && !out.get(c).isEmpty()) {
-                    out.get(c).pollFirst().outUntil[c] = 0;
+            for (int c = 0; c < answerCounts.length; c++) {
+                while (wouldExcludeMost(server, c) && !classExclusions.get(c).isEmpty()) {
+                    classExclusions.get(c).pollFirst().classExcludedUntil[c] = 0;
                 }
             }
         }
-        server.ejectedForUs = Math.min(MAX_EJECTION_US, 2 * server.ejectedForUs);
-        setTrial(server, now + server.ejectedForUs / 2 + random.nextLong(server.ejectedForUs));
+        server.ejectionUs = Math.min(MAX_EJECTION_US, 2 * server.ejectionUs);
+        scheduleTrial(server, now + server.ejectionUs / 2 + random.nextLong(server.ejectionUs));
     }
 
-    private void setTrial(Server server, long at) {
-        fleet.trials.remove(server);
-        server.trialAt = at;
-        settle(server);
+    private void scheduleTrial(Server server, long at) {
+        fleet.ejectedByTrialTime.remove(server);
+        server.nextTrialAt = at;
+        updateIndexes(server);
     }
 
     /** A server to begin anew with. */
-    private void restore(Server server) {
+    private void reset(Server server) {
         clearErrors(server);
-        server.history = 0;
+        server.failureHistory = 0;
         server.ejected = false;
-        server.trialsWon = 0;
-        server.limit = FIRST_LIMIT / aperture.sharers();
-        server.restUntil = 0;
+        server.successfulTrials = 0;
+        server.limit = INITIAL_LIMIT_PER_SERVER / aperture.meanNodesPerServer();
+        server.pausedUntil = 0;
     }
 
     /** An ejected server that is due for a trial with this request, if it is repeatable, or null. */
-    private Server trial(PendingRequest call) {
-        int looks = call.cls.idempotency() == Idempotency.UNSAFE || fleet.trials.isEmpty() ? 0 : LOOKS;
-        for (Server server : fleet.trials) {
-            if (looks-- == 0 || server.trialAt > now) {
+    private Server serverDueForTrial(PendingRequest call) {
+        int looks = call.requestClass.idempotency() == Idempotency.UNSAFE || fleet.ejectedByTrialTime.isEmpty()
+                ? 0
+                : MAX_SERVERS_SCANNED;
+        for (Server server : fleet.ejectedByTrialTime) {
+            if (looks-- == 0 || server.nextTrialAt > now) {
                 return null;
             }
             if (isAllowed(call, server)) {
@@ -727,16 +734,19 @@
      * An ejected server that served lately and takes connections, for a repeatable request that no other
      * server has room for, or null: in a crowded fleet half of its work is worth more than none.
      */
-    private Server lastResort(PendingRequest call) {
+    private Server ejectedFallback(PendingRequest call) {
         Server best = null;
-        int from = ejected.size() <= LOOKS ? 0 : random.nextInt(ejected.size());
-        for (int i = 0; i < Math.min(LOOKS, ejected.size()) && call.cls.idempotency() != Idempotency.UNSAFE; i++) {
+        int from = ejected.size() <= MAX_SERVERS_SCANNED ? 0 : random.nextInt(ejected.size());
+        for (int i = 0;
+                i < Math.min(MAX_SERVERS_SCANNED, ejected.size())
+                        && call.requestClass.idempotency() != Idempotency.UNSAFE;
+                i++) {
             Server server = ejected.get((from + i) % ejected.size());
             if (!isAtLimit(server)
-                    && now >= server.restUntil
+                    && now >= server.pausedUntil
                     && !server.unreachable
-                    && !hasJustTried(call, server)
-                    && now < server.servedAt + MAX_EJECTION_US
+                    && !hasJustFailedAt(call, server)
+                    && now < server.lastServedAt + MAX_EJECTION_US
                     && isAllowed(call, server)
                     && (best == null || recentFailures(server) < recentFailures(best))) {
                 best = server;
@@ -745,13 +755,13 @@
         return best;
     }
 
-    private boolean isCounted(Server server) {
+    private boolean isInUse(Server server) {
         return ready.contains(server) && !server.ejected;
     }
 
     private void log(String line) {
-        if (now >= logFreeAt) {
-            logFreeAt = now + LOG_EVERY_US;
+        if (now >= nextLogAt) {
+            nextLogAt = now + MIN_LOG_INTERVAL_US;
             actions.log(line);
         }
     }
@@ -759,26 +769,27 @@
     // ---------------------------------------------------------------- draws
 
     /** Two draws by weight; the one with fewer own requests in flight, ties at random. */
-    private Server drawForFirstTry(PendingRequest call) {
-        Server due = trial(call);
+    private Server chooseServer(PendingRequest call) {
+        Server due = serverDueForTrial(call);
         Server server = due == null ? drawByZone(call) : due;
-        return server == null ? lastResort(call) : server;
+        return server == null ? ejectedFallback(call) : server;
     }
 
     private Server drawByZone(PendingRequest call) {
-        Server server = drawTwo(call, fleet.nearby, fleet.roomyNearby);
-        if (fleet.nearby == fleet.everywhere) {
+        Server server = drawTwo(call, fleet.localZone, fleet.localZoneWithCapacity);
+        if (fleet.localZone == fleet.allZones) {
             return server;
         }
         // Exception, zones: where crossing costs, both draws are local, and two more from all win only if
         // the local choice is crowded, fails, or has at least two requests more in flight.
-        if (server != null && server.inFlight < SPILL_AT && server.errors == 0) {
+        if (server != null && server.inFlight < MIN_IN_FLIGHT_TO_CROSS_ZONES && server.errors == 0) {
             return server;
         }
-        Server other = drawTwo(call, fleet.everywhere, fleet.roomy);
+        Server other = drawTwo(call, fleet.allZones, fleet.allZonesWithCapacity);
         return server == null
                         || other != null
-                                && (other.inFlight + SPILL_AT <= server.inFlight || other.errors < server.errors)
+                                && (other.inFlight + MIN_IN_FLIGHT_TO_CROSS_ZONES <= server.inFlight
+                                        || other.errors < server.errors)
                 ? other
                 : server;
     }
@@ -789,8 +800,8 @@
         if (first != null && actions.wantsExplanations()) {
             actions.reportCandidates(
                     call.request.id(),
-                    ServerStatusReasons.drawn(first, pace(first)),
-                    second == null ? null : ServerStatusReasons.drawn(second, pace(second)));
+                    ServerStatusReasons.candidate(first, relativeLatency(first)),
+                    second == null ? null : ServerStatusReasons.candidate(second, relativeLatency(second)));
         }
         if (second == null || first.inFlight < second.inFlight) {
             return first;
@@ -799,21 +810,21 @@
             return second;
         }
         // Exception, ties: with little in flight a tie goes to the server that was quicker of late (i9ce813).
-        double difference = pace(first) - pace(second);
-        boolean toss = Math.abs(difference) < PACE_ALIKE;
+        double difference = relativeLatency(first) - relativeLatency(second);
+        boolean toss = Math.abs(difference) < MIN_LATENCY_DIFFERENCE;
         return (toss ? random.nextInt(2) == 0 : difference > 0) ? second : first;
     }
 
     /** How long a server takes for what takes others 1, as far as this node knows; forgotten with time. */
-    private double pace(Server server) {
-        double forgetUs = PACE_KEPT * served.gapUs() * Math.max(1, ready.size());
-        return 1 + (server.pace - 1) * StrictMath.exp(-(now - server.paceAt) / forgetUs);
+    private double relativeLatency(Server server) {
+        double forgetUs = LATENCY_DECAY_ROUNDS * servedRate.meanGapUs() * Math.max(1, ready.size());
+        return 1 + (server.relativeLatency - 1) * StrictMath.exp(-(now - server.relativeLatencyAt) / forgetUs);
     }
 
-    private void learnPace(Server server, double ratio) {
-        double before = pace(server);
-        server.pace = before + PACE_GAIN * (ratio - before);
-        server.paceAt = now;
+    private void updateRelativeLatency(Server server, double ratio) {
+        double before = relativeLatency(server);
+        server.relativeLatency = before + LATENCY_GAIN * (ratio - before);
+        server.relativeLatencyAt = now;
     }
 
     /**
@@ -822,160 +833,161 @@
      * list; where all sizes are the same, nothing changes.
      */
     private Server draw(PendingRequest call, DrawIndex<Server> from, DrawIndex<Server> withRoom, Server except) {
-        double effect = fleet.everywhere.largestEffect();
-        for (int i = 0; i <= REDRAWS && from.size() > 0; i++) {
+        double effect = fleet.allZones.weightScale();
+        for (int i = 0; i <= MAX_REDRAWS && from.size() > 0; i++) {
             Server server = from.draw(random, effect);
             if (server != except && maySend(call, server)) {
                 return server;
             }
         }
         // Most are full, or may not be sent this: all of those are wanted, and the rest is looked through.
-        return !markWanted() || withRoom.size() == 0
+        return !recordDemand() || withRoom.size() == 0
                 ? null
-                : withRoom.drawAmong(LOOKS, random, effect, server -> server != except && maySend(call, server));
+                : withRoom.drawAmong(
+                        MAX_SERVERS_SCANNED, random, effect, server -> server != except && maySend(call, server));
     }
 
     /** Notes that whoever is full, or all, are wanted; whether one with room may be sent to. */
-    private boolean markWanted() {
+    private boolean recordDemand() {
         if (isThrottled()) {
             return false;
         }
-        if (isJammed()) {
-            allWantedAt = now;
+        if (isAtTotalLimit()) {
+            totalLimitDemandAt = now;
             return false;
         }
-        fullWantedAt = now;
+        limitedDemandAt = now;
         return true;
     }
 
     /** A failed request goes to the next server in list order, or waits, or has its final answer. */
-    private void passOn(PendingRequest call, Server failed) {
-        if (!mayTryAgain(call)) {
-            giveUp(call, whyNot(call));
+    private void retryElsewhere(PendingRequest call, Server failed) {
+        if (!mayRetry(call)) {
+            finishUnserved(call, unservedReason(call));
             return;
         }
-        long waitUs = call.request.retryLimits().retryDelayUs(call.attempts);
+        long waitUs = call.request.retryLimits().retryDelayUs(call.attemptCount);
         if (waitUs > 0) {
             call.notBefore = now + waitUs;
-            defer(call);
+            enqueue(call);
             return;
         }
         List<Server> tried = Arrays.asList(call.servers);
-        IndexedSet<Server> group = groupOf(call);
+        IndexedSet<Server> group = retryGroup(call);
         int start = group.indexOf(failed);
         for (int pass = 0; pass < 2; pass++) {
-            for (int i = 1; i <= Math.min(LOOKS, group.size()); i++) {
+            for (int i = 1; i <= Math.min(MAX_SERVERS_SCANNED, group.size()); i++) {
                 Server next = group.get((start + i) % group.size());
                 // Exception: where crossing costs, own-zone servers that have not failed last come first.
-                boolean first = next.errors == 0 && (fleet.nearby == fleet.everywhere || next.zone == set.myZone);
+                boolean first = next.errors == 0 && (fleet.localZone == fleet.allZones || next.zone == settings.myZone);
                 if ((first || pass > 0) && !tried.contains(next) && maySend(call, next)) {
                     send(call, next);
                     return;
                 }
             }
         }
-        defer(call);
+        enqueue(call);
     }
 
     /** The ready servers among which a request that may have run must stay. */
-    private IndexedSet<Server> groupOf(PendingRequest call) {
-        int binding = call.cls.idempotency() == Idempotency.KEYED ? call.binding() : -1;
-        return binding < 0 || call.cls.deduplicationScope() == DeduplicationScope.ALL
+    private IndexedSet<Server> retryGroup(PendingRequest call) {
+        int binding = call.requestClass.idempotency() == Idempotency.KEYED ? call.firstAttemptThatMayHaveRun() : -1;
+        return binding < 0 || call.requestClass.deduplicationScope() == DeduplicationScope.ALL
                 ? ready
-                : call.cls.deduplicationScope() == DeduplicationScope.ZONE
-                        ? fleet.zone(call.servers[binding].zone)
-                        : fleet.cell(call.servers[binding].cell);
+                : call.requestClass.deduplicationScope() == DeduplicationScope.ZONE
+                        ? fleet.serversInZone(call.servers[binding].zone)
+                        : fleet.serversInCell(call.servers[binding].cell);
     }
 
     // ---------------------------------------------------------------- the deferred queue
 
     /** Puts a request into the deferred queue, if there is time: first come first served of equal value. */
-    private void defer(PendingRequest call) {
-        if (isOver(call)) {
-            giveUp(call, whyNot(call));
+    private void enqueue(PendingRequest call) {
+        if (hasExpired(call)) {
+            finishUnserved(call, unservedReason(call));
             return;
         }
-        call.waiting = true;
+        call.queued = true;
         int low = 0;
-        for (int high = waiting.size(); low < high; ) {
+        for (int high = queue.size(); low < high; ) {
             int middle = (low + high) >>> 1;
-            boolean before = BY_VALUE.compare(waiting.get(middle), call) <= 0;
+            boolean before = BY_PRIORITY.compare(queue.get(middle), call) <= 0;
             low = before ? middle + 1 : low;
             high = before ? high : middle;
         }
-        waiting.add(low, call);
+        queue.add(low, call);
     }
 
     /** Whether a request that waits has run out of time, or of what it may try. */
-    private boolean isOver(PendingRequest call) {
-        return call.deadlineAt - now <= sweepUs + set.tickUs
-                || isLate(call) && call.cls.lateValueFraction() == 0
-                || !mayTryAgain(call);
+    private boolean hasExpired(PendingRequest call) {
+        return call.deadlineAt - now <= sweepUs + settings.tickUs
+                || isLate(call) && call.requestClass.lateValueFraction() == 0
+                || !mayRetry(call);
     }
 
     private boolean isLate(PendingRequest call) {
-        return call.aimAt - now
+        return call.latencyTargetAt - now
                 < Math.min(
-                        MOST_LATE_AT * (call.aimAt - call.arrivedAt),
-                        TOO_LATE_AT * latencyUs[call.request.classIndex()]);
+                        MAX_LATE_TARGET_FRACTION * (call.latencyTargetAt - call.arrivedAt),
+                        MIN_REMAINING_LATENCIES * latencyUs[call.request.classIndex()]);
     }
 
     /** Whether nobody can be sent anything, which needs no look at each that waits. */
-    private boolean isNobodyOpen() {
-        return ejected.size() == 0 && (fleet.roomy.size() == 0 || isThrottled() || isJammed());
+    private boolean hasNoAvailableServer() {
+        return ejected.size() == 0 && (fleet.allZonesWithCapacity.size() == 0 || isThrottled() || isAtTotalLimit());
     }
 
     /** Sends what waits as far as servers allow and ends what has run out of time. */
-    private void serveWaiting() {
+    private void dispatchQueued() {
         // All that wait are looked at once in a sweep; in between only as long as somebody has room.
-        boolean sweep = now >= sweptAt + sweepUs;
-        if (waiting.isEmpty() || !sweep && isNobodyOpen()) {
-            if (!waiting.isEmpty()) {
-                markWanted();
+        boolean sweep = now >= lastSweepAt + sweepUs;
+        if (queue.isEmpty() || !sweep && hasNoAvailableServer()) {
+            if (!queue.isEmpty()) {
+                recordDemand();
             }
             return;
         }
-        sweptAt = sweep ? now : sweptAt;
+        lastSweepAt = sweep ? now : lastSweepAt;
         int kept = 0;
         int seen = 0;
-        boolean[] full = new boolean[set.classes.size()];
+        boolean[] full = new boolean[settings.classes.size()];
         boolean unsorted = false;
-        while (seen < waiting.size()) {
-            PendingRequest call = waiting.get(seen++);
-            if (!call.waiting) {
+        while (seen < queue.size()) {
+            PendingRequest call = queue.get(seen++);
+            if (!call.queued) {
                 continue;
             }
-            if (isOver(call)) {
-                call.waiting = false;
-                giveUp(call, whyNot(call));
+            if (hasExpired(call)) {
+                call.queued = false;
+                finishUnserved(call, unservedReason(call));
                 continue;
             }
             boolean late = isLate(call);
-            if (late && !call.late) {
-                call.late = true;
-                call.value *= call.cls.lateValueFraction();
+            if (late && !call.lateDiscountApplied) {
+                call.lateDiscountApplied = true;
+                call.value *= call.requestClass.lateValueFraction();
                 unsorted = true;
-                waiting.set(kept++, call);
+                queue.set(kept++, call);
                 continue;
             }
             int c = call.request.classIndex();
-            Server server = full[c] || now < call.notBefore ? null : drawForFirstTry(call);
+            Server server = full[c] || now < call.notBefore ? null : chooseServer(call);
             if (server != null) {
-                call.waiting = false;
+                call.queued = false;
                 send(call, server);
-                if (!sweep && isNobodyOpen()) {
+                if (!sweep && hasNoAvailableServer()) {
                     break;
                 }
             } else {
                 // What has not been sent may go wherever its class may: if it finds no server, nor does
                 // the next one.
-                full[c] |= call.attempts == 0;
-                waiting.set(kept++, call);
+                full[c] |= call.attemptCount == 0;
+                queue.set(kept++, call);
             }
         }
-        waiting.subList(kept, seen).clear();
+        queue.subList(kept, seen).clear();
         if (unsorted) {
-            waiting.sort(BY_VALUE);
+            queue.sort(BY_PRIORITY);
         }
     }
 
@@ -984,25 +996,25 @@
      * if its tenant is beyond this node's part of its share, over the usual latency of its class as the
      * measure of work.
      */
-    private double value(PendingRequest call) {
-        double worth = call.cls.value();
+    private double assignPriority(PendingRequest call) {
+        double worth = call.requestClass.value();
         int tenant = call.request.tenant();
-        double quota = tenant < 0 ? 0 : set.tenants.get(tenant).quotaPerS() / set.nodes;
+        double quota = tenant < 0 ? 0 : settings.tenants.get(tenant).quotaPerS() / settings.nodes;
         if (quota > 0) {
-            double most = Math.max(1, quota * SHARE_BURST_S);
-            double since = shareSeenAt[tenant] == 0 ? SHARE_BURST_S : (now - shareSeenAt[tenant]) / 1e6;
-            shareSeenAt[tenant] = now;
-            shareLeft[tenant] = Math.min(most, shareLeft[tenant] + quota * since);
-            if (shareLeft[tenant] >= 1) {
-                shareLeft[tenant]--;
+            double most = Math.max(1, quota * TENANT_BURST_S);
+            double since = tenantTokensAt[tenant] == 0 ? TENANT_BURST_S : (now - tenantTokensAt[tenant]) / 1e6;
+            tenantTokensAt[tenant] = now;
+            tenantTokens[tenant] = Math.min(most, tenantTokens[tenant] + quota * since);
+            if (tenantTokens[tenant] >= 1) {
+                tenantTokens[tenant]--;
             } else {
-                worth *= set.overShareWorth;
+                worth *= settings.overShareValueFraction;
             }
         }
-        call.worth = worth;
-        call.upper = worth > usualWorth;
-        usualWorth += meanGain(++valued) * (worth - usualWorth);
-        return set.valuePerWorkUnit ? worth : worth / Math.max(1, latencyUs[call.request.classIndex()]);
+        call.priority = worth;
+        call.aboveMeanValue = worth > meanValue;
+        meanValue += meanGain(++valueCount) * (worth - meanValue);
+        return settings.valuePerWorkUnit ? worth : worth / Math.max(1, latencyUs[call.request.classIndex()]);
     }
 
     // ---------------------------------------------------------------- concurrency limits
@@ -1013,7 +1025,7 @@
      * Acts only when a draw would exceed a server's limit, or the node the sum of all limits. With many nodes
      * a server's part is under one: then it rests after each answer, for as long as makes it that part.
      */
-    private void adaptLimit(PendingRequest call, int attempt, Outcome outcome) {
+    private void updateLimit(PendingRequest call, int attempt, Outcome outcome) {
         Server server = call.servers[attempt];
         double before = server.limit;
         if (outcome.result() == Result.OK) {
@@ -1021,85 +1033,86 @@
             // By the stall alone: of the answers of a node that is behind only the slow ones are surely slow.
             latencyUs[c] += outcome.loopDelayUs() > sweepUs
                     ? 0
-                    : meanGain(++answers[c]) * (outcome.serverLatencyUs() - latencyUs[c]);
+                    : meanGain(++answerCounts[c]) * (outcome.serverLatencyUs() - latencyUs[c]);
             // The first answers' mean is chance; until then the aim alone tells.
-            leastLatencyUs[c] = answers[c] * MEAN_GAIN < 0.5
+            minLatencyUs[c] = answerCounts[c] * MEAN_GAIN < 0.5
                     ? Double.MAX_VALUE
-                    : Math.min(leastLatencyUs[c] * MIN_DRIFT, latencyUs[c]);
-            double crowded = Math.min(CROWDED_AT * call.aimUs, CROWDED_BY * leastLatencyUs[c]);
-            served.answered(now, fleet.totalWeight);
+                    : Math.min(minLatencyUs[c] * MIN_LATENCY_GROWTH, latencyUs[c]);
+            double crowded =
+                    Math.min(OVERLOAD_TARGET_FRACTION * call.latencyTargetUs, OVERLOAD_LATENCY_RATIO * minLatencyUs[c]);
+            servedRate.recordAnswer(now, fleet.totalWeight);
             if (outcome.serverLatencyUs() <= crowded) {
                 // A cold server gets little and is quick with it: were its limit to pass the others', all
                 // nodes together would choke it as soon as slow start lets go (i3a094a).
-                server.limit += wantedAt(server) >= call.sentAt[attempt]
-                                && (!isCold(server) || server.limit * ready.size() < limits)
-                        ? limitStep
+                server.limit += lastDemandAtLimit(server) >= call.sentAt[attempt]
+                                && (!isCold(server) || server.limit * ready.size() < totalLimit)
+                        ? limitIncrease
                         : 0;
             } else {
-                cutLimit(call, attempt, limitCut);
+                decreaseLimit(call, attempt, limitDecreaseFraction);
             }
         } else if (outcome.result() == Result.TIMEOUT) {
-            cutLimit(call, attempt, LIMIT_HARD_CUT);
+            decreaseLimit(call, attempt, LIMIT_TIMEOUT_DECREASE_FRACTION);
         }
-        if (isCounted(server)) {
-            limits += server.limit - before;
+        if (isInUse(server)) {
+            totalLimit += server.limit - before;
         }
-        settleRoom(server);
+        updateCapacity(server);
     }
 
     /**
      * A limit under one is the part of the time in which this node may have a request there; what fails at
      * once took less, but the next one would find no better.
      */
-    private void rest(Server server, double heldUs, double leastUs) {
-        server.restUntil = server.limit > 1 ? 0 : now + (long) (Math.max(heldUs, leastUs) / server.limit - heldUs);
+    private void pauseServer(Server server, double heldUs, double leastUs) {
+        server.pausedUntil = server.limit > 1 ? 0 : now + (long) (Math.max(heldUs, leastUs) / server.limit - heldUs);
     }
 
     /** When a server was last wanted while it was full, or all were. */
-    private long wantedAt(Server server) {
-        long asFull = server.fullSince >= 0 && fullWantedAt >= server.fullSince ? fullWantedAt : 0;
-        return Math.max(server.wantedAt, Math.max(asFull, allWantedAt));
+    private long lastDemandAtLimit(Server server) {
+        long asFull = server.atLimitSince >= 0 && limitedDemandAt >= server.atLimitSince ? limitedDemandAt : 0;
+        return Math.max(server.limitedDemandAt, Math.max(asFull, totalLimitDemandAt));
     }
 
     /** One cut for all that was sent before the last one. */
-    private void cutLimit(PendingRequest call, int attempt, double cut) {
+    private void decreaseLimit(PendingRequest call, int attempt, double cut) {
         Server server = call.servers[attempt];
-        if (call.sentAt[attempt] >= server.limitCutAt) {
-            server.limit = Math.max(1 / aperture.sharers(), server.limit * (1 - cut));
-            server.limitCutAt = now;
+        if (call.sentAt[attempt] >= server.limitDecreasedAt) {
+            server.limit = Math.max(1 / aperture.meanNodesPerServer(), server.limit * (1 - cut));
+            server.limitDecreasedAt = now;
         }
     }
 
-    private boolean isCrowded(Server server) {
+    private boolean isOutOfCapacity(Server server) {
         if (isThrottled()) {
             return true;
         }
-        if (isAtLimit(server) || now < server.restUntil && inFlight > 0 || isJammed()) {
-            server.wantedAt = now;
+        if (isAtLimit(server) || now < server.pausedUntil && totalInFlight > 0 || isAtTotalLimit()) {
+            server.limitedDemandAt = now;
             return true;
         }
         return false;
     }
 
     /** The sum guards against a stall, when all that nodes may have at servers is out at once. */
-    private boolean isJammed() {
+    private boolean isAtTotalLimit() {
         // A burst's room shrinks with health, none at half: a fleet in overload tips over by it (i6d5d9b).
-        double burst = BURST * Math.max(0, 2 * health - 1) * Math.sqrt(limits);
-        return inFlight > 0 && inFlight + 1 > limits + burst;
+        double burst = BURST_ROOT_FACTOR * Math.max(0, 2 * onTimeFraction - 1) * Math.sqrt(totalLimit);
+        return totalInFlight > 0 && totalInFlight + 1 > totalLimit + burst;
     }
 
     /**
-     * Exception, throttling: once under {@link #THROTTLE_BELOW} of attempts are answered in time, a node
-     * sends {@link #THROTTLE} times what is, and a little to see whether that still holds: a fleet that has
+     * Exception, throttling: once under {@link #MIN_ON_TIME_FRACTION} of attempts are answered in time, a node
+     * sends {@link #THROTTLED_SENDS_PER_TIMELY_ANSWER} times what is, and a little to see whether that still holds: a fleet that has
      * turned slow under its load recovers only if nearly nothing comes (i6d5d9b, ia25714).
      */
     private boolean isThrottled() {
-        return health < THROTTLE_BELOW && sendTokens < 1;
+        return onTimeFraction < MIN_ON_TIME_FRACTION && sendTokens < 1;
     }
 
-    private void learnHealth(double earned) {
-        health += HEALTH_GAIN * (earned - health);
-        sendTokens = Math.min(MAX_TOKENS, sendTokens + (earned == 1 ? THROTTLE : 0));
+    private void updateOnTimeFraction(double earned) {
+        onTimeFraction += ON_TIME_GAIN * (earned - onTimeFraction);
+        sendTokens = Math.min(MAX_SEND_TOKENS, sendTokens + (earned == 1 ? THROTTLED_SENDS_PER_TIMELY_ANSWER : 0));
     }
 
     private boolean isAtLimit(Server server) {
@@ -1109,47 +1122,47 @@
     // ---------------------------------------------------------------- sending
 
     private void send(PendingRequest call, Server server) {
-        if (call.attempts > 0) {
+        if (call.attemptCount > 0) {
             call.request.retryLimits().recordRetry();
         }
-        shedding.sent(call);
-        int attempt = call.attempts++;
+        loadShedder.recordSent(call);
+        int attempt = call.attemptCount++;
         sendTokens = Math.max(0, sendTokens - 1);
         call.servers[attempt] = server;
         call.sentAt[attempt] = now;
-        call.outstanding++;
+        call.outstandingAttempts++;
         server.inFlight++;
-        inFlight += isCounted(server) ? 1 : 0;
-        settleRoom(server);
-        served.begin(now);
+        totalInFlight += isInUse(server) ? 1 : 0;
+        updateCapacity(server);
+        servedRate.start(now);
         if (isCold(server)) {
-            server.coldSentAt = now;
-            server.coldPhase = 1;
+            server.coldLastSentAt = now;
+            server.coldIntervalFraction = 1;
         }
-        long end = attemptEnd(call);
-        if (server.misses[call.request.classIndex()] > 0) {
-            keepOut(server, call.request.classIndex());
-            end = Math.min(end, doubtfulEnd(call));
+        long end = attemptDeadline(call);
+        if (server.classFailureStreaks[call.request.classIndex()] > 0) {
+            excludeFromClass(server, call.request.classIndex());
+            end = Math.min(end, suspectAttemptDeadline(call));
         }
         actions.send(call.request.id(), server.id, end);
         long copyAfterUs = attempt == 0
-                        && set.allowsHedging
-                        && call.cls.idempotency() != Idempotency.UNSAFE
-                        && !call.cls.isStreaming()
+                        && settings.allowsHedging
+                        && call.requestClass.idempotency() != Idempotency.UNSAFE
+                        && !call.requestClass.isStreaming()
                 ? call.request.retryLimits().hedgeDelayUs()
                 : 0;
         if (copyAfterUs > 0) {
-            call.copyAt = now + copyAfterUs;
-            copies.add(call);
+            call.hedgeAt = now + copyAfterUs;
+            hedgeCandidates.add(call);
         }
     }
 
     /** Exception, second copies: where a route asks for them, what is slow is sent to another server too. */
-    private void sendCopies() {
-        while (!copies.isEmpty() && (copies.peek().ended || copies.peek().copyAt <= now)) {
-            PendingRequest call = copies.poll();
-            if (!call.ended && call.attempts == 1 && call.outstanding == 1 && mayTryAgain(call)) {
-                Server other = draw(call, fleet.everywhere, fleet.roomy, call.servers[0]);
+    private void sendHedges() {
+        while (!hedgeCandidates.isEmpty() && (hedgeCandidates.peek().ended || hedgeCandidates.peek().hedgeAt <= now)) {
+            PendingRequest call = hedgeCandidates.poll();
+            if (!call.ended && call.attemptCount == 1 && call.outstandingAttempts == 1 && mayRetry(call)) {
+                Server other = draw(call, fleet.allZones, fleet.allZonesWithCapacity, call.servers[0]);
                 if (other != null) {
                     send(call, other);
                 }
@@ -1158,22 +1171,24 @@
     }
 
     /** Exception, time-out at the aim: where a later answer earns nothing, it only keeps its server busy. */
-    private long attemptEnd(PendingRequest call) {
-        return call.cls.lateValueFraction() > 0 || clientRepeats(call.cls) || call.cls.isStreaming()
+    private long attemptDeadline(PendingRequest call) {
+        return call.requestClass.lateValueFraction() > 0
+                        || clientRetriesFailures(call.requestClass)
+                        || call.requestClass.isStreaming()
                 ? call.deadlineAt
-                : call.aimAt;
+                : call.latencyTargetAt;
     }
 
     /** Where a class has just failed, time is left for another server to repeat what can be repeated. */
-    private long doubtfulEnd(PendingRequest call) {
-        long half = (call.aimAt - now) / 2;
-        return call.cls.idempotency() == Idempotency.UNSAFE || half <= 0
+    private long suspectAttemptDeadline(PendingRequest call) {
+        long half = (call.latencyTargetAt - now) / 2;
+        return call.requestClass.idempotency() == Idempotency.UNSAFE || half <= 0
                 ? Long.MAX_VALUE
-                : now + Math.max(half, (long) (TOO_LATE_AT * latencyUs[call.request.classIndex()]));
+                : now + Math.max(half, (long) (MIN_REMAINING_LATENCIES * latencyUs[call.request.classIndex()]));
     }
 
     /** Whether clients come back after a failure too, and not only when told that it does no harm. */
-    private static boolean clientRepeats(RequestClass cls) {
+    private static boolean clientRetriesFailures(RequestClass cls) {
         return cls.idempotency() == Idempotency.SAFE
                 || cls.idempotency() == Idempotency.KEYED && cls.deduplicationScope() == DeduplicationScope.ALL;
     }
@@ -1181,81 +1196,85 @@
     // ---------------------------------------------------------------- the four rules
 
     /** Rule 1: the one final answer, a refusal wherever that is known to be harmless. */
-    private void giveUp(PendingRequest call, UnservedReason why) {
+    private void finishUnserved(PendingRequest call, UnservedReason why) {
         if (actions.wantsExplanations()) {
             actions.reportReason(call.request.id(), why);
         }
-        boolean harmless = switch (call.cls.idempotency()) {
+        boolean harmless = switch (call.requestClass.idempotency()) {
             case SAFE -> true;
-            case KEYED -> call.binding() < 0 || call.cls.deduplicationScope() == DeduplicationScope.ALL;
-            case UNSAFE -> call.binding() < 0;
+            case KEYED ->
+                call.firstAttemptThatMayHaveRun() < 0
+                        || call.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+            case UNSAFE -> call.firstAttemptThatMayHaveRun() < 0;
         };
-        shedding.givenUp(call);
+        loadShedder.recordUnserved(call);
         // A refusal calls back a client who would let a failure be; past the aim that is work for nothing.
-        if (harmless && (clientRepeats(call.cls) || !isWorthless(call))) {
-            actions.reject(call.request.id(), set.maxRetryAfterUs);
+        if (harmless && (clientRetriesFailures(call.requestClass) || !isWithoutValue(call))) {
+            actions.reject(call.request.id(), settings.maxRetryAfterUs);
         } else {
             actions.fail(call.request.id());
         }
-        end(call);
+        finish(call);
     }
 
-    private UnservedReason whyNot(PendingRequest call) {
-        int binding = call.binding();
-        return call.attempts == 0
+    private UnservedReason unservedReason(PendingRequest call) {
+        int binding = call.firstAttemptThatMayHaveRun();
+        return call.attemptCount == 0
                 ? UnservedReason.NO_CAPACITY
-                : call.attempts >= set.maxAttempts
+                : call.attemptCount >= settings.maxAttempts
                         ? UnservedReason.ATTEMPTS_EXHAUSTED
-                        : mayTryAgain(call) || now >= call.deadlineAt || isWorthless(call)
+                        : mayRetry(call) || now >= call.deadlineAt || isWithoutValue(call)
                                 ? UnservedReason.DEADLINE_EXCEEDED
-                                : binding >= 0 && call.cls.idempotency() == Idempotency.UNSAFE
+                                : binding >= 0 && call.requestClass.idempotency() == Idempotency.UNSAFE
                                         ? UnservedReason.MAY_HAVE_RUN
                                         : binding >= 0
-                                                        && call.cls.idempotency() == Idempotency.KEYED
-                                                        && now > call.sentAt[binding] + call.cls.deduplicationWindowUs()
+                                                        && call.requestClass.idempotency() == Idempotency.KEYED
+                                                        && now
+                                                                > call.sentAt[binding]
+                                                                        + call.requestClass.deduplicationWindowUs()
                                                 ? UnservedReason.DEDUPLICATION_WINDOW_EXPIRED
                                                 : UnservedReason.ROUTE_LIMIT;
     }
 
-    private void end(PendingRequest call) {
+    private void finish(PendingRequest call) {
         call.ended = true;
-        call.waiting = false;
-        for (int i = 0; i < call.attempts && call.outstanding > 0 && set.allowsCancellation; i++) {
+        call.queued = false;
+        for (int i = 0; i < call.attemptCount && call.outstandingAttempts > 0 && settings.allowsCancellation; i++) {
             if (call.results[i] == null) {
                 actions.cancel(call.request.id(), i);
             }
         }
-        forgetIfOver(call);
+        forgetIfFinished(call);
     }
 
-    private void forgetIfOver(PendingRequest call) {
-        if (call.ended && call.outstanding == 0) {
-            calls.remove(call.request.id());
+    private void forgetIfFinished(PendingRequest call) {
+        if (call.ended && call.outstandingAttempts == 0) {
+            pendingById.remove(call.request.id());
         }
     }
 
     /** Rule 2: whether any further attempt could be lawful, wherever it goes. */
-    private boolean mayTryAgain(PendingRequest call) {
-        if (call.attempts >= set.maxAttempts
+    private boolean mayRetry(PendingRequest call) {
+        if (call.attemptCount >= settings.maxAttempts
                 || now >= call.deadlineAt
                 || call.streaming
-                || isWorthless(call)
-                || call.attempts > 0 && !isWithinBounds(call)) {
+                || isWithoutValue(call)
+                || call.attemptCount > 0 && !isWithinRetryLimits(call)) {
             return false;
         }
-        int binding = call.binding();
+        int binding = call.firstAttemptThatMayHaveRun();
         return binding < 0
-                || switch (call.cls.idempotency()) {
+                || switch (call.requestClass.idempotency()) {
                     case SAFE -> true;
-                    case KEYED -> now <= call.sentAt[binding] + call.cls.deduplicationWindowUs();
+                    case KEYED -> now <= call.sentAt[binding] + call.requestClass.deduplicationWindowUs();
                     case UNSAFE -> false;
                 };
     }
 
     /** Whether the request's route allows a further attempt, and its budget one more repeat. */
-    private static boolean isWithinBounds(PendingRequest call) {
+    private static boolean isWithinRetryLimits(PendingRequest call) {
         int mayHaveRun = 0;
-        for (int i = 0; i < call.attempts; i++) {
+        for (int i = 0; i < call.attemptCount; i++) {
             mayHaveRun += call.results[i] == null || !call.results[i].neverRan ? 1 : 0;
         }
         return mayHaveRun < call.request.retryLimits().maxAttempts()
@@ -1265,15 +1284,15 @@
     /** Rules 2 to 4 for one server: the keyed group, the list's word, and a cold server's budget. */
     private boolean maySend(PendingRequest call, Server server) {
         return !server.ejected
-                && now >= server.outUntil[call.request.classIndex()]
-                && !hasJustTried(call, server)
-                && !isCrowded(server)
+                && now >= server.classExcludedUntil[call.request.classIndex()]
+                && !hasJustFailedAt(call, server)
+                && !isOutOfCapacity(server)
                 && isAllowed(call, server);
     }
 
     /** Whether the request failed there so quickly that it would only use up its attempts at once. */
-    private boolean hasJustTried(PendingRequest call, Server server) {
-        for (int i = 0; i < call.attempts; i++) {
+    private boolean hasJustFailedAt(PendingRequest call, Server server) {
+        for (int i = 0; i < call.attemptCount; i++) {
             if (call.servers[i] == server && now < call.sentAt[i] + latencyUs[call.request.classIndex()]) {
                 return true;
             }
@@ -1282,12 +1301,13 @@
     }
 
     private boolean isAllowed(PendingRequest call, Server server) {
-        if (server.state != ServerState.READY || isCold(server) && now < server.coldSentAt + coldGap(server)) {
+        if (server.state != ServerState.READY
+                || isCold(server) && now < server.coldLastSentAt + coldIntervalUs(server)) {
             return false;
         }
-        int binding = call.cls.idempotency() == Idempotency.KEYED ? call.binding() : -1;
+        int binding = call.requestClass.idempotency() == Idempotency.KEYED ? call.firstAttemptThatMayHaveRun() : -1;
         return binding < 0
-                || switch (call.cls.deduplicationScope()) {
+                || switch (call.requestClass.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE -> server.zone == call.servers[binding].zone;
                     case CELL -> server.cell == call.servers[binding].cell;
@@ -1295,7 +1315,7 @@
     }
 
     private boolean isCold(Server server) {
-        return server.startedAt > 0 && now < server.startedAt + set.coldUs;
+        return server.startedAt > 0 && now < server.startedAt + settings.coldUs;
     }
 
     /**
@@ -1305,10 +1325,14 @@
      * capacity that it has at least. All nodes together may send so many units as the rule's multiple; each
      * spends half of that, evenly spaced, the first after a random part of the space.
      */
-    private long coldGap(Server server) {
-        double age = Math.max(0, now - server.startedAt) / (double) set.coldUs;
-        double share = set.coldFrom + (1 - set.coldFrom) * Math.min(1, age);
-        double unitUs = served.unitGapUs(now, Math.max(server.weight, fleet.totalWeight));
-        return (long) (server.coldPhase * unitUs / server.weight / share / Math.max(1, set.fallMultiple / 2));
+    private long coldIntervalUs(Server server) {
+        double age = Math.max(0, now - server.startedAt) / (double) settings.coldUs;
+        double share = settings.coldStartFraction + (1 - settings.coldStartFraction) * Math.min(1, age);
+        double unitUs = servedRate.gapPerUnitUs(now, Math.max(server.weight, fleet.totalWeight));
+        return (long) (server.coldIntervalFraction
+                * unitUs
+                / server.weight
+                / share
+                / Math.max(1, settings.coldOverloadMultiple / 2));
     }
 }
--- a/src/main/java/vetchpost/decision/StatisticsTransfer.java
+++ b/src/main/java/vetchpost/decision/StatisticsTransfer.java
@@ -13,9 +13,9 @@
 final class StatisticsTransfer {
     private static final int HISTORY_LENGTH = 16;
     /** With more, E = (1 + e)^1.5 would keep a server that has recovered from being drawn at all. */
-    private static final int MAX_ERRORS = 8;
+    private static final int MAX_RESTORED_ERRORS = 8;
     /** A usual latency that others have found counts for no more answers than this. */
-    private static final int MAX_ANSWERS = 8;
+    private static final int MAX_RESTORED_ANSWERS = 8;
     /** Answers with which a limit is believed by half, and the bounds to what is believed. */
     private static final double HALF_CONFIDENCE_ANSWERS = 4;
 
@@ -36,20 +36,20 @@
             if (server == null || server.state != ServerState.READY) {
                 continue;
             }
-            List<Integer> misses = new ArrayList<>(server.misses.length);
-            for (int count : server.misses) {
+            List<Integer> misses = new ArrayList<>(server.classFailureStreaks.length);
+            for (int count : server.classFailureStreaks) {
                 misses.add(count);
             }
             known.add(new PerServer(
                     server.id,
                     server.startedAt,
-                    server.answers,
-                    server.toldAt,
-                    server.servedAt,
+                    server.attemptCount,
+                    server.lastAttemptEndedAt,
+                    server.lastServedAt,
                     server.errors,
-                    Integer.bitCount(server.history & (1 << HISTORY_LENGTH) - 1),
-                    server.faults,
-                    server.pace,
+                    Integer.bitCount(server.failureHistory & (1 << HISTORY_LENGTH) - 1),
+                    server.failureFraction,
+                    server.relativeLatency,
                     server.limit / firstLimit,
                     server.ejected,
                     misses));
@@ -76,7 +76,7 @@
                     && known.answerCount() > 0
                     && known.latencyUs() > 0
                     && known.latencyUs() < MAX_LATENCY_US) {
-                answers[c] = Math.min(MAX_ANSWERS, known.answerCount());
+                answers[c] = Math.min(MAX_RESTORED_ANSWERS, known.answerCount());
                 latencyUs[c] = known.latencyUs();
             }
         }
@@ -91,27 +91,30 @@
      * @param classOutAt failures in a row that keep a class from it
      */
     static void restore(Server server, PerServer prior, int ejectAt, int classOutAt, long now) {
-        server.errors = Math.max(0, Math.min(MAX_ERRORS, prior.consecutiveErrors()));
+        server.errors = Math.max(0, Math.min(MAX_RESTORED_ERRORS, prior.consecutiveErrors()));
         int failures = Math.max(0, Math.min(ejectAt - 1, prior.recentFailures()));
-        server.history = (1 << failures) - 1;
-        server.faults = within(prior.failureFraction(), 0, 1);
-        server.pace = within(prior.relativeLatency(), 1 / MAX_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
-        server.paceAt = now;
+        server.failureHistory = (1 << failures) - 1;
+        server.failureFraction = clamp(prior.failureFraction(), 0, 1);
+        server.relativeLatency = clamp(prior.relativeLatency(), 1 / MAX_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
+        server.relativeLatencyAt = now;
         // As sure as the answers that it rests on are many; more of them than a giver can have had tell
         // nothing.
         double weight = prior.attemptCount() / (prior.attemptCount() + HALF_CONFIDENCE_ANSWERS);
         server.limit *=
-                1 + within(weight, 0, 1) * (within(prior.relativeLimit(), MIN_RELATIVE_LIMIT, MAX_RELATIVE_LIMIT) - 1);
+                1 + clamp(weight, 0, 1) * (clamp(prior.relativeLimit(), MIN_RELATIVE_LIMIT, MAX_RELATIVE_LIMIT) - 1);
         for (int c = 0;
-                c < Math.min(server.misses.length, prior.classFailureStreaks().size());
+                c
+                        < Math.min(
+                                server.classFailureStreaks.length,
+                                prior.classFailureStreaks().size());
                 c++) {
-            server.misses[c] = Math.max(
+            server.classFailureStreaks[c] = Math.max(
                     0, Math.min(classOutAt - 1, prior.classFailureStreaks().get(c)));
         }
     }
 
     /** Not a number counts as the least. */
-    private static double within(double value, double least, double most) {
+    private static double clamp(double value, double least, double most) {
         return value > least ? Math.min(most, value) : least;
     }
 }
--- a/src/main/java/vetchpost/demo/StandInClient.java
+++ b/src/main/java/vetchpost/demo/DemoClient.java
@@ -14,69 +14,69 @@
 import vetchpost.simulation.wire.MessageParser;
 
 /** A client on a loopback socket: asks, waits, thinks a little and asks again, until told to end. */
-final class StandInClient implements Runnable {
-    private static final AtomicLong TXNS = new AtomicLong();
-    private static final int PATIENCE_MS = 500;
-    private static final int THINK_MS = 30;
+final class DemoClient implements Runnable {
+    private static final AtomicLong LAST_TRANSACTION_ID = new AtomicLong();
+    private static final int TIMEOUT_MARGIN_MS = 500;
+    private static final int MAX_THINK_TIME_MS = 30;
 
     private final InetSocketAddress node;
-    private final TrialStatistics tally;
+    private final DemoStatistics statistics;
     private final SplittableRandom random;
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch stopped = new CountDownLatch(1);
     private Socket socket;
-    private Message answer;
-    private String last = "";
+    private Message response;
+    private String lastTransactionId = "";
 
-    StandInClient(InetSocketAddress node, TrialStatistics tally, long seed) {
+    DemoClient(InetSocketAddress node, DemoStatistics tally, long seed) {
         this.node = node;
-        this.tally = tally;
+        this.statistics = tally;
         random = new SplittableRandom(seed);
     }
 
     /** No further request after the one that is out. */
-    void end() {
-        ended.countDown();
+    void stop() {
+        stopped.countDown();
     }
 
     @Override
     public void run() {
         try {
             do {
-                ask();
-            } while (!ended.await(random.nextInt(THINK_MS), TimeUnit.MILLISECONDS));
+                sendRequest();
+            } while (!stopped.await(random.nextInt(MAX_THINK_TIME_MS), TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            drop();
+            disconnect();
         }
     }
 
-    private void ask() {
+    private void sendRequest() {
         int draw = random.nextInt(100);
         String cls = draw < 70 ? "view-page" : draw < 85 ? "add-photo" : "place-order";
         int waitMs = draw < 70 ? 500 : draw < 85 ? 600 : 1_000;
-        String txn = String.format(Locale.ROOT, "%016x", TXNS.incrementAndGet());
+        String txn = String.format(Locale.ROOT, "%016x", LAST_TRANSACTION_ID.incrementAndGet());
         long began = System.nanoTime();
         int status = 0;
         String body = "";
         try {
-            open();
-            socket.getOutputStream().write(bytes(cls, txn, waitMs));
-            Message message = read(waitMs + PATIENCE_MS);
+            connect();
+            socket.getOutputStream().write(requestBytes(cls, txn, waitMs));
+            Message message = readResponse(waitMs + TIMEOUT_MARGIN_MS);
             status = message.status();
             body = message.text();
-            last = txn;
+            lastTransactionId = txn;
             if (message.field("connection").equalsIgnoreCase("close")) {
-                drop();
+                disconnect();
             }
         } catch (IOException e) {
             // No answer, then: the tally is told so.
-            drop();
+            disconnect();
         }
-        tally.answered(cls, txn, status, body, System.nanoTime() - began, waitMs * 1_000_000L);
+        statistics.recordAnswer(cls, txn, status, body, System.nanoTime() - began, waitMs * 1_000_000L);
     }
 
-    private byte[] bytes(String cls, String txn, int waitMs) {
+    private byte[] requestBytes(String cls, String txn, int waitMs) {
         boolean safe = cls.equals("view-page");
         String body = safe ? "" : "x".repeat(1 + random.nextInt(400));
         return Message.bytes(
@@ -88,24 +88,24 @@
                 body);
     }
 
-    private void open() throws IOException {
+    private void connect() throws IOException {
         if (socket != null && socket.getInputStream().available() > 0) {
-            tally.answeredTwice(last);
-            drop();
+            statistics.recordSecondAnswer(lastTransactionId);
+            disconnect();
         }
         if (socket == null) {
             socket = new Socket();
-            socket.connect(node, PATIENCE_MS);
+            socket.connect(node, TIMEOUT_MARGIN_MS);
             socket.setTcpNoDelay(true);
         }
     }
 
-    private Message read(int mostMs) throws IOException {
-        answer = null;
-        MessageParser parser = new MessageParser(message -> answer = message);
+    private Message readResponse(int mostMs) throws IOException {
+        response = null;
+        MessageParser parser = new MessageParser(message -> response = message);
         byte[] some = new byte[4_096];
         long end = System.nanoTime() + mostMs * 1_000_000L;
-        while (answer == null) {
+        while (response == null) {
             long leftMs = (end - System.nanoTime()) / 1_000_000;
             if (leftMs <= 0 || parser.isBroken()) {
                 throw new SocketTimeoutException("no answer");
@@ -117,10 +117,10 @@
             }
             parser.feed(Arrays.copyOf(some, read));
         }
-        return answer;
+        return response;
     }
 
-    private void drop() {
+    private void disconnect() {
         try {
             if (socket != null) {
                 socket.close();
--- a/src/main/java/vetchpost/demo/StandInDiscovery.java
+++ b/src/main/java/vetchpost/demo/DemoDiscovery.java
@@ -14,36 +14,36 @@
 import java.util.concurrent.TimeUnit;
 
 /** Discovery on a loopback socket: the list to each watch at once, and then every change. */
-final class StandInDiscovery implements Closeable {
-    private static final long BEAT_MS = 2_000;
-    private static final int PATIENCE_MS = 10_000;
+final class DemoDiscovery implements Closeable {
+    private static final long HEARTBEAT_MS = 2_000;
+    private static final int READ_TIMEOUT_MS = 10_000;
 
-    private final ServerSocket listening = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
+    private final ServerSocket listener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
     private final Set<Socket> watches = ConcurrentHashMap.newKeySet();
     private final Map<String, String> entries = new LinkedHashMap<>();
     private final CountDownLatch closed = new CountDownLatch(1);
     private int revision = 1;
 
-    StandInDiscovery() throws IOException {
+    DemoDiscovery() throws IOException {
         DaemonThreads.start("discovery", () -> {
-            while (!listening.isClosed()) {
-                Socket socket = listening.accept();
-                DaemonThreads.start("watch", () -> watch(socket));
+            while (!listener.isClosed()) {
+                Socket socket = listener.accept();
+                DaemonThreads.start("watch", () -> serveWatch(socket));
             }
         });
         DaemonThreads.start("beat", () -> {
-            while (!closed.await(BEAT_MS, TimeUnit.MILLISECONDS)) {
-                tell("");
+            while (!closed.await(HEARTBEAT_MS, TimeUnit.MILLISECONDS)) {
+                broadcast("");
             }
         });
     }
 
     String address() {
-        return "127.0.0.1:" + listening.getLocalPort();
+        return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    private void watch(Socket socket) throws IOException {
-        socket.setSoTimeout(PATIENCE_MS);
+    private void serveWatch(Socket socket) throws IOException {
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         int ends = 0;
         while (ends < 4) {
             int next = socket.getInputStream().read();
@@ -66,21 +66,21 @@
     }
 
     /** Knows of a server from the beginning. */
-    synchronized void knows(StandInServer box) {
-        entries.put(box.id(), box.entry("Ready"));
+    synchronized void addServer(DemoServer box) {
+        entries.put(box.id(), box.listEntry("Ready"));
     }
 
     /** Tells a change. */
-    synchronized void changed(StandInServer box, String state) {
+    synchronized void publishChange(DemoServer box, String state) {
         revision++;
-        entries.put(box.id(), box.entry(state));
+        entries.put(box.id(), box.listEntry(state));
         if (state.equals("Gone")) {
             entries.remove(box.id());
         }
-        tell("{\"rev\":" + revision + ",\"all\":false,\"targets\":[" + box.entry(state) + "]}");
+        broadcast("{\"rev\":" + revision + ",\"all\":false,\"targets\":[" + box.listEntry(state) + "]}");
     }
 
-    private synchronized void tell(String line) {
+    private synchronized void broadcast(String line) {
         for (Socket watch : watches) {
             try {
                 write(watch, line);
@@ -99,7 +99,7 @@
     @Override
     public void close() throws IOException {
         closed.countDown();
-        listening.close();
+        listener.close();
         for (Socket watch : watches) {
             watch.close();
         }
--- a/src/main/java/vetchpost/demo/StandInServer.java
+++ b/src/main/java/vetchpost/demo/DemoServer.java
@@ -17,42 +17,42 @@
 import vetchpost.simulation.wire.MessageParser;
 
 /** A web box on a loopback socket, with a few slots for requests and a waiting room. */
-final class StandInServer implements Closeable {
+final class DemoServer implements Closeable {
     private static final int SLOTS = 2;
-    private static final int ROOM = 16;
-    private static final long LEAST_WORK_MS = 8;
-    private static final int MORE_WORK_MS = 8;
-    private static final int MOST_CONNECTIONS = 256;
+    private static final int QUEUE_CAPACITY = 16;
+    private static final long MIN_WORK_MS = 8;
+    private static final int WORK_SPREAD_MS = 8;
+    private static final int MAX_CONNECTIONS = 256;
 
     private final String id;
     private final int rack;
-    private static final long ACCEPT_ENDS_MS = 5_000;
+    private static final long ACCEPT_EXIT_TIMEOUT_MS = 5_000;
 
-    private final TrialStatistics tally;
+    private final DemoStatistics statistics;
     private final int port;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
     private final Semaphore slots = new Semaphore(SLOTS, true);
-    private final Semaphore room = new Semaphore(SLOTS + ROOM);
-    private volatile ServerSocket listening;
-    private Thread accepting;
+    private final Semaphore capacity = new Semaphore(SLOTS + QUEUE_CAPACITY);
+    private volatile ServerSocket listener;
+    private Thread acceptThread;
     /** Holds its port while nothing listens there: no other process may be given it. */
-    private Socket held;
+    private Socket portHolder;
 
     private volatile boolean draining;
     private volatile long startedNs;
     private volatile long startedMs;
 
-    StandInServer(String id, int rack, TrialStatistics tally) throws IOException {
+    DemoServer(String id, int rack, DemoStatistics tally) throws IOException {
         this.id = id;
         this.rack = rack;
-        this.tally = tally;
-        listening = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
-        port = listening.getLocalPort();
-        accept(listening);
+        this.statistics = tally;
+        listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
+        port = listener.getLocalPort();
+        acceptFrom(listener);
     }
 
     /** Its entry in discovery's list. */
-    String entry(String state) {
+    String listEntry(String state) {
         return "{\"uid\":\"" + id + "\",\"endpoint\":\"127.0.0.1:" + port
                 + "\",\"az\":\"room\",\"pod_group\":" + rack
                 + ",\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":" + startedMs + "}";
@@ -62,15 +62,15 @@
         return id;
     }
 
-    private void accept(ServerSocket from) {
-        accepting = DaemonThreads.start(id, () -> {
+    private void acceptFrom(ServerSocket from) {
+        acceptThread = DaemonThreads.start(id, () -> {
             while (!from.isClosed()) {
                 Socket socket = from.accept();
-                if (open.size() >= MOST_CONNECTIONS) {
+                if (connections.size() >= MAX_CONNECTIONS) {
                     socket.close();
                     continue;
                 }
-                open.add(socket);
+                connections.add(socket);
                 if (from.isClosed()) {
                     // It has died while this one came.
                     reset(socket);
@@ -79,7 +79,7 @@
                     try (socket) {
                         serve(socket);
                     } finally {
-                        open.remove(socket);
+                        connections.remove(socket);
                     }
                 });
             }
@@ -90,7 +90,7 @@
         IOException[] broken = new IOException[1];
         MessageParser parser = new MessageParser(message -> {
             try {
-                socket.getOutputStream().write(answer(message));
+                socket.getOutputStream().write(respond(message));
             } catch (IOException e) {
                 broken[0] = e;
             }
@@ -102,23 +102,24 @@
         }
     }
 
-    private byte[] answer(Message request) {
+    private byte[] respond(Message request) {
         String txn = request.field("x-txn");
         if (txn.isEmpty()) {
             return Message.bytes("HTTP/1.1 200 OK", "Content-Length: 0\r\n", "");
         }
-        if (draining || !room.tryAcquire()) {
+        if (draining || !capacity.tryAcquire()) {
             return Message.bytes(
                     "HTTP/1.1 503 Service Unavailable", "X-Turned-Away: 1\r\n" + "Content-Length: 0\r\n", "");
         }
         try {
-            long workMs = LEAST_WORK_MS + ThreadLocalRandom.current().nextInt(MORE_WORK_MS);
+            long workMs = MIN_WORK_MS + ThreadLocalRandom.current().nextInt(WORK_SPREAD_MS);
             String[] path = request.start().split("[ /]+");
             String body = "made for " + txn + " by " + id;
-            tally.ran(id, rack, path[1], txn, request.field("idempotency-key"), body, workMs * 1_000_000, SLOTS);
+            statistics.recordRun(
+                    id, rack, path[1], txn, request.field("idempotency-key"), body, workMs * 1_000_000, SLOTS);
             slots.acquire();
             try {
-                TimeUnit.MICROSECONDS.sleep((long) (1_000 * workMs / warmth()));
+                TimeUnit.MICROSECONDS.sleep((long) (1_000 * workMs / capacityFraction()));
             } finally {
                 slots.release();
             }
@@ -127,34 +128,34 @@
             Thread.currentThread().interrupt();
             return Message.bytes("HTTP/1.1 500 Stopped", "Content-Length: 0\r\n", "");
         } finally {
-            room.release();
+            capacity.release();
         }
     }
 
-    private double warmth() {
+    private double capacityFraction() {
         return startedNs == 0
                 ? 1
                 : Math.min(
                         1,
-                        TrialStatistics.COLD_FROM
-                                + (1 - TrialStatistics.COLD_FROM)
+                        DemoStatistics.COLD_CAPACITY_FRACTION
+                                + (1 - DemoStatistics.COLD_CAPACITY_FRACTION)
                                         * (System.nanoTime() - startedNs)
-                                        / TrialStatistics.COLD_NS);
+                                        / DemoStatistics.WARM_UP_NS);
     }
 
     /** It dies: connections are reset and new ones refused. */
-    void die() throws IOException {
-        listening.close();
-        open.forEach(StandInServer::reset);
+    void crash() throws IOException {
+        listener.close();
+        connections.forEach(DemoServer::reset);
         // As long as a thread is on its way out of accept, the system holds the address for it.
         try {
-            accepting.join(ACCEPT_ENDS_MS);
+            acceptThread.join(ACCEPT_EXIT_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        held = new Socket();
-        held.setReuseAddress(true);
-        held.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+        portHolder = new Socket();
+        portHolder.setReuseAddress(true);
+        portHolder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
     /** Without effect on one that its own thread, or a box that died before, has closed. */
@@ -168,13 +169,13 @@
     }
 
     /** It is back at its address, cold. */
-    void comeBack() throws IOException {
+    void restart() throws IOException {
         startedMs = System.currentTimeMillis();
         startedNs = System.nanoTime();
-        tally.cold(id);
-        held.close();
-        listening = new ServerSocket(port, 128, InetAddress.getLoopbackAddress());
-        accept(listening);
+        statistics.recordColdStart(id);
+        portHolder.close();
+        listener = new ServerSocket(port, 128, InetAddress.getLoopbackAddress());
+        acceptFrom(listener);
     }
 
     /** It turns new work away from now on. */
@@ -184,10 +185,10 @@
 
     @Override
     public void close() throws IOException {
-        listening.close();
-        open.forEach(StandInServer::reset);
-        if (held != null) {
-            held.close();
+        listener.close();
+        connections.forEach(DemoServer::reset);
+        if (portHolder != null) {
+            portHolder.close();
         }
     }
 }
--- a/src/main/java/vetchpost/discovery/DiscoveryClient.java
+++ b/src/main/java/vetchpost/discovery/DiscoveryClient.java
@@ -42,21 +42,21 @@
      * gives up after some 2 s, and what is missed counts as told 2 s later. */
     public static final long FIRST_MESSAGE_TIMEOUT_MS = 4_000;
     /** Watches that fell silent together are found out over this part of the time, not all at once. */
-    private static final int SPREAD_PART = 6;
+    private static final int SILENCE_JITTER_DIVISOR = 6;
     /** So many bytes of a line that is not whole are a sign of life: a list may be long, but not trickle. */
-    private static final int SIGN_OF_LIFE = 4_096;
+    private static final int MIN_PROGRESS_BYTES = 4_096;
     /** No version is known, so that the whole list is wanted. */
-    private static final long NONE = -1;
+    private static final long UNKNOWN_REVISION = -1;
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     /** A message with an entry for each of 20,000 servers; past it one is malformed. */
     private static final int MAX_MESSAGE_BYTES = 4 << 20;
     /** So many entries are read in one turn of the loop. */
-    private static final int ENTRIES_A_TURN = 500;
+    private static final int MAX_ENTRIES_PER_TURN = 500;
 
-    private static final int NEXT_TURN_MS = 1;
-    private static final int MAX_LINE = 4_096;
-    private static final int MAX_HEADERS = 8_192;
+    private static final int NEXT_TURN_DELAY_MS = 1;
+    private static final int MAX_STATUS_LINE_BYTES = 4_096;
+    private static final int MAX_HEADER_BYTES = 8_192;
 
     /** Where the news goes. */
     public interface Listener {
@@ -73,12 +73,12 @@
     private final Network network;
     private InetSocketAddress address;
     private final Listener listener;
-    private final long silentMs;
-    private final long callMs;
+    private final long silenceTimeoutMs;
+    private final long firstMessageTimeoutMs;
     private final SplittableRandom random;
     private long revision;
     private Watch watch;
-    private boolean begun;
+    private boolean hasSubscribed;
 
     /**
      * No watch yet.
@@ -101,15 +101,15 @@
         this.network = network;
         this.address = address;
         this.revision = revision;
-        this.silentMs = silentMs;
-        this.callMs = callMs;
+        this.silenceTimeoutMs = silentMs;
+        this.firstMessageTimeoutMs = callMs;
         random = new SplittableRandom(seed);
         this.listener = listener;
     }
 
     /** Asks for changes from now on; takes the place of a watch that is still open. */
     public void subscribe() {
-        begun = true;
+        hasSubscribed = true;
         if (watch != null) {
             watch.close();
         }
@@ -122,8 +122,8 @@
     public void moveTo(InetSocketAddress to) {
         if (!to.equals(address)) {
             address = to;
-            revision = NONE;
-            if (begun) {
+            revision = UNKNOWN_REVISION;
+            if (hasSubscribed) {
                 subscribe();
             }
         }
@@ -136,12 +136,12 @@
 
     /** Whether a call is on its way and has said nothing yet: what is wanted of another is still to come. */
     public boolean isRequestPending() {
-        return watch != null && !watch.answered;
+        return watch != null && !watch.hasReceivedLine;
     }
 
     /** Asks for the whole list, whatever version is known, and for changes from then on. */
     public void requestFullList() {
-        revision = NONE;
+        revision = UNKNOWN_REVISION;
         subscribe();
     }
 
@@ -154,24 +154,24 @@
 
     /** One call and the answer that stays open. */
     private final class Watch extends ChannelInboundHandlerAdapter {
-        private final ByteBuf text = Unpooled.buffer();
+        private final ByteBuf buffer = Unpooled.buffer();
         private Channel channel;
-        private ScheduledFuture<?> silence;
+        private ScheduledFuture<?> silenceTimer;
         /** Whether a whole line has come, and how many bytes since. */
-        private boolean answered;
+        private boolean hasReceivedLine;
 
-        private int unfinished;
-        private boolean over;
-        private boolean ended;
+        private int bytesSinceProgress;
+        private boolean closed;
+        private boolean responseEnded;
         /** How much of the text is known to hold no end of a line. */
-        private int searched;
+        private int searchedBytes;
         /** The message that is being read, bit by bit, and its length. */
-        private ServerListReader reading;
+        private ServerListReader currentReader;
 
-        private int readingLength;
+        private int currentLineLength;
 
         void open() {
-            listen();
+            restartSilenceTimer();
             Channel fresh;
             try {
                 fresh = network.newClientChannel();
@@ -189,38 +189,41 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel to) {
-                            to.pipeline().addLast(new HttpClientCodec(MAX_LINE, MAX_HEADERS, 8_192), Watch.this);
+                            to.pipeline()
+                                    .addLast(
+                                            new HttpClientCodec(MAX_STATUS_LINE_BYTES, MAX_HEADER_BYTES, 8_192),
+                                            Watch.this);
                         }
                     })
                     .connect(address)
                     .addListener(done -> {
                         if (done.isSuccess()) {
-                            ask();
+                            sendRequest();
                         } else {
                             fail("can't be connected: " + done.cause());
                         }
                     });
         }
 
-        private void ask() {
+        private void sendRequest() {
             DefaultFullHttpRequest call = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     HttpMethod.GET,
-                    "/v1/endpoints?watch=1" + (revision == NONE ? "" : "&after=" + revision));
+                    "/v1/endpoints?watch=1" + (revision == UNKNOWN_REVISION ? "" : "&after=" + revision));
             call.headers().set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
             channel.writeAndFlush(call);
         }
 
         void close() {
-            over = true;
-            silence.cancel(false);
+            closed = true;
+            silenceTimer.cancel(false);
             if (channel != null) {
                 channel.close();
             }
         }
 
         private void fail(String reason) {
-            if (over) {
+            if (closed) {
                 return;
             }
             close();
@@ -231,7 +234,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             try {
-                if (!over) {
+                if (!closed) {
                     read(message);
                 }
             } catch (IllegalArgumentException e) {
@@ -253,108 +256,111 @@
                     fail("malformed: " + content.decoderResult().cause());
                     return;
                 }
-                unfinished += content.content().readableBytes();
-                if (unfinished >= SIGN_OF_LIFE) {
-                    heard();
+                bytesSinceProgress += content.content().readableBytes();
+                if (bytesSinceProgress >= MIN_PROGRESS_BYTES) {
+                    onProgress();
                 }
-                text.writeBytes(content.content());
-                if (reading == null) {
-                    lines();
+                buffer.writeBytes(content.content());
+                if (currentReader == null) {
+                    readLines();
                 }
-                ended = message instanceof LastHttpContent;
-                if (ended && reading == null) {
+                responseEnded = message instanceof LastHttpContent;
+                if (responseEnded && currentReader == null) {
                     fail("ended");
                 }
             }
         }
 
-        private void heard() {
-            unfinished = 0;
+        private void onProgress() {
+            bytesSinceProgress = 0;
             listener.onContact();
-            listen();
+            restartSilenceTimer();
         }
 
         /** Gives it its time from now on. */
-        private void listen() {
-            if (silence != null) {
-                silence.cancel(false);
+        private void restartSilenceTimer() {
+            if (silenceTimer != null) {
+                silenceTimer.cancel(false);
             }
-            long mostMs = answered ? silentMs : callMs;
-            silence = loop.schedule(
-                    this::onSilence, mostMs - random.nextLong(mostMs / SPREAD_PART + 1), TimeUnit.MILLISECONDS);
+            long mostMs = hasReceivedLine ? silenceTimeoutMs : firstMessageTimeoutMs;
+            silenceTimer = loop.schedule(
+                    this::onSilence,
+                    mostMs - random.nextLong(mostMs / SILENCE_JITTER_DIVISOR + 1),
+                    TimeUnit.MILLISECONDS);
         }
 
         /** Its time is up; but a loop that was held up, or a list that takes many turns, is no silence. */
         private void onSilence() {
-            ScheduledFuture<?> due = silence;
-            if (reading != null) {
-                listen();
+            ScheduledFuture<?> due = silenceTimer;
+            if (currentReader != null) {
+                restartSilenceTimer();
                 return;
             }
             if (channel != null && channel.isActive()) {
                 network.readNow(channel);
             }
-            if (!over && silence == due) {
+            if (!closed && silenceTimer == due) {
                 fail("silent");
             }
         }
 
-        private void lines() {
-            while (!over && (reading != null || begin())) {
-                ServerList list = reading.read(ENTRIES_A_TURN);
+        private void readLines() {
+            while (!closed && (currentReader != null || startNextLine())) {
+                ServerList list = currentReader.read(MAX_ENTRIES_PER_TURN);
                 if (list == null) {
                     // Nothing more is read off the socket meanwhile.
                     channel.config().setAutoRead(false);
-                    loop.schedule(this::goOn, NEXT_TURN_MS, TimeUnit.MILLISECONDS);
+                    loop.schedule(this::resume, NEXT_TURN_DELAY_MS, TimeUnit.MILLISECONDS);
                     return;
                 }
-                reading = null;
-                text.skipBytes(readingLength + 1);
+                currentReader = null;
+                buffer.skipBytes(currentLineLength + 1);
                 revision = list.revision();
                 listener.onList(list);
             }
-            text.discardSomeReadBytes();
-            if (text.readableBytes() > MAX_MESSAGE_BYTES) {
+            buffer.discardSomeReadBytes();
+            if (buffer.readableBytes() > MAX_MESSAGE_BYTES) {
                 throw new IllegalArgumentException("a line over " + MAX_MESSAGE_BYTES + " bytes");
             }
         }
 
         /** Begins with the next line that is not blank, if there is a whole one. */
-        private boolean begin() {
+        private boolean startNextLine() {
             while (true) {
-                int end = text.indexOf(text.readerIndex() + searched, text.writerIndex(), (byte) '\n');
+                int end = buffer.indexOf(buffer.readerIndex() + searchedBytes, buffer.writerIndex(), (byte) '\n');
                 if (end < 0) {
-                    searched = text.readableBytes();
+                    searchedBytes = buffer.readableBytes();
                     return false;
                 }
-                int length = end - text.readerIndex();
-                searched = 0;
-                answered = true;
-                heard();
+                int length = end - buffer.readerIndex();
+                searchedBytes = 0;
+                hasReceivedLine = true;
+                onProgress();
                 if (!isBlank(length)) {
-                    readingLength = length;
-                    reading = new ServerListReader(new InputStreamReader(
-                            new ByteBufInputStream(text.slice(text.readerIndex(), length)), StandardCharsets.UTF_8));
+                    currentLineLength = length;
+                    currentReader = new ServerListReader(new InputStreamReader(
+                            new ByteBufInputStream(buffer.slice(buffer.readerIndex(), length)),
+                            StandardCharsets.UTF_8));
                     return true;
                 }
-                text.skipBytes(length + 1);
+                buffer.skipBytes(length + 1);
             }
         }
 
         private boolean isBlank(int length) {
-            int from = text.readerIndex();
-            return text.forEachByte(from, length, b -> b == ' ' || b == '\r' || b == '\t') < 0;
+            int from = buffer.readerIndex();
+            return buffer.forEachByte(from, length, b -> b == ' ' || b == '\r' || b == '\t') < 0;
         }
 
-        private void goOn() {
-            if (over) {
+        private void resume() {
+            if (closed) {
                 return;
             }
             try {
-                lines();
-                if (reading == null && !over) {
+                readLines();
+                if (currentReader == null && !closed) {
                     channel.config().setAutoRead(true);
-                    if (ended) {
+                    if (responseEnded) {
                         fail("ended");
                     }
                 }
--- a/src/main/java/vetchpost/discovery/ServerListParser.java
+++ b/src/main/java/vetchpost/discovery/ServerListParser.java
@@ -27,17 +27,19 @@
                 targets.add(target(target.getAsJsonObject()));
             }
             return new ServerList(
-                    need(message, "rev").getAsLong(), need(message, "all").getAsBoolean(), List.copyOf(targets));
+                    required(message, "rev").getAsLong(),
+                    required(message, "all").getAsBoolean(),
+                    List.copyOf(targets));
         } catch (IllegalStateException | NullPointerException | UnsupportedOperationException | ClassCastException e) {
             throw new IllegalArgumentException("not a list of servers: " + e.getMessage(), e);
         }
     }
 
     private static ServerList.Target target(JsonObject entry) {
-        String state = need(entry, "state").getAsString();
+        String state = required(entry, "state").getAsString();
         return new ServerList.Target(
-                need(entry, "uid").getAsString(),
-                address(need(entry, "endpoint").getAsString()),
+                required(entry, "uid").getAsString(),
+                address(required(entry, "endpoint").getAsString()),
                 entry.has("az") ? entry.get("az").getAsString() : "",
                 entry.has("pod_group") ? entry.get("pod_group").getAsInt() : 0,
                 state(state),
@@ -55,7 +57,7 @@
         };
     }
 
-    private static JsonElement need(JsonObject object, String name) {
+    private static JsonElement required(JsonObject object, String name) {
         JsonElement value = object.get(name);
         if (value == null) {
             throw new IllegalArgumentException(name + " is missing");
--- a/src/main/java/vetchpost/discovery/ServerListReader.java
+++ b/src/main/java/vetchpost/discovery/ServerListReader.java
@@ -16,8 +16,8 @@
 final class ServerListReader {
     private final JsonReader json;
     private final List<ServerList.Target> targets = new ArrayList<>();
-    private boolean begun;
-    private boolean amongTargets;
+    private boolean started;
+    private boolean inTargets;
     private boolean hasTargets;
     private Long revision;
     private Boolean all;
@@ -49,25 +49,25 @@
 
     /** One step; whether it was a server. */
     private boolean step() throws IOException {
-        if (!begun) {
+        if (!started) {
             json.beginObject();
-            begun = true;
-        } else if (amongTargets) {
+            started = true;
+        } else if (inTargets) {
             if (json.hasNext()) {
-                targets.add(target());
+                targets.add(readTarget());
                 return true;
             }
             json.endArray();
-            amongTargets = false;
+            inTargets = false;
         } else if (json.hasNext()) {
-            field();
+            readField();
         } else {
-            end();
+            finish();
         }
         return false;
     }
 
-    private void field() throws IOException {
+    private void readField() throws IOException {
         switch (json.nextName()) {
             case "rev" -> revision = json.nextLong();
             case "all" -> all = json.nextBoolean();
@@ -75,13 +75,13 @@
                 json.beginArray();
                 targets.clear();
                 hasTargets = true;
-                amongTargets = true;
+                inTargets = true;
             }
             default -> json.skipValue();
         }
     }
 
-    private void end() throws IOException {
+    private void finish() throws IOException {
         json.endObject();
         if (json.peek() != JsonToken.END_DOCUMENT) {
             throw new IllegalArgumentException("more than a message");
@@ -93,7 +93,7 @@
         list = new ServerList(revision, all, List.copyOf(targets));
     }
 
-    private ServerList.Target target() throws IOException {
+    private ServerList.Target readTarget() throws IOException {
         String id = null;
         String endpoint = null;
         String state = null;
--- a/src/main/java/vetchpost/fastcgi/Ending.java
+++ b/src/main/java/vetchpost/fastcgi/AttemptProgress.java
@@ -6,7 +6,7 @@
  * How far an attempt at an application got, and what its end therefore means: by the platform's table, an
  * attempt has surely not run only where its last byte was not written, or the application said so.
  */
-public final class Ending {
+public final class AttemptProgress {
     /** The specification's protocol statuses of an end record. */
     public enum ProtocolStatus {
         REQUEST_COMPLETE,
@@ -20,16 +20,16 @@
         }
     }
 
-    private boolean written;
-    private boolean headWhole;
+    private boolean requestWritten;
+    private boolean headComplete;
     private int status;
-    private long length = -1;
-    private long body;
+    private long declaredLength = -1;
+    private long receivedBytes;
     private boolean outputEnded;
 
     /** The record that ends the request's body has been written to the connection. */
-    public void written() {
-        written = true;
+    public void onRequestWritten() {
+        requestWritten = true;
     }
 
     /**
@@ -37,25 +37,25 @@
      *
      * @param said bytes that its body is to have; -1 if it does not say
      */
-    public void head(int itsStatus, long said) {
-        headWhole = true;
+    public void onResponseHead(int itsStatus, long said) {
+        headComplete = true;
         status = itsStatus;
-        length = said;
+        declaredLength = said;
     }
 
     /** More of the body has come. */
-    public void body(long bytes) {
-        body += bytes;
+    public void onResponseBody(long bytes) {
+        receivedBytes += bytes;
     }
 
     /** The empty record that ends its output has come. */
-    public void outputEnded() {
+    public void onOutputEnded() {
         outputEnded = true;
     }
 
     /** The connection broke, or ended, with no end record. */
-    public Result broken() {
-        return written ? Result.RESET : Result.CONNECT_FAILED;
+    public Result resultOfDisconnect() {
+        return requestWritten ? Result.RESET : Result.CONNECT_FAILED;
     }
 
     /**
@@ -63,24 +63,24 @@
      *
      * @param protocolStatus null for a number that the specification doesn't know
      */
-    public Result ended(ProtocolStatus protocolStatus, long appStatus) {
+    public Result resultOfEndRequest(ProtocolStatus protocolStatus, long appStatus) {
         if (protocolStatus == ProtocolStatus.CANT_MPX_CONN
                 || protocolStatus == ProtocolStatus.OVERLOADED
                 || protocolStatus == ProtocolStatus.UNKNOWN_ROLE) {
             // Its word that it has not begun; not if it has answered all the same.
-            return headWhole || body > 0 ? Result.ERROR : Result.FULL;
+            return headComplete || receivedBytes > 0 ? Result.ERROR : Result.FULL;
         }
-        if (!written || protocolStatus == null || appStatus != 0 || !headWhole) {
+        if (!requestWritten || protocolStatus == null || appStatus != 0 || !headComplete) {
             return Result.ERROR;
         }
-        if (length >= 0 && length != body) {
+        if (declaredLength >= 0 && declaredLength != receivedBytes) {
             return Result.RESET; // It tells of a body that has not come.
         }
         return status == 200 ? Result.OK : Result.ERROR;
     }
 
     /** Whether its connection can carry another request: nothing of this one is left to come. */
-    public boolean isClean() {
-        return written && headWhole && outputEnded;
+    public boolean isConnectionReusable() {
+        return requestWritten && headComplete && outputEnded;
     }
 }
--- a/src/main/java/vetchpost/fastcgi/ClientStreams.java
+++ b/src/main/java/vetchpost/fastcgi/ClientStreams.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import vetchpost.fastcgi.Ending.ProtocolStatus;
+import vetchpost.fastcgi.AttemptProgress.ProtocolStatus;
 import vetchpost.fastcgi.FcgiRecord.Type;
 
 /**
@@ -16,21 +16,21 @@
  * request a 4xx where that can be told, and its connection only where requests can't be told apart any more.
  */
 public final class ClientStreams {
-    private static final int BEGIN_BYTES = 8;
-    private static final int RESPONDER = 1;
-    private static final int KEEP = 1;
-    private static final int MOST_ASKED = 4_096;
-    private static final int MOST_PAIRS = 256;
+    private static final int CONTROL_CONTENT_BYTES = 8;
+    private static final int RESPONDER_ROLE = 1;
+    private static final int KEEP_CONNECTION_FLAG = 1;
+    private static final int MAX_GET_VALUES_BYTES = 4_096;
+    private static final int MAX_PAIRS = 256;
     private static final int BAD_REQUEST = 400;
     private static final int TOO_LARGE = 413;
 
     /** What the records come to. */
     public interface Listener {
         /** A request is whole, and owed {@link ClientStreams#end}. */
-        void request(int id, FcgiRequest request, byte[] body);
+        void onRequest(int id, FcgiRequest request, byte[] body);
 
         /** A client no longer wants a request that is owed its answer; it is still owed its end. */
-        void aborted(int id);
+        void onAbort(int id);
 
         /** To be written; the listener owns it. */
         void write(FcgiRecord record);
@@ -41,25 +41,25 @@
 
     /** A request that is open. */
     private static final class Stream {
-        private final boolean keep;
+        private final boolean keepsConnection;
         private final NameValues params;
         private FcgiRequest request;
         private byte[] body = new byte[0];
-        private int size;
+        private int bodyBytes;
         /** It has been handed over, and is owed an answer. */
-        private boolean owed;
+        private boolean awaitsAnswer;
 
         Stream(boolean keep, int mostParams) {
-            this.keep = keep;
-            params = new NameValues(mostParams, MOST_PAIRS);
+            this.keepsConnection = keep;
+            params = new NameValues(mostParams, MAX_PAIRS);
         }
     }
 
-    private final int mostRequests;
-    private final int mostParams;
-    private final int mostBody;
+    private final int maxRequests;
+    private final int maxParamsBytes;
+    private final int maxBodyBytes;
     private final Listener listener;
-    private final Map<Integer, Stream> open = new HashMap<>();
+    private final Map<Integer, Stream> openStreams = new HashMap<>();
     private boolean closing;
 
     /**
@@ -70,9 +70,9 @@
      * @param mostBody bytes of one request's body
      */
     public ClientStreams(int mostRequests, int mostParams, int mostBody, Listener listener) {
-        this.mostRequests = mostRequests;
-        this.mostParams = mostParams;
-        this.mostBody = mostBody;
+        this.maxRequests = mostRequests;
+        this.maxParamsBytes = mostParams;
+        this.maxBodyBytes = mostBody;
         this.listener = listener;
     }
 
@@ -87,24 +87,24 @@
         }
         Type type = record.type();
         if (record.id() == 0) {
-            manage(type, record);
+            handleManagement(type, record);
             return;
         }
         if (type == Type.BEGIN_REQUEST) {
-            begin(record);
+            beginRequest(record);
             return;
         }
         // Of a request that is not open, records are passed over, as the specification has it.
-        Stream stream = open.get(record.id());
-        if (stream == null || stream.owed && type != Type.ABORT_REQUEST) {
+        Stream stream = openStreams.get(record.id());
+        if (stream == null || stream.awaitsAnswer && type != Type.ABORT_REQUEST) {
             return;
         }
         switch (type == null ? Type.UNKNOWN_TYPE : type) {
-            case PARAMS -> params(record.id(), stream, record.content());
-            case STDIN -> body(record.id(), stream, record.content());
+            case PARAMS -> readParams(record.id(), stream, record.content());
+            case STDIN -> readBody(record.id(), stream, record.content());
             case ABORT_REQUEST -> {
-                if (stream.owed) {
-                    listener.aborted(record.id());
+                if (stream.awaitsAnswer) {
+                    listener.onAbort(record.id());
                 } else {
                     end(record.id(), ProtocolStatus.REQUEST_COMPLETE, 0);
                 }
@@ -114,15 +114,17 @@
         }
     }
 
-    private void manage(Type type, FcgiRecord record) {
+    private void handleManagement(Type type, FcgiRecord record) {
         if (type != Type.GET_VALUES) {
             listener.write(new FcgiRecord(
                     Type.UNKNOWN_TYPE,
                     0,
-                    Unpooled.buffer(BEGIN_BYTES).writeByte(record.typeNumber()).writeZero(BEGIN_BYTES - 1)));
+                    Unpooled.buffer(CONTROL_CONTENT_BYTES)
+                            .writeByte(record.typeNumber())
+                            .writeZero(CONTROL_CONTENT_BYTES - 1)));
             return;
         }
-        NameValues asked = new NameValues(MOST_ASKED, MOST_PAIRS);
+        NameValues asked = new NameValues(MAX_GET_VALUES_BYTES, MAX_PAIRS);
         Map<String, String> told = new LinkedHashMap<>();
         try {
             asked.add(record.content());
@@ -131,7 +133,7 @@
         }
         for (String name : asked.pairs().keySet()) {
             switch (name) {
-                case "FCGI_MAX_CONNS", "FCGI_MAX_REQS" -> told.put(name, Integer.toString(mostRequests));
+                case "FCGI_MAX_CONNS", "FCGI_MAX_REQS" -> told.put(name, Integer.toString(maxRequests));
                 case "FCGI_MPXS_CONNS" -> told.put(name, "1");
                 default -> {}
             }
@@ -141,75 +143,75 @@
         listener.write(new FcgiRecord(Type.GET_VALUES_RESULT, 0, answer));
     }
 
-    private void begin(FcgiRecord record) throws FcgiException {
+    private void beginRequest(FcgiRecord record) throws FcgiException {
         ByteBuf content = record.content();
-        if (content.readableBytes() != BEGIN_BYTES) {
+        if (content.readableBytes() != CONTROL_CONTENT_BYTES) {
             throw new FcgiException("a request's begin of " + content.readableBytes() + " bytes");
         }
-        if (open.containsKey(record.id())) {
+        if (openStreams.containsKey(record.id())) {
             throw new FcgiException("request " + record.id() + " begins twice");
         }
         int role = content.getUnsignedShort(content.readerIndex());
-        boolean keep = (content.getByte(content.readerIndex() + 2) & KEEP) != 0;
-        Stream stream = new Stream(keep, mostParams);
-        open.put(record.id(), stream);
-        if (role != RESPONDER) {
+        boolean keep = (content.getByte(content.readerIndex() + 2) & KEEP_CONNECTION_FLAG) != 0;
+        Stream stream = new Stream(keep, maxParamsBytes);
+        openStreams.put(record.id(), stream);
+        if (role != RESPONDER_ROLE) {
             end(record.id(), ProtocolStatus.UNKNOWN_ROLE, 0);
-        } else if (open.size() > mostRequests) {
+        } else if (openStreams.size() > maxRequests) {
             end(record.id(), ProtocolStatus.OVERLOADED, 0);
         }
     }
 
-    private void params(int id, Stream stream, ByteBuf content) {
+    private void readParams(int id, Stream stream, ByteBuf content) {
         if (stream.params.isEnded()) {
-            refuse(id, BAD_REQUEST, "parameters after their end");
+            reject(id, BAD_REQUEST, "parameters after their end");
             return;
         }
         try {
             stream.params.add(content);
             if (stream.params.isEnded()) {
                 stream.request = FcgiRequest.of(stream.params.pairs());
-                if (stream.request.length() > mostBody) {
-                    refuse(id, TOO_LARGE, "body over " + mostBody + " bytes");
+                if (stream.request.length() > maxBodyBytes) {
+                    reject(id, TOO_LARGE, "body over " + maxBodyBytes + " bytes");
                 }
             }
         } catch (FcgiException e) {
-            refuse(id, BAD_REQUEST, e.getMessage());
+            reject(id, BAD_REQUEST, e.getMessage());
         }
     }
 
-    private void body(int id, Stream stream, ByteBuf content) {
+    private void readBody(int id, Stream stream, ByteBuf content) {
         if (stream.request == null) {
-            refuse(id, BAD_REQUEST, "a body before the end of the parameters");
+            reject(id, BAD_REQUEST, "a body before the end of the parameters");
             return;
         }
         int more = content.readableBytes();
         if (more == 0) {
-            if (stream.request.length() >= 0 && stream.request.length() != stream.size) {
-                refuse(
+            if (stream.request.length() >= 0 && stream.request.length() != stream.bodyBytes) {
+                reject(
                         id,
                         BAD_REQUEST,
-                        "a body of " + stream.size + " bytes, and CONTENT_LENGTH is " + stream.request.length());
+                        "a body of " + stream.bodyBytes + " bytes, and CONTENT_LENGTH is " + stream.request.length());
                 return;
             }
-            stream.owed = true;
-            listener.request(id, stream.request, java.util.Arrays.copyOf(stream.body, stream.size));
+            stream.awaitsAnswer = true;
+            listener.onRequest(id, stream.request, java.util.Arrays.copyOf(stream.body, stream.bodyBytes));
             stream.body = new byte[0];
             return;
         }
-        if (stream.size + more > mostBody) {
-            refuse(id, TOO_LARGE, "body over " + mostBody + " bytes");
+        if (stream.bodyBytes + more > maxBodyBytes) {
+            reject(id, TOO_LARGE, "body over " + maxBodyBytes + " bytes");
             return;
         }
-        if (stream.size + more > stream.body.length) {
+        if (stream.bodyBytes + more > stream.body.length) {
             stream.body = java.util.Arrays.copyOf(
-                    stream.body, Math.min(mostBody, Math.max(stream.size + more, 2 * stream.body.length)));
+                    stream.body, Math.min(maxBodyBytes, Math.max(stream.bodyBytes + more, 2 * stream.body.length)));
         }
-        content.getBytes(content.readerIndex(), stream.body, stream.size, more);
-        stream.size += more;
+        content.getBytes(content.readerIndex(), stream.body, stream.bodyBytes, more);
+        stream.bodyBytes += more;
     }
 
-    private void refuse(int id, int status, String why) {
+    private void reject(int id, int status, String why) {
         answer(
                 id,
                 status,
@@ -221,13 +223,13 @@
 
     /** The whole answer to an open request, and its end; of one that is not open nothing is written. */
     public void answer(int id, int status, List<String[]> fields, byte[] body) {
-        if (!open.containsKey(id)) {
+        if (!openStreams.containsKey(id)) {
             return;
         }
         ByteBuf output = Unpooled.buffer();
         FcgiReply.write(status, fields, output);
         output.writeBytes(body);
-        NameValues.records(Type.STDOUT, id, output, FcgiRecord.MAX_CONTENT_BYTES)
+        NameValues.toRecords(Type.STDOUT, id, output, FcgiRecord.MAX_CONTENT_BYTES)
                 .forEach(listener::write);
         output.release();
         end(id, ProtocolStatus.REQUEST_COMPLETE, 0);
@@ -235,31 +237,31 @@
 
     /** Ends an open request; its number may then be used again. */
     public void end(int id, ProtocolStatus status, long appStatus) {
-        Stream stream = open.remove(id);
+        Stream stream = openStreams.remove(id);
         if (stream == null) {
             return;
         }
         listener.write(new FcgiRecord(
                 Type.END_REQUEST,
                 id,
-                Unpooled.buffer(BEGIN_BYTES)
+                Unpooled.buffer(CONTROL_CONTENT_BYTES)
                         .writeInt((int) appStatus)
                         .writeByte(status.ordinal())
                         .writeZero(3)));
         // Without the client's wish to keep it the connection ends with the request, but not on others'.
-        closing |= !stream.keep;
-        if (closing && open.isEmpty()) {
+        closing |= !stream.keepsConnection;
+        if (closing && openStreams.isEmpty()) {
             listener.close();
         }
     }
 
     /** How many are open. */
     public int size() {
-        return open.size();
+        return openStreams.size();
     }
 
     /** Whether none is open. */
     public boolean isIdle() {
-        return open.isEmpty();
+        return openStreams.isEmpty();
     }
 }
--- a/src/main/java/vetchpost/fastcgi/FcgiReply.java
+++ b/src/main/java/vetchpost/fastcgi/FcgiReply.java
@@ -11,15 +11,15 @@
  * an empty line. What follows is the body. Bounded; what can be read in two ways is refused.
  */
 public final class FcgiReply {
-    private static final int MOST_HEAD = 16_384;
+    private static final int MAX_HEAD_BYTES = 16_384;
     private static final int OK = 200;
     private static final int FOUND = 302;
 
     private final StringBuilder head = new StringBuilder();
     private final List<String[]> fields = new ArrayList<>();
     private int status = -1;
-    private boolean located;
-    private boolean whole;
+    private boolean hasLocation;
+    private boolean complete;
 
     /**
      * Takes output in, up to the end of the head; what is left in it is body.
@@ -28,26 +28,26 @@
      * @throws FcgiException if it is too long, or no head
      */
     public boolean add(ByteBuf output) throws FcgiException {
-        while (!whole && output.isReadable()) {
+        while (!complete && output.isReadable()) {
             char c = (char) output.readUnsignedByte();
             if (c != '\n') {
-                if (head.length() >= MOST_HEAD) {
-                    throw new FcgiException("an answer's head of over " + MOST_HEAD + " bytes");
+                if (head.length() >= MAX_HEAD_BYTES) {
+                    throw new FcgiException("an answer's head of over " + MAX_HEAD_BYTES + " bytes");
                 }
                 head.append(c);
                 continue;
             }
             int from = head.lastIndexOf("\n") + 1;
             boolean returned = head.length() > from && head.charAt(head.length() - 1) == '\r';
-            line(head.substring(from, head.length() - (returned ? 1 : 0)));
+            parseLine(head.substring(from, head.length() - (returned ? 1 : 0)));
             head.append('\n');
         }
-        return whole;
+        return complete;
     }
 
-    private void line(String line) throws FcgiException {
+    private void parseLine(String line) throws FcgiException {
         if (line.isEmpty()) {
-            whole = true;
+            complete = true;
             return;
         }
         int colon = line.indexOf(':');
@@ -68,19 +68,19 @@
             }
             status = Integer.parseInt(value.substring(0, 3));
         } else if (!name.equals("connection") && !name.equals("transfer-encoding")) {
-            located |= name.equals("location");
+            hasLocation |= name.equals("location");
             fields.add(new String[] {name, value});
         }
     }
 
     /** Whether the head is whole. */
     public boolean isComplete() {
-        return whole;
+        return complete;
     }
 
     /** Its status: as said, 302 where only a location was, else 200. */
     public int status() {
-        return status >= 0 ? status : located ? FOUND : OK;
+        return status >= 0 ? status : hasLocation ? FOUND : OK;
     }
 
     /** The last value of this field, in lower case, or null. */
--- a/src/main/java/vetchpost/fastcgi/FcgiRequest.java
+++ b/src/main/java/vetchpost/fastcgi/FcgiRequest.java
@@ -12,8 +12,8 @@
  * @param length bytes of the body; -1 where nothing was said
  */
 public record FcgiRequest(String method, String target, Map<String, String> fields, long length) {
-    private static final String HTTP = "HTTP_";
-    private static final int MOST_DIGITS = 12;
+    private static final String HEADER_PREFIX = "HTTP_";
+    private static final int MAX_LENGTH_DIGITS = 12;
 
     /**
      * Reads parameters.
@@ -27,8 +27,8 @@
         }
         Map<String, String> fields = new LinkedHashMap<>();
         for (Map.Entry<String, String> param : params.entrySet()) {
-            if (param.getKey().startsWith(HTTP)) {
-                String name = fieldName(param.getKey().substring(HTTP.length()));
+            if (param.getKey().startsWith(HEADER_PREFIX)) {
+                String name = fieldName(param.getKey().substring(HEADER_PREFIX.length()));
                 if (!isPlain(param.getValue())) {
                     throw new FcgiException(param.getKey() + " has a control character");
                 }
@@ -76,7 +76,7 @@
         if (text == null || text.isEmpty()) {
             return -1;
         }
-        if (text.length() > MOST_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (text.length() > MAX_LENGTH_DIGITS || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new FcgiException("CONTENT_LENGTH is no length");
         }
         return Long.parseLong(text);
--- a/src/main/java/vetchpost/fastcgi/NameValues.java
+++ b/src/main/java/vetchpost/fastcgi/NameValues.java
@@ -12,15 +12,15 @@
  * the bound before anything is kept for it; at most so many bytes and pairs are kept.
  */
 public final class NameValues {
-    private static final int LONG = 0x80;
-    private static final int LONG_BYTES = 4;
+    private static final int LONG_LENGTH_FLAG = 0x80;
+    private static final int LONG_LENGTH_BYTES = 4;
 
-    private final int mostBytes;
-    private final int mostPairs;
+    private final int maxBytes;
+    private final int maxPairs;
     private final Map<String, String> pairs = new LinkedHashMap<>();
-    private byte[] held = new byte[64];
-    private int size;
-    private int bytes;
+    private byte[] buffer = new byte[64];
+    private int bufferedBytes;
+    private int totalBytes;
     private boolean ended;
 
     /**
@@ -30,8 +30,8 @@
      * @param mostPairs how many
      */
     public NameValues(int mostBytes, int mostPairs) {
-        this.mostBytes = mostBytes;
-        this.mostPairs = mostPairs;
+        this.maxBytes = mostBytes;
+        this.maxPairs = mostPairs;
     }
 
     /**
@@ -45,71 +45,72 @@
         }
         int more = content.readableBytes();
         if (more == 0) {
-            if (size > 0) {
+            if (bufferedBytes > 0) {
                 throw new FcgiException("the end comes within a name or value");
             }
             ended = true;
             return;
         }
-        bytes += more;
-        if (bytes > mostBytes) {
-            throw new FcgiException("names and values of over " + mostBytes + " bytes");
+        totalBytes += more;
+        if (totalBytes > maxBytes) {
+            throw new FcgiException("names and values of over " + maxBytes + " bytes");
         }
-        if (size + more > held.length) {
-            held = java.util.Arrays.copyOf(held, Math.max(size + more, Math.min(mostBytes, 2 * held.length)));
+        if (bufferedBytes + more > buffer.length) {
+            buffer = java.util.Arrays.copyOf(
+                    buffer, Math.max(bufferedBytes + more, Math.min(maxBytes, 2 * buffer.length)));
         }
-        content.getBytes(content.readerIndex(), held, size, more);
-        size += more;
-        read();
+        content.getBytes(content.readerIndex(), buffer, bufferedBytes, more);
+        bufferedBytes += more;
+        parse();
     }
 
-    private void read() throws FcgiException {
+    private void parse() throws FcgiException {
         int at = 0;
-        while (at < size) {
-            int nameBytes = lengthBytes(at);
-            if (at + nameBytes >= size) {
+        while (at < bufferedBytes) {
+            int nameBytes = lengthBytesAt(at);
+            if (at + nameBytes >= bufferedBytes) {
                 break;
             }
             int valueAt = at + nameBytes;
-            int valueBytes = lengthBytes(valueAt);
-            if (valueAt + valueBytes > size) {
+            int valueBytes = lengthBytesAt(valueAt);
+            if (valueAt + valueBytes > bufferedBytes) {
                 break;
             }
-            long name = length(at);
-            long value = length(valueAt);
-            if (name + value > mostBytes) {
+            long name = lengthAt(at);
+            long value = lengthAt(valueAt);
+            if (name + value > maxBytes) {
                 throw new FcgiException(
-                        "a name and value of " + (name + value) + " bytes, of " + mostBytes + " for all");
+                        "a name and value of " + (name + value) + " bytes, of " + maxBytes + " for all");
             }
             int textAt = valueAt + valueBytes;
-            if (textAt + name + value > size) {
+            if (textAt + name + value > bufferedBytes) {
                 break;
             }
-            pair(
-                    new String(held, textAt, (int) name, StandardCharsets.ISO_8859_1),
-                    new String(held, textAt + (int) name, (int) value, StandardCharsets.ISO_8859_1));
+            addPair(
+                    new String(buffer, textAt, (int) name, StandardCharsets.ISO_8859_1),
+                    new String(buffer, textAt + (int) name, (int) value, StandardCharsets.ISO_8859_1));
             at = textAt + (int) (name + value);
         }
-        System.arraycopy(held, at, held, 0, size - at);
-        size -= at;
+        System.arraycopy(buffer, at, buffer, 0, bufferedBytes - at);
+        bufferedBytes -= at;
     }
 
-    private int lengthBytes(int at) {
-        return (held[at] & LONG) == 0 ? 1 : LONG_BYTES;
+    private int lengthBytesAt(int at) {
+        return (buffer[at] & LONG_LENGTH_FLAG) == 0 ? 1 : LONG_LENGTH_BYTES;
     }
 
-    private long length(int at) {
-        return (held[at] & LONG) == 0
-                ? held[at]
-                : (held[at] & 0x7FL) << 24
-                        | (held[at + 1] & 0xFFL) << 16
-                        | (held[at + 2] & 0xFFL) << 8
-                        | held[at + 3] & 0xFFL;
+    private long lengthAt(int at) {
+        return (buffer[at] & LONG_LENGTH_FLAG) == 0
+                ? buffer[at]
+                : (buffer[at] & 0x7FL) << 24
+                        | (buffer[at + 1] & 0xFFL) << 16
+                        | (buffer[at + 2] & 0xFFL) << 8
+                        | buffer[at + 3] & 0xFFL;
     }
 
-    private void pair(String name, String value) throws FcgiException {
-        if (pairs.size() >= mostPairs) {
-            throw new FcgiException("more than " + mostPairs + " names");
+    private void addPair(String name, String value) throws FcgiException {
+        if (pairs.size() >= maxPairs) {
+            throw new FcgiException("more than " + maxPairs + " names");
         }
         // Of two values one reader believes the first and another the last.
         if (pairs.putIfAbsent(name, value) != null) {
@@ -133,7 +134,7 @@
             byte[] name = pair.getKey().getBytes(StandardCharsets.ISO_8859_1);
             byte[] value = pair.getValue().getBytes(StandardCharsets.ISO_8859_1);
             for (byte[] text : List.of(name, value)) {
-                if (text.length < LONG) {
+                if (text.length < LONG_LENGTH_FLAG) {
                     out.writeByte(text.length);
                 } else {
                     out.writeInt(text.length | 1 << 31);
@@ -144,7 +145,7 @@
     }
 
     /** A stream's bytes in records of at most so much content, with the record that ends it. */
-    public static List<FcgiRecord> records(FcgiRecord.Type type, int id, ByteBuf all, int most) {
+    public static List<FcgiRecord> toRecords(FcgiRecord.Type type, int id, ByteBuf all, int most) {
         List<FcgiRecord> records = new ArrayList<>();
         while (all.isReadable()) {
             records.add(new FcgiRecord(type, id, all.readRetainedSlice(Math.min(most, all.readableBytes()))));
--- a/src/main/java/vetchpost/fastcgi/RecordDecoder.java
+++ b/src/main/java/vetchpost/fastcgi/RecordDecoder.java
@@ -11,11 +11,11 @@
  * follows can't be understood.
  */
 public final class RecordDecoder extends ByteToMessageDecoder {
-    private boolean spoilt;
+    private boolean broken;
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws FcgiException {
-        if (spoilt) {
+        if (broken) {
             in.skipBytes(in.readableBytes());
             return;
         }
@@ -25,7 +25,7 @@
         int at = in.readerIndex();
         int version = in.getUnsignedByte(at);
         if (version != FcgiRecord.VERSION) {
-            spoilt = true;
+            broken = true;
             in.skipBytes(in.readableBytes());
             throw new FcgiException("version " + version + " is not 1");
         }
--- a/src/main/java/vetchpost/fastcgi/RecordEncoder.java
+++ b/src/main/java/vetchpost/fastcgi/RecordEncoder.java
@@ -8,7 +8,7 @@
 /** Writes records, padded to eight bytes as the specification recommends. */
 @Sharable
 public final class RecordEncoder extends MessageToByteEncoder<FcgiRecord> {
-    private static final int ALIGNED = 8;
+    private static final int ALIGNMENT_BYTES = 8;
 
     /** For any number of connections. */
     public RecordEncoder() {
@@ -19,7 +19,7 @@
     protected void encode(ChannelHandlerContext ctx, FcgiRecord record, ByteBuf out) {
         ByteBuf content = record.content();
         int length = content.readableBytes();
-        int padding = (ALIGNED - length % ALIGNED) % ALIGNED;
+        int padding = (ALIGNMENT_BYTES - length % ALIGNMENT_BYTES) % ALIGNMENT_BYTES;
         out.writeByte(FcgiRecord.VERSION);
         out.writeByte(record.typeNumber());
         out.writeShort(record.id());
--- a/src/main/java/vetchpost/handover/AuthenticatedFrames.java
+++ b/src/main/java/vetchpost/handover/AuthenticatedFrames.java
@@ -16,44 +16,44 @@
  * authenticated, not encrypted.
  */
 public final class AuthenticatedFrames extends SimpleChannelInboundHandler<ByteBuf> {
-    private static final String LISTENS = "publisher";
-    private static final String CONNECTS = "replica";
-    private static final long PROOF_MS = 2_000;
+    private static final String PUBLISHER_ROLE = "publisher";
+    private static final String REPLICA_ROLE = "replica";
+    private static final long AUTHENTICATION_TIMEOUT_MS = 2_000;
     /** Numbers of frames from the side that connects; those from the other are without. */
-    private static final int UP = 1 << 31;
+    private static final int FROM_CONNECTING_SIDE = 1 << 31;
 
-    private static final int MOST_NUMBER = Integer.MAX_VALUE - 1;
+    private static final int MAX_FRAME_NUMBER = Integer.MAX_VALUE - 1;
 
     /** Hears what becomes of the connection, on its loop. */
     public interface Listener {
         /** Both sides know the secret. */
-        void up();
+        void onAuthenticated();
 
         /** A frame of the other side's. */
-        void frame(byte[] frame);
+        void onFrame(byte[] frame);
 
         /** What was sent before has left, or something waits to again. */
-        default void writable() {}
+        default void onWritable() {}
 
         /** It is over, once. */
-        void down(String why);
+        void onClosed(String why);
     }
 
     private final SharedSecret secret;
-    private final boolean listens;
+    private final boolean isServer;
     private final Listener listener;
     private final byte[] nonce = new byte[SharedSecret.NONCE_BYTES];
     private Channel channel;
-    private ScheduledFuture<?> limit;
-    private byte[] other;
-    private byte[] session;
-    private int sent;
-    private int received;
-    private boolean over;
+    private ScheduledFuture<?> authenticationTimeout;
+    private byte[] peerNonce;
+    private byte[] sessionKey;
+    private int sentCount;
+    private int receivedCount;
+    private boolean isClosed;
 
     private AuthenticatedFrames(SharedSecret secret, SecureRandom random, boolean listens, Listener listener) {
         this.secret = secret;
-        this.listens = listens;
+        this.isServer = listens;
         this.listener = listener;
         random.nextBytes(nonce);
     }
@@ -73,14 +73,14 @@
             Listener listener) {
         AuthenticatedFrames frames = new AuthenticatedFrames(secret, random, listens, listener);
         frames.channel = channel;
-        HandoverProtocol.frames(channel.pipeline(), mostFrame + SharedSecret.MAC_BYTES);
+        HandoverProtocol.addFrameCodec(channel.pipeline(), mostFrame + SharedSecret.MAC_BYTES);
         channel.pipeline().addLast(frames);
         return frames;
     }
 
     /** Sends a frame; only once it is up. */
     public void send(byte[] frame) {
-        HandoverProtocol.send(channel, frame, SharedSecret.tag(session, number(sent++, !listens), frame));
+        HandoverProtocol.send(channel, frame, SharedSecret.tag(sessionKey, frameNumber(sentCount++, !isServer), frame));
     }
 
     /** Whether what was sent before has left. */
@@ -90,103 +90,108 @@
 
     /** Ends it. */
     public void close(String why) {
-        end(why);
+        closeOnce(why);
     }
 
-    private static int number(int count, boolean up) {
-        return up ? count | UP : count;
+    private static int frameNumber(int count, boolean up) {
+        return up ? count | FROM_CONNECTING_SIDE : count;
     }
 
-    private void end(String why) {
-        if (over) {
+    private void closeOnce(String why) {
+        if (isClosed) {
             return;
         }
-        over = true;
-        if (limit != null) {
-            limit.cancel(false);
+        isClosed = true;
+        if (authenticationTimeout != null) {
+            authenticationTimeout.cancel(false);
         }
         channel.close();
-        listener.down(why);
+        listener.onClosed(why);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        limit = ctx.executor()
-                .schedule(() -> end("it has not shown that it knows the secret"), PROOF_MS, TimeUnit.MILLISECONDS);
-        if (listens) {
+        authenticationTimeout = ctx.executor()
+                .schedule(
+                        () -> closeOnce("it has not shown that it knows the secret"),
+                        AUTHENTICATION_TIMEOUT_MS,
+                        TimeUnit.MILLISECONDS);
+        if (isServer) {
             HandoverProtocol.hello(channel, nonce, new byte[0]);
         }
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf message) {
-        if (over) {
+        if (isClosed) {
             return;
         }
         try {
-            if (session == null) {
-                greet(message);
+            if (sessionKey == null) {
+                authenticate(message);
             } else {
-                take(HandoverProtocol.bytes(message));
+                receiveFrame(HandoverProtocol.bytes(message));
             }
-        } catch (HandoverProtocol.Refused e) {
-            end(e.getMessage());
+        } catch (HandoverProtocol.HandoverRejectedException e) {
+            closeOnce(e.getMessage());
         }
     }
 
-    private void greet(ByteBuf message) throws HandoverProtocol.Refused {
-        if (listens) {
+    private void authenticate(ByteBuf message) throws HandoverProtocol.HandoverRejectedException {
+        if (isServer) {
             HandoverProtocol.Hello hello = HandoverProtocol.hello(message, SharedSecret.MAC_BYTES);
-            int key = secret.keyOf(hello.proof(), CONNECTS, nonce, hello.nonce());
+            int key = secret.matchingKey(hello.proof(), REPLICA_ROLE, nonce, hello.nonce());
             if (key < 0) {
-                throw new HandoverProtocol.Refused("it doesn't know the secret");
+                throw new HandoverProtocol.HandoverRejectedException("it doesn't know the secret");
             }
-            session = secret.session(key, nonce, hello.nonce());
-            HandoverProtocol.send(channel, secret.proof(key, LISTENS, nonce, hello.nonce()));
-            up();
-        } else if (other == null) {
-            other = HandoverProtocol.hello(message, 0).nonce();
-            HandoverProtocol.hello(channel, nonce, secret.proof(0, CONNECTS, other, nonce));
+            sessionKey = secret.sessionKey(key, nonce, hello.nonce());
+            HandoverProtocol.send(channel, secret.proof(key, PUBLISHER_ROLE, nonce, hello.nonce()));
+            authenticated();
+        } else if (peerNonce == null) {
+            peerNonce = HandoverProtocol.hello(message, 0).nonce();
+            HandoverProtocol.hello(channel, nonce, secret.proof(0, REPLICA_ROLE, peerNonce, nonce));
         } else {
-            if (!MessageDigest.isEqual(HandoverProtocol.bytes(message), secret.proof(0, LISTENS, other, nonce))) {
-                throw new HandoverProtocol.Refused("it doesn't know the secret");
+            if (!MessageDigest.isEqual(
+                    HandoverProtocol.bytes(message), secret.proof(0, PUBLISHER_ROLE, peerNonce, nonce))) {
+                throw new HandoverProtocol.HandoverRejectedException("it doesn't know the secret");
             }
-            session = secret.session(0, other, nonce);
-            up();
+            sessionKey = secret.sessionKey(0, peerNonce, nonce);
+            authenticated();
         }
     }
 
-    private void up() {
-        limit.cancel(false);
-        listener.up();
+    private void authenticated() {
+        authenticationTimeout.cancel(false);
+        listener.onAuthenticated();
     }
 
-    private void take(byte[] message) throws HandoverProtocol.Refused {
-        if (message.length < SharedSecret.MAC_BYTES || received == MOST_NUMBER) {
-            throw new HandoverProtocol.Refused("a frame without a tag");
+    private void receiveFrame(byte[] message) throws HandoverProtocol.HandoverRejectedException {
+        if (message.length < SharedSecret.MAC_BYTES || receivedCount == MAX_FRAME_NUMBER) {
+            throw new HandoverProtocol.HandoverRejectedException("a frame without a tag");
         }
         byte[] frame = Arrays.copyOf(message, message.length - SharedSecret.MAC_BYTES);
         byte[] tag = Arrays.copyOfRange(message, frame.length, message.length);
-        if (!MessageDigest.isEqual(tag, SharedSecret.tag(session, number(received++, listens), frame))) {
-            throw new HandoverProtocol.Refused("a frame that is not the other side's, or not in its place");
+        if (!MessageDigest.isEqual(tag, SharedSecret.tag(sessionKey, frameNumber(receivedCount++, isServer), frame))) {
+            throw new HandoverProtocol.HandoverRejectedException(
+                    "a frame that is not the other side's, or not in its place");
         }
-        listener.frame(frame);
+        listener.onFrame(frame);
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (!over && session != null) {
-            listener.writable();
+        if (!isClosed && sessionKey != null) {
+            listener.onWritable();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end("it was cut off");
+        closeOnce("it was cut off");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        end("it broke: " + cause.getMessage());
+        closeOnce("it broke: " + cause.getMessage());
     }
 }
--- a/src/main/java/vetchpost/handover/HandoverProtocol.java
+++ b/src/main/java/vetchpost/handover/HandoverProtocol.java
@@ -21,16 +21,16 @@
     static final String RECEIVER = "taker";
     private static final byte[] HELLO = "VPHAND".getBytes(StandardCharsets.US_ASCII);
     private static final int VERSION = 1;
-    private static final int MOST_FRAME = ChunkCodec.MAX_CHUNK_BYTES + SharedSecret.MAC_BYTES;
-    private static final int LENGTH = 4;
+    private static final int MAX_FRAME_BYTES = ChunkCodec.MAX_CHUNK_BYTES + SharedSecret.MAC_BYTES;
+    private static final int LENGTH_BYTES = 4;
     /** The longest message before both sides have proved themselves. */
     static final int MAX_HELLO_BYTES = HELLO.length + 1 + SharedSecret.NONCE_BYTES + SharedSecret.MAC_BYTES;
 
     /** What the other side has said can't be used. */
-    static final class Refused extends Exception {
+    static final class HandoverRejectedException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Refused(String why) {
+        HandoverRejectedException(String why) {
             super(why);
         }
     }
@@ -41,14 +41,15 @@
     private HandoverProtocol() {}
 
     /** Messages in place of bytes; too long a one ends in an exception before room is made for it. */
-    static void frames(ChannelPipeline pipeline, int most) {
+    static void addFrameCodec(ChannelPipeline pipeline, int most) {
         pipeline.addLast(
-                new LengthFieldBasedFrameDecoder(Math.min(MOST_FRAME, most) + LENGTH, 0, LENGTH, 0, LENGTH),
-                new LengthFieldPrepender(LENGTH));
+                new LengthFieldBasedFrameDecoder(
+                        Math.min(MAX_FRAME_BYTES, most) + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                new LengthFieldPrepender(LENGTH_BYTES));
     }
 
-    static int mostFrame() {
-        return MOST_FRAME;
+    static int maxFrameBytes() {
+        return MAX_FRAME_BYTES;
     }
 
     static void hello(Channel to, byte[] nonce, byte[] proof) {
@@ -59,17 +60,18 @@
         to.writeAndFlush(Unpooled.wrappedBuffer(parts));
     }
 
-    static Hello hello(ByteBuf message, int proofLength) throws Refused {
+    static Hello hello(ByteBuf message, int proofLength) throws HandoverRejectedException {
         byte[] bytes = bytes(message);
         int nonceAt = HELLO.length + 1;
         if (bytes.length < nonceAt || !Arrays.equals(Arrays.copyOf(bytes, HELLO.length), HELLO)) {
-            throw new Refused("it is no node of this program's");
+            throw new HandoverRejectedException("it is no node of this program's");
         }
         if (bytes[HELLO.length] != VERSION) {
-            throw new Refused("it speaks version " + bytes[HELLO.length] + "; this program knows " + VERSION);
+            throw new HandoverRejectedException(
+                    "it speaks version " + bytes[HELLO.length] + "; this program knows " + VERSION);
         }
         if (bytes.length != nonceAt + SharedSecret.NONCE_BYTES + proofLength) {
-            throw new Refused("its hello has " + bytes.length + " bytes");
+            throw new HandoverRejectedException("its hello has " + bytes.length + " bytes");
         }
         return new Hello(
                 Arrays.copyOfRange(bytes, nonceAt, nonceAt + SharedSecret.NONCE_BYTES),
--- a/src/main/java/vetchpost/handover/HandoverReceiver.java
+++ b/src/main/java/vetchpost/handover/HandoverReceiver.java
@@ -57,13 +57,13 @@
      * @return ends it at once, as if the time were up
      */
     public Runnable request(InetSocketAddress address, long withinMs, Outcome outcome) {
-        Asking asking = new Asking(outcome);
-        asking.limit = loop.schedule(() -> asking.end("it took too long"), withinMs, TimeUnit.MILLISECONDS);
+        Request asking = new Request(outcome);
+        asking.timeout = loop.schedule(() -> asking.finish("it took too long"), withinMs, TimeUnit.MILLISECONDS);
         try {
             asking.channel = network.newClientChannel();
         } catch (ChannelException e) {
-            loop.execute(() -> asking.end("no connection could be opened"));
-            return () -> asking.end("called off");
+            loop.execute(() -> asking.finish("no connection could be opened"));
+            return () -> asking.finish("called off");
         }
         new Bootstrap()
                 .group(loop)
@@ -79,110 +79,115 @@
                 .connect(address)
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        asking.end("nobody is there");
+                        asking.finish("nobody is there");
                     }
                 });
-        return () -> asking.end("called off");
+        return () -> asking.finish("called off");
     }
 
     /** Begins on a channel that is open, with no limit of time of its own. */
     void attach(Channel channel, Outcome outcome) {
-        Asking asking = new Asking(outcome);
+        Request asking = new Request(outcome);
         asking.channel = channel;
         asking.open(channel);
     }
 
-    private final class Asking extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class Request extends SimpleChannelInboundHandler<ByteBuf> {
         private final Outcome outcome;
-        private final ChunkAssembler assembly = new ChunkAssembler();
+        private final ChunkAssembler assembler = new ChunkAssembler();
         private final byte[] nonce = new byte[SharedSecret.NONCE_BYTES];
-        private byte[] giverNonce;
-        private byte[] session;
-        private int number;
-        private long bytes;
+        private byte[] senderNonce;
+        private byte[] sessionKey;
+        private int nextNumber;
+        private long receivedBytes;
         private Channel channel;
-        private ScheduledFuture<?> limit;
-        private boolean over;
+        private ScheduledFuture<?> timeout;
+        private boolean isFinished;
 
-        Asking(Outcome outcome) {
+        Request(Outcome outcome) {
             this.outcome = outcome;
             random.nextBytes(nonce);
         }
 
         void open(Channel to) {
-            HandoverProtocol.frames(to.pipeline(), HandoverProtocol.mostFrame());
+            HandoverProtocol.addFrameCodec(to.pipeline(), HandoverProtocol.maxFrameBytes());
             to.pipeline().addLast(this);
         }
 
-        void end(String why) {
-            if (over) {
+        void finish(String why) {
+            if (isFinished) {
                 return;
             }
-            over = true;
-            if (limit != null) {
-                limit.cancel(false);
+            isFinished = true;
+            if (timeout != null) {
+                timeout.cancel(false);
             }
             if (channel != null) {
                 channel.close();
             }
-            outcome.received(assembly.snapshot(), assembly.isComplete(), why);
+            outcome.received(assembler.snapshot(), assembler.isComplete(), why);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf message) {
-            if (over) {
+            if (isFinished) {
                 return;
             }
-            bytes += message.readableBytes();
+            receivedBytes += message.readableBytes();
             try {
-                if (bytes > MAX_SNAPSHOT_BYTES) {
-                    throw new HandoverProtocol.Refused("it sent over " + MAX_SNAPSHOT_BYTES + " bytes");
+                if (receivedBytes > MAX_SNAPSHOT_BYTES) {
+                    throw new HandoverProtocol.HandoverRejectedException(
+                            "it sent over " + MAX_SNAPSHOT_BYTES + " bytes");
                 }
-                take(message);
-            } catch (HandoverProtocol.Refused | MalformedSnapshotException e) {
-                end(e.getMessage());
+                receive(message);
+            } catch (HandoverProtocol.HandoverRejectedException | MalformedSnapshotException e) {
+                finish(e.getMessage());
             }
         }
 
-        private void take(ByteBuf message) throws HandoverProtocol.Refused, MalformedSnapshotException {
-            if (giverNonce == null) {
-                giverNonce = HandoverProtocol.hello(message, 0).nonce();
-                HandoverProtocol.hello(channel, nonce, secret.proof(0, HandoverProtocol.RECEIVER, giverNonce, nonce));
-            } else if (session == null) {
+        private void receive(ByteBuf message)
+                throws HandoverProtocol.HandoverRejectedException, MalformedSnapshotException {
+            if (senderNonce == null) {
+                senderNonce = HandoverProtocol.hello(message, 0).nonce();
+                HandoverProtocol.hello(channel, nonce, secret.proof(0, HandoverProtocol.RECEIVER, senderNonce, nonce));
+            } else if (sessionKey == null) {
                 if (!MessageDigest.isEqual(
-                        HandoverProtocol.bytes(message), secret.proof(0, HandoverProtocol.SENDER, giverNonce, nonce))) {
-                    throw new HandoverProtocol.Refused("it doesn't know the secret");
+                        HandoverProtocol.bytes(message),
+                        secret.proof(0, HandoverProtocol.SENDER, senderNonce, nonce))) {
+                    throw new HandoverProtocol.HandoverRejectedException("it doesn't know the secret");
                 }
-                session = secret.session(0, giverNonce, nonce);
+                sessionKey = secret.sessionKey(0, senderNonce, nonce);
             } else {
-                piece(HandoverProtocol.bytes(message));
+                receiveChunk(HandoverProtocol.bytes(message));
             }
         }
 
-        private void piece(byte[] message) throws HandoverProtocol.Refused, MalformedSnapshotException {
+        private void receiveChunk(byte[] message)
+                throws HandoverProtocol.HandoverRejectedException, MalformedSnapshotException {
             if (message.length < SharedSecret.MAC_BYTES) {
-                throw new HandoverProtocol.Refused("a piece without a tag");
+                throw new HandoverProtocol.HandoverRejectedException("a piece without a tag");
             }
             byte[] piece = Arrays.copyOf(message, message.length - SharedSecret.MAC_BYTES);
             byte[] tag = Arrays.copyOfRange(message, piece.length, message.length);
-            if (!MessageDigest.isEqual(tag, SharedSecret.tag(session, number++, piece))) {
-                throw new HandoverProtocol.Refused("a piece that is not the giver's, or not in its place");
+            if (!MessageDigest.isEqual(tag, SharedSecret.tag(sessionKey, nextNumber++, piece))) {
+                throw new HandoverProtocol.HandoverRejectedException(
+                        "a piece that is not the giver's, or not in its place");
             }
             if (piece.length == 0) {
-                end(assembly.isComplete() ? null : "pieces are missing");
+                finish(assembler.isComplete() ? null : "pieces are missing");
             } else {
-                assembly.add(ChunkCodec.read(piece));
+                assembler.add(ChunkCodec.read(piece));
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end("it was cut off");
+            finish("it was cut off");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            end("it broke: " + cause.getMessage());
+            finish("it broke: " + cause.getMessage());
         }
     }
 }
--- a/src/main/java/vetchpost/handover/HandoverSender.java
+++ b/src/main/java/vetchpost/handover/HandoverSender.java
@@ -30,23 +30,23 @@
     /** Takers at a time; more are closed at once. */
     static final int MAX_RECEIVERS = 4;
     /** For a taker's proof, and for all of it. */
-    private static final long PROOF_MS = 1_000;
+    private static final long AUTHENTICATION_TIMEOUT_MS = 1_000;
 
-    private static final long WHOLE_MS = 10_000;
+    private static final long HANDOVER_TIMEOUT_MS = 10_000;
     /** After a piece, which takes a fraction of a millisecond, so much time is the requests'. */
-    private static final long PAUSE_MS = 2;
+    private static final long PAUSE_AFTER_CHUNK_MS = 2;
 
-    private static final int BACKLOG = 128;
+    private static final int ACCEPT_BACKLOG = 128;
 
     private final EventLoop loop;
     private final Network network;
     private final SharedSecret secret;
     private final SecureRandom random;
-    private final Supplier<Iterator<byte[]>> pieces;
-    private Channel listening;
-    private int takers;
-    private boolean hasRefused;
-    private long refusedNs;
+    private final Supplier<Iterator<byte[]>> chunks;
+    private Channel listenChannel;
+    private int receiverCount;
+    private boolean hasLoggedRejection;
+    private long lastRejectionLogNs;
 
     /**
      * Not listening yet.
@@ -63,7 +63,7 @@
         this.network = network;
         this.secret = secret;
         this.random = random;
-        this.pieces = pieces;
+        this.chunks = pieces;
     }
 
     /** Listens; a node whose address for this is taken serves all the same. */
@@ -71,23 +71,23 @@
         ChannelFuture binding = new ServerBootstrap()
                 .group(group)
                 .channelFactory(network::newServerChannel)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (takers >= MAX_RECEIVERS) {
+                        if (receiverCount >= MAX_RECEIVERS) {
                             channel.close();
                             return;
                         }
-                        takers++;
-                        channel.closeFuture().addListener(closed -> takers--);
-                        HandoverProtocol.frames(channel.pipeline(), HandoverProtocol.MAX_HELLO_BYTES);
-                        channel.pipeline().addLast(new Taker(channel));
+                        receiverCount++;
+                        channel.closeFuture().addListener(closed -> receiverCount--);
+                        HandoverProtocol.addFrameCodec(channel.pipeline(), HandoverProtocol.MAX_HELLO_BYTES);
+                        channel.pipeline().addLast(new Receiver(channel));
                     }
                 })
                 .bind(address);
-        listening = binding.channel();
+        listenChannel = binding.channel();
         binding.addListener(done -> {
             if (!done.isSuccess()) {
                 LOG.log(
@@ -102,96 +102,96 @@
 
     /** Ends all. */
     public void close() {
-        if (listening != null) {
-            listening.close();
+        if (listenChannel != null) {
+            listenChannel.close();
         }
     }
 
     /** A line at most every second: whoever can reach the address must not fill the log. */
-    private void refused(Channel taker, String why) {
+    private void logRejection(Channel taker, String why) {
         long now = loop.ticker().nanoTime();
-        if (!hasRefused || now - refusedNs >= TimeUnit.SECONDS.toNanos(1)) {
-            hasRefused = true;
-            refusedNs = now;
+        if (!hasLoggedRejection || now - lastRejectionLogNs >= TimeUnit.SECONDS.toNanos(1)) {
+            hasLoggedRejection = true;
+            lastRejectionLogNs = now;
             LOG.log(Level.INFO, "nothing is handed over to {0}: {1}", taker.remoteAddress(), why);
         }
     }
 
     /** One that has asked. */
-    private final class Taker extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class Receiver extends SimpleChannelInboundHandler<ByteBuf> {
         private final Channel channel;
         private final byte[] nonce = new byte[SharedSecret.NONCE_BYTES];
-        private ScheduledFuture<?> limit;
-        private Iterator<byte[]> left;
-        private byte[] session;
-        private int number;
-        private boolean pausing;
+        private ScheduledFuture<?> timeout;
+        private Iterator<byte[]> remainingChunks;
+        private byte[] sessionKey;
+        private int nextNumber;
+        private boolean isPausing;
 
-        Taker(Channel channel) {
+        Receiver(Channel channel) {
             this.channel = channel;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            limit = loop.schedule((Runnable) channel::close, PROOF_MS, TimeUnit.MILLISECONDS);
+            timeout = loop.schedule((Runnable) channel::close, AUTHENTICATION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             random.nextBytes(nonce);
             HandoverProtocol.hello(channel, nonce, new byte[0]);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf message) {
-            if (session != null) {
+            if (sessionKey != null) {
                 // It has nothing more to say.
                 channel.close();
                 return;
             }
             try {
                 HandoverProtocol.Hello hello = HandoverProtocol.hello(message, SharedSecret.MAC_BYTES);
-                int key = secret.keyOf(hello.proof(), HandoverProtocol.RECEIVER, nonce, hello.nonce());
+                int key = secret.matchingKey(hello.proof(), HandoverProtocol.RECEIVER, nonce, hello.nonce());
                 if (key < 0) {
-                    throw new HandoverProtocol.Refused("it doesn't know the secret");
+                    throw new HandoverProtocol.HandoverRejectedException("it doesn't know the secret");
                 }
-                limit.cancel(false);
-                limit = loop.schedule((Runnable) channel::close, WHOLE_MS, TimeUnit.MILLISECONDS);
-                session = secret.session(key, nonce, hello.nonce());
+                timeout.cancel(false);
+                timeout = loop.schedule((Runnable) channel::close, HANDOVER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                sessionKey = secret.sessionKey(key, nonce, hello.nonce());
                 HandoverProtocol.send(channel, secret.proof(key, HandoverProtocol.SENDER, nonce, hello.nonce()));
-                left = pieces.get();
-                go();
-            } catch (HandoverProtocol.Refused e) {
-                refused(channel, e.getMessage());
+                remainingChunks = chunks.get();
+                sendNext();
+            } catch (HandoverProtocol.HandoverRejectedException e) {
+                logRejection(channel, e.getMessage());
                 channel.close();
             }
         }
 
-        private void go() {
-            if (pausing || left == null || !channel.isActive() || !channel.isWritable()) {
+        private void sendNext() {
+            if (isPausing || remainingChunks == null || !channel.isActive() || !channel.isWritable()) {
                 return;
             }
-            byte[] piece = left.hasNext() ? left.next() : new byte[0];
-            HandoverProtocol.send(channel, piece, SharedSecret.tag(session, number++, piece));
+            byte[] piece = remainingChunks.hasNext() ? remainingChunks.next() : new byte[0];
+            HandoverProtocol.send(channel, piece, SharedSecret.tag(sessionKey, nextNumber++, piece));
             if (piece.length == 0) {
-                left = null;
+                remainingChunks = null;
                 return;
             }
-            pausing = true;
+            isPausing = true;
             loop.schedule(
                     () -> {
-                        pausing = false;
-                        go();
+                        isPausing = false;
+                        sendNext();
                     },
-                    PAUSE_MS,
+                    PAUSE_AFTER_CHUNK_MS,
                     TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-            go();
+            sendNext();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (limit != null) {
-                limit.cancel(false);
+            if (timeout != null) {
+                timeout.cancel(false);
             }
         }
 
--- a/src/main/java/vetchpost/handover/SharedSecret.java
+++ b/src/main/java/vetchpost/handover/SharedSecret.java
@@ -24,9 +24,9 @@
     /** A shorter one can be guessed. */
     static final int MIN_SECRET_BYTES = 32;
 
-    private static final int MOST = 1_024;
-    private static final int MOST_KEYS = 4;
-    private static final long MOST_FILE = 8 * 1_024;
+    private static final int MAX_SECRET_BYTES = 1_024;
+    private static final int MAX_KEYS = 4;
+    private static final long MAX_FILE_BYTES = 8 * 1_024;
 
     private final List<byte[]> keys;
 
@@ -50,7 +50,7 @@
      */
     public static SharedSecret parse(String text) {
         int length = text.getBytes(StandardCharsets.UTF_8).length;
-        if (length < MIN_SECRET_BYTES || length > MOST) {
+        if (length < MIN_SECRET_BYTES || length > MAX_SECRET_BYTES) {
             throw new IllegalArgumentException("a secret of " + length + " bytes");
         }
         return of(text);
@@ -62,8 +62,8 @@
      * @throws IOException if it can't be read or holds none, with one line for an operator
      */
     public static SharedSecret read(Path file) throws IOException {
-        if (Files.size(file) > MOST_FILE) {
-            throw new IOException(file + " is over " + MOST_FILE + " bytes");
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new IOException(file + " is over " + MAX_FILE_BYTES + " bytes");
         }
         List<byte[]> keys = new ArrayList<>();
         for (String line : Files.readAllLines(file)) {
@@ -72,19 +72,19 @@
                 continue;
             }
             byte[] key = text.getBytes(StandardCharsets.UTF_8);
-            if (key.length < MIN_SECRET_BYTES || key.length > MOST) {
+            if (key.length < MIN_SECRET_BYTES || key.length > MAX_SECRET_BYTES) {
                 throw new IOException(file + " holds a secret of " + key.length + " bytes; from " + MIN_SECRET_BYTES
-                        + " to " + MOST + " are wanted");
+                        + " to " + MAX_SECRET_BYTES + " are wanted");
             }
             keys.add(key);
         }
-        if (keys.isEmpty() || keys.size() > MOST_KEYS) {
-            throw new IOException(file + " holds " + keys.size() + " secrets; from 1 to " + MOST_KEYS + " are wanted");
+        if (keys.isEmpty() || keys.size() > MAX_KEYS) {
+            throw new IOException(file + " holds " + keys.size() + " secrets; from 1 to " + MAX_KEYS + " are wanted");
         }
         return new SharedSecret(keys);
     }
 
-    int keys() {
+    int keyCount() {
         return keys.size();
     }
 
@@ -95,7 +95,7 @@
     }
 
     /** Which key such a proof was made with, or -1. Takes as long whichever it is. */
-    int keyOf(byte[] proof, String side, byte[] giverNonce, byte[] takerNonce) {
+    int matchingKey(byte[] proof, String side, byte[] giverNonce, byte[] takerNonce) {
         int found = -1;
         for (int key = 0; key < keys.size(); key++) {
             if (MessageDigest.isEqual(proof, proof(key, side, giverNonce, takerNonce))) {
@@ -106,7 +106,7 @@
     }
 
     /** What the tags of one handover are made with. */
-    byte[] session(int key, byte[] giverNonce, byte[] takerNonce) {
+    byte[] sessionKey(int key, byte[] giverNonce, byte[] takerNonce) {
         return HKDF.fromHmacSha256()
                 .extractAndExpand(
                         join(giverNonce, takerNonce),
