--- a/src/main/java/vetchpost/http/Acceptor.java
+++ b/src/main/java/vetchpost/http/Acceptor.java
@@ -25,17 +25,17 @@
  * closes the socket on a queue that it has not emptied.
  */
 final class Acceptor extends ChannelInboundHandlerAdapter {
-    private static final int BACKLOG = 1_024;
+    private static final int MAX_BACKLOG_CONNECTIONS = 1_024;
     /** Bytes read at once, at most: what is decoded of them is all kept. */
     private static final int MAX_READ_BYTES = 16_384;
 
-    private static final long ACCEPT_AGAIN_MS = 20;
+    private static final long ACCEPT_RETRY_INTERVAL_MS = 20;
     /** How long connections are left in the queue for want of room; from then on they are accepted to be told
      * to come again. Long enough for one that has just been answered to count as idle. */
-    private static final long WAIT_NS = TimeUnit.MILLISECONDS.toNanos(120);
+    private static final long MAX_QUEUE_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(120);
 
     /** Sets up a connection that has been accepted. */
-    interface Opener {
+    interface ConnectionOpener {
         void open(ChannelPipeline pipeline);
     }
 
@@ -43,22 +43,22 @@
     private final Network network;
     private final SocketBudget sockets;
     private final RequestLog log;
-    private final LongSupplier behindUs;
-    private final int atOnce;
+    private final LongSupplier eventLoopDelayUs;
+    private final int maxAcceptsPerTurn;
     private Channel channel;
-    private int batch;
-    private long accepted;
+    private int acceptedThisTurn;
+    private long acceptedTotal;
     private boolean paused;
     private long pausedNs;
-    private boolean turningAway;
+    private boolean acceptingToReject;
     /** Whether connections were left in the queue, and since when some may lie there. */
-    private boolean behind;
+    private boolean hasBacklog;
 
-    private long behindSinceNs;
+    private long backlogSinceNs;
     /** When the last so many were accepted that no queue holds more. */
-    private long markNs;
+    private long backlogMarkNs;
 
-    private long markAt;
+    private long backlogMarkAccepted;
 
     /**
      * Not listening yet.
@@ -69,20 +69,20 @@
         this.loop = loop;
         this.network = network;
         this.sockets = sockets;
-        atOnce = sockets.maxAcceptsPerTurn();
+        maxAcceptsPerTurn = sockets.maxAcceptsPerTurn();
         this.log = log;
-        this.behindUs = behindUs;
+        this.eventLoopDelayUs = behindUs;
     }
 
     /** Binds the address; the future tells whether it could be had. */
-    ChannelFuture listen(EventLoopGroup group, SocketAddress address, Opener opener) {
+    ChannelFuture listen(EventLoopGroup group, SocketAddress address, ConnectionOpener opener) {
         ChannelFuture binding = new ServerBootstrap()
                 .group(group)
                 .channelFactory(network::newServerChannel)
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(atOnce))
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(maxAcceptsPerTurn))
+                .option(ChannelOption.SO_BACKLOG, MAX_BACKLOG_CONNECTIONS)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(
@@ -108,16 +108,16 @@
      * queue was empty a turn ago and the loop is on time. What a loop that was held up accepts in one turn
      * it reads in the next, when it may be on time again.
      */
-    long layNs() {
-        long heldUpNs = TimeUnit.MICROSECONDS.toNanos(behindUs.getAsLong());
-        return behind ? Math.max(heldUpNs, nanos() - behindSinceNs) : heldUpNs;
+    long queuedTimeNs() {
+        long heldUpNs = TimeUnit.MICROSECONDS.toNanos(eventLoopDelayUs.getAsLong());
+        return hasBacklog ? Math.max(heldUpNs, nanos() - backlogSinceNs) : heldUpNs;
     }
 
     /** To be called after each connection that has been accepted: goes on, or pauses. */
-    void settle() {
-        if (sockets.hasRoomForClient()) {
-            turningAway = false;
-        } else if (!turningAway || !sockets.mayAccept()) {
+    void onAccepted() {
+        if (sockets.hasCapacityForClient()) {
+            acceptingToReject = false;
+        } else if (!acceptingToReject || !sockets.mayAccept()) {
             pause();
         }
     }
@@ -129,12 +129,12 @@
         }
         paused = true;
         pausedNs = nanos();
-        fallBehind();
-        if (log.isOn()) {
+        markBacklog();
+        if (log.isEnabled()) {
             log.write("accepting stops", sockets);
         }
         channel.config().setAutoRead(false);
-        loop.schedule(this::later, ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::retryAccepting, ACCEPT_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Goes on if there is room, be it only to turn away. */
@@ -142,11 +142,11 @@
         if (!paused || !channel.isOpen()) {
             return;
         }
-        boolean room = sockets.hasRoomForClient();
-        turningAway = !room && (turningAway || nanos() - pausedNs >= WAIT_NS);
-        if (room || turningAway && sockets.mayAccept()) {
+        boolean room = sockets.hasCapacityForClient();
+        acceptingToReject = !room && (acceptingToReject || nanos() - pausedNs >= MAX_QUEUE_WAIT_NS);
+        if (room || acceptingToReject && sockets.mayAccept()) {
             paused = false;
-            if (log.isOn()) {
+            if (log.isEnabled()) {
                 log.write("accepting again", sockets);
             }
             channel.config().setAutoRead(true);
@@ -154,24 +154,24 @@
     }
 
     /** One that has become idle since makes room too, and tells nobody. */
-    private void later() {
+    private void retryAccepting() {
         if (paused && channel.isOpen()) {
-            sockets.makeRoomForClient();
+            sockets.freeCapacityForClient();
             resume();
             if (paused) {
-                loop.schedule(this::later, ACCEPT_AGAIN_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(this::retryAccepting, ACCEPT_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
             }
         }
     }
 
     /** Accepts all that the system has accepted, whether there is room or not, and gives the address up. */
-    void finish() {
+    void drainAndClose() {
         if (channel.isActive()) {
             long before;
             do {
-                before = accepted;
+                before = acceptedTotal;
                 network.readNow(channel);
-            } while (accepted > before);
+            } while (acceptedTotal > before);
         }
         close();
     }
@@ -181,12 +181,12 @@
         channel.close();
     }
 
-    private void fallBehind() {
-        if (!behind) {
-            behind = true;
-            behindSinceNs = nanos() - TimeUnit.MICROSECONDS.toNanos(behindUs.getAsLong());
-            markNs = behindSinceNs;
-            markAt = accepted;
+    private void markBacklog() {
+        if (!hasBacklog) {
+            hasBacklog = true;
+            backlogSinceNs = nanos() - TimeUnit.MICROSECONDS.toNanos(eventLoopDelayUs.getAsLong());
+            backlogMarkNs = backlogSinceNs;
+            backlogMarkAccepted = acceptedTotal;
         }
     }
 
@@ -196,31 +196,31 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object connection) {
-        accepted++;
-        if (++batch >= atOnce) {
-            fallBehind(); // What comes in the batches after this one has lain there since now.
+        acceptedTotal++;
+        if (++acceptedThisTurn >= maxAcceptsPerTurn) {
+            markBacklog(); // What comes in the batches after this one has lain there since now.
         }
-        if (behind && accepted - markAt >= BACKLOG) {
-            behindSinceNs = markNs; // Whatever lay there then has been accepted by now.
-            markNs = nanos();
-            markAt = accepted;
+        if (hasBacklog && acceptedTotal - backlogMarkAccepted >= MAX_BACKLOG_CONNECTIONS) {
+            backlogSinceNs = backlogMarkNs; // Whatever lay there then has been accepted by now.
+            backlogMarkNs = nanos();
+            backlogMarkAccepted = acceptedTotal;
         }
         ctx.fireChannelRead(connection);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (batch < atOnce && !paused) {
-            behind = false;
+        if (acceptedThisTurn < maxAcceptsPerTurn && !paused) {
+            hasBacklog = false;
         }
-        batch = 0;
+        acceptedThisTurn = 0;
         ctx.fireChannelReadComplete();
     }
 
     /** Stops accepting when the system has no descriptor left, whatever the count says. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("accepting failed", cause, sockets);
         }
         // Left alone, the selector would report the same connection without end.
--- a/src/main/java/vetchpost/http/ClientConnection.java
+++ b/src/main/java/vetchpost/http/ClientConnection.java
@@ -33,7 +33,7 @@
 /** One client's connection: its requests one by one, an answer to each, and what it may cost meanwhile. */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ManagedConnection {
     private static final Logger LOG = System.getLogger(ClientConnection.class.getName());
-    private static final int MAX_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
     /** Requests that a client may send ahead of its answers before what else comes is kept unread ... */
     private static final int MAX_PIPELINED_REQUESTS = 16;
     /** ... up to so many bytes, so that its end is noticed. */
@@ -41,50 +41,50 @@
     /** Requests one after the other that can't be used; a client that sends more doesn't mean to ask. */
     private static final int MAX_BAD_REQUESTS = 4;
     /** How long a client may take to read the reason why its connection is closed. */
-    private static final long LINGER_MS = 500;
+    private static final long LINGER_TIMEOUT_MS = 500;
     /** What is read and thrown away meanwhile: closed on unread bytes, the system would take the reason
      * back. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
-    private static final String READY = "/ready";
+    private static final String READY_PATH = "/ready";
     /** Not the request's fault: a refusal, which may come again. */
-    private static final BadRequest TOO_MUCH =
+    private static final BadRequest OVERLOADED =
             new BadRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much at once");
 
     /** A request read while an earlier one on its connection still waits for its answer. */
-    private record Ahead(FullHttpRequest http, long arrivedNs, long cost) {}
+    private record PipelinedRequest(FullHttpRequest http, long arrivedNs, long costBytes) {}
 
     private final ClientServer server;
     private final Channel channel;
     private final RequestDecoder decoder = new RequestDecoder();
-    private final Deque<Ahead> ahead = new ArrayDeque<>();
+    private final Deque<PipelinedRequest> pipelined = new ArrayDeque<>();
     private final long openedNs;
-    private final long number;
-    private HttpReply held;
-    private long heldCost;
-    private long partCost;
-    private long begunNs;
-    private long answeredNs;
-    private int unwritten;
-    private int bad;
-    private boolean asked;
+    private final long connectionId;
+    private HttpReply pendingReply;
+    private long pendingCostBytes;
+    private long partialCostBytes;
+    private long requestStartNs;
+    private long lastResponseNs;
+    private int unwrittenResponses;
+    private int consecutiveBadRequests;
+    private boolean hasReceivedRequest;
     /** There were more than are served when it came. */
-    private boolean unwelcome;
+    private boolean overConnectionLimit;
     /** Once it begins: what is held and waits is answered, then the connection closed. */
-    private final InputDiscarder deafness = new InputDiscarder(MAX_DISCARDED_BYTES);
+    private final InputDiscarder inputDiscarder = new InputDiscarder(MAX_DISCARDED_BYTES);
 
     private final ReadAhead readAhead;
-    private boolean ending;
-    private boolean answerSpoilt;
+    private boolean closingAfterWrite;
+    private boolean encodingFailed;
     /** Why this side closes it; null until it does. */
-    private String closedFor;
+    private String closeReason;
 
     private ClientConnection(ClientServer server, Channel channel) {
         this.server = server;
         this.channel = channel;
         readAhead = new ReadAhead(server.requestMemory(), MAX_READ_AHEAD_BYTES);
         openedNs = server.nanos();
-        number = server.nextConnectionId();
+        connectionId = server.nextConnectionId();
     }
 
     /** Sets up a client's connection. */
@@ -92,26 +92,26 @@
         ClientConnection connection = new ClientConnection(server, pipeline.channel());
         pipeline.addLast(
                 connection.readAhead,
-                connection.deafness,
+                connection.inputDiscarder,
                 connection.decoder,
                 new HttpResponseEncoder(),
-                connection.new BodyReader(),
+                connection.new RequestAggregator(),
                 connection);
     }
 
     @Override
     public boolean isIdle() {
-        return held == null && unwritten == 0 && ahead.isEmpty() && !decoder.isMidRequest();
+        return pendingReply == null && unwrittenResponses == 0 && pipelined.isEmpty() && !decoder.isMidRequest();
     }
 
     @Override
     public long idleSinceNs() {
-        return asked ? answeredNs : openedNs;
+        return hasReceivedRequest ? lastResponseNs : openedNs;
     }
 
     /** Which of its node's connections it is. */
-    long number() {
-        return number;
+    long connectionId() {
+        return connectionId;
     }
 
     @Override
@@ -121,16 +121,16 @@
 
     @Override
     public void close(String why) {
-        if (closedFor == null) {
-            closedFor = why;
+        if (closeReason == null) {
+            closeReason = why;
         }
         channel.close();
     }
 
     @Override
     public void closeIfOverdue(long nowNs) {
-        if (ending || unwritten > 0) {
-            if (nowNs - answeredNs > server.patienceNs()) {
+        if (closingAfterWrite || unwrittenResponses > 0) {
+            if (nowNs - lastResponseNs > server.requestTimeoutNs()) {
                 close("answer not read");
             }
             return;
@@ -139,72 +139,72 @@
             return;
         }
         // A loop that was held up for a moment has not read what came in time.
-        long before = deafness.receivedBytes();
+        long before = inputDiscarder.receivedBytes();
         readNow();
-        if (deafness.receivedBytes() > before || !isOverdue(nowNs)) {
+        if (inputDiscarder.receivedBytes() > before || !isOverdue(nowNs)) {
             return;
         }
         if (decoder.isMidRequest()) {
-            reject(new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "request not whole in time"));
+            rejectAndClose(new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "request not whole in time"));
         } else {
             close("silent");
         }
     }
 
     /** Whether the client has not left, as far as its system tells by now. */
-    boolean isThere() {
+    boolean isClientConnected() {
         readNow();
         return channel.isActive();
     }
 
     /** Whether it has waited too long for the rest of a request, or for its first. */
     private boolean isOverdue(long nowNs) {
-        if (held != null || !ahead.isEmpty() || !channel.isActive()) {
+        if (pendingReply != null || !pipelined.isEmpty() || !channel.isActive()) {
             return false;
         }
         return decoder.isMidRequest()
-                ? nowNs - (asked ? begunNs : openedNs) > server.patienceNs()
-                : !asked && nowNs - openedNs > server.patienceNs();
+                ? nowNs - (hasReceivedRequest ? requestStartNs : openedNs) > server.requestTimeoutNs()
+                : !hasReceivedRequest && nowNs - openedNs > server.requestTimeoutNs();
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        unwelcome = server.onOpened(this, number, channel);
+        overConnectionLimit = server.onOpened(this, connectionId, channel);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "closed",
-                            number,
-                            closedFor == null ? "by the client" : closedFor,
-                            held == null ? "" : "unanswered",
-                            ahead.isEmpty() ? "" : ahead.size() + " not taken");
+                            connectionId,
+                            closeReason == null ? "by the client" : closeReason,
+                            pendingReply == null ? "" : "unanswered",
+                            pipelined.isEmpty() ? "" : pipelined.size() + " not taken");
         }
         server.onClosed(this);
-        for (Ahead next : ahead) {
+        for (PipelinedRequest next : pipelined) {
             next.http.release();
-            server.requestMemory().release(next.cost);
+            server.requestMemory().release(next.costBytes);
         }
-        ahead.clear();
-        server.requestMemory().release(partCost + heldCost);
-        partCost = 0;
-        heldCost = 0;
-        if (held != null) {
-            HttpReply left = held;
-            held = null;
-            left.gone();
+        pipelined.clear();
+        server.requestMemory().release(partialCostBytes + pendingCostBytes);
+        partialCostBytes = 0;
+        pendingCostBytes = 0;
+        if (pendingReply != null) {
+            HttpReply left = pendingReply;
+            pendingReply = null;
+            left.onClientDisconnected();
         }
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         long now = server.nanos();
-        server.requestMemory().release(partCost);
-        partCost = 0;
-        if (deafness.isDiscarding() || !(message instanceof FullHttpRequest http)) {
+        server.requestMemory().release(partialCostBytes);
+        partialCostBytes = 0;
+        if (inputDiscarder.isDiscarding() || !(message instanceof FullHttpRequest http)) {
             ReferenceCountUtil.release(message);
             return;
         }
@@ -213,45 +213,50 @@
                 http.content().readableBytes());
         if (!server.requestMemory().tryReserve(cost)) {
             http.release();
-            reject(TOO_MUCH);
+            rejectAndClose(OVERLOADED);
             return;
         }
-        asked = true;
+        hasReceivedRequest = true;
         server.onRequestReceived(this);
-        if (server.log().isOn()) {
+        if (server.log().isEnabled()) {
             server.log()
-                    .write("whole", number, http.uri(), "txn", http.headers().get("X-Txn"));
+                    .write(
+                            "whole",
+                            connectionId,
+                            http.uri(),
+                            "txn",
+                            http.headers().get("X-Txn"));
         }
-        if (held == null && ahead.isEmpty()) {
+        if (pendingReply == null && pipelined.isEmpty()) {
             // Not before all is read that has come: behind the request there may be the client's close. A
             // node that is behind would else work mostly for clients that have left, and so stay behind.
-            channel.eventLoop().execute(this::takeAhead);
+            channel.eventLoop().execute(this::startNextPipelined);
         }
-        ahead.add(new Ahead(http, now - server.acceptDelayNs(), cost));
-        if (ahead.size() >= MAX_PIPELINED_REQUESTS) {
-            readAhead.keep();
+        pipelined.add(new PipelinedRequest(http, now - server.acceptDelayNs(), cost));
+        if (pipelined.size() >= MAX_PIPELINED_REQUESTS) {
+            readAhead.startBuffering();
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (!decoder.isMidRequest()) {
-            begunNs = 0;
-        } else if (begunNs == 0) {
-            begunNs = server.nanos();
-            if (server.log().isOn()) {
-                server.log().write("begun", number);
+            requestStartNs = 0;
+        } else if (requestStartNs == 0) {
+            requestStartNs = server.nanos();
+            if (server.log().isEnabled()) {
+                server.log().write("begun", connectionId);
             }
         }
     }
 
-    private void take(FullHttpRequest http, long arrivedNs, long cost) {
-        heldCost = cost;
-        if (server.log().isOn()) {
+    private void startRequest(FullHttpRequest http, long arrivedNs, long cost) {
+        pendingCostBytes = cost;
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "take",
-                            number,
+                            connectionId,
                             "txn",
                             http.headers().get("X-Txn"),
                             "read before",
@@ -260,63 +265,64 @@
         }
         try {
             if (http.decoderResult().isFailure()) {
-                reject(BadRequest.malformed(http.decoderResult().cause()));
+                rejectAndClose(BadRequest.malformed(http.decoderResult().cause()));
                 return;
             }
             boolean keepAlive = HttpUtil.isKeepAlive(http);
-            if (http.uri().equals(READY)) {
-                answer(ready(http), keepAlive);
+            if (http.uri().equals(READY_PATH)) {
+                sendResponse(readinessResponse(http), keepAlive);
                 return;
             }
             if (server.isRehearsal(http)) {
-                answer(HttpReply.plain(HttpResponseStatus.OK, "rehearsed"), keepAlive);
+                sendResponse(HttpReply.plain(HttpResponseStatus.OK, "rehearsed"), keepAlive);
                 return;
             }
-            if (unwelcome && server.isOverConnectionLimit()) {
-                answer(HttpReply.serviceUnavailable("too many connections, try again", server.retryAfterUs()), false);
+            if (overConnectionLimit && server.isOverConnectionLimit()) {
+                sendResponse(
+                        HttpReply.serviceUnavailable("too many connections, try again", server.retryAfterUs()), false);
                 return;
             }
-            unwelcome = false;
+            overConnectionLimit = false;
             ClientRequest request = server.read(http);
-            held = new HttpReply(this, keepAlive);
-            server.handle(request, held, arrivedNs);
+            pendingReply = new HttpReply(this, keepAlive);
+            server.handle(request, pendingReply, arrivedNs);
         } catch (BadRequest e) {
-            turnAway(e, http);
+            answerBadRequest(e, http);
         } catch (RuntimeException | Error e) {
             // Errors too: there may be no memory for this one, and some for a short answer.
             LOG.log(Level.ERROR, "a request could not be taken", e);
-            fault();
+            failPendingRequest();
         } finally {
             http.release();
         }
     }
 
     /** A fault of ours: what was taken is still owed its answer. */
-    private void fault() {
-        if (held != null) {
-            held.failed(Failure.INTERNAL_ERROR);
+    private void failPendingRequest() {
+        if (pendingReply != null) {
+            pendingReply.failed(Failure.INTERNAL_ERROR);
         } else {
-            answer(faulty(), false);
+            sendResponse(internalErrorResponse(), false);
         }
     }
 
-    private static FullHttpResponse faulty() {
+    private static FullHttpResponse internalErrorResponse() {
         return HttpReply.plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "internal fault");
     }
 
-    private void turnAway(BadRequest e, FullHttpRequest http) {
-        FullHttpResponse response = bad(e);
+    private void answerBadRequest(BadRequest e, FullHttpRequest http) {
+        FullHttpResponse response = errorResponse(e);
         boolean head = http.method().equals(HttpMethod.HEAD);
         if (head) {
             // An answer to HEAD has no body, whatever its length says.
             response = response.replace(Unpooled.EMPTY_BUFFER);
         }
-        answer(response, HttpUtil.isKeepAlive(http) && !head);
+        sendResponse(response, HttpUtil.isKeepAlive(http) && !head);
     }
 
-    private FullHttpResponse ready(FullHttpRequest http) {
+    private FullHttpResponse readinessResponse(FullHttpRequest http) {
         if (!http.method().equals(HttpMethod.GET)) {
-            return bad(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
+            return errorResponse(new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use GET"));
         }
         String not = server.notReadyReason();
         return not == null
@@ -324,7 +330,7 @@
                 : HttpReply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, not);
     }
 
-    private FullHttpResponse bad(BadRequest e) {
+    private FullHttpResponse errorResponse(BadRequest e) {
         if (e.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)) {
             return HttpReply.serviceUnavailable(e.getMessage(), server.retryAfterUs());
         }
@@ -336,35 +342,36 @@
     }
 
     /** Nothing that follows on the connection can be understood; what is held is answered first. */
-    private void reject(BadRequest e) {
-        deafness.startDiscarding();
-        if (held != null || !ahead.isEmpty() || ending) {
+    private void rejectAndClose(BadRequest e) {
+        inputDiscarder.startDiscarding();
+        if (pendingReply != null || !pipelined.isEmpty() || closingAfterWrite) {
             return;
         }
-        ending = true;
-        write(closing(bad(e))).addListener(written -> {
+        closingAfterWrite = true;
+        writeResponse(withConnectionClose(errorResponse(e))).addListener(written -> {
             if (channel instanceof DuplexChannel socket) {
                 socket.shutdownOutput();
             }
-            channel.eventLoop().schedule(() -> close("rejected"), LINGER_MS, TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(() -> close("rejected"), LINGER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         });
     }
 
     /** The answer to the request that is held or has just been read. */
-    void answer(FullHttpResponse response, boolean keepAlive) {
-        bad = response.status().codeClass() == HttpStatusClass.CLIENT_ERROR ? bad + 1 : 0;
-        held = null;
-        server.requestMemory().release(heldCost);
-        heldCost = 0;
-        boolean last = ahead.isEmpty();
+    void sendResponse(FullHttpResponse response, boolean keepAlive) {
+        consecutiveBadRequests =
+                response.status().codeClass() == HttpStatusClass.CLIENT_ERROR ? consecutiveBadRequests + 1 : 0;
+        pendingReply = null;
+        server.requestMemory().release(pendingCostBytes);
+        pendingCostBytes = 0;
+        boolean last = pipelined.isEmpty();
         boolean keep = keepAlive
-                && !ending
-                && bad < MAX_BAD_REQUESTS
-                && !(last && (deafness.isDiscarding() || server.closesAfterResponse()));
-        ChannelFuture writing = write(keep ? response : closing(response));
+                && !closingAfterWrite
+                && consecutiveBadRequests < MAX_BAD_REQUESTS
+                && !(last && (inputDiscarder.isDiscarding() || server.closesAfterResponse()));
+        ChannelFuture writing = writeResponse(keep ? response : withConnectionClose(response));
         if (!keep) {
-            deafness.startDiscarding();
-            ending = true;
+            inputDiscarder.startDiscarding();
+            closingAfterWrite = true;
             writing.addListener(written -> {
                 if (written.isSuccess()) {
                     close("answered");
@@ -373,58 +380,58 @@
         } else if (!last) {
             // Later, not from here: a long line of requests that can't be taken would go as deep; and not
             // before the answer is written: a client that doesn't read must not have them pile up.
-            writing.addListener(written -> channel.eventLoop().execute(this::takeAhead));
+            writing.addListener(written -> channel.eventLoop().execute(this::startNextPipelined));
         } else if (server.isClosing()) {
             close("stopping");
         }
     }
 
-    private ChannelFuture write(FullHttpResponse response) {
-        unwritten++;
-        answeredNs = server.nanos();
-        if (server.log().isOn()) {
+    private ChannelFuture writeResponse(FullHttpResponse response) {
+        unwrittenResponses++;
+        lastResponseNs = server.nanos();
+        if (server.log().isEnabled()) {
             server.log()
                     .write(
                             "answer",
-                            number,
+                            connectionId,
                             response.status().code(),
                             response.headers().get(HttpHeaderNames.RETRY_AFTER, ""));
         }
         return channel.writeAndFlush(response).addListener(written -> {
-            unwritten--;
+            unwrittenResponses--;
             if (!written.isSuccess() && channel.isActive()) {
-                notWritten(written.cause());
+                onWriteFailed(written.cause());
             }
         });
     }
 
     /** Nothing of an answer has been written, and its connection is well: it could not be put into bytes. */
-    private void notWritten(Throwable cause) {
+    private void onWriteFailed(Throwable cause) {
         LOG.log(Level.ERROR, "an answer could not be written", cause);
-        if (answerSpoilt) {
+        if (encodingFailed) {
             close("a fault");
             return;
         }
-        answerSpoilt = true;
-        deafness.startDiscarding();
-        ending = true;
-        write(closing(faulty())).addListener(written -> close("a fault"));
+        encodingFailed = true;
+        inputDiscarder.startDiscarding();
+        closingAfterWrite = true;
+        writeResponse(withConnectionClose(internalErrorResponse())).addListener(written -> close("a fault"));
     }
 
-    private void takeAhead() {
+    private void startNextPipelined() {
         // One that has closed is told of only by a later task.
-        if (held != null || ending || ahead.isEmpty() || !channel.isActive()) {
+        if (pendingReply != null || closingAfterWrite || pipelined.isEmpty() || !channel.isActive()) {
             return;
         }
-        if (ahead.size() <= MAX_PIPELINED_REQUESTS) {
+        if (pipelined.size() <= MAX_PIPELINED_REQUESTS) {
             // First, while what is taken next still stands in line: what comes may have to be rejected.
-            readAhead.letGo();
+            readAhead.releaseBuffered();
         }
-        Ahead next = ahead.poll();
-        take(next.http, next.arrivedNs, next.cost);
+        PipelinedRequest next = pipelined.poll();
+        startRequest(next.http, next.arrivedNs, next.costBytes);
     }
 
-    private static FullHttpResponse closing(FullHttpResponse response) {
+    private static FullHttpResponse withConnectionClose(FullHttpResponse response) {
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         return response;
     }
@@ -437,46 +444,46 @@
             return;
         }
         LOG.log(Level.ERROR, "a client's connection failed", cause);
-        if (held != null) {
-            fault();
-        } else if (ahead.isEmpty()) {
+        if (pendingReply != null) {
+            failPendingRequest();
+        } else if (pipelined.isEmpty()) {
             close("a fault");
         } else {
             // What has been read whole is taken and answered, and nothing behind it.
-            deafness.startDiscarding();
+            inputDiscarder.startDiscarding();
         }
     }
 
     /** Reads a request whole; one that is too large is told so and its connection closed. */
-    private final class BodyReader extends HttpObjectAggregator {
-        BodyReader() {
-            super(MAX_BODY, true);
+    private final class RequestAggregator extends HttpObjectAggregator {
+        RequestAggregator() {
+            super(MAX_BODY_BYTES, true);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
             int more =
                     message instanceof HttpContent content ? content.content().readableBytes() : 0;
-            if (deafness.isDiscarding() || !server.requestMemory().tryReserve(more)) {
+            if (inputDiscarder.isDiscarding() || !server.requestMemory().tryReserve(more)) {
                 ReferenceCountUtil.release(message);
-                reject(TOO_MUCH);
+                rejectAndClose(OVERLOADED);
                 return;
             }
-            partCost += more;
+            partialCostBytes += more;
             super.channelRead(ctx, message);
         }
 
         @Override
         protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
             // It would overtake the answer to an earlier request; and a client may go on without it.
-            return held == null && ahead.isEmpty() && unwritten == 0
+            return pendingReply == null && pipelined.isEmpty() && unwrittenResponses == 0
                     ? super.newContinueResponse(start, most, pipeline)
                     : null;
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            reject(new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB"));
+            rejectAndClose(new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB"));
         }
     }
 }
--- a/src/main/java/vetchpost/http/ClientServer.java
+++ b/src/main/java/vetchpost/http/ClientServer.java
@@ -32,9 +32,9 @@
     /** How long a connection may be without a whole request at its start, and how long one may take from its
      * first byte to its last, or an answer to be read: the longest that a client waits for an answer, by the
      * settings, but no less than this ... */
-    private static final long MIN_PATIENCE_US = 2_000_000;
+    private static final long MIN_REQUEST_TIMEOUT_US = 2_000_000;
     /** ... and no more than the longest deadline of the protocol: half a request is not worth waiting for. */
-    private static final long MAX_PATIENCE_US = 3_000_000;
+    private static final long MAX_REQUEST_TIMEOUT_US = 3_000_000;
     /** How long an idle connection is kept once there are many: some clients ask once and never close, and
      * what the others may open is spent by that. */
     private static final long MAX_IDLE_NS = TimeUnit.MILLISECONDS.toNanos(2_100);
@@ -55,28 +55,28 @@
     private final Network network;
     private final SocketBudget sockets;
     private final RequestReader reader;
-    private final RequestHandler taker;
-    private final ManagedConnection.ConnectionInitializer opener;
+    private final RequestHandler requestHandler;
+    private final ManagedConnection.ConnectionInitializer connectionInitializer;
     private final RequestLog log = new RequestLog();
     private final RequestMemory requestMemory = RequestMemory.fractionOfHeap();
     /** Open connections that have sent a whole request; those heard from most recently last. */
     private final Set<ManagedConnection> connections = new LinkedHashSet<>();
     /** Those that have sent none so far, oldest first. */
-    private final Set<ManagedConnection> silent = new LinkedHashSet<>();
+    private final Set<ManagedConnection> connectionsWithoutRequest = new LinkedHashSet<>();
 
     private ScheduledFuture<?> sweeper;
     private Acceptor acceptor;
-    private LongSupplier behindUs = () -> 0;
+    private LongSupplier eventLoopDelayUs = () -> 0;
     private final long retryAfterUs;
-    private final long patienceNs;
+    private final long requestTimeoutNs;
     private long acceptDelayNs;
-    private long sweptNs;
-    private boolean heldUp;
-    private String rehearsal;
-    private Supplier<String> serving;
-    private Supplier<String> remark;
+    private long lastSweepNs;
+    private boolean skippedLateSweep;
+    private String rehearsalToken;
+    private Supplier<String> readinessDetail;
+    private Supplier<String> readinessNote;
     private boolean ready;
-    private long numbered;
+    private long lastConnectionId;
     private boolean draining;
     private boolean closing;
 
@@ -94,7 +94,7 @@
             Settings settings,
             RequestHandler taker,
             ManagedConnection.ConnectionInitializer opener) {
-        this.opener = opener;
+        this.connectionInitializer = opener;
         this.loop = loop;
         this.network = network;
         this.sockets = sockets;
@@ -104,16 +104,17 @@
                 .mapToLong(RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
-        patienceNs = TimeUnit.MICROSECONDS.toNanos(Math.min(MAX_PATIENCE_US, Math.max(MIN_PATIENCE_US, longestUs)));
-        this.taker = taker;
-        sockets.setClientSide(this::closeOldestIdle, this::roomAgain);
+        requestTimeoutNs = TimeUnit.MICROSECONDS.toNanos(
+                Math.min(MAX_REQUEST_TIMEOUT_US, Math.max(MIN_REQUEST_TIMEOUT_US, longestUs)));
+        this.requestHandler = taker;
+        sockets.setClientSide(this::closeOldestIdle, this::onCapacityAvailable);
     }
 
     /** Binds the address; the future tells whether it could be had. */
     public ChannelFuture listen(EventLoopGroup group, SocketAddress address) {
-        acceptor = new Acceptor(loop, network, sockets, log, behindUs);
+        acceptor = new Acceptor(loop, network, sockets, log, eventLoopDelayUs);
         ChannelFuture binding = acceptor.listen(group, address, this::open);
-        sweptNs = nanos();
+        lastSweepNs = nanos();
         sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
         return binding;
     }
@@ -123,14 +124,14 @@
      *
      * @return tells whether it could be had; if not, the one before stays
      */
-    public ChannelFuture moveTo(EventLoopGroup group, SocketAddress address) {
+    public ChannelFuture rebind(EventLoopGroup group, SocketAddress address) {
         Acceptor before = acceptor;
         ScheduledFuture<?> sweeping = sweeper;
         ChannelFuture binding = listen(group, address);
         binding.addListener(done -> {
             if (done.isSuccess()) {
                 sweeping.cancel(false);
-                before.finish();
+                before.drainAndClose();
             } else {
                 sweeper.cancel(false);
                 sweeper = sweeping;
@@ -142,21 +143,21 @@
 
     /** How far the loop may be behind its sockets, in microseconds; to be told before it listens. */
     public void setEventLoopDelay(LongSupplier us) {
-        behindUs = us;
+        eventLoopDelayUs = us;
     }
 
     private void sweep() {
         long now = nanos();
-        boolean late = now - sweptNs > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_INTERVAL_MS);
-        sweptNs = now;
-        if (late && !heldUp) {
+        boolean late = now - lastSweepNs > TimeUnit.MILLISECONDS.toNanos(2 * SWEEP_INTERVAL_MS);
+        lastSweepNs = now;
+        if (late && !skippedLateSweep) {
             // The loop was held up: what came in time lies unread, and what was written waits. By the next
             // time it has been read.
-            heldUp = true;
+            skippedLateSweep = true;
             return;
         }
-        heldUp = false;
-        for (Set<ManagedConnection> some : List.of(silent, connections)) {
+        skippedLateSweep = false;
+        for (Set<ManagedConnection> some : List.of(connectionsWithoutRequest, connections)) {
             // A copy: what is closed is taken out at once.
             new ArrayList<>(some).forEach(c -> c.closeIfOverdue(now));
         }
@@ -165,14 +166,14 @@
             closed = closeOldestIdle(connections, now - MAX_IDLE_NS, "kept long");
         }
         if (closing) {
-            endIdle();
+            closeIdleConnections();
         }
     }
 
     /** Requests with this token are part of the rehearsal and answered here, also those that one cut short
      * has left on the way: no server may be sent them. */
     public void setRehearsal(String token) {
-        rehearsal = token;
+        rehearsalToken = token;
     }
 
     /** From now on {@code /ready} says so; the rehearsal is over. */
@@ -182,17 +183,17 @@
 
     /** Has {@code /ready} say by what the node serves; null for no more than that it is ready. */
     public void setReadinessDetail(Supplier<String> by) {
-        serving = by;
+        readinessDetail = by;
     }
 
     /** Has {@code /ready} say this besides; what is null says nothing. */
     public void setReadinessNote(Supplier<String> line) {
-        remark = line;
+        readinessNote = line;
     }
 
     String readyText() {
-        String text = serving == null ? "ready" : "ready: " + serving.get();
-        String more = remark == null ? null : remark.get();
+        String text = readinessDetail == null ? "ready" : "ready: " + readinessDetail.get();
+        String more = readinessNote == null ? null : readinessNote.get();
         return more == null ? text : text + "; " + more;
     }
 
@@ -204,30 +205,30 @@
     /** No new connections, and none is kept that owes no answer. */
     public void stopAccepting() {
         closing = true;
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("no longer listening", sockets);
         }
         if (acceptor != null) {
-            acceptor.finish();
+            acceptor.drainAndClose();
         }
-        endIdle();
+        closeIdleConnections();
     }
 
     /** Ends what owes no answer, but for what has only just come: its request may be on its way. */
-    private void endIdle() {
+    private void closeIdleConnections() {
         long beforeNs = nanos() - DRAIN_SILENCE_TIMEOUT_NS;
         for (ManagedConnection connection : new ArrayList<>(connections)) {
-            end(connection, "stopping");
+            closeIfIdle(connection, "stopping");
         }
-        for (ManagedConnection connection : new ArrayList<>(silent)) {
+        for (ManagedConnection connection : new ArrayList<>(connectionsWithoutRequest)) {
             if (connection.idleSinceNs() - beforeNs < 0) {
-                end(connection, "stopping");
+                closeIfIdle(connection, "stopping");
             }
         }
     }
 
     /** Closes it if it is idle, also after a last look at what the system holds of it. */
-    private boolean end(ManagedConnection connection, String why) {
+    private boolean closeIfIdle(ManagedConnection connection, String why) {
         if (!connection.isIdle()) {
             return false;
         }
@@ -269,7 +270,7 @@
 
     /** Whether it is part of the rehearsal, and to be answered on the spot. */
     public boolean isRehearsal(HttpRequest http) {
-        return rehearsal != null && rehearsal.equals(http.headers().get(REHEARSAL_HEADER));
+        return rehearsalToken != null && rehearsalToken.equals(http.headers().get(REHEARSAL_HEADER));
     }
 
     ClientRequest read(FullHttpRequest http) throws BadRequest {
@@ -278,12 +279,12 @@
 
     /** Takes a request whose last byte was read then, by the loop's ticker, and owes its reply. */
     public void handle(ClientRequest request, ClientReply reply, long arrivedNs) {
-        taker.handle(request, reply, (nanos() - arrivedNs) / 1_000);
+        requestHandler.handle(request, reply, (nanos() - arrivedNs) / 1_000);
     }
 
     /** The number of one more connection. */
     public long nextConnectionId() {
-        return ++numbered;
+        return ++lastConnectionId;
     }
 
     /** The loop's time, also for a connection that has a loop of its own. */
@@ -293,10 +294,10 @@
 
     /** Sets up a connection that came another way than through the listening socket. */
     public void open(ChannelPipeline pipeline) {
-        if (opener == null) {
+        if (connectionInitializer == null) {
             ClientConnection.open(this, pipeline);
         } else {
-            opener.open(this, pipeline);
+            connectionInitializer.open(this, pipeline);
         }
     }
 
@@ -318,16 +319,16 @@
      */
     public boolean onOpened(ManagedConnection connection, long number, Channel channel) {
         sockets.addClient();
-        if (log.isOn()) {
+        if (log.isEnabled()) {
             log.write("accept", number, channel.remoteAddress(), "at", channel.localAddress(), sockets);
         }
-        sockets.makeRoomForClient();
+        sockets.freeCapacityForClient();
         if (acceptor != null) {
-            acceptor.settle();
+            acceptor.onAccepted();
         }
-        silent.add(connection);
+        connectionsWithoutRequest.add(connection);
         boolean unwelcome = isOverConnectionLimit();
-        acceptDelayNs = acceptor == null ? 0 : acceptor.layNs();
+        acceptDelayNs = acceptor == null ? 0 : acceptor.queuedTimeNs();
         if (acceptDelayNs > 0) {
             // Now, so that what has lain there with it is known from what comes later.
             connection.readNow();
@@ -352,8 +353,8 @@
     }
 
     /** How long a client may keep the node waiting, in nanoseconds. */
-    long patienceNs() {
-        return patienceNs;
+    long requestTimeoutNs() {
+        return requestTimeoutNs;
     }
 
     /** What those are told. */
@@ -363,21 +364,21 @@
 
     /** It has sent a whole request. */
     public void onRequestReceived(ManagedConnection connection) {
-        if (silent.remove(connection) || connections.remove(connection)) {
+        if (connectionsWithoutRequest.remove(connection) || connections.remove(connection)) {
             connections.add(connection);
         }
     }
 
     /** It has closed. */
     public void onClosed(ManagedConnection connection) {
-        if (silent.remove(connection) || connections.remove(connection)) {
+        if (connectionsWithoutRequest.remove(connection) || connections.remove(connection)) {
             sockets.removeClient();
         }
     }
 
     /** Whether all that was taken has been answered and written. */
     public boolean isDone() {
-        return connections.isEmpty() && silent.isEmpty();
+        return connections.isEmpty() && connectionsWithoutRequest.isEmpty();
     }
 
     /**
@@ -386,7 +387,7 @@
      */
     private boolean closeOldestIdle() {
         long beforeNs = nanos() - MIN_IDLE_BEFORE_CLOSE_NS;
-        return closeOldestIdle(silent, beforeNs, "room, silent")
+        return closeOldestIdle(connectionsWithoutRequest, beforeNs, "room, silent")
                 || closeOldestIdle(connections, beforeNs, "room, idle");
     }
 
@@ -395,7 +396,7 @@
         for (ManagedConnection connection = oldestIdle(some, beforeNs);
                 connection != null;
                 connection = oldestIdle(some, beforeNs)) {
-            if (end(connection, why)) {
+            if (closeIfIdle(connection, why)) {
                 // Counted off here: Netty tells of it only later, and what waits would take it for no room.
                 onClosed(connection);
                 return true;
@@ -413,7 +414,7 @@
         return null;
     }
 
-    private void roomAgain() {
+    private void onCapacityAvailable() {
         if (acceptor != null) {
             acceptor.resume();
         }
--- a/src/main/java/vetchpost/http/HeaderFields.java
+++ b/src/main/java/vetchpost/http/HeaderFields.java
@@ -40,7 +40,7 @@
                 Unpooled.wrappedBuffer(request.body()),
                 headers(request.headers()),
                 DefaultHttpHeadersFactory.trailersFactory().newEmptyHeaders());
-        message.headers().set(RequestReader.REMAINING, Math.max(1, waitUs / 1_000));
+        message.headers().set(RequestReader.REMAINING_MS_HEADER, Math.max(1, waitUs / 1_000));
         if (request.body().length > 0 || method.equals(HttpMethod.POST)) {
             message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
         }
--- a/src/main/java/vetchpost/http/HttpReply.java
+++ b/src/main/java/vetchpost/http/HttpReply.java
@@ -15,7 +15,7 @@
 public final class HttpReply implements ClientReply {
     private final ClientConnection connection;
     private final boolean keepAlive;
-    private Runnable whenGone = () -> {};
+    private Runnable disconnectAction = () -> {};
     private boolean answered;
 
     HttpReply(ClientConnection connection, boolean keepAlive) {
@@ -25,23 +25,23 @@
 
     @Override
     public long connectionId() {
-        return connection.number();
+        return connection.connectionId();
     }
 
     @Override
     public boolean hasDisconnected() {
-        return !connection.isThere();
+        return !connection.isClientConnected();
     }
 
     @Override
     public void onDisconnect(Runnable action) {
-        whenGone = action;
+        disconnectAction = action;
     }
 
     /** The client has left. */
-    void gone() {
+    void onClientDisconnected() {
         answered = true;
-        whenGone.run();
+        disconnectAction.run();
     }
 
     @Override
@@ -50,12 +50,12 @@
         if (answer.contentType() != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
         }
-        answer(response);
+        send(response);
     }
 
     @Override
     public void rejected(long retryAfterUs) {
-        answer(serviceUnavailable("refused, try again", retryAfterUs));
+        send(serviceUnavailable("refused, try again", retryAfterUs));
     }
 
     /** A refusal, with the time to come back; 0 gives none. */
@@ -72,7 +72,7 @@
 
     @Override
     public void failed(Failure why) {
-        answer(
+        send(
                 switch (why) {
                     case DUPLICATE_ID -> plain(HttpResponseStatus.CONFLICT, "a request of this id is in hand");
                     case UNSERVED -> plain(HttpResponseStatus.BAD_GATEWAY, "failed");
@@ -84,13 +84,13 @@
                 });
     }
 
-    private void answer(FullHttpResponse response) {
+    private void send(FullHttpResponse response) {
         if (answered) {
             response.release();
             return;
         }
         answered = true;
-        connection.answer(response, keepAlive);
+        connection.sendResponse(response, keepAlive);
     }
 
     /** A short answer of the node's own. */
--- a/src/main/java/vetchpost/http/InputDiscarder.java
+++ b/src/main/java/vetchpost/http/InputDiscarder.java
@@ -11,14 +11,14 @@
  * reading: closed on unread bytes, the system would take back the reason that the client has not read yet.
  */
 public final class InputDiscarder extends ChannelInboundHandlerAdapter {
-    private final int most;
+    private final int maxDiscardedBytes;
     private int discardedBytes;
     private boolean discarding;
     private long receivedBytes;
 
     /** Lets all through, for now; later throws away so many bytes before it stops to read. */
     public InputDiscarder(int most) {
-        this.most = most;
+        this.maxDiscardedBytes = most;
     }
 
     /** Nothing more is taken. */
@@ -38,7 +38,7 @@
 
     /** Whether what comes should still be read, to be thrown away. */
     public boolean isReading() {
-        return discardedBytes <= most;
+        return discardedBytes <= maxDiscardedBytes;
     }
 
     @Override
--- a/src/main/java/vetchpost/http/PlainExchange.java
+++ b/src/main/java/vetchpost/http/PlainExchange.java
@@ -9,7 +9,7 @@
 
 /** A request and an answer of the platform's: short, whole, and 200 or nothing. */
 final class PlainExchange implements Exchange {
-    private static final String TURNED_AWAY = "X-Turned-Away";
+    private static final String REJECTED_HEADER = "X-Turned-Away";
 
     private final FullHttpRequest message;
     private final ResponseReader reader = new ResponseReader();
@@ -35,7 +35,7 @@
 
     @Override
     public boolean isComplete() {
-        return reader.isWhole();
+        return reader.isComplete();
     }
 
     @Override
@@ -46,13 +46,13 @@
     @Override
     public Result result() {
         int status = reader.status();
-        boolean away = (status == 503 || status == 504) && "1".equals(reader.header(TURNED_AWAY));
+        boolean away = (status == 503 || status == 504) && "1".equals(reader.header(REJECTED_HEADER));
         return status == 200 ? Result.OK : away ? Result.FULL : Result.ERROR;
     }
 
     @Override
     public ServerResponse response() {
-        return reader.answer();
+        return reader.response();
     }
 
     @Override
--- a/src/main/java/vetchpost/http/ReadAhead.java
+++ b/src/main/java/vetchpost/http/ReadAhead.java
@@ -12,19 +12,19 @@
  */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
     /** As much as is read off a socket at once. */
-    private static final int PIECE = 16_384;
+    private static final int CHUNK_BYTES = 16_384;
 
-    private final RequestMemory inHand;
-    private final int most;
-    private ByteBuf kept = Unpooled.EMPTY_BUFFER;
+    private final RequestMemory requestMemory;
+    private final int maxBufferedBytes;
+    private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
     private ChannelHandlerContext context;
-    private long counted;
-    private boolean keeping;
+    private long reservedBytes;
+    private boolean buffering;
 
     /** Lets all through, for now; later keeps so many bytes before the connection is no longer read. */
     ReadAhead(RequestMemory inHand, int most) {
-        this.inHand = inHand;
-        this.most = most;
+        this.requestMemory = inHand;
+        this.maxBufferedBytes = most;
     }
 
     @Override
@@ -33,54 +33,54 @@
     }
 
     /** Nothing more goes on to the decoder for now. */
-    void keep() {
-        keeping = true;
+    void startBuffering() {
+        buffering = true;
     }
 
     /** What has been kept goes on, until it is to be kept again; then what comes does. */
-    void letGo() {
-        keeping = false;
-        if (kept.isReadable()) {
-            while (!keeping && kept.isReadable()) {
-                int length = Math.min(PIECE, kept.readableBytes());
-                forget(Math.min(counted, length));
-                context.fireChannelRead(kept.readBytes(length));
+    void releaseBuffered() {
+        buffering = false;
+        if (buffered.isReadable()) {
+            while (!buffering && buffered.isReadable()) {
+                int length = Math.min(CHUNK_BYTES, buffered.readableBytes());
+                releaseMemory(Math.min(reservedBytes, length));
+                context.fireChannelRead(buffered.readBytes(length));
             }
             context.fireChannelReadComplete();
         }
-        if (!kept.isReadable()) {
-            drop();
+        if (!buffered.isReadable()) {
+            dropBuffer();
         }
-        if (counted < most) {
+        if (reservedBytes < maxBufferedBytes) {
             context.channel().config().setAutoRead(true);
         }
     }
 
-    private void forget(long bytes) {
-        inHand.release(bytes);
-        counted -= bytes;
+    private void releaseMemory(long bytes) {
+        requestMemory.release(bytes);
+        reservedBytes -= bytes;
     }
 
-    private void drop() {
-        forget(counted);
-        kept.release();
-        kept = Unpooled.EMPTY_BUFFER;
+    private void dropBuffer() {
+        releaseMemory(reservedBytes);
+        buffered.release();
+        buffered = Unpooled.EMPTY_BUFFER;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (!keeping || !(message instanceof ByteBuf read)) {
+        if (!buffering || !(message instanceof ByteBuf read)) {
             ctx.fireChannelRead(message);
             return;
         }
-        if (!kept.isReadable()) {
+        if (!buffered.isReadable()) {
             // A copy on the heap: many small reads would keep a large buffer each.
-            kept = Unpooled.buffer(read.readableBytes());
+            buffered = Unpooled.buffer(read.readableBytes());
         }
-        boolean room = inHand.tryReserve(read.readableBytes());
-        counted += room ? read.readableBytes() : 0;
-        boolean full = !room || kept.readableBytes() + read.readableBytes() > most;
-        kept.writeBytes(read);
+        boolean room = requestMemory.tryReserve(read.readableBytes());
+        reservedBytes += room ? read.readableBytes() : 0;
+        boolean full = !room || buffered.readableBytes() + read.readableBytes() > maxBufferedBytes;
+        buffered.writeBytes(read);
         read.release();
         if (full) {
             // What has been read is kept all the same; nothing more is.
@@ -90,8 +90,8 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        keeping = false;
-        drop();
+        buffering = false;
+        dropBuffer();
         ctx.fireChannelInactive();
     }
 }
--- a/src/main/java/vetchpost/http/RequestDecoder.java
+++ b/src/main/java/vetchpost/http/RequestDecoder.java
@@ -10,32 +10,34 @@
 
 /** Netty's decoder of requests, strict about their length, and telling whether one has begun to come. */
 public final class RequestDecoder extends HttpRequestDecoder {
-    static final int MAX_LINE = 8_192;
-    static final int MAX_HEADERS = 16_384;
+    static final int MAX_REQUEST_LINE_BYTES = 8_192;
+    static final int MAX_HEADER_BYTES = 16_384;
 
-    private boolean begun;
+    private boolean messageStarted;
 
     /** With the bounds of the platform's requests. */
     public RequestDecoder() {
-        super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_LINE).setMaxHeaderSize(MAX_HEADERS));
+        super(new HttpDecoderConfig()
+                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEADER_BYTES));
     }
 
     /** Whether part of a request has come, and not yet its end. */
     public boolean isMidRequest() {
-        return begun || actualReadableBytes() > 0;
+        return messageStarted || actualReadableBytes() > 0;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out) throws Exception {
         super.decode(ctx, buffer, out);
         if (!out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent) {
-            begun = false;
+            messageStarted = false;
         }
     }
 
     @Override
     protected HttpMessage createMessage(String[] initialLine) throws Exception {
-        begun = true;
+        messageStarted = true;
         return super.createMessage(initialLine);
     }
 
--- a/src/main/java/vetchpost/http/RequestMemory.java
+++ b/src/main/java/vetchpost/http/RequestMemory.java
@@ -6,7 +6,7 @@
  */
 public final class RequestMemory {
     /** What a request takes besides its body: headers and the objects around them. */
-    private static final int BYTES_PER_REQUEST = 2_048;
+    private static final int REQUEST_OVERHEAD_BYTES = 2_048;
     /** Headers as objects take so many times their bytes. */
     private static final int HEADER_SIZE_FACTOR = 4;
 
@@ -24,7 +24,7 @@
 
     /** What a request takes with so many bytes of head and body. */
     public static long costOf(int headBytes, int bodyBytes) {
-        return BYTES_PER_REQUEST + (long) HEADER_SIZE_FACTOR * headBytes + bodyBytes;
+        return REQUEST_OVERHEAD_BYTES + (long) HEADER_SIZE_FACTOR * headBytes + bodyBytes;
     }
 
     /** Counts so much more, if there is room for it. */
--- a/src/main/java/vetchpost/http/RequestReader.java
+++ b/src/main/java/vetchpost/http/RequestReader.java
@@ -16,16 +16,16 @@
 /** Reads clients' requests and checks them by the settings. */
 public final class RequestReader {
     /** What a server is told of the time left, in milliseconds. */
-    static final String REMAINING = "X-Remaining-Ms";
+    static final String REMAINING_MS_HEADER = "X-Remaining-Ms";
 
-    private static final String ID = "X-Txn";
+    private static final String ID_HEADER = "X-Txn";
     private static final int ID_DIGITS = 16;
-    private static final String TENANT = "X-Org";
-    private static final String KEY = "Idempotency-Key";
-    private static final String RETRY = "X-Resent";
-    private static final String ESTIMATE = "X-Estimate";
+    private static final String TENANT_HEADER = "X-Org";
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    private static final String RETRY_HEADER = "X-Resent";
+    private static final String WORK_ESTIMATE_HEADER = "X-Estimate";
     /** Of one connection only, or set anew for the next. */
-    private static final CharSequence[] HOP_BY_HOP = {
+    private static final CharSequence[] HOP_BY_HOP_HEADERS = {
         HttpHeaderNames.CONNECTION,
         "Keep-Alive",
         HttpHeaderNames.PROXY_AUTHORIZATION,
@@ -35,7 +35,7 @@
         HttpHeaderNames.UPGRADE,
         HttpHeaderNames.EXPECT,
         HttpHeaderNames.CONTENT_LENGTH,
-        REMAINING
+        REMAINING_MS_HEADER
     };
 
     private final Settings settings;
@@ -61,33 +61,33 @@
         if (!http.method().equals(method)) {
             throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + method);
         }
-        if (cls.idempotency() == Idempotency.KEYED && !headers.contains(KEY)) {
-            throw bad(KEY + " is missing");
+        if (cls.idempotency() == Idempotency.KEYED && !headers.contains(IDEMPOTENCY_KEY_HEADER)) {
+            throw badRequest(IDEMPOTENCY_KEY_HEADER + " is missing");
         }
-        String org = headers.get(TENANT);
+        String org = headers.get(TENANT_HEADER);
         Integer tenant = org == null ? Integer.valueOf(-1) : tenants.get(org);
         if (tenant == null) {
-            throw bad("unknown " + TENANT);
+            throw badRequest("unknown " + TENANT_HEADER);
         }
         // Up to nine digits: more than eleven days is no wait.
-        long remainingMs = parseDigits(headers.get(REMAINING), 9);
+        long remainingMs = parseDigits(headers.get(REMAINING_MS_HEADER), 9);
         if (remainingMs < 0) {
-            throw bad(REMAINING + " is missing or no whole number of milliseconds");
+            throw badRequest(REMAINING_MS_HEADER + " is missing or no whole number of milliseconds");
         }
-        long workUs = Math.max(0, parseDigits(headers.get(ESTIMATE), 12));
-        long id = id(headers);
-        boolean retry = "1".equals(headers.get(RETRY));
+        long workUs = Math.max(0, parseDigits(headers.get(WORK_ESTIMATE_HEADER), 12));
+        long id = parseId(headers);
+        boolean retry = "1".equals(headers.get(RETRY_HEADER));
         // From here on nothing is refused, and nobody else wants the headers: what is left of them goes on.
         for (String named : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : named.split(",")) {
                 if (!name.isBlank()
-                        && !name.trim().equalsIgnoreCase(ID)
-                        && !name.trim().equalsIgnoreCase(KEY)) {
+                        && !name.trim().equalsIgnoreCase(ID_HEADER)
+                        && !name.trim().equalsIgnoreCase(IDEMPOTENCY_KEY_HEADER)) {
                     headers.remove(name.trim());
                 }
             }
         }
-        for (CharSequence name : HOP_BY_HOP) {
+        for (CharSequence name : HOP_BY_HOP_HEADERS) {
             headers.remove(name);
         }
         // No client waits longer than the settings say, whatever it says itself.
@@ -113,10 +113,10 @@
         return uri.startsWith("/") ? uri.substring(1, end) : "";
     }
 
-    private static long id(HttpHeaders headers) throws BadRequest {
-        String id = headers.get(ID);
-        if (id == null || !isHex(id) || headers.getAll(ID).size() > 1) {
-            throw bad(ID + " is missing or not 16 hex digits");
+    private static long parseId(HttpHeaders headers) throws BadRequest {
+        String id = headers.get(ID_HEADER);
+        if (id == null || !isHex(id) || headers.getAll(ID_HEADER).size() > 1) {
+            throw badRequest(ID_HEADER + " is missing or not 16 hex digits");
         }
         return Long.parseUnsignedLong(id, 16);
     }
@@ -143,7 +143,7 @@
         return Long.parseLong(text);
     }
 
-    private static BadRequest bad(String reason) {
+    private static BadRequest badRequest(String reason) {
         return new BadRequest(HttpResponseStatus.BAD_REQUEST, reason);
     }
 }
--- a/src/main/java/vetchpost/http/ResponseReader.java
+++ b/src/main/java/vetchpost/http/ResponseReader.java
@@ -18,30 +18,32 @@
 
 /** Puts one answer of a server together, within limits, and takes for an answer only what is surely one. */
 final class ResponseReader {
-    private static final int MAX_BODY = 64 * 1024;
-    private static final int MAX_LINE = 4_096;
-    private static final int MAX_HEADERS = 16_384;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_STATUS_LINE_BYTES = 4_096;
+    private static final int MAX_HEADER_BYTES = 16_384;
     /** Informational answers ahead of the final one; servers send one or two. */
     private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
-    private static final byte[] NONE = {};
+    private static final byte[] EMPTY_BODY = {};
 
     /** Netty's decoder without its leniency: a line read in two ways may be no header at all. */
     static final class Decoder extends HttpResponseDecoder {
         /** Whether the answer that is read is one to HEAD. */
-        private boolean head;
+        private boolean headRequest;
 
         Decoder() {
-            super(new HttpDecoderConfig().setMaxInitialLineLength(MAX_LINE).setMaxHeaderSize(MAX_HEADERS));
+            super(new HttpDecoderConfig()
+                    .setMaxInitialLineLength(MAX_STATUS_LINE_BYTES)
+                    .setMaxHeaderSize(MAX_HEADER_BYTES));
         }
 
-        void expect(boolean toHead) {
-            head = toHead;
+        void expectResponse(boolean toHead) {
+            headRequest = toHead;
         }
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            return head || super.isContentAlwaysEmpty(message);
+            return headRequest || super.isContentAlwaysEmpty(message);
         }
 
         @Override
@@ -60,71 +62,71 @@
     }
 
     private HttpResponse head;
-    private byte[] body = NONE;
-    private int size;
-    private int informational;
-    private boolean whole;
+    private byte[] body = EMPTY_BODY;
+    private int bodySize;
+    private int informationalResponses;
+    private boolean complete;
 
     /** Whether all of the final answer has come. */
-    boolean isWhole() {
-        return whole;
+    boolean isComplete() {
+        return complete;
     }
 
     /** Takes in the next part; whether the answer is now whole. */
     boolean read(HttpObject part) throws Exchange.MalformedResponse {
-        if (whole || part.decoderResult().isFailure()) {
+        if (complete || part.decoderResult().isFailure()) {
             throw new Exchange.MalformedResponse();
         }
         if (part instanceof HttpResponse response) {
-            begin(response);
+            onHead(response);
         }
         if (part instanceof HttpContent content) {
-            add(content.content());
+            appendBody(content.content());
             if (part instanceof LastHttpContent) {
-                end();
+                onLastContent();
             }
         }
-        return whole;
+        return complete;
     }
 
-    private void begin(HttpResponse response) throws Exchange.MalformedResponse {
+    private void onHead(HttpResponse response) throws Exchange.MalformedResponse {
         head = response;
         long length = HttpUtil.getContentLength(response, 0L);
         // No use reading what can't be passed on; and nobody has asked for another protocol.
-        if (length > MAX_BODY
+        if (length > MAX_BODY_BYTES
                 || response.protocolVersion().majorVersion() != 1
                 || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
             throw new Exchange.MalformedResponse();
         }
-        body = length > 0 ? new byte[(int) length] : NONE;
+        body = length > 0 ? new byte[(int) length] : EMPTY_BODY;
     }
 
-    private void add(ByteBuf content) throws Exchange.MalformedResponse {
+    private void appendBody(ByteBuf content) throws Exchange.MalformedResponse {
         int more = content.readableBytes();
-        if (size + more > MAX_BODY) {
+        if (bodySize + more > MAX_BODY_BYTES) {
             throw new Exchange.MalformedResponse();
         }
-        if (size + more > body.length) {
-            body = Arrays.copyOf(body, Math.min(MAX_BODY, Math.max(size + more, 2 * body.length)));
+        if (bodySize + more > body.length) {
+            body = Arrays.copyOf(body, Math.min(MAX_BODY_BYTES, Math.max(bodySize + more, 2 * body.length)));
         }
-        content.readBytes(body, size, more);
-        size += more;
+        content.readBytes(body, bodySize, more);
+        bodySize += more;
     }
 
-    private void end() throws Exchange.MalformedResponse {
+    private void onLastContent() throws Exchange.MalformedResponse {
         if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            if (++informational > MAX_INFORMATIONAL_RESPONSES) {
+            if (++informationalResponses > MAX_INFORMATIONAL_RESPONSES) {
                 throw new Exchange.MalformedResponse();
             }
-            body = NONE;
-            size = 0;
+            body = EMPTY_BODY;
+            bodySize = 0;
             return;
         }
         if (head.status().code() == 200 && !isFramed()) {
             // It ended with its connection: a process that died half way looks the same.
             throw new Exchange.MalformedResponse();
         }
-        whole = true;
+        complete = true;
     }
 
     private boolean isFramed() {
@@ -144,8 +146,10 @@
         return HttpUtil.isKeepAlive(head) && isFramed();
     }
 
-    ServerResponse answer() {
+    ServerResponse response() {
         return new ServerResponse(
-                status(), header(HttpHeaderNames.CONTENT_TYPE), size == body.length ? body : Arrays.copyOf(body, size));
+                status(),
+                header(HttpHeaderNames.CONTENT_TYPE),
+                bodySize == body.length ? body : Arrays.copyOf(body, bodySize));
     }
 }
--- a/src/main/java/vetchpost/http/ServerPool.java
+++ b/src/main/java/vetchpost/http/ServerPool.java
@@ -57,30 +57,30 @@
         /** Counts addresses and processes: a connection of an earlier one is not reused. */
         int generation;
 
-        int dialing;
+        int pendingConnects;
         /** When it last answered something. */
-        long heardNs;
+        long lastResponseNs;
         /** Most recently used first. */
-        final Deque<Connection> idle = new ArrayDeque<>();
+        final Deque<Connection> idleConnections = new ArrayDeque<>();
 
-        final Deque<Attempt> waiting = new ArrayDeque<>();
+        final Deque<Attempt> waitingAttempts = new ArrayDeque<>();
 
         Server(long heardNs) {
-            this.heardNs = heardNs;
+            this.lastResponseNs = heardNs;
         }
     }
 
     /** One request on its way to one server. */
     final class Attempt implements ServerTransport.Attempt {
         private final Server server;
-        private final ExchangeSource caller;
+        private final ExchangeSource source;
         private Connection connection;
         private long sentNs;
-        private boolean over;
+        private boolean ended;
 
         private Attempt(Server server, ExchangeSource caller) {
             this.server = server;
-            this.caller = caller;
+            this.source = caller;
         }
 
         @Override
@@ -95,11 +95,11 @@
          */
         @Override
         public void abandon(Result result) {
-            if (over) {
+            if (ended) {
                 return;
             }
             if (connection == null) {
-                server.waiting.remove(this);
+                server.waitingAttempts.remove(this);
                 end(result == Result.TIMEOUT ? Result.CONNECT_FAILED : Result.MOOT, null);
                 return;
             }
@@ -107,8 +107,8 @@
             if (result == Result.TIMEOUT) {
                 // A loop that is behind may run its timers before it reads what came in time: the system may
                 // hold the answer already. One that comes just now passes too: it is there to be had.
-                used.isQuiet();
-                if (over) {
+                used.isOpenAfterRead();
+                if (ended) {
                     return;
                 }
             }
@@ -116,17 +116,17 @@
             used.exchange.abort();
             // Its answer may still come: the connection can't carry another request.
             used.channel.close();
-            if (result == Result.TIMEOUT && server.heardNs - sentNs < 0) {
+            if (result == Result.TIMEOUT && server.lastResponseNs - sentNs < 0) {
                 // Nothing from it all the while: fallen silent, it would cost a time-out on each of these.
                 closeIdle(server);
             }
-            end(used.written ? result : Result.CONNECT_FAILED, null);
+            end(used.requestWritten ? result : Result.CONNECT_FAILED, null);
         }
 
         private void end(Result result, ServerResponse answer) {
-            if (!over) {
-                over = true;
-                caller.onEnded(result, answer);
+            if (!ended) {
+                ended = true;
+                source.onEnded(result, answer);
             }
         }
     }
@@ -134,11 +134,11 @@
     private final EventLoop loop;
     private final Network network;
     private final SocketBudget sockets;
-    private final Exchange.Factory exchanges;
+    private final Exchange.Factory exchangeFactory;
     private final Bootstrap bootstrap;
-    private final long keepIdleNs;
+    private final long maxIdleNs;
     private final ScheduledFuture<?> sweeper;
-    private final BooleanSupplier closeIdle = this::closeOldestIdle;
+    private final BooleanSupplier idleCloser = this::closeOldestIdle;
     private final Map<String, Server> servers = new HashMap<>();
 
     /**
@@ -159,25 +159,25 @@
             long dialTimeoutUs,
             long connIdleUs,
             Exchange.Factory exchanges) {
-        this.exchanges = exchanges;
+        this.exchangeFactory = exchanges;
         this.loop = loop;
         this.network = network;
         this.sockets = sockets;
         // A request written to a connection that the server is just closing may have run for all we know.
-        keepIdleNs = TimeUnit.MICROSECONDS.toNanos(connIdleUs) / 2;
+        maxIdleNs = TimeUnit.MICROSECONDS.toNanos(connIdleUs) / 2;
         bootstrap = new Bootstrap()
                 .group(loop)
                 .disableResolver()
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeoutUs / 1_000))
                 .option(ChannelOption.TCP_NODELAY, true);
-        sockets.addServerSide(closeIdle);
+        sockets.addServerSide(idleCloser);
         sweeper = loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void close() {
         sweeper.cancel(false);
-        sockets.removeServerSide(closeIdle);
+        sockets.removeServerSide(idleCloser);
         for (Server server : servers.values()) {
             server.gone = true;
             closeIdle(server);
@@ -196,32 +196,32 @@
             server.bootMs = target.bootMs();
             server.gone = target.state() == ServerState.GONE;
             if (target.state() != ServerState.READY) {
-                endWaiting(server);
+                failWaitingAttempts(server);
             }
             if (moved || restarted) {
                 server.generation++;
-                server.dialing = 0;
+                server.pendingConnects = 0;
                 closeIdle(server);
                 // Those that wait were dialling the old address.
-                for (int i = server.waiting.size(); i > 0; i--) {
-                    dial(server);
+                for (int i = server.waitingAttempts.size(); i > 0; i--) {
+                    connect(server);
                 }
             }
         }
         if (list.isFull()) {
             servers.forEach((id, server) -> server.gone |= !named.contains(id));
-            servers.values().stream().filter(s -> s.gone).forEach(ServerPool::letGo);
-            servers.values().removeIf(s -> s.gone && s.waiting.isEmpty());
+            servers.values().stream().filter(s -> s.gone).forEach(ServerPool::release);
+            servers.values().removeIf(s -> s.gone && s.waitingAttempts.isEmpty());
         } else {
-            named.forEach(this::forgetIfGone);
+            named.forEach(this::removeIfGone);
         }
     }
 
-    private void forgetIfGone(String id) {
+    private void removeIfGone(String id) {
         Server server = servers.get(id);
         if (server.gone) {
-            letGo(server);
-            if (server.waiting.isEmpty()) {
+            release(server);
+            if (server.waitingAttempts.isEmpty()) {
                 servers.remove(id);
             }
         }
@@ -236,8 +236,8 @@
         return start(serverId, new ExchangeSource() {
             @Override
             public Exchange exchange() {
-                return exchanges != null
-                        ? exchanges.create(sending)
+                return exchangeFactory != null
+                        ? exchangeFactory.create(sending)
                         : new PlainExchange(HeaderFields.message(sending.request(), sending.responseTimeoutUs()));
             }
 
@@ -273,30 +273,30 @@
             attempt.end(Result.CONNECT_FAILED, null);
             return attempt;
         }
-        Connection connection = takeIdle(server);
+        Connection connection = pollIdleConnection(server);
         if (connection != null) {
             connection.send(attempt);
         } else {
-            server.waiting.add(attempt);
-            dial(server);
+            server.waitingAttempts.add(attempt);
+            connect(server);
         }
         return attempt;
     }
 
-    private Connection takeIdle(Server server) {
-        Connection connection = server.idle.poll();
-        while (connection != null && (nanos() - connection.idleSince > keepIdleNs || !connection.isQuiet())) {
+    private Connection pollIdleConnection(Server server) {
+        Connection connection = server.idleConnections.poll();
+        while (connection != null && (nanos() - connection.idleSinceNs > maxIdleNs || !connection.isOpenAfterRead())) {
             connection.channel.close();
-            connection = server.idle.poll();
+            connection = server.idleConnections.poll();
         }
         return connection;
     }
 
-    private void dial(Server server) {
+    private void connect(Server server) {
         int generation = server.generation;
-        server.dialing++;
+        server.pendingConnects++;
         if (!sockets.addServer()) {
-            dialFailed(server, generation);
+            onConnectFailed(server, generation);
             return;
         }
         Channel channel;
@@ -306,7 +306,7 @@
             // Out of descriptors, most likely: an idle one less lets the next dial through.
             sockets.removeServer();
             sockets.closeIdle();
-            dialFailed(server, generation);
+            onConnectFailed(server, generation);
             return;
         }
         channel.closeFuture().addListener(closed -> sockets.removeServer());
@@ -325,65 +325,69 @@
                 .connect(server.address)
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        dialFailed(server, generation);
+                        onConnectFailed(server, generation);
                     } else {
-                        server.dialing -= generation == server.generation ? 1 : 0;
-                        connection.park();
+                        server.pendingConnects -= generation == server.generation ? 1 : 0;
+                        connection.assignOrMakeIdle();
                     }
                 });
     }
 
     /** Each dial answers for one of those that wait: the first in line, if it is not to have another's. */
-    private void dialFailed(Server server, int generation) {
+    private void onConnectFailed(Server server, int generation) {
         if (generation != server.generation) {
             return;
         }
-        server.dialing--;
-        if (server.waiting.size() > server.dialing) {
-            server.waiting.poll().end(Result.CONNECT_FAILED, null);
+        server.pendingConnects--;
+        if (server.waitingAttempts.size() > server.pendingConnects) {
+            server.waitingAttempts.poll().end(Result.CONNECT_FAILED, null);
         }
     }
 
     private void sweep() {
         long now = nanos();
         for (Server server : servers.values()) {
-            while (!server.idle.isEmpty() && now - server.idle.peekLast().idleSince > keepIdleNs) {
-                server.idle.pollLast().channel.close();
+            while (!server.idleConnections.isEmpty()
+                    && now - server.idleConnections.peekLast().idleSinceNs > maxIdleNs) {
+                server.idleConnections.pollLast().channel.close();
             }
         }
-        servers.values().removeIf(s -> s.gone && s.waiting.isEmpty());
+        servers.values().removeIf(s -> s.gone && s.waitingAttempts.isEmpty());
     }
 
     /** The first byte would leave whenever a connection comes up, maybe past the grace of its drain. */
-    private static void endWaiting(Server server) {
-        while (!server.waiting.isEmpty()) {
-            server.waiting.poll().end(Result.CONNECT_FAILED, null);
+    private static void failWaitingAttempts(Server server) {
+        while (!server.waitingAttempts.isEmpty()) {
+            server.waitingAttempts.poll().end(Result.CONNECT_FAILED, null);
         }
     }
 
-    private static void letGo(Server server) {
+    private static void release(Server server) {
         closeIdle(server);
-        endWaiting(server);
+        failWaitingAttempts(server);
     }
 
     private static void closeIdle(Server server) {
-        Collection<Connection> idle = new ArrayList<>(server.idle);
-        server.idle.clear();
+        Collection<Connection> idle = new ArrayList<>(server.idleConnections);
+        server.idleConnections.clear();
         idle.forEach(c -> c.channel.close());
     }
 
     private boolean closeOldestIdle() {
         Server oldest = null;
         for (Server server : servers.values()) {
-            if (!server.idle.isEmpty()
-                    && (oldest == null || server.idle.peekLast().idleSince - oldest.idle.peekLast().idleSince < 0)) {
+            if (!server.idleConnections.isEmpty()
+                    && (oldest == null
+                            || server.idleConnections.peekLast().idleSinceNs
+                                            - oldest.idleConnections.peekLast().idleSinceNs
+                                    < 0)) {
                 oldest = server;
             }
         }
         if (oldest == null) {
             return false;
         }
-        oldest.idle.pollLast().channel.close();
+        oldest.idleConnections.pollLast().channel.close();
         return true;
     }
 
@@ -393,8 +397,8 @@
         private final int generation;
         private final Channel channel;
         private Attempt attempt;
-        private boolean written;
-        private long idleSince;
+        private boolean requestWritten;
+        private long idleSinceNs;
         private final ResponseReader.Decoder decoder;
         private Exchange exchange;
         private boolean reusable;
@@ -407,19 +411,19 @@
         }
 
         /** Carries the first attempt in line, or waits for one. */
-        void park() {
-            if (generation != server.generation || !server.waiting.isEmpty() && !isQuiet()) {
+        void assignOrMakeIdle() {
+            if (generation != server.generation || !server.waitingAttempts.isEmpty() && !isOpenAfterRead()) {
                 channel.close();
                 return;
             }
-            Attempt next = server.waiting.poll();
+            Attempt next = server.waitingAttempts.poll();
             if (next != null) {
                 send(next);
             } else if (server.gone) {
                 channel.close();
             } else {
-                idleSince = nanos();
-                server.idle.push(this);
+                idleSinceNs = nanos();
+                server.idleConnections.push(this);
             }
         }
 
@@ -427,7 +431,7 @@
          * Whether nothing has come that was not asked for, nor the end. What the system already holds is
          * read first: sent right behind an answer, it would else be taken for the next one.
          */
-        boolean isQuiet() {
+        boolean isOpenAfterRead() {
             if (channel.isActive()) {
                 network.readNow(channel);
             }
@@ -438,16 +442,16 @@
             attempt = next;
             next.connection = this;
             next.sentNs = nanos();
-            written = false;
-            exchange = next.caller.exchange();
-            decoder.expect(exchange.isBodyless());
+            requestWritten = false;
+            exchange = next.source.exchange();
+            decoder.expectResponse(exchange.isBodyless());
             // The future tells whether the kernel has taken the last byte; Netty never writes it twice.
             exchange.write(channel).addListener(done -> {
                 if (attempt != next) {
                     return;
                 }
                 if (done.isSuccess()) {
-                    written = true;
+                    requestWritten = true;
                 } else {
                     attempt = null;
                     exchange.abort();
@@ -470,39 +474,39 @@
             if (attempt == null || exchange.isComplete()) {
                 // Nothing was asked for, or more came than the answer.
                 reusable = false;
-                drop();
+                closeIfUnused();
                 return;
             }
             try {
                 if (message instanceof HttpObject part && exchange.read(part)) {
-                    reusable = written && exchange.isReusable();
+                    reusable = requestWritten && exchange.isReusable();
                 }
             } catch (Exchange.MalformedResponse e) {
-                broken();
+                failAttempt();
             }
         }
 
         /** The report waits for the end of what came at once, so that its connection can be used again. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            if (isAnswered()) {
-                finish();
+            if (isResponseComplete()) {
+                finishAttempt();
             }
         }
 
-        private boolean isAnswered() {
+        private boolean isResponseComplete() {
             return attempt != null && exchange.isComplete();
         }
 
-        private void finish() {
+        private void finishAttempt() {
             Attempt done = attempt;
             ServerResponse answer = exchange.response();
             Result result = exchange.result();
-            server.heardNs = nanos();
+            server.lastResponseNs = nanos();
             attempt = null;
             exchange = null;
             if (reusable) {
-                park();
+                assignOrMakeIdle();
             } else {
                 channel.close();
             }
@@ -510,18 +514,18 @@
         }
 
         /** The connection or what came on it is broken: only a request not handed over whole never ran. */
-        private void broken() {
+        private void failAttempt() {
             Attempt failed = attempt;
             attempt = null;
-            drop();
+            closeIfUnused();
             if (failed != null) {
                 exchange.abort();
-                failed.end(written ? Result.RESET : Result.CONNECT_FAILED, null);
+                failed.end(requestWritten ? Result.RESET : Result.CONNECT_FAILED, null);
             }
         }
 
-        private void drop() {
-            server.idle.remove(this);
+        private void closeIfUnused() {
+            server.idleConnections.remove(this);
             if (attempt == null) {
                 channel.close();
             }
@@ -529,20 +533,20 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            ended();
+            onConnectionEnded();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ended();
+            onConnectionEnded();
         }
 
-        private void ended() {
-            if (isAnswered()) {
+        private void onConnectionEnded() {
+            if (isResponseComplete()) {
                 reusable = false;
-                finish();
+                finishAttempt();
             } else {
-                broken();
+                failAttempt();
             }
         }
 
@@ -553,7 +557,7 @@
             public void channelRead(ChannelHandlerContext ctx, Object message) {
                 if (attempt == null) {
                     ReferenceCountUtil.release(message);
-                    drop();
+                    closeIfUnused();
                 } else {
                     ctx.fireChannelRead(message);
                 }
--- a/src/main/java/vetchpost/net/MemoryChannel.java
+++ b/src/main/java/vetchpost/net/MemoryChannel.java
@@ -21,7 +21,7 @@
 /** One end of a connection inside the process, both on one loop. What is written is read in a later task. */
 final class MemoryChannel extends AbstractChannel {
     private static final ChannelMetadata METADATA = new ChannelMetadata(false, 16);
-    private static final SocketAddress NOWHERE = InetSocketAddress.createUnresolved("memory", 0);
+    private static final SocketAddress MEMORY_ADDRESS = InetSocketAddress.createUnresolved("memory", 0);
 
     private final ChannelConfig config = new Config(this);
     private final Consumer<ChannelPipeline> listener;
@@ -135,12 +135,12 @@
 
     @Override
     protected SocketAddress localAddress0() {
-        return NOWHERE;
+        return MEMORY_ADDRESS;
     }
 
     @Override
     protected SocketAddress remoteAddress0() {
-        return NOWHERE;
+        return MEMORY_ADDRESS;
     }
 
     @Override
--- a/src/main/java/vetchpost/net/SocketBudget.java
+++ b/src/main/java/vetchpost/net/SocketBudget.java
@@ -15,7 +15,7 @@
     /** With fewer the runtime itself can't work. */
     public static final int MIN_DESCRIPTORS = 32;
     /** From so many on there is nothing that a node has to do without. */
-    private static final int AMPLE_DESCRIPTORS = 2 * RESERVED_DESCRIPTORS;
+    private static final int MIN_AMPLE_DESCRIPTORS = 2 * RESERVED_DESCRIPTORS;
     /** Connections accepted in one turn of the loop: with few, slow turns leave them waiting for several of
      * them; but the count of sockets may pass its bound by as many. */
     private static final int MAX_ACCEPTS_PER_TURN = 32;
@@ -41,9 +41,9 @@
     private final int manyClients;
     private BooleanSupplier closeIdleClient = () -> false;
     /** One for each pool, the oldest first: it is the one that takes nothing new. */
-    private final List<BooleanSupplier> closeIdleServer = new ArrayList<>(1);
+    private final List<BooleanSupplier> closeIdleServerActions = new ArrayList<>(1);
 
-    private Runnable onRoom = () -> {};
+    private Runnable onCapacityAvailable = () -> {};
     private int clients;
     private int servers;
 
@@ -60,26 +60,26 @@
     /** How to close an idle connection of the client side, and what to do when there is room again. */
     public void setClientSide(BooleanSupplier closeIdle, Runnable whenRoom) {
         closeIdleClient = closeIdle;
-        onRoom = whenRoom;
+        onCapacityAvailable = whenRoom;
     }
 
     /** One more way to close an idle connection to a server. */
     public void addServerSide(BooleanSupplier closeIdle) {
-        closeIdleServer.add(closeIdle);
+        closeIdleServerActions.add(closeIdle);
     }
 
     /** There is nothing to be closed that way any more. */
     public void removeServerSide(BooleanSupplier closeIdle) {
-        closeIdleServer.remove(closeIdle);
+        closeIdleServerActions.remove(closeIdle);
     }
 
-    public boolean hasRoomForClient() {
+    public boolean hasCapacityForClient() {
         return clients < maxClients && clients + servers < maxSockets;
     }
 
     /** Whether there are so few that clients are refused sooner than they would be for want of time. */
     public boolean isScarce() {
-        return limit < AMPLE_DESCRIPTORS;
+        return limit < MIN_AMPLE_DESCRIPTORS;
     }
 
     /** How many connections are accepted at once at most. */
@@ -118,19 +118,19 @@
     }
 
     /** Closes idle connections if another client's may not be accepted; whether it may now. */
-    public boolean makeRoomForClient() {
+    public boolean freeCapacityForClient() {
         // Several are accepted at once: the count may lie beyond the bound by as many.
         boolean closed = true;
-        while (!hasRoomForClient() && closed) {
+        while (!hasCapacityForClient() && closed) {
             // At the clients' own bound a server's connection less would make no room.
             closed = clients >= maxClients ? closeIdleClient.getAsBoolean() : closeIdle();
         }
-        return hasRoomForClient();
+        return hasCapacityForClient();
     }
 
     public void removeClient() {
         clients--;
-        onRoom.run();
+        onCapacityAvailable.run();
     }
 
     /** Counts a connection to a server, or says that there is no room for one. */
@@ -144,7 +144,7 @@
 
     public void removeServer() {
         servers--;
-        onRoom.run();
+        onCapacityAvailable.run();
     }
 
     @Override
@@ -162,7 +162,7 @@
      * but of none to a server.
      */
     public boolean closeIdle() {
-        for (BooleanSupplier way : closeIdleServer) {
+        for (BooleanSupplier way : closeIdleServerActions) {
             if (way.getAsBoolean()) {
                 return true;
             }
--- a/src/main/java/vetchpost/node/Node.java
+++ b/src/main/java/vetchpost/node/Node.java
@@ -39,9 +39,9 @@
     private static final Logger LOG = System.getLogger(Node.class.getName());
 
     /** Between two calls for a pushed list, which cost nothing, at most: what is missed meanwhile counts. */
-    private static final long WATCH_RETRY_MS = 500;
+    private static final long MAX_WATCH_RETRY_DELAY_MS = 500;
     /** ... and at most this part of the time in which a drain has to be kept. */
-    private static final int WATCH_AGAIN_PART = 4;
+    private static final int WATCH_RETRY_DRAIN_GRACE_DIVISOR = 4;
     /** How long a new process waits for a pushed list, which counts as told before it asks. An agent that has
      * said nothing by then is silent because discovery is down: then the known list has to do. */
     private static final long FIRST_LIST_TIMEOUT_MS = 1_000;
@@ -51,11 +51,11 @@
     private static final long DRAIN_CHECK_INTERVAL_MS = 5;
     /** From the end of the last connection to the process's: the system really closes a socket only when the
      * loop has looked at its selector again, and the last answer has its way to go. */
-    private static final long LAST_ANSWER_MS = 50;
+    private static final long EXIT_DELAY_MS = 50;
 
-    private static final long WAIT_MS = 1;
+    private static final long YIELD_DELAY_MS = 1;
     /** A rehearsal cut short is better than a node that stays away: a slow machine gets this far. */
-    private static final long REHEARSE_MS = 1_500;
+    private static final long MAX_REHEARSAL_MS = 1_500;
 
     private NodeConfig config;
     private final EventLoop loop;
@@ -64,30 +64,30 @@
     private ServerPool pool;
     private final DiscoveryClient discovery;
     private final ClientServer clients;
-    private final EventLoopDelay stall;
+    private final EventLoopDelay eventLoopDelay;
     private Dispatcher dispatcher;
-    private final NodeHooks seams;
-    private AttemptObserver witness;
+    private final NodeHooks hooks;
+    private AttemptObserver attemptObserver;
     private RequestRecorder recorder;
-    private final List<Retired> retired = new ArrayList<>();
+    private final List<RetiredCore> retired = new ArrayList<>();
     private final LoopClock clock;
-    private final ProtocolAdapters fronts;
-    private NodeLifecycle companion;
-    private final long watchAgainNs;
-    private long askedNs;
+    private final ProtocolAdapters protocolAdapters;
+    private NodeLifecycle lifecycle;
+    private final long watchRetryDelayNs;
+    private long lastSubscribeNs;
     /** Pushed lists that have come before the known one is taken in, while the node warms up. */
-    private final List<ServerList> early = new ArrayList<>();
+    private final List<ServerList> listsBeforeStart = new ArrayList<>();
     /** What waits for the first list, or null. */
-    private Runnable onFirstList;
+    private Runnable firstListAction;
 
-    private boolean listed;
+    private boolean hasReceivedList;
     private boolean prepared;
     private boolean rehearsing;
     private boolean stopping;
     private boolean closed;
 
     /** A core that takes nothing new, and ends once all that it holds is answered. */
-    private record Retired(Dispatcher dispatcher, ServerPool pool) {}
+    private record RetiredCore(Dispatcher dispatcher, ServerPool pool) {}
 
     /**
      * What a node still has in hand; all of it is nothing once the node has stopped.
@@ -111,14 +111,14 @@
     /** The same, speaking otherwise than the platform has it; null for that. */
     public Node(
             NodeConfig config, EventLoop loop, Network network, long unixMs, NodeHooks seams, ProtocolAdapters fronts) {
-        this.fronts = fronts;
+        this.protocolAdapters = fronts;
         this.config = config;
         this.loop = loop;
         this.network = network;
         clock = new LoopClock(loop, unixMs);
-        stall = new EventLoopDelay(clock);
+        eventLoopDelay = new EventLoopDelay(clock);
         sockets = new SocketBudget(config.maxDescriptors());
-        long callMs = config.settings().listOnRequest
+        long callMs = config.settings().mustRequestList
                 ? DiscoveryClient.FIRST_MESSAGE_TIMEOUT_MS
                 : DiscoveryClient.SILENCE_TIMEOUT_MS;
         discovery = new DiscoveryClient(
@@ -130,10 +130,13 @@
                 callMs,
                 config.seed(),
                 this);
-        this.seams = seams;
-        watchAgainNs = TimeUnit.MILLISECONDS.toNanos(
-                Math.max(1, Math.min(WATCH_RETRY_MS, config.settings().drainGraceUs / 1_000 / WATCH_AGAIN_PART)));
-        core();
+        this.hooks = seams;
+        watchRetryDelayNs = TimeUnit.MILLISECONDS.toNanos(Math.max(
+                1,
+                Math.min(
+                        MAX_WATCH_RETRY_DELAY_MS,
+                        config.settings().drainGraceUs / 1_000 / WATCH_RETRY_DRAIN_GRACE_DIVISOR)));
+        createCore();
         clients = new ClientServer(
                 loop,
                 network,
@@ -142,11 +145,11 @@
                 (request, reply, waitedUs) ->
                         dispatcher.accept(seams.wrapRequest(request), seams.wrapReply(reply), waitedUs),
                 fronts == null ? null : fronts.connectionInitializer());
-        clients.setEventLoopDelay(stall::currentUs);
+        clients.setEventLoopDelay(eventLoopDelay::currentUs);
     }
 
     /** The core and its way to servers, by the settings as they are now. */
-    private void core() {
+    private void createCore() {
         Settings settings = config.settings();
         pool = new ServerPool(
                 loop,
@@ -154,22 +157,22 @@
                 sockets,
                 settings.connectTimeoutUs,
                 config.serverIdleTimeoutUs(),
-                fronts == null ? null : fronts.exchangeFactory());
+                protocolAdapters == null ? null : protocolAdapters.exchangeFactory());
         // A core that only ends what it has must not have the watch opened anew under the one in its place.
         Dispatcher[] core = new Dispatcher[1];
         dispatcher = new Dispatcher(
                 clock,
-                stall,
-                seams.wrapTransport(pool),
+                eventLoopDelay,
+                hooks.wrapTransport(pool),
                 settings.zones,
-                () -> onlyFor(core[0], this::subscribe),
-                () -> onlyFor(core[0], this::askWholeList),
+                () -> runIfCurrent(core[0], this::subscribe),
+                () -> runIfCurrent(core[0], this::requestFullList),
                 settings.drainGraceUs / 2,
-                actions -> seams.createBalancer(settings, config.seed(), actions));
+                actions -> hooks.createBalancer(settings, config.seed(), actions));
         core[0] = dispatcher;
     }
 
-    private void onlyFor(Dispatcher core, Runnable action) {
+    private void runIfCurrent(Dispatcher core, Runnable action) {
         if (core == dispatcher) {
             action.run();
         }
@@ -188,7 +191,7 @@
         ServerPool oldPool = pool;
         config = fresh;
         try {
-            core();
+            createCore();
         } catch (RuntimeException e) {
             config = before;
             pool.close();
@@ -196,19 +199,19 @@
             dispatcher = old;
             throw e;
         }
-        retired.add(new Retired(old, oldPool));
-        dispatcher.setAttemptObserver(witness);
+        retired.add(new RetiredCore(old, oldPool));
+        dispatcher.setAttemptObserver(attemptObserver);
         dispatcher.setRecorder(recorder);
         // The watch is past what waits there: nobody would tell it again.
         old.applyAllLists();
         List<ServerList.Target> servers = old.knownServers();
-        dispatcher.onKnownList(new ServerList(0, true, servers));
+        dispatcher.onCachedList(new ServerList(0, true, servers));
         dispatcher.restore(
                 old.statistics(servers.stream().map(ServerList.Target::id).toList()));
-        loop.schedule(this::forgetRetired, DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::closeFinishedRetired, DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void forgetRetired() {
+    private void closeFinishedRetired() {
         retired.removeIf(r -> {
             if (r.dispatcher.pendingRequests() == 0) {
                 r.dispatcher.close();
@@ -218,7 +221,7 @@
             return false;
         });
         if (!retired.isEmpty() && !closed) {
-            loop.schedule(this::forgetRetired, 10 * DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::closeFinishedRetired, 10 * DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -227,8 +230,8 @@
      *
      * @return tells whether the address could be had; if not, the one before stays
      */
-    public ChannelFuture addListener(EventLoopGroup group, InetSocketAddress address) {
-        return clients.moveTo(group, address);
+    public ChannelFuture rebind(EventLoopGroup group, InetSocketAddress address) {
+        return clients.rebind(group, address);
     }
 
     /** On the system's sockets and clock. */
@@ -245,45 +248,45 @@
     public void warmUp(int rehearsed, Runnable then) {
         // A first line takes as long as fifty requests; it must not be the one that says that it listens.
         LOG.log(Level.INFO, "warming up");
-        String token = token();
+        String token = rehearsalToken();
         clients.setRehearsal(token);
-        if (isPushed()) {
+        if (isListPushed()) {
             // Its list counts as told from the first moment on; it comes while the code gets warm.
-            askPushed();
+            subscribePushed();
         }
         new Rehearsal(
                         loop,
                         new MemoryNetwork(clients::open),
                         config,
-                        fronts,
+                        protocolAdapters,
                         config.listen(),
                         token,
                         rehearsed,
-                        REHEARSE_MS,
-                        () -> afterAWait(() -> {
+                        MAX_REHEARSAL_MS,
+                        () -> runAfterYield(() -> {
                             prepare();
-                            afterFirstList(() -> afterAWait(then));
+                            runAfterFirstList(() -> runAfterYield(then));
                         }))
                 .run();
     }
 
-    private boolean isPushed() {
-        return !config.settings().listOnRequest && config.discovery() != null;
+    private boolean isListPushed() {
+        return !config.settings().mustRequestList && config.discovery() != null;
     }
 
     /** Runs it once a pushed list has come, or has not for a while; at once where lists are asked for. */
-    private void afterFirstList(Runnable then) {
-        if (!isPushed() || listed) {
+    private void runAfterFirstList(Runnable then) {
+        if (!isListPushed() || hasReceivedList) {
             then.run();
             return;
         }
-        onFirstList = then;
-        loop.schedule(this::firstList, FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        firstListAction = then;
+        loop.schedule(this::runFirstListAction, FIRST_LIST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void firstList() {
-        Runnable then = onFirstList;
-        onFirstList = null;
+    private void runFirstListAction() {
+        Runnable then = firstListAction;
+        firstListAction = null;
         if (then != null) {
             then.run();
         }
@@ -294,18 +297,18 @@
      * has a part of a processor, it pays for a long stretch of work in that wait; what is opened at the
      * stretch's end would stand open unattended meanwhile.
      */
-    private void afterAWait(Runnable then) {
+    private void runAfterYield(Runnable then) {
         loop.schedule(
                 () -> {
                     if (!stopping) {
                         then.run();
                     }
                 },
-                WAIT_MS,
+                YIELD_DELAY_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    private String token() {
+    private String rehearsalToken() {
         return Long.toHexString(new SplittableRandom(config.seed()).nextLong());
     }
 
@@ -321,15 +324,15 @@
                     "limits.sockets is small: {0} clients are served at once, others refused",
                     sockets.maxClients());
         }
-        stall.start();
-        dispatcher.onKnownList(
-                companion == null
+        eventLoopDelay.start();
+        dispatcher.onCachedList(
+                lifecycle == null
                         ? config.knownServers()
-                        : companion.beforeStart(config.knownServers(), clock.nowUs()));
-        early.forEach(this::takeIn);
-        early.clear();
-        if (isPushed() && !discovery.isOpen()) {
-            askPushed();
+                        : lifecycle.beforeStart(config.knownServers(), clock.nowUs()));
+        listsBeforeStart.forEach(this::applyList);
+        listsBeforeStart.clear();
+        if (isListPushed() && !discovery.isOpen()) {
+            subscribePushed();
         }
     }
 
@@ -345,32 +348,32 @@
                 // Also because a first line needs files of the runtime: out of descriptors it would throw an
                 // Error, in the loop, where nothing but the log would catch it.
                 LOG.log(Level.INFO, "listening on {0}", binding.channel().localAddress());
-                String token = token();
+                String token = rehearsalToken();
                 clients.setRehearsal(token);
                 Runnable serve = () -> {
                     clients.setReady();
                     whenReady.run();
                 };
                 Runnable ready = serve;
-                if (companion != null) {
-                    companion.afterStart(dispatcher, stall, clock);
-                    clients.setReadinessDetail(companion::readinessDetail);
-                    ready = () -> companion.runWhenPrepared(serve);
+                if (lifecycle != null) {
+                    lifecycle.afterStart(dispatcher, eventLoopDelay, clock);
+                    clients.setReadinessDetail(lifecycle::readinessDetail);
+                    ready = () -> lifecycle.runWhenPrepared(serve);
                 }
                 if (rehearsed == 0) {
                     ready.run();
                 } else {
                     // Not before the first look at who has come meanwhile.
                     Runnable last = ready;
-                    afterAWait(() -> new Rehearsal(
+                    runAfterYield(() -> new Rehearsal(
                                     loop,
                                     network,
                                     config,
-                                    fronts,
+                                    protocolAdapters,
                                     (InetSocketAddress) binding.channel().localAddress(),
                                     token,
                                     rehearsed,
-                                    REHEARSE_MS,
+                                    MAX_REHEARSAL_MS,
                                     last)
                             .run());
                 }
@@ -401,7 +404,7 @@
 
     /** Has this see how attempts end, besides the module; null for nobody. */
     public void setAttemptObserver(AttemptObserver other) {
-        witness = other;
+        attemptObserver = other;
         dispatcher.setAttemptObserver(other);
     }
 
@@ -423,7 +426,7 @@
 
     /** Has this go along with the node's life; before it starts. */
     public void setLifecycle(NodeLifecycle with) {
-        companion = with;
+        lifecycle = with;
     }
 
     /** Takes up what may change while it runs: where discovery is. */
@@ -432,24 +435,24 @@
     }
 
     /** Begins as a rehearsal's node: it has a list, no address of its own, and asks for no other list. */
-    void rehearse() {
+    void startAsRehearsal() {
         rehearsing = true;
-        dispatcher.onKnownList(config.knownServers());
+        dispatcher.onCachedList(config.knownServers());
     }
 
-    void openRehearsal(ChannelPipeline pipeline) {
+    void openRehearsalConnection(ChannelPipeline pipeline) {
         clients.open(pipeline);
     }
 
     /** Gives back all that it holds; for the end of a rehearsal, or of a process that goes on. */
     public void close() {
         closed = true;
-        if (companion != null) {
-            companion.close();
+        if (lifecycle != null) {
+            lifecycle.close();
         }
         clients.close();
         dispatcher.close();
-        stall.close();
+        eventLoopDelay.close();
         discovery.close();
         pool.close();
         retired.forEach(r -> {
@@ -462,9 +465,9 @@
     public void stop(Runnable whenDone) {
         stopping = true;
         clients.drain();
-        Runnable done = companion == null ? whenDone : both(whenDone);
-        if (companion != null) {
-            companion.stop(done);
+        Runnable done = lifecycle == null ? whenDone : runOnSecondCall(whenDone);
+        if (lifecycle != null) {
+            lifecycle.stop(done);
         }
         loop.schedule(
                 () -> {
@@ -476,7 +479,7 @@
     }
 
     /** Runs it the second time. */
-    private static Runnable both(Runnable whenDone) {
+    private static Runnable runOnSecondCall(Runnable whenDone) {
         int[] left = {2};
         return () -> {
             if (--left[0] == 0) {
@@ -487,7 +490,7 @@
 
     private void runWhenDone(Runnable done) {
         if (clients.isDone()) {
-            loop.schedule(done, LAST_ANSWER_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(done, EXIT_DELAY_MS, TimeUnit.MILLISECONDS);
         } else {
             loop.schedule(() -> runWhenDone(done), DRAIN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
@@ -512,14 +515,14 @@
         }
     }
 
-    private void askPushed() {
+    private void subscribePushed() {
         if (!closed && !discovery.isOpen()) {
-            askedNs = loop.ticker().nanoTime();
+            lastSubscribeNs = loop.ticker().nanoTime();
             discovery.subscribe();
         }
     }
 
-    private void askWholeList() {
+    private void requestFullList() {
         if (!rehearsing && !closed && config.discovery() != null) {
             discovery.requestFullList();
         }
@@ -529,40 +532,40 @@
 
     @Override
     public void onList(ServerList list) {
-        listed = true;
+        hasReceivedList = true;
         if (prepared) {
-            takeIn(list);
+            applyList(list);
         } else {
             // It is newer than the known list, and must not be gone over by it.
-            early.add(list);
+            listsBeforeStart.add(list);
         }
-        firstList();
+        runFirstListAction();
     }
 
-    private void takeIn(ServerList list) {
+    private void applyList(ServerList list) {
         dispatcher.onList(list);
         retired.forEach(r -> r.dispatcher.onList(list));
-        if (companion != null) {
-            companion.onServerList(list);
+        if (lifecycle != null) {
+            lifecycle.onServerList(list);
         }
     }
 
     @Override
     public void onContact() {
-        if (companion != null) {
-            companion.onDiscoveryContact();
+        if (lifecycle != null) {
+            lifecycle.onDiscoveryContact();
         }
     }
 
     @Override
     public void onWatchFailed(String reason) {
         LOG.log(Level.INFO, "the watch on the list failed: {0}", reason);
-        if (isPushed()) {
+        if (isListPushed()) {
             // At once after one that has been open for a while.
-            long sinceNs = loop.ticker().nanoTime() - askedNs;
+            long sinceNs = loop.ticker().nanoTime() - lastSubscribeNs;
             loop.schedule(
-                    this::askPushed,
-                    Math.max(TimeUnit.MILLISECONDS.toNanos(WAIT_MS), watchAgainNs - sinceNs),
+                    this::subscribePushed,
+                    Math.max(TimeUnit.MILLISECONDS.toNanos(YIELD_DELAY_MS), watchRetryDelayNs - sinceNs),
                     TimeUnit.NANOSECONDS);
         }
         dispatcher.onListFailed();
--- a/src/main/java/vetchpost/node/Rehearsal.java
+++ b/src/main/java/vetchpost/node/Rehearsal.java
@@ -27,19 +27,19 @@
  * and answered on the spot; nothing of them reaches a server or the first node's module.
  */
 final class Rehearsal {
-    private static final int CLIENTS = 4;
-    private static final int SOCKETS = SocketBudget.RESERVED_DESCRIPTORS + 64;
+    private static final int CLIENT_COUNT = 4;
+    private static final int MAX_DESCRIPTORS = SocketBudget.RESERVED_DESCRIPTORS + 64;
 
     private final EventLoop loop;
     private final NodeConfig config;
     private final String token;
     private final int requests;
-    private final long endNs;
-    private final Runnable done;
+    private final long deadlineNs;
+    private final Runnable onDone;
     private final Node node;
     private int sent;
     private int answered;
-    private boolean over;
+    private boolean ended;
 
     /** Sends so many requests, or fewer if that takes too long, and then runs {@code done}. */
     Rehearsal(
@@ -55,47 +55,47 @@
         this.loop = loop;
         this.token = token;
         this.requests = requests;
-        this.done = done;
-        endNs = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
+        this.onDone = done;
+        deadlineNs = loop.ticker().nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs);
         String zone =
                 real.settings().zones.isEmpty() ? "" : real.settings().zones.get(0);
         ServerList itself =
                 new ServerList(0, true, List.of(new ServerList.Target("self", self, zone, 0, ServerState.READY, 1, 0)));
-        config = new NodeConfig(self, self, 1, SOCKETS, real.serverIdleTimeoutUs(), real.settings(), itself);
+        config = new NodeConfig(self, self, 1, MAX_DESCRIPTORS, real.serverIdleTimeoutUs(), real.settings(), itself);
         node = new Node(config, loop, network, System.currentTimeMillis(), NodeHooks.NONE, fronts);
     }
 
     void run() {
-        node.rehearse();
+        node.startAsRehearsal();
         // Whatever goes wrong here must not keep the node from its work.
-        loop.schedule(this::end, endNs - loop.ticker().nanoTime(), TimeUnit.NANOSECONDS);
-        for (int i = 0; i < CLIENTS; i++) {
-            next(new Client());
+        loop.schedule(this::finish, deadlineNs - loop.ticker().nanoTime(), TimeUnit.NANOSECONDS);
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            sendNext(new Client());
         }
     }
 
-    private void end() {
-        if (!over) {
-            over = true;
+    private void finish() {
+        if (!ended) {
+            ended = true;
             node.close();
-            done.run();
+            onDone.run();
         }
     }
 
-    private void next(Client client) {
-        if (over) {
+    private void sendNext(Client client) {
+        if (ended) {
             return;
         }
-        if (sent == requests || loop.ticker().nanoTime() - endNs > 0) {
+        if (sent == requests || loop.ticker().nanoTime() - deadlineNs > 0) {
             if (answered == sent) {
-                end();
+                finish();
             }
             return;
         }
-        client.writeInbound(request(sent++));
+        client.writeInbound(encodeRequest(sent++));
     }
 
-    private ByteBuf request(int number) {
+    private ByteBuf encodeRequest(int number) {
         RequestClass cls =
                 config.settings().classes.get(number % config.settings().classes.size());
         boolean safe = cls.idempotency() == Idempotency.SAFE;
@@ -117,7 +117,7 @@
     /** A client without a socket: what is written to it has been answered. */
     private final class Client extends EmbeddedChannel {
         Client() {
-            node.openRehearsal(pipeline());
+            node.openRehearsalConnection(pipeline());
             pipeline().fireChannelActive();
         }
 
@@ -125,7 +125,7 @@
         protected void handleOutboundMessage(Object message) {
             ReferenceCountUtil.release(message);
             answered++;
-            loop.execute(() -> next(this));
+            loop.execute(() -> sendNext(this));
         }
     }
 }
--- a/src/main/java/vetchpost/operations/AuditFile.java
+++ b/src/main/java/vetchpost/operations/AuditFile.java
@@ -18,16 +18,16 @@
 
 /** The trail in a file: read and checked at the start, then appended to and forced to the disk each time. */
 public final class AuditFile implements ControlApi.AuditSink {
-    private static final long MOST_BYTES = 64L << 20;
+    private static final long MAX_FILE_BYTES = 64L << 20;
 
     private final Path path;
     private final Executor writer;
     private final Executor loop;
     private final List<AuditLog.Entry> entries = new ArrayList<>();
-    private String trouble = "";
+    private String failure = "";
     // The writer's alone from the start on.
-    private String last = AuditLog.ROOT_HASH;
-    private long length;
+    private String lastHash = AuditLog.ROOT_HASH;
+    private long fileLength;
 
     /**
      * Reads what is there. A last line that was not written to its end is taken off; what is broken before
@@ -40,7 +40,7 @@
         try {
             read();
         } catch (IOException | IllegalArgumentException e) {
-            trouble = "the trail " + path + " can't be used: " + e.getMessage();
+            failure = "the trail " + path + " can't be used: " + e.getMessage();
             entries.clear();
         }
     }
@@ -50,8 +50,8 @@
             Files.createFile(path, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
             return;
         }
-        if (Files.size(path) > MOST_BYTES) {
-            throw new IOException("it is over " + (MOST_BYTES >> 20) + " MiB; move it away");
+        if (Files.size(path) > MAX_FILE_BYTES) {
+            throw new IOException("it is over " + (MAX_FILE_BYTES >> 20) + " MiB; move it away");
         }
         String text = Files.readString(path);
         String whole = text.substring(0, text.lastIndexOf('\n') + 1);
@@ -62,10 +62,10 @@
                     + " changed it, and move it away");
         }
         for (String line : lines) {
-            entries.add(AuditEntryJson.read(AuditLog.textOf(line)));
-            last = AuditLog.hashOf(line);
+            entries.add(AuditEntryJson.parse(AuditLog.textOf(line)));
+            lastHash = AuditLog.hashOf(line);
         }
-        length = whole.getBytes(StandardCharsets.UTF_8).length;
+        fileLength = whole.getBytes(StandardCharsets.UTF_8).length;
     }
 
     /** What it held at the start; nothing if it can't be used. */
@@ -75,27 +75,27 @@
 
     /** Why nothing can be recorded, by the start; empty if it can. */
     public String failure() {
-        return trouble;
+        return failure;
     }
 
     @Override
     public void append(String text, Consumer<String> done) {
         writer.execute(() -> {
-            String why = trouble.isEmpty() ? write(text) : trouble;
+            String why = failure.isEmpty() ? write(text) : failure;
             loop.execute(() -> done.accept(why));
         });
     }
 
     private String write(String text) {
-        String line = AuditLog.chainedLine(last, text);
+        String line = AuditLog.chainedLine(lastHash, text);
         byte[] bytes = (line + "\n").getBytes(StandardCharsets.UTF_8);
-        if (length + bytes.length > MOST_BYTES) {
-            return path + " is full at " + (MOST_BYTES >> 20) + " MiB; move it away and start the node anew";
+        if (fileLength + bytes.length > MAX_FILE_BYTES) {
+            return path + " is full at " + (MAX_FILE_BYTES >> 20) + " MiB; move it away and start the node anew";
         }
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.WRITE)) {
             // In the place of what an earlier write has left unfinished.
-            channel.truncate(length);
-            channel.position(length);
+            channel.truncate(fileLength);
+            channel.position(fileLength);
             ByteBuffer buffer = ByteBuffer.wrap(bytes);
             while (buffer.hasRemaining()) {
                 channel.write(buffer);
@@ -104,8 +104,8 @@
         } catch (IOException e) {
             return e.toString();
         }
-        length += bytes.length;
-        last = AuditLog.hashOf(line);
+        fileLength += bytes.length;
+        lastHash = AuditLog.hashOf(line);
         return null;
     }
 }
--- a/src/main/java/vetchpost/operations/ControlSocket.java
+++ b/src/main/java/vetchpost/operations/ControlSocket.java
@@ -33,20 +33,20 @@
  */
 public final class ControlSocket implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ControlSocket.class.getName());
-    private static final int MOST_BYTES = 16 << 10;
-    private static final int MOST_CONNECTIONS = 16;
-    private static final int LINE_WITHIN_S = 30;
+    private static final int MAX_MESSAGE_BYTES = 16 << 10;
+    private static final int MAX_CONNECTIONS = 16;
+    private static final int MESSAGE_TIMEOUT_S = 30;
 
     private final Path path;
-    private final ControlApi desk;
+    private final ControlApi controlApi;
     private final Supplier<ControlApi.Now> now;
     private int connections;
-    private Channel listening;
+    private Channel listeningChannel;
 
     /** Not open yet. */
     public ControlSocket(Path path, ControlApi desk, Supplier<ControlApi.Now> now) {
         this.path = path;
-        this.desk = desk;
+        this.controlApi = desk;
         this.now = now;
     }
 
@@ -78,7 +78,7 @@
                     }
                 })
                 .bind(UnixDomainSocketAddress.of(path));
-        listening = binding.channel();
+        listeningChannel = binding.channel();
         return binding.addListener(done -> {
             if (done.isSuccess()) {
                 Files.setPosixFilePermissions(path, PosixFilePermissions.fromString("rw-------"));
@@ -87,7 +87,7 @@
     }
 
     private void accept(Channel channel) {
-        if (connections >= MOST_CONNECTIONS) {
+        if (connections >= MAX_CONNECTIONS) {
             channel.close();
             return;
         }
@@ -95,50 +95,50 @@
         channel.closeFuture().addListener(closed -> connections--);
         channel.pipeline()
                 .addLast(
-                        new LineBasedFrameDecoder(MOST_BYTES, true, true),
+                        new LineBasedFrameDecoder(MAX_MESSAGE_BYTES, true, true),
                         new StringDecoder(StandardCharsets.UTF_8),
                         new FlowControlHandler(),
-                        new Talk());
+                        new MessageHandler());
     }
 
     /** One client's messages. */
-    private final class Talk extends SimpleChannelInboundHandler<String> {
-        private ScheduledFuture<?> patience;
+    private final class MessageHandler extends SimpleChannelInboundHandler<String> {
+        private ScheduledFuture<?> messageTimeout;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            expect(ctx);
+            startMessageTimeout(ctx);
         }
 
-        private void expect(ChannelHandlerContext ctx) {
-            patience = ctx.executor()
+        private void startMessageTimeout(ChannelHandlerContext ctx) {
+            messageTimeout = ctx.executor()
                     .schedule(
                             () -> {
                                 ctx.close();
                             },
-                            LINE_WITHIN_S,
+                            MESSAGE_TIMEOUT_S,
                             TimeUnit.SECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, String line) {
-            patience.cancel(false);
+            messageTimeout.cancel(false);
             // One at a time: what comes behind it waits unread.
             ctx.channel().config().setAutoRead(false);
-            desk.handle(line, now, reply -> {
+            controlApi.handle(line, now, reply -> {
                 if (!ctx.channel().isWritable()) {
                     ctx.close(); // It asks and does not read.
                     return;
                 }
                 ctx.writeAndFlush(ByteBufUtil.writeUtf8(ctx.alloc(), reply + "\n"));
-                expect(ctx);
+                startMessageTimeout(ctx);
                 ctx.channel().config().setAutoRead(true);
             });
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            patience.cancel(false);
+            messageTimeout.cancel(false);
         }
 
         @Override
@@ -148,7 +148,7 @@
                                 ctx.alloc(),
                                 "{\"v\":1,\"ok\":false,"
                                         + "\"error\":\"bad\",\"why\":[\"a message has at most "
-                                        + MOST_BYTES + " bytes\"]}\n"))
+                                        + MAX_MESSAGE_BYTES + " bytes\"]}\n"))
                         .addListener(done -> ctx.close());
                 return;
             }
@@ -161,8 +161,8 @@
 
     @Override
     public void close() throws IOException {
-        if (listening != null && listening.isOpen()) {
-            listening.close();
+        if (listeningChannel != null && listeningChannel.isOpen()) {
+            listeningChannel.close();
             Files.deleteIfExists(path);
         }
     }
--- a/src/main/java/vetchpost/recorder/FlightRecorder.java
+++ b/src/main/java/vetchpost/recorder/FlightRecorder.java
@@ -24,15 +24,15 @@
     /** Requests in hand that are followed at once; what comes beyond is not recorded. */
     static final int MAX_OPEN_REQUESTS = 4_096;
 
-    private static final int SAMPLE_PART = 4;
+    private static final int SAMPLED_CAPACITY_DIVISOR = 4;
 
-    private final int most;
-    private final long[] slowUs;
-    private final Map<Long, RequestTrace> open = new HashMap<>();
-    private final Deque<RequestTrace> special = new ArrayDeque<>();
-    private final Deque<RequestTrace> usual = new ArrayDeque<>();
-    private final RejectionCounts refusals = new RejectionCounts();
-    private long seen;
+    private final int maxNotable;
+    private final long[] slowThresholdsUs;
+    private final Map<Long, RequestTrace> openTraces = new HashMap<>();
+    private final Deque<RequestTrace> notable = new ArrayDeque<>();
+    private final Deque<RequestTrace> sampled = new ArrayDeque<>();
+    private final RejectionCounts rejectionCounts = new RejectionCounts();
+    private long completedCount;
 
     /**
      * Empty.
@@ -41,75 +41,75 @@
      * @param slowUs by class, from when on an answer is slow, in microseconds
      */
     public FlightRecorder(int most, long[] slowUs) {
-        this.most = most;
-        this.slowUs = slowUs.clone();
+        this.maxNotable = most;
+        this.slowThresholdsUs = slowUs.clone();
     }
 
     @Override
     public void rejected(long nowUs, ClientRequest request, RejectionReason why) {
-        refusals.add(nowUs, request.classIndex(), why == RejectionReason.ROUTE_LIMIT, why.text());
-        RequestTrace flight = flight(nowUs, request, request.remainingUs(), 0);
+        rejectionCounts.add(nowUs, request.classIndex(), why == RejectionReason.ROUTE_LIMIT, why.text());
+        RequestTrace flight = startTrace(nowUs, request, request.remainingUs(), 0);
         flight.outcome(nowUs, why == RejectionReason.ROUTE_LIMIT ? Completion.REFUSED : Completion.FAILED, 0);
-        flight.because(why.text());
-        keep(special, flight, most);
+        flight.setReason(why.text());
+        keep(notable, flight, maxNotable);
     }
 
     @Override
     public void accepted(long nowUs, ClientRequest request, long leftUs, long layUs) {
-        if (open.size() < MAX_OPEN_REQUESTS) {
-            open.put(request.id(), flight(nowUs, request, leftUs, layUs));
+        if (openTraces.size() < MAX_OPEN_REQUESTS) {
+            openTraces.put(request.id(), startTrace(nowUs, request, leftUs, layUs));
         }
     }
 
-    private static RequestTrace flight(long nowUs, ClientRequest request, long leftUs, long layUs) {
+    private static RequestTrace startTrace(long nowUs, ClientRequest request, long leftUs, long layUs) {
         return new RequestTrace(
                 request.id(), request.classIndex(), request.method(), request.target(), nowUs, leftUs, layUs);
     }
 
     @Override
     public void admitted(long nowUs, long id) {
-        RequestTrace flight = open.get(id);
+        RequestTrace flight = openTraces.get(id);
         if (flight != null) {
-            flight.offered(nowUs);
+            flight.setAdmitted(nowUs);
         }
     }
 
     @Override
     public void candidatesDrawn(long id, Candidate first, Candidate second) {
-        RequestTrace flight = open.get(id);
+        RequestTrace flight = openTraces.get(id);
         if (flight != null) {
-            flight.drew(first, second);
+            flight.setCandidates(first, second);
         }
     }
 
     @Override
     public void attemptSent(long nowUs, long id, String serverId, long untilUs) {
-        RequestTrace flight = open.get(id);
+        RequestTrace flight = openTraces.get(id);
         if (flight != null) {
-            flight.sent(nowUs, serverId, untilUs);
+            flight.addAttempt(nowUs, serverId, untilUs);
         }
     }
 
     @Override
     public void attemptEnded(long nowUs, long id, int attempt, Result result, long tookUs) {
-        RequestTrace flight = open.get(id);
+        RequestTrace flight = openTraces.get(id);
         if (flight != null) {
-            flight.ended(attempt, result, tookUs);
-            closeIfOver(flight);
+            flight.endAttempt(attempt, result, tookUs);
+            closeIfComplete(flight);
         }
     }
 
     @Override
     public void reasonGiven(long id, UnservedReason why) {
-        RequestTrace flight = open.get(id);
+        RequestTrace flight = openTraces.get(id);
         if (flight != null) {
-            flight.because(why.text());
+            flight.setReason(why.text());
         }
     }
 
     @Override
     public void completed(long nowUs, long id, Completion what, long retryAfterUs) {
-        RequestTrace flight = open.get(id);
+        RequestTrace flight = openTraces.get(id);
         if (flight == null) {
             return;
         }
@@ -120,30 +120,30 @@
                     : what == Completion.REFUSED
                             ? "the node's door has no place for it"
                             : "its client's time was up, or a fault of the node's";
-            flight.because(cause);
-            refusals.add(nowUs, flight.classIndex(), what == Completion.REFUSED, cause);
+            flight.setReason(cause);
+            rejectionCounts.add(nowUs, flight.classIndex(), what == Completion.REFUSED, cause);
         }
-        closeIfOver(flight);
+        closeIfComplete(flight);
     }
 
-    private void closeIfOver(RequestTrace flight) {
-        if (!flight.isOver()) {
+    private void closeIfComplete(RequestTrace flight) {
+        if (!flight.isComplete()) {
             return;
         }
-        open.remove(flight.id(), flight);
-        seen++;
-        if (isSpecial(flight)) {
-            keep(special, flight, most);
-        } else if (seen % SAMPLING_INTERVAL == 0) {
-            keep(usual, flight, Math.max(1, most / SAMPLE_PART));
+        openTraces.remove(flight.id(), flight);
+        completedCount++;
+        if (isNotable(flight)) {
+            keep(notable, flight, maxNotable);
+        } else if (completedCount % SAMPLING_INTERVAL == 0) {
+            keep(sampled, flight, Math.max(1, maxNotable / SAMPLED_CAPACITY_DIVISOR));
         }
     }
 
-    private boolean isSpecial(RequestTrace flight) {
+    private boolean isNotable(RequestTrace flight) {
         return flight.outcome() != Completion.SERVED
                 || flight.attempts().size() > 1
-                || flight.classIndex() >= slowUs.length
-                || flight.durationUs() > slowUs[flight.classIndex()];
+                || flight.classIndex() >= slowThresholdsUs.length
+                || flight.durationUs() > slowThresholdsUs[flight.classIndex()];
     }
 
     private static void keep(Deque<RequestTrace> some, RequestTrace flight, int most) {
@@ -155,8 +155,8 @@
 
     /** The request of this id that came last, in hand or kept; null if it is not known (any more). */
     public RequestTrace find(long id) {
-        RequestTrace found = open.get(id);
-        for (Deque<RequestTrace> some : List.of(special, usual)) {
+        RequestTrace found = openTraces.get(id);
+        for (Deque<RequestTrace> some : List.of(notable, sampled)) {
             for (Iterator<RequestTrace> last = some.descendingIterator(); found == null && last.hasNext(); ) {
                 RequestTrace flight = last.next();
                 found = flight.id() == id ? flight : null;
@@ -166,9 +166,9 @@
     }
 
     /** The last special ones, the latest first. */
-    public List<RequestTrace> last(int many) {
+    public List<RequestTrace> lastNotable(int many) {
         List<RequestTrace> last = new ArrayList<>();
-        for (Iterator<RequestTrace> next = special.descendingIterator(); next.hasNext() && last.size() < many; ) {
+        for (Iterator<RequestTrace> next = notable.descendingIterator(); next.hasNext() && last.size() < many; ) {
             last.add(next.next());
         }
         return last;
@@ -176,11 +176,11 @@
 
     /** What was refused or has failed, counted. */
     public RejectionCounts rejectionCounts() {
-        return refusals;
+        return rejectionCounts;
     }
 
     /** How many are kept or followed. */
     public int size() {
-        return open.size() + special.size() + usual.size();
+        return openTraces.size() + notable.size() + sampled.size();
     }
 }
--- a/src/main/java/vetchpost/recorder/RejectionCounts.java
+++ b/src/main/java/vetchpost/recorder/RejectionCounts.java
@@ -13,15 +13,15 @@
     /** How far back they go. */
     public static final long MAX_SPAN_US = 3_600_000_000L;
 
-    private static final int STEPS = (int) (MAX_SPAN_US / STEP_US);
+    private static final int STEP_COUNT = (int) (MAX_SPAN_US / STEP_US);
     /** Causes are few; a fault that makes them many must not cost the memory. */
-    private static final int MOST_CAUSES = 256;
+    private static final int MAX_KEYS_PER_STEP = 256;
 
     private final List<Map<Key, Integer>> steps = new ArrayList<>();
-    private long latest = Long.MIN_VALUE;
+    private long latestStep = Long.MIN_VALUE;
 
     /** What is counted together. */
-    private record Key(int classIndex, boolean refused, String cause) {}
+    private record Key(int classIndex, boolean rejected, String cause) {}
 
     /**
      * One line of the count.
@@ -32,43 +32,43 @@
 
     /** None so far. */
     public RejectionCounts() {
-        for (int i = 0; i < STEPS; i++) {
+        for (int i = 0; i < STEP_COUNT; i++) {
             steps.add(new HashMap<>());
         }
     }
 
     void add(long nowUs, int classIndex, boolean refused, String cause) {
-        forget(nowUs);
-        Map<Key, Integer> step = steps.get((int) Math.floorMod(latest, (long) STEPS));
+        discardOldSteps(nowUs);
+        Map<Key, Integer> step = steps.get((int) Math.floorMod(latestStep, (long) STEP_COUNT));
         Key key = new Key(classIndex, refused, cause);
-        if (step.size() < MOST_CAUSES || step.containsKey(key)) {
+        if (step.size() < MAX_KEYS_PER_STEP || step.containsKey(key)) {
             step.merge(key, 1, Integer::sum);
         }
     }
 
-    private void forget(long nowUs) {
+    private void discardOldSteps(long nowUs) {
         long step = Math.floorDiv(nowUs, STEP_US);
-        if (step > latest) {
-            long from = Math.max(latest + 1, step - STEPS + 1);
-            for (long old = latest == Long.MIN_VALUE ? step : from; old <= step; old++) {
-                steps.get((int) Math.floorMod(old, (long) STEPS)).clear();
+        if (step > latestStep) {
+            long from = Math.max(latestStep + 1, step - STEP_COUNT + 1);
+            for (long old = latestStep == Long.MIN_VALUE ? step : from; old <= step; old++) {
+                steps.get((int) Math.floorMod(old, (long) STEP_COUNT)).clear();
             }
-            latest = step;
+            latestStep = step;
         }
     }
 
     /** The counts of so long a time up to now, to ten seconds; the most first. */
     public List<Row> withinLast(long nowUs, long spanUs) {
-        forget(nowUs);
-        long many = Math.min(STEPS, Math.max(1, (spanUs + STEP_US - 1) / STEP_US));
+        discardOldSteps(nowUs);
+        long many = Math.min(STEP_COUNT, Math.max(1, (spanUs + STEP_US - 1) / STEP_US));
         Map<Key, Integer> sums = new HashMap<>();
-        for (long step = latest - many + 1; step <= latest; step++) {
-            steps.get((int) Math.floorMod(step, (long) STEPS)).forEach((k, n) -> sums.merge(k, n, Integer::sum));
+        for (long step = latestStep - many + 1; step <= latestStep; step++) {
+            steps.get((int) Math.floorMod(step, (long) STEP_COUNT)).forEach((k, n) -> sums.merge(k, n, Integer::sum));
         }
         TreeMap<String, Row> lines = new TreeMap<>();
         sums.forEach((k, n) -> lines.put(
-                String.format("%010d %s %d %b", Integer.MAX_VALUE - n, k.cause, k.classIndex, k.refused),
-                new Row(k.classIndex, k.refused, k.cause, n)));
+                String.format("%010d %s %d %b", Integer.MAX_VALUE - n, k.cause, k.classIndex, k.rejected),
+                new Row(k.classIndex, k.rejected, k.cause, n)));
         return List.copyOf(lines.values());
     }
 }
--- a/src/main/java/vetchpost/recorder/RequestTrace.java
+++ b/src/main/java/vetchpost/recorder/RequestTrace.java
@@ -9,8 +9,8 @@
 
 /** What is kept of one request. Times are microseconds of the loop's clock, lengths of time microseconds. */
 public final class RequestTrace {
-    private static final int MOST_ATTEMPTS = 8;
-    private static final int MOST_TARGET = 128;
+    private static final int MAX_RECORDED_ATTEMPTS = 8;
+    private static final int MAX_TARGET_LENGTH = 128;
 
     private final long id;
     private final int classIndex;
@@ -20,11 +20,11 @@
     private final long remainingUs;
     private final long eventLoopDelayUs;
     private final List<Attempt> attempts = new ArrayList<>(1);
-    private long offeredUs = -1;
-    private Candidate first;
-    private Candidate second;
+    private long admittedUs = -1;
+    private Candidate firstCandidate;
+    private Candidate secondCandidate;
     private Completion outcome;
-    private long toldUs;
+    private long completedUs;
     private long retryAfterUs;
     private String decisionReason;
 
@@ -46,52 +46,57 @@
         this.id = id;
         this.classIndex = classIndex;
         this.method = method;
-        this.target = target.length() <= MOST_TARGET ? target : target.substring(0, MOST_TARGET);
+        this.target = target.length() <= MAX_TARGET_LENGTH ? target : target.substring(0, MAX_TARGET_LENGTH);
         this.acceptedUs = takenUs;
         this.remainingUs = leftUs;
         this.eventLoopDelayUs = layUs;
     }
 
-    void offered(long nowUs) {
-        offeredUs = nowUs;
+    void setAdmitted(long nowUs) {
+        admittedUs = nowUs;
     }
 
-    void drew(Candidate one, Candidate other) {
-        first = one;
-        second = other;
+    void setCandidates(Candidate one, Candidate other) {
+        firstCandidate = one;
+        secondCandidate = other;
     }
 
-    void sent(long nowUs, String serverId, long untilUs) {
-        if (attempts.size() < MOST_ATTEMPTS) {
-            boolean drawn = first != null
-                    && (first.serverId().equals(serverId)
-                            || second != null && second.serverId().equals(serverId));
+    void addAttempt(long nowUs, String serverId, long untilUs) {
+        if (attempts.size() < MAX_RECORDED_ATTEMPTS) {
+            boolean drawn = firstCandidate != null
+                    && (firstCandidate.serverId().equals(serverId)
+                            || secondCandidate != null
+                                    && secondCandidate.serverId().equals(serverId));
             attempts.add(new Attempt(
                     serverId,
                     nowUs - acceptedUs,
                     untilUs - nowUs,
-                    !drawn ? null : second == null ? List.of(first) : List.of(first, second),
+                    !drawn
+                            ? null
+                            : secondCandidate == null
+                                    ? List.of(firstCandidate)
+                                    : List.of(firstCandidate, secondCandidate),
                     null,
                     -1));
         }
-        first = null;
-        second = null;
+        firstCandidate = null;
+        secondCandidate = null;
     }
 
-    void ended(int number, Result result, long tookUs) {
+    void endAttempt(int number, Result result, long tookUs) {
         if (number < attempts.size()) {
             Attempt a = attempts.get(number);
             attempts.set(number, new Attempt(a.serverId, a.startedAfterUs, a.timeoutUs, a.candidates, result, tookUs));
         }
     }
 
-    void because(String reason) {
+    void setReason(String reason) {
         decisionReason = reason;
     }
 
     void outcome(long nowUs, Completion what, long advisedUs) {
         outcome = what;
-        toldUs = nowUs;
+        completedUs = nowUs;
         retryAfterUs = advisedUs;
     }
 
@@ -127,7 +132,7 @@
 
     /** How long it stood at the node's door; 0 where there is none. */
     public long queuedUs() {
-        return offeredUs < 0 ? 0 : offeredUs - acceptedUs;
+        return admittedUs < 0 ? 0 : admittedUs - acceptedUs;
     }
 
     /** All its attempts, those that are still out too. */
@@ -142,7 +147,7 @@
 
     /** From its taking to its answer, or -1. */
     public long durationUs() {
-        return outcome == null ? -1 : toldUs - acceptedUs;
+        return outcome == null ? -1 : completedUs - acceptedUs;
     }
 
     /** When to come again, as its refusal said; 0 for nothing. */
@@ -155,7 +160,7 @@
         return decisionReason;
     }
 
-    boolean isOver() {
+    boolean isComplete() {
         return outcome != null && attempts.stream().noneMatch(a -> a.result == null);
     }
 }
--- a/src/main/java/vetchpost/recovery/AddressProber.java
+++ b/src/main/java/vetchpost/recovery/AddressProber.java
@@ -32,39 +32,39 @@
  */
 final class AddressProber {
     /** Connections at a time: few of the descriptors that are kept back. */
-    static final int AT_ONCE = 8;
+    static final int MAX_CONCURRENT_PROBES = 8;
     /** For a connection and an answer. */
-    private static final long WAIT_MS = 1_000;
+    private static final long PROBE_TIMEOUT_MS = 1_000;
     /** Tries of one box, each twice as long after the last: 4 s in all, then it is left to discovery. */
-    static final int TRIES = 4;
+    static final int MAX_ATTEMPTS = 4;
 
-    private static final long AGAIN_MS = 500;
-    private static final int MOST_ANSWER = 1_024;
-    private static final int MOST_LINE = 1_024;
+    private static final long RETRY_DELAY_MS = 500;
+    private static final int MAX_RESPONSE_BYTES = 1_024;
+    private static final int MAX_LINE_BYTES = 1_024;
 
     /** Who is there. */
-    enum Found {
+    enum Result {
         /** The box, by its own word, or at least somebody. */
-        HERE,
+        PRESENT,
         /** Somebody else. */
-        STRANGER,
+        OTHER_SERVER,
         /** Nobody, or nobody who says anything. */
-        NOBODY
+        UNREACHABLE
     }
 
     /** Hears of each box once. */
     interface Listener {
-        void found(Target target, Found found);
+        void onResult(Target target, Result found);
     }
 
     private final EventLoop loop;
     private final Network network;
     private final String path;
     private final Listener listener;
-    private final Deque<Knock> due = new ArrayDeque<>();
-    private final Set<Knock> out = new HashSet<>();
-    private int waiting;
-    private boolean over;
+    private final Deque<Probe> queue = new ArrayDeque<>();
+    private final Set<Probe> running = new HashSet<>();
+    private int awaitingRetry;
+    private boolean isClosed;
 
     /** @param path at which boxes tell their ids; null if they don't */
     AddressProber(EventLoop loop, Network network, String path, Listener listener) {
@@ -74,51 +74,51 @@
         this.listener = listener;
     }
 
-    void knock(Target target) {
-        due.add(new Knock(target));
-        goOn();
+    void probe(Target target) {
+        queue.add(new Probe(target));
+        startNext();
     }
 
     /** How many have not been found out about. */
-    int left() {
-        return due.size() + out.size() + waiting;
+    int remaining() {
+        return queue.size() + running.size() + awaitingRetry;
     }
 
     /** Asks nobody any more, and tells nothing. */
     void close() {
-        over = true;
-        due.clear();
-        Set.copyOf(out).forEach(k -> k.end(null));
+        isClosed = true;
+        queue.clear();
+        Set.copyOf(running).forEach(k -> k.finish(null));
     }
 
-    private void goOn() {
-        while (!over && out.size() < AT_ONCE && !due.isEmpty()) {
-            Knock next = due.poll();
-            out.add(next);
-            next.go();
+    private void startNext() {
+        while (!isClosed && running.size() < MAX_CONCURRENT_PROBES && !queue.isEmpty()) {
+            Probe next = queue.poll();
+            running.add(next);
+            next.start();
         }
     }
 
     /** One box, in one of its tries. */
-    private final class Knock {
+    private final class Probe {
         private final Target target;
-        private int tries;
+        private int attempts;
         private Channel channel;
-        private ScheduledFuture<?> limit;
-        private boolean ended;
+        private ScheduledFuture<?> timeout;
+        private boolean isFinished;
 
-        Knock(Target target) {
+        Probe(Target target) {
             this.target = target;
         }
 
-        void go() {
-            tries++;
-            ended = false;
-            limit = loop.schedule(() -> end(Found.NOBODY), WAIT_MS, TimeUnit.MILLISECONDS);
+        void start() {
+            attempts++;
+            isFinished = false;
+            timeout = loop.schedule(() -> finish(Result.UNREACHABLE), PROBE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             try {
                 channel = network.newClientChannel();
             } catch (ChannelException e) {
-                loop.execute(() -> end(Found.NOBODY));
+                loop.execute(() -> finish(Result.UNREACHABLE));
                 return;
             }
             Channel fresh = channel;
@@ -126,97 +126,97 @@
                     .group(loop)
                     .channelFactory(() -> fresh)
                     .disableResolver()
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) WAIT_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) PROBE_TIMEOUT_MS)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel to) {
                             to.pipeline()
                                     .addLast(
-                                            new HttpClientCodec(MOST_LINE, 4 * MOST_LINE, MOST_ANSWER),
-                                            new HttpObjectAggregator(MOST_ANSWER),
-                                            new Hearing(Knock.this));
+                                            new HttpClientCodec(MAX_LINE_BYTES, 4 * MAX_LINE_BYTES, MAX_RESPONSE_BYTES),
+                                            new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                            new ResponseHandler(Probe.this));
                         }
                     })
                     .connect(target.address())
                     .addListener(done -> {
                         if (!done.isSuccess()) {
-                            end(Found.NOBODY);
+                            finish(Result.UNREACHABLE);
                         } else if (path == null) {
-                            end(Found.HERE);
+                            finish(Result.PRESENT);
                         } else {
-                            ask();
+                            sendRequest();
                         }
                     });
         }
 
-        private void ask() {
+        private void sendRequest() {
             DefaultFullHttpRequest question = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
             question.headers().set(HttpHeaderNames.HOST, "backend.local");
             question.headers().set(HttpHeaderNames.CONNECTION, "close");
             channel.writeAndFlush(question);
         }
 
-        void heard(FullHttpResponse answer) {
+        void onResponse(FullHttpResponse answer) {
             boolean is = answer.decoderResult().isSuccess()
                     && answer.status().equals(HttpResponseStatus.OK)
                     && answer.content().toString(StandardCharsets.UTF_8).strip().equals(target.id());
-            end(is ? Found.HERE : Found.STRANGER);
+            finish(is ? Result.PRESENT : Result.OTHER_SERVER);
         }
 
-        void end(Found found) {
-            if (ended) {
+        void finish(Result found) {
+            if (isFinished) {
                 return;
             }
-            ended = true;
-            limit.cancel(false);
-            out.remove(this);
+            isFinished = true;
+            timeout.cancel(false);
+            running.remove(this);
             if (channel != null) {
                 channel.close();
             }
-            if (over) {
+            if (isClosed) {
                 return;
             }
-            if (found == Found.NOBODY && tries < TRIES) {
-                waiting++;
+            if (found == Result.UNREACHABLE && attempts < MAX_ATTEMPTS) {
+                awaitingRetry++;
                 loop.schedule(
                         () -> {
-                            waiting--;
-                            if (!over) {
-                                due.add(this);
-                                goOn();
+                            awaitingRetry--;
+                            if (!isClosed) {
+                                queue.add(this);
+                                startNext();
                             }
                         },
-                        AGAIN_MS << tries - 1,
+                        RETRY_DELAY_MS << attempts - 1,
                         TimeUnit.MILLISECONDS);
             } else {
-                listener.found(target, found);
+                listener.onResult(target, found);
             }
-            goOn();
+            startNext();
         }
     }
 
     /** What comes back. */
-    private static final class Hearing extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final Knock knock;
+    private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private final Probe probe;
 
-        Hearing(Knock knock) {
-            this.knock = knock;
+        ResponseHandler(Probe knock) {
+            this.probe = knock;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            knock.heard(answer);
+            probe.onResponse(answer);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            knock.end(Found.NOBODY);
+            probe.finish(Result.UNREACHABLE);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // It speaks, but not as a box does.
-            knock.end(Found.STRANGER);
+            probe.finish(Result.OTHER_SERVER);
         }
     }
 }
--- a/src/main/java/vetchpost/recovery/Recovery.java
+++ b/src/main/java/vetchpost/recovery/Recovery.java
@@ -53,9 +53,9 @@
     private static final Logger LOG = System.getLogger(Recovery.class.getName());
 
     /** Boxes gone through in one turn of the loop. */
-    private static final int A_TURN = 500;
+    private static final int SERVERS_PER_TURN = 500;
     /** The last snapshot may take so long to reach the disk. */
-    private static final long STOP_MS = 1_000;
+    private static final long STOP_TIMEOUT_MS = 1_000;
 
     private final RecoverySettings settings;
     private final List<String> classNames;
@@ -66,31 +66,31 @@
     private final SecureRandom random;
     private final SnapshotKeeper keeper;
     private final Executor writer;
-    private final Snapshot old;
-    private final ServerObservations sightings;
-    private final AddressProber knocker;
+    private final Snapshot storedSnapshot;
+    private final ServerObservations observations;
+    private final AddressProber prober;
     /** Boxes of the snapshot that are sent to without having said who they are. */
-    private final Set<String> unsure = new HashSet<>();
+    private final Set<String> unconfirmed = new HashSet<>();
     /** Boxes that are asked before anything is sent to them. */
-    private final Map<String, ServerRecord> asked = new HashMap<>();
+    private final Map<String, ServerRecord> probed = new HashMap<>();
 
-    private final List<Target> toKnock = new ArrayList<>();
+    private final List<Target> toProbe = new ArrayList<>();
     private long listRevision = Long.MIN_VALUE;
-    private int recalled;
-    private int given;
-    private int gone;
+    private int restoredCount;
+    private int handedOverCount;
+    private int droppedCount;
     private Dispatcher dispatcher;
-    private EventLoopDelay stall;
+    private EventLoopDelay loopDelay;
     private Clock clock;
     private long startedMs;
     private Clock.Timer nextWrite;
-    private boolean writing;
-    private boolean failing;
-    private HandoverSender giver;
-    private Runnable callOff = () -> {};
-    private boolean prepared;
-    private Runnable whenPrepared;
-    private boolean closed;
+    private boolean isWriting;
+    private boolean isWriteFailing;
+    private HandoverSender sender;
+    private Runnable cancelHandover = () -> {};
+    private boolean isPrepared;
+    private Runnable onPrepared;
+    private boolean isClosed;
 
     /**
      * Not begun.
@@ -115,14 +115,14 @@
         this.loop = loop;
         this.group = group;
         this.network = network;
-        this.old = old;
+        this.storedSnapshot = old;
         this.secret = secret;
         this.random = random;
         this.keeper = keeper;
         this.writer = writer;
         classNames = platform.classes.stream().map(c -> c.name()).toList();
-        sightings = new ServerObservations(platform.classes);
-        knocker = new AddressProber(loop, network, settings.identityPath(), this::found);
+        observations = new ServerObservations(platform.classes);
+        prober = new AddressProber(loop, network, settings.identityPath(), this::onProbeResult);
     }
 
     // ---------------------------------------------------------------- the start
@@ -132,27 +132,27 @@
         long nowMs = nowUs / 1_000;
         startedMs = nowMs;
         listRevision = known.targets().isEmpty() ? Long.MIN_VALUE : known.revision();
-        Map<Target, Double> use = weigh(old, known, nowMs);
-        if (old != null) {
-            long ageS = (nowMs - old.origin().takenMs()) / 1_000;
+        Map<Target, Double> use = restoreServers(storedSnapshot, known, nowMs);
+        if (storedSnapshot != null) {
+            long ageS = (nowMs - storedSnapshot.origin().takenMs()) / 1_000;
             LOG.log(
                     Level.INFO,
                     "a snapshot of {0} s ago: {1} boxes used at once, {2} asked first, " + "{3} left out",
                     ageS,
                     use.size(),
-                    asked.size(),
-                    gone);
+                    probed.size(),
+                    droppedCount);
         }
-        recalled = use.size();
+        restoredCount = use.size();
         List<Target> targets = new ArrayList<>(known.targets());
         targets.addAll(use.keySet());
         return new ServerList(known.revision(), true, targets);
     }
 
     /** Takes up what a snapshot says of who is there; what may be used of it at once. */
-    private Map<Target, Double> weigh(Snapshot snapshot, ServerList known, long nowMs) {
+    private Map<Target, Double> restoreServers(Snapshot snapshot, ServerList known, long nowMs) {
         RestoredState recollection = RestoredState.of(snapshot, known, nowMs, settings.rules());
-        gone += recollection.dropped();
+        droppedCount += recollection.dropped();
         if (snapshot == null) {
             return recollection.usable();
         }
@@ -160,14 +160,14 @@
         snapshot.servers().forEach(b -> states.put(b.target().id(), b));
         recollection.usable().keySet().forEach(t -> {
             ServerRecord state = states.get(t.id());
-            sightings.saw(t.id(), state.confirmedMs(), state.confirmedBy());
-            unsure.add(t.id());
-            toKnock.add(t);
+            observations.observe(t.id(), state.confirmedMs(), state.confirmedBy());
+            unconfirmed.add(t.id());
+            toProbe.add(t);
         });
         recollection.toProbe().forEach(t -> {
-            if (asked.putIfAbsent(t.id(), states.get(t.id())) == null) {
-                sightings.remember(states.get(t.id()));
-                toKnock.add(t);
+            if (probed.putIfAbsent(t.id(), states.get(t.id())) == null) {
+                observations.rememberUnused(states.get(t.id()));
+                toProbe.add(t);
             }
         });
         return recollection.usable();
@@ -176,26 +176,26 @@
     @Override
     public void afterStart(Dispatcher of, EventLoopDelay loopStall, Clock nodeClock) {
         dispatcher = of;
-        stall = loopStall;
+        loopDelay = loopStall;
         clock = nodeClock;
         long nowMs = nowMs();
-        if (old != null) {
-            recall(old, "the snapshot");
-            knock();
+        if (storedSnapshot != null) {
+            restoreStatistics(storedSnapshot, "the snapshot");
+            startProbes();
         }
         if (keeper != null) {
             scheduleWrite();
         }
         if (secret != null && settings.listenAddress() != null) {
-            giver = new HandoverSender(loop, network, secret, random, this::pieces);
-            giver.listen(group, settings.listenAddress());
+            sender = new HandoverSender(loop, network, secret, random, this::handoverChunks);
+            sender.listen(group, settings.listenAddress());
         }
         if (secret != null && !settings.peers().isEmpty()) {
             Deque<InetSocketAddress> left = new ArrayDeque<>(settings.peers());
-            askNext(left, nowMs + settings.handoverTimeoutMs());
-            clock.schedule(clock.nowUs() + 1_000 * settings.startWaitMs(), this::prepared);
+            requestNextHandover(left, nowMs + settings.handoverTimeoutMs());
+            clock.schedule(clock.nowUs() + 1_000 * settings.startWaitMs(), this::markPrepared);
         } else {
-            prepared();
+            markPrepared();
         }
     }
 
@@ -203,13 +203,13 @@
         return clock.nowUs() / 1_000;
     }
 
-    private void knock() {
-        toKnock.forEach(knocker::knock);
-        toKnock.clear();
+    private void startProbes() {
+        toProbe.forEach(prober::probe);
+        toProbe.clear();
     }
 
     /** Has the module begin with what a snapshot knows, as far as it is believed. */
-    private void recall(Snapshot snapshot, String what) {
+    private void restoreStatistics(Snapshot snapshot, String what) {
         long nowMs = nowMs();
         Set<SelfFault> doubts = SelfFaultDetector.inSnapshot(snapshot, nowMs);
         if (!doubts.isEmpty()) {
@@ -218,12 +218,13 @@
                     "{0} is not believed in how its boxes are: {1}",
                     what,
                     String.join(
-                            ", ", doubts.stream().map(SelfFault::words).sorted().toList()));
+                            ", ",
+                            doubts.stream().map(SelfFault::description).sorted().toList()));
         }
         Map<String, Double> trust = new HashMap<>();
         for (ServerRecord box : snapshot.servers()) {
             // One that discovery or its own word has named since is no less sure than any.
-            if (unsure.contains(box.target().id())) {
+            if (unconfirmed.contains(box.target().id())) {
                 trust.put(box.target().id(), RestoredState.confidence(box, nowMs, settings.rules()));
             }
         }
@@ -232,32 +233,32 @@
 
     @Override
     public void runWhenPrepared(Runnable ready) {
-        whenPrepared = ready;
-        if (prepared) {
+        onPrepared = ready;
+        if (isPrepared) {
             ready.run();
         }
     }
 
-    private void prepared() {
-        if (!prepared) {
-            prepared = true;
-            if (whenPrepared != null) {
-                whenPrepared.run();
+    private void markPrepared() {
+        if (!isPrepared) {
+            isPrepared = true;
+            if (onPrepared != null) {
+                onPrepared.run();
             }
         }
     }
 
     // ---------------------------------------------------------------- from a node that runs
 
-    private void askNext(Deque<InetSocketAddress> left, long untilMs) {
+    private void requestNextHandover(Deque<InetSocketAddress> left, long untilMs) {
         InetSocketAddress address = left.poll();
-        if (address == null || nowMs() >= untilMs || closed) {
-            prepared();
+        if (address == null || nowMs() >= untilMs || isClosed) {
+            markPrepared();
             return;
         }
-        callOff = new HandoverReceiver(loop, network, secret, random)
+        cancelHandover = new HandoverReceiver(loop, network, secret, random)
                 .request(address, untilMs - nowMs(), (snapshot, whole, why) -> {
-                    if (closed) {
+                    if (isClosed) {
                         return;
                     }
                     if (why != null) {
@@ -270,61 +271,61 @@
                     }
                     boolean healthy = false;
                     if (snapshot != null) {
-                        taken(snapshot, address);
+                        onHandover(snapshot, address);
                         healthy = whole
                                 && SelfFaultDetector.inSnapshot(snapshot, nowMs())
                                         .isEmpty();
                     }
                     if (healthy) {
-                        prepared();
+                        markPrepared();
                     } else {
-                        askNext(left, untilMs);
+                        requestNextHandover(left, untilMs);
                     }
                 });
     }
 
-    private void taken(Snapshot snapshot, InetSocketAddress from) {
-        given += snapshot.servers().size();
+    private void onHandover(Snapshot snapshot, InetSocketAddress from) {
+        handedOverCount += snapshot.servers().size();
         LOG.log(
                 Level.INFO,
                 "{0} boxes are handed over from {1}",
                 snapshot.servers().size(),
                 from);
-        if (!sightings.hasList()) {
+        if (!observations.hasList()) {
             Map<Target, Double> use =
-                    weigh(snapshot, new ServerList(listRevision, true, dispatcher.knownServers()), nowMs());
-            knock();
-            recalled += use.size();
-            tell(List.copyOf(use.keySet()));
+                    restoreServers(snapshot, new ServerList(listRevision, true, dispatcher.knownServers()), nowMs());
+            startProbes();
+            restoredCount += use.size();
+            updateServers(List.copyOf(use.keySet()));
         }
-        recall(snapshot, "the node at " + from);
+        restoreStatistics(snapshot, "the node at " + from);
     }
 
     // ---------------------------------------------------------------- who is there
 
-    private void found(Target target, AddressProber.Found found) {
-        boolean used = unsure.remove(target.id());
-        ServerRecord before = asked.remove(target.id());
+    private void onProbeResult(Target target, AddressProber.Result found) {
+        boolean used = unconfirmed.remove(target.id());
+        ServerRecord before = probed.remove(target.id());
         switch (found) {
-            case HERE -> {
+            case PRESENT -> {
                 if (settings.identityPath() != null) {
-                    sightings.saw(target.id(), nowMs(), ConfirmationSource.IDENTITY);
+                    observations.observe(target.id(), nowMs(), ConfirmationSource.IDENTITY);
                 }
                 if (before != null) {
-                    recalled++;
-                    sightings.forgetUnused(target.id());
-                    tell(List.of(target));
+                    restoredCount++;
+                    observations.forgetUnused(target.id());
+                    updateServers(List.of(target));
                     dispatcher.restore(PriorStatistics.ofUnconfirmed(
                             before, classNames.size(), RestoredState.confidence(before, nowMs(), settings.rules())));
                 }
             }
-            case STRANGER -> {
-                sightings.forget(target.id());
+            case OTHER_SERVER -> {
+                observations.forget(target.id());
                 giveUp(target, used, "somebody else is at its address");
             }
             default -> {
                 // Were most taken away, the fault would more likely be here than there.
-                if (2 * (gone + 1) < recalled) {
+                if (2 * (droppedCount + 1) < restoredCount) {
                     giveUp(target, used, "nobody is at its address");
                 }
             }
@@ -333,9 +334,9 @@
 
     private void giveUp(Target target, boolean used, String why) {
         if (used) {
-            gone++;
+            droppedCount++;
             LOG.log(Level.INFO, "box {0} is given up: {1}", target.id(), why);
-            tell(List.of(new Target(
+            updateServers(List.of(new Target(
                     target.id(),
                     target.address(),
                     target.zone(),
@@ -346,7 +347,7 @@
         }
     }
 
-    private void tell(List<Target> changes) {
+    private void updateServers(List<Target> changes) {
         if (!changes.isEmpty()) {
             dispatcher.onList(new ServerList(0, false, changes));
         }
@@ -356,31 +357,31 @@
 
     @Override
     public void onDiscoveryContact() {
-        sightings.heard(nowMs());
+        observations.onContact(nowMs());
     }
 
     @Override
     public void onServerList(ServerList list) {
         if (list.isFull()) {
-            if (!sightings.hasList()) {
-                knocker.close();
-                unsure.clear();
-                asked.clear();
+            if (!observations.hasList()) {
+                prober.close();
+                unconfirmed.clear();
+                probed.clear();
                 LOG.log(
                         Level.INFO,
                         "discovery''s list is here: {0} boxes",
                         list.targets().size());
             }
-            sightings.listed(nowMs(), list.revision());
+            observations.onFullList(nowMs(), list.revision());
         } else {
-            sightings.revision(list.revision());
+            observations.setRevision(list.revision());
             list.targets().forEach(t -> {
                 // Its word on one box counts, though the rest is still from before.
-                unsure.remove(t.id());
-                asked.remove(t.id());
-                sightings.forget(t.id());
+                unconfirmed.remove(t.id());
+                probed.remove(t.id());
+                observations.forget(t.id());
                 if (t.state() != ServerState.GONE) {
-                    sightings.saw(t.id(), nowMs(), ConfirmationSource.LIST);
+                    observations.observe(t.id(), nowMs(), ConfirmationSource.LIST);
                 }
             });
         }
@@ -388,48 +389,48 @@
 
     @Override
     public String readinessDetail() {
-        if (sightings.hasList()) {
+        if (observations.hasList()) {
             return "discovery's list";
         }
-        return "discovery is silent; " + recalled + " boxes of a snapshot, " + gone + " given up, " + knocker.left()
-                + " being asked, " + given + " from other nodes";
+        return "discovery is silent; " + restoredCount + " boxes of a snapshot, " + droppedCount + " given up, "
+                + prober.remaining() + " being asked, " + handedOverCount + " from other nodes";
     }
 
     // ---------------------------------------------------------------- what is kept
 
     private void scheduleWrite() {
         nextWrite = clock.schedule(clock.nowUs() + 1_000 * settings.snapshotIntervalMs(), () -> {
-            if (!writing) {
+            if (!isWriting) {
                 collect(false, () -> {});
             }
             scheduleWrite();
         });
     }
 
-    private Set<SelfFault> troubles(ServerStatistics knowledge) {
-        return SelfFaultDetector.inOwnStatistics(knowledge, stall.currentUs(), nowMs() - startedMs);
+    private Set<SelfFault> selfFaults(ServerStatistics knowledge) {
+        return SelfFaultDetector.inOwnStatistics(knowledge, loopDelay.currentUs(), nowMs() - startedMs);
     }
 
     /** For a handover: piece by piece, each as things are when it is made. */
-    private Iterator<byte[]> pieces() {
+    private Iterator<byte[]> handoverChunks() {
         ServerStatistics knowledge = dispatcher.statistics(List.of());
-        return ServerObservations.pieces(
-                sightings.new Cursor(dispatcher, this::nowMs, ChunkCodec.SERVERS_PER_CHUNK),
+        return ServerObservations.chunks(
+                observations.new Cursor(dispatcher, this::nowMs, ChunkCodec.SERVERS_PER_CHUNK),
                 origin(knowledge),
-                sightings.classes(knowledge));
+                observations.classes(knowledge));
     }
 
     private SnapshotOrigin origin(ServerStatistics knowledge) {
-        return sightings.origin(random.nextLong(), nowMs(), startedMs, troubles(knowledge));
+        return observations.origin(random.nextLong(), nowMs(), startedMs, selfFaults(knowledge));
     }
 
     /** Goes through all boxes, a part in each turn or all at once, and has the snapshot written. */
     private void collect(boolean atOnce, Runnable done) {
-        writing = true;
+        isWriting = true;
         ServerStatistics knowledge = dispatcher.statistics(List.of());
         SnapshotOrigin origin = origin(knowledge);
-        List<ClassState> classes = sightings.classes(knowledge);
-        ServerObservations.Cursor cursor = sightings.new Cursor(dispatcher, this::nowMs, A_TURN);
+        List<ClassState> classes = observations.classes(knowledge);
+        ServerObservations.Cursor cursor = observations.new Cursor(dispatcher, this::nowMs, SERVERS_PER_TURN);
         collect(cursor, new ArrayList<>(), atOnce, boxes -> write(origin, classes, boxes, done));
     }
 
@@ -451,7 +452,7 @@
     private void write(SnapshotOrigin origin, List<ClassState> classes, List<ServerRecord> boxes, Runnable done) {
         if (boxes.isEmpty()) {
             // Nobody was seen: what was kept before says more.
-            writing = false;
+            isWriting = false;
             done.run();
             return;
         }
@@ -465,8 +466,8 @@
             String why = failure;
             try {
                 loop.execute(() -> {
-                    writing = false;
-                    wrote(why);
+                    isWriting = false;
+                    onWritten(why);
                     done.run();
                 });
             } catch (RejectedExecutionException e) {
@@ -493,21 +494,21 @@
     }
 
     /** Says it once when it begins to fail, and once when it works again. */
-    private void wrote(String failure) {
-        if (failure != null && !failing) {
+    private void onWritten(String failure) {
+        if (failure != null && !isWriteFailing) {
             LOG.log(Level.WARNING, "what the node knows can''t be kept: {0}", failure);
-        } else if (failure == null && failing) {
+        } else if (failure == null && isWriteFailing) {
             LOG.log(Level.INFO, "what the node knows is kept again");
         }
-        failing = failure != null;
+        isWriteFailing = failure != null;
     }
 
     @Override
     public void stop(Runnable done) {
-        callOff.run();
-        knocker.close();
-        if (giver != null) {
-            giver.close();
+        cancelHandover.run();
+        prober.close();
+        if (sender != null) {
+            sender.close();
         }
         if (keeper == null) {
             done.run();
@@ -522,8 +523,8 @@
             }
         };
         // A disk that doesn't answer must not keep a node that has been told to stop.
-        clock.schedule(clock.nowUs() + 1_000 * STOP_MS, once);
-        if (writing) {
+        clock.schedule(clock.nowUs() + 1_000 * STOP_TIMEOUT_MS, once);
+        if (isWriting) {
             once.run();
         } else {
             collect(true, once);
@@ -532,14 +533,14 @@
 
     @Override
     public void close() {
-        closed = true;
+        isClosed = true;
         if (nextWrite != null) {
             nextWrite.cancel();
         }
-        callOff.run();
-        knocker.close();
-        if (giver != null) {
-            giver.close();
+        cancelHandover.run();
+        prober.close();
+        if (sender != null) {
+            sender.close();
         }
     }
 }
--- a/src/main/java/vetchpost/recovery/RecoveryValidator.java
+++ b/src/main/java/vetchpost/recovery/RecoveryValidator.java
@@ -18,13 +18,13 @@
 
 /** Reads the tables of an operator's file that speak of state and handovers. It does no I/O. */
 public final class RecoveryValidator {
-    private static final List<String> STATE = List.of("file", "every", "box-life", "address-kept", "identify");
-    private static final List<String> HANDOVER = List.of("listen", "ask", "secret-file", "wait", "within");
+    private static final List<String> STATE_KEYS = List.of("file", "every", "box-life", "address-kept", "identify");
+    private static final List<String> HANDOVER_KEYS = List.of("listen", "ask", "secret-file", "wait", "within");
     private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(ms|s|m|h|d)");
     private static final Pattern PATH = Pattern.compile("/[\\x21-\\x7E]{0,255}");
-    private static final int MOST_ASKED = 16;
-    private static final long SECOND = 1_000;
-    private static final long DAY = 86_400 * SECOND;
+    private static final int MAX_PEERS = 16;
+    private static final long SECOND_MS = 1_000;
+    private static final long DAY_MS = 86_400 * SECOND_MS;
 
     private final List<Violation> violations = new ArrayList<>();
 
@@ -52,19 +52,19 @@
         if (state == null && handover == null) {
             return new Validation(null, List.of());
         }
-        known(state, STATE);
-        known(handover, HANDOVER);
+        rejectUnknownKeys(state, STATE_KEYS);
+        rejectUnknownKeys(handover, HANDOVER_KEYS);
         if (state != null && !state.entries().containsKey("file")) {
-            violated(state.at(), "state", Rule.OUT_OF_RANGE, "it does not say file", "file = \"...\"");
+            addViolation(state.position(), "state", Rule.OUT_OF_RANGE, "it does not say file", "file = \"...\"");
         }
         Path kept = path(state, "file");
-        long every = duration(state, "every", 5 * SECOND, SECOND, 600 * SECOND);
-        long life = duration(state, "box-life", DAY, 60 * SECOND, 365 * DAY);
-        long keptAt = duration(state, "address-kept", 30 * SECOND, 0, 7 * DAY);
+        long every = duration(state, "every", 5 * SECOND_MS, SECOND_MS, 600 * SECOND_MS);
+        long life = duration(state, "box-life", DAY_MS, 60 * SECOND_MS, 365 * DAY_MS);
+        long keptAt = duration(state, "address-kept", 30 * SECOND_MS, 0, 7 * DAY_MS);
         String identify = text(state, "identify");
         if (identify != null && !PATH.matcher(identify).matches()) {
-            violated(
-                    state.entries().get("identify").at(),
+            addViolation(
+                    state.entries().get("identify").position(),
                     "state",
                     Rule.BAD_PATTERN,
                     "identify = \"" + identify + "\" is no path",
@@ -74,27 +74,27 @@
                 handover, "listen", handover == null ? null : handover.entries().get("listen"));
         List<InetSocketAddress> ask = addresses(handover);
         Path secret = path(handover, "secret-file");
-        long wait = duration(handover, "wait", 300, 0, 5 * SECOND);
-        long within = duration(handover, "within", 2 * SECOND, 100, 30 * SECOND);
+        long wait = duration(handover, "wait", 300, 0, 5 * SECOND_MS);
+        long within = duration(handover, "within", 2 * SECOND_MS, 100, 30 * SECOND_MS);
         if (handover != null) {
             if (give == null && ask.isEmpty() && violations.isEmpty()) {
-                violated(
-                        handover.at(),
+                addViolation(
+                        handover.position(),
                         "handover",
                         Rule.OUT_OF_RANGE,
                         "it says neither listen nor ask",
                         "either or both");
             }
             if (!handover.entries().containsKey("secret-file")) {
-                violated(
-                        handover.at(),
+                addViolation(
+                        handover.position(),
                         "handover",
                         Rule.OUT_OF_RANGE,
                         "it does not say secret-file: a false snapshot could steer all traffic",
                         "secret-file = \"...\"");
             }
             if (wait > within) {
-                violated(handover.at(), "handover", Rule.SCHEDULE, "wait is over within", "wait = \"300ms\"");
+                addViolation(handover.position(), "handover", Rule.SCHEDULE, "wait is over within", "wait = \"300ms\"");
             }
         }
         return new Validation(
@@ -113,16 +113,16 @@
                 List.copyOf(violations));
     }
 
-    private void violated(Position at, String table, Rule rule, String what, String fits) {
+    private void addViolation(Position at, String table, Rule rule, String what, String fits) {
         violations.add(new Violation(at, table, rule, what, fits));
     }
 
-    private void known(Section section, List<String> keys) {
+    private void rejectUnknownKeys(Section section, List<String> keys) {
         if (section != null) {
             section.entries().forEach((key, entry) -> {
                 if (!keys.contains(key)) {
-                    violated(
-                            entry.at(),
+                    addViolation(
+                            entry.position(),
                             section.name(),
                             Rule.UNKNOWN_KEY,
                             "unknown key '" + key + "'",
@@ -140,7 +140,7 @@
         if (entry.value() instanceof String text && !text.isEmpty()) {
             return text;
         }
-        violated(entry.at(), section.name(), Rule.WRONG_UNIT, key + " is no text", "\"...\"");
+        addViolation(entry.position(), section.name(), Rule.WRONG_UNIT, key + " is no text", "\"...\"");
         return null;
     }
 
@@ -149,8 +149,8 @@
         try {
             return text == null ? null : Path.of(text);
         } catch (InvalidPathException e) {
-            violated(
-                    section.entries().get(key).at(),
+            addViolation(
+                    section.entries().get(key).position(),
                     section.name(),
                     Rule.OUT_OF_RANGE,
                     key + " is no path",
@@ -164,10 +164,10 @@
         if (text == null) {
             return usual;
         }
-        Position at = section.entries().get(key).at();
+        Position at = section.entries().get(key).position();
         Matcher m = DURATION.matcher(text);
         if (!m.matches()) {
-            violated(
+            addViolation(
                     at,
                     section.name(),
                     Rule.WRONG_UNIT,
@@ -178,18 +178,18 @@
         double ms = Double.parseDouble(m.group(1))
                 * switch (m.group(2)) {
                     case "ms" -> 1;
-                    case "s" -> SECOND;
-                    case "m" -> 60 * SECOND;
-                    case "h" -> 3_600 * SECOND;
-                    default -> DAY;
+                    case "s" -> SECOND_MS;
+                    case "m" -> 60 * SECOND_MS;
+                    case "h" -> 3_600 * SECOND_MS;
+                    default -> DAY_MS;
                 };
         if (ms < least || ms > most) {
-            violated(
+            addViolation(
                     at,
                     section.name(),
                     Rule.OUT_OF_RANGE,
                     key + " = \"" + text + "\"",
-                    "from " + least + "ms to " + most / SECOND + "s");
+                    "from " + least + "ms to " + most / SECOND_MS + "s");
             return usual;
         }
         return (long) ms;
@@ -199,7 +199,7 @@
         if (entry == null) {
             return null;
         }
-        return address(section, key, entry.value(), entry.at());
+        return address(section, key, entry.value(), entry.position());
     }
 
     private InetSocketAddress address(Section section, String key, Object value, Position at) {
@@ -208,10 +208,10 @@
                 return ServerListParser.address(text);
             }
         } catch (IllegalArgumentException e) {
-            violated(at, section.name(), Rule.WRONG_UNIT, key + ": " + e.getMessage(), "\"10.0.0.1:8450\"");
+            addViolation(at, section.name(), Rule.WRONG_UNIT, key + ": " + e.getMessage(), "\"10.0.0.1:8450\"");
             return null;
         }
-        violated(at, section.name(), Rule.WRONG_UNIT, key + " is no address", "\"10.0.0.1:8450\"");
+        addViolation(at, section.name(), Rule.WRONG_UNIT, key + " is no address", "\"10.0.0.1:8450\"");
         return null;
     }
 
@@ -221,17 +221,17 @@
         if (entry == null) {
             return addresses;
         }
-        if (!(entry.value() instanceof List<?> list) || list.size() > MOST_ASKED) {
-            violated(
-                    entry.at(),
+        if (!(entry.value() instanceof List<?> list) || list.size() > MAX_PEERS) {
+            addViolation(
+                    entry.position(),
                     "handover",
                     Rule.WRONG_UNIT,
-                    "ask is no list of up to " + MOST_ASKED + " addresses",
+                    "ask is no list of up to " + MAX_PEERS + " addresses",
                     "[\"10.0.0.1:8450\"]");
             return addresses;
         }
         for (Object value : list) {
-            InetSocketAddress address = address(section, "ask", value, entry.at());
+            InetSocketAddress address = address(section, "ask", value, entry.position());
             if (address != null) {
                 addresses.add(address);
             }
--- a/src/main/java/vetchpost/recovery/ServerObservations.java
+++ b/src/main/java/vetchpost/recovery/ServerObservations.java
@@ -26,14 +26,14 @@
  * knows, a part at a time.
  */
 final class ServerObservations {
-    private record Sighting(long ms, ConfirmationSource by) {}
+    private record Observation(long confirmedMs, ConfirmationSource source) {}
 
     private final List<RequestClass> classes;
-    private final Map<String, Sighting> byId = new HashMap<>();
+    private final Map<String, Observation> byId = new HashMap<>();
     /** Boxes of an old snapshot that are neither in use nor given up. */
-    private final Map<String, ServerRecord> remembered = new LinkedHashMap<>();
+    private final Map<String, ServerRecord> recordsNotInUse = new LinkedHashMap<>();
     /** When discovery last said something; its list holds as of then. 0 until it has told one. */
-    private long listedMs;
+    private long listConfirmedMs;
 
     private long revision;
 
@@ -41,98 +41,98 @@
         this.classes = classes;
     }
 
-    void saw(String id, long ms, ConfirmationSource by) {
-        Sighting before = byId.get(id);
-        if (before == null || before.ms <= ms) {
-            byId.put(id, new Sighting(ms, by));
+    void observe(String id, long ms, ConfirmationSource by) {
+        Observation before = byId.get(id);
+        if (before == null || before.confirmedMs <= ms) {
+            byId.put(id, new Observation(ms, by));
         }
     }
 
     /** A box is known from before and not in use. */
-    void remember(ServerRecord box) {
-        remembered.put(box.target().id(), box);
+    void rememberUnused(ServerRecord box) {
+        recordsNotInUse.put(box.target().id(), box);
     }
 
     /** A box that was known from before is in use now. */
     void forgetUnused(String id) {
-        remembered.remove(id);
+        recordsNotInUse.remove(id);
     }
 
     void forget(String id) {
-        remembered.remove(id);
+        recordsNotInUse.remove(id);
         byId.remove(id);
     }
 
     /** Discovery has told a whole list: nothing else counts any more. */
-    void listed(long nowMs, long listRevision) {
-        remembered.clear();
+    void onFullList(long nowMs, long listRevision) {
+        recordsNotInUse.clear();
         byId.clear();
-        listedMs = nowMs;
+        listConfirmedMs = nowMs;
         revision = listRevision;
     }
 
     /** Discovery has said something, or one more change. */
-    void heard(long nowMs) {
-        listedMs = listedMs == 0 ? 0 : nowMs;
+    void onContact(long nowMs) {
+        listConfirmedMs = listConfirmedMs == 0 ? 0 : nowMs;
     }
 
-    void revision(long listRevision) {
+    void setRevision(long listRevision) {
         revision = listRevision;
     }
 
     boolean hasList() {
-        return listedMs > 0;
+        return listConfirmedMs > 0;
     }
 
     /** Goes through all that is known, so many boxes at a time. */
     final class Cursor implements Iterator<List<ServerRecord>> {
         private final Dispatcher dispatcher;
         private final List<Target> targets;
-        private final List<ServerRecord> others;
+        private final List<ServerRecord> unusedRecords;
         private final LongSupplier nowMs;
-        private final int most;
-        private int at;
-        private boolean begun;
+        private final int batchSize;
+        private int position;
+        private boolean hasStarted;
 
         Cursor(Dispatcher dispatcher, LongSupplier nowMs, int most) {
             this.dispatcher = dispatcher;
             this.nowMs = nowMs;
-            this.most = most;
+            this.batchSize = most;
             targets = dispatcher.knownServers();
-            Map<String, ServerRecord> unused = new LinkedHashMap<>(remembered);
+            Map<String, ServerRecord> unused = new LinkedHashMap<>(recordsNotInUse);
             targets.forEach(t -> unused.remove(t.id()));
-            others = new ArrayList<>(unused.values());
+            unusedRecords = new ArrayList<>(unused.values());
         }
 
         /** Boxes at most. */
         int size() {
-            return targets.size() + others.size();
+            return targets.size() + unusedRecords.size();
         }
 
         @Override
         public boolean hasNext() {
-            return !begun || at < size();
+            return !hasStarted || position < size();
         }
 
         @Override
         public List<ServerRecord> next() {
-            begun = true;
-            int end = Math.min(size(), at + most);
+            hasStarted = true;
+            int end = Math.min(size(), position + batchSize);
             List<String> ids = new ArrayList<>();
-            for (int i = at; i < Math.min(end, targets.size()); i++) {
+            for (int i = position; i < Math.min(end, targets.size()); i++) {
                 ids.add(targets.get(i).id());
             }
             Map<String, PerServer> known = new HashMap<>();
             dispatcher.statistics(ids).servers().forEach(s -> known.put(s.id(), s));
             long now = nowMs.getAsLong();
             List<ServerRecord> boxes = new ArrayList<>();
-            for (; at < end; at++) {
-                if (at >= targets.size()) {
-                    boxes.add(others.get(at - targets.size()));
+            for (; position < end; position++) {
+                if (position >= targets.size()) {
+                    boxes.add(unusedRecords.get(position - targets.size()));
                     continue;
                 }
-                ServerRecord box =
-                        state(targets.get(at), known.get(targets.get(at).id()), now);
+                ServerRecord box = toRecord(
+                        targets.get(position), known.get(targets.get(position).id()), now);
                 if (box != null) {
                     boxes.add(box);
                 }
@@ -142,12 +142,12 @@
     }
 
     /** One box; null if it was never known to be there: a list of unknown age is no such word. */
-    private ServerRecord state(Target target, PerServer known, long nowMs) {
-        Sighting seen = byId.get(target.id());
-        long ms = seen == null ? 0 : seen.ms;
-        ConfirmationSource by = seen == null ? ConfirmationSource.LIST : seen.by;
-        if (listedMs >= ms && listedMs > 0) {
-            ms = listedMs;
+    private ServerRecord toRecord(Target target, PerServer known, long nowMs) {
+        Observation seen = byId.get(target.id());
+        long ms = seen == null ? 0 : seen.confirmedMs;
+        ConfirmationSource by = seen == null ? ConfirmationSource.LIST : seen.source;
+        if (listConfirmedMs >= ms && listConfirmedMs > 0) {
+            ms = listConfirmedMs;
             by = ConfirmationSource.LIST;
         }
         if (known != null && known.lastServedAtUs() / 1_000 > ms) {
@@ -172,7 +172,7 @@
     }
 
     /** The pieces, made as they are asked for. */
-    static Iterator<byte[]> pieces(Cursor cursor, SnapshotOrigin origin, List<ClassState> classes) {
+    static Iterator<byte[]> chunks(Cursor cursor, SnapshotOrigin origin, List<ClassState> classes) {
         int pieces = ChunkCodec.chunkCount(cursor.size());
         return new Iterator<>() {
             private int number;
--- a/src/main/java/vetchpost/replication/Frame.java
+++ b/src/main/java/vetchpost/replication/Frame.java
@@ -72,7 +72,7 @@
         }
     }
 
-    private static final Sum NOTHING = new Sum(0, 0);
+    private static final Sum EMPTY_SUM = new Sum(0, 0);
 
     static Frame hello(String name, long at, boolean told, Sum sum) {
         return new Frame(Type.HELLO, at, 0, 0, told, sum, List.of(), name, List.of());
@@ -83,7 +83,7 @@
     }
 
     static Frame behind(long at) {
-        return new Frame(Type.BEHIND, 0, at, 0, false, NOTHING, List.of(), "", List.of());
+        return new Frame(Type.BEHIND, 0, at, 0, false, EMPTY_SUM, List.of(), "", List.of());
     }
 
     /** What has changed after one version up to another, or a part of it. */
@@ -97,6 +97,6 @@
 
     /** Items, as part of something that is at a version. */
     public static Frame items(long target, List<Entry> items) {
-        return new Frame(Type.ITEMS, 0, target, 0, false, NOTHING, items, "", List.of());
+        return new Frame(Type.ITEMS, 0, target, 0, false, EMPTY_SUM, items, "", List.of());
     }
 }
