--- a/src/main/java/vetchpost/replication/FrameCodec.java
+++ b/src/main/java/vetchpost/replication/FrameCodec.java
@@ -28,7 +28,7 @@
     /** A frame's bytes at most, either way. */
     public static final int MAX_FRAME_BYTES = 64 << 10;
 
-    private static final int MOST_ITEMS_BYTES = 64 << 10;
+    private static final int MAX_INFLATED_BYTES = 64 << 10;
     private static final int MAX_ITEMS = 4_096;
     static final int MAX_SPANS = 1_024;
     private static final int MAX_HASHES = 256;
@@ -62,15 +62,15 @@
     private final Deflater deflater = new Deflater(Deflater.BEST_SPEED, true);
     private final Inflater inflater = new Inflater(true);
 
-    private interface Writing {
-        void to(CodedOutputStream out) throws IOException;
+    private interface MessageWriter {
+        void writeTo(CodedOutputStream out) throws IOException;
     }
 
-    private static byte[] written(Writing writing) {
+    private static byte[] encode(MessageWriter writing) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512);
         try {
             CodedOutputStream out = CodedOutputStream.newInstance(bytes, 512);
-            writing.to(out);
+            writing.writeTo(out);
             out.flush();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -80,19 +80,19 @@
 
     /** A frame's bytes. */
     public byte[] write(Frame frame) {
-        byte[] raw = written(out -> {
+        byte[] raw = encode(out -> {
             for (Entry item : frame.items()) {
                 out.writeByteArray(1, item(item));
             }
         });
-        byte[] spans = written(out -> {
+        byte[] spans = encode(out -> {
             byte[] end = null;
             for (Span span : frame.spans()) {
                 out.writeByteArray(1, span(span, end));
                 end = span.to();
             }
         });
-        return written(out -> {
+        return encode(out -> {
             out.writeUInt32(TYPE, frame.type().ordinal());
             out.writeInt64(FROM, frame.from());
             out.writeInt64(TO, frame.to());
@@ -101,21 +101,21 @@
             out.writeInt64(COUNT, frame.sum().count());
             out.writeFixed64(HASH, frame.sum().hash());
             if (raw.length > 0) {
-                out.writeByteArray(ITEMS, deflated(raw));
+                out.writeByteArray(ITEMS, deflate(raw));
                 out.writeUInt32(RAW, raw.length);
             }
             if (!frame.name().isEmpty()) {
                 out.writeString(NAME, frame.name());
             }
             if (spans.length > 0) {
-                out.writeByteArray(SPANS, deflated(spans));
+                out.writeByteArray(SPANS, deflate(spans));
                 out.writeUInt32(RAW_SPANS, spans.length);
             }
         });
     }
 
     private static byte[] item(Entry item) {
-        return written(out -> {
+        return encode(out -> {
             out.writeByteArray(I_KEY, item.key());
             out.writeInt64(I_STAMP, item.stamp());
             if (item.value() != null) {
@@ -126,7 +126,7 @@
 
     /** One that begins where the one before ends does not say so. */
     private static byte[] span(Span span, byte[] before) {
-        return written(out -> {
+        return encode(out -> {
             if (!Arrays.equals(span.from(), before)) {
                 out.writeByteArray(S_FROM, span.from());
             }
@@ -145,7 +145,7 @@
         });
     }
 
-    private byte[] deflated(byte[] raw) {
+    private byte[] deflate(byte[] raw) {
         deflater.reset();
         deflater.setInput(raw);
         deflater.finish();
@@ -157,8 +157,8 @@
         return all.toByteArray();
     }
 
-    private byte[] inflated(byte[] body, int length) throws MalformedFrameException {
-        check(length > 0 && length <= MOST_ITEMS_BYTES, "items of " + length + " bytes");
+    private byte[] inflate(byte[] body, int length) throws MalformedFrameException {
+        check(length > 0 && length <= MAX_INFLATED_BYTES, "items of " + length + " bytes");
         byte[] raw = new byte[length];
         inflater.reset();
         inflater.setInput(body);
@@ -222,8 +222,8 @@
         }
         check(type >= 0 && type < Type.values().length, "a frame of type " + type);
         check(from >= 0 && to >= 0 && part >= 0 && count >= 0, "a negative number");
-        List<Entry> items = body == null ? List.of() : items(inflated(body, raw));
-        List<Span> spans = ranges == null ? List.of() : spans(inflated(ranges, rawSpans));
+        List<Entry> items = body == null ? List.of() : items(inflate(body, raw));
+        List<Span> spans = ranges == null ? List.of() : spans(inflate(ranges, rawSpans));
         return new Frame(Type.values()[type], from, to, part, last, new Sum(count, hash), items, name, spans);
     }
 
--- a/src/main/java/vetchpost/replication/Publisher.java
+++ b/src/main/java/vetchpost/replication/Publisher.java
@@ -30,15 +30,15 @@
  */
 public final class Publisher {
     /** Bytes of items in a part before they are deflated: what a node takes in at one go. */
-    private static final int PART = 4 << 10;
+    private static final int PART_TARGET_BYTES = 4 << 10;
 
-    private static final int SPLIT = 16;
+    private static final int SPLIT_FACTOR = 16;
     /** Ranges of so many items are told item by item. */
-    private static final int LISTED = 64;
+    private static final int MAX_LISTED_ITEMS_PER_SPAN = 64;
 
-    private static final int MOST_CACHED = 256;
-    private static final int MOST_REPLIES = 64;
-    private static final byte[] FIRST = new byte[0];
+    private static final int MAX_CACHED_PARTS = 256;
+    private static final int MAX_QUEUED_REPLIES = 64;
+    private static final byte[] FIRST_KEY = new byte[0];
 
     /** A connection to a replica. */
     public interface Peer {
@@ -65,116 +65,117 @@
 
     private final FrameCodec codec;
     private Budget budget;
-    private TokenBucket all;
+    private TokenBucket totalBucket;
     private final long heartbeatUs;
     private final Map<Peer, Session> sessions = new LinkedHashMap<>();
     /** Sessions with something to tell, in the order in which they began to wait. */
-    private final Set<Session> ready = new java.util.LinkedHashSet<>();
+    private final Set<Session> readySessions = new java.util.LinkedHashSet<>();
 
     private VersionedStore store;
     private long sentBytes;
 
     /** Parts of what came after a version up to another one, as every replica in between is told them. */
-    private final Map<Place, Part> parts = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<PartKey, Part> partCache = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Place, Part> eldest) {
-            return size() > MOST_CACHED;
+        protected boolean removeEldestEntry(Map.Entry<PartKey, Part> eldest) {
+            return size() > MAX_CACHED_PARTS;
         }
     };
 
-    private record Place(long from, long to, int part) {}
+    private record PartKey(long from, long to, int part) {}
 
     /**
      * @param next where the next part begins: first among the entries, then among what went away; null for no
      * more
      */
-    private record Part(byte[] frame, int items, byte[] next, boolean removed) {}
+    private record Part(byte[] frame, int items, byte[] nextKey, boolean isNextInRemoved) {}
 
     private record Reply(byte[] frame, int items) {}
 
     private final class Session {
         private final Peer peer;
-        private TokenBucket bucket;
-        private TokenBucket items;
+        private TokenBucket byteBucket;
+        private TokenBucket entryBucket;
         private final Deque<Reply> replies = new ArrayDeque<>();
         private String name = "";
-        private long at = -1;
-        private long saidUs;
+        private long version = -1;
+        private long lastSentUs;
         /** What it is being told, or compared with. */
-        private VersionedStore pinned;
+        private VersionedStore pinnedStore;
 
-        private byte[] next;
-        private boolean removed;
-        private int part;
-        private boolean comparing;
+        private byte[] nextKey;
+        private boolean isNextInRemoved;
+        private int nextPart;
+        private boolean isComparing;
 
         Session(Peer peer, long nowUs) {
             this.peer = peer;
-            fill(nowUs);
-            saidUs = nowUs;
+            resetBuckets(nowUs);
+            lastSentUs = nowUs;
         }
 
-        void fill(long nowUs) {
-            bucket = new TokenBucket(budget.bytesPerSPerReplica, budget.burstBytesPerReplica, nowUs);
-            items = new TokenBucket(budget.entriesPerSPerReplica, budget.entriesPerSPerReplica / 8, nowUs);
+        void resetBuckets(long nowUs) {
+            byteBucket = new TokenBucket(budget.bytesPerSPerReplica, budget.burstBytesPerReplica, nowUs);
+            entryBucket = new TokenBucket(budget.entriesPerSPerReplica, budget.entriesPerSPerReplica / 8, nowUs);
         }
 
         boolean hasMore() {
-            return !replies.isEmpty() || next != null || !comparing && at >= 0 && at < store.version();
+            return !replies.isEmpty() || nextKey != null || !isComparing && version >= 0 && version < store.version();
         }
 
         void send(byte[] frame, long nowUs) {
             peer.send(frame);
-            bucket.spend(frame.length);
-            all.spend(frame.length);
+            byteBucket.spend(frame.length);
+            totalBucket.spend(frame.length);
             sentBytes += frame.length;
-            saidUs = nowUs;
+            lastSentUs = nowUs;
         }
 
-        void reply(Frame frame) throws MalformedFrameException {
-            if (replies.size() >= MOST_REPLIES) {
+        void enqueueReply(Frame frame) throws MalformedFrameException {
+            if (replies.size() >= MAX_QUEUED_REPLIES) {
                 throw new MalformedFrameException("it asks on without reading");
             }
             replies.add(new Reply(codec.write(frame), frame.items().size()));
         }
 
-        void step(long nowUs) {
+        void sendNext(long nowUs) {
             if (!replies.isEmpty()) {
                 Reply reply = replies.poll();
                 send(reply.frame, nowUs);
-                items.spend(reply.items);
+                entryBucket.spend(reply.items);
                 return;
             }
-            if (next == null) {
-                if (at != Version.NONE && at < store.horizon()) {
+            if (nextKey == null) {
+                if (version != Version.NONE && version < store.horizon()) {
                     // It is not known any more what went away since: compared, from the whole down.
-                    pinned = store;
-                    comparing = true;
+                    pinnedStore = store;
+                    isComparing = true;
                     send(
                             codec.write(Frame.spans(
                                     Type.DIFFER,
-                                    pinned.version(),
-                                    pinned.live().sum(),
-                                    List.of(new Span(FIRST, null, pinned.live().sum(), null)))),
+                                    pinnedStore.version(),
+                                    pinnedStore.live().sum(),
+                                    List.of(new Span(
+                                            FIRST_KEY, null, pinnedStore.live().sum(), null)))),
                             nowUs);
                     return;
                 }
-                pinned = store;
-                next = FIRST;
-                removed = false;
-                part = 0;
+                pinnedStore = store;
+                nextKey = FIRST_KEY;
+                isNextInRemoved = false;
+                nextPart = 0;
             }
-            Part told = part(at, pinned, part, next, removed);
+            Part told = encodePart(version, pinnedStore, nextPart, nextKey, isNextInRemoved);
             send(told.frame, nowUs);
-            items.spend(told.items);
-            part++;
-            next = told.next;
-            removed = told.removed;
-            if (next == null) {
-                at = pinned.version();
-                pinned = null;
+            entryBucket.spend(told.items);
+            nextPart++;
+            nextKey = told.nextKey;
+            isNextInRemoved = told.isNextInRemoved;
+            if (nextKey == null) {
+                version = pinnedStore.version();
+                pinnedStore = null;
             }
         }
     }
@@ -189,14 +190,14 @@
         this.codec = codec;
         this.budget = budget;
         this.heartbeatUs = heartbeatUs;
-        all = new TokenBucket(budget.totalBytesPerS, budget.totalBytesPerS / 4, nowUs);
+        totalBucket = new TokenBucket(budget.totalBytesPerS, budget.totalBytesPerS / 4, nowUs);
     }
 
     /** Has other budgets hold from now on, full. */
     public void setBudget(Budget other, long nowUs) {
         budget = other;
-        all = new TokenBucket(budget.totalBytesPerS, budget.totalBytesPerS / 4, nowUs);
-        sessions.values().forEach(s -> s.fill(nowUs));
+        totalBucket = new TokenBucket(budget.totalBytesPerS, budget.totalBytesPerS / 4, nowUs);
+        sessions.values().forEach(s -> s.resetBuckets(nowUs));
     }
 
     /** What it tells. */
@@ -210,14 +211,14 @@
     }
 
     /** How many replicas are connected. */
-    public int peers() {
+    public int replicaCount() {
         return sessions.size();
     }
 
     /** Names of replicas that are at an older version, and of those that have not said theirs. */
     public List<String> laggingReplicas() {
         return sessions.values().stream()
-                .filter(s -> s.at < store.version())
+                .filter(s -> s.version < store.version())
                 .map(s -> s.name)
                 .toList();
     }
@@ -229,13 +230,13 @@
         }
         store = fresh;
         for (Session session : sessions.values()) {
-            note(session);
+            markReady(session);
         }
     }
 
-    private void note(Session session) {
+    private void markReady(Session session) {
         if (session.hasMore()) {
-            ready.add(session);
+            readySessions.add(session);
         }
     }
 
@@ -246,7 +247,7 @@
 
     /** It is not any more. */
     public void disconnected(Peer peer) {
-        ready.remove(sessions.remove(peer));
+        readySessions.remove(sessions.remove(peer));
     }
 
     /**
@@ -260,40 +261,40 @@
         if (session == null) {
             return;
         }
-        session.bucket.spend(length);
+        session.byteBucket.spend(length);
         switch (frame.type()) {
-            case HELLO -> hello(session, frame);
-            case COMPARE -> compare(session, frame);
-            case WANT -> want(session, frame);
+            case HELLO -> onHello(session, frame);
+            case COMPARE -> onCompare(session, frame);
+            case WANT -> onWant(session, frame);
             default -> throw new MalformedFrameException("a replica sends no " + frame.type());
         }
-        note(session);
+        markReady(session);
     }
 
-    private void hello(Session session, Frame frame) throws MalformedFrameException {
+    private void onHello(Session session, Frame frame) throws MalformedFrameException {
         session.name = frame.name();
         if (frame.from() > store.version()) {
-            session.at = -1;
-            session.reply(Frame.behind(store.version()));
+            session.version = -1;
+            session.enqueueReply(Frame.behind(store.version()));
             return;
         }
-        if (session.comparing || !frame.last() || session.at < frame.from()) {
+        if (session.isComparing || !frame.last() || session.version < frame.from()) {
             // What it was being told is of no use: it begins, or has lost a part.
-            session.comparing = false;
-            session.pinned = null;
-            session.next = null;
-            session.at = frame.from();
+            session.isComparing = false;
+            session.pinnedStore = null;
+            session.nextKey = null;
+            session.version = frame.from();
         }
         if (frame.from() == store.version()) {
-            session.reply(Frame.current(store.version(), store.live().sum()));
+            session.enqueueReply(Frame.current(store.version(), store.live().sum()));
         }
     }
 
     // ---------------------------------------------------------------- what has changed
 
-    private Part part(long from, VersionedStore to, int number, byte[] begin, boolean removed) {
-        Place place = new Place(from, to.version(), number);
-        Part known = parts.get(place);
+    private Part encodePart(long from, VersionedStore to, int number, byte[] begin, boolean removed) {
+        PartKey place = new PartKey(from, to.version(), number);
+        Part known = partCache.get(place);
         if (known != null) {
             return known;
         }
@@ -301,7 +302,7 @@
         int bytes = 0;
         byte[] at = begin;
         boolean gone = removed;
-        while (at != null && bytes < PART) {
+        while (at != null && bytes < PART_TARGET_BYTES) {
             Item item = (gone ? to.removed() : to.live()).nextNewer(at, from);
             if (item != null) {
                 items.add(new Entry(item.key(), gone ? null : item.value(), item.stamp()));
@@ -311,7 +312,7 @@
                 at = null;
             } else {
                 gone = true;
-                at = FIRST;
+                at = FIRST_KEY;
             }
         }
         Part made = new Part(
@@ -325,59 +326,60 @@
                 items.size(),
                 at,
                 gone);
-        parts.put(place, made);
+        partCache.put(place, made);
         return made;
     }
 
     // ---------------------------------------------------------------- what differs
 
-    private void compare(Session session, Frame frame) throws MalformedFrameException {
-        if (frame.to() == 0 || session.pinned == null || !session.comparing) {
-            session.pinned = store;
-            session.comparing = true;
-            session.next = null;
+    private void onCompare(Session session, Frame frame) throws MalformedFrameException {
+        if (frame.to() == 0 || session.pinnedStore == null || !session.isComparing) {
+            session.pinnedStore = store;
+            session.isComparing = true;
+            session.nextKey = null;
         }
-        if (frame.to() != 0 && frame.to() != session.pinned.version()) {
+        if (frame.to() != 0 && frame.to() != session.pinnedStore.version()) {
             throw new MalformedFrameException("it compares what it was not told");
         }
-        if (frame.spans().size() > SPLIT) {
+        if (frame.spans().size() > SPLIT_FACTOR) {
             throw new MalformedFrameException(frame.spans().size() + " ranges at once");
         }
-        PackedTree tree = session.pinned.live();
+        PackedTree tree = session.pinnedStore.live();
         List<Span> answer = new ArrayList<>();
         for (Span span : frame.spans()) {
             Sum own = tree.sum(span.from(), span.to());
             if (own.equals(span.sum())) {
                 continue;
             }
-            if (own.count() <= LISTED) {
-                long[] hashes = tree.range(span.from(), span.to(), LISTED).stream()
+            if (own.count() <= MAX_LISTED_ITEMS_PER_SPAN) {
+                long[] hashes = tree.range(span.from(), span.to(), MAX_LISTED_ITEMS_PER_SPAN).stream()
                         .mapToLong(Span::hash)
                         .toArray();
                 answer.add(new Span(span.from(), span.to(), own, hashes));
             } else {
-                split(tree, span, own.count(), answer);
+                splitSpan(tree, span, own.count(), answer);
             }
         }
-        session.reply(Frame.spans(Type.DIFFER, session.pinned.version(), tree.sum(), answer));
+        session.enqueueReply(Frame.spans(Type.DIFFER, session.pinnedStore.version(), tree.sum(), answer));
     }
 
-    private static void split(PackedTree tree, Span span, long count, List<Span> into) {
+    private static void splitSpan(PackedTree tree, Span span, long count, List<Span> into) {
         long before = tree.sum(null, span.from()).count();
         byte[] from = span.from();
-        for (int i = 1; i <= SPLIT; i++) {
-            byte[] to =
-                    i == SPLIT ? span.to() : tree.at(before + count * i / SPLIT).key();
+        for (int i = 1; i <= SPLIT_FACTOR; i++) {
+            byte[] to = i == SPLIT_FACTOR
+                    ? span.to()
+                    : tree.at(before + count * i / SPLIT_FACTOR).key();
             into.add(new Span(from, to, tree.sum(from, to), null));
             from = to;
         }
     }
 
-    private void want(Session session, Frame frame) throws MalformedFrameException {
-        if (!session.comparing || session.pinned == null || frame.to() != session.pinned.version()) {
+    private void onWant(Session session, Frame frame) throws MalformedFrameException {
+        if (!session.isComparing || session.pinnedStore == null || frame.to() != session.pinnedStore.version()) {
             throw new MalformedFrameException("it wants items of a version that it was not told");
         }
-        if (frame.spans().size() > SPLIT * SPLIT) {
+        if (frame.spans().size() > SPLIT_FACTOR * SPLIT_FACTOR) {
             throw new MalformedFrameException(frame.spans().size() + " ranges at once");
         }
         List<Entry> items = new ArrayList<>();
@@ -387,20 +389,20 @@
             for (long hash : span.hashes() == null ? new long[0] : span.hashes()) {
                 wanted.add(hash);
             }
-            for (Item item : session.pinned.live().range(span.from(), span.to(), LISTED)) {
+            for (Item item : session.pinnedStore.live().range(span.from(), span.to(), MAX_LISTED_ITEMS_PER_SPAN)) {
                 if (wanted.contains(Span.hash(item))) {
                     items.add(new Entry(item.key(), item.value(), item.stamp()));
                     bytes += item.key().length + item.value().length + 2 * Long.BYTES;
                 }
-                if (bytes >= PART) {
-                    session.reply(Frame.items(session.pinned.version(), items));
+                if (bytes >= PART_TARGET_BYTES) {
+                    session.enqueueReply(Frame.items(session.pinnedStore.version(), items));
                     items = new ArrayList<>();
                     bytes = 0;
                 }
             }
         }
         if (!items.isEmpty()) {
-            session.reply(Frame.items(session.pinned.version(), items));
+            session.enqueueReply(Frame.items(session.pinnedStore.version(), items));
         }
     }
 
@@ -415,9 +417,9 @@
     public long sendPending(long nowUs) {
         long againUs = Long.MAX_VALUE;
         Map<Session, Boolean> waiting = new HashMap<>();
-        while (!ready.isEmpty() && all.hasAny(nowUs)) {
+        while (!readySessions.isEmpty() && totalBucket.hasAny(nowUs)) {
             Session session = null;
-            for (Session each : ready) {
+            for (Session each : readySessions) {
                 if (!waiting.containsKey(each)) {
                     session = each;
                     break;
@@ -427,35 +429,37 @@
                 break;
             }
             if (!session.hasMore()) {
-                ready.remove(session);
+                readySessions.remove(session);
             } else if (!session.peer.isWritable()) {
                 waiting.put(session, true);
-            } else if (!session.bucket.hasAny(nowUs) || !session.items.hasAny(nowUs)) {
-                againUs = Math.min(againUs, Math.max(session.bucket.againUs(nowUs), session.items.againUs(nowUs)));
+            } else if (!session.byteBucket.hasAny(nowUs) || !session.entryBucket.hasAny(nowUs)) {
+                againUs = Math.min(
+                        againUs,
+                        Math.max(session.byteBucket.availableAtUs(nowUs), session.entryBucket.availableAtUs(nowUs)));
                 waiting.put(session, true);
             } else {
-                ready.remove(session);
-                session.step(nowUs);
-                note(session);
+                readySessions.remove(session);
+                session.sendNext(nowUs);
+                markReady(session);
             }
         }
-        if (!ready.isEmpty() && !all.hasAny(nowUs)) {
-            againUs = Math.min(againUs, all.againUs(nowUs));
+        if (!readySessions.isEmpty() && !totalBucket.hasAny(nowUs)) {
+            againUs = Math.min(againUs, totalBucket.availableAtUs(nowUs));
         }
-        return Math.min(againUs, heartbeats(nowUs));
+        return Math.min(againUs, sendHeartbeats(nowUs));
     }
 
-    private long heartbeats(long nowUs) {
+    private long sendHeartbeats(long nowUs) {
         long nextUs = Long.MAX_VALUE;
         for (Session session : sessions.values()) {
-            if (session.at == store.version() && !session.hasMore()) {
-                if (nowUs - session.saidUs >= heartbeatUs) {
+            if (session.version == store.version() && !session.hasMore()) {
+                if (nowUs - session.lastSentUs >= heartbeatUs) {
                     session.send(
                             codec.write(
                                     Frame.current(store.version(), store.live().sum())),
                             nowUs);
                 }
-                nextUs = Math.min(nextUs, session.saidUs + heartbeatUs);
+                nextUs = Math.min(nextUs, session.lastSentUs + heartbeatUs);
             }
         }
         return nextUs;
--- a/src/main/java/vetchpost/replication/PublisherChoice.java
+++ b/src/main/java/vetchpost/replication/PublisherChoice.java
@@ -9,11 +9,11 @@
  * use, is left alone for a while, longer each time.
  */
 public final class PublisherChoice {
-    private static final long LEAST_US = 100_000;
-    private static final long MOST_US = 5_000_000;
+    private static final long MIN_BACKOFF_US = 100_000;
+    private static final long MAX_BACKOFF_US = 5_000_000;
 
-    private final long[] rank;
-    private final long[] untilUs;
+    private final long[] ranks;
+    private final long[] retryAtUs;
     private final int[] failures;
     private final long seed;
 
@@ -33,11 +33,11 @@
             throw new IllegalArgumentException("no publishers");
         }
         seed = mix(name.hashCode());
-        rank = publishers.stream()
+        ranks = publishers.stream()
                 .mapToLong(p -> mix(seed ^ mix(p.hashCode())) >>> 2 | (near.test(p) ? 1L << 62 : 0))
                 .toArray();
-        untilUs = new long[rank.length];
-        failures = new int[rank.length];
+        retryAtUs = new long[ranks.length];
+        failures = new int[ranks.length];
     }
 
     private static long mix(long of) {
@@ -50,10 +50,10 @@
     /** The one to ask now; the one that may be asked soonest if none may. */
     public int next(long nowUs) {
         int best = 0;
-        for (int i = 1; i < rank.length; i++) {
-            boolean may = untilUs[i] <= nowUs;
-            boolean mayBest = untilUs[best] <= nowUs;
-            if (may != mayBest ? may : may ? rank[i] > rank[best] : untilUs[i] < untilUs[best]) {
+        for (int i = 1; i < ranks.length; i++) {
+            boolean may = retryAtUs[i] <= nowUs;
+            boolean mayBest = retryAtUs[best] <= nowUs;
+            if (may != mayBest ? may : may ? ranks[i] > ranks[best] : retryAtUs[i] < retryAtUs[best]) {
                 best = i;
             }
         }
@@ -61,26 +61,26 @@
     }
 
     /** When that one may be asked, in microseconds. */
-    public long whenUs(int publisher) {
-        return untilUs[publisher];
+    public long retryAtUs(int publisher) {
+        return retryAtUs[publisher];
     }
 
     /** It could not be reached, broke off, or was of no use. */
     public void failed(int publisher, long nowUs) {
-        long waitUs = Math.min(MOST_US, LEAST_US << Math.min(10, failures[publisher]++));
+        long waitUs = Math.min(MAX_BACKOFF_US, MIN_BACKOFF_US << Math.min(10, failures[publisher]++));
         // Between half of it and all, by its own draw: many that fail at once don't come back at once.
         long share = mix(seed + 31L * publisher + failures[publisher]) >>> 1;
-        untilUs[publisher] = nowUs + waitUs / 2 + share % (waitUs / 2);
+        retryAtUs[publisher] = nowUs + waitUs / 2 + share % (waitUs / 2);
     }
 
     /** It has told that what the replica has is the newest. */
-    public void worked(int publisher) {
+    public void succeeded(int publisher) {
         failures[publisher] = 0;
-        untilUs[publisher] = 0;
+        retryAtUs[publisher] = 0;
     }
 
     /** Whether one that comes before it could be asked again. */
     public boolean hasBetter(int publisher, long nowUs) {
-        return next(nowUs) != publisher && untilUs[next(nowUs)] <= nowUs;
+        return next(nowUs) != publisher && retryAtUs[next(nowUs)] <= nowUs;
     }
 }
--- a/src/main/java/vetchpost/replication/PublisherFailover.java
+++ b/src/main/java/vetchpost/replication/PublisherFailover.java
@@ -8,10 +8,10 @@
     /** A publisher that has said nothing for so long, in microseconds, is left: three heartbeats. */
     public static final long SILENCE_TIMEOUT_US = 15_000_000;
 
-    private static final long LOOK_US = 1_000_000;
-    private static final long AGAIN_US = 1_000;
+    private static final long CHECK_INTERVAL_US = 1_000_000;
+    private static final long RETRY_DELAY_US = 1_000;
     /** Looked for a better one so often only: coming back is no hurry. */
-    private static final int LOOKS_FOR_BETTER = 30;
+    private static final int CHECKS_BEFORE_FAILBACK = 30;
 
     /** Connections and time, as their owner has them. */
     public interface Transport {
@@ -31,96 +31,96 @@
         long nowUs();
 
         /** Runs a task in so many microseconds. */
-        void after(long us, Runnable task);
+        void schedule(long us, Runnable task);
     }
 
     private final Replica replica;
     private final PublisherChoice choice;
-    private final Transport line;
-    private int asked = -1;
-    private boolean up;
-    private boolean over;
+    private final Transport transport;
+    private int publisherIndex = -1;
+    private boolean isConnected;
+    private boolean isStopped;
     /** Tells tasks of an earlier connection from those of this one. */
-    private long turn;
+    private long generation;
 
-    private String trouble = "";
+    private String lastFailure = "";
 
     /** Begins when it is told to. */
     public PublisherFailover(Replica replica, PublisherChoice choice, Transport line) {
         this.replica = replica;
         this.choice = choice;
-        this.line = line;
+        this.transport = line;
     }
 
     /** Asks in so many microseconds from now on. */
     public void start(long afterUs) {
-        long now = ++turn;
-        line.after(afterUs, () -> {
-            if (turn == now && !over) {
+        long now = ++generation;
+        transport.schedule(afterUs, () -> {
+            if (generation == now && !isStopped) {
                 open();
             }
         });
     }
 
     private void open() {
-        int next = choice.next(line.nowUs());
-        long whenUs = choice.whenUs(next);
-        if (whenUs > line.nowUs()) {
-            start(whenUs - line.nowUs());
+        int next = choice.next(transport.nowUs());
+        long whenUs = choice.retryAtUs(next);
+        if (whenUs > transport.nowUs()) {
+            start(whenUs - transport.nowUs());
             return;
         }
-        asked = next;
-        turn++;
-        line.open(next);
+        publisherIndex = next;
+        generation++;
+        transport.open(next);
     }
 
     /** The connection is up. */
     public void opened() {
-        up = true;
-        replica.connected(line::send, line.nowUs());
-        look(turn, 0);
+        isConnected = true;
+        replica.connected(transport::send, transport.nowUs());
+        scheduleCheck(generation, 0);
     }
 
     /** It could not be opened, or has broken. */
     public void failed(String why) {
-        if (over) {
+        if (isStopped) {
             return;
         }
-        trouble = why;
-        up = false;
+        lastFailure = why;
+        isConnected = false;
         replica.disconnected();
-        choice.failed(asked, line.nowUs());
-        start(AGAIN_US);
+        choice.failed(publisherIndex, transport.nowUs());
+        start(RETRY_DELAY_US);
     }
 
-    private void look(long of, int looks) {
-        line.after(LOOK_US, () -> {
-            if (turn != of || !up || over) {
+    private void scheduleCheck(long of, int looks) {
+        transport.schedule(CHECK_INTERVAL_US, () -> {
+            if (generation != of || !isConnected || isStopped) {
                 return;
             }
-            long now = line.nowUs();
+            long now = transport.nowUs();
             if (now - replica.lastReceivedUs() > SILENCE_TIMEOUT_US) {
-                line.close();
+                transport.close();
                 failed("it has fallen silent");
-            } else if (looks >= LOOKS_FOR_BETTER && choice.hasBetter(asked, now)) {
-                up = false;
+            } else if (looks >= CHECKS_BEFORE_FAILBACK && choice.hasBetter(publisherIndex, now)) {
+                isConnected = false;
                 replica.disconnected();
-                line.close();
-                start(AGAIN_US);
+                transport.close();
+                start(RETRY_DELAY_US);
             } else {
-                look(of, looks + 1);
+                scheduleCheck(of, looks + 1);
             }
         });
     }
 
     /** Takes a frame of the publisher's. */
     public void receive(Frame frame) {
-        long nowUs = line.nowUs();
+        long nowUs = transport.nowUs();
         try {
             replica.receive(frame, nowUs);
             if (replica.lastCurrentUs() == nowUs) {
-                choice.worked(asked);
-                trouble = "";
+                choice.succeeded(publisherIndex);
+                lastFailure = "";
             }
         } catch (Replica.FrameRejectedException | MalformedFrameException e) {
             rejected(e.getMessage());
@@ -129,27 +129,27 @@
 
     /** What has come is no frame, or none of a publisher's. */
     public void rejected(String why) {
-        line.close();
+        transport.close();
         failed(why);
     }
 
     /** Ends; what is in force stays so. */
     public void stop() {
-        over = true;
-        if (up) {
-            up = false;
+        isStopped = true;
+        if (isConnected) {
+            isConnected = false;
             replica.disconnected();
-            line.close();
+            transport.close();
         }
     }
 
     /** Whether it is connected. */
     public boolean isUp() {
-        return up;
+        return isConnected;
     }
 
     /** What went wrong last, or empty since a publisher has said that all is the newest. */
     public String failure() {
-        return trouble;
+        return lastFailure;
     }
 }
--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -27,9 +27,9 @@
  */
 public class Replica {
     /** Ranges that are compared in one message: its answer stays small. */
-    private static final int AT_ONCE = 16;
+    private static final int MAX_SPANS_PER_COMPARE = 16;
     /** Publishers that say something else each time are left after so many comparisons. */
-    private static final int MOST_ROUNDS = 100_000;
+    private static final int MAX_COMPARE_ROUNDS = 100_000;
 
     /** Where frames go. */
     public interface Publisher {
@@ -54,51 +54,51 @@
 
     private final String name;
     private final Listener listener;
-    private final boolean remembersRemoved;
+    private final boolean tracksRemovals;
     private VersionedStore store;
     private Index index;
     private Publisher publisher;
     private Draft draft;
-    private long heardUs;
-    private long currentUs = -1;
-    private long batches;
-    private long refused;
+    private long lastReceivedUs;
+    private long lastCurrentUs = -1;
+    private long appliedBatches;
+    private long rejectedCount;
 
     /** What is put together beside what is in force. */
     private final class Draft {
-        private final long to;
+        private final long targetVersion;
         private PackedTree live = store.live();
         private PackedTree removed = store.removed();
-        private Index made = index;
-        private int parts;
-        private Sum whole;
+        private Index draftIndex = index;
+        private int nextPart;
+        private Sum targetSum;
         /** While ranges are compared: those still to be, and the hashes of items that were asked for. */
-        private final Deque<Span> spans = new ArrayDeque<>();
+        private final Deque<Span> pendingSpans = new ArrayDeque<>();
 
-        private final Set<Long> wanted = new HashSet<>();
-        private int rounds;
-        private boolean comparing;
-        private boolean waiting;
+        private final Set<Long> pendingHashes = new HashSet<>();
+        private int compareRounds;
+        private boolean isComparing;
+        private boolean awaitsDiffer;
 
         Draft(long to) {
-            this.to = to;
+            this.targetVersion = to;
         }
 
-        void take(Entry entry) throws FrameRejectedException {
+        void applyEntry(Entry entry) throws FrameRejectedException {
             Item own = live.get(entry.key());
             if (own != null && isOlder(entry.stamp(), own)) {
-                throw new FrameRejectedException(
-                        "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
+                throw new FrameRejectedException("an entry goes back from " + Version.format(own.stamp()) + " to "
+                        + Version.format(entry.stamp()));
             }
             if (entry.value() == null) {
                 live = live.remove(entry.key());
-                removed = remembersRemoved ? removed.put(entry.key(), new byte[0], entry.stamp()) : removed;
+                removed = tracksRemovals ? removed.put(entry.key(), new byte[0], entry.stamp()) : removed;
             } else {
                 live = live.put(entry.key(), entry.value(), entry.stamp());
-                removed = remembersRemoved ? removed.remove(entry.key()) : removed;
+                removed = tracksRemovals ? removed.remove(entry.key()) : removed;
             }
             try {
-                made = made.withEntry(entry.key(), entry.value(), live);
+                draftIndex = draftIndex.withEntry(entry.key(), entry.value(), live);
             } catch (IllegalArgumentException e) {
                 throw new FrameRejectedException("an entry that can't be read: " + e.getMessage());
             }
@@ -115,7 +115,7 @@
         this.name = name;
         this.store = store;
         this.index = index;
-        this.remembersRemoved = remembersRemoved;
+        this.tracksRemovals = remembersRemoved;
         this.listener = listener;
     }
 
@@ -131,32 +131,32 @@
 
     /** How many times something came into force. */
     public long appliedBatches() {
-        return batches;
+        return appliedBatches;
     }
 
     /** How many times something a publisher told was refused. */
     public long rejectedCount() {
-        return refused;
+        return rejectedCount;
     }
 
     /**
      * When a publisher last said that this is the newest, in microseconds of its owner's clock; -1 for never.
      */
     public long lastCurrentUs() {
-        return currentUs;
+        return lastCurrentUs;
     }
 
     /** When it last heard anything from its publisher. */
     public long lastReceivedUs() {
-        return heardUs;
+        return lastReceivedUs;
     }
 
     /** Is connected to a publisher, a new one or the same again. */
     public void connected(Publisher to, long nowUs) {
         publisher = to;
         draft = null;
-        heardUs = nowUs;
-        hello();
+        lastReceivedUs = nowUs;
+        sendHello();
     }
 
     /** Is connected to none: what is in force stays so. */
@@ -165,7 +165,7 @@
         draft = null;
     }
 
-    private void hello() {
+    private void sendHello() {
         publisher.send(Frame.hello(name, store.version(), false, store.live().sum()));
     }
 
@@ -176,91 +176,95 @@
      * @throws Malformed if it said what no publisher says
      */
     public void receive(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
-        heardUs = nowUs;
+        lastReceivedUs = nowUs;
         try {
             switch (frame.type()) {
-                case CURRENT -> current(frame, nowUs);
-                case BEHIND -> throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
-                case DELTA -> delta(frame, nowUs);
-                case DIFFER -> differ(frame, nowUs);
-                case ITEMS -> items(frame, nowUs);
+                case CURRENT -> onCurrent(frame, nowUs);
+                case BEHIND -> throw new FrameRejectedException("it is behind, at " + Version.format(frame.to()));
+                case DELTA -> onDelta(frame, nowUs);
+                case DIFFER -> onDiffer(frame, nowUs);
+                case ITEMS -> onItems(frame, nowUs);
                 default -> throw new MalformedFrameException("a publisher sends no " + frame.type());
             }
         } catch (FrameRejectedException | MalformedFrameException e) {
             draft = null;
-            refused++;
+            rejectedCount++;
             throw e;
         }
     }
 
-    private void current(Frame frame, long nowUs) throws FrameRejectedException {
+    private void onCurrent(Frame frame, long nowUs) throws FrameRejectedException {
         if (isBehind(frame.to())) {
-            throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
+            throw new FrameRejectedException("it is behind, at " + Version.format(frame.to()));
         }
-        if (draft != null && draft.comparing) {
+        if (draft != null && draft.isComparing) {
             return; // It is an answer to what was said before.
         }
         if (frame.to() > store.version()) {
             // It has told all, and something of that has been lost.
             draft = null;
-            hello();
+            sendHello();
             return;
         }
         if (frame.sum().equals(store.live().sum())) {
-            currentUs = nowUs;
+            lastCurrentUs = nowUs;
         } else {
-            compare();
+            startComparison();
         }
     }
 
-    private void delta(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
-        if (isPast(frame.to()) && Version.epoch(frame.to()) < Version.epoch(store.version())) {
+    private void onDelta(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
+        if (isNotNewer(frame.to()) && Version.epoch(frame.to()) < Version.epoch(store.version())) {
             throw new FrameRejectedException(
                     "it is of epoch " + Version.epoch(frame.to()) + ", before " + Version.epoch(store.version()));
         }
-        if (draft != null && draft.comparing || isPast(frame.to())) {
+        if (draft != null && draft.isComparing || isNotNewer(frame.to())) {
             return; // An answer to what was asked before, or the same again.
         }
-        boolean begins = frame.part() == 0 && follows(frame);
-        boolean goesOn =
-                !begins && draft != null && draft.to == frame.to() && draft.parts == frame.part() && follows(frame);
+        boolean begins = frame.part() == 0 && startsAtCurrentVersion(frame);
+        boolean goesOn = !begins
+                && draft != null
+                && draft.targetVersion == frame.to()
+                && draft.nextPart == frame.part()
+                && startsAtCurrentVersion(frame);
         if (!begins && !goesOn) {
             // A part is missing: what there is of it is no use.
             if (draft != null || frame.part() == 0) {
                 draft = null;
-                hello();
+                sendHello();
             }
             return;
         }
         draft = begins ? new Draft(frame.to()) : draft;
         for (Entry entry : frame.items()) {
-            if (!belongs(entry, frame)) {
-                throw new MalformedFrameException("an entry of " + Version.text(entry.stamp()) + " in what came after "
-                        + Version.text(store.version()) + " up to " + Version.text(frame.to()));
+            if (!isWithinDelta(entry, frame)) {
+                throw new MalformedFrameException(
+                        "an entry of " + Version.format(entry.stamp()) + " in what came after "
+                                + Version.format(store.version()) + " up to " + Version.format(frame.to()));
             }
-            draft.take(entry);
+            draft.applyEntry(entry);
         }
-        draft.parts++;
-        if (isWhole(frame)) {
-            force(nowUs);
+        draft.nextPart++;
+        if (isComplete(frame)) {
+            applyDraft(nowUs);
         } else if (frame.last()) {
             draft = null;
-            compare();
+            startComparison();
         }
     }
 
     /** Whether a version comes no later than what is in force, be it of an earlier writer's epoch. */
-    boolean isPast(long version) {
+    boolean isNotNewer(long version) {
         return version <= store.version();
     }
 
     /** Whether this is what came after what is in force. */
-    boolean follows(Frame frame) {
+    boolean startsAtCurrentVersion(Frame frame) {
         return frame.from() == store.version();
     }
 
     /** Whether an entry changed in between. */
-    boolean belongs(Entry entry, Frame frame) {
+    boolean isWithinDelta(Entry entry, Frame frame) {
         return entry.stamp() > store.version() && entry.stamp() <= frame.to();
     }
 
@@ -275,29 +279,29 @@
     }
 
     /** Whether all that was told is there. */
-    boolean isWhole(Frame frame) {
+    boolean isComplete(Frame frame) {
         return frame.last() && draft.live.sum().equals(frame.sum());
     }
 
-    private void force(long nowUs) {
-        VersionedStore whole = draft.comparing
-                ? VersionedStore.of(draft.live, draft.to)
-                : store.at(draft.live, draft.removed, draft.to);
-        index = draft.made.backedBy(whole.live());
+    private void applyDraft(long nowUs) {
+        VersionedStore whole = draft.isComparing
+                ? VersionedStore.of(draft.live, draft.targetVersion)
+                : store.withEntries(draft.live, draft.removed, draft.targetVersion);
+        index = draft.draftIndex.backedBy(whole.live());
         store = whole;
         draft = null;
-        batches++;
-        currentUs = nowUs;
+        appliedBatches++;
+        lastCurrentUs = nowUs;
         listener.applied(store, index);
         publisher.send(Frame.hello(name, store.version(), true, store.live().sum()));
     }
 
     // ---------------------------------------------------------------- in doubt
 
-    private void compare() {
+    private void startComparison() {
         draft = new Draft(Version.NONE);
-        draft.comparing = true;
-        draft.waiting = true;
+        draft.isComparing = true;
+        draft.awaitsDiffer = true;
         publisher.send(Frame.spans(
                 Type.COMPARE,
                 0,
@@ -305,27 +309,27 @@
                 List.of(new Span(new byte[0], null, store.live().sum(), null))));
     }
 
-    private void differ(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
+    private void onDiffer(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
         if (isBehind(frame.to())) {
-            throw new FrameRejectedException("it is behind, at " + Version.text(frame.to()));
+            throw new FrameRejectedException("it is behind, at " + Version.format(frame.to()));
         }
-        if (draft == null || !draft.comparing) {
+        if (draft == null || !draft.isComparing) {
             // It can't tell by versions what went away since: it begins by comparing, of itself.
             draft = new Draft(frame.to());
-            draft.comparing = true;
-        } else if (draft.to != frame.to()) {
-            if (draft.to != Version.NONE) {
-                throw new MalformedFrameException(
-                        "ranges of " + Version.text(frame.to()) + " instead of " + Version.text(draft.to));
+            draft.isComparing = true;
+        } else if (draft.targetVersion != frame.to()) {
+            if (draft.targetVersion != Version.NONE) {
+                throw new MalformedFrameException("ranges of " + Version.format(frame.to()) + " instead of "
+                        + Version.format(draft.targetVersion));
             }
             draft = new Draft(frame.to());
-            draft.comparing = true;
+            draft.isComparing = true;
         }
-        if (++draft.rounds > MOST_ROUNDS) {
+        if (++draft.compareRounds > MAX_COMPARE_ROUNDS) {
             throw new FrameRejectedException("it never ends telling what differs");
         }
-        draft.waiting = false;
-        draft.whole = frame.sum();
+        draft.awaitsDiffer = false;
+        draft.targetSum = frame.sum();
         List<Span> wants = new ArrayList<>();
         for (Span span : frame.spans()) {
             Sum own = draft.live.sum(span.from(), span.to());
@@ -333,30 +337,30 @@
                 continue;
             }
             if (span.hashes() == null) {
-                draft.spans.add(new Span(span.from(), span.to(), own, null));
+                draft.pendingSpans.add(new Span(span.from(), span.to(), own, null));
             } else {
-                listed(span, wants);
+                compareItems(span, wants);
             }
         }
         if (!wants.isEmpty()) {
-            publisher.send(Frame.spans(Type.WANT, draft.to, draft.whole, wants));
+            publisher.send(Frame.spans(Type.WANT, draft.targetVersion, draft.targetSum, wants));
         }
-        goOn(nowUs);
+        continueComparison(nowUs);
     }
 
     /** What it has and is not there any more goes; what is there and it has not is asked for. */
-    private void listed(Span span, List<Span> wants) throws FrameRejectedException {
+    private void compareItems(Span span, List<Span> wants) throws FrameRejectedException {
         Set<Long> there = new HashSet<>();
         Arrays.stream(span.hashes()).forEach(there::add);
         for (Item item : draft.live.range(span.from(), span.to(), Integer.MAX_VALUE)) {
             if (!there.remove(Span.hash(item))) {
                 // If it is there at another version, it comes with the items, and is held against this one's
                 // version.
-                gone(item);
+                removeMissing(item);
             }
         }
         if (!there.isEmpty()) {
-            draft.wanted.addAll(there);
+            draft.pendingHashes.addAll(there);
             wants.add(new Span(
                     span.from(),
                     span.to(),
@@ -366,48 +370,48 @@
     }
 
     /** An item that the publisher has not. */
-    void gone(Item item) throws FrameRejectedException {
-        if (item.stamp() > draft.to) {
-            throw new FrameRejectedException("it does not know an entry of " + Version.text(item.stamp()));
+    void removeMissing(Item item) throws FrameRejectedException {
+        if (item.stamp() > draft.targetVersion) {
+            throw new FrameRejectedException("it does not know an entry of " + Version.format(item.stamp()));
         }
-        draft.take(new Entry(item.key(), null, draft.to));
+        draft.applyEntry(new Entry(item.key(), null, draft.targetVersion));
     }
 
-    private void items(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
-        if (draft == null || !draft.comparing || frame.to() != draft.to) {
+    private void onItems(Frame frame, long nowUs) throws FrameRejectedException, MalformedFrameException {
+        if (draft == null || !draft.isComparing || frame.to() != draft.targetVersion) {
             return;
         }
         for (Entry entry : frame.items()) {
             if (entry.value() == null
-                    || entry.stamp() > draft.to
-                    || !draft.wanted.remove(Span.hash(new Item(entry.key(), entry.value(), entry.stamp())))) {
+                    || entry.stamp() > draft.targetVersion
+                    || !draft.pendingHashes.remove(Span.hash(new Item(entry.key(), entry.value(), entry.stamp())))) {
                 throw new MalformedFrameException("an entry that was not asked for");
             }
             Item own = store.live().get(entry.key());
             if (own != null && own.stamp() > entry.stamp()) {
-                throw new FrameRejectedException(
-                        "an entry goes back from " + Version.text(own.stamp()) + " to " + Version.text(entry.stamp()));
+                throw new FrameRejectedException("an entry goes back from " + Version.format(own.stamp()) + " to "
+                        + Version.format(entry.stamp()));
             }
-            draft.take(entry);
+            draft.applyEntry(entry);
         }
-        goOn(nowUs);
+        continueComparison(nowUs);
     }
 
-    private void goOn(long nowUs) {
-        if (draft.waiting || !draft.wanted.isEmpty()) {
+    private void continueComparison(long nowUs) {
+        if (draft.awaitsDiffer || !draft.pendingHashes.isEmpty()) {
             return;
         }
-        if (!draft.spans.isEmpty()) {
+        if (!draft.pendingSpans.isEmpty()) {
             List<Span> next = new ArrayList<>();
-            while (next.size() < AT_ONCE && !draft.spans.isEmpty()) {
-                next.add(draft.spans.poll());
+            while (next.size() < MAX_SPANS_PER_COMPARE && !draft.pendingSpans.isEmpty()) {
+                next.add(draft.pendingSpans.poll());
             }
-            draft.waiting = true;
-            publisher.send(Frame.spans(Type.COMPARE, draft.to, draft.whole, next));
-        } else if (draft.live.sum().equals(draft.whole)) {
-            force(nowUs);
+            draft.awaitsDiffer = true;
+            publisher.send(Frame.spans(Type.COMPARE, draft.targetVersion, draft.targetSum, next));
+        } else if (draft.live.sum().equals(draft.targetSum)) {
+            applyDraft(nowUs);
         } else {
-            compare();
+            startComparison();
         }
     }
 }
--- a/src/main/java/vetchpost/replication/TokenBucket.java
+++ b/src/main/java/vetchpost/replication/TokenBucket.java
@@ -7,37 +7,37 @@
 final class TokenBucket {
     private static final double SECOND_US = 1e6;
 
-    private final double perS;
-    private final double most;
-    private double left;
-    private long seenUs;
+    private final double tokensPerS;
+    private final double maxTokens;
+    private double tokens;
+    private long refilledUs;
 
     /** Full. */
     TokenBucket(double perS, double most, long nowUs) {
-        this.perS = perS;
-        this.most = most;
-        left = most;
-        seenUs = nowUs;
+        this.tokensPerS = perS;
+        this.maxTokens = most;
+        tokens = most;
+        refilledUs = nowUs;
     }
 
     private void refill(long nowUs) {
-        left = Math.min(most, left + perS * (nowUs - seenUs) / SECOND_US);
-        seenUs = nowUs;
+        tokens = Math.min(maxTokens, tokens + tokensPerS * (nowUs - refilledUs) / SECOND_US);
+        refilledUs = nowUs;
     }
 
     /** Whether anything may be spent. */
     boolean hasAny(long nowUs) {
         refill(nowUs);
-        return left > 0;
+        return tokens > 0;
     }
 
     void spend(double amount) {
-        left -= amount;
+        tokens -= amount;
     }
 
     /** When something may be spent again, if nothing may now. */
-    long againUs(long nowUs) {
+    long availableAtUs(long nowUs) {
         refill(nowUs);
-        return left > 0 ? nowUs : nowUs + (long) Math.ceil((1 - left) / perS * SECOND_US);
+        return tokens > 0 ? nowUs : nowUs + (long) Math.ceil((1 - tokens) / tokensPerS * SECOND_US);
     }
 }
--- a/src/main/java/vetchpost/replication/disk/StoreFile.java
+++ b/src/main/java/vetchpost/replication/disk/StoreFile.java
@@ -22,15 +22,15 @@
  */
 public final class StoreFile {
     private static final byte[] MAGIC = "VPSTORE1".getBytes(StandardCharsets.US_ASCII);
-    private static final long MAX_BYTES = 256L << 20;
-    private static final int ITEMS = 400;
-    private static final int ITEMS_BYTES = 32 << 10;
+    private static final long MAX_FILE_BYTES = 256L << 20;
+    private static final int MAX_ITEMS_PER_CHUNK = 400;
+    private static final int CHUNK_TARGET_BYTES = 32 << 10;
 
     private final ChunkFile file;
 
     /** In this file, and two more whose names begin with its. */
     public StoreFile(Path path) {
-        file = new ChunkFile(path, MAGIC, MAX_BYTES);
+        file = new ChunkFile(path, MAGIC, MAX_FILE_BYTES);
     }
 
     /**
@@ -43,13 +43,13 @@
             List<byte[]> pieces = new ArrayList<>();
             pieces.add(codec.write(Frame.delta(
                     store.horizon(), store.version(), 0, true, store.live().sum(), List.of())));
-            pieces(codec, store.live(), false, pieces);
-            pieces(codec, store.removed(), true, pieces);
+            appendChunks(codec, store.live(), false, pieces);
+            appendChunks(codec, store.removed(), true, pieces);
             return file.write(pieces);
         }
     }
 
-    private static void pieces(FrameCodec codec, PackedTree tree, boolean removed, List<byte[]> into) {
+    private static void appendChunks(FrameCodec codec, PackedTree tree, boolean removed, List<byte[]> into) {
         List<Entry> items = new ArrayList<>();
         int bytes = 0;
         for (Item item = tree.ceiling(new byte[0]);
@@ -57,7 +57,7 @@
                 item = tree.ceiling(PackedTree.successor(item.key()))) {
             items.add(new Entry(item.key(), removed ? null : item.value(), item.stamp()));
             bytes += item.key().length + item.value().length;
-            if (items.size() == ITEMS || bytes > ITEMS_BYTES) {
+            if (items.size() == MAX_ITEMS_PER_CHUNK || bytes > CHUNK_TARGET_BYTES) {
                 into.add(codec.write(Frame.items(0, items)));
                 items = new ArrayList<>();
                 bytes = 0;
@@ -74,10 +74,10 @@
      * @param refused hears in one line of each file that is there and can't be used
      */
     public VersionedStore read(Consumer<String> refused) {
-        return file.read(StoreFile::store, refused);
+        return file.read(StoreFile::parse, refused);
     }
 
-    private static VersionedStore store(List<byte[]> pieces) throws MalformedSnapshotException {
+    private static VersionedStore parse(List<byte[]> pieces) throws MalformedSnapshotException {
         if (pieces.isEmpty()) {
             throw new MalformedSnapshotException("it has no beginning");
         }
@@ -94,7 +94,7 @@
                     }
                 }
             }
-            if (!live.sum().equals(head.sum()) || live.newest() > head.to()) {
+            if (!live.sum().equals(head.sum()) || live.newestStamp() > head.to()) {
                 throw new MalformedSnapshotException("its entries don't come to its sum");
             }
             return VersionedStore.restored(live, removed, head.to(), head.from());
--- a/src/main/java/vetchpost/replication/net/PublisherServer.java
+++ b/src/main/java/vetchpost/replication/net/PublisherServer.java
@@ -27,10 +27,10 @@
 public final class PublisherServer implements AutoCloseable {
     private static final Logger LOG = System.getLogger(PublisherServer.class.getName());
     /** Over the replicas of a whole fleet, should all others be gone. */
-    private static final int MOST_CONNECTIONS = 8_192;
+    private static final int MAX_CONNECTIONS = 8_192;
 
-    private static final int BACKLOG = 1_024;
-    private static final long HEARTBEAT_US = 5_000_000;
+    private static final int ACCEPT_BACKLOG = 1_024;
+    private static final long HEARTBEAT_INTERVAL_US = 5_000_000;
 
     private final EventLoop loop;
     private final Network network;
@@ -39,9 +39,9 @@
     private final FrameCodec codec = new FrameCodec();
     private final Publisher publisher;
     private final Set<Connection> connections = new HashSet<>();
-    private Channel listening;
-    private ScheduledFuture<?> pumping;
-    private boolean refusedSaid;
+    private Channel listenChannel;
+    private ScheduledFuture<?> pendingSend;
+    private boolean hasLoggedRejection;
 
     /** Not listening yet; on the loop. */
     public PublisherServer(
@@ -55,7 +55,7 @@
         this.network = network;
         this.secret = secret;
         this.random = random;
-        publisher = new Publisher(store, codec, budget, HEARTBEAT_US, nowUs());
+        publisher = new Publisher(store, codec, budget, HEARTBEAT_INTERVAL_US, nowUs());
     }
 
     private long nowUs() {
@@ -67,13 +67,13 @@
         ChannelFuture binding = new ServerBootstrap()
                 .group(group)
                 .channelFactory(network::newServerChannel)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (connections.size() >= MOST_CONNECTIONS) {
+                        if (connections.size() >= MAX_CONNECTIONS) {
                             channel.close();
                             return;
                         }
@@ -84,20 +84,20 @@
                     }
                 })
                 .bind(address);
-        listening = binding.channel();
+        listenChannel = binding.channel();
         return binding;
     }
 
     /** Has another version to tell; on the loop. */
     public void publish(VersionedStore store) {
         publisher.publish(store);
-        pump();
+        sendPending();
     }
 
     /** Has other budgets hold from now on; on the loop. */
     public void setBudget(Publisher.Budget other) {
         publisher.setBudget(other, nowUs());
-        pump();
+        sendPending();
     }
 
     /** What it tells, and to whom; on the loop. */
@@ -105,17 +105,17 @@
         return publisher;
     }
 
-    private void pump() {
-        if (pumping != null) {
-            pumping.cancel(false);
-            pumping = null;
+    private void sendPending() {
+        if (pendingSend != null) {
+            pendingSend.cancel(false);
+            pendingSend = null;
         }
         long nextUs = publisher.sendPending(nowUs());
         if (nextUs != Long.MAX_VALUE) {
-            pumping = loop.schedule(
+            pendingSend = loop.schedule(
                     () -> {
-                        pumping = null;
-                        pump();
+                        pendingSend = null;
+                        sendPending();
                     },
                     Math.max(1, nextUs - nowUs()),
                     TimeUnit.MICROSECONDS);
@@ -124,11 +124,11 @@
 
     @Override
     public void close() {
-        if (listening != null) {
-            listening.close();
+        if (listenChannel != null) {
+            listenChannel.close();
         }
-        if (pumping != null) {
-            pumping.cancel(false);
+        if (pendingSend != null) {
+            pendingSend.cancel(false);
         }
         Set.copyOf(connections).forEach(c -> c.frames.close("the publisher ends"));
         codec.close();
@@ -153,32 +153,32 @@
         }
 
         @Override
-        public void up() {
+        public void onAuthenticated() {
             publisher.connected(this, nowUs());
         }
 
         @Override
-        public void frame(byte[] frame) {
+        public void onFrame(byte[] frame) {
             try {
                 publisher.receive(this, codec.read(frame), frame.length, nowUs());
-                pump();
+                sendPending();
             } catch (MalformedFrameException e) {
                 frames.close(e.getMessage());
             }
         }
 
         @Override
-        public void writable() {
-            pump();
+        public void onWritable() {
+            sendPending();
         }
 
         @Override
-        public void down(String why) {
+        public void onClosed(String why) {
             connections.remove(this);
             publisher.disconnected(this);
-            if (!refusedSaid && why.contains("secret")) {
+            if (!hasLoggedRejection && why.contains("secret")) {
                 // One line for all: whoever can reach the address must not fill the log.
-                refusedSaid = true;
+                hasLoggedRejection = true;
                 LOG.log(
                         Level.WARNING,
                         "a replica at {0} is refused: {1}; others will be without a word",
--- a/src/main/java/vetchpost/replication/net/ReplicaClient.java
+++ b/src/main/java/vetchpost/replication/net/ReplicaClient.java
@@ -22,7 +22,7 @@
 
 /** A replica's connection to its publishers. All of it is on one loop, which is best not the requests'. */
 public final class ReplicaClient implements AutoCloseable {
-    private static final int CONNECT_MS = 2_000;
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
 
     private final EventLoop loop;
     private final Network network;
@@ -31,7 +31,7 @@
     private final List<InetSocketAddress> publishers;
     private final Replica replica;
     private final FrameCodec codec = new FrameCodec();
-    private final PublisherFailover following;
+    private final PublisherFailover failover;
     private Attempt current;
 
     /**
@@ -53,16 +53,16 @@
         this.random = random;
         this.publishers = publishers;
         this.replica = replica;
-        following = new PublisherFailover(
+        failover = new PublisherFailover(
                 replica,
                 new PublisherChoice(
                         name, publishers.stream().map(Object::toString).toList()),
-                new OnLoop());
+                new EventLoopTransport());
     }
 
     /** Connects from now on; on the loop. */
     public void start() {
-        following.start(0);
+        failover.start(0);
     }
 
     /** What it keeps up. */
@@ -72,7 +72,7 @@
 
     /** What went wrong last, or empty. */
     public String failure() {
-        return following.failure();
+        return failover.failure();
     }
 
     /** The time by which the replica says when it heard something, in microseconds. */
@@ -82,11 +82,11 @@
 
     @Override
     public void close() {
-        following.stop();
+        failover.stop();
         codec.close();
     }
 
-    private final class OnLoop implements PublisherFailover.Transport {
+    private final class EventLoopTransport implements PublisherFailover.Transport {
         @Override
         public void open(int publisher) {
             current = new Attempt();
@@ -113,7 +113,7 @@
         }
 
         @Override
-        public void after(long us, Runnable task) {
+        public void schedule(long us, Runnable task) {
             loop.schedule(task, us, TimeUnit.MICROSECONDS);
         }
     }
@@ -127,14 +127,14 @@
             try {
                 channel = network.newClientChannel();
             } catch (ChannelException e) {
-                loop.execute(() -> down("no connection could be opened"));
+                loop.execute(() -> onClosed("no connection could be opened"));
                 return;
             }
             new Bootstrap()
                     .group(loop)
                     .channelFactory(() -> channel)
                     .disableResolver()
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
@@ -146,35 +146,35 @@
                     .connect(to)
                     .addListener(done -> {
                         if (!done.isSuccess()) {
-                            down(to + ": nobody is there");
+                            onClosed(to + ": nobody is there");
                         }
                     });
         }
 
         @Override
-        public void up() {
+        public void onAuthenticated() {
             if (current == this) {
-                following.opened();
+                failover.opened();
             }
         }
 
         @Override
-        public void frame(byte[] bytes) {
+        public void onFrame(byte[] bytes) {
             if (current != this) {
                 return;
             }
             try {
-                following.receive(codec.read(bytes));
+                failover.receive(codec.read(bytes));
             } catch (MalformedFrameException e) {
-                following.rejected(e.getMessage());
+                failover.rejected(e.getMessage());
             }
         }
 
         @Override
-        public void down(String why) {
+        public void onClosed(String why) {
             if (current == this) {
                 current = null;
-                following.failed(why);
+                failover.failed(why);
             }
         }
     }
--- a/src/main/java/vetchpost/routes/ClosestMatch.java
+++ b/src/main/java/vetchpost/routes/ClosestMatch.java
@@ -3,25 +3,25 @@
 /** What was meant by a word that is not known. */
 final class ClosestMatch {
     /** How far a misspelt word may be from the one that was meant. */
-    private static final int NEAR = 3;
+    private static final int MAX_EDIT_DISTANCE = 3;
     /**
      * Among more than this nobody looks: each word costs some microseconds, and a file may have many wrong
      * ones.
      */
-    private static final int MOST = 1_000;
+    private static final int MAX_CANDIDATES = 1_000;
 
     private ClosestMatch() {}
 
     /** The known word that is nearest, or all of them where none is near. */
     static String of(String text, Iterable<String> known) {
         String best = "";
-        int least = NEAR + 1;
+        int least = MAX_EDIT_DISTANCE + 1;
         int seen = 0;
         for (String each : known) {
-            if (++seen > MOST) {
+            if (++seen > MAX_CANDIDATES) {
                 return "";
             }
-            int distance = distance(text, each);
+            int distance = editDistance(text, each);
             if (distance < least) {
                 least = distance;
                 best = each;
@@ -31,7 +31,7 @@
     }
 
     /** Edits between two words (Wagner and Fischer, 1974). */
-    private static int distance(String a, String b) {
+    private static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             row[j] = j;
--- a/src/main/java/vetchpost/routes/Explanation.java
+++ b/src/main/java/vetchpost/routes/Explanation.java
@@ -4,7 +4,7 @@
 
 /** What holds for a route, in words, and the worst course that its attempts can take, as a small picture. */
 public final class Explanation {
-    private static final int WIDTH = 60;
+    private static final int CHART_WIDTH_CHARS = 60;
 
     private Explanation() {}
 
@@ -12,71 +12,77 @@
     public static String of(Route route) {
         Limits limits = route.limits();
         StringBuilder text = new StringBuilder("route " + route.name() + "\n");
-        line(
+        appendLine(
                 text,
                 "attempt-timeout",
-                limits.attemptTimeoutUs() == 0 ? "with the request" : RouteValidator.ms(limits.attemptTimeoutUs()));
-        line(
+                limits.attemptTimeoutUs() == 0
+                        ? "with the request"
+                        : RouteValidator.formatDuration(limits.attemptTimeoutUs()));
+        appendLine(
                 text,
                 "total-timeout",
-                limits.requestTimeoutUs() == 0 ? "with the client" : RouteValidator.ms(limits.requestTimeoutUs()));
-        line(text, "attempts", limits.maxAttempts() + " that may have run");
-        line(
+                limits.requestTimeoutUs() == 0
+                        ? "with the client"
+                        : RouteValidator.formatDuration(limits.requestTimeoutUs()));
+        appendLine(text, "attempts", limits.maxAttempts() + " that may have run");
+        appendLine(
                 text,
                 "backoff",
                 limits.backoffUs() == 0
                         ? "none"
-                        : RouteValidator.ms(limits.backoffUs()) + ", doubled each time, up to "
+                        : RouteValidator.formatDuration(limits.backoffUs()) + ", doubled each time, up to "
                                 + Math.round(100 * limits.jitter()) + "% longer");
-        line(
+        appendLine(
                 text,
                 "second copy",
                 limits.hedgeAfterUs() > 0
-                        ? "after " + RouteValidator.ms(limits.hedgeAfterUs()) + ", at the latest "
-                                + RouteValidator.ms(limits.latestCopyUs())
+                        ? "after " + RouteValidator.formatDuration(limits.hedgeAfterUs()) + ", at the latest "
+                                + RouteValidator.formatDuration(limits.latestHedgeUs())
                         : limits.hedgePercentile() > 0
                                 ? "after the " + limits.hedgePercentile() + "th percentile of its answers"
                                 : "none");
-        line(
+        appendLine(
                 text,
                 "retry-budget",
                 limits.retryBudgetFraction() == 0 ? "none" : limits.retryBudgetFraction() + " of first tries");
-        line(
+        appendLine(
                 text,
                 "concurrency",
                 limits.maxConcurrency() == 0 ? "no limit" : Integer.toString(limits.maxConcurrency()));
-        line(text, "max-body", limits.maxBodyBytes() == Long.MAX_VALUE ? "any" : limits.maxBodyBytes() + "B");
-        line(
+        appendLine(text, "max-body", limits.maxBodyBytes() == Long.MAX_VALUE ? "any" : limits.maxBodyBytes() + "B");
+        appendLine(
                 text,
                 "retry-after",
-                limits.retryAfterUs() < 0 ? "as the module says" : RouteValidator.ms(limits.retryAfterUs()));
+                limits.retryAfterUs() < 0
+                        ? "as the module says"
+                        : RouteValidator.formatDuration(limits.retryAfterUs()));
         if (limits.attemptTimeoutUs() > 0) {
-            picture(text, limits);
+            appendChart(text, limits);
         }
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String key, String value) {
+    private static void appendLine(StringBuilder text, String key, String value) {
         text.append(String.format(Locale.ROOT, "  %-16s %s%n", key, value));
     }
 
-    private static void picture(StringBuilder text, Limits limits) {
+    private static void appendChart(StringBuilder text, Limits limits) {
         int shown = Math.min(limits.maxAttempts(), 12);
         long endUs = limits.latestStartUs(shown) + limits.attemptTimeoutUs();
         text.append("the latest course of its attempts, if none is answered:\n");
         for (int attempt = 1; attempt <= shown; attempt++) {
             long from = limits.latestStartUs(attempt);
-            int before = (int) (WIDTH * from / endUs);
-            int bars = Math.max(1, (int) (WIDTH * limits.attemptTimeoutUs() / endUs));
+            int before = (int) (CHART_WIDTH_CHARS * from / endUs);
+            int bars = Math.max(1, (int) (CHART_WIDTH_CHARS * limits.attemptTimeoutUs() / endUs));
             text.append(String.format(
                     Locale.ROOT,
                     "  %2d |%s%s%s| from %s to %s%n",
                     attempt,
                     " ".repeat(before),
                     "=".repeat(bars),
-                    " ".repeat(Math.max(0, WIDTH - before - bars)),
-                    RouteValidator.ms(from),
-                    RouteValidator.ms(from + limits.attemptTimeoutUs())));
+                    " ".repeat(Math.max(0, CHART_WIDTH_CHARS - before - bars)),
+                    RouteValidator.formatDuration(from),
+                    RouteValidator.formatDuration(from + limits.attemptTimeoutUs())));
         }
         if (limits.maxAttempts() > shown) {
             text.append("  and ").append(limits.maxAttempts() - shown).append(" more\n");
--- a/src/main/java/vetchpost/routes/FileRoutePolicy.java
+++ b/src/main/java/vetchpost/routes/FileRoutePolicy.java
@@ -27,61 +27,66 @@
 
     private RouteTable table;
     private List<String> classes;
-    private long adviceUs;
+    private long defaultRetryAfterUs;
     private final SplittableRandom random;
-    private final Map<Place, State> states = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<RouteId, RouteState> states = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Place, State> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<RouteId, RouteState> eldest) {
             // One with requests in hand would lose count of them; it goes on being kept, and is looked at
             // again.
-            return size() > MAX_TRACKED_STATES && eldest.getValue().inHand == 0;
+            return size() > MAX_TRACKED_STATES && eldest.getValue().inFlight == 0;
         }
     };
-    private final Map<Slot, Bounds> bounds = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<TenantRoute, TenantLimits> tenantLimits = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Slot, Bounds> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<TenantRoute, TenantLimits> eldest) {
             return size() > MAX_TRACKED_STATES;
         }
     };
 
     /** A route for one class: its entry's key, or null for the class's own. */
-    private static final class Place {
-        private final int cls;
-        private final byte[] key;
+    private static final class RouteId {
+        private final int classIndex;
+        private final byte[] entryKey;
 
-        Place(int cls, byte[] key) {
-            this.cls = cls;
-            this.key = key;
+        RouteId(int cls, byte[] key) {
+            this.classIndex = cls;
+            this.entryKey = key;
         }
 
         @Override
         public boolean equals(Object other) {
-            return other instanceof Place place && cls == place.cls && Arrays.equals(key, place.key);
+            return other instanceof RouteId place
+                    && classIndex == place.classIndex
+                    && Arrays.equals(entryKey, place.entryKey);
         }
 
         @Override
         public int hashCode() {
-            return 31 * cls + Arrays.hashCode(key);
+            return 31 * classIndex + Arrays.hashCode(entryKey);
         }
     }
 
     /** What a route counts, and by what entry and rules its limits were made. */
-    private static final class State {
+    private static final class RouteState {
         private Limits limits;
         private PackedTree.Item entry;
-        private RouteTable by;
-        private int inHand;
+        private RouteTable table;
+        private int inFlight;
     }
 
     /** One tenant's of a route, as long as its limits are these. */
-    private record Slot(State state, Limits limits, int tenant) {
+    private record TenantRoute(RouteState state, Limits limits, int tenant) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof Slot slot && state == slot.state && tenant == slot.tenant && limits == slot.limits;
+            return other instanceof TenantRoute slot
+                    && state == slot.state
+                    && tenant == slot.tenant
+                    && limits == slot.limits;
         }
 
         @Override
@@ -109,11 +114,11 @@
         if (classes != null && !(classes.equals(names) && now.rules().sharesTenants(table.rules()))) {
             // Counts are kept by the places of both.
             states.clear();
-            bounds.clear();
+            tenantLimits.clear();
         }
         table = now;
         classes = names;
-        adviceUs = settings.maxRetryAfterUs;
+        defaultRetryAfterUs = settings.maxRetryAfterUs;
     }
 
     /** The table in force. */
@@ -128,22 +133,22 @@
         if (match == null) {
             return null;
         }
-        State state = stateOf(request.classIndex(), match);
-        Slot slot = new Slot(state, state.limits, request.tenant());
-        Bounds found = bounds.get(slot);
+        RouteState state = updateState(request.classIndex(), match);
+        TenantRoute slot = new TenantRoute(state, state.limits, request.tenant());
+        TenantLimits found = tenantLimits.get(slot);
         if (found == null) {
-            found = new Bounds(state, state.limits);
-            bounds.put(slot, found);
+            found = new TenantLimits(state, state.limits);
+            tenantLimits.put(slot, found);
         }
         return found;
     }
 
-    private State stateOf(int cls, RouteTable.Match match) {
+    private RouteState updateState(int cls, RouteTable.Match match) {
         PackedTree.Item entry = match.entry();
-        Place place = new Place(cls, entry == null ? null : entry.key());
-        State state = states.get(place);
+        RouteId place = new RouteId(cls, entry == null ? null : entry.key());
+        RouteState state = states.get(place);
         if (state == null) {
-            state = new State();
+            state = new RouteState();
             states.put(place, state);
         }
         boolean sameEntry = entry == null
@@ -151,24 +156,24 @@
                 : state.entry != null
                         && state.entry.stamp() == entry.stamp()
                         && Arrays.equals(state.entry.value(), entry.value());
-        if (state.limits == null || !sameEntry || state.by != table && !state.by.hasTheRulesOf(table)) {
+        if (state.limits == null || !sameEntry || state.table != table && !state.table.hasSameRulesAs(table)) {
             Limits limits = table.route(match).limits();
             // The same limits go on as they are, with all that is counted by them.
             state.limits = limits.equals(state.limits) ? state.limits : limits;
         }
         state.entry = entry;
-        state.by = table;
+        state.table = table;
         return state;
     }
 
     /** A route's bounds for one tenant. */
-    private final class Bounds implements RouteLimits {
-        private final State state;
+    private final class TenantLimits implements RouteLimits {
+        private final RouteState state;
         private final Limits limits;
         private final RetryBudget budget;
         private final LatencyWindow latencies;
 
-        Bounds(State state, Limits limits) {
+        TenantLimits(RouteState state, Limits limits) {
             this.state = state;
             this.limits = limits;
             latencies = limits.hedgePercentile() == 0 ? null : new LatencyWindow(limits.hedgePercentile());
@@ -182,13 +187,13 @@
 
         @Override
         public boolean mayRetry() {
-            return budget == null || budget.hasOne();
+            return budget == null || budget.hasRetryLeft();
         }
 
         @Override
         public void recordRetry() {
             if (budget != null) {
-                budget.takeOne();
+                budget.spendRetry();
             }
         }
 
@@ -228,24 +233,26 @@
 
         @Override
         public boolean tryAcquire() {
-            if (limits.maxConcurrency() > 0 && state.inHand >= limits.maxConcurrency()) {
+            if (limits.maxConcurrency() > 0 && state.inFlight >= limits.maxConcurrency()) {
                 return false;
             }
-            state.inHand++;
+            state.inFlight++;
             if (budget != null) {
-                budget.firstTry();
+                budget.recordFirstAttempt();
             }
             return true;
         }
 
         @Override
         public void release() {
-            state.inHand--;
+            state.inFlight--;
         }
 
         @Override
         public long retryAfterUs(long otherwiseUs) {
-            return limits.retryAfterUs() >= 0 ? limits.retryAfterUs() : otherwiseUs > 0 ? otherwiseUs : adviceUs;
+            return limits.retryAfterUs() >= 0
+                    ? limits.retryAfterUs()
+                    : otherwiseUs > 0 ? otherwiseUs : defaultRetryAfterUs;
         }
     }
 }
--- a/src/main/java/vetchpost/routes/Limits.java
+++ b/src/main/java/vetchpost/routes/Limits.java
@@ -41,7 +41,7 @@
      * When a second copy could be sent at the latest, with its jitter; 0 if there are none by a fixed
      * wait.
      */
-    public long latestCopyUs() {
+    public long latestHedgeUs() {
         return (long) Math.ceil(hedgeAfterUs * (1 + jitter));
     }
 
--- a/src/main/java/vetchpost/routes/MatchKey.java
+++ b/src/main/java/vetchpost/routes/MatchKey.java
@@ -9,83 +9,83 @@
  * range of keys.
  */
 final class MatchKey {
-    private static final byte END = 1;
-    private static final byte EXACT = 2;
-    private static final byte PREFIX = 3;
-    private static final byte ANY = 4;
-    private static final byte TEXT = 5;
+    private static final byte FIELD_END = 1;
+    private static final byte EXACT_PATH = 2;
+    private static final byte PATH_PREFIX = 3;
+    private static final byte ANY_SEGMENT = 4;
+    private static final byte TEXT_SEGMENT = 5;
     /** Bytes under 8 are written as this and a letter: none in a text is taken for one of ours. */
     private static final byte ESCAPE = 7;
 
-    private static final int LEAST = 8;
+    private static final int MIN_PLAIN_BYTE = 8;
 
     private byte[] bytes = new byte[96];
     private int length;
 
-    /** Where it ends now; {@link #cut} goes back there. */
+    /** Where it ends now; {@link #truncate} goes back there. */
     int mark() {
         return length;
     }
 
-    void cut(int mark) {
+    void truncate(int mark) {
         length = mark;
     }
 
-    private void add(byte b) {
+    private void addByte(byte b) {
         if (length == bytes.length) {
             bytes = Arrays.copyOf(bytes, 2 * length);
         }
         bytes[length++] = b;
     }
 
-    private void text(String text) {
+    private void addText(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c >= 0x80) {
                 for (byte b : FieldCodec.utf8(text.substring(i))) {
-                    escaped(b);
+                    addEscaped(b);
                 }
                 break;
             }
-            escaped((byte) c);
+            addEscaped((byte) c);
         }
     }
 
-    private void escaped(byte b) {
-        if (b >= 0 && b < LEAST) {
-            add(ESCAPE);
-            add((byte) ('a' + b));
+    private void addEscaped(byte b) {
+        if (b >= 0 && b < MIN_PLAIN_BYTE) {
+            addByte(ESCAPE);
+            addByte((byte) ('a' + b));
         } else {
-            add(b);
+            addByte(b);
         }
     }
 
-    MatchKey segment(String text) {
-        add(TEXT);
-        text(text);
-        add(END);
+    MatchKey addSegment(String text) {
+        addByte(TEXT_SEGMENT);
+        addText(text);
+        addByte(FIELD_END);
         return this;
     }
 
-    MatchKey any() {
-        add(ANY);
-        add(END);
+    MatchKey addAnySegment() {
+        addByte(ANY_SEGMENT);
+        addByte(FIELD_END);
         return this;
     }
 
     /** The path ends here, or more may follow. */
-    MatchKey path(boolean prefix) {
-        add(prefix ? PREFIX : EXACT);
+    MatchKey addPathEnd(boolean prefix) {
+        addByte(prefix ? PATH_PREFIX : EXACT_PATH);
         return this;
     }
 
     /** Each empty for all. */
-    MatchKey of(String tenant, String method, String cls) {
-        text(tenant);
-        add(END);
-        text(method);
-        add(END);
-        text(cls);
+    MatchKey addConditions(String tenant, String method, String cls) {
+        addText(tenant);
+        addByte(FIELD_END);
+        addText(method);
+        addByte(FIELD_END);
+        addText(cls);
         return this;
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** Whether that key begins with what is here. */
-    boolean begins(byte[] key) {
+    boolean isPrefixOf(byte[] key) {
         return key.length >= length && Arrays.equals(key, 0, length, bytes, 0, length);
     }
 }
--- a/src/main/java/vetchpost/routes/RetryBudget.java
+++ b/src/main/java/vetchpost/routes/RetryBudget.java
@@ -7,24 +7,24 @@
  */
 final class RetryBudget {
     /** Repeats that can be saved up, and that a route begins with: its first failures are no storm. */
-    private static final double MOST = 10;
+    private static final double MAX_SAVED_RETRIES = 10;
 
-    private final double share;
-    private double balance = MOST;
+    private final double retriesPerFirstAttempt;
+    private double savedRetries = MAX_SAVED_RETRIES;
 
     RetryBudget(double share) {
-        this.share = share;
+        this.retriesPerFirstAttempt = share;
     }
 
-    void firstTry() {
-        balance = Math.min(MOST, balance + share);
+    void recordFirstAttempt() {
+        savedRetries = Math.min(MAX_SAVED_RETRIES, savedRetries + retriesPerFirstAttempt);
     }
 
-    boolean hasOne() {
-        return balance >= 1;
+    boolean hasRetryLeft() {
+        return savedRetries >= 1;
     }
 
-    void takeOne() {
-        balance--;
+    void spendRetry() {
+        savedRetries--;
     }
 }
--- a/src/main/java/vetchpost/routes/RouteCodec.java
+++ b/src/main/java/vetchpost/routes/RouteCodec.java
@@ -31,7 +31,7 @@
      *
      * @throws IllegalArgumentException if it holds what no proved route does
      */
-    public static byte[] bytes(Section route) {
+    public static byte[] encode(Section route) {
         for (String key : route.entries().keySet()) {
             if (Key.of(key) == null) {
                 throw new IllegalArgumentException("unknown key '" + key + "'");
@@ -64,7 +64,7 @@
      * @param at where messages say that it stands
      * @throws IllegalArgumentException if these are no route's
      */
-    public static Section section(byte[] bytes, Position at) {
+    public static Section decode(byte[] bytes, Position at) {
         Map<String, Entry> entries = new LinkedHashMap<>();
         Key[] keys = Key.values();
         FieldCodec.read(bytes, (number, value) -> {
--- a/src/main/java/vetchpost/routes/RouteKey.java
+++ b/src/main/java/vetchpost/routes/RouteKey.java
@@ -7,23 +7,23 @@
  * What a route matches.
  *
  * @param method or empty for any
- * @param segments of the path after the class; {@link #ANY} for one of any text
+ * @param segments of the path after the class; {@link #ANY_SEGMENT} for one of any text
  * @param prefix whether more segments may follow
  * @param cls or empty for any, where paths are the application's own
  * @param tenant its name, or empty for every
  */
 record RouteKey(String cls, String method, List<String> segments, boolean prefix, String tenant) {
     /** A segment of any text. */
-    static final String ANY = "{}";
+    static final String ANY_SEGMENT = "{}";
 
-    private static final int MOST_SEGMENTS = 32;
-    private static final int MOST_LENGTH = 1_024;
+    private static final int MAX_SEGMENTS = 32;
+    private static final int MAX_PATTERN_CHARS = 1_024;
 
     /** A path that is not written as it would match. */
-    static final class Bad extends Exception {
+    static final class InvalidPatternException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Bad(String what) {
+        InvalidPatternException(String what) {
             super(what, null, false, false);
         }
     }
@@ -33,26 +33,27 @@
      *
      * @return the segments, and as the last one "*" for a prefix
      */
-    static List<String> pattern(String path) throws Bad {
-        if (!path.startsWith("/") || path.length() > MOST_LENGTH) {
-            throw new Bad("a path begins with / and has " + MOST_LENGTH + " characters at most");
+    static List<String> parsePattern(String path) throws InvalidPatternException {
+        if (!path.startsWith("/") || path.length() > MAX_PATTERN_CHARS) {
+            throw new InvalidPatternException(
+                    "a path begins with / and has " + MAX_PATTERN_CHARS + " characters at most");
         }
         List<String> segments = new ArrayList<>();
         String[] parts = path.substring(1).split("/", -1);
         for (int i = 0; i < parts.length; i++) {
             String part = parts[i];
             if (part.matches("\\{[A-Za-z][A-Za-z0-9_-]*\\}")) {
-                segments.add(ANY);
+                segments.add(ANY_SEGMENT);
             } else if (part.equals("*") && i == parts.length - 1 && i > 0) {
                 segments.add("*");
             } else if (part.matches("[A-Za-z0-9._~!$&'()+,;=:@-]+") && !part.equals(".") && !part.equals("..")) {
                 segments.add(part);
             } else {
-                throw new Bad("'" + part + "' is neither plain text, nor {name}, nor * at the end");
+                throw new InvalidPatternException("'" + part + "' is neither plain text, nor {name}, nor * at the end");
             }
         }
-        if (segments.size() > MOST_SEGMENTS) {
-            throw new Bad("more than " + MOST_SEGMENTS + " segments");
+        if (segments.size() > MAX_SEGMENTS) {
+            throw new InvalidPatternException("more than " + MAX_SEGMENTS + " segments");
         }
         return segments;
     }
@@ -64,7 +65,7 @@
      *
      * @return null if it can be read in two ways
      */
-    static List<String> path(String target) {
+    static List<String> parsePath(String target) {
         int end = 0;
         while (end < target.length() && target.charAt(end) != '?' && target.charAt(end) != '#') {
             end++;
@@ -75,7 +76,7 @@
             if (i == end || target.charAt(i) == '/') {
                 if (i > from) {
                     String segment = decode(target.substring(from, i));
-                    if (segment == null || segments.size() == MOST_SEGMENTS) {
+                    if (segment == null || segments.size() == MAX_SEGMENTS) {
                         return null;
                     }
                     segments.add(segment);
--- a/src/main/java/vetchpost/routes/RouteTable.java
+++ b/src/main/java/vetchpost/routes/RouteTable.java
@@ -26,24 +26,24 @@
  * bytes when asked for.
  */
 public final class RouteTable {
-    private static final String EVERY = "";
-    private static final Position NOWHERE = new Position("", 1, 1);
-    private static final byte[] ROUTES = new EntryKey(EntryKind.ROUTE, "").bytes();
-    private static final byte[] PAST_ROUTES = {(byte) (ROUTES[0] + 1)};
+    private static final String ANY_VALUE = "";
+    private static final Position NO_POSITION = new Position("", 1, 1);
+    private static final byte[] ROUTES_START = new EntryKey(EntryKind.ROUTE, "").bytes();
+    private static final byte[] ROUTES_END = {(byte) (ROUTES_START[0] + 1)};
 
     /** How limits are made of what a route says, its class and the defaults. */
     private final RouteValidator rules;
 
-    private final boolean alone;
-    private final Map<String, Route> otherwise;
+    private final boolean standalone;
+    private final Map<String, Route> classRoutes;
     /** By the bytes of their keys; entries of other kinds may be among them. */
     private final PackedTree entries;
     /** Names, by match. */
-    private final PackedTree matches;
+    private final PackedTree namesByMatch;
     /** How many routes requests of each class can have. */
-    private final Map<String, Integer> counts;
+    private final Map<String, Integer> routeCountByClass;
 
-    private final int routes;
+    private final int routeCount;
 
     /**
      * The route of a request, before its limits are made.
@@ -66,28 +66,29 @@
             Map<String, Integer> counts,
             int routes) {
         this.rules = rules;
-        this.alone = alone;
-        this.otherwise = otherwise;
+        this.standalone = alone;
+        this.classRoutes = otherwise;
         this.entries = entries;
-        this.matches = matches;
-        this.counts = counts;
-        this.routes = routes;
+        this.namesByMatch = matches;
+        this.routeCountByClass = counts;
+        this.routeCount = routes;
     }
 
     /** The same routes, with what holds for classes and for all in the other one. */
-    RouteTable by(RouteTable other) {
-        return new RouteTable(other.rules, alone, other.otherwise, entries, matches, counts, routes);
+    RouteTable withRulesOf(RouteTable other) {
+        return new RouteTable(
+                other.rules, standalone, other.classRoutes, entries, namesByMatch, routeCountByClass, routeCount);
     }
 
     /**
      * The same routes, read from a tree that holds the same entries of theirs, so that they are kept once.
      */
     public RouteTable backedBy(PackedTree same) {
-        return new RouteTable(rules, alone, otherwise, same, matches, counts, routes);
+        return new RouteTable(rules, standalone, classRoutes, same, namesByMatch, routeCountByClass, routeCount);
     }
 
     /** Whether these have the same limits for classes, and by their classes for all routes. */
-    boolean hasTheRulesOf(RouteTable other) {
+    boolean hasSameRulesAs(RouteTable other) {
         return rules == other.rules;
     }
 
@@ -95,8 +96,8 @@
         return rules;
     }
 
-    boolean isAlone() {
-        return alone;
+    boolean isStandalone() {
+        return standalone;
     }
 
     /** The entries of its routes, perhaps among others. */
@@ -106,17 +107,17 @@
 
     /** How many routes there are, besides those of classes. */
     public int size() {
-        return routes;
+        return routeCount;
     }
 
     /** What the places come to by which its routes are found. */
     public PackedTree.Sum matchSum() {
-        return matches.sum();
+        return namesByMatch.sum();
     }
 
     /** Bytes that it keeps beside its entries. */
     public long indexBytes() {
-        return matches.retainedBytes();
+        return namesByMatch.retainedBytes();
     }
 
     private static byte[] keyOf(String name) {
@@ -125,19 +126,19 @@
 
     /** Whether a route or a class has this name. */
     boolean isNamed(String name) {
-        return otherwise.containsKey(name) || entries.get(keyOf(name)) != null;
+        return classRoutes.containsKey(name) || entries.get(keyOf(name)) != null;
     }
 
     /** The name of the route that matches the same as this would, or null. */
-    String sameMatch(RouteKey key) {
+    String findSameMatch(RouteKey key) {
         List<String> classes = new ArrayList<>(List.of(key.cls()));
         if (key.cls().isEmpty()) {
-            classes.addAll(otherwise.keySet());
-        } else if (alone) {
-            classes.add(EVERY);
+            classes.addAll(classRoutes.keySet());
+        } else if (standalone) {
+            classes.add(ANY_VALUE);
         }
         for (String cls : classes) {
-            Item item = matches.get(bytes(key, cls));
+            Item item = namesByMatch.get(matchBytes(key, cls));
             if (item != null) {
                 return FieldCodec.text(item.value());
             }
@@ -145,21 +146,23 @@
         return null;
     }
 
-    private byte[] bytes(RouteKey key, String cls) {
+    private byte[] matchBytes(RouteKey key, String cls) {
         MatchKey into = new MatchKey();
         for (String segment : key.segments()) {
-            if (segment.equals(RouteKey.ANY)) {
-                into.any();
+            if (segment.equals(RouteKey.ANY_SEGMENT)) {
+                into.addAnySegment();
             } else {
-                into.segment(segment);
+                into.addSegment(segment);
             }
         }
-        return into.path(key.prefix()).of(key.tenant(), key.method(), cls).bytes();
+        return into.addPathEnd(key.prefix())
+                .addConditions(key.tenant(), key.method(), cls)
+                .bytes();
     }
 
-    private Map<String, Integer> counted(String cls, int by) {
-        Map<String, Integer> all = new LinkedHashMap<>(counts);
-        for (String each : cls.isEmpty() ? otherwise.keySet() : Set.of(cls)) {
+    private Map<String, Integer> adjustCounts(String cls, int by) {
+        Map<String, Integer> all = new LinkedHashMap<>(routeCountByClass);
+        for (String each : cls.isEmpty() ? classRoutes.keySet() : Set.of(cls)) {
             all.merge(each, by, Integer::sum);
         }
         return all;
@@ -170,12 +173,12 @@
         byte[] text = FieldCodec.utf8(name);
         return new RouteTable(
                 rules,
-                alone,
-                otherwise,
+                standalone,
+                classRoutes,
                 entries.put(keyOf(name), route, version),
-                matches.put(bytes(key, key.cls()), text, 0),
-                counted(key.cls(), 1),
-                routes + 1);
+                namesByMatch.put(matchBytes(key, key.cls()), text, 0),
+                adjustCounts(key.cls(), 1),
+                routeCount + 1);
     }
 
     /** The version of a route if it has these bytes here too, else the other one. */
@@ -196,19 +199,19 @@
             return live == null ? this : backedBy(live);
         }
         RouteKey key = keyOf(item);
-        byte[] match = bytes(key, key.cls());
-        Item found = matches.get(match);
+        byte[] match = matchBytes(key, key.cls());
+        Item found = namesByMatch.get(match);
         // While many changes are taken in one by one, another may have taken its place by now.
         boolean own = found != null
                 && Arrays.equals(found.value(), 0, found.value().length, item.key(), 1, item.key().length);
         return new RouteTable(
                 rules,
-                alone,
-                otherwise,
+                standalone,
+                classRoutes,
                 live == null ? entries.remove(item.key()) : live,
-                own ? matches.remove(match) : matches,
-                counted(key.cls(), -1),
-                routes - 1);
+                own ? namesByMatch.remove(match) : namesByMatch,
+                adjustCounts(key.cls(), -1),
+                routeCount - 1);
     }
 
     /**
@@ -224,32 +227,32 @@
         if (route == null) {
             return without;
         }
-        RouteKey key = keyOf(RouteCodec.section(route, NOWHERE));
+        RouteKey key = keyOf(RouteCodec.decode(route, NO_POSITION));
         return new RouteTable(
                 rules,
-                alone,
-                otherwise,
+                standalone,
+                classRoutes,
                 live,
-                without.matches.put(bytes(key, key.cls()), FieldCodec.utf8(name), 0),
-                without.counted(key.cls(), 1),
-                without.routes + 1);
+                without.namesByMatch.put(matchBytes(key, key.cls()), FieldCodec.utf8(name), 0),
+                without.adjustCounts(key.cls(), 1),
+                without.routeCount + 1);
     }
 
     /** With a route that is among the entries already, and not found yet. */
-    public RouteTable withoutRoute(String name, byte[] route) {
-        RouteKey key = keyOf(RouteCodec.section(route, NOWHERE));
+    public RouteTable withIndexedRoute(String name, byte[] route) {
+        RouteKey key = keyOf(RouteCodec.decode(route, NO_POSITION));
         return new RouteTable(
                 rules,
-                alone,
-                otherwise,
+                standalone,
+                classRoutes,
                 entries,
-                matches.put(bytes(key, key.cls()), FieldCodec.utf8(name), 0),
-                counted(key.cls(), 1),
-                routes + 1);
+                namesByMatch.put(matchBytes(key, key.cls()), FieldCodec.utf8(name), 0),
+                adjustCounts(key.cls(), 1),
+                routeCount + 1);
     }
 
     private RouteKey keyOf(Item item) {
-        return keyOf(RouteCodec.section(item.value(), NOWHERE));
+        return keyOf(RouteCodec.decode(item.value(), NO_POSITION));
     }
 
     private RouteKey keyOf(Section section) {
@@ -273,21 +276,22 @@
 
     /** The same, with no limits made of it yet. */
     Match match(String cls, String method, String target, int tenant) {
-        boolean any = counts.getOrDefault(cls, 0) > 0;
-        if (alone && !any) {
+        boolean any = routeCountByClass.getOrDefault(cls, 0) > 0;
+        if (standalone && !any) {
             return new Match(cls, null); // No route has a path, so that no path has to be read.
         }
-        List<String> path = RouteKey.path(target);
-        if (path == null || !alone && (path.isEmpty() || !path.get(0).equals(cls))) {
+        List<String> path = RouteKey.parsePath(target);
+        if (path == null || !standalone && (path.isEmpty() || !path.get(0).equals(cls))) {
             return null;
         }
-        Item name =
-                any ? find(new MatchKey(), path, alone ? 0 : 1, rules.tenants().at(tenant), method, cls) : null;
+        Item name = any
+                ? find(new MatchKey(), path, standalone ? 0 : 1, rules.tenants().nameAt(tenant), method, cls)
+                : null;
         if (name == null) {
             return new Match(cls, null);
         }
         byte[] key = new byte[1 + name.value().length];
-        key[0] = ROUTES[0];
+        key[0] = ROUTES_START[0];
         System.arraycopy(name.value(), 0, key, 1, name.value().length);
         return new Match(cls, entries.get(key));
     }
@@ -295,68 +299,71 @@
     /** With its limits. */
     Route route(Match match) {
         return match.entry() == null
-                ? otherwise.get(match.cls())
+                ? classRoutes.get(match.cls())
                 : rules.route(
                         EntryKey.of(match.entry().key()).name(),
                         match.cls(),
-                        RouteCodec.section(match.entry().value(), NOWHERE));
+                        RouteCodec.decode(match.entry().value(), NO_POSITION));
     }
 
     private Item find(MatchKey at, List<String> path, int from, String tenant, String method, String cls) {
         int here = at.mark();
         if (from < path.size()) {
-            Item found = isThere(at.segment(path.get(from))) ? find(at, path, from + 1, tenant, method, cls) : null;
-            at.cut(here);
-            if (found == null && isThere(at.any())) {
+            Item found = hasKeyWithPrefix(at.addSegment(path.get(from)))
+                    ? find(at, path, from + 1, tenant, method, cls)
+                    : null;
+            at.truncate(here);
+            if (found == null && hasKeyWithPrefix(at.addAnySegment())) {
                 found = find(at, path, from + 1, tenant, method, cls);
             }
-            at.cut(here);
+            at.truncate(here);
             if (found != null) {
                 return found;
             }
         } else {
-            Item exact = leaf(at, false, tenant, method, cls);
+            Item exact = findAtPathEnd(at, false, tenant, method, cls);
             if (exact != null) {
                 return exact;
             }
         }
-        return leaf(at, true, tenant, method, cls);
+        return findAtPathEnd(at, true, tenant, method, cls);
     }
 
-    private boolean isThere(MatchKey at) {
-        Item next = matches.ceiling(at.bytes());
-        return next != null && at.begins(next.key());
+    private boolean hasKeyWithPrefix(MatchKey at) {
+        Item next = namesByMatch.ceiling(at.bytes());
+        return next != null && at.isPrefixOf(next.key());
     }
 
-    private Item leaf(MatchKey at, boolean prefix, String tenant, String method, String cls) {
+    private Item findAtPathEnd(MatchKey at, boolean prefix, String tenant, String method, String cls) {
         int here = at.mark();
-        at.path(prefix);
+        at.addPathEnd(prefix);
         Item found = null;
-        if (isThere(at)) {
+        if (hasKeyWithPrefix(at)) {
             int leaf = at.mark();
-            for (String ofTenant : tenant.isEmpty() ? List.of(EVERY) : List.of(tenant, EVERY)) {
-                for (String ofMethod : List.of(method, EVERY)) {
-                    for (String ofClass : alone ? List.of(cls, EVERY) : List.of(cls)) {
-                        at.cut(leaf);
+            for (String ofTenant : tenant.isEmpty() ? List.of(ANY_VALUE) : List.of(tenant, ANY_VALUE)) {
+                for (String ofMethod : List.of(method, ANY_VALUE)) {
+                    for (String ofClass : standalone ? List.of(cls, ANY_VALUE) : List.of(cls)) {
+                        at.truncate(leaf);
                         found = found == null
-                                ? matches.get(at.of(ofTenant, ofMethod, ofClass).bytes())
+                                ? namesByMatch.get(at.addConditions(ofTenant, ofMethod, ofClass)
+                                        .bytes())
                                 : found;
                     }
                 }
             }
         }
-        at.cut(here);
+        at.truncate(here);
         return found;
     }
 
     // ---------------------------------------------------------------- all of them
 
     /** All routes and classes by name, with limits that are made as they are asked for. */
-    Map<String, Route> all() {
+    Map<String, Route> allRoutes() {
         return new AbstractMap<>() {
             @Override
             public int size() {
-                return otherwise.size() + routes;
+                return classRoutes.size() + routeCount;
             }
 
             @Override
@@ -369,9 +376,9 @@
                 if (!(name instanceof String text)) {
                     return null;
                 }
-                Route ofClass = otherwise.get(text);
+                Route ofClass = classRoutes.get(text);
                 Item item = ofClass != null ? null : entries.get(keyOf(text));
-                return item == null ? ofClass : first(item);
+                return item == null ? ofClass : routeForFirstClass(item);
             }
 
             @Override
@@ -384,22 +391,22 @@
 
                     @Override
                     public int size() {
-                        return otherwise.size() + routes;
+                        return classRoutes.size() + routeCount;
                     }
                 };
             }
         };
     }
 
-    private Route first(Item item) {
+    private Route routeForFirstClass(Item item) {
         String cls = keyOf(item).cls();
-        return route(new Match(cls.isEmpty() ? otherwise.keySet().iterator().next() : cls, item));
+        return route(new Match(cls.isEmpty() ? classRoutes.keySet().iterator().next() : cls, item));
     }
 
     private Iterator<Map.Entry<String, Route>> iterate() {
-        Iterator<Map.Entry<String, Route>> classes = otherwise.entrySet().iterator();
+        Iterator<Map.Entry<String, Route>> classes = classRoutes.entrySet().iterator();
         return new Iterator<>() {
-            private Item next = ceiling(ROUTES);
+            private Item next = ceiling(ROUTES_START);
 
             @Override
             public boolean hasNext() {
@@ -413,13 +420,13 @@
                 }
                 Item item = next;
                 next = ceiling(PackedTree.successor(item.key()));
-                return Map.entry(EntryKey.of(item.key()).name(), first(item));
+                return Map.entry(EntryKey.of(item.key()).name(), routeForFirstClass(item));
             }
         };
     }
 
     private Item ceiling(byte[] key) {
         Item item = entries.ceiling(key);
-        return item == null || Arrays.compareUnsigned(item.key(), PAST_ROUTES) >= 0 ? null : item;
+        return item == null || Arrays.compareUnsigned(item.key(), ROUTES_END) >= 0 ? null : item;
     }
 }
--- a/src/main/java/vetchpost/routes/Section.java
+++ b/src/main/java/vetchpost/routes/Section.java
@@ -8,7 +8,7 @@
  * @param name of the class or route; empty for the defaults, and for a route without a name
  * @param entries by key; what is nested deeper is there as it was read
  */
-public record Section(Kind kind, String name, Position at, Map<String, Entry> entries) {
+public record Section(Kind kind, String name, Position position, Map<String, Entry> entries) {
 
     /** What a table speaks of, from the general to the special. */
     public enum Kind {
@@ -20,7 +20,7 @@
         HANDOVER,
         ADMISSION,
         NODE,
-        REQUESTS,
+        REQUEST_CLASS,
         TENANT,
         POOL,
         SOURCE,
@@ -31,5 +31,5 @@
     }
 
     /** A value: text, a number, a list or a table of such, or whatever else TOML knows, which is no use. */
-    public record Entry(Object value, Position at) {}
+    public record Entry(Object value, Position position) {}
 }
--- a/src/main/java/vetchpost/routes/SectionReader.java
+++ b/src/main/java/vetchpost/routes/SectionReader.java
@@ -13,9 +13,9 @@
  * for that case; whoever reads looks at the violations before using any.
  */
 public final class SectionReader {
-    private static final Pattern DURATION = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)");
-    private static final Pattern SIZE = Pattern.compile("(\\d{1,9})(B|KiB|MiB|GiB)");
-    private static final int KIB = 1_024;
+    private static final Pattern DURATION_PATTERN = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)(us|ms|s|m|h)");
+    private static final Pattern SIZE_PATTERN = Pattern.compile("(\\d{1,9})(B|KiB|MiB|GiB)");
+    private static final int KIB_BYTES = 1_024;
 
     private final Section section;
     private final String label;
@@ -39,14 +39,14 @@
     }
 
     /** Where a key stands, or the table if it does not. */
-    public Position at(String key) {
+    public Position positionOf(String key) {
         Entry entry = section.entries().get(key);
-        return entry == null ? section.at() : entry.at();
+        return entry == null ? section.position() : entry.position();
     }
 
     /** Adds a violation at the key, or at the table if the key is not there. */
     public void addViolation(String key, Rule rule, String what, String fits) {
-        violations.add(new Violation(at(key), label, rule, what, fits));
+        violations.add(new Violation(positionOf(key), label, rule, what, fits));
     }
 
     /** Names all keys that are none of these. */
@@ -54,7 +54,11 @@
         section.entries().forEach((key, entry) -> {
             if (!keys.contains(key)) {
                 violations.add(new Violation(
-                        entry.at(), label, Rule.UNKNOWN_KEY, "unknown key '" + key + "'", ClosestMatch.of(key, keys)));
+                        entry.position(),
+                        label,
+                        Rule.UNKNOWN_KEY,
+                        "unknown key '" + key + "'",
+                        ClosestMatch.of(key, keys)));
             }
         });
     }
@@ -65,12 +69,12 @@
         return entry == null ? null : entry.value();
     }
 
-    private static String shown(Object value) {
+    private static String format(Object value) {
         return value instanceof String ? "\"" + value + "\"" : String.valueOf(value);
     }
 
-    private void wrong(String key, String what, String fits) {
-        addViolation(key, Rule.WRONG_UNIT, key + " = " + shown(value(key)) + " is " + what, key + " = " + fits);
+    private void addWrongUnit(String key, String what, String fits) {
+        addViolation(key, Rule.WRONG_UNIT, key + " = " + format(value(key)) + " is " + what, key + " = " + fits);
     }
 
     /** A text that is not empty. */
@@ -82,7 +86,7 @@
         if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
-        wrong(key, "no text", "\"...\"");
+        addWrongUnit(key, "no text", "\"...\"");
         return otherwise;
     }
 
@@ -113,7 +117,7 @@
                 return texts;
             }
         }
-        wrong(key, "no list of texts", "[\"...\"]");
+        addWrongUnit(key, "no list of texts", "[\"...\"]");
         return otherwise;
     }
 
@@ -123,7 +127,7 @@
         if (value == null || value instanceof Boolean) {
             return value == null ? otherwise : (Boolean) value;
         }
-        wrong(key, "neither true nor false", Boolean.toString(otherwise));
+        addWrongUnit(key, "neither true nor false", Boolean.toString(otherwise));
         return otherwise;
     }
 
@@ -134,7 +138,7 @@
             return otherwise;
         }
         if (!(value instanceof Long number)) {
-            wrong(key, "no whole number", Integer.toString(otherwise));
+            addWrongUnit(key, "no whole number", Integer.toString(otherwise));
             return otherwise;
         }
         if (number < least || number > most) {
@@ -151,7 +155,7 @@
             return otherwise;
         }
         if (!(value instanceof Number number)) {
-            wrong(key, "no number", Double.toString(otherwise));
+            addWrongUnit(key, "no number", Double.toString(otherwise));
             return otherwise;
         }
         if (!(number.doubleValue() >= least && number.doubleValue() <= most)) {
@@ -167,9 +171,9 @@
         if (value == null) {
             return otherwiseUs;
         }
-        Matcher m = value instanceof String text ? DURATION.matcher(text) : null;
+        Matcher m = value instanceof String text ? DURATION_PATTERN.matcher(text) : null;
         if (m == null || !m.matches()) {
-            wrong(key, "no length of time", value instanceof Long ? "\"" + value + "ms\"" : "\"250ms\"");
+            addWrongUnit(key, "no length of time", value instanceof Long ? "\"" + value + "ms\"" : "\"250ms\"");
             return otherwiseUs;
         }
         double us = Double.parseDouble(m.group(1))
@@ -184,7 +188,7 @@
             addViolation(
                     key,
                     Rule.OUT_OF_RANGE,
-                    key + " = " + shown(value),
+                    key + " = " + format(value),
                     "from " + formatDuration(leastUs) + " to " + formatDuration(mostUs));
             return otherwiseUs;
         }
@@ -197,21 +201,21 @@
         if (value == null) {
             return otherwise;
         }
-        Matcher m = value instanceof String text ? SIZE.matcher(text) : null;
+        Matcher m = value instanceof String text ? SIZE_PATTERN.matcher(text) : null;
         if (m == null || !m.matches()) {
-            wrong(key, "no size", value instanceof Long ? "\"" + value + "B\"" : "\"64KiB\"");
+            addWrongUnit(key, "no size", value instanceof Long ? "\"" + value + "B\"" : "\"64KiB\"");
             return otherwise;
         }
         long bytes = Long.parseLong(m.group(1))
                 * switch (m.group(2)) {
                     case "B" -> 1L;
-                    case "KiB" -> KIB;
-                    case "MiB" -> KIB * KIB;
-                    default -> (long) KIB * KIB * KIB;
+                    case "KiB" -> KIB_BYTES;
+                    case "MiB" -> KIB_BYTES * KIB_BYTES;
+                    default -> (long) KIB_BYTES * KIB_BYTES * KIB_BYTES;
                 };
         if (bytes < least || bytes > most) {
             addViolation(
-                    key, Rule.OUT_OF_RANGE, key + " = " + shown(value), "from " + size(least) + " to " + size(most));
+                    key, Rule.OUT_OF_RANGE, key + " = " + format(value), "from " + size(least) + " to " + size(most));
             return otherwise;
         }
         return bytes;
@@ -226,11 +230,11 @@
 
     /** A size as a file would have it. */
     public static String size(long bytes) {
-        long gib = (long) KIB * KIB * KIB;
+        long gib = (long) KIB_BYTES * KIB_BYTES * KIB_BYTES;
         return bytes != 0 && bytes % gib == 0
                 ? bytes / gib + "GiB"
-                : bytes != 0 && bytes % (KIB * KIB) == 0
-                        ? bytes / (KIB * KIB) + "MiB"
-                        : bytes != 0 && bytes % KIB == 0 ? bytes / KIB + "KiB" : bytes + "B";
+                : bytes != 0 && bytes % (KIB_BYTES * KIB_BYTES) == 0
+                        ? bytes / (KIB_BYTES * KIB_BYTES) + "MiB"
+                        : bytes != 0 && bytes % KIB_BYTES == 0 ? bytes / KIB_BYTES + "KiB" : bytes + "B";
     }
 }
--- a/src/main/java/vetchpost/routes/TenantNames.java
+++ b/src/main/java/vetchpost/routes/TenantNames.java
@@ -10,25 +10,25 @@
 final class TenantNames implements RouteValidator.Tenants {
     private final List<Tenant> tenants;
     /** Their indexes, by the order of their names. */
-    private final int[] ordered;
+    private final int[] indexesByName;
 
     TenantNames(List<Tenant> tenants) {
         this.tenants = tenants;
         Integer[] places = new Integer[tenants.size()];
         Arrays.setAll(places, i -> i);
         Arrays.sort(places, Comparator.comparing(i -> tenants.get(i).name()));
-        ordered = Arrays.stream(places).mapToInt(Integer::intValue).toArray();
+        indexesByName = Arrays.stream(places).mapToInt(Integer::intValue).toArray();
     }
 
     /** The index of a tenant, or -1. */
-    int of(String name) {
+    int indexOf(String name) {
         int low = 0;
-        int high = ordered.length - 1;
+        int high = indexesByName.length - 1;
         while (low <= high) {
             int middle = (low + high) >>> 1;
-            int order = tenants.get(ordered[middle]).name().compareTo(name);
+            int order = tenants.get(indexesByName[middle]).name().compareTo(name);
             if (order == 0) {
-                return ordered[middle];
+                return indexesByName[middle];
             }
             if (order < 0) {
                 low = middle + 1;
@@ -40,18 +40,18 @@
     }
 
     @Override
-    public boolean has(String name) {
-        return of(name) >= 0;
+    public boolean contains(String name) {
+        return indexOf(name) >= 0;
     }
 
     /** The name of one, by its index; empty for an index that is none. */
-    String at(int index) {
+    String nameAt(int index) {
         return index >= 0 && index < tenants.size() ? tenants.get(index).name() : "";
     }
 
     /** All names, in the order of the settings. */
     @Override
-    public List<String> all() {
+    public List<String> names() {
         return new AbstractList<>() {
             @Override
             public String get(int index) {
--- a/src/main/java/vetchpost/routes/Violation.java
+++ b/src/main/java/vetchpost/routes/Violation.java
@@ -34,22 +34,22 @@
         STARVES("no route and no tenant is starved"),
         INCOMPLETE("a node has an address, servers and a class for each request");
 
-        private final String words;
+        private final String description;
 
         Rule(String words) {
-            this.words = words;
+            this.description = words;
         }
 
         /** The rule in words. */
-        public String words() {
-            return words;
+        public String description() {
+            return description;
         }
     }
 
     @Override
     public String toString() {
         return position + ": " + (route.isEmpty() ? "" : route + ": ") + problem + " ["
-                + rule + ": " + rule.words() + "]"
+                + rule + ": " + rule.description() + "]"
                 + (accepted.isEmpty() ? "" : "; " + accepted + " would pass");
     }
 }
--- a/src/main/java/vetchpost/routes/file/FileIndex.java
+++ b/src/main/java/vetchpost/routes/file/FileIndex.java
@@ -24,20 +24,20 @@
  * hash of all else. By it the same file is read again for no more than what has changed in its routes.
  */
 public final class FileIndex {
-    private static final byte[] NOTHING = new byte[0];
-    private static final long SECOND = 0x9E3779B97F4A7C15L;
+    private static final byte[] EMPTY_BYTES = new byte[0];
+    private static final long SECOND_HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
-    private final PackedTree routes;
-    private final long others;
+    private final PackedTree namesByHash;
+    private final long otherTablesHash;
 
     private FileIndex(PackedTree routes, long others) {
-        this.routes = routes;
-        this.others = others;
+        this.namesByHash = routes;
+        this.otherTablesHash = others;
     }
 
     /** Bytes that it keeps. */
     public long retainedBytes() {
-        return routes.retainedBytes();
+        return namesByHash.retainedBytes();
     }
 
     /**
@@ -52,18 +52,18 @@
             List<Section> changedRoutes, List<String> removedRoutes, FileIndex index, List<Violation> violations) {}
 
     /** Takes a file's tables; routes come after all others. */
-    public interface Tables {
+    public interface SectionHandler {
         /** All that are no routes. */
-        void otherSections(List<Section> sections);
+        void acceptOtherSections(List<Section> sections);
 
         /** A route. */
-        void route(Section section);
+        void acceptRoute(Section section);
     }
 
     private static byte[] hash(CharSequence text) {
-        long second = text.length() * SECOND;
+        long second = text.length() * SECOND_HASH_MULTIPLIER;
         for (int i = 0; i < text.length(); i++) {
-            second = Long.rotateLeft(second ^ text.charAt(i), 7) * SECOND;
+            second = Long.rotateLeft(second ^ text.charAt(i), 7) * SECOND_HASH_MULTIPLIER;
         }
         return ByteBuffer.allocate(2 * Long.BYTES)
                 .putLong(HashSet64.hash(text))
@@ -71,12 +71,13 @@
                 .array();
     }
 
-    private static void cut(Path file, BlockReader.Sink sink) throws IOException, BlockReader.Whole {
-        if (Files.size(file) > RouteFile.MAX_BYTES) {
-            throw new IOException(file + " is over " + (RouteFile.MAX_BYTES >> 20) + " MiB");
+    private static void readBlocks(Path file, BlockReader.BlockHandler sink)
+            throws IOException, BlockReader.UnsplittableFileException {
+        if (Files.size(file) > RouteFile.MAX_FILE_BYTES) {
+            throw new IOException(file + " is over " + (RouteFile.MAX_FILE_BYTES >> 20) + " MiB");
         }
         try (Reader in = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
-            RouteFile.blocks(sink).read(in);
+            RouteFile.blockReader(sink).read(in);
         } catch (CharacterCodingException e) {
             throw new IOException(file + " is not UTF-8", e);
         }
@@ -90,59 +91,59 @@
      * @return its index; null if the file had to be read as a whole, or its index is of no use
      * @throws IOException if it can't be read, or has changed while it was
      */
-    public static FileIndex read(Path file, Tables into, Consumer<Violation> violations) throws IOException {
+    public static FileIndex read(Path file, SectionHandler into, Consumer<Violation> violations) throws IOException {
         try {
-            return byBlocks(file, into, violations);
-        } catch (BlockReader.Whole e) {
+            return readByBlocks(file, into, violations);
+        } catch (BlockReader.UnsplittableFileException e) {
             // Nothing was told so far: routes come last, and all blocks are looked at before.
             RouteFile whole = RouteFile.read(file);
             whole.violations().forEach(violations);
-            into.otherSections(whole.sections().stream()
+            into.acceptOtherSections(whole.sections().stream()
                     .filter(s -> s.kind() != Kind.ROUTE)
                     .toList());
-            whole.sections().stream().filter(s -> s.kind() == Kind.ROUTE).forEach(into::route);
+            whole.sections().stream().filter(s -> s.kind() == Kind.ROUTE).forEach(into::acceptRoute);
             return null;
         }
     }
 
-    private static FileIndex byBlocks(Path file, Tables into, Consumer<Violation> violations)
-            throws IOException, BlockReader.Whole {
+    private static FileIndex readByBlocks(Path file, SectionHandler into, Consumer<Violation> violations)
+            throws IOException, BlockReader.UnsplittableFileException {
         List<Section> others = new ArrayList<>();
         long[] sums = new long[4];
         boolean[] bad = new boolean[1];
         String name = file.toString();
-        cut(file, (kind, of, line, text) -> {
+        readBlocks(file, (kind, of, line, text) -> {
             if (kind == Kind.ROUTE) {
                 sums[0] += HashSet64.hash(text);
                 return;
             }
-            sums[1] = sums[1] * SECOND + HashSet64.hash(text);
-            RouteFile one = RouteFile.block(name, kind, text.toString(), line);
+            sums[1] = sums[1] * SECOND_HASH_MULTIPLIER + HashSet64.hash(text);
+            RouteFile one = RouteFile.parseBlock(name, kind, text.toString(), line);
             bad[0] |= !one.violations().isEmpty();
             one.violations().forEach(violations);
             others.addAll(one.sections());
         });
         if (!bad[0]) {
-            into.otherSections(others);
+            into.acceptOtherSections(others);
         }
         PackedTree[] index = {PackedTree.EMPTY};
         boolean[] twice = new boolean[1];
-        cut(file, (kind, of, line, text) -> {
+        readBlocks(file, (kind, of, line, text) -> {
             if (kind != Kind.ROUTE) {
-                sums[3] = sums[3] * SECOND + HashSet64.hash(text);
+                sums[3] = sums[3] * SECOND_HASH_MULTIPLIER + HashSet64.hash(text);
                 return;
             }
             sums[2] += HashSet64.hash(text);
-            RouteFile one = RouteFile.block(name, kind, text.toString(), line);
+            RouteFile one = RouteFile.parseBlock(name, kind, text.toString(), line);
             one.violations().forEach(violations);
             for (Section section : one.sections()) {
                 if (!bad[0]) {
-                    into.route(section);
+                    into.acceptRoute(section);
                 }
                 byte[] hash = hash(text);
                 String known = RouteCodec.nameOf(section);
                 twice[0] |= known == null || index[0].get(hash) != null;
-                index[0] = index[0].put(hash, known == null ? NOTHING : FieldCodec.utf8(known), 0);
+                index[0] = index[0].put(hash, known == null ? EMPTY_BYTES : FieldCodec.utf8(known), 0);
             }
         });
         if (sums[0] != sums[2] || sums[1] != sums[3]) {
@@ -166,18 +167,18 @@
         long[] known = new long[1];
         boolean[] odd = new boolean[1];
         try {
-            cut(file, (kind, of, line, text) -> {
+            readBlocks(file, (kind, of, line, text) -> {
                 if (kind != Kind.ROUTE) {
-                    other[0] = other[0] * SECOND + HashSet64.hash(text);
+                    other[0] = other[0] * SECOND_HASH_MULTIPLIER + HashSet64.hash(text);
                     return;
                 }
                 byte[] hash = hash(text);
                 odd[0] |= !seen.add(ByteBuffer.wrap(hash).getLong());
-                if (routes.contains(hash)) {
+                if (namesByHash.contains(hash)) {
                     known[0]++;
                     return;
                 }
-                RouteFile one = RouteFile.block(file.toString(), kind, text.toString(), line);
+                RouteFile one = RouteFile.parseBlock(file.toString(), kind, text.toString(), line);
                 violations.addAll(one.violations());
                 for (Section section : one.sections()) {
                     fresh.add(section);
@@ -185,18 +186,18 @@
                     odd[0] |= name == null || added.put(name, hash) != null;
                 }
             });
-        } catch (BlockReader.Whole e) {
+        } catch (BlockReader.UnsplittableFileException e) {
             return null;
         }
-        if (odd[0] || other[0] != others) {
+        if (odd[0] || other[0] != otherTablesHash) {
             return null;
         }
         List<String> gone = new ArrayList<>();
-        PackedTree now = routes;
-        if (known[0] != routes.size()) {
-            for (PackedTree.Item item = routes.ceiling(NOTHING);
+        PackedTree now = namesByHash;
+        if (known[0] != namesByHash.size()) {
+            for (PackedTree.Item item = namesByHash.ceiling(EMPTY_BYTES);
                     item != null;
-                    item = routes.ceiling(PackedTree.successor(item.key()))) {
+                    item = namesByHash.ceiling(PackedTree.successor(item.key()))) {
                 if (!seen.contains(ByteBuffer.wrap(item.key()).getLong())) {
                     gone.add(FieldCodec.text(item.value()));
                     now = now.remove(item.key());
@@ -206,6 +207,6 @@
         for (Map.Entry<String, byte[]> each : added.entrySet()) {
             now = now.put(each.getValue(), FieldCodec.utf8(each.getKey()), 0);
         }
-        return new Difference(fresh, gone, new FileIndex(now, others), violations);
+        return new Difference(fresh, gone, new FileIndex(now, otherTablesHash), violations);
     }
 }
--- a/src/main/java/vetchpost/routes/file/RouteFile.java
+++ b/src/main/java/vetchpost/routes/file/RouteFile.java
@@ -26,7 +26,7 @@
  */
 public record RouteFile(List<Section> sections, List<Violation> violations) {
     /** 220,000 routes and 420,000 tenants take some 50 MiB. */
-    static final long MAX_BYTES = 256L << 20;
+    static final long MAX_FILE_BYTES = 256L << 20;
 
     private static final Map<String, Kind> TABLES = Map.ofEntries(
             Map.entry("defaults", Kind.DEFAULTS),
@@ -40,10 +40,10 @@
             Map.entry("control", Kind.CONTROL),
             Map.entry("changes", Kind.CHANGES));
     /** Tables of tables, each with a name. */
-    private static final Map<String, Kind> NAMED =
-            Map.of("class", Kind.CLASS, "classes", Kind.REQUESTS, "tenants", Kind.TENANT);
+    private static final Map<String, Kind> NAMED_TABLES =
+            Map.of("class", Kind.CLASS, "classes", Kind.REQUEST_CLASS, "tenants", Kind.TENANT);
 
-    private static final Map<String, Kind> LISTED = Map.of("route", Kind.ROUTE, "source", Kind.SOURCE);
+    private static final Map<String, Kind> ARRAY_TABLES = Map.of("route", Kind.ROUTE, "source", Kind.SOURCE);
 
     /**
      * Reads a file.
@@ -51,8 +51,8 @@
      * @throws IOException if it can't be read, or is larger than any such file
      */
     public static RouteFile read(Path path) throws IOException {
-        if (Files.size(path) > MAX_BYTES) {
-            throw new IOException(path + " is over " + (MAX_BYTES >> 20) + " MiB");
+        if (Files.size(path) > MAX_FILE_BYTES) {
+            throw new IOException(path + " is over " + (MAX_FILE_BYTES >> 20) + " MiB");
         }
         return parse(path.toString(), Files.readString(path));
     }
@@ -63,16 +63,17 @@
     }
 
     /** Cuts a file at its headers. */
-    static BlockReader blocks(BlockReader.Sink sink) {
-        return new BlockReader(TABLES, NAMED, LISTED, sink);
+    static BlockReader blockReader(BlockReader.BlockHandler sink) {
+        return new BlockReader(TABLES, NAMED_TABLES, ARRAY_TABLES, sink);
     }
 
     /** Reads the lines of one table, the first of which is that line of the file. */
-    static RouteFile block(String file, Kind kind, String text, int line) throws BlockReader.Whole {
+    static RouteFile parseBlock(String file, Kind kind, String text, int line)
+            throws BlockReader.UnsplittableFileException {
         RouteFile one = parse(file, text, line);
         if (one.violations().isEmpty()
                 && (one.sections().size() != 1 || one.sections().get(0).kind() != kind)) {
-            throw new BlockReader.Whole("line " + line + " begins more than one table");
+            throw new BlockReader.UnsplittableFileException("line " + line + " begins more than one table");
         }
         return one;
     }
@@ -84,27 +85,27 @@
                     List.of(),
                     toml.errors().stream()
                             .map(e -> new Violation(
-                                    position(file, first, e.position()), "", Rule.SYNTAX, e.getMessage(), ""))
+                                    toPosition(file, first, e.position()), "", Rule.SYNTAX, e.getMessage(), ""))
                             .toList());
         }
         List<Section> sections = new ArrayList<>();
         for (String key : toml.keySet()) {
             List<String> path = List.of(key);
-            Position at = position(file, first, toml.inputPositionOf(path));
+            Position at = toPosition(file, first, toml.inputPositionOf(path));
             Object value = toml.get(path);
             Kind kind = TABLES.get(key);
             if (kind != null && value instanceof TomlTable table) {
-                sections.add(section(file, first, kind, kind == Kind.DEFAULTS ? "" : key, at, table));
-            } else if (NAMED.containsKey(key) && value instanceof TomlTable table) {
-                named(file, first, key, table, sections);
-            } else if (LISTED.containsKey(key) && value instanceof TomlArray array && areTables(array)) {
+                sections.add(toSection(file, first, kind, kind == Kind.DEFAULTS ? "" : key, at, table));
+            } else if (NAMED_TABLES.containsKey(key) && value instanceof TomlTable table) {
+                addNamedTables(file, first, key, table, sections);
+            } else if (ARRAY_TABLES.containsKey(key) && value instanceof TomlArray array && areTables(array)) {
                 for (int i = 0; i < array.size(); i++) {
-                    sections.add(section(
+                    sections.add(toSection(
                             file,
                             first,
-                            LISTED.get(key),
+                            ARRAY_TABLES.get(key),
                             "",
-                            position(file, first, array.inputPositionOf(i)),
+                            toPosition(file, first, array.inputPositionOf(i)),
                             array.getTable(i)));
                 }
             } else {
@@ -123,18 +124,18 @@
         return true;
     }
 
-    private static void named(String file, int first, String key, TomlTable table, List<Section> sections) {
+    private static void addNamedTables(String file, int first, String key, TomlTable table, List<Section> sections) {
         for (String name : table.keySet()) {
-            Position at = position(file, first, table.inputPositionOf(List.of(name)));
+            Position at = toPosition(file, first, table.inputPositionOf(List.of(name)));
             if (table.get(List.of(name)) instanceof TomlTable one) {
-                sections.add(section(file, first, NAMED.get(key), name, at, one));
+                sections.add(toSection(file, first, NAMED_TABLES.get(key), name, at, one));
             } else {
                 sections.add(new Section(Kind.UNKNOWN, key + "." + name, at, Map.of()));
             }
         }
     }
 
-    private static Section section(String file, int first, Kind kind, String name, Position at, TomlTable table) {
+    private static Section toSection(String file, int first, Kind kind, String name, Position at, TomlTable table) {
         Map<String, Entry> entries = new LinkedHashMap<>();
         for (String key : table.keySet()) {
             List<String> path = List.of(key);
@@ -145,13 +146,13 @@
                             value instanceof TomlArray array
                                     ? array.toList()
                                     : value instanceof TomlTable inner ? inner.toMap() : value,
-                            position(file, first, table.inputPositionOf(path))));
+                            toPosition(file, first, table.inputPositionOf(path))));
         }
         return new Section(kind, name, at, entries);
     }
 
     /** A place, where the text's first line is that of the file. */
-    private static Position position(String file, int first, TomlPosition at) {
+    private static Position toPosition(String file, int first, TomlPosition at) {
         return at == null ? new Position(file, first, 1) : new Position(file, at.line() + first - 1, at.column());
     }
 }
--- a/src/main/java/vetchpost/simadapter/ActionWriter.java
+++ b/src/main/java/vetchpost/simadapter/ActionWriter.java
@@ -19,12 +19,12 @@
         this.out = out;
     }
 
-    void actFor(String instance) {
+    void setNode(String instance) {
         node = instance;
     }
 
     void flush() throws IOException {
-        text("next\n");
+        writeText("next\n");
         out.write(buffer, 0, filled);
         out.flush();
         filled = 0;
@@ -32,106 +32,106 @@
 
     @Override
     public void send(long requestId, String serverId, long untilUs) {
-        open("route");
-        handle(requestId);
-        text(" server=");
-        text(serverId);
-        text(" untilUs=");
-        number(untilUs);
-        close();
+        beginAction("route");
+        writeHandle(requestId);
+        writeText(" server=");
+        writeText(serverId);
+        writeText(" untilUs=");
+        writeNumber(untilUs);
+        endAction();
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
-        open("abort_attempt");
-        handle(requestId);
-        text(" seqNo=");
-        number(attempt);
-        close();
+        beginAction("abort_attempt");
+        writeHandle(requestId);
+        writeText(" seqNo=");
+        writeNumber(attempt);
+        endAction();
     }
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        open("decline");
-        handle(requestId);
+        beginAction("decline");
+        writeHandle(requestId);
         if (retryAfterUs > 0) {
-            text(" retryInUs=");
-            number(retryAfterUs);
+            writeText(" retryInUs=");
+            writeNumber(retryAfterUs);
         }
-        close();
+        endAction();
     }
 
     @Override
     public void fail(long requestId) {
-        open("lose");
-        handle(requestId);
-        close();
+        beginAction("lose");
+        writeHandle(requestId);
+        endAction();
     }
 
     @Override
     public void wakeAt(long atUs) {
-        open("remind");
-        text(" dueAtUs=");
-        number(atUs);
-        text(" label=w");
-        close();
+        beginAction("remind");
+        writeText(" dueAtUs=");
+        writeNumber(atUs);
+        writeText(" label=w");
+        endAction();
     }
 
     @Override
     public void probe(String serverId) {
-        open("sound_out");
-        text(" server=");
-        text(serverId);
-        close();
+        beginAction("sound_out");
+        writeText(" server=");
+        writeText(serverId);
+        endAction();
     }
 
     @Override
     public void subscribe() {
-        open("track");
-        text(" want=1");
-        close();
+        beginAction("track");
+        writeText(" want=1");
+        endAction();
     }
 
     @Override
     public void log(String line) {
-        open("record");
-        note(line);
+        beginAction("record");
+        writeNote(line);
     }
 
     /** The module has thrown: the day ends with this text. */
-    void fault(String line) {
-        open("fault");
-        note(line);
+    void reportFault(String line) {
+        beginAction("fault");
+        writeNote(line);
     }
 
-    private void note(String line) {
-        text(" noteText=");
-        text(line.replace('\n', ' ').replace('\r', ' '));
-        close();
+    private void writeNote(String line) {
+        writeText(" noteText=");
+        writeText(line.replace('\n', ' ').replace('\r', ' '));
+        endAction();
     }
 
-    private void open(String action) {
-        text(action);
-        text(" node=");
-        text(node);
+    private void beginAction(String action) {
+        writeText(action);
+        writeText(" node=");
+        writeText(node);
     }
 
-    private void close() {
-        room(1);
+    private void endAction() {
+        ensureCapacity(1);
         buffer[filled++] = '\n';
     }
 
-    private void handle(long id) {
-        text(" handle=");
-        room(16);
+    private void writeHandle(long id) {
+        writeText(" handle=");
+        ensureCapacity(16);
         for (int shift = 60; shift >= 0; shift -= 4) {
             buffer[filled++] = HEX[(int) (id >>> shift) & 15];
         }
     }
 
-    private void text(String text) {
+    private void writeText(String text) {
         int length = text.length();
-        room(3 * length);
+        ensureCapacity(3 * length);
         for (int i = 0; i < length; i++) {
             char c = text.charAt(i);
             if (c >= 128) {
@@ -144,12 +144,12 @@
         }
     }
 
-    private void number(long value) {
+    private void writeNumber(long value) {
         if (value < 0) {
-            text(Long.toString(value));
+            writeText(Long.toString(value));
             return;
         }
-        room(20);
+        ensureCapacity(20);
         int digits = 1;
         for (long v = value; v >= 10; v /= 10) {
             digits++;
@@ -163,7 +163,7 @@
         } while (v > 0);
     }
 
-    private void room(int bytes) {
+    private void ensureCapacity(int bytes) {
         if (filled + bytes > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, filled + bytes));
         }
--- a/src/main/java/vetchpost/simadapter/AdapterSession.java
+++ b/src/main/java/vetchpost/simadapter/AdapterSession.java
@@ -30,12 +30,12 @@
             Map<String, Integer> zones) {}
 
     /** A roster's line; its zone is still a name, since instances number zones by their own settings. */
-    private record RosterLine(String id, String zone, int cell, ServerState state, double weight, long startedAt) {}
+    private record RosterEntry(String id, String zone, int cell, ServerState state, double weight, long startedAt) {}
 
     private final LineReader line;
     private final ActionWriter reply;
     private final Map<String, Instance> instances = new HashMap<>();
-    private final List<List<RosterLine>> rosters = new ArrayList<>();
+    private final List<List<RosterEntry>> rosters = new ArrayList<>();
     private long now;
 
     AdapterSession(InputStream in, OutputStream out) {
@@ -53,12 +53,12 @@
                 continue;
             }
             if (!line.is("begin_batch")) {
-                throw line.bad("a batch must open with begin_batch, not " + line.name());
+                throw line.malformed("a batch must open with begin_batch, not " + line.name());
             }
-            now = line.whole("timeUs");
+            now = line.wholeNumber("timeUs");
             nextLine();
             while (!line.is("eob")) {
-                event();
+                handleEvent();
                 nextLine();
             }
             reply.flush();
@@ -67,24 +67,24 @@
 
     private void nextLine() throws IOException, WireException {
         if (!line.next()) {
-            throw line.bad("the input ends inside a batch");
+            throw line.malformed("the input ends inside a batch");
         }
     }
 
-    private void event() throws IOException, WireException {
+    private void handleEvent() throws IOException, WireException {
         if (line.is("roster")) {
-            roster();
+            readRoster();
             return;
         }
         String node = line.text("node");
-        reply.actFor(node);
+        reply.setNode(node);
         if (line.is("boot")) {
-            boot(node);
+            startInstance(node);
             return;
         }
         Instance instance = instances.get(node);
         if (instance == null) {
-            throw line.bad("node", "names an instance that was never started: " + node);
+            throw line.malformed("node", "names an instance that was never started: " + node);
         }
         if (line.is("shutdown")) {
             instances.remove(node);
@@ -95,7 +95,7 @@
             call.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            reply.reportFault(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
@@ -104,23 +104,23 @@
         long at = now;
         if (line.is("resolved")) {
             Outcome outcome = new Outcome(
-                    line.id("handle"),
-                    (int) line.whole("seqNo"),
-                    result(),
-                    line.whole("latencyUs", 0),
+                    line.requestId("handle"),
+                    (int) line.wholeNumber("seqNo"),
+                    readResult(),
+                    line.wholeNumber("latencyUs", 0),
                     line.flag("ended"),
-                    line.row("metrics"));
+                    line.decimals("metrics"));
             return () -> balancer.onOutcome(at, outcome);
         }
         if (line.is("work_item")) {
             String tenant = line.textOrNull("realm");
             boolean anyTenant = tenant != null && !tenant.equals("0");
             Request request = new Request(
-                    line.id("handle"),
-                    index(to.classes, "lane", line.text("lane")),
-                    anyTenant ? index(to.tenants, "realm", tenant) : -1,
-                    line.whole("patienceLeftUs"),
-                    line.whole("workUs", 0),
+                    line.requestId("handle"),
+                    requireIndex(to.classes, "lane", line.text("lane")),
+                    anyTenant ? requireIndex(to.tenants, "realm", tenant) : -1,
+                    line.wholeNumber("patienceLeftUs"),
+                    line.wholeNumber("workUs", 0),
                     line.flag("resent"));
             return () -> balancer.onRequest(at, request);
         }
@@ -128,32 +128,32 @@
             return () -> balancer.onWake(at);
         }
         if (line.is("topology")) {
-            return topology(to);
+            return translateTopology(to);
         }
         if (line.is("client_gone")) {
-            long id = line.id("handle");
+            long id = line.requestId("handle");
             return () -> balancer.onClientDisconnected(at, id);
         }
         if (line.is("first_byte")) {
-            long id = line.id("handle");
-            int attempt = (int) line.whole("seqNo");
+            long id = line.requestId("handle");
+            int attempt = (int) line.wholeNumber("seqNo");
             return () -> balancer.onFirstByte(at, id, attempt);
         }
         if (line.is("echo")) {
             String server = line.text("server");
-            Result result = result();
-            long latency = line.whole("latencyUs", 0);
-            double[] report = line.row("metrics");
+            Result result = readResult();
+            long latency = line.wholeNumber("latencyUs", 0);
+            double[] report = line.decimals("metrics");
             return () -> balancer.onProbe(at, server, result, latency, report);
         }
         if (line.is("memo")) {
             return () -> {};
         }
-        throw line.bad("unknown event " + line.name());
+        throw line.malformed("unknown event " + line.name());
     }
 
-    private void boot(String node) throws WireException {
-        long seed = line.whole("initSeed");
+    private void startInstance(String node) throws WireException {
+        long seed = line.wholeNumber("initSeed");
         Map<String, String> values = new HashMap<>();
         for (int i = 0; i < line.fieldCount(); i++) {
             values.put(line.key(i), line.value(i));
@@ -162,7 +162,7 @@
         try {
             settings = SettingsReader.read(values);
         } catch (IllegalArgumentException e) {
-            throw line.bad("boot: field " + e.getMessage());
+            throw line.malformed("boot: field " + e.getMessage());
         }
         Map<String, Integer> classes = new HashMap<>();
         settings.classes.forEach(c -> classes.put(c.name(), classes.size()));
@@ -174,45 +174,45 @@
             Balancer balancer = new ServiceQBalancer(settings, seed, reply);
             instances.put(node, new Instance(balancer, classes, tenants, zones));
         } catch (IllegalArgumentException e) {
-            throw line.bad("boot: " + e.getMessage());
+            throw line.malformed("boot: " + e.getMessage());
         }
     }
 
-    private void roster() throws IOException, WireException {
-        int number = rosterNumber();
-        long count = line.whole("nodesList", 0);
-        List<RosterLine> entries = new ArrayList<>();
+    private void readRoster() throws IOException, WireException {
+        int number = readRosterNumber();
+        long count = line.wholeNumber("nodesList", 0);
+        List<RosterEntry> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             nextLine();
             if (!line.is("server")) {
-                throw line.bad("a roster's line must be server, not " + line.name());
+                throw line.malformed("a roster's line must be server, not " + line.name());
             }
             String state = line.text("lifecycle");
-            entries.add(new RosterLine(
+            entries.add(new RosterEntry(
                     line.text("server"),
                     line.textOrNull("site"),
-                    (int) line.whole("block", 0),
+                    (int) line.wholeNumber("block", 0),
                     switch (state) {
                         case "Running" -> ServerState.READY;
                         case "Stopping" -> ServerState.DRAINING;
                         case "Deleted" -> ServerState.GONE;
-                        default -> throw line.bad("lifecycle", "is unknown: " + state);
+                        default -> throw line.malformed("lifecycle", "is unknown: " + state);
                     },
                     line.decimal("scale", 1),
-                    line.whole("sinceUs", 0)));
+                    line.wholeNumber("sinceUs", 0)));
         }
         rosters.set(number, entries);
     }
 
-    private int rosterNumber() throws WireException {
-        long number = line.whole("setId");
+    private int readRosterNumber() throws WireException {
+        long number = line.wholeNumber("setId");
         if (number < 0 || number >= MAX_ROSTERS) {
-            throw line.bad("setId", "is not from 0 to " + (MAX_ROSTERS - 1));
+            throw line.malformed("setId", "is not from 0 to " + (MAX_ROSTERS - 1));
         }
         return (int) number;
     }
 
-    private Runnable topology(Instance to) throws WireException {
+    private Runnable translateTopology(Instance to) throws WireException {
         long at = now;
         String kind = line.text("kind");
         if (kind.equals("broken")) {
@@ -222,14 +222,14 @@
             case "patch" -> ListKind.CHANGES;
             case "whole" -> ListKind.FULL;
             case "stale_copy" -> ListKind.CACHED;
-            default -> throw line.bad("kind", "is unknown: " + kind);
+            default -> throw line.malformed("kind", "is unknown: " + kind);
         };
-        List<RosterLine> roster = rosters.get(rosterNumber());
+        List<RosterEntry> roster = rosters.get(readRosterNumber());
         if (roster == null) {
-            throw line.bad("setId", "names a roster that was never given");
+            throw line.malformed("setId", "names a roster that was never given");
         }
         List<ServerEntry> entries = new ArrayList<>(roster.size());
-        for (RosterLine entry : roster) {
+        for (RosterEntry entry : roster) {
             entries.add(new ServerEntry(
                     entry.id,
                     to.zones.getOrDefault(entry.zone, -1),
@@ -241,16 +241,16 @@
         return () -> to.balancer.onServers(at, listKind, entries);
     }
 
-    private int index(Map<String, Integer> names, String field, String name) throws WireException {
+    private int requireIndex(Map<String, Integer> names, String field, String name) throws WireException {
         Integer index = names.get(name);
         if (index == null) {
-            throw line.bad(field, "is not in the settings: " + name);
+            throw line.malformed(field, "is not in the settings: " + name);
         }
         return index;
     }
 
-    private Result result() throws WireException {
-        long code = line.whole("rc");
+    private Result readResult() throws WireException {
+        long code = line.wholeNumber("rc");
         return switch ((int) code) {
             case 10 -> Result.OK;
             case 20 -> Result.ERROR;
@@ -260,7 +260,7 @@
             case 60 -> Result.RESET;
             case 70 -> Result.CANCELLED;
             case 80 -> Result.MOOT;
-            default -> throw line.bad("rc", "is unknown: " + code);
+            default -> throw line.malformed("rc", "is unknown: " + code);
         };
     }
 }
--- a/src/main/java/vetchpost/simadapter/LineReader.java
+++ b/src/main/java/vetchpost/simadapter/LineReader.java
@@ -7,17 +7,17 @@
 
 /** Reads the wire line by line: a name, then name=value pairs, parted by single spaces. Keeps no garbage. */
 final class LineReader {
-    private static final int FIRST_BUFFER = 1 << 16;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
-    private byte[] buffer = new byte[FIRST_BUFFER];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int filled;
     private int start;
     private int end;
-    private long number;
+    private long lineNumber;
 
     private int nameEnd;
-    private int fields;
+    private int fieldCount;
     private int[] keyStart = new int[16];
     private int[] valueStart = new int[16];
     private int[] valueEnd = new int[16];
@@ -28,8 +28,8 @@
 
     /** Moves to the next line; false at the end of input. */
     boolean next() throws IOException {
-        start = number == 0 ? 0 : end + 1;
-        number++;
+        start = lineNumber == 0 ? 0 : end + 1;
+        lineNumber++;
         int scan = start;
         while (true) {
             while (scan < filled && buffer[scan] != '\n') {
@@ -71,7 +71,7 @@
             at++;
         }
         nameEnd = at;
-        fields = 0;
+        fieldCount = 0;
         while (at < end) {
             int key = at + 1;
             int equals = key;
@@ -82,15 +82,15 @@
             while (at < end && buffer[at] != ' ') {
                 at++;
             }
-            if (fields == keyStart.length) {
-                keyStart = Arrays.copyOf(keyStart, 2 * fields);
-                valueStart = Arrays.copyOf(valueStart, 2 * fields);
-                valueEnd = Arrays.copyOf(valueEnd, 2 * fields);
+            if (fieldCount == keyStart.length) {
+                keyStart = Arrays.copyOf(keyStart, 2 * fieldCount);
+                valueStart = Arrays.copyOf(valueStart, 2 * fieldCount);
+                valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
             }
-            keyStart[fields] = key;
-            valueStart[fields] = Math.min(equals + 1, at);
-            valueEnd[fields] = at;
-            fields++;
+            keyStart[fieldCount] = key;
+            valueStart[fieldCount] = Math.min(equals + 1, at);
+            valueEnd[fieldCount] = at;
+            fieldCount++;
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     int fieldCount() {
-        return fields;
+        return fieldCount;
     }
 
     String key(int field) {
@@ -128,8 +128,8 @@
         return true;
     }
 
-    private int find(String key) {
-        for (int i = 0; i < fields; i++) {
+    private int indexOfField(String key) {
+        for (int i = 0; i < fieldCount; i++) {
             if (valueStart[i] > keyStart[i] && matches(keyStart[i], valueStart[i] - 1, key)) {
                 return i;
             }
@@ -137,46 +137,46 @@
         return -1;
     }
 
-    private int need(String key) throws WireException {
-        int field = find(key);
+    private int requireField(String key) throws WireException {
+        int field = indexOfField(key);
         if (field < 0) {
-            throw bad(key, "is missing");
+            throw malformed(key, "is missing");
         }
         return field;
     }
 
     /** A field's text, or null if it is left out. */
     String textOrNull(String key) {
-        int field = find(key);
+        int field = indexOfField(key);
         return field < 0 ? null : value(field);
     }
 
     String text(String key) throws WireException {
-        return value(need(key));
+        return value(requireField(key));
     }
 
-    long whole(String key) throws WireException {
-        return whole(key, need(key));
+    long wholeNumber(String key) throws WireException {
+        return wholeNumber(key, requireField(key));
     }
 
-    long whole(String key, long otherwise) throws WireException {
-        int field = find(key);
-        return field < 0 ? otherwise : whole(key, field);
+    long wholeNumber(String key, long otherwise) throws WireException {
+        int field = indexOfField(key);
+        return field < 0 ? otherwise : wholeNumber(key, field);
     }
 
-    private long whole(String key, int field) throws WireException {
+    private long wholeNumber(String key, int field) throws WireException {
         int at = valueStart[field];
         int to = valueEnd[field];
         boolean minus = at < to && buffer[at] == '-';
         at += minus ? 1 : 0;
         if (at == to || to - at > 18) {
-            throw bad(key, "is not a whole number");
+            throw malformed(key, "is not a whole number");
         }
         long value = 0;
         for (; at < to; at++) {
             int digit = buffer[at] - '0';
             if (digit < 0 || digit > 9) {
-                throw bad(key, "is not a whole number");
+                throw malformed(key, "is not a whole number");
             }
             value = 10 * value + digit;
         }
@@ -184,7 +184,7 @@
     }
 
     boolean flag(String key) throws WireException {
-        int field = find(key);
+        int field = indexOfField(key);
         if (field < 0
                 || matches(valueStart[field], valueEnd[field], "0")
                 || matches(valueStart[field], valueEnd[field], "false")) {
@@ -193,11 +193,11 @@
         if (matches(valueStart[field], valueEnd[field], "1") || matches(valueStart[field], valueEnd[field], "true")) {
             return true;
         }
-        throw bad(key, "is neither 1 nor 0: " + value(field));
+        throw malformed(key, "is neither 1 nor 0: " + value(field));
     }
 
     double decimal(String key, double otherwise) throws WireException {
-        int field = find(key);
+        int field = indexOfField(key);
         return field < 0 ? otherwise : decimal(key, value(field));
     }
 
@@ -205,13 +205,13 @@
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw bad(key, "is not a number");
+            throw malformed(key, "is not a number");
         }
     }
 
     /** Numbers parted by commas, or null if the field is left out. */
-    double[] row(String key) throws WireException {
-        int field = find(key);
+    double[] decimals(String key) throws WireException {
+        int field = indexOfField(key);
         if (field < 0 || valueStart[field] == valueEnd[field]) {
             return null;
         }
@@ -224,28 +224,28 @@
     }
 
     /** A request id: 16 hex digits. */
-    long id(String key) throws WireException {
-        int field = need(key);
+    long requestId(String key) throws WireException {
+        int field = requireField(key);
         if (valueEnd[field] - valueStart[field] != 16) {
-            throw bad(key, "is not 16 hex digits");
+            throw malformed(key, "is not 16 hex digits");
         }
         long id = 0;
         for (int at = valueStart[field]; at < valueEnd[field]; at++) {
             int b = buffer[at];
             int digit = b >= '0' && b <= '9' ? b - '0' : b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
             if (digit < 0) {
-                throw bad(key, "is not 16 hex digits");
+                throw malformed(key, "is not 16 hex digits");
             }
             id = id << 4 | digit;
         }
         return id;
     }
 
-    WireException bad(String field, String reason) {
-        return new WireException("line " + number + ": " + name() + ": field " + field + " " + reason);
+    WireException malformed(String field, String reason) {
+        return new WireException("line " + lineNumber + ": " + name() + ": field " + field + " " + reason);
     }
 
-    WireException bad(String reason) {
-        return new WireException("line " + number + ": " + reason);
+    WireException malformed(String reason) {
+        return new WireException("line " + lineNumber + ": " + reason);
     }
 }
--- a/src/main/java/vetchpost/simulation/fleet/FleetRun.java
+++ b/src/main/java/vetchpost/simulation/fleet/FleetRun.java
@@ -47,21 +47,21 @@
  */
 public final class FleetRun {
     private static final long START_US = 1_767_225_600_000_000L;
-    private static final long S = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
     /** Nothing goes wrong from here on, and from the second on all must be as it should. */
-    static final long QUIET_US = 40 * S;
+    static final long LAST_FAULT_US = 40 * SECOND_US;
 
-    static final long SETTLED_US = 85 * S;
-    static final long END_US = 100 * S;
+    static final long RECOVERY_DEADLINE_US = 85 * SECOND_US;
+    static final long RUN_LENGTH_US = 100 * SECOND_US;
     /** The conductor gathers for 10 ms; the rest is for what is drawn in the same turn. */
-    static final long TOLD_WITHIN_US = 50_000;
+    static final long NOTIFICATION_GRACE_US = 50_000;
 
-    private static final double PER_S = 100;
-    private static final long WORK_US = 10_000;
-    private static final long WAY_US = 300;
-    private static final MergeRules MERGE = new MergeRules(0.5, 5 * S, 4, 10 * S, 2 * S);
-    private static final CheckRules CHECKS =
-            new CheckRules("/healthy", "a", 200, 399, 2 * S, S / 2, 2, 3, 20, 3, 1, 0, 0.5);
+    private static final double REQUESTS_PER_SECOND = 100;
+    private static final long MEAN_WORK_US = 10_000;
+    private static final long NETWORK_DELAY_US = 300;
+    private static final MergeRules MERGE_RULES = new MergeRules(0.5, 5 * SECOND_US, 4, 10 * SECOND_US, 2 * SECOND_US);
+    private static final CheckRules CHECK_RULES =
+            new CheckRules("/healthy", "a", 200, 399, 2 * SECOND_US, SECOND_US / 2, 2, 3, 20, 3, 1, 0, 0.5);
 
     /** Who finds out what is ill. */
     public enum DetectionMode {
@@ -83,61 +83,67 @@
      * @param broken the rules that were broken, each in words
      */
     public record Outcome(
-            int requests, int served, int attempts, int wasted, int checks, double noticeUs, List<String> violations) {}
+            int requests,
+            int served,
+            int attempts,
+            int wasted,
+            int checks,
+            double meanDetectionUs,
+            List<String> violations) {}
 
     private final VirtualClock clock = new VirtualClock(START_US);
-    private final SplittableRandom chance;
-    private final SplittableRandom boxChance;
-    private final ActualServers truth;
+    private final SplittableRandom random;
+    private final SplittableRandom serverRandom;
+    private final ActualServers actualServers;
     private final Dispatcher node;
     private final Membership membership;
     private final CheckPlan checks;
-    private final SourceMerger composer;
-    private final DetectionMode watch;
+    private final SourceMerger merger;
+    private final DetectionMode detectionMode;
     /** Null where there are none. */
-    private final Operators operators;
+    private final SimulatedOperators operators;
 
-    private final List<SourceDeclaration> declared = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
-    private final Map<String, Integer> ran = new HashMap<>();
-    private final long[] servedUs = new long[ActualServers.BOXES];
+    private final List<SourceDeclaration> declarations = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
+    private final Map<String, Integer> executions = new HashMap<>();
+    private final long[] lastServedUs = new long[ActualServers.SERVER_COUNT];
     /** By box: since when a source's word forbids it, as the checker has it; -1 for not. */
-    private final long[] forbiddenUs = new long[ActualServers.BOXES];
-
-    private final long[] firstWastedUs = new long[ActualServers.BOXES];
-    private final long[] lastWastedUs = new long[ActualServers.BOXES];
-    private long noticeSum;
-    private int noticed;
-    private long ids;
-    private int wanted;
+    private final long[] drainEffectiveUs = new long[ActualServers.SERVER_COUNT];
+
+    private final long[] firstWastedUs = new long[ActualServers.SERVER_COUNT];
+    private final long[] lastWastedUs = new long[ActualServers.SERVER_COUNT];
+    private long detectionSumUs;
+    private int detectionCount;
+    private long lastRequestId;
+    private int requests;
     private int served;
     private int attempts;
     private int wasted;
 
     private FleetRun(long seed, DetectionMode watch, boolean operated) {
-        this.watch = watch;
-        operators = operated ? new Operators(seed) : null;
-        chance = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + 29);
-        boxChance = chance.split();
-        truth = new ActualServers(chance.split(), QUIET_US);
+        this.detectionMode = watch;
+        operators = operated ? new SimulatedOperators(seed) : null;
+        random = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + 29);
+        serverRandom = random.split();
+        actualServers = new ActualServers(random.split(), LAST_FAULT_US);
         Settings settings = settings();
         node = new Dispatcher(
                 clock,
                 new EventLoopDelay(clock),
-                new Boxes(),
+                new SimulatedTransport(),
                 List.of(),
                 () -> {},
                 () -> {},
-                S,
+                SECOND_US,
                 actions -> new ServiceQBalancer(settings, seed, actions));
-        draw();
-        membership = new Membership(declared, MERGE);
-        checks = watch == DetectionMode.REQUESTS ? null : new CheckPlan(CHECKS, seed, clock.nowUs());
-        composer = new SourceMerger(membership, checks, settings.coldUs, START_US / 1_000, START_US);
+        declareSources();
+        membership = new Membership(declarations, MERGE_RULES);
+        checks = watch == DetectionMode.REQUESTS ? null : new CheckPlan(CHECK_RULES, seed, clock.nowUs());
+        merger = new SourceMerger(membership, checks, settings.coldUs, START_US / 1_000, START_US);
         if (operated) {
-            composer.setOverrides(operators);
+            merger.setOverrides(operators);
         }
-        Arrays.fill(forbiddenUs, -1);
+        Arrays.fill(drainEffectiveUs, -1);
         Arrays.fill(firstWastedUs, -1);
     }
 
@@ -154,62 +160,71 @@
     private static Settings settings() {
         Settings set = new Settings();
         for (Idempotency repeat : Idempotency.values()) {
-            set.classes.add(
-                    new RequestClass(repeat.name(), 300_000, 0, S, 1, 0.5, repeat, DeduplicationScope.ALL, S, false));
+            set.classes.add(new RequestClass(
+                    repeat.name(), 300_000, 0, SECOND_US, 1, 0.5, repeat, DeduplicationScope.ALL, SECOND_US, false));
         }
         set.maxAttempts = 3;
         set.allowsCancellation = true;
         set.clientsMarkRetries = true;
         set.drainGraceUs = 500_000;
-        set.coldUs = 5 * S;
+        set.coldUs = 5 * SECOND_US;
         return set;
     }
 
     /**
      * One to three sources: a file that names all, a name that gives halves in turn, or both, and who errs.
      */
-    private void draw() {
-        int kinds = 1 + chance.nextInt(3);
+    private void declareSources() {
+        int kinds = 1 + random.nextInt(3);
         if (kinds != 2) {
-            declared.add(source("file", Kind.FILE, 0));
+            declarations.add(declaration("file", Kind.FILE, 0));
         }
         if (kinds != 1) {
-            declared.add(source("name", Kind.DNS, 6 * S));
+            declarations.add(declaration("name", Kind.DNS, 6 * SECOND_US));
         }
-        if (chance.nextBoolean()) {
-            declared.add(source("other", Kind.FILE, 0));
+        if (random.nextBoolean()) {
+            declarations.add(declaration("other", Kind.FILE, 0));
         }
     }
 
-    private static SourceDeclaration source(String name, Kind kind, long keepUs) {
+    private static SourceDeclaration declaration(String name, Kind kind, long keepUs) {
         return new SourceDeclaration(
-                name, kind, name, 80, EnumSet.allOf(Permission.class), S, keepUs, 20 * S, List.of(), List.of());
+                name,
+                kind,
+                name,
+                80,
+                EnumSet.allOf(Permission.class),
+                SECOND_US,
+                keepUs,
+                20 * SECOND_US,
+                List.of(),
+                List.of());
     }
 
-    private long at() {
+    private long elapsedUs() {
         return clock.nowUs() - START_US;
     }
 
-    private static String id(int box) {
-        return ReportedServer.text(address(box));
+    private static String serverId(int box) {
+        return ReportedServer.formatAddress(address(box));
     }
 
     private static InetSocketAddress address(int box) {
         return new InetSocketAddress("127.0.0.1", 1 + box);
     }
 
-    private static int box(String id) {
+    private static int serverIndex(String id) {
         return Integer.parseInt(id.substring(id.indexOf(':') + 1)) - 1;
     }
 
     private Outcome run() {
-        for (int i = 0; i < declared.size(); i++) {
-            say(i, false);
-            every(i, S);
+        for (int i = 0; i < declarations.size(); i++) {
+            reportServers(i, false);
+            scheduleReports(i, SECOND_US);
         }
-        node.onKnownList(new ServerList(0, true, List.of()));
-        settle();
-        if (watch == DetectionMode.BOTH) {
+        node.onCachedList(new ServerList(0, true, List.of()));
+        applyChanges();
+        if (detectionMode == DetectionMode.BOTH) {
             node.setAttemptObserver((server, result, answer, stalled, us) -> {
                 switch (result) {
                     case OK -> checks.requestSucceeded(server, clock.nowUs());
@@ -218,48 +233,49 @@
                 }
             });
         }
-        tick();
+        scheduleSettling();
         if (operators != null) {
-            operate();
-        }
-        arrive();
-        clock.runUntil(START_US + END_US + 2 * S);
-        for (int box = 0; box < ActualServers.BOXES; box++) {
-            notice(box);
-            if (truth.isReady(box, END_US) && servedUs[box] < SETTLED_US) {
-                broken.add("box " + box + " is well and was not served to since " + servedUs[box] / S + " s");
+            scheduleOperators();
+        }
+        scheduleArrivals();
+        clock.runUntil(START_US + RUN_LENGTH_US + 2 * SECOND_US);
+        for (int box = 0; box < ActualServers.SERVER_COUNT; box++) {
+            endWasteInterval(box);
+            if (actualServers.isReady(box, RUN_LENGTH_US) && lastServedUs[box] < RECOVERY_DEADLINE_US) {
+                violations.add(
+                        "box " + box + " is well and was not served to since " + lastServedUs[box] / SECOND_US + " s");
             }
         }
-        if (operators != null && operators.held() > 0) {
-            broken.add("overrides: " + operators.held() + " hold past their time");
+        if (operators != null && operators.activeLeaseCount() > 0) {
+            violations.add("overrides: " + operators.activeLeaseCount() + " hold past their time");
         }
         if (node.pendingRequests() > 0) {
-            broken.add(node.pendingRequests() + " requests are still held");
+            violations.add(node.pendingRequests() + " requests are still held");
         }
         return new Outcome(
-                wanted,
+                requests,
                 served,
                 attempts,
                 wasted,
                 checks == null ? 0 : (int) checks.checkCount(),
-                noticed == 0 ? 0 : (double) noticeSum / noticed,
-                broken);
+                detectionCount == 0 ? 0 : (double) detectionSumUs / detectionCount,
+                violations);
     }
 
     // ---------------------------------------------------------------- sources
 
-    private void every(int source, long us) {
+    private void scheduleReports(int source, long us) {
         clock.schedule(clock.nowUs() + us, () -> {
-            say(source, at() < QUIET_US);
-            if (at() < END_US) {
-                every(source, us);
+            reportServers(source, elapsedUs() < LAST_FAULT_US);
+            if (elapsedUs() < RUN_LENGTH_US) {
+                scheduleReports(source, us);
             }
         });
     }
 
-    private void say(int source, boolean mayErr) {
-        SourceDeclaration by = declared.get(source);
-        double draw = mayErr ? chance.nextDouble() : 1;
+    private void reportServers(int source, boolean mayErr) {
+        SourceDeclaration by = declarations.get(source);
+        double draw = mayErr ? random.nextDouble() : 1;
         if (draw < 0.04) {
             membership.sourceFailed(source, "it can't be read", clock.nowUs());
             return;
@@ -269,55 +285,55 @@
             return;
         }
         List<ReportedServer> said = new ArrayList<>();
-        for (int box = 0; box < ActualServers.BOXES; box++) {
-            boolean there = truth.isThere(box, at());
-            boolean half = by.retentionUs() > 0 && at() / S % 2 != box % 2 || draw < 0.10 && box > 3;
+        for (int box = 0; box < ActualServers.SERVER_COUNT; box++) {
+            boolean there = actualServers.isListed(box, elapsedUs());
+            boolean half = by.retentionUs() > 0 && elapsedUs() / SECOND_US % 2 != box % 2 || draw < 0.10 && box > 3;
             if (!there || half) {
                 continue;
             }
-            boolean drains = by.kind() == Kind.FILE && !truth.isReady(box, at());
+            boolean drains = by.kind() == Kind.FILE && !actualServers.isReady(box, elapsedUs());
             said.add(new ReportedServer("", List.of(address(box)), drains ? State.DRAINING : State.READY, 1, ""));
         }
         membership.serversReported(source, said, clock.nowUs());
-        for (int box = 0; box < ActualServers.BOXES; box++) {
+        for (int box = 0; box < ActualServers.SERVER_COUNT; box++) {
             int each = box;
             boolean drains = said.stream()
                     .anyMatch(n -> n.state() == State.DRAINING && n.addresses().contains(address(each)));
-            if (drains && forbiddenUs[box] < 0) {
-                forbiddenUs[box] = at() + TOLD_WITHIN_US;
+            if (drains && drainEffectiveUs[box] < 0) {
+                drainEffectiveUs[box] = elapsedUs() + NOTIFICATION_GRACE_US;
             }
         }
     }
 
     // ---------------------------------------------------------------- the conductor
 
-    private void tick() {
+    private void scheduleSettling() {
         clock.schedule(clock.nowUs() + 10_000, () -> {
-            settle();
-            if (at() < END_US + S) {
-                tick();
+            applyChanges();
+            if (elapsedUs() < RUN_LENGTH_US + SECOND_US) {
+                scheduleSettling();
             }
         });
     }
 
-    private void operate() {
-        clock.schedule(clock.nowUs() + S / 2, () -> {
-            if (at() < QUIET_US) {
-                String wrong = operators.turn(composer.members(), at());
+    private void scheduleOperators() {
+        clock.schedule(clock.nowUs() + SECOND_US / 2, () -> {
+            if (elapsedUs() < LAST_FAULT_US) {
+                String wrong = operators.act(merger.members(), elapsedUs());
                 if (!wrong.isEmpty()) {
-                    broken.add(wrong);
+                    violations.add(wrong);
                 }
-                settle();
-                operate();
+                applyChanges();
+                scheduleOperators();
             }
         });
     }
 
-    private void settle() {
+    private void applyChanges() {
         if (operators != null) {
-            operators.expire(at());
+            operators.expire(elapsedUs());
         }
-        List<ServerList.Target> changes = composer.pollChanges(clock.nowUs());
+        List<ServerList.Target> changes = merger.pollChanges(clock.nowUs());
         if (!changes.isEmpty()) {
             node.onList(new ServerList(0, false, changes));
         }
@@ -325,30 +341,30 @@
             return;
         }
         for (String id : checks.dueChecks(clock.nowUs(), 32)) {
-            Condition mood = truth.lives.get(box(id)).mood(at());
+            Condition mood = actualServers.lifetimes.get(serverIndex(id)).conditionAt(elapsedUs());
             Finding finding = switch (mood) {
-                case DEAD, SILENT, FAILING, SICK_PATH -> Finding.UNHEALTHY;
-                case STRANGER -> Finding.WRONG_SERVER;
+                case DOWN, UNRESPONSIVE, FAILING, HEALTHY_BUT_CHECK_FAILING -> Finding.UNHEALTHY;
+                case WRONG_SERVER -> Finding.WRONG_SERVER;
                 default -> Finding.HEALTHY;
             };
-            long took = mood == Condition.SILENT ? CHECKS.timeoutUs() : 2 * WAY_US;
+            long took = mood == Condition.UNRESPONSIVE ? CHECK_RULES.timeoutUs() : 2 * NETWORK_DELAY_US;
             clock.schedule(clock.nowUs() + took, () -> checks.checkCompleted(id, finding, clock.nowUs()));
         }
     }
 
     // ---------------------------------------------------------------- clients
 
-    private void arrive() {
-        long next = clock.nowUs() + 1 + (long) (-StrictMath.log(1 - chance.nextDouble()) * 1e6 / PER_S);
+    private void scheduleArrivals() {
+        long next = clock.nowUs() + 1 + (long) (-StrictMath.log(1 - random.nextDouble()) * 1e6 / REQUESTS_PER_SECOND);
         clock.schedule(next, () -> {
-            if (at() < END_US) {
-                new Want(chance.nextInt(Idempotency.values().length)).ask();
-                arrive();
+            if (elapsedUs() < RUN_LENGTH_US) {
+                new PendingClient(random.nextInt(Idempotency.values().length)).send();
+                scheduleArrivals();
             }
         });
     }
 
-    private static final Headers NONE = new Headers() {
+    private static final Headers NO_HEADERS = new Headers() {
         @Override
         public String get(String name) {
             return null;
@@ -359,51 +375,55 @@
     };
 
     /** What one client wants, and the one answer that it is owed. */
-    private final class Want implements ClientReply {
-        private final int cls;
-        private final long id = ++ids;
-        private final long beganUs = clock.nowUs();
-        private int answers;
+    private final class PendingClient implements ClientReply {
+        private final int classIndex;
+        private final long requestId = ++lastRequestId;
+        private final long startedUs = clock.nowUs();
+        private int replies;
 
-        Want(int cls) {
-            this.cls = cls;
+        PendingClient(int cls) {
+            this.classIndex = cls;
         }
 
-        void ask() {
-            wanted++;
-            clock.schedule(beganUs + S + TOLD_WITHIN_US, () -> {
-                if (answers != 1) {
-                    broken.add("lost: request " + id + " had " + answers + " answers in its time");
+        void send() {
+            requests++;
+            clock.schedule(startedUs + SECOND_US + NOTIFICATION_GRACE_US, () -> {
+                if (replies != 1) {
+                    violations.add("lost: request " + requestId + " had " + replies + " answers in its time");
                 }
             });
-            node.accept(new ClientRequest(id, cls, -1, S, 0, false, "GET", "/", NONE, new byte[0]), this, 0);
+            node.accept(
+                    new ClientRequest(
+                            requestId, classIndex, -1, SECOND_US, 0, false, "GET", "/", NO_HEADERS, new byte[0]),
+                    this,
+                    0);
         }
 
-        private void answered() {
-            if (++answers > 1) {
-                broken.add("lost: request " + id + " was answered twice");
+        private void countReply() {
+            if (++replies > 1) {
+                violations.add("lost: request " + requestId + " was answered twice");
             }
         }
 
         @Override
         public void served(ServerResponse answer) {
-            answered();
+            countReply();
             if (answer.status() == 200) {
                 served++;
-                if (!answer.contentType().equals("of " + id)) {
-                    broken.add("lost: request " + id + " was served with what is " + answer.contentType());
+                if (!answer.contentType().equals("of " + requestId)) {
+                    violations.add("lost: request " + requestId + " was served with what is " + answer.contentType());
                 }
             }
         }
 
         @Override
         public void rejected(long retryAfterUs) {
-            answered();
+            countReply();
         }
 
         @Override
         public void failed(Failure why) {
-            answered();
+            countReply();
         }
 
         @Override
@@ -412,54 +432,54 @@
 
     // ---------------------------------------------------------------- boxes
 
-    private void notice(int box) {
+    private void endWasteInterval(int box) {
         if (firstWastedUs[box] >= 0) {
-            noticeSum += lastWastedUs[box] - firstWastedUs[box];
-            noticed++;
+            detectionSumUs += lastWastedUs[box] - firstWastedUs[box];
+            detectionCount++;
             firstWastedUs[box] = -1;
         }
     }
 
     /** The way to the boxes: who is asked there runs it, fails it, keeps silent or is somebody else. */
-    private final class Boxes implements ServerTransport {
+    private final class SimulatedTransport implements ServerTransport {
         @Override
         public void update(ServerList list) {}
 
         @Override
         public Attempt send(String serverId, OutgoingRequest sending) {
-            int box = box(serverId);
+            int box = serverIndex(serverId);
             ClientRequest request = sending.request();
             attempts++;
-            Condition mood = truth.lives.get(box).mood(at());
-            if (forbiddenUs[box] >= 0 && at() > forbiddenUs[box] + settings().drainGraceUs) {
-                broken.add("drained: box " + box + " was sent request " + request.id() + " "
-                        + (at() - forbiddenUs[box]) / 1_000 + " ms after a source had said that it drains");
+            Condition mood = actualServers.lifetimes.get(box).conditionAt(elapsedUs());
+            if (drainEffectiveUs[box] >= 0 && elapsedUs() > drainEffectiveUs[box] + settings().drainGraceUs) {
+                violations.add("drained: box " + box + " was sent request " + request.id() + " "
+                        + (elapsedUs() - drainEffectiveUs[box]) / 1_000 + " ms after a source had said that it drains");
             }
-            if (operators != null && operators.forbids(serverId, at(), settings().drainGraceUs)) {
-                broken.add("drained: box " + box + " was sent request " + request.id()
+            if (operators != null && operators.forbids(serverId, elapsedUs(), settings().drainGraceUs)) {
+                violations.add("drained: box " + box + " was sent request " + request.id()
                         + " after an operator had drained it");
             }
-            if (mood == Condition.DEAD || mood == Condition.SILENT || mood == Condition.STRANGER) {
+            if (mood == Condition.DOWN || mood == Condition.UNRESPONSIVE || mood == Condition.WRONG_SERVER) {
                 wasted++;
-                firstWastedUs[box] = firstWastedUs[box] < 0 ? at() : firstWastedUs[box];
-                lastWastedUs[box] = at();
+                firstWastedUs[box] = firstWastedUs[box] < 0 ? elapsedUs() : firstWastedUs[box];
+                lastWastedUs[box] = elapsedUs();
             } else {
-                notice(box);
+                endWasteInterval(box);
             }
-            Sent sent = new Sent(sending);
-            long work = WORK_US / 2 + boxChance.nextLong(WORK_US);
+            SimulatedAttempt sent = new SimulatedAttempt(sending);
+            long work = MEAN_WORK_US / 2 + serverRandom.nextLong(MEAN_WORK_US);
             switch (mood) {
-                case DEAD -> sent.in(WAY_US, Result.CONNECT_FAILED, null);
-                case SILENT -> run(request, box);
-                case STRANGER -> sent.in(2 * WAY_US, Result.RESET, null);
-                case FAILING, LYING -> {
-                    run(request, box);
-                    sent.in(work / 4, Result.ERROR, new ServerResponse(500, null, new byte[0]));
+                case DOWN -> sent.endAfter(NETWORK_DELAY_US, Result.CONNECT_FAILED, null);
+                case UNRESPONSIVE -> execute(request, box);
+                case WRONG_SERVER -> sent.endAfter(2 * NETWORK_DELAY_US, Result.RESET, null);
+                case FAILING, FAILING_BUT_CHECKED_HEALTHY -> {
+                    execute(request, box);
+                    sent.endAfter(work / 4, Result.ERROR, new ServerResponse(500, null, new byte[0]));
                 }
                 default -> {
-                    run(request, box);
-                    servedUs[box] = at();
-                    sent.in(
+                    execute(request, box);
+                    lastServedUs[box] = elapsedUs();
+                    sent.endAfter(
                             mood == Condition.SLOW ? 20 * work : work,
                             Result.OK,
                             new ServerResponse(200, "of " + request.id(), new byte[0]));
@@ -468,11 +488,11 @@
             return sent;
         }
 
-        private void run(ClientRequest request, int box) {
+        private void execute(ClientRequest request, int box) {
             Idempotency repeat = Idempotency.values()[request.classIndex()];
-            int times = ran.merge(request.id() + "", 1, Integer::sum);
+            int times = executions.merge(request.id() + "", 1, Integer::sum);
             if (repeat == Idempotency.UNSAFE && times > 1) {
-                broken.add("twice: request " + request.id() + " ran again, at box " + box);
+                violations.add("twice: request " + request.id() + " ran again, at box " + box);
             }
         }
 
@@ -485,22 +505,22 @@
         public void close() {}
     }
 
-    private final class Sent implements ServerTransport.Attempt {
-        private final ServerTransport.AttemptListener report;
-        private boolean over;
+    private final class SimulatedAttempt implements ServerTransport.Attempt {
+        private final ServerTransport.AttemptListener listener;
+        private boolean ended;
 
-        Sent(ServerTransport.AttemptListener report) {
-            this.report = report;
+        SimulatedAttempt(ServerTransport.AttemptListener report) {
+            this.listener = report;
         }
 
-        void in(long us, Result result, ServerResponse answer) {
+        void endAfter(long us, Result result, ServerResponse answer) {
             clock.schedule(clock.nowUs() + us, () -> end(result, answer));
         }
 
         private void end(Result result, ServerResponse answer) {
-            if (!over) {
-                over = true;
-                report.onEnded(result, answer);
+            if (!ended) {
+                ended = true;
+                listener.onEnded(result, answer);
             }
         }
 
@@ -516,9 +536,9 @@
     }
 
     /** For a test: the sources that a seed draws. */
-    static Set<String> sources(long seed) {
+    static Set<String> sourceNames(long seed) {
         Set<String> names = new TreeSet<>();
-        new FleetRun(seed, DetectionMode.REQUESTS, false).declared.forEach(d -> names.add(d.name()));
+        new FleetRun(seed, DetectionMode.REQUESTS, false).declarations.forEach(d -> names.add(d.name()));
         return names;
     }
 }
