--- a/src/main/java/vetchpost/simulation/fleet/Operators.java
+++ b/src/main/java/vetchpost/simulation/fleet/SimulatedOperators.java
@@ -19,33 +19,33 @@
 
 /** Operators who drain, weigh and freeze as chance has it, undo some of it, and a node that forgets all but
  * its trail; with a list of its own of what may not be sent to whom. */
-final class Operators implements ServerOverrides {
-    private static final long MS = 1_000;
-    private static final int MOST_LENGTH_MS = 6_000;
+final class SimulatedOperators implements ServerOverrides {
+    private static final long US_PER_MS = 1_000;
+    private static final int MAX_LEASE_LENGTH_MS = 6_000;
 
-    private final SplittableRandom chance;
-    private final List<String> trail = new ArrayList<>();
-    private final List<Ban> bans = new ArrayList<>();
+    private final SplittableRandom random;
+    private final List<String> auditLog = new ArrayList<>();
+    private final List<DrainPeriod> drains = new ArrayList<>();
     private Leases leases = leases();
     private int commands;
 
     /** The checker's own note of a drain. */
-    private static final class Ban {
+    private static final class DrainPeriod {
         private final String server;
-        private final long number;
+        private final long leaseNumber;
         private final long fromUs;
         private long untilUs;
 
-        Ban(String server, long number, long fromUs, long untilUs) {
+        DrainPeriod(String server, long number, long fromUs, long untilUs) {
             this.server = server;
-            this.number = number;
+            this.leaseNumber = number;
             this.fromUs = fromUs;
             this.untilUs = untilUs;
         }
     }
 
-    Operators(long seed) {
-        chance = new SplittableRandom(seed * 0xD1B54A32D192ED03L + 31);
+    SimulatedOperators(long seed) {
+        random = new SplittableRandom(seed * 0xD1B54A32D192ED03L + 31);
     }
 
     private static Leases leases() {
@@ -53,50 +53,51 @@
     }
 
     /** One command, or a restart; says what is wrong, or nothing. */
-    String turn(List<Member> members, long us) {
-        long nowUs = us / MS * MS;
+    String act(List<Member> members, long us) {
+        long nowUs = us / US_PER_MS * US_PER_MS;
         leases.expire(nowUs);
         if (members.isEmpty()) {
             return "";
         }
-        if (chance.nextInt(8) == 0) {
+        if (random.nextInt(8) == 0) {
             return restart(members, nowUs);
         }
-        if (chance.nextInt(5) == 0 && commands > 0) {
-            long number = 1 + chance.nextInt(commands);
+        if (random.nextInt(5) == 0 && commands > 0) {
+            long number = 1 + random.nextInt(commands);
             if (leases.undo(number)) {
-                trail.add(AuditEntryJson.text(new Entry(Event.UNDONE, number, nowUs / MS, null, "bob", "")));
-                bans.stream().filter(b -> b.number == number).forEach(b -> b.untilUs = nowUs);
+                auditLog.add(
+                        AuditEntryJson.format(new Entry(Event.UNDONE, number, nowUs / US_PER_MS, null, "bob", "")));
+                drains.stream().filter(b -> b.leaseNumber == number).forEach(b -> b.untilUs = nowUs);
             }
             return "";
         }
         OverrideKind kind = List.of(OverrideKind.DRAIN, OverrideKind.DRAIN, OverrideKind.WEIGHT, OverrideKind.FREEZE)
-                .get(chance.nextInt(4));
-        String server = members.get(chance.nextInt(members.size())).id();
-        long length = 1_000 + chance.nextInt(MOST_LENGTH_MS - 1_000);
+                .get(random.nextInt(4));
+        String server = members.get(random.nextInt(members.size())).id();
+        long length = 1_000 + random.nextInt(MAX_LEASE_LENGTH_MS - 1_000);
         OverrideRequest change = new OverrideRequest(
                 kind,
                 kind == OverrideKind.FREEZE ? "" : server,
-                kind == OverrideKind.WEIGHT ? 1 + chance.nextInt(1_000) : 0,
+                kind == OverrideKind.WEIGHT ? 1 + random.nextInt(1_000) : 0,
                 length,
                 "ann",
                 "a drawn night",
-                chance.nextInt(3),
+                random.nextInt(3),
                 "k" + commands++,
-                chance.nextInt(6) == 0);
-        Decision verdict = leases.check(change, situation(members), nowUs, nowUs / MS);
+                random.nextInt(6) == 0);
+        Decision verdict = leases.check(change, fleetState(members), nowUs, nowUs / US_PER_MS);
         if (verdict.lease() != null) {
             leases.grant(verdict.lease());
-            trail.add(AuditEntryJson.text(
-                    new Entry(Event.GRANTED, verdict.lease().number(), nowUs / MS, change, "ann", "")));
+            auditLog.add(AuditEntryJson.format(
+                    new Entry(Event.GRANTED, verdict.lease().number(), nowUs / US_PER_MS, change, "ann", "")));
             if (kind == OverrideKind.DRAIN) {
-                bans.add(new Ban(server, verdict.lease().number(), us, nowUs + length * MS));
+                drains.add(new DrainPeriod(server, verdict.lease().number(), us, nowUs + length * US_PER_MS));
             }
         }
         return "";
     }
 
-    private static FleetState situation(List<Member> members) {
+    private static FleetState fleetState(List<Member> members) {
         return new FleetState(
                 members.stream()
                         .map(m -> new FleetState.Server(m.id(), m.zone(), m.weight(), m.draining()))
@@ -106,15 +107,18 @@
 
     private String restart(List<Member> members, long nowUs) {
         Leases before = leases;
-        List<Entry> entries = trail.stream().map(AuditEntryJson::read).toList();
+        List<Entry> entries = auditLog.stream().map(AuditEntryJson::parse).toList();
         leases = leases();
-        AuditLog.activeLeases(entries, nowUs / MS, nowUs).forEach(leases::grant);
+        AuditLog.activeLeases(entries, nowUs / US_PER_MS, nowUs).forEach(leases::grant);
         entries.forEach(e -> leases.resumeNumberingAfter(e.number()));
-        boolean same = before.all().stream()
+        boolean same = before.activeLeases().stream()
                         .map(Lease::endUs)
                         .sorted()
                         .toList()
-                        .equals(leases.all().stream().map(Lease::endUs).sorted().toList())
+                        .equals(leases.activeLeases().stream()
+                                .map(Lease::endUs)
+                                .sorted()
+                                .toList())
                 && members.stream()
                         .allMatch(m -> before.effects().isDraining(m.id()) == isDraining(m.id())
                                 && before.effects().weight(m.id(), 1) == weight(m.id(), 1))
@@ -124,17 +128,17 @@
 
     /** Lets what is due end. */
     void expire(long us) {
-        leases.expire(us / MS * MS);
+        leases.expire(us / US_PER_MS * US_PER_MS);
     }
 
     /** Whether a drain forbids an attempt, by the checker's own notes. */
     boolean forbids(String server, long us, long graceUs) {
-        return bans.stream().anyMatch(b -> b.server.equals(server) && us > b.fromUs + graceUs && us < b.untilUs);
+        return drains.stream().anyMatch(b -> b.server.equals(server) && us > b.fromUs + graceUs && us < b.untilUs);
     }
 
     /** How many hold. */
-    int held() {
-        return leases.all().size();
+    int activeLeaseCount() {
+        return leases.activeLeases().size();
     }
 
     @Override
--- a/src/main/java/vetchpost/simulation/overload/ModelServers.java
+++ b/src/main/java/vetchpost/simulation/overload/ModelServers.java
@@ -14,26 +14,26 @@
 
 /** Boxes of one core, first come first served, that work on though nobody waits any more. */
 final class ModelServers implements ServerTransport {
-    private static final long WAY_US = 200;
-    private static final int ROOM = 300;
+    private static final long NETWORK_DELAY_US = 200;
+    private static final int MAX_QUEUED_REQUESTS = 300;
     /** Work varies by this share of its mean, evenly. */
-    private static final double SPREAD = 0.5;
+    private static final double WORK_VARIATION_FRACTION = 0.5;
 
-    private static final ServerResponse ANSWER = new ServerResponse(200, null, new byte[0]);
+    private static final ServerResponse OK_RESPONSE = new ServerResponse(200, null, new byte[0]);
 
     private final VirtualClock clock;
     private final SplittableRandom random;
-    private final List<OverloadRun.Kind> kinds;
+    private final List<OverloadRun.ClassProfile> classes;
     private final long[] freeAtUs;
     private final int[] queued;
-    private double slower = 1;
+    private double workFactor = 1;
 
-    private static final class Sent implements Attempt {
-        private final AttemptListener report;
-        private boolean over;
+    private static final class SimulatedAttempt implements Attempt {
+        private final AttemptListener listener;
+        private boolean ended;
 
-        Sent(AttemptListener report) {
-            this.report = report;
+        SimulatedAttempt(AttemptListener report) {
+            this.listener = report;
         }
 
         @Override
@@ -47,25 +47,25 @@
         }
 
         void end(Result result, ServerResponse answer) {
-            if (!over) {
-                over = true;
-                report.onEnded(result, answer);
+            if (!ended) {
+                ended = true;
+                listener.onEnded(result, answer);
             }
         }
     }
 
     /** So many idle boxes. */
-    ModelServers(VirtualClock clock, SplittableRandom random, List<OverloadRun.Kind> kinds, int boxes) {
+    ModelServers(VirtualClock clock, SplittableRandom random, List<OverloadRun.ClassProfile> kinds, int boxes) {
         this.clock = clock;
         this.random = random;
-        this.kinds = kinds;
+        this.classes = kinds;
         freeAtUs = new long[boxes];
         queued = new int[boxes];
     }
 
     /** What begins from now on takes so many times its work. */
-    void slow(double times) {
-        slower = times;
+    void setWorkFactor(double times) {
+        workFactor = times;
     }
 
     @Override
@@ -74,26 +74,27 @@
     @Override
     public Attempt send(String serverId, OutgoingRequest sending) {
         int box = Integer.parseInt(serverId);
-        Sent sent = new Sent(sending);
+        SimulatedAttempt sent = new SimulatedAttempt(sending);
         ClientRequest request = sending.request();
         long now = clock.nowUs();
-        if (queued[box] >= ROOM) {
-            clock.schedule(now + WAY_US, () -> sent.end(Result.FULL, null));
+        if (queued[box] >= MAX_QUEUED_REQUESTS) {
+            clock.schedule(now + NETWORK_DELAY_US, () -> sent.end(Result.FULL, null));
             return sent;
         }
         queued[box]++;
-        double work =
-                kinds.get(request.classIndex()).workUs() * slower * (1 - SPREAD + 2 * SPREAD * random.nextDouble());
+        double work = classes.get(request.classIndex()).workUs()
+                * workFactor
+                * (1 - WORK_VARIATION_FRACTION + 2 * WORK_VARIATION_FRACTION * random.nextDouble());
         freeAtUs[box] = Math.max(freeAtUs[box], now) + (long) work;
         clock.schedule(freeAtUs[box], () -> queued[box]--);
-        clock.schedule(freeAtUs[box] + WAY_US, () -> sent.end(Result.OK, ANSWER));
+        clock.schedule(freeAtUs[box] + NETWORK_DELAY_US, () -> sent.end(Result.OK, OK_RESPONSE));
         return sent;
     }
 
     @Override
     public Attempt probe(String serverId, AttemptListener report) {
-        Sent sent = new Sent(report);
-        clock.schedule(clock.nowUs() + WAY_US, () -> sent.end(Result.OK, ANSWER));
+        SimulatedAttempt sent = new SimulatedAttempt(report);
+        clock.schedule(clock.nowUs() + NETWORK_DELAY_US, () -> sent.end(Result.OK, OK_RESPONSE));
         return sent;
     }
 
@@ -101,7 +102,7 @@
     public void close() {}
 
     /** The boxes as a list names them. */
-    ServerList list() {
+    ServerList serverList() {
         List<ServerList.Target> targets = new ArrayList<>();
         for (int i = 0; i < freeAtUs.length; i++) {
             targets.add(new ServerList.Target(
--- a/src/main/java/vetchpost/simulation/overload/OverloadCommand.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadCommand.java
@@ -43,10 +43,10 @@
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:done, and what was to be shown holds", "1:it does not hold", "2:bad arguments"})
 public final class OverloadCommand implements Callable<Integer> {
-    private static final double KEPT = 0.95;
-    private static final double TRUE = 0.90;
-    private static final double[] LOADS = {1.3, 2, 3};
-    private static final long LONGEST_US = 20_000_000;
+    private static final double MIN_KEPT_SERVICE_FRACTION = 0.95;
+    private static final double MIN_RETRY_SUCCESS_RATE = 0.90;
+    private static final double[] LOAD_FACTORS = {1.3, 2, 3};
+    private static final long MAX_RETRY_AFTER_US = 20_000_000;
 
     @Spec
     private CommandSpec spec;
@@ -62,7 +62,7 @@
             names = "--loud",
             paramLabel = "SCHOOL=TIMES",
             description = "A school, a to f, that asks so many times its usual.")
-    private Map<String, Double> loud = new TreeMap<>();
+    private Map<String, Double> tenantLoadFactors = new TreeMap<>();
 
     @Option(
             names = "--seeds",
@@ -75,13 +75,13 @@
             names = "--pairs",
             description = "Triples each school in turn and shows what each of the others "
                     + "keeps of its service; fails if one keeps under 95%% behind the door.")
-    private boolean pairs;
+    private boolean comparesPairs;
 
     @Option(
             names = "--honesty",
             description = "Clients that come back when told, at 1.3, 2 and 3 times what "
                     + "the boxes can do; fails if under 90%% of them are served then.")
-    private boolean honesty;
+    private boolean measuresRetryAfter;
 
     @Option(
             names = "--svg",
@@ -91,42 +91,44 @@
 
     @Override
     public Integer call() throws IOException {
-        if (pairs && honesty || svg != null && !honesty) {
-            throw bad(svg != null ? "--svg goes with --honesty" : "give one of --pairs and --honesty");
+        if (comparesPairs && measuresRetryAfter || svg != null && !measuresRetryAfter) {
+            throw invalidArgument(svg != null ? "--svg goes with --honesty" : "give one of --pairs and --honesty");
         }
         if (seeds < 1 || seeds > 10_000 || !(load > 0 && load <= 10)) {
-            throw bad("--seeds is from 1 to 10000, --load from 0 to 10");
+            throw invalidArgument("--seeds is from 1 to 10000, --load from 0 to 10");
         }
         PrintWriter out = spec.commandLine().getOut();
-        int code = pairs ? pairs(out) : honesty ? honesty(out) : compare(out);
+        int code = comparesPairs
+                ? comparePairs(out)
+                : measuresRetryAfter ? measureRetryAfterAccuracy(out) : comparePolicies(out);
         out.flush();
         return code;
     }
 
-    private ParameterException bad(String why) {
+    private ParameterException invalidArgument(String why) {
         return new ParameterException(spec.commandLine(), why);
     }
 
     private Plan plan(long seed, Policy policy) {
         Plan plan = Plan.of(seed, policy, load);
-        for (Map.Entry<String, Double> entry : loud.entrySet()) {
+        for (Map.Entry<String, Double> entry : tenantLoadFactors.entrySet()) {
             int school = entry.getKey().length() == 1 ? entry.getKey().charAt(0) - 'a' : -1;
             if (school < 0
-                    || school >= OverloadRun.SHARES.length
+                    || school >= OverloadRun.TENANT_SHARES.length
                     || !(entry.getValue() >= 0)
                     || entry.getValue() > 100) {
-                throw bad("--loud takes a school, a to f, and how many times, from 0 to 100");
+                throw invalidArgument("--loud takes a school, a to f, and how many times, from 0 to 100");
             }
-            plan = plan.loud(school, entry.getValue());
+            plan = plan.withTenantLoad(school, entry.getValue());
         }
         return plan;
     }
 
-    static List<Double> weights() {
-        return Arrays.stream(OverloadRun.SHARES).boxed().toList();
+    static List<Double> tenantWeights() {
+        return Arrays.stream(OverloadRun.TENANT_SHARES).boxed().toList();
     }
 
-    private List<OverloadResult> play(List<Plan> plans) {
+    private List<OverloadResult> runAll(List<Plan> plans) {
         return plans.parallelStream()
                 .map(plan -> SeedRunException.withSeed(plan.seed(), () -> OverloadRun.run(plan)))
                 .toList();
@@ -140,30 +142,30 @@
         return plans;
     }
 
-    private int compare(PrintWriter out) {
+    private int comparePolicies(PrintWriter out) {
         out.printf(Locale.ROOT, "load %.2f, %d seeds; worth answered in time over worth asked for%n", load, seeds);
         out.println("policy       all   view-page add-photo place-order   a     b     c     d     e     f   "
                 + "  Jain   told at once");
         for (Policy policy : Policy.values()) {
-            List<OverloadResult> results = play(plans(policy));
+            List<OverloadResult> results = runAll(plans(policy));
             StringBuilder line = new StringBuilder(String.format(
                     Locale.ROOT,
                     "%-11s %.3f   %.3f     %.3f   " + "  %.3f     ",
                     policy.name().toLowerCase(Locale.ROOT).replace('_', '-'),
-                    mean(results, OverloadResult::service),
-                    mean(results, r -> r.serviceOfClass(0)),
-                    mean(results, r -> r.serviceOfClass(1)),
-                    mean(results, r -> r.serviceOfClass(2))));
-            for (int school = 0; school < OverloadRun.SHARES.length; school++) {
+                    mean(results, OverloadResult::servedValueFraction),
+                    mean(results, r -> r.servedValueFractionOfClass(0)),
+                    mean(results, r -> r.servedValueFractionOfClass(1)),
+                    mean(results, r -> r.servedValueFractionOfClass(2))));
+            for (int school = 0; school < OverloadRun.TENANT_SHARES.length; school++) {
                 int s = school;
-                line.append(String.format(Locale.ROOT, " %.3f", mean(results, r -> r.service(s))));
+                line.append(String.format(Locale.ROOT, " %.3f", mean(results, r -> r.servedValueFraction(s))));
             }
             out.println(line
                     + String.format(
                             Locale.ROOT,
                             "  %.4f  %.2f",
-                            mean(results, r -> r.jain(weights())),
-                            mean(results, OverloadResult::prompt)));
+                            mean(results, r -> r.jainFairnessIndex(tenantWeights())),
+                            mean(results, OverloadResult::immediateRejectionFraction)));
         }
         return 0;
     }
@@ -176,17 +178,18 @@
         return results.stream().mapToDouble(figure::of).average().orElse(0);
     }
 
-    private int pairs(PrintWriter out) {
-        int schools = OverloadRun.SHARES.length;
+    private int comparePairs(PrintWriter out) {
+        int schools = OverloadRun.TENANT_SHARES.length;
         boolean holds = true;
         for (Policy policy : Policy.values()) {
-            List<OverloadResult> calm = play(plans(policy));
+            List<OverloadResult> calm = runAll(plans(policy));
             out.println(policy.name().toLowerCase(Locale.ROOT).replace('_', '-')
                     + ": what each keeps while one asks three times its usual, mean and worst seed");
             for (int one = 0; one < schools; one++) {
                 int asks = one;
-                List<OverloadResult> loudly =
-                        play(plans(policy).stream().map(p -> p.loud(asks, 3)).toList());
+                List<OverloadResult> loudly = runAll(plans(policy).stream()
+                        .map(p -> p.withTenantLoad(asks, 3))
+                        .toList());
                 StringBuilder line = new StringBuilder("  loud " + (char) ('a' + one) + " ");
                 for (int school = 0; school < schools; school++) {
                     int s = school;
@@ -195,11 +198,11 @@
                         continue;
                     }
                     double[] kept = IntStream.range(0, seeds)
-                            .mapToDouble(
-                                    i -> loudly.get(i).service(s) / calm.get(i).service(s))
+                            .mapToDouble(i -> loudly.get(i).servedValueFraction(s)
+                                    / calm.get(i).servedValueFraction(s))
                             .toArray();
                     double mean = Arrays.stream(kept).average().orElse(0);
-                    holds &= policy != Policy.DOOR || mean >= KEPT;
+                    holds &= policy != Policy.DOOR || mean >= MIN_KEPT_SERVICE_FRACTION;
                     line.append(String.format(
                             Locale.ROOT,
                             " %.3f (%.3f)",
@@ -214,32 +217,34 @@
         return holds ? 0 : 1;
     }
 
-    private int honesty(PrintWriter out) throws IOException {
+    private int measureRetryAfterAccuracy(PrintWriter out) throws IOException {
         boolean holds = true;
-        Map<Double, List<OverloadResult.Told>> told = new TreeMap<>();
+        Map<Double, List<OverloadResult.RetryAfterSample>> told = new TreeMap<>();
         out.println("load   came back  served then  view-page add-photo place-order  promised  not promised");
-        for (double times : LOADS) {
+        for (double times : LOAD_FACTORS) {
             List<Plan> plans = new ArrayList<>();
             for (int seed = 1; seed <= seeds; seed++) {
-                plans.add(Plan.of(seed, Policy.DOOR, times).patient(LONGEST_US));
+                plans.add(Plan.of(seed, Policy.DOOR, times).withPatientClients(MAX_RETRY_AFTER_US));
             }
-            List<OverloadResult> results = play(plans);
-            double truth = mean(results, OverloadResult::truth);
-            holds &= truth >= TRUE;
-            double[] byClass = new double[OverloadRun.KINDS.size()];
+            List<OverloadResult> results = runAll(plans);
+            double truth = mean(results, OverloadResult::advisedRetrySuccessRate);
+            holds &= truth >= MIN_RETRY_SUCCESS_RATE;
+            double[] byClass = new double[OverloadRun.CLASSES.size()];
             for (int kind = 0; kind < byClass.length; kind++) {
                 int k = kind;
                 byClass[kind] = results.stream()
-                                .mapToLong(r -> r.returnedServed(k))
+                                .mapToLong(r -> r.advisedRetriesServed(k))
                                 .sum()
                         / Math.max(
                                 1.0,
-                                results.stream().mapToLong(r -> r.returned(k)).sum());
+                                results.stream()
+                                        .mapToLong(r -> r.advisedRetries(k))
+                                        .sum());
             }
             long back = 0;
             for (OverloadResult result : results) {
                 for (int kind = 0; kind < byClass.length; kind++) {
-                    back += result.returned(kind);
+                    back += result.advisedRetries(kind);
                 }
             }
             out.printf(
--- a/src/main/java/vetchpost/simulation/overload/OverloadResult.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadResult.java
@@ -9,64 +9,64 @@
     /**
      * The first time that a client was told, and how long it took from there to its answer, in microseconds.
      */
-    public record Told(long advisedUs, long neededUs) {}
+    public record RetryAfterSample(long retryAfterUs, long actualUs) {}
 
     /** A refusal that takes no longer was given as the request came. */
-    private static final long PROMPT_US = 1_000;
+    private static final long MAX_IMMEDIATE_REJECTION_US = 1_000;
 
-    private final double[][] asked;
-    private final double[][] inTime;
-    private final long[] refusals;
+    private final double[][] requestedValue;
+    private final double[][] valueInTime;
+    private final long[] rejections;
     private final long[] failures;
-    private final List<Told> told = new ArrayList<>();
+    private final List<RetryAfterSample> retryAfterSamples = new ArrayList<>();
     private long served;
-    private long refused;
-    private final long[] late;
-    private final long[] returned;
-    private final long[] returnedServed;
-    private long promptRefusals;
-    int stillHeld;
+    private long rejectedRequests;
+    private final long[] lateResponses;
+    private final long[] advisedRetries;
+    private final long[] advisedRetriesServed;
+    private long immediateRejections;
+    int pendingRequests;
     AdmissionCounts counts;
 
     OverloadResult(int schools, int classes) {
-        asked = new double[schools][classes];
-        inTime = new double[schools][classes];
-        refusals = new long[schools];
+        requestedValue = new double[schools][classes];
+        valueInTime = new double[schools][classes];
+        rejections = new long[schools];
         failures = new long[schools];
-        late = new long[classes];
-        returned = new long[classes];
-        returnedServed = new long[classes];
+        lateResponses = new long[classes];
+        advisedRetries = new long[classes];
+        advisedRetriesServed = new long[classes];
     }
 
-    void asked(int school, int kind, double worth) {
-        asked[school][kind] += worth;
+    void recordRequest(int school, int kind, double worth) {
+        requestedValue[school][kind] += worth;
     }
 
     void served(int school, int kind, double worth) {
         served++;
-        late[kind] += worth == 0 ? 1 : 0;
-        inTime[school][kind] += worth;
+        lateResponses[kind] += worth == 0 ? 1 : 0;
+        valueInTime[school][kind] += worth;
     }
 
-    void refused(int school, long heldUs) {
-        refusals[school]++;
-        refused++;
-        promptRefusals += heldUs <= PROMPT_US ? 1 : 0;
+    void recordRejection(int school, long heldUs) {
+        rejections[school]++;
+        rejectedRequests++;
+        immediateRejections += heldUs <= MAX_IMMEDIATE_REJECTION_US ? 1 : 0;
     }
 
-    void failed(int school) {
+    void recordFailure(int school) {
         failures[school]++;
     }
 
     /** One that came back when it was told. */
-    void cameBack(int kind, boolean wasServed) {
-        returned[kind]++;
-        returnedServed[kind] += wasServed ? 1 : 0;
+    void recordAdvisedRetry(int kind, boolean wasServed) {
+        advisedRetries[kind]++;
+        advisedRetriesServed[kind] += wasServed ? 1 : 0;
     }
 
     /** One that had been told a time was served, on that try or a later one. */
     void told(long advisedUs, long neededUs) {
-        told.add(new Told(advisedUs, neededUs));
+        retryAfterSamples.add(new RetryAfterSample(advisedUs, neededUs));
     }
 
     private static double sum(double[] values) {
@@ -78,28 +78,28 @@
     }
 
     /** Worth in time over worth asked for, of a school. */
-    public double service(int school) {
-        return sum(inTime[school]) / Math.max(1e-9, sum(asked[school]));
+    public double servedValueFraction(int school) {
+        return sum(valueInTime[school]) / Math.max(1e-9, sum(requestedValue[school]));
     }
 
     /** The same of all. */
-    public double service() {
+    public double servedValueFraction() {
         double of = 0;
         double all = 0;
-        for (int i = 0; i < asked.length; i++) {
-            of += sum(inTime[i]);
-            all += sum(asked[i]);
+        for (int i = 0; i < requestedValue.length; i++) {
+            of += sum(valueInTime[i]);
+            all += sum(requestedValue[i]);
         }
         return of / Math.max(1e-9, all);
     }
 
     /** The same of one class. */
-    public double serviceOfClass(int kind) {
+    public double servedValueFractionOfClass(int kind) {
         double of = 0;
         double all = 0;
-        for (int i = 0; i < asked.length; i++) {
-            of += inTime[i][kind];
-            all += asked[i][kind];
+        for (int i = 0; i < requestedValue.length; i++) {
+            of += valueInTime[i][kind];
+            all += requestedValue[i][kind];
         }
         return of / Math.max(1e-9, all);
     }
@@ -109,25 +109,25 @@
      * that was served in time (R. Jain, D. Chiu, W. Hawe, "A Quantitative Measure of Fairness", DEC TR-301,
      * 1984). 1 is fair.
      */
-    public double jain(List<Double> weights) {
+    public double jainFairnessIndex(List<Double> weights) {
         double total = 0;
-        for (double[] school : inTime) {
+        for (double[] school : valueInTime) {
             total += sum(school);
         }
-        double[] fair = maxMin(weights, total);
+        double[] fair = maxMinFairShares(weights, total);
         double sum = 0;
         double squares = 0;
         for (int i = 0; i < fair.length; i++) {
-            double x = sum(inTime[i]) / Math.max(1e-9, fair[i]);
+            double x = sum(valueInTime[i]) / Math.max(1e-9, fair[i]);
             sum += x;
             squares += x * x;
         }
         return sum * sum / (fair.length * Math.max(1e-9, squares));
     }
 
-    private double[] maxMin(List<Double> weights, double total) {
-        double[] fair = new double[asked.length];
-        boolean[] filled = new boolean[asked.length];
+    private double[] maxMinFairShares(List<Double> weights, double total) {
+        double[] fair = new double[requestedValue.length];
+        boolean[] filled = new boolean[requestedValue.length];
         double left = total;
         for (int round = 0; round < fair.length; round++) {
             double open = 0;
@@ -137,8 +137,8 @@
             boolean any = false;
             double perWeight = left / Math.max(1e-9, open);
             for (int i = 0; i < fair.length; i++) {
-                if (!filled[i] && sum(asked[i]) <= perWeight * weights.get(i)) {
-                    fair[i] = sum(asked[i]);
+                if (!filled[i] && sum(requestedValue[i]) <= perWeight * weights.get(i)) {
+                    fair[i] = sum(requestedValue[i]);
                     filled[i] = true;
                     left -= fair[i];
                     any = true;
@@ -160,13 +160,13 @@
     }
 
     /** Those of a class that came too late to be worth anything. */
-    public long late(int kind) {
-        return late[kind];
+    public long lateResponses(int kind) {
+        return lateResponses[kind];
     }
 
     /** Refusals of a school's requests. */
-    public long refusals(int school) {
-        return refusals[school];
+    public long rejections(int school) {
+        return rejections[school];
     }
 
     /** Failures of a school's requests. */
@@ -175,23 +175,23 @@
     }
 
     /** Part of the refusals that were given as the request came. */
-    public double prompt() {
-        return refused == 0 ? 1 : (double) promptRefusals / refused;
+    public double immediateRejectionFraction() {
+        return rejectedRequests == 0 ? 1 : (double) immediateRejections / rejectedRequests;
     }
 
     /** Those of a class that came back when they were told. */
-    public long returned(int kind) {
-        return returned[kind];
+    public long advisedRetries(int kind) {
+        return advisedRetries[kind];
     }
 
     /** Those of them that were served in time on that try. */
-    public long returnedServed(int kind) {
-        return returnedServed[kind];
+    public long advisedRetriesServed(int kind) {
+        return advisedRetriesServed[kind];
     }
 
     /** Part of all that came back when they were told that was served in time on that try. */
-    public double truth() {
-        return sum(returnedServed) / Math.max(1, sum(returned));
+    public double advisedRetrySuccessRate() {
+        return sum(advisedRetriesServed) / Math.max(1, sum(advisedRetries));
     }
 
     private static double sum(long[] values) {
@@ -203,13 +203,13 @@
     }
 
     /** What those were told first that were served in the end, and what it took. */
-    public List<Told> told() {
-        return told;
+    public List<RetryAfterSample> told() {
+        return retryAfterSamples;
     }
 
     /** Requests that the node still held at the end: nothing, or one was lost. */
-    public int stillHeld() {
-        return stillHeld;
+    public int pendingRequests() {
+        return pendingRequests;
     }
 
     /** The door's own counts, or null. */
--- a/src/main/java/vetchpost/simulation/overload/OverloadRun.java
+++ b/src/main/java/vetchpost/simulation/overload/OverloadRun.java
@@ -30,24 +30,30 @@
  */
 public final class OverloadRun {
     private static final long START_US = 1_767_225_600_000_000L;
-    private static final long TAIL_US = 3_000_000;
+    private static final long COMPLETION_TIME_US = 3_000_000;
     /** Before anything counts: nodes have seen quiet times. */
-    private static final long WARM_US = 2_000_000;
+    private static final long WARM_UP_US = 2_000_000;
 
-    private static final double WARM_LOAD = 0.4;
+    private static final double WARM_UP_LOAD = 0.4;
     private static final long BACKOFF_US = 20_000;
-    private static final int MOST_TRIES = 3;
-    static final String NAME = "school-";
-    static final double[] SHARES = {0.29, 0.25, 0.17, 0.12, 0.10, 0.07};
+    private static final int MAX_ATTEMPTS = 3;
+    static final String TENANT_NAME_PREFIX = "school-";
+    static final double[] TENANT_SHARES = {0.29, 0.25, 0.17, 0.12, 0.10, 0.07};
 
     /** A class: what a request takes, its part of all, and what it is worth. Times in microseconds. */
-    record Kind(
-            String name, double share, double workUs, long aimUs, long deadlineUs, double worth, Idempotency repeat) {}
-
-    static final List<Kind> KINDS = List.of(
-            new Kind("view-page", 0.51, 19_000, 100_000, 500_000, 1, Idempotency.SAFE),
-            new Kind("add-photo", 0.30, 22_000, 200_000, 600_000, 5, Idempotency.KEYED),
-            new Kind("place-order", 0.19, 33_000, 300_000, 1_000_000, 5, Idempotency.UNSAFE));
+    record ClassProfile(
+            String name,
+            double fraction,
+            double workUs,
+            long latencyTargetUs,
+            long deadlineUs,
+            double value,
+            Idempotency idempotency) {}
+
+    static final List<ClassProfile> CLASSES = List.of(
+            new ClassProfile("view-page", 0.51, 19_000, 100_000, 500_000, 1, Idempotency.SAFE),
+            new ClassProfile("add-photo", 0.30, 22_000, 200_000, 600_000, 5, Idempotency.KEYED),
+            new ClassProfile("place-order", 0.19, 33_000, 300_000, 1_000_000, 5, Idempotency.UNSAFE));
 
     /** Who decides on order and shares. */
     public enum Policy {
@@ -74,16 +80,16 @@
     public record Plan(
             long seed,
             Policy policy,
-            int boxes,
+            int serverCount,
             double load,
-            List<Double> louder,
-            List<Integer> clients,
-            boolean patient,
-            long longestUs,
-            long lengthUs,
-            long halveAtUs) {
+            List<Double> tenantLoadFactors,
+            List<Integer> clientCounts,
+            boolean hasPatientClients,
+            long maxRetryAfterUs,
+            long durationUs,
+            long slowdownAtUs) {
         /** How long patient clients go on coming back. */
-        static final long PATIENCE_US = 30_000_000;
+        static final long CLIENT_PATIENCE_US = 30_000_000;
 
         /** Six schools, twelve boxes, ten seconds, nobody louder than usual. */
         public static Plan of(long seed, Policy policy, double load) {
@@ -101,100 +107,163 @@
         }
 
         /** The same with one school louder. */
-        public Plan loud(int school, double times) {
-            List<Double> other = new ArrayList<>(louder);
+        public Plan withTenantLoad(int school, double times) {
+            List<Double> other = new ArrayList<>(tenantLoadFactors);
             other.set(school, times);
-            return new Plan(seed, policy, boxes, load, other, clients, patient, longestUs, lengthUs, halveAtUs);
+            return new Plan(
+                    seed,
+                    policy,
+                    serverCount,
+                    load,
+                    other,
+                    clientCounts,
+                    hasPatientClients,
+                    maxRetryAfterUs,
+                    durationUs,
+                    slowdownAtUs);
         }
 
         /** The same with this many clients at a school. */
-        public Plan clients(int school, int count) {
-            List<Integer> other = new ArrayList<>(clients);
+        public Plan withClientCount(int school, int count) {
+            List<Integer> other = new ArrayList<>(clientCounts);
             other.set(school, count);
-            return new Plan(seed, policy, boxes, load, louder, other, patient, longestUs, lengthUs, halveAtUs);
+            return new Plan(
+                    seed,
+                    policy,
+                    serverCount,
+                    load,
+                    tenantLoadFactors,
+                    other,
+                    hasPatientClients,
+                    maxRetryAfterUs,
+                    durationUs,
+                    slowdownAtUs);
         }
 
         /** The same with clients that come back for half a minute, and advice of up to so long. */
-        public Plan patient(long longest) {
-            return new Plan(seed, policy, boxes, load, louder, clients, true, longest, lengthUs, halveAtUs);
+        public Plan withPatientClients(long longest) {
+            return new Plan(
+                    seed,
+                    policy,
+                    serverCount,
+                    load,
+                    tenantLoadFactors,
+                    clientCounts,
+                    true,
+                    longest,
+                    durationUs,
+                    slowdownAtUs);
         }
 
         /** The same for so long. */
-        public Plan length(long us) {
-            return new Plan(seed, policy, boxes, load, louder, clients, patient, longestUs, us, halveAtUs);
+        public Plan withDuration(long us) {
+            return new Plan(
+                    seed,
+                    policy,
+                    serverCount,
+                    load,
+                    tenantLoadFactors,
+                    clientCounts,
+                    hasPatientClients,
+                    maxRetryAfterUs,
+                    us,
+                    slowdownAtUs);
         }
 
         /** The same with boxes that take twice as long from then on. */
-        public Plan halve(long us) {
-            return new Plan(seed, policy, boxes, load, louder, clients, patient, longestUs, lengthUs, us);
+        public Plan withSlowdownAt(long us) {
+            return new Plan(
+                    seed,
+                    policy,
+                    serverCount,
+                    load,
+                    tenantLoadFactors,
+                    clientCounts,
+                    hasPatientClients,
+                    maxRetryAfterUs,
+                    durationUs,
+                    us);
         }
     }
 
     private final Plan plan;
     private final VirtualClock clock = new VirtualClock(START_US);
     private final SplittableRandom random;
-    private final ModelServers boxes;
+    private final ModelServers servers;
     private final Dispatcher node;
-    private final FairAdmission door;
+    private final FairAdmission admission;
     private final OverloadResult result;
-    private final OverloadResult before = new OverloadResult(SHARES.length, KINDS.size());
-    private long ids;
+    private final OverloadResult warmUpResult = new OverloadResult(TENANT_SHARES.length, CLASSES.size());
+    private long lastRequestId;
 
     private OverloadRun(Plan plan) {
         this.plan = plan;
         random = new SplittableRandom(plan.seed * 0x9E3779B97F4A7C15L + 11);
-        boxes = new ModelServers(clock, random.split(), KINDS, plan.boxes);
+        servers = new ModelServers(clock, random.split(), CLASSES, plan.serverCount);
         Settings settings = settings();
         node = new Dispatcher(
                 clock,
                 new EventLoopDelay(clock),
-                boxes,
+                servers,
                 List.of(),
                 () -> {},
                 () -> {},
                 1_000_000,
                 actions -> new ServiceQBalancer(settings, plan.seed, actions));
-        node.onKnownList(boxes.list());
+        node.onCachedList(servers.serverList());
         AdmissionSettings defaults = AdmissionValidator.defaults(settings);
-        door = plan.policy != Policy.DOOR
+        admission = plan.policy != Policy.DOOR
                 ? null
                 : new FairAdmission(
                         new AdmissionSettings(
                                 defaults.maxWaiting(),
                                 defaults.queuesPerClass(),
                                 defaults.maxUnsent(),
-                                plan.patient ? Plan.PATIENCE_US : 0,
+                                plan.hasPatientClients ? Plan.CLIENT_PATIENCE_US : 0,
                                 defaults.maxRetryAfterUs(),
                                 defaults.reservationTableSize(),
                                 defaults.tenantWeights()),
                         settings,
                         plan.seed);
-        node.admission(door);
-        result = new OverloadResult(SHARES.length, KINDS.size());
+        node.admission(admission);
+        result = new OverloadResult(TENANT_SHARES.length, CLASSES.size());
     }
 
     /** Requests a second that so many boxes can do. */
-    static double capacity(int boxes) {
-        return boxes * 1e6 / KINDS.stream().mapToDouble(k -> k.share * k.workUs).sum();
+    static double capacityPerSecond(int boxes) {
+        return boxes
+                * 1e6
+                / CLASSES.stream().mapToDouble(k -> k.fraction * k.workUs).sum();
     }
 
     private Settings settings() {
         Settings set = new Settings();
-        for (Kind k : KINDS) {
+        for (ClassProfile k : CLASSES) {
             set.classes.add(new RequestClass(
-                    k.name, k.aimUs, 0, k.deadlineUs, k.worth, 0, k.repeat, DeduplicationScope.ALL, 1_200_000, false));
+                    k.name,
+                    k.latencyTargetUs,
+                    0,
+                    k.deadlineUs,
+                    k.value,
+                    0,
+                    k.idempotency,
+                    DeduplicationScope.ALL,
+                    1_200_000,
+                    false));
         }
-        for (int i = 0; i < SHARES.length; i++) {
+        for (int i = 0; i < TENANT_SHARES.length; i++) {
             // Shares come to seven eighths of what the boxes can do.
             set.tenants.add(new Tenant(
-                    NAME + (char) ('a' + i),
-                    plan.policy == Policy.FIRST_COME ? 0 : SHARES[i] * 0.875 * capacity(plan.boxes)));
+                    TENANT_NAME_PREFIX + (char) ('a' + i),
+                    plan.policy == Policy.FIRST_COME
+                            ? 0
+                            : TENANT_SHARES[i] * 0.875 * capacityPerSecond(plan.serverCount)));
         }
-        set.overShareWorth = 0.1;
+        set.overShareValueFraction = 0.1;
         set.maxAttempts = 4;
         set.allowsCancellation = true;
         set.clientsMarkRetries = true;
-        set.maxRetryAfterUs = plan.longestUs;
+        set.maxRetryAfterUs = plan.maxRetryAfterUs;
         return set;
     }
 
@@ -204,31 +273,39 @@
     }
 
     private OverloadResult run() {
-        for (int school = 0; school < SHARES.length; school++) {
-            double rate = SHARES[school] * plan.louder.get(school) * plan.load * capacity(plan.boxes);
-            arrive(
+        for (int school = 0; school < TENANT_SHARES.length; school++) {
+            double rate = TENANT_SHARES[school]
+                    * plan.tenantLoadFactors.get(school)
+                    * plan.load
+                    * capacityPerSecond(plan.serverCount);
+            scheduleArrivals(
                     school,
-                    SHARES[school] * WARM_LOAD * capacity(plan.boxes),
+                    TENANT_SHARES[school] * WARM_UP_LOAD * capacityPerSecond(plan.serverCount),
                     random.split(),
-                    START_US + WARM_US,
+                    START_US + WARM_UP_US,
                     false);
             SplittableRandom chance = random.split();
             if (rate > 0) {
                 int each = school;
                 clock.schedule(
-                        START_US + WARM_US, () -> arrive(each, rate, chance, START_US + WARM_US + plan.lengthUs, true));
+                        START_US + WARM_UP_US,
+                        () -> scheduleArrivals(each, rate, chance, START_US + WARM_UP_US + plan.durationUs, true));
             }
         }
-        if (plan.halveAtUs > 0) {
-            clock.schedule(START_US + WARM_US + plan.halveAtUs, () -> boxes.slow(2));
+        if (plan.slowdownAtUs > 0) {
+            clock.schedule(START_US + WARM_UP_US + plan.slowdownAtUs, () -> servers.setWorkFactor(2));
         }
-        clock.runUntil(START_US + WARM_US + plan.lengthUs + TAIL_US + (plan.patient ? Plan.PATIENCE_US : 0));
-        result.stillHeld = node.pendingRequests();
-        result.counts = door == null ? null : door.counts();
+        clock.runUntil(START_US
+                + WARM_UP_US
+                + plan.durationUs
+                + COMPLETION_TIME_US
+                + (plan.hasPatientClients ? Plan.CLIENT_PATIENCE_US : 0));
+        result.pendingRequests = node.pendingRequests();
+        result.counts = admission == null ? null : admission.counts();
         return result;
     }
 
-    private void arrive(int school, double rate, SplittableRandom chance, long untilUs, boolean counts) {
+    private void scheduleArrivals(int school, double rate, SplittableRandom chance, long untilUs, boolean counts) {
         long at = clock.nowUs() + 1 + (long) (-StrictMath.log(1 - chance.nextDouble()) * 1e6 / rate);
         if (at >= untilUs) {
             return;
@@ -236,106 +313,107 @@
         clock.schedule(at, () -> {
             double draw = chance.nextDouble();
             int kind = 0;
-            while (kind < KINDS.size() - 1 && draw >= KINDS.get(kind).share) {
-                draw -= KINDS.get(kind++).share;
+            while (kind < CLASSES.size() - 1 && draw >= CLASSES.get(kind).fraction) {
+                draw -= CLASSES.get(kind++).fraction;
             }
-            new Want(school, kind, chance.nextInt(plan.clients.get(school)), chance.split(), counts).ask();
-            arrive(school, rate, chance, untilUs, counts);
+            new SimulatedClient(school, kind, chance.nextInt(plan.clientCounts.get(school)), chance.split(), counts)
+                    .send();
+            scheduleArrivals(school, rate, chance, untilUs, counts);
         });
     }
 
     /** What a client wants, over all its tries. */
-    private final class Want {
-        private final int school;
-        private final int kindIndex;
-        private final Kind kind;
-        private final int client;
-        private final SplittableRandom chance;
-        private final OverloadResult to;
-        private final long beganUs = clock.nowUs();
-        private int tries;
-        private long triedUs;
-        private long advisedUs;
-        private long firstAdvisedUs;
-        private long firstToldUs;
-
-        Want(int school, int kind, int client, SplittableRandom chance, boolean counts) {
-            to = counts ? result : before;
-            this.school = school;
-            kindIndex = kind;
-            this.kind = KINDS.get(kind);
-            this.client = client;
-            this.chance = chance;
-            to.asked(school, kindIndex, this.kind.worth);
+    private final class SimulatedClient {
+        private final int tenant;
+        private final int classIndex;
+        private final ClassProfile profile;
+        private final int clientNumber;
+        private final SplittableRandom random;
+        private final OverloadResult statistics;
+        private final long startedUs = clock.nowUs();
+        private int attempts;
+        private long attemptStartUs;
+        private long retryAfterUs;
+        private long firstRetryAfterUs;
+        private long firstRejectedUs;
+
+        SimulatedClient(int school, int kind, int client, SplittableRandom chance, boolean counts) {
+            statistics = counts ? result : warmUpResult;
+            this.tenant = school;
+            classIndex = kind;
+            this.profile = CLASSES.get(kind);
+            this.clientNumber = client;
+            this.random = chance;
+            statistics.recordRequest(school, classIndex, this.profile.value);
         }
 
-        void ask() {
-            tries++;
-            triedUs = clock.nowUs();
+        void send() {
+            attempts++;
+            attemptStartUs = clock.nowUs();
             // Where clients are patient each return is a request of its own, with all its time.
-            long leftUs = plan.patient ? kind.deadlineUs : beganUs + kind.deadlineUs - triedUs;
+            long leftUs = plan.hasPatientClients ? profile.deadlineUs : startedUs + profile.deadlineUs - attemptStartUs;
             if (leftUs < 5_000) {
                 return;
             }
             ClientRequest request = new ClientRequest(
-                    ++ids,
-                    kindIndex,
-                    school,
+                    ++lastRequestId,
+                    classIndex,
+                    tenant,
                     leftUs,
                     0,
-                    tries > 1,
+                    attempts > 1,
                     "POST",
-                    "/" + kind.name,
-                    new Cookie("key=" + school + "-" + client),
+                    "/" + profile.name,
+                    new CookieHeader("key=" + tenant + "-" + clientNumber),
                     new byte[0]);
             node.accept(request, new Reply(this), 0);
         }
 
         void served() {
-            long fromUs = plan.patient ? triedUs : beganUs;
-            boolean inTime = clock.nowUs() - fromUs <= kind.aimUs;
-            to.served(school, kindIndex, inTime ? kind.worth : 0);
-            if (advisedUs > 0) {
-                to.cameBack(kindIndex, inTime);
+            long fromUs = plan.hasPatientClients ? attemptStartUs : startedUs;
+            boolean inTime = clock.nowUs() - fromUs <= profile.latencyTargetUs;
+            statistics.served(tenant, classIndex, inTime ? profile.value : 0);
+            if (retryAfterUs > 0) {
+                statistics.recordAdvisedRetry(classIndex, inTime);
             }
-            if (firstAdvisedUs > 0) {
-                to.told(firstAdvisedUs, clock.nowUs() - firstToldUs);
+            if (firstRetryAfterUs > 0) {
+                statistics.told(firstRetryAfterUs, clock.nowUs() - firstRejectedUs);
             }
         }
 
-        void refused(long adviceUs) {
-            to.refused(school, clock.nowUs() - triedUs);
-            if (advisedUs > 0) {
-                to.cameBack(kindIndex, false);
+        void rejected(long adviceUs) {
+            statistics.recordRejection(tenant, clock.nowUs() - attemptStartUs);
+            if (retryAfterUs > 0) {
+                statistics.recordAdvisedRetry(classIndex, false);
             }
-            advisedUs = adviceUs;
-            if (firstAdvisedUs == 0) {
-                firstAdvisedUs = adviceUs;
-                firstToldUs = clock.nowUs();
+            retryAfterUs = adviceUs;
+            if (firstRetryAfterUs == 0) {
+                firstRetryAfterUs = adviceUs;
+                firstRejectedUs = clock.nowUs();
             }
-            again(adviceUs > 0 ? adviceUs : BACKOFF_US * (1 + chance.nextInt(2)), adviceUs > 0);
+            scheduleRetry(adviceUs > 0 ? adviceUs : BACKOFF_US * (1 + random.nextInt(2)), adviceUs > 0);
         }
 
         void failed() {
-            to.failed(school);
-            if (advisedUs > 0) {
-                to.cameBack(kindIndex, false);
+            statistics.recordFailure(tenant);
+            if (retryAfterUs > 0) {
+                statistics.recordAdvisedRetry(classIndex, false);
             }
-            advisedUs = 0;
-            if (kind.repeat == Idempotency.SAFE) {
-                again(BACKOFF_US, false);
+            retryAfterUs = 0;
+            if (profile.idempotency == Idempotency.SAFE) {
+                scheduleRetry(BACKOFF_US, false);
             }
         }
 
-        private void again(long inUs, boolean told) {
-            long untilUs = beganUs + (plan.patient ? Plan.PATIENCE_US : kind.deadlineUs);
-            if (clock.nowUs() + inUs < untilUs && (tries < MOST_TRIES || told && plan.patient)) {
-                clock.schedule(clock.nowUs() + inUs + chance.nextInt(1_000), this::ask);
+        private void scheduleRetry(long inUs, boolean told) {
+            long untilUs = startedUs + (plan.hasPatientClients ? Plan.CLIENT_PATIENCE_US : profile.deadlineUs);
+            if (clock.nowUs() + inUs < untilUs && (attempts < MAX_ATTEMPTS || told && plan.hasPatientClients)) {
+                clock.schedule(clock.nowUs() + inUs + random.nextInt(1_000), this::send);
             }
         }
     }
 
-    private record Cookie(String value) implements Headers {
+    private record CookieHeader(String value) implements Headers {
         @Override
         public String get(String name) {
             return name.equals("Cookie") ? value : null;
@@ -347,20 +425,20 @@
         }
     }
 
-    private record Reply(Want want) implements ClientReply {
+    private record Reply(SimulatedClient client) implements ClientReply {
         @Override
         public void served(ServerResponse answer) {
-            want.served();
+            client.served();
         }
 
         @Override
         public void rejected(long retryAfterUs) {
-            want.refused(retryAfterUs);
+            client.rejected(retryAfterUs);
         }
 
         @Override
         public void failed(Failure why) {
-            want.failed();
+            client.failed();
         }
 
         @Override
--- a/src/main/java/vetchpost/simulation/overload/RetryAfterAccuracyPlot.java
+++ b/src/main/java/vetchpost/simulation/overload/RetryAfterAccuracyPlot.java
@@ -6,17 +6,17 @@
 
 /** What clients were told against what it took until their answers, a picture for each load. */
 final class RetryAfterAccuracyPlot {
-    private static final int SIDE = 280;
-    private static final int GAP = 60;
-    private static final int MOST_DOTS = 800;
-    private static final int TICKS = 4;
+    private static final int PANEL_SIDE_PX = 280;
+    private static final int GAP_PX = 60;
+    private static final int MAX_POINTS_PER_PANEL = 800;
+    private static final int AXIS_TICKS = 4;
 
     private RetryAfterAccuracyPlot() {}
 
     /** As one drawing, by load. */
-    static String svg(Map<Double, List<OverloadResult.Told>> byLoad) {
+    static String svg(Map<Double, List<OverloadResult.RetryAfterSample>> byLoad) {
         StringBuilder svg = new StringBuilder();
-        int width = GAP + byLoad.size() * (SIDE + GAP);
+        int width = GAP_PX + byLoad.size() * (PANEL_SIDE_PX + GAP_PX);
         svg.append(String.format(
                 Locale.ROOT,
                 "<svg xmlns=\"http://www.w3.org/2000/svg\" "
@@ -24,75 +24,75 @@
                         + "font-family=\"sans-serif\" font-size=\"12\">%n<title>Advised against needed wait</title>%n"
                         + "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>%n",
                 width,
-                SIDE + 2 * GAP));
-        int left = GAP;
-        for (Map.Entry<Double, List<OverloadResult.Told>> entry : byLoad.entrySet()) {
+                PANEL_SIDE_PX + 2 * GAP_PX));
+        int left = GAP_PX;
+        for (Map.Entry<Double, List<OverloadResult.RetryAfterSample>> entry : byLoad.entrySet()) {
             panel(svg, left, entry.getKey(), entry.getValue());
-            left += SIDE + GAP;
+            left += PANEL_SIDE_PX + GAP_PX;
         }
         return svg.append("</svg>\n").toString();
     }
 
-    private static void panel(StringBuilder svg, int left, double load, List<OverloadResult.Told> told) {
+    private static void panel(StringBuilder svg, int left, double load, List<OverloadResult.RetryAfterSample> told) {
         double most = 1;
-        for (OverloadResult.Told one : told) {
-            most = Math.max(most, Math.max(one.advisedUs(), one.neededUs()) / 1e6);
+        for (OverloadResult.RetryAfterSample one : told) {
+            most = Math.max(most, Math.max(one.retryAfterUs(), one.actualUs()) / 1e6);
         }
-        int bottom = GAP + SIDE;
+        int bottom = GAP_PX + PANEL_SIDE_PX;
         svg.append(String.format(
                 Locale.ROOT,
                 "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\">%.1f times " + "what the boxes can do</text>%n",
-                left + SIDE / 2,
-                GAP - 12,
+                left + PANEL_SIDE_PX / 2,
+                GAP_PX - 12,
                 load));
         svg.append(String.format(
                 Locale.ROOT,
                 "<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"%d\" " + "fill=\"none\" stroke=\"#444\"/>%n",
                 left,
-                GAP,
-                SIDE,
-                SIDE));
-        for (int i = 0; i <= TICKS; i++) {
-            int at = SIDE * i / TICKS;
+                GAP_PX,
+                PANEL_SIDE_PX,
+                PANEL_SIDE_PX));
+        for (int i = 0; i <= AXIS_TICKS; i++) {
+            int at = PANEL_SIDE_PX * i / AXIS_TICKS;
             svg.append(String.format(
                     Locale.ROOT,
                     "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\">%.1f</text>%n",
                     left + at,
                     bottom + 16,
-                    most * i / TICKS));
+                    most * i / AXIS_TICKS));
             svg.append(String.format(
                     Locale.ROOT,
                     "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%.1f</text>%n",
                     left - 5,
                     bottom - at + 4,
-                    most * i / TICKS));
+                    most * i / AXIS_TICKS));
         }
         svg.append(String.format(
                 Locale.ROOT,
                 "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\">advised, s</text>%n"
                         + "<text x=\"%d\" y=\"%d\" text-anchor=\"middle\" transform=\"rotate(-90 %d %d)\">"
                         + "needed, s</text>%n",
-                left + SIDE / 2,
+                left + PANEL_SIDE_PX / 2,
                 bottom + 34,
                 left - 34,
-                GAP + SIDE / 2,
+                GAP_PX + PANEL_SIDE_PX / 2,
                 left - 34,
-                GAP + SIDE / 2));
+                GAP_PX + PANEL_SIDE_PX / 2));
         svg.append("<g fill=\"#1f6fb4\" fill-opacity=\"0.4\">\n");
-        int step = Math.max(1, told.size() / MOST_DOTS);
+        int step = Math.max(1, told.size() / MAX_POINTS_PER_PANEL);
         for (int i = 0; i < told.size(); i += step) {
             svg.append(String.format(
                     Locale.ROOT,
                     "<circle cx=\"%.1f\" cy=\"%.1f\" r=\"1.5\"/>%n",
-                    left + told.get(i).advisedUs() / 1e6 / most * SIDE,
-                    bottom - told.get(i).neededUs() / 1e6 / most * SIDE));
+                    left + told.get(i).retryAfterUs() / 1e6 / most * PANEL_SIDE_PX,
+                    bottom - told.get(i).actualUs() / 1e6 / most * PANEL_SIDE_PX));
         }
         svg.append(String.format(
                 Locale.ROOT,
                 "</g>%n<path d=\"M%d %dL%d %d\" stroke=\"#c33\" " + "stroke-dasharray=\"4 3\"/>%n",
                 left,
                 bottom,
-                left + SIDE,
-                GAP));
+                left + PANEL_SIDE_PX,
+                GAP_PX));
     }
 }
--- a/src/main/java/vetchpost/simulation/overload/VirtualClock.java
+++ b/src/main/java/vetchpost/simulation/overload/VirtualClock.java
@@ -5,18 +5,18 @@
 
 /** Virtual time: what is due runs in its order, and nothing takes any. */
 public final class VirtualClock implements Clock {
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
-    private long now;
-    private long numbers;
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
+    private long nowUs;
+    private long nextSequenceNumber;
 
-    private final class Due implements Timer, Comparable<Due> {
-        private final long us;
-        private final long number = numbers++;
+    private final class ScheduledTask implements Timer, Comparable<ScheduledTask> {
+        private final long dueUs;
+        private final long sequenceNumber = nextSequenceNumber++;
         private final Runnable task;
         private boolean cancelled;
 
-        Due(long us, Runnable task) {
-            this.us = us;
+        ScheduledTask(long us, Runnable task) {
+            this.dueUs = us;
             this.task = task;
         }
 
@@ -26,37 +26,39 @@
         }
 
         @Override
-        public int compareTo(Due other) {
-            return us != other.us ? Long.compare(us, other.us) : Long.compare(number, other.number);
+        public int compareTo(ScheduledTask other) {
+            return dueUs != other.dueUs
+                    ? Long.compare(dueUs, other.dueUs)
+                    : Long.compare(sequenceNumber, other.sequenceNumber);
         }
     }
 
     /** Begins at this time. */
     public VirtualClock(long startUs) {
-        now = startUs;
+        nowUs = startUs;
     }
 
     @Override
     public long nowUs() {
-        return now;
+        return nowUs;
     }
 
     @Override
     public Timer schedule(long us, Runnable task) {
-        Due due = new Due(Math.max(us, now), task);
+        ScheduledTask due = new ScheduledTask(Math.max(us, nowUs), task);
         queue.add(due);
         return due;
     }
 
     /** Runs all that is due by this time. */
     public void runUntil(long us) {
-        while (!queue.isEmpty() && queue.peek().us <= us) {
-            Due due = queue.poll();
-            now = due.us;
+        while (!queue.isEmpty() && queue.peek().dueUs <= us) {
+            ScheduledTask due = queue.poll();
+            nowUs = due.dueUs;
             if (!due.cancelled) {
                 due.task.run();
             }
         }
-        now = us;
+        nowUs = us;
     }
 }
--- a/src/main/java/vetchpost/simulation/scale/Configurations.java
+++ b/src/main/java/vetchpost/simulation/scale/ConfigurationGenerator.java
@@ -21,45 +21,63 @@
 import vetchpost.store.Version;
 
 /** Drawn configurations of any size, and changes of them; the same for the same seed. */
-final class Configurations {
-    private static final Position AT = new Position("drawn", 1, 1);
-    private static final int BATCH = 5_000;
-    private static final long MS = 1_000;
+final class ConfigurationGenerator {
+    private static final Position POSITION = new Position("drawn", 1, 1);
+    private static final int MAX_BATCH_ENTRIES = 5_000;
+    private static final long US_PER_MS = 1_000;
 
     private final SplittableRandom random;
-    private final int services;
-    private final int tenants;
-    private int routes;
+    private final int serviceCount;
+    private final int tenantCount;
+    private int routeCount;
 
     /** Of so many entries of each kind, as far as they are made. */
-    Configurations(long seed, int services, int tenants) {
+    ConfigurationGenerator(long seed, int services, int tenants) {
         random = new SplittableRandom(seed);
-        this.services = services;
-        this.tenants = tenants;
+        this.serviceCount = services;
+        this.tenantCount = tenants;
     }
 
     /** What requests there are. */
     static Settings settings() {
         Settings set = new Settings();
         set.maxAttempts = 3;
-        set.maxRetryAfterUs = 30_000 * MS;
+        set.maxRetryAfterUs = 30_000 * US_PER_MS;
         set.allowsHedging = true;
         set.classes.add(new RequestClass(
-                "read", 1_000 * MS, 0, 30_000 * MS, 1, 0.5, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
+                "read",
+                1_000 * US_PER_MS,
+                0,
+                30_000 * US_PER_MS,
+                1,
+                0.5,
+                Idempotency.SAFE,
+                DeduplicationScope.ALL,
+                0,
+                false));
         set.classes.add(new RequestClass(
-                "write", 1_000 * MS, 0, 30_000 * MS, 1, 0.5, Idempotency.UNSAFE, DeduplicationScope.ALL, 0, false));
+                "write",
+                1_000 * US_PER_MS,
+                0,
+                30_000 * US_PER_MS,
+                1,
+                0.5,
+                Idempotency.UNSAFE,
+                DeduplicationScope.ALL,
+                0,
+                false));
         return set;
     }
 
     private String path(int route) {
-        return String.format(Locale.ROOT, "/s%04d/r%06d/{id}", route % services, route);
+        return String.format(Locale.ROOT, "/s%04d/r%06d/{id}", route % serviceCount, route);
     }
 
     private static EntryKey key(String route) {
         return new EntryKey(EntryKind.ROUTE, route);
     }
 
-    private byte[] route(int number) {
+    private byte[] routeValue(int number) {
         Map<String, Section.Entry> entries = new LinkedHashMap<>();
         put(entries, "path", path(number));
         put(entries, "class", "read");
@@ -67,27 +85,27 @@
         put(entries, "attempt-timeout", random.nextInt(50, 900) + "ms");
         put(entries, "total-timeout", random.nextInt(3, 9) + "s");
         put(entries, "concurrency", (long) random.nextInt(10, 2_000));
-        if (tenants > 0 && random.nextInt(20) == 0) {
-            put(entries, "tenant", tenant(random.nextInt(tenants)));
+        if (tenantCount > 0 && random.nextInt(20) == 0) {
+            put(entries, "tenant", tenantName(random.nextInt(tenantCount)));
         }
-        return RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", AT, entries));
+        return RouteCodec.encode(new Section(Section.Kind.ROUTE, "", POSITION, entries));
     }
 
     private static void put(Map<String, Section.Entry> entries, String key, Object value) {
-        entries.put(key, new Section.Entry(value, AT));
+        entries.put(key, new Section.Entry(value, POSITION));
     }
 
-    private static String tenant(int number) {
+    private static String tenantName(int number) {
         return String.format(Locale.ROOT, "t%06d", number);
     }
 
-    private static byte[] share(double share) {
+    private static byte[] tenantValue(double share) {
         FieldCodec.Encoder packer = new FieldCodec.Encoder();
         packer.add(0, share);
         return packer.bytes();
     }
 
-    private static byte[] service(int number) {
+    private static byte[] serviceValue(int number) {
         FieldCodec.Encoder packer = new FieldCodec.Encoder();
         packer.add(0, "pool-" + number);
         packer.add(1, 30L);
@@ -95,23 +113,23 @@
     }
 
     /** A configuration of that many routes. */
-    RouteConfiguration whole(int ofRoutes) {
+    RouteConfiguration generate(int ofRoutes) {
         List<EntryChange> changes = new ArrayList<>();
-        for (int i = 0; i < services; i++) {
+        for (int i = 0; i < serviceCount; i++) {
             changes.add(EntryChange.put(
-                    new EntryKey(EntryKind.SERVICE, String.format(Locale.ROOT, "s%04d", i)), service(i)));
+                    new EntryKey(EntryKind.SERVICE, String.format(Locale.ROOT, "s%04d", i)), serviceValue(i)));
         }
-        for (int i = 0; i < tenants; i++) {
-            changes.add(EntryChange.put(new EntryKey(EntryKind.TENANT, tenant(i)), share(1 + i % 7)));
+        for (int i = 0; i < tenantCount; i++) {
+            changes.add(EntryChange.put(new EntryKey(EntryKind.TENANT, tenantName(i)), tenantValue(1 + i % 7)));
         }
-        for (routes = 0; routes < ofRoutes; routes++) {
-            changes.add(EntryChange.put(key(path(routes)), route(routes)));
+        for (routeCount = 0; routeCount < ofRoutes; routeCount++) {
+            changes.add(EntryChange.put(key(path(routeCount)), routeValue(routeCount)));
         }
         RouteConfiguration catalog = RouteConfiguration.empty(settings());
         long number = 0;
-        for (int i = 0; i < changes.size(); i += BATCH) {
-            RouteConfiguration.Outcome outcome =
-                    catalog.apply(changes.subList(i, Math.min(changes.size(), i + BATCH)), Version.of(1, ++number));
+        for (int i = 0; i < changes.size(); i += MAX_BATCH_ENTRIES) {
+            RouteConfiguration.Outcome outcome = catalog.apply(
+                    changes.subList(i, Math.min(changes.size(), i + MAX_BATCH_ENTRIES)), Version.of(1, ++number));
             if (outcome.configuration() == null) {
                 throw new IllegalStateException(
                         "what was drawn is refused: " + outcome.violations().get(0));
@@ -125,28 +143,28 @@
      * Some changes that fit the catalog: mostly a route that says something else, now and then one more or
      * less.
      */
-    List<EntryChange> batch(RouteConfiguration catalog, int size) {
+    List<EntryChange> generateChanges(RouteConfiguration catalog, int size) {
         Map<EntryKey, EntryChange> batch = new LinkedHashMap<>();
         while (batch.size() < size) {
             int kind = random.nextInt(20);
             if (kind == 0) {
-                batch.put(key(path(routes)), EntryChange.put(key(path(routes)), route(routes++)));
+                batch.put(key(path(routeCount)), EntryChange.put(key(path(routeCount)), routeValue(routeCount++)));
                 continue;
             }
-            if (kind == 1 && tenants > 0) {
-                EntryKey tenant = new EntryKey(EntryKind.TENANT, tenant(random.nextInt(tenants)));
-                batch.put(tenant, EntryChange.replace(tenant, share(random.nextInt(1, 50))));
+            if (kind == 1 && tenantCount > 0) {
+                EntryKey tenant = new EntryKey(EntryKind.TENANT, tenantName(random.nextInt(tenantCount)));
+                batch.put(tenant, EntryChange.replace(tenant, tenantValue(random.nextInt(1, 50))));
                 continue;
             }
-            int number = random.nextInt(routes);
+            int number = random.nextInt(routeCount);
             EntryKey route = key(path(number));
             if (catalog.store().get(route) == null || batch.containsKey(route)) {
-                if (batch.isEmpty() && routes < 10) {
-                    batch.put(key(path(routes)), EntryChange.put(key(path(routes)), route(routes++)));
+                if (batch.isEmpty() && routeCount < 10) {
+                    batch.put(key(path(routeCount)), EntryChange.put(key(path(routeCount)), routeValue(routeCount++)));
                 }
                 continue;
             }
-            batch.put(route, kind == 2 ? EntryChange.delete(route) : EntryChange.replace(route, route(number)));
+            batch.put(route, kind == 2 ? EntryChange.delete(route) : EntryChange.replace(route, routeValue(number)));
         }
         return List.copyOf(batch.values());
     }
--- a/src/main/java/vetchpost/simulation/scale/Footprint.java
+++ b/src/main/java/vetchpost/simulation/scale/Footprint.java
@@ -21,33 +21,33 @@
 
 /** What things keep on the heap, and what they take of the processor. */
 final class Footprint {
-    private static final int COLLECTIONS = 3;
-    private static final long GAP_US = 100;
-    private static final long SERVED_US = 5_000;
-    private static final long LEFT_US = 500_000;
+    private static final int GC_RUNS = 3;
+    private static final long REQUEST_INTERVAL_US = 100;
+    private static final long RESPONSE_TIME_US = 5_000;
+    private static final long REQUEST_DEADLINE_US = 500_000;
 
-    private static volatile Object kept;
+    private static volatile Object strongReference;
 
     private Footprint() {}
 
     /** Something that was made. */
-    record Made<T>(T thing, double ms, long bytes) {}
+    record Retained<T>(T value, double creationMs, long retainedBytes) {}
 
     /** Bytes on the heap that something needs as long as it is kept, and how long it took to make. */
-    static <T> Made<T> retained(Supplier<T> making) {
-        kept = null;
-        long before = used();
+    static <T> Retained<T> measureRetained(Supplier<T> making) {
+        strongReference = null;
+        long before = usedHeapBytes();
         long began = System.nanoTime();
         T thing = making.get();
         double ms = (System.nanoTime() - began) / 1e6;
-        kept = thing;
-        return new Made<>(thing, ms, Math.max(0, used() - before));
+        strongReference = thing;
+        return new Retained<>(thing, ms, Math.max(0, usedHeapBytes() - before));
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
         long used = Long.MAX_VALUE;
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
             used = Math.min(used, runtime.totalMemory() - runtime.freeMemory());
         }
@@ -55,35 +55,36 @@
     }
 
     /** A module that is told servers and asked for them, and carries out nothing. */
-    static final class Module implements Actions {
+    static final class StandaloneBalancer implements Actions {
         private final Balancer balancer;
         private long nowUs = 1_000_000;
-        private long ids;
-        private boolean sent;
+        private long lastRequestId;
+        private boolean isRequestSent;
 
-        Module() {
-            Settings settings = Configurations.settings();
+        StandaloneBalancer() {
+            Settings settings = ConfigurationGenerator.settings();
             balancer = new ServiceQBalancer(settings, 1, this);
         }
 
-        void told(List<ServerEntry> servers) {
+        void updateServers(List<ServerEntry> servers) {
             balancer.onServers(nowUs, ListKind.FULL, servers);
         }
 
         /** A request that is served. */
-        void serve() {
-            nowUs += GAP_US;
-            long id = ++ids;
-            sent = false;
-            balancer.onRequest(nowUs, new Request(id, 0, -1, LEFT_US, 0, false));
-            if (sent) {
-                balancer.onOutcome(nowUs + SERVED_US, new Outcome(id, 0, Result.OK, SERVED_US, true, null));
+        void serveRequest() {
+            nowUs += REQUEST_INTERVAL_US;
+            long id = ++lastRequestId;
+            isRequestSent = false;
+            balancer.onRequest(nowUs, new Request(id, 0, -1, REQUEST_DEADLINE_US, 0, false));
+            if (isRequestSent) {
+                balancer.onOutcome(
+                        nowUs + RESPONSE_TIME_US, new Outcome(id, 0, Result.OK, RESPONSE_TIME_US, true, null));
             }
         }
 
         @Override
         public void send(long requestId, String serverId, long untilUs) {
-            sent = true;
+            isRequestSent = true;
         }
 
         @Override
@@ -109,7 +110,7 @@
     }
 
     /** A list that a module was told. */
-    record ListTold(double ms, long bytes) {}
+    record ServerListCost(double updateMs, long retainedBytes) {}
 
     static List<ServerEntry> servers(int count) {
         List<ServerEntry> entries = new ArrayList<>(count);
@@ -120,18 +121,18 @@
     }
 
     /** What a list of so many servers comes to, when new. */
-    static ListTold list(int count) {
+    static ServerListCost measureServerList(int count) {
         List<ServerEntry> entries = servers(count);
-        Made<Module> made = retained(() -> {
-            Module module = new Module();
-            module.told(entries);
+        Retained<StandaloneBalancer> made = measureRetained(() -> {
+            StandaloneBalancer module = new StandaloneBalancer();
+            module.updateServers(entries);
             return module;
         });
-        return new ListTold(made.ms(), made.bytes());
+        return new ServerListCost(made.creationMs(), made.retainedBytes());
     }
 
     /** Nanoseconds of this thread for each of so many runs, the least of three rounds after one. */
-    static double eachNs(int runs, Runnable work) {
+    static double minNsPerRun(int runs, Runnable work) {
         double least = Double.MAX_VALUE;
         for (int round = 0; round < 4; round++) {
             long began = System.nanoTime();
@@ -145,17 +146,17 @@
     }
 
     /** Bytes that a node keeps for each route, with its part of the trees and of the way to find it. */
-    static double perRoute(RouteConfiguration catalog) {
-        return of(catalog, EntryKind.ROUTE)
+    static double bytesPerRoute(RouteConfiguration catalog) {
+        return bytesPerEntry(catalog, EntryKind.ROUTE)
                 + (double) catalog.indexBytes() / Math.max(1, catalog.routes().size());
     }
 
     /** The same for a tenant. */
-    static double perTenant(RouteConfiguration catalog) {
-        return of(catalog, EntryKind.TENANT);
+    static double bytesPerTenant(RouteConfiguration catalog) {
+        return bytesPerEntry(catalog, EntryKind.TENANT);
     }
 
-    private static double of(RouteConfiguration catalog, EntryKind kind) {
+    private static double bytesPerEntry(RouteConfiguration catalog, EntryKind kind) {
         PackedTree live = catalog.store().live();
         byte[] first = new EntryKey(kind, "").bytes();
         long all = 0;
--- a/src/main/java/vetchpost/simulation/scale/Slopes.java
+++ b/src/main/java/vetchpost/simulation/scale/GrowthMeasurements.java
@@ -37,8 +37,8 @@
 import vetchpost.routes.Section;
 import vetchpost.routes.Violation;
 import vetchpost.routes.file.FileIndex;
-import vetchpost.simulation.scale.Footprint.Made;
-import vetchpost.simulation.scale.ReplicationRun.Replicas;
+import vetchpost.simulation.scale.Footprint.Retained;
+import vetchpost.simulation.scale.ReplicationRun.ReplicaFactory;
 import vetchpost.state.ClassState;
 import vetchpost.state.ConfirmationSource;
 import vetchpost.state.SelfFault;
@@ -57,11 +57,11 @@
  * Measures each role's state, messages, processor time and memory by what it grows with, at five sizes of two
  * decades.
  */
-final class Slopes {
-    private static final int[] OF_ALL = {100, 32, 10, 3, 1};
-    private static final int SERVERS_A_SERVICE = 54;
-    private static final byte[] NOTHING = new byte[0];
-    private static final vetchpost.core.Headers NO_FIELDS = new vetchpost.core.Headers() {
+final class GrowthMeasurements {
+    private static final int[] SIZE_DIVISORS = {100, 32, 10, 3, 1};
+    private static final int SERVERS_PER_SERVICE = 54;
+    private static final byte[] EMPTY_BODY = new byte[0];
+    private static final vetchpost.core.Headers NO_HEADERS = new vetchpost.core.Headers() {
         @Override
         public String get(String name) {
             return null;
@@ -73,8 +73,8 @@
         }
     };
 
-    private final List<Row> rows = new ArrayList<>();
-    private final int largest;
+    private final List<Series> series = new ArrayList<>();
+    private final int sizeDivisor;
     private final Consumer<String> progress;
 
     /**
@@ -82,15 +82,15 @@
      *
      * @param coming the size that is coming
      */
-    record Row(String role, String what, String unit, String by, double[] x, double[] y, double coming) {
+    record Series(String role, String figure, String unit, String variable, double[] x, double[] y, double targetSize) {
         LinearFit fit() {
             return LinearFit.of(x, y);
         }
     }
 
     /** A figure or several of one size. */
-    private interface Measure {
-        double[] at(int size);
+    private interface Measurement {
+        double[] measure(int size);
     }
 
     /**
@@ -99,72 +99,72 @@
      * @param largest one so many-th of the coming size is the largest that is measured; 1 for all of it
      * @param progress hears what is being measured
      */
-    Slopes(int largest, Consumer<String> progress) {
-        this.largest = largest;
+    GrowthMeasurements(int largest, Consumer<String> progress) {
+        this.sizeDivisor = largest;
         this.progress = progress;
     }
 
-    List<Row> all() {
-        servers();
-        services();
-        routes();
-        tenants();
-        nodes();
-        changes();
-        return rows;
+    List<Series> measureAll() {
+        measureServers();
+        measureServices();
+        measureRoutes();
+        measureTenants();
+        measureNodes();
+        measureChanges();
+        return series;
     }
 
     /** Measures at five sizes, the smallest first; each figure a row of its own. */
-    private void rows(String role, String by, int coming, Measure measure, String... namesAndUnits) {
-        double[] x = new double[OF_ALL.length];
-        double[][] y = new double[namesAndUnits.length / 2][OF_ALL.length];
-        for (int i = 0; i < OF_ALL.length; i++) {
-            int size = Math.max(1, coming / largest / OF_ALL[i]);
+    private void measure(String role, String by, int coming, Measurement measure, String... namesAndUnits) {
+        double[] x = new double[SIZE_DIVISORS.length];
+        double[][] y = new double[namesAndUnits.length / 2][SIZE_DIVISORS.length];
+        for (int i = 0; i < SIZE_DIVISORS.length; i++) {
+            int size = Math.max(1, coming / sizeDivisor / SIZE_DIVISORS[i]);
             x[i] = size;
             progress.accept(role + ", " + namesAndUnits[0] + ", " + size + " " + by);
-            double[] figures = measure.at(size);
+            double[] figures = measure.measure(size);
             for (int f = 0; f < y.length; f++) {
                 y[f][i] = figures[f];
             }
         }
         for (int f = 0; f < y.length; f++) {
-            rows.add(new Row(role, namesAndUnits[2 * f], namesAndUnits[2 * f + 1], by, x, y[f], coming));
+            series.add(new Series(role, namesAndUnits[2 * f], namesAndUnits[2 * f + 1], by, x, y[f], coming));
         }
     }
 
-    private static double ms(Runnable work) {
+    private static double elapsedMs(Runnable work) {
         long began = System.nanoTime();
         work.run();
         return (System.nanoTime() - began) / 1e6;
     }
 
-    private static double leastMs(int times, Runnable work) {
+    private static double minElapsedMs(int times, Runnable work) {
         double least = Double.MAX_VALUE;
         for (int i = 0; i < times; i++) {
-            least = Math.min(least, ms(work));
+            least = Math.min(least, elapsedMs(work));
         }
         return least;
     }
 
     // ---------------------------------------------------------------- by servers
 
-    private void servers() {
-        Footprint.list(2_000); // Warm.
-        rows(
+    private void measureServers() {
+        Footprint.measureServerList(2_000); // Warm.
+        measure(
                 "node",
                 "servers",
                 200_000,
                 n -> {
                     List<ServerEntry> entries = Footprint.servers(n);
-                    Made<Footprint.Module> made = Footprint.retained(() -> {
-                        Footprint.Module module = new Footprint.Module();
-                        module.told(entries);
+                    Retained<Footprint.StandaloneBalancer> made = Footprint.measureRetained(() -> {
+                        Footprint.StandaloneBalancer module = new Footprint.StandaloneBalancer();
+                        module.updateServers(entries);
                         return module;
                     });
-                    double again = leastMs(3, () -> made.thing().told(entries));
-                    double fresh = leastMs(2, () -> new Footprint.Module().told(entries));
-                    double decision = Footprint.eachNs(50_000, made.thing()::serve);
-                    return new double[] {made.bytes() / 1e6, fresh, again, decision};
+                    double again = minElapsedMs(3, () -> made.value().updateServers(entries));
+                    double fresh = minElapsedMs(2, () -> new Footprint.StandaloneBalancer().updateServers(entries));
+                    double decision = Footprint.minNsPerRun(50_000, made.value()::serveRequest);
+                    return new double[] {made.retainedBytes() / 1e6, fresh, again, decision};
                 },
                 "a list told to the module, kept",
                 "MB",
@@ -174,42 +174,42 @@
                 "ms",
                 "a request decided",
                 "ns");
-        rows(
+        measure(
                 "discovery's side",
                 "servers",
                 200_000,
                 n -> {
-                    String json = list(n);
+                    String json = serverListJson(n);
                     ServerList[] read = new ServerList[1];
-                    double ms = leastMs(2, () -> read[0] = ServerListParser.parse(json));
+                    double ms = minElapsedMs(2, () -> read[0] = ServerListParser.parse(json));
                     return new double[] {json.length() / 1e6, ms};
                 },
                 "a whole list as a message (4 MiB is the most)",
                 "MB",
                 "the same, read by a node",
                 "ms");
-        rows(
+        measure(
                 "state on disk",
                 "servers",
                 200_000,
                 n -> {
                     int boxes = Math.min(n, 100_000);
                     double[] bytes = new double[1];
-                    double ms = leastMs(2, () -> bytes[0] = snapshot(boxes));
+                    double ms = minElapsedMs(2, () -> bytes[0] = snapshotBytes(boxes));
                     return new double[] {bytes[0] / 1e6, ms};
                 },
                 "a snapshot of servers (100,000 is the most)",
                 "MB",
                 "the same, encoded off the loop",
                 "ms");
-        rows(
+        measure(
                 "operators' tools",
                 "servers",
                 200_000,
                 n -> {
-                    ControlApi desk = desk(n);
+                    ControlApi desk = controlApi(n);
                     double[] bytes = new double[1];
-                    double ms = leastMs(
+                    double ms = minElapsedMs(
                             2,
                             () -> desk.handle(
                                     "{\"v\":1,\"do\":\"servers\"}",
@@ -223,7 +223,7 @@
                 "ms");
     }
 
-    private static String list(int servers) {
+    private static String serverListJson(int servers) {
         StringBuilder text = new StringBuilder("{\"rev\":1,\"all\":true,\"targets\":[");
         for (int i = 0; i < servers; i++) {
             text.append(i == 0 ? "" : ",")
@@ -244,7 +244,7 @@
         return text.append("]}").toString();
     }
 
-    private static double snapshot(int boxes) {
+    private static double snapshotBytes(int boxes) {
         SnapshotOrigin origin = new SnapshotOrigin(1, 1, 1, 1, EnumSet.noneOf(SelfFault.class));
         List<ClassState> classes = List.of(new ClassState("read", 50, 20_000, 15_000));
         int pieces = ChunkCodec.chunkCount(boxes);
@@ -273,7 +273,7 @@
         return bytes;
     }
 
-    private static ControlApi desk(int servers) {
+    private static ControlApi controlApi(int servers) {
         List<FleetState.Server> all = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             all.add(new FleetState.Server("server-" + i, "zone-" + i % 10, 1, false));
@@ -289,23 +289,23 @@
 
     // ---------------------------------------------------------------- by services
 
-    private void services() {
-        List<ServerEntry> own = Footprint.servers(SERVERS_A_SERVICE);
-        rows(
+    private void measureServices() {
+        List<ServerEntry> own = Footprint.servers(SERVERS_PER_SERVICE);
+        measure(
                 "node",
                 "services",
                 3_700,
                 n -> {
-                    Made<List<Footprint.Module>> made = Footprint.retained(() -> {
-                        List<Footprint.Module> modules = new ArrayList<>();
+                    Retained<List<Footprint.StandaloneBalancer>> made = Footprint.measureRetained(() -> {
+                        List<Footprint.StandaloneBalancer> modules = new ArrayList<>();
                         for (int i = 0; i < n; i++) {
-                            Footprint.Module module = new Footprint.Module();
-                            module.told(own);
+                            Footprint.StandaloneBalancer module = new Footprint.StandaloneBalancer();
+                            module.updateServers(own);
                             modules.add(module);
                         }
                         return modules;
                     });
-                    return new double[] {made.bytes() / 1e6, made.ms()};
+                    return new double[] {made.retainedBytes() / 1e6, made.creationMs()};
                 },
                 "a module of its own for each service of 54 servers, kept",
                 "MB",
@@ -315,36 +315,38 @@
 
     // ---------------------------------------------------------------- by routes
 
-    private void routes() {
-        rows(
+    private void measureRoutes() {
+        measure(
                 "node",
                 "routes",
                 220_000,
                 n -> {
-                    RouteConfiguration catalog = new Configurations(1, 3_700, 1).whole(n);
+                    RouteConfiguration catalog = new ConfigurationGenerator(1, 3_700, 1).generate(n);
                     long kept = catalog.store().live().retainedBytes() + catalog.indexBytes();
-                    FileRoutePolicy policy = new FileRoutePolicy(catalog.routes(), Configurations.settings(), 1);
+                    FileRoutePolicy policy =
+                            new FileRoutePolicy(catalog.routes(), ConfigurationGenerator.settings(), 1);
                     String[] targets = new String[1_024];
                     for (int i = 0; i < targets.length; i++) {
                         int route = (int) (i * 7_919L % n);
                         targets[i] = String.format(Locale.ROOT, "/s%04d/r%06d/%d?x=1", route % 3_700, route, i);
                     }
                     int[] next = new int[1];
-                    double find = Footprint.eachNs(
+                    double find = Footprint.minNsPerRun(
                             50_000, () -> policy.limitsOf(request(targets[next[0]++ & targets.length - 1])));
                     ChangeWriter writer = new ChangeWriter(catalog, 1);
-                    Configurations drawn = new Configurations(2, 3_700, 1);
-                    drawn.whole(n);
+                    ConfigurationGenerator drawn = new ConfigurationGenerator(2, 3_700, 1);
+                    drawn.generate(n);
                     List<List<EntryChange>> batches = new ArrayList<>();
                     for (int i = 0; i < 400; i++) {
-                        batches.add(drawn.batch(catalog, 1));
+                        batches.add(drawn.generateChanges(catalog, 1));
                     }
                     int[] at = new int[1];
                     double prove =
-                            Footprint.eachNs(100, () -> writer.submit(batches.get(at[0]++ % batches.size()))) / 1e3;
+                            Footprint.minNsPerRun(100, () -> writer.submit(batches.get(at[0]++ % batches.size())))
+                                    / 1e3;
                     List<PackedTree.Item> some =
                             catalog.store().live().range(new EntryKey(EntryKind.ROUTE, "").bytes(), null, 400);
-                    double settle = Footprint.eachNs(100, () -> {
+                    double settle = Footprint.minNsPerRun(100, () -> {
                                 PackedTree.Item item = some.get(at[0]++ % some.size());
                                 catalog.withEntry(
                                         item.key(),
@@ -352,8 +354,9 @@
                                         catalog.store().live().put(item.key(), item.value(), item.stamp() + 1));
                             })
                             / 1e3;
-                    double swap = Footprint.eachNs(
-                                    1_000, () -> policy.replaceTable(catalog.routes(), Configurations.settings()))
+                    double swap = Footprint.minNsPerRun(
+                                    1_000,
+                                    () -> policy.replaceTable(catalog.routes(), ConfigurationGenerator.settings()))
                             / 1e3;
                     return new double[] {kept / 1e6, find, settle, swap, prove};
                 },
@@ -367,31 +370,31 @@
                 "us",
                 "one change proved, at the control machine",
                 "us");
-        rows(
+        measure(
                 "operators' tools",
                 "routes",
                 220_000,
-                n -> file(n),
+                n -> measureFile(n),
                 "a file read and proved",
                 "ms",
                 "the same read again, one route changed: off the loop",
                 "ms",
                 "kept to do so",
                 "MB");
-        rows(
+        measure(
                 "control machine",
                 "routes",
                 220_000,
                 n -> {
-                    RouteConfiguration catalog = new Configurations(1, 3_700, 1).whole(n);
+                    RouteConfiguration catalog = new ConfigurationGenerator(1, 3_700, 1).generate(n);
                     EntryKey defaults = new EntryKey(EntryKind.LIMITS, "");
                     ChangeWriter writer = new ChangeWriter(catalog, 1);
-                    byte[] value = RouteCodec.bytes(new Section(
+                    byte[] value = RouteCodec.encode(new Section(
                             Section.Kind.DEFAULTS,
                             "",
                             new vetchpost.routes.Position("x", 1, 1),
                             Map.of("retry-budget", new Section.Entry(0.2, new vetchpost.routes.Position("x", 1, 1)))));
-                    double ms = ms(() -> require(writer.submit(List.of(EntryChange.put(defaults, value)))
+                    double ms = elapsedMs(() -> require(writer.submit(List.of(EntryChange.put(defaults, value)))
                             .isEmpty()));
                     return new double[] {ms};
                 },
@@ -400,7 +403,7 @@
     }
 
     private static ClientRequest request(String target) {
-        return new ClientRequest(1, 0, -1, 0, 0, false, "GET", target, NO_FIELDS, NOTHING);
+        return new ClientRequest(1, 0, -1, 0, 0, false, "GET", target, NO_HEADERS, EMPTY_BODY);
     }
 
     private static void require(boolean holds) {
@@ -410,7 +413,7 @@
     }
 
     /** A file of routes as operators write them. */
-    private static double[] file(int routes) {
+    private static double[] measureFile(int routes) {
         try {
             Path file = Files.createTempFile("slopes", ".toml");
             try {
@@ -426,10 +429,10 @@
                             i));
                 }
                 Files.writeString(file, text);
-                Read[] read = new Read[1];
-                double whole = ms(() -> read[0] = new Read(file));
+                LoadedRouteFile[] read = new LoadedRouteFile[1];
+                double whole = elapsedMs(() -> read[0] = new LoadedRouteFile(file));
                 Files.writeString(file, text.toString().replaceFirst("concurrency = 100", "concurrency = 101"));
-                double again = leastMs(2, () -> require(read[0].again(file) == 1));
+                double again = minElapsedMs(2, () -> require(read[0].rereadChangedRoutes(file) == 1));
                 return new double[] {whole, again, read[0].index.retainedBytes() / 1e6};
             } finally {
                 Files.delete(file);
@@ -440,41 +443,41 @@
     }
 
     /** A file that was read. */
-    private static final class Read implements FileIndex.Tables {
+    private static final class LoadedRouteFile implements FileIndex.SectionHandler {
         private final FileIndex index;
-        private RouteValidator prover;
-        private final RouteValidation proof;
+        private RouteValidator validator;
+        private final RouteValidation validation;
 
-        Read(Path file) {
+        LoadedRouteFile(Path file) {
             List<Violation> violations = new ArrayList<>();
             try {
                 index = FileIndex.read(file, this, violations::add);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            proof = prover.end();
-            require(violations.isEmpty() && proof.isValid());
+            validation = validator.finish();
+            require(violations.isEmpty() && validation.isValid());
         }
 
         @Override
-        public void otherSections(List<Section> sections) {
-            prover = RouteValidator.begin(sections, Configurations.settings(), true, null, 1);
+        public void acceptOtherSections(List<Section> sections) {
+            validator = RouteValidator.begin(sections, ConfigurationGenerator.settings(), true, null, 1);
         }
 
         @Override
-        public void route(Section section) {
-            prover.add(section);
+        public void acceptRoute(Section section) {
+            validator.addRoute(section);
         }
 
         /** How many routes have changed. */
-        int again(Path file) {
+        int rereadChangedRoutes(Path file) {
             try {
                 FileIndex.Difference difference = index.reread(file);
                 List<RouteValidator.RouteChange> changes = difference.changedRoutes().stream()
-                        .map(s ->
-                                new RouteValidator.RouteChange(EntryChange.Op.REPLACE, RouteCodec.nameOf(s), s, s.at()))
+                        .map(s -> new RouteValidator.RouteChange(
+                                EntryChange.Op.REPLACE, RouteCodec.nameOf(s), s, s.position()))
                         .toList();
-                require(RouteValidator.validateChanges(proof.table(), changes, 2)
+                require(RouteValidator.validateChanges(validation.table(), changes, 2)
                         .isValid());
                 return changes.size();
             } catch (IOException e) {
@@ -485,8 +488,8 @@
 
     // ---------------------------------------------------------------- by tenants
 
-    private void tenants() {
-        rows(
+    private void measureTenants() {
+        measure(
                 "node",
                 "tenants",
                 420_000,
@@ -500,17 +503,20 @@
                                 packer.bytes(),
                                 Version.of(1, 1));
                     }
-                    Made<Settings> settings = Footprint.retained(() -> {
-                        Settings made = Configurations.settings();
+                    Retained<Settings> settings = Footprint.measureRetained(() -> {
+                        Settings made = ConfigurationGenerator.settings();
                         for (int i = 0; i < n; i++) {
                             made.tenants.add(new Tenant(String.format(Locale.ROOT, "t%06d", i), 1 + i % 7));
                         }
                         return made;
                     });
-                    Made<FairAdmission> door = Footprint.retained(() ->
-                            new FairAdmission(AdmissionValidator.defaults(settings.thing()), settings.thing(), 1));
+                    Retained<FairAdmission> door = Footprint.measureRetained(() ->
+                            new FairAdmission(AdmissionValidator.defaults(settings.value()), settings.value(), 1));
                     return new double[] {
-                        tree[0].retainedBytes() / 1e6, settings.bytes() / 1e6, door.bytes() / 1e6, door.ms()
+                        tree[0].retainedBytes() / 1e6,
+                        settings.retainedBytes() / 1e6,
+                        door.retainedBytes() / 1e6,
+                        door.creationMs()
                     };
                 },
                 "entries of tenants, kept",
@@ -525,15 +531,15 @@
 
     // ---------------------------------------------------------------- by nodes and by changes
 
-    private void nodes() {
-        rows(
+    private void measureNodes() {
+        measure(
                 "control machine",
                 "nodes",
                 2_200 / 18,
                 n -> {
                     FrameCodec codec = new FrameCodec();
                     VersionedStore[] store = {
-                        new Configurations(1, 10, 1).whole(2_000).store()
+                        new ConfigurationGenerator(1, 10, 1).generate(2_000).store()
                     };
                     long[] nowUs = {0};
                     Publisher publisher =
@@ -553,7 +559,7 @@
                         };
                         publisher.connected(peer, 0);
                         try {
-                            publisher.receive(peer, codec.read(codec.write(hello(store[0]))), 0, 0);
+                            publisher.receive(peer, codec.read(codec.write(helloFrame(store[0]))), 0, 0);
                         } catch (vetchpost.replication.MalformedFrameException e) {
                             throw new IllegalStateException(e);
                         }
@@ -561,7 +567,7 @@
                     publisher.sendPending(0);
                     bytes[0] = 0;
                     int[] changes = new int[1];
-                    double us = Footprint.eachNs(200, () -> {
+                    double us = Footprint.minNsPerRun(200, () -> {
                                 nowUs[0] += 1_000_000;
                                 store[0] = store[0].with(
                                         List.of(EntryChange.replace(new EntryKey(EntryKind.ROUTE, "/x"), new byte[60])),
@@ -579,41 +585,41 @@
                 "kB");
     }
 
-    private static Frame hello(VersionedStore store) {
+    private static Frame helloFrame(VersionedStore store) {
         return new Frame(
                 Frame.Type.HELLO, store.version(), 0, 0, false, store.live().sum(), List.of(), "n", List.of());
     }
 
-    private void changes() {
+    private void measureChanges() {
         IntFunction<double[]> run = hundredths -> {
-            Configurations drawn = new Configurations(3, 100, 100);
+            ConfigurationGenerator drawn = new ConfigurationGenerator(3, 100, 100);
             ReplicationRun played = new ReplicationRun(
                     3,
                     drawn,
-                    drawn.whole(5_000),
+                    drawn.generate(5_000),
                     4,
                     40,
                     new Publisher.Budget(18_000, 4_000, 4e6, 400),
-                    Replicas.REAL,
+                    ReplicaFactory.DEFAULT,
                     false);
-            LightweightFleet hollow = played.hollow();
-            hollow.run(5_000_000);
-            played.changes(hundredths / 100.0, 25_000_000);
-            hollow.run(25_000_000);
+            LightweightFleet hollow = played.fleet();
+            hollow.runUntil(5_000_000);
+            played.scheduleChanges(hundredths / 100.0, 25_000_000);
+            hollow.runUntil(25_000_000);
             double nodes = played.nodes().size();
             double bytes = 0;
             double ns = 0;
             for (LightweightFleet.Machine node : played.nodes()) {
-                bytes += node.spent().sumBytes(5_000_000, 25_000_000) / nodes / 20;
-                ns += node.spent().sumCpuNs(5_000_000, 25_000_000) / nodes / 20;
+                bytes += node.usage().sumBytes(5_000_000, 25_000_000) / nodes / 20;
+                ns += node.usage().sumCpuNs(5_000_000, 25_000_000) / nodes / 20;
             }
             return new double[] {bytes / 1e3, ns / 1e6};
         };
         run.apply(1_000); // Warm.
-        rows(
+        measure(
                 "node",
                 "hundredths of a change a second",
-                5_700 * largest,
+                5_700 * sizeDivisor,
                 run::apply,
                 "messages of changes, a second",
                 "kB",
--- a/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
+++ b/src/main/java/vetchpost/simulation/scale/LightweightFleet.java
@@ -19,29 +19,29 @@
  * that carry real frames, take their time, break and are opened anew, and nothing else of a node.
  */
 final class LightweightFleet {
-    private static final long US = 1_000;
+    private static final long NS_PER_US = 1_000;
     private static final long SECOND_US = 1_000_000;
     /** Bytes of a frame's length and tag on its way. */
-    private static final int TAG = 36;
+    private static final int FRAME_OVERHEAD_BYTES = 36;
 
     private static final long HEARTBEAT_US = 5 * SECOND_US;
 
     private final VirtualTime time = new VirtualTime();
     private final FrameCodec codec = new FrameCodec();
-    private final Cost cost = new Cost();
+    private final CpuClock cpuClock = new CpuClock();
 
     /**
      * How long frames take from one machine to another, in microseconds; negative where they don't get
      * through.
      */
-    interface Distance {
-        long us(Machine from, Machine to);
+    interface LinkDelay {
+        long delayUs(Machine from, Machine to);
     }
 
-    private Distance distance = (from, to) -> 500;
+    private LinkDelay linkDelay = (from, to) -> 500;
 
     /** Counts processor time of this thread, in nanoseconds. */
-    static final class Cost {
+    static final class CpuClock {
         private final java.lang.management.ThreadMXBean threads =
                 java.lang.management.ManagementFactory.getThreadMXBean();
 
@@ -51,30 +51,30 @@
     }
 
     /** Bytes and processor time that a machine has spent, by second. */
-    static final class Spent {
+    static final class ResourceUsage {
         private final Map<Long, long[]> bySecond = new TreeMap<>();
         private long cpuNs;
-        private long longestNs;
+        private long maxTaskNs;
 
-        void bytes(long nowUs, int bytes) {
+        void addBytes(long nowUs, int bytes) {
             bySecond.computeIfAbsent(nowUs / SECOND_US, s -> new long[2])[0] += bytes;
         }
 
-        void cpu(long nowUs, long ns) {
+        void addCpu(long nowUs, long ns) {
             cpuNs += ns;
-            longestNs = Math.max(longestNs, ns);
+            maxTaskNs = Math.max(maxTaskNs, ns);
             bySecond.computeIfAbsent(nowUs / SECOND_US, s -> new long[2])[1] += ns;
         }
 
-        long worstBytes(long fromUs, long toUs) {
-            return worst(0, fromUs, toUs);
+        long maxBytesPerSecond(long fromUs, long toUs) {
+            return maxPerSecond(0, fromUs, toUs);
         }
 
-        long worstCpuNs(long fromUs, long toUs) {
-            return worst(1, fromUs, toUs);
+        long maxCpuNsPerSecond(long fromUs, long toUs) {
+            return maxPerSecond(1, fromUs, toUs);
         }
 
-        private long worst(int what, long fromUs, long toUs) {
+        private long maxPerSecond(int what, long fromUs, long toUs) {
             return bySecond.entrySet().stream()
                     .filter(e -> e.getKey() >= fromUs / SECOND_US && e.getKey() < toUs / SECOND_US)
                     .mapToLong(e -> e.getValue()[what])
@@ -97,8 +97,8 @@
                     .sum();
         }
 
-        long longestNs() {
-            return longestNs;
+        long maxTaskNs() {
+            return maxTaskNs;
         }
     }
 
@@ -106,16 +106,16 @@
     final class Machine {
         private final String name;
         private final int region;
-        private final Spent spent = new Spent();
+        private final ResourceUsage usage = new ResourceUsage();
         private Publisher publisher;
         private Replica replica;
         private List<Machine> sources = List.of();
-        private PublisherFailover following;
-        private Link link;
-        private final List<Link> links = new ArrayList<>();
-        private boolean up = true;
-        private VirtualTime.Event pumping;
-        private long pumpUs = Long.MAX_VALUE;
+        private PublisherFailover failover;
+        private Link publisherLink;
+        private final List<Link> replicaLinks = new ArrayList<>();
+        private boolean running = true;
+        private VirtualTime.Event sendTimer;
+        private long sendTimerUs = Long.MAX_VALUE;
 
         Machine(String name, int region) {
             this.name = name;
@@ -130,8 +130,8 @@
             return region;
         }
 
-        Spent spent() {
-            return spent;
+        ResourceUsage usage() {
+            return usage;
         }
 
         Replica replica() {
@@ -142,155 +142,155 @@
             return publisher;
         }
 
-        boolean isUp() {
-            return up;
+        boolean isRunning() {
+            return running;
         }
 
         /** Whether it has a connection to a publisher now. */
         boolean isLinked() {
-            return link != null;
+            return publisherLink != null;
         }
 
-        private long us() {
-            return time.nanoTime() / US;
+        private long currentUs() {
+            return time.nanoTime() / NS_PER_US;
         }
 
         /** Publishes this; one that did before begins anew. */
-        void publish(VersionedStore store, Publisher.Budget budget) {
-            publisher = new Publisher(store, codec, budget, HEARTBEAT_US, us());
+        void startPublishing(VersionedStore store, Publisher.Budget budget) {
+            publisher = new Publisher(store, codec, budget, HEARTBEAT_US, currentUs());
         }
 
         /** Something newer is to be told. */
-        void settle(VersionedStore store) {
-            timed(() -> publisher.publish(store));
-            pump();
+        void publishUpdate(VersionedStore store) {
+            measureCpu(() -> publisher.publish(store));
+            sendPending();
         }
 
         /** Is told by these, from {@code afterUs} on. */
-        void follow(Replica of, List<Machine> publishers, long afterUs) {
+        void replicateFrom(Replica of, List<Machine> publishers, long afterUs) {
             replica = of;
             sources = publishers;
             PublisherChoice choice = new PublisherChoice(
                     name,
                     publishers.stream().map(Machine::name).toList(),
                     p -> publishers.stream().anyMatch(m -> m.name.equals(p) && m.region == region));
-            following = new PublisherFailover(of, choice, new PublisherFailover.Transport() {
+            failover = new PublisherFailover(of, choice, new PublisherFailover.Transport() {
                 @Override
                 public void open(int publisher) {
                     Machine to = sources.get(publisher);
-                    if (!to.up || distance.us(Machine.this, to) < 0) {
-                        following.failed("nobody is there");
+                    if (!to.running || linkDelay.delayUs(Machine.this, to) < 0) {
+                        failover.failed("nobody is there");
                         return;
                     }
-                    link = new Link(Machine.this, to);
-                    timed(following::opened);
+                    publisherLink = new Link(Machine.this, to);
+                    measureCpu(failover::opened);
                 }
 
                 @Override
                 public void send(Frame frame) {
-                    link.up(frame);
+                    publisherLink.sendToPublisher(frame);
                 }
 
                 @Override
                 public void close() {
-                    unlink();
+                    closePublisherLink();
                 }
 
                 @Override
                 public long nowUs() {
-                    return us();
+                    return currentUs();
                 }
 
                 @Override
-                public void after(long us, Runnable task) {
-                    time.after(us * US, task);
+                public void schedule(long us, Runnable task) {
+                    time.after(us * NS_PER_US, task);
                 }
             });
-            following.start(afterUs);
+            failover.start(afterUs);
         }
 
         /** Dies: its connections break. */
         void kill() {
-            up = false;
-            following.stop();
-            unlink();
-            for (Link each : List.copyOf(links)) {
-                each.broken();
+            running = false;
+            failover.stop();
+            closePublisherLink();
+            for (Link each : List.copyOf(replicaLinks)) {
+                each.breakConnection();
             }
-            cancel();
+            cancelSendTimer();
         }
 
         /**
          * Is there again, with this in place of what it was; whoever calls has it follow and publish anew.
          */
-        void start() {
-            up = true;
+        void markRunning() {
+            running = true;
         }
 
-        private void cancel() {
-            if (pumping != null) {
-                pumping.cancel();
+        private void cancelSendTimer() {
+            if (sendTimer != null) {
+                sendTimer.cancel();
             }
-            pumpUs = Long.MAX_VALUE;
+            sendTimerUs = Long.MAX_VALUE;
         }
 
-        private void unlink() {
-            if (link != null) {
-                link.close();
-                link = null;
+        private void closePublisherLink() {
+            if (publisherLink != null) {
+                publisherLink.close();
+                publisherLink = null;
             }
         }
 
-        private void timed(Runnable work) {
-            long before = cost.nowNs();
+        private void measureCpu(Runnable work) {
+            long before = cpuClock.nowNs();
             work.run();
-            spent.cpu(us(), cost.nowNs() - before);
+            usage.addCpu(currentUs(), cpuClock.nowNs() - before);
         }
 
-        private void told(Link by, byte[] bytes) {
-            if (link != by) {
+        private void receiveFromPublisher(Link by, byte[] bytes) {
+            if (publisherLink != by) {
                 return;
             }
-            spent.bytes(us(), bytes.length + TAG);
-            timed(() -> {
+            usage.addBytes(currentUs(), bytes.length + FRAME_OVERHEAD_BYTES);
+            measureCpu(() -> {
                 try {
-                    following.receive(codec.read(bytes));
+                    failover.receive(codec.read(bytes));
                 } catch (MalformedFrameException e) {
-                    following.rejected(e.getMessage());
+                    failover.rejected(e.getMessage());
                 }
             });
         }
 
-        private void asked(Link by, byte[] bytes) {
-            if (!up || !links.contains(by)) {
+        private void receiveFromReplica(Link by, byte[] bytes) {
+            if (!running || !replicaLinks.contains(by)) {
                 return;
             }
             boolean[] fine = {true};
-            timed(() -> {
+            measureCpu(() -> {
                 try {
-                    publisher.receive(by, codec.read(bytes), bytes.length, us());
+                    publisher.receive(by, codec.read(bytes), bytes.length, currentUs());
                 } catch (MalformedFrameException e) {
                     fine[0] = false;
                 }
             });
             if (!fine[0]) {
-                by.broken();
+                by.breakConnection();
             }
-            pump();
+            sendPending();
         }
 
-        private void pump() {
+        private void sendPending() {
             long[] nextUs = {Long.MAX_VALUE};
-            timed(() -> nextUs[0] = publisher.sendPending(us()));
-            if (nextUs[0] != Long.MAX_VALUE && (pumping == null || nextUs[0] != pumpUs)) {
-                if (pumping != null) {
-                    pumping.cancel();
+            measureCpu(() -> nextUs[0] = publisher.sendPending(currentUs()));
+            if (nextUs[0] != Long.MAX_VALUE && (sendTimer == null || nextUs[0] != sendTimerUs)) {
+                if (sendTimer != null) {
+                    sendTimer.cancel();
                 }
-                pumpUs = nextUs[0];
-                pumping = time.at(Math.max(pumpUs, us() + 1) * US, () -> {
-                    pumping = null;
-                    if (up) {
-                        pump();
+                sendTimerUs = nextUs[0];
+                sendTimer = time.at(Math.max(sendTimerUs, currentUs() + 1) * NS_PER_US, () -> {
+                    sendTimer = null;
+                    if (running) {
+                        sendPending();
                     }
                 });
             }
@@ -301,43 +301,43 @@
     final class Link implements Publisher.Peer {
         private final Machine replica;
         private final Machine publisher;
-        private long lastDownUs;
-        private long lastUpUs;
+        private long lastReplicaArrivalUs;
+        private long lastPublisherArrivalUs;
         private boolean open = true;
 
         Link(Machine replica, Machine publisher) {
             this.replica = replica;
             this.publisher = publisher;
-            publisher.links.add(this);
-            publisher.publisher.connected(this, publisher.us());
+            publisher.replicaLinks.add(this);
+            publisher.publisher.connected(this, publisher.currentUs());
         }
 
-        private void up(Frame frame) {
+        private void sendToPublisher(Frame frame) {
             byte[] bytes = codec.write(frame);
-            replica.spent.bytes(replica.us(), bytes.length + TAG);
-            long us = distance.us(replica, publisher);
+            replica.usage.addBytes(replica.currentUs(), bytes.length + FRAME_OVERHEAD_BYTES);
+            long us = linkDelay.delayUs(replica, publisher);
             if (us < 0) {
                 return;
             }
-            lastUpUs = Math.max(lastUpUs, replica.us() + us);
-            time.at(lastUpUs * US, () -> {
-                if (open && distance.us(replica, publisher) >= 0) {
-                    publisher.asked(this, bytes);
+            lastPublisherArrivalUs = Math.max(lastPublisherArrivalUs, replica.currentUs() + us);
+            time.at(lastPublisherArrivalUs * NS_PER_US, () -> {
+                if (open && linkDelay.delayUs(replica, publisher) >= 0) {
+                    publisher.receiveFromReplica(this, bytes);
                 }
             });
         }
 
         @Override
         public void send(byte[] bytes) {
-            publisher.spent.bytes(publisher.us(), bytes.length + TAG);
-            long us = distance.us(publisher, replica);
+            publisher.usage.addBytes(publisher.currentUs(), bytes.length + FRAME_OVERHEAD_BYTES);
+            long us = linkDelay.delayUs(publisher, replica);
             if (us < 0) {
                 return;
             }
-            lastDownUs = Math.max(lastDownUs, publisher.us() + us);
-            time.at(lastDownUs * US, () -> {
-                if (open && replica.up && distance.us(publisher, replica) >= 0) {
-                    replica.told(this, bytes);
+            lastReplicaArrivalUs = Math.max(lastReplicaArrivalUs, publisher.currentUs() + us);
+            time.at(lastReplicaArrivalUs * NS_PER_US, () -> {
+                if (open && replica.running && linkDelay.delayUs(publisher, replica) >= 0) {
+                    replica.receiveFromPublisher(this, bytes);
                 }
             });
         }
@@ -350,18 +350,18 @@
         private void close() {
             if (open) {
                 open = false;
-                publisher.links.remove(this);
+                publisher.replicaLinks.remove(this);
                 publisher.publisher.disconnected(this);
             }
         }
 
         /** Both sides are told. */
-        private void broken() {
+        private void breakConnection() {
             boolean was = open;
             close();
-            if (was && replica.link == this) {
-                replica.link = null;
-                replica.following.failed("it was cut off");
+            if (was && replica.publisherLink == this) {
+                replica.publisherLink = null;
+                replica.failover.failed("it was cut off");
             }
         }
     }
@@ -371,23 +371,23 @@
         return new Machine(name, region);
     }
 
-    void distance(Distance other) {
-        distance = other;
+    void setLinkDelay(LinkDelay other) {
+        linkDelay = other;
     }
 
     long nowUs() {
-        return time.nanoTime() / US;
+        return time.nanoTime() / NS_PER_US;
     }
 
     /** Has something happen so many microseconds from the beginning. */
-    void at(long us, Runnable task) {
-        time.at(us * US, task);
+    void schedule(long us, Runnable task) {
+        time.at(us * NS_PER_US, task);
     }
 
     /** Goes on to that time. */
-    void run(long untilUs) {
+    void runUntil(long untilUs) {
         boolean[] there = new boolean[1];
-        time.at(untilUs * US, () -> there[0] = true);
+        time.at(untilUs * NS_PER_US, () -> there[0] = true);
         while (!there[0] && time.step()) {
             continue;
         }
--- a/src/main/java/vetchpost/simulation/scale/LinearFit.java
+++ b/src/main/java/vetchpost/simulation/scale/LinearFit.java
@@ -11,13 +11,13 @@
  * @param worst the largest distance of a point from the line, as a share of the point's own value
  * @param power the slope of the logarithms
  */
-record LinearFit(double intercept, double slope, double worst, double power) {
+record LinearFit(double intercept, double slope, double maxRelativeError, double power) {
     /** A line is called straight up to here: timings on a machine with other work on it spread by so much. */
-    private static final double STRAIGHT = 0.15;
+    private static final double MAX_STRAIGHT_RELATIVE_ERROR = 0.15;
 
     /** Through these points, two at least. */
     static LinearFit of(double[] x, double[] y) {
-        double[] line = line(x, y);
+        double[] line = leastSquares(x, y);
         double worst = 0;
         double[] logX = new double[x.length];
         double[] logY = new double[x.length];
@@ -26,10 +26,10 @@
             logX[i] = Math.log(x[i]);
             logY[i] = Math.log(Math.max(1e-12, y[i]));
         }
-        return new LinearFit(line[0], line[1], worst, line(logX, logY)[1]);
+        return new LinearFit(line[0], line[1], worst, leastSquares(logX, logY)[1]);
     }
 
-    private static double[] line(double[] x, double[] y) {
+    private static double[] leastSquares(double[] x, double[] y) {
         double meanX = 0;
         double meanY = 0;
         for (int i = 0; i < x.length; i++) {
@@ -47,7 +47,7 @@
     }
 
     /** What the line foretells. */
-    double at(double x) {
+    double predict(double x) {
         return intercept + slope * x;
     }
 
@@ -55,14 +55,14 @@
     double[] residuals(double[] x, double[] y) {
         double[] residuals = new double[x.length];
         for (int i = 0; i < x.length; i++) {
-            residuals[i] = (y[i] - at(x[i])) / Math.max(1e-12, Math.abs(y[i]));
+            residuals[i] = (y[i] - predict(x[i])) / Math.max(1e-12, Math.abs(y[i]));
         }
         return residuals;
     }
 
     /** In words: straight, or what shape it has. */
     String shape() {
-        return worst <= STRAIGHT
+        return maxRelativeError <= MAX_STRAIGHT_RELATIVE_ERROR
                 ? "straight"
                 : power < 0.25 ? "nearly flat" : String.format(Locale.ROOT, "grows by the power of %.2f", power);
     }
--- a/src/main/java/vetchpost/simulation/scale/RealCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/RealCommand.java
@@ -52,10 +52,10 @@
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:all came into force", "1:some did not", "2:bad arguments"})
 final class RealCommand implements Callable<Integer> {
-    private static final int SINGLES = 20;
+    private static final int SINGLE_CHANGES = 20;
     private static final int BATCHES = 10;
-    private static final long EVERY_MS = 250;
-    private static final long PATIENCE_S = 60;
+    private static final long CHANGE_INTERVAL_MS = 250;
+    private static final long MAX_PROPAGATION_WAIT_S = 60;
     private static final Publisher.Budget BUDGET = new Publisher.Budget(18_000, 4_000, 4_000_000, 400);
 
     @Spec
@@ -83,9 +83,9 @@
     private int burst;
 
     /** Times of the versions at each process or hollow node, from their entry, in microseconds. */
-    private record Times(List<Long> singles, List<Long> bursts) {
-        static Times of(Map<Long, Long> entered, List<Map<Long, Long>> inForce, long first) {
-            Times times = new Times(new ArrayList<>(), new ArrayList<>());
+    private record PropagationTimes(List<Long> singles, List<Long> bursts) {
+        static PropagationTimes of(Map<Long, Long> entered, List<Map<Long, Long>> inForce, long first) {
+            PropagationTimes times = new PropagationTimes(new ArrayList<>(), new ArrayList<>());
             entered.forEach((version, at) -> inForce.forEach(node -> {
                 // In force with the first version that is no older.
                 long there = node.entrySet().stream()
@@ -93,7 +93,7 @@
                         .mapToLong(Map.Entry::getValue)
                         .min()
                         .orElse(Long.MAX_VALUE);
-                (version <= first + SINGLES ? times.singles : times.bursts).add(there - at);
+                (version <= first + SINGLE_CHANGES ? times.singles : times.bursts).add(there - at);
             }));
             Collections.sort(times.singles);
             Collections.sort(times.bursts);
@@ -104,13 +104,13 @@
             return String.format(
                     Locale.ROOT,
                     "%9.2f ms %9.2f ms   %9.0f ms %9.0f ms",
-                    at(singles, 0.5),
-                    at(singles, 0.99),
-                    at(bursts, 0.5),
-                    at(bursts, 0.99));
+                    percentileMs(singles, 0.5),
+                    percentileMs(singles, 0.99),
+                    percentileMs(bursts, 0.5),
+                    percentileMs(bursts, 0.99));
         }
 
-        private static double at(List<Long> sorted, double share) {
+        private static double percentileMs(List<Long> sorted, double share) {
             return sorted.get((int) Math.round(share * (sorted.size() - 1))) / 1e3;
         }
     }
@@ -123,28 +123,28 @@
                     "--processes is from 1 to 64, --routes from 100 to 100000, " + "--burst from 10 to 10000");
         }
         PrintWriter out = spec.commandLine().getOut();
-        Times real = real();
-        Times hollow = hollow();
+        PropagationTimes real = runProcesses();
+        PropagationTimes hollow = runSimulation();
         out.printf("from entry to force       one change p50      p99          burst p50       p99%n");
         out.printf("%d processes on loopback %s%n", processes, real.text());
         out.printf("%d hollow nodes          %s%n", processes, hollow.text());
         out.flush();
-        return real.bursts.get(real.bursts.size() - 1) < PATIENCE_S * 1_000_000 ? 0 : 1;
+        return real.bursts.get(real.bursts.size() - 1) < MAX_PROPAGATION_WAIT_S * 1_000_000 ? 0 : 1;
     }
 
-    private Times hollow() {
-        Configurations drawn = new Configurations(1, 10, 0);
-        RouteConfiguration start = drawn.whole(routes);
+    private PropagationTimes runSimulation() {
+        ConfigurationGenerator drawn = new ConfigurationGenerator(1, 10, 0);
+        RouteConfiguration start = drawn.generate(routes);
         LightweightFleet net = new LightweightFleet();
-        net.distance((from, to) -> 0);
+        net.setLinkDelay((from, to) -> 0);
         Machine control = net.machine("control", 0);
-        control.publish(start.store(), BUDGET);
+        control.startPublishing(start.store(), BUDGET);
         List<Map<Long, Long>> inForce = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
             Map<Long, Long> times = new ConcurrentHashMap<>();
             inForce.add(times);
             net.machine("node-" + i, 0)
-                    .follow(
+                    .replicateFrom(
                             new Replica(
                                     "node-" + i,
                                     start.store(),
@@ -154,32 +154,32 @@
                             List.of(control),
                             1);
         }
-        net.run(1_000_000);
+        net.runUntil(1_000_000);
         ChangeWriter writer = new ChangeWriter(start, 1);
         long first = Version.number(start.store().version());
         Map<Long, Long> entered = new ConcurrentHashMap<>();
-        for (int i = 0; i < SINGLES + BATCHES; i++) {
-            enter(writer, drawn, i, entered, net.nowUs());
-            control.settle(writer.store());
-            if (i < SINGLES) {
-                net.run(net.nowUs() + EVERY_MS * 1_000);
+        for (int i = 0; i < SINGLE_CHANGES + BATCHES; i++) {
+            submit(writer, drawn, i, entered, net.nowUs());
+            control.publishUpdate(writer.store());
+            if (i < SINGLE_CHANGES) {
+                net.runUntil(net.nowUs() + CHANGE_INTERVAL_MS * 1_000);
             }
         }
-        net.run(net.nowUs() + PATIENCE_S * 1_000_000);
-        return Times.of(entered, inForce, first);
+        net.runUntil(net.nowUs() + MAX_PROPAGATION_WAIT_S * 1_000_000);
+        return PropagationTimes.of(entered, inForce, first);
     }
 
-    private void enter(ChangeWriter writer, Configurations drawn, int i, Map<Long, Long> entered, long nowUs) {
-        if (!writer.submit(drawn.batch(writer.configuration(), i < SINGLES ? 1 : burst / BATCHES))
+    private void submit(ChangeWriter writer, ConfigurationGenerator drawn, int i, Map<Long, Long> entered, long nowUs) {
+        if (!writer.submit(drawn.generateChanges(writer.configuration(), i < SINGLE_CHANGES ? 1 : burst / BATCHES))
                 .isEmpty()) {
             throw new IllegalStateException("what was drawn is refused");
         }
         entered.put(Version.number(writer.store().version()), nowUs);
     }
 
-    private Times real() throws Exception {
-        Configurations drawn = new Configurations(1, 10, 0);
-        RouteConfiguration start = drawn.whole(routes);
+    private PropagationTimes runProcesses() throws Exception {
+        ConfigurationGenerator drawn = new ConfigurationGenerator(1, 10, 0);
+        RouteConfiguration start = drawn.generate(routes);
         Path secret = Files.createTempFile("secret", "");
         byte[] random = new byte[24];
         new SecureRandom().nextBytes(random);
@@ -210,23 +210,23 @@
                     .localAddress();
             List<Map<Long, Long>> inForce = new ArrayList<>();
             for (int i = 0; i < processes; i++) {
-                inForce.add(start(i, address, secret, started));
+                inForce.add(startProcess(i, address, secret, started));
             }
             long first = Version.number(start.store().version());
-            await(inForce, first);
+            awaitVersion(inForce, first);
             // They have all; from here on with the budgets of nodes, as another publisher at the same place.
             loop.submit(() -> server[0].setBudget(BUDGET)).get();
             ChangeWriter writer = new ChangeWriter(start, 1);
             Map<Long, Long> entered = new ConcurrentHashMap<>();
-            for (int i = 0; i < SINGLES + BATCHES; i++) {
-                enter(writer, drawn, i, entered, System.nanoTime() / 1_000);
+            for (int i = 0; i < SINGLE_CHANGES + BATCHES; i++) {
+                submit(writer, drawn, i, entered, System.nanoTime() / 1_000);
                 loop.submit(() -> server[0].publish(writer.store())).get();
-                if (i < SINGLES) {
-                    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(EVERY_MS));
+                if (i < SINGLE_CHANGES) {
+                    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(CHANGE_INTERVAL_MS));
                 }
             }
-            await(inForce, Version.number(writer.store().version()));
-            return Times.of(entered, inForce, first);
+            awaitVersion(inForce, Version.number(writer.store().version()));
+            return PropagationTimes.of(entered, inForce, first);
         } finally {
             for (Process process : started) {
                 process.destroy();
@@ -239,8 +239,8 @@
         }
     }
 
-    private static Map<Long, Long> start(int number, InetSocketAddress publisher, Path secret, List<Process> started)
-            throws IOException {
+    private static Map<Long, Long> startProcess(
+            int number, InetSocketAddress publisher, Path secret, List<Process> started) throws IOException {
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xmx256m",
@@ -277,8 +277,8 @@
         return times;
     }
 
-    private static void await(List<Map<Long, Long>> inForce, long version) throws IOException {
-        long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    private static void awaitVersion(List<Map<Long, Long>> inForce, long version) throws IOException {
+        long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_PROPAGATION_WAIT_S);
         while (inForce.stream().anyMatch(node -> node.keySet().stream().noneMatch(v -> v >= version))) {
             if (System.nanoTime() > untilNs) {
                 throw new IOException("not all processes have come to version " + version);
--- a/src/main/java/vetchpost/simulation/scale/ReplicaCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/ReplicaCommand.java
@@ -54,7 +54,7 @@
         PrintStream out = System.out;
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        RouteConfiguration empty = RouteConfiguration.empty(Configurations.settings());
+        RouteConfiguration empty = RouteConfiguration.empty(ConfigurationGenerator.settings());
         loop.submit(() -> new ReplicaClient(
                                 loop,
                                 Network.SYSTEM,
--- a/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
+++ b/src/main/java/vetchpost/simulation/scale/ReplicationRun.java
@@ -23,66 +23,67 @@
 final class ReplicationRun {
     private static final long SECOND_US = 1_000_000;
     private static final int REGIONS = 4;
-    private static final long NEAR_US = 500;
-    private static final long FAR_US = 35_000;
+    private static final long SAME_REGION_DELAY_US = 500;
+    private static final long CROSS_REGION_DELAY_US = 35_000;
     /** Removed keys that a control machine remembers; so few in drawn runs that ranges are compared too. */
-    private static final long REMEMBERED = 50_000;
+    private static final long MAX_REMEMBERED_REMOVALS = 50_000;
 
-    private static final long FEW_REMEMBERED = 3;
+    private static final long MAX_REMEMBERED_REMOVALS_IN_SEED_RUNS = 3;
 
     /** Makes the replicas, so that a test can plant a fault in them. */
-    interface Replicas {
-        Replica of(String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener);
+    interface ReplicaFactory {
+        Replica create(String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener);
 
-        Replicas REAL = Replica::new;
+        ReplicaFactory DEFAULT = Replica::new;
     }
 
     /** What a machine has done wrong. */
-    record Broken(String rule, String what) {}
+    record RuleViolation(String rule, String details) {}
 
-    private final LightweightFleet hollow = new LightweightFleet();
+    private final LightweightFleet fleet = new LightweightFleet();
     private final SplittableRandom random;
-    private final Configurations configurations;
-    private final Replicas replicas;
+    private final ConfigurationGenerator generator;
+    private final ReplicaFactory replicaFactory;
     private final Publisher.Budget budget;
-    private final Machine head;
+    private final Machine writerMachine;
     private final List<Machine> controls = new ArrayList<>();
     private final List<Machine> nodes = new ArrayList<>();
-    private final boolean[] cut = new boolean[REGIONS];
-    private final Map<Long, Sum> history = new HashMap<>();
-    private final Map<Long, Sum> indexes = new HashMap<>();
-    private final Map<Long, Long> enteredUs = new HashMap<>();
-    private final Map<Machine, Long> inForce = new IdentityHashMap<>();
-    private final List<Broken> broken = new ArrayList<>();
-    private final List<Long> delaysUs = new ArrayList<>();
+    private final boolean[] isolated = new boolean[REGIONS];
+    private final Map<Long, Sum> digestByVersion = new HashMap<>();
+    private final Map<Long, Sum> indexDigestByVersion = new HashMap<>();
+    private final Map<Long, Long> submittedUs = new HashMap<>();
+    private final Map<Machine, Long> appliedVersion = new IdentityHashMap<>();
+    private final List<RuleViolation> violations = new ArrayList<>();
+    private final List<Long> propagationDelaysUs = new ArrayList<>();
     private final boolean checksIndex;
-    private final long remembered;
+    private final long maxRememberedRemovals;
     private ChangeWriter writer;
     private boolean measuring;
-    private int refused;
+    private int rejectedBatches;
 
     ReplicationRun(
             long seed,
-            Configurations configurations,
+            ConfigurationGenerator configurations,
             RouteConfiguration start,
             int controlMachines,
             int nodeCount,
             Publisher.Budget budget,
-            Replicas replicas,
+            ReplicaFactory replicas,
             boolean checksIndex) {
         random = new SplittableRandom(seed * 7_919 + 13);
-        this.configurations = configurations;
+        this.generator = configurations;
         this.budget = budget;
-        this.replicas = replicas;
+        this.replicaFactory = replicas;
         this.checksIndex = checksIndex;
-        remembered = checksIndex ? FEW_REMEMBERED : REMEMBERED;
-        hollow.distance((from, to) ->
-                from.region() == to.region() ? NEAR_US : cut[from.region()] || cut[to.region()] ? -1 : FAR_US);
+        maxRememberedRemovals = checksIndex ? MAX_REMEMBERED_REMOVALS_IN_SEED_RUNS : MAX_REMEMBERED_REMOVALS;
+        fleet.setLinkDelay((from, to) -> from.region() == to.region()
+                ? SAME_REGION_DELAY_US
+                : isolated[from.region()] || isolated[to.region()] ? -1 : CROSS_REGION_DELAY_US);
         writer = new ChangeWriter(start, Version.epoch(start.store().version()));
-        remember();
-        head = hollow.machine("writer", 0);
+        recordVersion();
+        writerMachine = fleet.machine("writer", 0);
         // What goes to a few control machines may take what nodes must not.
-        head.publish(
+        writerMachine.startPublishing(
                 start.store(),
                 new Publisher.Budget(
                         10 * budget.bytesPerSPerReplica(),
@@ -90,19 +91,19 @@
                         budget.totalBytesPerS(),
                         100 * budget.entriesPerSPerReplica()));
         for (int i = 0; i < controlMachines; i++) {
-            Machine control = hollow.machine("control-" + i, i % REGIONS);
+            Machine control = fleet.machine("control-" + i, i % REGIONS);
             controls.add(control);
-            begin(control, start, 0);
+            startMachine(control, start, 0);
         }
         for (int i = 0; i < nodeCount; i++) {
-            Machine node = hollow.machine("node-" + i, i % REGIONS);
+            Machine node = fleet.machine("node-" + i, i % REGIONS);
             nodes.add(node);
-            begin(node, start, random.nextInt(1, 2_000_000));
+            startMachine(node, start, random.nextInt(1, 2_000_000));
         }
     }
 
-    LightweightFleet hollow() {
-        return hollow;
+    LightweightFleet fleet() {
+        return fleet;
     }
 
     List<Machine> controls() {
@@ -113,125 +114,130 @@
         return nodes;
     }
 
-    List<Broken> broken() {
-        return broken;
+    List<RuleViolation> violations() {
+        return violations;
     }
 
     /** From a change's entry to where it was in force, in microseconds, one for each change and node. */
-    List<Long> delaysUs() {
-        return delaysUs;
+    List<Long> propagationDelaysUs() {
+        return propagationDelaysUs;
     }
 
     ChangeWriter writer() {
         return writer;
     }
 
-    int refused() {
-        return refused;
+    int rejectedBatches() {
+        return rejectedBatches;
     }
 
     /** Has delays be counted from now on, or no more. */
-    void measure(boolean on) {
+    void setMeasuring(boolean on) {
         measuring = on;
     }
 
-    private void remember() {
-        history.put(writer.store().version(), writer.store().live().sum());
+    private void recordVersion() {
+        digestByVersion.put(writer.store().version(), writer.store().live().sum());
         if (checksIndex) {
-            indexes.put(
+            indexDigestByVersion.put(
                     writer.store().version(), writer.configuration().routes().matchSum());
         }
-        enteredUs.put(writer.store().version(), hollow.nowUs());
+        submittedUs.put(writer.store().version(), fleet.nowUs());
     }
 
     /** A machine begins with a catalog that was whole at its version. */
-    private void begin(Machine machine, RouteConfiguration from, long afterUs) {
-        begin(machine, from.store(), from, afterUs);
+    private void startMachine(Machine machine, RouteConfiguration from, long afterUs) {
+        startMachine(machine, from.store(), from, afterUs);
     }
 
-    private void begin(Machine machine, VersionedStore store, Index index, long afterUs) {
+    private void startMachine(Machine machine, VersionedStore store, Index index, long afterUs) {
         boolean relay = controls.contains(machine);
-        Replica replica =
-                replicas.of(machine.name(), store, index, relay, (fresh, made) -> took(machine, relay, fresh, made));
-        inForce.put(machine, store.version());
+        Replica replica = replicaFactory.create(
+                machine.name(), store, index, relay, (fresh, made) -> onApplied(machine, relay, fresh, made));
+        appliedVersion.put(machine, store.version());
         if (relay) {
-            machine.publish(store, budget);
+            machine.startPublishing(store, budget);
         }
-        machine.follow(replica, relay ? List.of(head) : controls, afterUs);
+        machine.replicateFrom(replica, relay ? List.of(writerMachine) : controls, afterUs);
     }
 
-    private void took(Machine machine, boolean relay, VersionedStore store, Index index) {
-        long before = inForce.put(machine, store.version());
+    private void onApplied(Machine machine, boolean relay, VersionedStore store, Index index) {
+        long before = appliedVersion.put(machine, store.version());
         if (store.version() < before) {
-            broken.add(new Broken(
+            violations.add(new RuleViolation(
                     "no version goes back",
-                    machine.name() + " from " + Version.text(before) + " to " + Version.text(store.version())));
+                    machine.name() + " from " + Version.format(before) + " to " + Version.format(store.version())));
         }
-        if (!store.live().sum().equals(history.get(store.version()))) {
-            broken.add(new Broken(
+        if (!store.live().sum().equals(digestByVersion.get(store.version()))) {
+            violations.add(new RuleViolation(
                     "what is in force is what was written, whole",
-                    machine.name() + " at " + Version.text(store.version())));
+                    machine.name() + " at " + Version.format(store.version())));
         }
-        if (checksIndex && !((RouteConfiguration) index).routes().matchSum().equals(indexes.get(store.version()))) {
-            broken.add(new Broken(
+        if (checksIndex
+                && !((RouteConfiguration) index)
+                        .routes()
+                        .matchSum()
+                        .equals(indexDigestByVersion.get(store.version()))) {
+            violations.add(new RuleViolation(
                     "requests are looked up in what is in force",
-                    machine.name() + " at " + Version.text(store.version())));
+                    machine.name() + " at " + Version.format(store.version())));
         }
         if (measuring && !relay) {
             for (long version = before + 1; version <= store.version(); version++) {
-                Long entered = enteredUs.get(version);
+                Long entered = submittedUs.get(version);
                 if (entered != null) {
-                    delaysUs.add(hollow.nowUs() - entered);
+                    propagationDelaysUs.add(fleet.nowUs() - entered);
                 }
             }
         }
         if (relay) {
-            machine.settle(store.forgetRemovals(remembered));
+            machine.publishUpdate(store.forgetRemovals(maxRememberedRemovals));
         }
     }
 
     /** So many changes are entered, as one batch. */
-    void change(int size) {
-        if (!writer.submit(configurations.batch(writer.configuration(), size)).isEmpty()) {
-            refused++;
+    void submitBatch(int size) {
+        if (!writer.submit(generator.generateChanges(writer.configuration(), size))
+                .isEmpty()) {
+            rejectedBatches++;
             return;
         }
-        remember();
-        head.settle(writer.store().forgetRemovals(remembered));
+        recordVersion();
+        writerMachine.publishUpdate(writer.store().forgetRemovals(maxRememberedRemovals));
     }
 
     /** Has changes come evenly, so many a second, up to that time. */
-    void changes(double perS, long untilUs) {
+    void scheduleChanges(double perS, long untilUs) {
         long everyUs = (long) (SECOND_US / perS);
-        hollow.at(hollow.nowUs() + everyUs / 2 + random.nextLong(everyUs), () -> {
-            if (hollow.nowUs() < untilUs) {
-                change(1);
-                changes(perS, untilUs);
+        fleet.schedule(fleet.nowUs() + everyUs / 2 + random.nextLong(everyUs), () -> {
+            if (fleet.nowUs() < untilUs) {
+                submitBatch(1);
+                scheduleChanges(perS, untilUs);
             }
         });
     }
 
     /** A region loses all others, or finds them again. */
-    void cut(int region, boolean off) {
-        cut[region] = off;
+    void setIsolated(int region, boolean off) {
+        isolated[region] = off;
     }
 
-    boolean isCut(int region) {
-        return cut[region];
+    boolean isIsolated(int region) {
+        return isolated[region];
     }
 
     /** A machine dies and is there again after a while, with what it had or, of a node, with this. */
     void restart(Machine machine, long afterUs, RouteConfiguration from) {
-        if (!machine.isUp()) {
+        if (!machine.isRunning()) {
             return;
         }
         Replica old = machine.replica();
         machine.kill();
-        hollow.at(hollow.nowUs() + afterUs, () -> {
-            machine.start();
+        fleet.schedule(fleet.nowUs() + afterUs, () -> {
+            machine.markRunning();
             if (from == null) {
                 // A control machine keeps what went away too.
-                begin(
+                startMachine(
                         machine,
                         controls.contains(machine)
                                 ? old.store()
@@ -240,7 +246,7 @@
                         old.index(),
                         1_000);
             } else {
-                begin(machine, from, 1_000);
+                startMachine(machine, from, 1_000);
             }
         });
     }
@@ -248,18 +254,18 @@
     /** The same with just this on its disk. */
     void restart(Machine machine, long afterUs, VersionedStore store, Index index) {
         machine.kill();
-        hollow.at(hollow.nowUs() + afterUs, () -> {
-            machine.start();
-            begin(machine, store, index, 1_000);
+        fleet.schedule(fleet.nowUs() + afterUs, () -> {
+            machine.markRunning();
+            startMachine(machine, store, index, 1_000);
         });
     }
 
     /** Another writer takes over, from what the control machine that is furthest has. */
-    void takeOver() {
+    void failOverWriter() {
         Machine furthest = controls.get(0);
         for (Machine control : controls) {
             long most = furthest.replica().store().version();
-            if (control.isUp() && control.replica().store().version() > most) {
+            if (control.isRunning() && control.replica().store().version() > most) {
                 furthest = control;
             }
         }
@@ -269,23 +275,23 @@
             return;
         }
         writer = new ChangeWriter(
-                catalog.at(furthest.replica().store()),
+                catalog.withStore(furthest.replica().store()),
                 Version.epoch(writer.store().version()) + 1);
     }
 
     /** Whether all machines that can be reached have what the writer has; names of those that have not. */
-    List<String> behind() {
+    List<String> laggingMachines() {
         List<String> behind = new ArrayList<>();
         for (List<Machine> some : List.of(controls, nodes)) {
             for (Machine machine : some) {
-                if (machine.isUp()
+                if (machine.isRunning()
                         && !machine.replica()
                                 .store()
                                 .live()
                                 .sum()
                                 .equals(writer.store().live().sum())) {
                     behind.add(machine.name() + " at "
-                            + Version.text(machine.replica().store().version()));
+                            + Version.format(machine.replica().store().version()));
                 }
             }
         }
@@ -293,9 +299,9 @@
     }
 
     /** A run of that seed with drawn cuts, kills, restarts and takeovers over some nodes; what it broke. */
-    static List<Broken> seed(long seed, int nodeCount, Replicas replicas) {
-        Configurations configurations = new Configurations(seed, 5, 20);
-        RouteConfiguration start = configurations.whole(150);
+    static List<RuleViolation> runSeed(long seed, int nodeCount, ReplicaFactory replicas) {
+        ConfigurationGenerator configurations = new ConfigurationGenerator(seed, 5, 20);
+        RouteConfiguration start = configurations.generate(150);
         ReplicationRun run = new ReplicationRun(
                 seed,
                 configurations,
@@ -308,30 +314,31 @@
         SplittableRandom random = run.random;
         long endUs = 60 * SECOND_US;
         for (int i = 0; i < 30; i++) {
-            run.hollow.at(
-                    random.nextLong(endUs), () -> run.change(random.nextInt(6) == 0 ? random.nextInt(20, 200) : 1));
+            run.fleet.schedule(
+                    random.nextLong(endUs),
+                    () -> run.submitBatch(random.nextInt(6) == 0 ? random.nextInt(20, 200) : 1));
         }
         for (int i = 0; i < 12; i++) {
-            run.hollow.at(random.nextLong(endUs), () -> run.harm(random, start));
+            run.fleet.schedule(random.nextLong(endUs), () -> run.injectFault(random, start));
         }
-        run.hollow.run(endUs);
+        run.fleet.runUntil(endUs);
         for (int region = 0; region < REGIONS; region++) {
-            run.cut(region, false);
+            run.setIsolated(region, false);
         }
         // Whoever was cut off finds out by silence, then waits for its turn to ask.
-        run.hollow.run(endUs + 60 * SECOND_US);
-        for (String each : run.behind()) {
-            run.broken.add(new Broken("all are the same after the healing", each));
+        run.fleet.runUntil(endUs + 60 * SECOND_US);
+        for (String each : run.laggingMachines()) {
+            run.violations.add(new RuleViolation("all are the same after the healing", each));
         }
-        return run.broken;
+        return run.violations;
     }
 
-    private void harm(SplittableRandom draw, RouteConfiguration start) {
+    private void injectFault(SplittableRandom draw, RouteConfiguration start) {
         switch (draw.nextInt(7)) {
             case 0, 1 -> {
                 int region = draw.nextInt(REGIONS);
-                cut(region, true);
-                hollow.at(hollow.nowUs() + draw.nextLong(25 * SECOND_US), () -> cut(region, false));
+                setIsolated(region, true);
+                fleet.schedule(fleet.nowUs() + draw.nextLong(25 * SECOND_US), () -> setIsolated(region, false));
             }
             case 2 -> restart(controls.get(draw.nextInt(controls.size())), draw.nextLong(1, 3 * SECOND_US), null);
             case 3 -> controls.forEach(c -> restart(c, draw.nextLong(1, 5 * SECOND_US), null));
@@ -341,7 +348,7 @@
                 }
             }
             case 5 -> restart(nodes.get(draw.nextInt(nodes.size())), draw.nextLong(1, SECOND_US), start);
-            default -> takeOver();
+            default -> failOverWriter();
         }
     }
 }
--- a/src/main/java/vetchpost/simulation/scale/SeedsCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/SeedsCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 import vetchpost.simulation.SeedRunException;
-import vetchpost.simulation.scale.ReplicationRun.Replicas;
+import vetchpost.simulation.scale.ReplicationRun.ReplicaFactory;
 
 /** The command {@code scale seeds}: cuts, kills, restarts and takeovers of writers, drawn from seeds. */
 @Command(
@@ -24,8 +24,8 @@
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:nothing broken", "1:something is", "2:bad arguments"})
 final class SeedsCommand implements Callable<Integer> {
-    private static final int MOST = 100_000;
-    private static final int SHOWN = 20;
+    private static final int MAX_SEEDS_AND_NODES = 100_000;
+    private static final int MAX_VIOLATIONS_SHOWN = 20;
 
     @Spec
     private CommandSpec spec;
@@ -42,8 +42,9 @@
 
     @Override
     public Integer call() {
-        if (seeds < 1 || seeds > MOST || nodes < 1 || nodes > MOST) {
-            throw new ParameterException(spec.commandLine(), "--seeds and --nodes are from 1 to " + MOST);
+        if (seeds < 1 || seeds > MAX_SEEDS_AND_NODES || nodes < 1 || nodes > MAX_SEEDS_AND_NODES) {
+            throw new ParameterException(
+                    spec.commandLine(), "--seeds and --nodes are from 1 to " + MAX_SEEDS_AND_NODES);
         }
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
@@ -54,9 +55,10 @@
                 .boxed()
                 .flatMap(seed -> {
                     List<String> of =
-                            SeedRunException.withSeed(seed, () -> ReplicationRun.seed(seed, nodes, Replicas.REAL))
+                            SeedRunException.withSeed(
+                                            seed, () -> ReplicationRun.runSeed(seed, nodes, ReplicaFactory.DEFAULT))
                                     .stream()
-                                    .map(b -> "seed " + seed + ": " + b.rule() + ": " + b.what())
+                                    .map(b -> "seed " + seed + ": " + b.rule() + ": " + b.details())
                                     .toList();
                     if (watched) {
                         err.print("\r" + done.incrementAndGet() + " of " + seeds + " seeds");
@@ -65,7 +67,7 @@
                     return of.stream();
                 })
                 .toList();
-        broken.stream().limit(SHOWN).forEach(out::println);
+        broken.stream().limit(MAX_VIOLATIONS_SHOWN).forEach(out::println);
         out.println(seeds + " seeds over " + nodes + " nodes, " + broken.size() + " times a rule was broken");
         out.flush();
         return broken.isEmpty() ? 0 : 1;
--- a/src/main/java/vetchpost/simulation/scale/SlopesCommand.java
+++ b/src/main/java/vetchpost/simulation/scale/SlopesCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import vetchpost.simulation.scale.Slopes.Row;
+import vetchpost.simulation.scale.GrowthMeasurements.Series;
 
 /**
  * The command {@code scale slopes}: all figures of docs/CAPACITY.md that are measured, as a table and as
@@ -30,8 +30,8 @@
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {"0:measured", "2:bad arguments"})
 final class SlopesCommand implements Callable<Integer> {
-    private static final int WIDTH = 360;
-    private static final int HEIGHT = 200;
+    private static final int PANEL_WIDTH_PX = 360;
+    private static final int PANEL_HEIGHT_PX = 200;
 
     @Spec
     private CommandSpec spec;
@@ -41,7 +41,7 @@
             paramLabel = "N",
             defaultValue = "1",
             description = "The largest size is an N-th of the coming one (${DEFAULT-VALUE}).")
-    private int part;
+    private int sizeDivisor;
 
     @Option(names = "--json", paramLabel = "FILE", description = "Keeps the points and the lines there.")
     private Path json;
@@ -51,20 +51,20 @@
 
     @Override
     public Integer call() throws IOException {
-        if (part < 1 || part > 100) {
+        if (sizeDivisor < 1 || sizeDivisor > 100) {
             throw new ParameterException(spec.commandLine(), "--part is from 1 to 100");
         }
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
         boolean watched = System.console() != null;
-        List<Row> rows = new Slopes(part, what -> {
+        List<Series> rows = new GrowthMeasurements(sizeDivisor, what -> {
                     if (watched) {
                         err.print("\r" + what + "                    ");
                         err.flush();
                     }
                 })
-                .all();
-        table(out, rows);
+                .measureAll();
+        printTable(out, rows);
         if (json != null) {
             Files.writeString(json, json(rows));
         }
@@ -80,31 +80,31 @@
                 : String.format(Locale.ROOT, "%.3g", value);
     }
 
-    private static void table(PrintWriter out, List<Row> rows) {
-        for (Row row : rows) {
+    private static void printTable(PrintWriter out, List<Series> rows) {
+        for (Series row : rows) {
             LinearFit fit = row.fit();
-            out.printf(Locale.ROOT, "%s: %s (%s)%n", row.role(), row.what(), row.unit());
+            out.printf(Locale.ROOT, "%s: %s (%s)%n", row.role(), row.figure(), row.unit());
             StringBuilder points = new StringBuilder();
             double[] residuals = fit.residuals(row.x(), row.y());
             for (int i = 0; i < row.x().length; i++) {
                 points.append(String.format(
                         Locale.ROOT, "  %s: %s (%+.0f%%)", number(row.x()[i]), number(row.y()[i]), 100 * residuals[i]));
             }
-            out.println("   by " + row.by() + points);
+            out.println("   by " + row.variable() + points);
             out.printf(
                     Locale.ROOT,
                     "   %s + %s each; %s, off by %.0f%% at most; at %s: %s%n",
                     number(fit.intercept()),
                     number(fit.slope()),
                     fit.shape(),
-                    100 * fit.worst(),
-                    number(row.coming()),
-                    number(fit.at(row.coming())));
+                    100 * fit.maxRelativeError(),
+                    number(row.targetSize()),
+                    number(fit.predict(row.targetSize())));
         }
         out.flush();
     }
 
-    private static String list(double[] values) {
+    private static String jsonArray(double[] values) {
         List<String> texts = new ArrayList<>();
         for (double value : values) {
             texts.add(String.format(Locale.ROOT, "%.6g", value));
@@ -112,9 +112,9 @@
         return "[" + String.join(", ", texts) + "]";
     }
 
-    private static String json(List<Row> rows) {
+    private static String json(List<Series> rows) {
         List<String> lines = new ArrayList<>();
-        for (Row row : rows) {
+        for (Series row : rows) {
             LinearFit fit = row.fit();
             lines.add(String.format(
                     Locale.ROOT,
@@ -124,22 +124,22 @@
                             + "\"power\": %.3f, "
                             + "\"coming\": %.0f, \"foretold\": %.6g}",
                     row.role(),
-                    row.what(),
+                    row.figure(),
                     row.unit(),
-                    row.by(),
-                    list(row.x()),
-                    list(row.y()),
+                    row.variable(),
+                    jsonArray(row.x()),
+                    jsonArray(row.y()),
                     fit.intercept(),
                     fit.slope(),
-                    fit.worst(),
+                    fit.maxRelativeError(),
                     fit.power(),
-                    row.coming(),
-                    fit.at(row.coming())));
+                    row.targetSize(),
+                    fit.predict(row.targetSize())));
         }
         return "[\n" + String.join(",\n", lines) + "\n]\n";
     }
 
-    private static String svg(List<Row> rows) {
+    private static String svg(List<Series> rows) {
         int columns = 3;
         int lines = (rows.size() + columns - 1) / columns;
         StringBuilder text = new StringBuilder(String.format(
@@ -148,15 +148,15 @@
                         + "viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" font-size=\"10\">%n<title>What grows "
                         + "with what</title>%n"
                         + "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>%n",
-                columns * WIDTH,
-                lines * HEIGHT));
+                columns * PANEL_WIDTH_PX,
+                lines * PANEL_HEIGHT_PX));
         for (int i = 0; i < rows.size(); i++) {
-            panel(text, rows.get(i), i % columns * WIDTH, i / columns * HEIGHT);
+            panel(text, rows.get(i), i % columns * PANEL_WIDTH_PX, i / columns * PANEL_HEIGHT_PX);
         }
         return text.append("</svg>\n").toString();
     }
 
-    private static void panel(StringBuilder text, Row row, int left, int top) {
+    private static void panel(StringBuilder text, Series row, int left, int top) {
         double mostX = row.x()[row.x().length - 1];
         double mostY = 1e-9;
         for (double y : row.y()) {
@@ -171,25 +171,25 @@
                 left + 10,
                 top + 15,
                 row.role(),
-                row.what(),
+                row.figure(),
                 left + 10,
-                top + HEIGHT - 8,
+                top + PANEL_HEIGHT_PX - 8,
                 number(mostY),
                 row.unit(),
                 number(mostX),
-                row.by(),
+                row.variable(),
                 fit.shape()));
         double x0 = left + 10;
-        double y0 = top + HEIGHT - 25;
-        double width = WIDTH - 30;
-        double height = HEIGHT - 55;
+        double y0 = top + PANEL_HEIGHT_PX - 25;
+        double width = PANEL_WIDTH_PX - 30;
+        double height = PANEL_HEIGHT_PX - 55;
         text.append(String.format(
                 Locale.ROOT,
                 "<line x1=\"%.0f\" y1=\"%.1f\" x2=\"%.0f\" y2=\"%.1f\" " + "stroke=\"#999\"/>%n",
                 x0,
-                y0 - height * Math.max(0, fit.at(0)) / mostY,
+                y0 - height * Math.max(0, fit.predict(0)) / mostY,
                 x0 + width,
-                y0 - height * Math.min(1.1, fit.at(mostX) / mostY)));
+                y0 - height * Math.min(1.1, fit.predict(mostX) / mostY)));
         for (int i = 0; i < row.x().length; i++) {
             text.append(String.format(
                     Locale.ROOT,
--- a/src/main/java/vetchpost/sources/CheckPlan.java
+++ b/src/main/java/vetchpost/sources/CheckPlan.java
@@ -22,41 +22,41 @@
     /** Checks that may be made at once after a while without any, in seconds of the budget. */
     private static final double BURST_S = 0.5;
     /** Failures of real requests bring a check on after this part of the usual time. */
-    private static final int SOON = 20;
+    private static final int FAILURE_INTERVAL_DIVISOR = 20;
 
-    private static final double JITTER = 0.1;
+    private static final double JITTER_FRACTION = 0.1;
 
     private final CheckRules rules;
     private final SplittableRandom random;
-    private final Map<String, Checked> servers = new HashMap<>();
+    private final Map<String, CheckedServer> servers = new HashMap<>();
     private double tokens;
-    private long tokensUs;
-    private long made;
-    private long saved;
-    private long disagreed;
+    private long tokensUpdatedUs;
+    private long checkCount;
+    private long skippedCount;
+    private long disagreementCount;
 
     /** What is known of a server by checks. */
-    private static final class Checked {
+    private static final class CheckedServer {
         private final String id;
-        private final boolean watched;
-        private long dueUs;
-        private boolean checking;
-        private long checkedUs;
-        private long servedUs = -1;
-        private boolean suspect;
-        private int passes;
-        private int failures;
-        private boolean down;
-        private long downUs;
+        private final boolean isCheckedRegularly;
+        private long nextCheckUs;
+        private boolean isChecking;
+        private long checkStartedUs;
+        private long lastServedUs = -1;
+        private boolean isSuspect;
+        private int consecutivePasses;
+        private int consecutiveFailures;
+        private boolean isDown;
+        private long downSinceUs;
 
-        Checked(String id, boolean watched) {
+        CheckedServer(String id, boolean watched) {
             this.id = id;
-            this.watched = watched;
+            this.isCheckedRegularly = watched;
         }
 
         /** Whoever is out, or suspected, before whoever is only due. */
-        int rank() {
-            return suspect || down || failures > 0 ? 0 : 1;
+        int priority() {
+            return isSuspect || isDown || consecutiveFailures > 0 ? 0 : 1;
         }
     }
 
@@ -75,7 +75,7 @@
         this.rules = rules;
         random = new SplittableRandom(seed);
         tokens = rules.budgetPerS() * BURST_S;
-        tokensUs = nowUs;
+        tokensUpdatedUs = nowUs;
     }
 
     /** The fleet is these now. */
@@ -83,16 +83,16 @@
         servers.keySet().retainAll(ids);
         for (String id : ids) {
             if (!servers.containsKey(id)) {
-                Checked fresh = new Checked(id, isWatched(id));
+                CheckedServer fresh = new CheckedServer(id, isRegularChecker(id));
                 // Spread over a whole period: a fleet that comes up at once is not checked at once.
-                fresh.dueUs = nowUs + (long) (random.nextDouble() * rules.intervalUs());
+                fresh.nextCheckUs = nowUs + (long) (random.nextDouble() * rules.intervalUs());
                 servers.put(id, fresh);
             }
         }
     }
 
     /** Whether this node is among the few that check the server regularly. */
-    private boolean isWatched(String id) {
+    private boolean isRegularChecker(String id) {
         if (rules.nodeCount() <= rules.checkersPerServer()) {
             return true;
         }
@@ -118,138 +118,141 @@
 
     /** A real request was served there. */
     public void requestSucceeded(String id, long nowUs) {
-        Checked server = servers.get(id);
+        CheckedServer server = servers.get(id);
         if (server == null) {
             return;
         }
-        server.servedUs = nowUs;
-        server.suspect = false;
-        server.failures = 0;
-        if (!server.down && !server.checking && server.dueUs < nowUs + rules.intervalUs() / 2) {
-            server.dueUs = nowUs + jittered(rules.intervalUs());
-            saved++;
+        server.lastServedUs = nowUs;
+        server.isSuspect = false;
+        server.consecutiveFailures = 0;
+        if (!server.isDown && !server.isChecking && server.nextCheckUs < nowUs + rules.intervalUs() / 2) {
+            server.nextCheckUs = nowUs + withJitter(rules.intervalUs());
+            skippedCount++;
         }
     }
 
     /** A real request failed there, and not by being late alone. */
     public void requestFailed(String id, long nowUs) {
-        Checked server = servers.get(id);
-        if (server != null && !server.suspect) {
-            server.suspect = true;
-            if (!server.checking) {
-                server.dueUs = Math.min(server.dueUs, nowUs + jittered(rules.intervalUs() / SOON));
+        CheckedServer server = servers.get(id);
+        if (server != null && !server.isSuspect) {
+            server.isSuspect = true;
+            if (!server.isChecking) {
+                server.nextCheckUs =
+                        Math.min(server.nextCheckUs, nowUs + withJitter(rules.intervalUs() / FAILURE_INTERVAL_DIVISOR));
             }
         }
     }
 
-    private long jittered(long us) {
-        return (long) (us * (1 - JITTER + 2 * JITTER * random.nextDouble()));
+    private long withJitter(long us) {
+        return (long) (us * (1 - JITTER_FRACTION + 2 * JITTER_FRACTION * random.nextDouble()));
     }
 
     /**
      * The servers to be checked now, as far as the budget goes and so many at most; each is reported once.
      */
     public List<String> dueChecks(long nowUs, int most) {
-        refill(nowUs);
-        List<Checked> due = new ArrayList<>();
-        for (Checked server : servers.values()) {
-            if (!server.checking && server.dueUs <= nowUs && isWanted(server)) {
+        refillTokens(nowUs);
+        List<CheckedServer> due = new ArrayList<>();
+        for (CheckedServer server : servers.values()) {
+            if (!server.isChecking && server.nextCheckUs <= nowUs && needsChecks(server)) {
                 due.add(server);
             }
         }
-        due.sort(Comparator.comparingInt(Checked::rank)
-                .thenComparingLong(s -> s.dueUs)
+        due.sort(Comparator.comparingInt(CheckedServer::priority)
+                .thenComparingLong(s -> s.nextCheckUs)
                 .thenComparing(s -> s.id));
         List<String> now = new ArrayList<>();
-        for (Checked server : due) {
+        for (CheckedServer server : due) {
             if (tokens < 1 || now.size() >= most) {
                 break;
             }
             tokens--;
-            made++;
-            server.checking = true;
-            server.checkedUs = nowUs;
+            checkCount++;
+            server.isChecking = true;
+            server.checkStartedUs = nowUs;
             now.add(server.id);
         }
         return now;
     }
 
-    private static boolean isWanted(Checked server) {
-        return server.watched || server.rank() == 0;
+    private static boolean needsChecks(CheckedServer server) {
+        return server.isCheckedRegularly || server.priority() == 0;
     }
 
-    private void refill(long nowUs) {
+    private void refillTokens(long nowUs) {
         tokens = Math.min(
-                Math.max(1, rules.budgetPerS() * BURST_S), tokens + rules.budgetPerS() * (nowUs - tokensUs) / 1e6);
-        tokensUs = nowUs;
+                Math.max(1, rules.budgetPerS() * BURST_S),
+                tokens + rules.budgetPerS() * (nowUs - tokensUpdatedUs) / 1e6);
+        tokensUpdatedUs = nowUs;
     }
 
     /** When the next check is due; the largest number for never. */
-    public long nextUs(long nowUs) {
+    public long nextCheckUs(long nowUs) {
         long next = Long.MAX_VALUE;
-        for (Checked server : servers.values()) {
-            if (!server.checking && isWanted(server)) {
-                next = Math.min(next, server.dueUs);
+        for (CheckedServer server : servers.values()) {
+            if (!server.isChecking && needsChecks(server)) {
+                next = Math.min(next, server.nextCheckUs);
             }
         }
         if (next == Long.MAX_VALUE) {
             return next;
         }
-        refill(nowUs);
+        refillTokens(nowUs);
         long affordUs = tokens >= 1 ? nowUs : nowUs + (long) Math.ceil((1 - tokens) * 1e6 / rules.budgetPerS());
         return Math.max(next, affordUs);
     }
 
     /** How a check has ended. */
     public void checkCompleted(String id, Finding finding, long nowUs) {
-        Checked server = servers.get(id);
-        if (server == null || !server.checking) {
+        CheckedServer server = servers.get(id);
+        if (server == null || !server.isChecking) {
             return;
         }
-        server.checking = false;
-        server.dueUs = nowUs + jittered(rules.intervalUs());
+        server.isChecking = false;
+        server.nextCheckUs = nowUs + withJitter(rules.intervalUs());
         if (finding == Finding.HEALTHY) {
-            server.failures = 0;
-            server.suspect = false;
-            if (server.down && ++server.passes >= rules.rise()) {
-                server.down = false;
-                server.passes = 0;
-            } else if (server.down) {
-                server.dueUs = nowUs + jittered(rules.intervalUs() / 2);
+            server.consecutiveFailures = 0;
+            server.isSuspect = false;
+            if (server.isDown && ++server.consecutivePasses >= rules.rise()) {
+                server.isDown = false;
+                server.consecutivePasses = 0;
+            } else if (server.isDown) {
+                server.nextCheckUs = nowUs + withJitter(rules.intervalUs() / 2);
             }
             return;
         }
-        server.passes = 0;
-        if (server.servedUs >= server.checkedUs) {
+        server.consecutivePasses = 0;
+        if (server.lastServedUs >= server.checkStartedUs) {
             // What is served meanwhile says more than a path that nobody else asks for.
-            disagreed++;
-            server.failures = 0;
+            disagreementCount++;
+            server.consecutiveFailures = 0;
             return;
         }
-        server.failures = finding == Finding.WRONG_SERVER ? rules.fall() : server.failures + 1;
-        if (!server.down && server.failures >= rules.fall()) {
-            server.down = true;
-            server.downUs = nowUs;
-        } else if (!server.down) {
+        server.consecutiveFailures = finding == Finding.WRONG_SERVER ? rules.fall() : server.consecutiveFailures + 1;
+        if (!server.isDown && server.consecutiveFailures >= rules.fall()) {
+            server.isDown = true;
+            server.downSinceUs = nowUs;
+        } else if (!server.isDown) {
             // Between the first failure and the last it is asked sooner.
-            server.dueUs = nowUs + jittered(rules.intervalUs() / 4);
+            server.nextCheckUs = nowUs + withJitter(rules.intervalUs() / 4);
         }
     }
 
     /** Who is out by checks: those that fell first, up to the share that may be out. */
-    public Set<String> ejected() {
-        List<Checked> down = new ArrayList<>();
-        for (Checked server : servers.values()) {
-            if (server.down) {
+    public Set<String> ejectedServers() {
+        List<CheckedServer> down = new ArrayList<>();
+        for (CheckedServer server : servers.values()) {
+            if (server.isDown) {
                 down.add(server);
             }
         }
         int most = (int) (rules.maxEjectedFraction() * servers.size());
         if (down.size() > most) {
-            down.sort(Comparator.comparingLong((Checked s) -> s.downUs).thenComparing(s -> s.id));
+            down.sort(
+                    Comparator.comparingLong((CheckedServer s) -> s.downSinceUs).thenComparing(s -> s.id));
         }
         Set<String> out = new HashSet<>();
-        for (Checked server : down.subList(0, Math.min(most, down.size()))) {
+        for (CheckedServer server : down.subList(0, Math.min(most, down.size()))) {
             out.add(server.id);
         }
         return out;
@@ -257,16 +260,16 @@
 
     /** Checks made so far. */
     public long checkCount() {
-        return made;
+        return checkCount;
     }
 
     /** Checks that an answer of a real request has put off. */
     public long skippedCount() {
-        return saved;
+        return skippedCount;
     }
 
     /** Checks that failed while real requests were served. */
     public long disagreementCount() {
-        return disagreed;
+        return disagreementCount;
     }
 }
--- a/src/main/java/vetchpost/sources/FlapDamping.java
+++ b/src/main/java/vetchpost/sources/FlapDamping.java
@@ -9,17 +9,17 @@
  * of that bound. At most so many servers are counted; the calmest is forgotten first.
  */
 final class FlapDamping {
-    private static final int MOST = 20_000;
-    private static final double CALM = 0.05;
+    private static final int MAX_COUNTED_SERVERS = 20_000;
+    private static final double NEGLIGIBLE_COUNT = 0.05;
 
-    private final double bound;
-    private final double calmUs;
-    private final Map<String, Count> counts = new HashMap<>();
+    private final double suppressThreshold;
+    private final double halfLifeUs;
+    private final Map<String, FlapCount> counts = new HashMap<>();
 
-    private static final class Count {
+    private static final class FlapCount {
         private double value;
-        private long atUs;
-        private boolean held;
+        private long updatedUs;
+        private boolean isSuppressed;
     }
 
     /**
@@ -29,45 +29,47 @@
      * @param calmUs in which a count halves
      */
     FlapDamping(int bound, long calmUs) {
-        this.bound = bound;
-        this.calmUs = calmUs;
+        this.suppressThreshold = bound;
+        this.halfLifeUs = calmUs;
     }
 
-    private double settle(Count count, long nowUs) {
-        count.value *= Math.pow(0.5, (nowUs - count.atUs) / calmUs);
-        count.atUs = nowUs;
+    private double decay(FlapCount count, long nowUs) {
+        count.value *= Math.pow(0.5, (nowUs - count.updatedUs) / halfLifeUs);
+        count.updatedUs = nowUs;
         return count.value;
     }
 
     /** A server is back. */
-    void returned(String id, long nowUs) {
-        if (!counts.containsKey(id) && counts.size() >= MOST) {
-            counts.values().removeIf(c -> settle(c, nowUs) < CALM);
-            if (counts.size() >= MOST) {
+    void serverReturned(String id, long nowUs) {
+        if (!counts.containsKey(id) && counts.size() >= MAX_COUNTED_SERVERS) {
+            counts.values().removeIf(c -> decay(c, nowUs) < NEGLIGIBLE_COUNT);
+            if (counts.size() >= MAX_COUNTED_SERVERS) {
                 return;
             }
         }
-        Count count = counts.computeIfAbsent(id, i -> new Count());
-        settle(count, nowUs);
+        FlapCount count = counts.computeIfAbsent(id, i -> new FlapCount());
+        decay(count, nowUs);
         count.value++;
-        count.held |= count.value >= bound;
+        count.isSuppressed |= count.value >= suppressThreshold;
     }
 
     /** Whether it is to be held back now. */
-    boolean isHeld(String id, long nowUs) {
-        Count count = counts.get(id);
-        if (count == null || !count.held) {
+    boolean isSuppressed(String id, long nowUs) {
+        FlapCount count = counts.get(id);
+        if (count == null || !count.isSuppressed) {
             return false;
         }
-        count.held = settle(count, nowUs) >= bound / 2;
-        return count.held;
+        count.isSuppressed = decay(count, nowUs) >= suppressThreshold / 2;
+        return count.isSuppressed;
     }
 
     /** When it can come back; now if it is not held back. */
-    long freeAtUs(String id, long nowUs) {
-        if (!isHeld(id, nowUs)) {
+    long suppressedUntilUs(String id, long nowUs) {
+        if (!isSuppressed(id, nowUs)) {
             return nowUs;
         }
-        return nowUs + (long) Math.ceil(calmUs * Math.log(counts.get(id).value / (bound / 2)) / Math.log(2)) + 1;
+        return nowUs
+                + (long) Math.ceil(halfLifeUs * Math.log(counts.get(id).value / (suppressThreshold / 2)) / Math.log(2))
+                + 1;
     }
 }
