--- a/src/main/java/vetchpost/sources/Membership.java
+++ b/src/main/java/vetchpost/sources/Membership.java
@@ -22,32 +22,32 @@
  */
 public final class Membership {
     /** So many may always go at once: of three servers one or two are no slip. */
-    private static final int LEAST_GONE = 2;
+    private static final int MIN_IMMEDIATE_REMOVALS = 2;
     /** So many of those that went are remembered. */
-    private static final int MOST_WENT = 20_000;
+    private static final int MAX_DEPARTED_SERVERS = 20_000;
 
     private final MergeRules rules;
-    private final List<SourceState> registers = new ArrayList<>();
-    private final FlapDamping flaps;
+    private final List<SourceState> sourceStates = new ArrayList<>();
+    private final FlapDamping flapDamping;
     /** The fleet as it stands, by id. */
     private final Map<String, Member> members = new LinkedHashMap<>();
 
-    private final Map<InetSocketAddress, String> owners = new HashMap<>();
-    private final Map<String, List<InetSocketAddress>> addresses = new HashMap<>();
+    private final Map<InetSocketAddress, String> idByAddress = new HashMap<>();
+    private final Map<String, List<InetSocketAddress>> addressesById = new HashMap<>();
     /** Of those that nobody names: since when. */
-    private final Map<String, Long> leftOut = new HashMap<>();
+    private final Map<String, Long> unnamedSinceUs = new HashMap<>();
     /** When those that are out went, to know who is back. */
-    private final Map<String, Long> wentUs = new LinkedHashMap<>();
+    private final Map<String, Long> departedUs = new LinkedHashMap<>();
     /**
      * When those went that have gone lately because nobody names them; one that comes and goes counts once.
      */
-    private final Map<String, Long> goneUs = new HashMap<>();
+    private final Map<String, Long> recentRemovalsUs = new HashMap<>();
     /** Of those that were named last, which some source says have gone. */
-    private final Set<String> gone = new HashSet<>();
+    private final Set<String> reportedGone = new HashSet<>();
 
-    private int heldBack;
-    private int flapping;
-    private boolean begun;
+    private int pendingRemovals;
+    private int flappingServers;
+    private boolean isStarted;
 
     /**
      * A server that is in the fleet.
@@ -62,8 +62,8 @@
     /** Nothing said so far; the sources in the order of trust. */
     public Membership(List<SourceDeclaration> sources, MergeRules rules) {
         this.rules = rules;
-        sources.forEach(s -> registers.add(new SourceState(s)));
-        flaps = new FlapDamping(rules.maxFlaps(), rules.flapHalfLifeUs());
+        sources.forEach(s -> sourceStates.add(new SourceState(s)));
+        flapDamping = new FlapDamping(rules.maxFlaps(), rules.flapHalfLifeUs());
     }
 
     /**
@@ -72,49 +72,49 @@
      */
     public void reload(List<SourceDeclaration> sources) {
         Map<SourceDeclaration, SourceState> before = new HashMap<>();
-        registers.forEach(r -> before.put(r.declared(), r));
-        registers.clear();
-        sources.forEach(s -> registers.add(before.getOrDefault(s, new SourceState(s))));
+        sourceStates.forEach(r -> before.put(r.declared(), r));
+        sourceStates.clear();
+        sources.forEach(s -> sourceStates.add(before.getOrDefault(s, new SourceState(s))));
     }
 
     /** A source has named these. */
     public void serversReported(int source, List<ReportedServer> servers, long nowUs) {
-        registers.get(source).said(servers, nowUs);
+        sourceStates.get(source).serversReported(servers, nowUs);
     }
 
     /** A source says nothing that can be used. */
     public void sourceFailed(int source, String why, long nowUs) {
-        registers.get(source).poor(why, nowUs);
+        sourceStates.get(source).sourceFailed(why, nowUs);
     }
 
     /** Why what a source said last is old; empty if it is not. */
     public String failure(int source) {
-        return registers.get(source).trouble();
+        return sourceStates.get(source).failure();
     }
 
     /** Whether each source has been heard, so that a server that comes now is a new one. */
     public boolean isStarted() {
-        return begun;
+        return isStarted;
     }
 
     /** Has what comes from now on count as new, though a source has not been heard yet. */
     public void start() {
-        begun = true;
+        isStarted = true;
     }
 
     /** Whether a source that may remove says of this server that it has gone. */
     public boolean isReportedGone(String id) {
-        return gone.contains(id);
+        return reportedGone.contains(id);
     }
 
     /** How many stay though nobody names them any more. */
-    public int dampedCount() {
-        return heldBack;
+    public int pendingRemovalCount() {
+        return pendingRemovals;
     }
 
     /** How many are named and held back since they come and go. */
     public int flappingCount() {
-        return flapping;
+        return flappingServers;
     }
 
     /** What is named, with all that is said of it. */
@@ -123,9 +123,9 @@
         private final List<InetSocketAddress> addresses = new ArrayList<>();
         private double weight;
         private String zone = "";
-        private boolean ready;
-        private boolean draining;
-        private boolean gone;
+        private boolean isReady;
+        private boolean isDraining;
+        private boolean isGone;
 
         Candidate(String id) {
             this.id = id;
@@ -142,14 +142,14 @@
             }
             zone = zone.isEmpty() ? named.zone() : zone;
             // A source that says that a server drains names it, too.
-            ready |= named.state() != State.GONE && from.may(Permission.ADD);
-            remember(from, named);
+            isReady |= named.state() != State.GONE && from.isPermitted(Permission.ADD);
+            addState(from, named);
         }
 
         /** What counts of a word though its source does not name the server any more. */
-        void remember(SourceState from, ReportedServer named) {
-            draining |= named.state() == State.DRAINING && from.counts(State.DRAINING);
-            gone |= named.state() == State.GONE && from.counts(State.GONE);
+        void addState(SourceState from, ReportedServer named) {
+            isDraining |= named.state() == State.DRAINING && from.acceptsState(State.DRAINING);
+            isGone |= named.state() == State.GONE && from.acceptsState(State.GONE);
         }
     }
 
@@ -158,80 +158,80 @@
      *
      * @return all that are in it, in no order that means anything
      */
-    public Map<String, Member> settle(long nowUs) {
-        registers.forEach(r -> r.expire(nowUs));
-        Map<String, Candidate> candidates = candidates();
-        heldBack = 0;
-        flapping = 0;
-        gone.clear();
-        candidates.values().stream().filter(c -> c.gone).forEach(c -> gone.add(c.id));
+    public Map<String, Member> update(long nowUs) {
+        sourceStates.forEach(r -> r.expire(nowUs));
+        Map<String, Candidate> candidates = mergeCandidates();
+        pendingRemovals = 0;
+        flappingServers = 0;
+        reportedGone.clear();
+        candidates.values().stream().filter(c -> c.isGone).forEach(c -> reportedGone.add(c.id));
         List<String> unnamed = new ArrayList<>();
         for (String id : members.keySet()) {
             Candidate candidate = candidates.get(id);
-            if (candidate != null && candidate.gone) {
+            if (candidate != null && candidate.isGone) {
                 unnamed.add(id);
-            } else if (candidate == null || !candidate.ready) {
+            } else if (candidate == null || !candidate.isReady) {
                 unnamed.add(id);
             } else {
-                leftOut.remove(id);
+                unnamedSinceUs.remove(id);
             }
         }
-        int mayGo = mayGo(nowUs);
+        int mayGo = removableCount(nowUs);
         for (String id : unnamed) {
             Candidate candidate = candidates.get(id);
-            if (candidate != null && candidate.gone) {
-                leave(id, nowUs);
+            if (candidate != null && candidate.isGone) {
+                removeMember(id, nowUs);
                 continue;
             }
-            long sinceUs = leftOut.computeIfAbsent(id, i -> nowUs);
+            long sinceUs = unnamedSinceUs.computeIfAbsent(id, i -> nowUs);
             boolean confirmed = nowUs - sinceUs >= rules.removalConfirmationUs();
-            if (mayGo > 0 || confirmed || goneUs.containsKey(id)) {
+            if (mayGo > 0 || confirmed || recentRemovalsUs.containsKey(id)) {
                 if (!confirmed) {
-                    mayGo -= goneUs.containsKey(id) ? 0 : 1;
-                    goneUs.put(id, nowUs);
+                    mayGo -= recentRemovalsUs.containsKey(id) ? 0 : 1;
+                    recentRemovalsUs.put(id, nowUs);
                 }
-                leave(id, nowUs);
+                removeMember(id, nowUs);
             } else {
-                heldBack++;
+                pendingRemovals++;
             }
         }
         candidates.values().forEach(candidate -> {
-            if (candidate.ready && !candidate.gone) {
-                come(candidate, nowUs);
+            if (candidate.isReady && !candidate.isGone) {
+                addOrUpdateMember(candidate, nowUs);
             }
         });
-        begun |= registers.stream().allMatch(SourceState::isHeard);
+        isStarted |= sourceStates.stream().allMatch(SourceState::hasReported);
         // In an order of its own: that of Map.copyOf is another in each process, as a seed's run would be.
         return Collections.unmodifiableMap(new LinkedHashMap<>(members));
     }
 
     /** How many more may go now without having been left out for long. */
-    private int mayGo(long nowUs) {
-        goneUs.values().removeIf(at -> nowUs - at >= rules.removalConfirmationUs());
+    private int removableCount(long nowUs) {
+        recentRemovalsUs.values().removeIf(at -> nowUs - at >= rules.removalConfirmationUs());
         int before = members.size();
-        for (String id : goneUs.keySet()) {
+        for (String id : recentRemovalsUs.keySet()) {
             before += members.containsKey(id) ? 0 : 1;
         }
-        return Math.max(LEAST_GONE, (int) (rules.maxRemovedFraction() * before)) - goneUs.size();
+        return Math.max(MIN_IMMEDIATE_REMOVALS, (int) (rules.maxRemovedFraction() * before)) - recentRemovalsUs.size();
     }
 
     /** What is named, entries that share an address as one. */
-    private Map<String, Candidate> candidates() {
+    private Map<String, Candidate> mergeCandidates() {
         Map<String, Candidate> byId = new LinkedHashMap<>();
         Map<InetSocketAddress, Candidate> byAddress = new HashMap<>();
-        for (SourceState register : registers) {
-            for (ReportedServer named : register.named()) {
-                Candidate candidate = find(named, byId, byAddress);
+        for (SourceState register : sourceStates) {
+            for (ReportedServer named : register.reportedServers()) {
+                Candidate candidate = findCandidate(named, byId, byAddress);
                 candidate.add(register, named);
                 named.addresses().forEach(a -> byAddress.putIfAbsent(a, candidate));
             }
         }
-        for (SourceState register : registers) {
-            for (ReportedServer last : register.lastWords()) {
+        for (SourceState register : sourceStates) {
+            for (ReportedServer last : register.drainingWhenDropped()) {
                 for (InetSocketAddress address : last.addresses()) {
                     Candidate candidate = byAddress.get(address);
                     if (candidate != null) {
-                        candidate.remember(register, last);
+                        candidate.addState(register, last);
                     }
                 }
             }
@@ -239,7 +239,7 @@
         return byId;
     }
 
-    private Candidate find(
+    private Candidate findCandidate(
             ReportedServer named, Map<String, Candidate> byId, Map<InetSocketAddress, Candidate> byAddress) {
         for (InetSocketAddress address : named.addresses()) {
             Candidate known = byAddress.get(address);
@@ -251,7 +251,7 @@
         // name would look like another server, and a cold one.
         String id = null;
         for (InetSocketAddress address : named.addresses()) {
-            String owner = owners.get(address);
+            String owner = idByAddress.get(address);
             // But not one that its source calls by the name of another that is there.
             if (owner != null && (named.id().isEmpty() || !members.containsKey(named.id()))) {
                 id = owner;
@@ -259,39 +259,41 @@
             }
         }
         if (id == null) {
-            id = named.id().isEmpty() ? ReportedServer.text(named.addresses().get(0)) : named.id();
+            id = named.id().isEmpty()
+                    ? ReportedServer.formatAddress(named.addresses().get(0))
+                    : named.id();
         }
         return byId.computeIfAbsent(id, Candidate::new);
     }
 
-    private void leave(String id, long nowUs) {
+    private void removeMember(String id, long nowUs) {
         members.remove(id);
-        own(id, List.of());
-        leftOut.remove(id);
-        wentUs.put(id, nowUs);
-        if (wentUs.size() > MOST_WENT) {
-            wentUs.remove(wentUs.keySet().iterator().next());
+        setAddresses(id, List.of());
+        unnamedSinceUs.remove(id);
+        departedUs.put(id, nowUs);
+        if (departedUs.size() > MAX_DEPARTED_SERVERS) {
+            departedUs.remove(departedUs.keySet().iterator().next());
         }
     }
 
-    private void come(Candidate candidate, long nowUs) {
+    private void addOrUpdateMember(Candidate candidate, long nowUs) {
         Member member = members.get(candidate.id);
         InetSocketAddress address = member != null && candidate.addresses.contains(member.address())
                 ? member.address()
                 : candidate.addresses.get(0);
         long sinceUs = 0;
         if (member == null) {
-            Long went = wentUs.get(candidate.id);
+            Long went = departedUs.get(candidate.id);
             if (went != null) {
-                wentUs.remove(candidate.id);
-                flaps.returned(candidate.id, nowUs);
+                departedUs.remove(candidate.id);
+                flapDamping.serverReturned(candidate.id, nowUs);
             }
-            if (flaps.isHeld(candidate.id, nowUs) && !members.isEmpty()) {
-                flapping++;
+            if (flapDamping.isSuppressed(candidate.id, nowUs) && !members.isEmpty()) {
+                flappingServers++;
                 return;
             }
             // What was away for a moment only has hardly been started anew.
-            sinceUs = went == null ? begun ? nowUs : 0 : nowUs - went >= rules.coldAfterAbsenceUs() ? nowUs : 0;
+            sinceUs = went == null ? isStarted ? nowUs : 0 : nowUs - went >= rules.coldAfterAbsenceUs() ? nowUs : 0;
         } else if (!address.equals(member.address())) {
             sinceUs = nowUs; // Another address is another process.
         } else {
@@ -302,34 +304,34 @@
                 new Member(
                         candidate.id,
                         address,
-                        candidate.draining,
+                        candidate.isDraining,
                         candidate.weight > 0 ? candidate.weight : 1,
                         candidate.zone,
                         sinceUs));
-        own(candidate.id, candidate.addresses);
+        setAddresses(candidate.id, candidate.addresses);
     }
 
     /** Has a server be found by these addresses, and by no others. */
-    private void own(String id, List<InetSocketAddress> now) {
-        List<InetSocketAddress> before = now.isEmpty() ? addresses.remove(id) : addresses.put(id, now);
+    private void setAddresses(String id, List<InetSocketAddress> now) {
+        List<InetSocketAddress> before = now.isEmpty() ? addressesById.remove(id) : addressesById.put(id, now);
         if (before != null && !before.equals(now)) {
-            before.forEach(a -> owners.remove(a, id));
+            before.forEach(a -> idByAddress.remove(a, id));
         }
         if (!now.equals(before)) {
-            now.forEach(a -> owners.put(a, id));
+            now.forEach(a -> idByAddress.put(a, id));
         }
     }
 
     /** When something changes though nothing is said; the largest number for never. */
-    public long nextUs(long nowUs) {
+    public long nextUpdateUs(long nowUs) {
         long next = Long.MAX_VALUE;
-        for (SourceState register : registers) {
-            next = Math.min(next, register.nextUs());
+        for (SourceState register : sourceStates) {
+            next = Math.min(next, register.nextExpiryUs());
         }
-        for (long since : leftOut.values()) {
+        for (long since : unnamedSinceUs.values()) {
             next = Math.min(next, since + rules.removalConfirmationUs());
         }
-        if (flapping > 0) {
+        if (flappingServers > 0) {
             // Looked at again once in a while: the counts halve slowly.
             next = Math.min(next, nowUs + Math.max(1, rules.flapHalfLifeUs() / 8));
         }
--- a/src/main/java/vetchpost/sources/ReportedServer.java
+++ b/src/main/java/vetchpost/sources/ReportedServer.java
@@ -30,7 +30,7 @@
     }
 
     /** An address as it is written. */
-    public static String text(InetSocketAddress address) {
+    public static String formatAddress(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + address.getPort();
     }
--- a/src/main/java/vetchpost/sources/SourceState.java
+++ b/src/main/java/vetchpost/sources/SourceState.java
@@ -14,24 +14,24 @@
  */
 final class SourceState {
     /** What is kept of one source at most; the rest is passed over, and said so. */
-    static final int MOST = 20_000;
+    static final int MAX_SERVERS = 20_000;
 
     private final SourceDeclaration declared;
-    private final Map<String, Seen> seen = new LinkedHashMap<>();
+    private final Map<String, Observation> observations = new LinkedHashMap<>();
     /**
      * Who was said to drain when it was named last, and is not named any more. That it is left
      * out then does not take the word back: another source may go on naming it for a while.
      */
-    private final Map<String, Seen> lastWords = new LinkedHashMap<>();
+    private final Map<String, Observation> drainingWhenDropped = new LinkedHashMap<>();
     /** Since when it has said nothing, or that there is nothing; or -1. */
-    private long poorSinceUs = -1;
+    private long failingSinceUs = -1;
 
-    private String trouble = "";
-    private int passedOver;
-    private boolean heard;
+    private String failure = "";
+    private int ignoredCount;
+    private boolean hasReported;
 
     /** A server as it was named last, and when. */
-    private record Seen(ReportedServer named, long atUs) {}
+    private record Observation(ReportedServer server, long observedUs) {}
 
     SourceState(SourceDeclaration declared) {
         this.declared = declared;
@@ -42,75 +42,77 @@
     }
 
     /** Whether it has ever said anything that could be used. */
-    boolean isHeard() {
-        return heard;
+    boolean hasReported() {
+        return hasReported;
     }
 
     /** Why what it said last is old; empty if it is not. */
-    String trouble() {
-        return trouble;
+    String failure() {
+        return failure;
     }
 
     /** Servers that its last answer named beyond what is kept. */
-    int passedOver() {
-        return passedOver;
+    int ignoredCount() {
+        return ignoredCount;
     }
 
     private static String keyOf(ReportedServer named) {
-        return named.id().isEmpty() ? ReportedServer.text(named.addresses().get(0)) : named.id();
+        return named.id().isEmpty()
+                ? ReportedServer.formatAddress(named.addresses().get(0))
+                : named.id();
     }
 
     /** It has named these. */
-    void said(List<ReportedServer> servers, long nowUs) {
+    void serversReported(List<ReportedServer> servers, long nowUs) {
         if (servers.isEmpty()) {
-            poor("it names no server", nowUs);
+            sourceFailed("it names no server", nowUs);
             return;
         }
-        heard = true;
-        poorSinceUs = -1;
-        trouble = "";
+        hasReported = true;
+        failingSinceUs = -1;
+        failure = "";
         if (declared.retentionUs() == 0) {
-            seen.forEach((key, last) -> {
-                if (last.named().state() == State.DRAINING && lastWords.size() < MOST) {
-                    lastWords.put(key, new Seen(last.named(), nowUs));
+            observations.forEach((key, last) -> {
+                if (last.server().state() == State.DRAINING && drainingWhenDropped.size() < MAX_SERVERS) {
+                    drainingWhenDropped.put(key, new Observation(last.server(), nowUs));
                 }
             });
-            seen.clear();
+            observations.clear();
         }
-        passedOver = 0;
+        ignoredCount = 0;
         for (ReportedServer named : servers) {
             String key = keyOf(named);
-            lastWords.remove(key);
-            if (seen.size() >= MOST && !seen.containsKey(key)) {
-                passedOver++;
+            drainingWhenDropped.remove(key);
+            if (observations.size() >= MAX_SERVERS && !observations.containsKey(key)) {
+                ignoredCount++;
             } else {
-                seen.put(key, new Seen(named, nowUs));
+                observations.put(key, new Observation(named, nowUs));
             }
         }
         expire(nowUs);
     }
 
     /** It says nothing that can be used, or that there is nothing. */
-    void poor(String why, long nowUs) {
-        trouble = why;
-        if (poorSinceUs < 0) {
-            poorSinceUs = nowUs;
+    void sourceFailed(String why, long nowUs) {
+        failure = why;
+        if (failingSinceUs < 0) {
+            failingSinceUs = nowUs;
         }
     }
 
     /** Lets go of what does not hold any more. */
     void expire(long nowUs) {
-        lastWords.values().removeIf(last -> nowUs - last.atUs() >= declared.staleAfterUs());
-        if (poorSinceUs >= 0) {
+        drainingWhenDropped.values().removeIf(last -> nowUs - last.observedUs() >= declared.staleAfterUs());
+        if (failingSinceUs >= 0) {
             // While it says nothing, nobody is left out either: all that it said holds, or none of it.
-            if (nowUs - poorSinceUs >= declared.staleAfterUs()) {
-                seen.clear();
+            if (nowUs - failingSinceUs >= declared.staleAfterUs()) {
+                observations.clear();
             }
             return;
         }
         if (declared.retentionUs() > 0) {
-            for (Iterator<Seen> each = seen.values().iterator(); each.hasNext(); ) {
-                if (nowUs - each.next().atUs() >= declared.retentionUs()) {
+            for (Iterator<Observation> each = observations.values().iterator(); each.hasNext(); ) {
+                if (nowUs - each.next().observedUs() >= declared.retentionUs()) {
                     each.remove();
                 }
             }
@@ -118,47 +120,47 @@
     }
 
     /** What it names. */
-    List<ReportedServer> named() {
-        List<ReportedServer> all = new ArrayList<>(seen.size());
-        seen.values().forEach(s -> all.add(s.named()));
+    List<ReportedServer> reportedServers() {
+        List<ReportedServer> all = new ArrayList<>(observations.size());
+        observations.values().forEach(s -> all.add(s.server()));
         return all;
     }
 
     /** Who is not named any more, and was said to drain when it was. */
-    List<ReportedServer> lastWords() {
-        List<ReportedServer> all = new ArrayList<>(lastWords.size());
-        lastWords.values().forEach(s -> all.add(s.named()));
+    List<ReportedServer> drainingWhenDropped() {
+        List<ReportedServer> all = new ArrayList<>(drainingWhenDropped.size());
+        drainingWhenDropped.values().forEach(s -> all.add(s.server()));
         return all;
     }
 
     /** When something of it ends, if nothing is said before; the largest number for never. */
-    long nextUs() {
+    long nextExpiryUs() {
         long next = Long.MAX_VALUE;
-        for (Seen each : lastWords.values()) {
-            next = Math.min(next, each.atUs() + declared.staleAfterUs());
+        for (Observation each : drainingWhenDropped.values()) {
+            next = Math.min(next, each.observedUs() + declared.staleAfterUs());
         }
-        if (poorSinceUs >= 0) {
-            return seen.isEmpty() ? next : Math.min(next, poorSinceUs + declared.staleAfterUs());
+        if (failingSinceUs >= 0) {
+            return observations.isEmpty() ? next : Math.min(next, failingSinceUs + declared.staleAfterUs());
         }
         if (declared.retentionUs() > 0) {
-            for (Seen each : seen.values()) {
-                next = Math.min(next, each.atUs() + declared.retentionUs());
+            for (Observation each : observations.values()) {
+                next = Math.min(next, each.observedUs() + declared.retentionUs());
             }
         }
         return next;
     }
 
     /** Whether its word on a server can do this. */
-    boolean may(SourceDeclaration.Permission what) {
+    boolean isPermitted(SourceDeclaration.Permission what) {
         return declared.permissions().contains(what);
     }
 
     /** Whether a word of it counts: what it may not say is not said. */
-    boolean counts(State word) {
+    boolean acceptsState(State word) {
         return switch (word) {
-            case READY -> may(SourceDeclaration.Permission.ADD);
-            case DRAINING -> may(SourceDeclaration.Permission.DRAIN);
-            case GONE -> may(SourceDeclaration.Permission.REMOVE);
+            case READY -> isPermitted(SourceDeclaration.Permission.ADD);
+            case DRAINING -> isPermitted(SourceDeclaration.Permission.DRAIN);
+            case GONE -> isPermitted(SourceDeclaration.Permission.REMOVE);
         };
     }
 }
--- a/src/main/java/vetchpost/sourcewatch/FileWatch.java
+++ b/src/main/java/vetchpost/sourcewatch/FileWatch.java
@@ -29,13 +29,13 @@
  * be read or is no list of servers is said to be so, and looked at again the next time.
  */
 final class FileWatch implements AutoCloseable {
-    private static final long MOST_BYTES = 4L << 20;
+    private static final long MAX_FILE_BYTES = 4L << 20;
 
     private final Path path;
     private final Executor loop;
     private final SourceListener listener;
-    private final ScheduledFuture<?> looking;
-    private Stamp seen;
+    private final ScheduledFuture<?> pollTask;
+    private Stamp lastStamp;
 
     /** How a file looks from outside. */
     private record Stamp(long size, long modifiedMs, Object key) {
@@ -55,36 +55,36 @@
         path = Path.of(source.location());
         this.loop = loop;
         this.listener = listener;
-        looking = thread.scheduleWithFixedDelay(this::look, 0, source.intervalUs(), TimeUnit.MICROSECONDS);
+        pollTask = thread.scheduleWithFixedDelay(this::poll, 0, source.intervalUs(), TimeUnit.MICROSECONDS);
     }
 
-    private void look() {
+    private void poll() {
         try {
             Stamp now = Stamp.of(path);
-            if (now.equals(seen)) {
+            if (now.equals(lastStamp)) {
                 return;
             }
-            if (now.size() > MOST_BYTES) {
-                throw new IllegalArgumentException("over " + (MOST_BYTES >> 20) + " MiB");
+            if (now.size() > MAX_FILE_BYTES) {
+                throw new IllegalArgumentException("over " + (MAX_FILE_BYTES >> 20) + " MiB");
             }
             List<ReportedServer> servers = parse(path.toString(), Files.readString(path));
             if (!Stamp.of(path).equals(now)) {
                 return; // It is being written just now.
             }
-            seen = now;
-            loop.execute(() -> listener.said(servers));
+            lastStamp = now;
+            loop.execute(() -> listener.serversReported(servers));
         } catch (CharacterCodingException e) {
-            fail("it is no UTF-8");
+            reportFailure("it is no UTF-8");
         } catch (IOException e) {
-            fail("it can't be read: " + e.getMessage());
+            reportFailure("it can't be read: " + e.getMessage());
         } catch (RuntimeException e) {
-            fail(e.getMessage());
+            reportFailure(e.getMessage());
         }
     }
 
-    private void fail(String why) {
-        seen = null;
-        loop.execute(() -> listener.silent(why));
+    private void reportFailure(String why) {
+        lastStamp = null;
+        loop.execute(() -> listener.sourceFailed(why));
     }
 
     /**
@@ -93,7 +93,7 @@
      * @throws IllegalArgumentException with a short reason if it is none
      */
     static List<ReportedServer> parse(String name, String text) {
-        List<?> entries = name.endsWith(".toml") ? toml(text) : json(text);
+        List<?> entries = name.endsWith(".toml") ? parseToml(text) : parseJson(text);
         List<ReportedServer> servers = new ArrayList<>(entries.size());
         for (Object each : entries) {
             servers.add(ServerEntryReader.read(each));
@@ -101,7 +101,7 @@
         return servers;
     }
 
-    private static List<?> json(String text) {
+    private static List<?> parseJson(String text) {
         Object value;
         try {
             value = new Gson().fromJson(text, TypeToken.get(Object.class));
@@ -117,7 +117,7 @@
         throw new IllegalArgumentException("it holds neither a list of servers nor one called servers");
     }
 
-    private static List<?> toml(String text) {
+    private static List<?> parseToml(String text) {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
             throw new IllegalArgumentException("it is no TOML: " + toml.errors().get(0));
@@ -136,6 +136,6 @@
 
     @Override
     public void close() {
-        looking.cancel(false);
+        pollTask.cancel(false);
     }
 }
--- a/src/main/java/vetchpost/sourcewatch/HealthCheck.java
+++ b/src/main/java/vetchpost/sourcewatch/HealthCheck.java
@@ -27,20 +27,20 @@
 
 /** One check of one server: a connection, and where a path is named, a request and the head of its answer. */
 final class HealthCheck extends ChannelInboundHandlerAdapter {
-    private static final int MOST_LINE = 4_096;
-    private static final int MOST_HEADERS = 16_384;
+    private static final int MAX_LINE_LENGTH = 4_096;
+    private static final int MAX_HEADERS_LENGTH = 16_384;
 
     private final CheckRules rules;
-    private final String mark;
-    private final Consumer<Finding> report;
+    private final String requiredHeader;
+    private final Consumer<Finding> onFinished;
     private Channel channel;
-    private ScheduledFuture<?> late;
-    private boolean over;
+    private ScheduledFuture<?> timeout;
+    private boolean isFinished;
 
     private HealthCheck(CheckRules rules, String mark, Consumer<Finding> report) {
         this.rules = rules;
-        this.mark = mark;
-        this.report = report;
+        this.requiredHeader = mark;
+        this.onFinished = report;
     }
 
     /**
@@ -56,13 +56,13 @@
             String mark,
             Consumer<Finding> report) {
         HealthCheck check = new HealthCheck(rules, mark, report);
-        check.late = loop.schedule(() -> check.end(Finding.UNHEALTHY), rules.timeoutUs(), TimeUnit.MICROSECONDS);
+        check.timeout = loop.schedule(() -> check.finish(Finding.UNHEALTHY), rules.timeoutUs(), TimeUnit.MICROSECONDS);
         Channel fresh;
         try {
             fresh = network.newClientChannel();
         } catch (ChannelException e) {
             // Out of descriptors: that is no fault of the server's, but nothing good is known of it either.
-            check.end(Finding.HEALTHY);
+            check.finish(Finding.HEALTHY);
             return;
         }
         check.channel = fresh;
@@ -74,16 +74,19 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel to) {
-                        to.pipeline().addLast(new HttpClientCodec(MOST_LINE, MOST_HEADERS, MOST_LINE), check);
+                        to.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(MAX_LINE_LENGTH, MAX_HEADERS_LENGTH, MAX_LINE_LENGTH),
+                                        check);
                     }
                 })
                 .connect(address)
-                .addListener(done -> check.connected(done.isSuccess()));
+                .addListener(done -> check.onConnected(done.isSuccess()));
     }
 
-    private void connected(boolean is) {
+    private void onConnected(boolean is) {
         if (!is || rules.path().isEmpty()) {
-            end(is ? Finding.HEALTHY : Finding.UNHEALTHY);
+            finish(is ? Finding.HEALTHY : Finding.UNHEALTHY);
             return;
         }
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, rules.path());
@@ -100,10 +103,11 @@
                     && (response.decoderResult().isFailure()
                             || response.status().codeClass() != HttpStatusClass.INFORMATIONAL)) {
                 int status = response.status().code();
-                end(
+                finish(
                         response.decoderResult().isFailure()
                                 ? Finding.UNHEALTHY
-                                : !mark.isEmpty() && !response.headers().contains(mark)
+                                : !requiredHeader.isEmpty()
+                                                && !response.headers().contains(requiredHeader)
                                         ? Finding.WRONG_SERVER
                                         : status >= rules.minStatus() && status <= rules.maxStatus()
                                                 ? Finding.HEALTHY
@@ -116,22 +120,22 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        end(Finding.UNHEALTHY);
+        finish(Finding.UNHEALTHY);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        end(Finding.UNHEALTHY);
+        finish(Finding.UNHEALTHY);
     }
 
-    private void end(Finding finding) {
-        if (!over) {
-            over = true;
-            late.cancel(false);
+    private void finish(Finding finding) {
+        if (!isFinished) {
+            isFinished = true;
+            timeout.cancel(false);
             if (channel != null) {
                 channel.close();
             }
-            report.accept(finding);
+            onFinished.accept(finding);
         }
     }
 }
--- a/src/main/java/vetchpost/sourcewatch/NameWatch.java
+++ b/src/main/java/vetchpost/sourcewatch/NameWatch.java
@@ -37,25 +37,25 @@
  * for by TCP. Of services the lowest priority alone counts, and weights are sizes.
  */
 final class NameWatch implements AutoCloseable {
-    private static final long QUERY_MS = 2_000;
-    private static final long LEAST_S = 1;
+    private static final long QUERY_TIMEOUT_MS = 2_000;
+    private static final long MIN_QUERY_INTERVAL_S = 1;
     /** Beyond, records are passed over: a name of thousands of servers is none that was meant. */
-    private static final int MOST_RECORDS = 5_000;
+    private static final int MAX_RECORDS = 5_000;
 
-    private static final int MOST_TARGETS = 1_000;
+    private static final int MAX_SERVICES = 1_000;
 
     private final SourceDeclaration source;
     private final EventLoop loop;
     private final SourceListener listener;
     private final DnsNameResolver resolver;
-    private ScheduledFuture<?> again;
-    private boolean closed;
+    private ScheduledFuture<?> nextQuery;
+    private boolean isClosed;
 
     /** One server of a service, before its name is looked up. */
     private record Service(String target, int port, int priority, int weight) {}
 
     /** What an answer has come to. */
-    private record Found(List<InetAddress> addresses, long ttlS, Throwable failure) {}
+    private record AddressLookup(List<InetAddress> addresses, long ttlS, Throwable failure) {}
 
     /** Begins at once. */
     NameWatch(SourceDeclaration source, EventLoop loop, Network network, SourceListener listener) {
@@ -65,7 +65,7 @@
         resolver = new DnsNameResolverBuilder(loop)
                 .datagramChannelFactory(network::newDatagramChannel)
                 .socketChannelFactory(() -> (SocketChannel) network.newClientChannel(), true)
-                .queryTimeoutMillis(QUERY_MS)
+                .queryTimeoutMillis(QUERY_TIMEOUT_MS)
                 .resolveCache(NoopDnsCache.INSTANCE)
                 .cnameCache(NoopDnsCnameCache.INSTANCE)
                 .authoritativeDnsServerCache(NoopAuthoritativeDnsServerCache.INSTANCE)
@@ -74,42 +74,42 @@
                                 ? DnsServerAddressStreamProviders.platformDefault()
                                 : new SequentialDnsServerAddressStreamProvider(source.resolvers()))
                 .build();
-        ask();
+        query();
     }
 
-    private String name() {
+    private String absoluteName() {
         return source.location().endsWith(".") ? source.location() : source.location() + ".";
     }
 
-    private void ask() {
-        if (closed) {
+    private void query() {
+        if (isClosed) {
             return;
         }
         if (source.kind() == SourceDeclaration.Kind.SRV) {
-            services();
+            queryServices();
         } else {
-            addresses(name(), found -> {
+            resolveAddresses(absoluteName(), found -> {
                 if (found.failure() != null) {
-                    failed(found.failure());
+                    reportFailure(found.failure());
                     return;
                 }
                 List<ReportedServer> servers = new ArrayList<>();
                 for (InetAddress address : found.addresses()) {
                     servers.add(ReportedServer.of(new InetSocketAddress(address, source.port())));
                 }
-                listener.said(servers);
-                later(found.ttlS());
+                listener.serversReported(servers);
+                scheduleNextQuery(found.ttlS());
             });
         }
     }
 
     /** The addresses of one family, or of the other where there are none. */
-    private void addresses(String name, Consumer<Found> then) {
-        addresses(name, DnsRecordType.A, four -> {
+    private void resolveAddresses(String name, Consumer<AddressLookup> then) {
+        resolveAddresses(name, DnsRecordType.A, four -> {
             if (!four.addresses().isEmpty()) {
                 then.accept(four);
             } else {
-                addresses(
+                resolveAddresses(
                         name,
                         DnsRecordType.AAAA,
                         six ->
@@ -119,14 +119,14 @@
         });
     }
 
-    private void addresses(String name, DnsRecordType type, Consumer<Found> then) {
+    private void resolveAddresses(String name, DnsRecordType type, Consumer<AddressLookup> then) {
         resolver.resolveAll(new DefaultDnsQuestion(name, type)).addListener((Future<List<DnsRecord>> done) -> {
-            if (closed) {
+            if (isClosed) {
                 release(done);
                 return;
             }
             if (!done.isSuccess()) {
-                then.accept(new Found(List.of(), LEAST_S, done.cause()));
+                then.accept(new AddressLookup(List.of(), MIN_QUERY_INTERVAL_S, done.cause()));
                 return;
             }
             List<InetAddress> addresses = new ArrayList<>();
@@ -134,13 +134,13 @@
             for (DnsRecord record : done.getNow()) {
                 if (record.type().equals(type)
                         && record instanceof DnsRawRecord raw
-                        && addresses.size() < MOST_RECORDS) {
+                        && addresses.size() < MAX_RECORDS) {
                     addresses.add(InetAddress.getByAddress(ByteBufUtil.getBytes(raw.content())));
                     ttl = Math.min(ttl, record.timeToLive());
                 }
             }
             release(done);
-            then.accept(new Found(
+            then.accept(new AddressLookup(
                     addresses,
                     ttl,
                     addresses.isEmpty() ? new UnknownHostException("the answer names no address") : null));
@@ -155,22 +155,22 @@
 
     // ---------------------------------------------------------------- services
 
-    private void services() {
-        resolver.resolveAll(new DefaultDnsQuestion(name(), DnsRecordType.SRV))
+    private void queryServices() {
+        resolver.resolveAll(new DefaultDnsQuestion(absoluteName(), DnsRecordType.SRV))
                 .addListener((Future<List<DnsRecord>> done) -> {
-                    if (closed) {
+                    if (isClosed) {
                         release(done);
                         return;
                     }
                     if (!done.isSuccess()) {
-                        failed(done.cause());
+                        reportFailure(done.cause());
                         return;
                     }
                     List<Service> services = new ArrayList<>();
                     long ttl = Long.MAX_VALUE;
                     for (DnsRecord record : done.getNow()) {
-                        Service service = service(record);
-                        if (service != null && services.size() < MOST_TARGETS) {
+                        Service service = parseService(record);
+                        if (service != null && services.size() < MAX_SERVICES) {
                             services.add(service);
                             ttl = Math.min(ttl, record.timeToLive());
                         }
@@ -180,16 +180,16 @@
                             services.stream().mapToInt(Service::priority).min().orElse(0);
                     services.removeIf(s -> s.priority() != first);
                     if (services.isEmpty()) {
-                        listener.said(List.of());
-                        later(ttl);
+                        listener.serversReported(List.of());
+                        scheduleNextQuery(ttl);
                     } else {
-                        targets(services, ttl);
+                        resolveTargets(services, ttl);
                     }
                 });
     }
 
     /** A service, or null for what is none, and for the one that says that there is none (a lone dot). */
-    private static Service service(DnsRecord record) {
+    private static Service parseService(DnsRecord record) {
         if (!record.type().equals(DnsRecordType.SRV) || !(record instanceof DnsRawRecord raw)) {
             return null;
         }
@@ -205,13 +205,13 @@
     }
 
     /** Looks up all of their names; an answer that is there in part is said in part, as all are. */
-    private void targets(List<Service> services, long ttl) {
+    private void resolveTargets(List<Service> services, long ttl) {
         List<ReportedServer> servers = new ArrayList<>();
         int[] left = {services.size()};
         long[] shortest = {ttl};
         Throwable[] failure = new Throwable[1];
         for (Service service : services) {
-            addresses(service.target(), found -> {
+            resolveAddresses(service.target(), found -> {
                 if (found.failure() != null) {
                     failure[0] = found.failure();
                 } else {
@@ -228,33 +228,34 @@
                 }
                 if (--left[0] == 0) {
                     if (servers.isEmpty()) {
-                        failed(failure[0]);
+                        reportFailure(failure[0]);
                     } else {
-                        listener.said(servers);
-                        later(shortest[0]);
+                        listener.serversReported(servers);
+                        scheduleNextQuery(shortest[0]);
                     }
                 }
             });
         }
     }
 
-    private void failed(Throwable why) {
+    private void reportFailure(Throwable why) {
         Throwable cause = why.getCause() == null ? why : why.getCause();
-        listener.silent(cause.getMessage() == null ? cause.toString() : cause.getMessage());
-        later(LEAST_S);
+        listener.sourceFailed(cause.getMessage() == null ? cause.toString() : cause.getMessage());
+        scheduleNextQuery(MIN_QUERY_INTERVAL_S);
     }
 
     /** No sooner than after a second, whatever the answer says, and no later than the file does. */
-    private void later(long ttlS) {
-        long us = Math.min(source.intervalUs(), TimeUnit.SECONDS.toMicros(Math.max(LEAST_S, Math.min(ttlS, 86_400))));
-        again = loop.schedule(this::ask, us, TimeUnit.MICROSECONDS);
+    private void scheduleNextQuery(long ttlS) {
+        long us = Math.min(
+                source.intervalUs(), TimeUnit.SECONDS.toMicros(Math.max(MIN_QUERY_INTERVAL_S, Math.min(ttlS, 86_400))));
+        nextQuery = loop.schedule(this::query, us, TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void close() {
-        closed = true;
-        if (again != null) {
-            again.cancel(false);
+        isClosed = true;
+        if (nextQuery != null) {
+            nextQuery.cancel(false);
         }
         resolver.close();
     }
--- a/src/main/java/vetchpost/sourcewatch/SourceListener.java
+++ b/src/main/java/vetchpost/sourcewatch/SourceListener.java
@@ -6,8 +6,8 @@
 /** Hears what a source says; on the node's loop. */
 interface SourceListener {
     /** It names these. */
-    void said(List<ReportedServer> servers);
+    void serversReported(List<ReportedServer> servers);
 
     /** It says nothing that can be used. */
-    void silent(String why);
+    void sourceFailed(String why);
 }
--- a/src/main/java/vetchpost/sourcewatch/SourceWatcher.java
+++ b/src/main/java/vetchpost/sourcewatch/SourceWatcher.java
@@ -36,27 +36,27 @@
 public final class SourceWatcher implements AttemptObserver, AutoCloseable {
     private static final Logger LOG = System.getLogger(SourceWatcher.class.getName());
     /** Changes are told no more often than this: a file may be replaced, and checks end, in between. */
-    private static final long GATHER_US = 10_000;
+    private static final long UPDATE_DELAY_US = 10_000;
     /** Checks that may be under way at once: they are counted against no limit of sockets. */
-    private static final int MOST_CHECKS = 32;
+    private static final int MAX_CONCURRENT_CHECKS = 32;
 
-    private static final int MOST_LOGGED = 20;
+    private static final int MAX_LOGGED_CHANGES = 20;
 
     private final EventLoop loop;
     private final Network network;
     private final Membership membership;
     private final CheckPlan checks;
-    private final SourceMerger composer;
+    private final SourceMerger merger;
     private final long originNs;
     private final Map<SourceDeclaration, AutoCloseable> watches = new LinkedHashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private Standalone settings;
-    private ScheduledExecutorService files;
-    private Consumer<ServerList> node;
-    private ScheduledFuture<?> next;
-    private long nextUs = Long.MAX_VALUE;
-    private int checking;
-    private boolean closed;
+    private ScheduledExecutorService fileThread;
+    private Consumer<ServerList> listener;
+    private ScheduledFuture<?> nextUpdate;
+    private long nextUpdateUs = Long.MAX_VALUE;
+    private int runningChecks;
+    private boolean isClosed;
 
     /**
      * Knows the servers that the file itself names, and asks nobody yet. On the loop.
@@ -70,16 +70,16 @@
         originNs = loop.ticker().nanoTime();
         membership = new Membership(settings.sources(), settings.merge());
         checks = settings.checks() == null ? null : new CheckPlan(settings.checks(), seed, 0);
-        composer = new SourceMerger(membership, checks, settings.settings().coldUs, unixMs, 0);
-        own();
-        composer.pollChanges(nowUs()).forEach(this::remember);
+        merger = new SourceMerger(membership, checks, settings.settings().coldUs, unixMs, 0);
+        reportInlineServers();
+        merger.pollChanges(nowUs()).forEach(this::rememberAddress);
     }
 
     private long nowUs() {
         return (loop.ticker().nanoTime() - originNs) / 1_000;
     }
 
-    private void own() {
+    private void reportInlineServers() {
         for (int i = 0; i < settings.sources().size(); i++) {
             if (settings.sources().get(i).kind() == SourceDeclaration.Kind.ITSELF) {
                 membership.serversReported(i, settings.sources().get(i).inlineServers(), nowUs());
@@ -89,44 +89,44 @@
 
     /** Has operators' words on servers count from now on; {@link #overridesChanged} tells that they have changed. */
     public void setOverrides(ServerOverrides other) {
-        composer.setOverrides(other);
+        merger.setOverrides(other);
     }
 
     /** Operators' words have changed: they hold at once. */
     public void overridesChanged() {
-        if (node != null) {
-            settle();
+        if (listener != null) {
+            update();
         }
     }
 
     /** The servers as they are but for what operators say of each. */
     public List<Membership.Member> members() {
-        return composer.members();
+        return merger.members();
     }
 
     /** The servers that are known now. */
     public ServerList knownServers() {
-        return composer.fullList();
+        return merger.fullList();
     }
 
     /** Asks the sources from now on, and tells changes there. */
     public void start(Consumer<ServerList> to) {
-        node = to;
-        watch();
-        settle();
+        listener = to;
+        updateWatches();
+        update();
     }
 
     /** Has other sources be asked from now on. Rules of merging and checks stay as at the start. */
     public void reload(Standalone fresh) {
         settings = fresh;
         membership.reload(fresh.sources());
-        own();
-        watch();
-        settle();
+        reportInlineServers();
+        updateWatches();
+        update();
     }
 
     /** Watches the sources that are declared, and no others. */
-    private void watch() {
+    private void updateWatches() {
         List<SourceDeclaration> declared = settings.sources();
         for (SourceDeclaration old : List.copyOf(watches.keySet())) {
             if (!declared.contains(old)) {
@@ -135,34 +135,34 @@
         }
         for (SourceDeclaration source : declared) {
             if (source.kind() != SourceDeclaration.Kind.ITSELF && !watches.containsKey(source)) {
-                SourceListener listener = listener(source);
+                SourceListener listener = listenerFor(source);
                 watches.put(
                         source,
                         source.kind() == SourceDeclaration.Kind.FILE
-                                ? new FileWatch(source, files(), loop, listener)
+                                ? new FileWatch(source, fileThread(), loop, listener)
                                 : new NameWatch(source, loop, network, listener));
             }
         }
     }
 
-    private ScheduledExecutorService files() {
-        if (files == null) {
-            files = Executors.newSingleThreadScheduledExecutor(task -> {
+    private ScheduledExecutorService fileThread() {
+        if (fileThread == null) {
+            fileThread = Executors.newSingleThreadScheduledExecutor(task -> {
                 Thread thread = new Thread(task, "sources");
                 thread.setDaemon(true);
                 return thread;
             });
         }
-        return files;
+        return fileThread;
     }
 
     /** Its place may change with a reload, so it is looked up each time. */
-    private SourceListener listener(SourceDeclaration source) {
+    private SourceListener listenerFor(SourceDeclaration source) {
         return new SourceListener() {
             @Override
-            public void said(List<ReportedServer> servers) {
+            public void serversReported(List<ReportedServer> servers) {
                 int index = settings.sources().indexOf(source);
-                if (index >= 0 && !closed) {
+                if (index >= 0 && !isClosed) {
                     String trouble = membership.failure(index);
                     membership.serversReported(index, servers, nowUs());
                     if (servers.isEmpty() ? trouble.isEmpty() : !trouble.isEmpty()) {
@@ -174,14 +174,14 @@
                                         ? "names no server; what it said last holds for a while"
                                         : "is well again");
                     }
-                    soon();
+                    scheduleUpdate();
                 }
             }
 
             @Override
-            public void silent(String why) {
+            public void sourceFailed(String why) {
                 int index = settings.sources().indexOf(source);
-                if (index >= 0 && !closed) {
+                if (index >= 0 && !isClosed) {
                     if (membership.failure(index).isEmpty()) {
                         LOG.log(
                                 Level.WARNING,
@@ -190,7 +190,7 @@
                                 why);
                     }
                     membership.sourceFailed(index, why, nowUs());
-                    soon();
+                    scheduleUpdate();
                 }
             }
         };
@@ -203,8 +203,8 @@
                 && !drain.isEmpty()
                 && answer.headers() != null
                 && answer.headers().get(drain) != null) {
-            composer.reportDraining(serverId, nowUs());
-            soon();
+            merger.reportDraining(serverId, nowUs());
+            scheduleUpdate();
         }
         if (checks == null) {
             return;
@@ -213,12 +213,12 @@
             case OK -> checks.requestSucceeded(serverId, nowUs());
             case ERROR, RESET, CONNECT_FAILED -> {
                 checks.requestFailed(serverId, nowUs());
-                soon();
+                scheduleUpdate();
             }
             case TIMEOUT -> {
                 if (!stalled) {
                     checks.requestFailed(serverId, nowUs());
-                    soon();
+                    scheduleUpdate();
                 }
             }
             default -> {}
@@ -226,49 +226,49 @@
     }
 
     /** Settles in a moment, with all that comes until then. */
-    private void soon() {
-        schedule(nowUs() + GATHER_US);
+    private void scheduleUpdate() {
+        scheduleUpdateAt(nowUs() + UPDATE_DELAY_US);
     }
 
-    private void schedule(long atUs) {
-        if (closed || node == null || atUs >= nextUs) {
+    private void scheduleUpdateAt(long atUs) {
+        if (isClosed || listener == null || atUs >= nextUpdateUs) {
             return;
         }
-        if (next != null) {
-            next.cancel(false);
+        if (nextUpdate != null) {
+            nextUpdate.cancel(false);
         }
-        nextUs = atUs;
-        next = loop.schedule(
+        nextUpdateUs = atUs;
+        nextUpdate = loop.schedule(
                 () -> {
-                    nextUs = Long.MAX_VALUE;
-                    settle();
+                    nextUpdateUs = Long.MAX_VALUE;
+                    update();
                 },
                 Math.max(0, atUs - nowUs()),
                 TimeUnit.MICROSECONDS);
     }
 
-    private void settle() {
-        if (closed) {
+    private void update() {
+        if (isClosed) {
             return;
         }
         long now = nowUs();
-        List<ServerList.Target> changes = composer.pollChanges(now);
+        List<ServerList.Target> changes = merger.pollChanges(now);
         if (!changes.isEmpty()) {
-            log(changes);
-            changes.forEach(this::remember);
-            node.accept(new ServerList(0, false, changes));
+            logChanges(changes);
+            changes.forEach(this::rememberAddress);
+            listener.accept(new ServerList(0, false, changes));
         }
-        check(now);
-        long at = composer.nextUs(now);
-        if (checks != null && checking < MOST_CHECKS) {
-            at = Math.min(at, checks.nextUs(now));
+        startChecks(now);
+        long at = merger.nextUpdateUs(now);
+        if (checks != null && runningChecks < MAX_CONCURRENT_CHECKS) {
+            at = Math.min(at, checks.nextCheckUs(now));
         }
         if (at < Long.MAX_VALUE) {
-            schedule(Math.max(at, now + GATHER_US));
+            scheduleUpdateAt(Math.max(at, now + UPDATE_DELAY_US));
         }
     }
 
-    private void remember(ServerList.Target target) {
+    private void rememberAddress(ServerList.Target target) {
         if (target.state() == ServerState.GONE) {
             addresses.remove(target.id());
         } else {
@@ -276,24 +276,24 @@
         }
     }
 
-    private static void log(List<ServerList.Target> changes) {
+    private static void logChanges(List<ServerList.Target> changes) {
         List<String> words = new ArrayList<>();
-        for (ServerList.Target change : changes.subList(0, Math.min(MOST_LOGGED, changes.size()))) {
+        for (ServerList.Target change : changes.subList(0, Math.min(MAX_LOGGED_CHANGES, changes.size()))) {
             words.add(change.id() + " " + change.state().name().toLowerCase(Locale.ROOT));
         }
         LOG.log(
                 Level.INFO,
                 "servers: {0}{1}",
                 String.join(", ", words),
-                changes.size() > MOST_LOGGED ? " and " + (changes.size() - MOST_LOGGED) + " more" : "");
+                changes.size() > MAX_LOGGED_CHANGES ? " and " + (changes.size() - MAX_LOGGED_CHANGES) + " more" : "");
     }
 
-    private void check(long now) {
+    private void startChecks(long now) {
         if (checks == null) {
             return;
         }
-        for (String id : checks.dueChecks(now, MOST_CHECKS - checking)) {
-            checking++;
+        for (String id : checks.dueChecks(now, MAX_CONCURRENT_CHECKS - runningChecks)) {
+            runningChecks++;
             HealthCheck.start(
                     loop,
                     network,
@@ -301,9 +301,9 @@
                     settings.checks(),
                     settings.limits().requiredHeader(),
                     finding -> {
-                        checking--;
+                        runningChecks--;
                         checks.checkCompleted(id, finding, nowUs());
-                        soon();
+                        scheduleUpdate();
                     });
         }
     }
@@ -319,14 +319,14 @@
 
     @Override
     public void close() {
-        closed = true;
-        if (next != null) {
-            next.cancel(false);
+        isClosed = true;
+        if (nextUpdate != null) {
+            nextUpdate.cancel(false);
         }
         watches.values().forEach(SourceWatcher::close);
         watches.clear();
-        if (files != null) {
-            files.shutdownNow();
+        if (fileThread != null) {
+            fileThread.shutdownNow();
         }
     }
 }
--- a/src/main/java/vetchpost/standalone/Classifier.java
+++ b/src/main/java/vetchpost/standalone/Classifier.java
@@ -59,7 +59,7 @@
         }
         return tenantsByHost.isEmpty() || host == null
                 ? -1
-                : tenantsByHost.getOrDefault(nameOf(host).toLowerCase(Locale.ROOT), -1);
+                : tenantsByHost.getOrDefault(hostName(host).toLowerCase(Locale.ROOT), -1);
     }
 
     private static String pathOf(String target) {
@@ -68,7 +68,7 @@
     }
 
     /** A host without its port. */
-    static String nameOf(String host) {
+    static String hostName(String host) {
         int colon = host.lastIndexOf(':');
         return colon < 0 || host.endsWith("]") ? host : host.substring(0, colon);
     }
--- a/src/main/java/vetchpost/standalone/ReloadPlan.java
+++ b/src/main/java/vetchpost/standalone/ReloadPlan.java
@@ -15,12 +15,12 @@
     public static ReloadPlan between(Standalone before, Standalone now) {
         return new ReloadPlan(
                 !before.requestRules().equals(now.requestRules())
-                        || !told(before.settings()).equals(told(now.settings())),
+                        || !coreSettings(before.settings()).equals(coreSettings(now.settings())),
                 !before.listen().equals(now.listen()));
     }
 
     /** All of the settings that a file can change. */
-    private static List<Object> told(Settings set) {
+    private static List<Object> coreSettings(Settings set) {
         return List.of(
                 List.copyOf(set.classes),
                 List.copyOf(set.tenants),
@@ -28,8 +28,8 @@
                 set.connectTimeoutUs,
                 set.drainGraceUs,
                 set.coldUs,
-                set.coldFrom,
-                set.fallMultiple,
+                set.coldStartFraction,
+                set.coldOverloadMultiple,
                 set.allowsHedging,
                 set.maxRetryAfterUs,
                 set.nodes);
--- a/src/main/java/vetchpost/standalone/RequestRule.java
+++ b/src/main/java/vetchpost/standalone/RequestRule.java
@@ -15,7 +15,7 @@
     /** Of every request. */
     public static final RequestRule ANY = new RequestRule(Set.of(), List.of(), "");
 
-    private static final String REST = "/*";
+    private static final String PREFIX_WILDCARD = "/*";
 
     boolean matches(String method, String path, boolean hasHeader) {
         return (methods.isEmpty() || methods.contains(method))
@@ -24,10 +24,10 @@
     }
 
     private static boolean matches(String pattern, String path) {
-        if (!pattern.endsWith(REST)) {
+        if (!pattern.endsWith(PREFIX_WILDCARD)) {
             return path.equals(pattern);
         }
-        int length = pattern.length() - REST.length();
+        int length = pattern.length() - PREFIX_WILDCARD.length();
         return path.startsWith(pattern.substring(0, length)) && (path.length() == length || path.charAt(length) == '/');
     }
 
@@ -42,9 +42,10 @@
     }
 
     private boolean coversPath(String other) {
-        String example = other.endsWith(REST) ? other.substring(0, other.length() - 1) + "x" : other;
+        String example = other.endsWith(PREFIX_WILDCARD) ? other.substring(0, other.length() - 1) + "x" : other;
         return paths.stream()
                 .anyMatch(pattern -> pattern.equals(other)
-                        || matches(pattern, example) && (pattern.endsWith(REST) || !other.endsWith(REST)));
+                        || matches(pattern, example)
+                                && (pattern.endsWith(PREFIX_WILDCARD) || !other.endsWith(PREFIX_WILDCARD)));
     }
 }
--- a/src/main/java/vetchpost/standalone/ServerEntryReader.java
+++ b/src/main/java/vetchpost/standalone/ServerEntryReader.java
@@ -13,9 +13,9 @@
 /** Reads how files name servers: an address, or a table with more about it. */
 public final class ServerEntryReader {
     private static final List<String> KEYS = List.of("address", "addresses", "id", "weight", "zone", "state");
-    private static final double MOST_WEIGHT = 1e6;
-    private static final int MOST_ADDRESSES = 16;
-    private static final int MOST_ID = 256;
+    private static final double MAX_WEIGHT = 1e6;
+    private static final int MAX_ADDRESSES = 16;
+    private static final int MAX_ID_LENGTH = 256;
 
     private ServerEntryReader() {}
 
@@ -39,31 +39,31 @@
         }
         List<InetSocketAddress> addresses = new ArrayList<>();
         if (table.get("addresses") instanceof List<?> list) {
-            list.forEach(each -> addresses.add(parseAddress(text("addresses", each))));
+            list.forEach(each -> addresses.add(parseAddress(requireText("addresses", each))));
         }
         if (table.containsKey("address")) {
-            addresses.add(0, parseAddress(text("address", table.get("address"))));
+            addresses.add(0, parseAddress(requireText("address", table.get("address"))));
         }
-        if (addresses.isEmpty() || addresses.size() > MOST_ADDRESSES) {
-            throw new IllegalArgumentException("a server has from 1 to " + MOST_ADDRESSES + " addresses");
+        if (addresses.isEmpty() || addresses.size() > MAX_ADDRESSES) {
+            throw new IllegalArgumentException("a server has from 1 to " + MAX_ADDRESSES + " addresses");
         }
-        String id = table.containsKey("id") ? text("id", table.get("id")) : "";
-        if (id.length() > MOST_ID) {
-            throw new IllegalArgumentException("an id has up to " + MOST_ID + " characters");
+        String id = table.containsKey("id") ? requireText("id", table.get("id")) : "";
+        if (id.length() > MAX_ID_LENGTH) {
+            throw new IllegalArgumentException("an id has up to " + MAX_ID_LENGTH + " characters");
         }
         Object weight = table.containsKey("weight") ? table.get("weight") : Double.valueOf(1);
-        if (!(weight instanceof Number number) || !(number.doubleValue() > 0) || number.doubleValue() > MOST_WEIGHT) {
-            throw new IllegalArgumentException("weight = " + weight + " is no number from 0 on to " + MOST_WEIGHT);
+        if (!(weight instanceof Number number) || !(number.doubleValue() > 0) || number.doubleValue() > MAX_WEIGHT) {
+            throw new IllegalArgumentException("weight = " + weight + " is no number from 0 on to " + MAX_WEIGHT);
         }
         return new ReportedServer(
                 id,
                 List.copyOf(addresses),
-                state(table.get("state")),
+                parseState(table.get("state")),
                 number.doubleValue(),
-                table.containsKey("zone") ? text("zone", table.get("zone")) : "");
+                table.containsKey("zone") ? requireText("zone", table.get("zone")) : "");
     }
 
-    private static State state(Object value) {
+    private static State parseState(Object value) {
         if (value == null) {
             return State.READY;
         }
@@ -75,7 +75,7 @@
         throw new IllegalArgumentException("state is ready, draining or gone, not " + value);
     }
 
-    private static String text(String key, Object value) {
+    private static String requireText(String key, Object value) {
         if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
--- a/src/main/java/vetchpost/standalone/StandaloneValidator.java
+++ b/src/main/java/vetchpost/standalone/StandaloneValidator.java
@@ -33,7 +33,7 @@
  * named by somebody. It returns every violation, and does no I/O.
  */
 public final class StandaloneValidator {
-    private static final List<String> NODE = List.of(
+    private static final List<String> NODE_KEYS = List.of(
             "listen",
             "sockets",
             "seed",
@@ -51,10 +51,10 @@
             "upload-within",
             "tenant-header",
             "longest-advice");
-    private static final List<String> REQUESTS =
+    private static final List<String> CLASS_KEYS =
             List.of("repeat", "methods", "paths", "header", "deadline", "aim", "worth", "late-worth", "window");
-    private static final List<String> TENANT = List.of("share", "hosts");
-    private static final List<String> POOL = List.of(
+    private static final List<String> TENANT_KEYS = List.of("share", "hosts");
+    private static final List<String> POOL_KEYS = List.of(
             "servers",
             "attempts",
             "connect-timeout",
@@ -71,9 +71,9 @@
             "flaps",
             "calm",
             "absent");
-    private static final List<String> SOURCE =
+    private static final List<String> SOURCE_KEYS =
             List.of("name", "file", "dns", "srv", "port", "may", "every", "keep", "stale", "resolvers");
-    private static final List<String> CHECKS =
+    private static final List<String> CHECK_KEYS =
             List.of("path", "host", "status", "every", "within", "rise", "fall", "budget", "watchers", "most-out");
     private static final long MS = 1_000;
     private static final long SECOND = 1_000_000;
@@ -81,14 +81,14 @@
     private static final long DAY = 24 * HOUR;
     private static final int KIB = 1_024;
     private static final Set<String> SAFE_METHODS = Set.of("GET", "HEAD", "OPTIONS");
-    private static final String TOKEN = "[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}";
-    private static final String KEY = "Idempotency-Key";
+    private static final String TOKEN_PATTERN = "[A-Za-z0-9!#$%&'*+.^_`|~-]{1,64}";
+    private static final String DEFAULT_KEY_HEADER = "Idempotency-Key";
 
     private final List<Violation> violations = new ArrayList<>();
     private final Settings settings = new Settings();
-    private final List<RequestRule> rules = new ArrayList<>();
-    private final Map<String, Integer> hosts = new HashMap<>();
-    private final Map<String, Integer> names = new HashMap<>();
+    private final List<RequestRule> requestRules = new ArrayList<>();
+    private final Map<String, Integer> tenantsByHost = new HashMap<>();
+    private final Map<String, Integer> tenantsByName = new HashMap<>();
 
     /**
      * What the tables come to.
@@ -101,7 +101,7 @@
 
     /** The keys of each table, as the pages for operators name them. */
     static List<List<String>> keys() {
-        return List.of(NODE, REQUESTS, TENANT, POOL, SOURCE, CHECKS);
+        return List.of(NODE_KEYS, CLASS_KEYS, TENANT_KEYS, POOL_KEYS, SOURCE_KEYS, CHECK_KEYS);
     }
 
     /** Whether the file is meant to make a node by itself. */
@@ -112,23 +112,23 @@
     /** The same of one table. */
     public static boolean isStandaloneSection(Section section) {
         return switch (section.kind()) {
-            case NODE, REQUESTS, TENANT, POOL, SOURCE, CHECKS -> true;
+            case NODE, REQUEST_CLASS, TENANT, POOL, SOURCE, CHECKS -> true;
             default -> false;
         };
     }
 
     /** Looks at the tables of a file that are its affair. */
     public static Validation validate(List<Section> file) {
-        return new StandaloneValidator().read(file);
+        return new StandaloneValidator().validateFile(file);
     }
 
-    private Validation read(List<Section> file) {
-        Section node = first(file, Kind.NODE);
+    private Validation validateFile(List<Section> file) {
+        Section node = firstSection(file, Kind.NODE);
         if (node == null) {
             for (Section section : file) {
                 if (isStandaloneSection(section)) {
                     violations.add(new Violation(
-                            section.at(),
+                            section.position(),
                             section.name(),
                             Rule.INCOMPLETE,
                             "there is no table [node], without which this says nothing",
@@ -139,8 +139,8 @@
             return new Validation(null, List.copyOf(violations));
         }
         SectionReader own = new SectionReader(node, "node", violations);
-        own.rejectUnknownKeys(NODE);
-        InetSocketAddress listen = address(own, "listen", own.text("listen", null), true);
+        own.rejectUnknownKeys(NODE_KEYS);
+        InetSocketAddress listen = readAddress(own, "listen", own.text("listen", null), true);
         if (!own.has("listen")) {
             own.addViolation("listen", Rule.INCOMPLETE, "it does not say listen", "listen = \"127.0.0.1:8080\"");
         }
@@ -159,28 +159,28 @@
         settings.allowsCancellation = true;
         settings.allowsProbes = false;
         for (Section section : file) {
-            if (section.kind() == Kind.REQUESTS) {
-                requests(section);
+            if (section.kind() == Kind.REQUEST_CLASS) {
+                readRequestClass(section);
             }
         }
-        if (rules.isEmpty()) {
-            usual();
+        if (requestRules.isEmpty()) {
+            addDefaultClasses();
         }
-        reached(file, own);
+        checkCoverage(file, own);
         for (Section section : file) {
             if (section.kind() == Kind.TENANT) {
-                tenant(section);
+                readTenant(section);
             }
         }
-        Section pool = first(file, Kind.POOL);
+        Section pool = firstSection(file, Kind.POOL);
         SectionReader servers = new SectionReader(
-                pool == null ? new Section(Kind.POOL, "pool", node.at(), Map.of()) : pool, "pool", violations);
-        servers.rejectUnknownKeys(POOL);
-        WebLimits limits = limits(own, servers.text("expect-header", ""));
-        long idleUs = pool(servers);
-        List<SourceDeclaration> sources = sources(file, servers);
+                pool == null ? new Section(Kind.POOL, "pool", node.position(), Map.of()) : pool, "pool", violations);
+        servers.rejectUnknownKeys(POOL_KEYS);
+        WebLimits limits = readLimits(own, servers.text("expect-header", ""));
+        long idleUs = readPool(servers);
+        List<SourceDeclaration> sources = readSources(file, servers);
         boolean tried = servers.value("servers") instanceof List<?> named ? !named.isEmpty() : servers.has("servers");
-        if (sources.isEmpty() && !tried && first(file, Kind.SOURCE) == null) {
+        if (sources.isEmpty() && !tried && firstSection(file, Kind.SOURCE) == null) {
             servers.addViolation(
                     "servers",
                     Rule.INCOMPLETE,
@@ -193,11 +193,12 @@
                 servers.integer("flaps", 4, 2, 1_000),
                 servers.duration("calm", 60 * SECOND, SECOND, DAY),
                 servers.duration("absent", 5 * SECOND, 0, HOUR));
-        Section checking = first(file, Kind.CHECKS);
-        CheckRules checks = checking == null ? null : checks(new SectionReader(checking, "checks", violations), number);
+        Section checking = firstSection(file, Kind.CHECKS);
+        CheckRules checks =
+                checking == null ? null : readChecks(new SectionReader(checking, "checks", violations), number);
         String tenantHeader = own.text("tenant-header", "");
         String drainHeader = servers.text("drain-header", "");
-        long seed = seed(own);
+        long seed = readSeed(own);
         if (!violations.isEmpty()) {
             violations.sort((a, b) -> a.position().line() != b.position().line()
                     ? a.position().line() - b.position().line()
@@ -211,8 +212,8 @@
                         seed,
                         idleUs,
                         settings,
-                        List.copyOf(rules),
-                        new Classifier(rules, hosts, names, tenantHeader),
+                        List.copyOf(requestRules),
+                        new Classifier(requestRules, tenantsByHost, tenantsByName, tenantHeader),
                         limits,
                         sources,
                         merge,
@@ -221,11 +222,11 @@
                 List.of());
     }
 
-    private static Section first(List<Section> file, Kind kind) {
+    private static Section firstSection(List<Section> file, Kind kind) {
         return file.stream().filter(s -> s.kind() == kind).findFirst().orElse(null);
     }
 
-    private long seed(SectionReader own) {
+    private long readSeed(SectionReader own) {
         String seed = own.text("seed", null);
         if (seed == null) {
             return 0;
@@ -238,9 +239,9 @@
         return Long.parseUnsignedLong(seed, 16);
     }
 
-    private WebLimits limits(SectionReader own, String mark) {
+    private WebLimits readLimits(SectionReader own, String mark) {
         String name = own.text("name", "vetchpost");
-        if (!name.matches(TOKEN)) {
+        if (!name.matches(TOKEN_PATTERN)) {
             own.addViolation("name", Rule.OUT_OF_RANGE, "name is no token that Via could carry", "name = \"node-1\"");
         }
         String forwarded = own.choice("forwarded", "both", List.of("standard", "custom", "both", "none"));
@@ -263,25 +264,25 @@
     // ---------------------------------------------------------------- classes of requests
 
     /** What holds where the file names no class: what is safe by its method, and all the rest. */
-    private void usual() {
-        add(
+    private void addDefaultClasses() {
+        addClass(
                 new RequestRule(SAFE_METHODS, List.of(), ""),
                 new RequestClass(
                         "read", SECOND, 0, 30 * SECOND, 1, 0.5, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
-        add(
+        addClass(
                 RequestRule.ANY,
                 new RequestClass(
                         "write", SECOND, 0, 30 * SECOND, 1, 0.5, Idempotency.UNSAFE, DeduplicationScope.ALL, 0, false));
     }
 
-    private void add(RequestRule rule, RequestClass cls) {
-        rules.add(rule);
+    private void addClass(RequestRule rule, RequestClass cls) {
+        requestRules.add(rule);
         settings.classes.add(cls);
     }
 
-    private void requests(Section section) {
+    private void readRequestClass(Section section) {
         SectionReader own = new SectionReader(section, section.name(), violations);
-        own.rejectUnknownKeys(REQUESTS);
+        own.rejectUnknownKeys(CLASS_KEYS);
         String word = own.choice(
                 "repeat",
                 own.has("methods") && SAFE_METHODS.containsAll(own.texts("methods", List.of())) ? "safe" : "unsafe",
@@ -289,7 +290,7 @@
         Idempotency repeat = Idempotency.valueOf(word.toUpperCase(Locale.ROOT));
         Set<String> methods = new LinkedHashSet<>(own.texts("methods", List.of()));
         for (String method : methods) {
-            if (!method.matches(TOKEN) || !method.equals(method.toUpperCase(Locale.ROOT))) {
+            if (!method.matches(TOKEN_PATTERN) || !method.equals(method.toUpperCase(Locale.ROOT))) {
                 own.addViolation(
                         "methods",
                         Rule.BAD_PATTERN,
@@ -305,9 +306,10 @@
                         "paths", Rule.BAD_PATTERN, "\"" + path + "\" is no path", "\"/photos\" or \"/photos/*\"");
             }
         }
-        String header = own.text("header", repeat == Idempotency.KEYED ? KEY : "");
-        if (!header.isEmpty() && !header.matches(TOKEN)) {
-            own.addViolation("header", Rule.BAD_PATTERN, "header is no name of a field", "\"" + KEY + "\"");
+        String header = own.text("header", repeat == Idempotency.KEYED ? DEFAULT_KEY_HEADER : "");
+        if (!header.isEmpty() && !header.matches(TOKEN_PATTERN)) {
+            own.addViolation(
+                    "header", Rule.BAD_PATTERN, "header is no name of a field", "\"" + DEFAULT_KEY_HEADER + "\"");
         }
         if (repeat == Idempotency.KEYED && !own.has("window")) {
             own.addViolation(
@@ -347,7 +349,7 @@
                     "aim is over the deadline of " + SectionReader.formatDuration(deadline),
                     "aim = \"" + SectionReader.formatDuration(deadline) + "\"");
         }
-        add(
+        addClass(
                 new RequestRule(methods, paths, header),
                 new RequestClass(
                         section.name(),
@@ -363,14 +365,14 @@
     }
 
     /** Whether each class can be reached, and each request has one. */
-    private void reached(List<Section> file, SectionReader own) {
+    private void checkCoverage(List<Section> file, SectionReader own) {
         List<Section> classes =
-                file.stream().filter(s -> s.kind() == Kind.REQUESTS).toList();
+                file.stream().filter(s -> s.kind() == Kind.REQUEST_CLASS).toList();
         for (int i = 0; i < classes.size(); i++) {
             for (int j = 0; j < i; j++) {
-                if (rules.get(j).covers(rules.get(i))) {
+                if (requestRules.get(j).covers(requestRules.get(i))) {
                     violations.add(new Violation(
-                            classes.get(i).at(),
+                            classes.get(i).position(),
                             classes.get(i).name(),
                             Rule.UNREACHABLE,
                             "all its requests are of class " + classes.get(j).name() + ", which comes first",
@@ -379,7 +381,7 @@
                 }
             }
         }
-        if (rules.stream().noneMatch(r -> r.covers(RequestRule.ANY))) {
+        if (requestRules.stream().noneMatch(r -> r.covers(RequestRule.ANY))) {
             own.addViolation(
                     "listen",
                     Rule.INCOMPLETE,
@@ -388,14 +390,14 @@
         }
     }
 
-    private void tenant(Section section) {
+    private void readTenant(Section section) {
         SectionReader own = new SectionReader(section, section.name(), violations);
-        own.rejectUnknownKeys(TENANT);
+        own.rejectUnknownKeys(TENANT_KEYS);
         int index = settings.tenants.size();
         settings.tenants.add(new Tenant(section.name(), own.number("share", 0, 0, 1e9)));
-        names.put(section.name(), index);
+        tenantsByName.put(section.name(), index);
         for (String host : own.texts("hosts", List.of())) {
-            Integer before = hosts.putIfAbsent(Classifier.nameOf(host).toLowerCase(Locale.ROOT), index);
+            Integer before = tenantsByHost.putIfAbsent(Classifier.hostName(host).toLowerCase(Locale.ROOT), index);
             if (before != null) {
                 own.addViolation(
                         "hosts",
@@ -409,20 +411,20 @@
 
     // ---------------------------------------------------------------- servers
 
-    private long pool(SectionReader own) {
+    private long readPool(SectionReader own) {
         settings.maxAttempts = own.integer("attempts", 3, 1, 100);
         settings.connectTimeoutUs = own.duration("connect-timeout", 250 * MS, MS, 60 * SECOND);
         settings.drainGraceUs = own.duration("grace", SECOND, 10 * MS, HOUR);
         settings.coldUs = own.duration("cold", 20 * SECOND, 0, HOUR);
-        settings.coldFrom = own.number("cold-from", 0.2, 0.001, 1);
-        settings.fallMultiple = own.number("overload", 3, 1, 1_000);
+        settings.coldStartFraction = own.number("cold-from", 0.2, 0.001, 1);
+        settings.coldOverloadMultiple = own.number("overload", 3, 1, 1_000);
         settings.allowsHedging = own.flag("second-copies", true);
         return 2 * own.duration("idle", 5 * SECOND, 0, HOUR);
     }
 
-    private List<SourceDeclaration> sources(List<Section> file, SectionReader pool) {
+    private List<SourceDeclaration> readSources(List<Section> file, SectionReader pool) {
         List<SourceDeclaration> sources = new ArrayList<>();
-        List<ReportedServer> own = servers(pool);
+        List<ReportedServer> own = readServers(pool);
         if (!own.isEmpty()) {
             sources.add(new SourceDeclaration(
                     "file",
@@ -439,7 +441,7 @@
         Set<String> known = new HashSet<>(Set.of("file"));
         for (Section section : file) {
             if (section.kind() == Kind.SOURCE) {
-                SourceDeclaration declared = source(section, known);
+                SourceDeclaration declared = readSource(section, known);
                 if (declared != null) {
                     sources.add(declared);
                 }
@@ -448,9 +450,9 @@
         return sources;
     }
 
-    private SourceDeclaration source(Section section, Set<String> known) {
+    private SourceDeclaration readSource(Section section, Set<String> known) {
         SectionReader own = new SectionReader(section, "source", violations);
-        own.rejectUnknownKeys(SOURCE);
+        own.rejectUnknownKeys(SOURCE_KEYS);
         List<String> kinds =
                 List.of("file", "dns", "srv").stream().filter(own::has).toList();
         if (kinds.size() != 1) {
@@ -503,7 +505,7 @@
         }
         List<InetSocketAddress> resolvers = new ArrayList<>();
         for (String each : own.texts("resolvers", List.of())) {
-            InetSocketAddress address = address(own, "resolvers", each, false);
+            InetSocketAddress address = readAddress(own, "resolvers", each, false);
             if (address != null) {
                 resolvers.add(address);
             }
@@ -521,7 +523,7 @@
                 resolvers);
     }
 
-    private List<ReportedServer> servers(SectionReader pool) {
+    private List<ReportedServer> readServers(SectionReader pool) {
         Object value = pool.value("servers");
         if (value == null) {
             return List.of();
@@ -538,7 +540,7 @@
                     pool.addViolation(
                             "servers",
                             Rule.SAME_MATCH,
-                            ReportedServer.text(named.addresses().get(0)) + " is named twice",
+                            ReportedServer.formatAddress(named.addresses().get(0)) + " is named twice",
                             "each server once");
                 }
                 servers.add(named);
@@ -553,8 +555,8 @@
         return servers;
     }
 
-    private CheckRules checks(SectionReader own, int number) {
-        own.rejectUnknownKeys(CHECKS);
+    private CheckRules readChecks(SectionReader own, int number) {
+        own.rejectUnknownKeys(CHECK_KEYS);
         String path = own.text("path", "");
         if (!path.isEmpty() && !path.matches("/[\\x21-\\x7E]{0,255}")) {
             own.addViolation("path", Rule.BAD_PATTERN, "path = \"" + path + "\" is no path", "\"/healthy\"");
@@ -598,7 +600,7 @@
                 own.number("most-out", 0.5, 0, 1));
     }
 
-    private static InetSocketAddress address(SectionReader own, String key, String text, boolean anyPort) {
+    private static InetSocketAddress readAddress(SectionReader own, String key, String text, boolean anyPort) {
         if (text == null) {
             return null;
         }
--- a/src/main/java/vetchpost/state/PriorStatistics.java
+++ b/src/main/java/vetchpost/state/PriorStatistics.java
@@ -15,11 +15,11 @@
  */
 public final class PriorStatistics {
     /** A box that is ejected has failed as often as this in effect, whatever its last answers were. */
-    private static final int EJECTED_FAILURES = 4;
+    private static final int MIN_FAILURES_IF_EJECTED = 4;
     /** A box that is believed less is one of which nothing is known but its name. */
-    private static final double SURE = 0.9;
+    private static final double MIN_TRUSTED_CONFIDENCE = 0.9;
     /** Effects smaller than this change no draw; they are left out. */
-    private static final double NOTHING = 0.02;
+    private static final double MIN_EFFECT = 0.02;
 
     private PriorStatistics() {}
 
@@ -37,7 +37,7 @@
         classes.forEach(name -> index.put(name, index.size()));
         int[] places = new int[snapshot.classes().size()];
         List<PerClass> usual = new ArrayList<>();
-        double age = Confidence.after(nowMs - snapshot.origin().takenMs(), Confidence.LATENCY_HALF_MS);
+        double age = Confidence.afterAge(nowMs - snapshot.origin().takenMs(), Confidence.CLASS_LATENCY_HALF_LIFE_MS);
         for (int c = 0; c < places.length; c++) {
             ClassState state = snapshot.classes().get(c);
             places[c] = index.getOrDefault(state.name(), -1);
@@ -53,8 +53,8 @@
         List<PerServer> servers = new ArrayList<>();
         for (ServerRecord box : snapshot.servers()) {
             double trust = trustBoxes.getOrDefault(box.target().id(), 1.0);
-            PerServer prior = trust < SURE
-                    ? unsure(box, trust, classes.size())
+            PerServer prior = trust < MIN_TRUSTED_CONFIDENCE
+                    ? unconfirmed(box, trust, classes.size())
                     : box.statistics() == null || !trustHealth ? null : prior(box, nowMs, places, classes.size());
             if (prior != null) {
                 servers.add(prior);
@@ -65,11 +65,11 @@
 
     /** Of one box that has said who it is, and of which nothing newer is known; {@code trust} as above. */
     public static ServerStatistics ofUnconfirmed(ServerRecord box, int classes, double trust) {
-        return new ServerStatistics(List.of(unsure(box, trust, classes)), List.of(), 0, 0, false);
+        return new ServerStatistics(List.of(unconfirmed(box, trust, classes)), List.of(), 0, 0, false);
     }
 
     /** Nothing of its health counts: somebody else may be there by now. It begins with little. */
-    private static PerServer unsure(ServerRecord box, double trust, int classes) {
+    private static PerServer unconfirmed(ServerRecord box, double trust, int classes) {
         return new PerServer(
                 box.target().id(),
                 1_000 * box.target().bootMs(),
@@ -90,16 +90,19 @@
         // What a box did counts from its last answer: a snapshot that repeats old news is no newer for it.
         long heardMs = Math.min(box.statisticsMs(), known.lastAnswerAtUs() / 1_000);
         long ageMs = nowMs - heardMs;
-        double evidence = Confidence.ofEvidence(known.attemptCount());
-        double health = evidence * Confidence.after(ageMs, Confidence.HEALTH_HALF_MS);
-        double pace = evidence * Confidence.after(ageMs, Confidence.PACE_HALF_MS);
-        int answers = (int) (known.attemptCount() * Confidence.after(ageMs, Confidence.PACE_HALF_MS));
-        if (answers == 0 || Math.max(health, pace) < NOTHING) {
+        double evidence = Confidence.ofSampleCount(known.attemptCount());
+        double health = evidence * Confidence.afterAge(ageMs, Confidence.HEALTH_HALF_LIFE_MS);
+        double pace = evidence * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS);
+        int answers =
+                (int) (known.attemptCount() * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS));
+        if (answers == 0 || Math.max(health, pace) < MIN_EFFECT) {
             return null;
         }
-        int failures = known.ejected() ? Math.max(EJECTED_FAILURES, known.recentFailures()) : known.recentFailures();
-        int errors =
-                known.ejected() ? Math.max(EJECTED_FAILURES, known.consecutiveErrors()) : known.consecutiveErrors();
+        int failures =
+                known.ejected() ? Math.max(MIN_FAILURES_IF_EJECTED, known.recentFailures()) : known.recentFailures();
+        int errors = known.ejected()
+                ? Math.max(MIN_FAILURES_IF_EJECTED, known.consecutiveErrors())
+                : known.consecutiveErrors();
         int[] misses = new int[classes];
         for (int c = 0; c < Math.min(places.length, known.classFailureStreaks().size()); c++) {
             if (places[c] >= 0) {
--- a/src/main/java/vetchpost/state/RestoredState.java
+++ b/src/main/java/vetchpost/state/RestoredState.java
@@ -39,11 +39,12 @@
      */
     public static double confidence(ServerRecord box, long nowMs, Rules rules) {
         long ageMs = nowMs - box.confirmedMs();
-        return Confidence.ofBox(ageMs, rules.serverLifetimeMs()) * Confidence.after(ageMs, Confidence.PACE_HALF_MS);
+        return Confidence.ofServer(ageMs, rules.serverLifetimeMs())
+                * Confidence.afterAge(ageMs, Confidence.RELATIVE_LATENCY_HALF_LIFE_MS);
     }
 
     /** No box at an address that another one's entry, at least as new, holds too. */
-    private static List<ServerRecord> settled(Snapshot snapshot) {
+    private static List<ServerRecord> newestPerAddress(Snapshot snapshot) {
         Map<Object, ServerRecord> holders = new LinkedHashMap<>();
         for (ServerRecord box : snapshot.servers()) {
             if (box.target().state() == ServerState.READY) {
@@ -76,13 +77,13 @@
                 && listed.revision() >= snapshot.origin().revision();
         Map<String, Double> confidence = new HashMap<>();
         int dropped = 0;
-        for (ServerRecord box : settled(snapshot)) {
+        for (ServerRecord box : newestPerAddress(snapshot)) {
             Target target = box.target();
             long ageMs = nowMs - box.confirmedMs();
             if (ids.contains(target.id())) {
                 continue;
             }
-            double sure = Confidence.ofBox(ageMs, rules.serverLifetimeMs());
+            double sure = Confidence.ofServer(ageMs, rules.serverLifetimeMs());
             if (isOutdated || addresses.contains(target.address())) {
                 dropped++;
             } else if (sure > 0 && ageMs <= rules.addressReuseMs()) {
--- a/src/main/java/vetchpost/state/SelfFault.java
+++ b/src/main/java/vetchpost/state/SelfFault.java
@@ -13,14 +13,14 @@
     /** It says that it knows things from the future. */
     FUTURE("its clock is ahead");
 
-    private final String words;
+    private final String description;
 
     SelfFault(String words) {
-        this.words = words;
+        this.description = words;
     }
 
     /** For a line of the log, after the name of the node. */
-    public String words() {
-        return words;
+    public String description() {
+        return description;
     }
 }
--- a/src/main/java/vetchpost/state/SelfFaultDetector.java
+++ b/src/main/java/vetchpost/state/SelfFaultDetector.java
@@ -14,13 +14,13 @@
  */
 public final class SelfFaultDetector {
     /** A node learns for so long before its knowledge is more than chance: as long as a box stays cold. */
-    static final long JUST_STARTED_MS = 20_000;
+    static final long MIN_UPTIME_MS = 20_000;
     /** A loop this far behind has been at it for several beats. */
-    static final long STALLED_US = 100_000;
+    static final long MIN_STALLED_DELAY_US = 100_000;
     /** Failures among the last 16 from which on a box counts as ill; the module ejects at as many. */
-    private static final int ILL_FAILURES = 4;
+    private static final int MIN_RECENT_FAILURES = 4;
     /** Failures in a row that say the same. */
-    private static final int ILL_ERRORS = 3;
+    private static final int MIN_CONSECUTIVE_ERRORS = 3;
 
     private SelfFaultDetector() {}
 
@@ -38,10 +38,10 @@
         if (knowledge.throttled()) {
             troubles.add(SelfFault.THROTTLED);
         }
-        if (stallUs >= STALLED_US) {
+        if (stallUs >= MIN_STALLED_DELAY_US) {
             troubles.add(SelfFault.STALLED);
         }
-        if (upMs < JUST_STARTED_MS) {
+        if (upMs < MIN_UPTIME_MS) {
             troubles.add(SelfFault.JUST_STARTED);
         }
         return troubles;
@@ -51,33 +51,33 @@
     public static Set<SelfFault> inSnapshot(Snapshot snapshot, long nowMs) {
         EnumSet<SelfFault> troubles = EnumSet.noneOf(SelfFault.class);
         troubles.addAll(snapshot.origin().selfFaults());
-        if (snapshot.origin().takenMs() > nowMs + Confidence.SKEW_MS
-                || snapshot.origin().startedMs() > snapshot.origin().takenMs() + Confidence.SKEW_MS) {
+        if (snapshot.origin().takenMs() > nowMs + Confidence.MAX_CLOCK_SKEW_MS
+                || snapshot.origin().startedMs() > snapshot.origin().takenMs() + Confidence.MAX_CLOCK_SKEW_MS) {
             troubles.add(SelfFault.FUTURE);
         }
-        if (areMostIll(snapshot.servers())) {
+        if (areMostFailing(snapshot.servers())) {
             troubles.add(SelfFault.MOST_SERVERS_FAILING);
         }
         return troubles;
     }
 
     /** Were they believed, too few would be left: half of those of which anything is known, or more. */
-    private static boolean areMostIll(List<ServerRecord> boxes) {
+    private static boolean areMostFailing(List<ServerRecord> boxes) {
         int known = 0;
         int ill = 0;
         for (ServerRecord box : boxes) {
             PerServer knowledge = box.statistics();
             if (knowledge != null && knowledge.attemptCount() > 0) {
                 known++;
-                ill += isIll(knowledge) ? 1 : 0;
+                ill += isFailing(knowledge) ? 1 : 0;
             }
         }
         return ill > 0 && 2 * ill >= known;
     }
 
-    static boolean isIll(PerServer knowledge) {
+    static boolean isFailing(PerServer knowledge) {
         return knowledge.ejected()
-                || knowledge.recentFailures() >= ILL_FAILURES
-                || knowledge.consecutiveErrors() >= ILL_ERRORS;
+                || knowledge.recentFailures() >= MIN_RECENT_FAILURES
+                || knowledge.consecutiveErrors() >= MIN_CONSECUTIVE_ERRORS;
     }
 }
--- a/src/main/java/vetchpost/state/codec/ChunkAssembler.java
+++ b/src/main/java/vetchpost/state/codec/ChunkAssembler.java
@@ -13,12 +13,12 @@
 
 /** Puts the pieces of one snapshot together, as far as they have come. */
 public final class ChunkAssembler {
-    private final List<ServerRecord> boxes = new ArrayList<>();
+    private final List<ServerRecord> servers = new ArrayList<>();
     private final Set<String> ids = new HashSet<>();
-    private final BitSet numbers = new BitSet();
+    private final BitSet receivedNumbers = new BitSet();
     private SnapshotOrigin origin;
     private List<ClassState> classes = List.of();
-    private int pieces;
+    private int chunkCount;
 
     /**
      * Takes a piece in.
@@ -29,14 +29,14 @@
     public void add(Chunk piece) throws MalformedSnapshotException {
         if (origin != null
                 && (!origin.equals(piece.content().origin())
-                        || pieces != piece.chunkCount()
+                        || chunkCount != piece.chunkCount()
                         || !classes.equals(piece.content().classes()))) {
             throw new MalformedSnapshotException("pieces of two snapshots");
         }
-        if (numbers.get(piece.number())) {
+        if (receivedNumbers.get(piece.number())) {
             throw new MalformedSnapshotException("piece " + piece.number() + " twice");
         }
-        if (boxes.size() + piece.content().servers().size() > Snapshot.MAX_SERVERS) {
+        if (servers.size() + piece.content().servers().size() > Snapshot.MAX_SERVERS) {
             throw new MalformedSnapshotException("over " + Snapshot.MAX_SERVERS + " boxes");
         }
         Set<String> fresh = new HashSet<>();
@@ -47,19 +47,19 @@
         }
         origin = piece.content().origin();
         classes = piece.content().classes();
-        pieces = piece.chunkCount();
-        numbers.set(piece.number());
+        chunkCount = piece.chunkCount();
+        receivedNumbers.set(piece.number());
         ids.addAll(fresh);
-        boxes.addAll(piece.content().servers());
+        servers.addAll(piece.content().servers());
     }
 
     /** Whether all pieces are there. */
     public boolean isComplete() {
-        return origin != null && numbers.cardinality() == pieces;
+        return origin != null && receivedNumbers.cardinality() == chunkCount;
     }
 
     /** What has come so far; null if nothing has. */
     public Snapshot snapshot() {
-        return origin == null ? null : new Snapshot(origin, classes, boxes);
+        return origin == null ? null : new Snapshot(origin, classes, servers);
     }
 }
--- a/src/main/java/vetchpost/state/codec/ChunkCodec.java
+++ b/src/main/java/vetchpost/state/codec/ChunkCodec.java
@@ -36,20 +36,20 @@
     /** Boxes in a piece as this writes it: under half of its bytes with names of usual lengths. */
     public static final int SERVERS_PER_CHUNK = 100;
 
-    private static final int MOST_NAME = 256;
-    private static final int MOST_TROUBLES = 16;
+    private static final int MAX_NAME_BYTES = 256;
+    private static final int MAX_SELF_FAULTS = 16;
 
     // Fields of a piece.
     private static final int P_VERSION = 1;
     private static final int P_SNAPSHOT = 2;
     private static final int P_NUMBER = 3;
-    private static final int P_PIECES = 4;
+    private static final int P_CHUNKS = 4;
     private static final int P_TAKEN = 5;
     private static final int P_STARTED = 6;
     private static final int P_REVISION = 7;
-    private static final int P_TROUBLE = 8;
+    private static final int P_SELF_FAULT = 8;
     private static final int P_CLASS = 9;
-    private static final int P_BOX = 10;
+    private static final int P_SERVER = 10;
 
     private ChunkCodec() {}
 
@@ -76,18 +76,18 @@
             out.writeUInt32(P_VERSION, VERSION);
             out.writeFixed64(P_SNAPSHOT, origin.id());
             out.writeUInt32(P_NUMBER, number);
-            out.writeUInt32(P_PIECES, pieces);
+            out.writeUInt32(P_CHUNKS, pieces);
             out.writeInt64(P_TAKEN, origin.takenMs());
             out.writeInt64(P_STARTED, origin.startedMs());
             out.writeInt64(P_REVISION, origin.revision());
             for (SelfFault trouble : origin.selfFaults()) {
-                out.writeUInt32(P_TROUBLE, trouble.ordinal());
+                out.writeUInt32(P_SELF_FAULT, trouble.ordinal());
             }
             for (ClassState state : classes) {
-                out.writeByteArray(P_CLASS, bytes(state));
+                out.writeByteArray(P_CLASS, encode(state));
             }
             for (ServerRecord box : boxes) {
-                out.writeByteArray(P_BOX, bytes(box));
+                out.writeByteArray(P_SERVER, encode(box));
             }
             out.flush();
         } catch (IOException e) {
@@ -96,7 +96,7 @@
         return bytes.toByteArray();
     }
 
-    private static byte[] bytes(ClassState state) throws IOException {
+    private static byte[] encode(ClassState state) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes, 64);
         out.writeString(1, state.name());
@@ -107,7 +107,7 @@
         return bytes.toByteArray();
     }
 
-    private static byte[] bytes(ServerRecord box) throws IOException {
+    private static byte[] encode(ServerRecord box) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(160);
         CodedOutputStream out = CodedOutputStream.newInstance(bytes, 160);
         Target target = box.target();
@@ -154,13 +154,13 @@
                     "a piece of " + bytes.length + " bytes; " + MAX_CHUNK_BYTES + " at most");
         }
         try {
-            return piece(CodedInputStream.newInstance(bytes));
+            return readChunk(CodedInputStream.newInstance(bytes));
         } catch (IOException e) {
             throw new MalformedSnapshotException("not a piece of a snapshot: " + e.getMessage());
         }
     }
 
-    private static Chunk piece(CodedInputStream in) throws IOException, MalformedSnapshotException {
+    private static Chunk readChunk(CodedInputStream in) throws IOException, MalformedSnapshotException {
         int version = 0;
         long id = 0;
         int number = -1;
@@ -184,13 +184,13 @@
                 }
                 case P_SNAPSHOT << 3 | 1 -> id = in.readFixed64();
                 case P_NUMBER << 3 -> number = in.readUInt32();
-                case P_PIECES << 3 -> pieces = in.readUInt32();
+                case P_CHUNKS << 3 -> pieces = in.readUInt32();
                 case P_TAKEN << 3 -> taken = in.readInt64();
                 case P_STARTED << 3 -> started = in.readInt64();
                 case P_REVISION << 3 -> revision = in.readInt64();
-                case P_TROUBLE << 3 -> {
+                case P_SELF_FAULT << 3 -> {
                     int trouble = in.readUInt32();
-                    check(++said <= MOST_TROUBLES, "too many troubles");
+                    check(++said <= MAX_SELF_FAULTS, "too many troubles");
                     // One that this version doesn't know is still a trouble.
                     troubles.add(
                             trouble >= 0 && trouble < SelfFault.values().length
@@ -200,15 +200,15 @@
                 case P_CLASS << 3 | 2 -> {
                     check(classes.size() < Snapshot.MAX_CLASSES, "too many classes");
                     int limit = in.pushLimit(in.readRawVarint32());
-                    classes.add(cls(in));
+                    classes.add(readClass(in));
                     in.popLimit(limit);
                 }
-                case P_BOX << 3 | 2 -> {
+                case P_SERVER << 3 | 2 -> {
                     int limit = in.pushLimit(in.readRawVarint32());
-                    boxes.add(box(in));
+                    boxes.add(readServer(in));
                     in.popLimit(limit);
                 }
-                default -> skip(in, tag);
+                default -> skipField(in, tag);
             }
         }
         check(version == VERSION, "no version");
@@ -222,25 +222,25 @@
                 new Snapshot(new SnapshotOrigin(id, taken, started, revision, troubles), classes, boxes));
     }
 
-    private static ClassState cls(CodedInputStream in) throws IOException, MalformedSnapshotException {
+    private static ClassState readClass(CodedInputStream in) throws IOException, MalformedSnapshotException {
         String name = null;
         int answers = 0;
         double latency = 0;
         double least = 0;
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (tag) {
-                case 1 << 3 | 2 -> name = name(in);
-                case 2 << 3 -> answers = count(in);
-                case 3 << 3 | 1 -> latency = figure(in);
-                case 4 << 3 | 1 -> least = figure(in);
-                default -> skip(in, tag);
+                case 1 << 3 | 2 -> name = readName(in);
+                case 2 << 3 -> answers = readCount(in);
+                case 3 << 3 | 1 -> latency = readFigure(in);
+                case 4 << 3 | 1 -> least = readFigure(in);
+                default -> skipField(in, tag);
             }
         }
         check(name != null && !name.isEmpty(), "a class without a name");
         return new ClassState(name, answers, latency, least);
     }
 
-    private static ServerRecord box(CodedInputStream in) throws IOException, MalformedSnapshotException {
+    private static ServerRecord readServer(CodedInputStream in) throws IOException, MalformedSnapshotException {
         String id = null;
         byte[] host = null;
         int port = 0;
@@ -264,31 +264,31 @@
         List<Integer> misses = new ArrayList<>(4);
         for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
             switch (tag) {
-                case 1 << 3 | 2 -> id = name(in);
+                case 1 << 3 | 2 -> id = readName(in);
                 case 2 << 3 | 2 -> host = in.readByteArray();
                 case 3 << 3 -> port = in.readUInt32();
-                case 4 << 3 | 2 -> zone = name(in);
+                case 4 << 3 | 2 -> zone = readName(in);
                 case 5 << 3 -> cell = in.readSInt32();
                 case 6 << 3 -> state = in.readUInt32();
-                case 7 << 3 | 1 -> weight = figure(in);
-                case 8 << 3 -> boot = time(in);
-                case 9 << 3 -> confirmed = time(in);
+                case 7 << 3 | 1 -> weight = readFigure(in);
+                case 8 << 3 -> boot = readTime(in);
+                case 9 << 3 -> confirmed = readTime(in);
                 case 10 << 3 -> by = in.readUInt32();
-                case 11 << 3 -> known = time(in);
-                case 12 << 3 -> answers = count(in);
-                case 13 << 3 -> heard = time(in);
-                case 14 << 3 -> served = time(in);
-                case 15 << 3 -> errors = count(in);
-                case 16 << 3 -> failures = count(in);
-                case 17 << 3 | 1 -> faults = figure(in);
-                case 18 << 3 | 1 -> pace = figure(in);
-                case 19 << 3 | 1 -> limit = figure(in);
+                case 11 << 3 -> known = readTime(in);
+                case 12 << 3 -> answers = readCount(in);
+                case 13 << 3 -> heard = readTime(in);
+                case 14 << 3 -> served = readTime(in);
+                case 15 << 3 -> errors = readCount(in);
+                case 16 << 3 -> failures = readCount(in);
+                case 17 << 3 | 1 -> faults = readFigure(in);
+                case 18 << 3 | 1 -> pace = readFigure(in);
+                case 19 << 3 | 1 -> limit = readFigure(in);
                 case 20 << 3 -> ejected = in.readBool();
                 case 21 << 3 -> {
                     check(misses.size() < Snapshot.MAX_CLASSES, "too many classes");
-                    misses.add(count(in));
+                    misses.add(readCount(in));
                 }
-                default -> skip(in, tag);
+                default -> skipField(in, tag);
             }
         }
         check(id != null && !id.isEmpty(), "a box without a name");
@@ -330,36 +330,36 @@
                                 misses));
     }
 
-    private static String name(CodedInputStream in) throws IOException, MalformedSnapshotException {
+    private static String readName(CodedInputStream in) throws IOException, MalformedSnapshotException {
         int length = in.readRawVarint32();
-        check(length >= 0 && length <= MOST_NAME, "a name of " + length + " bytes");
+        check(length >= 0 && length <= MAX_NAME_BYTES, "a name of " + length + " bytes");
         byte[] bytes = in.readRawBytes(length);
         String name = new String(bytes, StandardCharsets.UTF_8);
         check(name.chars().noneMatch(c -> c < ' ' || c == 0xFFFD || c == 0x7F), "a name that is no text");
         return name;
     }
 
-    private static int count(CodedInputStream in) throws IOException, MalformedSnapshotException {
+    private static int readCount(CodedInputStream in) throws IOException, MalformedSnapshotException {
         int count = in.readUInt32();
         check(count >= 0, "a count out of range");
         return count;
     }
 
     /** Finite and not negative. */
-    private static double figure(CodedInputStream in) throws IOException, MalformedSnapshotException {
+    private static double readFigure(CodedInputStream in) throws IOException, MalformedSnapshotException {
         double figure = in.readDouble();
         check(figure >= 0 && figure < Double.POSITIVE_INFINITY, "a figure out of range");
         return figure;
     }
 
     /** Milliseconds or microseconds, so far from the ends that neither overflows when converted. */
-    private static long time(CodedInputStream in) throws IOException, MalformedSnapshotException {
+    private static long readTime(CodedInputStream in) throws IOException, MalformedSnapshotException {
         long time = in.readInt64();
         check(time >= 0 && time < 1L << 53, "a time out of range");
         return time;
     }
 
-    private static void skip(CodedInputStream in, int tag) throws IOException, MalformedSnapshotException {
+    private static void skipField(CodedInputStream in, int tag) throws IOException, MalformedSnapshotException {
         // Groups nest; no version writes any.
         check(WireFormat.getTagWireType(tag) != WireFormat.WIRETYPE_START_GROUP && in.skipField(tag), "a group");
     }
--- a/src/main/java/vetchpost/state/disk/ChunkFile.java
+++ b/src/main/java/vetchpost/state/disk/ChunkFile.java
@@ -19,11 +19,11 @@
 public final class ChunkFile {
     private final Disk disk;
     private final Path file;
-    private final Path older;
-    private final Path fresh;
+    private final Path previousFile;
+    private final Path newFile;
     private final byte[] magic;
-    private final long most;
-    private volatile boolean spoilt;
+    private final long maxBytes;
+    private volatile boolean isCurrentCorrupt;
 
     /** Makes something of a file's pieces. */
     public interface Parser<T> {
@@ -44,10 +44,10 @@
     ChunkFile(Disk disk, Path file, byte[] magic, long most) {
         this.disk = disk;
         this.file = file.toAbsolutePath();
-        older = this.file.resolveSibling(this.file.getFileName() + ".old");
-        fresh = this.file.resolveSibling(this.file.getFileName() + ".new");
+        previousFile = this.file.resolveSibling(this.file.getFileName() + ".old");
+        newFile = this.file.resolveSibling(this.file.getFileName() + ".new");
         this.magic = magic.clone();
-        this.most = most;
+        this.maxBytes = most;
     }
 
     /**
@@ -58,31 +58,31 @@
     public long write(List<byte[]> pieces) throws IOException {
         long length = 0;
         CRC32C whole = new CRC32C();
-        try (Disk.Sink sink = disk.create(fresh)) {
-            length += put(sink, whole, ByteBuffer.wrap(magic));
+        try (Disk.Sink sink = disk.create(newFile)) {
+            length += append(sink, whole, ByteBuffer.wrap(magic));
             for (byte[] piece : pieces) {
                 ByteBuffer frame = ByteBuffer.allocate(4 + piece.length)
                         .putInt(piece.length)
                         .put(piece)
                         .flip();
-                length += put(sink, whole, frame);
+                length += append(sink, whole, frame);
             }
-            length += put(sink, whole, ByteBuffer.allocate(4));
+            length += append(sink, whole, ByteBuffer.allocate(4));
             sink.write(ByteBuffer.allocate(4).putInt((int) whole.getValue()).flip());
             length += 4;
             sink.force();
         }
         // What was found spoilt must not take the place of the one that was read instead.
-        if (disk.exists(file) && !spoilt) {
-            disk.move(file, older);
+        if (disk.exists(file) && !isCurrentCorrupt) {
+            disk.move(file, previousFile);
         }
-        disk.move(fresh, file);
-        spoilt = false;
-        disk.forceFolder(file.getParent());
+        disk.move(newFile, file);
+        isCurrentCorrupt = false;
+        disk.forceDirectory(file.getParent());
         return length;
     }
 
-    private static int put(Disk.Sink sink, CRC32C whole, ByteBuffer bytes) throws IOException {
+    private static int append(Disk.Sink sink, CRC32C whole, ByteBuffer bytes) throws IOException {
         whole.update(bytes.duplicate());
         int length = bytes.remaining();
         sink.write(bytes);
@@ -95,13 +95,13 @@
      * @param refused hears in one line of each file that is there and can't be used
      */
     public <T> T read(Parser<T> parser, Consumer<String> refused) {
-        spoilt = false;
-        for (Path path : new Path[] {file, older}) {
+        isCurrentCorrupt = false;
+        for (Path path : new Path[] {file, previousFile}) {
             if (disk.exists(path)) {
                 try {
-                    return parser.parse(pieces(disk.read(path, most), magic));
+                    return parser.parse(parseChunks(disk.read(path, maxBytes), magic));
                 } catch (IOException | MalformedSnapshotException e) {
-                    spoilt |= path == file;
+                    isCurrentCorrupt |= path == file;
                     refused.accept(path + " is passed over: " + e.getMessage());
                 }
             }
@@ -110,7 +110,7 @@
     }
 
     /** The pieces in the bytes of a file. */
-    static List<byte[]> pieces(byte[] bytes, byte[] magic) throws MalformedSnapshotException {
+    static List<byte[]> parseChunks(byte[] bytes, byte[] magic) throws MalformedSnapshotException {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         byte[] begin = new byte[magic.length];
         check(in.remaining() >= begin.length, "too short for a snapshot");
--- a/src/main/java/vetchpost/state/disk/Disk.java
+++ b/src/main/java/vetchpost/state/disk/Disk.java
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public void forceFolder(Path folder) throws IOException {
+        public void forceDirectory(Path folder) throws IOException {
             try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
                 channel.force(true);
             }
@@ -91,7 +91,7 @@
     void move(Path from, Path to) throws IOException;
 
     /** Names in it are on the disk once this returns. */
-    void forceFolder(Path folder) throws IOException;
+    void forceDirectory(Path folder) throws IOException;
 
     boolean exists(Path file);
 
--- a/src/main/java/vetchpost/state/disk/StateFile.java
+++ b/src/main/java/vetchpost/state/disk/StateFile.java
@@ -15,11 +15,11 @@
     /** The bytes a file begins with; the last is the format's version, that of pieces is theirs. */
     private static final byte[] MAGIC = "VPSTATE1".getBytes(StandardCharsets.US_ASCII);
     /** 100,000 boxes take under 24 MiB. */
-    static final long MAX_BYTES = 32L << 20;
+    static final long MAX_FILE_BYTES = 32L << 20;
 
-    private static final long SKEW_MS = 5_000;
+    private static final long MAX_CLOCK_SKEW_MS = 5_000;
 
-    private final ChunkFile pieces;
+    private final ChunkFile chunkFile;
 
     /** In this file, and two more whose names begin with its. */
     public StateFile(Path file) {
@@ -27,7 +27,7 @@
     }
 
     StateFile(Disk disk, Path file) {
-        pieces = new ChunkFile(disk, file, MAGIC, MAX_BYTES);
+        chunkFile = new ChunkFile(disk, file, MAGIC, MAX_FILE_BYTES);
     }
 
     /**
@@ -36,7 +36,7 @@
      * @return its length in bytes
      */
     public long write(List<byte[]> all) throws IOException {
-        return pieces.write(all);
+        return chunkFile.write(all);
     }
 
     /**
@@ -46,10 +46,10 @@
      * @param refused hears in one line of each file that is there and can't be used
      */
     public Snapshot read(long nowMs, Consumer<String> refused) {
-        return pieces.read(
+        return chunkFile.read(
                 all -> {
-                    Snapshot snapshot = assembled(all);
-                    if (snapshot.origin().takenMs() > nowMs + SKEW_MS) {
+                    Snapshot snapshot = assemble(all);
+                    if (snapshot.origin().takenMs() > nowMs + MAX_CLOCK_SKEW_MS) {
                         throw new MalformedSnapshotException("it is from the future, or the clock is wrong");
                     }
                     return snapshot;
@@ -59,10 +59,10 @@
 
     /** Reads the bytes of a file. */
     static Snapshot parse(byte[] bytes) throws MalformedSnapshotException {
-        return assembled(ChunkFile.pieces(bytes, MAGIC));
+        return assemble(ChunkFile.parseChunks(bytes, MAGIC));
     }
 
-    private static Snapshot assembled(List<byte[]> all) throws MalformedSnapshotException {
+    private static Snapshot assemble(List<byte[]> all) throws MalformedSnapshotException {
         ChunkAssembler assembly = new ChunkAssembler();
         for (byte[] piece : all) {
             assembly.add(ChunkCodec.read(piece));
--- a/src/main/java/vetchpost/store/EntryKey.java
+++ b/src/main/java/vetchpost/store/EntryKey.java
@@ -9,11 +9,11 @@
  * @param name up to 2 KiB of UTF-8
  */
 public record EntryKey(EntryKind kind, String name) {
-    private static final int MOST = 2_048;
+    private static final int MAX_NAME_CHARS = 2_048;
 
     /** @throws IllegalArgumentException if the name is too long */
     public EntryKey {
-        if (name.length() > MOST) {
+        if (name.length() > MAX_NAME_CHARS) {
             throw new IllegalArgumentException("a name of " + name.length() + " characters");
         }
     }
@@ -29,7 +29,7 @@
 
     /** @throws IllegalArgumentException if these bytes are no key's */
     public static EntryKey of(byte[] bytes) {
-        EntryKind kind = bytes.length == 0 ? null : EntryKind.at(bytes[0] - 1);
+        EntryKind kind = bytes.length == 0 ? null : EntryKind.ofOrdinal(bytes[0] - 1);
         if (kind == null) {
             throw new IllegalArgumentException("no key: " + Arrays.toString(Arrays.copyOf(bytes, 1)));
         }
--- a/src/main/java/vetchpost/store/EntryKind.java
+++ b/src/main/java/vetchpost/store/EntryKind.java
@@ -11,7 +11,7 @@
     private static final EntryKind[] ALL = values();
 
     /** By its place, or null if there is none. */
-    static EntryKind at(int place) {
+    static EntryKind ofOrdinal(int place) {
         return place >= 0 && place < ALL.length ? ALL[place] : null;
     }
 }
--- a/src/main/java/vetchpost/store/FieldCodec.java
+++ b/src/main/java/vetchpost/store/FieldCodec.java
@@ -8,26 +8,26 @@
 /** Numbered values as bytes, in the order of their numbers: texts, whole numbers and others. */
 public final class FieldCodec {
     private static final int TEXT = 0;
-    private static final int WHOLE = 1;
-    private static final int NUMBER = 2;
-    private static final int TYPES = 3;
-    private static final int MOST_TEXT = 2_048;
+    private static final int INTEGER = 1;
+    private static final int FLOATING_POINT = 2;
+    private static final int TYPE_COUNT = 3;
+    private static final int MAX_TEXT_BYTES = 2_048;
     /** All of an entry's. */
     public static final int MAX_ENTRY_BYTES = 8_192;
 
-    private static final int MOST_FIELD = 84;
+    private static final int MAX_FIELD_NUMBER = 84;
 
     private FieldCodec() {}
 
     /** Takes each value as it is read. */
     public interface Visitor {
         /** A value, which is a text, a Long or a Double. */
-        void take(int number, Object value);
+        void visit(int number, Object value);
     }
 
     /** Puts values together. */
     public static final class Encoder {
-        private final ByteBuffer into = ByteBuffer.allocate(MAX_ENTRY_BYTES);
+        private final ByteBuffer buffer = ByteBuffer.allocate(MAX_ENTRY_BYTES);
 
         /**
          * Adds a value with a number over the last one's, up to 84.
@@ -35,21 +35,21 @@
          * @throws IllegalArgumentException if it is of no such kind, or too long
          */
         public void add(int number, Object value) {
-            if (number < 0 || number > MOST_FIELD) {
+            if (number < 0 || number > MAX_FIELD_NUMBER) {
                 throw new IllegalArgumentException("field " + number);
             }
             if (value instanceof String text) {
                 byte[] utf8 = utf8(text);
-                if (utf8.length > MOST_TEXT || into.remaining() < utf8.length + 3) {
+                if (utf8.length > MAX_TEXT_BYTES || buffer.remaining() < utf8.length + 3) {
                     throw new IllegalArgumentException("a text of " + utf8.length + " bytes is too long");
                 }
-                into.put((byte) (number * TYPES + TEXT))
+                buffer.put((byte) (number * TYPE_COUNT + TEXT))
                         .putShort((short) utf8.length)
                         .put(utf8);
             } else if (value instanceof Long whole) {
-                into.put((byte) (number * TYPES + WHOLE)).putLong(whole);
+                buffer.put((byte) (number * TYPE_COUNT + INTEGER)).putLong(whole);
             } else if (value instanceof Double real) {
-                into.put((byte) (number * TYPES + NUMBER)).putDouble(real);
+                buffer.put((byte) (number * TYPE_COUNT + FLOATING_POINT)).putDouble(real);
             } else {
                 throw new IllegalArgumentException(value + " is neither text nor a number");
             }
@@ -57,7 +57,7 @@
 
         /** All that was added. */
         public byte[] bytes() {
-            return Arrays.copyOf(into.array(), into.position());
+            return Arrays.copyOf(buffer.array(), buffer.position());
         }
     }
 
@@ -72,22 +72,22 @@
         try {
             while (from.hasRemaining()) {
                 int tag = from.get() & 0xFF;
-                int number = tag / TYPES;
+                int number = tag / TYPE_COUNT;
                 if (number <= last) {
                     throw new IllegalArgumentException("field " + number + " after field " + last);
                 }
                 last = number;
-                if (tag % TYPES == TEXT) {
+                if (tag % TYPE_COUNT == TEXT) {
                     int length = from.getShort();
                     if (length < 0 || length > from.remaining()) {
                         throw new IllegalArgumentException("a text of " + length + " bytes");
                     }
-                    taker.take(number, new String(bytes, from.position(), length, StandardCharsets.UTF_8));
+                    taker.visit(number, new String(bytes, from.position(), length, StandardCharsets.UTF_8));
                     from.position(from.position() + length);
-                } else if (tag % TYPES == WHOLE) {
-                    taker.take(number, from.getLong());
+                } else if (tag % TYPE_COUNT == INTEGER) {
+                    taker.visit(number, from.getLong());
                 } else {
-                    taker.take(number, from.getDouble());
+                    taker.visit(number, from.getDouble());
                 }
             }
         } catch (BufferUnderflowException e) {
--- a/src/main/java/vetchpost/store/PackedTree.java
+++ b/src/main/java/vetchpost/store/PackedTree.java
@@ -18,16 +18,16 @@
     public static final PackedTree EMPTY = new PackedTree(new Leaf(new byte[0], 0, 0, 0));
 
     /** A leaf is copied for each change in it, and read through for each look-up: ten to twenty entries. */
-    private static final int MOST_LEAF = 1_024;
+    private static final int MAX_LEAF_BYTES = 1_024;
 
-    private static final int MOST_KIDS = 64;
+    private static final int MAX_CHILDREN = 64;
     /** Under a part of the most, a node is joined with one beside it. */
-    private static final int FEW = 4;
+    private static final int MERGE_DIVISOR = 4;
 
-    private static final int HEADER = 16;
-    private static final int REFERENCE = 4;
-    private static final int FIELDS = 48;
-    private static final int WORD = 8;
+    private static final int OBJECT_HEADER_BYTES = 16;
+    private static final int REFERENCE_BYTES = 4;
+    private static final int NODE_FIELDS_BYTES = 48;
+    private static final int ALIGNMENT_BYTES = 8;
 
     private final Node root;
 
@@ -48,12 +48,12 @@
     private abstract static class Node {
         final long count;
         final long sum;
-        final long newest;
+        final long newestStamp;
 
         Node(long count, long sum, long newest) {
             this.count = count;
             this.sum = sum;
-            this.newest = newest;
+            this.newestStamp = newest;
         }
 
         /** A node with the entry, or two. */
@@ -67,19 +67,19 @@
         abstract boolean contains(byte[] key);
 
         /** The first entry whose key is not before this, and whose stamp is over that; null for none. */
-        abstract Item next(byte[] from, long over);
+        abstract Item nextNewer(byte[] from, long over);
 
         abstract Item at(long index);
 
-        abstract byte[] first();
+        abstract byte[] firstKey();
 
         /**
          * Adds count and hashes of the entries from one key (null for the first) to before another (null:
          * all).
          */
-        abstract void sum(byte[] from, byte[] to, long[] into);
+        abstract void addSum(byte[] from, byte[] to, long[] into);
 
-        abstract long bytes();
+        abstract long retainedBytes();
     }
 
     private static final class Leaf extends Node {
@@ -97,58 +97,61 @@
             long without = sum;
             int entries = (int) count + 1;
             Reader reader = new Reader(data, 0);
-            while (reader.at < data.length) {
-                at = reader.at;
+            while (reader.offset < data.length) {
+                at = reader.offset;
                 int order = reader.compareKey(key);
                 reader.skip();
                 if (order == 0) {
                     without -= reader.hash(at);
                     entries--;
-                    end = reader.at;
+                    end = reader.offset;
                     break;
                 }
                 if (order > 0) {
                     end = at;
                     break;
                 }
-                at = reader.at;
+                at = reader.offset;
                 end = at;
             }
             byte[] packed = new byte[at + Writer.length(key, value, stamp) + data.length - end];
             System.arraycopy(data, 0, packed, 0, at);
             int after = Writer.write(packed, at, key, value, stamp);
             System.arraycopy(data, end, packed, after, data.length - end);
-            if (packed.length <= MOST_LEAF || entries == 1) {
+            if (packed.length <= MAX_LEAF_BYTES || entries == 1) {
                 // A newest stamp that was this entry's own only grows: stamps do.
-                return new Node[] {new Leaf(packed, entries, without + hash(key, value, stamp), Math.max(newest, stamp))
+                return new Node[] {
+                    new Leaf(packed, entries, without + hash(key, value, stamp), Math.max(newestStamp, stamp))
                 };
             }
             // What is written in order fills its leaves; else they are halved.
-            int cut = after == packed.length ? at : middle(packed);
-            return new Node[] {leaf(Arrays.copyOf(packed, cut)), leaf(Arrays.copyOfRange(packed, cut, packed.length))};
+            int cut = after == packed.length ? at : findSplitOffset(packed);
+            return new Node[] {
+                buildLeaf(Arrays.copyOf(packed, cut)), buildLeaf(Arrays.copyOfRange(packed, cut, packed.length))
+            };
         }
 
-        private static int middle(byte[] packed) {
+        private static int findSplitOffset(byte[] packed) {
             Reader reader = new Reader(packed, 0);
             reader.skip();
-            int cut = reader.at;
+            int cut = reader.offset;
             while (cut < packed.length / 2) {
                 reader.skip();
-                if (reader.at == packed.length) {
+                if (reader.offset == packed.length) {
                     break;
                 }
-                cut = reader.at;
+                cut = reader.offset;
             }
             return cut;
         }
 
-        private static Leaf leaf(byte[] packed) {
+        private static Leaf buildLeaf(byte[] packed) {
             Reader reader = new Reader(packed, 0);
             long count = 0;
             long sum = 0;
             long newest = 0;
-            while (reader.at < packed.length) {
-                int at = reader.at;
+            while (reader.offset < packed.length) {
+                int at = reader.offset;
                 reader.skip();
                 sum += reader.hash(at);
                 newest = Math.max(newest, reader.stamp);
@@ -160,18 +163,18 @@
         @Override
         Node remove(byte[] key) {
             Reader reader = new Reader(data, 0);
-            while (reader.at < data.length) {
-                int at = reader.at;
+            while (reader.offset < data.length) {
+                int at = reader.offset;
                 int order = reader.compareKey(key);
                 reader.skip();
                 if (order == 0) {
                     if (count == 1) {
                         return null;
                     }
-                    byte[] packed = new byte[data.length - (reader.at - at)];
+                    byte[] packed = new byte[data.length - (reader.offset - at)];
                     System.arraycopy(data, 0, packed, 0, at);
-                    System.arraycopy(data, reader.at, packed, at, data.length - reader.at);
-                    return leaf(packed);
+                    System.arraycopy(data, reader.offset, packed, at, data.length - reader.offset);
+                    return buildLeaf(packed);
                 }
                 if (order > 0) {
                     break;
@@ -183,7 +186,7 @@
         @Override
         Item get(byte[] key) {
             Reader reader = new Reader(data, 0);
-            while (reader.at < data.length) {
+            while (reader.offset < data.length) {
                 int order = reader.compareKey(key);
                 if (order == 0) {
                     return reader.item();
@@ -200,7 +203,7 @@
         boolean contains(byte[] key) {
             Reader reader = new Reader(data, 0);
             int order = -1;
-            while (order < 0 && reader.at < data.length) {
+            while (order < 0 && reader.offset < data.length) {
                 order = reader.compareKey(key);
                 reader.skip();
             }
@@ -208,10 +211,10 @@
         }
 
         @Override
-        Item next(byte[] from, long over) {
+        Item nextNewer(byte[] from, long over) {
             Reader reader = new Reader(data, 0);
-            while (reader.at < data.length) {
-                int at = reader.at;
+            while (reader.offset < data.length) {
+                int at = reader.offset;
                 boolean in = from == null || reader.compareKey(from) >= 0;
                 reader.skip();
                 if (in && reader.stamp > over) {
@@ -231,15 +234,15 @@
         }
 
         @Override
-        byte[] first() {
+        byte[] firstKey() {
             return new Reader(data, 0).item().key();
         }
 
         @Override
-        void sum(byte[] from, byte[] to, long[] into) {
+        void addSum(byte[] from, byte[] to, long[] into) {
             Reader reader = new Reader(data, 0);
-            while (reader.at < data.length) {
-                int at = reader.at;
+            while (reader.offset < data.length) {
+                int at = reader.offset;
                 boolean in =
                         (from == null || reader.compareKey(from) >= 0) && (to == null || reader.compareKey(to) < 0);
                 reader.skip();
@@ -251,36 +254,36 @@
         }
 
         @Override
-        long bytes() {
-            return FIELDS + aligned(HEADER + data.length);
+        long retainedBytes() {
+            return NODE_FIELDS_BYTES + alignUp(OBJECT_HEADER_BYTES + data.length);
         }
     }
 
     private static final class Inner extends Node {
-        private final Node[] kids;
+        private final Node[] children;
         /** Each one's least key, or what was so when it was made: a border between it and the one before. */
-        private final byte[][] borders;
+        private final byte[][] separators;
 
         Inner(Node[] kids, byte[][] borders) {
             super(total(kids, 0), total(kids, 1), total(kids, 2));
-            this.kids = kids;
-            this.borders = borders;
+            this.children = kids;
+            this.separators = borders;
         }
 
         private static long total(Node[] kids, int what) {
             long total = 0;
             for (Node kid : kids) {
-                total = what == 0 ? total + kid.count : what == 1 ? total + kid.sum : Math.max(total, kid.newest);
+                total = what == 0 ? total + kid.count : what == 1 ? total + kid.sum : Math.max(total, kid.newestStamp);
             }
             return total;
         }
 
-        private int kid(byte[] key) {
+        private int childIndex(byte[] key) {
             int low = 0;
-            int high = kids.length - 1;
+            int high = children.length - 1;
             while (low < high) {
                 int middle = (low + high + 1) >>> 1;
-                if (Arrays.compareUnsigned(borders[middle], key) <= 0) {
+                if (Arrays.compareUnsigned(separators[middle], key) <= 0) {
                     low = middle;
                 } else {
                     high = middle - 1;
@@ -291,27 +294,27 @@
 
         @Override
         Node[] put(byte[] key, byte[] value, long stamp) {
-            int at = kid(key);
-            Node[] fresh = kids[at].put(key, value, stamp);
-            Node[] all = new Node[kids.length + fresh.length - 1];
+            int at = childIndex(key);
+            Node[] fresh = children[at].put(key, value, stamp);
+            Node[] all = new Node[children.length + fresh.length - 1];
             byte[][] keys = new byte[all.length][];
-            System.arraycopy(kids, 0, all, 0, at);
-            System.arraycopy(borders, 0, keys, 0, at);
+            System.arraycopy(children, 0, all, 0, at);
+            System.arraycopy(separators, 0, keys, 0, at);
             System.arraycopy(fresh, 0, all, at, fresh.length);
-            keys[at] = borders[at];
+            keys[at] = separators[at];
             if (fresh.length > 1) {
-                keys[at + 1] = fresh[1].first();
+                keys[at + 1] = fresh[1].firstKey();
             }
-            System.arraycopy(kids, at + 1, all, at + fresh.length, kids.length - at - 1);
-            System.arraycopy(borders, at + 1, keys, at + fresh.length, kids.length - at - 1);
-            if (all.length <= MOST_KIDS) {
+            System.arraycopy(children, at + 1, all, at + fresh.length, children.length - at - 1);
+            System.arraycopy(separators, at + 1, keys, at + fresh.length, children.length - at - 1);
+            if (all.length <= MAX_CHILDREN) {
                 return new Node[] {new Inner(all, keys)};
             }
-            int cut = at == kids.length - 1 ? all.length - 1 : all.length / 2;
-            return new Node[] {part(all, keys, 0, cut), part(all, keys, cut, all.length)};
+            int cut = at == children.length - 1 ? all.length - 1 : all.length / 2;
+            return new Node[] {slice(all, keys, 0, cut), slice(all, keys, cut, all.length)};
         }
 
-        private static Node part(Node[] kids, byte[][] keys, int from, int to) {
+        private static Node slice(Node[] kids, byte[][] keys, int from, int to) {
             return to - from == 1
                     ? kids[from]
                     : new Inner(Arrays.copyOfRange(kids, from, to), Arrays.copyOfRange(keys, from, to));
@@ -319,78 +322,80 @@
 
         @Override
         Node remove(byte[] key) {
-            int at = kid(key);
-            Node fresh = kids[at].remove(key);
-            if (fresh == kids[at]) {
+            int at = childIndex(key);
+            Node fresh = children[at].remove(key);
+            if (fresh == children[at]) {
                 return this;
             }
             if (fresh == null) {
-                return kids.length == 1 ? null : without(at);
+                return children.length == 1 ? null : withoutChild(at);
             }
-            Node[] all = kids.clone();
+            Node[] all = children.clone();
             all[at] = fresh;
             for (int beside : new int[] {at - 1, at + 1}) {
-                Node joined = beside < 0 || beside >= kids.length ? null : join(all, borders, Math.min(at, beside));
+                Node joined =
+                        beside < 0 || beside >= children.length ? null : merge(all, separators, Math.min(at, beside));
                 if (joined != null) {
                     all[Math.min(at, beside)] = joined;
-                    return new Inner(all, borders).without(Math.max(at, beside));
+                    return new Inner(all, separators).withoutChild(Math.max(at, beside));
                 }
             }
-            return new Inner(all, borders);
+            return new Inner(all, separators);
         }
 
         /** Two neighbours as one, if the one has become small and the other has room; else null. */
-        private static Node join(Node[] kids, byte[][] keys, int left) {
+        private static Node merge(Node[] kids, byte[][] keys, int left) {
             Node a = kids[left];
             Node b = kids[left + 1];
             if (a instanceof Leaf x && b instanceof Leaf y) {
                 int length = x.data.length + y.data.length;
-                if (Math.min(x.data.length, y.data.length) > MOST_LEAF / FEW || length > MOST_LEAF) {
+                if (Math.min(x.data.length, y.data.length) > MAX_LEAF_BYTES / MERGE_DIVISOR
+                        || length > MAX_LEAF_BYTES) {
                     return null;
                 }
                 byte[] packed = Arrays.copyOf(x.data, length);
                 System.arraycopy(y.data, 0, packed, x.data.length, y.data.length);
-                return new Leaf(packed, x.count + y.count, x.sum + y.sum, Math.max(x.newest, y.newest));
+                return new Leaf(packed, x.count + y.count, x.sum + y.sum, Math.max(x.newestStamp, y.newestStamp));
             }
             if (a instanceof Inner x
                     && b instanceof Inner y
-                    && Math.min(x.kids.length, y.kids.length) <= MOST_KIDS / FEW
-                    && x.kids.length + y.kids.length <= MOST_KIDS) {
-                Node[] all = Arrays.copyOf(x.kids, x.kids.length + y.kids.length);
-                System.arraycopy(y.kids, 0, all, x.kids.length, y.kids.length);
-                byte[][] borders = Arrays.copyOf(x.borders, all.length);
-                System.arraycopy(y.borders, 0, borders, x.kids.length, y.kids.length);
-                borders[x.kids.length] = keys[left + 1];
+                    && Math.min(x.children.length, y.children.length) <= MAX_CHILDREN / MERGE_DIVISOR
+                    && x.children.length + y.children.length <= MAX_CHILDREN) {
+                Node[] all = Arrays.copyOf(x.children, x.children.length + y.children.length);
+                System.arraycopy(y.children, 0, all, x.children.length, y.children.length);
+                byte[][] borders = Arrays.copyOf(x.separators, all.length);
+                System.arraycopy(y.separators, 0, borders, x.children.length, y.children.length);
+                borders[x.children.length] = keys[left + 1];
                 return new Inner(all, borders);
             }
             return null;
         }
 
-        private Node without(int at) {
-            Node[] all = new Node[kids.length - 1];
+        private Node withoutChild(int at) {
+            Node[] all = new Node[children.length - 1];
             byte[][] keys = new byte[all.length][];
-            System.arraycopy(kids, 0, all, 0, at);
-            System.arraycopy(kids, at + 1, all, at, all.length - at);
-            System.arraycopy(borders, 0, keys, 0, at);
-            System.arraycopy(borders, at + 1, keys, at, all.length - at);
+            System.arraycopy(children, 0, all, 0, at);
+            System.arraycopy(children, at + 1, all, at, all.length - at);
+            System.arraycopy(separators, 0, keys, 0, at);
+            System.arraycopy(separators, at + 1, keys, at, all.length - at);
             return all.length == 1 ? all[0] : new Inner(all, keys);
         }
 
         @Override
         Item get(byte[] key) {
-            return kids[kid(key)].get(key);
+            return children[childIndex(key)].get(key);
         }
 
         @Override
         boolean contains(byte[] key) {
-            return kids[kid(key)].contains(key);
+            return children[childIndex(key)].contains(key);
         }
 
         @Override
-        Item next(byte[] from, long over) {
-            for (int i = from == null ? 0 : kid(from); i < kids.length; i++) {
-                if (kids[i].newest > over) {
-                    Item found = kids[i].next(from, over);
+        Item nextNewer(byte[] from, long over) {
+            for (int i = from == null ? 0 : childIndex(from); i < children.length; i++) {
+                if (children[i].newestStamp > over) {
+                    Item found = children[i].nextNewer(from, over);
                     if (found != null) {
                         return found;
                     }
@@ -403,38 +408,39 @@
         Item at(long index) {
             long left = index;
             int i = 0;
-            while (left >= kids[i].count) {
-                left -= kids[i++].count;
+            while (left >= children[i].count) {
+                left -= children[i++].count;
             }
-            return kids[i].at(left);
+            return children[i].at(left);
         }
 
         @Override
-        byte[] first() {
-            return kids[0].first();
+        byte[] firstKey() {
+            return children[0].firstKey();
         }
 
         @Override
-        void sum(byte[] from, byte[] to, long[] into) {
-            int first = from == null ? 0 : kid(from);
-            int last = to == null ? kids.length - 1 : kid(to);
+        void addSum(byte[] from, byte[] to, long[] into) {
+            int first = from == null ? 0 : childIndex(from);
+            int last = to == null ? children.length - 1 : childIndex(to);
             for (int i = first; i <= last; i++) {
                 boolean cutLeft = from != null && i == first;
                 boolean cutRight = to != null && i == last;
                 if (cutLeft || cutRight) {
-                    kids[i].sum(cutLeft ? from : null, cutRight ? to : null, into);
+                    children[i].addSum(cutLeft ? from : null, cutRight ? to : null, into);
                 } else {
-                    into[0] += kids[i].count;
-                    into[1] += kids[i].sum;
+                    into[0] += children[i].count;
+                    into[1] += children[i].sum;
                 }
             }
         }
 
         @Override
-        long bytes() {
-            long bytes = FIELDS + 2 * aligned(HEADER + (long) REFERENCE * kids.length);
-            for (int i = 0; i < kids.length; i++) {
-                bytes += aligned(HEADER + borders[i].length) + kids[i].bytes();
+        long retainedBytes() {
+            long bytes =
+                    NODE_FIELDS_BYTES + 2 * alignUp(OBJECT_HEADER_BYTES + (long) REFERENCE_BYTES * children.length);
+            for (int i = 0; i < children.length; i++) {
+                bytes += alignUp(OBJECT_HEADER_BYTES + separators[i].length) + children[i].retainedBytes();
             }
             return bytes;
         }
@@ -443,18 +449,18 @@
     /** Reads the entries of a leaf one after the other. */
     private static final class Reader {
         private final byte[] data;
-        private int at;
+        private int offset;
         private long stamp;
 
         Reader(byte[] data, int at) {
             this.data = data;
-            this.at = at;
+            this.offset = at;
         }
 
-        private long number() {
+        private long readVarint() {
             long number = 0;
             for (int shift = 0; ; shift += 7) {
-                byte b = data[at++];
+                byte b = data[offset++];
                 number |= (long) (b & 0x7F) << shift;
                 if (b >= 0) {
                     return number;
@@ -464,34 +470,34 @@
 
         /** The next key against this one; the place stays. */
         int compareKey(byte[] key) {
-            int before = at;
-            int length = (int) number();
-            int order = Arrays.compareUnsigned(data, at, at + length, key, 0, key.length);
-            at = before;
+            int before = offset;
+            int length = (int) readVarint();
+            int order = Arrays.compareUnsigned(data, offset, offset + length, key, 0, key.length);
+            offset = before;
             return order;
         }
 
         void skip() {
-            int length = (int) number();
-            at += length;
-            stamp = number();
-            length = (int) number();
-            at += length;
+            int length = (int) readVarint();
+            offset += length;
+            stamp = readVarint();
+            length = (int) readVarint();
+            offset += length;
         }
 
         /** The hash of the entry from there to here. */
         long hash(int from) {
-            return PackedTree.hash(data, from, at);
+            return PackedTree.hash(data, from, offset);
         }
 
         Item item() {
-            int length = (int) number();
-            byte[] key = Arrays.copyOfRange(data, at, at + length);
-            at += length;
-            stamp = number();
-            length = (int) number();
-            byte[] value = Arrays.copyOfRange(data, at, at + length);
-            at += length;
+            int length = (int) readVarint();
+            byte[] key = Arrays.copyOfRange(data, offset, offset + length);
+            offset += length;
+            stamp = readVarint();
+            length = (int) readVarint();
+            byte[] value = Arrays.copyOfRange(data, offset, offset + length);
+            offset += length;
             return new Item(key, value, stamp);
         }
     }
@@ -501,23 +507,27 @@
         private Writer() {}
 
         static int length(byte[] key, byte[] value, long stamp) {
-            return size(key.length) + key.length + size(stamp) + size(value.length) + value.length;
+            return varintLength(key.length)
+                    + key.length
+                    + varintLength(stamp)
+                    + varintLength(value.length)
+                    + value.length;
         }
 
-        private static int size(long number) {
+        private static int varintLength(long number) {
             return (Long.SIZE - Long.numberOfLeadingZeros(number | 1) + 6) / 7;
         }
 
         static int write(byte[] into, int from, byte[] key, byte[] value, long stamp) {
-            int at = number(into, from, key.length);
+            int at = writeVarint(into, from, key.length);
             System.arraycopy(key, 0, into, at, key.length);
-            at = number(into, at + key.length, stamp);
-            at = number(into, at, value.length);
+            at = writeVarint(into, at + key.length, stamp);
+            at = writeVarint(into, at, value.length);
             System.arraycopy(value, 0, into, at, value.length);
             return at + value.length;
         }
 
-        private static int number(byte[] into, int from, long number) {
+        private static int writeVarint(byte[] into, int from, long number) {
             int at = from;
             long left = number;
             while (left > 0x7F) {
@@ -533,8 +543,8 @@
         this.root = root;
     }
 
-    private static long aligned(long bytes) {
-        return (bytes + WORD - 1) / WORD * WORD;
+    private static long alignUp(long bytes) {
+        return (bytes + ALIGNMENT_BYTES - 1) / ALIGNMENT_BYTES * ALIGNMENT_BYTES;
     }
 
     /** What an entry adds to the sum: FNV-1a over its packed bytes, finished as MurmurHash3 does. */
@@ -565,7 +575,7 @@
         }
         Node[] nodes = root.put(key, value, stamp);
         return new PackedTree(
-                nodes.length == 1 ? nodes[0] : new Inner(nodes, new byte[][] {new byte[0], nodes[1].first()}));
+                nodes.length == 1 ? nodes[0] : new Inner(nodes, new byte[][] {new byte[0], nodes[1].firstKey()}));
     }
 
     /** Without this key; itself if it is not there. */
@@ -586,12 +596,12 @@
 
     /** The first entry whose key is this or comes after it, or null. */
     public Item ceiling(byte[] key) {
-        return root.next(key, -1);
+        return root.nextNewer(key, -1);
     }
 
     /** The first entry whose key is this or comes after it and whose stamp is over that, or null. */
     public Item nextNewer(byte[] key, long stamp) {
-        return root.newest > stamp ? root.next(key, stamp) : null;
+        return root.newestStamp > stamp ? root.nextNewer(key, stamp) : null;
     }
 
     /** The entry that so many come before, from 0. */
@@ -605,10 +615,10 @@
     /** The entries from one key (null for the first) to before another (null for no end), so many at most. */
     public List<Item> range(byte[] from, byte[] to, int most) {
         List<Item> items = new ArrayList<>();
-        Item item = root.next(from, -1);
+        Item item = root.nextNewer(from, -1);
         while (item != null && items.size() < most && (to == null || Arrays.compareUnsigned(item.key(), to) < 0)) {
             items.add(item);
-            item = root.next(successor(item.key()), -1);
+            item = root.nextNewer(successor(item.key()), -1);
         }
         return items;
     }
@@ -622,7 +632,7 @@
     public Sum sum(byte[] from, byte[] to) {
         long[] into = new long[2];
         if (from == null || to == null || Arrays.compareUnsigned(from, to) < 0) {
-            root.sum(from, to, into);
+            root.addSum(from, to, into);
         }
         return new Sum(into[0], into[1]);
     }
@@ -638,12 +648,12 @@
     }
 
     /** No stamp is over this. */
-    public long newest() {
-        return root.newest;
+    public long newestStamp() {
+        return root.newestStamp;
     }
 
     /** Bytes that it keeps on a heap of references of four bytes, by counting its arrays and objects. */
     public long retainedBytes() {
-        return HEADER + root.bytes();
+        return OBJECT_HEADER_BYTES + root.retainedBytes();
     }
 }
--- a/src/main/java/vetchpost/store/Version.java
+++ b/src/main/java/vetchpost/store/Version.java
@@ -10,15 +10,15 @@
     /** A trillion changes of one writer. */
     private static final int NUMBER_BITS = 40;
     /** Over the largest epoch. */
-    public static final long MAX_EPOCH = 1L << 63 - NUMBER_BITS;
+    public static final long EPOCH_LIMIT = 1L << 63 - NUMBER_BITS;
 
-    private static final long MAX_NUMBER = 1L << NUMBER_BITS;
+    private static final long NUMBER_LIMIT = 1L << NUMBER_BITS;
 
     private Version() {}
 
     /** The version of a writer's change. */
     public static long of(long epoch, long number) {
-        if (epoch < 0 || epoch >= MAX_EPOCH || number < 0 || number >= MAX_NUMBER) {
+        if (epoch < 0 || epoch >= EPOCH_LIMIT || number < 0 || number >= NUMBER_LIMIT) {
             throw new IllegalArgumentException("epoch " + epoch + ", number " + number);
         }
         return epoch << NUMBER_BITS | number;
@@ -31,11 +31,11 @@
 
     /** The how many-th change of its writer. */
     public static long number(long version) {
-        return version & MAX_NUMBER - 1;
+        return version & NUMBER_LIMIT - 1;
     }
 
     /** For people: epoch and number. */
-    public static String text(long version) {
+    public static String format(long version) {
         return epoch(version) + "." + number(version);
     }
 }
--- a/src/main/java/vetchpost/store/VersionedStore.java
+++ b/src/main/java/vetchpost/store/VersionedStore.java
@@ -13,7 +13,7 @@
     public static final VersionedStore EMPTY =
             new VersionedStore(PackedTree.EMPTY, PackedTree.EMPTY, Version.NONE, Version.NONE);
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_VALUE = new byte[0];
 
     private final PackedTree live;
     private final PackedTree removed;
@@ -49,7 +49,7 @@
      */
     public VersionedStore with(List<EntryChange> batch, long at) {
         if (at <= version) {
-            throw new IllegalArgumentException("version " + Version.text(at) + " after " + Version.text(version));
+            throw new IllegalArgumentException("version " + Version.format(at) + " after " + Version.format(version));
         }
         PackedTree entries = live;
         PackedTree gone = removed;
@@ -57,7 +57,7 @@
             byte[] key = change.key().bytes();
             if (change.value() == null) {
                 entries = entries.remove(key);
-                gone = gone.put(key, NOTHING, at);
+                gone = gone.put(key, EMPTY_VALUE, at);
             } else {
                 entries = entries.put(key, change.value(), at);
                 gone = gone.remove(key);
@@ -67,7 +67,7 @@
     }
 
     /** As it is, with entries and removed keys that were brought to that version one by one. */
-    public VersionedStore at(PackedTree entries, PackedTree gone, long at) {
+    public VersionedStore withEntries(PackedTree entries, PackedTree gone, long at) {
         return new VersionedStore(entries, gone, at, horizon);
     }
 
@@ -85,10 +85,10 @@
                 .toArray();
         long past = stamps[(int) (stamps.length - most - 1)];
         PackedTree kept = PackedTree.EMPTY;
-        for (Item item = removed.nextNewer(NOTHING, past);
+        for (Item item = removed.nextNewer(EMPTY_VALUE, past);
                 item != null;
                 item = removed.nextNewer(PackedTree.successor(item.key()), past)) {
-            kept = kept.put(item.key(), NOTHING, item.stamp());
+            kept = kept.put(item.key(), EMPTY_VALUE, item.stamp());
         }
         return new VersionedStore(live, kept, version, Math.max(horizon, past));
     }
--- a/src/main/java/vetchpost/web/RequestCheck.java
+++ b/src/main/java/vetchpost/web/RequestCheck.java
@@ -15,7 +15,7 @@
  * 7.2): what two readers may cut or address in different ways is a way to smuggle a second request.
  */
 final class RequestCheck {
-    private static final String HTTP = "http://";
+    private static final String HTTP_SCHEME = "http://";
     private static final String WEBSOCKET = "websocket";
 
     private RequestCheck() {}
@@ -36,9 +36,9 @@
             // It would show a client's page what others have added on the way, cookies among it.
             throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "TRACE is not answered here");
         }
-        framing(head);
-        String host = host(head);
-        target(head, host);
+        checkFraming(head);
+        String host = checkHost(head);
+        normalizeTarget(head, host);
         String upgrade = head.headers().get(HttpHeaderNames.UPGRADE);
         if (upgrade != null && upgrade.trim().equalsIgnoreCase(WEBSOCKET)) {
             throw new BadRequest(HttpResponseStatus.NOT_IMPLEMENTED, "no upgrade to websocket here");
@@ -50,62 +50,62 @@
     }
 
     /** How the end of its body is found (RFC 9112, section 6.1 to 6.3). */
-    private static void framing(HttpRequest head) throws BadRequest {
+    private static void checkFraming(HttpRequest head) throws BadRequest {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         if (codings.isEmpty()) {
             return;
         }
         if (head.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            throw bad("Transfer-Encoding in HTTP/1.0");
+            throw badRequest("Transfer-Encoding in HTTP/1.0");
         }
         if (codings.size() > 1 || !codings.get(0).trim().equalsIgnoreCase("chunked")) {
             throw new BadRequest(HttpResponseStatus.NOT_IMPLEMENTED, "unknown Transfer-Encoding");
         }
         if (HttpUtil.isContentLengthSet(head)) {
-            throw bad("two lengths");
+            throw badRequest("two lengths");
         }
     }
 
-    private static String host(HttpRequest head) throws BadRequest {
+    private static String checkHost(HttpRequest head) throws BadRequest {
         List<String> hosts = head.headers().getAll(HttpHeaderNames.HOST);
         if (hosts.size() > 1) {
-            throw bad("more than one Host");
+            throw badRequest("more than one Host");
         }
         if (hosts.isEmpty()) {
             if (head.protocolVersion().equals(HttpVersion.HTTP_1_1)) {
-                throw bad("Host is missing");
+                throw badRequest("Host is missing");
             }
             return "";
         }
         String host = hosts.get(0).trim();
         if (!isHost(host)) {
-            throw bad("bad Host");
+            throw badRequest("bad Host");
         }
         return host;
     }
 
-    private static void target(HttpRequest head, String host) throws BadRequest {
+    private static void normalizeTarget(HttpRequest head, String host) throws BadRequest {
         String uri = head.uri();
         for (int i = 0; i < uri.length(); i++) {
             if (uri.charAt(i) <= ' ' || uri.charAt(i) >= 127 || uri.charAt(i) == '#') {
-                throw bad("bad target");
+                throw badRequest("bad target");
             }
         }
-        if (uri.regionMatches(true, 0, HTTP, 0, HTTP.length())) {
-            int end = HTTP.length();
+        if (uri.regionMatches(true, 0, HTTP_SCHEME, 0, HTTP_SCHEME.length())) {
+            int end = HTTP_SCHEME.length();
             while (end < uri.length() && "/?".indexOf(uri.charAt(end)) < 0) {
                 end++;
             }
-            String named = uri.substring(HTTP.length(), end);
+            String named = uri.substring(HTTP_SCHEME.length(), end);
             if (named.isEmpty() || !isHost(named)) {
-                throw bad("bad target");
+                throw badRequest("bad target");
             }
             // A target that names a host counts before the field (RFC 9112, section 3.2.2).
             head.headers().set(HttpHeaderNames.HOST, named);
             String rest = uri.substring(end);
             head.setUri(rest.startsWith("/") ? rest : "/" + rest);
         } else if (!uri.startsWith("/") && !(uri.equals("*") && head.method().equals(HttpMethod.OPTIONS))) {
-            throw bad("bad target");
+            throw badRequest("bad target");
         } else if (host.isEmpty()) {
             head.headers().remove(HttpHeaderNames.HOST);
         }
@@ -176,7 +176,7 @@
                 .remove(HttpHeaderNames.UPGRADE);
     }
 
-    private static BadRequest bad(String reason) {
+    private static BadRequest badRequest(String reason) {
         return new BadRequest(HttpResponseStatus.BAD_REQUEST, reason);
     }
 }
--- a/src/main/java/vetchpost/web/WebConnection.java
+++ b/src/main/java/vetchpost/web/WebConnection.java
@@ -50,102 +50,106 @@
 final class WebConnection extends ChannelInboundHandlerAdapter implements ManagedConnection {
     private static final Logger LOG = System.getLogger(WebConnection.class.getName());
     /** Bytes, and parts, that may wait behind what is read; beyond, the socket is no longer read. */
-    private static final int MOST_AHEAD = 32 * 1_024;
+    private static final int MAX_QUEUED_BYTES = 32 * 1_024;
 
-    private static final int MOST_PARTS = 64;
+    private static final int MAX_QUEUED_PARTS = 64;
     /** How long a client may take to read why its connection is closed, and what is thrown away meanwhile. */
-    private static final long LINGER_MS = 1_000;
+    private static final long CLOSE_LINGER_MS = 1_000;
 
-    private static final int MOST_THROWN_AWAY = 1 << 20;
-    private static final byte[] NONE = {};
+    private static final int MAX_DISCARDED_BYTES = 1 << 20;
+    private static final byte[] NO_BYTES = {};
 
     /** How far the current request is read. */
     private enum Phase {
         /** Its head has not come. */
         HEAD,
         /** What of its body is held. */
-        BODY,
+        BUFFERING,
         /** What of its body is passed on. */
-        REST,
+        STREAMING,
         /** All of it has come. */
-        WHOLE
+        COMPLETE
     }
 
     /** Netty's encoder, which has to be told that an answer to HEAD has no body. */
     private static final class Encoder extends HttpResponseEncoder {
-        private boolean head;
+        private boolean respondsToHead;
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpResponse response) {
-            return head || super.isContentAlwaysEmpty(response);
+            return respondsToHead || super.isContentAlwaysEmpty(response);
         }
     }
 
-    private final WebFront front;
+    private final WebProtocolAdapter adapter;
     private final ClientServer server;
     private final Channel channel;
     private final RequestDecoder decoder = new RequestDecoder();
     private final Encoder encoder = new Encoder();
-    private final Deque<HttpObject> ahead = new ArrayDeque<>();
+    private final Deque<HttpObject> queuedParts = new ArrayDeque<>();
     private final long openedNs;
-    private final long number;
-    private long aheadBytes;
+    private final long connectionId;
+    private long queuedBytes;
     private Phase phase = Phase.HEAD;
     private HttpRequest head;
     private int classIndex;
-    private byte[] body = NONE;
-    private int held;
-    private long length;
-    private long passed;
-    private long cost;
-    private Rest rest;
+    private byte[] body = NO_BYTES;
+    private int bufferedBytes;
+    private long bodyLength;
+    private long streamedBytes;
+    private long reservedBytes;
+    private BodyRemainder remainder;
     private WebReply reply;
     private boolean keepAlive;
-    private boolean asked;
-    private boolean unwelcome;
-    private boolean pumping;
-    private boolean scheduled;
-    private final InputDiscarder deafness = new InputDiscarder(MOST_THROWN_AWAY);
-    private boolean ending;
+    private boolean hasReceivedRequest;
+    private boolean openedOverLimit;
+    private boolean processing;
+    private boolean processingScheduled;
+    private final InputDiscarder discarder = new InputDiscarder(MAX_DISCARDED_BYTES);
+    private boolean lingering;
     /** The connection ends with the answer that is being passed on. */
-    private boolean closing;
-
-    private boolean answeredWhole;
-    private int unwritten;
-    private String closedFor;
-    private long begunNs;
-    private long readNs;
-    private long writtenNs;
-    private long restedNs;
-
-    private WebConnection(WebFront front, ClientServer server, Channel channel) {
-        this.front = front;
+    private boolean closesAfterStream;
+
+    private boolean responseWritten;
+    private int pendingWrites;
+    private String closeReason;
+    private long headStartedNs;
+    private long lastReadNs;
+    private long lastWriteNs;
+    private long idleSinceNs;
+
+    private WebConnection(WebProtocolAdapter front, ClientServer server, Channel channel) {
+        this.adapter = front;
         this.server = server;
         this.channel = channel;
         openedNs = server.nanos();
-        restedNs = openedNs;
-        number = server.nextConnectionId();
+        idleSinceNs = openedNs;
+        connectionId = server.nextConnectionId();
     }
 
-    static void open(WebFront front, ClientServer server, ChannelPipeline pipeline) {
+    static void open(WebProtocolAdapter front, ClientServer server, ChannelPipeline pipeline) {
         WebConnection connection = new WebConnection(front, server, pipeline.channel());
-        pipeline.addLast(connection.deafness, connection.decoder, connection.encoder, connection);
+        pipeline.addLast(connection.discarder, connection.decoder, connection.encoder, connection);
     }
 
-    long number() {
-        return number;
+    long connectionId() {
+        return connectionId;
     }
 
     // ---------------------------------------------------------------- as the client side sees it
 
     @Override
     public boolean isIdle() {
-        return phase == Phase.HEAD && reply == null && unwritten == 0 && ahead.isEmpty() && !decoder.isMidRequest();
+        return phase == Phase.HEAD
+                && reply == null
+                && pendingWrites == 0
+                && queuedParts.isEmpty()
+                && !decoder.isMidRequest();
     }
 
     @Override
     public long idleSinceNs() {
-        return restedNs;
+        return idleSinceNs;
     }
 
     @Override
@@ -155,36 +159,38 @@
 
     @Override
     public void close(String why) {
-        if (closedFor == null) {
-            closedFor = why;
+        if (closeReason == null) {
+            closeReason = why;
         }
         channel.close();
     }
 
     @Override
     public void closeIfOverdue(long nowNs) {
-        long idleNs = TimeUnit.MICROSECONDS.toNanos(front.limits().bodyIdleTimeoutUs());
-        long headNs = TimeUnit.MICROSECONDS.toNanos(front.limits().headTimeoutUs());
-        long keptNs = TimeUnit.MICROSECONDS.toNanos(front.limits().keepAliveTimeoutUs());
-        if (unwritten > 0 || ending) {
-            if (nowNs - writtenNs > idleNs) {
-                breakOff();
+        long idleNs = TimeUnit.MICROSECONDS.toNanos(adapter.limits().bodyIdleTimeoutUs());
+        long headNs = TimeUnit.MICROSECONDS.toNanos(adapter.limits().headTimeoutUs());
+        long keptNs = TimeUnit.MICROSECONDS.toNanos(adapter.limits().keepAliveTimeoutUs());
+        if (pendingWrites > 0 || lingering) {
+            if (nowNs - lastWriteNs > idleNs) {
+                resetConnection();
             }
         } else if (phase == Phase.HEAD && reply == null) {
-            if (decoder.isMidRequest() && nowNs - (asked ? begunNs : openedNs) > headNs) {
+            if (decoder.isMidRequest() && nowNs - (hasReceivedRequest ? headStartedNs : openedNs) > headNs) {
                 reject(new BadRequest(HttpResponseStatus.REQUEST_TIMEOUT, "request not whole in time"));
-            } else if (!decoder.isMidRequest() && ahead.isEmpty() && nowNs - restedNs > (asked ? keptNs : headNs)) {
+            } else if (!decoder.isMidRequest()
+                    && queuedParts.isEmpty()
+                    && nowNs - idleSinceNs > (hasReceivedRequest ? keptNs : headNs)) {
                 close("idle");
             }
-        } else if ((phase == Phase.BODY || phase == Phase.REST && rest.ready)
-                && ahead.isEmpty()
-                && nowNs - readNs > idleNs) {
-            tooSlow();
+        } else if ((phase == Phase.BUFFERING || phase == Phase.STREAMING && remainder.ready)
+                && queuedParts.isEmpty()
+                && nowNs - lastReadNs > idleNs) {
+            onBodyTimeout();
         }
     }
 
     /** A body makes no progress: its request gets its answer, if there is none yet, and nothing follows. */
-    private void tooSlow() {
+    private void onBodyTimeout() {
         if (reply != null && reply.isAnswered()) {
             close("body too slow");
             return;
@@ -193,7 +199,7 @@
         if (reply == null) {
             reject(late);
         } else {
-            leaveWith(late);
+            abandonRequest(late);
         }
     }
 
@@ -201,35 +207,35 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        unwelcome = server.onOpened(this, number, channel);
+        openedOverLimit = server.onOpened(this, connectionId, channel);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (deafness.isDiscarding() || !(message instanceof HttpObject part)) {
+        if (discarder.isDiscarding() || !(message instanceof HttpObject part)) {
             ReferenceCountUtil.release(message);
             return;
         }
-        readNs = server.nanos() - server.acceptDelayNs();
-        ahead.add(part);
-        aheadBytes += sizeOf(part);
-        if (!scheduled) {
+        lastReadNs = server.nanos() - server.acceptDelayNs();
+        queuedParts.add(part);
+        queuedBytes += sizeOf(part);
+        if (!processingScheduled) {
             // Not before all is read that has come: behind the request there may be the client's close.
-            scheduled = true;
+            processingScheduled = true;
             channel.eventLoop().execute(() -> {
-                scheduled = false;
-                pump();
+                processingScheduled = false;
+                processQueue();
             });
         }
-        settleReading();
+        updateAutoRead();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (!decoder.isMidRequest()) {
-            begunNs = 0;
-        } else if (begunNs == 0) {
-            begunNs = server.nanos();
+            headStartedNs = 0;
+        } else if (headStartedNs == 0) {
+            headStartedNs = server.nanos();
         }
     }
 
@@ -237,101 +243,101 @@
         return part instanceof HttpContent content ? content.content().readableBytes() : 0;
     }
 
-    private void settleReading() {
+    private void updateAutoRead() {
         channel.config()
                 .setAutoRead(
-                        deafness.isDiscarding()
-                                ? deafness.isReading()
-                                : aheadBytes < MOST_AHEAD && ahead.size() < MOST_PARTS);
+                        discarder.isDiscarding()
+                                ? discarder.isReading()
+                                : queuedBytes < MAX_QUEUED_BYTES && queuedParts.size() < MAX_QUEUED_PARTS);
     }
 
     /** Takes in what waits, as far as it can be taken in now. */
-    private void pump() {
-        if (pumping) {
+    private void processQueue() {
+        if (processing) {
             return;
         }
-        pumping = true;
+        processing = true;
         try {
-            while (channel.isActive() && !ahead.isEmpty() && step(ahead.peek())) {
+            while (channel.isActive() && !queuedParts.isEmpty() && processPart(queuedParts.peek())) {
                 // Each step takes something in, or changes how far the request is read.
                 continue;
             }
         } finally {
-            pumping = false;
+            processing = false;
         }
-        settleReading();
+        updateAutoRead();
     }
 
-    private boolean step(HttpObject part) {
-        if (deafness.isDiscarding()) {
-            poll();
+    private boolean processPart(HttpObject part) {
+        if (discarder.isDiscarding()) {
+            removeFirstPart();
             return true;
         }
         if (part.decoderResult().isFailure()) {
-            if (phase == Phase.WHOLE) {
+            if (phase == Phase.COMPLETE) {
                 return false; // The request before it is in hand, and answered first.
             }
             Throwable cause = part.decoderResult().cause();
-            poll();
-            spoilt(BadRequest.malformed(cause));
+            removeFirstPart();
+            rejectMalformed(BadRequest.malformed(cause));
             return true;
         }
         return switch (phase) {
-            case HEAD -> reply == null && begin(part);
-            case BODY -> hold(part);
-            case REST -> rest.pass(part);
-            case WHOLE -> false;
+            case HEAD -> reply == null && startResponse(part);
+            case BUFFERING -> bufferBody(part);
+            case STREAMING -> remainder.forward(part);
+            case COMPLETE -> false;
         };
     }
 
-    private HttpObject poll() {
-        HttpObject part = ahead.poll();
-        aheadBytes -= sizeOf(part);
+    private HttpObject removeFirstPart() {
+        HttpObject part = queuedParts.poll();
+        queuedBytes -= sizeOf(part);
         ReferenceCountUtil.release(part);
         return part;
     }
 
-    private boolean begin(HttpObject part) {
+    private boolean startResponse(HttpObject part) {
         if (!(part instanceof HttpRequest request)) {
-            poll(); // What is left of a request that was not taken.
+            removeFirstPart(); // What is left of a request that was not taken.
             return true;
         }
-        asked = true;
+        hasReceivedRequest = true;
         server.onRequestReceived(this);
-        ahead.poll();
+        queuedParts.poll();
         head = request;
-        held = 0;
-        passed = 0;
-        body = NONE;
+        bufferedBytes = 0;
+        streamedBytes = 0;
+        body = NO_BYTES;
         try {
             RequestCheck.check(request);
-            classIndex = front.classOf(request);
-            length = HttpUtil.isTransferEncodingChunked(request)
+            classIndex = adapter.classOf(request);
+            bodyLength = HttpUtil.isTransferEncodingChunked(request)
                     ? Long.MAX_VALUE
                     : HttpUtil.getContentLength(request, 0L);
-            if (length < Long.MAX_VALUE && length > front.limits().maxBodyBytes()) {
-                throw tooLarge();
+            if (bodyLength < Long.MAX_VALUE && bodyLength > adapter.limits().maxBodyBytes()) {
+                throw bodyTooLarge();
             }
         } catch (BadRequest e) {
             reject(e);
             return true;
         }
-        if (unwelcome && server.isOverConnectionLimit()) {
-            reject(crowded());
+        if (openedOverLimit && server.isOverConnectionLimit()) {
+            reject(overloaded());
             return true;
         }
-        unwelcome = false;
-        cost = RequestMemory.costOf(headBytes(request), 0);
-        if (!server.requestMemory().tryReserve(cost)) {
-            cost = 0;
-            reject(crowded());
+        openedOverLimit = false;
+        reservedBytes = RequestMemory.costOf(headBytes(request), 0);
+        if (!server.requestMemory().tryReserve(reservedBytes)) {
+            reservedBytes = 0;
+            reject(overloaded());
             return true;
         }
         keepAlive = HttpUtil.isKeepAlive(request);
-        phase = Phase.BODY;
-        if (length > 0 && ahead.isEmpty() && HttpUtil.is100ContinueExpected(request)) {
+        phase = Phase.BUFFERING;
+        if (bodyLength > 0 && queuedParts.isEmpty() && HttpUtil.is100ContinueExpected(request)) {
             // As the origin that it is to its clients (RFC 9110, section 10.1.1).
-            encoder.head = false;
+            encoder.respondsToHead = false;
             write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
         return true;
@@ -345,98 +351,103 @@
         return bytes;
     }
 
-    private boolean hold(HttpObject part) {
+    private boolean bufferBody(HttpObject part) {
         HttpContent content = (HttpContent) part;
         int more = content.content().readableBytes();
-        if (held + more > front.limits().bufferBytes()) {
-            rest = new Rest();
-            phase = Phase.REST;
-            take();
+        if (bufferedBytes + more > adapter.limits().bufferBytes()) {
+            remainder = new BodyRemainder();
+            phase = Phase.STREAMING;
+            dispatch();
             return true;
         }
         if (!server.requestMemory().tryReserve(more)) {
-            reject(crowded());
+            reject(overloaded());
             return true;
         }
-        cost += more;
-        if (held + more > body.length) {
-            int least = length < Long.MAX_VALUE ? (int) Math.min(front.limits().bufferBytes(), length) : 0;
+        reservedBytes += more;
+        if (bufferedBytes + more > body.length) {
+            int least = bodyLength < Long.MAX_VALUE
+                    ? (int) Math.min(adapter.limits().bufferBytes(), bodyLength)
+                    : 0;
             body = Arrays.copyOf(
                     body,
                     Math.max(
-                            held + more,
+                            bufferedBytes + more,
                             Math.max(
                                     least,
-                                    Math.min(2 * body.length, front.limits().bufferBytes()))));
+                                    Math.min(2 * body.length, adapter.limits().bufferBytes()))));
         }
         // Not read off it: what waits is counted by what is left in it.
-        content.content().getBytes(content.content().readerIndex(), body, held, more);
-        held += more;
+        content.content().getBytes(content.content().readerIndex(), body, bufferedBytes, more);
+        bufferedBytes += more;
         boolean last = part instanceof LastHttpContent;
-        poll();
+        removeFirstPart();
         if (last) {
-            phase = Phase.WHOLE;
-            rest = null;
-            length = held;
-            take();
+            phase = Phase.COMPLETE;
+            remainder = null;
+            bodyLength = bufferedBytes;
+            dispatch();
         }
         return true;
     }
 
-    private void take() {
-        encoder.head = head.method().equals(HttpMethod.HEAD);
-        reply = new WebReply(this, front, encoder.head, head.protocolVersion().equals(HttpVersion.HTTP_1_0));
+    private void dispatch() {
+        encoder.respondsToHead = head.method().equals(HttpMethod.HEAD);
+        reply = new WebReply(
+                this, adapter, encoder.respondsToHead, head.protocolVersion().equals(HttpVersion.HTTP_1_0));
         if (server.isRehearsal(head)) {
-            reply.say(HttpReply.plain(HttpResponseStatus.OK, "rehearsed"));
+            reply.sendLocalResponse(HttpReply.plain(HttpResponseStatus.OK, "rehearsed"));
             return;
         }
-        byte[] whole = held == body.length ? body : Arrays.copyOf(body, held);
-        body = NONE;
+        byte[] whole = bufferedBytes == body.length ? body : Arrays.copyOf(body, bufferedBytes);
+        body = NO_BYTES;
         server.handle(
-                front.request(head, classIndex, channel.remoteAddress(), whole, rest, length), reply, server.nanos());
+                adapter.createRequest(head, classIndex, channel.remoteAddress(), whole, remainder, bodyLength),
+                reply,
+                server.nanos());
     }
 
     /** What is not held of a body, for the server that has begun to be sent it. */
-    private final class Rest implements BodySource {
+    private final class BodyRemainder implements BodySource {
         private BodySink sink;
         private boolean ready;
 
         @Override
         public void streamTo(BodySink to) {
             sink = to;
-            readNs = server.nanos();
+            lastReadNs = server.nanos();
             resume();
         }
 
         @Override
         public void resume() {
             ready = true;
-            pump();
+            processQueue();
         }
 
         @Override
         public void abandon() {
             sink = null;
             ready = false;
-            if (phase == Phase.REST && rest == this) {
+            if (phase == Phase.STREAMING && remainder == this) {
                 // It is answered before its end: nothing behind it on this connection can be trusted to be
                 // a head before all of it is read, and nobody has a use for it.
-                becomeDeaf();
+                discardInput();
             }
         }
 
-        boolean pass(HttpObject part) {
+        boolean forward(HttpObject part) {
             if (!ready || sink == null) {
                 return false;
             }
             HttpContent content = (HttpContent) part;
             byte[] bytes = ByteBufUtil.getBytes(content.content());
             boolean last = part instanceof LastHttpContent;
-            poll();
-            passed += bytes.length;
-            if (held + passed > front.limits().maxBodyBytes()) {
+            removeFirstPart();
+            streamedBytes += bytes.length;
+            if (bufferedBytes + streamedBytes > adapter.limits().maxBodyBytes()) {
                 BodySink to = sink;
-                leaveWith(tooLarge());
+                abandonRequest(bodyTooLarge());
                 to.abort();
                 return true;
             }
@@ -447,9 +458,9 @@
                 ready |= wants;
             }
             if (last) {
-                phase = Phase.WHOLE;
+                phase = Phase.COMPLETE;
                 to.complete();
-                wholeAndAnswered();
+                finishRequestIfDone();
             }
             return true;
         }
@@ -457,31 +468,31 @@
 
     // ---------------------------------------------------------------- what can't be taken
 
-    private BadRequest tooLarge() {
+    private BadRequest bodyTooLarge() {
         return new BadRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over what is taken");
     }
 
-    private static BadRequest crowded() {
+    private static BadRequest overloaded() {
         return new BadRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much at once");
     }
 
-    private void spoilt(BadRequest e) {
-        if (phase == Phase.REST) {
-            leaveWith(e);
+    private void rejectMalformed(BadRequest e) {
+        if (phase == Phase.STREAMING) {
+            abandonRequest(e);
         } else {
             reject(e);
         }
     }
 
     /** A request that is in hand already gets this answer, and its node is told that nobody waits for it. */
-    private void leaveWith(BadRequest e) {
+    private void abandonRequest(BadRequest e) {
         if (reply.isAnswered()) {
             close("spoilt");
             return;
         }
         WebReply left = reply;
-        BodySink to = rest == null ? null : rest.sink;
-        left.gone();
+        BodySink to = remainder == null ? null : remainder.sink;
+        left.onClientGone();
         if (to != null) {
             to.abort();
         }
@@ -491,11 +502,11 @@
 
     /** Nothing that follows on the connection can be understood, or is wanted. */
     private void reject(BadRequest e) {
-        if (ending) {
+        if (lingering) {
             return;
         }
-        becomeDeaf();
-        ending = true;
+        discardInput();
+        lingering = true;
         FullHttpResponse response = e.status().equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                 ? HttpReply.serviceUnavailable(e.getMessage(), server.retryAfterUs())
                 : HttpReply.plain(e.status(), e.getMessage());
@@ -503,7 +514,7 @@
             response.headers().set(HttpHeaderNames.ALLOW, "GET, HEAD, OPTIONS, POST, PUT, PATCH, DELETE");
         }
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        encoder.head = head != null && head.method().equals(HttpMethod.HEAD);
+        encoder.respondsToHead = head != null && head.method().equals(HttpMethod.HEAD);
         write(response).addListener(written -> linger());
     }
 
@@ -512,59 +523,59 @@
         if (channel instanceof DuplexChannel socket) {
             socket.shutdownOutput();
         }
-        channel.eventLoop().schedule(() -> close("answered"), LINGER_MS, TimeUnit.MILLISECONDS);
+        channel.eventLoop().schedule(() -> close("answered"), CLOSE_LINGER_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void becomeDeaf() {
-        deafness.startDiscarding();
-        while (!ahead.isEmpty()) {
-            poll();
+    private void discardInput() {
+        discarder.startDiscarding();
+        while (!queuedParts.isEmpty()) {
+            removeFirstPart();
         }
-        settleReading();
+        updateAutoRead();
     }
 
     // ---------------------------------------------------------------- what is written
 
     /** The whole answer to the request that is in hand. */
-    void answer(FullHttpResponse response, boolean toHead) {
+    void writeResponse(FullHttpResponse response, boolean toHead) {
         if (toHead && response.content().isReadable()) {
             response = response.replace(channel.alloc().buffer(0));
         }
-        boolean last = closesAfter();
-        connectionField(response, last);
-        write(response).addListener(written -> finished(last));
+        boolean last = closesAfterResponse();
+        setConnectionHeader(response, last);
+        write(response).addListener(written -> onResponseWritten(last));
     }
 
     /** The head of an answer whose body is passed on. */
-    void begin(HttpResponse response, boolean byClosing) {
-        closing = byClosing || closesAfter();
-        connectionField(response, closing);
+    void startResponse(HttpResponse response, boolean byClosing) {
+        closesAfterStream = byClosing || closesAfterResponse();
+        setConnectionHeader(response, closesAfterStream);
         write(response);
     }
 
     /** More of its body; whether the client reads as fast. */
-    boolean pass(HttpContent content) {
+    boolean writeBody(HttpContent content) {
         write(content);
         return channel.isWritable();
     }
 
-    void endOfAnswer(LastHttpContent last) {
-        write(last).addListener(written -> finished(closing));
+    void endResponse(LastHttpContent last) {
+        write(last).addListener(written -> onResponseWritten(closesAfterStream));
     }
 
     /** It can't be ended as it should: the client must not take what it has for the whole. */
-    void breakOff() {
+    void resetConnection() {
         if (channel.isActive()) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
             channel.close();
         }
     }
 
-    private boolean closesAfter() {
-        return !keepAlive || deafness.isDiscarding() || phase == Phase.REST || server.closesAfterResponse();
+    private boolean closesAfterResponse() {
+        return !keepAlive || discarder.isDiscarding() || phase == Phase.STREAMING || server.closesAfterResponse();
     }
 
-    private static void connectionField(HttpMessage response, boolean last) {
+    private static void setConnectionHeader(HttpMessage response, boolean last) {
         if (last) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         } else {
@@ -574,68 +585,68 @@
     }
 
     private ChannelFuture write(HttpObject object) {
-        unwritten++;
-        if (unwritten == 1) {
-            writtenNs = server.nanos();
+        pendingWrites++;
+        if (pendingWrites == 1) {
+            lastWriteNs = server.nanos();
         }
         return channel.writeAndFlush(object).addListener(written -> {
-            unwritten--;
-            writtenNs = server.nanos();
+            pendingWrites--;
+            lastWriteNs = server.nanos();
         });
     }
 
     /** The answer has been written. */
-    private void finished(boolean last) {
-        if (phase == Phase.REST || last || server.isClosing()) {
-            ending = true;
-            becomeDeaf();
+    private void onResponseWritten(boolean last) {
+        if (phase == Phase.STREAMING || last || server.isClosing()) {
+            lingering = true;
+            discardInput();
             linger();
             return;
         }
-        answeredWhole = true;
-        wholeAndAnswered();
+        responseWritten = true;
+        finishRequestIfDone();
     }
 
-    private void wholeAndAnswered() {
-        if (!answeredWhole || phase != Phase.WHOLE) {
+    private void finishRequestIfDone() {
+        if (!responseWritten || phase != Phase.COMPLETE) {
             return;
         }
-        answeredWhole = false;
-        server.requestMemory().release(cost);
-        cost = 0;
+        responseWritten = false;
+        server.requestMemory().release(reservedBytes);
+        reservedBytes = 0;
         reply = null;
-        rest = null;
+        remainder = null;
         head = null;
         phase = Phase.HEAD;
-        restedNs = server.nanos();
+        idleSinceNs = server.nanos();
         // Later, not from here: a long line of requests would go as deep.
-        if (!ahead.isEmpty()) {
-            channel.eventLoop().execute(this::pump);
+        if (!queuedParts.isEmpty()) {
+            channel.eventLoop().execute(this::processQueue);
         }
-        settleReading();
+        updateAutoRead();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (channel.isWritable() && reply != null) {
-            reply.writable();
+            reply.onWritable();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (server.log().isOn()) {
-            server.log().write("closed", number, closedFor == null ? "by the client" : closedFor);
+        if (server.log().isEnabled()) {
+            server.log().write("closed", connectionId, closeReason == null ? "by the client" : closeReason);
         }
         server.onClosed(this);
-        while (!ahead.isEmpty()) {
-            poll();
+        while (!queuedParts.isEmpty()) {
+            removeFirstPart();
         }
-        server.requestMemory().release(cost);
-        cost = 0;
-        BodySink to = rest == null || phase != Phase.REST ? null : rest.sink;
+        server.requestMemory().release(reservedBytes);
+        reservedBytes = 0;
+        BodySink to = remainder == null || phase != Phase.STREAMING ? null : remainder.sink;
         if (reply != null) {
-            reply.gone();
+            reply.onClientGone();
         }
         if (to != null) {
             to.abort();
