--- a/src/main/java/vetchpost/web/WebExchange.java
+++ b/src/main/java/vetchpost/web/WebExchange.java
@@ -39,40 +39,40 @@
  */
 final class WebExchange implements Exchange, BodySource {
     /** Informational answers ahead of the final one; servers send one or two. */
-    private static final int MOST_INFORMATIONAL = 16;
+    private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
-    private static final byte[] NONE = {};
-    private static final String EVENTS = "text/event-stream";
+    private static final byte[] NO_BYTES = {};
+    private static final String EVENT_STREAM = "text/event-stream";
 
-    private final WebFront front;
+    private final WebProtocolAdapter adapter;
     private final WebLimits limits;
-    private final OutgoingRequest sending;
+    private final OutgoingRequest outgoing;
     private final ClientRequest request;
     private Channel channel;
     private HttpResponse head;
-    private byte[] held = NONE;
-    private int size;
-    private int informational;
-    private BodySink sink;
-    private boolean begun;
-    private boolean whole;
-    private boolean over;
+    private byte[] buffer = NO_BYTES;
+    private int bufferedBytes;
+    private int informationalCount;
+    private BodySink clientSink;
+    private boolean streaming;
+    private boolean complete;
+    private boolean aborted;
     /** Of a body that comes bit by bit: whether all of it has been handed over. */
-    private boolean sent;
+    private boolean requestSent;
 
     private Upload upload;
     /** The rest of the body has been begun, and can't be had again. */
-    private boolean taken;
+    private boolean remainderStarted;
 
     private ScheduledFuture<?> timer;
-    private long progressNs;
-    private boolean paused;
+    private long lastProgressNs;
+    private boolean readingPaused;
     /** What the head says of the connection, asked before its fields are passed on without that. */
     private boolean reusable;
 
-    WebExchange(WebFront front, OutgoingRequest sending) {
-        this.front = front;
-        this.sending = sending;
+    WebExchange(WebProtocolAdapter front, OutgoingRequest sending) {
+        this.adapter = front;
+        this.outgoing = sending;
         limits = front.limits();
         request = sending.request();
     }
@@ -87,7 +87,7 @@
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
         request.headers().forEach(headers::add);
         if (request.bodyRemainder() == null) {
-            sent = true;
+            requestSent = true;
             return channel.writeAndFlush(new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     method,
@@ -105,8 +105,8 @@
         upload = new Upload();
         ChannelFuture writing = channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(request.body())));
         writing.addListener(done -> {
-            if (done.isSuccess() && !over && !whole) {
-                taken = true;
+            if (done.isSuccess() && !aborted && !complete) {
+                remainderStarted = true;
                 request.bodyRemainder().streamTo(upload);
             }
         });
@@ -115,21 +115,21 @@
 
     /** Passes the rest of a body on to the server, a piece at a time. */
     private final class Upload implements BodySink {
-        private int unwritten;
+        private int pendingWrites;
 
         @Override
         public boolean write(byte[] bytes) {
-            if (over || whole) {
+            if (aborted || complete) {
                 return false;
             }
-            unwritten++;
-            progress();
-            watch();
+            pendingWrites++;
+            recordProgress();
+            scheduleProgressCheck();
             channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)))
                     .addListener(done -> {
-                        unwritten--;
-                        progress();
-                        if (done.isSuccess() && unwritten == 0 && !over && !whole) {
+                        pendingWrites--;
+                        recordProgress();
+                        if (done.isSuccess() && pendingWrites == 0 && !aborted && !complete) {
                             request.bodyRemainder().resume();
                         }
                     });
@@ -138,30 +138,30 @@
 
         @Override
         public void complete() {
-            if (!over && !whole) {
-                sent = true;
+            if (!aborted && !complete) {
+                requestSent = true;
                 channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-                progress();
-                watch();
+                recordProgress();
+                scheduleProgressCheck();
             }
         }
 
         @Override
         public void abort() {
-            if (!over && !whole) {
+            if (!aborted && !complete) {
                 // The server must not take what it has for the whole.
                 channel.close();
             }
         }
     }
 
-    private void progress() {
-        progressNs = channel.eventLoop().ticker().nanoTime();
+    private void recordProgress() {
+        lastProgressNs = channel.eventLoop().ticker().nanoTime();
     }
 
     /** Bodies take as long as they take, but they have to go on. */
-    private void watch() {
-        if (timer != null || over) {
+    private void scheduleProgressCheck() {
+        if (timer != null || aborted) {
             return;
         }
         long everyNs = TimeUnit.MICROSECONDS.toNanos(limits.bodyIdleTimeoutUs()) / 4;
@@ -169,20 +169,22 @@
                 .schedule(
                         () -> {
                             timer = null;
-                            if (over || whole) {
+                            if (aborted || complete) {
                                 return;
                             }
                             // Once all is sent, and nothing has come back, it is the server's work that is waited for.
                             long mostNs = TimeUnit.MICROSECONDS.toNanos(
-                                    sent && head == null
+                                    requestSent && head == null
                                             ? Math.max(
-                                                    limits.bodyIdleTimeoutUs(), front.deadlineUs(request.classIndex()))
+                                                    limits.bodyIdleTimeoutUs(),
+                                                    adapter.deadlineUs(request.classIndex()))
                                             : limits.bodyIdleTimeoutUs());
-                            boolean waits = upload != null && !sent && upload.unwritten == 0 || paused;
-                            if (!waits && channel.eventLoop().ticker().nanoTime() - progressNs > mostNs) {
+                            boolean waits =
+                                    upload != null && !requestSent && upload.pendingWrites == 0 || readingPaused;
+                            if (!waits && channel.eventLoop().ticker().nanoTime() - lastProgressNs > mostNs) {
                                 channel.close();
                             } else {
-                                watch();
+                                scheduleProgressCheck();
                             }
                         },
                         everyNs,
@@ -198,7 +200,7 @@
 
     @Override
     public boolean read(HttpObject part) throws MalformedResponse {
-        if (whole || part.decoderResult().isFailure()) {
+        if (complete || part.decoderResult().isFailure()) {
             throw new MalformedResponse();
         }
         if (part instanceof HttpResponse response) {
@@ -222,15 +224,15 @@
         if (part instanceof HttpContent content) {
             boolean last = part instanceof LastHttpContent;
             if (isInformational()) {
-                if (last && ++informational > MOST_INFORMATIONAL) {
+                if (last && ++informationalCount > MAX_INFORMATIONAL_RESPONSES) {
                     throw new MalformedResponse();
                 }
                 head = last ? null : head;
                 return false;
             }
-            body(content, last);
+            readBody(content, last);
         }
-        return whole;
+        return complete;
     }
 
     private static boolean hasNoBody(HttpResponseStatus status) {
@@ -241,34 +243,35 @@
         return head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     }
 
-    private void body(HttpContent content, boolean last) {
+    private void readBody(HttpContent content, boolean last) {
         int more = content.content().readableBytes();
-        if (!begun && size + more <= limits.bufferBytes()) {
-            if (size + more > held.length) {
-                held = Arrays.copyOf(held, Math.max(size + more, Math.min(limits.bufferBytes(), 2 * held.length)));
+        if (!streaming && bufferedBytes + more <= limits.bufferBytes()) {
+            if (bufferedBytes + more > buffer.length) {
+                buffer = Arrays.copyOf(
+                        buffer, Math.max(bufferedBytes + more, Math.min(limits.bufferBytes(), 2 * buffer.length)));
             }
-            content.content().readBytes(held, size, more);
-            size += more;
+            content.content().readBytes(buffer, bufferedBytes, more);
+            bufferedBytes += more;
             if (!last) {
-                soon();
+                startStreamingSoon();
             }
         } else {
-            begin();
-            if (sink != null && more > 0) {
-                progress();
-                if (!sink.write(ByteBufUtil.getBytes(content.content()))) {
-                    paused = true;
+            startStreaming();
+            if (clientSink != null && more > 0) {
+                recordProgress();
+                if (!clientSink.write(ByteBufUtil.getBytes(content.content()))) {
+                    readingPaused = true;
                     channel.config().setAutoRead(false);
                 }
             }
         }
         if (last) {
-            whole = true;
-            end();
-            if (sink != null) {
-                sink.complete();
+            complete = true;
+            cancelTimer();
+            if (clientSink != null) {
+                clientSink.complete();
             }
-            if (upload != null && !sent) {
+            if (upload != null && !requestSent) {
                 // Answered before all was asked: what is left of the question is not wanted any more.
                 request.bodyRemainder().abandon();
             }
@@ -276,17 +279,17 @@
     }
 
     /** What is not whole by then is passed on as it comes; a stream of events at once. */
-    private void soon() {
+    private void startStreamingSoon() {
         String type = head.headers().get(HttpHeaderNames.CONTENT_TYPE);
-        if (type != null && type.startsWith(EVENTS)) {
-            begin();
+        if (type != null && type.startsWith(EVENT_STREAM)) {
+            startStreaming();
         } else if (timer == null) {
             timer = channel.eventLoop()
                     .schedule(
                             () -> {
                                 timer = null;
-                                if (!whole && !over) {
-                                    begin();
+                                if (!complete && !aborted) {
+                                    startStreaming();
                                 }
                             },
                             limits.bufferTimeoutUs(),
@@ -294,24 +297,24 @@
         }
     }
 
-    private void begin() {
-        if (begun || over) {
+    private void startStreaming() {
+        if (streaming || aborted) {
             return;
         }
-        begun = true;
+        streaming = true;
         if (timer != null) {
             timer.cancel(false);
             timer = null;
         }
-        progress();
-        if (sending.onResponseStarted(answerWith(Arrays.copyOf(held, size), this))) {
-            watch();
+        recordProgress();
+        if (outgoing.onResponseStarted(createResponse(Arrays.copyOf(buffer, bufferedBytes), this))) {
+            scheduleProgressCheck();
         } else {
             channel.close();
         }
     }
 
-    private ServerResponse answerWith(byte[] body, BodySource rest) {
+    private ServerResponse createResponse(byte[] body, BodySource rest) {
         RequestCheck.dropHopByHop(head.headers());
         long length = rest == null ? body.length : HttpUtil.getContentLength(head, Long.MAX_VALUE);
         return new ServerResponse(
@@ -325,37 +328,37 @@
 
     @Override
     public void streamTo(BodySink to) {
-        sink = to;
+        clientSink = to;
     }
 
     @Override
     public void resume() {
-        if (paused && !over) {
-            paused = false;
-            progress();
+        if (readingPaused && !aborted) {
+            readingPaused = false;
+            recordProgress();
             channel.config().setAutoRead(true);
         }
     }
 
     @Override
     public void abandon() {
-        sink = null;
-        if (!over && !whole) {
+        clientSink = null;
+        if (!aborted && !complete) {
             channel.close();
         }
     }
 
     @Override
     public boolean isComplete() {
-        return whole;
+        return complete;
     }
 
     @Override
     public boolean isReusable() {
-        return sent && reusable;
+        return requestSent && reusable;
     }
 
-    private void end() {
+    private void cancelTimer() {
         if (timer != null) {
             timer.cancel(false);
             timer = null;
@@ -369,21 +372,23 @@
 
     @Override
     public ServerResponse response() {
-        return begun ? null : answerWith(size == held.length ? held : Arrays.copyOf(held, size), null);
+        return streaming
+                ? null
+                : createResponse(bufferedBytes == buffer.length ? buffer : Arrays.copyOf(buffer, bufferedBytes), null);
     }
 
     @Override
     public void abort() {
-        if (over) {
+        if (aborted) {
             return;
         }
-        over = true;
-        end();
-        if (taken && !sent) {
+        aborted = true;
+        cancelTimer();
+        if (remainderStarted && !requestSent) {
             request.bodyRemainder().abandon();
         }
-        if (sink != null) {
-            sink.abort();
+        if (clientSink != null) {
+            clientSink.abort();
         }
     }
 }
--- a/src/main/java/vetchpost/web/WebFront.java
+++ b/src/main/java/vetchpost/web/WebProtocolAdapter.java
@@ -24,27 +24,27 @@
 import vetchpost.standalone.WebLimits;
 
 /** Both sides of a node that speaks with the open web: how clients' connections and exchanges are made. */
-public final class WebFront implements ManagedConnection.ConnectionInitializer, Exchange.Factory {
-    private static final String REMAINING = "X-Remaining-Ms";
-    private static final String RESENT = "X-Resent";
-    private static final int MOST_DIGITS = 9;
+public final class WebProtocolAdapter implements ManagedConnection.ConnectionInitializer, Exchange.Factory {
+    private static final String REMAINING_MS_HEADER = "X-Remaining-Ms";
+    private static final String RESENT_HEADER = "X-Resent";
+    private static final int MAX_REMAINING_MS_DIGITS = 9;
 
     private Settings settings;
     private Classifier classifier;
     private WebLimits limits;
-    private final LongSupplier unixMs;
-    private long numbered;
+    private final LongSupplier unixMsClock;
+    private long lastRequestNumber;
 
     /**
      * For requests of these classes.
      *
      * @param unixMs tells the time, Unix time in milliseconds
      */
-    public WebFront(Settings settings, Classifier classifier, WebLimits limits, LongSupplier unixMs) {
+    public WebProtocolAdapter(Settings settings, Classifier classifier, WebLimits limits, LongSupplier unixMs) {
         this.settings = settings;
         this.classifier = classifier;
         this.limits = limits;
-        this.unixMs = unixMs;
+        this.unixMsClock = unixMs;
     }
 
     /** Has these hold for requests from now on. */
@@ -59,7 +59,7 @@
     }
 
     long unixMs() {
-        return unixMs.getAsLong();
+        return unixMsClock.getAsLong();
     }
 
     @Override
@@ -96,28 +96,31 @@
      * @param from who asks
      * @param length of the body; the largest number if it is not said
      */
-    ClientRequest request(
+    ClientRequest createRequest(
             HttpRequest head, int classIndex, SocketAddress from, byte[] body, BodySource rest, long length) {
         HttpHeaders headers = head.headers();
         String host = headers.get(HttpHeaderNames.HOST);
         int tenant = classifier.tenantOf(host, headers::get);
         long remainingUs = rest != null ? limits.uploadTimeoutUs() : deadlineUs(classIndex);
-        long saidMs = RequestReader.parseDigits(headers.get(REMAINING), MOST_DIGITS);
+        long saidMs = RequestReader.parseDigits(headers.get(REMAINING_MS_HEADER), MAX_REMAINING_MS_DIGITS);
         if (saidMs > 0) {
             remainingUs = Math.min(remainingUs, 1_000 * saidMs);
         }
-        boolean repeated = "1".equals(headers.get(RESENT));
+        boolean repeated = "1".equals(headers.get(RESENT_HEADER));
         RequestCheck.dropHopByHop(headers);
-        headers.remove(HttpHeaderNames.EXPECT).remove(REMAINING).remove(RESENT).remove("X-Rehearsal");
+        headers.remove(HttpHeaderNames.EXPECT)
+                .remove(REMAINING_MS_HEADER)
+                .remove(RESENT_HEADER)
+                .remove("X-Rehearsal");
         if (rest == null) {
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
-            if (body.length > 0 || wantsLength(head)) {
+            if (body.length > 0 || requiresContentLength(head)) {
                 headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
             }
         }
-        forward(headers, head.protocolVersion(), from, host);
+        addForwardingHeaders(headers, head.protocolVersion(), from, host);
         return new ClientRequest(
-                ++numbered,
+                ++lastRequestNumber,
                 classIndex,
                 tenant,
                 remainingUs,
@@ -132,48 +135,48 @@
     }
 
     /** Methods whose requests have bodies tell a length even where there is none (RFC 9110, section 8.6). */
-    private static boolean wantsLength(HttpRequest head) {
+    private static boolean requiresContentLength(HttpRequest head) {
         return switch (head.method().name()) {
             case "POST", "PUT", "PATCH" -> true;
             default -> false;
         };
     }
 
-    private void forward(HttpHeaders headers, HttpVersion version, SocketAddress from, String host) {
+    private void addForwardingHeaders(HttpHeaders headers, HttpVersion version, SocketAddress from, String host) {
         headers.add(
                 HttpHeaderNames.VIA, version.majorVersion() + "." + version.minorVersion() + " " + limits.viaName());
         String address = from instanceof InetSocketAddress inet && inet.getAddress() != null
-                ? plain(inet.getAddress())
+                ? textWithoutScope(inet.getAddress())
                 : "unknown";
         if (limits.forwarded().isStandard()) {
             String node = address.indexOf(':') >= 0 ? "\"[" + address + "]\"" : address;
             String one = "for=" + node + (host == null ? "" : ";host=\"" + host + "\"") + ";proto=http";
-            append(headers, "Forwarded", one);
+            appendForwardedValue(headers, "Forwarded", one);
         } else if (!limits.trustsForwarded()) {
             headers.remove("Forwarded");
         }
         if (limits.forwarded().isCustom()) {
-            append(headers, "X-Forwarded-For", address);
-            instead(headers, "X-Forwarded-Proto", "http");
-            instead(headers, "X-Forwarded-Host", host);
+            appendForwardedValue(headers, "X-Forwarded-For", address);
+            setForwardedValue(headers, "X-Forwarded-Proto", "http");
+            setForwardedValue(headers, "X-Forwarded-Host", host);
         } else if (!limits.trustsForwarded()) {
             headers.remove("X-Forwarded-For").remove("X-Forwarded-Proto").remove("X-Forwarded-Host");
         }
     }
 
-    private static String plain(InetAddress address) {
+    private static String textWithoutScope(InetAddress address) {
         String text = address.getHostAddress();
         int scope = text.indexOf('%');
         return scope < 0 ? text : text.substring(0, scope);
     }
 
     /** Behind what the client says, if that is believed; else in its place. */
-    private void append(HttpHeaders headers, String name, String value) {
+    private void appendForwardedValue(HttpHeaders headers, String name, String value) {
         String said = limits.trustsForwarded() ? String.join(", ", headers.getAll(name)) : "";
         headers.set(name, said.isEmpty() ? value : said + ", " + value);
     }
 
-    private void instead(HttpHeaders headers, String name, String value) {
+    private void setForwardedValue(HttpHeaders headers, String name, String value) {
         if (limits.trustsForwarded() && headers.contains(name)) {
             return;
         }
--- a/src/main/java/vetchpost/web/WebReply.java
+++ b/src/main/java/vetchpost/web/WebReply.java
@@ -22,16 +22,16 @@
 
 /** The one answer to a request of the open web; of a body that is not held, the way of its bytes too. */
 final class WebReply implements ClientReply, BodySink {
-    private static final String RAN = "Vetchpost-Ran";
+    private static final String RAN_HEADER = "Vetchpost-Ran";
 
     private final WebConnection connection;
-    private final WebFront front;
-    private final boolean head;
-    private final boolean old;
-    private Runnable whenGone = () -> {};
+    private final WebProtocolAdapter adapter;
+    private final boolean headOnly;
+    private final boolean isHttp10;
+    private Runnable disconnectAction = () -> {};
     private boolean mayHaveRun;
     private boolean answered;
-    private boolean ended;
+    private boolean complete;
     private ServerResponse streaming;
 
     /**
@@ -40,21 +40,21 @@
      * @param head whether only the head of an answer is wanted
      * @param old whether the client speaks HTTP/1.0, which knows no chunks
      */
-    WebReply(WebConnection connection, WebFront front, boolean head, boolean old) {
+    WebReply(WebConnection connection, WebProtocolAdapter front, boolean head, boolean old) {
         this.connection = connection;
-        this.front = front;
-        this.head = head;
-        this.old = old;
+        this.adapter = front;
+        this.headOnly = head;
+        this.isHttp10 = old;
     }
 
     @Override
     public long connectionId() {
-        return connection.number();
+        return connection.connectionId();
     }
 
     @Override
     public void onDisconnect(Runnable action) {
-        whenGone = action;
+        disconnectAction = action;
     }
 
     /** Whether its answer has begun. */
@@ -63,21 +63,21 @@
     }
 
     /** The client has left. */
-    void gone() {
-        if (ended) {
+    void onClientGone() {
+        if (complete) {
             return;
         }
         answered = true;
-        ended = true;
-        whenGone.run();
+        complete = true;
+        disconnectAction.run();
         if (streaming != null) {
             streaming.bodyRemainder().abandon();
         }
     }
 
     /** The client has read so much that more can be written. */
-    void writable() {
-        if (streaming != null && !ended) {
+    void onWritable() {
+        if (streaming != null && !complete) {
             streaming.bodyRemainder().resume();
         }
     }
@@ -95,64 +95,64 @@
         if (answer.bodyRemainder() == null) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(answer.body()));
-            fields(response, answer);
+            setHeaders(response, answer);
             // To HEAD, and of 304, a length is that of the body that is left out (RFC 9110, section 8.6).
-            if (!head && answer.status() != HttpResponseStatus.NOT_MODIFIED.code()) {
+            if (!headOnly && answer.status() != HttpResponseStatus.NOT_MODIFIED.code()) {
                 response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
             }
-            ended = true;
-            connection.answer(response, head);
+            complete = true;
+            connection.writeResponse(response, headOnly);
             return;
         }
         streaming = answer;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, status);
-        fields(response, answer);
+        setHeaders(response, answer);
         boolean byClosing = false;
         if (answer.bodyLength() < Long.MAX_VALUE) {
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.bodyLength());
-        } else if (old) {
+        } else if (isHttp10) {
             byClosing = true;
         } else {
             response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        connection.begin(response, byClosing);
+        connection.startResponse(response, byClosing);
         if (answer.body().length > 0) {
-            connection.pass(new DefaultHttpContent(Unpooled.wrappedBuffer(answer.body())));
+            connection.writeBody(new DefaultHttpContent(Unpooled.wrappedBuffer(answer.body())));
         }
         answer.bodyRemainder().streamTo(this);
     }
 
-    private void fields(HttpResponse response, ServerResponse answer) {
+    private void setHeaders(HttpResponse response, ServerResponse answer) {
         HttpHeaders headers = response.headers();
         if (answer.headers() != null) {
             answer.headers().forEach(headers::add);
         }
         // The node's own word about requests that it has not served, and no server's.
-        headers.remove(RAN);
-        headers.add(HttpHeaderNames.VIA, "1.1 " + front.limits().viaName());
+        headers.remove(RAN_HEADER);
+        headers.add(HttpHeaderNames.VIA, "1.1 " + adapter.limits().viaName());
         if (!headers.contains(HttpHeaderNames.DATE)) {
-            headers.set(HttpHeaderNames.DATE, DateFormatter.format(new Date(front.unixMs())));
+            headers.set(HttpHeaderNames.DATE, DateFormatter.format(new Date(adapter.unixMs())));
         }
     }
 
     @Override
     public boolean write(byte[] bytes) {
-        return !ended && connection.pass(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
+        return !complete && connection.writeBody(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
     }
 
     @Override
     public void complete() {
-        if (!ended) {
-            ended = true;
-            connection.endOfAnswer(LastHttpContent.EMPTY_LAST_CONTENT);
+        if (!complete) {
+            complete = true;
+            connection.endResponse(LastHttpContent.EMPTY_LAST_CONTENT);
         }
     }
 
     @Override
     public void abort() {
-        if (!ended) {
-            ended = true;
-            connection.breakOff();
+        if (!complete) {
+            complete = true;
+            connection.resetConnection();
         }
     }
 
@@ -174,12 +174,12 @@
             // Whole seconds (RFC 9110, section 10.2.3), and never less than what was advised.
             response.headers().set(HttpHeaderNames.RETRY_AFTER, (retryAfterUs + 999_999) / 1_000_000);
         }
-        sayNotServed(response);
+        sendNotServed(response);
     }
 
     @Override
     public void failed(Failure why) {
-        sayNotServed(
+        sendNotServed(
                 switch (why) {
                     case DUPLICATE_ID ->
                         HttpReply.plain(HttpResponseStatus.CONFLICT, "a request of this id is in hand");
@@ -196,19 +196,19 @@
                 });
     }
 
-    private void sayNotServed(FullHttpResponse response) {
-        response.headers().set(RAN, mayHaveRun ? "maybe" : "no");
-        say(response);
+    private void sendNotServed(FullHttpResponse response) {
+        response.headers().set(RAN_HEADER, mayHaveRun ? "maybe" : "no");
+        sendLocalResponse(response);
     }
 
     /** An answer of the node's own, unless there has been one. */
-    void say(FullHttpResponse response) {
+    void sendLocalResponse(FullHttpResponse response) {
         if (answered) {
             response.release();
             return;
         }
         answered = true;
-        ended = true;
-        connection.answer(response, head);
+        complete = true;
+        connection.writeResponse(response, headOnly);
     }
 }
--- a/src/test/java/vetchpost/ArchitectureTest.java
+++ b/src/test/java/vetchpost/ArchitectureTest.java
@@ -15,11 +15,11 @@
     private static final String JAVA = "java..";
 
     @ArchTest
-    static final ArchRule NO_CIRCLES =
+    static final ArchRule PACKAGES_ARE_FREE_OF_CYCLES =
             slices().matching("vetchpost.(*)..").should().beFreeOfCycles();
 
     @ArchTest
-    static final ArchRule THE_MODULE_STANDS_ALONE = classes()
+    static final ArchRule DECISION_DEPENDS_ONLY_ON_THE_JDK = classes()
             .that()
             .resideInAPackage("vetchpost.decision..")
             .should()
@@ -27,7 +27,7 @@
             .resideInAnyPackage(JAVA, "vetchpost.decision..");
 
     @ArchTest
-    static final ArchRule THE_CORE_KNOWS_NO_PROTOCOL = classes()
+    static final ArchRule CORE_DEPENDS_ONLY_ON_DECISION = classes()
             .that()
             .resideInAPackage("vetchpost.core..")
             .should()
@@ -35,7 +35,7 @@
             .resideInAnyPackage(JAVA, "vetchpost.core..", "vetchpost.decision..");
 
     @ArchTest
-    static final ArchRule NEITHER_DOES_INPUT_OR_OUTPUT = noClasses()
+    static final ArchRule DECISION_AND_CORE_DO_NO_IO = noClasses()
             .that()
             .resideInAnyPackage("vetchpost.decision..", "vetchpost.core..")
             .should()
@@ -51,7 +51,7 @@
 
     /** Else a simulation's node would read the machine's clock. */
     @ArchTest
-    static final ArchRule TIME_COMES_FROM_THE_LOOP = noClasses()
+    static final ArchRule TIME_COMES_FROM_THE_EVENT_LOOP = noClasses()
             .that()
             .resideInAnyPackage(
                     "vetchpost.http..",
@@ -69,7 +69,7 @@
 
     /** Else a simulation's node would open the machine's sockets. */
     @ArchTest
-    static final ArchRule SOCKETS_COME_FROM_THE_NETWORK = noClasses()
+    static final ArchRule SOCKET_CHANNELS_ARE_INJECTED = noClasses()
             .that()
             .resideInAnyPackage(
                     "vetchpost.http..",
@@ -84,7 +84,7 @@
             .resideInAnyPackage("io.netty.channel.nio..", "io.netty.channel.socket.nio..");
 
     @ArchTest
-    static final ArchRule PROTOCOLS_KNOW_NOTHING_OF_EACH_OTHER = noClasses()
+    static final ArchRule HTTP_DOES_NOT_DEPEND_ON_OTHER_ADAPTERS = noClasses()
             .that()
             .resideInAPackage("vetchpost.http..")
             .should()
@@ -93,7 +93,7 @@
                     "vetchpost.discovery..", "vetchpost.config..", "vetchpost.node..", "vetchpost.daemon..");
 
     @ArchTest
-    static final ArchRule THE_ADAPTER_HAS_ONLY_THE_MODULE = noClasses()
+    static final ArchRule SIMULATOR_ADAPTER_DOES_NOT_DEPEND_ON_THE_NODE = noClasses()
             .that()
             .resideInAPackage("vetchpost.simadapter..")
             .should()
@@ -103,7 +103,7 @@
 
     /** A checker that used the node's code would share its errors. */
     @ArchTest
-    static final ArchRule THE_CHECKER_SHARES_NOTHING_WITH_THE_NODE = classes()
+    static final ArchRule CHECKER_DOES_NOT_DEPEND_ON_THE_NODE = classes()
             .that()
             .resideInAPackage("vetchpost.simulation.check..")
             .should()
@@ -113,7 +113,7 @@
 
     /** Proofs are of files that somebody else has read. */
     @ArchTest
-    static final ArchRule ROUTES_DO_NO_INPUT_OR_OUTPUT = noClasses()
+    static final ArchRule ROUTES_DO_NO_IO = noClasses()
             .that()
             .resideInAPackage("vetchpost.routes")
             .should()
@@ -122,7 +122,7 @@
 
     /** Entries, versions and their sums know neither what they mean nor how they travel. */
     @ArchTest
-    static final ArchRule THE_STORE_STANDS_ALONE = classes()
+    static final ArchRule STORE_DEPENDS_ONLY_ON_THE_JDK = classes()
             .that()
             .resideInAPackage("vetchpost.store")
             .should()
@@ -132,7 +132,7 @@
 
     /** Who is told what, and what is believed of it, is decided without a clock, a disk or a socket. */
     @ArchTest
-    static final ArchRule REPLICATION_DECIDES_WITHOUT_INPUT_OR_OUTPUT = classes()
+    static final ArchRule REPLICATION_DECISIONS_DO_NO_IO = classes()
             .that()
             .resideInAnyPackage("vetchpost.replication", "vetchpost.changes")
             .should()
@@ -154,7 +154,7 @@
 
     /** What is believed of old knowledge is decided without a clock, a disk or a socket. */
     @ArchTest
-    static final ArchRule STATE_DECIDES_WITHOUT_INPUT_OR_OUTPUT = classes()
+    static final ArchRule STATE_DECISIONS_DO_NO_IO = classes()
             .that()
             .resideInAPackage("vetchpost.state")
             .should()
@@ -170,7 +170,7 @@
 
     /** Who goes first, and who is told what, is decided without a clock or a socket. */
     @ArchTest
-    static final ArchRule THE_DOOR_DECIDES_WITHOUT_INPUT_OR_OUTPUT = classes()
+    static final ArchRule ADMISSION_DECISIONS_DO_NO_IO = classes()
             .that()
             .resideInAPackage("vetchpost.admission")
             .should()
@@ -189,7 +189,7 @@
                     "org.apache.commons.codec.digest");
 
     @ArchTest
-    static final ArchRule THE_DISK_IS_NEVER_TOUCHED_FROM_A_LOOP = noClasses()
+    static final ArchRule EVENT_LOOPS_NEVER_ACCESS_THE_DISK = noClasses()
             .that()
             .resideInAnyPackage("vetchpost.recovery..", "vetchpost.handover..", "vetchpost.node..", "vetchpost.core..")
             .should()
@@ -197,7 +197,7 @@
             .resideInAPackage("vetchpost.state.disk..");
 
     @ArchTest
-    static final ArchRule HANDOVERS_KNOW_NO_NODE = noClasses()
+    static final ArchRule HANDOVER_DOES_NOT_DEPEND_ON_THE_NODE = noClasses()
             .that()
             .resideInAnyPackage("vetchpost.handover..", "vetchpost.state..")
             .should()
@@ -214,7 +214,7 @@
      * Who is in the fleet, who is checked and what a file comes to is decided without a clock or a socket.
      */
     @ArchTest
-    static final ArchRule SOURCES_DECIDE_WITHOUT_INPUT_OR_OUTPUT = classes()
+    static final ArchRule SOURCE_DECISIONS_DO_NO_IO = classes()
             .that()
             .resideInAnyPackage("vetchpost.sources", "vetchpost.standalone")
             .should()
@@ -234,7 +234,7 @@
 
     /** What operators may do, and what it comes to, is decided without a clock, a disk or a socket. */
     @ArchTest
-    static final ArchRule CONTROL_DECIDES_WITHOUT_INPUT_OR_OUTPUT = classes()
+    static final ArchRule CONTROL_DECISIONS_DO_NO_IO = classes()
             .that()
             .resideInAPackage("vetchpost.control")
             .should()
@@ -256,7 +256,7 @@
 
     /** What became of requests is kept without a clock of its own, a disk or a socket. */
     @ArchTest
-    static final ArchRule THE_RECORDER_DOES_NO_INPUT_OR_OUTPUT = classes()
+    static final ArchRule RECORDER_DOES_NO_IO = classes()
             .that()
             .resideInAPackage("vetchpost.recorder")
             .should()
@@ -272,7 +272,7 @@
 
     /** A protocol decides how bytes look and what an ending means, and nothing else. */
     @ArchTest
-    static final ArchRule FASTCGI_KNOWS_BYTES_AND_OUTCOMES = classes()
+    static final ArchRule FASTCGI_DEPENDS_ONLY_ON_BUFFERS_AND_OUTCOMES = classes()
             .that()
             .resideInAPackage("vetchpost.fastcgi")
             .should()
@@ -290,7 +290,7 @@
 
     /** The platform's node loads nothing of what runs a node without a platform. */
     @ArchTest
-    static final ArchRule THE_PLATFORMS_NODE_DOES_NOT_KNOW_THE_OTHER = noClasses()
+    static final ArchRule PLATFORM_NODE_DOES_NOT_DEPEND_ON_STANDALONE_MODE = noClasses()
             .that()
             .resideInAnyPackage(
                     "vetchpost.node..",
@@ -314,7 +314,7 @@
 
     /** A node that nothing is kept of loads nothing of this, but the name of an interface. */
     @ArchTest
-    static final ArchRule THE_PLATFORMS_NODE_LOADS_NO_CHANGES = noClasses()
+    static final ArchRule PLATFORM_NODE_DOES_NOT_DEPEND_ON_CONFIGURATION_CHANGES = noClasses()
             .that()
             .resideInAnyPackage(
                     "vetchpost.node..",
@@ -329,7 +329,7 @@
             .resideInAnyPackage("vetchpost.store..", "vetchpost.replication..", "vetchpost.changes..");
 
     @ArchTest
-    static final ArchRule A_NODE_DOES_NOT_KNOW_WHAT_GOES_ALONG_WITH_IT = noClasses()
+    static final ArchRule NODE_DOES_NOT_DEPEND_ON_ITS_EXTENSIONS = noClasses()
             .that()
             .resideInAnyPackage(
                     "vetchpost.node..",
@@ -350,7 +350,7 @@
                     "at.favre..");
 
     @ArchTest
-    static final ArchRule IN_SERVICE_NOTHING_IS_SIMULATED = noClasses()
+    static final ArchRule PRODUCTION_CODE_DOES_NOT_DEPEND_ON_SIMULATION = noClasses()
             .that()
             .resideOutsideOfPackages("vetchpost.simulation..", "vetchpost.daemon..", "vetchpost.demo..")
             .should()
--- a/src/test/java/vetchpost/admission/AdmissionHarness.java
+++ b/src/test/java/vetchpost/admission/AdmissionHarness.java
@@ -17,84 +17,84 @@
 
 /** A door on virtual time, before a module that sends as soon as one of so many servers is free. */
 final class AdmissionHarness {
-    static final long WORK_US = 10_000;
-    private static final long START_US = 1_000_000_000_000L;
-
-    final Settings platform;
-    final FairAdmission door;
-    final List<SubmittedRequest> all = new ArrayList<>();
-    long now = START_US;
-    int servers;
-    long workUs = WORK_US;
-    private int busy;
-    private long numbers;
-    private final List<SubmittedRequest> unsent = new ArrayList<>();
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::us).thenComparingLong(Due::number));
-
-    private record Due(long us, long number, Runnable task) {}
+    static final long REQUEST_WORK_US = 10_000;
+    private static final long START_TIME_US = 1_000_000_000_000L;
+
+    final Settings settings;
+    final FairAdmission admission;
+    final List<SubmittedRequest> submitted = new ArrayList<>();
+    long currentUs = START_TIME_US;
+    int serverCount;
+    long workUs = REQUEST_WORK_US;
+    private int busyServers;
+    private long lastNumber;
+    private final List<SubmittedRequest> unsentRequests = new ArrayList<>();
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::dueUs).thenComparingLong(ScheduledTask::number));
+
+    private record ScheduledTask(long dueUs, long number, Runnable task) {}
 
     /** What has become of a request. */
     final class SubmittedRequest implements AdmissionControl.Applicant {
         final int tenant;
-        final int cls;
+        final int classIndex;
         final String key;
-        final long askedUs = now;
-        AdmissionControl.RequestProgress entry;
-        boolean admitted;
-        boolean refused;
-        boolean left;
+        final long submittedUs = currentUs;
+        AdmissionControl.RequestProgress progress;
+        boolean isAdmitted;
+        boolean isRejected;
+        boolean isDisconnected;
         long endedUs = -1;
-        long adviceUs;
-        Runnable whenRefused = () -> {};
+        long retryAfterUs;
+        Runnable onRejected = () -> {};
 
         SubmittedRequest(int tenant, int cls, String key) {
             this.tenant = tenant;
-            this.cls = cls;
+            this.classIndex = cls;
             this.key = key;
         }
 
-        boolean served() {
-            return admitted && endedUs >= 0;
+        boolean isServed() {
+            return isAdmitted && endedUs >= 0;
         }
 
         @Override
         public void admitted() {
-            must(!admitted && !refused && !left, "admitted twice, or after its end");
-            admitted = true;
-            unsent.add(this);
-            send();
+            require(!isAdmitted && !isRejected && !isDisconnected, "admitted twice, or after its end");
+            isAdmitted = true;
+            unsentRequests.add(this);
+            sendUnsent();
         }
 
         @Override
         public void rejected(long retryAfterUs) {
-            must(!admitted && !refused && !left, "refused twice, or after its end");
-            refused = true;
-            adviceUs = retryAfterUs;
-            endedUs = now;
-            entry.ended();
-            whenRefused.run();
+            require(!isAdmitted && !isRejected && !isDisconnected, "refused twice, or after its end");
+            isRejected = true;
+            retryAfterUs = retryAfterUs;
+            endedUs = currentUs;
+            progress.onCompleted();
+            onRejected.run();
         }
 
-        void leave() {
-            left = true;
-            unsent.remove(this);
-            entry.ended();
-            door.advance(now);
+        void disconnect() {
+            isDisconnected = true;
+            unsentRequests.remove(this);
+            progress.onCompleted();
+            admission.advance(currentUs);
         }
     }
 
     AdmissionHarness(int servers, Settings platform, AdmissionSettings settings) {
-        this.servers = servers;
-        this.platform = platform;
-        door = new FairAdmission(settings, platform, 7);
+        this.serverCount = servers;
+        this.settings = platform;
+        admission = new FairAdmission(settings, platform, 7);
     }
 
     AdmissionHarness(int servers, Settings platform) {
         this(servers, platform, AdmissionValidator.defaults(platform));
     }
 
-    static void must(boolean holds, String otherwise) {
+    static void require(boolean holds, String otherwise) {
         if (!holds) {
             throw new AssertionError(otherwise);
         }
@@ -113,82 +113,84 @@
         return set;
     }
 
-    SubmittedRequest ask(int tenant, String key) {
-        return ask(tenant, 0, key);
+    SubmittedRequest submit(int tenant, String key) {
+        return submit(tenant, 0, key);
     }
 
-    SubmittedRequest ask(int tenant, int cls, String key) {
+    SubmittedRequest submit(int tenant, int cls, String key) {
         SubmittedRequest asked = new SubmittedRequest(tenant, cls, key);
-        all.add(asked);
-        long deadlineUs = platform.classes.get(cls).deadlineUs();
-        asked.entry = door.arrive(
-                now,
+        submitted.add(asked);
+        long deadlineUs = settings.classes.get(cls).deadlineUs();
+        asked.progress = admission.arrive(
+                currentUs,
                 new ClientRequest(
-                        ++numbers, cls, tenant, deadlineUs, 0, false, "GET", "/", new Cookie(key), new byte[0]),
-                numbers,
+                        ++lastNumber, cls, tenant, deadlineUs, 0, false, "GET", "/", new Cookie(key), new byte[0]),
+                lastNumber,
                 0,
-                now + deadlineUs,
+                currentUs + deadlineUs,
                 asked);
-        door.advance(now);
+        admission.advance(currentUs);
         return asked;
     }
 
     /** Asks for something every so often. */
-    void every(long us, long untilUs, Runnable ask) {
-        at(now + us, () -> {
-            if (now < untilUs) {
+    void submitEvery(long us, long untilUs, Runnable ask) {
+        schedule(currentUs + us, () -> {
+            if (currentUs < untilUs) {
                 ask.run();
-                every(us, untilUs, ask);
+                submitEvery(us, untilUs, ask);
             }
         });
     }
 
-    void at(long us, Runnable task) {
-        queue.add(new Due(us, ++numbers, task));
+    void schedule(long us, Runnable task) {
+        timers.add(new ScheduledTask(us, ++lastNumber, task));
     }
 
-    private void send() {
-        while (busy < servers && !unsent.isEmpty()) {
-            SubmittedRequest next = unsent.remove(0);
-            busy++;
-            next.entry.sent();
-            long sentUs = now;
-            at(now + workUs, () -> {
-                busy--;
-                next.endedUs = now;
-                door.recordLatency(next.cls, now - sentUs);
-                next.entry.ended();
-                send();
-                door.advance(now);
+    private void sendUnsent() {
+        while (busyServers < serverCount && !unsentRequests.isEmpty()) {
+            SubmittedRequest next = unsentRequests.remove(0);
+            busyServers++;
+            next.progress.onFirstAttemptSent();
+            long sentUs = currentUs;
+            schedule(currentUs + workUs, () -> {
+                busyServers--;
+                next.endedUs = currentUs;
+                admission.recordLatency(next.classIndex, currentUs - sentUs);
+                next.progress.onCompleted();
+                sendUnsent();
+                admission.advance(currentUs);
             });
         }
     }
 
     void run(long us) {
-        long until = now + us;
+        long until = currentUs + us;
         while (true) {
-            long dueUs = queue.isEmpty() ? Long.MAX_VALUE : queue.peek().us;
-            long wakeUs = Math.max(now, door.nextWakeUpUs());
+            long dueUs = timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueUs;
+            long wakeUs = Math.max(currentUs, admission.nextWakeUpUs());
             if (Math.min(dueUs, wakeUs) > until) {
                 break;
             }
             if (wakeUs < dueUs) {
-                now = wakeUs;
-                door.advance(now);
+                currentUs = wakeUs;
+                admission.advance(currentUs);
             } else {
-                now = Math.max(now, dueUs);
-                queue.poll().task.run();
+                currentUs = Math.max(currentUs, dueUs);
+                timers.poll().task.run();
             }
         }
-        now = until;
+        currentUs = until;
     }
 
-    long servedOf(int tenant) {
-        return all.stream().filter(a -> a.tenant == tenant && a.served()).count();
+    long servedCount(int tenant) {
+        return submitted.stream()
+                .filter(a -> a.tenant == tenant && a.isServed())
+                .count();
     }
 
-    long askedOf(int tenant) {
-        return all.stream().filter(a -> a.tenant == tenant).count();
+    long submittedCount(int tenant) {
+        return submitted.stream().filter(a -> a.tenant == tenant).count();
     }
 
     private record Cookie(String key) implements Headers {
--- a/src/test/java/vetchpost/admission/AdmissionValidatorTest.java
+++ b/src/test/java/vetchpost/admission/AdmissionValidatorTest.java
@@ -28,7 +28,7 @@
         return set;
     }
 
-    private static AdmissionValidator.ValidationResult prove(String text) {
+    private static AdmissionValidator.ValidationResult validate(String text) {
         RouteFile file = RouteFile.parse("door.toml", text);
         assertEquals(List.of(), file.violations());
         assertEquals(
@@ -37,15 +37,15 @@
     }
 
     @Test
-    void aFileWithoutTheTableHasNoDoor() {
-        AdmissionValidator.ValidationResult proof = prove("[defaults]\nattempts = 1\n");
+    void returnsNoSettingsWithoutTheTable() {
+        AdmissionValidator.ValidationResult proof = validate("[defaults]\nattempts = 1\n");
         assertNull(proof.settings());
         assertEquals(List.of(), proof.violations());
     }
 
     @Test
-    void anEmptyTableIsADoorByTheSettings() {
-        AdmissionSettings door = prove("[admission]\n").settings();
+    void usesDefaultsForAnEmptyTable() {
+        AdmissionSettings door = validate("[admission]\n").settings();
         assertEquals(AdmissionValidator.defaults(settings()), door);
         assertEquals(List.of(1.0, 1.5, 0.5), door.tenantWeights(), "shares over their mean");
         assertEquals(2_000_000, door.maxRetryAfterUs());
@@ -53,8 +53,8 @@
     }
 
     @Test
-    void allKeysAreTaken() {
-        AdmissionSettings door = prove("""
+    void readsAllKeys() {
+        AdmissionSettings door = validate("""
                 [admission]
                 waiting = 20
                 lines = 8
@@ -88,8 +88,8 @@
         "weights = { school-a = 5000 }, OUT_OF_RANGE",
         "weights = { school-a = true }, WRONG_UNIT"
     })
-    void aBadValueIsNamedWithItsPlaceAndRule(String line, Rule rule) {
-        AdmissionValidator.ValidationResult proof = prove("[admission]\n" + line.replace('~', '"') + "\n");
+    void reportsABadValueWithItsPositionAndRule(String line, Rule rule) {
+        AdmissionValidator.ValidationResult proof = validate("[admission]\n" + line.replace('~', '"') + "\n");
         assertNull(proof.settings());
         assertEquals(1, proof.violations().size(), proof.violations().toString());
         Violation violation = proof.violations().get(0);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void thePageNamesEveryKeyAndNoOther() throws IOException {
+    void documentsEveryKeyAndNoOther() throws IOException {
         String page = Files.readString(Path.of("docs/admission.md"));
         List<String> named = page.lines()
                 .filter(l -> l.matches("\\| `[a-z-]+` \\| .*"))
--- a/src/test/java/vetchpost/admission/SingleClassBalancer.java
+++ b/src/test/java/vetchpost/admission/SingleClassBalancer.java
@@ -9,23 +9,23 @@
 
 /** A module that can send the second class only, one request every ten milliseconds. */
 final class SingleClassBalancer {
-    private final FairAdmission door;
-    private final List<Entrant> inside = new ArrayList<>();
-    private long now = 1_000_000_000_000L;
-    private long numbers;
-    int sent;
+    private final FairAdmission admission;
+    private final List<SubmittedRequest> unsentRequests = new ArrayList<>();
+    private long currentUs = 1_000_000_000_000L;
+    private long lastNumber;
+    int sentCount;
 
-    private final class Entrant implements AdmissionControl.Applicant {
-        private final int cls;
-        private AdmissionControl.RequestProgress entry;
+    private final class SubmittedRequest implements AdmissionControl.Applicant {
+        private final int classIndex;
+        private AdmissionControl.RequestProgress progress;
 
-        Entrant(int cls) {
-            this.cls = cls;
+        SubmittedRequest(int cls) {
+            this.classIndex = cls;
         }
 
         @Override
         public void admitted() {
-            inside.add(this);
+            unsentRequests.add(this);
         }
 
         @Override
@@ -35,15 +35,15 @@
     }
 
     SingleClassBalancer(FairAdmission door) {
-        this.door = door;
+        this.admission = door;
     }
 
-    int unsent() {
-        return inside.size();
+    int unsentCount() {
+        return unsentRequests.size();
     }
 
-    void ask(int cls, int client) {
-        Entrant entrant = new Entrant(cls);
+    void submit(int cls, int client) {
+        SubmittedRequest entrant = new SubmittedRequest(cls);
         Headers none = new Headers() {
             @Override
             public String get(String name) {
@@ -53,29 +53,29 @@
             @Override
             public void forEach(BiConsumer<String, String> action) {}
         };
-        entrant.entry = door.arrive(
-                now,
-                new ClientRequest(++numbers, cls, 0, 100_000_000, 0, false, "GET", "/", none, new byte[0]),
+        entrant.progress = admission.arrive(
+                currentUs,
+                new ClientRequest(++lastNumber, cls, 0, 100_000_000, 0, false, "GET", "/", none, new byte[0]),
                 client,
                 0,
-                now + 100_000_000,
+                currentUs + 100_000_000,
                 entrant);
-        door.advance(now);
+        admission.advance(currentUs);
     }
 
     void run(long us) {
-        for (long until = now + us; now < until; ) {
-            now += 10_000;
-            for (Entrant one : inside) {
-                if (one.cls == 1) {
-                    inside.remove(one);
-                    sent++;
-                    one.entry.sent();
-                    one.entry.ended();
+        for (long until = currentUs + us; currentUs < until; ) {
+            currentUs += 10_000;
+            for (SubmittedRequest one : unsentRequests) {
+                if (one.classIndex == 1) {
+                    unsentRequests.remove(one);
+                    sentCount++;
+                    one.progress.onFirstAttemptSent();
+                    one.progress.onCompleted();
                     break;
                 }
             }
-            door.advance(now);
+            admission.advance(currentUs);
         }
     }
 }
--- a/src/test/java/vetchpost/changes/CatalogTest.java
+++ b/src/test/java/vetchpost/changes/RouteConfigurationTest.java
@@ -29,7 +29,7 @@
 /**
  * Batches are taken or refused as one, with the place and the rule, and what they break together is found.
  */
-class CatalogTest {
+class RouteConfigurationTest {
     private static final Position AT = new Position("x", 1, 1);
 
     private final ChangeWriter writer = new ChangeWriter(RouteConfiguration.empty(settings()), 1);
@@ -50,7 +50,7 @@
         for (int i = 0; i < keysAndValues.length; i += 2) {
             entries.put((String) keysAndValues[i], new Section.Entry(keysAndValues[i + 1], AT));
         }
-        return RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", AT, entries));
+        return RouteCodec.encode(new Section(Section.Kind.ROUTE, "", AT, entries));
     }
 
     private static EntryKey key(String route) {
@@ -67,11 +67,11 @@
         return packer.bytes();
     }
 
-    private void takes(EntryChange... batch) {
+    private void assertAccepted(EntryChange... batch) {
         assertEquals(List.of(), writer.submit(List.of(batch)));
     }
 
-    private void refuses(Rule rule, int place, EntryChange... batch) {
+    private void assertRejected(Rule rule, int place, EntryChange... batch) {
         long before = writer.store().version();
         List<Violation> violations = writer.submit(List.of(batch));
         assertTrue(
@@ -82,58 +82,58 @@
     }
 
     @Test
-    void aChangeIsProvedAtItsEntryWithItsPlaceAndRule() {
-        refuses(
+    void invalidChangeIsRejectedWithItsPositionAndRule() {
+        assertRejected(
                 Rule.UNSAFE_AGAIN,
                 2,
                 EntryChange.put(key("/a"), route("path", "/a", "class", "read")),
                 EntryChange.put(key("/b"), route("path", "/b", "class", "write", "attempts", 2L)));
         assertNull(writer.store().get(key("/a")), "half a batch is there");
-        takes(EntryChange.put(key("/a"), route("path", "/a", "class", "read")));
-        refuses(Rule.SAME_NAME, 1, EntryChange.put(key("/a"), route("path", "/a", "class", "read")));
-        refuses(Rule.UNKNOWN_ENTRY, 1, EntryChange.replace(key("/c"), route("path", "/c")));
-        refuses(Rule.UNKNOWN_ENTRY, 1, EntryChange.delete(tenant("nobody")));
-        refuses(
+        assertAccepted(EntryChange.put(key("/a"), route("path", "/a", "class", "read")));
+        assertRejected(Rule.SAME_NAME, 1, EntryChange.put(key("/a"), route("path", "/a", "class", "read")));
+        assertRejected(Rule.UNKNOWN_ENTRY, 1, EntryChange.replace(key("/c"), route("path", "/c")));
+        assertRejected(Rule.UNKNOWN_ENTRY, 1, EntryChange.delete(tenant("nobody")));
+        assertRejected(
                 Rule.SAME_MATCH,
                 1,
                 EntryChange.put(key("other"), route("path", "/a", "class", "read", "name", "other")));
-        refuses(Rule.UNKNOWN_TENANT, 1, EntryChange.put(key("/t"), route("path", "/t", "tenant", "ann")));
-        refuses(Rule.SYNTAX, 1, EntryChange.put(key("/x"), new byte[] {99, 1}));
-        refuses(Rule.SYNTAX, 1, EntryChange.put(key("/x"), route("path", "/y")));
-        refuses(Rule.OUT_OF_RANGE, 1, EntryChange.put(tenant("ann"), share(-1)));
+        assertRejected(Rule.UNKNOWN_TENANT, 1, EntryChange.put(key("/t"), route("path", "/t", "tenant", "ann")));
+        assertRejected(Rule.SYNTAX, 1, EntryChange.put(key("/x"), new byte[] {99, 1}));
+        assertRejected(Rule.SYNTAX, 1, EntryChange.put(key("/x"), route("path", "/y")));
+        assertRejected(Rule.OUT_OF_RANGE, 1, EntryChange.put(tenant("ann"), share(-1)));
         assertEquals(Version.of(1, 1), writer.store().version());
     }
 
     /** Each alone would do; both in one batch don't. */
     @Test
-    void whatOnlyTwoChangesOfOneBatchBreakTogetherIsRefused() {
-        takes(EntryChange.put(tenant("ann"), share(1)), EntryChange.put(key("/a"), route("path", "/a")));
-        refuses(
+    void changesThatConflictOnlyTogetherAreRejected() {
+        assertAccepted(EntryChange.put(tenant("ann"), share(1)), EntryChange.put(key("/a"), route("path", "/a")));
+        assertRejected(
                 Rule.UNKNOWN_TENANT,
                 1,
                 EntryChange.delete(tenant("ann")),
                 EntryChange.put(key("/t"), route("path", "/t", "tenant", "ann")));
-        refuses(
+        assertRejected(
                 Rule.SAME_MATCH,
                 2,
                 EntryChange.replace(key("/a"), route("path", "/a", "class", "read")),
                 EntryChange.put(key("b"), route("path", "/a", "name", "b")));
         EntryKey defaults = new EntryKey(EntryKind.LIMITS, "");
-        refuses(
+        assertRejected(
                 Rule.SCHEDULE,
                 1,
                 EntryChange.put(defaults, route("attempt-timeout", "400ms")),
                 EntryChange.put(key("/s"), route("path", "/s", "class", "read", "attempts", 3L)));
-        takes(EntryChange.put(defaults, route("attempt-timeout", "400ms")));
-        takes(EntryChange.delete(key("/a")), EntryChange.put(key("b"), route("path", "/a", "name", "b")));
-        takes(EntryChange.put(key("/t"), route("path", "/t", "tenant", "ann")));
-        refuses(Rule.UNKNOWN_TENANT, 1, EntryChange.delete(tenant("ann")));
-        takes(EntryChange.delete(key("/t")), EntryChange.delete(tenant("ann")));
+        assertAccepted(EntryChange.put(defaults, route("attempt-timeout", "400ms")));
+        assertAccepted(EntryChange.delete(key("/a")), EntryChange.put(key("b"), route("path", "/a", "name", "b")));
+        assertAccepted(EntryChange.put(key("/t"), route("path", "/t", "tenant", "ann")));
+        assertRejected(Rule.UNKNOWN_TENANT, 1, EntryChange.delete(tenant("ann")));
+        assertAccepted(EntryChange.delete(key("/t")), EntryChange.delete(tenant("ann")));
     }
 
     @Test
-    void ofSeveralChangesOfOneKeyTheLastCounts() {
-        takes(
+    void lastOfSeveralChangesOfOneKeyApplies() {
+        assertAccepted(
                 EntryChange.put(key("/a"), route("path", "/a")),
                 EntryChange.replace(key("/a"), route("path", "/a", "attempts", 1L)),
                 EntryChange.delete(key("/a")),
@@ -145,17 +145,17 @@
                         .find("read", "GET", "/a", -1)
                         .limits()
                         .maxAttempts());
-        takes(EntryChange.put(key("/b"), route("path", "/b")), EntryChange.delete(key("/b")));
+        assertAccepted(EntryChange.put(key("/b"), route("path", "/b")), EntryChange.delete(key("/b")));
         assertNull(writer.store().get(key("/b")));
     }
 
     @Test
-    void defaultsAreProvedAgainstAllRoutesAndHoldForThem() {
+    void defaultsAreValidatedAgainstAndAppliedToAllRoutes() {
         EntryKey defaults = new EntryKey(EntryKind.LIMITS, "");
         EntryKey read = new EntryKey(EntryKind.LIMITS, "read");
-        takes(EntryChange.put(key("/a"), route("path", "/a", "class", "read", "attempts", 3L)));
-        refuses(Rule.SCHEDULE, 1, EntryChange.put(defaults, route("attempt-timeout", "400ms")));
-        takes(EntryChange.put(read, route("concurrency", 7L)));
+        assertAccepted(EntryChange.put(key("/a"), route("path", "/a", "class", "read", "attempts", 3L)));
+        assertRejected(Rule.SCHEDULE, 1, EntryChange.put(defaults, route("attempt-timeout", "400ms")));
+        assertAccepted(EntryChange.put(read, route("concurrency", 7L)));
         assertEquals(
                 7,
                 writer.configuration()
@@ -181,9 +181,9 @@
 
     /** As it comes to nodes: entry by entry, in any order, without a proof. */
     @Test
-    void whatWasProvedElsewhereComesToTheSame() {
+    void entriesAppliedWithoutValidationGiveTheSameConfiguration() {
         RouteConfiguration before = writer.configuration();
-        takes(
+        assertAccepted(
                 EntryChange.put(tenant("ann"), share(1)),
                 EntryChange.put(key("/a"), route("path", "/a", "tenant", "ann")),
                 EntryChange.put(key("/b"), route("path", "/b/{x}", "name", "/b")),
@@ -207,8 +207,8 @@
     }
 
     @Test
-    void aWriterThatTakesOverBeginsALaterEpoch() {
-        takes(EntryChange.put(key("/a"), route("path", "/a")));
+    void successorWriterBeginsALaterEpoch() {
+        assertAccepted(EntryChange.put(key("/a"), route("path", "/a")));
         ChangeWriter next = new ChangeWriter(writer.configuration(), 2);
         assertEquals(List.of(), next.submit(List.of(EntryChange.delete(key("/a")))));
         assertEquals(Version.of(2, 1), next.store().version());
--- a/src/test/java/vetchpost/config/DescriptorLimitTest.java
+++ b/src/test/java/vetchpost/config/DescriptorLimitTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void theLimitThatHoldsIsTheFirstOfTheTwo() {
+    void readsSoftLimit() {
         assertEquals(
                 256,
                 limit(
@@ -26,14 +26,14 @@
     }
 
     @Test
-    void noLimitIsTheLargestNumber() {
+    void returnsMaxValueWithoutLimit() {
         assertEquals(Integer.MAX_VALUE, limit("Max open files  unlimited  unlimited  files"));
         assertEquals(Integer.MAX_VALUE, limit("Max open files"));
         assertEquals(Integer.MAX_VALUE, limit());
     }
 
     @Test
-    void theLowerLimitCounts() throws Exception {
+    void usesLowerOfConfiguredAndSystemLimit() throws Exception {
         try (FakePeer discovery = new FakePeer(FakePeer.SILENT)) {
             NodeConfig config = NodeConfig.parse(Fixture.config(discovery).toString(), Map.of());
             assertEquals(100, config.withMaxDescriptors(100).maxDescriptors());
--- a/src/test/java/vetchpost/config/SettingsReaderTest.java
+++ b/src/test/java/vetchpost/config/SettingsReaderTest.java
@@ -12,7 +12,7 @@
 class SettingsReaderTest {
     @ParameterizedTest
     @CsvSource({"3, 100, 3, 100", "100, 100, 0, 100", "119, 100, 19, 100", "57, , 0, 1", ", 100, 0, 100", ", , 0, 1"})
-    void aNodeWhoseNumberIsPastTheLastStillServes(String me, String balancers, int node, int nodes) {
+    void wrapsNodeNumberBeyondNodeCount(String me, String balancers, int node, int nodes) {
         Map<String, String> values = new HashMap<>(Map.of(
                 "classes.count",
                 "1",
--- a/src/test/java/vetchpost/control/DeskTest.java
+++ b/src/test/java/vetchpost/control/ControlApiTest.java
@@ -16,28 +16,28 @@
 import vetchpost.control.FleetState.Server;
 
 /** Messages: bounded, strict, one after the other, and never an effect without a record. */
-class DeskTest {
+class ControlApiTest {
     private static final String DRAIN = "{\"v\":1,\"id\":7,\"do\":\"drain\",\"server\":\"s1\",\"for\":60000,"
             + "\"owner\":\"ann\",\"reason\":\"sick\",\"key\":\"a\"}";
     private final Leases leases = new Leases(new SafetyCheck(0.5, 0.9));
     private final List<String> recorded = new ArrayList<>();
     private final List<Consumer<String>> pending = new ArrayList<>();
-    private boolean slow;
-    private boolean failing;
-    private String trouble;
-    private int changes;
+    private boolean delaysAppends;
+    private boolean failsOnChange;
+    private String appendFailure;
+    private int changeCount;
     private long nowUs;
-    private final ControlApi desk =
-            new ControlApi(leases, DeskTest::four, () -> Map.of("requests", 3L), this::record, this::changed);
+    private final ControlApi controlApi = new ControlApi(
+            leases, ControlApiTest::fourServers, () -> Map.of("requests", 3L), this::append, this::onChange);
 
-    private void changed() {
-        if (failing) {
+    private void onChange() {
+        if (failsOnChange) {
             throw new IllegalStateException("planted");
         }
-        changes++;
+        changeCount++;
     }
 
-    private static FleetState four() {
+    private static FleetState fourServers() {
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             servers.add(new Server("s" + i, "", 1, false));
@@ -45,50 +45,50 @@
         return new FleetState(servers, List.of("read", "write"));
     }
 
-    private void record(String text, Consumer<String> done) {
-        if (slow) {
+    private void append(String text, Consumer<String> done) {
+        if (delaysAppends) {
             pending.add(why -> {
                 recorded.add(text);
                 done.accept(why);
             });
             return;
         }
-        if (trouble == null) {
+        if (appendFailure == null) {
             recorded.add(text);
         }
-        done.accept(trouble);
+        done.accept(appendFailure);
     }
 
     private List<String> replies(String message) {
         List<String> replies = new ArrayList<>();
-        desk.handle(message, () -> new ControlApi.Now(nowUs, nowUs / 1_000), replies::add);
+        controlApi.handle(message, () -> new ControlApi.Now(nowUs, nowUs / 1_000), replies::add);
         return replies;
     }
 
-    private JsonObject ask(String message) {
+    private JsonObject send(String message) {
         List<String> replies = replies(message);
         assertEquals(1, replies.size(), message);
         return JsonParser.parseString(replies.get(0)).getAsJsonObject();
     }
 
     @Test
-    void aChangeIsRecordedBeforeItHolds() {
-        slow = true;
+    void recordsChangeBeforeApplyingIt() {
+        delaysAppends = true;
         List<String> replies = replies(DRAIN);
         assertEquals(List.of(), replies);
         assertFalse(leases.effects().isDraining("s1"));
         pending.remove(0).accept(null);
         assertTrue(leases.effects().isDraining("s1"));
-        assertEquals(1, changes);
+        assertEquals(1, changeCount);
         JsonObject reply = JsonParser.parseString(replies.get(0)).getAsJsonObject();
         assertEquals(7, reply.get("id").getAsInt());
         assertEquals(60_000, reply.getAsJsonObject("override").get("left-ms").getAsLong());
-        assertEquals("s1", AuditEntryJson.read(recorded.get(0)).change().subject());
+        assertEquals("s1", AuditEntryJson.parse(recorded.get(0)).change().subject());
     }
 
     @Test
-    void twoOfOneTickAreJudgedOneAfterTheOther() {
-        slow = true;
+    void checksConcurrentChangesOneAtATime() {
+        delaysAppends = true;
         replies(DRAIN);
         replies(DRAIN.replace("s1", "s2").replace("\"a\"", "\"b\""));
         List<String> third = replies(DRAIN.replace("s1", "s3").replace("\"a\"", "\"c\""));
@@ -96,108 +96,108 @@
         pending.remove(0).accept(null);
         pending.remove(0).accept(null);
         assertTrue(third.get(0).contains("it leaves 25 % of the fleet's weight (50 % before)"), "" + third);
-        assertEquals(2, leases.all().size());
+        assertEquals(2, leases.activeLeases().size());
     }
 
     @Test
-    void whatEndsAsACommandComesIsRecordedAndToldAllTheSame() {
-        ask(DRAIN);
+    void recordsExpiryThatCoincidesWithCommand() {
+        send(DRAIN);
         nowUs = 60_000_000;
-        ask(DRAIN.replace("s1", "s2").replace("\"a\"", "\"b\""));
+        send(DRAIN.replace("s1", "s2").replace("\"a\"", "\"b\""));
         assertEquals(
                 List.of(AuditLog.Event.GRANTED, AuditLog.Event.ENDED, AuditLog.Event.GRANTED),
-                recorded.stream().map(r -> AuditEntryJson.read(r).event()).toList());
-        assertEquals(3, changes);
+                recorded.stream().map(r -> AuditEntryJson.parse(r).event()).toList());
+        assertEquals(3, changeCount);
     }
 
     @Test
-    void aListenerThatFailsDoesNotHoldUpTheNextCommand() {
-        failing = true;
+    void failingListenerDoesNotBlockNextCommand() {
+        failsOnChange = true;
         assertThrows(IllegalStateException.class, () -> replies(DRAIN));
-        failing = false;
-        assertTrue(ask(DRAIN.replace("s1", "s2").replace("\"a\"", "\"b\""))
+        failsOnChange = false;
+        assertTrue(send(DRAIN.replace("s1", "s2").replace("\"a\"", "\"b\""))
                 .get("ok")
                 .getAsBoolean());
     }
 
     @Test
-    void aRepeatedCommandIsRecordedOnce() {
-        ask(DRAIN);
-        JsonObject again = ask(DRAIN);
+    void recordsRepeatedCommandOnce() {
+        send(DRAIN);
+        JsonObject again = send(DRAIN);
         assertTrue(again.get("repeated").getAsBoolean());
         assertEquals(1, again.getAsJsonObject("override").get("number").getAsInt());
         assertEquals(1, recorded.size());
-        assertEquals(1, changes);
+        assertEquals(1, changeCount);
     }
 
     @Test
-    void aRecordThatHangsLetsNoMoreThanSoManyWait() {
-        slow = true;
+    void boundsWaitingChangesWhileAppendHangs() {
+        delaysAppends = true;
         for (int i = 0; i < 65; i++) {
             assertEquals(List.of(), replies(DRAIN.replace("\"a\"", "\"k" + i + "\"")));
         }
         assertEquals(
-                "busy", ask(DRAIN.replace("\"a\"", "\"last\"")).get("error").getAsString());
+                "busy", send(DRAIN.replace("\"a\"", "\"last\"")).get("error").getAsString());
     }
 
     @Test
-    void whatCanNotBeRecordedHasNoEffect() {
-        trouble = "no space left on device";
-        JsonObject reply = ask(DRAIN);
+    void unrecordedChangeHasNoEffect() {
+        appendFailure = "no space left on device";
+        JsonObject reply = send(DRAIN);
         assertEquals("unrecorded", reply.get("error").getAsString());
         assertFalse(leases.effects().isDraining("s1"));
-        trouble = null;
-        assertTrue(ask(DRAIN).get("ok").getAsBoolean(), "and the same command is carried out later");
-        trouble = "no space left on device";
-        assertFalse(ask("{\"v\":1,\"do\":\"undo\",\"number\":1,\"owner\":\"bob\"}")
+        appendFailure = null;
+        assertTrue(send(DRAIN).get("ok").getAsBoolean(), "and the same command is carried out later");
+        appendFailure = "no space left on device";
+        assertFalse(send("{\"v\":1,\"do\":\"undo\",\"number\":1,\"owner\":\"bob\"}")
                 .get("ok")
                 .getAsBoolean());
         assertTrue(leases.effects().isDraining("s1"));
         nowUs = 60_000_000;
-        desk.expire(new ControlApi.Now(nowUs, 0));
+        controlApi.expire(new ControlApi.Now(nowUs, 0));
         assertFalse(leases.effects().isDraining("s1"), "but what is due ends, recorded or not");
     }
 
     @Test
-    void readingAndTryingOutChangeNothing() {
-        JsonObject dry = ask(DRAIN.replace("\"key\"", "\"dry\":true,\"key\""));
+    void readsAndDryRunsChangeNothing() {
+        JsonObject dry = send(DRAIN.replace("\"key\"", "\"dry\":true,\"key\""));
         assertTrue(dry.get("would").getAsBoolean());
         assertEquals(4, dry.getAsJsonObject("before").get("servers").getAsInt());
         assertEquals(3, dry.getAsJsonObject("after").get("servers").getAsInt());
-        ask("{\"v\":1,\"do\":\"servers\"}");
-        ask("{\"v\":1,\"do\":\"overrides\"}");
-        assertEquals(3, ask("{\"v\":1,\"do\":\"status\"}").get("requests").getAsInt());
-        assertEquals(0, changes);
+        send("{\"v\":1,\"do\":\"servers\"}");
+        send("{\"v\":1,\"do\":\"overrides\"}");
+        assertEquals(3, send("{\"v\":1,\"do\":\"status\"}").get("requests").getAsInt());
+        assertEquals(0, changeCount);
         assertEquals(List.of(), recorded);
-        assertEquals(0, leases.all().size());
+        assertEquals(0, leases.activeLeases().size());
     }
 
     @Test
-    void undoEndsOneAndSaysWhereThereIsNone() {
-        ask(DRAIN);
+    void undoEndsLeaseAndRejectsUnknownNumber() {
+        send(DRAIN);
         String undo = "{\"v\":1,\"do\":\"undo\",\"number\":1,\"owner\":\"bob\"}";
-        assertTrue(ask(undo).get("ok").getAsBoolean());
+        assertTrue(send(undo).get("ok").getAsBoolean());
         assertFalse(leases.effects().isDraining("s1"));
-        assertTrue(ask(undo).toString().contains("no override 1 holds"));
+        assertTrue(send(undo).toString().contains("no override 1 holds"));
     }
 
     @Test
-    void badMessagesAreToldWhatIsWrong() {
-        assertTrue(ask("").toString().contains("one JSON object"));
-        assertTrue(ask("[1]").toString().contains("one JSON object"));
-        assertTrue(ask("{\"v\":2,\"do\":\"status\"}").toString().contains("v is a whole number from 1 to 1"));
-        assertTrue(ask("{\"v\":1,\"do\":\"dance\"}").toString().contains("do is one of drain, explain, freeze,"));
+    void invalidMessagesAreRejectedWithReason() {
+        assertTrue(send("").toString().contains("one JSON object"));
+        assertTrue(send("[1]").toString().contains("one JSON object"));
+        assertTrue(send("{\"v\":2,\"do\":\"status\"}").toString().contains("v is a whole number from 1 to 1"));
+        assertTrue(send("{\"v\":1,\"do\":\"dance\"}").toString().contains("do is one of drain, explain, freeze,"));
         assertTrue(
-                ask("{\"v\":1,\"do\":\"explain\",\"txn\":\"xyz\"}").toString().contains("nothing is recorded"));
-        assertTrue(ask("{\"v\":1,\"do\":\"status\",\"x\":1}").toString().contains("'x' is no field of status"));
-        assertTrue(ask(DRAIN.replace("60000", "0")).toString().contains("lasts from 1s to 24h"));
-        assertTrue(ask(DRAIN.replace("60000", "\"1m\"")).toString().contains("for is a whole number"));
-        assertTrue(ask(DRAIN.replace("\"sick\"", "\"\"")).toString().contains("reason is a text of 1"));
-        assertEquals(0, leases.all().size());
+                send("{\"v\":1,\"do\":\"explain\",\"txn\":\"xyz\"}").toString().contains("nothing is recorded"));
+        assertTrue(send("{\"v\":1,\"do\":\"status\",\"x\":1}").toString().contains("'x' is no field of status"));
+        assertTrue(send(DRAIN.replace("60000", "0")).toString().contains("lasts from 1s to 24h"));
+        assertTrue(send(DRAIN.replace("60000", "\"1m\"")).toString().contains("for is a whole number"));
+        assertTrue(send(DRAIN.replace("\"sick\"", "\"\"")).toString().contains("reason is a text of 1"));
+        assertEquals(0, leases.activeLeases().size());
     }
 
     @Test
-    void mutatedMessagesDoNoHarm() {
+    void mutatedMessagesAlwaysGetOneReply() {
         List<String> seeds = List.of(
                 DRAIN,
                 "{\"v\":1,\"do\":\"undo\",\"number\":1,\"owner\":\"bob\"}",
@@ -220,13 +220,13 @@
                     default -> message.insert(at, message.substring(at, Math.min(message.length(), at + 20)));
                 }
             }
-            JsonObject reply = ask(message.toString());
+            JsonObject reply = send(message.toString());
             assertTrue(reply.get("ok").getAsBoolean()
                     || !reply.getAsJsonArray("why").isEmpty());
             recorded.clear();
             nowUs += 1_000_000;
-            desk.expire(new ControlApi.Now(nowUs, nowUs / 1_000));
+            controlApi.expire(new ControlApi.Now(nowUs, nowUs / 1_000));
         }
-        assertTrue(leases.all().size() <= Leases.MAX_LEASES);
+        assertTrue(leases.activeLeases().size() <= Leases.MAX_LEASES);
     }
 }
--- a/src/test/java/vetchpost/control/LeasesTest.java
+++ b/src/test/java/vetchpost/control/LeasesTest.java
@@ -27,7 +27,7 @@
         return new OverrideRequest(kind, subject, perMille, HOUR_MS, "ann", "sick", priority, "k" + keys++, false);
     }
 
-    private static OverrideRequest anyway(OverrideRequest c) {
+    private static OverrideRequest forced(OverrideRequest c) {
         return new OverrideRequest(
                 c.kind(),
                 c.subject(),
@@ -41,7 +41,7 @@
     }
 
     /** Ten servers, the first two in zone a, of equal weight. */
-    private static FleetState ten() {
+    private static FleetState tenServers() {
         List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             servers.add(new Server("s" + i, i < 2 ? "a" : "b", 1, false));
@@ -49,8 +49,8 @@
         return new FleetState(servers, List.of("read", "write"));
     }
 
-    private Decision ask(OverrideRequest change, long nowUs) {
-        Decision verdict = leases.check(change, ten(), nowUs, 0);
+    private Decision request(OverrideRequest change, long nowUs) {
+        Decision verdict = leases.check(change, tenServers(), nowUs, 0);
         if (verdict.lease() != null) {
             leases.grant(verdict.lease());
         }
@@ -58,103 +58,104 @@
     }
 
     @Test
-    void drainsOneByOneAreRefusedOnceTooMuchWouldBeGone() {
+    void rejectsFurtherDrainsBelowMinimumRemainingWeight() {
         for (int i = 3; i < 8; i++) {
-            assertNotNull(ask(change(OverrideKind.DRAIN, "s" + i, 0, 0), 0).lease(), "s" + i);
+            assertNotNull(request(change(OverrideKind.DRAIN, "s" + i, 0, 0), 0).lease(), "s" + i);
         }
-        Decision sixth = ask(change(OverrideKind.DRAIN, "s8", 0, 0), 0);
+        Decision sixth = request(change(OverrideKind.DRAIN, "s8", 0, 0), 0);
         assertNull(sixth.lease());
         assertEquals(
                 List.of("it leaves 40 % of the fleet's weight (50 % before), and least is 50 %; 4 of 10"
                         + " servers take requests then"),
                 sixth.objections());
-        assertNull(ask(change(OverrideKind.WEIGHT, "s8", 10, 0), 0).lease(), "a hundredth of it is hardly more");
-        Decision forced = ask(anyway(change(OverrideKind.DRAIN, "s8", 0, 0)), 0);
+        assertNull(request(change(OverrideKind.WEIGHT, "s8", 10, 0), 0).lease(), "a hundredth of it is hardly more");
+        Decision forced = request(forced(change(OverrideKind.DRAIN, "s8", 0, 0)), 0);
         assertNotNull(forced.lease());
         assertEquals(1, forced.objections().size(), "what was said against it is kept");
-        assertNotNull(ask(change(OverrideKind.DRAIN, "s8", 0, 0), 0).lease(), "it takes nothing more away");
+        assertNotNull(request(change(OverrideKind.DRAIN, "s8", 0, 0), 0).lease(), "it takes nothing more away");
     }
 
     @Test
-    void theLastServerOfAZoneStays() {
-        assertNotNull(ask(change(OverrideKind.DRAIN, "s0", 0, 0), 0).lease());
+    void rejectsDrainingLastServerOfZone() {
+        assertNotNull(request(change(OverrideKind.DRAIN, "s0", 0, 0), 0).lease());
         assertEquals(
                 List.of("s1 is the last server of zone a that takes requests"),
-                ask(change(OverrideKind.DRAIN, "s1", 0, 0), 0).objections());
-        ask(anyway(change(OverrideKind.DRAIN, "s1", 0, 0)), 0);
-        assertNotNull(ask(change(OverrideKind.DRAIN, "s1", 0, 0), 0).lease(), "it takes nothing more away");
+                request(change(OverrideKind.DRAIN, "s1", 0, 0), 0).objections());
+        request(forced(change(OverrideKind.DRAIN, "s1", 0, 0)), 0);
+        assertNotNull(request(change(OverrideKind.DRAIN, "s1", 0, 0), 0).lease(), "it takes nothing more away");
     }
 
     @Test
-    void whatIsNotThereIsRefusedByName() {
+    void rejectsUnknownServersAndClassesByName() {
         assertEquals(
                 List.of("there is no server 's77' on the list of 10"),
-                ask(change(OverrideKind.DRAIN, "s77", 0, 0), 0).objections());
+                request(change(OverrideKind.DRAIN, "s77", 0, 0), 0).objections());
         assertEquals(
                 List.of("there is no class 'wirte'; there are read, write"),
-                ask(change(OverrideKind.SHED, "wirte", 500, 0), 0).objections());
+                request(change(OverrideKind.SHED, "wirte", 500, 0), 0).objections());
         assertEquals(
                 List.of("it refuses 95 % of read, and most is 90 %"),
-                ask(change(OverrideKind.SHED, "read", 950, 0), 0).objections());
-        ask(anyway(change(OverrideKind.SHED, "read", 950, 0)), 0);
-        assertNotNull(ask(change(OverrideKind.SHED, "read", 500, 0), 0).lease(), "no more is refused by it");
+                request(change(OverrideKind.SHED, "read", 950, 0), 0).objections());
+        request(forced(change(OverrideKind.SHED, "read", 950, 0)), 0);
+        assertNotNull(request(change(OverrideKind.SHED, "read", 500, 0), 0).lease(), "no more is refused by it");
     }
 
     @Test
-    void ofTwoThatSetOneAmountTheHigherPriorityHoldsAndOfEqualOnesTheMoreCareful() {
-        ask(change(OverrideKind.WEIGHT, "s3", 800, 1), 0);
-        long lower = ask(change(OverrideKind.WEIGHT, "s3", 300, 1), 0).lease().number();
+    void higherPriorityWinsAndEqualPriorityTakesTheStricterAmount() {
+        request(change(OverrideKind.WEIGHT, "s3", 800, 1), 0);
+        long lower =
+                request(change(OverrideKind.WEIGHT, "s3", 300, 1), 0).lease().number();
         assertEquals(0.3, leases.effects().weight("s3", 1), 1e-9);
-        ask(change(OverrideKind.WEIGHT, "s3", 900, 2), 0);
+        request(change(OverrideKind.WEIGHT, "s3", 900, 2), 0);
         assertEquals(1.8, leases.effects().weight("s3", 2), 1e-9);
         leases.undo(lower);
         assertEquals(0.9, leases.effects().weight("s3", 1), 1e-9);
-        ask(change(OverrideKind.SHED, "read", 100, 0), 0);
-        ask(change(OverrideKind.SHED, "read", 400, 0), 0);
+        request(change(OverrideKind.SHED, "read", 100, 0), 0);
+        request(change(OverrideKind.SHED, "read", 400, 0), 0);
         assertEquals(400, leases.effects().shedPerMille("read"));
         assertEquals(0, leases.effects().shedPerMille("write"));
     }
 
     @Test
-    void oppositeOnesOfOneTickStackAndEachEndsAtItsOwnTime() {
-        ask(new OverrideRequest(OverrideKind.DRAIN, "s5", 0, 1_000, "ann", "sick", 0, "x", false), 0);
-        ask(change(OverrideKind.WEIGHT, "s5", 1_000, 9), 0);
+    void conflictingOverridesStackAndExpireIndependently() {
+        request(new OverrideRequest(OverrideKind.DRAIN, "s5", 0, 1_000, "ann", "sick", 0, "x", false), 0);
+        request(change(OverrideKind.WEIGHT, "s5", 1_000, 9), 0);
         assertTrue(leases.effects().isDraining("s5"), "no weight lifts a drain");
-        assertEquals(1_000_000, leases.nextUs());
+        assertEquals(1_000_000, leases.nextExpiryUs());
         assertEquals(List.of(), leases.expire(999_999));
         assertEquals(1, leases.expire(1_000_000).size());
         assertFalse(leases.effects().isDraining("s5"));
-        assertEquals(HOUR_US, leases.nextUs());
+        assertEquals(HOUR_US, leases.nextExpiryUs());
     }
 
     @Test
-    void aRepeatedCommandActsOnce() {
+    void repeatedCommandTakesEffectOnce() {
         OverrideRequest drain = change(OverrideKind.DRAIN, "s4", 0, 0);
-        Decision first = ask(drain, 0);
-        Decision again = ask(drain, 5);
+        Decision first = request(drain, 0);
+        Decision again = request(drain, 5);
         assertTrue(again.repeated());
         assertEquals(first.lease(), again.lease());
         leases.undo(first.lease().number());
-        Decision late = ask(drain, 9);
+        Decision late = request(drain, 9);
         assertNull(late.lease(), "and not once more after it was undone");
         assertEquals(List.of("override 1, which this command made, has ended"), late.objections());
     }
 
     @Test
-    void tenThousandOverridesAreBounded() {
+    void boundsNumberOfOverrides() {
         int granted = 0;
         for (int i = 0; i < 10_000; i++) {
-            granted += ask(change(OverrideKind.SHED, "read", 1, 0), 0).lease() == null ? 0 : 1;
+            granted += request(change(OverrideKind.SHED, "read", 1, 0), 0).lease() == null ? 0 : 1;
         }
         assertEquals(Leases.MAX_LEASES, granted);
         assertEquals(
                 List.of("1000 overrides hold already, and more are not kept"),
-                ask(change(OverrideKind.SHED, "read", 1, 0), 0).objections());
-        assertNotNull(ask(change(OverrideKind.SHED, "read", 1, 0), HOUR_US).lease(), "once some have ended");
+                request(change(OverrideKind.SHED, "read", 1, 0), 0).objections());
+        assertNotNull(request(change(OverrideKind.SHED, "read", 1, 0), HOUR_US).lease(), "once some have ended");
     }
 
     @Test
-    void anOverrideIsCheckedInItself() {
+    void rejectsInvalidRequests() {
         assertThrows(IllegalArgumentException.class, () -> change(OverrideKind.WEIGHT, "s1", 0, 0));
         assertThrows(IllegalArgumentException.class, () -> change(OverrideKind.WEIGHT, "s1", 1_001, 0));
         assertThrows(IllegalArgumentException.class, () -> change(OverrideKind.DRAIN, "s1", 5, 0));
@@ -169,7 +170,7 @@
     }
 
     @Test
-    void whatHeldIsReadOffTheTrailAfterARestart() {
+    void restoresActiveLeasesFromAuditLog() {
         OverrideRequest drain = change(OverrideKind.DRAIN, "s1", 0, 0);
         OverrideRequest shed = change(OverrideKind.SHED, "read", 5, 0);
         OverrideRequest freeze = new OverrideRequest(OverrideKind.FREEZE, "", 0, 1_000, "bob", "night", 0, "f", false);
@@ -190,7 +191,7 @@
     }
 
     @Test
-    void aTrailThatWasTouchedIsFound() {
+    void detectsTamperedAuditLog() {
         List<String> lines = new ArrayList<>();
         String before = AuditLog.ROOT_HASH;
         for (int i = 0; i < 5; i++) {
@@ -211,7 +212,7 @@
     }
 
     @Test
-    void drawnAtRandomLeasesEndOnTimeAndARestartChangesNothing() {
+    void randomLeasesExpireOnTimeAndSurviveRestart() {
         for (long seed = 0; seed < 2_000; seed++) {
             Random random = new Random(seed);
             Leases before = new Leases(new SafetyCheck(0.5, 0.9));
@@ -237,7 +238,7 @@
                 for (Lease ended : before.expire(nowUs)) {
                     assertTrue(ended.endUs() <= nowUs);
                 }
-                Decision verdict = before.check(change, ten(), nowUs, nowUs / 1_000);
+                Decision verdict = before.check(change, tenServers(), nowUs, nowUs / 1_000);
                 if (verdict.lease() != null && !verdict.repeated()) {
                     before.grant(verdict.lease());
                     trail.add(new Entry(Event.GRANTED, verdict.lease().number(), nowUs / 1_000, change, "", ""));
@@ -248,7 +249,7 @@
                         trail.add(new Entry(Event.UNDONE, number, nowUs / 1_000, null, "", ""));
                     }
                 }
-                for (Lease lease : before.all()) {
+                for (Lease lease : before.activeLeases()) {
                     assertTrue(lease.endUs() > nowUs, "none outlives its time");
                 }
                 Leases after = new Leases(new SafetyCheck(0.5, 0.9));
@@ -269,8 +270,8 @@
     }
 
     @Test
-    void aShareOfAClassIsRefusedEvenly() {
-        ask(change(OverrideKind.SHED, "write", 400, 0), 0);
+    void shedsFractionOfClassEvenly() {
+        request(change(OverrideKind.SHED, "write", 400, 0), 0);
         SheddingRoutePolicy shedder = new SheddingRoutePolicy(
                 request -> vetchpost.core.RouteLimits.NONE, List.of("read", "write"), leases::effects);
         StringBuilder entered = new StringBuilder();
--- a/src/test/java/vetchpost/core/AdmissionControlTest.java
+++ b/src/test/java/vetchpost/core/AdmissionControlTest.java
@@ -21,51 +21,60 @@
 
 /** A door before the core: each request taken has one answer, whatever the door does. */
 class AdmissionControlTest {
-    private static final long AIM_US = 100_000;
-    private long now = 1_000_000_000L;
-    private long numbers;
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
+    private static final long LATENCY_TARGET_US = 100_000;
+    private long currentUs = 1_000_000_000L;
+    private long lastNumber;
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final List<ServerTransport.OutgoingRequest> sent = new ArrayList<>();
-    private final List<Asked> asked = new ArrayList<>();
+    private final List<RecordingReply> replies = new ArrayList<>();
     private final Clock clock = new Clock() {
         @Override
         public long nowUs() {
-            return now;
+            return currentUs;
         }
 
         @Override
         public Timer schedule(long us, Runnable task) {
-            Due due = new Due(us, ++numbers, task);
-            queue.add(due);
-            return () -> queue.remove(due);
+            ScheduledTask due = new ScheduledTask(us, ++lastNumber, task);
+            timers.add(due);
+            return () -> timers.remove(due);
         }
     };
-    private final Dispatcher node = new Dispatcher(
+    private final Dispatcher dispatcher = new Dispatcher(
             clock,
             new EventLoopDelay(clock),
-            new Servers(),
+            new RecordingTransport(),
             List.of(),
             () -> {},
             () -> {},
             1_000_000,
             actions -> new ServiceQBalancer(settings(), 1, actions));
 
-    private record Due(long us, long number, Runnable task) implements Comparable<Due> {
+    private record ScheduledTask(long dueUs, long number, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
-            return us != other.us ? Long.compare(us, other.us) : Long.compare(number, other.number);
+        public int compareTo(ScheduledTask other) {
+            return dueUs != other.dueUs ? Long.compare(dueUs, other.dueUs) : Long.compare(number, other.number);
         }
     }
 
     private static Settings settings() {
         Settings set = new Settings();
         set.classes.add(new RequestClass(
-                "view-page", AIM_US, 0, 5 * AIM_US, 1, 0, Idempotency.SAFE, DeduplicationScope.ALL, 0, false));
+                "view-page",
+                LATENCY_TARGET_US,
+                0,
+                5 * LATENCY_TARGET_US,
+                1,
+                0,
+                Idempotency.SAFE,
+                DeduplicationScope.ALL,
+                0,
+                false));
         set.maxRetryAfterUs = 1_000_000;
         return set;
     }
 
-    private final class Servers implements ServerTransport {
+    private final class RecordingTransport implements ServerTransport {
         @Override
         public void update(ServerList list) {}
 
@@ -96,36 +105,36 @@
         public void close() {}
     }
 
-    private static final class Asked implements ClientReply {
-        private int answers;
-        private boolean served;
-        private long adviceUs = -1;
-        private Runnable gone;
+    private static final class RecordingReply implements ClientReply {
+        private int answerCount;
+        private boolean isServed;
+        private long retryAfterUs = -1;
+        private Runnable onDisconnect;
 
         @Override
         public void served(ServerResponse answer) {
-            answers++;
-            served = true;
+            answerCount++;
+            isServed = true;
         }
 
         @Override
         public void rejected(long retryAfterUs) {
-            answers++;
-            adviceUs = retryAfterUs;
+            answerCount++;
+            retryAfterUs = retryAfterUs;
         }
 
         @Override
         public void failed(Failure why) {
-            answers++;
+            answerCount++;
         }
 
         @Override
         public void onDisconnect(Runnable action) {
-            gone = action;
+            onDisconnect = action;
         }
     }
 
-    private record NoFields() implements Headers {
+    private record NoHeaders() implements Headers {
         @Override
         public String get(String name) {
             return null;
@@ -135,36 +144,45 @@
         public void forEach(BiConsumer<String, String> action) {}
     }
 
-    private Asked ask() {
-        Asked reply = new Asked();
-        asked.add(reply);
-        node.accept(
+    private RecordingReply submit() {
+        RecordingReply reply = new RecordingReply();
+        replies.add(reply);
+        dispatcher.accept(
                 new ClientRequest(
-                        ++numbers, 0, -1, 5 * AIM_US, 0, false, "GET", "/view-page", new NoFields(), new byte[0]),
+                        ++lastNumber,
+                        0,
+                        -1,
+                        5 * LATENCY_TARGET_US,
+                        0,
+                        false,
+                        "GET",
+                        "/view-page",
+                        new NoHeaders(),
+                        new byte[0]),
                 reply,
                 0);
         return reply;
     }
 
     private void run(long us) {
-        long until = now + us;
-        while (!queue.isEmpty() && queue.peek().us <= until) {
-            Due due = queue.poll();
-            now = Math.max(now, due.us);
+        long until = currentUs + us;
+        while (!timers.isEmpty() && timers.peek().dueUs <= until) {
+            ScheduledTask due = timers.poll();
+            currentUs = Math.max(currentUs, due.dueUs);
             due.task.run();
         }
-        now = until;
+        currentUs = until;
     }
 
-    private void list() {
-        node.onKnownList(new ServerList(
+    private void publishServerList() {
+        dispatcher.onCachedList(new ServerList(
                 1,
                 true,
                 List.of(new ServerList.Target(
                         "one", new InetSocketAddress("127.0.0.1", 1), "", 0, ServerState.READY, 1, 0))));
     }
 
-    private FairAdmission fair() {
+    private FairAdmission fairAdmission() {
         return new FairAdmission(AdmissionValidator.defaults(settings()), settings(), 1);
     }
 
@@ -175,103 +193,103 @@
     }
 
     @Test
-    void whatWaitsGoesInAsAnswersComeAndTheModuleHoldsFewUnsent() {
-        list();
-        FairAdmission door = fair();
-        node.admission(door);
+    void admitsWaitingRequestsAsResponsesArrive() {
+        publishServerList();
+        FairAdmission door = fairAdmission();
+        dispatcher.admission(door);
         for (int i = 0; i < 30; i++) {
-            ask();
+            submit();
         }
-        assertEquals(30, node.pendingRequests());
+        assertEquals(30, dispatcher.pendingRequests());
         assertTrue(sent.size() >= 4, "the module sends by its own limits: " + sent.size());
         assertEquals(30 - sent.size() - 2, door.waitingRequests());
         serveAll();
-        assertEquals(0, node.pendingRequests());
-        assertTrue(asked.stream().allMatch(a -> a.served && a.answers == 1));
+        assertEquals(0, dispatcher.pendingRequests());
+        assertTrue(replies.stream().allMatch(a -> a.isServed && a.answerCount == 1));
     }
 
     @Test
-    void whatCantBeInTimeIsRefusedByItsAimAndNothingIsLeft() {
-        list();
-        node.admission(fair());
+    void rejectsLateRequestsByTheirLatencyTargetAndLeavesNoTimer() {
+        publishServerList();
+        dispatcher.admission(fairAdmission());
         for (int i = 0; i < 30; i++) {
-            ask();
+            submit();
         }
-        run(AIM_US);
-        assertTrue(asked.stream().filter(a -> a.answers == 0).count() <= 6, "only what is out may be open");
-        assertTrue(asked.stream().filter(a -> a.adviceUs >= 0).count() >= 24);
-        run(5 * AIM_US);
-        assertTrue(asked.stream().allMatch(a -> a.answers == 1), "each has its one answer");
-        assertEquals(0, node.pendingRequests());
-        assertTrue(queue.isEmpty(), "and no timer is left");
+        run(LATENCY_TARGET_US);
+        assertTrue(replies.stream().filter(a -> a.answerCount == 0).count() <= 6, "only what is out may be open");
+        assertTrue(replies.stream().filter(a -> a.retryAfterUs >= 0).count() >= 24);
+        run(5 * LATENCY_TARGET_US);
+        assertTrue(replies.stream().allMatch(a -> a.answerCount == 1), "each has its one answer");
+        assertEquals(0, dispatcher.pendingRequests());
+        assertTrue(timers.isEmpty(), "and no timer is left");
     }
 
     @Test
-    void whoLeavesWhileItWaitsIsNeverSent() {
-        list();
-        FairAdmission door = fair();
-        node.admission(door);
+    void neverSendsARequestWhoseClientLeftWhileItWaited() {
+        publishServerList();
+        FairAdmission door = fairAdmission();
+        dispatcher.admission(door);
         for (int i = 0; i < 12; i++) {
-            ask();
+            submit();
         }
         int waiting = door.waitingRequests();
-        asked.get(11).gone.run();
-        asked.get(9).gone.run();
+        replies.get(11).onDisconnect.run();
+        replies.get(9).onDisconnect.run();
         assertEquals(waiting - 2, door.waitingRequests());
         serveAll();
-        assertEquals(0, node.pendingRequests());
-        assertEquals(10, asked.stream().filter(a -> a.served).count());
+        assertEquals(0, dispatcher.pendingRequests());
+        assertEquals(10, replies.stream().filter(a -> a.isServed).count());
     }
 
     @Test
-    void aDoorThatIsTakenAwayLetsInWhatWaits() {
-        list();
-        FairAdmission door = fair();
-        node.admission(door);
+    void admitsWaitingRequestsWhenAdmissionControlIsRemoved() {
+        publishServerList();
+        FairAdmission door = fairAdmission();
+        dispatcher.admission(door);
         for (int i = 0; i < 12; i++) {
-            ask();
+            submit();
         }
         assertTrue(door.waitingRequests() > 0);
-        node.admission(null);
+        dispatcher.admission(null);
         assertEquals(0, door.waitingRequests());
-        ask();
+        submit();
         serveAll();
-        assertTrue(asked.stream().allMatch(a -> a.served && a.answers == 1));
+        assertTrue(replies.stream().allMatch(a -> a.isServed && a.answerCount == 1));
     }
 
     /** What a door is told; it fails at the first word, or passes over all. */
-    private record Told(boolean breaks) implements AdmissionControl.RequestProgress {
+    private record ProgressStub(boolean fails) implements AdmissionControl.RequestProgress {
         @Override
-        public void sent() {
-            ended();
+        public void onFirstAttemptSent() {
+            onCompleted();
         }
 
         @Override
-        public void ended() {
-            if (breaks) {
+        public void onCompleted() {
+            if (fails) {
                 throw new IllegalStateException("planted");
             }
         }
     }
 
     /** Fails when it is asked for the third time, or with what it is told, holding all back. */
-    private static final class Broken implements AdmissionControl {
-        private final boolean inArrival;
-        private final boolean breaksWhenTold;
-        private int calls;
-
-        Broken(boolean inArrival, boolean breaksWhenTold) {
-            this.inArrival = inArrival;
-            this.breaksWhenTold = breaksWhenTold;
+    private static final class FailingAdmission implements AdmissionControl {
+        private final boolean failsOnArrival;
+        private final boolean failsOnProgress;
+        private int callCount;
+
+        FailingAdmission(boolean inArrival, boolean breaksWhenTold) {
+            this.failsOnArrival = inArrival;
+            this.failsOnProgress = breaksWhenTold;
         }
 
         @Override
         public RequestProgress arrive(
                 long nowUs, ClientRequest request, long connection, long waitedUs, long deadlineUs, Applicant entrant) {
-            if (inArrival && ++calls == 3) {
+            if (failsOnArrival && ++callCount == 3) {
                 throw new IllegalStateException("planted");
             }
-            return new Told(breaksWhenTold);
+            return new ProgressStub(failsOnProgress);
         }
 
         @Override
@@ -279,7 +297,7 @@
 
         @Override
         public void advance(long nowUs) {
-            if (!inArrival && ++calls == 3) {
+            if (!failsOnArrival && ++callCount == 3) {
                 throw new IllegalStateException("planted");
             }
         }
@@ -294,38 +312,38 @@
     }
 
     @Test
-    void aDoorThatFailsCostsNoRequestItsAnswer() {
-        list();
+    void answersEachRequestWhenAdmissionControlFails() {
+        publishServerList();
         for (boolean inArrival : new boolean[] {true, false}) {
-            asked.clear();
-            node.admission(new Broken(inArrival, false));
+            replies.clear();
+            dispatcher.admission(new FailingAdmission(inArrival, false));
             for (int i = 0; i < 4; i++) {
-                ask();
+                submit();
             }
             serveAll();
-            assertEquals(null, node.admission(), "it is taken out");
-            assertTrue(asked.stream().allMatch(a -> a.served && a.answers == 1), "and all goes in");
-            assertEquals(0, node.pendingRequests());
+            assertEquals(null, dispatcher.admission(), "it is taken out");
+            assertTrue(replies.stream().allMatch(a -> a.isServed && a.answerCount == 1), "and all goes in");
+            assertEquals(0, dispatcher.pendingRequests());
         }
     }
 
     @Test
-    void aDoorThatFailsWithWhatItIsToldCostsNoRequestItsAnswer() {
-        list();
-        node.admission(new Broken(false, true));
-        ask();
-        Asked leaver = ask();
-        leaver.gone.run();
-        assertEquals(null, node.admission(), "it is taken out");
+    void answersEachRequestWhenANotificationOfAdmissionControlFails() {
+        publishServerList();
+        dispatcher.admission(new FailingAdmission(false, true));
+        submit();
+        RecordingReply leaver = submit();
+        leaver.onDisconnect.run();
+        assertEquals(null, dispatcher.admission(), "it is taken out");
         serveAll();
-        assertTrue(asked.get(0).served && asked.get(0).answers == 1, "and what it held goes in");
-        assertEquals(0, node.pendingRequests());
+        assertTrue(replies.get(0).isServed && replies.get(0).answerCount == 1, "and what it held goes in");
+        assertEquals(0, dispatcher.pendingRequests());
     }
 
     @Test
-    void aTimeThatWasPromisedComesBeforeWhatARouteSays() {
-        list();
-        node.setRoutes(request -> new RouteLimits() {
+    void prefersRetryAfterOfAdmissionControlToTheRoutes() {
+        publishServerList();
+        dispatcher.setRoutes(request -> new RouteLimits() {
             @Override
             public long retryAfterUs(long otherwiseUs) {
                 return 77;
@@ -333,7 +351,7 @@
         });
         long[] advice = {123_000, 0};
         int[] n = new int[1];
-        node.admission(new AdmissionControl() {
+        dispatcher.admission(new AdmissionControl() {
             private final List<Applicant> come = new ArrayList<>();
 
             @Override
@@ -345,7 +363,7 @@
                     long deadlineUs,
                     Applicant entrant) {
                 come.add(entrant);
-                return new Told(false);
+                return new ProgressStub(false);
             }
 
             @Override
@@ -366,8 +384,8 @@
             @Override
             public void admitAll() {}
         });
-        assertEquals(123_000, ask().adviceUs);
-        assertEquals(77, ask().adviceUs);
-        assertEquals(0, node.pendingRequests());
+        assertEquals(123_000, submit().retryAfterUs);
+        assertEquals(77, submit().retryAfterUs);
+        assertEquals(0, dispatcher.pendingRequests());
     }
 }
--- a/src/test/java/vetchpost/core/AnswerMarginTest.java
+++ b/src/test/java/vetchpost/core/ResponseMarginTest.java
@@ -10,13 +10,13 @@
 import vetchpost.decision.Balancer;
 
 /** The module's deadline lies before the client's: an answer needs time to be written and read. */
-class AnswerMarginTest {
-    private static final long NOW = 1_000_000;
-    private final List<Balancer.Request> told = new ArrayList<>();
+class ResponseMarginTest {
+    private static final long NOW_US = 1_000_000;
+    private final List<Balancer.Request> receivedRequests = new ArrayList<>();
     private final Clock clock = new Clock() {
         @Override
         public long nowUs() {
-            return NOW;
+            return NOW_US;
         }
 
         @Override
@@ -30,15 +30,15 @@
                 Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, (proxy, method, args) -> null));
     }
 
-    private final Balancer module = (Balancer) Proxy.newProxyInstance(
+    private final Balancer balancer = (Balancer) Proxy.newProxyInstance(
             Balancer.class.getClassLoader(), new Class<?>[] {Balancer.class}, (proxy, method, args) -> {
                 if (method.getName().equals("onRequest")) {
-                    told.add((Balancer.Request) args[1]);
+                    receivedRequests.add((Balancer.Request) args[1]);
                 }
                 return null;
             });
 
-    private final Dispatcher node = new Dispatcher(
+    private final Dispatcher dispatcher = new Dispatcher(
             clock,
             new EventLoopDelay(clock),
             stub(ServerTransport.class),
@@ -46,9 +46,9 @@
             () -> {},
             () -> {},
             1_000_000,
-            actions -> module);
+            actions -> balancer);
 
-    private long leftUs(long remainingUs, long waitedUs) {
+    private long remainingUsInBalancer(long remainingUs, long waitedUs) {
         Headers none = new Headers() {
             @Override
             public String get(String name) {
@@ -58,11 +58,11 @@
             @Override
             public void forEach(BiConsumer<String, String> action) {}
         };
-        node.accept(
-                new ClientRequest(told.size(), 0, -1, remainingUs, 0, false, "GET", "/", none, new byte[0]),
+        dispatcher.accept(
+                new ClientRequest(receivedRequests.size(), 0, -1, remainingUs, 0, false, "GET", "/", none, new byte[0]),
                 stub(NoReply.class),
                 waitedUs);
-        return told.get(told.size() - 1).remainingUs();
+        return receivedRequests.get(receivedRequests.size() - 1).remainingUs();
     }
 
     /** A reply whose numbers need no value. */
@@ -74,10 +74,10 @@
     }
 
     @Test
-    void theModuleIsToldOfLessThanTheClientsTime() {
-        assertEquals(475_000, leftUs(500_000, 0), "25 ms of a long wait are kept");
-        assertEquals(175_000, leftUs(200_000, 0), "an eighth and 25 ms are the same here");
-        assertEquals(70_000, leftUs(80_000, 0), "an eighth of a short one");
-        assertEquals(375_000, leftUs(500_000, 100_000), "what it lay unread is the client's time too");
+    void givesTheBalancerAnEarlierDeadlineThanTheClients() {
+        assertEquals(475_000, remainingUsInBalancer(500_000, 0), "25 ms of a long wait are kept");
+        assertEquals(175_000, remainingUsInBalancer(200_000, 0), "an eighth and 25 ms are the same here");
+        assertEquals(70_000, remainingUsInBalancer(80_000, 0), "an eighth of a short one");
+        assertEquals(375_000, remainingUsInBalancer(500_000, 100_000), "what it lay unread is the client's time too");
     }
 }
--- a/src/test/java/vetchpost/core/SubsetTest.java
+++ b/src/test/java/vetchpost/core/SubsetTest.java
@@ -37,25 +37,25 @@
     }
 
     /** A node that knows what it is told, and no more. */
-    private static final class Told {
+    private static final class SimulatedNode {
         private final Subset subset;
         private final Map<String, Target> servers = new HashMap<>();
 
-        Told(int node, int nodes, int size, boolean byCell, List<Target> fleet) {
+        SimulatedNode(int node, int nodes, int size, boolean byCell, List<Target> fleet) {
             subset = new Subset(node, nodes, size, byCell);
-            take(ListKind.FULL, fleet);
+            apply(ListKind.FULL, fleet);
         }
 
-        void take(ListKind kind, List<Target> targets) {
-            ListChunk slice = subset.of(new ListChunk(kind, new ServerList(1, kind == ListKind.FULL, targets)));
+        void apply(ListKind kind, List<Target> targets) {
+            ListChunk slice = subset.filter(new ListChunk(kind, new ServerList(1, kind == ListKind.FULL, targets)));
             assertEquals(kind, slice.kind());
             if (kind != ListKind.CHANGES) {
                 servers.clear();
             }
-            slice.list().targets().forEach(this::take);
+            slice.list().targets().forEach(this::apply);
         }
 
-        private void take(Target target) {
+        private void apply(Target target) {
             if (target.state() == ServerState.GONE) {
                 servers.remove(target.id());
             } else {
@@ -63,21 +63,21 @@
             }
         }
 
-        void ended(String id, Result result, long nowUs) {
-            subset.ended(id, result, nowUs).forEach(this::take);
+        void attemptEnded(String id, Result result, long nowUs) {
+            subset.onAttemptEnded(id, result, nowUs).forEach(this::apply);
         }
     }
 
-    private static List<Told> nodes(int nodes, int size, boolean byCell, List<Target> fleet) {
-        List<Told> all = new ArrayList<>();
+    private static List<SimulatedNode> nodes(int nodes, int size, boolean byCell, List<Target> fleet) {
+        List<SimulatedNode> all = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            all.add(new Told(i, nodes, size, byCell, fleet));
+            all.add(new SimulatedNode(i, nodes, size, byCell, fleet));
         }
         return all;
     }
 
     /** Nodes at the server with the fewest and with the most of them. */
-    private static int[] spread(List<Told> nodes, int fleet) {
+    private static int[] nodesPerServerRange(List<SimulatedNode> nodes, int fleet) {
         Map<String, Integer> at = new HashMap<>();
         nodes.forEach(n -> n.servers.keySet().forEach(id -> at.merge(id, 1, Integer::sum)));
         int least = at.size() < fleet
@@ -88,22 +88,22 @@
 
     @ParameterizedTest
     @CsvSource({"40, 1000, 50", "40, 1003, 50", "200, 5000, 100", "7, 100, 30", "3, 20, 5"})
-    void everyServerHasAsManyNodesButForOne(int nodes, int servers, int size) {
-        List<Told> all = nodes(nodes, size, false, fleet(servers));
+    void spreadsNodesOverServersEvenly(int nodes, int servers, int size) {
+        List<SimulatedNode> all = nodes(nodes, size, false, fleet(servers));
         all.forEach(n -> assertEquals(Math.min(size, servers), n.servers.size()));
-        int[] spread = spread(all, servers);
+        int[] spread = nodesPerServerRange(all, servers);
         assertTrue(spread[1] - spread[0] <= 1, spread[0] + " to " + spread[1]);
     }
 
     @Test
-    void aChangeOfOneServerMovesFew() {
-        List<Told> before = nodes(40, 50, false, fleet(1_000));
+    void movesFewServersWhenOneGoes() {
+        List<SimulatedNode> before = nodes(40, 50, false, fleet(1_000));
         int moved = 0;
         int most = 0;
         for (int i = 0; i < 20; i++) {
-            for (Told node : before) {
+            for (SimulatedNode node : before) {
                 Set<String> had = new HashSet<>(node.servers.keySet());
-                node.take(ListKind.CHANGES, List.of(target(i * 37, ServerState.GONE)));
+                node.apply(ListKind.CHANGES, List.of(target(i * 37, ServerState.GONE)));
                 Set<String> has = new HashSet<>(node.servers.keySet());
                 assertEquals(50, has.size());
                 has.removeAll(had);
@@ -114,22 +114,24 @@
         System.out.println("one server of 1000 gone, 40 nodes of 50: " + moved / 800.0
                 + " new servers a node on average, " + most + " at most");
         assertTrue(most <= 2, most + " at one node");
-        assertEquals(0, spread(before, 980)[0] - 2, "two nodes at least at each: 40 x 50 / 980");
+        assertEquals(0, nodesPerServerRange(before, 980)[0] - 2, "two nodes at least at each: 40 x 50 / 980");
     }
 
     @Test
-    void theOrderOfAListIsNothing() {
+    void selectsTheSameServersForAnyListOrder() {
         List<Target> turned = new ArrayList<>(fleet(500));
         Collections.reverse(turned);
         for (int i = 0; i < 10; i++) {
-            assertEquals(new Told(i, 10, 20, false, fleet(500)).servers, new Told(i, 10, 20, false, turned).servers);
+            assertEquals(
+                    new SimulatedNode(i, 10, 20, false, fleet(500)).servers,
+                    new SimulatedNode(i, 10, 20, false, turned).servers);
         }
     }
 
     /** Repeats of keyed requests stay in a cell: a node has all of it, or nothing. */
     @Test
-    void cellsAreTakenWhole() {
-        for (Told node : nodes(9, 25, true, fleet(400))) {
+    void selectsWholeCells() {
+        for (SimulatedNode node : nodes(9, 25, true, fleet(400))) {
             Map<Integer, Integer> byCell = new HashMap<>();
             node.servers.values().forEach(t -> byCell.merge(t.cell(), 1, Integer::sum));
             byCell.values().forEach(n -> assertEquals(10, n));
@@ -138,34 +140,34 @@
     }
 
     @Test
-    void drainsAreTakenInAndTheirPlacesFilled() {
-        Told node = new Told(2, 5, 10, false, fleet(100));
+    void replacesDrainingServers() {
+        SimulatedNode node = new SimulatedNode(2, 5, 10, false, fleet(100));
         String drained = node.servers.keySet().iterator().next();
         int number = Integer.parseInt(drained.substring(1));
-        node.take(ListKind.CHANGES, List.of(target(number, ServerState.DRAINING)));
+        node.apply(ListKind.CHANGES, List.of(target(number, ServerState.DRAINING)));
         assertEquals(ServerState.DRAINING, node.servers.get(drained).state());
         assertEquals(
                 10,
                 node.servers.values().stream()
                         .filter(t -> t.state() == ServerState.READY)
                         .count());
-        node.take(ListKind.CHANGES, List.of(target(number, ServerState.GONE)));
+        node.apply(ListKind.CHANGES, List.of(target(number, ServerState.GONE)));
         assertEquals(10, node.servers.size());
         int other = 0;
         while (node.servers.containsKey("s" + other)) {
             other++;
         }
-        node.take(ListKind.CHANGES, List.of(target(other, ServerState.DRAINING)));
+        node.apply(ListKind.CHANGES, List.of(target(other, ServerState.DRAINING)));
         assertEquals(10, node.servers.size(), "what is not its own is nothing to it");
     }
 
     @Test
-    void aNodeWhoseServersAreIllTakesMoreAndGoesBackWhenTheyAreWell() {
-        Told node = new Told(1, 8, 6, false, fleet(100));
+    void widensWhileServersAreUnhealthyAndNarrowsAfterwards() {
+        SimulatedNode node = new SimulatedNode(1, 8, 6, false, fleet(100));
         Set<String> own = Set.copyOf(node.servers.keySet());
-        for (int round = 0; round < Subset.ILL_AT; round++) {
+        for (int round = 0; round < Subset.UNHEALTHY_FAILURE_COUNT; round++) {
             for (String id : own) {
-                node.ended(id, Result.TIMEOUT, 1_000_000);
+                node.attemptEnded(id, Result.TIMEOUT, 1_000_000);
             }
         }
         assertTrue(node.servers.size() >= 12, "still " + node.servers.size());
@@ -173,31 +175,31 @@
         // Nearly everybody is ill: in the end it has the whole fleet, and goes on with it.
         for (int round = 0; round < 200; round++) {
             for (String id : List.copyOf(node.servers.keySet())) {
-                node.ended(id, Result.CONNECT_FAILED, 2_000_000);
+                node.attemptEnded(id, Result.CONNECT_FAILED, 2_000_000);
             }
         }
         assertEquals(100, node.servers.size());
         for (long at = 3_000_000; at < 120_000_000; at += 500_000) {
             for (String id : List.copyOf(node.servers.keySet())) {
-                node.ended(id, Result.OK, at);
+                node.attemptEnded(id, Result.OK, at);
             }
         }
         assertEquals(own, node.servers.keySet());
     }
 
     @Test
-    void whatIsTurnedAwayOrCalledOffIsNoIllness() {
-        Told node = new Told(1, 8, 6, false, fleet(100));
+    void countsNeitherFullNorCancelledAsUnhealthy() {
+        SimulatedNode node = new SimulatedNode(1, 8, 6, false, fleet(100));
         for (int i = 0; i < 50; i++) {
             for (String id : List.copyOf(node.servers.keySet())) {
-                node.ended(id, i % 2 == 0 ? Result.FULL : Result.CANCELLED, 1_000_000);
+                node.attemptEnded(id, i % 2 == 0 ? Result.FULL : Result.CANCELLED, 1_000_000);
             }
         }
         assertEquals(6, node.servers.size());
     }
 
     @Test
-    void figuresOutOfRangeAreRefused() {
+    void rejectsArgumentsOutOfRange() {
         assertThrows(IllegalArgumentException.class, () -> new Subset(3, 3, 5, false));
         assertThrows(IllegalArgumentException.class, () -> new Subset(0, 3, 0, false));
         assertThrows(IllegalArgumentException.class, () -> new Subset(-1, 3, 5, false));
--- a/src/test/java/vetchpost/daemon/ChangesNodeTest.java
+++ b/src/test/java/vetchpost/daemon/ChangesNodeTest.java
@@ -41,8 +41,9 @@
     void open() throws Exception {
         server = new FakePeer(FakePeer.answer("200 OK", "", "done"));
         Files.writeString(folder.resolve("secret"), TestPublisher.SECRET + "\n");
-        try (Alone plain = new Alone(Alone.pool(server))) {
-            writer = new ChangeWriter(RouteConfiguration.empty(plain.loaded().settings()), 1);
+        try (RunningNode plain = new RunningNode(RunningNode.pool(server))) {
+            writer =
+                    new ChangeWriter(RouteConfiguration.empty(plain.activeFile().settings()), 1);
         }
     }
 
@@ -51,12 +52,12 @@
         server.close();
     }
 
-    private Alone node(TestPublisher control) throws Exception {
-        return new Alone(file(control));
+    private RunningNode node(TestPublisher control) throws Exception {
+        return new RunningNode(file(control));
     }
 
     private String file(TestPublisher control) {
-        return Alone.pool(server) + "[changes]\npublishers = [\"" + control.text() + "\"]\nsecret-file = \""
+        return RunningNode.pool(server) + "[changes]\npublishers = [\"" + control.text() + "\"]\nsecret-file = \""
                 + folder.resolve("secret") + "\"\nfile = \"" + folder.resolve("store") + "\"\n";
     }
 
@@ -72,37 +73,41 @@
                         new EntryKey(EntryKind.ROUTE, path),
                         op == EntryChange.Op.DELETE
                                 ? null
-                                : RouteCodec.bytes(new Section(Section.Kind.ROUTE, "", at, entries))))));
+                                : RouteCodec.encode(new Section(Section.Kind.ROUTE, "", at, entries))))));
     }
 
-    private static void until(Alone node, String beginning) throws Exception {
+    private static void awaitResponse(RunningNode node, String beginning) throws Exception {
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
-        String answer = node.all(POST);
+        String answer = node.sendAndReadAll(POST);
         while (!answer.startsWith(beginning)) {
             assertTrue(System.nanoTime() < endNs, answer + " instead of " + beginning);
-            answer = node.all(POST);
+            answer = node.sendAndReadAll(POST);
         }
     }
 
     @Test
-    void aChangeIsInForceAndOutlivesTheControlMachinesAndARestart() throws Exception {
+    void changesOutlivePublisherAndRestart() throws Exception {
         write(EntryChange.Op.PUT, "/photos/*", "4B");
         TestPublisher control = new TestPublisher(writer.store(), TestPublisher.SECRET, 0);
-        try (Alone node = node(control)) {
-            until(node, "HTTP/1.1 413 ");
+        try (RunningNode node = node(control)) {
+            awaitResponse(node, "HTTP/1.1 413 ");
             write(EntryChange.Op.REPLACE, "/photos/*", "9B");
             control.publish(writer.store());
-            until(node, "HTTP/1.1 200 ");
+            awaitResponse(node, "HTTP/1.1 200 ");
             write(EntryChange.Op.REPLACE, "/photos/*", "3B");
             control.publish(writer.store());
-            until(node, "HTTP/1.1 413 ");
-            assertTrue(node.all(Alone.get("/ready", CLOSE)).startsWith("HTTP/1.1 200 "));
+            awaitResponse(node, "HTTP/1.1 413 ");
+            assertTrue(node.sendAndReadAll(RunningNode.get("/ready", CLOSE)).startsWith("HTTP/1.1 200 "));
             control.close();
-            assertTrue(node.all(POST).startsWith("HTTP/1.1 413 "), "with nobody there it serves by what it has");
+            assertTrue(
+                    node.sendAndReadAll(POST).startsWith("HTTP/1.1 413 "),
+                    "with nobody there it serves by what it has");
         }
-        try (Alone again = node(control)) {
-            assertTrue(again.all(POST).startsWith("HTTP/1.1 413 "), "it begins with what it had");
-            assertTrue(again.words().contains("configuration 1.3, not confirmed since the start"), again.words());
+        try (RunningNode again = node(control)) {
+            assertTrue(again.sendAndReadAll(POST).startsWith("HTTP/1.1 413 "), "it begins with what it had");
+            assertTrue(
+                    again.statusNote().contains("configuration 1.3, not confirmed since the start"),
+                    again.statusNote());
         }
     }
 
@@ -110,11 +115,11 @@
      * Both ways in which routes come into force, at once: the file's other parts, and changes on their way.
      */
     @Test
-    void aReloadWhileChangesAreComingLosesNone() throws Exception {
+    void reloadDuringChangesLosesNone() throws Exception {
         write(EntryChange.Op.PUT, "/photos/*", "9B");
         try (TestPublisher control = new TestPublisher(writer.store(), TestPublisher.SECRET, 0);
-                Alone node = node(control)) {
-            until(node, "HTTP/1.1 200 ");
+                RunningNode node = node(control)) {
+            awaitResponse(node, "HTTP/1.1 200 ");
             for (int i = 0; i < 20; i++) {
                 write(EntryChange.Op.PUT, "/other/" + i, "1B");
                 control.publish(writer.store());
@@ -123,61 +128,65 @@
             }
             write(EntryChange.Op.REPLACE, "/photos/*", "4B");
             control.publish(writer.store());
-            until(node, "HTTP/1.1 413 ");
+            awaitResponse(node, "HTTP/1.1 413 ");
             for (int i = 0; i < 20; i++) {
                 assertTrue(
-                        node.all(POST.replace("/photos/1", "/other/" + i)).startsWith("HTTP/1.1 413 "), "route " + i);
+                        node.sendAndReadAll(POST.replace("/photos/1", "/other/" + i))
+                                .startsWith("HTTP/1.1 413 "),
+                        "route " + i);
             }
         }
     }
 
     /** Of one name, all would ask the same control machine first. */
     @Test
-    void nodesWithoutANameAreSpreadOverControlMachines() throws Exception {
+    void unnamedNodesSpreadOverPublishers() throws Exception {
         TestPublisher one = new TestPublisher(writer.store(), TestPublisher.SECRET, 0);
         TestPublisher two = new TestPublisher(writer.store(), TestPublisher.SECRET, 0);
         String both = file(one)
                 .replace("[\"" + one.text() + "\"]", "[\"" + one.text() + "\", \"" + two.text() + "\"]")
                 .replaceAll("file = .*store\"\n", "");
-        List<Alone> nodes = new java.util.ArrayList<>();
+        List<RunningNode> nodes = new java.util.ArrayList<>();
         try (one;
                 two) {
             // Thirty at one machine by chance: once in five hundred million.
             for (int i = 0; i < 30; i++) {
-                nodes.add(new Alone(both));
+                nodes.add(new RunningNode(both));
             }
             long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
-            while (one.peers() + two.peers() < 30) {
-                assertTrue(System.nanoTime() < endNs, one.peers() + " and " + two.peers());
+            while (one.replicaCount() + two.replicaCount() < 30) {
+                assertTrue(System.nanoTime() < endNs, one.replicaCount() + " and " + two.replicaCount());
             }
-            assertTrue(one.peers() > 0 && two.peers() > 0, one.peers() + " and " + two.peers());
+            assertTrue(
+                    one.replicaCount() > 0 && two.replicaCount() > 0,
+                    one.replicaCount() + " and " + two.replicaCount());
         } finally {
-            nodes.forEach(Alone::close);
+            nodes.forEach(RunningNode::close);
         }
     }
 
     @Test
-    void aFileSaysWhereItsRoutesComeFromAndNothingElse() throws Exception {
+    void fileWithChangesHasNoRoutesOfItsOwn() throws Exception {
         try (TestPublisher control = new TestPublisher(writer.store(), TestPublisher.SECRET, 0)) {
             for (String more : List.of("[[route]]\npath = \"/x\"\n", "[defaults]\nattempts = 2\n")) {
                 IllegalArgumentException refused =
-                        assertThrows(IllegalArgumentException.class, () -> new Alone(file(control) + more));
+                        assertThrows(IllegalArgumentException.class, () -> new RunningNode(file(control) + more));
                 assertTrue(refused.getMessage().contains("UNREACHABLE"), refused.getMessage());
             }
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> new Alone(file(control)
+                    () -> new RunningNode(file(control)
                             .replace("127.0.0.1:" + control.address().getPort(), "nowhere")));
-            try (Alone node = node(control)) {
+            try (RunningNode node = node(control)) {
                 IllegalArgumentException kept = assertThrows(IllegalArgumentException.class, () -> {
                     try {
-                        node.reload(Alone.pool(server));
+                        node.reload(RunningNode.pool(server));
                     } catch (java.util.concurrent.ExecutionException e) {
                         throw e.getCause();
                     }
                 });
                 assertTrue(kept.getMessage().contains("a restart takes them up"), kept.getMessage());
-                assertTrue(node.all(POST).startsWith("HTTP/1.1 200 "));
+                assertTrue(node.sendAndReadAll(POST).startsWith("HTTP/1.1 200 "));
             }
         }
     }
--- a/src/test/java/vetchpost/daemon/CommandsTest.java
+++ b/src/test/java/vetchpost/daemon/CommandsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 import vetchpost.state.Snapshot;
-import vetchpost.state.States;
+import vetchpost.state.TestSnapshots;
 import vetchpost.state.codec.ChunkCodec;
 import vetchpost.state.disk.StateFile;
 import vetchpost.testing.FakePeer;
@@ -58,7 +58,7 @@
 
     /** What init prints is a file that check takes as it is, without any environment. */
     @Test
-    void whatInitPrintsHolds() throws Exception {
+    void initPrintsValidFile() throws Exception {
         assertEquals(
                 0,
                 run(
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void theShippedFileIsANodeByItselfAndBesideThePlatform() throws Exception {
+    void shippedFileIsValidStandaloneAndWithPlatform() throws Exception {
         assertEquals(0, run(new CheckCommand(), "deploy/vetchpost.toml"));
         assertEquals(0, run(new CheckCommand(), "deploy/vetchpost.toml", "--explain", "cover"));
         assertEquals(2, check("[node]\nlisten = 7\n[class.nobody]\n"), "beside it, its classes are the platform's");
@@ -88,13 +88,13 @@
     }
 
     @Test
-    void aFileThatHoldsEndsWithNought() throws Exception {
+    void checkExitsZeroForValidFile() throws Exception {
         assertEquals(0, check("[class.view]\nattempts = 2\n"));
         assertTrue(out.toString().contains("holds: 4 routes"), out.toString());
     }
 
     @Test
-    void aFileThatDoesNotIsToldWholeAndEndsWithTwo() throws Exception {
+    void checkPrintsAllViolationsAndExitsTwo() throws Exception {
         assertEquals(2, check("[class.order]\nattempts = 2\nspeed = 1\n"));
         assertTrue(out.toString().contains("routes.toml:2:1: class order: attempts is 2"), out.toString());
         assertTrue(out.toString().contains("routes.toml:3:1: order: unknown key 'speed'"), out.toString());
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aRouteIsExplainedWithItsWorstCourse() throws Exception {
+    void explainsRouteWithLatestAttemptTimes() throws Exception {
         assertEquals(
                 0,
                 check(
@@ -129,11 +129,11 @@
     }
 
     @Test
-    void whatANodeHasKeptIsShownTheIllFirst() throws Exception {
+    void stateShowsFailingServersFirst() throws Exception {
         Path file = folder.resolve("boxes");
         assertEquals(2, state(file));
         assertTrue(out.toString().contains("there is no file"), out.toString());
-        Snapshot snapshot = States.of(12, 2, System.currentTimeMillis() - 1_000);
+        Snapshot snapshot = TestSnapshots.of(12, 2, System.currentTimeMillis() - 1_000);
         new StateFile(file)
                 .write(List.of(ChunkCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.servers())));
         assertEquals(0, state(file, "--most", "3"));
@@ -150,14 +150,14 @@
     }
 
     @Test
-    void tablesOfStateAndHandoverAreProvedToo() throws Exception {
+    void checkValidatesStateAndHandoverTables() throws Exception {
         assertEquals(0, check("[state]\nfile = \"b\"\n"));
         assertEquals(2, check("[handover]\nlisten = \"127.0.0.1:1\"\n"));
         assertTrue(out.toString().contains("it does not say secret-file"), out.toString());
     }
 
     @Test
-    void helpIsGivenAndNoCommandIsBadUse() {
+    void printsHelpAndRejectsUnknownCommand() {
         assertEquals(0, Commands.run("--help"));
         assertEquals(0, Commands.run("--version"));
         assertEquals(0, Commands.run("serve", "--help"));
--- a/src/test/java/vetchpost/daemon/ControlTest.java
+++ b/src/test/java/vetchpost/daemon/ControlTest.java
@@ -57,9 +57,9 @@
         return folder.resolve("audit");
     }
 
-    private Alone node() throws Exception {
-        return new Alone(
-                Alone.pool(first, second) + "[control]\nsocket = \"" + socket() + "\"\naudit = \"" + audit() + "\"\n");
+    private RunningNode node() throws Exception {
+        return new RunningNode(RunningNode.pool(first, second) + "[control]\nsocket = \"" + socket() + "\"\naudit = \""
+                + audit() + "\"\n");
     }
 
     private int ctl(String... arguments) {
@@ -81,19 +81,19 @@
         return ctl(all.toArray(String[]::new));
     }
 
-    private static void allFrom(Alone node, String body) throws Exception {
+    private static void assertAllAnsweredBy(RunningNode node, String body) throws Exception {
         for (int i = 0; i < 20; i++) {
-            String answer = node.all(Alone.get("/", CLOSE));
+            String answer = node.sendAndReadAll(RunningNode.get("/", CLOSE));
             assertTrue(answer.endsWith(body), answer);
         }
     }
 
     @Test
-    void aDrainedServerGetsNothingNewUntilItIsUndoneAlsoAfterARestart() throws Exception {
-        try (Alone node = node()) {
+    void drainLastsUntilUndoAcrossRestarts() throws Exception {
+        try (RunningNode node = node()) {
             assertEquals(0, drain(first), said);
             assertTrue(said.contains("override 1 holds for 10 min"), said);
-            allFrom(node, "second");
+            assertAllAnsweredBy(node, "second");
             assertEquals(1, drain(second));
             assertTrue(said.contains("it leaves 0 % of the fleet's weight (50 % before), and least is 50 %"), said);
             assertEquals(1, drain(second, "--dry-run"));
@@ -101,20 +101,20 @@
             assertEquals(0, ctl("servers"));
             assertTrue(said.contains("drained by override"), said);
         }
-        try (Alone node = node()) {
+        try (RunningNode node = node()) {
             assertEquals(0, ctl("overrides"));
             assertTrue(said.contains("ann: sick"), said);
-            allFrom(node, "second");
+            assertAllAnsweredBy(node, "second");
             assertEquals(0, ctl("undo", "1"), said);
             assertEquals(0, drain(second), said);
             assertTrue(said.contains("override 2 "), "numbers go on: " + said);
-            allFrom(node, "first");
+            assertAllAnsweredBy(node, "first");
             assertEquals(0, ctl("undo", "2"), said);
         }
-        try (Alone node = node()) {
+        try (RunningNode node = node()) {
             assertEquals(0, drain(first), said);
             assertTrue(said.contains("override 3 "), "a number is never given twice: " + said);
-            allFrom(node, "second");
+            assertAllAnsweredBy(node, "second");
         }
         assertEquals(0, ctl("audit", audit().toString()));
         assertTrue(said.contains("6 entries, each follows"), said);
@@ -123,32 +123,32 @@
         Files.write(audit(), lines);
         assertEquals(1, ctl("audit", audit().toString()));
         assertTrue(said.contains("line 2 does not follow"), said);
-        try (Alone node = node()) {
+        try (RunningNode node = node()) {
             assertEquals(1, drain(first));
             assertTrue(said.contains("line 2 does not follow from those before"), said);
-            assertTrue(node.all(Alone.get("/", CLOSE)).startsWith("HTTP/1.1 200 "), "and it serves");
+            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "), "and it serves");
         }
     }
 
     @Test
-    void aShareOfAClassIsRefusedAndHasNotRun() throws Exception {
-        try (Alone node = node()) {
+    void shedsFractionOfClassWithoutRunningIt() throws Exception {
+        try (RunningNode node = node()) {
             assertEquals(1, ctl("shed", "read", "--share", "1", "--for", "10m", "--reason", "storm"));
             assertTrue(said.contains("it refuses 100 % of read, and most is 90 %"), said);
             assertEquals(0, ctl("shed", "read", "--share", "1", "--for", "10m", "--reason", "storm", "--anyway"));
-            String answer = node.all(Alone.get("/", CLOSE));
+            String answer = node.sendAndReadAll(RunningNode.get("/", CLOSE));
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
             assertEquals("no", FakePeer.header(answer, "vetchpost-ran"));
             assertTrue(
-                    node.all("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n")
+                    node.sendAndReadAll("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n")
                             .startsWith("HTTP/1.1 200 "),
                     "the other class is served");
         }
     }
 
     @Test
-    void aClientOfTheSocketHoldsUpNobodyElse() throws Exception {
-        try (Alone node = node();
+    void slowSocketClientDelaysNobodyElse() throws Exception {
+        try (RunningNode node = node();
                 SocketChannel half = SocketChannel.open(UnixDomainSocketAddress.of(socket()));
                 SocketChannel long1 = SocketChannel.open(UnixDomainSocketAddress.of(socket()))) {
             half.write(ByteBuffer.wrap("{\"v\":1,".getBytes(StandardCharsets.UTF_8)));
@@ -162,52 +162,54 @@
                     .contains("at most 16384 bytes"));
             assertEquals(0, ctl("status"), said);
             assertTrue(said.contains("taking     2"), said);
-            assertTrue(node.all(Alone.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
+            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
             assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(socket())));
         }
     }
 
     @Test
-    void aSocketLeftBehindIsTakenAwayAndAnythingElseIsNot() throws Exception {
+    void removesStaleSocketButNoOtherFile() throws Exception {
         try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             old.bind(UnixDomainSocketAddress.of(socket()));
         }
-        try (Alone node = node();
-                Alone other = node()) {
+        try (RunningNode node = node();
+                RunningNode other = node()) {
             assertEquals(0, ctl("status"), said);
-            assertTrue(node.all(Alone.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
-            assertTrue(other.all(Alone.get("/", CLOSE)).startsWith("HTTP/1.1 200 "), "without a socket");
+            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
+            assertTrue(
+                    other.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "), "without a socket");
         }
         Files.deleteIfExists(socket());
         Files.writeString(socket(), "mine");
-        try (Alone node = node()) {
-            assertTrue(node.all(Alone.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
+        try (RunningNode node = node()) {
+            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
             assertEquals("mine", Files.readString(socket()));
         }
     }
 
     @Test
-    void aRecordThatCanNotBeWrittenRefusesChanges() throws Exception {
-        try (Alone node = node()) {
+    void rejectsChangesWhenAuditLogIsUnwritable() throws Exception {
+        try (RunningNode node = node()) {
             Files.delete(audit());
             Files.createDirectory(audit());
             assertEquals(1, drain(first));
             assertTrue(said.contains("nothing was changed, since the record of changes can't be kept"), said);
             assertEquals(0, ctl("overrides"));
             assertTrue(said.startsWith("none"), said);
-            assertTrue(node.all(Alone.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
+            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
         }
     }
 
     @Test
-    void whatBecameOfARequestIsExplained() throws Exception {
-        try (Alone node = node()) {
+    void explainsOutcomeOfRequest() throws Exception {
+        try (RunningNode node = node()) {
             assertEquals(0, ctl("explain"));
             assertTrue(said.startsWith("nothing was refused, failed, repeated or slow"), said);
             first.script(FakePeer.RESET);
             second.script(FakePeer.RESET);
-            assertTrue(node.all("POST /orders/7 HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n")
-                    .startsWith("HTTP/1.1 502 "));
+            assertTrue(
+                    node.sendAndReadAll("POST /orders/7 HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n")
+                            .startsWith("HTTP/1.1 502 "));
             assertEquals(0, ctl("explain", "--last", "1"), said);
             assertTrue(said.contains("failed") && said.contains("1 attempts  POST /orders/7"), said);
             String id = said.substring(0, 16);
@@ -236,17 +238,17 @@
     }
 
     @Test
-    void whatIsNotKeptIsSaidToBeOff() throws Exception {
-        try (Alone node = new Alone(Alone.pool(first, second) + "[control]\nsocket = \"" + socket() + "\"\naudit = \""
-                + audit() + "\"\nkeep = 0\n")) {
-            assertTrue(node.all(Alone.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
+    void explainReportsDisabledRecording() throws Exception {
+        try (RunningNode node = new RunningNode(RunningNode.pool(first, second) + "[control]\nsocket = \"" + socket()
+                + "\"\naudit = \"" + audit() + "\"\nkeep = 0\n")) {
+            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).startsWith("HTTP/1.1 200 "));
             assertEquals(1, ctl("explain"));
             assertTrue(said.contains("nothing is recorded: keep = 0 in [control]"), said);
         }
     }
 
     @Test
-    void badCommandsAreTwo() {
+    void badCommandsExitWithTwo() {
         assertEquals(2, ctl("drain", "x", "--for", "forever", "--reason", "r"));
         assertTrue(said.contains("--for forever is no length of time; 30s, 10m or 2h would be"), said);
         assertEquals(2, ctl("status"));
--- a/src/test/java/vetchpost/daemon/GatewayTest.java
+++ b/src/test/java/vetchpost/daemon/GatewayTest.java
@@ -37,19 +37,19 @@
         second.close();
     }
 
-    private Alone node() throws Exception {
-        return new Alone(Alone.pool(first));
+    private RunningNode node() throws Exception {
+        return new RunningNode(RunningNode.pool(first));
     }
 
     @Test
-    void anAnswerIsPassedOnAsItIs() throws Exception {
+    void forwardsResponseUnchanged() throws Exception {
         first.script(FakePeer.answer(
                 "404 Not Found",
                 "Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nETag: \"x\"\r\n"
                         + "Content-Type: text/html\r\nConnection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\n",
                 "gone"));
-        try (Alone node = node()) {
-            String answer = node.all(Alone.get("/a?b=c", CLOSE));
+        try (RunningNode node = node()) {
+            String answer = node.sendAndReadAll(RunningNode.get("/a?b=c", CLOSE));
             assertTrue(answer.startsWith("HTTP/1.1 404 Not Found\r\n"), answer);
             assertTrue(answer.contains("Set-Cookie: a=1\r\nSet-Cookie: b=2\r\n"), answer);
             assertEquals("\"x\"", FakePeer.header(answer, "etag"));
@@ -62,9 +62,9 @@
     }
 
     @Test
-    void aRequestIsPassedOnWithoutWhatIsItsConnections() throws Exception {
-        try (Alone node = node()) {
-            node.all(Alone.get(
+    void removesHopByHopHeadersFromRequest() throws Exception {
+        try (RunningNode node = node()) {
+            node.sendAndReadAll(RunningNode.get(
                     "/a%2Fb?q=%20",
                     "Connection: close, X-Hop, Host\r\nX-Hop: 1\r\nTE: trailers\r\n"
                             + "X-Forwarded-For: 9.9.9.9\r\nForwarded: for=9.9.9.9\r\nProxy-Connection: x\r\n"
@@ -90,9 +90,10 @@
     }
 
     @Test
-    void whatAClientTellsTheNodeEndsThere() throws Exception {
-        try (Alone node = node()) {
-            node.all(Alone.get("/", CLOSE + "X-Remaining-Ms: 5000\r\nX-Resent: 1\r\nX-Request-Id: 7\r\n"));
+    void removesHeadersMeantForNode() throws Exception {
+        try (RunningNode node = node()) {
+            node.sendAndReadAll(
+                    RunningNode.get("/", CLOSE + "X-Remaining-Ms: 5000\r\nX-Resent: 1\r\nX-Request-Id: 7\r\n"));
             String request = first.nextRequest();
             assertNull(FakePeer.header(request, "x-remaining-ms"));
             assertNull(FakePeer.header(request, "x-resent"));
@@ -101,29 +102,29 @@
     }
 
     @Test
-    void anAnswerOfTheNodesOwnSaysWhetherTheRequestMayHaveRun() throws Exception {
+    void localResponseSaysWhetherRequestMayHaveRun() throws Exception {
         String post = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n";
-        try (Alone node = new Alone(Alone.pool("attempts = 2\n", first))) {
+        try (RunningNode node = new RunningNode(RunningNode.pool("attempts = 2\n", first))) {
             first.script((socket, request) -> socket.close());
-            String answer = node.all(post);
+            String answer = node.sendAndReadAll(post);
             assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
             assertEquals("maybe", FakePeer.header(answer, "vetchpost-ran"), "it was written whole");
             first.script(FakePeer.answer("500 Internal Server Error", "Vetchpost-Ran: no\r\n", "mine"));
-            answer = node.all(post);
+            answer = node.sendAndReadAll(post);
             assertTrue(answer.endsWith("mine"), answer);
             assertNull(FakePeer.header(answer, "vetchpost-ran"), "a server has no say in it");
             first.close();
-            answer = node.all(post);
+            answer = node.sendAndReadAll(post);
             assertTrue(answer.startsWith("HTTP/1.1 50"), answer);
             assertEquals("no", FakePeer.header(answer, "vetchpost-ran"), answer);
         }
     }
 
     @Test
-    void whatHasRunOutOfTimeAtAServerMayHaveRun() throws Exception {
-        try (Alone node = node()) {
+    void timedOutRequestMayHaveRun() throws Exception {
+        try (RunningNode node = node()) {
             first.script((socket, request) -> {});
-            String answer = node.all(
+            String answer = node.sendAndReadAll(
                     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + "X-Remaining-Ms: 200\r\n" + CLOSE + "\r\n");
             assertTrue(answer.startsWith("HTTP/1.1 50"), answer);
             assertEquals("maybe", FakePeer.header(answer, "vetchpost-ran"), answer);
@@ -131,9 +132,11 @@
     }
 
     @Test
-    void whatClientsSayOfThemselvesIsBelievedOnlyWhereTheFileSaysSo() throws Exception {
-        try (Alone node = new Alone("trust-forwarded = true\nforwarded = \"both\"\n" + Alone.pool(first))) {
-            node.all(Alone.get("/", CLOSE + "X-Forwarded-For: 9.9.9.9\r\nX-Forwarded-Proto: https\r\n"));
+    void trustsForwardedHeadersOnlyIfConfigured() throws Exception {
+        try (RunningNode node =
+                new RunningNode("trust-forwarded = true\nforwarded = \"both\"\n" + RunningNode.pool(first))) {
+            node.sendAndReadAll(
+                    RunningNode.get("/", CLOSE + "X-Forwarded-For: 9.9.9.9\r\nX-Forwarded-Proto: https\r\n"));
             String request = first.nextRequest();
             assertEquals("9.9.9.9, 127.0.0.1", FakePeer.header(request, "x-forwarded-for"));
             assertEquals("https", FakePeer.header(request, "x-forwarded-proto"));
@@ -141,22 +144,22 @@
     }
 
     @Test
-    void headAndStatusesWithoutBodyLeaveTheConnectionUsable() throws Exception {
-        try (Alone node = node();
+    void keepsConnectionAfterBodylessResponses() throws Exception {
+        try (RunningNode node = node();
                 Socket client = node.connect()) {
             first.script(FakePeer.raw("HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n"));
             FakePeer.write(client, "HEAD / HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals("1234", FakePeer.header(head(client), "content-length"));
             first.script(FakePeer.raw("HTTP/1.1 204 No Content\r\n\r\n"));
-            FakePeer.write(client, Alone.get("/", ""));
+            FakePeer.write(client, RunningNode.get("/", ""));
             assertTrue(head(client).startsWith("HTTP/1.1 204 "));
             first.script(FakePeer.raw("HTTP/1.1 304 Not Modified\r\nContent-Length: 99\r\n\r\n"));
-            FakePeer.write(client, Alone.get("/", ""));
+            FakePeer.write(client, RunningNode.get("/", ""));
             assertTrue(head(client).startsWith("HTTP/1.1 304 "));
             first.script(FakePeer.raw("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n"
                     + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"));
-            FakePeer.write(client, Alone.get("/", ""));
-            assertTrue(Alone.answer(client).endsWith("\r\n\r\nok"));
+            FakePeer.write(client, RunningNode.get("/", ""));
+            assertTrue(RunningNode.readResponse(client).endsWith("\r\n\r\nok"));
             assertEquals(1, first.accepted.size(), "one connection to the server has carried all of it");
         }
     }
@@ -174,17 +177,17 @@
     }
 
     @Test
-    void chunksAndAnswersThatEndByClosingArePassedOnWhole() throws Exception {
-        try (Alone node = node()) {
+    void forwardsChunkedAndCloseDelimitedResponses() throws Exception {
+        try (RunningNode node = node()) {
             first.script(FakePeer.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     + "3\r\nabc\r\n4;x=y\r\ndefg\r\n0\r\nX-Trailer: 1\r\n\r\n"));
-            assertTrue(node.all(Alone.get("/", CLOSE)).endsWith("\r\n\r\nabcdefg"));
+            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("\r\n\r\nabcdefg"));
             first.script((socket, request) -> {
                 FakePeer.write(socket, "HTTP/1.0 200 OK\r\n\r\nold and short");
                 socket.close();
             });
             for (int i = 0; i < 3; i++) {
-                String answer = node.all(Alone.get("/", CLOSE));
+                String answer = node.sendAndReadAll(RunningNode.get("/", CLOSE));
                 assertTrue(answer.endsWith("\r\n\r\nold and short"), answer);
                 assertEquals("13", FakePeer.header(answer, "content-length"));
             }
@@ -192,54 +195,54 @@
     }
 
     @Test
-    void aClientOfHttp10IsAnsweredWithoutChunks() throws Exception {
+    void answersHttp10ClientWithoutChunks() throws Exception {
         first.script(FakePeer.raw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                 + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"));
-        try (Alone node = node()) {
-            String answer = node.all("GET / HTTP/1.0\r\n\r\n");
+        try (RunningNode node = node()) {
+            String answer = node.sendAndReadAll("GET / HTTP/1.0\r\n\r\n");
             assertNull(FakePeer.header(answer, "transfer-encoding"), answer);
             assertTrue(answer.endsWith("\r\n\r\nabc"), answer);
             first.script(FakePeer.answer("200 OK", "", "hello"));
             try (Socket client = node.connect()) {
                 FakePeer.write(client, "GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-                assertEquals("keep-alive", FakePeer.header(Alone.answer(client), "connection"));
+                assertEquals("keep-alive", FakePeer.header(RunningNode.readResponse(client), "connection"));
                 FakePeer.write(client, "GET / HTTP/1.0\r\n\r\n");
-                assertTrue(Alone.rest(client).endsWith("hello"), "and closed without the field");
+                assertTrue(RunningNode.readUntilClosed(client).endsWith("hello"), "and closed without the field");
             }
         }
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInTheirOrder() throws Exception {
+    void answersPipelinedRequestsInOrder() throws Exception {
         first.script((socket, request) ->
                 FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.charAt(5) + "\n"));
-        try (Alone node = node();
+        try (RunningNode node = node();
                 Socket client = node.connect()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 9; i++) {
-                all.append(Alone.get("/" + i, ""));
+                all.append(RunningNode.get("/" + i, ""));
             }
             FakePeer.write(client, all.toString());
             for (int i = 0; i < 9; i++) {
-                assertTrue(Alone.answer(client).endsWith("\r\n\r\n" + i + "\n"));
+                assertTrue(RunningNode.readResponse(client).endsWith("\r\n\r\n" + i + "\n"));
             }
         }
     }
 
     /** Nonsense behind a request in hand costs the connection, and not the request its answer. */
     @Test
-    void whatIsInHandIsAnsweredBeforeTheNonsenseBehindIt() throws Exception {
+    void answersPendingRequestBeforeMalformedOne() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         first.script((socket, request) -> {
             go.await();
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
         });
-        try (Alone node = node();
+        try (RunningNode node = node();
                 Socket client = node.connect()) {
-            FakePeer.write(client, Alone.get("/", "") + "no HTTP at all\r\n\r\n");
+            FakePeer.write(client, RunningNode.get("/", "") + "no HTTP at all\r\n\r\n");
             first.nextRequest();
             go.countDown();
-            String all = Alone.rest(client);
+            String all = RunningNode.readUntilClosed(client);
             assertTrue(all.startsWith("HTTP/1.1 200 ") && all.contains("hello"), all);
             assertTrue(all.contains("HTTP/1.1 400 "), all);
         }
@@ -247,7 +250,7 @@
 
     /** Each is answered with this status, and nothing that follows on its connection is looked at. */
     @Test
-    void whatCanBeReadInTwoWaysIsNotRead() throws Exception {
+    void rejectsAmbiguousRequests() throws Exception {
         String host = "Host: a\r\n";
         String smuggled = "GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n";
         Map<String, Integer> refused = new LinkedHashMap<>();
@@ -286,9 +289,9 @@
         refused.put("GET /" + "x".repeat(9_000) + " HTTP/1.1\r\nHost: a\r\n\r\n", 414);
         refused.put("GET / HTTP/1.1\r\nHost: a\r\nX: " + "x".repeat(20_000) + "\r\n\r\n", 431);
         List<String> wrong = new ArrayList<>();
-        try (Alone node = node()) {
+        try (RunningNode node = node()) {
             for (Map.Entry<String, Integer> each : refused.entrySet()) {
-                String answer = node.all(each.getKey() + smuggled);
+                String answer = node.sendAndReadAll(each.getKey() + smuggled);
                 if (!answer.startsWith("HTTP/1.1 " + each.getValue() + " ")
                         || answer.indexOf("HTTP/1.1 ") != answer.lastIndexOf("HTTP/1.1 ")) {
                     wrong.add(each.getKey() + " -> " + answer);
@@ -300,13 +303,13 @@
     }
 
     @Test
-    void aTargetThatNamesItsHostCountsBeforeTheField() throws Exception {
-        try (Alone node = node()) {
-            node.all("GET http://shop.example:81/a?b HTTP/1.1\r\nHost: other\r\n" + CLOSE + "\r\n");
+    void absoluteTargetOverridesHostHeader() throws Exception {
+        try (RunningNode node = node()) {
+            node.sendAndReadAll("GET http://shop.example:81/a?b HTTP/1.1\r\nHost: other\r\n" + CLOSE + "\r\n");
             String request = first.nextRequest();
             assertTrue(request.startsWith("GET /a?b HTTP/1.1\r\n"), request);
             assertEquals("shop.example:81", FakePeer.header(request, "host"));
-            node.all("GET / HTTP/1.1\r\nHost: a\r\nX-Folded: one\r\n two\r\n" + CLOSE + "\r\n");
+            node.sendAndReadAll("GET / HTTP/1.1\r\nHost: a\r\nX-Folded: one\r\n two\r\n" + CLOSE + "\r\n");
             assertEquals(
                     "one two",
                     FakePeer.header(first.nextRequest(), "x-folded"),
@@ -315,70 +318,74 @@
     }
 
     @Test
-    void aServersOwnErrorIsPassedOnOnceNothingMoreIsTried() throws Exception {
+    void forwardsServerErrorAfterLastAttempt() throws Exception {
         first.script(FakePeer.answer("500 Oops", "", "my own page"));
         second.script(FakePeer.answer("500 Oops", "", "my own page"));
-        try (Alone node = new Alone(Alone.pool("attempts = 2\n", first, second))) {
-            String answer = node.all("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx");
+        try (RunningNode node = new RunningNode(RunningNode.pool("attempts = 2\n", first, second))) {
+            String answer =
+                    node.sendAndReadAll("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx");
             assertTrue(answer.startsWith("HTTP/1.1 500 ") && answer.endsWith("my own page"), answer);
             assertEquals(1, first.requests.size() + second.requests.size(), "it may have run, so it ran once");
             first.requests.clear();
             second.requests.clear();
-            answer = node.all(Alone.get("/", CLOSE));
+            answer = node.sendAndReadAll(RunningNode.get("/", CLOSE));
             assertTrue(answer.startsWith("HTTP/1.1 500 ") && answer.endsWith("my own page"), answer);
             assertEquals(2, first.requests.size() + second.requests.size(), "what is safe was tried at both");
         }
     }
 
     @Test
-    void whatIsSafeIsHadFromAnotherServerAndTheRestIsNot() throws Exception {
+    void retriesOnlySafeRequestsOnAnotherServer() throws Exception {
         FakePeer.Script cut = (socket, request) -> {
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
             socket.close();
         };
         first.script(cut);
         second.script(cut);
-        try (Alone node = new Alone(Alone.pool("attempts = 4\n", first, second))) {
+        try (RunningNode node = new RunningNode(RunningNode.pool("attempts = 4\n", first, second))) {
             String post = "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx";
-            assertTrue(node.all(post).startsWith("HTTP/1.1 502 "));
+            assertTrue(node.sendAndReadAll(post).startsWith("HTTP/1.1 502 "));
             assertEquals(1, first.requests.size() + second.requests.size());
             second.script(FakePeer.answer("200 OK", "", "whole"));
             for (int i = 0; i < 4; i++) {
-                assertTrue(node.all(Alone.get("/", CLOSE)).endsWith("\r\n\r\nwhole"));
+                assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("\r\n\r\nwhole"));
             }
         }
     }
 
     @Test
-    void anAnswerOfAnotherApplicationReachesNobody() throws Exception {
+    void rejectsResponseWithoutExpectedHeader() throws Exception {
         first.script(FakePeer.answer("200 OK", "", "somebody else's page"));
-        try (Alone node = new Alone(Alone.pool("expect-header = \"X-App\"\n", first))) {
-            String answer = node.all("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx");
+        try (RunningNode node = new RunningNode(RunningNode.pool("expect-header = \"X-App\"\n", first))) {
+            String answer =
+                    node.sendAndReadAll("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n" + CLOSE + "\r\nx");
             assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
             assertFalse(answer.contains("somebody else"), answer);
             first.script(FakePeer.answer("200 OK", "X-App: shop\r\n", "ours"));
-            assertTrue(node.all(Alone.get("/", CLOSE)).endsWith("ours"));
+            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("ours"));
         }
     }
 
     @Test
-    void aServerThatSaysItDrainsGetsNothingNew() throws Exception {
+    void sendsNothingNewToDrainingServer() throws Exception {
         FakePeer.Script ours = FakePeer.answer("200 OK", "", "here");
         first.script(FakePeer.answer("503 Busy", "X-Drain: 1\r\n", "going"));
         second.script(ours);
-        try (Alone node = new Alone(Alone.pool("drain-header = \"X-Drain\"\n", first, second))) {
+        try (RunningNode node = new RunningNode(RunningNode.pool("drain-header = \"X-Drain\"\n", first, second))) {
             while (first.requests.isEmpty()) {
-                assertTrue(node.all(Alone.get("/", CLOSE)).endsWith("here"), "what it turns away goes elsewhere");
+                assertTrue(
+                        node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("here"),
+                        "what it turns away goes elsewhere");
             }
             // A turn and ten milliseconds later it is out: what comes after its second word is one too many.
             int before = first.requests.size();
             for (int i = 0; i < 40; i++) {
-                assertTrue(node.all(Alone.get("/", CLOSE)).endsWith("here"));
+                assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("here"));
             }
             assertTrue(first.requests.size() <= before + 4, "it goes on being sent requests");
             int settled = first.requests.size();
             for (int i = 0; i < 40; i++) {
-                node.all(Alone.get("/", CLOSE));
+                node.sendAndReadAll(RunningNode.get("/", CLOSE));
             }
             assertEquals(settled, first.requests.size());
         }
--- a/src/test/java/vetchpost/daemon/ReadAgainTest.java
+++ b/src/test/java/vetchpost/daemon/IncrementalReloadTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Files that are read again for what has changed, against the same files read as at a start. */
-class ReadAgainTest {
+class IncrementalReloadTest {
     @TempDir
     private Path folder;
 
-    private int quick;
-    private int refused;
+    private int incrementalReloads;
+    private int rejectedFiles;
 
     private static String route(SplittableRandom random, int name) {
         StringBuilder text = new StringBuilder("[[route]]\n");
@@ -49,7 +49,7 @@
         return head + String.join("", routes);
     }
 
-    private static Set<String> said(ValidatedFile file) {
+    private static Set<String> violatedRules(ValidatedFile file) {
         Set<String> said = new TreeSet<>();
         // Which of two that are the same is named depends on which was there before.
         file.violations()
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void theSameIsRefusedAndTheSameHoldsHoweverAFileCameToBe() throws Exception {
+    void incrementalReloadMatchesFullRead() throws Exception {
         String usual = "[node]\nlisten = \"127.0.0.1:0\"\n[tenants.ann]\n[pool]\nservers = " + "[\"127.0.0.1:9\"]\n";
         Path path = folder.resolve("f.toml");
         Path other = folder.resolve("g.toml");
@@ -86,16 +86,16 @@
                         : usual;
                 Files.writeString(path, file(head, next));
                 Files.writeString(other, file(head, next));
-                ValidatedFile whole = ValidatedFile.prove(other, sections -> null, null);
+                ValidatedFile whole = ValidatedFile.read(other, sections -> null, null);
                 ValidatedFile again =
-                        held == null ? ValidatedFile.prove(path, sections -> null, null) : held.again(path);
-                quick += held != null && again.node() == held.node() ? 1 : 0;
+                        held == null ? ValidatedFile.read(path, sections -> null, null) : held.reread(path);
+                incrementalReloads += held != null && again.node() == held.node() ? 1 : 0;
                 assertEquals(
-                        said(whole),
-                        said(again),
+                        violatedRules(whole),
+                        violatedRules(again),
                         () -> "\n" + file(head, next) + whole.violations() + "\n" + again.violations());
-                if (!whole.holds()) {
-                    refused++;
+                if (!whole.isValid()) {
+                    rejectedFiles++;
                     continue;
                 }
                 assertEquals(whole.routes().routes(), again.routes().routes());
@@ -106,6 +106,8 @@
                 routes = next;
             }
         }
-        assertTrue(quick > 300 && refused > 100, quick + " by their routes alone, " + refused + " refused");
+        assertTrue(
+                incrementalReloads > 300 && rejectedFiles > 100,
+                incrementalReloads + " by their routes alone, " + rejectedFiles + " refused");
     }
 }
--- a/src/test/java/vetchpost/daemon/MainTest.java
+++ b/src/test/java/vetchpost/daemon/MainTest.java
@@ -27,7 +27,7 @@
 import picocli.CommandLine;
 import vetchpost.testing.FakePeer;
 import vetchpost.testing.Fixture;
-import vetchpost.testing.Output;
+import vetchpost.testing.ProcessOutput;
 
 /** The program as a process of its own: its start, its end, and few descriptors. */
 @Timeout(120)
@@ -35,7 +35,7 @@
     private FakePeer discovery;
     private FakePeer server;
     private Process process;
-    private Output output;
+    private ProcessOutput output;
     private int port;
     private String arguments = "";
     private String heap = "64m";
@@ -59,12 +59,12 @@
     private Path start(JsonObject config, String before) throws Exception {
         config.addProperty("listen", "127.0.0.1:0");
         Path file = Fixture.write(config);
-        run(file.toString(), before);
+        launch(file.toString(), before);
         await("/ready");
         return file;
     }
 
-    private void run(String config, String before) throws IOException {
+    private void launch(String config, String before) throws IOException {
         // What the program ships with: of the tests' own libraries one would take over its log.
         String path = Arrays.stream(
                         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"))
@@ -87,11 +87,11 @@
             builder.environment().put("LB_CONFIG", config);
         }
         process = builder.redirectErrorStream(true).start();
-        output = new Output(process.getInputStream());
+        output = new ProcessOutput(process.getInputStream());
         port = 0;
     }
 
-    private String said() {
+    private String killAndReadOutput() {
         // Not by the process itself, which would close what it has written so far.
         process.toHandle().destroyForcibly();
         try {
@@ -129,7 +129,7 @@
 
     /** By the operator's file a node keeps what it knows; the next one has nothing else, and serves. */
     @Test
-    void whatANodeHasKeptServesTheNextOneThatIsGivenNoList() throws Exception {
+    void servesFromSnapshotAfterRestart() throws Exception {
         Path folder = Files.createTempDirectory("state");
         Path kept = folder.resolve("boxes");
         Path routes = Files.writeString(
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void sigtermWithARequestHeldAnswersItAndExitsWithZero() throws Exception {
+    void sigtermAnswersPendingRequestAndExitsZero() throws Exception {
         server.script(FakePeer.SILENT);
         start(Fixture.config(discovery, server), "");
         Socket idle = connect();
@@ -186,26 +186,26 @@
     }
 
     @Test
-    void sighupMovesTheWatchAndAFileThatIsBadChangesNothing() throws Exception {
+    void sighupMovesWatchAndIgnoresBadFile() throws Exception {
         try (FakePeer next = new FakePeer(FakePeer.SILENT)) {
             JsonObject config = Fixture.config(discovery, server);
             Path file = start(config, "export LB_DISCOVERY=" + discovery.address() + " && ");
             assertTrue(discovery.nextRequest().contains("&after=41 "));
             Files.writeString(file, "{");
-            hangUp();
+            sendSighup();
             awaitLine("stays as it was");
             config.addProperty("discovery", next.address());
             Files.writeString(file, config.toString());
-            hangUp();
+            sendSighup();
             assertTrue(
                     next.nextRequest().startsWith("GET /v1/endpoints?watch=1 "),
                     "a version of another address is named");
-            FakePeer.takeWithTimeout(discovery.ended);
+            FakePeer.takeWithTimeout(discovery.closedByClient);
             config.addProperty("discovery", discovery.address());
             Files.writeString(file, config.toString());
-            hangUp();
+            sendSighup();
             discovery.nextRequest();
-            FakePeer.takeWithTimeout(next.ended);
+            FakePeer.takeWithTimeout(next.closedByClient);
             try (Socket client = connect()) {
                 FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
                 assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
@@ -213,7 +213,7 @@
         }
     }
 
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void itSurvivesRunningOutOfDescriptors() throws Exception {
+    void survivesDescriptorExhaustion() throws Exception {
         // The configuration promises more than the system gives.
         Path file = start(Fixture.config(discovery, server), "ulimit -n 100 && ");
         // Classes are read from files here, which takes descriptors, and not from one open jar.
@@ -244,10 +244,10 @@
         String answer = FakePeer.read(asking);
         assertTrue(
                 answer != null && answer.startsWith("HTTP/1.1 "),
-                () -> answer + " while descriptors are short: " + said());
+                () -> answer + " while descriptors are short: " + killAndReadOutput());
         // A line in the log takes none either.
         Files.writeString(file, "{");
-        hangUp();
+        sendSighup();
         awaitLine("stays as it was");
         for (Socket socket : many) {
             socket.close();
@@ -259,7 +259,7 @@
     }
 
     @Test
-    void manyLargeRequestsAtOnceDoNotCostIt() throws Exception {
+    void survivesManyLargeRequests() throws Exception {
         server.script(FakePeer.SILENT);
         start(Fixture.config(discovery, server), "");
         List<Socket> many = new ArrayList<>();
@@ -282,12 +282,12 @@
             socket.close();
         }
         assertTrue(process.isAlive());
-        String said = said();
+        String said = killAndReadOutput();
         assertFalse(said.contains("OutOfMemory"), said);
     }
 
     @Test
-    void aBadConfigurationEndsItWithOneClearLine() throws Exception {
+    void exitsWithOneLineOnBadConfiguration() throws Exception {
         JsonObject noSettings = Fixture.config(discovery, server);
         noSettings.remove("settings");
         JsonObject noSeed = Fixture.config(discovery, server);
@@ -296,22 +296,22 @@
         noClasses.getAsJsonObject("settings").remove("classes");
         Path broken = Files.createTempFile("node", ".json");
         Files.writeString(broken, "{");
-        rejected(null, "LB_CONFIG");
-        rejected("/nowhere/config.json", "LB_CONFIG");
-        rejected(broken.toString(), "JSON");
-        rejected(Fixture.write(noSettings).toString(), "settings");
-        rejected(Fixture.write(noSeed).toString(), "seed");
-        rejected(Fixture.write(noClasses).toString(), "classes");
+        assertConfigurationRejected(null, "LB_CONFIG");
+        assertConfigurationRejected("/nowhere/config.json", "LB_CONFIG");
+        assertConfigurationRejected(broken.toString(), "JSON");
+        assertConfigurationRejected(Fixture.write(noSettings).toString(), "settings");
+        assertConfigurationRejected(Fixture.write(noSeed).toString(), "seed");
+        assertConfigurationRejected(Fixture.write(noClasses).toString(), "classes");
         Files.delete(broken);
     }
 
     @Test
-    void routesAreProvedAtTheStartAndAtEachReload() throws Exception {
+    void validatesRoutesAtStartAndReload() throws Exception {
         Path routes = Files.createTempFile("routes", ".toml");
         routes.toFile().deleteOnExit();
         arguments = " serve --routes " + routes;
         Files.writeString(routes, "[class.order]\nattempts = 2\nmax-body = \"3B\"\n");
-        run(Fixture.write(Fixture.config(discovery, server)).toString(), "");
+        launch(Fixture.write(Fixture.config(discovery, server)).toString(), "");
         String said = output.readAll();
         assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still running");
         assertEquals(2, process.exitValue(), said);
@@ -324,12 +324,12 @@
             FakePeer.write(client, Fixture.request("GET", "/view/../order", 2, "", ""));
             assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 400"));
             Files.writeString(routes, "[class.order]\nmax-body = 4\n");
-            hangUp();
+            sendSighup();
             awaitLine("stays as it was");
             FakePeer.write(client, Fixture.request("POST", "/order/1", 3, "", "four"));
             assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 413"), "a bad file has changed something");
             Files.writeString(routes, "[class.order]\nmax-body = \"4B\"\n");
-            hangUp();
+            sendSighup();
             String answer = "HTTP/1.1 413";
             long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
             for (int i = 10; System.nanoTime() < endNs && answer.startsWith("HTTP/1.1 413"); i++) {
@@ -343,8 +343,8 @@
         }
     }
 
-    private void rejected(String config, String named) throws Exception {
-        run(config, "");
+    private void assertConfigurationRejected(String config, String named) throws Exception {
+        launch(config, "");
         String said = output.readAll();
         assertTrue(process.waitFor(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "still running");
         assertEquals(2, process.exitValue(), said);
@@ -353,14 +353,14 @@
 
     /** One file, no environment, 1 GB each way at the same time, in a heap of 40 MB. */
     @Test
-    void aNodeByOneFilePassesOnMoreThanItCouldHold() throws Exception {
+    void streamsMoreThanItsHeap() throws Exception {
         long gigabyte = 1L << 30;
         Path file = Files.createTempFile("node", ".toml");
         file.toFile().deleteOnExit();
         Files.writeString(file, "[node]\nlisten = \"127.0.0.1:0\"\n[pool]\nservers = [\"" + server.address() + "\"]\n");
         arguments = " serve " + file;
         heap = "40m";
-        run(null, "");
+        launch(null, "");
         await("/");
         byte[] some = new byte[1 << 16];
         server.script((socket, request) -> {
@@ -370,7 +370,7 @@
                     socket.getOutputStream().write(some);
                 }
             } else {
-                long read = BodiesTest.chunks(socket.getInputStream());
+                long read = BodyStreamingTest.readChunks(socket.getInputStream());
                 FakePeer.write(
                         socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + (read == gigabyte ? "ok" : "no"));
             }
@@ -407,7 +407,7 @@
 
     /** As nohup and some supervisors start it; the runtime leaves such a signal ignored. */
     @Test
-    void aProcessThatCanNotHearSighupSaysSoAndReloadsByWord() throws Exception {
+    void reloadsByCtlWhenSighupIsIgnored() throws Exception {
         Path folder = Files.createTempDirectory("deaf");
         Path socket = folder.resolve("s");
         Path file = folder.resolve("node.toml");
@@ -416,7 +416,7 @@
                 + "\"\n";
         Files.writeString(file, node);
         arguments = " serve " + file;
-        run(null, "trap '' HUP && ");
+        launch(null, "trap '' HUP && ");
         awaitLine("SIGHUP is ignored");
         await("/");
         assertTrue(ctl(0, socket, "status").contains("SIGHUP is ignored"));
@@ -453,7 +453,7 @@
     }
 
     @Test
-    void onThePlatformReadyTellsThatSighupIsIgnored() throws Exception {
+    void readyReportsIgnoredSighup() throws Exception {
         start(Fixture.config(discovery, server), "trap '' HUP && ");
         try (Socket client = connect()) {
             FakePeer.write(client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -464,9 +464,9 @@
     }
 
     @Test
-    void itListensOnlyOnceItIsWarm() throws Exception {
+    void listensOnlyAfterWarmUp() throws Exception {
         start(Fixture.config(discovery, server), "");
-        String said = said();
+        String said = killAndReadOutput();
         int warming = said.indexOf("warming up");
         assertTrue(warming >= 0 && warming < said.indexOf("listening on"), said);
     }
--- a/src/test/java/vetchpost/daemon/ControlWaveTest.java
+++ b/src/test/java/vetchpost/daemon/MultiNodeControlTest.java
@@ -23,7 +23,7 @@
 
 /** An operator's night: one change at fifty nodes, and a sick server that is found and spared. */
 @Timeout(120)
-class ControlWaveTest {
+class MultiNodeControlTest {
     private static final int NODES = 50;
     private static final int KILLED = 9;
     private static final String CLOSE = "Connection: close\r\n";
@@ -31,31 +31,31 @@
     @TempDir
     private Path folder;
 
-    private FakePeer well;
-    private FakePeer sick;
-    private final List<Alone> nodes = new ArrayList<>();
+    private FakePeer healthyServer;
+    private FakePeer sickServer;
+    private final List<RunningNode> nodes = new ArrayList<>();
     private String said;
 
     @BeforeEach
     void open() throws Exception {
-        well = new FakePeer(FakePeer.answer("200 OK", "", "well"));
-        sick = new FakePeer(FakePeer.answer("200 OK", "", "sick"));
+        healthyServer = new FakePeer(FakePeer.answer("200 OK", "", "well"));
+        sickServer = new FakePeer(FakePeer.answer("200 OK", "", "sick"));
     }
 
     @AfterEach
     void close() throws Exception {
-        nodes.forEach(Alone::close);
-        well.close();
-        sick.close();
+        nodes.forEach(RunningNode::close);
+        healthyServer.close();
+        sickServer.close();
     }
 
     private Path file(int node, String name) {
         return folder.resolve(node + "." + name);
     }
 
-    private Alone node(int i) throws Exception {
-        return new Alone(Alone.pool(well, sick) + "[control]\nsocket = \"" + file(i, "s") + "\"\naudit = \""
-                + file(i, "audit") + "\"\n");
+    private RunningNode node(int i) throws Exception {
+        return new RunningNode(RunningNode.pool(healthyServer, sickServer) + "[control]\nsocket = \"" + file(i, "s")
+                + "\"\naudit = \"" + file(i, "audit") + "\"\n");
     }
 
     private int ctl(int many, String... arguments) {
@@ -77,7 +77,7 @@
         return ctl(
                 NODES,
                 "drain",
-                sick.address(),
+                sickServer.address(),
                 "--for",
                 "10m",
                 "--reason",
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aWaveOverFiftyNodesStopsAtTheOneThatIsKilledAndGoesOnWithoutDoingAnythingTwice() throws Exception {
+    void changeAtManyNodesStopsAtFailureAndIsIdempotentOnRetry() throws Exception {
         for (int i = 0; i < NODES; i++) {
             nodes.add(node(i));
         }
@@ -109,15 +109,15 @@
         assertEquals(0, drainEverywhere(), said);
         for (int i = 0; i < NODES; i++) {
             assertEquals(1, entries(i), "the same key acts once: node " + i);
-            assertTrue(nodes.get(i).all(Alone.get("/", CLOSE)).endsWith("well"), "node " + i);
+            assertTrue(nodes.get(i).sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("well"), "node " + i);
         }
     }
 
     @Test
-    void aSickServerIsFoundByWhatFailedAndSpared() throws Exception {
+    void findsAndDrainsFailingServer() throws Exception {
         nodes.add(node(0));
-        Alone node = nodes.get(0);
-        sick.script(FakePeer.RESET);
+        RunningNode node = nodes.get(0);
+        sickServer.script(FakePeer.RESET);
         int failed = 0;
         for (int i = 0; i < 20; i++) {
             failed += post(node) ? 0 : 1;
@@ -129,54 +129,54 @@
                 said);
         assertEquals(0, ctl(1, "explain", "--last", "1"), said);
         assertEquals(0, ctl(1, "explain", said.substring(0, 16)), said);
-        assertTrue(said.contains(" to " + sick.address() + ": reset after"), said);
-        assertEquals(0, ctl(1, "drain", sick.address(), "--for", "10m", "--reason", "resets"), said);
+        assertTrue(said.contains(" to " + sickServer.address() + ": reset after"), said);
+        assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "resets"), said);
         for (int i = 0; i < 20; i++) {
             assertTrue(post(node), "it is still sent to");
         }
-        assertEquals(0, ctl(1, "explain", "--why-not", sick.address()), said);
+        assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), said);
         assertTrue(said.startsWith("an override drains it"), said);
     }
 
-    private static boolean post(Alone node) throws Exception {
-        return node.all("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n")
+    private static boolean post(RunningNode node) throws Exception {
+        return node.sendAndReadAll("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n" + CLOSE + "\r\n")
                 .startsWith("HTTP/1.1 200 ");
     }
 
     @Test
-    void aDrainThatEndsWithARequestInHandLeavesThatRequestAlone() throws Exception {
+    void drainChangesDoNotAffectPendingRequest() throws Exception {
         nodes.add(node(0));
         CountDownLatch answer = new CountDownLatch(1);
-        sick.script((socket, request) -> {
+        sickServer.script((socket, request) -> {
             answer.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             FakePeer.answer("200 OK", "", "late").run(socket, request);
         });
-        assertEquals(0, ctl(1, "drain", well.address(), "--for", "10m", "--reason", "swap"), said);
+        assertEquals(0, ctl(1, "drain", healthyServer.address(), "--for", "10m", "--reason", "swap"), said);
         try (var client = nodes.get(0).connect()) {
-            FakePeer.write(client, Alone.get("/", CLOSE));
-            sick.nextRequest();
+            FakePeer.write(client, RunningNode.get("/", CLOSE));
+            sickServer.nextRequest();
             assertEquals(0, ctl(1, "undo", "1"), said);
-            assertEquals(0, ctl(1, "drain", sick.address(), "--for", "10m", "--reason", "swap"), said);
+            assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "swap"), said);
             answer.countDown();
-            assertTrue(Alone.rest(client).endsWith("late"), "it is answered by whom it was sent to");
+            assertTrue(RunningNode.readUntilClosed(client).endsWith("late"), "it is answered by whom it was sent to");
         }
-        assertTrue(nodes.get(0).all(Alone.get("/", CLOSE)).endsWith("well"));
-        assertFalse(nodes.get(0).all(Alone.get("/", CLOSE)).endsWith("late"));
+        assertTrue(nodes.get(0).sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("well"));
+        assertFalse(nodes.get(0).sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("late"));
     }
 
     @Test
-    void aServerThatLeavesAndComesBackUnderItsIdIsStillDrained() throws Exception {
+    void drainOutlivesRemovalAndReturnOfServer() throws Exception {
         String more = "[control]\nsocket = \"" + file(0, "s") + "\"\naudit = \"" + file(0, "audit") + "\"\n";
-        Alone node = new Alone(Alone.pool(well, sick) + more);
+        RunningNode node = new RunningNode(RunningNode.pool(healthyServer, sickServer) + more);
         nodes.add(node);
-        assertEquals(0, ctl(1, "drain", sick.address(), "--for", "10m", "--reason", "sick"), said);
-        node.reload(Alone.pool(well) + more);
-        assertEquals(0, ctl(1, "explain", "--why-not", sick.address()), said);
-        node.reload(Alone.pool(well, sick) + more);
+        assertEquals(0, ctl(1, "drain", sickServer.address(), "--for", "10m", "--reason", "sick"), said);
+        node.reload(RunningNode.pool(healthyServer) + more);
+        assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), said);
+        node.reload(RunningNode.pool(healthyServer, sickServer) + more);
         for (int i = 0; i < 10; i++) {
-            assertTrue(node.all(Alone.get("/", CLOSE)).endsWith("well"), "it is sent to");
+            assertTrue(node.sendAndReadAll(RunningNode.get("/", CLOSE)).endsWith("well"), "it is sent to");
         }
-        assertEquals(0, ctl(1, "explain", "--why-not", sick.address()), said);
+        assertEquals(0, ctl(1, "explain", "--why-not", sickServer.address()), said);
         assertTrue(said.startsWith("an override drains it"), said);
     }
 }
--- a/src/test/java/vetchpost/daemon/RealPeersTest.java
+++ b/src/test/java/vetchpost/daemon/RealPeersTest.java
@@ -35,7 +35,7 @@
  */
 @Timeout(60)
 class RealPeersTest {
-    private static final int PARTS = 50;
+    private static final int PAGE_PARTS = 50;
     private final ExecutorService threads = Executors.newFixedThreadPool(16);
     private final byte[] content = new byte[300_000];
     private HttpServer server;
@@ -85,7 +85,7 @@
         }
     }
 
-    private HttpResponse<byte[]> ask(int port, String method, String path, byte[] body, boolean chunked)
+    private HttpResponse<byte[]> sendRequest(int port, String method, String path, byte[] body, boolean chunked)
             throws IOException, InterruptedException {
         HttpRequest.BodyPublisher publisher = body == null
                 ? BodyPublishers.noBody()
@@ -99,9 +99,10 @@
                 BodyHandlers.ofByteArray());
     }
 
-    private void same(Alone node, String method, String path, byte[] body, boolean chunked) throws Exception {
-        HttpResponse<byte[]> direct = ask(server.getAddress().getPort(), method, path, body, chunked);
-        HttpResponse<byte[]> through = ask(node.port(), method, path, body, chunked);
+    private void assertSameThroughNode(RunningNode node, String method, String path, byte[] body, boolean chunked)
+            throws Exception {
+        HttpResponse<byte[]> direct = sendRequest(server.getAddress().getPort(), method, path, body, chunked);
+        HttpResponse<byte[]> through = sendRequest(node.port(), method, path, body, chunked);
         String what = method + " " + path;
         assertEquals(direct.statusCode(), through.statusCode(), what);
         assertArrayEquals(direct.body(), through.body(), what);
@@ -111,48 +112,48 @@
         assertTrue(through.headers().allValues("via").contains("1.1 vetchpost"));
     }
 
-    private Alone node() throws Exception {
-        return new Alone("[pool]\nservers = [\"127.0.0.1:" + server.getAddress().getPort() + "\"]\n"
-                + "connect-timeout = \"2s\"\n");
+    private RunningNode node() throws Exception {
+        return new RunningNode("[pool]\nservers = [\"127.0.0.1:"
+                + server.getAddress().getPort() + "\"]\n" + "connect-timeout = \"2s\"\n");
     }
 
     @Test
-    void itIsTheSameByteForByte() throws Exception {
+    void responsesAreIdenticalByteForByte() throws Exception {
         byte[] small = {1, 2, 3};
-        try (Alone node = node()) {
+        try (RunningNode node = node()) {
             for (String framing : List.of("length", "chunked")) {
                 for (int length : new int[] {0, 1, 65_535, 65_536, 65_537, content.length}) {
-                    same(node, "GET", "/200/" + length + "/" + framing + "?a=b%20c&d", null, false);
-                    same(node, "POST", "/201/" + length + "/" + framing, small, false);
+                    assertSameThroughNode(node, "GET", "/200/" + length + "/" + framing + "?a=b%20c&d", null, false);
+                    assertSameThroughNode(node, "POST", "/201/" + length + "/" + framing, small, false);
                 }
             }
             for (int status : new int[] {204, 301, 304, 400, 404, 410, 429, 500, 503}) {
-                same(node, "GET", "/" + status + "/10/length", null, false);
-                same(node, "DELETE", "/" + status + "/10/length", null, false);
+                assertSameThroughNode(node, "GET", "/" + status + "/10/length", null, false);
+                assertSameThroughNode(node, "DELETE", "/" + status + "/10/length", null, false);
             }
-            same(node, "HEAD", "/200/10/length", null, false);
-            same(node, "PATCH", "/200/10/length", small, true);
+            assertSameThroughNode(node, "HEAD", "/200/10/length", null, false);
+            assertSameThroughNode(node, "PATCH", "/200/10/length", small, true);
             for (boolean chunked : new boolean[] {false, true}) {
-                same(node, "PUT", "/200/5/length", new byte[0], chunked);
-                same(node, "PUT", "/200/5/length", content, chunked);
-                same(node, "PUT", "/200/300000/chunked", content, chunked);
+                assertSameThroughNode(node, "PUT", "/200/5/length", new byte[0], chunked);
+                assertSameThroughNode(node, "PUT", "/200/5/length", content, chunked);
+                assertSameThroughNode(node, "PUT", "/200/300000/chunked", content, chunked);
             }
         }
     }
 
     /** As a browser loads a page: all of its parts at once. */
     @Test
-    void aPageOfManyPartsIsWhole() throws Exception {
-        try (Alone node = node()) {
+    void loadsManyPagePartsAtOnce() throws Exception {
+        try (RunningNode node = node()) {
             List<CompletableFuture<HttpResponse<byte[]>>> parts = new ArrayList<>();
-            for (int i = 0; i < PARTS; i++) {
+            for (int i = 0; i < PAGE_PARTS; i++) {
                 parts.add(client.sendAsync(
                         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + node.port() + "/200/" + i * 5_000 + "/"
                                         + (i % 2 == 0 ? "length" : "chunked")))
                                 .build(),
                         BodyHandlers.ofByteArray()));
             }
-            for (int i = 0; i < PARTS; i++) {
+            for (int i = 0; i < PAGE_PARTS; i++) {
                 HttpResponse<byte[]> part = parts.get(i).join();
                 assertEquals(200, part.statusCode());
                 assertEquals(i * 5_000, part.body().length);
