--- a/src/test/java/vetchpost/handover/HandoverTest.java
+++ b/src/test/java/vetchpost/handover/HandoverTest.java
@@ -37,24 +37,24 @@
 import org.junit.jupiter.api.io.TempDir;
 import vetchpost.net.Network;
 import vetchpost.state.Snapshot;
-import vetchpost.state.States;
+import vetchpost.state.TestSnapshots;
 import vetchpost.state.codec.ChunkCodec;
-import vetchpost.state.codec.Chunks;
+import vetchpost.state.codec.TestChunks;
 
 /** Handovers on loopback sockets, with givers and takers that do what they should not. */
 @Timeout(120)
 class HandoverTest {
     private static final String SECRET = "a secret of at least thirty-two bytes";
-    private static final String OTHER = "another secret of thirty-two bytes and more";
-    private static final long PATIENCE_S = 60;
-    private static final long PLENTY_MS = 50_000;
+    private static final String OTHER_SECRET = "another secret of thirty-two bytes and more";
+    private static final long TIMEOUT_S = 60;
+    private static final long AMPLE_LIMIT_MS = 50_000;
 
     private EventLoopGroup group;
     private EventLoop loop;
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
 
     /** What a handover came to. */
-    private record Taken(Snapshot snapshot, boolean whole, String why) {}
+    private record Result(Snapshot snapshot, boolean whole, String why) {}
 
     @BeforeEach
     void open() {
@@ -64,19 +64,19 @@
 
     @AfterEach
     void close() throws Exception {
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    private InetSocketAddress giver(Snapshot snapshot, String... secrets) throws Exception {
+    private InetSocketAddress startSender(Snapshot snapshot, String... secrets) throws Exception {
         HandoverSender giver = new HandoverSender(
                 loop,
                 Network.SYSTEM,
                 SharedSecret.of(secrets),
                 new SecureRandom(),
-                () -> Chunks.of(snapshot).iterator());
+                () -> TestChunks.of(snapshot).iterator());
         return (InetSocketAddress) giver.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel()
@@ -85,19 +85,19 @@
 
     /** What a scripted giver does with a connection. */
     private interface Script {
-        void run(ScriptedGiver giver, Socket socket) throws IOException;
+        void run(ScriptedSender giver, Socket socket) throws IOException;
     }
 
-    private InetSocketAddress scripted(Script script) throws IOException {
+    private InetSocketAddress startScripted(Script script) throws IOException {
         ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        open.add(listening);
+        closeables.add(listening);
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
                     Socket socket = listening.accept();
-                    open.add(socket);
+                    closeables.add(socket);
                     try {
-                        script.run(new ScriptedGiver(socket, SECRET), socket);
+                        script.run(new ScriptedSender(socket, SECRET), socket);
                     } catch (IOException e) {
                         // The taker has ended it.
                         socket.close();
@@ -113,91 +113,92 @@
         return (InetSocketAddress) listening.getLocalSocketAddress();
     }
 
-    private Taken take(InetSocketAddress from, String secret, long withinMs) throws Exception {
-        BlockingQueue<Taken> taken = new LinkedBlockingQueue<>();
+    private Result receive(InetSocketAddress from, String secret, long withinMs) throws Exception {
+        BlockingQueue<Result> taken = new LinkedBlockingQueue<>();
         loop.execute(() -> new HandoverReceiver(loop, Network.SYSTEM, SharedSecret.of(secret), new SecureRandom())
-                .request(from, withinMs, (snapshot, whole, why) -> taken.add(new Taken(snapshot, whole, why))));
-        Taken first = taken.poll(PATIENCE_S, TimeUnit.SECONDS);
+                .request(from, withinMs, (snapshot, whole, why) -> taken.add(new Result(snapshot, whole, why))));
+        Result first = taken.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull(first, "no outcome");
         loop.submit(() -> {}).sync();
         assertTrue(taken.isEmpty(), "two outcomes");
         return first;
     }
 
-    private static final Snapshot KNOWN = States.of(730, 40, States.NOW_MS);
+    private static final Snapshot SNAPSHOT = TestSnapshots.of(730, 40, TestSnapshots.NOW_MS);
 
     @Test
-    void allThatIsKnownIsHandedOver() throws Exception {
-        Taken taken = take(giver(KNOWN, SECRET), SECRET, PLENTY_MS);
+    void handsOverTheWholeSnapshot() throws Exception {
+        Result taken = receive(startSender(SNAPSHOT, SECRET), SECRET, AMPLE_LIMIT_MS);
         assertNull(taken.why);
         assertTrue(taken.whole);
-        assertEquals(KNOWN, taken.snapshot);
+        assertEquals(SNAPSHOT, taken.snapshot);
     }
 
     @Test
-    void theWireIsAsDescribed() throws Exception {
-        Taken taken = take(
-                scripted((giver, socket) -> {
-                    giver.greet();
-                    giver.prove();
-                    for (byte[] piece : Chunks.of(KNOWN)) {
-                        giver.out.write(giver.piece(piece));
+    void followsTheDocumentedProtocol() throws Exception {
+        Result taken = receive(
+                startScripted((giver, socket) -> {
+                    giver.exchangeHellos();
+                    giver.sendProof();
+                    for (byte[] piece : TestChunks.of(SNAPSHOT)) {
+                        giver.out.write(giver.chunk(piece));
                     }
-                    giver.out.write(giver.piece(new byte[0]));
+                    giver.out.write(giver.chunk(new byte[0]));
                 }),
                 SECRET,
-                PLENTY_MS);
+                AMPLE_LIMIT_MS);
         assertNull(taken.why);
-        assertEquals(KNOWN, taken.snapshot);
+        assertEquals(SNAPSHOT, taken.snapshot);
     }
 
     @Test
-    void aWrongSecretGetsNothingEitherWay() throws Exception {
-        Taken taken = take(giver(KNOWN, SECRET), OTHER, PLENTY_MS);
+    void rejectsAWrongSecretOnEitherSide() throws Exception {
+        Result taken = receive(startSender(SNAPSHOT, SECRET), OTHER_SECRET, AMPLE_LIMIT_MS);
         assertNull(taken.snapshot);
         assertEquals("it was cut off", taken.why);
         // A giver that knows nothing and takes any proof for good.
-        Taken lied = take(
-                scripted((giver, socket) -> {
-                    giver.greet();
-                    giver.out.write(ScriptedGiver.framed(new byte[32]));
-                    giver.out.write(ScriptedGiver.framed(Chunks.of(KNOWN).get(0), new byte[32]));
+        Result lied = receive(
+                startScripted((giver, socket) -> {
+                    giver.exchangeHellos();
+                    giver.out.write(ScriptedSender.framed(new byte[32]));
+                    giver.out.write(
+                            ScriptedSender.framed(TestChunks.of(SNAPSHOT).get(0), new byte[32]));
                 }),
                 SECRET,
-                PLENTY_MS);
+                AMPLE_LIMIT_MS);
         assertNull(lied.snapshot);
         assertEquals("it doesn't know the secret", lied.why);
     }
 
     @Test
-    void aSecretIsReplacedWhileBothHold() throws Exception {
-        InetSocketAddress giver = giver(KNOWN, OTHER, SECRET);
-        assertEquals(KNOWN, take(giver, SECRET, PLENTY_MS).snapshot);
-        assertEquals(KNOWN, take(giver, OTHER, PLENTY_MS).snapshot);
+    void acceptsBothSecretsDuringRotation() throws Exception {
+        InetSocketAddress giver = startSender(SNAPSHOT, OTHER_SECRET, SECRET);
+        assertEquals(SNAPSHOT, receive(giver, SECRET, AMPLE_LIMIT_MS).snapshot);
+        assertEquals(SNAPSHOT, receive(giver, OTHER_SECRET, AMPLE_LIMIT_MS).snapshot);
     }
 
     /** All that came before the cut is of use; nothing that came in part is. */
     @Test
-    void aHandoverCutAtEveryPieceGivesWhatCameBefore() throws Exception {
-        List<byte[]> pieces = Chunks.of(KNOWN);
+    void aCutHandoverKeepsTheChunksReceivedBefore() throws Exception {
+        List<byte[]> pieces = TestChunks.of(SNAPSHOT);
         for (int cut = 0; cut <= pieces.size(); cut++) {
             for (boolean midPiece : new boolean[] {false, true}) {
                 int whole = cut;
-                Taken taken = take(
-                        scripted((giver, socket) -> {
-                            giver.greet();
-                            giver.prove();
+                Result taken = receive(
+                        startScripted((giver, socket) -> {
+                            giver.exchangeHellos();
+                            giver.sendProof();
                             for (int i = 0; i < whole; i++) {
-                                giver.out.write(giver.piece(pieces.get(i)));
+                                giver.out.write(giver.chunk(pieces.get(i)));
                             }
                             if (midPiece) {
-                                byte[] next = giver.piece(whole < pieces.size() ? pieces.get(whole) : new byte[0]);
+                                byte[] next = giver.chunk(whole < pieces.size() ? pieces.get(whole) : new byte[0]);
                                 giver.out.write(next, 0, next.length / 2);
                             }
                             socket.close();
                         }),
                         SECRET,
-                        PLENTY_MS);
+                        AMPLE_LIMIT_MS);
                 int boxes =
                         taken.snapshot == null ? 0 : taken.snapshot.servers().size();
                 assertEquals(Math.min(730, 100 * cut), boxes, "cut at " + cut);
@@ -208,14 +209,14 @@
     }
 
     @Test
-    void oneByteAtATimeEndsWithTheTime() throws Exception {
+    void aSlowSenderIsCutOffAtTheTimeLimit() throws Exception {
         AtomicLong sent = new AtomicLong();
-        Taken taken = take(
-                scripted((giver, socket) -> {
-                    giver.greet();
-                    giver.prove();
-                    giver.out.write(giver.piece(Chunks.of(KNOWN).get(0)));
-                    byte[] slow = giver.piece(Chunks.of(KNOWN).get(1));
+        Result taken = receive(
+                startScripted((giver, socket) -> {
+                    giver.exchangeHellos();
+                    giver.sendProof();
+                    giver.out.write(giver.chunk(TestChunks.of(SNAPSHOT).get(0)));
+                    byte[] slow = giver.chunk(TestChunks.of(SNAPSHOT).get(1));
                     socket.setSoTimeout(20);
                     for (byte each : slow) {
                         giver.out.write(each);
@@ -237,40 +238,40 @@
     }
 
     @Test
-    void aGigabyteIsNotTaken() throws Exception {
+    void stopsReadingAtTheSizeLimit() throws Exception {
         AtomicLong sent = new AtomicLong();
         // Pieces as long as may be, with right tags, over and over: of fields that nobody knows.
-        Taken taken = take(
-                scripted((giver, socket) -> {
-                    giver.greet();
-                    giver.prove();
+        Result taken = receive(
+                startScripted((giver, socket) -> {
+                    giver.exchangeHellos();
+                    giver.sendProof();
                     for (int i = 0; i < 16_000; i++) {
-                        byte[] piece = large(
-                                ChunkCodec.write(i, 50_000, KNOWN.origin(), KNOWN.classes(), List.of()),
+                        byte[] piece = padded(
+                                ChunkCodec.write(i, 50_000, SNAPSHOT.origin(), SNAPSHOT.classes(), List.of()),
                                 ChunkCodec.MAX_CHUNK_BYTES - 8);
-                        giver.out.write(giver.piece(piece));
+                        giver.out.write(giver.chunk(piece));
                         sent.addAndGet(piece.length);
                     }
                 }),
                 SECRET,
-                PLENTY_MS);
+                AMPLE_LIMIT_MS);
         assertEquals("it sent over 33554432 bytes", taken.why);
         assertFalse(taken.whole);
         assertTrue(sent.get() < 100L << 20, sent.get() + " bytes were taken off it");
-        Taken frame = take(
-                scripted((giver, socket) -> {
-                    giver.greet();
-                    giver.prove();
+        Result frame = receive(
+                startScripted((giver, socket) -> {
+                    giver.exchangeHellos();
+                    giver.sendProof();
                     giver.out.writeInt(1 << 30);
                     giver.out.write(new byte[100_000]);
                 }),
                 SECRET,
-                PLENTY_MS);
+                AMPLE_LIMIT_MS);
         assertTrue(frame.why.contains("exceeds"), frame.why);
     }
 
     /** The same piece, made longer by a field of no meaning. */
-    private static byte[] large(byte[] piece, int length) {
+    private static byte[] padded(byte[] piece, int length) {
         byte[] longer = Arrays.copyOf(piece, length);
         // Field 1000, bytes: two bytes of tag, three of length.
         int rest = length - piece.length - 5;
@@ -283,89 +284,91 @@
     }
 
     @Test
-    void anOldHandoverPlayedAgainIsRefused() throws Exception {
+    void rejectsAReplayedHandover() throws Exception {
         List<byte[]> recorded = new ArrayList<>();
-        InetSocketAddress first = scripted((giver, socket) -> {
-            giver.greet();
+        InetSocketAddress first = startScripted((giver, socket) -> {
+            giver.exchangeHellos();
             recorded.add(giver.proof());
-            giver.prove();
-            recorded.add(giver.piece(Chunks.of(KNOWN).get(0)));
+            giver.sendProof();
+            recorded.add(giver.chunk(TestChunks.of(SNAPSHOT).get(0)));
             giver.out.write(recorded.get(1));
-            giver.out.write(giver.piece(new byte[0]));
+            giver.out.write(giver.chunk(new byte[0]));
         });
-        assertEquals(100, take(first, SECRET, PLENTY_MS).snapshot.servers().size());
+        assertEquals(
+                100, receive(first, SECRET, AMPLE_LIMIT_MS).snapshot.servers().size());
         // The same nonce, proof and pieces, to another taker.
-        Taken again = take(
-                scripted((giver, socket) -> {
-                    giver.greet();
-                    giver.out.write(ScriptedGiver.framed(recorded.get(0)));
+        Result again = receive(
+                startScripted((giver, socket) -> {
+                    giver.exchangeHellos();
+                    giver.out.write(ScriptedSender.framed(recorded.get(0)));
                     giver.out.write(recorded.get(1));
                 }),
                 SECRET,
-                PLENTY_MS);
+                AMPLE_LIMIT_MS);
         assertNull(again.snapshot);
         assertEquals("it doesn't know the secret", again.why);
     }
 
     @Test
-    void piecesOutOfPlaceAreRefused() throws Exception {
-        Taken swapped = take(
-                scripted((giver, socket) -> {
-                    giver.greet();
-                    giver.prove();
-                    byte[] one = giver.piece(Chunks.of(KNOWN).get(0));
-                    byte[] two = giver.piece(Chunks.of(KNOWN).get(1));
+    void rejectsReorderedAndMissingChunks() throws Exception {
+        Result swapped = receive(
+                startScripted((giver, socket) -> {
+                    giver.exchangeHellos();
+                    giver.sendProof();
+                    byte[] one = giver.chunk(TestChunks.of(SNAPSHOT).get(0));
+                    byte[] two = giver.chunk(TestChunks.of(SNAPSHOT).get(1));
                     giver.out.write(two);
                     giver.out.write(one);
                 }),
                 SECRET,
-                PLENTY_MS);
+                AMPLE_LIMIT_MS);
         assertNull(swapped.snapshot);
         assertEquals("a piece that is not the giver's, or not in its place", swapped.why);
-        Taken leftOut = take(
-                scripted((giver, socket) -> {
-                    giver.greet();
-                    giver.prove();
-                    giver.out.write(giver.piece(Chunks.of(KNOWN).get(0)));
-                    giver.out.write(giver.piece(new byte[0]));
+        Result leftOut = receive(
+                startScripted((giver, socket) -> {
+                    giver.exchangeHellos();
+                    giver.sendProof();
+                    giver.out.write(giver.chunk(TestChunks.of(SNAPSHOT).get(0)));
+                    giver.out.write(giver.chunk(new byte[0]));
                 }),
                 SECRET,
-                PLENTY_MS);
+                AMPLE_LIMIT_MS);
         assertEquals("pieces are missing", leftOut.why);
         assertEquals(100, leftOut.snapshot.servers().size());
         assertFalse(leftOut.whole);
     }
 
     @Test
-    void nobodyAndNonsenseEndAtOnce() throws Exception {
+    void failsAtOnceOnUnreachableOrInvalidPeers() throws Exception {
         InetSocketAddress nobody;
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = (InetSocketAddress) closed.getLocalSocketAddress();
         }
-        assertEquals("nobody is there", take(nobody, SECRET, PLENTY_MS).why);
+        assertEquals("nobody is there", receive(nobody, SECRET, AMPLE_LIMIT_MS).why);
         assertEquals(
                 "it is no node of this program's",
-                take(
-                                scripted((giver, socket) ->
-                                        giver.out.write(ScriptedGiver.framed("VETCHPOST?".getBytes()))),
+                receive(
+                                startScripted((giver, socket) ->
+                                        giver.out.write(ScriptedSender.framed("VETCHPOST?".getBytes()))),
                                 SECRET,
-                                PLENTY_MS)
+                                AMPLE_LIMIT_MS)
                         .why);
         byte[] newer = "VPHAND\7".getBytes();
         assertEquals(
                 "it speaks version 7; this program knows 1",
-                take(
-                                scripted((giver, socket) -> giver.out.write(ScriptedGiver.framed(newer, new byte[32]))),
+                receive(
+                                startScripted(
+                                        (giver, socket) -> giver.out.write(ScriptedSender.framed(newer, new byte[32]))),
                                 SECRET,
-                                PLENTY_MS)
+                                AMPLE_LIMIT_MS)
                         .why);
-        assertEquals("it took too long", take(scripted((giver, socket) -> {}), SECRET, 300).why);
+        assertEquals("it took too long", receive(startScripted((giver, socket) -> {}), SECRET, 300).why);
     }
 
     /** Takers that say nothing, nonsense or too much, and more of them than there is room for. */
     @Test
-    void aGiverOutlivesItsTakers() throws Exception {
-        InetSocketAddress giver = giver(KNOWN, SECRET);
+    void theSenderSurvivesMisbehavingReceivers() throws Exception {
+        InetSocketAddress giver = startSender(SNAPSHOT, SECRET);
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
             try (Socket socket = new Socket(giver.getAddress(), giver.getPort())) {
@@ -382,18 +385,18 @@
                 continue;
             }
         }
-        Taken taken = null;
+        Result taken = null;
         for (int i = 0; i < 50 && (taken == null || taken.snapshot == null); i++) {
-            taken = take(giver, SECRET, PLENTY_MS);
+            taken = receive(giver, SECRET, AMPLE_LIMIT_MS);
         }
-        assertEquals(KNOWN, taken.snapshot);
+        assertEquals(SNAPSHOT, taken.snapshot);
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 2 * HandoverSender.MAX_RECEIVERS; i++) {
             silent.add(new Socket(giver.getAddress(), giver.getPort()));
         }
         int told = 0;
         for (Socket socket : silent) {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
             told += socket.getInputStream().readNBytes(4 + 7 + 32).length > 0 ? 1 : 0;
             assertEquals(-1, socket.getInputStream().read(), "one that says nothing is closed");
             socket.close();
@@ -403,19 +406,19 @@
 
     /** Each byte of the stream may be wrong, and no handover ends in anything but one outcome. */
     @Test
-    void tenThousandCorruptionsOfTheStreamEndInOneOutcome() throws Exception {
+    void everyCorruptedStreamEndsInExactlyOneOutcome() throws Exception {
         SplittableRandom random = new SplittableRandom(99);
         Set<Integer> sizes = new TreeSet<>();
-        Snapshot known = States.of(230, 9, States.NOW_MS);
-        List<byte[]> pieces = Chunks.of(known);
+        Snapshot known = TestSnapshots.of(230, 9, TestSnapshots.NOW_MS);
+        List<byte[]> pieces = TestChunks.of(known);
         for (int i = 0; i < 10_000; i++) {
             CorruptedStream stream = new CorruptedStream(SECRET, pieces, random);
             stream.run();
             assertEquals(1, stream.outcomes, "run " + i);
-            int boxes = stream.taken == null ? 0 : stream.taken.servers().size();
+            int boxes = stream.snapshot == null ? 0 : stream.snapshot.servers().size();
             assertTrue(boxes == 230 || boxes % 100 == 0, boxes + " boxes");
-            if (stream.taken != null) {
-                assertEquals(known.servers().subList(0, boxes), stream.taken.servers());
+            if (stream.snapshot != null) {
+                assertEquals(known.servers().subList(0, boxes), stream.snapshot.servers());
             }
             sizes.add(boxes);
         }
@@ -423,17 +426,20 @@
     }
 
     @Test
-    void secretsAreReadFromAFile(@TempDir Path folder) throws Exception {
+    void readsSecretsFromAFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("secret");
-        Files.writeString(file, "# the new one first\n" + SECRET + "\n\n" + OTHER + "\n");
+        Files.writeString(file, "# the new one first\n" + SECRET + "\n\n" + OTHER_SECRET + "\n");
         SharedSecret secret = SharedSecret.read(file);
-        assertEquals(2, secret.keys());
+        assertEquals(2, secret.keyCount());
         byte[] nonce = new byte[32];
-        assertEquals(1, secret.keyOf(SharedSecret.of(OTHER).proof(0, "taker", nonce, nonce), "taker", nonce, nonce));
-        assertEquals(-1, secret.keyOf(new byte[32], "taker", nonce, nonce));
+        assertEquals(
+                1,
+                secret.matchingKey(
+                        SharedSecret.of(OTHER_SECRET).proof(0, "taker", nonce, nonce), "taker", nonce, nonce));
+        assertEquals(-1, secret.matchingKey(new byte[32], "taker", nonce, nonce));
         assertEquals(
                 -1,
-                secret.keyOf(SharedSecret.of(SECRET).proof(0, "giver", nonce, nonce), "taker", nonce, nonce),
+                secret.matchingKey(SharedSecret.of(SECRET).proof(0, "giver", nonce, nonce), "taker", nonce, nonce),
                 "one side's proof is not the other's");
         Files.writeString(file, "short\n");
         assertTrue(assertThrows(IOException.class, () -> SharedSecret.read(file))
--- a/src/test/java/vetchpost/handover/ScriptedGiver.java
+++ b/src/test/java/vetchpost/handover/ScriptedSender.java
@@ -16,18 +16,18 @@
  * The giver's side of a handover by its description, on a plain socket and the runtime's own cryptography: it
  * shares no code with the program. A script can have it do anything else at any point.
  */
-final class ScriptedGiver {
+final class ScriptedSender {
     private static final byte[] HELLO = "VPHAND\1".getBytes(StandardCharsets.US_ASCII);
 
     final DataOutputStream out;
     private final DataInputStream in;
     private final byte[] secret;
     private final byte[] nonce = new byte[32];
-    private byte[] takerNonce;
-    private byte[] session;
-    private int number;
+    private byte[] receiverNonce;
+    private byte[] sessionKey;
+    private int nextNumber;
 
-    ScriptedGiver(Socket socket, String secret) throws IOException {
+    ScriptedSender(Socket socket, String secret) throws IOException {
         this.secret = secret.getBytes(StandardCharsets.UTF_8);
         out = new DataOutputStream(socket.getOutputStream());
         in = new DataInputStream(socket.getInputStream());
@@ -63,34 +63,35 @@
     }
 
     /** Says hello, and checks the taker's proof. */
-    void greet() throws IOException {
+    void exchangeHellos() throws IOException {
         out.write(framed(HELLO, nonce));
         byte[] message = in.readNBytes(in.readInt());
-        takerNonce = new byte[32];
-        System.arraycopy(message, HELLO.length, takerNonce, 0, 32);
+        receiverNonce = new byte[32];
+        System.arraycopy(message, HELLO.length, receiverNonce, 0, 32);
         byte[] proof = new byte[32];
         System.arraycopy(message, HELLO.length + 32, proof, 0, 32);
-        if (!Arrays.equals(proof, hmac(secret, ascii("taker"), nonce, takerNonce))) {
+        if (!Arrays.equals(proof, hmac(secret, ascii("taker"), nonce, receiverNonce))) {
             throw new IOException("the taker has not proved itself");
         }
     }
 
     byte[] proof() {
-        return hmac(secret, ascii("giver"), nonce, takerNonce);
+        return hmac(secret, ascii("giver"), nonce, receiverNonce);
     }
 
     /** Proves itself; tags are of this handover's key from here on (RFC 5869, one block). */
-    void prove() throws IOException {
+    void sendProof() throws IOException {
         out.write(framed(proof()));
         byte[] salt = new byte[64];
         System.arraycopy(nonce, 0, salt, 0, 32);
-        System.arraycopy(takerNonce, 0, salt, 32, 32);
-        session = hmac(hmac(salt, secret), ascii("vetchpost handover 1"), new byte[] {1});
+        System.arraycopy(receiverNonce, 0, salt, 32, 32);
+        sessionKey = hmac(hmac(salt, secret), ascii("vetchpost handover 1"), new byte[] {1});
     }
 
     /** The next message with its tag. */
-    byte[] piece(byte[] piece) throws IOException {
-        byte[] tag = hmac(session, ByteBuffer.allocate(4).putInt(number++).array(), piece);
+    byte[] chunk(byte[] piece) throws IOException {
+        byte[] tag =
+                hmac(sessionKey, ByteBuffer.allocate(4).putInt(nextNumber++).array(), piece);
         return framed(piece, tag);
     }
 }
--- a/src/test/java/vetchpost/http/ClientConnectionTest.java
+++ b/src/test/java/vetchpost/http/ClientConnectionTest.java
@@ -37,7 +37,7 @@
 
 /** An error in any handler of a client's connection costs no request its answer. */
 class ClientConnectionTest {
-    private final List<ClientReply> held = new ArrayList<>();
+    private final List<ClientReply> pendingReplies = new ArrayList<>();
     /** What the system holds for the connection, as its bytes; read when it is looked at. */
     private final Deque<String> unread = new ArrayDeque<>();
 
@@ -61,7 +61,7 @@
     };
     private EmbeddedChannel channel;
     private ClientServer server;
-    private Throwable thrown;
+    private Throwable handlerFailure;
 
     @BeforeEach
     void open() throws Exception {
@@ -77,11 +77,11 @@
                 new SocketBudget(1_024),
                 config.settings(),
                 (request, reply, waitedUs) -> {
-                    held.add(reply);
-                    if (thrown instanceof RuntimeException fault) {
+                    pendingReplies.add(reply);
+                    if (handlerFailure instanceof RuntimeException fault) {
                         throw fault;
                     }
-                    if (thrown instanceof Error fault) {
+                    if (handlerFailure instanceof Error fault) {
                         throw fault;
                     }
                 });
@@ -96,13 +96,13 @@
         assertEquals(0, server.pendingRequestBytes());
     }
 
-    private void ask(int id) {
+    private void sendRequest(int id) {
         channel.writeInbound(
                 Unpooled.copiedBuffer(Fixture.request("GET", "/view", id, "", ""), StandardCharsets.ISO_8859_1));
         channel.runPendingTasks();
     }
 
-    private String written() {
+    private String readResponses() {
         channel.runPendingTasks();
         StringBuilder text = new StringBuilder();
         for (ByteBuf next = channel.readOutbound(); next != null; next = channel.readOutbound()) {
@@ -112,94 +112,94 @@
         return text.toString();
     }
 
-    private void assertFault() {
-        String answer = written();
+    private void assertInternalError() {
+        String answer = readResponses();
         assertTrue(answer.startsWith("HTTP/1.1 500 "), answer);
         assertTrue(answer.endsWith("internal fault\n"), answer);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whatCanNotBeTakenIsAnswered(boolean error) {
-        thrown = error ? new LinkageError("thrown by the test") : new IllegalStateException("by the test");
-        ask(1);
-        assertFault();
-        thrown = null;
-        ask(2);
-        held.get(held.size() - 1).served(new ServerResponse(200, null, new byte[0]));
-        assertTrue(written().startsWith("HTTP/1.1 200 "), "the next one is not served");
+    void answers500WhenHandlerThrows(boolean error) {
+        handlerFailure = error ? new LinkageError("thrown by the test") : new IllegalStateException("by the test");
+        sendRequest(1);
+        assertInternalError();
+        handlerFailure = null;
+        sendRequest(2);
+        pendingReplies.get(pendingReplies.size() - 1).served(new ServerResponse(200, null, new byte[0]));
+        assertTrue(readResponses().startsWith("HTTP/1.1 200 "), "the next one is not served");
     }
 
-    private void overdue() {
+    private void closeIfOverdue() {
         ((ManagedConnection) channel.pipeline().last()).closeIfOverdue(server.nanos() + TimeUnit.SECONDS.toNanos(3));
         channel.runPendingTasks();
     }
 
     @Test
-    void whatLiesUnreadIsReadBeforeItsConnectionIsTakenForSilent() {
+    void readsPendingInputBeforeClosingSilentConnection() {
         String request = Fixture.request("GET", "/view", 1, "", "");
         unread.add(request);
-        overdue();
-        assertEquals(1, held.size(), "its request was there");
-        held.get(0).served(new ServerResponse(200, null, new byte[0]));
-        assertTrue(written().startsWith("HTTP/1.1 200 "));
+        closeIfOverdue();
+        assertEquals(1, pendingReplies.size(), "its request was there");
+        pendingReplies.get(0).served(new ServerResponse(200, null, new byte[0]));
+        assertTrue(readResponses().startsWith("HTTP/1.1 200 "));
         assertTrue(channel.isOpen());
     }
 
     @Test
-    void halfARequestWhoseRestIsThereIsReadOn() {
+    void readsPendingInputBeforeRejectingPartialRequest() {
         String request = Fixture.request("POST", "/order", 1, "", "x".repeat(50));
         unread.addAll(List.of(request.substring(0, 20), request.substring(20, 90), request.substring(90)));
-        overdue();
-        overdue();
-        assertEquals("", written(), "rejected while more was there");
-        overdue();
-        assertEquals(1, held.size());
+        closeIfOverdue();
+        closeIfOverdue();
+        assertEquals("", readResponses(), "rejected while more was there");
+        closeIfOverdue();
+        assertEquals(1, pendingReplies.size());
     }
 
     /** As long as the settings' clients wait for an answer, up to the protocol's 3 s: here for longer. */
     @Test
-    void halfARequestIsWaitedForAsLongAsItsClientMayWait() {
+    void waitsForPartialRequestUntilLongestDeadline() {
         channel.writeInbound(Unpooled.copiedBuffer("GET /view HTTP/1.1\r\n", StandardCharsets.ISO_8859_1));
         ManagedConnection connection = (ManagedConnection) channel.pipeline().last();
         connection.closeIfOverdue(server.nanos() + TimeUnit.MILLISECONDS.toNanos(2_800));
-        assertEquals("", written());
-        overdue();
-        assertTrue(written().startsWith("HTTP/1.1 408 "));
+        assertEquals("", readResponses());
+        closeIfOverdue();
+        assertTrue(readResponses().startsWith("HTTP/1.1 408 "));
     }
 
     @Test
-    void whoIsSilentOrStopsHalfwayIsNotWaitedFor() {
+    void answers408WhenRequestStopsHalfway() {
         unread.add(Fixture.request("GET", "/view", 1, "", "").substring(0, 20));
-        overdue();
+        closeIfOverdue();
         assertTrue(channel.isOpen());
-        overdue();
-        assertTrue(written().startsWith("HTTP/1.1 408 "));
+        closeIfOverdue();
+        assertTrue(readResponses().startsWith("HTTP/1.1 408 "));
     }
 
     @Test
-    void aRequestForWhichThereIsNoMemoryIsToldToComeAgain() {
+    void rejectsWithRetryAfterWhenMemoryIsExhausted() {
         long taken = server.requestMemory().maxBytes();
         assertTrue(server.requestMemory().tryReserve(taken));
-        ask(1);
-        String answer = written();
+        sendRequest(1);
+        String answer = readResponses();
         assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
         assertEquals("1", FakePeer.header(answer, "Retry-After"));
         server.requestMemory().release(taken);
-        assertEquals(0, held.size());
+        assertEquals(0, pendingReplies.size());
     }
 
     @Test
-    void anErrorInAHandlerWhileARequestIsHeldAnswersIt() {
-        ask(1);
+    void answersPendingRequestOnHandlerError() {
+        sendRequest(1);
         channel.pipeline().fireExceptionCaught(new IllegalStateException("by the test"));
-        assertFault();
-        held.get(0).served(new ServerResponse(200, null, new byte[0]));
-        assertEquals("", written(), "a second answer");
+        assertInternalError();
+        pendingReplies.get(0).served(new ServerResponse(200, null, new byte[0]));
+        assertEquals("", readResponses(), "a second answer");
     }
 
     @Test
-    void anErrorInAHandlerLosesNothingThatHasBeenRead() {
+    void servesCompleteRequestsAfterHandlerError() {
         channel.pipeline()
                 .fireChannelRead(
                         Unpooled.copiedBuffer(Fixture.request("GET", "/view", 1, "", ""), StandardCharsets.ISO_8859_1));
@@ -207,22 +207,22 @@
         channel.pipeline().fireExceptionCaught(new IllegalStateException("by the test"));
         assertTrue(channel.isOpen(), "closed on a request");
         channel.runPendingTasks();
-        held.get(0).served(new ServerResponse(200, null, new byte[0]));
-        assertTrue(written().startsWith("HTTP/1.1 200 "), "not served");
+        pendingReplies.get(0).served(new ServerResponse(200, null, new byte[0]));
+        assertTrue(readResponses().startsWith("HTTP/1.1 200 "), "not served");
         assertFalse(channel.isOpen());
     }
 
     /** Throws at so many answers. */
-    private static final class Spoiler extends ChannelOutboundHandlerAdapter {
-        private int left;
+    private static final class FailingEncoder extends ChannelOutboundHandlerAdapter {
+        private int remainingFailures;
 
-        Spoiler(int answers) {
-            left = answers;
+        FailingEncoder(int answers) {
+            remainingFailures = answers;
         }
 
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-            if (message instanceof FullHttpResponse && left-- > 0) {
+            if (message instanceof FullHttpResponse && remainingFailures-- > 0) {
                 ReferenceCountUtil.release(message);
                 throw new LinkageError("thrown by the test");
             }
@@ -231,20 +231,20 @@
     }
 
     @Test
-    void anAnswerThatCanNotBePutIntoBytesIsAnsweredShort() {
-        channel.pipeline().addBefore(channel.pipeline().lastContext().name(), "spoiler", new Spoiler(1));
-        ask(1);
-        held.get(0).served(new ServerResponse(200, null, "done".getBytes(StandardCharsets.UTF_8)));
-        assertFault();
+    void answers500WhenResponseCannotBeEncoded() {
+        channel.pipeline().addBefore(channel.pipeline().lastContext().name(), "spoiler", new FailingEncoder(1));
+        sendRequest(1);
+        pendingReplies.get(0).served(new ServerResponse(200, null, "done".getBytes(StandardCharsets.UTF_8)));
+        assertInternalError();
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void aConnectionOnWhichNothingCanBeWrittenIsEnded() {
-        channel.pipeline().addBefore(channel.pipeline().lastContext().name(), "spoiler", new Spoiler(9));
-        ask(1);
-        held.get(0).failed(Failure.UNSERVED);
-        assertEquals("", written());
+    void closesConnectionWhenNothingCanBeEncoded() {
+        channel.pipeline().addBefore(channel.pipeline().lastContext().name(), "spoiler", new FailingEncoder(9));
+        sendRequest(1);
+        pendingReplies.get(0).failed(Failure.UNSERVED);
+        assertEquals("", readResponses());
         assertFalse(channel.isOpen());
     }
 }
--- a/src/test/java/vetchpost/http/ServerPoolTest.java
+++ b/src/test/java/vetchpost/http/ServerPoolTest.java
@@ -44,20 +44,20 @@
 /** Every line of the protocol's table of outcomes, and the care of connections. */
 @Timeout(120)
 class ServerPoolTest {
-    private static final long IDLE_US = 60_000_000;
+    private static final long SERVER_IDLE_TIMEOUT_US = 60_000_000;
 
     private EventLoopGroup group;
     private EventLoop loop;
     private FakePeer server;
 
     /** The report on an attempt. */
-    private record Report(Result result, ServerResponse answer) {}
+    private record AttemptResult(Result result, ServerResponse response) {}
 
-    private static final class Probe implements ServerPool.ExchangeSource {
-        final BlockingQueue<Report> reports = new LinkedBlockingQueue<>();
+    private static final class RecordingSource implements ServerPool.ExchangeSource {
+        final BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
         private final int bodySize;
 
-        Probe(int bodySize) {
+        RecordingSource(int bodySize) {
             this.bodySize = bodySize;
         }
 
@@ -71,11 +71,11 @@
 
         @Override
         public void onEnded(Result result, ServerResponse answer) {
-            reports.add(new Report(result, answer));
+            results.add(new AttemptResult(result, answer));
         }
 
-        Report report() throws InterruptedException {
-            return FakePeer.takeWithTimeout(reports);
+        AttemptResult takeResult() throws InterruptedException {
+            return FakePeer.takeWithTimeout(results);
         }
     }
 
@@ -92,89 +92,91 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    private ServerPool pool(String address, long idleUs) throws Exception {
+    private ServerPool createPool(String address, long idleUs) throws Exception {
         SocketBudget sockets = new SocketBudget(1_024);
         ServerPool pool = loop.submit(() -> new ServerPool(loop, Network.SYSTEM, sockets, 300_000, idleUs))
                 .get();
-        list(pool, address, 0);
+        updateList(pool, address, 0);
         return pool;
     }
 
-    private void list(ServerPool pool, String address, long bootMs) throws Exception {
+    private void updateList(ServerPool pool, String address, long bootMs) throws Exception {
         ServerList list = ServerListParser.parse("{\"rev\":1,\"all\":true,"
                 + "\"targets\":[{\"uid\":\"s\",\"endpoint\":\"" + address
                 + "\",\"state\":\"Ready\",\"boot_ms\":" + bootMs + "}]}");
         loop.submit(() -> pool.update(list)).get();
     }
 
-    private ServerPool.Attempt start(ServerPool pool, Probe probe) throws Exception {
+    private ServerPool.Attempt start(ServerPool pool, RecordingSource probe) throws Exception {
         return loop.submit(() -> pool.start("s", probe)).get();
     }
 
-    private Report outcome(FakePeer.Script script) throws Exception {
+    private AttemptResult resultFor(FakePeer.Script script) throws Exception {
         server.script(script);
-        Probe probe = new Probe(10);
-        start(pool(server.address(), IDLE_US), probe);
-        Report report = probe.report();
+        RecordingSource probe = new RecordingSource(10);
+        start(createPool(server.address(), SERVER_IDLE_TIMEOUT_US), probe);
+        AttemptResult report = probe.takeResult();
         loop.submit(() -> {}).get();
-        assertTrue(probe.reports.isEmpty(), "reported twice");
+        assertTrue(probe.results.isEmpty(), "reported twice");
         return report;
     }
 
     @Test
-    void aWhole200IsServedUnchanged() throws Exception {
-        Report report = outcome(FakePeer.answer("200 OK", "Content-Type: text/x\r\n", "h\u00e9llo"));
+    void passesOnComplete200Unchanged() throws Exception {
+        AttemptResult report = resultFor(FakePeer.answer("200 OK", "Content-Type: text/x\r\n", "h\u00e9llo"));
         assertEquals(Result.OK, report.result());
         assertArrayEquals(
                 "h\u00e9llo".getBytes(StandardCharsets.ISO_8859_1),
-                report.answer().body());
-        assertEquals("text/x", report.answer().contentType());
+                report.response().body());
+        assertEquals("text/x", report.response().contentType());
         assertEquals(
                 Result.OK,
-                outcome(FakePeer.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + "2\r\nab\r\n0\r\n\r\n"))
+                resultFor(FakePeer.raw(
+                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + "2\r\nab\r\n0\r\n\r\n"))
                         .result());
         assertEquals(
                 Result.OK,
-                outcome(FakePeer.raw(
+                resultFor(FakePeer.raw(
                                 "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n" + "Content-Length: 0\r\n\r\n"))
                         .result());
     }
 
     @Test
-    void errorsMayHaveRunAndTurnedAwayNeverHas() throws Exception {
-        assertEquals(Result.ERROR, outcome(FakePeer.answer("500 No", "", "")).result());
-        assertEquals(Result.ERROR, outcome(FakePeer.answer("503 No", "", "")).result());
+    void reportsErrorOrMarkedRejection() throws Exception {
+        assertEquals(Result.ERROR, resultFor(FakePeer.answer("500 No", "", "")).result());
+        assertEquals(Result.ERROR, resultFor(FakePeer.answer("503 No", "", "")).result());
         assertEquals(
                 Result.ERROR,
-                outcome(FakePeer.answer("500 No", "X-Turned-Away: 1\r\n", "")).result());
+                resultFor(FakePeer.answer("500 No", "X-Turned-Away: 1\r\n", "")).result());
         assertEquals(
                 Result.FULL,
-                outcome(FakePeer.answer("503 No", "X-Turned-Away: 1\r\n", "")).result());
+                resultFor(FakePeer.answer("503 No", "X-Turned-Away: 1\r\n", "")).result());
         assertEquals(
                 Result.FULL,
-                outcome(FakePeer.answer("504 No", "X-Turned-Away: 1\r\n", "")).result());
+                resultFor(FakePeer.answer("504 No", "X-Turned-Away: 1\r\n", "")).result());
     }
 
     @Test
-    void whatBreaksAfterTheLastByteIsAReset() throws Exception {
-        assertEquals(Result.RESET, outcome(FakePeer.RESET).result());
-        assertEquals(Result.RESET, outcome(FakePeer.CLOSE).result());
+    void reportsResetWhenConnectionBreaksAfterRequestIsWritten() throws Exception {
+        assertEquals(Result.RESET, resultFor(FakePeer.RESET).result());
+        assertEquals(Result.RESET, resultFor(FakePeer.CLOSE).result());
         assertEquals(
                 Result.RESET,
-                outcome((socket, request) -> {
+                resultFor((socket, request) -> {
                             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
                             socket.close();
                         })
                         .result());
         assertEquals(
                 Result.RESET,
-                outcome((socket, request) -> {
+                resultFor((socket, request) -> {
                             // Without a length the end of the connection is all there is, and says nothing.
                             FakePeer.write(socket, "HTTP/1.1 200 OK\r\n\r\nmaybe half");
                             socket.close();
                         })
                         .result());
-        assertEquals(Result.RESET, outcome(FakePeer.raw("HELLO THERE\r\n\r\n")).result());
+        assertEquals(
+                Result.RESET, resultFor(FakePeer.raw("HELLO THERE\r\n\r\n")).result());
     }
 
     /** The connection stays open behind each of these: nothing but the reading may end the attempt. */
@@ -193,63 +195,63 @@
                 "HTTP/2.0 200 OK\r\nContent-Length: 2\r\n\r\nno",
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
             })
-    void whatCantBeReadIsNoAnswer(String spoilt) throws Exception {
-        assertEquals(Result.RESET, outcome(FakePeer.raw(spoilt)).result());
-        FakePeer.takeWithTimeout(server.ended);
+    void reportsResetAndClosesOnMalformedResponse(String spoilt) throws Exception {
+        assertEquals(Result.RESET, resultFor(FakePeer.raw(spoilt)).result());
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
-    void headsWithoutEndEndTheAttempt() throws Exception {
+    void reportsResetOnEndlessResponseHeads() throws Exception {
         assertEquals(
                 Result.RESET,
-                outcome(FakePeer.raw("HTTP/1.1 200 OK\r\n" + "X-Pad: pppppppppppppppp\r\n".repeat(1_000)))
+                resultFor(FakePeer.raw("HTTP/1.1 200 OK\r\n" + "X-Pad: pppppppppppppppp\r\n".repeat(1_000)))
                         .result());
         assertEquals(
                 Result.RESET,
-                outcome(FakePeer.raw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(100)
+                resultFor(FakePeer.raw("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(100)
                                 + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
                         .result());
     }
 
     @Test
-    void aSecondAnswerIsNotTakenForTheNextRequests() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe first = new Probe(10);
+    void doesNotUseUnsolicitedResponseForNextRequest() throws Exception {
+        ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
+        RecordingSource first = new RecordingSource(10);
         start(pool, first);
-        assertEquals(Result.OK, first.report().result());
+        assertEquals(Result.OK, first.takeResult().result());
         Socket idle = FakePeer.takeWithTimeout(server.accepted);
-        Probe second = new Probe(10);
+        RecordingSource second = new RecordingSource(10);
         loop.submit(() -> {
                     // The loop is busy here: what comes is in the system's buffer and read only afterwards.
                     FakePeer.write(idle, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
                     return pool.start("s", second);
                 })
                 .get();
-        assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
+        assertEquals("hello", new String(second.takeResult().response().body(), StandardCharsets.UTF_8));
     }
 
     @Test
-    void noConnectionIsNeverRan() throws Exception {
+    void reportsConnectFailedWhenConnectionIsRefused() throws Exception {
         int port;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = unused.getLocalPort();
         }
-        Probe probe = new Probe(10);
-        start(pool("127.0.0.1:" + port, IDLE_US), probe);
-        assertEquals(Result.CONNECT_FAILED, probe.report().result());
+        RecordingSource probe = new RecordingSource(10);
+        start(createPool("127.0.0.1:" + port, SERVER_IDLE_TIMEOUT_US), probe);
+        assertEquals(Result.CONNECT_FAILED, probe.takeResult().result());
     }
 
     @Test
-    void aConnectionThatNeverComesUpIsGivenUpAtTheDialLimit() throws Exception {
-        neverUp(attempt -> {});
+    void reportsConnectFailedAtConnectTimeout() throws Exception {
+        assertConnectFailsWhenNeverAccepted(attempt -> {});
     }
 
     @Test
-    void anAttemptWhoseTimeIsUpWhileItsDialHangsCouldNotConnect() throws Exception {
-        neverUp(attempt -> loop.execute(() -> attempt.abandon(Result.TIMEOUT)));
+    void reportsConnectFailedOnTimeoutWhileConnecting() throws Exception {
+        assertConnectFailsWhenNeverAccepted(attempt -> loop.execute(() -> attempt.abandon(Result.TIMEOUT)));
     }
 
-    private void neverUp(Consumer<ServerPool.Attempt> meanwhile) throws Exception {
+    private void assertConnectFailsWhenNeverAccepted(Consumer<ServerPool.Attempt> meanwhile) throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             // Linux drops what comes when the queue of connections not accepted is full.
             List<Socket> fill = new ArrayList<>();
@@ -262,9 +264,9 @@
                     break;
                 }
             }
-            Probe probe = new Probe(10);
-            meanwhile.accept(start(pool("127.0.0.1:" + full.getLocalPort(), IDLE_US), probe));
-            assertEquals(Result.CONNECT_FAILED, probe.report().result());
+            RecordingSource probe = new RecordingSource(10);
+            meanwhile.accept(start(createPool("127.0.0.1:" + full.getLocalPort(), SERVER_IDLE_TIMEOUT_US), probe));
+            assertEquals(Result.CONNECT_FAILED, probe.takeResult().result());
             for (Socket socket : fill) {
                 socket.close();
             }
@@ -272,33 +274,33 @@
     }
 
     @Test
-    void whatBreaksBeforeTheLastByteIsHandedOverNeverRan() throws Exception {
+    void reportsConnectFailedWhenConnectionBreaksBeforeRequestIsWritten() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            Probe probe = new Probe(64 << 20);
-            start(pool("127.0.0.1:" + deaf.getLocalPort(), IDLE_US), probe);
+            RecordingSource probe = new RecordingSource(64 << 20);
+            start(createPool("127.0.0.1:" + deaf.getLocalPort(), SERVER_IDLE_TIMEOUT_US), probe);
             Socket accepted = deaf.accept();
             accepted.getInputStream().read();
             accepted.setSoLinger(true, 0);
             accepted.close();
-            assertEquals(Result.CONNECT_FAILED, probe.report().result());
+            assertEquals(Result.CONNECT_FAILED, probe.takeResult().result());
         }
     }
 
     @Test
-    void anAttemptGivenUpClosesItsConnection() throws Exception {
+    void closesConnectionOfAbandonedAttempt() throws Exception {
         server.script(FakePeer.SILENT);
-        Probe probe = new Probe(10);
-        ServerPool.Attempt attempt = start(pool(server.address(), IDLE_US), probe);
+        RecordingSource probe = new RecordingSource(10);
+        ServerPool.Attempt attempt = start(createPool(server.address(), SERVER_IDLE_TIMEOUT_US), probe);
         server.nextRequest();
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
-        assertEquals(Result.TIMEOUT, probe.report().result());
-        FakePeer.takeWithTimeout(server.ended);
+        assertEquals(Result.TIMEOUT, probe.takeResult().result());
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
-    void aServerFallenSilentCostsOneTimeOutAndNotOneForEachConnection() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe[] probes = {new Probe(1), new Probe(2)};
+    void closesIdleConnectionsOfUnresponsiveServer() throws Exception {
+        ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
+        RecordingSource[] probes = {new RecordingSource(1), new RecordingSource(2)};
         // Answered only once both are there, so that neither can use the other's connection.
         CountDownLatch both = new CountDownLatch(2);
         server.script((socket, request) -> {
@@ -308,28 +310,28 @@
         });
         start(pool, probes[0]);
         start(pool, probes[1]);
-        assertEquals(Result.OK, probes[0].report().result());
-        assertEquals(Result.OK, probes[1].report().result());
+        assertEquals(Result.OK, probes[0].takeResult().result());
+        assertEquals(Result.OK, probes[1].takeResult().result());
         server.script(FakePeer.SILENT);
-        Probe silent = new Probe(3);
+        RecordingSource silent = new RecordingSource(3);
         ServerPool.Attempt attempt = start(pool, silent);
         loop.submit(() -> attempt.abandon(Result.TIMEOUT)).get();
-        assertEquals(Result.TIMEOUT, silent.report().result());
-        FakePeer.takeWithTimeout(server.ended);
-        FakePeer.takeWithTimeout(server.ended);
+        assertEquals(Result.TIMEOUT, silent.takeResult().result());
+        FakePeer.takeWithTimeout(server.closedByClient);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
-    void anAttemptGivenUpBeforeItsConnectionIsUpIsNeverSent() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe probe = new Probe(10);
+    void doesNotSendAttemptAbandonedWhileConnecting() throws Exception {
+        ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
+        RecordingSource probe = new RecordingSource(10);
         loop.submit(() -> pool.start("s", probe).abandon(Result.CANCELLED)).get();
-        assertEquals(Result.MOOT, probe.report().result());
+        assertEquals(Result.MOOT, probe.takeResult().result());
         // Its connection, once up, carries the next attempt: the only request that the server sees.
         FakePeer.takeWithTimeout(server.accepted);
-        Probe next = new Probe(11);
+        RecordingSource next = new RecordingSource(11);
         start(pool, next);
-        assertEquals(Result.OK, next.report().result());
+        assertEquals(Result.OK, next.takeResult().result());
         assertEquals("11", FakePeer.header(server.nextRequest(), "Content-Length"));
         assertTrue(server.requests.isEmpty());
     }
@@ -337,9 +339,9 @@
     /** Told between the dial and the connection: however late that comes up, nothing is sent on it. */
     @ParameterizedTest
     @ValueSource(strings = {"Terminating", "Gone", "left out"})
-    void whatWaitsForAConnectionIsNotSentToAServerThatDrains(String state) throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe probe = new Probe(10);
+    void failsWaitingAttemptsWhenServerDrains(String state) throws Exception {
+        ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
+        RecordingSource probe = new RecordingSource(10);
         boolean named = !state.equals("left out");
         String entry = "{\"uid\":\"s\",\"endpoint\":\"" + server.address() + "\",\"state\":\"" + state + "\"}";
         ServerList list =
@@ -349,98 +351,99 @@
                     pool.update(list);
                 })
                 .get();
-        assertEquals(Result.CONNECT_FAILED, probe.report().result());
+        assertEquals(Result.CONNECT_FAILED, probe.takeResult().result());
         // Its dial is through, and has been looked at.
         FakePeer.takeWithTimeout(server.accepted);
         loop.submit(() -> {}).get();
         loop.submit(pool::close).get();
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
         assertTrue(server.requests.isEmpty(), "sent after it was told");
     }
 
     @Test
-    void connectionsAreReusedMostRecentFirst() throws Exception {
+    void reusesMostRecentlyUsedConnectionFirst() throws Exception {
         BlockingQueue<Socket> used = new LinkedBlockingQueue<>();
         server.script((socket, request) -> used.add(socket));
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe first = new Probe(1);
-        Probe second = new Probe(2);
+        ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
+        RecordingSource first = new RecordingSource(1);
+        RecordingSource second = new RecordingSource(2);
         start(pool, first);
         start(pool, second);
         Socket a = FakePeer.takeWithTimeout(used);
         Socket b = FakePeer.takeWithTimeout(used);
         FakePeer.write(a, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         FakePeer.takeWithTimeout(
-                first.reports.isEmpty() && second.reports.isEmpty()
-                        ? either(first, second)
-                        : first.reports.isEmpty() ? second.reports : first.reports);
+                first.results.isEmpty() && second.results.isEmpty()
+                        ? awaitEitherResult(first, second)
+                        : first.results.isEmpty() ? second.results : first.results);
         FakePeer.write(b, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        FakePeer.takeWithTimeout(either(first, second));
-        Probe third = new Probe(3);
+        FakePeer.takeWithTimeout(awaitEitherResult(first, second));
+        RecordingSource third = new RecordingSource(3);
         start(pool, third);
         assertSame(b, FakePeer.takeWithTimeout(used));
     }
 
-    private static BlockingQueue<Report> either(Probe a, Probe b) throws InterruptedException {
+    private static BlockingQueue<AttemptResult> awaitEitherResult(RecordingSource a, RecordingSource b)
+            throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
-        while (a.reports.isEmpty() && b.reports.isEmpty() && System.nanoTime() < until) {
-            Report report = a.reports.poll(1, TimeUnit.MILLISECONDS);
+        while (a.results.isEmpty() && b.results.isEmpty() && System.nanoTime() < until) {
+            AttemptResult report = a.results.poll(1, TimeUnit.MILLISECONDS);
             if (report != null) {
-                a.reports.add(report);
+                a.results.add(report);
             }
         }
-        return a.reports.isEmpty() ? b.reports : a.reports;
+        return a.results.isEmpty() ? b.results : a.results;
     }
 
     @Test
-    void aConnectionThatTheServerClosedOrSpokeOnIsNotReused() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
+    void doesNotReuseConnectionClosedOrWrittenByServer() throws Exception {
+        ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
         String wrong = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
         for (String unasked : Arrays.asList(null, wrong, "HTT")) {
-            Probe first = new Probe(10);
+            RecordingSource first = new RecordingSource(10);
             start(pool, first);
-            assertEquals(Result.OK, first.report().result());
+            assertEquals(Result.OK, first.takeResult().result());
             Socket idle = FakePeer.takeWithTimeout(server.accepted);
             if (unasked == null) {
                 idle.close();
             } else {
                 FakePeer.write(idle, unasked);
             }
-            assertSame(idle, FakePeer.takeWithTimeout(server.ended));
-            Probe second = new Probe(10);
+            assertSame(idle, FakePeer.takeWithTimeout(server.closedByClient));
+            RecordingSource second = new RecordingSource(10);
             start(pool, second);
-            assertEquals("hello", new String(second.report().answer().body(), StandardCharsets.UTF_8));
+            assertEquals("hello", new String(second.takeResult().response().body(), StandardCharsets.UTF_8));
             FakePeer.takeWithTimeout(server.accepted).close();
-            FakePeer.takeWithTimeout(server.ended);
+            FakePeer.takeWithTimeout(server.closedByClient);
         }
     }
 
     @Test
-    void anIdleConnectionIsDroppedBeforeTheServerWould() throws Exception {
-        Probe probe = new Probe(10);
-        start(pool(server.address(), 100_000), probe);
-        assertEquals(Result.OK, probe.report().result());
+    void closesIdleConnectionBeforeServerTimeout() throws Exception {
+        RecordingSource probe = new RecordingSource(10);
+        start(createPool(server.address(), 100_000), probe);
+        assertEquals(Result.OK, probe.takeResult().result());
         // The fake never closes: the end of the connection is the pool's doing.
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
     }
 
     @Test
-    void aServerThatMovesTakesItsAttemptsAlong() throws Exception {
-        ServerPool pool = pool(server.address(), IDLE_US);
-        Probe first = new Probe(10);
+    void sendsToNewAddressAfterServerMoved() throws Exception {
+        ServerPool pool = createPool(server.address(), SERVER_IDLE_TIMEOUT_US);
+        RecordingSource first = new RecordingSource(10);
         start(pool, first);
-        assertEquals(Result.OK, first.report().result());
+        assertEquals(Result.OK, first.takeResult().result());
         try (FakePeer moved = new FakePeer(FakePeer.answer("200 OK", "", "moved"))) {
-            list(pool, moved.address(), 0);
-            FakePeer.takeWithTimeout(server.ended);
-            Probe second = new Probe(10);
+            updateList(pool, moved.address(), 0);
+            FakePeer.takeWithTimeout(server.closedByClient);
+            RecordingSource second = new RecordingSource(10);
             start(pool, second);
-            assertEquals("moved", new String(second.report().answer().body(), StandardCharsets.UTF_8));
+            assertEquals("moved", new String(second.takeResult().response().body(), StandardCharsets.UTF_8));
         }
     }
 
     @Test
-    void anAnswerThatHasComeCountsThoughTheTimeIsUp() throws Exception {
+    void usesResponseReceivedBeforeDelayedTimeout() throws Exception {
         CountDownLatch answered = new CountDownLatch(1);
         server.script((socket, request) -> {
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
--- a/src/test/java/vetchpost/net/MemoryNetworkTest.java
+++ b/src/test/java/vetchpost/net/MemoryNetworkTest.java
@@ -29,7 +29,7 @@
 @Timeout(30)
 class MemoryNetworkTest {
     private EventLoopGroup group;
-    private final List<ByteBuf> passed = new ArrayList<>();
+    private final List<ByteBuf> echoedBuffers = new ArrayList<>();
 
     @BeforeEach
     void open() {
@@ -46,7 +46,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf bytes = (ByteBuf) message;
-            passed.add(bytes);
+            echoedBuffers.add(bytes);
             boolean last = bytes.toString(StandardCharsets.US_ASCII).endsWith(".");
             var writing = ctx.writeAndFlush(bytes);
             if (last) {
@@ -55,9 +55,9 @@
         }
     }
 
-    private static final class Heard extends ChannelInboundHandlerAdapter {
+    private static final class ReceivedText extends ChannelInboundHandlerAdapter {
         private final StringBuilder text = new StringBuilder();
-        private int completes;
+        private int readCompletes;
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -67,11 +67,11 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            completes++;
+            readCompletes++;
         }
     }
 
-    private Channel connect(Network network, Heard heard) throws Exception {
+    private Channel connect(Network network, ReceivedText heard) throws Exception {
         return new Bootstrap()
                 .group(group.next())
                 .channelFactory(network::newClientChannel)
@@ -89,8 +89,8 @@
     }
 
     @Test
-    void whatIsWrittenIsReadInOrderAndTheEndBehindIt() throws Exception {
-        Heard heard = new Heard();
+    void deliversBytesInOrderThenClose() throws Exception {
+        ReceivedText heard = new ReceivedText();
         Channel channel = connect(new MemoryNetwork(p -> p.addLast(new Echo())), heard);
         assertTrue(channel.isActive());
         channel.write(text("a"));
@@ -98,13 +98,13 @@
         channel.writeAndFlush(text("c."));
         channel.closeFuture().sync();
         assertEquals("abc.", heard.text.toString());
-        assertTrue(heard.completes > 0);
-        passed.forEach(bytes -> assertEquals(0, bytes.refCnt(), "a buffer is kept"));
+        assertTrue(heard.readCompletes > 0);
+        echoedBuffers.forEach(bytes -> assertEquals(0, bytes.refCnt(), "a buffer is kept"));
     }
 
     @Test
-    void whatIsNotWantedYetWaits() throws Exception {
-        Heard heard = new Heard();
+    void keepsInputUnreadUntilRead() throws Exception {
+        ReceivedText heard = new ReceivedText();
         MemoryNetwork network = new MemoryNetwork(p -> p.addLast(new Echo()));
         Channel channel = connect(network, heard);
         // Its being open is told before its first read begins.
@@ -129,9 +129,9 @@
     }
 
     @Test
-    void whoClosesEndsTheFarSideToo() throws Exception {
+    void closesPeerOnClose() throws Exception {
         List<Channel> far = new ArrayList<>();
-        Channel channel = connect(new MemoryNetwork(p -> far.add(p.channel())), new Heard());
+        Channel channel = connect(new MemoryNetwork(p -> far.add(p.channel())), new ReceivedText());
         channel.eventLoop().submit(() -> {}).sync();
         assertTrue(far.get(0).isActive());
         channel.close().sync();
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void nobodyElseListensThere() {
+    void createsNoServerChannel() {
         assertThrows(UnsupportedOperationException.class, () -> new MemoryNetwork(p -> {}).newServerChannel());
     }
 }
--- a/src/test/java/vetchpost/net/SocketBudgetTest.java
+++ b/src/test/java/vetchpost/net/SocketBudgetTest.java
@@ -14,9 +14,9 @@
 /** How many connections each side may have, for small and large limits of descriptors. */
 class SocketBudgetTest {
     /** What a node's process had open before any connection: 11, and 2 to discovery. */
-    private static final int OWN = 13;
+    private static final int PROCESS_DESCRIPTORS = 13;
 
-    private static SocketBudget full(int limit) {
+    private static SocketBudget fullBudget(int limit) {
         SocketBudget sockets = new SocketBudget(limit);
         while (sockets.addServer()) {
             if (sockets.openCount() > limit) {
@@ -31,9 +31,9 @@
 
     @ParameterizedTest
     @ValueSource(ints = {32, 40, 64, 65, 66, 100, 128, 256, 512, 1_024, 4_096})
-    void theProcessAndBothSidesTogetherStayWithinTheLimit(int limit) {
-        SocketBudget sockets = full(limit);
-        assertTrue(sockets.openCount() + OWN <= limit, sockets + " with " + limit);
+    void staysWithinDescriptorLimit(int limit) {
+        SocketBudget sockets = fullBudget(limit);
+        assertTrue(sockets.openCount() + PROCESS_DESCRIPTORS <= limit, sockets + " with " + limit);
         // The other way round: clients first.
         SocketBudget clientsFirst = new SocketBudget(limit);
         while (clientsFirst.mayAccept()) {
@@ -46,13 +46,13 @@
         while (clientsFirst.addServer()) {
             servers++;
         }
-        assertTrue(clientsFirst.openCount() + OWN <= limit, clientsFirst + " with " + limit);
+        assertTrue(clientsFirst.openCount() + PROCESS_DESCRIPTORS <= limit, clientsFirst + " with " + limit);
         assertTrue(servers > 0, "no room for servers");
     }
 
     /** While a core ends what it has, its pool and the one in its place both hold idle connections. */
     @Test
-    void roomIsMadeInEachPoolTheOldestFirst() {
+    void closesIdleConnectionsOfOldestPoolFirst() {
         SocketBudget sockets = new SocketBudget(1_024);
         List<String> closed = new ArrayList<>();
         BooleanSupplier old = () -> closed.size() < 2 && closed.add("old");
@@ -71,10 +71,10 @@
 
     @ParameterizedTest
     @ValueSource(ints = {128, 256, 1_024})
-    void clientsThatAreOnlyTurnedAwayTakeNoServersPlace(int limit) {
+    void keepsServerCapacityWhenRejectingClients(int limit) {
         SocketBudget sockets = new SocketBudget(limit);
         int clients = 0;
-        while (sockets.hasRoomForClient()) {
+        while (sockets.hasCapacityForClient()) {
             sockets.addClient();
             clients++;
         }
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aSmallLimitIsToldApart() {
+    void reportsScarceBelow128Descriptors() {
         assertTrue(new SocketBudget(127).isScarce());
         assertFalse(new SocketBudget(128).isScarce());
         assertTrue(new SocketBudget(SocketBudget.MIN_DESCRIPTORS).maxClients() > 0);
--- a/src/test/java/vetchpost/node/EventLoopDelayTest.java
+++ b/src/test/java/vetchpost/node/EventLoopDelayTest.java
@@ -27,9 +27,9 @@
 /** A node whose event loop is behind with its sockets. */
 @Timeout(120)
 class EventLoopDelayTest {
-    private static final int STALL_MS = 500;
+    private static final int DELAY_MS = 500;
     /** A beat and what the test's own threads take. */
-    private static final int SLACK_MS = 100;
+    private static final int TOLERANCE_MS = 100;
 
     private EventLoopGroup group;
     private EventLoop loop;
@@ -65,7 +65,7 @@
     }
 
     /** Keeps the loop from everything until the latch opens, and for some time after. */
-    private void stall(CountDownLatch until, int thenMs) throws Exception {
+    private void blockLoop(CountDownLatch until, int thenMs) throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         loop.execute(() -> {
             begun.countDown();
@@ -96,30 +96,30 @@
         return socket;
     }
 
-    private static String view(int id) {
+    private static String viewRequest(int id) {
         return Fixture.request("GET", "/view/1", id, "", "");
     }
 
     @Test
-    void aRequestWhoseClientHasLeftMeanwhileIsNotSentOn() throws Exception {
+    void doesNotForwardRequestOfDisconnectedClient() throws Exception {
         int port = start();
         CountDownLatch left = new CountDownLatch(1);
         try (Socket kept = connect(port)) {
             // Accepted and heard from before, so that both requests are read in the turn after the stall.
-            FakePeer.write(kept, view(1));
+            FakePeer.write(kept, viewRequest(1));
             FakePeer.read(kept);
             server.nextRequest();
             try (Socket leaves = connect(port)) {
-                FakePeer.write(leaves, view(2));
+                FakePeer.write(leaves, viewRequest(2));
                 FakePeer.read(leaves);
                 server.nextRequest();
-                stall(left, 0);
-                FakePeer.write(leaves, view(3));
+                blockLoop(left, 0);
+                FakePeer.write(leaves, viewRequest(3));
             }
             left.countDown();
-            FakePeer.write(kept, view(4));
+            FakePeer.write(kept, viewRequest(4));
             assertTrue(FakePeer.read(kept).startsWith("HTTP/1.1 200 "));
-            FakePeer.write(kept, view(5));
+            FakePeer.write(kept, viewRequest(5));
             assertTrue(FakePeer.read(kept).startsWith("HTTP/1.1 200 "));
         }
         assertEquals("0000000000000004", FakePeer.header(server.nextRequest(), "X-Txn"));
@@ -128,27 +128,27 @@
     }
 
     @Test
-    void theClientsTimeRunsWhileItsRequestLiesUnread() throws Exception {
+    void countsUnreadTimeAgainstDeadline() throws Exception {
         int port = start();
         CountDownLatch sent = new CountDownLatch(1);
         try (Socket client = connect(port)) {
-            stall(sent, STALL_MS);
-            FakePeer.write(client, view(1));
+            blockLoop(sent, DELAY_MS);
+            FakePeer.write(client, viewRequest(1));
             sent.countDown();
             FakePeer.read(client);
         }
         int left = Integer.parseInt(FakePeer.header(server.nextRequest(), "X-Remaining-Ms"));
-        assertTrue(left <= Fixture.REMAINING_MS - STALL_MS + SLACK_MS, "waits for " + left);
+        assertTrue(left <= Fixture.REMAINING_MS - DELAY_MS + TOLERANCE_MS, "waits for " + left);
     }
 
     @Test
-    void aLoopThatWasHeldUpSaysForHowLong() throws Exception {
+    void reportsDelayAfterBlockedLoop() throws Exception {
         EventLoopDelay stall = new EventLoopDelay(new LoopClock(loop, 0));
         loop.submit(stall::start).get();
-        stall(new CountDownLatch(0), STALL_MS);
+        blockLoop(new CountDownLatch(0), DELAY_MS);
         // In the turn after: what came during the stall is read then.
         long us = loop.submit(stall::currentUs).get();
-        assertTrue(us >= TimeUnit.MILLISECONDS.toMicros(STALL_MS - SLACK_MS), us + " us");
+        assertTrue(us >= TimeUnit.MILLISECONDS.toMicros(DELAY_MS - TOLERANCE_MS), us + " us");
         loop.submit(stall::close).get();
     }
 }
--- a/src/test/java/vetchpost/node/NodeTest.java
+++ b/src/test/java/vetchpost/node/NodeTest.java
@@ -93,7 +93,7 @@
         return socket;
     }
 
-    private String ask(String request) throws Exception {
+    private String send(String request) throws Exception {
         FakePeer.write(client, request);
         return FakePeer.read(client);
     }
@@ -104,9 +104,9 @@
     }
 
     @Test
-    void aRequestGoesOnUnchangedAndIsServedOnce() throws Exception {
+    void forwardsRequestUnchangedOnce() throws Exception {
         start(first);
-        String answer = ask(Fixture.request(
+        String answer = send(Fixture.request(
                 "POST",
                 "/photo/7?size=2",
                 1,
@@ -123,22 +123,22 @@
         int left = Integer.parseInt(FakePeer.header(sent, "X-Remaining-Ms"));
         assertTrue(left > 0 && left <= Fixture.REMAINING_MS, "waits for " + left);
         assertTrue(first.requests.isEmpty());
-        assertEquals(200, status(ask("GET /ready HTTP/1.1\r\n\r\n")));
+        assertEquals(200, status(send("GET /ready HTTP/1.1\r\n\r\n")));
     }
 
     @Test
-    void aRehearsedRequestThatComesAfterTheRehearsalReachesNoServer() throws Exception {
+    void answersLateRehearsalRequestItself() throws Exception {
         start(first);
         JsonObject json = Fixture.config(discovery, first);
         String token = Long.toHexString(
                 new SplittableRandom(Long.parseUnsignedLong(json.get("seed").getAsString(), 16)).nextLong());
         String header = ClientServer.REHEARSAL_HEADER + ": " + token + "\r\n";
-        assertTrue(ask(Fixture.request("GET", "/view/1", 98, header, "")).contains("rehearsed"));
+        assertTrue(send(Fixture.request("GET", "/view/1", 98, header, "")).contains("rehearsed"));
         assertTrue(first.requests.isEmpty(), "sent on");
     }
 
     @Test
-    void requestsSentAheadAreAnsweredInOrder() throws Exception {
+    void answersPipelinedRequestsInOrder() throws Exception {
         first.script((socket, request) -> {
             String path = request.split(" ")[1];
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + path.length() + "\r\n\r\n" + path);
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void aLongLineSentAheadIsAnsweredToItsEnd() throws Exception {
+    void answersLongPipelineCompletely() throws Exception {
         int most = 3_000;
         first.script(FakePeer.SILENT);
         start(first);
@@ -170,20 +170,20 @@
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsNeverSentAgainNorRefused() throws Exception {
+    void neitherRetriesNorRejectsUnsafeRequestThatMayHaveRun() throws Exception {
         first.script(FakePeer.RESET);
         second.script(FakePeer.RESET);
         start(first, second);
-        int status = status(ask(Fixture.request("POST", "/order", 1, "", "")));
+        int status = status(send(Fixture.request("POST", "/order", 1, "", "")));
         assertTrue(status >= 500 && status != 503, "answered " + status);
         // Answers come after all sends: what follows would be seen only later than this round trip.
-        assertEquals(200, status(ask("GET /ready HTTP/1.1\r\n\r\n")));
+        assertEquals(200, status(send("GET /ready HTTP/1.1\r\n\r\n")));
         assertEquals(1, first.requests.size() + second.requests.size());
     }
 
     /** Two zones that only the list names are two: what may have run in one does not go to the other. */
     @Test
-    void aKeyedRequestStaysInAZoneThatTheSettingsDoNotName() throws Exception {
+    void keepsKeyedRequestInZoneMissingFromSettings() throws Exception {
         FakePeer.Script failing = FakePeer.answer("500 Error", "", "");
         first.script(failing);
         second.script(failing);
@@ -219,67 +219,67 @@
     }
 
     @Test
-    void aSafeRequestPassesOnAfterAnError() throws Exception {
+    void retriesSafeRequestAfterError() throws Exception {
         first.script(FakePeer.answer("500 No", "", ""));
         start(first, second);
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
+            assertEquals(200, status(send(Fixture.request("GET", "/view", i, "", ""))));
         }
         assertFalse(second.requests.isEmpty());
     }
 
     @Test
-    void aRefusalComesAtOnceWithAdvice() throws Exception {
+    void answers503WithRetryAfterOnServerRejection() throws Exception {
         first.script(FakePeer.answer("503 Full", "X-Turned-Away: 1\r\n", ""));
         start(first);
-        String answer = ask(Fixture.request("POST", "/order", 1, "", ""));
+        String answer = send(Fixture.request("POST", "/order", 1, "", ""));
         assertEquals(503, status(answer));
         assertEquals("1", FakePeer.header(answer, "Retry-After"));
     }
 
     @Test
-    void silenceIsAnsweredWithinTheClientsTimeAndItsConnectionEnded() throws Exception {
+    void answersWithinDeadlineWhenServerIsSilent() throws Exception {
         first.script(FakePeer.SILENT);
         start(first);
         long from = System.nanoTime();
-        int status = status(ask(Fixture.request("POST", "/slow", 1, "", "")
+        int status = status(send(Fixture.request("POST", "/slow", 1, "", "")
                 .replace("Remaining-Ms: " + Fixture.REMAINING_MS, "Remaining-Ms: 700")));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
         assertTrue(status >= 500 && status != 503, "answered " + status);
         assertTrue(tookMs >= 600, "given up after " + tookMs + " ms");
-        FakePeer.takeWithTimeout(first.ended);
+        FakePeer.takeWithTimeout(first.closedByClient);
         assertEquals(1, first.requests.size());
     }
 
     @Test
-    void aClientThatLeavesEndsItsAttempt() throws Exception {
+    void abandonsAttemptWhenClientDisconnects() throws Exception {
         first.script(FakePeer.SILENT);
         start(first);
         FakePeer.write(client, Fixture.request("GET", "/view", 1, "", ""));
         first.nextRequest();
         client.close();
-        FakePeer.takeWithTimeout(first.ended);
+        FakePeer.takeWithTimeout(first.closedByClient);
         assertTrue(first.requests.isEmpty(), "sent again for nobody");
     }
 
     @Test
-    void aServerThatClosesAnIdleConnectionCostsNoRequest() throws Exception {
+    void losesNoRequestWhenServerClosesIdleConnection() throws Exception {
         start(first);
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, status(ask(Fixture.request("POST", "/order", i, "", ""))));
+            assertEquals(200, status(send(Fixture.request("POST", "/order", i, "", ""))));
             FakePeer.takeWithTimeout(first.accepted).close();
-            FakePeer.takeWithTimeout(first.ended);
+            FakePeer.takeWithTimeout(first.closedByClient);
         }
         assertEquals(5, first.requests.size());
     }
 
     @Test
-    void aServerThatDrainsGetsNothingNew() throws Exception {
+    void sendsNothingNewToDrainingServer() throws Exception {
         start(first, second);
         String call = discovery.nextRequest();
         assertTrue(call.startsWith("GET /v1/endpoints?watch=1&after=41 "), call);
         Socket watch = FakePeer.takeWithTimeout(discovery.accepted);
-        assertEquals(200, status(ask(Fixture.request("GET", "/view", 0, "", ""))));
+        assertEquals(200, status(send(Fixture.request("GET", "/view", 0, "", ""))));
         Fixture.beginWatch(watch);
         Fixture.writeLine(watch, Fixture.list(42, false, "Terminating", first));
         // Its idle connections go back as soon as it has gone: the sign that the node has read the line.
@@ -288,7 +288,7 @@
         int quiet = 0;
         for (int i = 1; quiet < 20; i++) {
             int before = first.requests.size();
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
+            assertEquals(200, status(send(Fixture.request("GET", "/view", i, "", ""))));
             quiet = first.requests.size() == before ? quiet + 1 : 0;
             assertTrue(System.nanoTime() < until, "the draining server is still sent to");
         }
@@ -298,7 +298,7 @@
     }
 
     @Test
-    void badInputIsAnswered4xxAndNeverSentOn() throws Exception {
+    void answersBadInput4xxWithoutForwarding() throws Exception {
         int port = start(Fixture.config(discovery, first));
         String good = Fixture.request("GET", "/view", 1, "", "");
         List<Map.Entry<Integer, String>> cases = new ArrayList<>(List.of(
@@ -315,14 +315,14 @@
                 Map.entry(400, Fixture.request("POST", "/photo", 1, "", "")),
                 Map.entry(400, "COMPLETE NONSENSE\r\n\r\n"),
                 Map.entry(400, good.replace("\r\n\r\n", "\r\nno colon here\r\n\r\n")),
-                Map.entry(400, order("Content-Length: 1\r\nContent-Length: 2\r\n", "xx")),
-                Map.entry(400, order("Content-Length: 1, 1\r\n", "x")),
-                Map.entry(400, order("Content-Length: +1\r\n", "x")),
-                Map.entry(400, order("Content-Length: -1\r\n", "x")),
-                Map.entry(400, order("Content-Length: 99999999999999999999\r\n", "x")),
-                Map.entry(413, order("Content-Length: 60000000\r\n", "x")),
-                Map.entry(400, order("Transfer-Encoding: gzip\r\n", "x")),
-                Map.entry(400, order("Transfer-Encoding: chunked\r\n", "zz\r\nx\r\n")),
+                Map.entry(400, orderRequest("Content-Length: 1\r\nContent-Length: 2\r\n", "xx")),
+                Map.entry(400, orderRequest("Content-Length: 1, 1\r\n", "x")),
+                Map.entry(400, orderRequest("Content-Length: +1\r\n", "x")),
+                Map.entry(400, orderRequest("Content-Length: -1\r\n", "x")),
+                Map.entry(400, orderRequest("Content-Length: 99999999999999999999\r\n", "x")),
+                Map.entry(413, orderRequest("Content-Length: 60000000\r\n", "x")),
+                Map.entry(400, orderRequest("Transfer-Encoding: gzip\r\n", "x")),
+                Map.entry(400, orderRequest("Transfer-Encoding: chunked\r\n", "zz\r\nx\r\n")),
                 Map.entry(413, Fixture.request("POST", "/order", 1, "", "x".repeat(65_537))),
                 Map.entry(
                         413,
@@ -334,7 +334,7 @@
                 Map.entry(431, good.replace("\r\n\r\n", "\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n"))));
         for (Map.Entry<Integer, String> bad : cases) {
             client = connect(port);
-            String answer = ask(bad.getValue());
+            String answer = send(bad.getValue());
             String shown =
                     bad.getValue().substring(0, Math.min(200, bad.getValue().length()));
             assertEquals(bad.getKey(), status(answer), shown);
@@ -342,20 +342,20 @@
             client.close();
         }
         client = connect(port);
-        assertEquals(200, status(ask(good)));
+        assertEquals(200, status(send(good)));
         assertEquals(1, first.requests.size());
     }
 
     /** An order with these headers for its length. */
-    private static String order(String lengths, String body) {
+    private static String orderRequest(String lengths, String body) {
         return Fixture.request("POST", "/order", 1, "", "").replace("Content-Length: 0\r\n", lengths) + body;
     }
 
     @Test
-    void aRequestHiddenInABodyOfTwoLengthsIsNotTaken() throws Exception {
+    void rejectsRequestSmuggledByConflictingLengths() throws Exception {
         start(first);
         String hidden = Fixture.request("POST", "/order", 2, "", "");
-        String answer = ask(order(
+        String answer = send(orderRequest(
                 "Content-Length: " + (5 + hidden.length()) + "\r\nTransfer-Encoding: chunked\r\n",
                 "0\r\n\r\n" + hidden));
         assertEquals(400, status(answer));
@@ -365,11 +365,11 @@
     }
 
     @Test
-    void aClientThatSendsBadRequestsAgainAndAgainIsClosed() throws Exception {
+    void closesConnectionAfterRepeatedBadRequests() throws Exception {
         start(first);
         String bad = Fixture.request("GET", "/nothing", 1, "", "");
         int answers = 0;
-        for (String answer = ask(bad); answer != null && answers < 100; answer = ask(bad)) {
+        for (String answer = send(bad); answer != null && answers < 100; answer = send(bad)) {
             assertEquals(404, status(answer));
             answers++;
             if ("close".equals(FakePeer.header(answer, "Connection"))) {
@@ -382,13 +382,13 @@
     }
 
     @Test
-    void whoSaysNothingOrHalfARequestIsNotWaitedForLong() throws Exception {
+    void closesSilentOrPartialConnections() throws Exception {
         int port = start(Fixture.config(discovery, first));
         try (Socket silent = connect(port);
                 Socket half = connect(port)) {
             client = connect(port);
             FakePeer.write(half, "GET /view HTTP/1.1\r\nX-Txn: ");
-            FakePeer.write(client, order("Content-Length: 10\r\n", "half"));
+            FakePeer.write(client, orderRequest("Content-Length: 10\r\n", "half"));
             assertNull(FakePeer.read(silent));
             assertEquals(408, status(FakePeer.read(half)));
             assertEquals(408, status(FakePeer.read(client)));
@@ -396,12 +396,12 @@
     }
 
     @Test
-    void roomIsMadeByThoseThatNeverAskedAndNotByARequestThatIsComing() throws Exception {
+    void closesSilentConnectionsBeforeOneReceivingRequest() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
         json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.MIN_DESCRIPTORS);
         int port = start(json);
         client = connect(port);
-        assertEquals(200, status(ask(Fixture.request("GET", "/view", 1, "", ""))));
+        assertEquals(200, status(send(Fixture.request("GET", "/view", 1, "", ""))));
         String request = Fixture.request("GET", "/view", 2, "", "");
         FakePeer.write(client, request.substring(0, 30));
         List<Socket> silent = new ArrayList<>();
@@ -417,7 +417,7 @@
     }
 
     @Test
-    void newConnectionsAcceptedTogetherDoNotPushOneAnotherOut() throws Exception {
+    void keepsConnectionsAcceptedTogether() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
         json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.MIN_DESCRIPTORS);
         int port = start(json);
@@ -425,7 +425,7 @@
         for (int i = 0; i < new SocketBudget(SocketBudget.MIN_DESCRIPTORS).maxClients(); i++) {
             client = connect(port);
             all.add(client);
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
+            assertEquals(200, status(send(Fixture.request("GET", "/view", i, "", ""))));
         }
         CountDownLatch sent = new CountDownLatch(1);
         group.next().execute(() -> {
@@ -452,7 +452,7 @@
     }
 
     @Test
-    void whoAsksOnceAndStaysIsClosedOnceConnectionsAreMany() throws Exception {
+    void closesOldIdleConnectionsWhenThereAreMany() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
         json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.RESERVED_DESCRIPTORS + 80);
         int port = start(json);
@@ -461,17 +461,17 @@
         for (int i = 0; i < 25; i++) {
             client = connect(port);
             all.add(client);
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
+            assertEquals(200, status(send(Fixture.request("GET", "/view", i, "", ""))));
         }
         assertNull(FakePeer.read(all.get(0)), "the oldest is kept");
-        assertEquals(200, status(ask(Fixture.request("GET", "/view", 99, "", ""))));
+        assertEquals(200, status(send(Fixture.request("GET", "/view", 99, "", ""))));
         for (Socket socket : all) {
             socket.close();
         }
     }
 
     @Test
-    void inACrowdAConnectionEndsWithItsAnswer() throws Exception {
+    void closesConnectionWithResponseNearLimit() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
         json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.RESERVED_DESCRIPTORS + 56);
         int port = start(json);
@@ -481,7 +481,7 @@
             all.add(connect(port));
         }
         client = connect(port);
-        String answer = ask(Fixture.request("GET", "/view", 1, "", ""));
+        String answer = send(Fixture.request("GET", "/view", 1, "", ""));
         assertEquals(200, status(answer));
         assertEquals("close", FakePeer.header(answer, "Connection"));
         for (Socket socket : all) {
@@ -490,20 +490,20 @@
     }
 
     @Test
-    void anIdInHandIsNotTakenTwice() throws Exception {
+    void rejectsDuplicateIdOfPendingRequest() throws Exception {
         first.script(FakePeer.SILENT);
         int port = start(Fixture.config(discovery, first));
         try (Socket other = connect(port)) {
             FakePeer.write(other, Fixture.request("POST", "/order", 1, "", ""));
             first.nextRequest();
             client = connect(port);
-            assertEquals(409, status(ask(Fixture.request("POST", "/order", 1, "", ""))));
+            assertEquals(409, status(send(Fixture.request("POST", "/order", 1, "", ""))));
         }
         assertTrue(first.requests.isEmpty());
     }
 
     @Test
-    void idleConnectionsMakeRoomUnderTheLimitOfSockets() throws Exception {
+    void closesIdleConnectionsAtSocketLimit() throws Exception {
         JsonObject json = Fixture.config(discovery, first);
         json.getAsJsonObject("limits").addProperty("sockets", SocketBudget.MIN_DESCRIPTORS);
         int port = start(json);
@@ -511,7 +511,7 @@
         for (int i = 0; i < 40; i++) {
             client = connect(port);
             all.add(client);
-            assertEquals(200, status(ask(Fixture.request("GET", "/view", i, "", ""))));
+            assertEquals(200, status(send(Fixture.request("GET", "/view", i, "", ""))));
         }
         assertNull(FakePeer.read(all.get(0)), "the oldest idle connection is still open");
         for (Socket socket : all) {
@@ -520,7 +520,7 @@
     }
 
     @Test
-    void aNodeWarmsUpBeforeAnybodyCanConnectAndKeepsNothingOfIt() throws Exception {
+    void warmsUpBeforeListeningAndKeepsNoState() throws Exception {
         // Guards the full fleet's herd days: what clients sent to nodes that had only just begun to listen
         // lay unread past its time while the code was cold.
         EventLoop loop = group.next();
@@ -539,12 +539,12 @@
                 .channel();
         assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never ready");
         client = connect(((InetSocketAddress) channel.localAddress()).getPort());
-        assertEquals(200, status(ask(Fixture.request("GET", "/view", 1, "", ""))));
+        assertEquals(200, status(send(Fixture.request("GET", "/view", 1, "", ""))));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1_024, 1_025})
-    void aThousandNodesBeforeAThousandServersAreNeitherRefusedNorCut(int many) throws Exception {
+    void acceptsAThousandNodesAndServers(int many) throws Exception {
         JsonObject json = Fixture.config(discovery);
         JsonObject settings = json.getAsJsonObject("settings");
         settings.addProperty("balancers", many);
@@ -580,11 +580,11 @@
         assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never ready");
         assertEquals(many, loop.submit(node::serverCount).get());
         client = connect(((InetSocketAddress) channel.localAddress()).getPort());
-        assertEquals(200, status(ask(Fixture.request("GET", "/view", 1, "", ""))));
+        assertEquals(200, status(send(Fixture.request("GET", "/view", 1, "", ""))));
     }
 
     /** A loop that counts the turns in which it could wait for something to do. */
-    private static IoHandlerFactory counted(AtomicInteger waits) {
+    private static IoHandlerFactory countingWaits(AtomicInteger waits) {
         IoHandlerFactory system = NioIoHandler.newFactory();
         return executor -> {
             IoHandler handler = system.newHandler(executor);
@@ -599,12 +599,12 @@
     }
 
     @Test
-    void aNodeHasWaitedAfterItsWarmUpBeforeItListens() throws Exception {
+    void yieldsAfterWarmUpBeforeListening() throws Exception {
         // Guards the full fleet's herd days: a process that has a part of a processor pays for a long stretch
         // of work in the wait behind it; a socket opened in that stretch stood open, and unread, for a
         // second.
         AtomicInteger waits = new AtomicInteger();
-        EventLoopGroup counted = new MultiThreadIoEventLoopGroup(1, counted(waits));
+        EventLoopGroup counted = new MultiThreadIoEventLoopGroup(1, countingWaits(waits));
         try {
             EventLoop loop = counted.next();
             String file = Fixture.write(Fixture.config(discovery, first)).toString();
@@ -631,9 +631,9 @@
 
     /** A socket that is closed is closed by the system when its loop has waited again, and not before. */
     @Test
-    void aStoppingNodeWaitsOnceMoreAfterItsLastConnectionHasEnded() throws Exception {
+    void yieldsAfterLastConnectionBeforeStopping() throws Exception {
         AtomicInteger waits = new AtomicInteger();
-        EventLoopGroup counted = new MultiThreadIoEventLoopGroup(1, counted(waits));
+        EventLoopGroup counted = new MultiThreadIoEventLoopGroup(1, countingWaits(waits));
         try {
             EventLoop loop = counted.next();
             String file = Fixture.write(Fixture.config(discovery, first)).toString();
@@ -676,7 +676,7 @@
     }
 
     @Test
-    void aNodeThatIsToStopWhileItWarmsUpNeverListens() throws Exception {
+    void doesNotListenWhenStoppedDuringWarmUp() throws Exception {
         // What came to it then would be taken by a process that is about to end.
         EventLoop loop = group.next();
         String file = Fixture.write(Fixture.config(discovery, first)).toString();
--- a/src/test/java/vetchpost/node/CrowdedNodeTest.java
+++ b/src/test/java/vetchpost/node/OverloadedNodeTest.java
@@ -42,10 +42,10 @@
  * there are more clients than descriptors, when the loop was held up, and when the node stops.
  */
 @Timeout(120)
-class CrowdedNodeTest {
+class OverloadedNodeTest {
     private static final FakePeer.Script SERVED = FakePeer.answer("200 OK", "", "done");
     /** Past the time after which one that never asked is closed, and past several sweeps. */
-    private static final long HELD_UP_MS = 2_300;
+    private static final long LOOP_BLOCK_MS = 2_300;
 
     private final List<Socket> clients = new ArrayList<>();
     private EventLoopGroup group;
@@ -53,7 +53,7 @@
     private FakePeer discovery;
     private FakePeer server;
     private Node node;
-    private Socket holding;
+    private Socket blockingClient;
     private int port;
 
     @BeforeEach
@@ -69,8 +69,8 @@
         for (Socket client : clients) {
             client.close();
         }
-        if (holding != null) {
-            holding.close();
+        if (blockingClient != null) {
+            blockingClient.close();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         discovery.close();
@@ -95,13 +95,13 @@
         return socket;
     }
 
-    private Socket ask(int id) throws IOException {
+    private Socket sendRequest(int id) throws IOException {
         Socket socket = connect();
-        ask(socket, id);
+        sendRequest(socket, id);
         return socket;
     }
 
-    private static void ask(Socket socket, int id) throws IOException {
+    private static void sendRequest(Socket socket, int id) throws IOException {
         FakePeer.write(socket, Fixture.request("GET", "/view", id, "", ""));
     }
 
@@ -114,7 +114,7 @@
      * Keeps the loop from its sockets and timers until the latch is down, and for so long at least. It does
      * so while the loop reads, so that timers which have become due come before what lies unread.
      */
-    private CountDownLatch holdUp(long leastMs) throws Exception {
+    private CountDownLatch blockLoop(long leastMs) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         Channel holder = new ServerBootstrap()
@@ -135,15 +135,15 @@
                 .bind("127.0.0.1", 0)
                 .sync()
                 .channel();
-        holding = new Socket("127.0.0.1", ((InetSocketAddress) holder.localAddress()).getPort());
-        FakePeer.write(holding, "hold");
+        blockingClient = new Socket("127.0.0.1", ((InetSocketAddress) holder.localAddress()).getPort());
+        FakePeer.write(blockingClient, "hold");
         held.await();
         return go;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {128, 256})
-    void moreClientsThanDescriptorsAreToldAtOnceToComeAgain(int descriptors) throws Exception {
+    void rejectsClientsBeyondDescriptorsWithRetryAfter(int descriptors) throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         server.script((socket, request) -> {
             answer.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
@@ -153,7 +153,7 @@
         int served = new SocketBudget(descriptors).maxClients();
         int all = 4 * served;
         for (int i = 0; i < all; i++) {
-            ask(i);
+            sendRequest(i);
         }
         // Their servers say nothing yet, so that no place becomes free: whoever comes last is told so.
         for (Socket client : clients.subList(2 * served, all)) {
@@ -169,24 +169,24 @@
         }
         assertTrue(done > 0, "none was served");
         // And then there is room again.
-        assertEquals(200, status(FakePeer.read(ask(all))));
+        assertEquals(200, status(FakePeer.read(sendRequest(all))));
     }
 
     @Test
-    void whatCameWhileTheLoopWasHeldUpIsReadBeforeAnythingIsClosed() throws Exception {
+    void readsPendingInputBeforeClosingAfterDelay() throws Exception {
         start(1_024);
-        Socket kept = ask(1);
+        Socket kept = sendRequest(1);
         assertEquals(200, status(FakePeer.read(kept)));
         Socket silent = connect();
         Socket half = connect();
         String request = Fixture.request("GET", "/view", 2, "", "");
         FakePeer.write(half, request.substring(0, 40));
         loop.submit(() -> {}).get();
-        CountDownLatch go = holdUp(HELD_UP_MS);
-        ask(kept, 3);
-        ask(silent, 4);
+        CountDownLatch go = blockLoop(LOOP_BLOCK_MS);
+        sendRequest(kept, 3);
+        sendRequest(silent, 4);
         FakePeer.write(half, request.substring(40));
-        ask(5);
+        sendRequest(5);
         go.countDown();
         for (Socket client : clients) {
             assertEquals(200, status(FakePeer.read(client)), "client " + clients.indexOf(client));
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void roomIsNotMadeByAConnectionWhoseRequestLiesUnread() throws Exception {
+    void doesNotCloseConnectionWithUnreadRequest() throws Exception {
         start(SocketBudget.MIN_DESCRIPTORS);
         int most = new SocketBudget(SocketBudget.MIN_DESCRIPTORS).maxClients();
         for (int i = 0; i < most; i++) {
@@ -202,19 +202,19 @@
             // asked.
             Socket client = connect();
             if (i < SocketBudget.MIN_DESCRIPTORS / 4) {
-                ask(client, i);
+                sendRequest(client, i);
                 assertEquals(200, status(FakePeer.read(client)));
             }
         }
         List<Socket> idle = List.copyOf(clients);
         // Past the time for which what has just been answered is left alone; who comes first is accepted
         // first.
-        CountDownLatch go = holdUp(300);
+        CountDownLatch go = blockLoop(300);
         for (int i = 0; i < 4; i++) {
-            ask(100 + i);
+            sendRequest(100 + i);
         }
         for (Socket client : idle) {
-            ask(client, 200 + idle.indexOf(client));
+            sendRequest(client, 200 + idle.indexOf(client));
         }
         go.countDown();
         for (Socket client : idle) {
@@ -227,11 +227,11 @@
     }
 
     @Test
-    void whatWaitedInTheQueueIsOlderThanItsReading() throws Exception {
+    void countsAcceptQueueTimeAgainstDeadline() throws Exception {
         start(1_024);
-        CountDownLatch go = holdUp(1_000);
+        CountDownLatch go = blockLoop(1_000);
         for (int i = 0; i < 200; i++) {
-            ask(i);
+            sendRequest(i);
         }
         go.countDown();
         for (Socket client : clients) {
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void aRequestThatIsOverWhenItIsReadIsAnswered() throws Exception {
+    void answersRequestExpiredOnArrival() throws Exception {
         start(1_024);
         Socket client = connect();
         FakePeer.write(
@@ -254,9 +254,9 @@
     }
 
     @Test
-    void whoConnectsWithinFourTenthsOfASecondOfTheWordToStopIsAnswered() throws Exception {
+    void servesClientsConnecting400MsAfterStop() throws Exception {
         start(1_024);
-        Socket kept = ask(99);
+        Socket kept = sendRequest(99);
         assertEquals(200, status(FakePeer.read(kept)));
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop(stopped::countDown));
@@ -265,7 +265,7 @@
         try {
             for (int i = 0; i <= 40; i++) {
                 int id = i;
-                comers.add(clock.schedule(() -> ask(id), 10L * i, TimeUnit.MILLISECONDS));
+                comers.add(clock.schedule(() -> sendRequest(id), 10L * i, TimeUnit.MILLISECONDS));
             }
             for (Future<Socket> comer : comers) {
                 String answer = FakePeer.read(comer.get());
@@ -279,7 +279,7 @@
     }
 
     @Test
-    void aLongAnswerUnderWayAtTheWordToStopIsWhole() throws Exception {
+    void completesLongResponseAfterStop() throws Exception {
         String body = "x".repeat(64 * 1_024);
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch answer = new CountDownLatch(1);
@@ -291,7 +291,7 @@
         start(1_024);
         Socket client = connect();
         client.setReceiveBufferSize(4_096);
-        ask(client, 1);
+        sendRequest(client, 1);
         asked.await();
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop(stopped::countDown));
@@ -301,7 +301,7 @@
     }
 
     @Test
-    void whoHardlyReadsHoldsUpNobodyAndCanTellThatItsAnswerIsNotWhole() throws Exception {
+    void closesSlowReaderWithoutDelayingOthers() throws Exception {
         String body = "x".repeat(60 * 1_024);
         server.script(FakePeer.answer("200 OK", "", body));
         start(1_024);
@@ -318,7 +318,7 @@
         FakePeer.write(slow, all.toString());
         assertTrue(slow.getInputStream().read() >= 0);
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, status(FakePeer.read(ask(100 + i))));
+            assertEquals(200, status(FakePeer.read(sendRequest(100 + i))));
         }
         long bytes = 1;
         ScheduledExecutorService reader = Executors.newSingleThreadScheduledExecutor();
@@ -342,7 +342,7 @@
     }
 
     @Test
-    void whoSendsSixteenAheadAndLeavesCostsNothing() throws Exception {
+    void releasesPipelinedRequestsOfDisconnectedClient() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
         server.script((socket, request) -> gone.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
         start(1_024);
@@ -357,9 +357,9 @@
         // Its one attempt is given up, and the server sees its connection end.
         FakePeer.takeWithTimeout(server.accepted);
         gone.countDown();
-        FakePeer.takeWithTimeout(server.ended);
+        FakePeer.takeWithTimeout(server.closedByClient);
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
-        assertEquals(200, status(answeredBy(FakePeer.answer("200 OK", "", "done"))));
+        assertEquals(200, status(responseFor(FakePeer.answer("200 OK", "", "done"))));
     }
 
     /**
@@ -368,7 +368,7 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void nothingIsSentForAClientThatSentMuchAndLeft(boolean reset) throws Exception {
+    void forwardsNothingForDisconnectedPipeliningClient(boolean reset) throws Exception {
         server.script(FakePeer.SILENT);
         start(1_024);
         Socket client = connect();
@@ -383,14 +383,14 @@
         }
         client.close();
         // The attempt is given up long before its time, which is ten seconds and more.
-        assertNotNull(server.ended.poll(5, TimeUnit.SECONDS), "nobody has noticed");
+        assertNotNull(server.closedByClient.poll(5, TimeUnit.SECONDS), "nobody has noticed");
         assertEquals(0, loop.submit(node::pendingWork).get().bytes());
         assertTrue(server.requests.isEmpty(), "sent on for nobody: " + server.requests.size());
     }
 
     /** The same, found out when the answer comes, in the turn in which the next would be taken. */
     @Test
-    void theAnswerToOneThatLeftSendsNoneOfTheRest() throws Exception {
+    void forwardsNothingWhenResponseAndDisconnectArriveTogether() throws Exception {
         server.script(FakePeer.SILENT);
         start(1_024);
         Socket client = connect();
@@ -402,18 +402,18 @@
         server.nextRequest();
         Socket attempt = FakePeer.takeWithTimeout(server.accepted);
         // Held up, so that the end and the answer lie there together.
-        CountDownLatch go = holdUp(0);
+        CountDownLatch go = blockLoop(0);
         client.close();
         FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         go.countDown();
-        ask(connect(), 500);
+        sendRequest(connect(), 500);
         assertTrue(server.nextRequest().contains(String.format("%016x", 500)), "sent on for nobody");
         assertEquals(0, loop.submit(() -> node.pendingWork().requests()).get() - 1);
     }
 
     /** What waits for room is not sent in the turn in which a loop that was held up finds its client gone. */
     @Test
-    void whoLeftWhileTheLoopWasHeldUpIsSentNowhere() throws Exception {
+    void forwardsNothingForClientGoneDuringDelay() throws Exception {
         server.script(FakePeer.SILENT);
         start(1_024);
         List<Socket> waiting = new ArrayList<>();
@@ -421,7 +421,7 @@
         // As many as one server is given at first; what comes behind waits in the module.
         int out = 0;
         for (int i = 0; i < 40; i++) {
-            waiting.add(ask(i));
+            waiting.add(sendRequest(i));
         }
         for (Socket attempt = FakePeer.takeWithTimeout(server.accepted);
                 attempt != null;
@@ -432,7 +432,7 @@
         assertTrue(out < 40, "none waits: " + out);
         List<String> sent = new ArrayList<>();
         server.requests.drainTo(sent);
-        CountDownLatch go = holdUp(400);
+        CountDownLatch go = blockLoop(400);
         for (Socket attempt : attempts) {
             FakePeer.write(attempt, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
         }
@@ -440,27 +440,27 @@
             client.close();
         }
         go.countDown();
-        ask(500);
+        sendRequest(500);
         String next = server.nextRequest();
         assertTrue(next.contains(String.format("%016x", 500)), "sent on for nobody: " + next);
     }
 
-    private String answeredBy(FakePeer.Script script) throws Exception {
+    private String responseFor(FakePeer.Script script) throws Exception {
         server.script(script);
-        return FakePeer.read(ask(77));
+        return FakePeer.read(sendRequest(77));
     }
 
     @Test
-    void aNodeThatStopsAnswersWhatItsQueueHolds() throws Exception {
+    void servesAcceptQueueOnStop() throws Exception {
         start(1_024);
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop(stopped::countDown));
         // Over the time at which it would stop to listen.
-        CountDownLatch go = holdUp(1_000);
+        CountDownLatch go = blockLoop(1_000);
         for (int i = 0; i < 200; i++) {
             Socket client = connect();
             if (i % 2 == 0) {
-                ask(client, i);
+                sendRequest(client, i);
             }
         }
         go.countDown();
--- a/src/test/java/vetchpost/node/RequestLogTest.java
+++ b/src/test/java/vetchpost/node/RequestLogTest.java
@@ -74,7 +74,7 @@
     }
 
     /** One request of a client that leaves behind its answer. */
-    private void askOnce() throws Exception {
+    private void sendOneRequest() throws Exception {
         EventLoop loop = group.next();
         try (FakePeer discovery = new FakePeer(FakePeer.SILENT);
                 FakePeer server = new FakePeer(FakePeer.answer("200 OK", "", "done"))) {
@@ -103,9 +103,9 @@
     }
 
     @Test
-    void aRequestIsFollowedFromItsConnectionToItsEnd() throws Exception {
+    void logsRequestFromAcceptToClose() throws Exception {
         LOGGER.setLevel(Level.FINE);
-        askOnce();
+        sendOneRequest();
         assertLine(0, "accept 1 /127.0.0.1:");
         assertLine(1, "whole 1 /view txn 0000000000000abc");
         assertLine(2, "take 1 txn 0000000000000abc read before ");
@@ -118,13 +118,13 @@
     }
 
     @Test
-    void nothingIsWrittenUnlessItIsAskedFor() throws Exception {
-        askOnce();
+    void logsNothingUnlessEnabled() throws Exception {
+        sendOneRequest();
         assertEquals(List.of(), lines);
     }
 
     @Test
-    void theFileThatTurnsItOnNamesItsLogger() throws Exception {
+    void settingsFileEnablesLogger() throws Exception {
         Properties settings = new Properties();
         try (InputStream file = Files.newInputStream(Path.of("deploy/request-log.properties"))) {
             settings.load(file);
--- a/src/test/java/vetchpost/node/WatchRacesTest.java
+++ b/src/test/java/vetchpost/node/WatchRacesTest.java
@@ -36,9 +36,9 @@
     private EventLoopGroup group;
     private EventLoop loop;
     private FakePeer discovery;
-    private FakePeer moved;
-    private FakePeer drained;
-    private FakePeer well;
+    private FakePeer newDiscovery;
+    private FakePeer drainingServer;
+    private FakePeer readyServer;
     private NodeConfig config;
     private Node node;
 
@@ -47,9 +47,9 @@
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = group.next();
         discovery = new FakePeer(FakePeer.SILENT);
-        moved = new FakePeer(FakePeer.SILENT);
-        drained = new FakePeer(SERVED);
-        well = new FakePeer(SERVED);
+        newDiscovery = new FakePeer(FakePeer.SILENT);
+        drainingServer = new FakePeer(SERVED);
+        readyServer = new FakePeer(SERVED);
     }
 
     @AfterEach
@@ -57,13 +57,13 @@
         loop.submit(node::close).get();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         discovery.close();
-        moved.close();
-        drained.close();
-        well.close();
+        newDiscovery.close();
+        drainingServer.close();
+        readyServer.close();
     }
 
-    private void make(boolean pushed) throws Exception {
-        JsonObject json = Fixture.config(discovery, drained, well);
+    private void createNode(boolean pushed) throws Exception {
+        JsonObject json = Fixture.config(discovery, drainingServer, readyServer);
         if (pushed) {
             json.getAsJsonObject("settings").addProperty("membershipMode", "pushed");
         }
@@ -72,8 +72,8 @@
     }
 
     /** The node's configuration, but with discovery elsewhere. */
-    private NodeConfig movedTo(FakePeer elsewhere) throws Exception {
-        JsonObject json = Fixture.config(elsewhere, drained, well);
+    private NodeConfig configWithDiscovery(FakePeer elsewhere) throws Exception {
+        JsonObject json = Fixture.config(elsewhere, drainingServer, readyServer);
         return NodeConfig.read(Map.of("LB_CONFIG", Fixture.write(json).toString()));
     }
 
@@ -89,7 +89,7 @@
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    private void onlyTheWellOneIsAsked(int port) throws Exception {
+    private void assertOnlyReadyServerReceivesRequests(int port) throws Exception {
         try (Socket client = new Socket("127.0.0.1", port)) {
             client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
             for (int i = 0; i < 20; i++) {
@@ -97,14 +97,14 @@
                 assertTrue(FakePeer.read(client).startsWith("HTTP/1.1 200"));
             }
         }
-        assertTrue(drained.requests.isEmpty(), "sent to what it had been told of");
+        assertTrue(drainingServer.requests.isEmpty(), "sent to what it had been told of");
     }
 
     /** What the agent has counts as told from the first moment: nobody may come before it is known. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aPushedListIsTakenInBeforeAnybodyCanConnect(boolean late) throws Exception {
-        make(true);
+    void appliesPushedListBeforeListening(boolean late) throws Exception {
+        createNode(true);
         CountDownLatch said = new CountDownLatch(1);
         if (!late) {
             said.countDown();
@@ -112,7 +112,7 @@
         discovery.script((socket, request) -> {
             said.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             Fixture.beginWatch(socket);
-            Fixture.writeLine(socket, Fixture.list(42, false, "Terminating", drained));
+            Fixture.writeLine(socket, Fixture.list(42, false, "Terminating", drainingServer));
         });
         CountDownLatch warm = warmUp();
         assertTrue(discovery.nextRequest().contains("&after=41 "));
@@ -121,14 +121,14 @@
             said.countDown();
         }
         assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
-        onlyTheWellOneIsAsked(listen());
+        assertOnlyReadyServerReceivesRequests(listen());
         assertTrue(discovery.requests.isEmpty(), "asked twice");
     }
 
     /** An agent that is silent, since discovery is down, keeps no node away. */
     @Test
-    void aSilentAgentIsNotWaitedForWithoutEnd() throws Exception {
-        make(true);
+    void startsWithKnownListWhenAgentIsSilent() throws Exception {
+        createNode(true);
         CountDownLatch warm = warmUp();
         discovery.nextRequest();
         assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "waits for ever");
@@ -137,15 +137,15 @@
 
     /** Opened before the known list is taken in, its watch would bring news that the known list goes over. */
     @Test
-    void aMoveOfDiscoveryWhileTheNodeWarmsUp() throws Exception {
-        make(false);
+    void usesNewDiscoveryAddressMovedDuringWarmUp() throws Exception {
+        createNode(false);
         FakePeer.Script told = (socket, request) -> {
             Fixture.beginWatch(socket);
-            Fixture.writeLine(socket, Fixture.list(7, true, "Ready", well));
+            Fixture.writeLine(socket, Fixture.list(7, true, "Ready", readyServer));
         };
         discovery.script(told);
-        moved.script(told);
-        NodeConfig elsewhere = movedTo(moved);
+        newDiscovery.script(told);
+        NodeConfig elsewhere = configWithDiscovery(newDiscovery);
         CountDownLatch warm = new CountDownLatch(1);
         loop.submit(() -> {
                     node.warmUp(20, warm::countDown);
@@ -153,40 +153,40 @@
                 })
                 .get();
         assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
-        assertTrue(moved.nextRequest().startsWith("GET /v1/endpoints?watch=1 "), "a version of the old one");
-        assertNull(moved.requests.poll(300, TimeUnit.MILLISECONDS), "asked twice");
+        assertTrue(newDiscovery.nextRequest().startsWith("GET /v1/endpoints?watch=1 "), "a version of the old one");
+        assertNull(newDiscovery.requests.poll(300, TimeUnit.MILLISECONDS), "asked twice");
         assertTrue(discovery.requests.isEmpty(), "the old address was asked");
-        onlyTheWellOneIsAsked(listen());
+        assertOnlyReadyServerReceivesRequests(listen());
     }
 
     /** The module's own next call is due just when the one that a move has made waits for its answer. */
     @Test
-    void aCallThatIsOnItsWayIsNotMadeAgain() throws Exception {
+    void doesNotRepeatPendingWatchRequest() throws Exception {
         discovery.script(FakePeer.answer("503 Later", "", "busy"));
         CountDownLatch answer = new CountDownLatch(1);
-        moved.script((socket, request) -> {
+        newDiscovery.script((socket, request) -> {
             answer.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS);
             Fixture.beginWatch(socket);
-            Fixture.writeLine(socket, Fixture.list(7, true, "Ready", well));
+            Fixture.writeLine(socket, Fixture.list(7, true, "Ready", readyServer));
         });
-        make(false);
+        createNode(false);
         CountDownLatch warm = warmUp();
         assertTrue(warm.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never warm");
         discovery.nextRequest();
-        FakePeer.takeWithTimeout(discovery.ended);
-        NodeConfig elsewhere = movedTo(moved);
+        FakePeer.takeWithTimeout(discovery.closedByClient);
+        NodeConfig elsewhere = configWithDiscovery(newDiscovery);
         loop.submit(() -> node.moveDiscovery(elsewhere)).get();
-        assertNotNull(moved.nextRequest());
+        assertNotNull(newDiscovery.nextRequest());
         // Its back-off after the failure is 375 ms at most.
-        assertNull(moved.requests.poll(800, TimeUnit.MILLISECONDS), "asked twice");
+        assertNull(newDiscovery.requests.poll(800, TimeUnit.MILLISECONDS), "asked twice");
         answer.countDown();
-        onlyTheWellOneIsAsked(listen());
+        assertOnlyReadyServerReceivesRequests(listen());
     }
 
     /** What waits of a large list in the old core is past the watch's version: nobody tells it again. */
     @Test
-    void aListThatIsTakenInHalfWhenTheSettingsChange() throws Exception {
-        make(false);
+    void keepsPartlyAppliedListOnReconfigure() throws Exception {
+        createNode(false);
         StringBuilder targets = new StringBuilder();
         for (int i = 0; i < 3_000; i++) {
             targets.append(i == 0 ? "" : ",")
@@ -213,8 +213,8 @@
 
     /** Opened again as soon as it is lost, and paced if it is lost at once. */
     @Test
-    void aPushedWatchThatIsLostIsOpenedAgainWithinTheGraceOfADrain() throws Exception {
-        make(true);
+    void reopensLostPushedWatchWithinDrainGrace() throws Exception {
+        createNode(true);
         discovery.script((socket, request) -> Fixture.beginWatch(socket));
         loop.submit(() -> node.start(group, 0, () -> {})).get();
         long calls = 0;
--- a/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveredNodeTest.java
@@ -62,8 +62,8 @@
     private EventLoop loop;
     private ExecutorService writer;
     private FakePeer discovery;
-    private final List<AutoCloseable> open = new ArrayList<>();
-    private final BlockingQueue<Long> kept = new LinkedBlockingQueue<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
+    private final BlockingQueue<Long> writtenLengths = new LinkedBlockingQueue<>();
 
     @BeforeEach
     void open() throws Exception {
@@ -71,12 +71,12 @@
         loop = group.next();
         writer = Executors.newSingleThreadExecutor();
         discovery = new FakePeer(FakePeer.SILENT);
-        open.add(discovery);
+        closeables.add(discovery);
     }
 
     @AfterEach
     void close() throws Exception {
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -84,16 +84,16 @@
     }
 
     /** A box that tells its id, or what stands in its place, and serves with its name. */
-    private FakePeer box(String says, String serves) throws IOException {
+    private FakePeer server(String says, String serves) throws IOException {
         FakePeer box = new FakePeer((socket, request) -> {
             String body = request.startsWith("GET /who ") ? says : serves;
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         });
-        open.add(box);
+        closeables.add(box);
         return box;
     }
 
-    private static ServerRecord state(String id, int port, long confirmedMs) {
+    private static ServerRecord serverRecord(String id, int port, long confirmedMs) {
         return new ServerRecord(
                 new Target(id, new InetSocketAddress("127.0.0.1", port), "a", 3, ServerState.READY, 1, 0),
                 confirmedMs,
@@ -154,18 +154,18 @@
                         .channel()
                         .localAddress())
                 .getPort();
-        open.add(() -> loop.submit(node::close).sync());
+        closeables.add(() -> loop.submit(node::close).sync());
         assertTrue(ready.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "never ready");
         return new Running(node, port);
     }
 
-    private long counted(List<byte[]> pieces) throws IOException {
+    private long writeAndRecordLength(List<byte[]> pieces) throws IOException {
         long length = new StateFile(folder.resolve("boxes")).write(pieces);
-        kept.add(length);
+        writtenLengths.add(length);
         return length;
     }
 
-    private static String ask(int port, String request) throws IOException {
+    private static String exchange(int port, String request) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
             FakePeer.write(socket, request);
@@ -175,19 +175,19 @@
         }
     }
 
-    private static String view(int port, long id) throws IOException {
-        return ask(port, Fixture.request("GET", "/view/1", id, "", ""));
+    private static String requestView(int port, long id) throws IOException {
+        return exchange(port, Fixture.request("GET", "/view/1", id, "", ""));
     }
 
-    private static String ready(int port) throws IOException {
-        return ask(port, "GET /ready HTTP/1.1\r\n\r\n");
+    private static String readiness(int port) throws IOException {
+        return exchange(port, "GET /ready HTTP/1.1\r\n\r\n");
     }
 
     /**
      * Asks on one connection until it says so, or patience ends: a connection each time would use up all
      * ports.
      */
-    private static void readyUntil(int port, String words) throws Exception {
+    private static void awaitReadiness(int port, String words) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(FakePeer.TIMEOUT_S));
@@ -202,63 +202,63 @@
     }
 
     @Test
-    void itServesAtOnceFromASnapshotOfJustNow() throws Exception {
-        FakePeer box = box("s-0", "served");
+    void servesAtOnceFromARecentSnapshot() throws Exception {
+        FakePeer box = server("s-0", "served");
         Running node = start(
                 settings(null, 30_000, null),
-                snapshot(2_000, state("s-0", box.port(), System.currentTimeMillis() - 2_000)),
+                snapshot(2_000, serverRecord("s-0", box.port(), System.currentTimeMillis() - 2_000)),
                 null,
                 null);
-        assertTrue(view(node.port, 1).endsWith("served"));
+        assertTrue(requestView(node.port, 1).endsWith("served"));
         assertTrue(
-                ready(node.port).contains("ready: discovery is silent; 1 boxes of a snapshot, 0 given up"),
-                ready(node.port));
+                readiness(node.port).contains("ready: discovery is silent; 1 boxes of a snapshot, 0 given up"),
+                readiness(node.port));
     }
 
     @Test
-    void anOldBoxIsAskedWhoItIsBeforeItIsSentAnything() throws Exception {
-        FakePeer box = box("s-0", "served");
+    void probesAnOldServerBeforeSendingRequests() throws Exception {
+        FakePeer box = server("s-0", "served");
         Running node = start(
                 settings("/who", 30_000, null),
-                snapshot(HOUR_MS, state("s-0", box.port(), System.currentTimeMillis() - HOUR_MS)),
+                snapshot(HOUR_MS, serverRecord("s-0", box.port(), System.currentTimeMillis() - HOUR_MS)),
                 null,
                 null);
-        readyUntil(node.port, "1 boxes of a snapshot");
-        assertTrue(view(node.port, 1).endsWith("served"));
+        awaitReadiness(node.port, "1 boxes of a snapshot");
+        assertTrue(requestView(node.port, 1).endsWith("served"));
         assertTrue(box.requests.poll().startsWith("GET /who HTTP/1.1\r\n"), "asked before anything else");
     }
 
     /** A retired box's address is another application's by now: its answers look like a box's. */
     @Test
-    void nothingIsSentToSomebodyElseAtABoxesAddress() throws Exception {
-        FakePeer stranger = box("welcome to the wiki", "a wrong answer");
-        FakePeer box = box("s-1", "served");
+    void sendsNothingToAnotherServerAtAReusedAddress() throws Exception {
+        FakePeer stranger = server("welcome to the wiki", "a wrong answer");
+        FakePeer box = server("s-1", "served");
         Running node = start(
                 settings("/who", 30_000, null),
                 snapshot(
                         7 * DAY_MS,
-                        state("s-0", stranger.port(), System.currentTimeMillis() - 7 * DAY_MS),
-                        state("s-1", box.port(), System.currentTimeMillis() - 7 * DAY_MS)),
+                        serverRecord("s-0", stranger.port(), System.currentTimeMillis() - 7 * DAY_MS),
+                        serverRecord("s-1", box.port(), System.currentTimeMillis() - 7 * DAY_MS)),
                 null,
                 null);
-        readyUntil(node.port, "0 being asked");
+        awaitReadiness(node.port, "0 being asked");
         for (int i = 0; i < 40; i++) {
-            assertTrue(view(node.port, i).endsWith("served"));
+            assertTrue(requestView(node.port, i).endsWith("served"));
         }
         assertEquals(1, stranger.requests.size(), "it was asked who it is, and nothing more");
         assertTrue(stranger.requests.poll().startsWith("GET /who "));
     }
 
     @Test
-    void aBoxThatCannotBeAskedIsNotUsedOnceItsAddressMayHaveChangedHands() throws Exception {
-        FakePeer stranger = box("", "a wrong answer");
+    void dropsAServerThatCannotBeIdentifiedOnceItsAddressMayBeReused() throws Exception {
+        FakePeer stranger = server("", "a wrong answer");
         Running node = start(
                 settings(null, 30_000, null),
-                snapshot(HOUR_MS, state("s-0", stranger.port(), System.currentTimeMillis() - HOUR_MS)),
+                snapshot(HOUR_MS, serverRecord("s-0", stranger.port(), System.currentTimeMillis() - HOUR_MS)),
                 null,
                 null);
-        assertTrue(ready(node.port).contains("0 boxes of a snapshot, 1 given up"), ready(node.port));
-        String answer = ask(
+        assertTrue(readiness(node.port).contains("0 boxes of a snapshot, 1 given up"), readiness(node.port));
+        String answer = exchange(
                 node.port,
                 Fixture.request("GET", "/view/1", 1, "", "").replace("X-Remaining-Ms: 20000", "X-Remaining-Ms: 200"));
         assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
@@ -266,43 +266,43 @@
     }
 
     @Test
-    void allBoxesOfTheSnapshotAreDeadAndTheListRescues() throws Exception {
+    void servesFromDiscoverysListWhenAllRestoredServersAreDead() throws Exception {
         int dead;
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             dead = closed.getLocalPort();
         }
-        FakePeer box = box("s-9", "served");
+        FakePeer box = server("s-9", "served");
         discovery.script((socket, request) -> {
             Fixture.beginWatch(socket);
             Fixture.writeLine(socket, Fixture.list(50, true, "Ready", box));
         });
         Running node = start(
                 settings(null, 30_000, null),
-                snapshot(2_000, state("s-0", dead, System.currentTimeMillis() - 2_000)),
+                snapshot(2_000, serverRecord("s-0", dead, System.currentTimeMillis() - 2_000)),
                 null,
                 null);
-        readyUntil(node.port, "ready: discovery's list");
+        awaitReadiness(node.port, "ready: discovery's list");
         for (int i = 0; i < 10; i++) {
-            assertTrue(view(node.port, i).endsWith("served"));
+            assertTrue(requestView(node.port, i).endsWith("served"));
         }
     }
 
     /** The list names who drains and leaves out who has gone: both hold from that moment on. */
     @Test
-    void theListTakesTheSnapshotsPlace() throws Exception {
-        FakePeer gone = box("s-0", "gone");
-        FakePeer drains = box("s-1", "drains");
-        FakePeer moved = box("s-2", "old place");
-        FakePeer place = box("s-2", "served");
-        FakePeer fresh = box("s-3", "served anew");
+    void discoverysListReplacesTheSnapshot() throws Exception {
+        FakePeer gone = server("s-0", "gone");
+        FakePeer drains = server("s-1", "drains");
+        FakePeer moved = server("s-2", "old place");
+        FakePeer place = server("s-2", "served");
+        FakePeer fresh = server("s-3", "served anew");
         long ms = System.currentTimeMillis() - 2_000;
         Running node = start(
                 settings(null, 30_000, null),
                 snapshot(
                         2_000,
-                        state("s-0", gone.port(), ms),
-                        state("s-1", drains.port(), ms),
-                        state("s-2", moved.port(), ms)),
+                        serverRecord("s-0", gone.port(), ms),
+                        serverRecord("s-1", drains.port(), ms),
+                        serverRecord("s-2", moved.port(), ms)),
                 null,
                 null);
         Socket watch = FakePeer.takeWithTimeout(discovery.accepted);
@@ -313,12 +313,12 @@
                 "{\"rev\":50,\"all\":true,\"targets\":[" + entry("s-1", drains, "Terminating")
                         + ","
                         + entry("s-2", place, "Ready") + "]}");
-        readyUntil(node.port, "discovery's list");
+        awaitReadiness(node.port, "discovery's list");
         for (FakePeer each : List.of(gone, drains, moved)) {
             each.requests.clear();
         }
         for (int i = 0; i < 20; i++) {
-            assertTrue(view(node.port, i).endsWith("served"));
+            assertTrue(requestView(node.port, i).endsWith("served"));
         }
         Fixture.writeLine(
                 watch,
@@ -341,17 +341,17 @@
 
     /** It says who it is only when the list, which leaves it out, is here. */
     @Test
-    void aBoxThatAnswersAfterTheListIsNotBroughtBack() throws Exception {
+    void ignoresAProbeAnswerAfterTheFullList() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
         FakePeer slow = new FakePeer((socket, request) -> {
             listed.await();
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ns-0");
         });
-        open.add(slow);
-        FakePeer box = box("s-1", "served");
+        closeables.add(slow);
+        FakePeer box = server("s-1", "served");
         Running node = start(
                 settings("/who", 30_000, null),
-                snapshot(HOUR_MS, state("s-0", slow.port(), System.currentTimeMillis() - HOUR_MS)),
+                snapshot(HOUR_MS, serverRecord("s-0", slow.port(), System.currentTimeMillis() - HOUR_MS)),
                 null,
                 null);
         slow.nextRequest();
@@ -359,11 +359,11 @@
         discovery.nextRequest();
         Fixture.beginWatch(watch);
         Fixture.writeLine(watch, Fixture.list(50, true, "Ready", box));
-        readyUntil(node.port, "discovery's list");
+        awaitReadiness(node.port, "discovery's list");
         listed.countDown();
-        FakePeer.takeWithTimeout(slow.ended);
+        FakePeer.takeWithTimeout(slow.closedByClient);
         for (int i = 0; i < 40; i++) {
-            assertTrue(view(node.port, i).endsWith("served"));
+            assertTrue(requestView(node.port, i).endsWith("served"));
         }
         assertTrue(slow.requests.isEmpty());
     }
@@ -373,17 +373,17 @@
      * more.
      */
     @Test
-    void aBoxThatAnswersAfterWordThatItDrainsIsNotBroughtBack() throws Exception {
+    void ignoresAProbeAnswerAfterADrainWasReported() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         FakePeer slow = new FakePeer((socket, request) -> {
             told.await();
             FakePeer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ns-0");
         });
-        open.add(slow);
-        FakePeer box = box("s-1", "served");
+        closeables.add(slow);
+        FakePeer box = server("s-1", "served");
         Running node = start(
                 settings("/who", 30_000, null),
-                snapshot(HOUR_MS, state("s-0", slow.port(), System.currentTimeMillis() - HOUR_MS)),
+                snapshot(HOUR_MS, serverRecord("s-0", slow.port(), System.currentTimeMillis() - HOUR_MS)),
                 null,
                 null);
         slow.nextRequest();
@@ -395,14 +395,14 @@
                 "{\"rev\":50,\"all\":false,\"targets\":[" + entry("s-0", slow, "Terminating")
                         + ","
                         + entry("s-1", box, "Ready") + "]}");
-        assertTrue(view(node.port, 1).endsWith("served"));
+        assertTrue(requestView(node.port, 1).endsWith("served"));
         told.countDown();
-        FakePeer.takeWithTimeout(slow.ended);
+        FakePeer.takeWithTimeout(slow.closedByClient);
         // The other one goes: were the first one back, it would be sent what comes now.
         Fixture.writeLine(watch, "{\"rev\":51,\"all\":false,\"targets\":[" + entry("s-1", box, "Gone") + "]}");
         String answer = "served";
         for (int i = 2; answer.endsWith("served"); i++) {
-            answer = ask(
+            answer = exchange(
                     node.port,
                     Fixture.request("GET", "/view/1", i, "", "")
                             .replace("X-Remaining-Ms: 20000", "X-Remaining-Ms: 200"));
@@ -411,60 +411,60 @@
         assertTrue(slow.requests.isEmpty());
     }
 
-    private static int dead() throws IOException {
+    private static int unusedPort() throws IOException {
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return closed.getLocalPort();
         }
     }
 
     @Test
-    void aBoxAtWhoseAddressNobodyIsIsGivenUp() throws Exception {
+    void removesAnUnreachableServer() throws Exception {
         long ms = System.currentTimeMillis() - 2_000;
-        FakePeer box = box("", "served");
+        FakePeer box = server("", "served");
         Running node = start(
                 settings(null, 30_000, null),
                 snapshot(
                         2_000,
-                        state("s-0", box.port(), ms),
-                        state("s-1", box("", "served").port(), ms),
-                        state("s-2", box("", "served").port(), ms),
-                        state("s-3", dead(), ms)),
+                        serverRecord("s-0", box.port(), ms),
+                        serverRecord("s-1", server("", "served").port(), ms),
+                        serverRecord("s-2", server("", "served").port(), ms),
+                        serverRecord("s-3", unusedPort(), ms)),
                 null,
                 null);
-        readyUntil(node.port, "4 boxes of a snapshot, 1 given up, 0 being asked");
+        awaitReadiness(node.port, "4 boxes of a snapshot, 1 given up, 0 being asked");
     }
 
     /** Were half of them taken away, the fault would more likely be here than there. */
     @Test
-    void notHalfOfTheBoxesAreGivenUp() throws Exception {
+    void neverRemovesHalfOfTheServers() throws Exception {
         long ms = System.currentTimeMillis() - 2_000;
         Running node = start(
                 settings(null, 30_000, null),
                 snapshot(
                         2_000,
-                        state("s-0", box("", "served").port(), ms),
-                        state("s-1", dead(), ms),
-                        state("s-2", dead(), ms),
-                        state("s-3", dead(), ms)),
+                        serverRecord("s-0", server("", "served").port(), ms),
+                        serverRecord("s-1", unusedPort(), ms),
+                        serverRecord("s-2", unusedPort(), ms),
+                        serverRecord("s-3", unusedPort(), ms)),
                 null,
                 null);
-        readyUntil(node.port, "4 boxes of a snapshot, 1 given up, 0 being asked");
+        awaitReadiness(node.port, "4 boxes of a snapshot, 1 given up, 0 being asked");
     }
 
     /** Somebody takes connections there; that it is the box nobody has said. */
     @Test
-    void aConnectionAloneDoesNotConfirmABox() throws Exception {
+    void aConnectionAloneDoesNotConfirmAServer() throws Exception {
         long ms = System.currentTimeMillis() - 20_000;
         BlockingQueue<byte[]> written = new LinkedBlockingQueue<>();
         Running node = start(
                 settings(null, 60_000, null),
-                snapshot(20_000, state("s-0", box("", "served").port(), ms)),
+                snapshot(20_000, serverRecord("s-0", server("", "served").port(), ms)),
                 pieces -> {
                     written.add(pieces.get(0));
                     return 0;
                 },
                 null);
-        readyUntil(node.port, "0 being asked");
+        awaitReadiness(node.port, "0 being asked");
         written.clear();
         FakePeer.takeWithTimeout(written);
         ServerRecord box = ChunkCodec.read(FakePeer.takeWithTimeout(written))
@@ -472,7 +472,7 @@
                 .servers()
                 .get(0);
         assertEquals(ms, box.confirmedMs());
-        view(node.port, 1);
+        requestView(node.port, 1);
         written.clear();
         FakePeer.takeWithTimeout(written);
         box = ChunkCodec.read(FakePeer.takeWithTimeout(written))
@@ -483,8 +483,8 @@
     }
 
     @Test
-    void aDiskThatHangsAtTheEndIsNotWaitedForPastASecond() throws Exception {
-        FakePeer box = box("", "served");
+    void stopDoesNotWaitForAHangingDisk() throws Exception {
+        FakePeer box = server("", "served");
         CountDownLatch hangs = new CountDownLatch(1);
         RecoverySettings often = settings(null, 30_000, null);
         RecoverySettings rarely =
@@ -502,7 +502,7 @@
                 },
                 null,
                 box);
-        assertTrue(view(node.port, 1).endsWith("served"));
+        assertTrue(requestView(node.port, 1).endsWith("served"));
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.node.stop(stopped::countDown));
         assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS), "it waits for the disk");
@@ -511,12 +511,12 @@
 
     /** A node that is asked and says nothing; the handover goes on while requests are served. */
     @Test
-    void readinessDoesNotWaitForAHandoverPastItsTime() throws Exception {
+    void readinessWaitsForAHandoverOnlyWithinItsLimit() throws Exception {
         Path file = folder.resolve("secret");
         Files.writeString(file, "a secret of at least thirty-two bytes\n");
         FakePeer silent = new FakePeer(FakePeer.SILENT);
-        open.add(silent);
-        FakePeer box = box("", "served");
+        closeables.add(silent);
+        FakePeer box = server("", "served");
         RecoverySettings often = settings(null, 30_000, null);
         Running node = start(
                 new RecoverySettings(
@@ -533,9 +533,9 @@
                 null,
                 SharedSecret.read(file),
                 box);
-        assertTrue(view(node.port, 1).endsWith("served"));
+        assertTrue(requestView(node.port, 1).endsWith("served"));
         FakePeer.takeWithTimeout(silent.accepted);
-        assertTrue(silent.ended.isEmpty(), "ready only once the handover was over");
+        assertTrue(silent.closedByClient.isEmpty(), "ready only once the handover was over");
     }
 
     private static String entry(String id, FakePeer at, String state) {
@@ -544,15 +544,15 @@
     }
 
     @Test
-    void whatANodeKnowsIsKeptAndServesTheNext() throws Exception {
-        FakePeer box = box("s-0", "served");
-        Running first = start(settings(null, 30_000, null), null, this::counted, null, box);
+    void aRestartedNodeServesFromTheStoredSnapshot() throws Exception {
+        FakePeer box = server("s-0", "served");
+        Running first = start(settings(null, 30_000, null), null, this::writeAndRecordLength, null, box);
         for (int i = 0; i < 20; i++) {
-            assertTrue(view(first.port, i).endsWith("served"));
+            assertTrue(requestView(first.port, i).endsWith("served"));
         }
-        kept.clear();
-        assertNotNull(FakePeer.takeWithTimeout(kept));
-        assertNotNull(FakePeer.takeWithTimeout(kept), "it is kept again and again");
+        writtenLengths.clear();
+        assertNotNull(FakePeer.takeWithTimeout(writtenLengths));
+        assertNotNull(FakePeer.takeWithTimeout(writtenLengths), "it is kept again and again");
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> first.node.stop(stopped::countDown));
         assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
@@ -561,25 +561,25 @@
         assertEquals(ConfirmationSource.ANSWER, left.servers().get(0).confirmedBy());
         assertTrue(left.servers().get(0).statistics().attemptCount() >= 20, left.toString());
         Running second = start(settings(null, 30_000, null), left, null, null);
-        assertTrue(view(second.port, 99).endsWith("served"));
+        assertTrue(requestView(second.port, 99).endsWith("served"));
     }
 
     /** Nobody was ever seen: what was kept before says more than that. */
     @Test
-    void aNodeThatHasSeenNobodyOverwritesNothing() throws Exception {
+    void aNodeWithoutServersDoesNotOverwriteTheSnapshot() throws Exception {
         Path file = folder.resolve("boxes");
         Files.write(file, new byte[] {1, 2, 3});
-        Running node = start(settings(null, 30_000, null), null, this::counted, null);
+        Running node = start(settings(null, 30_000, null), null, this::writeAndRecordLength, null);
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.node.stop(stopped::countDown));
         assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
-        assertTrue(kept.isEmpty());
+        assertTrue(writtenLengths.isEmpty());
         assertEquals(3, Files.size(file));
     }
 
     @Test
-    void aDiskThatFailsCostsNoRequest() throws Exception {
-        FakePeer box = box("s-0", "served");
+    void aFailingDiskCostsNoRequest() throws Exception {
+        FakePeer box = server("s-0", "served");
         CountDownLatch failures = new CountDownLatch(5);
         Running node = start(
                 settings(null, 30_000, null),
@@ -591,16 +591,16 @@
                 null,
                 box);
         for (int i = 0; i < 20; i++) {
-            assertTrue(view(node.port, i).endsWith("served"));
+            assertTrue(requestView(node.port, i).endsWith("served"));
         }
         assertTrue(failures.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
-        assertTrue(view(node.port, 99).endsWith("served"));
+        assertTrue(requestView(node.port, 99).endsWith("served"));
     }
 
     /** A disk that never answers keeps neither requests nor the end. */
     @Test
-    void aDiskThatHangsHoldsNothingUp() throws Exception {
-        FakePeer box = box("s-0", "served");
+    void aHangingDiskDelaysNeitherRequestsNorStop() throws Exception {
+        FakePeer box = server("s-0", "served");
         CountDownLatch hangs = new CountDownLatch(1);
         CountDownLatch begun = new CountDownLatch(1);
         Running node = start(
@@ -617,9 +617,9 @@
                 },
                 null,
                 box);
-        assertTrue(view(node.port, 1).endsWith("served"));
+        assertTrue(requestView(node.port, 1).endsWith("served"));
         assertTrue(begun.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
-        assertTrue(view(node.port, 2).endsWith("served"));
+        assertTrue(requestView(node.port, 2).endsWith("served"));
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.node.stop(stopped::countDown));
         assertTrue(stopped.await(FakePeer.TIMEOUT_S, TimeUnit.SECONDS));
@@ -633,33 +633,33 @@
     }
 
     @Test
-    void aNodeWithNeitherListNorFileLearnsFromTheOneBesideIt() throws Exception {
+    void aNodeWithoutListOrFileStartsFromAHandover() throws Exception {
         Path file = folder.resolve("secret");
         Files.writeString(file, "a secret of at least thirty-two bytes\n");
         SharedSecret secret = SharedSecret.read(file);
-        FakePeer box = box("s-0", "served");
+        FakePeer box = server("s-0", "served");
         InetSocketAddress give = freeAddress();
         Running giver = start(settings(null, 30_000, give), null, null, secret, box);
         for (int i = 0; i < 20; i++) {
-            view(giver.port, i);
+            requestView(giver.port, i);
         }
         Running taker = start(settings(null, 30_000, null, freeAddress(), give), null, null, secret);
-        assertTrue(view(taker.port, 50).endsWith("served"));
-        assertTrue(ready(taker.port).contains("1 from other nodes"), ready(taker.port));
+        assertTrue(requestView(taker.port, 50).endsWith("served"));
+        assertTrue(readiness(taker.port).contains("1 from other nodes"), readiness(taker.port));
     }
 
     /** Both have just started and know nothing: neither waits for the other past the stated time. */
     @Test
-    void twoThatStartAndAskEachOtherBothServe() throws Exception {
+    void twoStartingNodesThatRequestFromEachOtherBothServe() throws Exception {
         Path file = folder.resolve("secret");
         Files.writeString(file, "a secret of at least thirty-two bytes\n");
         SharedSecret secret = SharedSecret.read(file);
-        FakePeer box = box("s-0", "served");
+        FakePeer box = server("s-0", "served");
         InetSocketAddress one = freeAddress();
         InetSocketAddress two = freeAddress();
         Running first = start(settings(null, 30_000, one, two), null, null, secret, box);
         Running second = start(settings(null, 30_000, two, one), null, null, secret, box);
-        assertTrue(view(first.port, 1).endsWith("served"));
-        assertTrue(view(second.port, 2).endsWith("served"));
+        assertTrue(requestView(first.port, 1).endsWith("served"));
+        assertTrue(requestView(second.port, 2).endsWith("served"));
     }
 }
--- a/src/test/java/vetchpost/recovery/RecoveryProverTest.java
+++ b/src/test/java/vetchpost/recovery/RecoveryValidatorTest.java
@@ -11,28 +11,28 @@
 import vetchpost.routes.file.RouteFile;
 
 /** What an operator can say of state and handovers, and how a slip is told. */
-class RecoveryProverTest {
-    private static RecoveryValidator.Validation prove(String text) {
+class RecoveryValidatorTest {
+    private static RecoveryValidator.Validation validate(String text) {
         RouteFile file = RouteFile.parse("v.toml", text);
         assertEquals(List.of(), file.violations());
         return RecoveryValidator.validate(file.sections());
     }
 
-    private static String refusal(String text) {
-        RecoveryValidator.Validation proof = prove(text);
+    private static String violationsOf(String text) {
+        RecoveryValidator.Validation proof = validate(text);
         assertNull(proof.settings());
         return proof.violations().stream().map(Object::toString).collect(Collectors.joining("\n"));
     }
 
     @Test
-    void nothingSaidIsNothingKept() {
-        assertNull(prove("[defaults]\nattempts = 1\n").settings());
-        assertEquals(List.of(), prove("").violations());
+    void withoutTablesThereAreNoSettings() {
+        assertNull(validate("[defaults]\nattempts = 1\n").settings());
+        assertEquals(List.of(), validate("").violations());
     }
 
     @Test
-    void allThatCanBeSaid() {
-        RecoverySettings settings = prove("""
+    void readsEveryKey() {
+        RecoverySettings settings = validate("""
                 [state]
                 file = "state/boxes"
                 every = "2s"
@@ -58,8 +58,8 @@
     }
 
     @Test
-    void whatIsUsualNeedsNotBeSaid() {
-        RecoverySettings settings = prove("[state]\nfile = \"b\"\n").settings();
+    void appliesDefaults() {
+        RecoverySettings settings = validate("[state]\nfile = \"b\"\n").settings();
         assertEquals(5_000, settings.snapshotIntervalMs());
         assertEquals(86_400_000, settings.rules().serverLifetimeMs());
         assertEquals(30_000, settings.rules().addressReuseMs());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void slipsAreToldWithTheirPlaces() {
+    void reportsViolationsWithTheirPositions() {
         assertEquals(
                 "v.toml:2:1: state: unknown key 'fil' [UNKNOWN_KEY: keys are known]; one of file, "
                         + "every, "
@@ -76,19 +76,20 @@
                         + "v.toml:1:1: state: it does not say file [OUT_OF_RANGE: figures make sense]; "
                         + "file = \"...\" "
                         + "would pass",
-                refusal("[state]\nfil = \"b\"\n"));
-        assertTrue(refusal("[state]\nfile = \"b\"\nevery = \"5\"\n").startsWith("v.toml:3:1: state: every = \"5\""));
-        assertTrue(refusal("[state]\nfile = \"b\"\nevery = \"1ms\"\n").contains("from 1000ms to 600s"));
-        assertTrue(refusal("[state]\nfile = \"b\"\nevery = 5\n").contains("every is no text"));
-        assertTrue(refusal("[state]\nfile = \"b\"\nidentify = \"who\"\n").contains("is no path"));
-        assertTrue(refusal("[handover]\nlisten = \"127.0.0.1:1\"\n").contains("a false snapshot could steer"));
-        assertTrue(refusal("[handover]\nsecret-file = \"s\"\n").contains("neither listen nor ask"));
-        assertTrue(refusal("[handover]\nsecret-file = \"s\"\nlisten = \"node:1\"\n")
+                violationsOf("[state]\nfil = \"b\"\n"));
+        assertTrue(
+                violationsOf("[state]\nfile = \"b\"\nevery = \"5\"\n").startsWith("v.toml:3:1: state: every = \"5\""));
+        assertTrue(violationsOf("[state]\nfile = \"b\"\nevery = \"1ms\"\n").contains("from 1000ms to 600s"));
+        assertTrue(violationsOf("[state]\nfile = \"b\"\nevery = 5\n").contains("every is no text"));
+        assertTrue(violationsOf("[state]\nfile = \"b\"\nidentify = \"who\"\n").contains("is no path"));
+        assertTrue(violationsOf("[handover]\nlisten = \"127.0.0.1:1\"\n").contains("a false snapshot could steer"));
+        assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\n").contains("neither listen nor ask"));
+        assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\nlisten = \"node:1\"\n")
                 .contains("not an address and port: node:1"));
-        assertTrue(refusal("[handover]\nsecret-file = \"s\"\nask = \"127.0.0.1:1\"\n")
+        assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\nask = \"127.0.0.1:1\"\n")
                 .contains("ask is no list"));
-        assertTrue(refusal("[handover]\nsecret-file = \"s\"\nask = [7]\n").contains("ask is no address"));
-        assertTrue(refusal("[handover]\nsecret-file = \"s\"\nask = [\"1.2.3.4:5\"]\nwait = \"3s\"\n")
+        assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\nask = [7]\n").contains("ask is no address"));
+        assertTrue(violationsOf("[handover]\nsecret-file = \"s\"\nask = [\"1.2.3.4:5\"]\nwait = \"3s\"\n")
                 .contains("wait is over within"));
     }
 }
--- a/src/test/java/vetchpost/replication/InjectedFaults.java
+++ b/src/test/java/vetchpost/replication/InjectedFaults.java
@@ -12,17 +12,17 @@
             String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener) {
         return new Replica(name, store, index, relay, listener) {
             @Override
-            boolean isPast(long version) {
+            boolean isNotNewer(long version) {
                 return false;
             }
 
             @Override
-            boolean follows(Frame frame) {
+            boolean startsAtCurrentVersion(Frame frame) {
                 return true;
             }
 
             @Override
-            boolean belongs(Frame.Entry entry, Frame frame) {
+            boolean isWithinDelta(Frame.Entry entry, Frame frame) {
                 return true;
             }
 
@@ -38,7 +38,7 @@
             String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener) {
         return new Replica(name, store, index, relay, listener) {
             @Override
-            boolean isWhole(Frame frame) {
+            boolean isComplete(Frame frame) {
                 return true;
             }
         };
@@ -49,7 +49,7 @@
             String name, VersionedStore store, Index index, boolean relay, Replica.Listener listener) {
         return new Replica(name, store, index, relay, listener) {
             @Override
-            void gone(Item item) {
+            void removeMissing(Item item) {
                 // It stays.
             }
         };
--- a/src/test/java/vetchpost/replication/PublisherTest.java
+++ b/src/test/java/vetchpost/replication/PublisherTest.java
@@ -18,8 +18,8 @@
 
 /** What a publisher spends on whom, and when. */
 class PublisherTest {
-    private static final long SECOND = 1_000_000;
-    private static final long HEARTBEAT = 5 * SECOND;
+    private static final long SECOND_US = 1_000_000;
+    private static final long HEARTBEAT_INTERVAL_US = 5 * SECOND_US;
 
     private final FrameCodec codec = new FrameCodec();
 
@@ -30,8 +30,8 @@
 
     /** A replica that keeps what it was sent. */
     private final class Peer implements Publisher.Peer {
-        private final List<Frame> got = new ArrayList<>();
-        private final List<byte[]> raw = new ArrayList<>();
+        private final List<Frame> received = new ArrayList<>();
+        private final List<byte[]> rawFrames = new ArrayList<>();
         private boolean writable = true;
         private long bytes;
 
@@ -39,9 +39,9 @@
         public void send(byte[] frame) {
             assertTrue(writable, "sent to one that does not read");
             bytes += frame.length;
-            raw.add(frame);
+            rawFrames.add(frame);
             try {
-                got.add(codec.read(frame));
+                received.add(codec.read(frame));
             } catch (MalformedFrameException e) {
                 throw new AssertionError(e);
             }
@@ -52,13 +52,13 @@
             return writable;
         }
 
-        private void says(Publisher publisher, VersionedStore at, long nowUs) throws MalformedFrameException {
+        private void sendHello(Publisher publisher, VersionedStore at, long nowUs) throws MalformedFrameException {
             publisher.receive(
                     this, Frame.hello("a", at.version(), false, at.live().sum()), 0, nowUs);
         }
 
-        private long items() {
-            return got.stream().mapToLong(f -> f.items().size()).sum();
+        private long receivedEntryCount() {
+            return received.stream().mapToLong(f -> f.items().size()).sum();
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     private Publisher publisher(VersionedStore store, Publisher.Budget budget) {
-        return new Publisher(store, codec, budget, HEARTBEAT, 0);
+        return new Publisher(store, codec, budget, HEARTBEAT_INTERVAL_US, 0);
     }
 
     /** Pumps as its owner would: when it asks for it. */
@@ -94,14 +94,14 @@
     }
 
     @Test
-    void bytesToOneReplicaArePaced() throws Exception {
+    void limitsBytesPerSecondToOneReplica() throws Exception {
         VersionedStore first = store(20_000);
         Publisher publisher = publisher(changed(first, 20_000), new Publisher.Budget(10_000, 2_000, 1e9, 1e9));
         Peer peer = new Peer();
         publisher.connected(peer, 0);
-        peer.says(publisher, first, 0);
+        peer.sendHello(publisher, first, 0);
         for (int second = 1; second <= 5; second++) {
-            run(publisher, (second - 1) * SECOND, second * SECOND);
+            run(publisher, (second - 1) * SECOND_US, second * SECOND_US);
             // What was saved up, and a frame that may be more than there was.
             assertTrue(peer.bytes <= 10_000L * second + 2_000 + 6_000, peer.bytes + " bytes after " + second + " s");
             assertTrue(peer.bytes >= 9_000L * second, peer.bytes + " bytes after " + second + " s");
@@ -109,18 +109,20 @@
     }
 
     @Test
-    void entriesToOneReplicaArePacedToo() throws Exception {
+    void limitsEntriesPerSecondToOneReplica() throws Exception {
         VersionedStore first = store(5_000);
         Publisher publisher = publisher(changed(first, 5_000), new Publisher.Budget(1e9, 1e9, 1e9, 400));
         Peer peer = new Peer();
         publisher.connected(peer, 0);
-        peer.says(publisher, first, 0);
-        run(publisher, 0, 5 * SECOND);
-        assertTrue(peer.items() >= 1_900 && peer.items() <= 2_400, peer.items() + " entries in 5 s");
+        peer.sendHello(publisher, first, 0);
+        run(publisher, 0, 5 * SECOND_US);
+        assertTrue(
+                peer.receivedEntryCount() >= 1_900 && peer.receivedEntryCount() <= 2_400,
+                peer.receivedEntryCount() + " entries in 5 s");
     }
 
     @Test
-    void whatAReplicaSaysCountsTowardsItsBudget() throws Exception {
+    void chargesReceivedFramesToTheReplicasBudget() throws Exception {
         VersionedStore first = store(100);
         Publisher publisher = publisher(first, new Publisher.Budget(10_000, 2_000, 1e9, 1e9));
         Peer peer = new Peer();
@@ -129,14 +131,14 @@
                 peer, Frame.hello("a", first.version(), false, first.live().sum()), 32_000, 0);
         publisher.sendPending(0);
         assertEquals(0, peer.bytes);
-        run(publisher, 0, 2 * SECOND);
+        run(publisher, 0, 2 * SECOND_US);
         assertEquals(0, peer.bytes, "it has not paid back yet");
-        run(publisher, 2 * SECOND, 4 * SECOND);
+        run(publisher, 2 * SECOND_US, 4 * SECOND_US);
         assertTrue(peer.bytes > 0);
     }
 
     @Test
-    void allTogetherHaveABudgetAndNobodyIsLeftOut() throws Exception {
+    void sharesTheTotalBudgetEvenlyAmongReplicas() throws Exception {
         VersionedStore first = store(2_000);
         Publisher publisher = publisher(changed(first, 2_000), new Publisher.Budget(1e9, 1e9, 40_000, 1e9));
         List<Peer> peers = new ArrayList<>();
@@ -144,27 +146,27 @@
             Peer peer = new Peer();
             peers.add(peer);
             publisher.connected(peer, 0);
-            peer.says(publisher, first, 0);
+            peer.sendHello(publisher, first, 0);
         }
-        run(publisher, 0, 2 * SECOND);
+        run(publisher, 0, 2 * SECOND_US);
         long all = peers.stream().mapToLong(p -> p.bytes).sum();
         assertTrue(all <= 2 * 40_000 + 10_000 + 6_000 && all > 70_000, all + " bytes");
-        long least = peers.stream().mapToLong(p -> p.raw.size()).min().orElseThrow();
-        long most = peers.stream().mapToLong(p -> p.raw.size()).max().orElseThrow();
+        long least = peers.stream().mapToLong(p -> p.rawFrames.size()).min().orElseThrow();
+        long most = peers.stream().mapToLong(p -> p.rawFrames.size()).max().orElseThrow();
         assertTrue(most - least <= 1, "from " + least + " to " + most + " frames");
         assertEquals(all, publisher.sentBytes());
     }
 
     /** And nothing is kept for it meanwhile but where it is. */
     @Test
-    void oneThatDoesNotReadIsToldTheNewestLater() throws Exception {
+    void sendsOnlyTheNewestVersionAfterAReplicaReadsAgain() throws Exception {
         VersionedStore now = store(10);
         Publisher publisher = publisher(now, new Publisher.Budget(1e9, 1e9, 1e9, 1e9));
         Peer peer = new Peer();
         publisher.connected(peer, 0);
-        peer.says(publisher, now, 0);
+        peer.sendHello(publisher, now, 0);
         run(publisher, 0, 1);
-        peer.got.clear();
+        peer.received.clear();
         peer.writable = false;
         for (int i = 0; i < 1_000; i++) {
             now = now.with(
@@ -176,15 +178,15 @@
         assertEquals(List.of("a"), publisher.laggingReplicas());
         peer.writable = true;
         publisher.sendPending(2_000);
-        assertEquals(1, peer.got.size());
-        assertEquals(1, peer.got.get(0).items().size());
-        assertEquals(now.version(), peer.got.get(0).to());
+        assertEquals(1, peer.received.size());
+        assertEquals(1, peer.received.get(0).items().size());
+        assertEquals(now.version(), peer.received.get(0).to());
         publisher.publish(store(10));
         assertEquals(now.version(), publisher.store().version(), "an older one is passed over");
     }
 
     @Test
-    void whoHasAllHearsSoNowAndThenAndWhoIsAheadHearsThat() throws Exception {
+    void sendsHeartbeatsToCurrentReplicasAndBehindToReplicasAhead() throws Exception {
         VersionedStore first = store(10);
         VersionedStore second = changed(first, 1);
         Publisher publisher = publisher(first, new Publisher.Budget(1e9, 1e9, 1e9, 1e9));
@@ -192,36 +194,38 @@
         Peer ahead = new Peer();
         publisher.connected(peer, 0);
         publisher.connected(ahead, 0);
-        peer.says(publisher, first, 0);
-        ahead.says(publisher, second, 0);
-        run(publisher, 0, 21 * SECOND);
-        assertEquals(5, peer.got.stream().filter(f -> f.type() == Type.CURRENT).count());
-        assertEquals(List.of(Type.BEHIND), ahead.got.stream().map(Frame::type).toList());
+        peer.sendHello(publisher, first, 0);
+        ahead.sendHello(publisher, second, 0);
+        run(publisher, 0, 21 * SECOND_US);
+        assertEquals(
+                5, peer.received.stream().filter(f -> f.type() == Type.CURRENT).count());
+        assertEquals(
+                List.of(Type.BEHIND), ahead.received.stream().map(Frame::type).toList());
         publisher.disconnected(ahead);
-        assertEquals(1, publisher.peers());
+        assertEquals(1, publisher.replicaCount());
         publisher.receive(ahead, Frame.hello("b", 0, false, first.live().sum()), 0, 0);
-        assertEquals(1, ahead.got.size(), "one that has gone is told nothing more");
+        assertEquals(1, ahead.received.size(), "one that has gone is told nothing more");
     }
 
     @Test
-    void replicasAtTheSameVersionAreToldTheSameBytes() throws Exception {
+    void sharesEncodedFramesBetweenReplicasAtTheSameVersion() throws Exception {
         VersionedStore first = store(500);
         Publisher publisher = publisher(changed(first, 400), new Publisher.Budget(1e9, 1e9, 1e9, 1e9));
         Peer one = new Peer();
         Peer two = new Peer();
         for (Peer peer : List.of(one, two)) {
             publisher.connected(peer, 0);
-            peer.says(publisher, first, 0);
+            peer.sendHello(publisher, first, 0);
         }
         publisher.sendPending(0);
-        assertTrue(one.raw.size() > 2);
-        for (int i = 0; i < one.raw.size(); i++) {
-            assertTrue(one.raw.get(i) == two.raw.get(i), "part " + i + " was made twice");
+        assertTrue(one.rawFrames.size() > 2);
+        for (int i = 0; i < one.rawFrames.size(); i++) {
+            assertTrue(one.rawFrames.get(i) == two.rawFrames.get(i), "part " + i + " was made twice");
         }
     }
 
     @Test
-    void comparisonsAreBounded() {
+    void rejectsOversizedAndMismatchedComparisons() {
         VersionedStore first = store(10);
         Publisher publisher = publisher(first, new Publisher.Budget(1e9, 1e9, 1e9, 1e9));
         Peer peer = new Peer();
@@ -241,11 +245,11 @@
     }
 
     @Test
-    void aBucketSavesUpNoMoreThanItMayAndPaysBackWhatWasTooMuch() {
+    void tokenBucketCapsItsBurstAndRepaysOverspending() {
         TokenBucket bucket = new TokenBucket(100, 50, 0);
-        assertTrue(bucket.hasAny(10 * SECOND));
+        assertTrue(bucket.hasAny(10 * SECOND_US));
         bucket.spend(150);
-        assertEquals(11 * SECOND + 10_000, bucket.againUs(10 * SECOND), 10_000);
-        assertTrue(!bucket.hasAny(10 * SECOND + 900_000) && bucket.hasAny(11 * SECOND + 20_000));
+        assertEquals(11 * SECOND_US + 10_000, bucket.availableAtUs(10 * SECOND_US), 10_000);
+        assertTrue(!bucket.hasAny(10 * SECOND_US + 900_000) && bucket.hasAny(11 * SECOND_US + 20_000));
     }
 }
--- a/src/test/java/vetchpost/replication/ReplicaTest.java
+++ b/src/test/java/vetchpost/replication/ReplicaTest.java
@@ -38,36 +38,36 @@
         return store.with(List.of(batch), store.version() + 1);
     }
 
-    private static void same(VersionedStore publishers, Wire wire) {
+    private static void assertReplicaHolds(VersionedStore publishers, ReplicationLink wire) {
         assertEquals(publishers.version(), wire.replica.store().version());
         assertEquals(publishers.live().sum(), wire.replica.store().live().sum());
     }
 
     @Test
-    void aChangeIsInForceAndTheSumIsTold() throws Exception {
+    void appliesAChangeAndReportsItsSum() throws Exception {
         VersionedStore first = entries(1_000);
-        Wire wire = new Wire(first, first);
+        ReplicationLink wire = new ReplicationLink(first, first);
         wire.run(1_000_000);
         assertEquals(0, wire.replica.appliedBatches());
         assertTrue(wire.replica.lastCurrentUs() >= 0, "it was told that it is at the newest");
-        long before = wire.downBytes;
+        long before = wire.bytesToReplica;
         VersionedStore second = with(first, put(5_000, "new"), EntryChange.delete(key(7)));
         wire.publisher.publish(second);
         wire.run(200_000);
-        same(second, wire);
+        assertReplicaHolds(second, wire);
         assertEquals(1, wire.replica.appliedBatches());
-        assertTrue(wire.downBytes - before < 200, wire.downBytes - before + " bytes for two changes");
+        assertTrue(wire.bytesToReplica - before < 200, wire.bytesToReplica - before + " bytes for two changes");
         assertEquals(List.of(), wire.publisher.laggingReplicas());
     }
 
     /** Parts of what came after a version, as they are told to one that is at it. */
-    private static List<Frame> parts(Wire wire, VersionedStore fresh) throws Exception {
+    private static List<Frame> deltaParts(ReplicationLink wire, VersionedStore fresh) throws Exception {
         wire.run(100_000);
         wire.publisher.publish(fresh);
-        wire.fill();
-        List<Frame> parts = new ArrayList<>(wire.down);
+        wire.drainPublisher();
+        List<Frame> parts = new ArrayList<>(wire.toReplica);
         parts.removeIf(f -> f.type() != Type.DELTA);
-        wire.down.clear();
+        wire.toReplica.clear();
         assertTrue(parts.size() > 5, parts.size() + " parts");
         return parts;
     }
@@ -83,29 +83,29 @@
     }
 
     @Test
-    void aBatchThatIsCutInHalfIsNeverInForceAndComesAgain() throws Exception {
+    void neverAppliesAPartialBatchAndRequestsItAgain() throws Exception {
         VersionedStore first = entries(2_000);
         VersionedStore second = changed(first, 1_000);
         for (int cut = 0; cut < 6; cut++) {
-            Wire wire = new Wire(first, first);
-            List<Frame> parts = parts(wire, second);
+            ReplicationLink wire = new ReplicationLink(first, first);
+            List<Frame> parts = deltaParts(wire, second);
             for (Frame part : parts.subList(0, cut * (parts.size() - 1) / 5)) {
                 wire.replica.receive(part, wire.nowUs);
             }
             assertSame(first, wire.replica.store(), "a part of a batch is in force");
             wire.connect();
             wire.run(10_000_000);
-            same(second, wire);
+            assertReplicaHolds(second, wire);
             assertEquals(1, wire.replica.appliedBatches());
         }
     }
 
     @Test
-    void partsThatComeTwiceOutOfOrderOrAnHourLateChangeNothing() throws Exception {
+    void ignoresDuplicateReorderedAndLateParts() throws Exception {
         VersionedStore first = entries(2_000);
         VersionedStore second = changed(first, 1_000);
-        Wire wire = new Wire(first, first);
-        List<Frame> parts = parts(wire, second);
+        ReplicationLink wire = new ReplicationLink(first, first);
+        List<Frame> parts = deltaParts(wire, second);
         for (Frame part : parts) {
             wire.replica.receive(part, wire.nowUs);
             wire.replica.receive(part, wire.nowUs);
@@ -114,7 +114,7 @@
         assertSame(first, wire.replica.store());
         wire.connect();
         wire.run(10_000_000);
-        same(second, wire);
+        assertReplicaHolds(second, wire);
         VersionedStore third = with(second, put(9_000, "third"));
         wire.publisher.publish(third);
         wire.run(1_000_000);
@@ -122,9 +122,9 @@
         for (Frame part : parts) {
             wire.replica.receive(part, wire.nowUs);
         }
-        same(third, wire);
-        Wire other = new Wire(first, first);
-        List<Frame> mixed = parts(other, second);
+        assertReplicaHolds(third, wire);
+        ReplicationLink other = new ReplicationLink(first, first);
+        List<Frame> mixed = deltaParts(other, second);
         java.util.Collections.reverse(mixed);
         for (Frame part : mixed) {
             other.replica.receive(part, other.nowUs);
@@ -133,49 +133,49 @@
     }
 
     @Test
-    void aPublisherThatWasSetBackSetsNobodyBack() throws Exception {
+    void rejectsAPublisherRestoredToAnOlderVersion() throws Exception {
         VersionedStore first = entries(100);
         VersionedStore second = with(first, EntryChange.replace(key(1), FieldCodec.utf8("second")));
-        Wire wire = new Wire(first, second);
+        ReplicationLink wire = new ReplicationLink(first, second);
         assertThrows(Replica.FrameRejectedException.class, () -> wire.run(100_000));
         assertSame(second, wire.replica.store());
         // And a node that was set back comes forward again.
-        Wire behind = new Wire(second, first);
+        ReplicationLink behind = new ReplicationLink(second, first);
         behind.run(1_000_000);
-        same(second, behind);
+        assertReplicaHolds(second, behind);
     }
 
     @Test
-    void aWriterOfAnEarlierEpochIsFenced() throws Exception {
+    void fencesAWriterOfAnEarlierEpoch() throws Exception {
         VersionedStore first = entries(100);
         VersionedStore old = with(first, EntryChange.replace(key(1), FieldCodec.utf8("of the old writer")));
-        Wire zombie = new Wire(first, first);
+        ReplicationLink zombie = new ReplicationLink(first, first);
         zombie.run(10_000);
         zombie.publisher.publish(old);
-        zombie.fill();
-        Frame late = zombie.down.stream()
+        zombie.drainPublisher();
+        Frame late = zombie.toReplica.stream()
                 .filter(f -> f.type() == Type.DELTA)
                 .findFirst()
                 .orElseThrow();
         VersionedStore taken =
                 first.with(List.of(EntryChange.replace(key(1), FieldCodec.utf8("of the new"))), Version.of(2, 1));
-        Wire wire = new Wire(taken, first);
+        ReplicationLink wire = new ReplicationLink(taken, first);
         wire.run(1_000_000);
-        same(taken, wire);
+        assertReplicaHolds(taken, wire);
         assertThrows(Replica.FrameRejectedException.class, () -> wire.replica.receive(late, wire.nowUs));
         // What it would do without the fence, so that this shows something.
-        Wire unfenced =
-                new Wire(taken, InjectedFaults.unfenced("node", taken, Index.NONE, false, (store, index) -> {}));
+        ReplicationLink unfenced = new ReplicationLink(
+                taken, InjectedFaults.unfenced("node", taken, Index.NONE, false, (store, index) -> {}));
         unfenced.replica.receive(late, 1);
         assertEquals(
                 "of the old writer",
                 FieldCodec.text(unfenced.replica.store().get(key(1)).value()));
-        same(taken, wire);
+        assertReplicaHolds(taken, wire);
     }
 
     /** It is not known any more what went away meanwhile: what differs is found by ranges. */
     @Test
-    void aReplicaThatWasAwayTooLongFetchesWhatDiffersAndNotAll() throws Exception {
+    void fetchesOnlyDifferencesAfterALongAbsence() throws Exception {
         VersionedStore first = entries(20_000);
         VersionedStore now = first;
         for (int i = 0; i < 100; i++) {
@@ -186,41 +186,42 @@
                     put(30_000 + i, "more"));
         }
         now = now.forgetRemovals(10);
-        Wire wire = new Wire(now, first);
+        ReplicationLink wire = new ReplicationLink(now, first);
         wire.run(60_000_000);
-        same(now, wire);
-        Wire all = new Wire(now, VersionedStore.EMPTY);
+        assertReplicaHolds(now, wire);
+        ReplicationLink all = new ReplicationLink(now, VersionedStore.EMPTY);
         all.run(120_000_000);
-        same(now, all);
-        assertTrue(wire.upBytes + wire.downBytes < 18_000 * 60, "both ways within its budget");
+        assertReplicaHolds(now, all);
+        assertTrue(wire.bytesToPublisher + wire.bytesToReplica < 18_000 * 60, "both ways within its budget");
         assertTrue(
-                wire.downBytes < all.downBytes / 2,
-                wire.downBytes + " bytes for 300 changes, " + all.downBytes + " for all");
+                wire.bytesToReplica < all.bytesToReplica / 2,
+                wire.bytesToReplica + " bytes for 300 changes, " + all.bytesToReplica + " for all");
     }
 
     /** What is kept on a disk can be wrong and say that it is right. */
     @Test
-    void aStoreThatIsNotWhatItsVersionSaysIsFoundAndMended() throws Exception {
+    void detectsAndRepairsAStoreThatDoesNotMatchItsVersion() throws Exception {
         VersionedStore right = entries(5_000);
         PackedTree wrong = right.live()
                 .remove(key(77).bytes())
                 .put(key(6_000).bytes(), FieldCodec.utf8("ghost"), Version.of(1, 1))
                 .put(key(78).bytes(), FieldCodec.utf8("spoilt"), Version.of(1, 1));
-        Wire wire = new Wire(right, VersionedStore.of(wrong, right.version()));
+        ReplicationLink wire = new ReplicationLink(right, VersionedStore.of(wrong, right.version()));
         wire.run(10_000_000);
-        same(right, wire);
+        assertReplicaHolds(right, wire);
         // Also where it is found only at the end of the next change.
-        Wire later = new Wire(with(right, put(7_000, "x")), VersionedStore.of(wrong, right.version()));
+        ReplicationLink later =
+                new ReplicationLink(with(right, put(7_000, "x")), VersionedStore.of(wrong, right.version()));
         later.run(10_000_000);
-        same(later.publisher.store(), later);
+        assertReplicaHolds(later.publisher.store(), later);
     }
 
     @Test
-    void manyChangesOfOneKeyAreToldAsOne() throws Exception {
+    void coalescesManyChangesOfOneKey() throws Exception {
         VersionedStore now = entries(1_000);
-        Wire wire = new Wire(now, now);
+        ReplicationLink wire = new ReplicationLink(now, now);
         wire.run(100_000);
-        long before = wire.downBytes;
+        long before = wire.bytesToReplica;
         for (int second = 0; second < 60; second++) {
             for (int i = 0; i < 817; i++) {
                 now = with(now, EntryChange.replace(key(3), FieldCodec.utf8("value " + second + " " + i)));
@@ -229,83 +230,83 @@
             wire.run(1_000_000);
         }
         wire.run(1_000_000);
-        same(now, wire);
-        assertTrue(wire.downBytes - before < 60 * 18_000 + 4_000, wire.downBytes - before + " bytes");
+        assertReplicaHolds(now, wire);
+        assertTrue(wire.bytesToReplica - before < 60 * 18_000 + 4_000, wire.bytesToReplica - before + " bytes");
         assertTrue(
                 wire.replica.appliedBatches() < 49_000 / 2,
                 wire.replica.appliedBatches() + " times something came into force");
     }
 
     @Test
-    void aBurstIsInForceWithinItsBudgetAndItsTime() throws Exception {
+    void appliesABurstWithinBudgetAndTime() throws Exception {
         VersionedStore first = entries(20_000);
-        Wire wire = new Wire(first, first);
+        ReplicationLink wire = new ReplicationLink(first, first);
         wire.run(100_000);
         VersionedStore second = changed(first, 1_000);
         wire.publisher.publish(second);
-        long before = wire.downBytes;
+        long before = wire.bytesToReplica;
         wire.run(4_000_000);
-        same(second, wire);
-        assertTrue(wire.downBytes - before < 4 * 23_000, wire.downBytes - before + " bytes");
+        assertReplicaHolds(second, wire);
+        assertTrue(wire.bytesToReplica - before < 4 * 23_000, wire.bytesToReplica - before + " bytes");
     }
 
     @Test
-    void aPublisherThatDiesInTheMidstIsFollowedByAnother() throws Exception {
+    void resumesFromAnotherPublisherAfterOneDiesMidBatch() throws Exception {
         VersionedStore first = entries(2_000);
         VersionedStore second = changed(first, 1_000);
-        Wire wire = new Wire(first, first);
-        List<Frame> parts = parts(wire, second);
+        ReplicationLink wire = new ReplicationLink(first, first);
+        List<Frame> parts = deltaParts(wire, second);
         for (Frame part : parts.subList(0, parts.size() / 2)) {
             wire.replica.receive(part, wire.nowUs);
         }
         wire.replica.disconnected();
         // The other has not heard of it yet, and then it has.
-        wire.publishes(first);
+        wire.connectNewPublisher(first);
         wire.run(1_000_000);
         assertEquals(first.live().sum(), wire.replica.store().live().sum());
         wire.publisher.publish(second);
         wire.run(10_000_000);
-        same(second, wire);
+        assertReplicaHolds(second, wire);
     }
 
     /**
      * All publishers away, the node restarted from what it had kept: it serves by that, and says since when.
      */
     @Test
-    void aNodeThatWasRestartedWhileNobodyWasThereGoesOnFromWhatItHad() throws Exception {
+    void continuesFromItsStoredVersionAfterARestart() throws Exception {
         VersionedStore first = entries(1_000);
         VersionedStore second = with(first, put(2_000, "meanwhile"));
-        Wire wire = new Wire(second, first);
+        ReplicationLink wire = new ReplicationLink(second, first);
         wire.run(1_000_000);
         VersionedStore kept = VersionedStore.of(
                 wire.replica.store().live(), wire.replica.store().version());
-        Wire restarted = new Wire(second, kept);
+        ReplicationLink restarted = new ReplicationLink(second, kept);
         assertEquals(-1, restarted.replica.lastCurrentUs(), "nobody has said yet that this is the newest");
         assertEquals(second.live().sum(), restarted.replica.store().live().sum());
         VersionedStore third = with(second, EntryChange.delete(key(2_000)));
         restarted.publisher.publish(third);
         restarted.run(1_000_000);
-        same(third, restarted);
+        assertReplicaHolds(third, restarted);
         assertEquals(1, restarted.replica.appliedBatches());
     }
 
     @Test
-    void changesDuringACatchUpComeAfterIt() throws Exception {
+    void appliesChangesPublishedDuringCatchUp() throws Exception {
         VersionedStore first = entries(5_000);
         VersionedStore now = changed(first, 3_000);
-        Wire wire = new Wire(now, first);
+        ReplicationLink wire = new ReplicationLink(now, first);
         for (int i = 0; i < 40; i++) {
             wire.run(100_000);
             now = with(now, put(10_000 + i, "during"));
             wire.publisher.publish(now);
         }
         wire.run(20_000_000);
-        same(now, wire);
+        assertReplicaHolds(now, wire);
         assertTrue(wire.replica.appliedBatches() >= 2 && wire.replica.rejectedCount() == 0);
     }
 
     @Test
-    void framesThatPromiseMoreThanTheyMayAreRefusedBeforeThereIsRoomForThem() throws Exception {
+    void rejectsOversizedFramesBeforeAllocating() throws Exception {
         FrameCodec codec = new FrameCodec();
         // A body that would be inflated to 4 GiB less one byte: field 8 with a byte, field 9 with that
         // length.
@@ -337,9 +338,9 @@
     }
 
     @Test
-    void aPublisherIsLeftForItsLiesAndAReplicaForIts() throws Exception {
+    void rejectsFramesThatViolateTheProtocol() throws Exception {
         VersionedStore first = entries(100);
-        Wire wire = new Wire(first, first);
+        ReplicationLink wire = new ReplicationLink(first, first);
         wire.run(10_000);
         Frame old = Frame.delta(
                 first.version(),
@@ -384,7 +385,7 @@
     }
 
     @Test
-    void replicasOfOneThatFailsAreSpreadOverTheOthersAndComeBack() {
+    void spreadsReplicasOfAFailedPublisherAndFailsBack() {
         List<String> publishers =
                 IntStream.range(0, 18).mapToObj(i -> "control-" + i).toList();
         int[] before = new int[18];
@@ -400,7 +401,7 @@
                 after[next]++;
                 moved++;
                 assertTrue(!choice.hasBetter(next, 1) && choice.hasBetter(next, 6_000_000));
-                choice.worked(3);
+                choice.succeeded(3);
                 assertEquals(3, choice.next(2));
             } else {
                 choice.failed(3, 0);
@@ -414,7 +415,7 @@
         PublisherChoice all = new PublisherChoice("x", publishers.subList(0, 2));
         all.failed(0, 0);
         all.failed(1, 0);
-        assertTrue(all.whenUs(all.next(10)) > 10, "none may be asked now");
+        assertTrue(all.retryAtUs(all.next(10)) > 10, "none may be asked now");
         PublisherChoice near = new PublisherChoice("x", publishers, "control-5"::equals);
         assertEquals(5, near.next(0));
     }
--- a/src/test/java/vetchpost/replication/disk/StoreFileTest.java
+++ b/src/test/java/vetchpost/replication/disk/StoreFileTest.java
@@ -39,7 +39,7 @@
                         Version.of(2, 7));
     }
 
-    private static void same(VersionedStore a, VersionedStore b) {
+    private static void assertSameStore(VersionedStore a, VersionedStore b) {
         assertEquals(a.version(), b.version());
         assertEquals(a.horizon(), b.horizon());
         assertEquals(a.live().sum(), b.live().sum());
@@ -47,19 +47,19 @@
     }
 
     @Test
-    void itIsReadAsItWasWritten() throws Exception {
+    void readsBackWhatWasWritten() throws Exception {
         StoreFile file = new StoreFile(folder.resolve("store"));
         assertNull(file.read(line -> {}));
         for (int entries : new int[] {4, 5_000}) {
             VersionedStore store = store(entries);
             file.write(store);
-            same(store, file.read(line -> {}));
+            assertSameStore(store, file.read(line -> {}));
         }
     }
 
     /** Its checksum fits, and its entries are not those of its sum. */
     @Test
-    void oneWhoseEntriesAreNotWhatItSaysIsPassedOver() throws Exception {
+    void rejectsAFileWhoseEntriesDoNotMatchItsSum() throws Exception {
         Path path = folder.resolve("store");
         VersionedStore store = store(3);
         VersionedStore other = store(5);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void oneThatIsSpoiltIsPassedOverForTheOneBefore() throws Exception {
+    void fallsBackToThePreviousFileWhenTheNewestIsCorrupt() throws Exception {
         Path path = folder.resolve("store");
         StoreFile file = new StoreFile(path);
         VersionedStore before = store(50);
@@ -97,7 +97,7 @@
             }
             Files.write(path, spoilt);
             List<String> refused = new ArrayList<>();
-            same(before, file.read(refused::add));
+            assertSameStore(before, file.read(refused::add));
             assertEquals(1, refused.size());
             assertTrue(refused.get(0).contains("is passed over"), refused.get(0));
         }
--- a/src/test/java/vetchpost/replication/net/ReplicaClientTest.java
+++ b/src/test/java/vetchpost/replication/net/ReplicaClientTest.java
@@ -53,7 +53,7 @@
         return VersionedStore.EMPTY.with(changes, Version.of(1, number));
     }
 
-    private static VersionedStore more(VersionedStore store) {
+    private static VersionedStore withOneMoreEntry(VersionedStore store) {
         return store.with(
                 List.of(EntryChange.put(new EntryKey(EntryKind.ROUTE, "/more/" + store.version()), new byte[9])),
                 store.version() + 1);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aChangeIsToldToAllWhoKnowTheSecretAndToNobodyElse() throws Exception {
+    void publishesChangesOnlyToReplicasThatKnowTheSecret() throws Exception {
         VersionedStore first = store(1, 3_000);
         try (TestPublisher control = new TestPublisher(first, TestPublisher.SECRET, 0)) {
             BlockingQueue<VersionedStore> one = follow(TestPublisher.SECRET, control.address());
@@ -98,27 +98,27 @@
                     follow("another secret that is as long as the one", control.address());
             assertEquals(first.live().sum(), next(one).live().sum());
             assertEquals(first.live().sum(), next(two).live().sum());
-            VersionedStore second = more(first);
+            VersionedStore second = withOneMoreEntry(first);
             control.publish(second);
             assertEquals(second.live().sum(), next(one).live().sum());
             assertEquals(second.live().sum(), next(two).live().sum());
             assertNull(stranger.poll());
-            assertEquals(2, control.peers());
+            assertEquals(2, control.replicaCount());
         }
     }
 
     @Test
-    void oneThatDiesIsFollowedByAnother() throws Exception {
+    void failsOverToAnotherPublisherWhenOneDies() throws Exception {
         VersionedStore first = store(1, 100);
-        VersionedStore second = more(first);
+        VersionedStore second = withOneMoreEntry(first);
         TestPublisher[] both = {
             new TestPublisher(first, TestPublisher.SECRET, 0), new TestPublisher(first, TestPublisher.SECRET, 0)
         };
         try {
             BlockingQueue<VersionedStore> inForce = follow(TestPublisher.SECRET, both[0].address(), both[1].address());
             next(inForce);
-            int used = both[0].peers() == 1 ? 0 : 1;
-            assertEquals(1, both[0].peers() + both[1].peers());
+            int used = both[0].replicaCount() == 1 ? 0 : 1;
+            assertEquals(1, both[0].replicaCount() + both[1].replicaCount());
             both[1 - used].publish(second);
             both[used].close();
             assertEquals(second.live().sum(), next(inForce).live().sum());
@@ -130,13 +130,13 @@
 
     /** Somebody in between who changes a byte, leaves a frame out or sends one again is found at once. */
     @Test
-    void whoeverChangesWhatIsOnItsWayIsFound() throws Exception {
+    void detectsFramesAlteredDroppedOrReplayedInTransit() throws Exception {
         VersionedStore first = store(1, 10);
         for (int harm = 0; harm < 3; harm++) {
             int what = harm;
             try (TestPublisher control = new TestPublisher(first, TestPublisher.SECRET, 0);
                     ServerSocket between = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-                Thread thread = new Thread(() -> pass(between, control.address(), what));
+                Thread thread = new Thread(() -> forwardWithFault(between, control.address(), what));
                 thread.setDaemon(true);
                 thread.start();
                 BlockingQueue<VersionedStore> inForce = follow(
@@ -149,7 +149,7 @@
         }
     }
 
-    private static void pass(ServerSocket between, InetSocketAddress to, int harm) {
+    private static void forwardWithFault(ServerSocket between, InetSocketAddress to, int harm) {
         boolean first = true;
         while (true) {
             try (Socket replica = between.accept();
--- a/src/test/java/vetchpost/replication/net/TestPublisher.java
+++ b/src/test/java/vetchpost/replication/net/TestPublisher.java
@@ -16,7 +16,7 @@
 /** A control machine's publisher on a port of its own. */
 public final class TestPublisher implements AutoCloseable {
     public static final String SECRET = "a secret that is long enough for anybody";
-    private static final long PATIENCE_S = 30;
+    private static final long TIMEOUT_S = 30;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -25,18 +25,18 @@
 
     /** Tells this, to whoever knows that secret. */
     public TestPublisher(VersionedStore store, String secret, int port) throws Exception {
-        server = on(() -> new PublisherServer(
+        server = onLoop(() -> new PublisherServer(
                 loop,
                 Network.SYSTEM,
                 SharedSecret.parse(secret),
                 new SecureRandom(),
                 store,
                 new Publisher.Budget(1e6, 1e6, 1e7, 1e6)));
-        address = (InetSocketAddress)
-                on(() -> server.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)))
-                        .sync()
-                        .channel()
-                        .localAddress();
+        address = (InetSocketAddress) onLoop(
+                        () -> server.listen(group, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)))
+                .sync()
+                .channel()
+                .localAddress();
     }
 
     public InetSocketAddress address() {
@@ -48,18 +48,18 @@
     }
 
     public void publish(VersionedStore store) throws Exception {
-        on(() -> {
+        onLoop(() -> {
             server.publish(store);
             return null;
         });
     }
 
-    public int peers() throws Exception {
-        return on(() -> server.publisher().peers());
+    public int replicaCount() throws Exception {
+        return onLoop(() -> server.publisher().replicaCount());
     }
 
-    private <T> T on(Callable<T> task) throws Exception {
-        return loop.submit(task).get(PATIENCE_S, TimeUnit.SECONDS);
+    private <T> T onLoop(Callable<T> task) throws Exception {
+        return loop.submit(task).get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Override
@@ -67,7 +67,7 @@
         if (group.isShuttingDown()) {
             return;
         }
-        loop.submit(server::close).awaitUninterruptibly(PATIENCE_S, TimeUnit.SECONDS);
+        loop.submit(server::close).awaitUninterruptibly(TIMEOUT_S, TimeUnit.SECONDS);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 }
--- a/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
+++ b/src/test/java/vetchpost/routes/AcceptedFilesProperty.java
@@ -27,7 +27,7 @@
 /** Whatever file the prover accepts, the four rules hold with it, whatever goes wrong. */
 class AcceptedFilesProperty {
     private static final AtomicInteger ACCEPTED = new AtomicInteger();
-    private static final AtomicInteger REFUSED = new AtomicInteger();
+    private static final AtomicInteger REJECTED = new AtomicInteger();
 
     @Provide
     Arbitrary<String> files() {
@@ -64,7 +64,7 @@
     }
 
     /** The file in force in all nodes, if it is accepted by the settings that they are given. */
-    private record InForce(List<Section> sections, boolean[] refused) implements NodeProcess.Setup {
+    private record AppliedFile(List<Section> sections, boolean[] rejected) implements NodeProcess.Setup {
         @Override
         public NodeHooks hooks(SimLoop loop) {
             return NodeHooks.NONE;
@@ -73,8 +73,8 @@
         @Override
         public RoutePolicy routes(Settings settings, long seed) {
             RouteValidation proof = RouteValidator.validate(sections, settings);
-            refused[0] = !proof.isValid();
-            return refused[0] ? RoutePolicy.NONE : new FileRoutePolicy(proof.table(), settings, seed);
+            rejected[0] = !proof.isValid();
+            return rejected[0] ? RoutePolicy.NONE : new FileRoutePolicy(proof.table(), settings, seed);
         }
     }
 
@@ -83,13 +83,13 @@
     boolean acceptedFilesKeepTheRules(@ForAll("files") String text, @ForAll int seed) {
         RouteFile file = RouteFile.parse("random.toml", text);
         if (!file.violations().isEmpty()) {
-            REFUSED.incrementAndGet();
+            REJECTED.incrementAndGet();
             return true;
         }
         boolean[] refused = new boolean[1];
         Plan plan = Plan.of(Math.abs((long) seed) % 100_000);
-        Result result = Simulation.run(plan, new InForce(file.sections(), refused), null);
-        (refused[0] ? REFUSED : ACCEPTED).incrementAndGet();
+        Result result = Simulation.run(plan, new AppliedFile(file.sections(), refused), null);
+        (refused[0] ? REJECTED : ACCEPTED).incrementAndGet();
         if (!result.isGood()) {
             throw new AssertionError("seed " + result.seed() + ": " + result.violation() + " with\n" + text);
         }
@@ -97,8 +97,8 @@
     }
 
     @AfterContainer
-    static void bothKindsHaveCome() {
-        System.out.println("random files: " + ACCEPTED + " accepted and run, " + REFUSED + " refused");
+    static void enoughFilesAreAccepted() {
+        System.out.println("random files: " + ACCEPTED + " accepted and run, " + REJECTED + " refused");
         if (ACCEPTED.get() < 50) {
             throw new AssertionError("only " + ACCEPTED + " files were accepted");
         }
