--- a/src/test/java/vetchpost/routes/ChangesProperty.java
+++ b/src/test/java/vetchpost/routes/ChangesProperty.java
@@ -25,16 +25,16 @@
 
 /** Changes one after the other, proved by themselves, against the proof of the whole file with them in it. */
 class ChangesProperty {
-    private static final Settings SETTINGS = ProverTest.settings();
+    private static final Settings SETTINGS = RouteValidatorTest.settings();
     private static final List<String> CLASSES = List.of("view-page", "add-photo", "place-order", "nothing");
     private static final List<String> TAILS = List.of("/a", "/{n}", "/*", "/a/{n}", "/{x}/b", "/a/../b", "");
     private static final List<String> TARGETS = List.of("/a", "/b", "/a/1", "/1/b", "/a/b", "", "/a/b/c");
-    private static int held;
-    private static int refused;
+    private static int accepted;
+    private static int rejected;
 
-    private final Position at = new Position("f", 1, 1);
+    private final Position position = new Position("f", 1, 1);
 
-    private Section route(SplittableRandom random, String name, boolean alone) {
+    private Section randomRoute(SplittableRandom random, String name, boolean alone) {
         Map<String, Object> said = new LinkedHashMap<>();
         String cls = CLASSES.get(random.nextInt(random.nextInt(20) == 0 ? 4 : 3));
         said.put("name", name);
@@ -63,16 +63,16 @@
             said.put("retry-after", 3L);
         }
         Map<String, Entry> entries = new LinkedHashMap<>();
-        said.forEach((key, value) -> entries.put(key, new Entry(value, at)));
-        return new Section(Kind.ROUTE, "", at, entries);
+        said.forEach((key, value) -> entries.put(key, new Entry(value, position)));
+        return new Section(Kind.ROUTE, "", position, entries);
     }
 
-    private static RouteValidation whole(List<Section> all, boolean alone) {
+    private static RouteValidation validateWholeFile(List<Section> all, boolean alone) {
         return alone ? RouteValidator.validateStandalone(all, SETTINGS) : RouteValidator.validate(all, SETTINGS);
     }
 
     /** Which of two that are the same is named depends on their order in the file. */
-    private static Set<String> rules(RouteValidation proof) {
+    private static Set<String> brokenRules(RouteValidation proof) {
         Set<String> rules = new TreeSet<>();
         proof.violations()
                 .forEach(v -> rules.add(
@@ -83,12 +83,12 @@
     }
 
     @Property(tries = 10_000, seed = "45", shrinking = ShrinkingMode.OFF)
-    boolean theProofOfChangesSaysWhatTheProofOfTheWholeSays(@ForAll long seed) {
+    boolean validatingChangesEqualsValidatingTheWholeFile(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         boolean alone = random.nextBoolean();
-        Section defaults = new Section(Kind.DEFAULTS, "", at, Map.of("retry-budget", new Entry(0.2, at)));
+        Section defaults = new Section(Kind.DEFAULTS, "", position, Map.of("retry-budget", new Entry(0.2, position)));
         Map<String, Section> file = new LinkedHashMap<>();
-        RouteTable table = whole(List.of(defaults), alone).table();
+        RouteTable table = validateWholeFile(List.of(defaults), alone).table();
         for (int version = 1; version <= 6; version++) {
             Map<String, RouteChange> batch = new LinkedHashMap<>();
             boolean known = true;
@@ -97,7 +97,9 @@
                 Op op = !file.containsKey(name)
                         ? random.nextInt(20) == 0 ? Op.REPLACE : Op.PUT
                         : random.nextInt(20) == 0 ? Op.PUT : random.nextBoolean() ? Op.REPLACE : Op.DELETE;
-                batch.put(name, new RouteChange(op, name, op == Op.DELETE ? null : route(random, name, alone), at));
+                batch.put(
+                        name,
+                        new RouteChange(op, name, op == Op.DELETE ? null : randomRoute(random, name, alone), position));
             }
             Map<String, Section> after = new LinkedHashMap<>(file);
             List<Section> twice = new ArrayList<>();
@@ -114,25 +116,25 @@
             List<Section> sections = new ArrayList<>(List.of(defaults));
             sections.addAll(after.values());
             sections.addAll(twice);
-            RouteValidation whole = whole(sections, alone);
+            RouteValidation whole = validateWholeFile(sections, alone);
             RouteValidation changed = RouteValidator.validateChanges(table, new ArrayList<>(batch.values()), version);
             if (!known) {
-                assertTrue(rules(changed).contains("UNKNOWN_ENTRY"));
-                refused++;
+                assertTrue(brokenRules(changed).contains("UNKNOWN_ENTRY"));
+                rejected++;
                 continue;
             }
             assertEquals(
-                    rules(whole),
-                    rules(changed),
+                    brokenRules(whole),
+                    brokenRules(changed),
                     () -> sections + "\n" + whole.violations() + "\n" + changed.violations());
             if (!whole.isValid()) {
-                refused++;
+                rejected++;
                 continue;
             }
-            held++;
+            accepted++;
             table = changed.table();
             file = after;
-            same(whole.table(), table);
+            assertSameTable(whole.table(), table);
             RouteTable settled = table;
             PackedTree live = table.entries();
             // And who takes them in without a proof, in any order, comes to the same.
@@ -142,19 +144,19 @@
             }
             for (RouteChange change : batch.values()) {
                 if (change.section() != null) {
-                    byte[] bytes = RouteCodec.bytes(change.section());
+                    byte[] bytes = RouteCodec.encode(change.section());
                     live = live.put(
                             new EntryKey(vetchpost.store.EntryKind.ROUTE, change.name()).bytes(), bytes, version);
                     settled = settled.withRoute(change.name(), bytes, live);
                 }
             }
-            same(table, settled);
+            assertSameTable(table, settled);
         }
         return true;
     }
 
-    private static void same(RouteTable whole, RouteTable changed) {
-        assertEquals(whole.all(), changed.all());
+    private static void assertSameTable(RouteTable whole, RouteTable changed) {
+        assertEquals(whole.allRoutes(), changed.allRoutes());
         for (String cls : CLASSES.subList(0, 3)) {
             for (String tail : TARGETS) {
                 for (int tenant = -1; tenant < 2; tenant++) {
@@ -166,8 +168,8 @@
     }
 
     @AfterContainer
-    static void bothKindsHaveCome() {
-        System.out.println("batches of changes: " + held + " held, " + refused + " refused");
-        assertTrue(held > 1_000 && refused > 1_000, held + " and " + refused);
+    static void bothOutcomesOccur() {
+        System.out.println("batches of changes: " + accepted + " held, " + rejected + " refused");
+        assertTrue(accepted > 1_000 && rejected > 1_000, accepted + " and " + rejected);
     }
 }
--- a/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
+++ b/src/test/java/vetchpost/routes/FileRoutePolicyTest.java
@@ -30,18 +30,18 @@
     };
 
     private static FileRoutePolicy policy(String text) {
-        return new FileRoutePolicy(ProverTest.prove(text).table(), ProverTest.settings(), 1);
+        return new FileRoutePolicy(RouteValidatorTest.validate(text).table(), RouteValidatorTest.settings(), 1);
     }
 
-    private static RouteLimits bounds(FileRoutePolicy policy, int tenant) {
+    private static RouteLimits limitsOf(FileRoutePolicy policy, int tenant) {
         return policy.limitsOf(
                 new ClientRequest(1, 0, tenant, 0, 0, false, "GET", "/view-page/1", NO_FIELDS, new byte[0]));
     }
 
     @Test
-    void oneTenantDoesNotSpendAnothersBudget() {
+    void tenantsDoNotSpendEachOthersRetryBudget() {
         FileRoutePolicy policy = policy("[class.view-page]\nretry-budget = 0.1\n");
-        RouteLimits loud = bounds(policy, 0);
+        RouteLimits loud = limitsOf(policy, 0);
         int repeats = 0;
         for (int i = 0; i < 1_000; i++) {
             loud.tryAcquire();
@@ -52,7 +52,7 @@
         }
         assertTrue(repeats >= 100 && repeats <= 111, repeats + " of 1,000, and ten saved up");
         for (int tenant : new int[] {1, -1}) {
-            RouteLimits quiet = bounds(policy, tenant);
+            RouteLimits quiet = limitsOf(policy, tenant);
             for (int i = 0; i < 10; i++) {
                 assertTrue(quiet.mayRetry(), "tenant " + tenant + " has " + i + " repeats left");
                 quiet.recordRetry();
@@ -67,23 +67,23 @@
                 file.sections().stream()
                         .filter(s -> s.kind() != Section.Kind.ROUTE)
                         .toList(),
-                ProverTest.settings(),
+                RouteValidatorTest.settings(),
                 false,
                 before,
                 version);
-        file.sections().stream().filter(s -> s.kind() == Section.Kind.ROUTE).forEach(prover::add);
-        return prover.end().table();
+        file.sections().stream().filter(s -> s.kind() == Section.Kind.ROUTE).forEach(prover::addRoute);
+        return prover.finish().table();
     }
 
-    private static RouteLimits at(FileRoutePolicy policy, String target) {
+    private static RouteLimits limitsAt(FileRoutePolicy policy, String target) {
         return policy.limitsOf(new ClientRequest(1, 0, -1, 0, 0, false, "GET", target, NO_FIELDS, new byte[0]));
     }
 
-    private static final String ONE = "[[route]]\npath = \"/view-page/one\"\nretry-budget = 0.1\n";
-    private static final String TWO =
+    private static final String ROUTE_ONE = "[[route]]\npath = \"/view-page/one\"\nretry-budget = 0.1\n";
+    private static final String ROUTE_TWO =
             "[[route]]\npath = \"/view-page/two\"\nretry-budget = " + "0.2\nconcurrency = 1000\n";
 
-    private static void spend(RouteLimits bounds) {
+    private static void spendBudget(RouteLimits bounds) {
         for (int i = 0; i < 10; i++) {
             bounds.recordRetry();
         }
@@ -92,45 +92,46 @@
 
     /** Another file, or a change of another route: what is counted goes on. */
     @Test
-    void routesThatStayKeepTheirBudgetsAndThoseThatChangeWhatIsInHand() {
-        RouteTable first = table(ONE + TWO, null, 1);
-        FileRoutePolicy policy = new FileRoutePolicy(first, ProverTest.settings(), 1);
-        spend(at(policy, "/view-page/one"));
-        spend(at(policy, "/view-page/two"));
-        assertTrue(at(policy, "/view-page/two").tryAcquire());
-        String changed = TWO.replace("concurrency = 1000", "concurrency = 1");
-        RouteTable second = table("# another file\n" + changed + ONE, first, 2);
-        policy.replaceTable(second, ProverTest.settings());
-        assertFalse(at(policy, "/view-page/one").mayRetry(), "its budget is back");
-        assertTrue(at(policy, "/view-page/two").mayRetry(), "it has another budget now");
-        assertFalse(at(policy, "/view-page/two").tryAcquire(), "what it has in hand is not counted any more");
+    void unchangedRoutesKeepBudgetsAndChangedOnesRequestsInFlight() {
+        RouteTable first = table(ROUTE_ONE + ROUTE_TWO, null, 1);
+        FileRoutePolicy policy = new FileRoutePolicy(first, RouteValidatorTest.settings(), 1);
+        spendBudget(limitsAt(policy, "/view-page/one"));
+        spendBudget(limitsAt(policy, "/view-page/two"));
+        assertTrue(limitsAt(policy, "/view-page/two").tryAcquire());
+        String changed = ROUTE_TWO.replace("concurrency = 1000", "concurrency = 1");
+        RouteTable second = table("# another file\n" + changed + ROUTE_ONE, first, 2);
+        policy.replaceTable(second, RouteValidatorTest.settings());
+        assertFalse(limitsAt(policy, "/view-page/one").mayRetry(), "its budget is back");
+        assertTrue(limitsAt(policy, "/view-page/two").mayRetry(), "it has another budget now");
+        assertFalse(limitsAt(policy, "/view-page/two").tryAcquire(), "what it has in hand is not counted any more");
         RouteTable third = RouteValidator.validateChanges(
                         second,
                         List.of(new RouteValidator.RouteChange(
                                 EntryChange.Op.DELETE, "/view-page/two", null, new Position("f", 1, 1))),
                         3)
                 .table();
-        policy.replaceTable(third, ProverTest.settings());
-        assertFalse(at(policy, "/view-page/one").mayRetry());
+        policy.replaceTable(third, RouteValidatorTest.settings());
+        assertFalse(limitsAt(policy, "/view-page/one").mayRetry());
         // Another class says something else: that is nothing to this route.
-        RouteTable aside = table("[class.add-photo]\nconcurrency = 5\n" + ONE, third, 4);
-        policy.replaceTable(aside, ProverTest.settings());
-        assertFalse(at(policy, "/view-page/one").mayRetry(), "its budget is back for a change of another class");
+        RouteTable aside = table("[class.add-photo]\nconcurrency = 5\n" + ROUTE_ONE, third, 4);
+        policy.replaceTable(aside, RouteValidatorTest.settings());
+        assertFalse(limitsAt(policy, "/view-page/one").mayRetry(), "its budget is back for a change of another class");
         // With other defaults each route has other limits.
-        policy.replaceTable(table("[defaults]\nconcurrency = 5\n" + ONE, third, 4), ProverTest.settings());
-        assertTrue(at(policy, "/view-page/one").mayRetry());
+        policy.replaceTable(
+                table("[defaults]\nconcurrency = 5\n" + ROUTE_ONE, third, 4), RouteValidatorTest.settings());
+        assertTrue(limitsAt(policy, "/view-page/one").mayRetry());
     }
 
     @Test
-    void aRouteIsTakenOutWhileAThousandRequestsHoldIt() {
-        RouteTable first = table(ONE + TWO, null, 1);
-        FileRoutePolicy policy = new FileRoutePolicy(first, ProverTest.settings(), 1);
+    void requestsInFlightKeepTheLimitsOfADeletedRoute() {
+        RouteTable first = table(ROUTE_ONE + ROUTE_TWO, null, 1);
+        FileRoutePolicy policy = new FileRoutePolicy(first, RouteValidatorTest.settings(), 1);
         List<RouteLimits> held = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
-            held.add(at(policy, "/view-page/two"));
+            held.add(limitsAt(policy, "/view-page/two"));
             assertTrue(held.get(i).tryAcquire());
         }
-        assertFalse(at(policy, "/view-page/two").tryAcquire());
+        assertFalse(limitsAt(policy, "/view-page/two").tryAcquire());
         policy.replaceTable(
                 RouteValidator.validateChanges(
                                 first,
@@ -138,18 +139,18 @@
                                         EntryChange.Op.DELETE, "/view-page/two", null, new Position("f", 1, 1))),
                                 2)
                         .table(),
-                ProverTest.settings());
-        RouteLimits other = at(policy, "/view-page/two");
+                RouteValidatorTest.settings());
+        RouteLimits other = limitsAt(policy, "/view-page/two");
         assertTrue(other.tryAcquire(), "its class has no limit");
         for (RouteLimits each : held) {
             assertTrue(each.mayRetry(), "it goes by what it began with");
             each.release();
         }
-        spend(held.get(0));
+        spendBudget(held.get(0));
         // Back under its name, it counts from none on, and what it had saved up is as it was left.
-        policy.replaceTable(first, ProverTest.settings());
-        assertTrue(at(policy, "/view-page/two").tryAcquire());
-        assertFalse(at(policy, "/view-page/two").mayRetry());
+        policy.replaceTable(first, RouteValidatorTest.settings());
+        assertTrue(limitsAt(policy, "/view-page/two").tryAcquire());
+        assertFalse(limitsAt(policy, "/view-page/two").mayRetry());
     }
 
     /**
@@ -157,36 +158,36 @@
      * forgotten.
      */
     @Test
-    void whatIsKeptIsBounded() {
-        Settings many = ProverTest.settings();
+    void trackedStateIsBounded() {
+        Settings many = RouteValidatorTest.settings();
         for (int i = 0; i < 70_000; i++) {
             many.tenants.add(new vetchpost.decision.Balancer.Tenant("t" + i, 1));
         }
         RouteFile file = RouteFile.parse("f.toml", "[class.view-page]\nretry-budget = 0.1\nconcurrency = " + "2\n");
         FileRoutePolicy policy = new FileRoutePolicy(
                 RouteValidator.validate(file.sections(), many).table(), many, 1);
-        RouteLimits first = bounds(policy, 0);
+        RouteLimits first = limitsOf(policy, 0);
         assertTrue(first.tryAcquire());
-        spend(first);
-        assertFalse(bounds(policy, 0).mayRetry());
+        spendBudget(first);
+        assertFalse(limitsOf(policy, 0).mayRetry());
         for (int tenant = 1; tenant <= FileRoutePolicy.MAX_TRACKED_STATES; tenant++) {
-            bounds(policy, tenant);
+            limitsOf(policy, tenant);
         }
-        assertTrue(bounds(policy, 0).mayRetry(), "the longest unused begins anew");
-        assertTrue(bounds(policy, 5).tryAcquire());
-        assertFalse(bounds(policy, 6).tryAcquire(), "what is in hand is counted on");
+        assertTrue(limitsOf(policy, 0).mayRetry(), "the longest unused begins anew");
+        assertTrue(limitsOf(policy, 5).tryAcquire());
+        assertFalse(limitsOf(policy, 6).tryAcquire(), "what is in hand is counted on");
         first.release();
-        assertTrue(bounds(policy, 6).tryAcquire());
+        assertTrue(limitsOf(policy, 6).tryAcquire());
     }
 
     @Test
-    void concurrencyIsTheRoutesOwnOverAllTenants() {
+    void concurrencyIsLimitedAcrossAllTenants() {
         FileRoutePolicy policy = policy("[class.view-page]\nconcurrency = 2\n");
-        assertTrue(bounds(policy, 0).tryAcquire());
-        assertTrue(bounds(policy, 1).tryAcquire());
-        assertFalse(bounds(policy, -1).tryAcquire());
-        bounds(policy, 0).release();
-        assertTrue(bounds(policy, -1).tryAcquire());
-        assertEquals(1_000_000, bounds(policy, 0).retryAfterUs(0), "the settings' advice where nothing else is said");
+        assertTrue(limitsOf(policy, 0).tryAcquire());
+        assertTrue(limitsOf(policy, 1).tryAcquire());
+        assertFalse(limitsOf(policy, -1).tryAcquire());
+        limitsOf(policy, 0).release();
+        assertTrue(limitsOf(policy, -1).tryAcquire());
+        assertEquals(1_000_000, limitsOf(policy, 0).retryAfterUs(0), "the settings' advice where nothing else is said");
     }
 }
--- a/src/test/java/vetchpost/routes/RouteFiles.java
+++ b/src/test/java/vetchpost/routes/RouteFiles.java
@@ -13,9 +13,9 @@
     private RouteFiles() {}
 
     /** The routes of a file, whatever rule it breaks. */
-    public static RoutePolicy policy(String text, Settings settings, long seed) {
+    public static RoutePolicy uncheckedPolicy(String text, Settings settings, long seed) {
         return new FileRoutePolicy(
-                RouteValidator.believe(sections(text), settings).table(), settings, seed);
+                RouteValidator.readUnchecked(sections(text), settings).table(), settings, seed);
     }
 
     /** Whether the prover refuses the file for this rule, perhaps beside others. */
--- a/src/test/java/vetchpost/routes/ProverTest.java
+++ b/src/test/java/vetchpost/routes/RouteValidatorTest.java
@@ -18,7 +18,7 @@
 import vetchpost.routes.file.RouteFile;
 
 /** Files are taken or refused with the place, the rule and what would pass. */
-class ProverTest {
+class RouteValidatorTest {
     private static final long MS = 1_000;
 
     static Settings settings() {
@@ -48,22 +48,22 @@
                 false);
     }
 
-    static RouteValidation prove(String text) {
+    static RouteValidation validate(String text) {
         RouteFile file = RouteFile.parse("f.toml", text);
         assertEquals(List.of(), file.violations());
         return RouteValidator.validate(file.sections(), settings());
     }
 
-    private static Violation only(String text) {
-        RouteValidation proof = prove(text);
+    private static Violation validateSingleViolation(String text) {
+        RouteValidation proof = validate(text);
         assertEquals(1, proof.violations().size(), proof.violations().toString());
         assertNull(proof.table());
         return proof.violations().get(0);
     }
 
     @Test
-    void noFileIsAFileThatSaysNothing() {
-        RouteValidation proof = prove("");
+    void emptyFileIsValid() {
+        RouteValidation proof = validate("");
         assertTrue(proof.isValid());
         assertEquals(
                 4,
@@ -80,8 +80,8 @@
     }
 
     @Test
-    void whatIsSaidForARouteComesBeforeItsClassAndThatBeforeTheDefaults() {
-        RouteValidation proof = prove("""
+    void routeOverridesClassAndClassOverridesDefaults() {
+        RouteValidation proof = validate("""
                 [defaults]
                 retry-budget = 0.3
                 concurrency = 9
@@ -160,8 +160,8 @@
                         + " \"x\" | SAME_NAME"
                         + " | another name"
             })
-    void whatBreaksARuleIsRefused(String lines, Rule rule, String fits) {
-        Violation violation = only(lines.replace("~", "\n"));
+    void fileThatBreaksARuleIsRejected(String lines, Rule rule, String fits) {
+        Violation violation = validateSingleViolation(lines.replace("~", "\n"));
         assertEquals(rule, violation.rule(), violation.toString());
         assertEquals(fits, violation.accepted(), violation.toString());
         assertTrue(violation.position().line() >= 1);
@@ -169,21 +169,21 @@
 
     /** What a message says would pass does pass. */
     @Test
-    void theFigureThatWouldPassPasses() {
-        assertTrue(prove("[class.add-photo]\nattempts = 3\nattempt-timeout = \"587500us\"")
+    void suggestedValuesAreAccepted() {
+        assertTrue(validate("[class.add-photo]\nattempts = 3\nattempt-timeout = \"587500us\"")
                 .isValid());
-        assertTrue(prove("[class.add-photo]\nattempts = 2\nattempt-timeout = \"959ms\"\nbackoff = \"180ms\"\n"
+        assertTrue(validate("[class.add-photo]\nattempts = 2\nattempt-timeout = \"959ms\"\nbackoff = \"180ms\"\n"
                         + "jitter = 0.2")
                 .isValid());
-        assertTrue(prove("[class.view-page]\nattempts = 2\nattempt-timeout = \"200ms\"")
+        assertTrue(validate("[class.view-page]\nattempts = 2\nattempt-timeout = \"200ms\"")
                 .isValid());
-        assertTrue(prove("[class.add-photo]\ncopy-after = \"1068181us\"\njitter = 0.1")
+        assertTrue(validate("[class.add-photo]\ncopy-after = \"1068181us\"\njitter = 0.1")
                 .isValid());
     }
 
     @Test
-    void everyViolationIsToldWithItsPlace() {
-        RouteValidation proof = prove("""
+    void everyViolationIsReportedWithItsPosition() {
+        RouteValidation proof = validate("""
                 [class.place-order]
                 attempts = 3
                 speed = 1
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void whatIsNoTomlIsToldByLine() {
+    void syntaxErrorIsReportedWithItsLine() {
         RouteFile file = RouteFile.parse("f.toml", "[defaults]\nattempts = = 3\n");
         assertEquals(Rule.SYNTAX, file.violations().get(0).rule());
         assertEquals(2, file.violations().get(0).position().line());
@@ -217,8 +217,8 @@
     }
 
     @Test
-    void theMostSpecificRouteMatches() {
-        RouteValidation proof = prove("""
+    void mostSpecificRouteMatches() {
+        RouteValidation proof = validate("""
                 [[route]]
                 name = "all-of-a"
                 class = "view-page"
@@ -254,9 +254,9 @@
     }
 
     @Test
-    void thereIsNoWayRoundARoute() {
+    void ambiguousPathsCannotEvadeARoute() {
         RouteValidation proof =
-                prove("[[route]]\nname = \"large\"\npath =" + " \"/add-photo/large/{id}\"\nconcurrency = 1\n");
+                validate("[[route]]\nname = \"large\"\npath =" + " \"/add-photo/large/{id}\"\nconcurrency = 1\n");
         assertEquals("large", found(proof, "add-photo", "/add-photo/large/1", -1));
         assertEquals("large", found(proof, "add-photo", "/add-photo/%6Carge/1", -1));
         assertEquals("large", found(proof, "add-photo", "/add-photo//large///1", -1));
@@ -278,7 +278,7 @@
     }
 
     @Test
-    void tenThousandRoutesAreProvedWithinASecond() {
+    void tenThousandRoutesAreValidatedWithinTenSeconds() {
         StringBuilder text = new StringBuilder("[class.view-page]\nattempts = 2\n");
         for (int i = 0; i < 10_000; i++) {
             text.append("[[route]]\nname = \"r")
@@ -289,7 +289,7 @@
                     .append(i % 100)
                     .append("\"\nattempt-timeout = \"200ms\"\n");
         }
-        prove("[[route]]\npath = \"/view-page/warm\"\n");
+        validate("[[route]]\npath = \"/view-page/warm\"\n");
         long began = System.nanoTime();
         RouteFile file = RouteFile.parse("f.toml", text.toString());
         long read = System.nanoTime();
@@ -305,11 +305,11 @@
     }
 
     @Test
-    void aPartOfTheFleetIsRead() {
-        assertNull(prove("").fleetSubset());
+    void fleetSubsetIsRead() {
+        assertNull(validate("").fleetSubset());
         assertEquals(
                 new RouteValidation.FleetSubset(0, 40),
-                prove("[fleet]\nnode = 0\nsubset = 40\n").fleetSubset());
+                validate("[fleet]\nnode = 0\nsubset = 40\n").fleetSubset());
     }
 
     @ParameterizedTest
@@ -320,8 +320,8 @@
             subset = 9            | OUT_OF_RANGE | 1 | node = 0
             node = 0;subset = 9;subsets = 2 | UNKNOWN_KEY | 4 | subset
             """)
-    void aPartOfTheFleetThatCannotBeIsRefused(String lines, Rule rule, int line, String fits) {
-        Violation violation = only("[fleet]\n" + lines.replace(';', '\n') + "\n");
+    void invalidFleetSubsetIsRejected(String lines, Rule rule, int line, String fits) {
+        Violation violation = validateSingleViolation("[fleet]\n" + lines.replace(';', '\n') + "\n");
         assertEquals(rule, violation.rule());
         assertEquals(line, violation.position().line());
         assertEquals(fits, violation.accepted().replace("'", ""));
--- a/src/test/java/vetchpost/routes/RoutesPageTest.java
+++ b/src/test/java/vetchpost/routes/RoutesPageTest.java
@@ -23,21 +23,21 @@
     }
 
     @Test
-    void everyKeyIsOnThePage() {
+    void everyKeyIsDocumented() {
         for (RouteValidator.Key key : RouteValidator.Key.values()) {
             assertTrue(page.lines().anyMatch(l -> l.startsWith("| `" + key.text() + "` | ")), key.text());
         }
     }
 
     @Test
-    void everyRuleIsOnThePage() {
+    void everyRuleIsDocumented() {
         for (Violation.Rule rule : Violation.Rule.values()) {
             assertTrue(page.lines().anyMatch(l -> l.startsWith("| ") && l.contains("`" + rule + "`")), rule.name());
         }
     }
 
     @Test
-    void thePageNamesNoKeyThatThereIsNot() {
+    void everyDocumentedKeyExists() {
         List<String> named = page.lines()
                 .filter(l -> l.matches("\\| `[a-z-]+` \\| .*"))
                 .map(l -> l.split("`")[1])
@@ -47,11 +47,12 @@
     }
 
     @Test
-    void theShippedFileHolds() {
+    void shippedFileIsValid() {
         RouteFile file = RouteFile.parse("deploy/vetchpost.toml", read("deploy/vetchpost.toml"));
         assertEquals(List.of(), file.violations());
         assertEquals(
                 List.of(),
-                RouteValidator.validate(file.sections(), ProverTest.settings()).violations());
+                RouteValidator.validate(file.sections(), RouteValidatorTest.settings())
+                        .violations());
     }
 }
--- a/src/test/java/vetchpost/routes/file/FileIndexTest.java
+++ b/src/test/java/vetchpost/routes/file/FileIndexTest.java
@@ -25,20 +25,20 @@
     private Path folder;
 
     /** What a file came to. */
-    private static final class Read implements FileIndex.Tables {
+    private static final class ReadResult implements FileIndex.SectionHandler {
         private final List<Section> others = new ArrayList<>();
         private final List<Section> routes = new ArrayList<>();
         private final List<Violation> violations = new ArrayList<>();
         private FileIndex index;
 
         @Override
-        public void otherSections(List<Section> sections) {
+        public void acceptOtherSections(List<Section> sections) {
             assertTrue(others.isEmpty() && routes.isEmpty(), "told twice, or after routes");
             others.addAll(sections);
         }
 
         @Override
-        public void route(Section section) {
+        public void acceptRoute(Section section) {
             routes.add(section);
         }
     }
@@ -47,8 +47,8 @@
         return Files.writeString(folder.resolve("f.toml"), text);
     }
 
-    private Read read(String text) throws IOException {
-        Read read = new Read();
+    private ReadResult read(String text) throws IOException {
+        ReadResult read = new ReadResult();
         read.index = FileIndex.read(write(text), read, read.violations::add);
         return read;
     }
@@ -91,7 +91,7 @@
             "[[route]] x = 1",
             "\ufeff[node]");
 
-    private static String draw(SplittableRandom random) {
+    private static String randomFile(SplittableRandom random) {
         StringBuilder text = new StringBuilder(random.nextInt(30) == 0 ? "attempts = 1\n" : "# a file\n");
         boolean nasty = random.nextBoolean();
         for (int i = random.nextInt(6); i >= 0; i--) {
@@ -105,7 +105,7 @@
     }
 
     /** Lists within lists have no word of their own on whether they are the same. */
-    private static String text(List<Section> sections, Kind kind) {
+    private static String textOf(List<Section> sections, Kind kind) {
         return sections.stream()
                 .filter(s -> s.kind() == kind)
                 .toList()
@@ -114,13 +114,13 @@
     }
 
     @Test
-    void tableByTableAFileSaysWhatItSaysAsAWhole() throws Exception {
+    void readingByTablesEqualsParsingTheWholeFile() throws Exception {
         int byTables = 0;
         int refused = 0;
         for (int seed = 0; seed < 4_000; seed++) {
-            String text = draw(new SplittableRandom(seed));
+            String text = randomFile(new SplittableRandom(seed));
             RouteFile whole = RouteFile.parse(folder.resolve("f.toml").toString(), text);
-            Read read = read(text);
+            ReadResult read = read(text);
             assertEquals(
                     whole.violations().isEmpty(),
                     read.violations.isEmpty(),
@@ -132,14 +132,14 @@
             byTables += read.index == null ? 0 : 1;
             for (Kind kind : Kind.values()) {
                 List<Section> parts = kind == Kind.ROUTE ? read.routes : read.others;
-                assertEquals(text(whole.sections(), kind), text(parts, kind), text);
+                assertEquals(textOf(whole.sections(), kind), textOf(parts, kind), text);
             }
         }
         assertTrue(byTables > 400 && refused > 400, byTables + " by tables, " + refused + " refused");
     }
 
     @Test
-    void aFileIsReadAgainForWhatHasChangedInItsRoutes() throws Exception {
+    void rereadReturnsOnlyChangedRoutes() throws Exception {
         StringBuilder text = new StringBuilder("[defaults]\nattempts = 2\n");
         for (int i = 0; i < 50; i++) {
             text.append("[[route]]\npath = \"/r").append(i).append("\"\nconcurrency = 5\n");
@@ -157,7 +157,7 @@
                 List.of("/r7", "/r50"),
                 some.changedRoutes().stream().map(RouteCodec::nameOf).toList());
         assertEquals(List.of("/r7", "/r9"), new ArrayList<>(new TreeSet<>(some.removedRoutes())));
-        assertEquals(24, some.changedRoutes().get(0).at().line(), "where it stands now");
+        assertEquals(24, some.changedRoutes().get(0).position().line(), "where it stands now");
         FileIndex.Difference back = some.index().reread(write(text.toString()));
         assertEquals(
                 List.of("/r7", "/r9"),
@@ -175,23 +175,23 @@
     }
 
     @Test
-    void textsOverSeveralLinesDoNotHaveAFileReadAsAWhole() throws Exception {
+    void multilineValuesDoNotForceParsingTheWholeFile() throws Exception {
         for (String text : List.of("\"\"\"\n[[route]]\n\\\"\"\"\"", "\'\'\'\n[defaults]\n\'\'\'", "[\n1,\n[2]\n]")) {
-            Read read = read("[[route]]\npath = \"/a\"\nname = " + text + "\n[[route]]\npath = \"/b\"\n");
+            ReadResult read = read("[[route]]\npath = \"/a\"\nname = " + text + "\n[[route]]\npath = \"/b\"\n");
             assertEquals(2, read.routes.size(), text);
             assertEquals(text.startsWith("[") ? null : text, read.index == null ? null : text);
         }
     }
 
     @Test
-    void aFileThatChangesWhileItIsReadIsNotBelieved() throws Exception {
+    void fileThatChangesWhileItIsReadIsRejected() throws Exception {
         Path file = write("[[route]]\npath = \"/a\"\n");
         try {
             FileIndex.read(
                     file,
-                    new FileIndex.Tables() {
+                    new FileIndex.SectionHandler() {
                         @Override
-                        public void otherSections(List<Section> sections) {
+                        public void acceptOtherSections(List<Section> sections) {
                             try {
                                 Files.writeString(file, "[[route]]\npath = \"/b\"\n");
                             } catch (IOException e) {
@@ -200,7 +200,7 @@
                         }
 
                         @Override
-                        public void route(Section section) {
+                        public void acceptRoute(Section section) {
                             assertNotNull(section);
                         }
                     },
--- a/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
+++ b/src/test/java/vetchpost/simulation/RejectedRoutesTest.java
@@ -52,7 +52,7 @@
         @Override
         public RoutePolicy routes(Settings nodeSettings, long seed) {
             settings = nodeSettings;
-            return RouteFiles.policy(text, nodeSettings, seed);
+            return RouteFiles.uncheckedPolicy(text, nodeSettings, seed);
         }
     }
 
@@ -109,7 +109,7 @@
 
     private static SingleNodeScenario scenario(String text, boolean trusting) {
         SingleNodeScenario scenario = new SingleNodeScenario(5, SERVERS, 1, new RouteFileSetup("", trusting, false));
-        scenario.node.setRoutes(RouteFiles.policy(text, SingleNodeScenario.settings(), 5));
+        scenario.node.setRoutes(RouteFiles.uncheckedPolicy(text, SingleNodeScenario.settings(), 5));
         return scenario;
     }
 
--- a/src/test/java/vetchpost/simulation/TrustingBalancer.java
+++ b/src/test/java/vetchpost/simulation/TrustingBalancer.java
@@ -85,7 +85,7 @@
                 servers.put(entry.id(), entry);
             }
         }
-        if (kind == ListKind.CACHED && settings.listOnRequest) {
+        if (kind == ListKind.CACHED && settings.mustRequestList) {
             actions.subscribe();
         }
     }
--- a/src/test/java/vetchpost/simulation/overload/CrowdTest.java
+++ b/src/test/java/vetchpost/simulation/overload/OverloadRunTest.java
@@ -17,7 +17,7 @@
 import vetchpost.simulation.overload.OverloadRun.Policy;
 
 /** The proofs of the door with the node's core and module behind it. */
-class CrowdTest {
+class OverloadRunTest {
     private static final int SEEDS = 50;
 
     private static String run(int code, String... arguments) {
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aQuietSchoolKeepsItsServiceWhileALoudOneTriples() {
+    void otherTenantsKeepTheirServiceWhenOneTriplesItsLoad() {
         for (int loud = 0; loud < 6; loud++) {
             int asks = loud;
             double[][] kept = IntStream.rangeClosed(1, SEEDS)
@@ -38,13 +38,17 @@
                     .mapToObj(seed -> {
                         OverloadResult calm = OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8));
                         OverloadResult loudly =
-                                OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8).loud(asks, 3));
-                        assertEquals(0, loudly.stillHeld(), "each request has its answer");
+                                OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8).withTenantLoad(asks, 3));
+                        assertEquals(0, loudly.pendingRequests(), "each request has its answer");
                         // In a crowd by far; in a small one both have nearly all.
-                        assertTrue(loudly.serviceOfClass(1) > loudly.serviceOfClass(0) - 0.01, "photos before pages");
-                        assertTrue(loudly.serviceOfClass(2) > loudly.serviceOfClass(0) - 0.01, "orders before pages");
+                        assertTrue(
+                                loudly.servedValueFractionOfClass(1) > loudly.servedValueFractionOfClass(0) - 0.01,
+                                "photos before pages");
+                        assertTrue(
+                                loudly.servedValueFractionOfClass(2) > loudly.servedValueFractionOfClass(0) - 0.01,
+                                "orders before pages");
                         return IntStream.range(0, 6)
-                                .mapToDouble(s -> loudly.service(s) / calm.service(s))
+                                .mapToDouble(s -> loudly.servedValueFraction(s) / calm.servedValueFraction(s))
                                 .toArray();
                     })
                     .toArray(double[][]::new);
@@ -60,13 +64,13 @@
     }
 
     @Test
-    void whoComesBackWhenToldIsMostlyServed() {
+    void clientsThatRetryAtTheAdvisedTimeAreServed() {
         for (double load : new double[] {1.3, 2, 3}) {
             double truth = IntStream.rangeClosed(1, 10)
                     .parallel()
                     .mapToDouble(seed -> OverloadRun.run(
-                                    Plan.of(seed, Policy.DOOR, load).patient(20_000_000))
-                            .truth())
+                                    Plan.of(seed, Policy.DOOR, load).withPatientClients(20_000_000))
+                            .advisedRetrySuccessRate())
                     .average()
                     .orElse(0);
             assertTrue(truth >= 0.9, load + ": " + truth);
@@ -74,48 +78,50 @@
     }
 
     @Test
-    void theDoorIsFairerThanFirstComeFirstServed() {
+    void admissionControlIsFairerThanFirstComeFirstServed() {
         double[] jain = new double[2];
         for (int seed = 1; seed <= 10; seed++) {
-            jain[0] += OverloadRun.run(Plan.of(seed, Policy.FIRST_COME, 0.8).loud(0, 3))
-                    .jain(OverloadCommand.weights());
-            jain[1] +=
-                    OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8).loud(0, 3)).jain(OverloadCommand.weights());
+            jain[0] += OverloadRun.run(Plan.of(seed, Policy.FIRST_COME, 0.8).withTenantLoad(0, 3))
+                    .jainFairnessIndex(OverloadCommand.tenantWeights());
+            jain[1] += OverloadRun.run(Plan.of(seed, Policy.DOOR, 0.8).withTenantLoad(0, 3))
+                    .jainFairnessIndex(OverloadCommand.tenantWeights());
         }
         assertTrue(jain[1] > jain[0], jain[1] / 10 + " for " + jain[0] / 10);
         assertTrue(jain[1] > 9.99, "and next to even: " + jain[1] / 10);
     }
 
     @Test
-    void boxesThatTakeTwiceAsLongCostNoRequestItsAnswer() {
+    void everyRequestIsAnsweredWhenServersBecomeTwiceAsSlow() {
         for (int seed = 1; seed <= 10; seed++) {
-            OverloadResult result = OverloadRun.run(
-                    Plan.of(seed, Policy.DOOR, 1.3).patient(20_000_000).halve(5_000_000));
-            assertEquals(0, result.stillHeld());
+            OverloadResult result = OverloadRun.run(Plan.of(seed, Policy.DOOR, 1.3)
+                    .withPatientClients(20_000_000)
+                    .withSlowdownAt(5_000_000));
+            assertEquals(0, result.pendingRequests());
             assertTrue(
-                    result.late(1) + result.late(2) < 0.02 * result.served(),
-                    result.late(1) + " photos and " + result.late(2) + " orders late of " + result.served());
+                    result.lateResponses(1) + result.lateResponses(2) < 0.02 * result.served(),
+                    result.lateResponses(1) + " photos and " + result.lateResponses(2) + " orders late of "
+                            + result.served());
         }
     }
 
     @Test
-    void theSameSeedGivesTheSameResult() {
-        Plan plan = Plan.of(3, Policy.DOOR, 2).patient(5_000_000);
+    void sameSeedGivesSameResult() {
+        Plan plan = Plan.of(3, Policy.DOOR, 2).withPatientClients(5_000_000);
         OverloadResult once = OverloadRun.run(plan);
         OverloadResult again = OverloadRun.run(plan);
-        assertEquals(once.service(), again.service());
+        assertEquals(once.servedValueFraction(), again.servedValueFraction());
         assertEquals(once.told(), again.told());
     }
 
     @Test
-    void theCommandComparesAndRepeatsItself() {
+    void commandComparesPoliciesWithRepeatableOutput() {
         String once = run(0, "--load", "1.2", "--loud", "b=3", "--seeds", "2");
         assertTrue(once.contains("first-come") && once.contains("shares") && once.contains("door"), once);
         assertEquals(once, run(0, "--load", "1.2", "--loud", "b=3", "--seeds", "2"));
     }
 
     @Test
-    void theCommandPlotsWhatItTold(@TempDir Path dir) throws IOException {
+    void commandPlotsRetryAfterAccuracy(@TempDir Path dir) throws IOException {
         Path svg = dir.resolve("honesty.svg");
         run(0, "--honesty", "--seeds", "1", "--svg", svg.toString());
         String text = Files.readString(svg);
@@ -123,7 +129,7 @@
     }
 
     @Test
-    void badArgumentsAreNamed() {
+    void invalidArgumentsAreRejected() {
         for (List<String> bad : List.of(
                 List.of("--load", "0"),
                 List.of("--seeds", "0"),
--- a/src/test/java/vetchpost/simulation/scale/ReplicationRunTest.java
+++ b/src/test/java/vetchpost/simulation/scale/ReplicationRunTest.java
@@ -8,60 +8,60 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.replication.InjectedFaults;
 import vetchpost.replication.Publisher;
-import vetchpost.simulation.scale.ReplicationRun.Broken;
-import vetchpost.simulation.scale.ReplicationRun.Replicas;
+import vetchpost.simulation.scale.ReplicationRun.ReplicaFactory;
+import vetchpost.simulation.scale.ReplicationRun.RuleViolation;
 
 /** Cuts, kills, restarts and takeovers by seeds; `scale seeds` plays as many as one likes. */
 class ReplicationRunTest {
     @Test
-    void whateverHappensNoHalfBatchIsInForceAndAllAreTheSameInTheEnd() {
+    void replicasApplyWholeBatchesAndConvergeAfterFaults() {
         List<String> broken = IntStream.rangeClosed(1, 40)
                 .parallel()
                 .boxed()
-                .flatMap(seed ->
-                        ReplicationRun.seed(seed, 50, Replicas.REAL).stream().map(b -> "seed " + seed + ": " + b))
+                .flatMap(seed -> ReplicationRun.runSeed(seed, 50, ReplicaFactory.DEFAULT).stream()
+                        .map(b -> "seed " + seed + ": " + b))
                 .toList();
         assertEquals(List.of(), broken);
     }
 
     /** Nodes restarted meanwhile begin with what they had, and have the rest within seconds of the return. */
     @Test
-    void withAllControlMachinesAwayForTenMinutesNodesKeepWhatTheyHave() {
-        Configurations drawn = new Configurations(9, 5, 20);
+    void nodesKeepTheirConfigurationWhileAllControlMachinesAreDown() {
+        ConfigurationGenerator drawn = new ConfigurationGenerator(9, 5, 20);
         ReplicationRun run = new ReplicationRun(
                 9,
                 drawn,
-                drawn.whole(200),
+                drawn.generate(200),
                 4,
                 30,
                 new Publisher.Budget(18_000, 4_000, 1_000_000, 400),
-                Replicas.REAL,
+                ReplicaFactory.DEFAULT,
                 true);
-        LightweightFleet hollow = run.hollow();
-        hollow.run(5_000_000);
-        run.change(10);
-        hollow.run(10_000_000);
+        LightweightFleet hollow = run.fleet();
+        hollow.runUntil(5_000_000);
+        run.submitBatch(10);
+        hollow.runUntil(10_000_000);
         long version = run.writer().store().version();
         run.controls().forEach(c -> run.restart(c, 600_000_000, null));
         for (int i = 0; i < 5; i++) {
-            run.change(50);
+            run.submitBatch(50);
         }
         for (int i = 0; i < 30; i += 2) {
             LightweightFleet.Machine node = run.nodes().get(i);
-            hollow.at(60_000_000L + i * 15_000_000L, () -> run.restart(node, 1_000_000, null));
+            hollow.schedule(60_000_000L + i * 15_000_000L, () -> run.restart(node, 1_000_000, null));
         }
-        hollow.run(605_000_000);
+        hollow.runUntil(605_000_000);
         for (LightweightFleet.Machine node : run.nodes()) {
             assertEquals(version, node.replica().store().version(), node.name() + " has lost what it had");
         }
-        hollow.run(625_000_000);
-        assertEquals(List.of(), run.behind());
-        assertEquals(List.of(), run.broken());
+        hollow.runUntil(625_000_000);
+        assertEquals(List.of(), run.laggingMachines());
+        assertEquals(List.of(), run.violations());
     }
 
-    private static void caught(String fault, Replicas planted) {
+    private static void assertDetected(String fault, ReplicaFactory planted) {
         for (int seed = 1; seed <= 40; seed++) {
-            List<Broken> broken = ReplicationRun.seed(seed, 20, planted);
+            List<RuleViolation> broken = ReplicationRun.runSeed(seed, 20, planted);
             if (!broken.isEmpty()) {
                 System.out.println(fault + ": found by seed " + seed + ", " + broken.get(0));
                 return;
@@ -71,8 +71,8 @@
     }
 
     @Test
-    void plantedFaultsAreFound() {
-        caught("a batch in force before it is whole", InjectedFaults::applyingPartialBatches);
-        caught("ranges compared without what went away", InjectedFaults::ignoringRemovals);
+    void injectedFaultsAreDetected() {
+        assertDetected("a batch in force before it is whole", InjectedFaults::applyingPartialBatches);
+        assertDetected("ranges compared without what went away", InjectedFaults::ignoringRemovals);
     }
 }
--- a/src/test/java/vetchpost/simulation/scale/ScaleCommandTest.java
+++ b/src/test/java/vetchpost/simulation/scale/ScaleCommandTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aSmallSizeIsPlayedAndHeldToTheBudgetsOfChanges() {
+    void smallFleetStaysWithinTheChangeBudgets() {
         run(
                 "run",
                 "--nodes",
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void slopesAreMeasuredAndKept() throws Exception {
+    void slopesAreMeasuredAndWritten() throws Exception {
         Path json = folder.resolve("slopes.json");
         Path svg = folder.resolve("slopes.svg");
         assertEquals(
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void badArgumentsAreSaid() {
+    void invalidArgumentsAreRejected() {
         assertEquals(2, run("run", "--nodes", "1"));
         assertEquals(2, run("slopes", "--part", "0"));
         assertEquals(2, run("seeds", "--seeds", "0"));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aLineIsFoundThroughPointsThatLieOnOneAndOthersAreCalledCrooked() {
+    void linearFitRecognizesStraightAndQuadraticGrowth() {
         LinearFit line = LinearFit.of(new double[] {1, 10, 100}, new double[] {7, 25, 205});
         assertEquals(5, line.intercept(), 1e-9);
         assertEquals(2, line.slope(), 1e-9);
--- a/src/test/java/vetchpost/sources/CheckPlanTest.java
+++ b/src/test/java/vetchpost/sources/CheckPlanTest.java
@@ -15,12 +15,12 @@
 
 /** Which servers are checked, how often, and what that comes to. */
 class CheckPlanTest {
-    private static final long S = 1_000_000;
-    private static final long TICK = 20_000;
-    private long now = S;
+    private static final long SECOND_US = 1_000_000;
+    private static final long TICK_US = 20_000;
+    private long nowUs = SECOND_US;
 
     private static CheckRules rules(int nodes, int number, double budget) {
-        return new CheckRules("/", "a", 200, 399, 5 * S, S, 2, 3, budget, 3, nodes, number, 0.5);
+        return new CheckRules("/", "a", 200, 399, 5 * SECOND_US, SECOND_US, 2, 3, budget, 3, nodes, number, 0.5);
     }
 
     private static Set<String> fleet(int size) {
@@ -32,128 +32,131 @@
     }
 
     private CheckPlan plan(int servers) {
-        CheckPlan plan = new CheckPlan(rules(1, 0, 100), 1, now);
-        plan.setServers(fleet(servers), now);
+        CheckPlan plan = new CheckPlan(rules(1, 0, 100), 1, nowUs);
+        plan.setServers(fleet(servers), nowUs);
         return plan;
     }
 
     /** Runs checks that end at once, as told; how many there were. */
     private int run(CheckPlan plan, long us, Function<String, Finding> answers) {
         int made = 0;
-        for (long until = now + us; now < until; now += TICK) {
-            for (String id : plan.dueChecks(now, 32)) {
+        for (long until = nowUs + us; nowUs < until; nowUs += TICK_US) {
+            for (String id : plan.dueChecks(nowUs, 32)) {
                 made++;
-                plan.checkCompleted(id, answers.apply(id), now);
+                plan.checkCompleted(id, answers.apply(id), nowUs);
             }
         }
         return made;
     }
 
-    private static Function<String, Finding> ill(String... ids) {
+    private static Function<String, Finding> unhealthy(String... ids) {
         return id -> List.of(ids).contains(id) ? Finding.UNHEALTHY : Finding.HEALTHY;
     }
 
     @Test
-    void whoFailsThreeTimesIsOutAndWhoPassesTwiceIsBack() {
+    void ejectsAfterThreeFailuresAndReturnsAfterTwoPasses() {
         CheckPlan plan = plan(10);
-        run(plan, 30 * S, ill("s-3"));
-        assertEquals(Set.of("s-3"), plan.ejected());
-        long began = now;
-        while (!plan.ejected().isEmpty() && now < began + 60 * S) {
-            run(plan, TICK, ill());
+        run(plan, 30 * SECOND_US, unhealthy("s-3"));
+        assertEquals(Set.of("s-3"), plan.ejectedServers());
+        long began = nowUs;
+        while (!plan.ejectedServers().isEmpty() && nowUs < began + 60 * SECOND_US) {
+            run(plan, TICK_US, unhealthy());
         }
-        assertTrue(now - began < 10 * S, "back after " + (now - began) / S + " s");
-        assertTrue(now - began > 2 * S, "but not after one check");
+        assertTrue(nowUs - began < 10 * SECOND_US, "back after " + (nowUs - began) / SECOND_US + " s");
+        assertTrue(nowUs - began > 2 * SECOND_US, "but not after one check");
     }
 
     @Test
-    void oneFailureIsNoVerdict() {
+    void singleFailureDoesNotEject() {
         CheckPlan plan = plan(4);
         Map<String, Integer> asked = new HashMap<>();
-        run(plan, 60 * S, id -> asked.merge(id, 1, Integer::sum) % 3 == 0 ? Finding.UNHEALTHY : Finding.HEALTHY);
-        assertEquals(Set.of(), plan.ejected());
+        run(
+                plan,
+                60 * SECOND_US,
+                id -> asked.merge(id, 1, Integer::sum) % 3 == 0 ? Finding.UNHEALTHY : Finding.HEALTHY);
+        assertEquals(Set.of(), plan.ejectedServers());
     }
 
     /** When nothing answers it is the node's own network: the first that fell stay out, up to the share. */
     @Test
-    void whenAllChecksFailAtOnceNothingIsEmptied() {
+    void limitsEjectionsWhenAllChecksFail() {
         CheckPlan plan = plan(10);
-        run(plan, 30 * S, ill("s-1", "s-2"));
-        assertEquals(Set.of("s-1", "s-2"), plan.ejected());
-        run(plan, 30 * S, id -> Finding.UNHEALTHY);
-        assertEquals(5, plan.ejected().size(), "half at most");
-        assertTrue(plan.ejected().containsAll(Set.of("s-1", "s-2")), "those first that were out before");
-        run(plan, 60 * S, ill("s-1"));
-        assertEquals(Set.of("s-1"), plan.ejected());
+        run(plan, 30 * SECOND_US, unhealthy("s-1", "s-2"));
+        assertEquals(Set.of("s-1", "s-2"), plan.ejectedServers());
+        run(plan, 30 * SECOND_US, id -> Finding.UNHEALTHY);
+        assertEquals(5, plan.ejectedServers().size(), "half at most");
+        assertTrue(plan.ejectedServers().containsAll(Set.of("s-1", "s-2")), "those first that were out before");
+        run(plan, 60 * SECOND_US, unhealthy("s-1"));
+        assertEquals(Set.of("s-1"), plan.ejectedServers());
     }
 
     @Test
-    void aCheckThatFailsWhileRequestsAreServedCountsForNothing() {
+    void ignoresFailedCheckWhileRequestsSucceed() {
         CheckPlan plan = plan(3);
         for (int i = 0; i < 2_000; i++) {
-            now += TICK;
-            for (String id : plan.dueChecks(now, 32)) {
+            nowUs += TICK_US;
+            for (String id : plan.dueChecks(nowUs, 32)) {
                 // A real answer comes while the check is out.
-                plan.requestSucceeded(id, now + 1);
-                plan.checkCompleted(id, Finding.UNHEALTHY, now + 2);
+                plan.requestSucceeded(id, nowUs + 1);
+                plan.checkCompleted(id, Finding.UNHEALTHY, nowUs + 2);
             }
         }
-        assertEquals(Set.of(), plan.ejected());
+        assertEquals(Set.of(), plan.ejectedServers());
         assertTrue(plan.disagreementCount() > 0);
     }
 
     @Test
-    void whoServesIsNotChecked() {
+    void skipsChecksOfServingServers() {
         CheckPlan quiet = plan(20);
-        int without = run(quiet, 60 * S, ill());
+        int without = run(quiet, 60 * SECOND_US, unhealthy());
         CheckPlan busy = plan(20);
         int with = 0;
-        for (long until = now + 60 * S; now < until; now += TICK) {
-            fleet(20).forEach(id -> busy.requestSucceeded(id, now));
-            with += run(busy, TICK, ill());
-            now -= TICK;
+        for (long until = nowUs + 60 * SECOND_US; nowUs < until; nowUs += TICK_US) {
+            fleet(20).forEach(id -> busy.requestSucceeded(id, nowUs));
+            with += run(busy, TICK_US, unhealthy());
+            nowUs -= TICK_US;
         }
         assertTrue(without > 200, without + " checks without requests");
         assertTrue(with < without / 10, with + " with them, and " + without + " without");
     }
 
     @Test
-    void whoseRequestsFailIsCheckedSoon() {
+    void checksServerSoonAfterFailedRequest() {
         CheckPlan plan = plan(100);
-        run(plan, 10 * S, ill());
-        plan.requestFailed("s-7", now);
-        long began = now;
+        run(plan, 10 * SECOND_US, unhealthy());
+        plan.requestFailed("s-7", nowUs);
+        long began = nowUs;
         List<String> asked = new ArrayList<>();
-        while (!asked.contains("s-7") && now < began + 10 * S) {
-            now += TICK;
-            asked.addAll(plan.dueChecks(now, 32));
+        while (!asked.contains("s-7") && nowUs < began + 10 * SECOND_US) {
+            nowUs += TICK_US;
+            asked.addAll(plan.dueChecks(nowUs, 32));
         }
-        assertTrue(now - began < S, "asked after " + (now - began) / 1_000 + " ms");
+        assertTrue(nowUs - began < SECOND_US, "asked after " + (nowUs - began) / 1_000 + " ms");
     }
 
     @Test
-    void anotherApplicationIsOutAtOnce() {
+    void ejectsWrongServerImmediately() {
         CheckPlan plan = plan(10);
-        run(plan, 6 * S, id -> id.equals("s-5") ? Finding.WRONG_SERVER : Finding.HEALTHY);
-        assertEquals(Set.of("s-5"), plan.ejected());
+        run(plan, 6 * SECOND_US, id -> id.equals("s-5") ? Finding.WRONG_SERVER : Finding.HEALTHY);
+        assertEquals(Set.of("s-5"), plan.ejectedServers());
     }
 
     /** 50 nodes and 5,000 servers: neither more nodes nor more servers are more checks for a server. */
     @Test
-    void whatAServerIsAskedDoesNotGrowWithTheNodes() {
+    void checksPerServerDoNotGrowWithNodes() {
         int servers = 1_000;
         Map<String, Integer> asked = new HashMap<>();
         int most = 0;
         for (int node = 0; node < 50; node++) {
-            now = S;
-            CheckPlan plan = new CheckPlan(rules(50, node, 20), node, now);
-            plan.setServers(fleet(servers), now);
+            nowUs = SECOND_US;
+            CheckPlan plan = new CheckPlan(rules(50, node, 20), node, nowUs);
+            plan.setServers(fleet(servers), nowUs);
             int made = 0;
-            for (long until = now + 30 * S; now < until; now += 5 * TICK) {
-                for (String id : plan.dueChecks(now, 32)) {
+            for (long until = nowUs + 30 * SECOND_US; nowUs < until; nowUs += 5 * TICK_US) {
+                for (String id : plan.dueChecks(nowUs, 32)) {
                     made++;
                     asked.merge(id, 1, Integer::sum);
-                    plan.checkCompleted(id, Finding.HEALTHY, now);
+                    plan.checkCompleted(id, Finding.HEALTHY, nowUs);
                 }
             }
             assertTrue(made <= 20 * 30 + 10, "a node's own budget: " + made);
@@ -163,22 +166,22 @@
                 asked.values().stream().mapToInt(Integer::intValue).max().orElse(0);
         assertEquals(servers, asked.size(), "each server has its watchers");
         assertTrue(perServer <= 3 * (30 / 5 + 2), "a server was asked " + perServer + " times in 30 s by all");
-        CheckPlan poor = new CheckPlan(rules(1, 0, 2), 1, now);
-        poor.setServers(fleet(5_000), now);
-        assertTrue(run(poor, 30 * S, ill()) <= 2 * 30 + 1, "the budget holds for any fleet");
+        CheckPlan poor = new CheckPlan(rules(1, 0, 2), 1, nowUs);
+        poor.setServers(fleet(5_000), nowUs);
+        assertTrue(run(poor, 30 * SECOND_US, unhealthy()) <= 2 * 30 + 1, "the budget holds for any fleet");
     }
 
     @Test
-    void aServerThatLeavesWhileItIsCheckedIsForgotten() {
+    void forgetsServerRemovedDuringCheck() {
         CheckPlan plan = plan(3);
         List<String> out = new ArrayList<>();
         while (out.isEmpty()) {
-            now += TICK;
-            out = plan.dueChecks(now, 1);
+            nowUs += TICK_US;
+            out = plan.dueChecks(nowUs, 1);
         }
-        plan.setServers(Set.of(), now);
-        plan.checkCompleted(out.get(0), Finding.UNHEALTHY, now);
-        assertEquals(Set.of(), plan.ejected());
-        assertEquals(Long.MAX_VALUE, plan.nextUs(now));
+        plan.setServers(Set.of(), nowUs);
+        plan.checkCompleted(out.get(0), Finding.UNHEALTHY, nowUs);
+        assertEquals(Set.of(), plan.ejectedServers());
+        assertEquals(Long.MAX_VALUE, plan.nextCheckUs(nowUs));
     }
 }
--- a/src/test/java/vetchpost/sourcewatch/NameServer.java
+++ b/src/test/java/vetchpost/sourcewatch/FakeNameServer.java
@@ -34,19 +34,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A name server on a loopback port, by datagrams and TCP, that answers as it is told. */
-final class NameServer implements AutoCloseable {
-    private static final int FITS = 20;
+final class FakeNameServer implements AutoCloseable {
+    private static final int MAX_DATAGRAM_RECORDS = 20;
 
     /** What is said of a name and type. */
-    record Said(DnsResponseCode code, long ttlS, List<ByteBuf> records) {}
+    record Answer(DnsResponseCode code, long ttlS, List<ByteBuf> records) {}
 
-    final Map<String, Said> answers = new ConcurrentHashMap<>();
-    final AtomicInteger asked = new AtomicInteger();
-    final AtomicInteger byTcp = new AtomicInteger();
+    final Map<String, Answer> answers = new ConcurrentHashMap<>();
+    final AtomicInteger queryCount = new AtomicInteger();
+    final AtomicInteger tcpQueryCount = new AtomicInteger();
     private final Channel datagrams;
     private final Channel streams;
 
-    NameServer(EventLoopGroup group) throws Exception {
+    FakeNameServer(EventLoopGroup group) throws Exception {
         // TCP first: its numbers are often taken by connections of other programs, those of UDP hardly ever.
         streams = new ServerBootstrap()
                 .group(group)
@@ -83,7 +83,7 @@
         return (InetSocketAddress) datagrams.localAddress();
     }
 
-    void addresses(String name, long ttlS, String... addresses) throws Exception {
+    void setAddresses(String name, long ttlS, String... addresses) throws Exception {
         List<ByteBuf> records = new ArrayList<>();
         boolean six = addresses.length > 0 && addresses[0].indexOf(':') >= 0;
         for (String address : addresses) {
@@ -91,16 +91,16 @@
         }
         answers.put(
                 name + ". " + (six ? DnsRecordType.AAAA : DnsRecordType.A).name(),
-                new Said(DnsResponseCode.NOERROR, ttlS, records));
+                new Answer(DnsResponseCode.NOERROR, ttlS, records));
     }
 
-    void fails(String name, DnsResponseCode code) {
-        answers.put(name + ". A", new Said(code, 0, List.of()));
-        answers.put(name + ". AAAA", new Said(code, 0, List.of()));
+    void setFailure(String name, DnsResponseCode code) {
+        answers.put(name + ". A", new Answer(code, 0, List.of()));
+        answers.put(name + ". AAAA", new Answer(code, 0, List.of()));
     }
 
     /** Services as priority, weight, port and name. */
-    void services(String name, long ttlS, Object[]... services) throws Exception {
+    void setServices(String name, long ttlS, Object[]... services) throws Exception {
         List<ByteBuf> records = new ArrayList<>();
         for (Object[] each : services) {
             ByteBuf record = Unpooled.buffer();
@@ -110,20 +110,20 @@
             }
             records.add(record.writeByte(0));
         }
-        answers.put(name + ". SRV", new Said(DnsResponseCode.NOERROR, ttlS, records));
+        answers.put(name + ". SRV", new Answer(DnsResponseCode.NOERROR, ttlS, records));
     }
 
-    private void fill(DnsQuestion question, DnsResponse response, boolean whole) {
-        asked.incrementAndGet();
+    private void fillResponse(DnsQuestion question, DnsResponse response, boolean whole) {
+        queryCount.incrementAndGet();
         response.addRecord(DnsSection.QUESTION, question);
-        Said said = answers.get(question.name() + " " + question.type().name());
+        Answer said = answers.get(question.name() + " " + question.type().name());
         if (said == null) {
             return;
         }
         response.setCode(said.code());
-        boolean cut = !whole && said.records().size() > FITS;
+        boolean cut = !whole && said.records().size() > MAX_DATAGRAM_RECORDS;
         response.setTruncated(cut);
-        for (ByteBuf record : cut ? said.records().subList(0, FITS) : said.records()) {
+        for (ByteBuf record : cut ? said.records().subList(0, MAX_DATAGRAM_RECORDS) : said.records()) {
             response.addRecord(
                     DnsSection.ANSWER,
                     new DefaultDnsRawRecord(question.name(), question.type(), said.ttlS(), record.retainedDuplicate()));
@@ -134,7 +134,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramDnsQuery query) {
             DatagramDnsResponse response = new DatagramDnsResponse(query.recipient(), query.sender(), query.id());
-            fill(query.recordAt(DnsSection.QUESTION), response, false);
+            fillResponse(query.recordAt(DnsSection.QUESTION), response, false);
             ctx.writeAndFlush(response);
         }
     }
@@ -142,9 +142,9 @@
     private final class Streams extends SimpleChannelInboundHandler<DefaultDnsQuery> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DefaultDnsQuery query) {
-            byTcp.incrementAndGet();
+            tcpQueryCount.incrementAndGet();
             DefaultDnsResponse response = new DefaultDnsResponse(query.id());
-            fill(query.recordAt(DnsSection.QUESTION), response, true);
+            fillResponse(query.recordAt(DnsSection.QUESTION), response, true);
             ctx.writeAndFlush(response);
         }
     }
--- a/src/test/java/vetchpost/sourcewatch/SourcesTest.java
+++ b/src/test/java/vetchpost/sourcewatch/SourceWatchTest.java
@@ -35,23 +35,23 @@
 
 /** A watched file and a name server, as they are met: half written, replaced, cut, empty, silent. */
 @Timeout(60)
-class SourcesTest {
+class SourceWatchTest {
     private static final long MS = 1_000;
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private final SourceListener listener = new SourceListener() {
         @Override
-        public void said(List<ReportedServer> servers) {
-            heard.add(servers.stream()
+        public void serversReported(List<ReportedServer> servers) {
+            events.add(servers.stream()
                     .map(s -> (s.id().isEmpty() ? "" : s.id() + "=")
-                            + ReportedServer.text(s.addresses().get(0))
+                            + ReportedServer.formatAddress(s.addresses().get(0))
                             + (s.weight() == 1 ? "" : "*" + (int) s.weight()))
                     .sorted()
                     .collect(Collectors.joining(" ")));
         }
 
         @Override
-        public void silent(String why) {
-            heard.add("silent");
+        public void sourceFailed(String why) {
+            events.add("silent");
         }
     };
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
@@ -88,11 +88,11 @@
     }
 
     private String next() throws InterruptedException {
-        return FakePeer.takeWithTimeout(heard);
+        return FakePeer.takeWithTimeout(events);
     }
 
     /** What it says once, and maybe again, until it says this. */
-    private void until(String said) throws InterruptedException {
+    private void awaitEvent(String said) throws InterruptedException {
         String last = next();
         while (!last.equals(said)) {
             last = next();
@@ -100,26 +100,26 @@
     }
 
     @Test
-    void aFileIsReadAgainWhenItHasChangedAndAHalfWrittenOneIsNot() throws Exception {
+    void rereadsChangedFileAndRejectsIncompleteOne() throws Exception {
         Path file = folder.resolve("servers.json");
         Files.writeString(file, "[\"127.0.0.1:1\", {\"address\": \"127.0.0.1:2\", \"weight\": 3, \"id\": \"b\"}]");
         try (FileWatch watch = new FileWatch(source(Kind.FILE, file.toString(), 5 * MS), thread, loop, listener)) {
             assertNotNull(watch);
             assertEquals("127.0.0.1:1 b=127.0.0.1:2*3", next());
             Files.writeString(file, "{\"servers\": [\"127.0.0.1:1\",");
-            until("silent");
+            awaitEvent("silent");
             Files.writeString(file, "{\"servers\": [\"127.0.0.1:1\", \"[::1]:5\"]}");
-            until("127.0.0.1:1 [0:0:0:0:0:0:0:1]:5");
+            awaitEvent("127.0.0.1:1 [0:0:0:0:0:0:0:1]:5");
             Files.delete(file);
-            until("silent");
+            awaitEvent("silent");
             Files.writeString(file, "[]");
-            until("");
+            awaitEvent("");
         }
     }
 
     /** A file that is replaced without pause is read as often as it is looked at, and ends as it ends. */
     @Test
-    void aFileThatIsReplacedWithoutPauseIsReadNowAndThen() throws Exception {
+    void readsConstantlyReplacedFileOncePerPoll() throws Exception {
         Path file = folder.resolve("servers.toml");
         Files.writeString(file, "servers = [\"127.0.0.1:1\"]");
         try (FileWatch watch = new FileWatch(source(Kind.FILE, file.toString(), 100 * MS), thread, loop, listener)) {
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void aListNamesServersOrSaysWhatIsWrong() {
+    void rejectsInvalidServerLists() {
         for (String bad : List.of(
                 "{",
                 "7",
@@ -166,53 +166,53 @@
                         .state());
     }
 
-    private NameWatch watch(NameServer server, Kind kind, String name) throws Exception {
+    private NameWatch watch(FakeNameServer server, Kind kind, String name) throws Exception {
         return loop.submit(() ->
                         new NameWatch(source(kind, name, 60_000_000, server.address()), loop, Network.SYSTEM, listener))
                 .get();
     }
 
     @Test
-    void aNameIsAskedForAgainWhenItsTimeIsUp() throws Exception {
-        try (NameServer server = new NameServer(group)) {
-            server.addresses("web.test", 0, "127.0.0.1", "127.0.0.2");
+    void requeriesNameWhenTtlExpires() throws Exception {
+        try (FakeNameServer server = new FakeNameServer(group)) {
+            server.setAddresses("web.test", 0, "127.0.0.1", "127.0.0.2");
             NameWatch watch = watch(server, Kind.DNS, "web.test");
             assertEquals("127.0.0.1:80 127.0.0.2:80", next());
             long began = System.nanoTime();
-            server.addresses("web.test", 1, "127.0.0.3");
+            server.setAddresses("web.test", 1, "127.0.0.3");
             assertEquals("127.0.0.3:80", next());
             assertTrue(
                     System.nanoTime() - began > TimeUnit.MILLISECONDS.toNanos(500),
                     "a time to live of 0 is no leave to ask without pause");
-            server.fails("web.test", DnsResponseCode.NXDOMAIN);
+            server.setFailure("web.test", DnsResponseCode.NXDOMAIN);
             assertEquals("silent", next());
-            server.fails("web.test", DnsResponseCode.SERVFAIL);
+            server.setFailure("web.test", DnsResponseCode.SERVFAIL);
             assertEquals("silent", next());
-            server.addresses("web.test", 1, "127.0.0.4");
-            until("127.0.0.4:80");
+            server.setAddresses("web.test", 1, "127.0.0.4");
+            awaitEvent("127.0.0.4:80");
             loop.submit(watch::close).get();
         }
     }
 
     @Test
-    void anAnswerThatWasCutIsHadByTcp() throws Exception {
-        try (NameServer server = new NameServer(group)) {
+    void retriesTruncatedAnswerOverTcp() throws Exception {
+        try (FakeNameServer server = new FakeNameServer(group)) {
             String[] many = new String[1_000];
             for (int i = 0; i < many.length; i++) {
                 many[i] = "127.1." + i / 200 + "." + (1 + i % 200);
             }
-            server.addresses("many.test", 60, many);
+            server.setAddresses("many.test", 60, many);
             NameWatch watch = watch(server, Kind.DNS, "many.test");
             assertEquals(1_000, next().split(" ").length);
-            assertTrue(server.byTcp.get() > 0);
+            assertTrue(server.tcpQueryCount.get() > 0);
             loop.submit(watch::close).get();
         }
     }
 
     @Test
-    void aNameWithOnlyTheOtherFamilyHasItsAddressesToo() throws Exception {
-        try (NameServer server = new NameServer(group)) {
-            server.addresses("six.test", 60, "::1");
+    void fallsBackToIpv6Addresses() throws Exception {
+        try (FakeNameServer server = new FakeNameServer(group)) {
+            server.setAddresses("six.test", 60, "::1");
             NameWatch watch = watch(server, Kind.DNS, "six.test");
             assertEquals("[0:0:0:0:0:0:0:1]:80", next());
             loop.submit(watch::close).get();
@@ -220,19 +220,19 @@
     }
 
     @Test
-    void servicesHavePortsSizesAndAnOrder() throws Exception {
-        try (NameServer server = new NameServer(group)) {
-            server.services(
+    void usesPortsWeightsAndPrioritiesOfServices() throws Exception {
+        try (FakeNameServer server = new FakeNameServer(group)) {
+            server.setServices(
                     "_http._tcp.test",
                     60,
                     new Object[] {10, 5, 8001, "a.test"},
                     new Object[] {10, 0, 8002, "b.test"},
                     new Object[] {20, 1, 8003, "c.test"},
                     new Object[] {10, 1, 8004, "nowhere.test"});
-            server.addresses("a.test", 60, "127.0.0.1");
-            server.addresses("b.test", 60, "127.0.0.2");
-            server.addresses("c.test", 60, "127.0.0.3");
-            server.fails("nowhere.test", DnsResponseCode.NXDOMAIN);
+            server.setAddresses("a.test", 60, "127.0.0.1");
+            server.setAddresses("b.test", 60, "127.0.0.2");
+            server.setAddresses("c.test", 60, "127.0.0.3");
+            server.setFailure("nowhere.test", DnsResponseCode.NXDOMAIN);
             NameWatch watch = watch(server, Kind.SRV, "_http._tcp.test");
             assertEquals(
                     "a.test.:8001=127.0.0.1:8001*5 b.test.:8002=127.0.0.2:8002",
--- a/src/test/java/vetchpost/standalone/StandaloneProverTest.java
+++ b/src/test/java/vetchpost/standalone/StandaloneValidatorTest.java
@@ -17,25 +17,25 @@
 import vetchpost.routes.file.RouteFile;
 
 /** One file that makes a node: what it comes to, and what it is refused for. */
-class StandaloneProverTest {
+class StandaloneValidatorTest {
     private static final String NODE = "[node]\nlisten = \"127.0.0.1:8080\"\n";
     private static final String POOL = "[pool]\nservers = [\"127.0.0.1:9001\"]\n";
 
-    private static StandaloneValidator.Validation prove(String text) {
+    private static StandaloneValidator.Validation validate(String text) {
         RouteFile file = RouteFile.parse("node.toml", text);
         assertEquals(List.of(), file.violations());
         return StandaloneValidator.validate(file.sections());
     }
 
-    private static Standalone holds(String text) {
-        StandaloneValidator.Validation proof = prove(text);
+    private static Standalone validSettings(String text) {
+        StandaloneValidator.Validation proof = validate(text);
         assertEquals(List.of(), proof.violations());
         return proof.standalone();
     }
 
     @Test
-    void aFileOfTwoTablesIsEnough() {
-        Standalone node = holds(NODE + POOL);
+    void acceptsMinimalFile() {
+        Standalone node = validSettings(NODE + POOL);
         Classifier classes = node.classifier();
         assertEquals(
                 "read",
@@ -57,8 +57,8 @@
     }
 
     @Test
-    void theFirstClassThatMatchesCounts() {
-        Standalone node = holds(NODE + POOL + """
+    void firstMatchingClassApplies() {
+        Standalone node = validSettings(NODE + POOL + """
                 [classes.orders]
                 methods = ["POST"]
                 paths = ["/orders", "/orders/*"]
@@ -84,7 +84,7 @@
 
     /** Each file with the rule that it breaks, where that stands, and a word of what would pass. */
     @Test
-    void whatCanNotRunIsRefusedWhereItStands() {
+    void rejectsInvalidFilesWithPositionAndHint() {
         List<Object[]> files = List.of(
                 new Object[] {POOL, Rule.INCOMPLETE, 1, "[node]"},
                 new Object[] {"[node]\n" + POOL, Rule.INCOMPLETE, 1, "listen"},
@@ -150,7 +150,7 @@
                 new Object[] {NODE + POOL + "[checks]\nstatus = \"ok\"\n", Rule.OUT_OF_RANGE, 6, "200-399"},
                 new Object[] {NODE + POOL + "[checks]\npath = \"x\"\n", Rule.BAD_PATTERN, 6, "/healthy"});
         for (Object[] each : files) {
-            List<Violation> violations = prove((String) each[0]).violations();
+            List<Violation> violations = validate((String) each[0]).violations();
             Violation first = violations.stream()
                     .filter(v -> v.rule() == each[1])
                     .findFirst()
@@ -158,28 +158,31 @@
             assertNotNull(first, each[0] + " -> " + violations);
             assertEquals(each[2], first.position().line(), first.toString());
             assertTrue(first.toString().contains((String) each[3]), first.toString());
-            assertNull(prove((String) each[0]).standalone());
+            assertNull(validate((String) each[0]).standalone());
         }
     }
 
     @Test
-    void aFileThatSaysTheSameAsksForNoNewCore() {
-        Standalone before = holds(NODE + POOL);
-        assertEquals(new ReloadPlan(false, false), ReloadPlan.between(before, holds(NODE + "idle = \"9s\"\n" + POOL)));
+    void unchangedSettingsNeedNoNewCore() {
+        Standalone before = validSettings(NODE + POOL);
         assertEquals(
-                new ReloadPlan(false, true), ReloadPlan.between(before, holds(NODE.replace("8080", "8081") + POOL)));
+                new ReloadPlan(false, false),
+                ReloadPlan.between(before, validSettings(NODE + "idle = \"9s\"\n" + POOL)));
+        assertEquals(
+                new ReloadPlan(false, true),
+                ReloadPlan.between(before, validSettings(NODE.replace("8080", "8081") + POOL)));
         for (String other : List.of(
                 POOL + "attempts = 2\n",
                 POOL + "cold = \"1s\"\n",
                 POOL + "[classes.all]\n",
                 POOL + "[tenants.a]\nshare = 5\n")) {
-            assertEquals(new ReloadPlan(true, false), ReloadPlan.between(before, holds(NODE + other)), other);
+            assertEquals(new ReloadPlan(true, false), ReloadPlan.between(before, validSettings(NODE + other)), other);
         }
     }
 
     /** The page names every key that the prover knows, and none besides. */
     @Test
-    void everyKeyIsOnThePages() throws IOException {
+    void everyKeyIsDocumented() throws IOException {
         String page = Files.readString(Path.of("docs/standalone.md")) + Files.readString(Path.of("docs/servers.md"));
         for (List<String> keys : StandaloneValidator.keys()) {
             for (String key : keys) {
--- a/src/test/java/vetchpost/state/States.java
+++ b/src/test/java/vetchpost/state/TestSnapshots.java
@@ -10,11 +10,11 @@
 import vetchpost.decision.ServerStatistics.PerServer;
 
 /** Snapshots for tests. */
-public final class States {
+public final class TestSnapshots {
     public static final long NOW_MS = 1_767_225_600_000L;
     public static final List<String> CLASSES = List.of("view", "photo", "order");
 
-    private States() {}
+    private TestSnapshots() {}
 
     public static Target target(int number) {
         return new Target(
--- a/src/test/java/vetchpost/state/codec/PieceCodecTest.java
+++ b/src/test/java/vetchpost/state/codec/ChunkCodecTest.java
@@ -16,28 +16,28 @@
 import org.junit.jupiter.api.Test;
 import vetchpost.state.SelfFault;
 import vetchpost.state.Snapshot;
-import vetchpost.state.States;
+import vetchpost.state.TestSnapshots;
 
 /** Pieces as bytes, and all that may be wrong with such bytes. */
-class PieceCodecTest {
+class ChunkCodecTest {
     private static byte[] bytes(Snapshot snapshot) {
         return ChunkCodec.write(0, 1, snapshot.origin(), snapshot.classes(), snapshot.servers());
     }
 
-    private static String refusal(byte[] bytes) {
+    private static String rejectionMessage(byte[] bytes) {
         return assertThrows(MalformedSnapshotException.class, () -> ChunkCodec.read(bytes))
                 .getMessage();
     }
 
     /** A message of protobuf's, with what is to be in it. */
-    private interface Writing {
-        void to(CodedOutputStream out) throws IOException;
+    private interface MessageWriter {
+        void writeTo(CodedOutputStream out) throws IOException;
     }
 
-    private static byte[] message(Writing writing) throws IOException {
+    private static byte[] message(MessageWriter writing) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
-        writing.to(out);
+        writing.writeTo(out);
         out.flush();
         return bytes.toByteArray();
     }
@@ -49,10 +49,10 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws MalformedSnapshotException {
+    void readsBackWhatWasWritten() throws MalformedSnapshotException {
         SplittableRandom random = new SplittableRandom(14);
         for (int i = 0; i < 200; i++) {
-            Snapshot snapshot = States.random(random, random.nextInt(60));
+            Snapshot snapshot = TestSnapshots.random(random, random.nextInt(60));
             ChunkCodec.Chunk piece = ChunkCodec.read(bytes(snapshot));
             assertEquals(snapshot, piece.content());
             assertEquals(1, piece.chunkCount());
@@ -60,14 +60,14 @@
     }
 
     @Test
-    void aPieceOfTheMostBoxesFitsItsBound() {
-        Snapshot snapshot = States.random(new SplittableRandom(1), ChunkCodec.SERVERS_PER_CHUNK);
+    void aFullChunkFitsItsBound() {
+        Snapshot snapshot = TestSnapshots.random(new SplittableRandom(1), ChunkCodec.SERVERS_PER_CHUNK);
         assertTrue(bytes(snapshot).length < ChunkCodec.MAX_CHUNK_BYTES / 2, bytes(snapshot).length + " bytes");
     }
 
     @Test
-    void fieldsOfLaterVersionsArePassedOver() throws Exception {
-        Snapshot snapshot = States.of(3, 1, States.NOW_MS);
+    void skipsFieldsOfLaterVersions() throws Exception {
+        Snapshot snapshot = TestSnapshots.of(3, 1, TestSnapshots.NOW_MS);
         byte[] more = message(out -> {
             out.writeString(900, "what nobody knows yet");
             out.writeFixed32(901, 7);
@@ -85,50 +85,52 @@
     }
 
     @Test
-    void newerVersionsAreRefusedClearly() throws Exception {
-        assertEquals("a snapshot of version 2; this program knows 1", refusal(message(out -> out.writeUInt32(1, 2))));
+    void rejectsNewerVersions() throws Exception {
+        assertEquals(
+                "a snapshot of version 2; this program knows 1",
+                rejectionMessage(message(out -> out.writeUInt32(1, 2))));
     }
 
     @Test
-    void whatCannotBeIsRefused() throws Exception {
-        byte[] good = bytes(States.of(2, 0, States.NOW_MS));
-        assertTrue(refusal(new byte[0]).contains("no version"));
-        assertTrue(refusal(new byte[ChunkCodec.MAX_CHUNK_BYTES + 1]).contains("65537 bytes"));
-        assertTrue(refusal(Arrays.copyOf(good, good.length - 3)).contains("not a piece"));
+    void rejectsInvalidContent() throws Exception {
+        byte[] good = bytes(TestSnapshots.of(2, 0, TestSnapshots.NOW_MS));
+        assertTrue(rejectionMessage(new byte[0]).contains("no version"));
+        assertTrue(rejectionMessage(new byte[ChunkCodec.MAX_CHUNK_BYTES + 1]).contains("65537 bytes"));
+        assertTrue(rejectionMessage(Arrays.copyOf(good, good.length - 3)).contains("not a piece"));
         // Lengths that nothing stands behind: no room is made for them.
-        assertTrue(refusal(join(good, message(out -> {
+        assertTrue(rejectionMessage(join(good, message(out -> {
                     out.writeTag(10, 2);
                     out.writeUInt32NoTag(Integer.MAX_VALUE);
                 })))
                 .contains("not a piece"));
         byte[] longName = message(out -> out.writeByteArray(10, message(box -> box.writeString(1, "n".repeat(300)))));
-        assertTrue(refusal(join(good, longName)).contains("a name of 300 bytes"));
+        assertTrue(rejectionMessage(join(good, longName)).contains("a name of 300 bytes"));
         byte[] noAddress = message(out -> out.writeByteArray(10, message(box -> {
             box.writeString(1, "s-9");
             box.writeByteArray(2, new byte[5]);
             box.writeUInt32(3, 80);
         })));
-        assertTrue(refusal(join(good, noAddress)).contains("no address"));
+        assertTrue(rejectionMessage(join(good, noAddress)).contains("no address"));
         byte[] figure = message(out -> out.writeByteArray(10, message(box -> box.writeDouble(18, Double.NaN))));
-        assertTrue(refusal(join(good, figure)).contains("figure out of range"));
+        assertTrue(rejectionMessage(join(good, figure)).contains("figure out of range"));
         byte[] lines = message(out -> out.writeByteArray(10, message(box -> box.writeString(1, "s\nfalse line"))));
-        assertTrue(refusal(join(good, lines)).contains("no text"));
+        assertTrue(rejectionMessage(join(good, lines)).contains("no text"));
         byte[] group = message(out -> {
             for (int i = 0; i < 30_000; i++) {
                 out.writeTag(99, 3);
             }
         });
-        assertTrue(refusal(join(good, group)).contains("a group"));
+        assertTrue(rejectionMessage(join(good, group)).contains("a group"));
     }
 
     /** Any bytes end in a piece or in a refusal, and in nothing else. */
     @Test
-    void tenThousandCorruptionsEndInAPieceOrARefusal() {
+    void tenThousandCorruptionsAreReadOrRejected() {
         SplittableRandom random = new SplittableRandom(42);
         int read = 0;
         int refused = 0;
         for (int i = 0; i < 10_000; i++) {
-            byte[] bytes = corrupted(bytes(States.random(random, random.nextInt(12))), random);
+            byte[] bytes = corrupted(bytes(TestSnapshots.random(random, random.nextInt(12))), random);
             try {
                 ChunkCodec.Chunk piece = ChunkCodec.read(bytes);
                 assertTrue(piece.content().servers().size() <= bytes.length);
@@ -161,9 +163,9 @@
     }
 
     @Test
-    void piecesArePutTogetherInAnyOrder() throws MalformedSnapshotException {
-        Snapshot snapshot = States.of(250, 20, States.NOW_MS);
-        List<byte[]> pieces = Chunks.of(snapshot);
+    void assemblesChunksInAnyOrder() throws MalformedSnapshotException {
+        Snapshot snapshot = TestSnapshots.of(250, 20, TestSnapshots.NOW_MS);
+        List<byte[]> pieces = TestChunks.of(snapshot);
         assertEquals(3, pieces.size());
         ChunkAssembler assembly = new ChunkAssembler();
         for (int i : new int[] {2, 0}) {
@@ -178,21 +180,22 @@
     }
 
     @Test
-    void piecesOfTwoSnapshotsDoNotMixAndNoneCountsTwice() throws MalformedSnapshotException {
+    void rejectsChunksOfAnotherSnapshotAndDuplicates() throws MalformedSnapshotException {
         ChunkAssembler assembly = new ChunkAssembler();
-        List<byte[]> pieces = Chunks.of(States.of(250, 0, States.NOW_MS));
+        List<byte[]> pieces = TestChunks.of(TestSnapshots.of(250, 0, TestSnapshots.NOW_MS));
         assembly.add(ChunkCodec.read(pieces.get(0)));
         Snapshot before = assembly.snapshot();
-        List<byte[]> others = Chunks.of(States.of(250, 0, States.NOW_MS + 1));
+        List<byte[]> others = TestChunks.of(TestSnapshots.of(250, 0, TestSnapshots.NOW_MS + 1));
         assertThrows(MalformedSnapshotException.class, () -> assembly.add(ChunkCodec.read(others.get(1))));
         assertThrows(MalformedSnapshotException.class, () -> assembly.add(ChunkCodec.read(pieces.get(0))));
-        Snapshot same = States.of(250, 0, States.NOW_MS);
+        Snapshot same = TestSnapshots.of(250, 0, TestSnapshots.NOW_MS);
         byte[] again = ChunkCodec.write(
                 1, 3, same.origin(), same.classes(), same.servers().subList(99, 120));
         assertThrows(MalformedSnapshotException.class, () -> assembly.add(ChunkCodec.read(again)), "a box twice");
         assertEquals(before, assembly.snapshot(), "nothing of them was taken");
         assertFalse(assembly.isComplete());
         assertArrayEquals(
-                pieces.get(0), Chunks.of(States.of(250, 0, States.NOW_MS)).get(0));
+                pieces.get(0),
+                TestChunks.of(TestSnapshots.of(250, 0, TestSnapshots.NOW_MS)).get(0));
     }
 }
--- a/src/test/java/vetchpost/state/codec/Chunks.java
+++ b/src/test/java/vetchpost/state/codec/TestChunks.java
@@ -6,8 +6,8 @@
 import vetchpost.state.Snapshot;
 
 /** A snapshot in its pieces, for tests. */
-public final class Chunks {
-    private Chunks() {}
+public final class TestChunks {
+    private TestChunks() {}
 
     public static List<byte[]> of(Snapshot snapshot) {
         int count = ChunkCodec.chunkCount(snapshot.servers().size());
--- a/src/test/java/vetchpost/state/disk/ScriptedDisk.java
+++ b/src/test/java/vetchpost/state/disk/ScriptedDisk.java
@@ -23,105 +23,105 @@
     }
 
     /** A file's bytes, and how many of them are surely on the disk. */
-    private static final class Bytes {
+    private static final class StoredFile {
         byte[] bytes = new byte[0];
-        int forced;
+        int forcedBytes;
     }
 
-    private final Map<Path, Bytes> names = new LinkedHashMap<>();
+    private final Map<Path, StoredFile> files = new LinkedHashMap<>();
     /** Names as they are on the disk, and the changes to them that are not forced. */
-    private Map<Path, Bytes> onDisk = new HashMap<>();
+    private Map<Path, StoredFile> onDisk = new HashMap<>();
 
-    private final List<Map<Path, Bytes>> unforced = new ArrayList<>();
+    private final List<Map<Path, StoredFile>> unforced = new ArrayList<>();
     private int calls;
-    private int lastCall = Integer.MAX_VALUE;
-    private IOException fails;
+    private int killAtCall = Integer.MAX_VALUE;
+    private IOException writeFailure;
 
     /** The call of this number, from 1, is cut off halfway, and there is none after it. */
     void killAt(int call) {
         calls = 0;
-        lastCall = call;
+        killAtCall = call;
     }
 
     /** Writes fail so from now on; null for no more. */
-    void failsWith(IOException how) {
-        fails = how;
+    void failWritesWith(IOException how) {
+        writeFailure = how;
     }
 
     int calls() {
         return calls;
     }
 
-    private boolean isLast() {
-        if (++calls > lastCall) {
+    private boolean isKilledCall() {
+        if (++calls > killAtCall) {
             throw new Killed();
         }
-        return calls == lastCall;
+        return calls == killAtCall;
     }
 
-    private void changed() {
-        unforced.add(new HashMap<>(names));
+    private void recordMove() {
+        unforced.add(new HashMap<>(files));
     }
 
     /** The machine is back after it lost its power: what was not forced is there or not, by chance. */
     ScriptedDisk afterPowerLoss(SplittableRandom chance) {
         ScriptedDisk back = new ScriptedDisk();
         int kept = chance.nextInt(unforced.size() + 1);
-        Map<Path, Bytes> found = kept == 0 ? onDisk : unforced.get(kept - 1);
+        Map<Path, StoredFile> found = kept == 0 ? onDisk : unforced.get(kept - 1);
         found.forEach((path, file) -> {
-            Bytes bytes = new Bytes();
-            int length = file.forced + chance.nextInt(file.bytes.length - file.forced + 1);
+            StoredFile bytes = new StoredFile();
+            int length = file.forcedBytes + chance.nextInt(file.bytes.length - file.forcedBytes + 1);
             bytes.bytes = Arrays.copyOf(file.bytes, length);
             // What the disk had at hand of blocks that were not forced.
-            for (int i = file.forced; i < length; i++) {
+            for (int i = file.forcedBytes; i < length; i++) {
                 bytes.bytes[i] = chance.nextInt(3) == 0 ? 0 : bytes.bytes[i];
             }
-            bytes.forced = length;
-            back.names.put(path, bytes);
+            bytes.forcedBytes = length;
+            back.files.put(path, bytes);
         });
-        back.onDisk = new HashMap<>(back.names);
+        back.onDisk = new HashMap<>(back.files);
         return back;
     }
 
     /** The process was killed, and the machine goes on: all that the system had taken is there. */
     ScriptedDisk afterKill() {
         ScriptedDisk back = new ScriptedDisk();
-        back.names.putAll(names);
-        back.onDisk = new HashMap<>(names);
+        back.files.putAll(files);
+        back.onDisk = new HashMap<>(files);
         return back;
     }
 
     /** Puts a file there as it is. */
     void put(Path file, byte[] bytes) {
-        Bytes fresh = new Bytes();
+        StoredFile fresh = new StoredFile();
         fresh.bytes = bytes;
-        fresh.forced = bytes.length;
-        names.put(file, fresh);
+        fresh.forcedBytes = bytes.length;
+        files.put(file, fresh);
         onDisk.put(file, fresh);
     }
 
     byte[] get(Path file) {
-        return names.get(file).bytes;
+        return files.get(file).bytes;
     }
 
     @Override
     public Sink create(Path file) throws IOException {
-        boolean last = isLast();
-        if (fails != null) {
-            throw fails;
+        boolean last = isKilledCall();
+        if (writeFailure != null) {
+            throw writeFailure;
         }
-        Bytes fresh = new Bytes();
-        names.put(file, fresh);
-        changed();
+        StoredFile fresh = new StoredFile();
+        files.put(file, fresh);
+        recordMove();
         if (last) {
             throw new Killed();
         }
         return new Sink() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
-                boolean lastWrite = isLast();
-                if (fails != null) {
-                    throw fails;
+                boolean lastWrite = isKilledCall();
+                if (writeFailure != null) {
+                    throw writeFailure;
                 }
                 int length = lastWrite ? bytes.remaining() / 2 : bytes.remaining();
                 int at = fresh.bytes.length;
@@ -134,10 +134,10 @@
 
             @Override
             public void force() {
-                if (isLast()) {
+                if (isKilledCall()) {
                     throw new Killed();
                 }
-                fresh.forced = fresh.bytes.length;
+                fresh.forcedBytes = fresh.bytes.length;
             }
 
             @Override
@@ -149,38 +149,38 @@
 
     @Override
     public void move(Path from, Path to) throws IOException {
-        boolean last = isLast();
-        if (fails != null) {
-            throw fails;
+        boolean last = isKilledCall();
+        if (writeFailure != null) {
+            throw writeFailure;
         }
         if (last) {
             throw new Killed();
         }
-        Bytes moved = names.remove(from);
+        StoredFile moved = files.remove(from);
         if (moved == null) {
             throw new IOException("no such file: " + from);
         }
-        names.put(to, moved);
-        changed();
+        files.put(to, moved);
+        recordMove();
     }
 
     @Override
-    public void forceFolder(Path folder) {
-        if (isLast()) {
+    public void forceDirectory(Path folder) {
+        if (isKilledCall()) {
             throw new Killed();
         }
-        onDisk = new HashMap<>(names);
+        onDisk = new HashMap<>(files);
         unforced.clear();
     }
 
     @Override
     public boolean exists(Path file) {
-        return names.containsKey(file);
+        return files.containsKey(file);
     }
 
     @Override
     public byte[] read(Path file, long most) throws IOException {
-        byte[] bytes = names.get(file).bytes;
+        byte[] bytes = files.get(file).bytes;
         if (bytes.length > most) {
             throw new IOException("is over " + most + " bytes");
         }
--- a/src/test/java/vetchpost/store/FieldsTest.java
+++ b/src/test/java/vetchpost/store/FieldCodecTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Values as bytes, whatever they are, and bytes that are none. */
-class FieldsTest {
+class FieldCodecTest {
     private static Map<Integer, Object> read(byte[] bytes) {
         Map<Integer, Object> all = new LinkedHashMap<>();
         FieldCodec.read(bytes, all::put);
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void valuesComeBackAsTheyWere() {
+    void encodedFieldsDecodeToTheSameValues() {
         SplittableRandom random = new SplittableRandom(7);
         for (int i = 0; i < 2_000; i++) {
             Map<Integer, Object> all = new LinkedHashMap<>();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void whatDoesNotFitIsRefused() {
+    void invalidFieldsAreRejected() {
         FieldCodec.Encoder packer = new FieldCodec.Encoder();
         assertThrows(IllegalArgumentException.class, () -> packer.add(85, 1L));
         assertThrows(IllegalArgumentException.class, () -> packer.add(1, true));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void bytesThatAreNoneAreRefused() {
+    void invalidBytesAreRejected() {
         FieldCodec.Encoder packer = new FieldCodec.Encoder();
         packer.add(3, "text");
         packer.add(4, 5L);
--- a/src/test/java/vetchpost/store/PackedTreeTest.java
+++ b/src/test/java/vetchpost/store/PackedTreeTest.java
@@ -29,18 +29,18 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private record Told(String value, long stamp) {}
+    private record ExpectedEntry(String value, long stamp) {}
 
-    private static void same(TreeMap<String, Told> map, PackedTree tree) {
+    private static void assertSameEntries(TreeMap<String, ExpectedEntry> map, PackedTree tree) {
         assertEquals(map.size(), tree.size());
         List<Item> items = tree.range(null, null, Integer.MAX_VALUE);
         assertEquals(map.size(), items.size());
         int i = 0;
         long hash = 0;
-        for (Map.Entry<String, Told> each : map.entrySet()) {
+        for (Map.Entry<String, ExpectedEntry> each : map.entrySet()) {
             Item item = items.get(i);
             assertEquals(each.getKey(), text(item.key()));
-            assertEquals(each.getValue(), new Told(text(item.value()), item.stamp()));
+            assertEquals(each.getValue(), new ExpectedEntry(text(item.value()), item.stamp()));
             assertArrayEquals(item.key(), tree.at(i).key());
             assertEquals(each.getValue().value, text(tree.get(item.key()).value()));
             hash += PackedTree.hash(item);
@@ -51,9 +51,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void itHoldsWhatASortedMapHolds(long seed) {
+    void treeEqualsASortedMap(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        TreeMap<String, Told> map = new TreeMap<>();
+        TreeMap<String, ExpectedEntry> map = new TreeMap<>();
         PackedTree tree = PackedTree.EMPTY;
         int keys = 20 << random.nextInt(8);
         for (int step = 1; step <= 6_000; step++) {
@@ -61,7 +61,7 @@
             // Now it grows and now it shrinks to nothing.
             if (random.nextInt(10) < (step / 1_500 % 2 == 0 ? 8 : 2)) {
                 String value = "v".repeat(random.nextInt(step % 500 == 0 ? 3_000 : 60));
-                map.put(key, new Told(value, step));
+                map.put(key, new ExpectedEntry(value, step));
                 tree = tree.put(bytes(key), bytes(value), step);
             } else {
                 PackedTree before = tree;
@@ -70,13 +70,14 @@
                 assertEquals(map.remove(key) == null, tree == before, key);
             }
             if (step % 500 == 0) {
-                same(map, tree);
-                ranges(map, tree, random, keys);
+                assertSameEntries(map, tree);
+                assertSameRanges(map, tree, random, keys);
             }
         }
     }
 
-    private static void ranges(TreeMap<String, Told> map, PackedTree tree, SplittableRandom random, int keys) {
+    private static void assertSameRanges(
+            TreeMap<String, ExpectedEntry> map, PackedTree tree, SplittableRandom random, int keys) {
         for (int i = 0; i < 20; i++) {
             String from = "k/deep/" + random.nextInt(keys);
             String to = "k/deep/" + random.nextInt(keys);
@@ -105,7 +106,7 @@
     }
 
     @Test
-    void aChangeLeavesTheTreeBeforeAsItWas() {
+    void changeLeavesEarlierTreesUnchanged() {
         List<PackedTree> trees = new ArrayList<>(List.of(PackedTree.EMPTY));
         List<Sum> sums = new ArrayList<>(List.of(PackedTree.EMPTY.sum()));
         for (int i = 1; i < 2_000; i++) {
@@ -122,7 +123,7 @@
 
     /** However it came to be, and also where a stamp alone differs. */
     @Test
-    void theSameEntriesHaveTheSameSumAndOthersAnother() {
+    void equalEntriesHaveEqualSumsAndOthersDiffer() {
         PackedTree up = PackedTree.EMPTY;
         PackedTree down = PackedTree.EMPTY;
         for (int i = 0; i < 500; i++) {
@@ -137,7 +138,7 @@
     }
 
     @Test
-    void anEntryCostsLittleMoreThanItsBytes() {
+    void entryOverheadIsSmall() {
         PackedTree tree = PackedTree.EMPTY;
         long own = 0;
         for (int i = 0; i < 50_000; i++) {
@@ -150,15 +151,15 @@
     }
 
     @Test
-    void versionsOfALaterEpochComeAfterAllOfAnEarlierOne() {
+    void versionsOfALaterEpochAreGreater() {
         assertTrue(Version.of(2, 0) > Version.of(1, (1L << 40) - 1));
         assertEquals(3, Version.epoch(Version.of(3, 9)));
         assertEquals(9, Version.number(Version.of(3, 9)));
-        assertThrows(IllegalArgumentException.class, () -> Version.of(Version.MAX_EPOCH, 0));
+        assertThrows(IllegalArgumentException.class, () -> Version.of(Version.EPOCH_LIMIT, 0));
     }
 
     @Test
-    void aBatchIsInForceAsOneAndRemovedKeysAreKnownUntilTheyAreForgotten() {
+    void batchAppliesAtomicallyAndRemovedKeysAreKeptUntilForgotten() {
         EntryKey a = new EntryKey(EntryKind.ROUTE, "a");
         EntryKey b = new EntryKey(EntryKind.TENANT, "b");
         VersionedStore one =
--- a/src/test/java/vetchpost/testing/FakePeer.java
+++ b/src/test/java/vetchpost/testing/FakePeer.java
@@ -32,22 +32,22 @@
 
     public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
     /** Connections that the other side has ended. */
-    public final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Socket> closedByClient = new LinkedBlockingQueue<>();
 
     public final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
-    private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
-    private final ServerSocket listening;
+    private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
+    private final ServerSocket serverSocket;
     private volatile Script script;
 
     public FakePeer(Script script) throws IOException {
         this.script = script;
-        listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(() -> {
+        serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        startDaemonThread(() -> {
             while (true) {
-                Socket socket = listening.accept();
-                open.add(socket);
+                Socket socket = serverSocket.accept();
+                openSockets.add(socket);
                 accepted.add(socket);
-                daemon(() -> serve(socket));
+                startDaemonThread(() -> serve(socket));
             }
         });
     }
@@ -71,7 +71,7 @@
     }
 
     public int port() {
-        return listening.getLocalPort();
+        return serverSocket.getLocalPort();
     }
 
     public String address() {
@@ -97,7 +97,7 @@
                 script.run(socket, request);
             }
         } finally {
-            ended.add(socket);
+            closedByClient.add(socket);
         }
     }
 
@@ -129,17 +129,17 @@
 
     @Override
     public void close() throws IOException {
-        listening.close();
-        for (Socket socket : open) {
+        serverSocket.close();
+        for (Socket socket : openSockets) {
             socket.close();
         }
     }
 
-    private interface Body {
+    private interface IoTask {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void daemon(Body body) {
+    private static void startDaemonThread(IoTask body) {
         Thread thread = new Thread(() -> {
             try {
                 body.run();
--- a/src/test/java/vetchpost/testing/Output.java
+++ b/src/test/java/vetchpost/testing/ProcessOutput.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.TimeUnit;
 
 /** What a process says, read as it comes, so that a test can wait for a line and not for the process. */
-public final class Output {
+public final class ProcessOutput {
     private final StringBuilder text = new StringBuilder();
     private final Thread reader;
-    private int seen;
+    private int searchedUntil;
     private boolean ended;
 
     /** Reads to the end of this. */
-    public Output(InputStream from) {
+    public ProcessOutput(InputStream from) {
         reader = new Thread(() -> read(from), "output");
         reader.setDaemon(true);
         reader.start();
@@ -44,29 +44,29 @@
     /** Waits for this text behind what was waited for before; fails with what came instead. */
     public synchronized void await(String part) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakePeer.TIMEOUT_S);
-        int at = text.indexOf(part, seen);
+        int at = text.indexOf(part, searchedUntil);
         while (at < 0) {
             long leftMs = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
             if (ended || leftMs <= 0) {
                 throw new AssertionError("\"" + part + "\" was not said "
                         + (ended ? "before the end" : "within " + FakePeer.TIMEOUT_S + " s") + ", but:\n"
-                        + text.substring(seen));
+                        + text.substring(searchedUntil));
             }
             wait(leftMs);
-            at = text.indexOf(part, seen);
+            at = text.indexOf(part, searchedUntil);
         }
-        seen = at + part.length();
+        searchedUntil = at + part.length();
     }
 
     /** Waits for the first such text, and for the end of its line; what stands between. */
     public synchronized String restOfLine(String part) throws InterruptedException {
-        int before = seen;
-        seen = 0;
+        int before = searchedUntil;
+        searchedUntil = 0;
         await(part);
-        int from = seen;
+        int from = searchedUntil;
         await("\n");
-        String rest = text.substring(from, seen - 1).strip();
-        seen = before;
+        String rest = text.substring(from, searchedUntil - 1).strip();
+        searchedUntil = before;
         return rest;
     }
 
