--- a/src/test/java/vetchpost/simulation/FirstMinuteTest.java
+++ b/src/test/java/vetchpost/simulation/FirstMinuteTest.java
@@ -14,8 +14,8 @@
 import vetchpost.simulation.world.NodeProcess;
 
 /**
- * A node starts anew beside one that has run for a while, with some boxes ill: the same seeds with and
- * without what the other knows.
+ * A node restarts beside one that has run for a while, with some servers faulty. Compares its first minute over
+ * the same seeds with and without the state of its peer or its own snapshot.
  */
 @Timeout(300)
 class FirstMinuteTest {
@@ -25,14 +25,13 @@
     private static final long RESTART_MS = 22_000;
     private static final long RESTART_DURATION_MS = 500;
     /**
-     * One run can do worse than another by so much for chance alone: as far as two restarts a millisecond
-     * apart.
+     * Largest difference in requests by chance alone, as between two restarts a millisecond apart.
      */
     private static final int MAX_RANDOM_DIFFERENCE = 29;
 
     private static final long MINUTE_MS = 60_000;
 
-    /** What did not go well, of all that was wanted: not served, or later than its class aims at. */
+    /** Number of operations that were not served, or later than the latency target of their class. */
     static int unsatisfiedCount(Result result) {
         assertTrue(
                 result.isGood(),
@@ -40,13 +39,13 @@
         return result.operations() - result.served() + result.late();
     }
 
-    /** Some boxes are ill, each in its way, from before the restart to the end. */
+    /** Two to five servers have faults of random kinds from before the restart to the end. */
     private static Plan plan(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 977 + 3);
         List<Fault> faults = new ArrayList<>();
         long endMs = RESTART_MS + RESTART_DURATION_MS + MINUTE_MS;
-        int ill = 2 + random.nextInt(4);
-        for (int i = 0; i < ill; i++) {
+        int faultyServers = 2 + random.nextInt(4);
+        for (int i = 0; i < faultyServers; i++) {
             long atMs = 12_000 + random.nextInt(6_000);
             Fault.Kind kind = switch (random.nextInt(4)) {
                 case 0 -> Fault.Kind.SLOW;
@@ -65,10 +64,10 @@
         return new Plan(seed, NODES, SERVERS, 3, false, 100, endMs, 30 + random.nextInt(40), 2, faults, null);
     }
 
-    private static int[] run(int seeds, Supplier<NodeProcess.Setup> planting, LongFunction<Plan> plans) {
+    private static int[] run(int seeds, Supplier<NodeProcess.Setup> setup, LongFunction<Plan> plans) {
         return IntStream.rangeClosed(1, seeds)
                 .parallel()
-                .map(seed -> unsatisfiedCount(Simulation.run(plans.apply(seed), planting.get(), null)))
+                .map(seed -> unsatisfiedCount(Simulation.run(plans.apply(seed), setup.get(), null)))
                 .toArray();
     }
 
@@ -92,21 +91,21 @@
                 worst);
     }
 
-    /** Nodes that ask each other at the beginning, so that all is the same up to the restart. */
-    private static Supplier<NodeProcess.Setup> askingPeers(boolean again) {
+    /** Nodes ask each other at their first start, so that both runs are equal up to the restart. */
+    private static Supplier<NodeProcess.Setup> askingPeers(boolean afterRestart) {
         return () -> new StateKeepingNodes(NODES, false, true) {
             @Override
             boolean asksPeers(int number, int start) {
-                return again || start == 1;
+                return afterRestart || start == 1;
             }
         };
     }
 
-    /** Two boxes of three fail for the last seconds before the restart, and are well just as it is over. */
+    /** Two servers of three are slow for the seconds before the restart and recover just before the node is back. */
     private static Plan massFailure(long seed) {
         List<Fault> faults = new ArrayList<>();
-        for (int box = 0; box < 8; box++) {
-            faults.add(new Fault(RESTART_MS - 3_000, Fault.Kind.SLOW, box, 3_000 + RESTART_DURATION_MS - 300, 12));
+        for (int server = 0; server < 8; server++) {
+            faults.add(new Fault(RESTART_MS - 3_000, Fault.Kind.SLOW, server, 3_000 + RESTART_DURATION_MS - 300, 12));
         }
         faults.add(new Fault(RESTART_MS, Fault.Kind.CRASH, 1, RESTART_DURATION_MS, 0));
         return new Plan(
@@ -132,21 +131,21 @@
         assertTrue(worst(cold, warm) <= MAX_RANDOM_DIFFERENCE, figures);
     }
 
-    /** A node whose file is a second old does so too. */
+    /** The snapshot is a second old. */
     @Test
     void aSnapshotImprovesTheFirstMinute() {
         int[] cold = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, false, false), FirstMinuteTest::plan);
-        int[] kept = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, true, false), FirstMinuteTest::plan);
-        String figures = compare("file", cold, kept);
-        assertTrue(mean(kept) < mean(cold) - 1.5, figures);
-        assertTrue(worst(cold, kept) <= MAX_RANDOM_DIFFERENCE, figures);
+        int[] warm = run(SEEDS / 2, () -> new StateKeepingNodes(NODES, true, false), FirstMinuteTest::plan);
+        String figures = compare("file", cold, warm);
+        assertTrue(mean(warm) < mean(cold) - 1.5, figures);
+        assertTrue(worst(cold, warm) <= MAX_RANDOM_DIFFERENCE, figures);
     }
 
     @Test
     void handoverAfterAMassFailureDoesNoHarm() {
         int[] cold = run(SEEDS, askingPeers(false), FirstMinuteTest::massFailure);
         int[] warm = run(SEEDS, askingPeers(true), FirstMinuteTest::massFailure);
-        String figures = compare("handover from a confused node", cold, warm);
+        String figures = compare("handover after a mass failure", cold, warm);
         assertTrue(mean(warm) <= mean(cold) + 1, figures);
         assertTrue(worst(cold, warm) <= MAX_RANDOM_DIFFERENCE, figures);
     }
--- a/src/test/java/vetchpost/simulation/SimulateCommandTest.java
+++ b/src/test/java/vetchpost/simulation/SimulateCommandTest.java
@@ -23,7 +23,7 @@
 import vetchpost.simulation.check.Violation.Rule;
 import vetchpost.simulation.world.NodeProcess;
 
-/** The command line, scripts, and the making smaller of what fails. */
+/** The command line, scripts and shrinking of the simulate command. */
 @Timeout(300)
 class SimulateCommandTest {
     @TempDir
@@ -36,8 +36,8 @@
         return run(false, arguments);
     }
 
-    private int run(boolean watched, String... arguments) {
-        return new CommandLine(new SimulateCommand(watched))
+    private int run(boolean showsProgress, String... arguments) {
+        return new CommandLine(new SimulateCommand(showsProgress))
                 .setOut(new PrintWriter(out))
                 .setErr(new PrintWriter(err))
                 .execute(arguments);
@@ -57,13 +57,13 @@
         assertTrue(err.toString().contains("2 of 2 seeds"), err.toString());
     }
 
-    /** A run that threw has shown nothing; it was counted as good. */
+    /** A run that threw had been counted as passed. */
     @Test
     void aRunThatThrowsCountsAsFailedAndNamesItsSeed() throws Exception {
         Result good = Simulation.run(Plan.of(1));
         SeedRuns runs = new SeedRuns(1, 3, 1, seed -> {
             if (seed == 2) {
-                throw new IllegalStateException("planted");
+                throw new IllegalStateException("injected");
             }
             return good;
         });
@@ -73,21 +73,21 @@
         assertFalse(runs.haveAllPassed());
         assertEquals(Set.of(2L), runs.thrown().keySet());
         assertTrue(runs.summary().startsWith("3 seeds, 1 failed, "), runs.summary());
-        SeedRunException fault = assertThrows(
+        SeedRunException thrown = assertThrows(
                 SeedRunException.class,
                 () -> SeedRunException.withSeed(7, () -> {
-                    throw new IllegalStateException("planted");
+                    throw new IllegalStateException("injected");
                 }));
-        assertTrue(fault.getMessage().startsWith("seed 7: "), fault.getMessage());
+        assertTrue(thrown.getMessage().startsWith("seed 7: "), thrown.getMessage());
     }
 
-    /** Beyond 250 there were no addresses, and beyond that no runs. */
+    /** There had been no addresses beyond 250 nodes, so larger runs failed. */
     @Test
     void hundredsOfNodesHaveDistinctAddresses() {
         Set<Object> addresses = new HashSet<>();
         for (int i = 0; i < 2_048; i++) {
             assertFalse(NodeProcess.addressOf(i).isUnresolved());
-            assertTrue(addresses.add(NodeProcess.addressOf(i)), "node " + i + " has another's address");
+            assertTrue(addresses.add(NodeProcess.addressOf(i)), "node " + i + " has the address of another node");
         }
         assertEquals(0, run("--nodes", "400", "--seeds", "1..1"), out::toString);
         assertTrue(out.toString().startsWith("1 seeds, 0 failed, "), out.toString());
@@ -153,15 +153,15 @@
         for (long seed = 1; seed <= 5; seed++) {
             Plan plan =
                     PlanText.parse(Arrays.asList(PlanText.write(Plan.of(seed)).split("\n")));
-            Plan again = PlanText.parse(Arrays.asList(PlanText.write(plan).split("\n")));
-            assertEquals(plan, again);
-            assertEquals(Simulation.run(plan).digest(), Simulation.run(again).digest());
+            Plan reread = PlanText.parse(Arrays.asList(PlanText.write(plan).split("\n")));
+            assertEquals(plan, reread);
+            assertEquals(Simulation.run(plan).digest(), Simulation.run(reread).digest());
         }
     }
 
     @Test
     void aFailingPlanIsShrunk() {
-        // The first seed that catches it, whatever plans look like.
+        // The first seed that finds the fault, independent of how plans are drawn.
         long seed = 1;
         while (seed < 200
                 && Simulation.run(Plan.of(seed), InjectedFaults.RESENT_AFTER_RESET, null)
@@ -172,11 +172,12 @@
         Result first = Simulation.run(failing, InjectedFaults.RESENT_AFTER_RESET, null);
         assertEquals(Rule.TWICE, first.violation().rule());
         Shrinker shrinker = new Shrinker(p -> Simulation.run(p, InjectedFaults.RESENT_AFTER_RESET, null), Rule.TWICE);
-        Plan small = shrinker.shrink(failing);
-        Result still = Simulation.run(small, InjectedFaults.RESENT_AFTER_RESET, null);
-        assertEquals(Rule.TWICE, still.violation().rule());
-        assertTrue(small.faults().size() < failing.faults().size(), small.toString());
+        Plan shrunk = shrinker.shrink(failing);
+        Result shrunkResult = Simulation.run(shrunk, InjectedFaults.RESENT_AFTER_RESET, null);
+        assertEquals(Rule.TWICE, shrunkResult.violation().rule());
+        assertTrue(shrunk.faults().size() < failing.faults().size(), shrunk.toString());
         assertTrue(
-                still.requestsSent() < first.requestsSent() / 2, still.requestsSent() + " of " + first.requestsSent());
+                shrunkResult.requestsSent() < first.requestsSent() / 2,
+                shrunkResult.requestsSent() + " of " + first.requestsSent());
     }
 }
--- a/src/test/java/vetchpost/simulation/SingleNodeScenario.java
+++ b/src/test/java/vetchpost/simulation/SingleNodeScenario.java
@@ -42,14 +42,17 @@
 import vetchpost.simulation.world.SimulatedServer;
 import vetchpost.simulation.world.World;
 
-/** One node, a few boxes that do as a test says, and a client that asks just what it is told to. */
+/**
+ * One node, a few servers and a client, all controlled by a test in simulated time. The checker runs after every
+ * step; a test ends with {@link #stopAndCheck()} and asserts that {@code violations} is empty.
+ */
 final class SingleNodeScenario {
     static final long MS = 1_000_000;
 
     final VirtualTime time = new VirtualTime();
     final List<Violation> violations = new ArrayList<>();
     final List<SimulatedServer> servers = new ArrayList<>();
-    /** What boxes were asked, in order. */
+    /** Requests that servers have read, in order. */
     final List<Message> receivedRequests = new ArrayList<>();
 
     final Checker checker = new Checker(time, Rules.limits(), violations::add);
@@ -59,7 +62,7 @@
     private final SimulatedHost client;
     private int txns;
 
-    /** Classes like the stage's. */
+    /** Settings with the request classes of this scenario. */
     static Settings settings() {
         Settings settings = new Settings();
         settings.maxRetryAfterUs = 1_000_000;
@@ -72,40 +75,40 @@
         return settings;
     }
 
-    /** The routes of a file. */
+    /** The policy of a valid route file with this text. */
     static RoutePolicy policy(String routes) {
         Settings settings = settings();
-        RouteValidation proof =
+        RouteValidation validation =
                 RouteValidator.validate(RouteFile.parse("routes.toml", routes).sections(), settings);
-        assertEquals(List.of(), proof.violations());
-        return new FileRoutePolicy(proof.table(), settings, 1);
+        assertEquals(List.of(), validation.violations());
+        return new FileRoutePolicy(validation.table(), settings, 1);
     }
 
-    private static RequestClass requestClass(String name, long giveUpMs, Idempotency repeat) {
-        return new RequestClass(name, 0, 0, 1_000 * giveUpMs, 1, 0, repeat, DeduplicationScope.ALL, 1_200_000, false);
+    private static RequestClass requestClass(String name, long timeoutMs, Idempotency repeat) {
+        return new RequestClass(name, 0, 0, 1_000 * timeoutMs, 1, 0, repeat, DeduplicationScope.ALL, 1_200_000, false);
     }
 
-    SingleNodeScenario(long seed, int boxCount, int racks, boolean pushed, String routes) {
-        this(seed, boxCount, racks, pushed);
+    SingleNodeScenario(long seed, int serverCount, int racks, boolean pushed, String routes) {
+        this(seed, serverCount, racks, pushed);
         node.setRoutes(policy(routes));
     }
 
-    SingleNodeScenario(long seed, int boxCount, int racks, boolean pushed) {
-        this(seed, boxCount, racks, pushed, 10);
+    SingleNodeScenario(long seed, int serverCount, int racks, boolean pushed) {
+        this(seed, serverCount, racks, pushed, 10);
     }
 
-    /** With planted parts. */
-    SingleNodeScenario(long seed, int boxCount, int racks, NodeProcess.Setup planting) {
-        this(seed, boxCount, racks, false, 10, planting);
+    /** With another setup of the node. */
+    SingleNodeScenario(long seed, int serverCount, int racks, NodeProcess.Setup setup) {
+        this(seed, serverCount, racks, false, 10, setup);
     }
 
-    /** With classes whose times are in proportion to so many milliseconds of work. */
-    SingleNodeScenario(long seed, int boxCount, int racks, boolean pushed, int workMs) {
-        this(seed, boxCount, racks, pushed, workMs, loop -> NodeHooks.NONE);
+    /** With request classes for this mean processing time in milliseconds. */
+    SingleNodeScenario(long seed, int serverCount, int racks, boolean pushed, int workMs) {
+        this(seed, serverCount, racks, pushed, workMs, loop -> NodeHooks.NONE);
     }
 
     private SingleNodeScenario(
-            long seed, int boxCount, int racks, boolean pushed, int workMs, NodeProcess.Setup planting) {
+            long seed, int serverCount, int racks, boolean pushed, int workMs, NodeProcess.Setup setup) {
         Tcp tcp = new Tcp(time, new SplittableRandom(seed));
         World world =
                 new World(seed, time, tcp, checker, new RequestClasses(workMs), (what, who, detail, number) -> {});
@@ -114,28 +117,28 @@
         client = tcp.host("client", Tap.NONE);
         Nodes nodes = new Nodes();
         discovery = new SimulatedDiscovery(world, nodes);
-        node = new NodeProcess(world, clients, discovery, planting, violations::add, pushed, 1, 0);
+        node = new NodeProcess(world, clients, discovery, setup, violations::add, pushed, 1, 0);
         nodes.add(node);
-        for (int i = 0; i < boxCount; i++) {
-            SimulatedServer box = new SimulatedServer(world, effects, i, i % racks, 2);
-            box.start(false);
-            box.setScript((end, request) -> {
+        for (int i = 0; i < serverCount; i++) {
+            SimulatedServer server = new SimulatedServer(world, effects, i, i % racks, 2);
+            server.start(false);
+            server.setScript((socket, request) -> {
                 receivedRequests.add(request);
                 return false;
             });
-            discovery.addServer(box);
-            node.addServer(box);
-            servers.add(box);
+            discovery.addServer(server);
+            node.addServer(server);
+            servers.add(server);
         }
         node.start();
         runMs(100);
     }
 
-    /** Has all boxes do so with each request. */
+    /** Has all servers handle each request by the script, and records it. */
     void setScript(SimulatedServer.Script script) {
-        servers.forEach(box -> box.setScript((end, request) -> {
+        servers.forEach(server -> server.setScript((socket, request) -> {
             receivedRequests.add(request);
-            return script.handle(end, request);
+            return script.handle(socket, request);
         }));
     }
 
@@ -144,14 +147,14 @@
     }
 
     private void runUntilNs(long ns) {
-        boolean[] there = new boolean[1];
-        time.at(ns, () -> there[0] = true);
-        while (!there[0] && time.step()) {
+        boolean[] isOver = new boolean[1];
+        time.at(ns, () -> isOver[0] = true);
+        while (!isOver[0] && time.step()) {
             checker.afterStep();
         }
     }
 
-    /** One asker: what it was answered, and whether its connection has ended. */
+    /** A client connection with one request, and its responses. */
     final class TestClient {
         final List<Message> answers = new ArrayList<>();
         private final MessageParser parser = new MessageParser(answers::add);
@@ -167,39 +170,39 @@
         }
     }
 
-    /** Asks on a connection of its own. */
-    TestClient sendRequest(String kind, RetryPolicy again, long remainingMs, int bodyBytes) {
+    /** Sends a request on a connection of its own. */
+    TestClient sendRequest(String kind, RetryPolicy retryPolicy, long remainingMs, int bodyBytes) {
         String txn = String.format(Locale.ROOT, "%016x", ++txns);
-        String body = "b".repeat(again == RetryPolicy.SAFE ? 0 : bodyBytes);
+        String body = "b".repeat(retryPolicy == RetryPolicy.SAFE ? 0 : bodyBytes);
         byte[] bytes = Message.bytes(
-                (again == RetryPolicy.SAFE ? "GET /" : "POST /") + kind + "/1 HTTP/1.1",
+                (retryPolicy == RetryPolicy.SAFE ? "GET /" : "POST /") + kind + "/1 HTTP/1.1",
                 "Host: b\r\nX-Txn: " + txn + "\r\nX-Remaining-Ms: " + remainingMs + "\r\n"
-                        + (again == RetryPolicy.KEYED ? "Idempotency-Key: k" + txn + "\r\n" : "")
-                        + (again == RetryPolicy.SAFE ? "" : "Content-Length: " + body.length() + "\r\n"),
+                        + (retryPolicy == RetryPolicy.KEYED ? "Idempotency-Key: k" + txn + "\r\n" : "")
+                        + (retryPolicy == RetryPolicy.SAFE ? "" : "Content-Length: " + body.length() + "\r\n"),
                 body);
-        TestClient asker = new TestClient();
-        asker.socket = client.connect(new InetSocketAddress("10.0.0.1", 8443), () -> {
-            if (asker.socket.isOpen() && !asker.sent) {
-                asker.sent = true;
-                checker.expect(new ExpectedRequest(txn, again, time.nanoTime() + remainingMs * MS, 10 * MS));
-                write(asker.socket, bytes, 0);
+        TestClient testClient = new TestClient();
+        testClient.socket = client.connect(new InetSocketAddress("10.0.0.1", 8443), () -> {
+            if (testClient.socket.isOpen() && !testClient.sent) {
+                testClient.sent = true;
+                checker.expect(new ExpectedRequest(txn, retryPolicy, time.nanoTime() + remainingMs * MS, 10 * MS));
+                write(testClient.socket, bytes, 0);
             }
-            while (asker.socket.readable() > 0) {
-                asker.parser.feed(asker.socket.read(4_096));
+            while (testClient.socket.readable() > 0) {
+                testClient.parser.feed(testClient.socket.read(4_096));
             }
         });
-        return asker;
+        return testClient;
     }
 
-    private void write(SimulatedSocket end, byte[] bytes, int from) {
+    private void write(SimulatedSocket socket, byte[] bytes, int from) {
         int to;
         try {
-            to = from + end.write(Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + 4_096)));
+            to = from + socket.write(Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + 4_096)));
         } catch (IOException e) {
             return;
         }
         if (to < bytes.length) {
-            time.after(MS / 10, () -> write(end, bytes, to));
+            time.after(MS / 10, () -> write(socket, bytes, to));
         }
     }
 
@@ -215,15 +218,15 @@
         return sendRequest("place-order", RetryPolicy.UNSAFE, remainingMs, 10);
     }
 
-    /** Answers a request as a box would, and has the checker know. */
-    void respond(SimulatedSocket end, Message request) {
+    /** Answers a request as a server would, and reports the response to the checker. */
+    void respond(SimulatedSocket socket, Message request) {
         String body = "made for " + request.field("x-txn");
         checker.addResponse(request.field("x-txn"), body);
-        end.put(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+        socket.put(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Stops the node and looks for what it leaves behind. */
+    /** Stops the node, which then checks that nothing is left. */
     void stopAndCheck() {
         node.stop();
         runMs(9_000);
--- a/src/test/java/vetchpost/simulation/StaleSnapshotTest.java
+++ b/src/test/java/vetchpost/simulation/StaleSnapshotTest.java
@@ -19,7 +19,7 @@
 import vetchpost.state.SnapshotOrigin;
 import vetchpost.state.codec.ChunkCodec;
 
-/** Nodes that start with an old snapshot, no list, and a discovery that says nothing. */
+/** Nodes that start with an old snapshot and without a list while discovery is silent. */
 @Timeout(300)
 class StaleSnapshotTest {
     private static final int SEEDS = 100;
@@ -28,38 +28,40 @@
     private static final int RUNNING_SERVERS = 20;
     private static final int RETIRED_SERVERS = 3;
 
-    /** Twelve of the boxes that run, and three that have been retired since. */
+    /** A snapshot with twelve of the running servers and three that have been retired since. */
     private static List<byte[]> snapshot(long ageMs) {
-        long ms = World.EPOCH_MS - ageMs;
-        List<ServerRecord> boxes = new ArrayList<>();
+        long observedMs = World.EPOCH_MS - ageMs;
+        List<ServerRecord> servers = new ArrayList<>();
         for (int i = 0; i < LISTED_SERVERS; i++) {
-            boxes.add(serverRecord("s-" + i + "-0", "10.1.0." + (i + 1), i % 4, ms));
+            servers.add(serverRecord("s-" + i + "-0", "10.1.0." + (i + 1), i % 4, observedMs));
         }
         for (int i = 0; i < RETIRED_SERVERS; i++) {
-            boxes.add(serverRecord("s-" + (90 + i) + "-0", "10.1.0." + (200 + i), i, ms));
+            servers.add(serverRecord("s-" + (90 + i) + "-0", "10.1.0." + (200 + i), i, observedMs));
         }
-        return List.of(ChunkCodec.write(0, 1, new SnapshotOrigin(1, ms, ms - HOUR_MS, 40, Set.of()), List.of(), boxes));
+        return List.of(ChunkCodec.write(
+                0, 1, new SnapshotOrigin(1, observedMs, observedMs - HOUR_MS, 40, Set.of()), List.of(), servers));
     }
 
-    private static ServerRecord serverRecord(String id, String host, int rack, long ms) {
+    private static ServerRecord serverRecord(String id, String host, int rack, long observedMs) {
         return new ServerRecord(
                 new Target(id, new InetSocketAddress(host, 8443), "room", rack, ServerState.READY, 1, 0),
-                ms,
+                observedMs,
                 ConfirmationSource.LIST,
                 0,
                 null);
     }
 
     /**
-     * One node; discovery is silent for twelve seconds, in which two boxes are drained and one is replaced.
+     * One node. Discovery is silent for twelve seconds, in which one server is drained and one is replaced;
+     * another is drained a second later.
      */
-    private static Plan plan(long seed, long lengthMs) {
+    private static Plan plan(long seed, long durationMs) {
         List<Fault> faults = List.of(
                 new Fault(0, Fault.Kind.SILENCE_DISCOVERY, 0, 12_000, 0),
                 new Fault(13_000, Fault.Kind.DRAIN, 3, 4_000, 0),
                 new Fault(4_000, Fault.Kind.DRAIN, 5, 6_000, 0),
                 new Fault(7_000, Fault.Kind.REPLACE, 7, 300, 0));
-        return new Plan(seed, 1, RUNNING_SERVERS, 4, false, 100, lengthMs, 40, 2, faults, null);
+        return new Plan(seed, 1, RUNNING_SERVERS, 4, false, 100, durationMs, 40, 2, faults, null);
     }
 
     private static NodeProcess.Setup setup(long ageMs) {
@@ -84,7 +86,7 @@
 
     @Test
     void anHourOldListServesNineInTenWithinTenSecondsWhileDiscoveryIsSilent() {
-        double[] shares = IntStream.rangeClosed(1, SEEDS)
+        double[] servedFractions = IntStream.rangeClosed(1, SEEDS)
                 .parallel()
                 .mapToDouble(seed -> {
                     Result result = run(plan(seed, 10_000), HOUR_MS);
@@ -92,13 +94,14 @@
                 })
                 .sorted()
                 .toArray();
-        System.err.println("served " + shares[0] + " " + shares[SEEDS / 2] + " " + shares[SEEDS - 1]);
-        assertTrue(shares[0] >= 0.9, "the worst seed served " + shares[0]);
+        System.err.println(
+                "served " + servedFractions[0] + " " + servedFractions[SEEDS / 2] + " " + servedFractions[SEEDS - 1]);
+        assertTrue(servedFractions[0] >= 0.9, "the worst seed served " + servedFractions[0]);
         Result without = run(plan(1, 10_000), -1);
-        assertEquals(0, without.served(), "without a snapshot there is nobody to send to");
+        assertEquals(0, without.served(), "without a snapshot no server is known");
     }
 
-    /** Discovery speaks after twelve seconds: drains that it tells are kept from then on, by the checker. */
+    /** Discovery answers after twelve seconds; the checker finds no request to a drained server from then on. */
     @Test
     void drainsAreObeyedOnceTheListArrives() {
         int served = IntStream.rangeClosed(1, SEEDS)
