--- a/src/main/java/vetchpost/replication/Replica.java
+++ b/src/main/java/vetchpost/replication/Replica.java
@@ -114,11 +114,11 @@
      * @param tracksRemovals whether to record removed keys, needed if this store is published to other replicas
      * @param listener notified after each applied version
      */
-    public Replica(String name, VersionedStore store, Index index, boolean remembersRemoved, Listener listener) {
+    public Replica(String name, VersionedStore store, Index index, boolean tracksRemovals, Listener listener) {
         this.name = name;
         this.store = store;
         this.index = index;
-        this.tracksRemovals = remembersRemoved;
+        this.tracksRemovals = tracksRemovals;
         this.listener = listener;
     }
 
--- a/src/main/java/vetchpost/routes/RouteCodec.java
+++ b/src/main/java/vetchpost/routes/RouteCodec.java
@@ -8,7 +8,7 @@
 import vetchpost.store.FieldCodec;
 
 /**
- * Encodes the keys and values of a route as bytes, in the order of {@link RouteValidator.CookieHeaders} and with their types,
+ * Encodes the keys and values of a route as bytes, in the order of {@link RouteValidator.Key} and with their types,
  * so that a route has the same bytes whatever the order of its lines. Route tables, configurations and file indexes
  * use it. Stateless.
  */
--- a/src/main/java/vetchpost/store/PackedTree.java
+++ b/src/main/java/vetchpost/store/PackedTree.java
@@ -573,7 +573,7 @@
         return hash ^ hash >>> 33;
     }
 
-    /** The hash of an entry, of which {@link Summary#hash} is the sum. */
+    /** The hash of an entry, of which {@link Sum#hash} is the sum. */
     public static long hash(Item item) {
         return hash(item.key(), item.value(), item.stamp());
     }
