--- a/src/main/java/vetchpost/simulation/net/SimLoop.java
+++ b/src/main/java/vetchpost/simulation/net/SimLoop.java
@@ -24,7 +24,7 @@
     private final Selector selector;
     private final SplittableRandom random;
     private VirtualTime.Event nextTurn;
-    private long pausedUntilNs;
+    private long busyUntilNs;
     private boolean dead;
 
     /** Keeps the channels that are ready, in place of the operating system's selector. */
@@ -109,12 +109,12 @@
 
     /** Pauses the loop for this many nanoseconds, as a pause of its process would. */
     public void pause(long ns) {
-        pausedUntilNs = Math.max(pausedUntilNs, time.nanoTime() + ns);
+        busyUntilNs = Math.max(busyUntilNs, time.nanoTime() + ns);
         if (nextTurn != null) {
             nextTurn.cancel();
             nextTurn = null;
         }
-        scheduleTurn(pausedUntilNs);
+        scheduleTurn(busyUntilNs);
     }
 
     /**
@@ -143,7 +143,7 @@
     }
 
     private void scheduleTurn(long ns) {
-        long turnNs = Math.max(ns, pausedUntilNs);
+        long turnNs = Math.max(ns, busyUntilNs);
         if (dead || nextTurn != null && nextTurn.atNs() <= turnNs) {
             return;
         }
@@ -157,10 +157,10 @@
         nextTurn = null;
         int channels = selector.ready.size();
         runNow();
-        pausedUntilNs =
-                Math.max(pausedUntilNs, time.nanoTime() + TURN_DURATION_NS + PER_CHANNEL_DURATION_NS * channels);
+        busyUntilNs =
+                Math.max(busyUntilNs, time.nanoTime() + TURN_DURATION_NS + PER_CHANNEL_DURATION_NS * channels);
         if (!selector.ready.isEmpty()) {
-            scheduleTurn(pausedUntilNs);
+            scheduleTurn(busyUntilNs);
         }
         long nextTimerNs = nextScheduledTaskDeadlineNanos();
         if (nextTimerNs >= 0) {
